--- /dev/null
+++ b/control/plane/compat_test.go
@@ -0,0 +1,59 @@
+package plane
+
+import (
+	"bytes"
+	"os"
+	"path/filepath"
+	"reflect"
+	"testing"
+
+	"github.com/stretchr/testify/require"
+	"github.com/tinylib/msgp/msgp"
+)
+
+// message is a message of this package, by pointer.
+type message interface {
+	msgp.Marshaler
+	msgp.Unmarshaler
+	msgp.Encodable
+	msgp.Decodable
+}
+
+func TestStoredAndSentBytesStayAsTheyWere(t *testing.T) {
+	for name, sample := range samples() {
+		t.Run(name, func(t *testing.T) {
+			golden, err := os.ReadFile(filepath.Join("testdata", "compat", name+".msgp"))
+			require.NoError(t, err)
+
+			decoded := reflect.New(reflect.TypeOf(sample).Elem()).Interface().(message)
+			rest, err := decoded.UnmarshalMsg(golden)
+			require.NoError(t, err)
+			require.Empty(t, rest)
+			require.Equal(t, sample, decoded)
+			encoded, err := decoded.MarshalMsg(nil)
+			require.NoError(t, err)
+			require.Equal(t, golden, encoded)
+
+			streamed := reflect.New(reflect.TypeOf(sample).Elem()).Interface().(message)
+			require.NoError(t, msgp.Decode(bytes.NewReader(golden), streamed))
+			require.Equal(t, sample, streamed)
+			var out bytes.Buffer
+			require.NoError(t, msgp.Encode(&out, streamed))
+			require.Equal(t, golden, out.Bytes())
+		})
+	}
+}
+
+func TestEveryCompatFileIsRead(t *testing.T) {
+	files, err := filepath.Glob(filepath.Join("testdata", "compat", "*.msgp"))
+	require.NoError(t, err)
+	require.Len(t, files, len(samples()))
+}
+
+// samples has one value of each message, by the name of its file, with no field zero.
+func samples() map[string]message {
+	return map[string]message{
+		"status-request": &statusRequest{},
+		"status-reply":   &statusReply{Status: []byte(`{"node":"control-1"}`)},
+	}
+}
--- /dev/null
+++ b/control/view/compat_test.go
@@ -0,0 +1,74 @@
+package view
+
+import (
+	"bytes"
+	"os"
+	"path/filepath"
+	"reflect"
+	"testing"
+
+	"github.com/stretchr/testify/require"
+	"github.com/tinylib/msgp/msgp"
+)
+
+// message is a message of this package, by pointer.
+type message interface {
+	msgp.Marshaler
+	msgp.Unmarshaler
+	msgp.Encodable
+	msgp.Decodable
+}
+
+func TestStoredAndSentBytesStayAsTheyWere(t *testing.T) {
+	for name, sample := range samples() {
+		t.Run(name, func(t *testing.T) {
+			golden, err := os.ReadFile(filepath.Join("testdata", "compat", name+".msgp"))
+			require.NoError(t, err)
+
+			decoded := reflect.New(reflect.TypeOf(sample).Elem()).Interface().(message)
+			rest, err := decoded.UnmarshalMsg(golden)
+			require.NoError(t, err)
+			require.Empty(t, rest)
+			require.Equal(t, sample, decoded)
+			encoded, err := decoded.MarshalMsg(nil)
+			require.NoError(t, err)
+			require.Equal(t, golden, encoded)
+
+			streamed := reflect.New(reflect.TypeOf(sample).Elem()).Interface().(message)
+			require.NoError(t, msgp.Decode(bytes.NewReader(golden), streamed))
+			require.Equal(t, sample, streamed)
+			var out bytes.Buffer
+			require.NoError(t, msgp.Encode(&out, streamed))
+			require.Equal(t, golden, out.Bytes())
+		})
+	}
+}
+
+func TestEveryCompatFileIsRead(t *testing.T) {
+	files, err := filepath.Glob(filepath.Join("testdata", "compat", "*.msgp"))
+	require.NoError(t, err)
+	require.Len(t, files, len(samples()))
+}
+
+// samples has one value of each message, by the name of its file, with no field zero.
+func samples() map[string]message {
+	voter := Member{ID: 0xfedcba9876543210, Address: "10.0.0.1:7200", Zone: "a", Storage: true}
+	learner := Member{ID: 0x1234, Address: "10.0.0.2:7200", Zone: "b", Storage: true}
+	ballot := Ballot{Round: 0x10000, Proposer: 0xfedcba9876543210, Life: 0x0102030405060708}
+	promised := Ballot{Round: 0x10001, Proposer: 0x1234, Life: 77}
+	accepted := Ballot{Round: 3, Proposer: 5, Life: 0x8000}
+	decided := View{
+		Epoch: 0x100000000, Voters: []Member{voter, {ID: 9, Address: "10.0.0.3:7200", Zone: "c", Storage: true}}, Learners: []Member{learner},
+		Chain: []ID{0xfedcba9876543210, 9, 0x1234}, Whole: 2, Holder: 9, Vacant: true,
+	}
+	return map[string]message{
+		"member":       &voter,
+		"view":         &decided,
+		"ballot":       &ballot,
+		"vote":         &Vote{Epoch: 300, Promised: promised, AcceptedAt: accepted, Accepted: decided},
+		"prepare":      &Prepare{View: decided, Ballot: ballot},
+		"promise":      &Promise{Epoch: 301, Ballot: ballot, Granted: true, Promised: promised, AcceptedAt: accepted, Accepted: decided, Whole: true, Holder: 9, Quiet: true},
+		"accept":       &Accept{Epoch: 302, Ballot: ballot, View: decided},
+		"accept-reply": &AcceptReply{Epoch: 303, Ballot: ballot, Granted: true, Promised: promised},
+	}
+}
