--- /dev/null
+++ b/relay/compat_test.go
@@ -0,0 +1,42 @@
+package relay
+
+import (
+	"bytes"
+	"fmt"
+	"os"
+	"testing"
+
+	"github.com/stretchr/testify/require"
+
+	"ravendale/wire"
+)
+
+// TestACompressedTopicStaysReadable reads the update that the version before sent for a long topic. Which of the forms that deflate allows a
+// sender chooses is its own: what this version sends must be read to the same bytes.
+func TestACompressedTopicStaysReadable(t *testing.T) {
+	golden, err := os.ReadFile("testdata/compat/update-compressed.msgpack")
+	require.NoError(t, err)
+	var whole bytes.Buffer
+	for i := range 1000 {
+		fmt.Fprintf(&whole, "worker-%d.zone-%d;", i, i%3)
+	}
+	var update wire.Update
+	rest, err := update.UnmarshalMsg(golden)
+	require.NoError(t, err)
+	require.Empty(t, rest)
+	require.True(t, update.Compressed)
+	require.Equal(t, wire.TopicWorkers, update.Topic)
+	require.Equal(t, wire.Version{Term: 7, Sequence: 3}, update.To)
+	payload, err := Payload(&update)
+	require.NoError(t, err)
+	require.Equal(t, whole.Bytes(), payload)
+	encoded, err := update.MarshalMsg(nil)
+	require.NoError(t, err)
+	require.Equal(t, golden, encoded)
+
+	update.Payload = compress(whole.Bytes())
+	require.NotNil(t, update.Payload)
+	payload, err = Payload(&update)
+	require.NoError(t, err)
+	require.Equal(t, whole.Bytes(), payload)
+}
--- /dev/null
+++ b/rpc/compat_test.go
@@ -0,0 +1,73 @@
+package rpc
+
+import (
+	"errors"
+	"os"
+	"path/filepath"
+	"testing"
+
+	"github.com/stretchr/testify/require"
+
+	"ravendale/wire"
+)
+
+// frames takes what a connection sends.
+type frames struct{ sent [][]byte }
+
+func (f *frames) Carry(frame []byte) { f.sent = append(f.sent, append([]byte(nil), frame...)) }
+func (f *frames) Close()             {}
+
+func goldenFrame(t *testing.T, name string) []byte {
+	t.Helper()
+	frame, err := os.ReadFile(filepath.Join("testdata", "compat", name+".frame"))
+	require.NoError(t, err)
+	return frame
+}
+
+// TestFramesKeepTheirEncoding holds each kind of frame to the bytes that the version before wrote, and has them read.
+func TestFramesKeepTheirEncoding(t *testing.T) {
+	var heard []wire.Fetch
+	mux := NewMux()
+	Handle(mux, wire.MethodFetch, func(_ *Conn, message *wire.Fetch, reply Reply) {
+		heard = append(heard, *message)
+		reply.Send(&wire.SubscribeReply{Accepted: true})
+	})
+	out := &frames{}
+	conn := NewCarried(Options{Mux: mux}, out)
+	fetch := wire.Fetch{Topic: wire.TopicStores, Have: wire.Version{Term: 5, Sequence: 6}}
+
+	var answer []byte
+	var failure error
+	conn.Start(wire.MethodFetch, &fetch, func(payload []byte, err error) { answer = append([]byte(nil), payload...) })
+	conn.Start(wire.MethodRenew, nil, func(_ []byte, err error) { failure = err })
+	require.NoError(t, conn.Notify(wire.MethodFetch, &fetch))
+	require.NoError(t, conn.queue(framePing, 0, 0, nil))
+	conn.Deliver(goldenFrame(t, "request"))
+	conn.Deliver(goldenFrame(t, "notice"))
+	conn.Deliver(goldenFrame(t, "ping"))
+	conn.Deliver(goldenFrame(t, "pong"))
+	conn.Deliver(goldenFrame(t, "reply"))
+	conn.Deliver(goldenFrame(t, "error"))
+	conn.Deliver(goldenFrame(t, "unknown-request"))
+
+	require.Equal(t, []wire.Fetch{fetch, fetch}, heard)
+	var reply wire.SubscribeReply
+	_, err := reply.UnmarshalMsg(answer)
+	require.NoError(t, err)
+	require.True(t, reply.Accepted)
+	var remote *RemoteError
+	require.True(t, errors.As(failure, &remote))
+	require.Equal(t, "no lease", remote.Text)
+
+	require.Len(t, out.sent, 7)
+	for i, name := range []string{"request", "empty-request", "notice", "ping", "reply", "pong", "unknown-reply"} {
+		require.Equal(t, goldenFrame(t, name), out.sent[i], name)
+	}
+}
+
+func TestAnErrorKeepsItsFrame(t *testing.T) {
+	out := &frames{}
+	conn := NewCarried(Options{}, out)
+	Reply{conn: conn, method: wire.MethodRenew, call: 2, wanted: true}.Fail(errors.New("no lease"))
+	require.Equal(t, [][]byte{goldenFrame(t, "error")}, out.sent)
+}
