--- /dev/null
+++ b/handover/compat_test.go
@@ -0,0 +1,111 @@
+package handover
+
+import (
+	"bytes"
+	"encoding/json"
+	"os"
+	"path/filepath"
+	"testing"
+	"time"
+
+	"github.com/google/go-cmp/cmp"
+
+	"ravendale"
+	"ravendale/platform"
+	"ravendale/scheduler"
+)
+
+// The files in testdata/compat were written by version a08c060: an old process and a new one talk to each other during an
+// upgrade, so each message is to stay what it is.
+
+func yes() *bool { v := true; return &v }
+func no() *bool  { return new(bool) }
+
+var compatMemory = &ravendale.Memory{
+	Out:      map[string]time.Duration{"worker-7": 7 * time.Second},
+	Arrivals: 123.5,
+	Peak:     12,
+	Classes: map[string]ravendale.RunMemory{
+		"view": {Run: 11 * time.Millisecond, Dev: 3 * time.Millisecond, Longest: 900 * time.Millisecond, Came: 41, Weight: 2.5},
+	},
+	Workers: map[string]ravendale.WorkerMemory{
+		"worker-1": {StartedAt: 4 * time.Second, Told: 3 * time.Second, Tokens: 1.25, FilledAt: 6 * time.Second, SickTill: 8 * time.Second,
+			TurnedAway: 9 * time.Second, Faults: 0.375, Limit: 17.5, Fulls: 3, Slots: 2},
+	},
+	Zones:     []ravendale.ZoneMemory{{Busy: 0.25, Queue: 1.5, Prompt: 4 * time.Millisecond}},
+	MeanWorth: 1.75, JobsSeen: 1000, Carried: 33.25, ColdPrompt: 0.875,
+}
+
+var compatTerms = &scheduler.Terms{
+	Classes: []ravendale.Class{{Name: "view", Effect: ravendale.Keyed, Group: ravendale.GroupCell, Window: 40 * time.Second,
+		Aim: 400 * time.Millisecond, Stretch: 1.75, Deadline: 2 * time.Second, Worth: 3.5, LateWorth: 0.5, Kind: 1, Priority: 2}},
+	Attempts: 5,
+}
+
+var compatMessages = map[string]Message{
+	"hello": {Hello: true},
+	"state": {State: &State{List: json.RawMessage(`{"epoch":41,"workers":[{"id":"worker-1"}]}`), Discovery: "http://127.0.0.1:8500/v1",
+		InFile: "http://127.0.0.1:8400/v1", Away: true, IDs: []string{"request-1", "request-2"}, Memory: compatMemory}},
+	"state_empty":  {State: &State{List: json.RawMessage(`null`)}},
+	"serving":      {Serving: true, Terms: compatTerms},
+	"terms":        {Terms: compatTerms},
+	"callback":     {Callback: []byte("{\"id\":\"request-1\"}\x00\xff")},
+	"took":         {Took: "request-1"},
+	"sent":         {Sent: "worker-1"},
+	"ended":        {Ended: "worker-1"},
+	"out":          {Out: "worker-1"},
+	"back":         {Back: "worker-1"},
+	"away":         {Away: yes()},
+	"away_no_more": {Away: no()},
+	"discovery":    {Discovery: "http://127.0.0.1:8500/v1"},
+	"has":          {Has: "request-1"},
+	"job": {Job: &Job{
+		Carried: scheduler.Carried{ID: "request-1", Class: "view", AnswerBy: 90 * time.Second,
+			Facts: scheduler.Facts{Class: 1, Tenant: 2, Key: 0x91f03b7c55d20a64, Left: 240 * time.Millisecond, Work: 12 * time.Millisecond,
+				Slots: 2, Memory: 3, Retry: true},
+			Attempts:  []ravendale.Attempted{{Worker: "worker-1", Zone: 2, Cell: 5, SentAt: 17 * time.Second, Out: true, MayRun: true, Started: true}},
+			Unreached: 1},
+		Request: platform.Message{Method: "POST", Target: "/view?x=1", Key: "key-1", ContentType: "application/json", Body: []byte(`{"a":1}`)},
+		Closes:  true,
+	}},
+	"job_least": {Job: &Job{Carried: scheduler.Carried{ID: "request-2"}}},
+}
+
+// wire is a connection that keeps what is written.
+type wire struct{ written []byte }
+
+func (w *wire) Write(b []byte) { w.written = append(w.written, b...) }
+func (w *wire) Ignore()        {}
+func (w *wire) Finish()        {}
+func (w *wire) Close()         {}
+func (w *wire) Unwritten() int { return 0 }
+func (w *wire) Peer() string   { return "" }
+
+func TestGoldenMessagesReadAndWriteTheSame(t *testing.T) {
+	for name, want := range compatMessages {
+		t.Run(name, func(t *testing.T) {
+			golden, err := os.ReadFile(filepath.Join("testdata", "compat", name+".json"))
+			if err != nil {
+				t.Fatal(err)
+			}
+			var got []Message
+			w := &wire{}
+			l := Accept(w, func(_ *Link, m Message) { got = append(got, m) }, func(_ *Link, err error) { t.Error("lost:", err) })
+			l.Data(golden)
+			if diff := cmp.Diff([]Message{want}, got); diff != "" {
+				t.Fatalf("the file reads as another message (-want +got):\n%s", diff)
+			}
+			l.Tell(got[0])
+			if !bytes.Equal(w.written, golden) {
+				t.Errorf("the message is written as\n%s\nnot as\n%s", w.written, golden)
+			}
+		})
+	}
+}
+
+func TestEachGoldenMessageIsHeldAgainstAValue(t *testing.T) {
+	files, err := os.ReadDir(filepath.Join("testdata", "compat"))
+	if err != nil || len(files) != len(compatMessages) {
+		t.Errorf("%d files for %d values, %v", len(files), len(compatMessages), err)
+	}
+}
