--- a/cmd/ravendale-store/corehost.go
+++ b/cmd/ravendale-store/corehost.go
@@ -140,7 +140,7 @@
 }
 
 func (h *coreHost) awaitLeftOut(ctx context.Context, opened *plane.Plane) {
-	for !opened.Core.LeftOut() {
+	for !opened.Core.Removed() {
 		select {
 		case <-ctx.Done():
 			return
--- a/cmd/ravendalectl/internal/disks/core.go
+++ b/cmd/ravendalectl/internal/disks/core.go
@@ -236,7 +236,7 @@
 
 func render(i *core.Image) *Core {
 	c := &Core{
-		Disk: i.ID.String(), Founders: i.Founders, Epoch: i.View.Epoch, Sealed: i.Vote.Sealed(i.View.Epoch),
+		Disk: i.ID.String(), Founders: i.BootstrapMembers, Epoch: i.View.Epoch, Sealed: i.Vote.Sealed(i.View.Epoch),
 		Base: i.Chain.Base, Last: i.Chain.Base, Voters: []string{}, Chain: []string{}, Uncovered: []string{},
 	}
 	for _, member := range i.View.Voters {
--- a/control/core/behind_test.go
+++ b/control/core/behind_test.go
@@ -12,7 +12,7 @@
 func comeBackBehind(t *testing.T, seed uint64, m mutant) (views uint64, pause time.Duration) {
 	const missed = 400
 	s := newSimulation(seed, 5, 2, m)
-	s.leastLog = 1 << 20 // no image: the member gets the commands
+	s.minLogBytes = 1 << 20 // no image: the member gets the commands
 	s.run(1500 * time.Millisecond)
 	s.load(20 * time.Millisecond)
 	s.run(4 * time.Second)
@@ -55,16 +55,16 @@
 // TestTheLogIsShortHoweverSmallItsRecordsAre has a member commit many small commands: each start applies again what the log holds.
 func TestTheLogIsShortHoweverSmallItsRecordsAre(t *testing.T) {
 	s := newSimulation(3, 3, 1, sound)
-	s.leastLog, s.mostRecords = 1<<20, mostRecords
+	s.minLogBytes, s.maxLogRecords = 1<<20, maxLogRecords
 	s.run(1500 * time.Millisecond)
 	s.load(10 * time.Millisecond)
 	for range 100 {
 		s.run(s.now + 100*time.Millisecond)
 		for _, member := range s.members {
-			require.LessOrEqual(t, member.node.logged, mostRecords)
+			require.LessOrEqual(t, member.node.logRecords, maxLogRecords)
 		}
 	}
-	require.Greater(t, len(s.order), 5*mostRecords)
+	require.Greater(t, len(s.order), 5*maxLogRecords)
 	require.Empty(t, s.broken)
 }
 
@@ -72,7 +72,7 @@
 // It returns how long it took to a leader and an answer.
 func restartWithMuchToApply(t *testing.T, seed uint64, m mutant, records int) time.Duration {
 	s := newSimulation(seed, 5, 2, m)
-	s.leastLog, s.mostRecords = 1<<20, records
+	s.minLogBytes, s.maxLogRecords = 1<<20, records
 	s.run(1500 * time.Millisecond)
 	s.load(20 * time.Millisecond)
 	s.until(time.Minute, func() bool { return len(s.order) >= 250 })
@@ -90,7 +90,7 @@
 func TestARestartedCoreWithMuchToApplyServesSoon(t *testing.T) {
 	var slowest time.Duration
 	for seed := range uint64(20) {
-		slowest = max(slowest, restartWithMuchToApply(t, seed, sound, mostRecords))
+		slowest = max(slowest, restartWithMuchToApply(t, seed, sound, maxLogRecords))
 	}
 	t.Logf("at most %v", slowest)
 	require.Less(t, slowest, 1500*time.Millisecond)
--- a/control/core/founding.go
+++ b/control/core/bootstrap.go
@@ -8,25 +8,25 @@
 	"ravendale/control/view"
 )
 
-// found proposes the first view, once all seeds are there, at the one with the lowest address. Since only that one ever proposes
+// bootstrap proposes the first view, once all seeds are there, at the one with the lowest address. Since only that one ever proposes
 // it, and has it on disk before it tells, it is decided.
-func (n *node) found(now time.Duration) {
-	if n.view.Epoch != 0 || len(n.founder) == 0 {
+func (n *node) bootstrap(now time.Duration) {
+	if n.view.Epoch != 0 || len(n.bootstrapMembers) == 0 {
 		return
 	}
 	members := []view.Member{n.self}
-	for _, address := range n.founder {
+	for _, address := range n.bootstrapMembers {
 		if address == n.self.Address {
 			continue
 		}
 		p := n.peers[address]
-		if p == nil || !p.contacted || now-p.heard > silentAfter || p.refused || p.beat.aside() {
+		if p == nil || !p.contacted || now-p.heardAt > failureTimeout || p.refused || p.heartbeat.degraded() {
 			return
 		}
 		if p.member.ID == 0 {
 			continue // without a disk
 		}
-		if !p.beat.Founder || p.beat.Epoch != 0 || address < n.self.Address {
+		if !p.heartbeat.Bootstrap || p.heartbeat.Epoch != 0 || address < n.self.Address {
 			return
 		}
 		members = append(members, p.member)
@@ -35,7 +35,7 @@
 	first := firstView(members)
 	n.adopt(now, &first)
 	for _, member := range members[1:] {
-		n.sendLasting(member.Address, &decided{View: first})
+		n.sendWhenDurable(member.Address, &decided{View: first})
 	}
 }
 
--- a/control/core/foundingstores_test.go
+++ b/control/core/bootstrapstores_test.go
@@ -14,8 +14,8 @@
 const amnesiacSeed mutant = 101
 
 // storeSimulation is a core whose members are stores, and whose seeds are processes without a disk.
-func storeSimulation(seed uint64, fronts, stores, lost int, m mutant) *simulation {
-	s := newSimulation(seed, stores, lost, m)
+func storeSimulation(seed uint64, fronts, stores, tolerated int, m mutant) *simulation {
+	s := newSimulation(seed, stores, tolerated, m)
 	for i := range fronts {
 		front := &simulated{
 			s: s, address: fmt.Sprintf("10.1.0.%d:1", i+1), zone: fmt.Sprint("zone-", i%3), diskless: true, fresh: true,
@@ -28,8 +28,8 @@
 	return s
 }
 
-// watchFounding fails if two first views are ever known.
-func (s *simulation) watchFounding(first map[string]bool) {
+// watchBootstrap fails if two first views are ever known.
+func (s *simulation) watchBootstrap(first map[string]bool) {
 	for _, process := range append(append([]*simulated(nil), s.members...), s.fronts...) {
 		if process.running && process.node != nil && process.node.view.Epoch == 1 {
 			first[fmt.Sprint(process.node.view.Voters)] = true
@@ -38,7 +38,7 @@
 	if len(first) > 1 {
 		s.fail("the core was founded %d times", len(first))
 	}
-	s.after(2*time.Millisecond, func() { s.watchFounding(first) })
+	s.after(2*time.Millisecond, func() { s.watchBootstrap(first) })
 }
 
 // bounce ends a process for a while. Its next life is not the first one of the system.
@@ -51,10 +51,10 @@
 	s.after(down, process.start)
 }
 
-// playFounding has processes die and the network fail while the core is being founded.
-func playFounding(seed uint64, m mutant) (broken string, founded bool) {
+// playBootstrap has processes die and the network fail while the core is being founded.
+func playBootstrap(seed uint64, m mutant) (broken string, founded bool) {
 	s := storeSimulation(seed, 3, 3+int(seed%3), 1, m)
-	s.watchFounding(make(map[string]bool))
+	s.watchBootstrap(make(map[string]bool))
 	s.lossy, s.loss = s.random.IntN(2) == 0, 0.2
 	for range s.random.IntN(5) {
 		s.run(s.now + time.Duration(s.random.Int64N(int64(600*time.Millisecond))))
@@ -62,13 +62,13 @@
 		process := all[s.random.IntN(len(all))]
 		if s.random.IntN(3) == 0 {
 			other := all[s.random.IntN(len(all))]
-			s.cut[[2]string{process.address, other.address}] = true
+			s.partitioned[[2]string{process.address, other.address}] = true
 			continue
 		}
 		s.bounce(process, time.Duration(s.random.Int64N(int64(300*time.Millisecond))))
 	}
 	s.run(s.now + 8*time.Second)
-	s.lossy, s.cut = false, make(map[[2]string]bool)
+	s.lossy, s.partitioned = false, make(map[[2]string]bool)
 	s.run(s.now + 4*time.Second)
 	for _, member := range s.members {
 		founded = founded || member.node != nil && member.node.view.Epoch > 0
@@ -79,7 +79,7 @@
 func TestACoreOfStoresIsFoundedOnce(t *testing.T) {
 	founded := 0
 	for seed := range uint64(100) {
-		broken, done := playFounding(seed, sound)
+		broken, done := playBootstrap(seed, sound)
 		require.Empty(t, broken, "seed %d", seed)
 		if done {
 			founded++
@@ -100,18 +100,18 @@
 // decided. Then the second seed comes back, and the third has its turn with other stores before it.
 func playForgottenVote(t *testing.T, m mutant) *simulation {
 	s := storeSimulation(1, 3, 4, 1, m)
-	s.watchFounding(make(map[string]bool))
-	s.reach(t, 2*time.Second, func() bool { return s.fronts[0].node != nil && s.fronts[0].node.founding.since >= 0 })
+	s.watchBootstrap(make(map[string]bool))
+	s.reach(t, 2*time.Second, func() bool { return s.fronts[0].node != nil && s.fronts[0].node.storeBootstrap.allHeardAt >= 0 })
 	for _, target := range append([]*simulated{s.fronts[2]}, s.members...) {
-		s.cut[[2]string{s.fronts[0].address, target.address}] = true
+		s.partitioned[[2]string{s.fronts[0].address, target.address}] = true
 	}
-	s.reach(t, 3*time.Second, func() bool { return s.fronts[1].node.founding.vote.Accepted.Epoch != 0 })
+	s.reach(t, 3*time.Second, func() bool { return s.fronts[1].node.storeBootstrap.vote.Accepted.Epoch != 0 })
 	s.bounce(s.fronts[1], 500*time.Millisecond)
 	s.members[0].running = false
 	s.reach(t, time.Second, func() bool { return s.fronts[0].node.view.Epoch == 1 })
 	s.separate(s.fronts[:1], true)
-	s.cut[[2]string{s.fronts[0].address, s.fronts[1].address}] = true
-	s.cut[[2]string{s.fronts[1].address, s.fronts[0].address}] = true
+	s.partitioned[[2]string{s.fronts[0].address, s.fronts[1].address}] = true
+	s.partitioned[[2]string{s.fronts[1].address, s.fronts[0].address}] = true
 	s.run(s.now + 10*time.Second)
 	return s
 }
@@ -136,13 +136,13 @@
 	require.Empty(t, s.broken)
 }
 
-// TestTheFoundingOutlivesTheSeedThatBeganIt kills the first seed as soon as a second one has accepted its proposal.
-func TestTheFoundingOutlivesTheSeedThatBeganIt(t *testing.T) {
+// TestTheBootstrapOutlivesTheSeedThatBeganIt kills the first seed as soon as a second one has accepted its proposal.
+func TestTheBootstrapOutlivesTheSeedThatBeganIt(t *testing.T) {
 	for seed := range uint64(10) {
 		s := storeSimulation(seed, 3, 3, 1, sound)
-		s.watchFounding(make(map[string]bool))
+		s.watchBootstrap(make(map[string]bool))
 		s.reach(t, 4*time.Second, func() bool {
-			return s.fronts[1].node != nil && s.fronts[1].node.founding.vote.Accepted.Epoch != 0
+			return s.fronts[1].node != nil && s.fronts[1].node.storeBootstrap.vote.Accepted.Epoch != 0
 		})
 		s.fronts[0].running = false
 		s.run(s.now + 5*time.Second)
@@ -161,7 +161,7 @@
 		s.load(60 * time.Millisecond)
 		for range 2 + s.random.IntN(5) {
 			s.run(s.now + time.Duration(s.random.Int64N(int64(1200*time.Millisecond))))
-			s.trouble()
+			s.injectFault()
 			if s.random.IntN(2) == 0 {
 				s.bounce(s.fronts[s.random.IntN(len(s.fronts))], time.Duration(s.random.Int64N(int64(time.Second))))
 			}
@@ -215,8 +215,8 @@
 			require.True(t, member.node.chain.Attached(), "seed %d", seed)
 		}
 		leaver.node.Leave(leaver.clock())
-		leaver.carryOut()
-		s.reach(t, 3*time.Second, func() bool { return leaver.node.LeftOut() })
+		leaver.execute()
+		s.reach(t, 3*time.Second, func() bool { return leaver.node.Removed() })
 		s.reach(t, time.Second, func() bool {
 			for _, member := range s.members {
 				if _, voter := member.node.view.Voter(leaver.node.self.ID); voter {
@@ -244,11 +244,11 @@
 		s.run(s.now + time.Second)
 		leaver := s.members[1]
 		leaver.node.Leave(leaver.clock())
-		leaver.carryOut()
+		leaver.execute()
 		s.run(s.now + 5*time.Second)
-		require.False(t, leaver.node.LeftOut(), "seed %d", seed)
+		require.False(t, leaver.node.Removed(), "seed %d", seed)
 		s.members[0].start()
-		s.reach(t, 5*time.Second, func() bool { return leaver.node.LeftOut() })
+		s.reach(t, 5*time.Second, func() bool { return leaver.node.Removed() })
 		require.Empty(t, s.broken, "seed %d", seed)
 	}
 }
--- a/control/core/bounds_test.go
+++ b/control/core/bounds_test.go
@@ -64,7 +64,7 @@
 	l.machine, l.store = state.NewMachine(), store
 	l.node, err = newNode(l.now, nodeConfig{
 		Address: address, Seeds: []string{address}, Bootstrap: true, Disk: true, Candidate: true, Durability: view.Durability{Copies: 1},
-		DownAfter: time.Minute, GoneAfter: time.Minute, Terms: lease.DefaultTerms, LeastLog: leastLog, MostRecords: mostRecords, Machine: l.machine,
+		DownAfter: time.Minute, LearnerExpiry: time.Minute, Terms: lease.DefaultTerms, MinLogBytes: minLogBytes, MaxLogRecords: maxLogRecords, Machine: l.machine,
 		Random: func() uint64 { random += 2; return random },
 	}, snapshot, records)
 	require.NoError(l.t, err)
@@ -80,21 +80,21 @@
 func (l *lone) tick() {
 	l.now += 20 * time.Millisecond
 	l.node.Tick(l.now)
-	l.carryOut()
+	l.execute()
 }
 
-func (l *lone) carryOut() {
-	for out := l.node.Take(); ; out = l.node.Take() {
-		for _, end := range out.Ended {
+func (l *lone) execute() {
+	for output := l.node.Take(); ; output = l.node.Take() {
+		for _, end := range output.Completions {
 			require.NoError(l.t, end.Err)
 			result, err := state.DecodeResult(end.Result)
 			require.NoError(l.t, err)
 			l.results[end.Number] = result
 		}
-		if len(out.Writes) == 0 {
+		if len(output.Writes) == 0 {
 			return
 		}
-		for _, write := range out.Writes {
+		for _, write := range output.Writes {
 			if write.Image != nil {
 				l.images++
 				require.NoError(l.t, l.store.Snapshot(write.Image))
@@ -125,7 +125,7 @@
 	encoded, err := state.Encode(command)
 	require.NoError(l.t, err)
 	number := l.node.Submit(l.now, encoded)
-	l.carryOut()
+	l.execute()
 	for range 50 {
 		if result := l.results[number]; result != nil {
 			delete(l.results, number)
@@ -135,7 +135,7 @@
 	}
 	n := l.node
 	require.Fail(l.t, "not answered", "attached %v, last %d, synced %d, committed %d, unapplied %d, pending %v, aside %q, now %v, machine at %d",
-		n.chain.Attached(), n.chain.Last(), n.chain.Synced(), n.chain.Committed(), n.chain.Unapplied(), len(n.pending), n.aside.from, l.now, l.machine.Current().Version)
+		n.chain.Attached(), n.chain.Last(), n.chain.Synced(), n.chain.Committed(), n.chain.Unapplied(), len(n.pending), n.degradation.fault, l.now, l.machine.Current().Version)
 	return nil
 }
 
@@ -196,12 +196,12 @@
 	l := newLone(t)
 	for version := uint64(1); version <= changes; version++ {
 		l.start()
-		require.LessOrEqual(t, l.node.chain.Unapplied(), 2*mostRecords, "they are all applied again")
+		require.LessOrEqual(t, l.node.chain.Unapplied(), 2*maxLogRecords, "they are all applied again")
 		require.Equal(t, state.OutcomeTaken, l.set(version, size).Outcome)
 		l.tick()
 		require.NoError(t, l.store.Close())
 	}
-	require.Less(t, l.most, int64(6*leastLog), "two logs, and two slots that may hold the commands of one")
+	require.Less(t, l.most, int64(6*minLogBytes), "two logs, and two slots that may hold the commands of one")
 	require.Greater(t, l.images, 3)
 	t.Logf("at most %d KB on disk, %d images", l.most>>10, l.images)
 }
@@ -272,13 +272,13 @@
 	for parity := range 2 {
 		slot, _ := slots.Names(parity)
 		path := filepath.Join(l.folder, slot)
-		whole, err := os.ReadFile(path)
+		intact, err := os.ReadFile(path)
 		if os.IsNotExist(err) {
 			continue
 		}
 		require.NoError(t, err)
-		for at := 0; at < len(whole); at += 1 + len(whole)/50 {
-			rotten := append([]byte(nil), whole...)
+		for at := 0; at < len(intact); at += 1 + len(intact)/50 {
+			rotten := append([]byte(nil), intact...)
 			rotten[at] ^= 1
 			require.NoError(t, os.WriteFile(path, rotten, 0o600))
 			_, snapshot, records, err := slots.Open(l.folder)
@@ -290,6 +290,6 @@
 			require.NoError(t, err)
 			require.Equal(t, l.node.chain.Last(), image.Chain.Base+uint64(len(image.Chain.Entries)), "%s at %d", slot, at)
 		}
-		require.NoError(t, os.WriteFile(path, whole, 0o600))
+		require.NoError(t, os.WriteFile(path, intact, 0o600))
 	}
 }
--- a/control/core/change.go
+++ b/control/core/chainchange.go
@@ -7,8 +7,8 @@
 	"ravendale/control/view"
 )
 
-// change is the step from one view to a later one, for the log.
-type change struct {
+// chainChange is the step from one view to a later one, for the log.
+type chainChange struct {
 	epoch  uint64
 	chain  []string // rpc addresses
 	voters []string // the same
@@ -16,8 +16,8 @@
 	left   []string // with why, as far as this node knows
 }
 
-func (n *node) change(now time.Duration, next *view.View) change {
-	c := change{epoch: next.Epoch}
+func (n *node) chainChange(now time.Duration, next *view.View) chainChange {
+	c := chainChange{epoch: next.Epoch}
 	for _, id := range next.Chain {
 		member, _ := next.Member(id)
 		c.chain = append(c.chain, member.Address)
@@ -47,13 +47,13 @@
 		return "its process has ended"
 	case p != nil && p.contacted && p.member.ID != member.ID:
 		return "it has another disk"
-	case p != nil && p.beat.aside():
+	case p != nil && p.heartbeat.degraded():
 		return "its disk fails or stalls"
-	case n.leaves(member.ID):
+	case n.isStopping(member.ID):
 		return "it stops"
 	case !n.hears(now, member.ID):
 		return "it is silent"
-	case p != nil && len(p.beat.Missing) > 0:
+	case p != nil && len(p.heartbeat.Unresponsive) > 0:
 		return "it does not hear others"
 	}
 	return "it is behind, or silent to others"
@@ -67,6 +67,6 @@
 	log.Error("the core's disk fails: this process steps aside", "error", c.Fault)
 }
 
-func (c *change) log(log *slog.Logger) {
+func (c *chainChange) log(log *slog.Logger) {
 	log.Info("chain changed", "epoch", c.epoch, "chain", c.chain, "voters", c.voters, "joined", c.joined, "left", c.left)
 }
--- a/control/core/submitting.go
+++ b/control/core/commands.go
@@ -10,7 +10,7 @@
 func (n *node) Submit(now time.Duration, text []byte) uint64 {
 	n.number++
 	n.pending[n.number] = &command{number: n.number, command: text}
-	if n.aside.from != "" {
+	if n.degradation.fault != "" {
 		n.end(n.pending[n.number], nil, ErrUnavailable)
 	}
 	n.submitAll(now)
@@ -34,7 +34,7 @@
 // submitAll sends what waits to the head, again if that has not helped. Within an epoch the head orders a command once, and a
 // later epoch is only tried when the earlier one is known to have ended without it.
 func (n *node) submitAll(now time.Duration) {
-	if len(n.pending) == 0 || n.aside.from != "" || !n.chain.Attached() || n.vote.Sealed(n.view.Epoch) || !n.config.Durability.Met(&n.view) {
+	if len(n.pending) == 0 || n.degradation.fault != "" || !n.chain.Attached() || n.vote.Sealed(n.view.Epoch) || !n.config.Durability.Met(&n.view) {
 		return
 	}
 	low := n.number
@@ -43,14 +43,14 @@
 	}
 	for number := low; number <= n.number; number++ {
 		pending := n.pending[number]
-		if pending == nil || pending.epoch != 0 && (pending.epoch != n.view.Epoch || now-pending.sentAt < proposeAgain) {
+		if pending == nil || pending.epoch != 0 && (pending.epoch != n.view.Epoch || now-pending.sentAt < proposeRetryInterval) {
 			continue
 		}
-		n.pass(now, pending, low)
+		n.sendToHead(now, pending, low)
 	}
 }
 
-func (n *node) pass(now time.Duration, pending *command, low uint64) {
+func (n *node) sendToHead(now time.Duration, pending *command, low uint64) {
 	if n.chain.Position() != 0 {
 		pending.epoch, pending.sentAt = n.view.Epoch, now
 		n.send(n.towardsHead(now), &propose{
--- a/control/core/compat_test.go
+++ b/control/core/compat_test.go
@@ -88,7 +88,7 @@
 
 // compatMessages are the formats of this package, by the names of their golden files: each holds the samples one after the other.
 var compatMessages = map[string]func() compatCodec{
-	"heartbeat":     func() compatCodec { return new(beat) },
+	"heartbeat":     func() compatCodec { return new(heartbeat) },
 	"decided":       func() compatCodec { return new(decided) },
 	"propose":       func() compatCodec { return new(propose) },
 	"forward":       func() compatCodec { return new(forward) },
@@ -132,7 +132,7 @@
 // TestMethodsAreNumberedAsEver holds each message to its number, and the numbers to the messages that they are read as.
 func TestMethodsAreNumberedAsEver(t *testing.T) {
 	numbers := map[wire.Method]msgp.Marshaler{
-		128: &beat{}, 129: &view.Prepare{}, 130: &view.Promise{}, 131: &view.Accept{}, 132: &view.AcceptReply{}, 133: &decided{},
+		128: &heartbeat{}, 129: &view.Prepare{}, 130: &view.Promise{}, 131: &view.Accept{}, 132: &view.AcceptReply{}, 133: &decided{},
 		134: &chain.Attach{}, 135: &chain.Fill{}, 136: &chain.Append{}, 137: &chain.Ack{}, 138: &chain.Gap{}, 139: &propose{},
 		140: &lease.Request{}, 141: &lease.Reply{}, 142: &lease.Release{}, 144: &leaving{},
 	}
@@ -183,13 +183,13 @@
 // compatImages are two images of one member, the second without entries.
 func compatImages() (first, second *Image) {
 	first = &Image{
-		ID: 0x11, Founders: []string{"10.0.0.1:7000", "10.0.0.2:7000"}, View: compatView(1),
+		ID: 0x11, BootstrapMembers: []string{"10.0.0.1:7000", "10.0.0.2:7000"}, View: compatView(1),
 		Vote:    view.Vote{Epoch: 1, Promised: view.Ballot{Round: 2, Proposer: 0x22, Life: 9}},
 		Chain:   chain.State{Base: 3, BaseEpoch: 1, Entries: []chain.Entry{{Sequence: 4, Epoch: 1, Origin: 5, Number: 6, Command: []byte("old")}}, Whole: 1},
 		Machine: []byte("old machine"), Lease: lease.Past{Unknown: true},
 	}
 	second = &Image{
-		ID: 0x11, Founders: first.Founders, View: compatView(2), Vote: first.Vote,
+		ID: 0x11, BootstrapMembers: first.BootstrapMembers, View: compatView(2), Vote: first.Vote,
 		Chain: chain.State{Base: 4, BaseEpoch: 1, Whole: 2}, Machine: []byte("machine"), Lease: lease.Past{Holder: 0x22},
 	}
 	return first, second
--- a/control/core/core.go
+++ b/control/core/core.go
@@ -32,23 +32,23 @@
 // MaxCommand bounds a command, in bytes.
 const MaxCommand = 5 << 20
 
-// mostEntries bounds the commands in one message of the chain: those that waited when the last snapshot was taken, the log after it, and
+// maxMessageEntries bounds the commands in one message of the chain: those that waited when the last snapshot was taken, the log after it, and
 // what came with its last write. A Fill with a snapshot has only those that wait.
-const mostEntries = 2*(chain.MaxUncommitted+MaxCommand) + mostLog
+const maxMessageEntries = 2*(chain.MaxUncommitted+MaxCommand) + maxLogBytes
 
-const _ = uint(rpc.MaxFrame - mostEntries - 1<<20) // they fit a frame, with room for what is around them
+const _ = uint(rpc.MaxFrame - maxMessageEntries - 1<<20) // they fit a frame, with room for what is around them
 // How long a voter may be silent.
 const (
-	downShare      = 0.7                     // of the time that a new machine has to catch up: by then the one that it replaces has no vote
-	mostDownAfter  = 1500 * time.Millisecond // by then a lease that it held has ended, so that the next holder need not wait for the new voters
-	leastGoneAfter = 10 * time.Second
+	downFraction     = 0.7                     // of the time that a new machine has to catch up: by then the one that it replaces has no vote
+	maxDownAfter     = 1500 * time.Millisecond // by then a lease that it held has ended, so that the next holder need not wait for the new voters
+	minLearnerExpiry = 10 * time.Second
 )
 
 // An orderly end waits for the others to go on without this process.
 const (
-	leaveWithin  = 1500 * time.Millisecond // at most
-	leaveShare   = 0.25                    // and of the time that the process has for its end
-	releasePause = 20 * time.Millisecond   // at least, in which word of the lease that is given back may leave
+	stopTimeout      = 1500 * time.Millisecond // at most
+	stopFraction     = 0.25                    // and of the time that the process has for its end
+	stopPollInterval = 20 * time.Millisecond   // at least, in which word of the lease that is given back may leave
 )
 
 // Machine is the state that is kept alike at all members. Its methods are called one at a time, on goroutines of the core's, and must depend on
@@ -81,18 +81,18 @@
 
 // Status is what an operator may want to know of the core.
 type Status struct {
-	ID        view.ID // of this process's disk; zero if it has none
-	Epoch     uint64
-	Voters    []view.Member
-	Learners  []view.Member
-	Wanted    int // voters that bear the losses which the settings name
-	Chain     []view.ID
-	Attached  bool // this process follows the chain
-	Durable   bool // the chain has enough disks to commit
-	Last      uint64
-	Committed uint64
-	Leader    string // rpc address, empty if unknown
-	DiskFault string // why this process stands aside, empty if it does not
+	ID             view.ID // of this process's disk; zero if it has none
+	Epoch          uint64
+	Voters         []view.Member
+	Learners       []view.Member
+	RequiredVoters int // voters that bear the losses which the settings name
+	Chain          []view.ID
+	Attached       bool // this process follows the chain
+	Durable        bool // the chain has enough disks to commit
+	Last           uint64
+	Committed      uint64
+	Leader         string // rpc address, empty if unknown
+	DiskFault      string // why this process stands aside, empty if it does not
 }
 
 // Core is this process's part of the core.
@@ -101,14 +101,14 @@
 	address string
 	started time.Time
 
-	mu      sync.Mutex
-	node    *node
-	running bool
-	waiting map[uint64]chan ended
-	timer   *time.Timer
-	due     time.Duration // when the timer fires
-	leading leading
-	links   links
+	mu          sync.Mutex
+	node        *node
+	running     bool
+	waiting     map[uint64]chan completion
+	timer       *time.Timer
+	due         time.Duration // when the timer fires
+	leaseRunner leaseRunner
+	links       links
 
 	store *slots.Store
 	disk  diskQueue
@@ -121,7 +121,7 @@
 	}
 	c := &Core{
 		config: config, address: config.Settings.ControlAddress(config.Settings.IP), started: time.Now(),
-		waiting: make(map[uint64]chan ended), disk: diskQueue{wake: make(chan struct{}, 1)},
+		waiting: make(map[uint64]chan completion), disk: diskQueue{wake: make(chan struct{}, 1)},
 	}
 	c.links.init(c)
 	if err := c.load(); err != nil {
@@ -136,7 +136,7 @@
 	config := nodeConfig{
 		Address: c.address, Zone: settings.Zone, Seeds: settings.SeedAddresses(), Bootstrap: settings.Bootstrap,
 		Disk: settings.DataDir != "", Candidate: c.config.Lead != nil, Storage: c.config.Storage, Durability: DurabilityOf(settings),
-		DownAfter: DownAfter(durationOf(settings.Bounds.CatchupS)), GoneAfter: GoneAfter(durationOf(settings.Bounds.CatchupS)), Terms: lease.DefaultTerms, LeastLog: leastLog, MostRecords: mostRecords,
+		DownAfter: DownAfter(durationOf(settings.Bounds.CatchupS)), LearnerExpiry: LearnerExpiry(durationOf(settings.Bounds.CatchupS)), Terms: lease.DefaultTerms, MinLogBytes: minLogBytes, MaxLogRecords: maxLogRecords,
 		Machine: c.config.Machine, Random: c.random,
 	}
 	var snapshot []byte
@@ -147,7 +147,7 @@
 		if errors.Is(err, slots.ErrDamaged) {
 			c.config.Log.Error("the core's disk is damaged: what is left is set aside, and this process joins anew", "folder", settings.DataDir, "error", err)
 			config.Bootstrap = false
-			c.store, snapshot, records, err = c.slotsAnew()
+			c.store, snapshot, records, err = c.resetSlots()
 		}
 		if err != nil {
 			return fmt.Errorf("core: %w", err)
@@ -181,8 +181,8 @@
 	return slots.OSFolder(c.config.Settings.DataDir)
 }
 
-// slotsAnew sets a damaged disk's files aside.
-func (c *Core) slotsAnew() (*slots.Store, []byte, [][]byte, error) {
+// resetSlots sets a damaged disk's files aside.
+func (c *Core) resetSlots() (*slots.Store, []byte, [][]byte, error) {
 	if err := slots.SetAside(c.folder()); err != nil {
 		return nil, nil, nil, err
 	}
@@ -200,11 +200,11 @@
 // DownAfter is when a silent voter may lose its vote to another: before its successor counts as reliable, or it would be missed in two
 // places.
 func DownAfter(catchup time.Duration) time.Duration {
-	return min(mostDownAfter, time.Duration(downShare*float64(catchup)))
+	return min(maxDownAfter, time.Duration(downFraction*float64(catchup)))
 }
 
-// GoneAfter is when a silent learner is forgotten.
-func GoneAfter(catchup time.Duration) time.Duration { return max(leastGoneAfter, 2*catchup) }
+// LearnerExpiry is when a silent learner is forgotten.
+func LearnerExpiry(catchup time.Duration) time.Duration { return max(minLearnerExpiry, 2*catchup) }
 
 func durationOf(seconds float64) time.Duration { return settings.Seconds(seconds) }
 
@@ -228,25 +228,25 @@
 	c.timer = time.AfterFunc(0, c.tick)
 	c.mu.Unlock()
 	<-ctx.Done()
-	c.leave()
+	c.stopGracefully()
 	c.stop()
 	select {
 	case <-diskDone:
-	case <-time.After(diskPause):
+	case <-time.After(diskCloseTimeout):
 	}
 }
 
 const (
-	diskPause = time.Second // for the disk to end what it does
+	diskCloseTimeout = time.Second // for the disk to end what it does
 )
 
-// leave has the others go on without this process, as far as they can in time.
-func (c *Core) leave() {
-	deadline := c.now() + min(leaveWithin, durationOf(leaveShare*c.config.Settings.Bounds.GraceS))
-	c.step(func(now time.Duration) { c.node.Release(now) })
+// stopGracefully has the others go on without this process, as far as they can in time.
+func (c *Core) stopGracefully() {
+	deadline := c.now() + min(stopTimeout, durationOf(stopFraction*c.config.Settings.Bounds.GraceS))
+	c.step(func(now time.Duration) { c.node.BeginStop(now) })
 	for left := false; !left && c.now() < deadline; {
-		time.Sleep(releasePause)
-		c.step(func(now time.Duration) { left = c.node.Left(now) })
+		time.Sleep(stopPollInterval)
+		c.step(func(now time.Duration) { left = c.node.StopComplete(now) })
 	}
 }
 
@@ -254,9 +254,9 @@
 	c.mu.Lock()
 	c.running = false
 	c.timer.Stop()
-	c.leading.end()
+	c.leaseRunner.end()
 	for number, done := range c.waiting {
-		done <- ended{Err: ErrUnknown}
+		done <- completion{Err: ErrUnknown}
 		delete(c.waiting, number)
 	}
 	c.mu.Unlock()
@@ -276,28 +276,28 @@
 	}
 	now := c.now()
 	do(now)
-	out := c.node.Take()
-	c.disk.add(out.Writes)
-	c.links.post(out.Posts)
-	for _, end := range out.Ended {
+	output := c.node.Take()
+	c.disk.add(output.Writes)
+	c.links.send(output.Messages)
+	for _, end := range output.Completions {
 		if done := c.waiting[end.Number]; done != nil {
 			done <- end
 			delete(c.waiting, end.Number)
 		}
 	}
-	for i := range out.Changes {
-		out.Changes[i].log(c.config.Log)
+	for i := range output.ChainChanges {
+		output.ChainChanges[i].log(c.config.Log)
 	}
-	for i := range out.Disk {
-		out.Disk[i].log(c.config.Log)
+	for i := range output.DiskChanges {
+		output.DiskChanges[i].log(c.config.Log)
 	}
-	for i := range out.Quorum {
-		out.Quorum[i].log(c.config.Log)
+	for i := range output.QuorumChanges {
+		output.QuorumChanges[i].log(c.config.Log)
 	}
-	c.leading.follow(c, now)
+	c.leaseRunner.follow(c, now)
 	c.schedule(now)
 	c.mu.Unlock()
-	if out.Applied && c.config.Applied != nil {
+	if output.Applied && c.config.Applied != nil {
 		c.config.Applied()
 	}
 }
@@ -342,11 +342,11 @@
 	return c.node.Addresses()
 }
 
-// WantsStores says whether this process is to have stores take part in a core that is not founded yet, since no seed has a disk.
-func (c *Core) WantsStores() bool {
+// BootstrapsOnStores says whether this process is to have stores take part in a core that is not founded yet, since no seed has a disk.
+func (c *Core) BootstrapsOnStores() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.running && c.node.foundsOnStores(c.now())
+	return c.running && c.node.bootstrapsOnStores(c.now())
 }
 
 // Abdicate gives the leader lease, if this process has it, to another, and leaves it to others for a while.
@@ -359,11 +359,11 @@
 	c.step(func(now time.Duration) { c.node.Leave(now) })
 }
 
-// LeftOut says whether the others have let this process go after Leave: it may end, and its disk holds nothing that they lack.
-func (c *Core) LeftOut() bool {
+// Removed says whether the others have let this process go after Leave: it may end, and its disk holds nothing that they lack.
+func (c *Core) Removed() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.node.LeftOut()
+	return c.node.Removed()
 }
 
 // Status tells how this process sees the core.
@@ -373,8 +373,8 @@
 	n := c.node
 	return Status{
 		ID: n.self.ID, Epoch: n.view.Epoch, Voters: slices.Clone(n.view.Voters), Learners: slices.Clone(n.view.Learners),
-		Wanted: n.config.Durability.Voters(),
-		Chain:  slices.Clone(n.view.Chain), Attached: n.chain.Attached(), Durable: n.config.Durability.Met(&n.view),
-		Last: n.chain.Last(), Committed: n.chain.Committed(), Leader: n.leaderAddress(c.now()), DiskFault: n.aside.from,
+		RequiredVoters: n.config.Durability.Voters(),
+		Chain:          slices.Clone(n.view.Chain), Attached: n.chain.Attached(), Durable: n.config.Durability.Met(&n.view),
+		Last: n.chain.Last(), Committed: n.chain.Committed(), Leader: n.leaderAddress(c.now()), DiskFault: n.degradation.fault,
 	}
 }
--- a/control/core/core_test.go
+++ b/control/core/core_test.go
@@ -61,7 +61,7 @@
 	list     *list
 	server   *rpc.Server
 	cancel   context.CancelFunc
-	ended    chan struct{}
+	exited   chan struct{}
 	leads    chan *core.Lease
 }
 
@@ -91,7 +91,7 @@
 
 func (p *process) start(t *testing.T) {
 	mux := rpc.NewMux()
-	p.list, p.leads, p.ended = &list{}, make(chan *core.Lease, 8), make(chan struct{})
+	p.list, p.leads, p.exited = &list{}, make(chan *core.Lease, 8), make(chan struct{})
 	settings := p.settings
 	machine := p.machine
 	if machine == nil {
@@ -112,7 +112,7 @@
 	require.NoError(t, err)
 	var ctx context.Context
 	ctx, p.cancel = context.WithCancel(context.Background())
-	go func() { opened.Run(ctx); close(p.ended) }()
+	go func() { opened.Run(ctx); close(p.exited) }()
 	require.Eventually(t, opened.Running, 10*time.Second, time.Millisecond)
 	t.Cleanup(p.stop)
 }
@@ -123,7 +123,7 @@
 	}
 	p.server.Close()
 	p.cancel()
-	<-p.ended
+	<-p.exited
 	p.cancel = nil
 }
 
@@ -145,7 +145,7 @@
 	}
 }
 
-func TestAWholeCoreOnSockets(t *testing.T) {
+func TestAFullCoreOnSockets(t *testing.T) {
 	processes := plan(t, 3)
 	seeds, diskless := processes[:3], processes[3]
 	diskless.settings.DataDir = ""
@@ -309,8 +309,8 @@
 	return slices.DeleteFunc(slices.Clone(processes), func(p *process) bool { return p == than })
 }
 
-// TestADamagedDiskIsSetAside has a member's newest slot rot while it is down: it joins anew, as another, and what is left stays.
-func TestADamagedDiskIsSetAside(t *testing.T) {
+// TestADamagedDiskIsQuarantined has a member's newest slot rot while it is down: it joins anew, as another, and what is left stays.
+func TestADamagedDiskIsQuarantined(t *testing.T) {
 	processes := plan(t, 3)[:3]
 	for _, p := range processes {
 		p.start(t)
--- /dev/null
+++ b/control/core/decommission.go
@@ -0,0 +1,119 @@
+package core
+
+import (
+	"slices"
+	"time"
+
+	"ravendale/control/view"
+)
+
+// leaseTransferTimeout is how long a member that leaves is kept while nobody holds the leader lease: a change of the voters that names a holder lets
+// that one go on, while one without a holder has all wait for the end of a lease that may be held.
+const leaseTransferTimeout = 2 * time.Second
+
+// leaseAbstention is how long a member that gave the leader lease up does not seek it.
+const leaseAbstention = 10 * time.Second
+
+// Abdicate gives the leader lease back and has others take it at once: this member may be about to go.
+func (n *node) Abdicate(now time.Duration) {
+	n.abstainUntil = now + leaseAbstention
+	if n.holder.Valid(now) {
+		n.dropLease(lossTransferred)
+	}
+	n.sendHeartbeats(now)
+	n.finish(now)
+}
+
+// Leave has this member ask the others to go on without it.
+func (n *node) Leave(now time.Duration) {
+	if n.decommissioning {
+		return
+	}
+	n.decommissioning, n.decommissionedAt = true, now
+	n.config.Candidate = false
+	n.Abdicate(now)
+}
+
+// announceLeaving goes along with each beat of a member that has abdicated or leaves.
+func (n *node) announceLeaving(now time.Duration) {
+	if n.decommissioning || now < n.abstainUntil {
+		n.sendVoters(&leaving{ID: n.self.ID, Vote: n.decommissioning})
+	}
+}
+
+func (n *node) onLeaving(now time.Duration, m *leaving) {
+	p := n.peerByID(m.ID)
+	if m.ID == n.self.ID || p == nil {
+		return
+	}
+	p.abstainUntil = now + failureTimeout
+	if m.Vote && !p.wantsRemoval {
+		p.wantsRemoval, p.removalSince = true, now
+	}
+}
+
+// abstains says whether a member leaves the leader lease to others.
+func (n *node) abstains(now time.Duration, id view.ID) bool {
+	if id == n.self.ID {
+		return now < n.abstainUntil
+	}
+	p := n.peerByID(id)
+	return p != nil && now < p.abstainUntil
+}
+
+// removable says whether a member wishes to leave and may: those that stay are a chain that lasts, each of them whole and heard by this one.
+func (n *node) removable(now time.Duration, id view.ID) bool {
+	if !n.wantsRemoval(id) {
+		return false
+	}
+	if !n.isVoter(id) {
+		return true
+	}
+	if !n.leaseTransferred(now, id) {
+		return false
+	}
+	rest := view.View{}
+	for _, member := range n.view.Voters {
+		if member.ID == id || n.wantsRemoval(member.ID) {
+			continue
+		}
+		if n.view.Position(member.ID) < 0 || !n.hears(now, member.ID) || !n.seemsComplete(member.ID) {
+			return false
+		}
+		rest.Voters = append(rest.Voters, member)
+		rest.Chain = append(rest.Chain, member.ID)
+	}
+	return len(rest.Voters) > 0 && n.config.Durability.Met(&rest)
+}
+
+// replaceable says whether a member wishes to leave and holds the leader lease no more: its vote may be another's.
+func (n *node) replaceable(now time.Duration, id view.ID) bool {
+	return n.wantsRemoval(id) && (!n.isVoter(id) || n.leaseTransferred(now, id))
+}
+
+// leaseTransferred says whether another than a member that leaves holds the leader lease, or nobody takes it.
+func (n *node) leaseTransferred(now time.Duration, id view.ID) bool {
+	leader := n.leaderAddress(now)
+	if leader != "" {
+		member, _ := n.view.Voter(id)
+		return leader != member.Address
+	}
+	since := n.decommissionedAt
+	if id != n.self.ID {
+		since = n.peerByID(id).removalSince
+	}
+	return now >= since+leaseTransferTimeout
+}
+
+func (n *node) wantsRemoval(id view.ID) bool {
+	if id == n.self.ID {
+		return n.decommissioning
+	}
+	p := n.peerByID(id)
+	return p != nil && p.wantsRemoval
+}
+
+// Removed says whether this member belongs to a view that others decided without it, after it has asked to leave.
+func (n *node) Removed() bool {
+	return n.decommissioning && n.view.Epoch > 0 && !slices.ContainsFunc(n.view.Voters, func(member view.Member) bool { return member.ID == n.self.ID })
+}
--- a/control/core/aside_test.go
+++ b/control/core/degraded_test.go
@@ -10,13 +10,13 @@
 
 // diskFaults are what may befall a disk, and how it ends.
 var diskFaults = map[string]struct{ strike, mend func(m *simulated) }{
-	"full":    {strike: (*simulated).fill, mend: (*simulated).room},
-	"stalled": {strike: func(m *simulated) { m.stall(time.Hour) }, mend: func(m *simulated) { m.stalled = 0; m.writing = false; m.written(); m.write() }},
+	"full":    {strike: (*simulated).fillDisk, mend: (*simulated).freeDisk},
+	"stalled": {strike: func(m *simulated) { m.stallDisk(time.Hour) }, mend: func(m *simulated) { m.stalled = 0; m.writing = false; m.written(); m.write() }},
 }
 
-// TestAMemberWhoseDiskFailsStepsAsideAndComesBack has the disk of the leader fail under load: it goes on running, another leads and answers,
+// TestAMemberWhoseDiskFailsIsDegradedAndRecovers has the disk of the leader fail under load: it goes on running, another leads and answers,
 // and it is back in the chain, with all that was answered, once the disk takes writes.
-func TestAMemberWhoseDiskFailsStepsAsideAndComesBack(t *testing.T) {
+func TestAMemberWhoseDiskFailsIsDegradedAndRecovers(t *testing.T) {
 	const bound, back = 3500 * time.Millisecond, 3 * time.Second
 	for name, fault := range diskFaults {
 		t.Run(name, func(t *testing.T) {
@@ -24,32 +24,32 @@
 			var slowest, slowestBack time.Duration
 			for seed := range uint64(16) {
 				size := sizes[seed%uint64(len(sizes))]
-				s := settled(t, seed, size.members, size.lost)
+				s := steadyCore(t, seed, size.members, size.tolerated)
 				leader := s.holders()[0]
-				life := leader.life
+				incarnation := leader.incarnation
 				fault.strike(leader)
-				struck := s.now
-				s.until(2*bound, func() bool { return leader.node.aside.from != "" })
-				require.NotEmpty(t, leader.node.aside.from, "seed %d", seed)
+				failedAt := s.now
+				s.until(2*bound, func() bool { return leader.node.degradation.fault != "" })
+				require.NotEmpty(t, leader.node.degradation.fault, "seed %d", seed)
 				require.NotContains(t, s.holders(), leader, "seed %d", seed)
-				aside := s.now
+				degradedAt := s.now
 				s.until(2*bound, func() bool {
 					holders := s.holders()
-					return s.newest > aside+100*time.Millisecond && len(holders) == 1 && holders[0] != leader
+					return s.newest > degradedAt+100*time.Millisecond && len(holders) == 1 && holders[0] != leader
 				})
-				slowest = max(slowest, s.now-struck)
+				slowest = max(slowest, s.now-failedAt)
 				s.run(s.now + 2*time.Second)
-				require.True(t, leader.running && leader.life == life, "seed %d: the process stays", seed)
+				require.True(t, leader.running && leader.incarnation == incarnation, "seed %d: the process stays", seed)
 				require.Negative(t, leader.node.view.Position(leader.node.self.ID), "seed %d: not in the chain\n%s", seed, s.describe())
-				require.Len(t, leader.told, 1, "seed %d", seed)
+				require.Len(t, leader.diskChanges, 1, "seed %d", seed)
 
 				fault.mend(leader)
-				mended := s.now
-				s.until(2*back, func() bool { return leader.node.aside.from == "" && leader.node.chain.Attached() })
-				slowestBack = max(slowestBack, s.now-mended)
+				repairedAt := s.now
+				s.until(2*back, func() bool { return leader.node.degradation.fault == "" && leader.node.chain.Attached() })
+				slowestBack = max(slowestBack, s.now-repairedAt)
 				s.run(s.now + time.Second)
 				s.expectService("with the disk mended", 500*time.Millisecond)
-				require.Equal(t, diskChange{}, leader.told[1], "seed %d", seed)
+				require.Equal(t, diskChange{}, leader.diskChanges[1], "seed %d", seed)
 				s.disasters(1)
 				s.checkHistory()
 				require.Empty(t, s.broken, "seed %d", seed)
@@ -68,7 +68,7 @@
 			t.Parallel()
 			for seed := range uint64(20) {
 				size := sizes[seed%uint64(len(sizes))]
-				s := settled(t, seed, size.members, size.lost)
+				s := steadyCore(t, seed, size.members, size.tolerated)
 				for _, member := range s.members {
 					fault.strike(member)
 				}
@@ -97,7 +97,7 @@
 func (s *simulation) waiting() int {
 	count := 0
 	for _, member := range s.members {
-		count += len(member.node.held) + len(member.node.marks) + len(member.node.records) + len(member.writes)
+		count += len(member.node.deferred) + len(member.node.writeOffsets) + len(member.node.pendingRecords) + len(member.writes)
 	}
 	return count
 }
@@ -106,7 +106,7 @@
 func TestAMemberStartsOnAFullDisk(t *testing.T) {
 	for seed := range uint64(16) {
 		size := sizes[seed%uint64(len(sizes))]
-		s := settled(t, seed, size.members, size.lost)
+		s := steadyCore(t, seed, size.members, size.tolerated)
 		member := s.pick()
 		if seed%3 == 0 {
 			member.wipe()
@@ -117,10 +117,10 @@
 		member.start()
 		s.run(s.now + 5*time.Second)
 		require.True(t, member.running, "seed %d", seed)
-		require.NotEmpty(t, member.node.aside.from, "seed %d", seed)
+		require.NotEmpty(t, member.node.degradation.fault, "seed %d", seed)
 		require.NotEmpty(t, member.node.leaderAddress(member.clock()), "seed %d: it knows who leads", seed)
 		require.Empty(t, s.broken, "seed %d", seed)
-		member.room()
+		member.freeDisk()
 		s.run(s.now + 4*time.Second)
 		s.expectService("with room", 500*time.Millisecond)
 		require.Empty(t, s.broken, "seed %d", seed)
@@ -130,7 +130,7 @@
 // failDisks has disks fill and stall again and again, one after the other and at once, with members killed, and ends with a disaster.
 func failDisks(seed uint64, m mutant) string {
 	size := sizes[seed%uint64(len(sizes))]
-	s := newSimulation(seed, size.members, size.lost, m)
+	s := newSimulation(seed, size.members, size.tolerated, m)
 	s.run(1500 * time.Millisecond)
 	s.load(30 * time.Millisecond)
 	for range 6 {
@@ -138,10 +138,10 @@
 		member, back := s.pick(), time.Duration(s.random.Int64N(int64(3*time.Second)))
 		switch s.random.IntN(4) {
 		case 0, 1:
-			member.fill()
-			s.after(back, member.room)
+			member.fillDisk()
+			s.after(back, member.freeDisk)
 		case 2:
-			member.stall(back)
+			member.stallDisk(back)
 		case 3:
 			member.powerLoss()
 			s.after(back/4, member.start)
@@ -239,9 +239,9 @@
 	require.Empty(t, s.broken)
 }
 
-// TestAnImageCutMidwayIsTakenAgain has a member lose power each time it writes the image that it was sent, at any step of that.
-func TestAnImageCutMidwayIsTakenAgain(t *testing.T) {
-	cuts := 0
+// TestAnImageInterruptedMidwayIsTakenAgain has a member lose power each time it writes the image that it was sent, at any step of that.
+func TestAnImageInterruptedMidwayIsTakenAgain(t *testing.T) {
+	interruptions := 0
 	for seed := range uint64(12) {
 		s := newSimulation(seed, 3, 1, sound)
 		s.run(1500 * time.Millisecond)
@@ -256,7 +256,7 @@
 				return slices.ContainsFunc(member.writes, func(w diskWrite) bool { return w.Image != nil })
 			})
 			if len(member.writes) > 0 {
-				cuts++
+				interruptions++
 			}
 			member.powerLoss()
 		}
@@ -266,5 +266,5 @@
 		s.checkHistory()
 		require.Empty(t, s.broken, "seed %d", seed)
 	}
-	require.Greater(t, cuts, 30)
+	require.Greater(t, interruptions, 30)
 }
--- a/control/core/delivery.go
+++ b/control/core/dispatch.go
@@ -13,38 +13,38 @@
 // send posts a message to a member.
 func (n *node) send(to view.ID, message msgp.Marshaler) {
 	if to == n.self.ID {
-		n.deliver(post{n.self.Address, message})
+		n.deliver(outboundMessage{n.self.Address, message})
 		return
 	}
 	if member, ok := n.view.Member(to); ok {
-		n.deliver(post{member.Address, message})
+		n.deliver(outboundMessage{member.Address, message})
 	}
 }
 
-func (n *node) deliver(p post) {
+func (n *node) deliver(p outboundMessage) {
 	if p.To == n.self.Address {
-		n.inbox = append(n.inbox, letter{n.self, p.Message})
+		n.inbox = append(n.inbox, inboundMessage{n.self, p.Message})
 		return
 	}
-	n.out.Posts = append(n.out.Posts, p)
+	n.output.Messages = append(n.output.Messages, p)
 }
 
 func (n *node) sendMembers(message msgp.Marshaler) {
 	for _, member := range n.view.Members() {
-		n.deliver(post{member.Address, message})
+		n.deliver(outboundMessage{member.Address, message})
 	}
 }
 
 func (n *node) sendVoters(message msgp.Marshaler) {
 	for _, member := range n.view.Voters {
-		n.deliver(post{member.Address, message})
+		n.deliver(outboundMessage{member.Address, message})
 	}
 }
 
 // Receive takes a message of another member, or of a process without a disk.
 func (n *node) Receive(now time.Duration, from view.Member, message any) {
 	if !n.ready() {
-		n.overhearUnborn(now, message)
+		n.observeUninitialized(now, message)
 		return
 	}
 	n.dispatch(now, from, message)
@@ -53,16 +53,16 @@
 
 func (n *node) dispatch(now time.Duration, from view.Member, message any) {
 	if !n.config.Disk {
-		n.overhear(now, from, message)
+		n.dispatchDiskless(now, from, message)
 		return
 	}
-	if n.aside.from != "" {
-		n.dispatchAside(now, from, message)
+	if n.degradation.fault != "" {
+		n.dispatchDegraded(now, from, message)
 		return
 	}
 	switch m := message.(type) {
-	case *beat:
-		n.onBeat(now, m)
+	case *heartbeat:
+		n.onHeartbeat(now, m)
 	case *decided:
 		n.adopt(now, &m.View)
 	case *view.Prepare:
@@ -96,19 +96,19 @@
 	}
 }
 
-// overhear is all that a process without a disk takes in.
-func (n *node) overhear(now time.Duration, from view.Member, message any) {
+// dispatchDiskless is all that a process without a disk takes in.
+func (n *node) dispatchDiskless(now time.Duration, from view.Member, message any) {
 	switch m := message.(type) {
-	case *beat:
-		n.hear(now, m)
+	case *heartbeat:
+		n.observe(now, m)
 		if m.Epoch < n.view.Epoch {
-			n.deliver(post{m.Member.Address, &decided{View: n.view}}) // to one that has just come, it may be the only way to the core
+			n.deliver(outboundMessage{m.Member.Address, &decided{View: n.view}}) // to one that has just come, it may be the only way to the core
 		}
 	case *decided:
 		if m.View.Epoch > n.view.Epoch {
 			n.view = m.View
 		}
 	default:
-		n.onFounding(now, from, message)
+		n.onBootstrapMessage(now, from, message)
 	}
 }
--- a/control/core/persist.go
+++ b/control/core/durability.go
@@ -15,7 +15,7 @@
 	if snapshot == nil {
 		kept := &Image{ID: view.ID(n.config.Random() | 1)}
 		if n.config.Bootstrap && slices.Contains(n.config.Seeds, n.config.Address) {
-			kept.Founders = n.config.Seeds
+			kept.BootstrapMembers = n.config.Seeds
 		}
 		return kept, nil
 	}
@@ -23,8 +23,8 @@
 	if err != nil {
 		return nil, err
 	}
-	n.logged = max(len(records), len(kept.Chain.Entries))
-	n.stateSize = len(kept.Machine)
+	n.logRecords = max(len(records), len(kept.Chain.Entries))
+	n.stateBytes = len(kept.Machine)
 	for _, data := range records {
 		n.logBytes += len(data)
 	}
@@ -36,49 +36,49 @@
 	return kept, nil
 }
 
-func (n *node) log(change *record) {
-	if n.whole {
+func (n *node) appendRecord(change *record) {
+	if n.snapshotDue {
 		return // the image will have it
 	}
 	data, err := change.MarshalMsg(nil)
 	if err != nil {
 		panic(err) // the generated code only fails on types that a record has not
 	}
-	n.records = append(n.records, data)
+	n.pendingRecords = append(n.pendingRecords, data)
 	n.logBytes += len(data)
-	n.logged++
+	n.logRecords++
 }
 
 // flush gives the changes of this step to the disk. The log's bound follows the state's size and not the image's, in which the entries that
 // are not known to be committed would let it grow from start to start. Entries that an image has to carry count as records, and for the number of
 // records alone an image is only made when it drops half of them: else each start would carry more.
 func (n *node) flush(now time.Duration) {
-	if !n.whole && len(n.records) == 0 || n.aside.from != "" && !n.mayTry(now) {
+	if !n.snapshotDue && len(n.pendingRecords) == 0 || n.degradation.fault != "" && !n.beginRecovery(now) {
 		return
 	}
-	if n.logBytes > min(max(n.config.LeastLog, 2*n.stateSize), mostLog) || n.logged > n.config.MostRecords && 2*n.chain.Unapplied() <= n.logged {
-		n.whole = true
+	if n.logBytes > min(max(n.config.MinLogBytes, 2*n.stateBytes), maxLogBytes) || n.logRecords > n.config.MaxLogRecords && 2*n.chain.Unapplied() <= n.logRecords {
+		n.snapshotDue = true
 	}
-	if n.batch == n.lasting {
-		n.busySince = now
+	if n.lastBatch == n.durableBatch {
+		n.writingSince = now
 	}
-	n.batch++
-	write := diskWrite{Batch: n.batch, Records: n.records}
-	if n.whole {
+	n.lastBatch++
+	write := diskWrite{Batch: n.lastBatch, Records: n.pendingRecords}
+	if n.snapshotDue {
 		write.Records, write.Image = nil, n.image()
-		n.logBytes, n.logged = 0, n.chain.Unapplied()
+		n.logBytes, n.logRecords = 0, n.chain.Unapplied()
 	}
-	n.whole, n.records = false, nil
-	n.out.Writes = append(n.out.Writes, write)
-	n.marks = append(n.marks, batchMark{n.batch, n.chain.Mark()})
+	n.snapshotDue, n.pendingRecords = false, nil
+	n.output.Writes = append(n.output.Writes, write)
+	n.writeOffsets = append(n.writeOffsets, writeOffset{n.lastBatch, n.chain.Mark()})
 }
 
 func (n *node) image() []byte {
 	kept := Image{
-		ID: n.self.ID, Founders: n.founder, View: n.view, Vote: n.vote,
+		ID: n.self.ID, BootstrapMembers: n.bootstrapMembers, View: n.view, Vote: n.vote,
 		Chain: n.chain.State(), Machine: n.config.Machine.Snapshot(), Lease: n.voter.Past(),
 	}
-	n.stateSize = len(kept.Machine)
+	n.stateBytes = len(kept.Machine)
 	data, err := kept.MarshalMsg(nil)
 	if err != nil {
 		panic(err) // as for a record
@@ -88,40 +88,40 @@
 
 // OnDisk tells that a write, and all before it, is lasting.
 func (n *node) OnDisk(now time.Duration, batch uint64) {
-	n.lasting = max(n.lasting, batch)
-	n.unborn = false
-	n.busySince = now
-	if n.aside.from != "" {
-		n.diskAnswers(now, batch)
-	}
-	for len(n.marks) > 0 && n.marks[0].batch <= batch {
-		n.chain.OnDisk(now, n.marks[0].mark)
+	n.durableBatch = max(n.durableBatch, batch)
+	n.uninitialized = false
+	n.writingSince = now
+	if n.degradation.fault != "" {
+		n.onRecoveryWrite(now, batch)
+	}
+	for len(n.writeOffsets) > 0 && n.writeOffsets[0].batch <= batch {
+		n.chain.OnDisk(now, n.writeOffsets[0].offset)
 		n.drain(now)
-		n.marks = n.marks[1:]
+		n.writeOffsets = n.writeOffsets[1:]
 	}
-	if n.config.faults.alone {
+	if n.config.mutations.commitsAlone {
 		n.chain.OnAck(&chain.Ack{Epoch: n.view.Epoch, Committed: n.chain.Synced()})
 	}
-	for len(n.held) > 0 && n.held[0].batch <= batch {
-		n.deliver(n.held[0].post)
-		n.held = n.held[1:]
+	for len(n.deferred) > 0 && n.deferred[0].batch <= batch {
+		n.deliver(n.deferred[0].message)
+		n.deferred = n.deferred[1:]
 	}
 	n.submitAll(now)
 	n.finish(now)
 }
 
-// sendLasting posts a message once all that was written so far is on disk.
-func (n *node) sendLasting(to string, message msgp.Marshaler) {
-	if n.aside.from != "" {
+// sendWhenDurable posts a message once all that was written so far is on disk.
+func (n *node) sendWhenDurable(to string, message msgp.Marshaler) {
+	if n.degradation.fault != "" {
 		return // it is asked again when this member is back
 	}
-	pending := n.batch
-	if n.whole || len(n.records) > 0 {
+	pending := n.lastBatch
+	if n.snapshotDue || len(n.pendingRecords) > 0 {
 		pending++
 	}
-	if pending == n.lasting || n.config.faults.unsyncedOK {
-		n.deliver(post{to, message})
+	if pending == n.durableBatch || n.config.mutations.skipsSync {
+		n.deliver(outboundMessage{to, message})
 		return
 	}
-	n.held = append(n.held, heldPost{pending, post{to, message}})
+	n.deferred = append(n.deferred, deferredMessage{pending, outboundMessage{to, message}})
 }
--- a/control/core/forward_test.go
+++ b/control/core/forward_test.go
@@ -60,15 +60,15 @@
 
 // The answer that comes after the wait is over counts for no later command on the same connection.
 func TestLateAnswerToAForwardedCommandIsNobodys(t *testing.T) {
-	asked := make(chan rpc.Reply, 2)
-	conn := memberThat(t, func(_ *rpc.Conn, reply rpc.Reply) { asked <- reply })
+	requests := make(chan rpc.Reply, 2)
+	conn := memberThat(t, func(_ *rpc.Conn, reply rpc.Reply) { requests <- reply })
 	ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 	first := make(chan error, 1)
 	go func() {
 		_, err := new(Core).ask(ctx, conn, []byte("first"), false)
 		first <- err
 	}()
-	late := <-asked
+	late := <-requests
 	cancel()
 	require.ErrorIs(t, <-first, ErrUnknown)
 
@@ -80,7 +80,7 @@
 		assert.NoError(t, err)
 		second <- string(result)
 	}()
-	own := <-asked
+	own := <-requests
 	late.Send(&forwardReply{Outcome: outcomeDone, Result: []byte("of the first")})
 	own.Send(&forwardReply{Outcome: outcomeDone, Result: []byte("of the second")})
 	assert.Equal(t, "of the second", <-second)
--- a/control/core/history_test.go
+++ b/control/core/history_test.go
@@ -11,23 +11,23 @@
 )
 
 // sizes of cores, and how many members of each may be lost.
-var sizes = []struct{ members, lost int }{{3, 1}, {4, 1}, {5, 2}, {8, 2}}
+var sizes = []struct{ members, tolerated int }{{3, 1}, {4, 1}, {5, 2}, {8, 2}}
 
 var (
 	seeds     = flag.Uint64("seeds", 30, "histories of each kind and size of core")
 	firstSeed = flag.Uint64("first", 0, "first seed")
 )
 
-func TestHistoriesOfTroubleKeepAllRules(t *testing.T) {
+func TestHistoriesOfFaultsKeepAllRules(t *testing.T) {
 	const shares = 3
 	for _, size := range sizes {
 		for share := range uint64(shares) {
 			t.Run(fmt.Sprint(size.members, "-", share), func(t *testing.T) {
 				t.Parallel()
 				for seed := *firstSeed + share; seed < *firstSeed+*seeds; seed += shares {
-					broken := play(seed, size.members, size.lost, sound)
+					broken := play(seed, size.members, size.tolerated, sound)
 					require.Empty(t, broken, "seed %d of %d members", seed, size.members)
-					broken = playDisasters(seed, size.members, size.lost, sound)
+					broken = playDisasters(seed, size.members, size.tolerated, sound)
 					require.Empty(t, broken, "disasters of seed %d of %d members", seed, size.members)
 				}
 			})
@@ -48,10 +48,10 @@
 				size := sizes[seed%3]
 				broken := isolateHolders(seed, mistake)
 				if broken == "" {
-					broken = playDisasters(seed, size.members, size.lost, mistake)
+					broken = playDisasters(seed, size.members, size.tolerated, mistake)
 				}
 				if broken == "" {
-					broken = play(seed, size.members, size.lost, mistake)
+					broken = play(seed, size.members, size.tolerated, mistake)
 				}
 				if unsafe(broken) {
 					t.Logf("seed %d: %s", seed, broken)
@@ -73,9 +73,9 @@
 	return false
 }
 
-// settled returns a core that has been founded and serves.
-func settled(t *testing.T, seed uint64, members, lost int) *simulation {
-	s := newSimulation(seed, members, lost, sound)
+// steadyCore returns a core that has been founded and serves.
+func steadyCore(t *testing.T, seed uint64, members, tolerated int) *simulation {
+	s := newSimulation(seed, members, tolerated, sound)
 	s.run(1500 * time.Millisecond)
 	s.load(20 * time.Millisecond)
 	s.run(4 * time.Second)
@@ -116,7 +116,7 @@
 			var slowestLead, slowestAnswer time.Duration
 			for seed := range uint64(40) {
 				size := sizes[seed%uint64(len(sizes))]
-				s := settled(t, seed, size.members, size.lost)
+				s := steadyCore(t, seed, size.members, size.tolerated)
 				leader := s.holders()[0]
 				strike(s, leader)
 				struck := s.now
--- a/control/core/image.go
+++ b/control/core/image.go
@@ -13,13 +13,13 @@
 
 // Image is all that a member keeps on disk: the content of a slot, with the records of the log done to it.
 type Image struct {
-	ID       view.ID
-	Founders []string // rpc addresses of the seeds, if it may found the core
-	View     view.View
-	Vote     view.Vote
-	Chain    chain.State
-	Machine  []byte
-	Lease    lease.Past
+	ID               view.ID
+	BootstrapMembers []string // rpc addresses of the seeds, if it may found the core
+	View             view.View
+	Vote             view.Vote
+	Chain            chain.State
+	Machine          []byte
+	Lease            lease.Past
 }
 
 // record is one change of the image on disk. One of its parts is set.
--- a/control/core/image_gen.go
+++ b/control/core/image_gen.go
@@ -30,18 +30,18 @@
 	var zb0002 uint32
 	zb0002, err = dc.ReadArrayHeader()
 	if err != nil {
-		err = msgp.WrapError(err, "Founders")
+		err = msgp.WrapError(err, "BootstrapMembers")
 		return
 	}
-	if cap(z.Founders) >= int(zb0002) {
-		z.Founders = (z.Founders)[:zb0002]
+	if cap(z.BootstrapMembers) >= int(zb0002) {
+		z.BootstrapMembers = (z.BootstrapMembers)[:zb0002]
 	} else {
-		z.Founders = make([]string, zb0002)
+		z.BootstrapMembers = make([]string, zb0002)
 	}
-	for za0001 := range z.Founders {
-		z.Founders[za0001], err = dc.ReadString()
+	for za0001 := range z.BootstrapMembers {
+		z.BootstrapMembers[za0001], err = dc.ReadString()
 		if err != nil {
-			err = msgp.WrapError(err, "Founders", za0001)
+			err = msgp.WrapError(err, "BootstrapMembers", za0001)
 			return
 		}
 	}
@@ -85,15 +85,15 @@
 		err = msgp.WrapError(err, "ID")
 		return
 	}
-	err = en.WriteArrayHeader(uint32(len(z.Founders)))
+	err = en.WriteArrayHeader(uint32(len(z.BootstrapMembers)))
 	if err != nil {
-		err = msgp.WrapError(err, "Founders")
+		err = msgp.WrapError(err, "BootstrapMembers")
 		return
 	}
-	for za0001 := range z.Founders {
-		err = en.WriteString(z.Founders[za0001])
+	for za0001 := range z.BootstrapMembers {
+		err = en.WriteString(z.BootstrapMembers[za0001])
 		if err != nil {
-			err = msgp.WrapError(err, "Founders", za0001)
+			err = msgp.WrapError(err, "BootstrapMembers", za0001)
 			return
 		}
 	}
@@ -135,9 +135,9 @@
 		err = msgp.WrapError(err, "ID")
 		return
 	}
-	o = msgp.AppendArrayHeader(o, uint32(len(z.Founders)))
-	for za0001 := range z.Founders {
-		o = msgp.AppendString(o, z.Founders[za0001])
+	o = msgp.AppendArrayHeader(o, uint32(len(z.BootstrapMembers)))
+	for za0001 := range z.BootstrapMembers {
+		o = msgp.AppendString(o, z.BootstrapMembers[za0001])
 	}
 	o, err = z.View.MarshalMsg(o)
 	if err != nil {
@@ -183,18 +183,18 @@
 	var zb0002 uint32
 	zb0002, bts, err = msgp.ReadArrayHeaderBytes(bts)
 	if err != nil {
-		err = msgp.WrapError(err, "Founders")
+		err = msgp.WrapError(err, "BootstrapMembers")
 		return
 	}
-	if cap(z.Founders) >= int(zb0002) {
-		z.Founders = (z.Founders)[:zb0002]
+	if cap(z.BootstrapMembers) >= int(zb0002) {
+		z.BootstrapMembers = (z.BootstrapMembers)[:zb0002]
 	} else {
-		z.Founders = make([]string, zb0002)
+		z.BootstrapMembers = make([]string, zb0002)
 	}
-	for za0001 := range z.Founders {
-		z.Founders[za0001], bts, err = msgp.ReadStringBytes(bts)
+	for za0001 := range z.BootstrapMembers {
+		z.BootstrapMembers[za0001], bts, err = msgp.ReadStringBytes(bts)
 		if err != nil {
-			err = msgp.WrapError(err, "Founders", za0001)
+			err = msgp.WrapError(err, "BootstrapMembers", za0001)
 			return
 		}
 	}
@@ -230,8 +230,8 @@
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
 func (z *Image) Msgsize() (s int) {
 	s = 1 + z.ID.Msgsize() + msgp.ArrayHeaderSize
-	for za0001 := range z.Founders {
-		s += msgp.StringPrefixSize + len(z.Founders[za0001])
+	for za0001 := range z.BootstrapMembers {
+		s += msgp.StringPrefixSize + len(z.BootstrapMembers[za0001])
 	}
 	s += z.View.Msgsize() + z.Vote.Msgsize() + z.Chain.Msgsize() + msgp.BytesPrefixSize + len(z.Machine) + z.Lease.Msgsize()
 	return
--- a/control/core/kinds.go
+++ b/control/core/kinds.go
@@ -18,7 +18,7 @@
 }
 
 var kinds = []kind{
-	{methodBeat, func() msgp.Unmarshaler { return new(beat) }},
+	{methodHeartbeat, func() msgp.Unmarshaler { return new(heartbeat) }},
 	{methodPrepare, func() msgp.Unmarshaler { return new(view.Prepare) }},
 	{methodPromise, func() msgp.Unmarshaler { return new(view.Promise) }},
 	{methodAccept, func() msgp.Unmarshaler { return new(view.Accept) }},
@@ -39,8 +39,8 @@
 // methodOf tells the method of a message.
 func methodOf(message msgp.Marshaler) wire.Method {
 	switch message.(type) {
-	case *beat:
-		return methodBeat
+	case *heartbeat:
+		return methodHeartbeat
 	case *view.Prepare:
 		return methodPrepare
 	case *view.Promise:
--- a/control/core/lead.go
+++ b/control/core/leaserunner.go
@@ -20,29 +20,29 @@
 	return time.Duration(l.until.Load()) - time.Since(l.started)
 }
 
-// leading is what runs while this process holds the lease.
-type leading struct {
+// leaseRunner is what runs while this process holds the lease.
+type leaseRunner struct {
 	lease    *Lease
 	cancel   context.CancelFunc
 	previous chan struct{} // closed when the newest call of Lead has returned
 }
 
 // follow starts and ends Config.Lead as the node gets and loses the lease.
-func (l *leading) follow(c *Core, now time.Duration) {
+func (l *leaseRunner) follow(c *Core, now time.Duration) {
 	until := c.node.LeaseUntil()
 	if l.lease != nil {
 		l.lease.until.Store(int64(until))
 	}
-	switch held := now < until; {
-	case held && l.lease == nil:
+	switch holds := now < until; {
+	case holds && l.lease == nil:
 		l.begin(c, until)
-	case !held && l.lease != nil:
-		c.config.Log.Info("leader lease lost", "epoch", c.node.view.Epoch, "cause", c.node.lossCause())
+	case !holds && l.lease != nil:
+		c.config.Log.Info("leader lease lost", "epoch", c.node.view.Epoch, "cause", c.node.takeDropCause())
 		l.end()
 	}
 }
 
-func (l *leading) begin(c *Core, until time.Duration) {
+func (l *leaseRunner) begin(c *Core, until time.Duration) {
 	c.config.Log.Info("leader lease held", "epoch", c.node.view.Epoch)
 	ctx, cancel := context.WithCancel(context.Background())
 	lease := &Lease{started: c.started}
@@ -61,7 +61,7 @@
 	}()
 }
 
-func (l *leading) end() {
+func (l *leaseRunner) end() {
 	if l.lease == nil {
 		return
 	}
--- a/control/core/links.go
+++ b/control/core/links.go
@@ -16,7 +16,7 @@
 // Time limits of connections among members, which carry beats all the time.
 const (
 	pingAfter   = 800 * time.Millisecond
-	silentLimit = 1600 * time.Millisecond
+	peerTimeout = 1600 * time.Millisecond
 	pruneEvery  = 5 * time.Second
 )
 
@@ -27,26 +27,26 @@
 	options rpc.Options
 	pruned  time.Time
 
-	mu      sync.Mutex
-	closed  bool
-	out     map[string]*rpc.Link
-	inbound map[string]*rpc.Conn
+	mu       sync.Mutex
+	closed   bool
+	outbound map[string]*rpc.Link
+	inbound  map[string]*rpc.Conn
 }
 
 func (l *links) init(c *Core) {
 	l.core = c
-	l.options = rpc.Options{Mux: c.config.Mux, PingAfter: pingAfter, SilentAfter: silentLimit}
-	l.out, l.inbound = make(map[string]*rpc.Link), make(map[string]*rpc.Conn)
+	l.options = rpc.Options{Mux: c.config.Mux, PingAfter: pingAfter, SilentAfter: peerTimeout}
+	l.outbound, l.inbound = make(map[string]*rpc.Link), make(map[string]*rpc.Conn)
 	l.pruned = time.Now()
 }
 
-func (l *links) post(posts []post) {
-	if len(posts) == 0 {
+func (l *links) send(messages []outboundMessage) {
+	if len(messages) == 0 {
 		return
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for _, p := range posts {
+	for _, p := range messages {
 		if conn := l.conn(p.To); conn != nil {
 			_ = conn.Notify(methodOf(p.Message), p.Message) // what is lost is sent again
 		}
@@ -63,11 +63,11 @@
 		delete(l.inbound, address)
 		inbound = nil
 	}
-	link := l.out[address]
+	link := l.outbound[address]
 	if inbound != nil && address < l.core.address {
 		if link != nil {
 			link.Close()
-			delete(l.out, address)
+			delete(l.outbound, address)
 		}
 		return inbound
 	}
@@ -88,27 +88,27 @@
 			l.core.step(func(now time.Duration) { l.core.node.Refused(now, address) })
 		}
 	})
-	l.out[address] = link
+	l.outbound[address] = link
 	return link
 }
 
 // prune closes links to addresses that are of no interest any more.
 func (l *links) prune() {
 	l.pruned = time.Now()
-	wanted := l.core.node.Addresses()
-	for address, link := range l.out {
-		if !slices.Contains(wanted, address) {
+	known := l.core.node.Addresses()
+	for address, link := range l.outbound {
+		if !slices.Contains(known, address) {
 			link.Close()
-			delete(l.out, address)
+			delete(l.outbound, address)
 		}
 	}
 }
 
-// welcome notes a connection whose other end has said who it is, unless this process opened it.
-func (l *links) welcome(address string, conn *rpc.Conn) (inbound bool) {
+// registerInbound notes a connection whose other end has said who it is, unless this process opened it.
+func (l *links) registerInbound(address string, conn *rpc.Conn) (inbound bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if link := l.out[address]; link != nil && link.Conn() == conn {
+	if link := l.outbound[address]; link != nil && link.Conn() == conn {
 		return false
 	}
 	l.inbound[address] = conn
@@ -119,13 +119,13 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.closed = true
-	for _, link := range l.out {
+	for _, link := range l.outbound {
 		link.Close()
 	}
 }
 
-// opened returns the connections to addresses that are open, in the order of the addresses.
-func (l *links) opened(addresses []string) []*rpc.Conn {
+// openConns returns the connections to addresses that are open, in the order of the addresses.
+func (l *links) openConns(addresses []string) []*rpc.Conn {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var conns []*rpc.Conn
@@ -142,7 +142,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.running && c.node.ready() {
-		_ = conn.Notify(methodBeat, c.node.beat(c.now()))
+		_ = conn.Notify(methodHeartbeat, c.node.heartbeat(c.now()))
 	}
 }
 
@@ -162,10 +162,10 @@
 }
 
 func (c *Core) receive(conn *rpc.Conn, message msgp.Unmarshaler) {
-	if beat, ok := message.(*beat); ok {
-		if conn.Tag() != beat.Member {
-			conn.SetTag(beat.Member)
-			if c.links.welcome(beat.Member.Address, conn) {
+	if received, ok := message.(*heartbeat); ok {
+		if conn.Tag() != received.Member {
+			conn.SetTag(received.Member)
+			if c.links.registerInbound(received.Member.Address, conn) {
 				c.greet(conn)
 			}
 		}
--- a/control/core/messages.go
+++ b/control/core/messages.go
@@ -6,11 +6,11 @@
 )
 
 //go:generate go run github.com/tinylib/msgp -file messages.go -o messages_gen.go -tests=false -unexported
-//msgp:tuple beat decided propose forward forwardReply leaving
+//msgp:tuple heartbeat decided propose forward forwardReply leaving
 
 // Methods of the core's messages, all of them notifications but methodForward.
 const (
-	methodBeat wire.Method = wire.MethodCorePrivate + iota
+	methodHeartbeat wire.Method = wire.MethodCorePrivate + iota
 	methodPrepare
 	methodPromise
 	methodAccept
@@ -29,20 +29,20 @@
 	methodLeaving
 )
 
-// beat is what a process tells all others of the core now and then.
-type beat struct {
-	Member    view.Member // its ID is zero if the process has no disk
-	Epoch     uint64      // zero: it knows no view
-	Founder   bool        // it may found the core together with the other seeds
-	Idle      bool        // it is the head and can't order in this epoch
-	Whole     bool
-	Attached  bool
-	Synced    uint64
-	Committed uint64
-	Missing   []view.ID // members that it does not hear; itself: its disk takes nothing, and it stands aside
-	Leading   bool      // it holds the leader lease
-	Leader    string    // rpc address of the holder as it knows, empty if it knows none
-	Leaving   bool      // it is about to end
+// heartbeat is what a process tells all others of the core now and then.
+type heartbeat struct {
+	Member       view.Member // its ID is zero if the process has no disk
+	Epoch        uint64      // zero: it knows no view
+	Bootstrap    bool        // it may found the core together with the other seeds
+	CannotOrder  bool        // it is the head and can't order in this epoch
+	Whole        bool
+	Attached     bool
+	Synced       uint64
+	Committed    uint64
+	Unresponsive []view.ID // members that it does not hear; itself: its disk takes nothing, and it stands aside
+	Leading      bool      // it holds the leader lease
+	Leader       string    // rpc address of the holder as it knows, empty if it knows none
+	Stopping     bool      // it is about to end
 }
 
 // decided tells of a view that is decided.
--- a/control/core/messages_gen.go
+++ b/control/core/messages_gen.go
@@ -9,205 +9,266 @@
 )
 
 // DecodeMsg implements msgp.Decodable
-func (z *beat) DecodeMsg(dc *msgp.Reader) (err error) {
+func (z *decided) DecodeMsg(dc *msgp.Reader) (err error) {
 	var zb0001 uint32
 	zb0001, err = dc.ReadArrayHeader()
 	if err != nil {
 		err = msgp.WrapError(err)
 		return
 	}
-	if zb0001 != 12 {
-		err = msgp.ArrayError{Wanted: 12, Got: zb0001}
-		return
-	}
-	err = z.Member.DecodeMsg(dc)
-	if err != nil {
-		err = msgp.WrapError(err, "Member")
+	if zb0001 != 1 {
+		err = msgp.ArrayError{Wanted: 1, Got: zb0001}
 		return
 	}
-	z.Epoch, err = dc.ReadUint64()
+	err = z.View.DecodeMsg(dc)
 	if err != nil {
-		err = msgp.WrapError(err, "Epoch")
+		err = msgp.WrapError(err, "View")
 		return
 	}
-	z.Founder, err = dc.ReadBool()
+	return
+}
+
+// EncodeMsg implements msgp.Encodable
+func (z *decided) EncodeMsg(en *msgp.Writer) (err error) {
+	// array header, size 1
+	err = en.Append(0x91)
 	if err != nil {
-		err = msgp.WrapError(err, "Founder")
 		return
 	}
-	z.Idle, err = dc.ReadBool()
+	err = z.View.EncodeMsg(en)
 	if err != nil {
-		err = msgp.WrapError(err, "Idle")
+		err = msgp.WrapError(err, "View")
 		return
 	}
-	z.Whole, err = dc.ReadBool()
+	return
+}
+
+// MarshalMsg implements msgp.Marshaler
+func (z *decided) MarshalMsg(b []byte) (o []byte, err error) {
+	o = msgp.Require(b, z.Msgsize())
+	// array header, size 1
+	o = append(o, 0x91)
+	o, err = z.View.MarshalMsg(o)
 	if err != nil {
-		err = msgp.WrapError(err, "Whole")
+		err = msgp.WrapError(err, "View")
 		return
 	}
-	z.Attached, err = dc.ReadBool()
+	return
+}
+
+// UnmarshalMsg implements msgp.Unmarshaler
+func (z *decided) UnmarshalMsg(bts []byte) (o []byte, err error) {
+	var zb0001 uint32
+	zb0001, bts, err = msgp.ReadArrayHeaderBytes(bts)
 	if err != nil {
-		err = msgp.WrapError(err, "Attached")
+		err = msgp.WrapError(err)
 		return
 	}
-	z.Synced, err = dc.ReadUint64()
-	if err != nil {
-		err = msgp.WrapError(err, "Synced")
+	if zb0001 != 1 {
+		err = msgp.ArrayError{Wanted: 1, Got: zb0001}
 		return
 	}
-	z.Committed, err = dc.ReadUint64()
+	bts, err = z.View.UnmarshalMsg(bts)
 	if err != nil {
-		err = msgp.WrapError(err, "Committed")
+		err = msgp.WrapError(err, "View")
 		return
 	}
-	var zb0002 uint32
-	zb0002, err = dc.ReadArrayHeader()
+	o = bts
+	return
+}
+
+// Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
+func (z *decided) Msgsize() (s int) {
+	s = 1 + z.View.Msgsize()
+	return
+}
+
+// DecodeMsg implements msgp.Decodable
+func (z *forward) DecodeMsg(dc *msgp.Reader) (err error) {
+	var zb0001 uint32
+	zb0001, err = dc.ReadArrayHeader()
 	if err != nil {
-		err = msgp.WrapError(err, "Missing")
+		err = msgp.WrapError(err)
 		return
 	}
-	if cap(z.Missing) >= int(zb0002) {
-		z.Missing = (z.Missing)[:zb0002]
-	} else {
-		z.Missing = make([]view.ID, zb0002)
-	}
-	for za0001 := range z.Missing {
-		err = z.Missing[za0001].DecodeMsg(dc)
-		if err != nil {
-			err = msgp.WrapError(err, "Missing", za0001)
-			return
-		}
-	}
-	z.Leading, err = dc.ReadBool()
-	if err != nil {
-		err = msgp.WrapError(err, "Leading")
+	if zb0001 != 2 {
+		err = msgp.ArrayError{Wanted: 2, Got: zb0001}
 		return
 	}
-	z.Leader, err = dc.ReadString()
+	z.WaitMillis, err = dc.ReadUint32()
 	if err != nil {
-		err = msgp.WrapError(err, "Leader")
+		err = msgp.WrapError(err, "WaitMillis")
 		return
 	}
-	z.Leaving, err = dc.ReadBool()
+	z.Command, err = dc.ReadBytes(z.Command)
 	if err != nil {
-		err = msgp.WrapError(err, "Leaving")
+		err = msgp.WrapError(err, "Command")
 		return
 	}
 	return
 }
 
 // EncodeMsg implements msgp.Encodable
-func (z *beat) EncodeMsg(en *msgp.Writer) (err error) {
-	// array header, size 12
-	err = en.Append(0x9c)
-	if err != nil {
-		return
-	}
-	err = z.Member.EncodeMsg(en)
+func (z *forward) EncodeMsg(en *msgp.Writer) (err error) {
+	// array header, size 2
+	err = en.Append(0x92)
 	if err != nil {
-		err = msgp.WrapError(err, "Member")
 		return
 	}
-	err = en.WriteUint64(z.Epoch)
+	err = en.WriteUint32(z.WaitMillis)
 	if err != nil {
-		err = msgp.WrapError(err, "Epoch")
+		err = msgp.WrapError(err, "WaitMillis")
 		return
 	}
-	err = en.WriteBool(z.Founder)
+	err = en.WriteBytes(z.Command)
 	if err != nil {
-		err = msgp.WrapError(err, "Founder")
+		err = msgp.WrapError(err, "Command")
 		return
 	}
-	err = en.WriteBool(z.Idle)
+	return
+}
+
+// MarshalMsg implements msgp.Marshaler
+func (z *forward) MarshalMsg(b []byte) (o []byte, err error) {
+	o = msgp.Require(b, z.Msgsize())
+	// array header, size 2
+	o = append(o, 0x92)
+	o = msgp.AppendUint32(o, z.WaitMillis)
+	o = msgp.AppendBytes(o, z.Command)
+	return
+}
+
+// UnmarshalMsg implements msgp.Unmarshaler
+func (z *forward) UnmarshalMsg(bts []byte) (o []byte, err error) {
+	var zb0001 uint32
+	zb0001, bts, err = msgp.ReadArrayHeaderBytes(bts)
 	if err != nil {
-		err = msgp.WrapError(err, "Idle")
+		err = msgp.WrapError(err)
 		return
 	}
-	err = en.WriteBool(z.Whole)
-	if err != nil {
-		err = msgp.WrapError(err, "Whole")
+	if zb0001 != 2 {
+		err = msgp.ArrayError{Wanted: 2, Got: zb0001}
 		return
 	}
-	err = en.WriteBool(z.Attached)
+	z.WaitMillis, bts, err = msgp.ReadUint32Bytes(bts)
 	if err != nil {
-		err = msgp.WrapError(err, "Attached")
+		err = msgp.WrapError(err, "WaitMillis")
 		return
 	}
-	err = en.WriteUint64(z.Synced)
+	z.Command, bts, err = msgp.ReadBytesBytes(bts, z.Command)
 	if err != nil {
-		err = msgp.WrapError(err, "Synced")
+		err = msgp.WrapError(err, "Command")
 		return
 	}
-	err = en.WriteUint64(z.Committed)
+	o = bts
+	return
+}
+
+// Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
+func (z *forward) Msgsize() (s int) {
+	s = 1 + msgp.Uint32Size + msgp.BytesPrefixSize + len(z.Command)
+	return
+}
+
+// DecodeMsg implements msgp.Decodable
+func (z *forwardReply) DecodeMsg(dc *msgp.Reader) (err error) {
+	var zb0001 uint32
+	zb0001, err = dc.ReadArrayHeader()
 	if err != nil {
-		err = msgp.WrapError(err, "Committed")
+		err = msgp.WrapError(err)
 		return
 	}
-	err = en.WriteArrayHeader(uint32(len(z.Missing)))
-	if err != nil {
-		err = msgp.WrapError(err, "Missing")
+	if zb0001 != 2 {
+		err = msgp.ArrayError{Wanted: 2, Got: zb0001}
 		return
 	}
-	for za0001 := range z.Missing {
-		err = z.Missing[za0001].EncodeMsg(en)
+	{
+		var zb0002 uint8
+		zb0002, err = dc.ReadUint8()
 		if err != nil {
-			err = msgp.WrapError(err, "Missing", za0001)
+			err = msgp.WrapError(err, "Outcome")
 			return
 		}
+		z.Outcome = outcome(zb0002)
 	}
-	err = en.WriteBool(z.Leading)
+	z.Result, err = dc.ReadBytes(z.Result)
 	if err != nil {
-		err = msgp.WrapError(err, "Leading")
+		err = msgp.WrapError(err, "Result")
 		return
 	}
-	err = en.WriteString(z.Leader)
+	return
+}
+
+// EncodeMsg implements msgp.Encodable
+func (z *forwardReply) EncodeMsg(en *msgp.Writer) (err error) {
+	// array header, size 2
+	err = en.Append(0x92)
 	if err != nil {
-		err = msgp.WrapError(err, "Leader")
 		return
 	}
-	err = en.WriteBool(z.Leaving)
+	err = en.WriteUint8(uint8(z.Outcome))
 	if err != nil {
-		err = msgp.WrapError(err, "Leaving")
+		err = msgp.WrapError(err, "Outcome")
+		return
+	}
+	err = en.WriteBytes(z.Result)
+	if err != nil {
+		err = msgp.WrapError(err, "Result")
 		return
 	}
 	return
 }
 
 // MarshalMsg implements msgp.Marshaler
-func (z *beat) MarshalMsg(b []byte) (o []byte, err error) {
+func (z *forwardReply) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
-	// array header, size 12
-	o = append(o, 0x9c)
-	o, err = z.Member.MarshalMsg(o)
+	// array header, size 2
+	o = append(o, 0x92)
+	o = msgp.AppendUint8(o, uint8(z.Outcome))
+	o = msgp.AppendBytes(o, z.Result)
+	return
+}
+
+// UnmarshalMsg implements msgp.Unmarshaler
+func (z *forwardReply) UnmarshalMsg(bts []byte) (o []byte, err error) {
+	var zb0001 uint32
+	zb0001, bts, err = msgp.ReadArrayHeaderBytes(bts)
 	if err != nil {
-		err = msgp.WrapError(err, "Member")
+		err = msgp.WrapError(err)
 		return
 	}
-	o = msgp.AppendUint64(o, z.Epoch)
-	o = msgp.AppendBool(o, z.Founder)
-	o = msgp.AppendBool(o, z.Idle)
-	o = msgp.AppendBool(o, z.Whole)
-	o = msgp.AppendBool(o, z.Attached)
-	o = msgp.AppendUint64(o, z.Synced)
-	o = msgp.AppendUint64(o, z.Committed)
-	o = msgp.AppendArrayHeader(o, uint32(len(z.Missing)))
-	for za0001 := range z.Missing {
-		o, err = z.Missing[za0001].MarshalMsg(o)
+	if zb0001 != 2 {
+		err = msgp.ArrayError{Wanted: 2, Got: zb0001}
+		return
+	}
+	{
+		var zb0002 uint8
+		zb0002, bts, err = msgp.ReadUint8Bytes(bts)
 		if err != nil {
-			err = msgp.WrapError(err, "Missing", za0001)
+			err = msgp.WrapError(err, "Outcome")
 			return
 		}
+		z.Outcome = outcome(zb0002)
 	}
-	o = msgp.AppendBool(o, z.Leading)
-	o = msgp.AppendString(o, z.Leader)
-	o = msgp.AppendBool(o, z.Leaving)
+	z.Result, bts, err = msgp.ReadBytesBytes(bts, z.Result)
+	if err != nil {
+		err = msgp.WrapError(err, "Result")
+		return
+	}
+	o = bts
 	return
 }
 
-// UnmarshalMsg implements msgp.Unmarshaler
-func (z *beat) UnmarshalMsg(bts []byte) (o []byte, err error) {
+// Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
+func (z *forwardReply) Msgsize() (s int) {
+	s = 1 + msgp.Uint8Size + msgp.BytesPrefixSize + len(z.Result)
+	return
+}
+
+// DecodeMsg implements msgp.Decodable
+func (z *heartbeat) DecodeMsg(dc *msgp.Reader) (err error) {
 	var zb0001 uint32
-	zb0001, bts, err = msgp.ReadArrayHeaderBytes(bts)
+	zb0001, err = dc.ReadArrayHeader()
 	if err != nil {
 		err = msgp.WrapError(err)
 		return
@@ -216,338 +277,273 @@
 		err = msgp.ArrayError{Wanted: 12, Got: zb0001}
 		return
 	}
-	bts, err = z.Member.UnmarshalMsg(bts)
+	err = z.Member.DecodeMsg(dc)
 	if err != nil {
 		err = msgp.WrapError(err, "Member")
 		return
 	}
-	z.Epoch, bts, err = msgp.ReadUint64Bytes(bts)
+	z.Epoch, err = dc.ReadUint64()
 	if err != nil {
 		err = msgp.WrapError(err, "Epoch")
 		return
 	}
-	z.Founder, bts, err = msgp.ReadBoolBytes(bts)
+	z.Bootstrap, err = dc.ReadBool()
 	if err != nil {
-		err = msgp.WrapError(err, "Founder")
+		err = msgp.WrapError(err, "Bootstrap")
 		return
 	}
-	z.Idle, bts, err = msgp.ReadBoolBytes(bts)
+	z.CannotOrder, err = dc.ReadBool()
 	if err != nil {
-		err = msgp.WrapError(err, "Idle")
+		err = msgp.WrapError(err, "CannotOrder")
 		return
 	}
-	z.Whole, bts, err = msgp.ReadBoolBytes(bts)
+	z.Whole, err = dc.ReadBool()
 	if err != nil {
 		err = msgp.WrapError(err, "Whole")
 		return
 	}
-	z.Attached, bts, err = msgp.ReadBoolBytes(bts)
+	z.Attached, err = dc.ReadBool()
 	if err != nil {
 		err = msgp.WrapError(err, "Attached")
 		return
 	}
-	z.Synced, bts, err = msgp.ReadUint64Bytes(bts)
+	z.Synced, err = dc.ReadUint64()
 	if err != nil {
 		err = msgp.WrapError(err, "Synced")
 		return
 	}
-	z.Committed, bts, err = msgp.ReadUint64Bytes(bts)
+	z.Committed, err = dc.ReadUint64()
 	if err != nil {
 		err = msgp.WrapError(err, "Committed")
 		return
 	}
 	var zb0002 uint32
-	zb0002, bts, err = msgp.ReadArrayHeaderBytes(bts)
+	zb0002, err = dc.ReadArrayHeader()
 	if err != nil {
-		err = msgp.WrapError(err, "Missing")
+		err = msgp.WrapError(err, "Unresponsive")
 		return
 	}
-	if cap(z.Missing) >= int(zb0002) {
-		z.Missing = (z.Missing)[:zb0002]
+	if cap(z.Unresponsive) >= int(zb0002) {
+		z.Unresponsive = (z.Unresponsive)[:zb0002]
 	} else {
-		z.Missing = make([]view.ID, zb0002)
+		z.Unresponsive = make([]view.ID, zb0002)
 	}
-	for za0001 := range z.Missing {
-		bts, err = z.Missing[za0001].UnmarshalMsg(bts)
+	for za0001 := range z.Unresponsive {
+		err = z.Unresponsive[za0001].DecodeMsg(dc)
 		if err != nil {
-			err = msgp.WrapError(err, "Missing", za0001)
+			err = msgp.WrapError(err, "Unresponsive", za0001)
 			return
 		}
 	}
-	z.Leading, bts, err = msgp.ReadBoolBytes(bts)
+	z.Leading, err = dc.ReadBool()
 	if err != nil {
 		err = msgp.WrapError(err, "Leading")
 		return
 	}
-	z.Leader, bts, err = msgp.ReadStringBytes(bts)
+	z.Leader, err = dc.ReadString()
 	if err != nil {
 		err = msgp.WrapError(err, "Leader")
 		return
 	}
-	z.Leaving, bts, err = msgp.ReadBoolBytes(bts)
+	z.Stopping, err = dc.ReadBool()
 	if err != nil {
-		err = msgp.WrapError(err, "Leaving")
+		err = msgp.WrapError(err, "Stopping")
 		return
 	}
-	o = bts
-	return
-}
-
-// Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *beat) Msgsize() (s int) {
-	s = 1 + z.Member.Msgsize() + msgp.Uint64Size + msgp.BoolSize + msgp.BoolSize + msgp.BoolSize + msgp.BoolSize + msgp.Uint64Size + msgp.Uint64Size + msgp.ArrayHeaderSize
-	for za0001 := range z.Missing {
-		s += z.Missing[za0001].Msgsize()
-	}
-	s += msgp.BoolSize + msgp.StringPrefixSize + len(z.Leader) + msgp.BoolSize
 	return
 }
 
-// DecodeMsg implements msgp.Decodable
-func (z *decided) DecodeMsg(dc *msgp.Reader) (err error) {
-	var zb0001 uint32
-	zb0001, err = dc.ReadArrayHeader()
+// EncodeMsg implements msgp.Encodable
+func (z *heartbeat) EncodeMsg(en *msgp.Writer) (err error) {
+	// array header, size 12
+	err = en.Append(0x9c)
 	if err != nil {
-		err = msgp.WrapError(err)
-		return
-	}
-	if zb0001 != 1 {
-		err = msgp.ArrayError{Wanted: 1, Got: zb0001}
 		return
 	}
-	err = z.View.DecodeMsg(dc)
+	err = z.Member.EncodeMsg(en)
 	if err != nil {
-		err = msgp.WrapError(err, "View")
+		err = msgp.WrapError(err, "Member")
 		return
 	}
-	return
-}
-
-// EncodeMsg implements msgp.Encodable
-func (z *decided) EncodeMsg(en *msgp.Writer) (err error) {
-	// array header, size 1
-	err = en.Append(0x91)
+	err = en.WriteUint64(z.Epoch)
 	if err != nil {
+		err = msgp.WrapError(err, "Epoch")
 		return
 	}
-	err = z.View.EncodeMsg(en)
+	err = en.WriteBool(z.Bootstrap)
 	if err != nil {
-		err = msgp.WrapError(err, "View")
+		err = msgp.WrapError(err, "Bootstrap")
 		return
 	}
-	return
-}
-
-// MarshalMsg implements msgp.Marshaler
-func (z *decided) MarshalMsg(b []byte) (o []byte, err error) {
-	o = msgp.Require(b, z.Msgsize())
-	// array header, size 1
-	o = append(o, 0x91)
-	o, err = z.View.MarshalMsg(o)
+	err = en.WriteBool(z.CannotOrder)
 	if err != nil {
-		err = msgp.WrapError(err, "View")
+		err = msgp.WrapError(err, "CannotOrder")
 		return
 	}
-	return
-}
-
-// UnmarshalMsg implements msgp.Unmarshaler
-func (z *decided) UnmarshalMsg(bts []byte) (o []byte, err error) {
-	var zb0001 uint32
-	zb0001, bts, err = msgp.ReadArrayHeaderBytes(bts)
+	err = en.WriteBool(z.Whole)
 	if err != nil {
-		err = msgp.WrapError(err)
-		return
-	}
-	if zb0001 != 1 {
-		err = msgp.ArrayError{Wanted: 1, Got: zb0001}
+		err = msgp.WrapError(err, "Whole")
 		return
 	}
-	bts, err = z.View.UnmarshalMsg(bts)
+	err = en.WriteBool(z.Attached)
 	if err != nil {
-		err = msgp.WrapError(err, "View")
+		err = msgp.WrapError(err, "Attached")
 		return
 	}
-	o = bts
-	return
-}
-
-// Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *decided) Msgsize() (s int) {
-	s = 1 + z.View.Msgsize()
-	return
-}
-
-// DecodeMsg implements msgp.Decodable
-func (z *forward) DecodeMsg(dc *msgp.Reader) (err error) {
-	var zb0001 uint32
-	zb0001, err = dc.ReadArrayHeader()
+	err = en.WriteUint64(z.Synced)
 	if err != nil {
-		err = msgp.WrapError(err)
-		return
-	}
-	if zb0001 != 2 {
-		err = msgp.ArrayError{Wanted: 2, Got: zb0001}
+		err = msgp.WrapError(err, "Synced")
 		return
 	}
-	z.WaitMillis, err = dc.ReadUint32()
+	err = en.WriteUint64(z.Committed)
 	if err != nil {
-		err = msgp.WrapError(err, "WaitMillis")
+		err = msgp.WrapError(err, "Committed")
 		return
 	}
-	z.Command, err = dc.ReadBytes(z.Command)
+	err = en.WriteArrayHeader(uint32(len(z.Unresponsive)))
 	if err != nil {
-		err = msgp.WrapError(err, "Command")
+		err = msgp.WrapError(err, "Unresponsive")
 		return
 	}
-	return
-}
-
-// EncodeMsg implements msgp.Encodable
-func (z *forward) EncodeMsg(en *msgp.Writer) (err error) {
-	// array header, size 2
-	err = en.Append(0x92)
+	for za0001 := range z.Unresponsive {
+		err = z.Unresponsive[za0001].EncodeMsg(en)
+		if err != nil {
+			err = msgp.WrapError(err, "Unresponsive", za0001)
+			return
+		}
+	}
+	err = en.WriteBool(z.Leading)
 	if err != nil {
+		err = msgp.WrapError(err, "Leading")
 		return
 	}
-	err = en.WriteUint32(z.WaitMillis)
+	err = en.WriteString(z.Leader)
 	if err != nil {
-		err = msgp.WrapError(err, "WaitMillis")
+		err = msgp.WrapError(err, "Leader")
 		return
 	}
-	err = en.WriteBytes(z.Command)
+	err = en.WriteBool(z.Stopping)
 	if err != nil {
-		err = msgp.WrapError(err, "Command")
+		err = msgp.WrapError(err, "Stopping")
 		return
 	}
 	return
 }
 
 // MarshalMsg implements msgp.Marshaler
-func (z *forward) MarshalMsg(b []byte) (o []byte, err error) {
+func (z *heartbeat) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
-	// array header, size 2
-	o = append(o, 0x92)
-	o = msgp.AppendUint32(o, z.WaitMillis)
-	o = msgp.AppendBytes(o, z.Command)
+	// array header, size 12
+	o = append(o, 0x9c)
+	o, err = z.Member.MarshalMsg(o)
+	if err != nil {
+		err = msgp.WrapError(err, "Member")
+		return
+	}
+	o = msgp.AppendUint64(o, z.Epoch)
+	o = msgp.AppendBool(o, z.Bootstrap)
+	o = msgp.AppendBool(o, z.CannotOrder)
+	o = msgp.AppendBool(o, z.Whole)
+	o = msgp.AppendBool(o, z.Attached)
+	o = msgp.AppendUint64(o, z.Synced)
+	o = msgp.AppendUint64(o, z.Committed)
+	o = msgp.AppendArrayHeader(o, uint32(len(z.Unresponsive)))
+	for za0001 := range z.Unresponsive {
+		o, err = z.Unresponsive[za0001].MarshalMsg(o)
+		if err != nil {
+			err = msgp.WrapError(err, "Unresponsive", za0001)
+			return
+		}
+	}
+	o = msgp.AppendBool(o, z.Leading)
+	o = msgp.AppendString(o, z.Leader)
+	o = msgp.AppendBool(o, z.Stopping)
 	return
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *forward) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *heartbeat) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var zb0001 uint32
 	zb0001, bts, err = msgp.ReadArrayHeaderBytes(bts)
 	if err != nil {
 		err = msgp.WrapError(err)
 		return
 	}
-	if zb0001 != 2 {
-		err = msgp.ArrayError{Wanted: 2, Got: zb0001}
+	if zb0001 != 12 {
+		err = msgp.ArrayError{Wanted: 12, Got: zb0001}
 		return
 	}
-	z.WaitMillis, bts, err = msgp.ReadUint32Bytes(bts)
+	bts, err = z.Member.UnmarshalMsg(bts)
 	if err != nil {
-		err = msgp.WrapError(err, "WaitMillis")
+		err = msgp.WrapError(err, "Member")
 		return
 	}
-	z.Command, bts, err = msgp.ReadBytesBytes(bts, z.Command)
+	z.Epoch, bts, err = msgp.ReadUint64Bytes(bts)
 	if err != nil {
-		err = msgp.WrapError(err, "Command")
+		err = msgp.WrapError(err, "Epoch")
 		return
 	}
-	o = bts
-	return
-}
-
-// Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *forward) Msgsize() (s int) {
-	s = 1 + msgp.Uint32Size + msgp.BytesPrefixSize + len(z.Command)
-	return
-}
-
-// DecodeMsg implements msgp.Decodable
-func (z *forwardReply) DecodeMsg(dc *msgp.Reader) (err error) {
-	var zb0001 uint32
-	zb0001, err = dc.ReadArrayHeader()
+	z.Bootstrap, bts, err = msgp.ReadBoolBytes(bts)
 	if err != nil {
-		err = msgp.WrapError(err)
+		err = msgp.WrapError(err, "Bootstrap")
 		return
 	}
-	if zb0001 != 2 {
-		err = msgp.ArrayError{Wanted: 2, Got: zb0001}
+	z.CannotOrder, bts, err = msgp.ReadBoolBytes(bts)
+	if err != nil {
+		err = msgp.WrapError(err, "CannotOrder")
 		return
 	}
-	{
-		var zb0002 uint8
-		zb0002, err = dc.ReadUint8()
-		if err != nil {
-			err = msgp.WrapError(err, "Outcome")
-			return
-		}
-		z.Outcome = outcome(zb0002)
-	}
-	z.Result, err = dc.ReadBytes(z.Result)
+	z.Whole, bts, err = msgp.ReadBoolBytes(bts)
 	if err != nil {
-		err = msgp.WrapError(err, "Result")
+		err = msgp.WrapError(err, "Whole")
 		return
 	}
-	return
-}
-
-// EncodeMsg implements msgp.Encodable
-func (z *forwardReply) EncodeMsg(en *msgp.Writer) (err error) {
-	// array header, size 2
-	err = en.Append(0x92)
+	z.Attached, bts, err = msgp.ReadBoolBytes(bts)
 	if err != nil {
+		err = msgp.WrapError(err, "Attached")
 		return
 	}
-	err = en.WriteUint8(uint8(z.Outcome))
+	z.Synced, bts, err = msgp.ReadUint64Bytes(bts)
 	if err != nil {
-		err = msgp.WrapError(err, "Outcome")
+		err = msgp.WrapError(err, "Synced")
 		return
 	}
-	err = en.WriteBytes(z.Result)
+	z.Committed, bts, err = msgp.ReadUint64Bytes(bts)
 	if err != nil {
-		err = msgp.WrapError(err, "Result")
+		err = msgp.WrapError(err, "Committed")
 		return
 	}
-	return
-}
-
-// MarshalMsg implements msgp.Marshaler
-func (z *forwardReply) MarshalMsg(b []byte) (o []byte, err error) {
-	o = msgp.Require(b, z.Msgsize())
-	// array header, size 2
-	o = append(o, 0x92)
-	o = msgp.AppendUint8(o, uint8(z.Outcome))
-	o = msgp.AppendBytes(o, z.Result)
-	return
-}
-
-// UnmarshalMsg implements msgp.Unmarshaler
-func (z *forwardReply) UnmarshalMsg(bts []byte) (o []byte, err error) {
-	var zb0001 uint32
-	zb0001, bts, err = msgp.ReadArrayHeaderBytes(bts)
+	var zb0002 uint32
+	zb0002, bts, err = msgp.ReadArrayHeaderBytes(bts)
 	if err != nil {
-		err = msgp.WrapError(err)
+		err = msgp.WrapError(err, "Unresponsive")
 		return
 	}
-	if zb0001 != 2 {
-		err = msgp.ArrayError{Wanted: 2, Got: zb0001}
-		return
+	if cap(z.Unresponsive) >= int(zb0002) {
+		z.Unresponsive = (z.Unresponsive)[:zb0002]
+	} else {
+		z.Unresponsive = make([]view.ID, zb0002)
 	}
-	{
-		var zb0002 uint8
-		zb0002, bts, err = msgp.ReadUint8Bytes(bts)
+	for za0001 := range z.Unresponsive {
+		bts, err = z.Unresponsive[za0001].UnmarshalMsg(bts)
 		if err != nil {
-			err = msgp.WrapError(err, "Outcome")
+			err = msgp.WrapError(err, "Unresponsive", za0001)
 			return
 		}
-		z.Outcome = outcome(zb0002)
 	}
-	z.Result, bts, err = msgp.ReadBytesBytes(bts, z.Result)
+	z.Leading, bts, err = msgp.ReadBoolBytes(bts)
 	if err != nil {
-		err = msgp.WrapError(err, "Result")
+		err = msgp.WrapError(err, "Leading")
+		return
+	}
+	z.Leader, bts, err = msgp.ReadStringBytes(bts)
+	if err != nil {
+		err = msgp.WrapError(err, "Leader")
+		return
+	}
+	z.Stopping, bts, err = msgp.ReadBoolBytes(bts)
+	if err != nil {
+		err = msgp.WrapError(err, "Stopping")
 		return
 	}
 	o = bts
@@ -555,8 +551,12 @@
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *forwardReply) Msgsize() (s int) {
-	s = 1 + msgp.Uint8Size + msgp.BytesPrefixSize + len(z.Result)
+func (z *heartbeat) Msgsize() (s int) {
+	s = 1 + z.Member.Msgsize() + msgp.Uint64Size + msgp.BoolSize + msgp.BoolSize + msgp.BoolSize + msgp.BoolSize + msgp.Uint64Size + msgp.Uint64Size + msgp.ArrayHeaderSize
+	for za0001 := range z.Unresponsive {
+		s += z.Unresponsive[za0001].Msgsize()
+	}
+	s += msgp.BoolSize + msgp.StringPrefixSize + len(z.Leader) + msgp.BoolSize
 	return
 }
 
--- a/control/core/mixed_test.go
+++ b/control/core/mixed_test.go
@@ -7,8 +7,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// settledMixed is a core of four control processes and a store, which bears the loss of two.
-func settledMixed(t *testing.T, seed uint64) (s *simulation, store *simulated) {
+// steadyMixedCore is a core of four control processes and a store, which bears the loss of two.
+func steadyMixedCore(t *testing.T, seed uint64) (s *simulation, store *simulated) {
 	s = newSimulation(seed, 5, 2, sound)
 	store = s.members[4]
 	store.storage = true
@@ -25,7 +25,7 @@
 func TestAStoreLeavesTheLeadToControlProcesses(t *testing.T) {
 	const bound = 2500 * time.Millisecond
 	for seed := range uint64(10) {
-		s, store := settledMixed(t, seed)
+		s, store := steadyMixedCore(t, seed)
 		for _, control := range s.members[:4] {
 			control.kill()
 			wait := s.until(bound, func() bool { return len(s.holders()) == 1 && s.holders()[0] != store })
@@ -42,25 +42,25 @@
 	}
 }
 
-// settleBound is how long two losses may keep a core from answering.
-const settleBound = 3500 * time.Millisecond
+// recoveryBound is how long two losses may keep a core from answering.
+const recoveryBound = 3500 * time.Millisecond
 
 // loseTwo has one member lose its disk, and another either do so at the same moment or fall silent for good. It says whether orders are answered
 // again in time.
-func loseTwo(s *simulation, wiped, other *simulated, silent bool) (answers bool) {
+func loseTwo(s *simulation, wiped, other *simulated, unheard bool) (answers bool) {
 	wiped.wipe()
-	if silent {
+	if unheard {
 		other.frozen = true
 	} else {
 		other.wipe()
 	}
 	s.run(s.now + 300*time.Millisecond)
 	wiped.start()
-	if !silent {
+	if !unheard {
 		other.start()
 	}
 	back := s.now
-	s.until(settleBound, func() bool { return s.newest > back+time.Second })
+	s.until(recoveryBound, func() bool { return s.newest > back+time.Second })
 	s.checkHistory()
 	return s.newest > back+time.Second
 }
@@ -73,7 +73,7 @@
 				if first == second {
 					continue
 				}
-				s, _ := settledMixed(t, seed)
+				s, _ := steadyMixedCore(t, seed)
 				answers := loseTwo(s, s.members[first], s.members[second], seed%2 == 1)
 				require.True(t, answers, "seed %d, %d and %d: %s", seed, first, second, s.describe())
 				require.Empty(t, s.broken, "seed %d, %d and %d", seed, first, second)
@@ -84,8 +84,8 @@
 
 // TestFourControlProcessesAloneDoNotBearTwoLosses shows that the test above sees a core with a member too few, as it was in the incidents.
 func TestFourControlProcessesAloneDoNotBearTwoLosses(t *testing.T) {
-	for _, silent := range []bool{false, true} {
-		s := settled(t, 1, 4, 2)
+	for _, unheard := range []bool{false, true} {
+		s := steadyCore(t, 1, 4, 2)
 		var voters []*simulated
 		for _, member := range s.members {
 			if member.node.isVoter(member.node.self.ID) {
@@ -93,7 +93,7 @@
 			}
 		}
 		require.Len(t, voters, 3)
-		require.False(t, loseTwo(s, voters[0], voters[1], silent), "silent: %v", silent)
+		require.False(t, loseTwo(s, voters[0], voters[1], unheard), "silent: %v", unheard)
 		require.Empty(t, s.broken, "nothing that was answered is lost")
 	}
 }
@@ -102,15 +102,15 @@
 // another without end, and each member of the chain has its commands decided, though it may not hear the head.
 func TestHalvesThatShareAMemberKeepOneChain(t *testing.T) {
 	const (
-		cut       = 6 * time.Second
-		mostViews = 8
+		partitionFor = 6 * time.Second
+		mostViews    = 8
 	)
 	for seed := range uint64(10) {
-		s, store := settledMixed(t, seed)
+		s, store := steadyMixedCore(t, seed)
 		before := s.newestEpoch()
 		halves := [2][]*simulated{{s.members[0], s.members[2]}, {s.members[1], s.members[3]}}
 		setHalves(s, halves, true)
-		s.run(s.now + cut)
+		s.run(s.now + partitionFor)
 		require.LessOrEqual(t, s.newestEpoch()-before, uint64(mostViews), "seed %d: %s", seed, s.describe())
 		require.Less(t, s.now-s.newest, 500*time.Millisecond, "seed %d: %s", seed, s.describe())
 		for _, member := range s.members {
@@ -130,10 +130,10 @@
 	}
 }
 
-func setHalves(s *simulation, halves [2][]*simulated, cut bool) {
+func setHalves(s *simulation, halves [2][]*simulated, on bool) {
 	for _, a := range halves[0] {
 		for _, b := range halves[1] {
-			s.cut[[2]string{a.address, b.address}], s.cut[[2]string{b.address, a.address}] = cut, cut
+			s.partitioned[[2]string{a.address, b.address}], s.partitioned[[2]string{b.address, a.address}] = on, on
 		}
 	}
 }
--- a/control/core/model.go
+++ b/control/core/model.go
@@ -19,10 +19,10 @@
 	Output = output
 	// DiskWrite is a change on disk that it wants.
 	DiskWrite = diskWrite
-	// Post is a message that it sends.
-	Post = post
-	// Ended is the end of a command that was submitted to it.
-	Ended = ended
+	// OutboundMessage is a message that it sends.
+	OutboundMessage = outboundMessage
+	// Completion is the end of a command that was submitted to it.
+	Completion = completion
 )
 
 // NewNode makes a node from what is on its disk, nil if nothing is.
@@ -43,7 +43,7 @@
 func (n *node) Describe() string {
 	return fmt.Sprintf("id %v epoch %d chain %v voters %d position %d whole %v attached %v sealed %v last %d committed %d missing %v",
 		n.self.ID, n.view.Epoch, n.view.Chain, len(n.view.Voters), n.chain.Position(), n.chain.Whole(), n.chain.Attached(),
-		n.vote.Sealed(n.view.Epoch), n.chain.Last(), n.chain.Committed(), n.missing)
+		n.vote.Sealed(n.view.Epoch), n.chain.Last(), n.chain.Committed(), n.unresponsive)
 }
 
 // CopyMessage encodes and decodes a message of a Post, as a connection does.
--- a/control/core/model_actions_test.go
+++ b/control/core/model_actions_test.go
@@ -28,7 +28,7 @@
 		if m.budget.lose > 0 {
 			add(true, "lose %s", name)
 		}
-		if m.budget.repeat > 0 {
+		if m.budget.duplicate > 0 {
 			add(true, "repeat %s", name)
 		}
 		if m.budget.late > 0 && !message.late {
@@ -72,7 +72,7 @@
 		add(false, "start %s", name)
 	case member.frozen:
 		add(false, "thaw %s", name)
-	case member.cut || member.deaf:
+	case member.partitioned || member.deaf:
 		add(false, "heal %s", name)
 	}
 }
@@ -100,7 +100,7 @@
 	if m.budget.freezes > 0 && !member.frozen {
 		add(true, "freeze %s", name)
 	}
-	if m.budget.cuts > 0 && !member.cut {
+	if m.budget.cuts > 0 && !member.partitioned {
 		add(true, "cut %s", name)
 	}
 	if m.budget.deaf > 0 && !member.deaf {
@@ -164,9 +164,9 @@
 	default:
 		m.doMember(verb, slices.IndexFunc(m.members, func(member *modelMember) bool { return member.address == object }))
 	}
-	m.beats()
+	m.deliverHeartbeats()
 	m.checkLease()
-	m.checkWhole()
+	m.checkComplete()
 	m.checkMargin()
 }
 
@@ -185,7 +185,7 @@
 		m.budget.lose--
 		m.mail = slices.Delete(m.mail, at, at+1)
 	case "repeat":
-		m.budget.repeat--
+		m.budget.duplicate--
 		m.receive(m.mail[at])
 	case "delay":
 		m.budget.late--
@@ -214,9 +214,9 @@
 		member.disks++
 	case "stop":
 		m.budget.stops--
-		member.node.Release(m.clock(at))
-		member.stopBy = m.elapsed + leaveWithin
-		m.carryOut(at)
+		member.node.BeginStop(m.clock(at))
+		member.stopBy = m.elapsed + stopTimeout
+		m.execute(at)
 	case "freeze":
 		m.budget.freezes--
 		member.frozen = true // what is sent to it waits, in order
@@ -224,14 +224,14 @@
 		member.frozen, member.soundAt = false, m.elapsed+modelCatchup
 	case "cut":
 		m.budget.cuts--
-		member.cut = true
+		member.partitioned = true
 		m.mail = slices.DeleteFunc(m.mail, func(message modelMessage) bool { return message.to == at || message.from == at })
 	case "deafen":
 		m.budget.deaf--
 		member.deaf = true
 		m.mail = slices.DeleteFunc(m.mail, func(message modelMessage) bool { return message.to == at })
 	case "heal":
-		member.cut, member.deaf, member.soundAt = false, false, m.elapsed+modelCatchup
+		member.partitioned, member.deaf, member.soundAt = false, false, m.elapsed+modelCatchup
 	}
 }
 
--- a/control/core/model_checks_test.go
+++ b/control/core/model_checks_test.go
@@ -33,14 +33,14 @@
 // checkAnswer sees whether an order that is answered lies on as many disks as losses could take, and one more, and has one outcome.
 func (m *model) checkAnswer(number int) {
 	_, command, _ := strings.Cut(m.scope.orders[number], " ")
-	place := slices.Index(m.order, command)
-	if place < 0 {
+	index := slices.Index(m.order, command)
+	if index < 0 {
 		m.fail("order %d was answered %q and never applied", number, m.answers[number])
 		return
 	}
 	machine := &orderLog{}
 	var result []byte
-	for _, applied := range m.order[:place+1] {
+	for _, applied := range m.order[:index+1] {
 		result = machine.Apply([]byte(applied))
 	}
 	if m.answers[number] != string(result) {
@@ -52,7 +52,7 @@
 			disks++
 		}
 	}
-	if disks <= m.scope.lost && (disks == 0 || !m.exceeded) {
+	if disks <= m.scope.tolerated && (disks == 0 || !m.exceeded) {
 		m.fail("order %d was answered with %d disks that hold it", number, disks)
 	}
 }
@@ -123,8 +123,8 @@
 	return newest
 }
 
-// checkWhole sees whether those that are whole in the latest view hold all that was answered.
-func (m *model) checkWhole() {
+// checkComplete sees whether those that are whole in the latest view hold all that was answered.
+func (m *model) checkComplete() {
 	latest := uint64(0)
 	for epoch := range m.views {
 		latest = max(latest, epoch)
@@ -148,26 +148,26 @@
 }
 
 func (member *modelMember) up() bool {
-	return member.node != nil && !member.frozen && !member.cut && !member.deaf
+	return member.node != nil && !member.frozen && !member.partitioned && !member.deaf
 }
 
-// lostSlots counts the machines that count as lost: those that have come, but for one whose successor counts in its place.
-func (m *model) lostSlots() int {
-	lost := 0
+// unavailableSlots counts the machines that count as lost: those that have come, but for one whose successor counts in its place.
+func (m *model) unavailableSlots() int {
+	unavailable := 0
 	for at, member := range m.members {
-		if member.life == 0 || m.replaced && at == 0 {
+		if member.incarnation == 0 || m.replaced && at == 0 {
 			continue
 		}
 		if !member.up() || m.elapsed < member.soundAt {
-			lost++
+			unavailable++
 		}
 	}
-	return lost
+	return unavailable
 }
 
 // checkMargin sees whether a majority and a whole member are up while no more are lost than may be.
 func (m *model) checkMargin() {
-	m.exceeded = m.exceeded || m.lostSlots() > m.scope.lost
+	m.exceeded = m.exceeded || m.unavailableSlots() > m.scope.tolerated
 	if m.exceeded {
 		return
 	}
--- a/control/core/model_disk_test.go
+++ b/control/core/model_disk_test.go
@@ -62,7 +62,7 @@
 		return // it has been told
 	}
 	member.node.OnDisk(m.clock(at), last)
-	m.carryOut(at)
+	m.execute(at)
 }
 
 func (m *model) land(member *modelMember) (last uint64) {
--- a/control/core/model_network_test.go
+++ b/control/core/model_network_test.go
@@ -19,8 +19,8 @@
 	late     bool // it does not hold up time
 }
 
-// post puts a message on its way; beats arrive at once, and anything to where nobody is does not.
-func (m *model) post(at int, p post) {
+// send puts a message on its way; beats arrive at once, and anything to where nobody is does not.
+func (m *model) send(at int, p outboundMessage) {
 	to := slices.IndexFunc(m.members, func(other *modelMember) bool { return other.address == p.To })
 	if to < 0 || !m.reaches(at, to) {
 		return
@@ -35,7 +35,7 @@
 
 func (m *model) reaches(from, to int) bool {
 	a, b := m.members[from], m.members[to]
-	return b.node != nil && !a.cut && !b.cut && !b.deaf
+	return b.node != nil && !a.partitioned && !b.partitioned && !b.deaf
 }
 
 func (m *model) deliver(at int) {
@@ -54,7 +54,7 @@
 	}
 	member := m.own(message.to)
 	member.node.Receive(m.clock(message.to), message.sender, content)
-	m.carryOut(message.to)
+	m.execute(message.to)
 }
 
 func emptyOf(name string) msgp.Unmarshaler {
@@ -66,10 +66,10 @@
 	panic(name)
 }
 
-// beats delivers those on their way, which come without end: they are not taken in other orders.
-func (m *model) beats() {
+// deliverHeartbeats delivers those on their way, which come without end: they are not taken in other orders.
+func (m *model) deliverHeartbeats() {
 	for {
-		at := slices.IndexFunc(m.mail, func(message modelMessage) bool { return message.kind == "beat" && !m.members[message.to].frozen })
+		at := slices.IndexFunc(m.mail, func(message modelMessage) bool { return message.kind == "heartbeat" && !m.members[message.to].frozen })
 		if at < 0 {
 			return
 		}
--- a/control/core/model_state_test.go
+++ b/control/core/model_state_test.go
@@ -14,7 +14,7 @@
 var (
 	durationType = reflect.TypeFor[time.Duration]()
 	modelOmitted = map[reflect.Type][]string{
-		reflect.TypeFor[node]():        {"config", "out", "logBytes", "imageSize"},
+		reflect.TypeFor[node]():        {"config", "output", "logBytes"},
 		reflect.TypeFor[modelMember](): {"machine", "state", "address"},
 		reflect.TypeFor[lease.Voter](): {"terms"}, reflect.TypeFor[lease.Holder](): {"terms"},
 	}
@@ -30,24 +30,24 @@
 		b = append(b, member.state...)
 		b = append(b, '|')
 	}
-	var parts [][]byte
+	var messages [][]byte
 	for i := range m.mail {
 		message := &m.mail[i]
-		parts = append(parts, fmt.Appendf(nil, "%d%d%s%v%v%s", message.from, message.to, message.kind, message.late, message.sender, message.data))
+		messages = append(messages, fmt.Appendf(nil, "%d%d%s%v%v%s", message.from, message.to, message.kind, message.late, message.sender, message.data))
 	}
 	var encoder explore.Encoder
 	if m.scope.unordered {
-		b = explore.AppendSorted(b, parts)
+		b = explore.AppendSorted(b, messages)
 	} else {
-		slices.SortStableFunc(parts, func(x, y []byte) int { return bytes.Compare(x[:2], y[:2]) }) // by link
-		b = encoder.Append(b, parts)
+		slices.SortStableFunc(messages, func(x, y []byte) int { return bytes.Compare(x[:2], y[:2]) }) // by link
+		b = encoder.Append(b, messages)
 	}
 	b = encoder.Append(b, m.order)
 	b = encoder.Append(b, m.answers)
 	b = encoder.Append(b, m.given)
 	b = encoder.Append(b, m.numbers)
 	b = encoder.Append(b, m.views)
-	b = encoder.Append(b, []int{m.steps, m.budget.crashes, m.budget.wipes, m.budget.freezes, m.budget.cuts, m.budget.deaf, m.budget.lose, m.budget.repeat, m.budget.late, m.budget.stops, m.budget.reorder})
+	b = encoder.Append(b, []int{m.steps, m.budget.crashes, m.budget.wipes, m.budget.freezes, m.budget.cuts, m.budget.deaf, m.budget.lose, m.budget.duplicate, m.budget.late, m.budget.stops, m.budget.reorder})
 	b = encoder.Append(b, []bool{m.replaced, m.exceeded})
 	return append(b, m.broken...)
 }
--- a/control/core/model_test.go
+++ b/control/core/model_test.go
@@ -14,7 +14,7 @@
 // modelScope is what may happen in a model of the core. The counts bound how often.
 type modelScope struct {
 	members   int      // the first three found the core, the others join
-	lost      int      // losses that are borne
+	tolerated int      // losses that are borne
 	orders    []string // "AT BASE NAME": each may be given once, at member AT, at any time
 	steps     int      // of time
 	fine      bool     // steps are half as long
@@ -28,7 +28,7 @@
 	cuts      int           // of one member from all others
 	deaf      int           // the same, one way: it hears nobody
 	lose      int           // messages lost
-	repeat    int           // messages delivered twice
+	duplicate int           // messages delivered twice
 	late      int           // messages that arrive after later steps of time
 	stops     int           // orderly ends, after which a member returns
 	only      []int         // members that faults strike; nil: all
@@ -40,7 +40,7 @@
 	hasty     bool          // a disk says that it has what it has not
 	margin    time.Duration // other than that of the lease, by which its holder stops before the voters forget it
 	lateDown  bool          // a voter that is down keeps its vote as long as one that is gone
-	faults    faults
+	mutations mutations
 }
 
 // modelStep is how far a step of time goes. Within one, messages and disks may take as long as they like, but no longer: so the model is
@@ -59,20 +59,20 @@
 
 // modelMember is a machine. It is copied before it is changed.
 type modelMember struct {
-	address  string
-	node     *node // nil while it is down
-	machine  *orderLog
-	disk     modelDisk
-	writes   []diskWrite
-	life     int
-	disks    int // how many it has lost
-	frozen   bool
-	cut      bool // from all others
-	deaf     bool
-	refusing bool          // killed: others find its address closed
-	soundAt  time.Duration // from then it does not count as lost, unless it is
-	stopBy   time.Duration // by then it ends, having been told to stop; zero if it was not
-	state    []byte        // encoded, nil if that is to be done
+	address     string
+	node        *node // nil while it is down
+	machine     *orderLog
+	disk        modelDisk
+	writes      []diskWrite
+	incarnation int
+	disks       int // how many it has lost
+	frozen      bool
+	partitioned bool // from all others
+	deaf        bool
+	refusing    bool          // killed: others find its address closed
+	soundAt     time.Duration // from then it does not count as lost, unless it is
+	stopBy      time.Duration // by then it ends, having been told to stop; zero if it was not
+	state       []byte        // encoded, nil if that is to be done
 }
 
 // model is a core whose every order of events is searched. What it observes belongs to its state.
@@ -104,12 +104,12 @@
 		m.members = append(m.members, &modelMember{address: fmt.Sprintf("%c", 'a'+i)})
 		m.owned = append(m.owned, true)
 	}
-	m.settle()
+	m.stabilize()
 	return m
 }
 
-// settle founds the core, and has it run until all is calm: that is where the search starts.
-func (m *model) settle() {
+// stabilize founds the core, and has it run until all is calm: that is where the search starts.
+func (m *model) stabilize() {
 	for i := range min(3, len(m.members)) {
 		m.start(i)
 	}
@@ -195,7 +195,7 @@
 
 func (m *model) start(at int) {
 	member := m.own(at)
-	member.life++
+	member.incarnation++
 	m.replaced = m.replaced || m.scope.replaces && at == len(m.members)-1 && m.members[0].node == nil
 	member.refusing, member.frozen, member.soundAt = false, false, m.elapsed+modelCatchup
 	member.machine = &orderLog{}
@@ -203,22 +203,22 @@
 	for _, seed := range m.members[:min(3, len(m.members))] {
 		seeds = append(seeds, seed.address)
 	}
-	life, disks, drawn := member.life, member.disks, 0
+	incarnation, disks, drawn := member.incarnation, member.disks, 0
 	config := nodeConfig{
 		Address: member.address, Zone: member.address, Seeds: seeds, Bootstrap: m.views[1] == "" && disks == 0, Disk: true, Candidate: true,
-		Durability: view.Durability{Copies: m.scope.lost + 1}, DownAfter: m.downAfter(),
-		GoneAfter: GoneAfter(modelCatchup), Terms: m.terms(), LeastLog: 1 << 20, Machine: member.machine,
+		Durability: view.Durability{Copies: m.scope.tolerated + 1}, DownAfter: m.downAfter(),
+		LearnerExpiry: LearnerExpiry(modelCatchup), Terms: m.terms(), MinLogBytes: 1 << 20, Machine: member.machine,
 		Random: func() uint64 { // the first draw is the life, the second the disk
 			drawn++
 			switch drawn {
 			case 1:
-				return uint64(1000*(at+1) + 10*life)
+				return uint64(1000*(at+1) + 10*incarnation)
 			case 2:
 				return uint64(100*(at+1) + 2*disks)
 			}
 			return 0
 		},
-		faults: m.scope.faults,
+		mutations: m.scope.mutations,
 	}
 	node, err := newNode(m.clock(at), config, member.disk.snapshot, member.disk.records)
 	if err != nil {
@@ -227,12 +227,12 @@
 	}
 	node.config.Random = func() uint64 { return 0 } // no state of its own, or copies would share it
 	member.node = node
-	m.carryOut(at)
+	m.execute(at)
 }
 
 func (m *model) downAfter() time.Duration {
 	if m.scope.lateDown {
-		return GoneAfter(modelCatchup)
+		return LearnerExpiry(modelCatchup)
 	}
 	return DownAfter(modelCatchup)
 }
@@ -245,23 +245,23 @@
 	return terms
 }
 
-// carryOut does what a node wants.
-func (m *model) carryOut(at int) {
+// execute does what a node wants.
+func (m *model) execute(at int) {
 	member := m.members[at]
-	out := member.node.Take()
-	member.writes = append(member.writes, out.Writes...)
-	for _, post := range out.Posts {
-		m.post(at, post)
+	output := member.node.Take()
+	member.writes = append(member.writes, output.Writes...)
+	for _, message := range output.Messages {
+		m.send(at, message)
 	}
 	m.observe(at)
-	for _, end := range out.Ended {
-		m.ended(at, end)
+	for _, end := range output.Completions {
+		m.complete(at, end)
 	}
 	if !m.scope.slowDisks && len(member.writes) > 0 {
 		m.sync(at)
-	} else if m.scope.hasty && len(out.Writes) > 0 {
-		member.node.OnDisk(m.clock(at), out.Writes[len(out.Writes)-1].Batch)
-		m.carryOut(at)
+	} else if m.scope.hasty && len(output.Writes) > 0 {
+		member.node.OnDisk(m.clock(at), output.Writes[len(output.Writes)-1].Batch)
+		m.execute(at)
 	}
 }
 
@@ -277,21 +277,21 @@
 			continue
 		}
 		for _, other := range m.members {
-			if other.refusing && !member.cut {
+			if other.refusing && !member.partitioned {
 				member.node.Refused(m.clock(at), other.address)
 			}
 		}
 		member.node.Tick(m.clock(at))
-		m.carryOut(at)
+		m.execute(at)
 	}
-	m.beats()
+	m.deliverHeartbeats()
 	m.endStopped()
 }
 
 // endStopped ends members that were told to stop and have left, or can't wait any longer.
 func (m *model) endStopped() {
 	for at, member := range m.members {
-		if member.stopBy != 0 && !member.frozen && (m.elapsed >= member.stopBy || member.node.Left(m.clock(at))) {
+		if member.stopBy != 0 && !member.frozen && (m.elapsed >= member.stopBy || member.node.StopComplete(m.clock(at))) {
 			m.land(member)
 			m.end(at, true)
 			m.replaced = m.replaced || m.scope.replaces && at == 0
@@ -308,12 +308,12 @@
 	}
 	member := m.own(at)
 	command := member.node.Submit(m.clock(at), fmt.Appendf(nil, "%d %s", base, name))
-	m.numbers[[3]int{at, member.life, int(command)}] = number
-	m.carryOut(at)
+	m.numbers[[3]int{at, member.incarnation, int(command)}] = number
+	m.execute(at)
 }
 
-func (m *model) ended(at int, end ended) {
-	number, known := m.numbers[[3]int{at, m.members[at].life, int(end.Number)}]
+func (m *model) complete(at int, end completion) {
+	number, known := m.numbers[[3]int{at, m.members[at].incarnation, int(end.Number)}]
 	if !known {
 		return
 	}
--- a/control/core/cutoff_test.go
+++ b/control/core/partition_test.go
@@ -9,25 +9,25 @@
 	"github.com/stretchr/testify/require"
 )
 
-// cutWay is which messages of a member that is cut off are lost.
-type cutWay int
+// partitionMode is which messages of a member that is cut off are lost.
+type partitionMode int
 
 const (
-	cutBoth cutWay = iota
-	cutDeaf        // it hears nobody
-	cutMute        // nobody hears it
+	partitionBoth     partitionMode = iota
+	partitionInbound                // it hears nobody
+	partitionOutbound               // nobody hears it
 )
 
-var cutWays = map[string]cutWay{"both ways": cutBoth, "deaf": cutDeaf, "mute": cutMute}
+var partitionModes = map[string]partitionMode{"both ways": partitionBoth, "deaf": partitionInbound, "mute": partitionOutbound}
 
 // Bounds on a member that is cut off, on the others, and once it is healed.
 const (
-	cutSeeds     = 4
-	cutTime      = 20 * time.Second
-	leaseBound   = 1200 * time.Millisecond // then a leader that is cut off leads no more
-	serviceBound = 2500 * time.Millisecond // then the others serve, under a leader of theirs
-	healBound    = 2 * time.Second         // then the member is in the chain again
-	pauseBound   = 1200 * time.Millisecond // no longer do the others answer nothing because it comes back
+	partitionSeeds = 4
+	partitionTime  = 20 * time.Second
+	leaseBound     = 1200 * time.Millisecond // then a leader that is cut off leads no more
+	serviceBound   = 2500 * time.Millisecond // then the others serve, under a leader of theirs
+	healBound      = 2 * time.Second         // then the member is in the chain again
+	pauseBound     = 1200 * time.Millisecond // no longer do the others answer nothing because it comes back
 )
 
 // roles are who may be cut off, as found at the time.
@@ -39,11 +39,11 @@
 }
 
 // inChain is the member at a place of the chain, counted from the tail if it is below zero.
-func (s *simulation) inChain(place int) *simulated {
+func (s *simulation) inChain(position int) *simulated {
 	for _, member := range s.members {
 		if n := member.node; member.running && n.chain.Attached() {
-			place = (place + len(n.view.Chain)) % len(n.view.Chain)
-			if voter, ok := n.view.Member(n.view.Chain[place]); ok {
+			position = (position + len(n.view.Chain)) % len(n.view.Chain)
+			if voter, ok := n.view.Member(n.view.Chain[position]); ok {
 				return s.byAddr[voter.Address]
 			}
 		}
@@ -51,23 +51,23 @@
 	panic("no member is in the chain")
 }
 
-func (s *simulation) cutOff(member *simulated, way cutWay, cut bool) {
+func (s *simulation) partition(member *simulated, way partitionMode, on bool) {
 	for _, other := range s.others(member) {
-		in, out := [2]string{other.address, member.address}, [2]string{member.address, other.address}
-		for pair, lost := range map[[2]string]bool{in: way != cutMute, out: way != cutDeaf} {
-			if cut && lost {
-				s.cut[pair] = true
+		inbound, outbound := [2]string{other.address, member.address}, [2]string{member.address, other.address}
+		for pair, dropped := range map[[2]string]bool{inbound: way != partitionOutbound, outbound: way != partitionInbound} {
+			if on && dropped {
+				s.partitioned[pair] = true
 			} else {
-				delete(s.cut, pair)
+				delete(s.partitioned, pair)
 			}
 		}
 	}
 }
 
-// cutStory plays one cut of a member of the core, and returns what was broken.
-func cutStory(seed uint64, role string, way cutWay, m mutant, restarted bool) (broken string, served time.Duration) {
+// playPartition plays one cut of a member of the core, and returns what was broken.
+func playPartition(seed uint64, role string, way partitionMode, m mutant, restarted bool) (broken string, served time.Duration) {
 	size := sizes[seed%uint64(len(sizes))]
-	s := newSimulation(seed, size.members, size.lost, m)
+	s := newSimulation(seed, size.members, size.tolerated, m)
 	s.run(1500 * time.Millisecond)
 	s.load(50 * time.Millisecond)
 	s.run(4 * time.Second)
@@ -75,16 +75,16 @@
 		return s.broken, 0
 	}
 	victim := roles[role](s)
-	s.cutOff(victim, way, true)
+	s.partition(victim, way, true)
 	from := s.now
 	if restarted {
 		s.after(2*time.Second, func() { victim.kill(); s.after(300*time.Millisecond, victim.start) })
 	}
-	s.watchCut(victim, from)
+	s.watchPartition(victim, from)
 	served = s.serviceWithout(victim, from)
-	s.run(from + cutTime)
+	s.run(from + partitionTime)
 	s.expectSide(victim, from)
-	s.cutOff(victim, way, false)
+	s.partition(victim, way, false)
 	s.healed(victim)
 	if s.broken == "" {
 		s.checkHistory()
@@ -92,13 +92,13 @@
 	return s.broken, served
 }
 
-// watchCut looks at the member that is cut off all the time: its lease ends in time, and nothing that was submitted to it since is answered.
-func (s *simulation) watchCut(victim *simulated, from time.Duration) {
+// watchPartition looks at the member that is cut off all the time: its lease ends in time, and nothing that was submitted to it since is answered.
+func (s *simulation) watchPartition(victim *simulated, from time.Duration) {
 	const look, every = 20 * time.Millisecond, 200 * time.Millisecond
 	submitted := make(map[string]bool)
 	var watch func()
 	watch = func() {
-		if s.now >= from+cutTime-look {
+		if s.now >= from+partitionTime-look {
 			return
 		}
 		if victim.running && s.now > from+leaseBound && victim.node.holder.Valid(victim.clock()) {
@@ -137,7 +137,7 @@
 
 // serviceWithout plays until the others have a leader of theirs, and answer.
 func (s *simulation) serviceWithout(victim *simulated, from time.Duration) time.Duration {
-	s.until(cutTime/2, func() bool {
+	s.until(partitionTime/2, func() bool {
 		holders := s.holders()
 		return s.now > from+50*time.Millisecond && s.newest > from+leaseBound && len(holders) == 1 && holders[0] != victim
 	})
@@ -183,19 +183,19 @@
 	s.expectService("after the cut", 300*time.Millisecond)
 }
 
-func TestMistakesOfAMemberThatIsCutOffAreCaught(t *testing.T) {
+func TestMistakesOfAPartitionedMemberAreCaught(t *testing.T) {
 	for name, c := range map[string]struct {
-		mistake mutant
-		told    string
+		mistake  mutant
+		expected string
 	}{
 		"leads on when nobody renews its lease": {lingeringLeader, "hold the leader lease at once"},
 		"commits what it alone has on its disk": {loneCommit, "while it was cut off"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			for seed := range uint64(cutSeeds) {
-				broken, _ := cutStory(seed, "head", cutBoth, c.mistake, false)
-				if strings.Contains(broken, c.told) {
+			for seed := range uint64(partitionSeeds) {
+				broken, _ := playPartition(seed, "head", partitionBoth, c.mistake, false)
+				if strings.Contains(broken, c.expected) {
 					t.Logf("seed %d: %s", seed, broken)
 					return
 				}
@@ -205,15 +205,15 @@
 	}
 }
 
-// TestACutOfTwentySeconds has each member by its role cut off, both ways and one way, and asked all the time.
-func TestACutOfTwentySeconds(t *testing.T) {
+// TestAPartitionOfTwentySeconds has each member by its role cut off, both ways and one way, and asked all the time.
+func TestAPartitionOfTwentySeconds(t *testing.T) {
 	for role := range roles {
-		for name, way := range cutWays {
+		for name, way := range partitionModes {
 			t.Run(role+" "+name, func(t *testing.T) {
 				t.Parallel()
 				var slowest time.Duration
-				for seed := range uint64(cutSeeds) {
-					broken, served := cutStory(seed, role, way, sound, seed%3 == 2)
+				for seed := range uint64(partitionSeeds) {
+					broken, served := playPartition(seed, role, way, sound, seed%3 == 2)
 					require.Empty(t, broken, "seed %d", seed)
 					slowest = max(slowest, served)
 				}
--- a/control/core/peers.go
+++ b/control/core/peers.go
@@ -9,13 +9,13 @@
 	"ravendale/control/view"
 )
 
-func (n *node) onBeat(now time.Duration, m *beat) {
-	known := n.hear(now, m)
+func (n *node) onHeartbeat(now time.Duration, m *heartbeat) {
+	known := n.observe(now, m)
 	if m.Epoch < n.view.Epoch {
-		n.sendLasting(m.Member.Address, &decided{View: n.view})
+		n.sendWhenDurable(m.Member.Address, &decided{View: n.view})
 	}
 	if !known {
-		n.deliver(post{m.Member.Address, n.beat(now)})
+		n.deliver(outboundMessage{m.Member.Address, n.heartbeat(now)})
 	}
 	n.prepareLate(m.Member)
 	if m.Member.ID != 0 {
@@ -23,32 +23,32 @@
 	}
 }
 
-// hear notes a beat, and says whether its sender was known.
-func (n *node) hear(now time.Duration, m *beat) (known bool) {
+// observe notes a beat, and says whether its sender was known.
+func (n *node) observe(now time.Duration, m *heartbeat) (known bool) {
 	p := n.peers[m.Member.Address]
 	known = p != nil && p.contacted && p.member.ID == m.Member.ID
 	if !known {
-		p = &peer{since: now, well: now, contacted: true}
+		p = &peer{heardSince: now, healthyAt: now, contacted: true}
 		n.peers[m.Member.Address] = p
-	} else if now-p.heard > silentAfter || p.refused || p.beat.aside() {
-		p.since = now
+	} else if now-p.heardAt > failureTimeout || p.refused || p.heartbeat.degraded() {
+		p.heardSince = now
 	}
-	if !m.aside() {
-		p.well = now
+	if !m.degraded() {
+		p.healthyAt = now
 	}
-	p.member, p.beat, p.heard, p.refused = m.Member, *m, now, false
-	n.noteLeader(now, m)
+	p.member, p.heartbeat, p.heardAt, p.refused = m.Member, *m, now, false
+	n.observeLeader(now, m)
 	return known
 }
 
-func (n *node) noteLeader(now time.Duration, m *beat) {
+func (n *node) observeLeader(now time.Duration, m *heartbeat) {
 	switch {
 	case m.Leading:
-		n.leader, n.leaderTill = m.Member.Address, now+silentAfter
-	case !n.config.Disk && m.Leader != "" && now >= n.leaderTill:
-		n.leader, n.leaderTill = m.Leader, now+silentAfter // by hearsay, which is not passed on
-	case m.Member.Address == n.leader:
-		n.leaderTill = min(n.leaderTill, now) // it holds the lease no more
+		n.knownLeader, n.knownLeaderUntil = m.Member.Address, now+failureTimeout
+	case !n.config.Disk && m.Leader != "" && now >= n.knownLeaderUntil:
+		n.knownLeader, n.knownLeaderUntil = m.Leader, now+failureTimeout // by hearsay, which is not passed on
+	case m.Member.Address == n.knownLeader:
+		n.knownLeaderUntil = min(n.knownLeaderUntil, now) // it holds the lease no more
 	}
 }
 
@@ -56,16 +56,16 @@
 func (n *node) Refused(now time.Duration, address string) {
 	p := n.peers[address]
 	if p == nil {
-		p = &peer{heard: now}
+		p = &peer{heardAt: now}
 		n.peers[address] = p
 	}
-	p.refused = now-n.started >= startWithin
-	n.watch(now)
+	p.refused = now-n.started >= startupWindow
+	n.updateResponsiveness(now)
 	n.finish(now)
 }
 
-// find returns the peer with an identity.
-func (n *node) find(id view.ID) *peer {
+// peerByID returns the peer with an identity.
+func (n *node) peerByID(id view.ID) *peer {
 	for _, p := range n.peers {
 		if p.member.ID == id && p.contacted {
 			return p
@@ -79,17 +79,17 @@
 	if id == n.self.ID {
 		return true
 	}
-	p := n.find(id)
+	p := n.peerByID(id)
 	if p == nil {
 		member, _ := n.view.Member(id)
 		refused := n.peers[member.Address] != nil && (n.peers[member.Address].refused || n.peers[member.Address].contacted)
-		return now < n.grace && !refused
+		return now < n.suspectFrom && !refused
 	}
-	return !p.refused && !p.beat.aside() && (now-p.heard < silentAfter || now < n.grace)
+	return !p.refused && !p.heartbeat.degraded() && (now-p.heardAt < failureTimeout || now < n.suspectFrom)
 }
 
-// lives says whether a member is heard by this node, or by another that this node hears.
-func (n *node) lives(now time.Duration, id view.ID) bool {
+// alive says whether a member is heard by this node, or by another that this node hears.
+func (n *node) alive(now time.Duration, id view.ID) bool {
 	if n.hears(now, id) {
 		return true
 	}
@@ -97,30 +97,30 @@
 		if p := n.peers[member.Address]; p != nil && (p.refused || p.contacted && p.member.ID != id) {
 			return false // its process has ended
 		}
-		if p := n.find(id); p != nil && p.beat.aside() && now-p.heard < silentAfter {
+		if p := n.peerByID(id); p != nil && p.heartbeat.degraded() && now-p.heardAt < failureTimeout {
 			return false // it says so itself
 		}
 	}
 	for _, p := range n.peers {
-		if p.beat.Epoch == n.view.Epoch && p.member.ID != 0 && p.member.ID != id && n.hears(now, p.member.ID) &&
-			n.view.Position(p.member.ID) >= 0 && !slices.Contains(p.beat.Missing, id) {
+		if p.heartbeat.Epoch == n.view.Epoch && p.member.ID != 0 && p.member.ID != id && n.hears(now, p.member.ID) &&
+			n.view.Position(p.member.ID) >= 0 && !slices.Contains(p.heartbeat.Unresponsive, id) {
 			return true
 		}
 	}
 	return false
 }
 
-// touch says whether messages pass between two members, as far as is known.
-func (n *node) touch(now time.Duration, a, b view.ID) bool {
-	return n.reaches(now, a, b) && n.reaches(now, b, a)
+// connected says whether messages pass between two members, as far as is known.
+func (n *node) connected(now time.Duration, a, b view.ID) bool {
+	return n.hearsFrom(now, a, b) && n.hearsFrom(now, b, a)
 }
 
-func (n *node) reaches(now time.Duration, from, to view.ID) bool {
+func (n *node) hearsFrom(now time.Duration, from, to view.ID) bool {
 	if to == n.self.ID {
 		return n.hears(now, from)
 	}
-	p := n.find(to)
-	return p == nil || !n.hears(now, to) || !slices.Contains(p.beat.Missing, from)
+	p := n.peerByID(to)
+	return p == nil || !n.hears(now, to) || !slices.Contains(p.heartbeat.Unresponsive, from)
 }
 
 func (n *node) joinable(now time.Duration, id view.ID) bool {
@@ -128,67 +128,67 @@
 		return true
 	}
 	taken := n.view.Position(id) >= 0 // others judged it sooner
-	if taken && n.lives(now, id) {
+	if taken && n.alive(now, id) {
 		return true // its neighbours hear it, though this node may not
 	}
-	p := n.find(id)
-	if id == 0 || p == nil || p.refused || p.beat.aside() || now-p.heard >= silentAfter {
+	p := n.peerByID(id)
+	if id == 0 || p == nil || p.refused || p.heartbeat.degraded() || now-p.heardAt >= failureTimeout {
 		return false
 	}
-	starting := now-n.started < silentAfter // of all perhaps: who comes a little late need not wait
-	return taken || starting || now-p.since >= joinAfter
+	starting := now-n.started < failureTimeout // of all perhaps: who comes a little late need not wait
+	return taken || starting || now-p.heardSince >= joinDelay
 }
 
-// silence is how long a member has not been heard, zero if it is.
-func (n *node) silence(now time.Duration, id view.ID) time.Duration {
-	if id == n.self.ID || n.lives(now, id) {
+// unheardFor is how long a member has not been heard, zero if it is.
+func (n *node) unheardFor(now time.Duration, id view.ID) time.Duration {
+	if id == n.self.ID || n.alive(now, id) {
 		return 0
 	}
 	last := n.started
-	if p := n.find(id); p != nil {
-		last = max(last, p.well)
+	if p := n.peerByID(id); p != nil {
+		last = max(last, p.healthyAt)
 	}
-	return now - max(last, n.grace-silentAfter)
+	return now - max(last, n.suspectFrom-failureTimeout)
 }
 
-// leaves says whether a member has said that it is about to end.
-func (n *node) leaves(id view.ID) bool {
+// isStopping says whether a member has said that it is about to end.
+func (n *node) isStopping(id view.ID) bool {
 	if id == n.self.ID {
-		return n.leaving
+		return n.stopping
 	}
-	p := n.find(id)
-	return p != nil && p.beat.Leaving
+	p := n.peerByID(id)
+	return p != nil && p.heartbeat.Stopping
 }
 
-// watch notes whom the node does not hear, and tells the others at once if that changes.
-func (n *node) watch(now time.Duration) {
+// updateResponsiveness notes whom the node does not hear, and tells the others at once if that changes.
+func (n *node) updateResponsiveness(now time.Duration) {
 	var missing []view.ID
 	for _, member := range n.view.Members() {
 		if !n.hears(now, member.ID) {
 			missing = append(missing, member.ID)
 		}
 	}
-	if !slices.Equal(missing, n.missing) {
-		n.missing = missing
-		n.beatAt = now
+	if !slices.Equal(missing, n.unresponsive) {
+		n.unresponsive = missing
+		n.heartbeatDue = now
 	}
 	for address, p := range n.peers {
-		if now-p.heard > n.remembers(p) && !n.isMember(p.member.ID) {
+		if now-p.heardAt > n.forgetAfter(p) && !n.isMember(p.member.ID) {
 			delete(n.peers, address)
 		}
 	}
-	if n.leader != "" && now >= n.leaderTill && !n.leads(now) {
-		n.leader, n.leaderLost = "", now
+	if n.knownLeader != "" && now >= n.knownLeaderUntil && !n.leads(now) {
+		n.knownLeader, n.leaderlessSince = "", now
 	}
 }
 
-// remembers is how long a stranger may be silent before it is forgotten. The control processes without a disk may know nobody else after
+// forgetAfter is how long a stranger may be silent before it is forgotten. The control processes without a disk may know nobody else after
 // a restart.
-func (n *node) remembers(p *peer) time.Duration {
+func (n *node) forgetAfter(p *peer) time.Duration {
 	if n.config.Storage && p.member.ID == 0 && p.contacted {
-		return forgetDisklessAfter
+		return disklessPeerTimeout
 	}
-	return forgetAfter
+	return unknownPeerTimeout
 }
 
 func (n *node) isVoter(id view.ID) bool {
@@ -201,32 +201,32 @@
 	return ok
 }
 
-func (n *node) beat(now time.Duration) *beat {
-	missing := n.missing
-	if n.aside.from != "" {
+func (n *node) heartbeat(now time.Duration) *heartbeat {
+	missing := n.unresponsive
+	if n.degradation.fault != "" {
 		missing = append(slices.Clone(missing), n.self.ID)
 	}
-	return &beat{
-		Member: n.self, Epoch: n.view.Epoch, Founder: len(n.founder) > 0, Idle: n.idle, Whole: n.chain.Whole(),
+	return &heartbeat{
+		Member: n.self, Epoch: n.view.Epoch, Bootstrap: len(n.bootstrapMembers) > 0, CannotOrder: n.cannotOrder, Whole: n.chain.Whole(),
 		Attached: n.chain.Attached(), Synced: n.chain.Synced(), Committed: n.chain.Committed(),
-		Missing: missing, Leading: n.leads(now), Leader: n.leaderAddress(now), Leaving: n.leaving,
+		Unresponsive: missing, Leading: n.leads(now), Leader: n.leaderAddress(now), Stopping: n.stopping,
 	}
 }
 
-func (n *node) sendBeats(now time.Duration) {
-	n.beatAt = now + beatEvery
-	message := n.beat(now)
-	for _, address := range n.audience() {
+func (n *node) sendHeartbeats(now time.Duration) {
+	n.heartbeatDue = now + heartbeatInterval
+	message := n.heartbeat(now)
+	for _, address := range n.heartbeatTargets() {
 		if address != n.self.Address {
-			n.deliver(post{address, message})
+			n.deliver(outboundMessage{address, message})
 		}
 	}
-	n.tellLeaving(now)
+	n.announceLeaving(now)
 }
 
-// audience is whom the node's beats go to: all whom it knows. Processes without a disk, of which there may be many, spare one another those, but
+// heartbeatTargets is whom the node's beats go to: all whom it knows. Processes without a disk, of which there may be many, spare one another those, but
 // for the seeds.
-func (n *node) audience() []string {
+func (n *node) heartbeatTargets() []string {
 	addresses := n.Addresses()
 	if n.config.Disk {
 		return addresses
@@ -262,21 +262,21 @@
 	return addresses
 }
 
-// takers lists the members of the core that are known, those first that most likely get a command committed: the leader, then who was heard lately,
+// submitTargets lists the members of the core that are known, those first that most likely get a command committed: the leader, then who was heard lately,
 // follows the chain, misses few others and knows the newest view. One that is cut off from the others comes late.
-func (n *node) takers(now time.Duration) []string {
+func (n *node) submitTargets(now time.Duration) []string {
 	leader := n.leaderAddress(now)
 	rank := func(address string) [5]uint64 {
 		p := n.peers[address]
 		if p == nil || !p.contacted {
 			return [5]uint64{1, 1}
 		}
-		silent := now-p.heard >= silentAfter || p.refused || p.beat.aside()
+		unheard := now-p.heardAt >= failureTimeout || p.refused || p.heartbeat.degraded()
 		return [5]uint64{
-			bit(silent), bit(address != leader), bit(!p.beat.Attached), uint64(len(p.beat.Missing)), math.MaxUint64 - p.beat.Epoch,
+			bit(unheard), bit(address != leader), bit(!p.heartbeat.Attached), uint64(len(p.heartbeat.Unresponsive)), math.MaxUint64 - p.heartbeat.Epoch,
 		}
 	}
-	addresses := n.members()
+	addresses := n.otherMembers()
 	slices.SortStableFunc(addresses, func(a, b string) int {
 		first, second := rank(a), rank(b)
 		return slices.Compare(first[:], second[:])
@@ -291,8 +291,8 @@
 	return 0
 }
 
-// members are the addresses of the others with a disk that are known: only they can submit a command.
-func (n *node) members() []string {
+// otherMembers are the addresses of the others with a disk that are known: only they can submit a command.
+func (n *node) otherMembers() []string {
 	var addresses []string
 	for _, member := range n.view.Voters {
 		addresses = append(addresses, member.Address)
--- a/control/core/quorum.go
+++ b/control/core/quorum.go
@@ -7,62 +7,62 @@
 	"ravendale/control/view"
 )
 
-// quorumLostAfter is how long too few voters are heard before that is told: shorter gaps are ordinary failovers.
-const quorumLostAfter = time.Second
+// quorumReportDelay is how long too few voters are heard before that is told: shorter gaps are ordinary failovers.
+const quorumReportDelay = time.Second
 
 // quorumChange tells that too few voters are heard for another view to be decided, or that there are enough again.
 type quorumChange struct {
-	Lost   bool
-	Voters int
-	Heard  []string // rpc addresses of voters
-	Silent []string // the same, with the reason as far as this node knows
+	Unavailable  bool
+	Voters       int
+	Heard        []string // rpc addresses of voters
+	Unresponsive []string // the same, with the reason as far as this node knows
 }
 
 // quorumWatch notices that the quorum of the voters is lost.
 type quorumWatch struct {
-	lostAt time.Duration // negative: it is there
-	told   bool
+	unavailableSince time.Duration // negative: it is there
+	reported         bool
 }
 
 // watchQuorum tells when a majority of the voters is not heard for a while, and when it is heard again.
 func (n *node) watchQuorum(now time.Duration) {
 	if n.view.Epoch == 0 || n.majorityHeard(now) {
-		if n.quorum.told {
-			n.out.Quorum = append(n.out.Quorum, n.quorumChange(now, false))
+		if n.quorum.reported {
+			n.output.QuorumChanges = append(n.output.QuorumChanges, n.quorumChange(now, false))
 		}
-		n.quorum = quorumWatch{lostAt: -1}
+		n.quorum = quorumWatch{unavailableSince: -1}
 		return
 	}
-	if n.quorum.lostAt < 0 {
-		n.quorum.lostAt = now
+	if n.quorum.unavailableSince < 0 {
+		n.quorum.unavailableSince = now
 	}
-	if !n.quorum.told && now-n.quorum.lostAt >= quorumLostAfter {
-		n.quorum.told = true
-		n.out.Quorum = append(n.out.Quorum, n.quorumChange(now, true))
+	if !n.quorum.reported && now-n.quorum.unavailableSince >= quorumReportDelay {
+		n.quorum.reported = true
+		n.output.QuorumChanges = append(n.output.QuorumChanges, n.quorumChange(now, true))
 	}
 }
 
-func (n *node) quorumChange(now time.Duration, lost bool) quorumChange {
-	change := quorumChange{Lost: lost, Voters: len(n.view.Voters)}
+func (n *node) quorumChange(now time.Duration, unavailable bool) quorumChange {
+	change := quorumChange{Unavailable: unavailable, Voters: len(n.view.Voters)}
 	for _, member := range n.view.Voters {
 		if n.hearsVoter(now, member.ID) {
 			change.Heard = append(change.Heard, member.Address)
 			continue
 		}
-		change.Silent = append(change.Silent, member.Address+": "+n.absence(now, member))
+		change.Unresponsive = append(change.Unresponsive, member.Address+": "+n.absence(now, member))
 	}
 	return change
 }
 
 // hearsVoter says whether a voter has been heard in this life and still is.
 func (n *node) hearsVoter(now time.Duration, id view.ID) bool {
-	return id == n.self.ID || n.find(id) != nil && n.hears(now, id)
+	return id == n.self.ID || n.peerByID(id) != nil && n.hears(now, id)
 }
 
 func (c *quorumChange) log(log *slog.Logger) {
-	if c.Lost {
-		log.Error("no majority of the core's voters is heard: nothing is decided", "voters", c.Voters, "heard", c.Heard, "silent", c.Silent)
+	if c.Unavailable {
+		log.Error("no majority of the core's voters is heard: nothing is decided", "voters", c.Voters, "heard", c.Heard, "silent", c.Unresponsive)
 		return
 	}
-	log.Info("a majority of the core's voters is heard again", "voters", c.Voters, "heard", c.Heard, "silent", c.Silent)
+	log.Info("a majority of the core's voters is heard again", "voters", c.Voters, "heard", c.Heard, "silent", c.Unresponsive)
 }
--- a/control/core/replacement_test.go
+++ b/control/core/replacement_test.go
@@ -20,9 +20,9 @@
 type way int
 
 const (
-	goneElsewhere way = iota // it is gone for good, an empty one comes later at another address
-	wipedInPlace             // it comes back at its address with an empty disk
-	planned                  // the new one comes first, at another address; then the old one is told to stop
+	replacedElsewhere way = iota // it is gone for good, an empty one comes later at another address
+	wipedSameAddress             // it comes back at its address with an empty disk
+	planned                      // the new one comes first, at another address; then the old one is told to stop
 	ways
 )
 
@@ -33,9 +33,9 @@
 // slot is a place in the core that a machine fills, or its successor. It counts as lost while its machine is down, frozen or cut off, and
 // for a while after that has returned; a successor counts as the machine that it replaces.
 type slot struct {
-	machine   *simulated
-	successor *simulated // started, while machine has still to stop
-	lostUntil time.Duration
+	machine          *simulated
+	successor        *simulated // started, while machine has still to stop
+	unavailableUntil time.Duration
 }
 
 const notBack = endless // of slot.lostUntil: its machine is lost now
@@ -49,8 +49,8 @@
 	next    int // number of the next machine
 }
 
-func newReplacements(t *testing.T, seed uint64, members, lost int, catchup time.Duration, m mutant) *replacements {
-	s := newSimulation(seed, members, lost, m)
+func newReplacements(t *testing.T, seed uint64, members, tolerated int, catchup time.Duration, m mutant) *replacements {
+	s := newSimulation(seed, members, tolerated, m)
 	s.catchup = catchup
 	s.catchup = catchup
 	r := &replacements{simulation: s, t: t, catchup: catchup, next: members + 1}
@@ -86,22 +86,22 @@
 // one has started.
 func (r *replacements) replace(s *slot, w way, gap time.Duration) {
 	old := s.machine
-	s.lostUntil = notBack
+	s.unavailableUntil = notBack
 	switch w {
-	case goneElsewhere:
+	case replacedElsewhere:
 		old.powerLoss()
 		r.drop(old)
 		r.watch(r.now + gap)
 		s.machine = r.machine()
 		s.machine.start()
-	case wipedInPlace:
+	case wipedSameAddress:
 		old.wipe()
 		r.watch(r.now + gap)
 		old.start()
 	case planned:
 		s.successor = r.machine()
 		s.successor.start()
-		s.lostUntil = r.now + r.catchup
+		s.unavailableUntil = r.now + r.catchup
 		r.after(gap, func() {
 			old.terminate(func() {
 				r.drop(old)
@@ -110,7 +110,7 @@
 		})
 		return
 	}
-	s.lostUntil = r.now + r.catchup
+	s.unavailableUntil = r.now + r.catchup
 }
 
 // watch runs until a time, and sees at every step whether what may still be lost would leave a majority and a whole member.
@@ -137,22 +137,22 @@
 }
 
 // soundMachines lists the machines that do not count as lost, and tells how many slots do.
-func (r *replacements) soundMachines() (sound []*simulated, lostSlots int) {
+func (r *replacements) soundMachines() (sound []*simulated, unavailable int) {
 	for _, s := range r.slots {
 		switch {
-		case s.lostUntil <= r.now:
+		case s.unavailableUntil <= r.now:
 			sound = append(sound, s.machine)
 			if s.successor != nil {
 				sound = append(sound, s.successor)
 			}
 		case s.successor != nil:
 			sound = append(sound, s.machine) // the new one counts as lost, the old one runs
-			lostSlots++
+			unavailable++
 		default:
-			lostSlots++
+			unavailable++
 		}
 	}
-	return sound, lostSlots
+	return sound, unavailable
 }
 
 // checkMargin sees whether the losses that the tolerance still allows would leave a majority of the voters, with a member that holds all
@@ -162,9 +162,9 @@
 		return
 	}
 	v := r.newestView()
-	sound, lostSlots := r.soundMachines()
-	more := max(0, r.lost-lostSlots) // losses
-	voters, whole := 0, 0
+	sound, unavailable := r.soundMachines()
+	more := max(0, r.tolerated-unavailable) // losses
+	voters, complete := 0, 0
 	for _, m := range sound {
 		if m.node == nil || !m.running {
 			continue
@@ -173,21 +173,21 @@
 			voters++
 		}
 		if at := v.Position(m.node.self.ID); at >= 0 && (at < v.Whole || m.node.view.Epoch == v.Epoch && m.node.chain.Whole()) {
-			whole++
+			complete++
 		}
 	}
 	if voters-more < v.Majority() {
 		r.fail("no majority is left if %d more are lost: %d sound of %d voters\n%s", more, voters, len(v.Voters), r.describe())
 	}
-	if whole-more < 1 {
-		r.fail("no whole member is left if %d more are lost: %d sound and whole\n%s", more, whole, r.describe())
+	if complete-more < 1 {
+		r.fail("no whole member is left if %d more are lost: %d sound and whole\n%s", more, complete, r.describe())
 	}
 }
 
 // chainOfReplacements replaces machine after machine, each as soon as the one before it has ceased to count as lost, then loses as many as
 // may be at once after a while, and then, at some seeds, all lose their power.
-func chainOfReplacements(t *testing.T, seed uint64, members, lost int, w way, catchup, gap, pause time.Duration, m mutant) string {
-	r := newReplacements(t, seed, members, lost, catchup, m)
+func chainOfReplacements(t *testing.T, seed uint64, members, tolerated int, w way, catchup, gap, pause time.Duration, m mutant) string {
+	r := newReplacements(t, seed, members, tolerated, catchup, m)
 	for round := range 2 * members {
 		if r.broken != "" {
 			return r.broken
@@ -198,7 +198,7 @@
 		}
 		s := r.slots[(round+int(seed))%members]
 		r.replace(s, way, gap)
-		r.watch(max(r.now, s.lostUntil))
+		r.watch(max(r.now, s.unavailableUntil))
 		if s.successor != nil { // it has had its time before the old one is told to stop
 			r.watchUntil(func() bool { return s.successor == nil }, gap+5*time.Second)
 		}
@@ -227,9 +227,9 @@
 	if r.broken != "" {
 		return
 	}
-	for _, at := range r.random.Perm(len(r.slots))[:r.lost] {
+	for _, at := range r.random.Perm(len(r.slots))[:r.tolerated] {
 		s := r.slots[at]
-		s.lostUntil = notBack
+		s.unavailableUntil = notBack
 		switch r.random.IntN(4) {
 		case 0:
 			s.machine.kill()
@@ -251,20 +251,20 @@
 const failoverBound = 3500 * time.Millisecond
 
 func TestAMajorityRemainsThroughReplacements(t *testing.T) {
-	cores := []struct{ members, lost int }{{3, 1}, {4, 1}, {5, 1}, {5, 2}}
+	cores := []struct{ members, tolerated int }{{3, 1}, {4, 1}, {5, 1}, {5, 2}}
 	for _, size := range cores {
 		for w := range ways + 1 {
 			name := "all ways"
 			if w < ways {
 				name = w.String()
 			}
-			t.Run(fmt.Sprintf("%d members, %d lost, %s", size.members, size.lost, name), func(t *testing.T) {
+			t.Run(fmt.Sprintf("%d members, %d lost, %s", size.members, size.tolerated, name), func(t *testing.T) {
 				t.Parallel()
 				for seed := range *replacementSeeds {
 					catchup := []time.Duration{4400 * time.Millisecond, 2 * time.Second}[seed%2]
 					gap := time.Duration(seed*7%5) * 500 * time.Millisecond
 					pause := time.Duration(seed*11%16) * time.Second
-					broken := chainOfReplacements(t, seed, size.members, size.lost, w, catchup, gap, pause, sound)
+					broken := chainOfReplacements(t, seed, size.members, size.tolerated, w, catchup, gap, pause, sound)
 					require.Empty(t, broken, "seed %d, catchup %v, gap %v, second loss after %v", seed, catchup, gap, pause)
 				}
 			})
@@ -275,21 +275,21 @@
 // TestMistakesInReplacementsAreCaught takes out one guard of a second loss each, and has the histories of replacements find it.
 func TestMistakesInReplacementsAreCaught(t *testing.T) {
 	for _, c := range []struct {
-		name    string
-		mistake mutant
-		way     way
-		word    string
+		name     string
+		mistake  mutant
+		way      way
+		expected string
 	}{
-		{"a voter that is down keeps its vote for ten seconds", lateDown, goneElsewhere, "no majority is left"},
+		{"a voter that is down keeps its vote for ten seconds", lateDown, replacedElsewhere, "no majority is left"},
 		{"a member that is told to stop keeps its vote", stayingVote, planned, "no majority is left"},
-		{"a newcomer gets a vote at once", eagerVote, goneElsewhere, "no majority is left"},
+		{"a newcomer gets a vote at once", eagerVote, replacedElsewhere, "no majority is left"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			const most = 20 // seeds until it must have been seen
 			for seed := range uint64(most) {
 				broken := chainOfReplacements(t, seed, 3, 1, c.way, 2*time.Second, time.Second, 0, c.mistake)
-				if strings.Contains(broken, c.word) {
+				if strings.Contains(broken, c.expected) {
 					t.Logf("seed %d: %s", seed, broken)
 					return
 				}
--- a/control/core/restart_test.go
+++ b/control/core/restart_test.go
@@ -37,7 +37,7 @@
 	var slowest time.Duration
 	for seed := range uint64(40) {
 		size := sizes[seed%uint64(len(sizes))]
-		s := settled(t, seed, size.members, size.lost)
+		s := steadyCore(t, seed, size.members, size.tolerated)
 		leader := s.holders()[0]
 		s.run(s.now + 500*time.Millisecond)
 		s.restart(s.members, apart)
@@ -56,7 +56,7 @@
 // TestAHolderKeepsItsLeaseWhileOthersRestart has all voters but the holder start anew.
 func TestAHolderKeepsItsLeaseWhileOthersRestart(t *testing.T) {
 	for seed := range uint64(60) { // without a new round in each new view it is lost in seed 36
-		s := settled(t, seed, 4, 1)
+		s := steadyCore(t, seed, 4, 1)
 		leader := s.holders()[0]
 		s.restart(s.others(leader), 200*time.Millisecond)
 		s.until(2*time.Second, func() bool { return len(s.holders()) != 1 || s.holders()[0] != leader })
@@ -68,7 +68,7 @@
 // restartVoters has the holder cut off, and all others restarted at once: they can't know that it still holds the lease but from
 // their disks. Now and then the holder is frozen, or restarted too.
 func restartVoters(seed uint64, m mutant) string {
-	s := newSimulation(seed, sizes[seed%uint64(len(sizes))].members, sizes[seed%uint64(len(sizes))].lost, m)
+	s := newSimulation(seed, sizes[seed%uint64(len(sizes))].members, sizes[seed%uint64(len(sizes))].tolerated, m)
 	s.run(4 * time.Second)
 	for range 4 {
 		holders := s.holders()
@@ -106,23 +106,23 @@
 	require.Fail(t, "not caught")
 }
 
-// TestChangesOfTheChainAreTold has a member killed, and reads what the others would log.
-func TestChangesOfTheChainAreTold(t *testing.T) {
-	s := settled(t, 3, 3, 1)
+// TestChainChangesAreReported has a member killed, and reads what the others would log.
+func TestChainChangesAreReported(t *testing.T) {
+	s := steadyCore(t, 3, 3, 1)
 	s.run(s.now + time.Second)
 	leader := s.holders()[0]
-	lost := s.others(leader)[0]
-	leader.changes = nil
-	lost.kill()
-	var told []change
+	killed := s.others(leader)[0]
+	leader.chainChanges = nil
+	killed.kill()
+	var changes []chainChange
 	s.until(3*time.Second, func() bool {
-		told = append(told, leader.changes...)
-		leader.changes = nil
-		return len(told) > 0
+		changes = append(changes, leader.chainChanges...)
+		leader.chainChanges = nil
+		return len(changes) > 0
 	})
-	require.Len(t, told, 1)
-	require.Equal(t, leader.node.view.Epoch, told[0].epoch)
-	require.NotContains(t, told[0].chain, lost.address)
-	require.Empty(t, told[0].joined)
-	require.Equal(t, []string{lost.address + ": its process has ended"}, told[0].left)
+	require.Len(t, changes, 1)
+	require.Equal(t, leader.node.view.Epoch, changes[0].epoch)
+	require.NotContains(t, changes[0].chain, killed.address)
+	require.Empty(t, changes[0].joined)
+	require.Equal(t, []string{killed.address + ": its process has ended"}, changes[0].left)
 }
--- a/control/core/simulation_test.go
+++ b/control/core/simulation_test.go
@@ -33,10 +33,10 @@
 	heedlessDisk
 	staleImage
 	eagerMember
-	lateDown    // a voter that is down keeps its vote as long as one that is gone
-	stayingVote // a member that is told to stop keeps its vote
-	eagerVote   // a newcomer gets a vote at once
-	hollowChain // a newcomer counts as whole before it is filled
+	lateDown      // a voter that is down keeps its vote as long as one that is gone
+	stayingVote   // a member that is told to stop keeps its vote
+	eagerVote     // a newcomer gets a vote at once
+	unfilledChain // a newcomer counts as whole before it is filled
 )
 
 // register is a machine that holds one number and changes it by compare-and-set. It counts what it applies, and shows that to the
@@ -84,23 +84,23 @@
 
 // simulation is a whole core in simulated time.
 type simulation struct {
-	random      *rand.Rand
-	mutant      mutant
-	now         time.Duration
-	queue       []event // heap by time, then by order of making
-	made        uint64
-	members     []*simulated
-	fronts      []*simulated // processes without a disk: then they are the seeds, and the members are stores
-	byAddr      map[string]*simulated
-	cut         map[[2]string]bool // from, to
-	loss        float64
-	lossy       bool
-	lost        int // LostNodes
-	slowDisks   bool
-	leastLog    int           // bytes of log before a snapshot
-	mostRecords int           // in the log before a snapshot; zero: as many as fit with leastLog
-	applyTime   time.Duration // for which a member stands still to apply a command
-	catchup     time.Duration // bound of a new machine
+	random        *rand.Rand
+	mutant        mutant
+	now           time.Duration
+	queue         []event // heap by time, then by order of making
+	made          uint64
+	members       []*simulated
+	fronts        []*simulated // processes without a disk: then they are the seeds, and the members are stores
+	byAddr        map[string]*simulated
+	partitioned   map[[2]string]bool // from, to
+	loss          float64
+	lossy         bool
+	tolerated     int // LostNodes
+	slowDisks     bool
+	minLogBytes   int           // bytes of log before a snapshot
+	maxLogRecords int           // in the log before a snapshot; zero: as many as fit with leastLog
+	applyTime     time.Duration // for which a member stands still to apply a command
+	catchup       time.Duration // bound of a new machine
 
 	operations map[string]*operation // by command
 	order      []string              // of commands, as the first to apply each saw it
@@ -126,40 +126,40 @@
 
 // simulated is one machine.
 type simulated struct {
-	s        *simulation
-	address  string
-	zone     string
-	storage  bool // its disk is a store's
-	folder   *slotstest.Folder
-	store    *slots.Store
-	node     *node
-	machine  *register
-	life     int
-	running  bool
-	frozen   bool
-	thawed   []func()
-	rate     float64 // of its steady clock
-	offset   time.Duration
-	fresh    bool // bootstrap
-	diskless bool
-	idSeed   uint64
-	writes   []diskWrite
-	writing  bool
-	calls    map[uint64]string // commands by number
-	changes  []change          // of the chain, as told
-	quorum   []quorumChange    // of the voters, as told
-	counted  int               // commands applied, of which the time has been taken
-	stalled  time.Duration     // until then the disk ends nothing
-	told     []diskChange
-}
-
-func newSimulation(seed uint64, members, lost int, m mutant) *simulation {
+	s             *simulation
+	address       string
+	zone          string
+	storage       bool // its disk is a store's
+	folder        *slotstest.Folder
+	store         *slots.Store
+	node          *node
+	machine       *register
+	incarnation   int
+	running       bool
+	frozen        bool
+	thawed        []func()
+	rate          float64 // of its steady clock
+	offset        time.Duration
+	fresh         bool // bootstrap
+	diskless      bool
+	idSeed        uint64
+	writes        []diskWrite
+	writing       bool
+	calls         map[uint64]string // commands by number
+	chainChanges  []chainChange     // of the chain, as told
+	quorumChanges []quorumChange    // of the voters, as told
+	counted       int               // commands applied, of which the time has been taken
+	stalled       time.Duration     // until then the disk ends nothing
+	diskChanges   []diskChange
+}
+
+func newSimulation(seed uint64, members, tolerated int, m mutant) *simulation {
 	s := &simulation{
 		random: rand.New(rand.NewPCG(seed, 7)), mutant: m, byAddr: make(map[string]*simulated),
-		cut: make(map[[2]string]bool), lost: lost, catchup: catchupBound, operations: make(map[string]*operation),
+		partitioned: make(map[[2]string]bool), tolerated: tolerated, catchup: catchupBound, operations: make(map[string]*operation),
 	}
 	s.slowDisks = s.random.IntN(4) == 0
-	s.leastLog = 300 << s.random.IntN(8)
+	s.minLogBytes = 300 << s.random.IntN(8)
 	for i := range members {
 		member := &simulated{
 			s: s, address: fmt.Sprintf("10.0.0.%d:1", i+1), zone: fmt.Sprint("zone-", i%3), folder: slotstest.New(),
@@ -187,7 +187,7 @@
 
 func (s *simulation) downAfter() time.Duration {
 	if s.mutant == lateDown {
-		return GoneAfter(s.catchup)
+		return LearnerExpiry(s.catchup)
 	}
 	return DownAfter(s.catchup)
 }
@@ -254,10 +254,10 @@
 
 // guard runs f unless the machine has been started anew since; a frozen machine does it when it thaws.
 func (m *simulated) guard(f func()) func() {
-	life := m.life
+	incarnation := m.incarnation
 	var guarded func()
 	guarded = func() {
-		if m.life != life || !m.running {
+		if m.incarnation != incarnation || !m.running {
 			return
 		}
 		if m.frozen {
@@ -287,12 +287,12 @@
 	if store != nil && store.Err() != nil {
 		fault = store.Err().Error()
 	}
-	m.life++
+	m.incarnation++
 	m.running, m.frozen, m.thawed = true, false, nil
 	m.store, m.writes, m.writing = store, nil, false
 	m.machine, m.calls = &register{s: m.s}, make(map[uint64]string)
 	drawn := 0
-	random := rand.New(rand.NewPCG(m.idSeed, uint64(m.life)))
+	random := rand.New(rand.NewPCG(m.idSeed, uint64(m.incarnation)))
 	terms := lease.DefaultTerms
 	switch m.s.mutant {
 	case noMargin:
@@ -303,7 +303,7 @@
 	config := nodeConfig{
 		Address: m.address, Zone: m.zone, Seeds: m.s.seeds(), Bootstrap: m.fresh && snapshot == nil, Disk: !m.diskless, Candidate: true,
 		Storage:    m.storage || len(m.s.fronts) > 0,
-		Durability: view.Durability{Copies: m.s.lost + 1}, DownAfter: m.s.downAfter(), GoneAfter: GoneAfter(m.s.catchup), Terms: terms, LeastLog: m.s.leastLog, MostRecords: cmp.Or(m.s.mostRecords, m.s.leastLog/4), Machine: m.machine,
+		Durability: view.Durability{Copies: m.s.tolerated + 1}, DownAfter: m.s.downAfter(), LearnerExpiry: LearnerExpiry(m.s.catchup), Terms: terms, MinLogBytes: m.s.minLogBytes, MaxLogRecords: cmp.Or(m.s.maxLogRecords, m.s.minLogBytes/4), Machine: m.machine,
 		Random: func() uint64 {
 			drawn++
 			if drawn == 2 && m.s.mutant == keptIdentity { // the first draw names the life, the second the disk
@@ -312,10 +312,10 @@
 			return random.Uint64()
 		},
 		DiskFault: fault,
-		faults: faults{
-			minority: m.s.mutant == minorityView, unsyncedOK: m.s.mutant == unsyncedAck, forgetful: m.s.mutant == forgetfulVoter,
-			staleImage: m.s.mutant == staleImage, eager: m.s.mutant == eagerMember, alone: m.s.mutant == loneCommit, amnesiac: m.s.mutant == amnesiacSeed, unbounded: m.s.mutant == applyAll,
-			staying: m.s.mutant == stayingVote, voting: m.s.mutant == eagerVote, hollow: m.s.mutant == hollowChain,
+		mutations: mutations{
+			minorityDecides: m.s.mutant == minorityView, skipsSync: m.s.mutant == unsyncedAck, forgetsGrant: m.s.mutant == forgetfulVoter,
+			keepsStaleState: m.s.mutant == staleImage, learnsDetached: m.s.mutant == eagerMember, commitsAlone: m.s.mutant == loneCommit, seedForgetsVote: m.s.mutant == amnesiacSeed, appliesAll: m.s.mutant == applyAll,
+			keepsVoteOnStop: m.s.mutant == stayingVote, votesAtOnce: m.s.mutant == eagerVote, countsUnfilled: m.s.mutant == unfilledChain,
 		},
 	}
 	node, err := newNode(m.clock(), config, snapshot, records)
@@ -324,7 +324,7 @@
 		return
 	}
 	m.node = node
-	m.carryOut()
+	m.execute()
 	m.schedule(m.clock())
 }
 
@@ -332,29 +332,29 @@
 	wait := max(0, time.Duration(float64(at-m.clock())/m.rate)) + time.Duration(m.s.random.Int64N(int64(2*time.Millisecond)))
 	m.s.after(wait, m.guard(func() {
 		next := m.node.Tick(m.clock())
-		m.carryOut()
+		m.execute()
 		m.schedule(next)
 	}))
 }
 
-// carryOut does what the node wants.
-func (m *simulated) carryOut() {
-	out := m.node.Take()
-	m.changes = append(m.changes, out.Changes...)
-	m.told = append(m.told, out.Disk...)
-	m.quorum = append(m.quorum, out.Quorum...)
-	for _, write := range out.Writes {
+// execute does what the node wants.
+func (m *simulated) execute() {
+	output := m.node.Take()
+	m.chainChanges = append(m.chainChanges, output.ChainChanges...)
+	m.diskChanges = append(m.diskChanges, output.DiskChanges...)
+	m.quorumChanges = append(m.quorumChanges, output.QuorumChanges...)
+	for _, write := range output.Writes {
 		m.writes = append(m.writes, write)
 		if m.s.mutant == unsyncedAck { // the disk says so before it has done it
-			m.s.after(0, m.guard(func() { m.node.OnDisk(m.clock(), write.Batch); m.carryOut() }))
+			m.s.after(0, m.guard(func() { m.node.OnDisk(m.clock(), write.Batch); m.execute() }))
 		}
 	}
-	for _, post := range out.Posts {
-		m.checkAside(post)
-		m.post(post)
+	for _, message := range output.Messages {
+		m.checkDegraded(message)
+		m.send(message)
 	}
-	for _, end := range out.Ended {
-		m.ended(end)
+	for _, end := range output.Completions {
+		m.complete(end)
 	}
 	m.write()
 	m.s.checkLease()
@@ -369,9 +369,9 @@
 		return
 	}
 	m.frozen = true
-	life := m.life
+	incarnation := m.incarnation
 	m.s.after(time.Duration(applied)*m.s.applyTime, func() {
-		if m.life == life {
+		if m.incarnation == incarnation {
 			m.thaw()
 		}
 	})
@@ -389,17 +389,17 @@
 	m.s.after(max(wait, m.stalled-m.s.now), m.guard(m.written))
 }
 
-// fill has the disk take nothing more until it is given room.
-func (m *simulated) fill() { m.folder.Break(m.s.random.IntN(3)) }
+// fillDisk has the disk take nothing more until it is given room.
+func (m *simulated) fillDisk() { m.folder.Break(m.s.random.IntN(3)) }
 
-func (m *simulated) room() { m.folder.Break(-1) }
+func (m *simulated) freeDisk() { m.folder.Break(-1) }
 
-func (m *simulated) stall(d time.Duration) { m.stalled = m.s.now + d }
+func (m *simulated) stallDisk(d time.Duration) { m.stalled = m.s.now + d }
 
-// checkAside makes sure that a member that can't write neither leads, orders nor votes. It may pass on what is on its
+// checkDegraded makes sure that a member that can't write neither leads, orders nor votes. It may pass on what is on its
 // disk: a write that was slow and ended lets it.
-func (m *simulated) checkAside(p post) {
-	if m.node.aside.from == "" {
+func (m *simulated) checkDegraded(p outboundMessage) {
+	if m.node.degradation.fault == "" {
 		return
 	}
 	switch p.Message.(type) {
@@ -417,12 +417,12 @@
 	if err != nil {
 		m.writes = nil
 		m.node.DiskFailed(m.clock(), err.Error())
-		m.carryOut()
+		m.execute()
 		return
 	}
 	if m.s.mutant != unsyncedAck {
 		m.node.OnDisk(m.clock(), last)
-		m.carryOut()
+		m.execute()
 	}
 	m.write()
 }
@@ -444,17 +444,17 @@
 	return last, nil
 }
 
-// post carries a message, encoded and decoded as on a real connection.
-func (m *simulated) post(p post) {
+// send carries a message, encoded and decoded as on a real connection.
+func (m *simulated) send(p outboundMessage) {
 	target, s := m.s.byAddr[p.To], m.s
-	if target == nil || s.cut[[2]string{m.address, p.To}] {
+	if target == nil || s.partitioned[[2]string{m.address, p.To}] {
 		return
 	}
 	if s.lossy && s.random.Float64() < s.loss {
 		return
 	}
 	if !target.running {
-		s.after(2*time.Millisecond, m.guard(func() { m.node.Refused(m.clock(), p.To); m.carryOut() }))
+		s.after(2*time.Millisecond, m.guard(func() { m.node.Refused(m.clock(), p.To); m.execute() }))
 		return
 	}
 	data, err := p.Message.MarshalMsg(nil)
@@ -469,7 +469,7 @@
 		wait += time.Duration(s.random.Int64N(int64(400 * time.Millisecond)))
 	}
 	s.after(wait, target.guard(func() {
-		if s.cut[[2]string{m.address, p.To}] {
+		if s.partitioned[[2]string{m.address, p.To}] {
 			return
 		}
 		if _, err := message.UnmarshalMsg(data); err != nil {
@@ -477,7 +477,7 @@
 			return
 		}
 		target.node.Receive(target.clock(), from, message)
-		target.carryOut()
+		target.execute()
 	}))
 }
 
@@ -504,19 +504,19 @@
 
 // terminate tells the process to stop, in order, and calls done when it has.
 func (m *simulated) terminate(done func()) {
-	m.node.Release(m.clock())
-	m.carryOut()
-	deadline := m.s.now + leaveWithin
+	m.node.BeginStop(m.clock())
+	m.execute()
+	deadline := m.s.now + stopTimeout
 	var wait func()
 	wait = func() {
-		if m.running && m.s.now < deadline && !m.node.Left(m.clock()) {
-			m.s.after(releasePause, wait)
+		if m.running && m.s.now < deadline && !m.node.StopComplete(m.clock()) {
+			m.s.after(stopPollInterval, wait)
 			return
 		}
 		m.kill()
 		done()
 	}
-	m.s.after(releasePause, wait)
+	m.s.after(stopPollInterval, wait)
 }
 
 // powerLoss may catch the disk in the middle of a write.
@@ -540,9 +540,9 @@
 		return
 	}
 	m.frozen = false
-	held := m.thawed
+	deferred := m.thawed
 	m.thawed = nil
-	for _, f := range held {
+	for _, f := range deferred {
 		f()
 	}
 }
@@ -561,18 +561,18 @@
 	s.operations[command] = &operation{from: s.now, to: endless}
 	number := m.node.Submit(m.clock(), []byte(command))
 	m.calls[number] = command
-	m.carryOut()
+	m.execute()
 	s.after(3*time.Second, m.guard(func() {
 		if m.calls[number] == "" {
 			return
 		}
 		if err, done := m.node.Cancel(number); !done {
-			m.ended(ended{Number: number, Err: err})
+			m.complete(completion{Number: number, Err: err})
 		}
 	}))
 }
 
-func (m *simulated) ended(end ended) {
+func (m *simulated) complete(end completion) {
 	command := m.calls[end.Number]
 	if command == "" {
 		return
@@ -652,16 +652,16 @@
 
 func (s *simulation) pick() *simulated { return s.members[s.random.IntN(len(s.members))] }
 
-// trouble makes one thing go wrong.
-func (s *simulation) trouble() {
+// injectFault makes one thing go wrong.
+func (s *simulation) injectFault() {
 	back := time.Duration(s.random.Int64N(int64(1500 * time.Millisecond)))
 	member := s.pick()
 	switch s.random.IntN(13) {
 	case 10, 11: // the disk is full
-		member.fill()
-		s.after(3*back, member.room)
+		member.fillDisk()
+		s.after(3*back, member.freeDisk)
 	case 12:
-		member.stall(3 * back)
+		member.stallDisk(3 * back)
 	case 0, 1:
 		member.kill()
 		s.after(back, member.start)
@@ -676,8 +676,8 @@
 		s.after(back*2, member.thaw)
 	case 4: // one way
 		other := s.pick()
-		s.cut[[2]string{member.address, other.address}] = true
-		s.after(2*back, func() { delete(s.cut, [2]string{member.address, other.address}) })
+		s.partitioned[[2]string{member.address, other.address}] = true
+		s.after(2*back, func() { delete(s.partitioned, [2]string{member.address, other.address}) })
 	case 5: // a side is cut off
 		side := s.members[:s.random.IntN(len(s.members))]
 		s.separate(side, true)
@@ -707,17 +707,17 @@
 	}
 }
 
-func (s *simulation) separate(side []*simulated, cut bool) {
+func (s *simulation) separate(side []*simulated, on bool) {
 	for _, a := range side {
 		for _, b := range s.members {
 			if slices.Contains(side, b) {
 				continue
 			}
-			if cut {
-				s.cut[[2]string{a.address, b.address}], s.cut[[2]string{b.address, a.address}] = true, true
+			if on {
+				s.partitioned[[2]string{a.address, b.address}], s.partitioned[[2]string{b.address, a.address}] = true, true
 			} else {
-				delete(s.cut, [2]string{a.address, b.address})
-				delete(s.cut, [2]string{b.address, a.address})
+				delete(s.partitioned, [2]string{a.address, b.address})
+				delete(s.partitioned, [2]string{b.address, a.address})
 			}
 		}
 	}
@@ -725,9 +725,9 @@
 
 // calm ends all troubles.
 func (s *simulation) calm() {
-	s.cut, s.lossy = make(map[[2]string]bool), false
+	s.partitioned, s.lossy = make(map[[2]string]bool), false
 	for _, member := range s.members {
-		member.room()
+		member.freeDisk()
 		member.stalled = 0
 		member.thaw()
 		member.start()
@@ -742,7 +742,7 @@
 
 // disaster is the final fault: right after an answer as many machines as may be lost lose their disks, the others power.
 func (s *simulation) disaster() {
-	wiped := s.random.Perm(len(s.members))[:s.random.IntN(s.lost+1)]
+	wiped := s.random.Perm(len(s.members))[:s.random.IntN(s.tolerated+1)]
 	for i, member := range s.members {
 		if slices.Contains(wiped, i) {
 			member.wipe()
@@ -758,8 +758,8 @@
 }
 
 // play is one whole history: founding, troubles, calm, the disaster, calm. It returns what was broken.
-func play(seed uint64, members, lost int, m mutant) string {
-	s := newSimulation(seed, members, lost, m)
+func play(seed uint64, members, tolerated int, m mutant) string {
+	s := newSimulation(seed, members, tolerated, m)
 	s.run(1500 * time.Millisecond)
 	s.load(60 * time.Millisecond)
 	for range 2 + s.random.IntN(6) {
@@ -767,7 +767,7 @@
 		if s.broken != "" {
 			return s.broken
 		}
-		s.trouble()
+		s.injectFault()
 	}
 	s.run(s.now + 2*time.Second)
 	s.calm()
@@ -792,8 +792,8 @@
 }
 
 // playDisasters is a history of nothing but final faults.
-func playDisasters(seed uint64, members, lost int, m mutant) string {
-	s := newSimulation(seed, members, lost, m)
+func playDisasters(seed uint64, members, tolerated int, m mutant) string {
+	s := newSimulation(seed, members, tolerated, m)
 	s.run(1500 * time.Millisecond)
 	s.load(60 * time.Millisecond)
 	s.disasters(3)
@@ -847,7 +847,7 @@
 		}
 		fmt.Fprintf(&text, "%s id %v running %v epoch %d chain %v voters %d learners %d position %d whole %v attached %v sealed %v aside %q idle %v last %d synced %d committed %d missing %v wanted %v proposer %v leader %q\n",
 			member.address, n.self.ID, member.running, n.view.Epoch, n.view.Chain, len(n.view.Voters), len(n.view.Learners), n.chain.Position(), n.chain.Whole(), n.chain.Attached(),
-			n.vote.Sealed(n.view.Epoch), n.aside.from, n.idle, n.chain.Last(), n.chain.Synced(), n.chain.Committed(), n.missing, n.wanted, n.proposer != nil, n.leaderAddress(member.clock()))
+			n.vote.Sealed(n.view.Epoch), n.degradation.fault, n.cannotOrder, n.chain.Last(), n.chain.Synced(), n.chain.Committed(), n.unresponsive, n.changePendingSince, n.proposer != nil, n.leaderAddress(member.clock()))
 	}
 	return text.String()
 }
--- a/control/core/submit.go
+++ b/control/core/submit.go
@@ -11,9 +11,9 @@
 
 // How long Submit waits at most, whatever its context allows.
 const (
-	unsentWait  = 4 * time.Second  // for a chain that takes the command
-	outcomeWait = 10 * time.Second // for the outcome
-	forwardPace = 100 * time.Millisecond
+	unsentWait           = 4 * time.Second  // for a chain that takes the command
+	outcomeWait          = 10 * time.Second // for the outcome
+	forwardRetryInterval = 100 * time.Millisecond
 )
 
 // Submit has a command ordered, committed and applied, and returns what Machine.Apply returned for it. It waits for a
@@ -27,13 +27,13 @@
 	defer cancel()
 	deadline := time.Now().Add(unsentWait)
 	for {
-		takesPart := c.takesPart()
+		canSubmit := c.canSubmit()
 		submit := c.forward
-		if takesPart {
+		if canSubmit {
 			submit = c.submitHere
 		}
 		result, err := submit(ctx, command)
-		if !errors.Is(err, ErrUnavailable) || takesPart && c.takesPart() {
+		if !errors.Is(err, ErrUnavailable) || canSubmit && c.canSubmit() {
 			return result, err
 		}
 		left := time.Until(deadline)
@@ -43,20 +43,20 @@
 		select {
 		case <-ctx.Done():
 			return nil, err
-		case <-time.After(min(left, forwardPace)):
+		case <-time.After(min(left, forwardRetryInterval)):
 		}
 	}
 }
 
-// takesPart says whether this process has a disk that takes writes.
-func (c *Core) takesPart() bool {
+// canSubmit says whether this process has a disk that takes writes.
+func (c *Core) canSubmit() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.store != nil && c.node.aside.from == ""
+	return c.store != nil && c.node.degradation.fault == ""
 }
 
 func (c *Core) submitHere(ctx context.Context, command []byte) ([]byte, error) {
-	done := make(chan ended, 1)
+	done := make(chan completion, 1)
 	var number uint64
 	c.step(func(now time.Duration) {
 		number = c.node.Submit(now, command)
@@ -88,7 +88,7 @@
 	return pending != nil && pending.epoch == 0
 }
 
-func (c *Core) cancel(number uint64, done chan ended) ([]byte, error) {
+func (c *Core) cancel(number uint64, done chan completion) ([]byte, error) {
 	c.mu.Lock()
 	err, already := c.node.Cancel(number)
 	delete(c.waiting, number)
@@ -100,20 +100,20 @@
 	return nil, err
 }
 
-// errNobody is why nothing can be forwarded as long as no member was ever heard of.
-var errNobody = fmt.Errorf("%w: no member of the core is known; without a disk on any control machine storage machines hold it", ErrUnavailable)
+// errNoMember is why nothing can be forwarded as long as no member was ever heard of.
+var errNoMember = fmt.Errorf("%w: no member of the core is known; without a disk on any control machine storage machines hold it", ErrUnavailable)
 
 // forward has a member submit the command. Only while that surely did not, another is asked.
 func (c *Core) forward(ctx context.Context, command []byte) ([]byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, unsentWait)
 	defer cancel()
 	c.mu.Lock()
-	takers := c.node.takers(c.now())
+	targets := c.node.submitTargets(c.now())
 	c.mu.Unlock()
-	if len(takers) == 0 {
-		return nil, errNobody
+	if len(targets) == 0 {
+		return nil, errNoMember
 	}
-	conns := c.links.opened(takers)
+	conns := c.links.openConns(targets)
 	for i, conn := range conns {
 		result, err := c.ask(ctx, conn, command, i+1 < len(conns))
 		if !errors.Is(err, ErrUnavailable) {
@@ -149,7 +149,7 @@
 }
 
 func (c *Core) onForward(_ *rpc.Conn, message *forward, reply rpc.Reply) {
-	if !c.takesPart() {
+	if !c.canSubmit() {
 		reply.Send(&forwardReply{Outcome: outcomeUnavailable})
 		return
 	}
--- a/control/core/views.go
+++ b/control/core/viewchange.go
@@ -9,31 +9,31 @@
 func (n *node) onPrepare(now time.Duration, from view.Member, m *view.Prepare) {
 	n.adopt(now, &m.View)
 	if m.View.Epoch < n.view.Epoch {
-		n.sendLasting(from.Address, &decided{View: n.view})
+		n.sendWhenDurable(from.Address, &decided{View: n.view})
 		return
 	}
 	if !n.isMember(n.self.ID) {
 		return
 	}
-	whole := n.chain.Whole() || n.config.faults.hollow && n.chain.Position() >= 0
+	complete := n.chain.Whole() || n.config.mutations.countsUnfilled && n.chain.Position() >= 0
 	reply, changed := n.vote.Prepare(n.view.Epoch, m.Ballot)
 	if changed {
 		n.seal()
 	}
-	reply.Whole = whole
+	reply.Whole = complete
 	reply.Holder, reply.Quiet = n.voter.Holder(now)
-	n.sendLasting(from.Address, &reply)
+	n.sendWhenDurable(from.Address, &reply)
 }
 
 func (n *node) seal() {
 	n.chain.Seal()
 	vote := n.vote
-	n.log(&record{Vote: &vote})
+	n.appendRecord(&record{Vote: &vote})
 }
 
 func (n *node) onAccept(now time.Duration, from view.Member, m *view.Accept) {
 	if m.Epoch < n.view.Epoch {
-		n.sendLasting(from.Address, &decided{View: n.view})
+		n.sendWhenDurable(from.Address, &decided{View: n.view})
 		return
 	}
 	if m.Epoch > n.view.Epoch || !n.isMember(n.self.ID) {
@@ -43,7 +43,7 @@
 	if changed {
 		n.seal()
 	}
-	n.sendLasting(from.Address, &reply)
+	n.sendWhenDurable(from.Address, &reply)
 }
 
 func (n *node) onPromise(now time.Duration, from view.Member, m *view.Promise) {
@@ -51,7 +51,7 @@
 		return
 	}
 	n.proposer.Promised(from.ID, m)
-	n.pursue(now)
+	n.continueBallot(now)
 }
 
 func (n *node) onAcceptReply(now time.Duration, from view.Member, m *view.AcceptReply) {
@@ -67,7 +67,7 @@
 	message := &decided{View: *next}
 	for _, member := range append(old, next.Members()...) {
 		if member.ID != n.self.ID {
-			n.deliver(post{member.Address, message})
+			n.deliver(outboundMessage{member.Address, message})
 		}
 	}
 }
@@ -75,14 +75,14 @@
 // knowledge is what the node knows of others, as view.Plan asks for it.
 func (n *node) knowledge(now time.Duration, promised func(view.ID) bool) view.Knowledge {
 	know := view.Knowledge{
-		Lives:    func(id view.ID) bool { return promised(id) || n.lives(now, id) },
+		Lives:    func(id view.ID) bool { return promised(id) || n.alive(now, id) },
 		Joinable: func(id view.ID) bool { return n.joinable(now, id) },
-		Touch:    func(a, b view.ID) bool { return n.touch(now, a, b) },
-		Down:     func(id view.ID) bool { return n.silence(now, id) >= n.config.DownAfter },
-		Gone:     func(id view.ID) bool { return n.silence(now, id) >= n.config.GoneAfter },
-		Leaving:  func(id view.ID) bool { return n.leaves(id) || n.mayDepart(now, id) },
-		Spared:   func(id view.ID) bool { return n.spared(now, id) },
-		Eager:    n.config.faults.voting,
+		Touch:    func(a, b view.ID) bool { return n.connected(now, a, b) },
+		Down:     func(id view.ID) bool { return n.unheardFor(now, id) >= n.config.DownAfter },
+		Gone:     func(id view.ID) bool { return n.unheardFor(now, id) >= n.config.LearnerExpiry },
+		Leaving:  func(id view.ID) bool { return n.isStopping(id) || n.replaceable(now, id) },
+		Spared:   func(id view.ID) bool { return n.removable(now, id) },
+		Eager:    n.config.mutations.votesAtOnce,
 	}
 	for _, p := range n.peers {
 		if p.contacted && p.member.ID != 0 {
@@ -92,40 +92,40 @@
 	return know
 }
 
-// seemsWhole guesses whether a member of the chain is whole, from its last beat.
-func (n *node) seemsWhole(id view.ID) bool {
+// seemsComplete guesses whether a member of the chain is whole, from its last beat.
+func (n *node) seemsComplete(id view.ID) bool {
 	if n.view.Position(id) < n.view.Whole || id == n.self.ID && n.chain.Whole() {
 		return true
 	}
-	p := n.find(id)
-	return p != nil && p.beat.Epoch == n.view.Epoch && p.beat.Whole
+	p := n.peerByID(id)
+	return p != nil && p.heartbeat.Epoch == n.view.Epoch && p.heartbeat.Whole
 }
 
 func nobody(view.ID) bool { return false }
 
-// wantsView says whether another view would be better than this one.
-func (n *node) wantsView(now time.Duration) bool {
-	planned, ok := view.Plan(&n.view, n.knowledge(now, nobody), n.seemsWhole)
+// needsViewChange says whether another view would be better than this one.
+func (n *node) needsViewChange(now time.Duration) bool {
+	planned, ok := view.Plan(&n.view, n.knowledge(now, nobody), n.seemsComplete)
 	if !ok {
 		return false
 	}
 	if n.vote.Sealed(n.view.Epoch) || !view.Same(&n.view, &planned) {
 		return true
 	}
-	return n.headIdle() && (now-n.started >= settleAfter || n.allHeard())
+	return n.headCannotOrder() && (now-n.started >= startupDelay || n.allHeard())
 }
 
-func (n *node) headIdle() bool {
+func (n *node) headCannotOrder() bool {
 	if n.chain.Position() == 0 {
-		return n.idle
+		return n.cannotOrder
 	}
-	p := n.find(n.view.Head())
-	return p != nil && p.beat.Epoch == n.view.Epoch && p.beat.Idle
+	p := n.peerByID(n.view.Head())
+	return p != nil && p.heartbeat.Epoch == n.view.Epoch && p.heartbeat.CannotOrder
 }
 
 func (n *node) allHeard() bool {
 	for _, member := range n.view.Members() {
-		if member.ID != n.self.ID && n.find(member.ID) == nil {
+		if member.ID != n.self.ID && n.peerByID(member.ID) == nil {
 			return false
 		}
 	}
@@ -153,14 +153,14 @@
 // since the question was sent, or have missed it.
 func (n *node) prepareLate(member view.Member) {
 	if n.proposer != nil && n.proposer.Lacks(member.ID) {
-		n.deliver(post{member.Address, n.proposer.Prepare()})
+		n.deliver(outboundMessage{member.Address, n.proposer.Prepare()})
 	}
 }
 
-// rank is how many members that live come before this one as proposers.
-func (n *node) rank(now time.Duration) int {
+// proposerRank is how many members that live come before this one as proposers.
+func (n *node) proposerRank(now time.Duration) int {
 	rank := 0
-	for _, id := range n.order() {
+	for _, id := range n.proposerOrder() {
 		if id == n.self.ID {
 			return rank
 		}
@@ -171,8 +171,8 @@
 	return rank
 }
 
-// order lists the members, those of the chain first.
-func (n *node) order() []view.ID {
+// proposerOrder lists the members, those of the chain first.
+func (n *node) proposerOrder() []view.ID {
 	order := append([]view.ID(nil), n.view.Chain...)
 	for _, member := range n.view.Members() {
 		if n.view.Position(member.ID) < 0 {
@@ -182,48 +182,48 @@
 	return order
 }
 
-// seekView proposes another view when one has been wanted for long enough.
-func (n *node) seekView(now time.Duration) {
+// checkViewChange proposes another view when one has been wanted for long enough.
+func (n *node) checkViewChange(now time.Duration) {
 	if n.view.Epoch == 0 || !n.isMember(n.self.ID) {
 		return
 	}
 	if n.proposer != nil {
-		n.pursue(now)
+		n.continueBallot(now)
 		return
 	}
-	if !n.wantsView(now) {
-		n.wanted = -1
+	if !n.needsViewChange(now) {
+		n.changePendingSince = -1
 		return
 	}
-	if n.wanted < 0 {
-		n.wanted = now
+	if n.changePendingSince < 0 {
+		n.changePendingSince = now
 	}
-	if now < n.wanted+time.Duration(n.rank(now))*rankPause || now < n.retryAt || !n.majorityHeard(now) {
+	if now < n.changePendingSince+time.Duration(n.proposerRank(now))*proposerStagger || now < n.retryAt || !n.majorityHeard(now) {
 		return
 	}
-	n.propose(now)
+	n.startBallot(now)
 }
 
-func (n *node) propose(now time.Duration) {
-	n.round = max(n.round, n.vote.Promised.Round) + 1
+func (n *node) startBallot(now time.Duration) {
+	n.ballotNumber = max(n.ballotNumber, n.vote.Promised.Round) + 1
 	if n.vote.Epoch != n.view.Epoch {
-		n.round = 1
+		n.ballotNumber = 1
 	}
-	n.proposer = view.NewProposer(now, n.view, view.Ballot{Round: n.round, Proposer: n.self.ID, Life: n.origin}, n.config.faults.minority)
+	n.proposer = view.NewProposer(now, n.view, view.Ballot{Round: n.ballotNumber, Proposer: n.self.ID, Life: n.origin}, n.config.mutations.minorityDecides)
 	n.sendMembers(n.proposer.Prepare())
 }
 
-// pursue goes on with an attempt, or gives it up for a while.
-func (n *node) pursue(now time.Duration) {
+// continueBallot goes on with an attempt, or gives it up for a while.
+func (n *node) continueBallot(now time.Duration) {
 	p := n.proposer
 	if p.Failed(now) {
-		n.round = max(n.round, p.Highest().Round)
+		n.ballotNumber = max(n.ballotNumber, p.Highest().Round)
 		n.proposer = nil
-		pause := rankPause + time.Duration(n.config.Random()%uint64(2*rankPause))
-		n.retryAt = now + pause + time.Duration(n.rank(now))*rankPause
+		pause := proposerStagger + time.Duration(n.config.Random()%uint64(2*proposerStagger))
+		n.retryAt = now + pause + time.Duration(n.proposerRank(now))*proposerStagger
 		return
 	}
-	if !p.Gathered(now, func(id view.ID) bool { return n.lives(now, id) }) {
+	if !p.Gathered(now, func(id view.ID) bool { return n.alive(now, id) }) {
 		return
 	}
 	accept := p.Choose(func(whole func(view.ID) bool) (view.View, bool) {
--- a/control/plane/hosting.go
+++ b/control/plane/hosting.go
@@ -42,7 +42,7 @@
 	}
 	now := time.Since(h.started)
 	if !h.core.Leads() {
-		if store.Leaving || !h.core.WantsStores() {
+		if store.Leaving || !h.core.BootstrapsOnStores() {
 			return nil
 		}
 		return h.decide(now, &membership{}, address, store.Zone)
--- a/control/plane/plane_test.go
+++ b/control/plane/plane_test.go
@@ -139,7 +139,7 @@
 	require.Nil(t, ask(3), "three bear the loss of one")
 	s.openStores(3)
 	require.Eventually(t, func() bool { return s.submit(s.stores[0]) == nil }, soon, often)
-	require.Eventually(t, func() bool { return !s.controls[0].Core.WantsStores() }, soon, often)
+	require.Eventually(t, func() bool { return !s.controls[0].Core.BootstrapsOnStores() }, soon, often)
 	require.Nil(t, ask(3), "it is founded: now the leader asks")
 
 	leading := newHosting(s.leader().config.Settings, s.leader().Core, slog.New(slog.DiscardHandler))
@@ -164,7 +164,7 @@
 		return leading != nil
 	}, soon, often)
 	status := leading.Core.Status()
-	require.Equal(t, []int{3, 1, 5}, []int{len(status.Voters), len(status.Learners), status.Wanted})
+	require.Equal(t, []int{3, 1, 5}, []int{len(status.Voters), len(status.Learners), status.RequiredVoters})
 	leader := newHosting(leading.config.Settings, leading.Core, slog.New(slog.DiscardHandler))
 	ask := func(i int) *wire.HostCore {
 		address := net.JoinHostPort(storeIP(i), fmt.Sprint(s.port+2))
--- a/control/status/status.go
+++ b/control/status/status.go
@@ -106,7 +106,7 @@
 func CoreOf(s core.Status, term uint64) Core {
 	c := Core{
 		Epoch: s.Epoch, Attached: s.Attached, Durable: s.Durable, Last: s.Last, Committed: s.Committed, Term: term, Leader: s.Leader,
-		DiskFault: s.DiskFault, Wanted: s.Wanted,
+		DiskFault: s.DiskFault, Wanted: s.RequiredVoters,
 		Voters: make([]Voter, len(s.Voters)), Chain: make([]string, len(s.Chain)),
 	}
 	if s.ID != 0 {
--- a/control/status/status_test.go
+++ b/control/status/status_test.go
@@ -14,7 +14,7 @@
 
 func TestTheCoreIsNamedByItsDisks(t *testing.T) {
 	seen := core.Status{
-		ID: 0x1f, Epoch: 3, Chain: []view.ID{0x1f, 2}, Attached: true, Durable: true, Last: 9, Committed: 8, Leader: "10.0.0.1:7000", Wanted: 3,
+		ID: 0x1f, Epoch: 3, Chain: []view.ID{0x1f, 2}, Attached: true, Durable: true, Last: 9, Committed: 8, Leader: "10.0.0.1:7000", RequiredVoters: 3,
 		Voters: []view.Member{{ID: 0x1f, Address: "10.0.0.1:7000", Zone: "a"}, {ID: 2, Address: "10.0.0.2:7000", Zone: "b"}},
 	}
 	require.Equal(t, Core{
--- a/test/simulation/control_test.go
+++ b/test/simulation/control_test.go
@@ -43,11 +43,11 @@
 	box     *rpc.Mux
 	writes  []core.DiskWrite
 	writing bool
-	calls   map[uint64]func(core.Ended) // commands by number
-	applied map[*byte]int               // the place of a result, by its first byte
-	lead    func()                      // ends leading; nil while the lease is not held
-	leading bool                        // the task of a leader runs
-	slowBy  time.Duration               // of the disk
+	calls   map[uint64]func(core.Completion) // commands by number
+	applied map[*byte]int                    // the place of a result, by its first byte
+	lead    func()                           // ends leading; nil while the lease is not held
+	leading bool                             // the task of a leader runs
+	slowBy  time.Duration                    // of the disk
 	stalled bool
 }
 
@@ -75,7 +75,7 @@
 		return
 	}
 	c.store, c.writes, c.writing, c.lead, c.leading = store, nil, false, nil, false
-	c.calls, c.applied = make(map[uint64]func(core.Ended)), make(map[*byte]int)
+	c.calls, c.applied = make(map[uint64]func(core.Completion)), make(map[*byte]int)
 	c.state = newRecorder(c)
 	c.box = rpc.NewMux()
 	terms, down := lease.DefaultTerms, core.DownAfter(catchup)
@@ -87,7 +87,7 @@
 	}
 	config := core.NodeConfig{
 		Address: c.address, Zone: c.zone, Seeds: c.settings.SeedAddresses(), Bootstrap: c.fresh && snapshot == nil, Disk: true, Candidate: true,
-		Durability: view.Durability{Copies: c.world.settings.lost + 1}, DownAfter: down, GoneAfter: core.GoneAfter(catchup), Terms: terms, LeastLog: c.leastLog, MostRecords: c.leastLog / 4,
+		Durability: view.Durability{Copies: c.world.settings.lost + 1}, DownAfter: down, LearnerExpiry: core.LearnerExpiry(catchup), Terms: terms, MinLogBytes: c.leastLog, MaxLogRecords: c.leastLog / 4,
 		Machine: c.state, Random: l.Uint64,
 	}
 	if c.node, err = core.NewNode(l.now(), config, snapshot, records); err != nil {
@@ -141,10 +141,10 @@
 			l.after(0, func() { c.step(l, func(now time.Duration) { c.node.OnDisk(now, write.Batch) }) })
 		}
 	}
-	for _, post := range out.Posts {
+	for _, post := range out.Messages {
 		c.post(l, post)
 	}
-	for _, end := range out.Ended {
+	for _, end := range out.Completions {
 		if done := c.calls[end.Number]; done != nil {
 			delete(c.calls, end.Number)
 			done(end)
@@ -246,7 +246,7 @@
 }
 
 // post carries a message to another member of the core.
-func (c *control) post(l *life, p core.Post) {
+func (c *control) post(l *life, p core.OutboundMessage) {
 	w, n := c.world, c.world.network
 	to := w.byHost[p.To]
 	if to == nil || to.dark || !n.passes(c.machine, to) || n.lossy > 0 && w.random.IntN(100) < n.lossy {
@@ -279,7 +279,7 @@
 }
 
 // order submits a command, and tells its end. After so long nobody waits for it any more.
-func (c *control) order(l *life, command []byte, within time.Duration, done func(core.Ended)) {
+func (c *control) order(l *life, command []byte, within time.Duration, done func(core.Completion)) {
 	number := c.node.Submit(l.now(), command)
 	c.calls[number] = done
 	c.carryOut(l)
@@ -292,15 +292,15 @@
 			err = core.ErrUnknown
 		}
 		delete(c.calls, number)
-		done(core.Ended{Number: number, Err: err})
+		done(core.Completion{Number: number, Err: err})
 	})
 }
 
 // submit is how the leader, which runs in a task, has a command decided.
 func (c *control) submit(_ context.Context, command []byte) ([]byte, error) {
 	t := c.world.running
-	var end *core.Ended
-	c.order(t.life, command, submitWithin, func(e core.Ended) {
+	var end *core.Completion
+	c.order(t.life, command, submitWithin, func(e core.Completion) {
 		end = &e
 		t.wake(0)
 	})
--- a/test/simulation/faults_test.go
+++ b/test/simulation/faults_test.go
@@ -195,7 +195,7 @@
 	}
 	c.harm()
 	c.world.took(name)
-	c.step(l, func(now time.Duration) { c.node.Release(now) })
+	c.step(l, func(now time.Duration) { c.node.BeginStop(now) })
 	c.world.later(20*time.Millisecond, func() { c.endLife(l) })
 	if back {
 		c.world.later(20*time.Millisecond+away, c.machine.start)
--- a/test/simulation/operator_test.go
+++ b/test/simulation/operator_test.go
@@ -143,7 +143,7 @@
 		reply(refusedVersion, c.state.machine.Current().Version, nil, -1)
 		return
 	}
-	c.order(l, encoded, answerWithin, func(end core.Ended) {
+	c.order(l, encoded, answerWithin, func(end core.Completion) {
 		switch end.Err {
 		case nil:
 		case core.ErrUnavailable:
