--- a/control/core/behind_test.go
+++ b/control/core/behind_test.go
@@ -61,7 +61,7 @@
 	for range 100 {
 		s.run(s.now + 100*time.Millisecond)
 		for _, member := range s.members {
-			require.LessOrEqual(t, member.node.logRecords, maxLogRecords)
+			require.LessOrEqual(t, member.node.durability.logRecords, maxLogRecords)
 		}
 	}
 	require.Greater(t, len(s.order), 5*maxLogRecords)
--- a/control/core/bootstrap.go
+++ b/control/core/bootstrap.go
@@ -19,8 +19,8 @@
 		if address == n.self.Address {
 			continue
 		}
-		p := n.peers[address]
-		if p == nil || !p.contacted || now-p.heardAt > failureTimeout || p.refused || p.heartbeat.degraded() {
+		p := n.peers.byAddress[address]
+		if p == nil || !p.contacted || now-p.heardAt > failureTimeout || p.refused || p.degraded() {
 			return
 		}
 		if p.member.ID == 0 {
--- a/control/core/bootstrapstores.go
+++ b/control/core/bootstrapstores.go
@@ -68,7 +68,7 @@
 		return
 	}
 	for _, seed := range f.seeds.Voters {
-		p := n.peers[seed.Address]
+		p := n.peers.byAddress[seed.Address]
 		if p == nil || !p.contacted || slices.Contains(f.heard, seed.Address) {
 			continue
 		}
@@ -196,8 +196,8 @@
 // uninitializedMembers lists the members with a disk that know of no core yet, by address.
 func (n *node) uninitializedMembers(now time.Duration) []view.Member {
 	var members []view.Member
-	for _, p := range n.peers {
-		if p.contacted && !p.refused && !p.heartbeat.degraded() && now-p.heardAt < failureTimeout && p.member.ID != 0 && p.heartbeat.Epoch == 0 {
+	for _, p := range n.peers.byAddress {
+		if p.contacted && !p.refused && !p.degraded() && now-p.heardAt < failureTimeout && p.member.ID != 0 && p.heartbeat.Epoch == 0 {
 			members = append(members, p.member)
 		}
 	}
--- a/control/core/chainchange.go
+++ b/control/core/chainchange.go
@@ -39,15 +39,15 @@
 
 // absence says why a member may have been left out.
 func (n *node) absence(now time.Duration, member view.Member) string {
-	p := n.peers[member.Address]
+	p := n.peers.byAddress[member.Address]
 	switch {
 	case member.ID == n.self.ID:
 		return "this process"
 	case p != nil && p.refused:
 		return "its process has ended"
-	case p != nil && p.contacted && p.member.ID != member.ID:
+	case p != nil && p.replaces(member.ID):
 		return "it has another disk"
-	case p != nil && p.heartbeat.degraded():
+	case p != nil && p.degraded():
 		return "its disk fails or stalls"
 	case n.isStopping(member.ID):
 		return "it stops"
--- a/control/core/core.go
+++ b/control/core/core.go
@@ -375,6 +375,6 @@
 		ID: n.self.ID, Epoch: n.view.Epoch, Voters: slices.Clone(n.view.Voters), Learners: slices.Clone(n.view.Learners),
 		RequiredVoters: n.config.Durability.Voters(),
 		Chain:          slices.Clone(n.view.Chain), Attached: n.chain.Attached(), Durable: n.config.Durability.Met(&n.view),
-		Last: n.chain.Last(), Committed: n.chain.Committed(), Leader: n.leaderAddress(c.now()), DiskFault: n.degradation.fault,
+		Last: n.chain.Last(), Committed: n.chain.Committed(), Leader: n.leaderAddress(c.now()), DiskFault: n.durability.degradation.fault,
 	}
 }
--- a/control/core/decommission.go
+++ b/control/core/decommission.go
@@ -7,6 +7,13 @@
 	"ravendale/control/view"
 )
 
+// departure is how far this member is on its way out of the core.
+type departure struct {
+	stopping         bool          // its process has been told to end: it will be back
+	decommissioning  bool          // it asks to be no voter any more
+	decommissionedAt time.Duration // since when
+}
+
 // leaseTransferTimeout is how long a member that leaves is kept while nobody holds the leader lease: a change of the voters that names a holder lets
 // that one go on, while one without a holder has all wait for the end of a lease that may be held.
 const leaseTransferTimeout = 2 * time.Second
@@ -16,8 +23,8 @@
 
 // Abdicate gives the leader lease back and has others take it at once: this member may be about to go.
 func (n *node) Abdicate(now time.Duration) {
-	n.abstainUntil = now + leaseAbstention
-	if n.holder.Valid(now) {
+	n.lease.abstainUntil = now + leaseAbstention
+	if n.lease.holder.Valid(now) {
 		n.dropLease(lossTransferred)
 	}
 	n.sendHeartbeats(now)
@@ -26,23 +33,23 @@
 
 // Leave has this member ask the others to go on without it.
 func (n *node) Leave(now time.Duration) {
-	if n.decommissioning {
+	if n.departure.decommissioning {
 		return
 	}
-	n.decommissioning, n.decommissionedAt = true, now
+	n.departure.decommissioning, n.departure.decommissionedAt = true, now
 	n.config.Candidate = false
 	n.Abdicate(now)
 }
 
 // announceLeaving goes along with each beat of a member that has abdicated or leaves.
 func (n *node) announceLeaving(now time.Duration) {
-	if n.decommissioning || now < n.abstainUntil {
-		n.sendVoters(&leaving{ID: n.self.ID, Vote: n.decommissioning})
+	if n.departure.decommissioning || now < n.lease.abstainUntil {
+		n.sendVoters(&leaving{ID: n.self.ID, Vote: n.departure.decommissioning})
 	}
 }
 
 func (n *node) onLeaving(now time.Duration, m *leaving) {
-	p := n.peerByID(m.ID)
+	p := n.peers.byID(m.ID)
 	if m.ID == n.self.ID || p == nil {
 		return
 	}
@@ -55,9 +62,9 @@
 // abstains says whether a member leaves the leader lease to others.
 func (n *node) abstains(now time.Duration, id view.ID) bool {
 	if id == n.self.ID {
-		return now < n.abstainUntil
+		return now < n.lease.abstainUntil
 	}
-	p := n.peerByID(id)
+	p := n.peers.byID(id)
 	return p != nil && now < p.abstainUntil
 }
 
@@ -98,22 +105,22 @@
 		member, _ := n.view.Voter(id)
 		return leader != member.Address
 	}
-	since := n.decommissionedAt
+	since := n.departure.decommissionedAt
 	if id != n.self.ID {
-		since = n.peerByID(id).removalSince
+		since = n.peers.byID(id).removalSince
 	}
 	return now >= since+leaseTransferTimeout
 }
 
 func (n *node) wantsRemoval(id view.ID) bool {
 	if id == n.self.ID {
-		return n.decommissioning
+		return n.departure.decommissioning
 	}
-	p := n.peerByID(id)
+	p := n.peers.byID(id)
 	return p != nil && p.wantsRemoval
 }
 
 // Removed says whether this member belongs to a view that others decided without it, after it has asked to leave.
 func (n *node) Removed() bool {
-	return n.decommissioning && n.view.Epoch > 0 && !slices.ContainsFunc(n.view.Voters, func(member view.Member) bool { return member.ID == n.self.ID })
+	return n.departure.decommissioning && n.view.Epoch > 0 && !slices.ContainsFunc(n.view.Voters, func(member view.Member) bool { return member.ID == n.self.ID })
 }
--- a/control/core/degraded_test.go
+++ b/control/core/degraded_test.go
@@ -29,8 +29,8 @@
 				incarnation := leader.incarnation
 				fault.strike(leader)
 				failedAt := s.now
-				s.until(2*bound, func() bool { return leader.node.degradation.fault != "" })
-				require.NotEmpty(t, leader.node.degradation.fault, "seed %d", seed)
+				s.until(2*bound, func() bool { return leader.node.degraded() })
+				require.NotEmpty(t, leader.node.durability.degradation.fault, "seed %d", seed)
 				require.NotContains(t, s.holders(), leader, "seed %d", seed)
 				degradedAt := s.now
 				s.until(2*bound, func() bool {
@@ -45,7 +45,7 @@
 
 				fault.mend(leader)
 				repairedAt := s.now
-				s.until(2*back, func() bool { return leader.node.degradation.fault == "" && leader.node.chain.Attached() })
+				s.until(2*back, func() bool { return !leader.node.degraded() && leader.node.chain.Attached() })
 				slowestBack = max(slowestBack, s.now-repairedAt)
 				s.run(s.now + time.Second)
 				s.expectService("with the disk mended", 500*time.Millisecond)
@@ -97,7 +97,7 @@
 func (s *simulation) waiting() int {
 	count := 0
 	for _, member := range s.members {
-		count += len(member.node.deferred) + len(member.node.writeOffsets) + len(member.node.pendingRecords) + len(member.writes)
+		count += len(member.node.durability.deferred) + len(member.node.durability.offsets) + len(member.node.durability.records) + len(member.writes)
 	}
 	return count
 }
@@ -117,7 +117,7 @@
 		member.start()
 		s.run(s.now + 5*time.Second)
 		require.True(t, member.running, "seed %d", seed)
-		require.NotEmpty(t, member.node.degradation.fault, "seed %d", seed)
+		require.NotEmpty(t, member.node.durability.degradation.fault, "seed %d", seed)
 		require.NotEmpty(t, member.node.leaderAddress(member.clock()), "seed %d: it knows who leads", seed)
 		require.Empty(t, s.broken, "seed %d", seed)
 		member.freeDisk()
--- a/control/core/dispatch.go
+++ b/control/core/dispatch.go
@@ -10,7 +10,13 @@
 	"ravendale/control/view"
 )
 
-// send posts a message to a member.
+// inboundMessage is one that the node has for itself.
+type inboundMessage struct {
+	from    view.Member
+	message any
+}
+
+// send sends a message to a member, which may be the node itself.
 func (n *node) send(to view.ID, message msgp.Marshaler) {
 	if to == n.self.ID {
 		n.deliver(outboundMessage{n.self.Address, message})
@@ -56,7 +62,7 @@
 		n.dispatchDiskless(now, from, message)
 		return
 	}
-	if n.degradation.fault != "" {
+	if n.degraded() {
 		n.dispatchDegraded(now, from, message)
 		return
 	}
@@ -90,7 +96,7 @@
 	case *lease.Reply:
 		n.onLeaseReply(now, from, m)
 	case *lease.Release:
-		n.voter.Release(from.ID, m)
+		n.lease.voter.Release(from.ID, m)
 	case *leaving:
 		n.onLeaving(now, m)
 	}
--- a/control/core/durability.go
+++ b/control/core/durability.go
@@ -11,6 +11,7 @@
 	"ravendale/control/view"
 )
 
+// load reads what is on disk, and restores the machine. On an empty disk it draws an identity.
 func (n *node) load(snapshot []byte, records [][]byte) (*Image, error) {
 	if snapshot == nil {
 		kept := &Image{ID: view.ID(n.config.Random() | 1)}
@@ -23,10 +24,10 @@
 	if err != nil {
 		return nil, err
 	}
-	n.logRecords = max(len(records), len(kept.Chain.Entries))
-	n.stateBytes = len(kept.Machine)
+	n.durability.logRecords = max(len(records), len(kept.Chain.Entries))
+	n.durability.stateBytes = len(kept.Machine)
 	for _, data := range records {
-		n.logBytes += len(data)
+		n.durability.logBytes += len(data)
 	}
 	if len(kept.Machine) > 0 {
 		if err := n.config.Machine.Restore(kept.Machine); err != nil {
@@ -36,49 +37,110 @@
 	return kept, nil
 }
 
-func (n *node) appendRecord(change *record) {
-	if n.snapshotDue {
-		return // the image will have it
+// durability is what the member has given to its disk, what it has still to give, and what waits until that is synced. Batches number the writes from
+// one; each write makes all before it durable too.
+type durability struct {
+	uninitialized bool          // its identity is not on disk yet, so that it may not speak
+	lastBatch     uint64        // newest that was given to the disk
+	durableBatch  uint64        // newest that is known to be synced
+	writingSince  time.Duration // since when a write is under way
+	records       [][]byte      // for the next write
+	snapshotDue   bool          // the next write is a whole image, and records are not needed
+	logBytes      int           // since the snapshot
+	logRecords    int           // the same
+	stateBytes    int           // of the machine's newest snapshot
+	offsets       []writeOffset
+	deferred      []deferredMessage
+	degradation   degradation
+}
+
+// writeOffset is the log offset that a write makes durable.
+type writeOffset struct {
+	batch  uint64
+	offset chain.Mark
+}
+
+// deferredMessage waits for a batch to be durable.
+type deferredMessage struct {
+	batch   uint64
+	message outboundMessage
+}
+
+// append has a change of the image written. A snapshot that is due will have it anyway.
+func (d *durability) append(change *record) {
+	if d.snapshotDue {
+		return
 	}
 	data, err := change.MarshalMsg(nil)
 	if err != nil {
 		panic(err) // the generated code only fails on types that a record has not
 	}
-	n.pendingRecords = append(n.pendingRecords, data)
-	n.logBytes += len(data)
-	n.logRecords++
+	d.records = append(d.records, data)
+	d.logBytes += len(data)
+	d.logRecords++
+}
+
+// requireSnapshot has the next write be a whole image.
+func (d *durability) requireSnapshot() { d.snapshotDue, d.records = true, nil }
+
+// dirty says whether there is something to write.
+func (d *durability) dirty() bool { return d.snapshotDue || len(d.records) > 0 }
+
+// writing says whether the disk has not answered yet.
+func (d *durability) writing() bool {
+	return d.lastBatch > max(d.durableBatch, d.degradation.failedBatch)
+}
+
+// awaited is the batch with which all is durable that was recorded so far.
+func (d *durability) awaited() uint64 {
+	if d.dirty() {
+		return d.lastBatch + 1
+	}
+	return d.lastBatch
 }
 
-// flush gives the changes of this step to the disk. The log's bound follows the state's size and not the image's, in which the entries that
-// are not known to be committed would let it grow from start to start. Entries that an image has to carry count as records, and for the number of
-// records alone an image is only made when it drops half of them: else each start would carry more.
+// logFull says whether the log is so long that a snapshot is due. Its bound follows the state's size and not the image's, in which the entries that
+// are not known to be committed would let it grow from start to start. Entries that an image has to carry, the unapplied, count as records, and for the
+// number of records alone an image is only made when it drops half of them: else each start would carry more.
+func (d *durability) logFull(config *nodeConfig, unapplied int) bool {
+	return d.logBytes > min(max(config.MinLogBytes, 2*d.stateBytes), maxLogBytes) || d.logRecords > config.MaxLogRecords && 2*unapplied <= d.logRecords
+}
+
+// beginWrite numbers the next write.
+func (d *durability) beginWrite(now time.Duration) (batch uint64) {
+	if d.lastBatch == d.durableBatch {
+		d.writingSince = now
+	}
+	d.lastBatch++
+	return d.lastBatch
+}
+
+// flush gives the changes of this step to the disk.
 func (n *node) flush(now time.Duration) {
-	if !n.snapshotDue && len(n.pendingRecords) == 0 || n.degradation.fault != "" && !n.beginRecovery(now) {
+	d := &n.durability
+	if !d.dirty() || d.degraded() && !d.beginRecovery(now) {
 		return
 	}
-	if n.logBytes > min(max(n.config.MinLogBytes, 2*n.stateBytes), maxLogBytes) || n.logRecords > n.config.MaxLogRecords && 2*n.chain.Unapplied() <= n.logRecords {
-		n.snapshotDue = true
-	}
-	if n.lastBatch == n.durableBatch {
-		n.writingSince = now
+	if d.logFull(&n.config, n.chain.Unapplied()) {
+		d.snapshotDue = true
 	}
-	n.lastBatch++
-	write := diskWrite{Batch: n.lastBatch, Records: n.pendingRecords}
-	if n.snapshotDue {
+	write := diskWrite{Batch: d.beginWrite(now), Records: d.records}
+	if d.snapshotDue {
 		write.Records, write.Image = nil, n.image()
-		n.logBytes, n.logRecords = 0, n.chain.Unapplied()
+		d.logBytes, d.logRecords = 0, n.chain.Unapplied()
 	}
-	n.snapshotDue, n.pendingRecords = false, nil
+	d.snapshotDue, d.records = false, nil
 	n.output.Writes = append(n.output.Writes, write)
-	n.writeOffsets = append(n.writeOffsets, writeOffset{n.lastBatch, n.chain.Mark()})
+	d.offsets = append(d.offsets, writeOffset{write.Batch, n.chain.Mark()})
 }
 
+// image is all that the member keeps on disk, encoded.
 func (n *node) image() []byte {
 	kept := Image{
 		ID: n.self.ID, BootstrapMembers: n.bootstrapMembers, View: n.view, Vote: n.vote,
-		Chain: n.chain.State(), Machine: n.config.Machine.Snapshot(), Lease: n.voter.Past(),
+		Chain: n.chain.State(), Machine: n.config.Machine.Snapshot(), Lease: n.lease.voter.Past(),
 	}
-	n.stateBytes = len(kept.Machine)
+	n.durability.stateBytes = len(kept.Machine)
 	data, err := kept.MarshalMsg(nil)
 	if err != nil {
 		panic(err) // as for a record
@@ -86,42 +148,42 @@
 	return data
 }
 
-// OnDisk tells that a write, and all before it, is lasting.
+// OnDisk tells that a write, and all before it, is durable.
 func (n *node) OnDisk(now time.Duration, batch uint64) {
-	n.durableBatch = max(n.durableBatch, batch)
-	n.uninitialized = false
-	n.writingSince = now
-	if n.degradation.fault != "" {
+	d := &n.durability
+	d.durableBatch = max(d.durableBatch, batch)
+	d.uninitialized = false
+	d.writingSince = now
+	if d.degraded() {
 		n.onRecoveryWrite(now, batch)
 	}
-	for len(n.writeOffsets) > 0 && n.writeOffsets[0].batch <= batch {
-		n.chain.OnDisk(now, n.writeOffsets[0].offset)
+	for len(d.offsets) > 0 && d.offsets[0].batch <= batch {
+		n.chain.OnDisk(now, d.offsets[0].offset)
 		n.drain(now)
-		n.writeOffsets = n.writeOffsets[1:]
+		d.offsets = d.offsets[1:]
 	}
 	if n.config.mutations.commitsAlone {
 		n.chain.OnAck(&chain.Ack{Epoch: n.view.Epoch, Committed: n.chain.Synced()})
 	}
-	for len(n.deferred) > 0 && n.deferred[0].batch <= batch {
-		n.deliver(n.deferred[0].message)
-		n.deferred = n.deferred[1:]
+	for len(d.deferred) > 0 && d.deferred[0].batch <= batch {
+		n.deliver(d.deferred[0].message)
+		d.deferred = d.deferred[1:]
 	}
 	n.submitAll(now)
 	n.finish(now)
 }
 
-// sendWhenDurable posts a message once all that was written so far is on disk.
+// sendWhenDurable sends a message once all that was recorded so far is durable. A degraded member does not send it: it is asked again when it has
+// recovered.
 func (n *node) sendWhenDurable(to string, message msgp.Marshaler) {
-	if n.degradation.fault != "" {
-		return // it is asked again when this member is back
-	}
-	pending := n.lastBatch
-	if n.snapshotDue || len(n.pendingRecords) > 0 {
-		pending++
+	d := &n.durability
+	if d.degraded() {
+		return
 	}
-	if pending == n.durableBatch || n.config.mutations.skipsSync {
+	awaited := d.awaited()
+	if awaited == d.durableBatch || n.config.mutations.skipsSync {
 		n.deliver(outboundMessage{to, message})
 		return
 	}
-	n.deferred = append(n.deferred, deferredMessage{pending, outboundMessage{to, message}})
+	d.deferred = append(d.deferred, deferredMessage{awaited, outboundMessage{to, message}})
 }
--- a/control/core/history_test.go
+++ b/control/core/history_test.go
@@ -95,7 +95,7 @@
 
 func (s *simulation) holders() (holders []*simulated) {
 	for _, member := range s.members {
-		if member.running && !member.frozen && member.node.holder.Valid(member.clock()) {
+		if member.running && !member.frozen && member.node.lease.holder.Valid(member.clock()) {
 			holders = append(holders, member)
 		}
 	}
--- a/control/core/leaserunner.go
+++ b/control/core/leaserunner.go
@@ -37,7 +37,7 @@
 	case holds && l.lease == nil:
 		l.begin(c, until)
 	case !holds && l.lease != nil:
-		c.config.Log.Info("leader lease lost", "epoch", c.node.view.Epoch, "cause", c.node.takeDropCause())
+		c.config.Log.Info("leader lease lost", "epoch", c.node.view.Epoch, "cause", c.node.lease.takeDropCause())
 		l.end()
 	}
 }
--- a/control/core/model_checks_test.go
+++ b/control/core/model_checks_test.go
@@ -82,7 +82,7 @@
 func (m *model) checkLease() {
 	holders := 0
 	for at, member := range m.members {
-		if member.node == nil || !member.node.holder.Valid(m.clock(at)) {
+		if member.node == nil || !member.node.lease.holder.Valid(m.clock(at)) {
 			continue
 		}
 		holders++
@@ -105,7 +105,7 @@
 		if _, voter := v.Voter(member.node.self.ID); !voter {
 			continue
 		}
-		if granted, quiet := member.node.voter.Holder(m.clock(at)); !quiet && granted != holder {
+		if granted, quiet := member.node.lease.voter.Holder(m.clock(at)); !quiet && granted != holder {
 			free++
 		}
 	}
--- a/control/core/model_state_test.go
+++ b/control/core/model_state_test.go
@@ -14,7 +14,8 @@
 var (
 	durationType = reflect.TypeFor[time.Duration]()
 	modelOmitted = map[reflect.Type][]string{
-		reflect.TypeFor[node]():        {"config", "output", "logBytes"},
+		reflect.TypeFor[node]():        {"config", "output"},
+		reflect.TypeFor[durability]():  {"logBytes"},
 		reflect.TypeFor[modelMember](): {"machine", "state", "address"},
 		reflect.TypeFor[lease.Voter](): {"terms"}, reflect.TypeFor[lease.Holder](): {"terms"},
 	}
--- a/control/core/partition_test.go
+++ b/control/core/partition_test.go
@@ -101,7 +101,7 @@
 		if s.now >= from+partitionTime-look {
 			return
 		}
-		if victim.running && s.now > from+leaseBound && victim.node.holder.Valid(victim.clock()) {
+		if victim.running && s.now > from+leaseBound && victim.node.lease.holder.Valid(victim.clock()) {
 			s.fail("%s holds the lease %v after it was cut off", victim.address, s.now-from)
 		}
 		if (s.now-from)%every == 0 {
--- a/control/core/quorum.go
+++ b/control/core/quorum.go
@@ -56,7 +56,7 @@
 
 // hearsVoter says whether a voter has been heard in this life and still is.
 func (n *node) hearsVoter(now time.Duration, id view.ID) bool {
-	return id == n.self.ID || n.peerByID(id) != nil && n.hears(now, id)
+	return id == n.self.ID || n.peers.byID(id) != nil && n.hears(now, id)
 }
 
 func (c *quorumChange) log(log *slog.Logger) {
--- a/control/core/simulation_test.go
+++ b/control/core/simulation_test.go
@@ -399,14 +399,14 @@
 // checkDegraded makes sure that a member that can't write neither leads, orders nor votes. It may pass on what is on its
 // disk: a write that was slow and ended lets it.
 func (m *simulated) checkDegraded(p outboundMessage) {
-	if m.node.degradation.fault == "" {
+	if !m.node.degraded() {
 		return
 	}
 	switch p.Message.(type) {
 	case *view.Prepare, *view.Promise, *view.Accept, *view.AcceptReply, *lease.Request, *propose, *decided:
 		m.s.fail("%s is aside and sent %T to %s: answered", m.address, p.Message, p.To)
 	}
-	if m.node.holder.Valid(m.clock()) {
+	if m.node.lease.holder.Valid(m.clock()) {
 		m.s.fail("%s holds the leader lease while it is aside", m.address)
 	}
 }
@@ -641,7 +641,7 @@
 func (s *simulation) checkLease() {
 	var holders []string
 	for _, member := range s.members {
-		if member.running && member.node != nil && member.node.holder.Valid(member.clock()) {
+		if member.running && member.node != nil && member.node.lease.holder.Valid(member.clock()) {
 			holders = append(holders, member.address)
 		}
 	}
@@ -699,7 +699,7 @@
 		}
 	case 8: // the holder of the lease alone is cut off
 		for _, member := range s.members {
-			if member.running && member.node.holder.Valid(member.clock()) {
+			if member.running && member.node.lease.holder.Valid(member.clock()) {
 				s.separate([]*simulated{member}, true)
 				s.after(2*back, func() { s.separate([]*simulated{member}, false) })
 			}
@@ -826,7 +826,7 @@
 	}
 	holders := 0
 	for _, member := range s.members {
-		if member.running && member.node.holder.Valid(member.clock()) {
+		if member.running && member.node.lease.holder.Valid(member.clock()) {
 			holders++
 		}
 		if member.running && !member.node.chain.Attached() {
@@ -847,7 +847,7 @@
 		}
 		fmt.Fprintf(&text, "%s id %v running %v epoch %d chain %v voters %d learners %d position %d whole %v attached %v sealed %v aside %q idle %v last %d synced %d committed %d missing %v wanted %v proposer %v leader %q\n",
 			member.address, n.self.ID, member.running, n.view.Epoch, n.view.Chain, len(n.view.Voters), len(n.view.Learners), n.chain.Position(), n.chain.Whole(), n.chain.Attached(),
-			n.vote.Sealed(n.view.Epoch), n.degradation.fault, n.cannotOrder, n.chain.Last(), n.chain.Synced(), n.chain.Committed(), n.unresponsive, n.changePendingSince, n.proposer != nil, n.leaderAddress(member.clock()))
+			n.vote.Sealed(n.view.Epoch), n.durability.degradation.fault, n.cannotOrder, n.chain.Last(), n.chain.Synced(), n.chain.Committed(), n.peers.unresponsive, n.viewChange.pendingSince, n.viewChange.proposer != nil, n.leaderAddress(member.clock()))
 	}
 	return text.String()
 }
--- a/control/core/submit.go
+++ b/control/core/submit.go
@@ -52,7 +52,7 @@
 func (c *Core) canSubmit() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.store != nil && c.node.degradation.fault == ""
+	return c.store != nil && !c.node.degraded()
 }
 
 func (c *Core) submitHere(ctx context.Context, command []byte) ([]byte, error) {
@@ -84,7 +84,7 @@
 func (c *Core) unsent(number uint64) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	pending := c.node.pending[number]
+	pending := c.node.commands.pending[number]
 	return pending != nil && pending.epoch == 0
 }
 
--- a/control/core/viewchange.go
+++ b/control/core/viewchange.go
@@ -6,6 +6,17 @@
 	"ravendale/control/view"
 )
 
+// viewChange is this member's attempt to have another view decided, as a Paxos proposer.
+type viewChange struct {
+	proposer     *view.Proposer // of the current attempt, nil if there is none
+	ballotNumber uint64         // of the newest attempt, the highest that is known
+	pendingSince time.Duration  // since when another view would be better, negative if none would
+	retryAt      time.Duration  // not before, after an attempt that failed
+}
+
+// reset ends an attempt, as another view is decided or this member may not propose one.
+func (c *viewChange) reset() { c.proposer, c.pendingSince = nil, -1 }
+
 func (n *node) onPrepare(now time.Duration, from view.Member, m *view.Prepare) {
 	n.adopt(now, &m.View)
 	if m.View.Epoch < n.view.Epoch {
@@ -21,14 +32,14 @@
 		n.seal()
 	}
 	reply.Whole = complete
-	reply.Holder, reply.Quiet = n.voter.Holder(now)
+	reply.Holder, reply.Quiet = n.lease.voter.Holder(now)
 	n.sendWhenDurable(from.Address, &reply)
 }
 
 func (n *node) seal() {
 	n.chain.Seal()
 	vote := n.vote
-	n.appendRecord(&record{Vote: &vote})
+	n.durability.append(&record{Vote: &vote})
 }
 
 func (n *node) onAccept(now time.Duration, from view.Member, m *view.Accept) {
@@ -47,18 +58,18 @@
 }
 
 func (n *node) onPromise(now time.Duration, from view.Member, m *view.Promise) {
-	if n.proposer == nil || m.Epoch != n.view.Epoch {
+	if n.viewChange.proposer == nil || m.Epoch != n.view.Epoch {
 		return
 	}
-	n.proposer.Promised(from.ID, m)
+	n.viewChange.proposer.Promised(from.ID, m)
 	n.continueBallot(now)
 }
 
 func (n *node) onAcceptReply(now time.Duration, from view.Member, m *view.AcceptReply) {
-	if n.proposer == nil || m.Epoch != n.view.Epoch {
+	if n.viewChange.proposer == nil || m.Epoch != n.view.Epoch {
 		return
 	}
-	next := n.proposer.Accepted(from.ID, m)
+	next := n.viewChange.proposer.Accepted(from.ID, m)
 	if next == nil {
 		return
 	}
@@ -84,7 +95,7 @@
 		Spared:   func(id view.ID) bool { return n.removable(now, id) },
 		Eager:    n.config.mutations.votesAtOnce,
 	}
-	for _, p := range n.peers {
+	for _, p := range n.peers.byAddress {
 		if p.contacted && p.member.ID != 0 {
 			know.Others = append(know.Others, p.member)
 		}
@@ -97,7 +108,7 @@
 	if n.view.Position(id) < n.view.Whole || id == n.self.ID && n.chain.Whole() {
 		return true
 	}
-	p := n.peerByID(id)
+	p := n.peers.byID(id)
 	return p != nil && p.heartbeat.Epoch == n.view.Epoch && p.heartbeat.Whole
 }
 
@@ -119,13 +130,13 @@
 	if n.chain.Position() == 0 {
 		return n.cannotOrder
 	}
-	p := n.peerByID(n.view.Head())
+	p := n.peers.byID(n.view.Head())
 	return p != nil && p.heartbeat.Epoch == n.view.Epoch && p.heartbeat.CannotOrder
 }
 
 func (n *node) allHeard() bool {
 	for _, member := range n.view.Members() {
-		if member.ID != n.self.ID && n.peerByID(member.ID) == nil {
+		if member.ID != n.self.ID && n.peers.byID(member.ID) == nil {
 			return false
 		}
 	}
@@ -152,8 +163,8 @@
 // prepareLate asks a voter that has just been heard for the promise that is being gathered, unless it has given it: it may have started
 // since the question was sent, or have missed it.
 func (n *node) prepareLate(member view.Member) {
-	if n.proposer != nil && n.proposer.Lacks(member.ID) {
-		n.deliver(outboundMessage{member.Address, n.proposer.Prepare()})
+	if n.viewChange.proposer != nil && n.viewChange.proposer.Lacks(member.ID) {
+		n.deliver(outboundMessage{member.Address, n.viewChange.proposer.Prepare()})
 	}
 }
 
@@ -187,40 +198,40 @@
 	if n.view.Epoch == 0 || !n.isMember(n.self.ID) {
 		return
 	}
-	if n.proposer != nil {
+	if n.viewChange.proposer != nil {
 		n.continueBallot(now)
 		return
 	}
 	if !n.needsViewChange(now) {
-		n.changePendingSince = -1
+		n.viewChange.pendingSince = -1
 		return
 	}
-	if n.changePendingSince < 0 {
-		n.changePendingSince = now
+	if n.viewChange.pendingSince < 0 {
+		n.viewChange.pendingSince = now
 	}
-	if now < n.changePendingSince+time.Duration(n.proposerRank(now))*proposerStagger || now < n.retryAt || !n.majorityHeard(now) {
+	if now < n.viewChange.pendingSince+time.Duration(n.proposerRank(now))*proposerStagger || now < n.viewChange.retryAt || !n.majorityHeard(now) {
 		return
 	}
 	n.startBallot(now)
 }
 
 func (n *node) startBallot(now time.Duration) {
-	n.ballotNumber = max(n.ballotNumber, n.vote.Promised.Round) + 1
+	n.viewChange.ballotNumber = max(n.viewChange.ballotNumber, n.vote.Promised.Round) + 1
 	if n.vote.Epoch != n.view.Epoch {
-		n.ballotNumber = 1
+		n.viewChange.ballotNumber = 1
 	}
-	n.proposer = view.NewProposer(now, n.view, view.Ballot{Round: n.ballotNumber, Proposer: n.self.ID, Life: n.origin}, n.config.mutations.minorityDecides)
-	n.sendMembers(n.proposer.Prepare())
+	n.viewChange.proposer = view.NewProposer(now, n.view, view.Ballot{Round: n.viewChange.ballotNumber, Proposer: n.self.ID, Life: n.origin}, n.config.mutations.minorityDecides)
+	n.sendMembers(n.viewChange.proposer.Prepare())
 }
 
 // continueBallot goes on with an attempt, or gives it up for a while.
 func (n *node) continueBallot(now time.Duration) {
-	p := n.proposer
+	p := n.viewChange.proposer
 	if p.Failed(now) {
-		n.ballotNumber = max(n.ballotNumber, p.Highest().Round)
-		n.proposer = nil
+		n.viewChange.ballotNumber = max(n.viewChange.ballotNumber, p.Highest().Round)
+		n.viewChange.proposer = nil
 		pause := proposerStagger + time.Duration(n.config.Random()%uint64(2*proposerStagger))
-		n.retryAt = now + pause + time.Duration(n.proposerRank(now))*proposerStagger
+		n.viewChange.retryAt = now + pause + time.Duration(n.proposerRank(now))*proposerStagger
 		return
 	}
 	if !p.Gathered(now, func(id view.ID) bool { return n.alive(now, id) }) {
