--- a/test/standin/cluster/cluster.go
+++ b/test/standin/cluster/cluster.go
@@ -60,6 +60,8 @@
 		path:    base + ".conf",
 		data:    base + ".data",
 		log:     base + ".log",
+
+		programs: c.spec.Programs,
 	}
 }
 
--- a/test/standin/cluster/process.go
+++ b/test/standin/cluster/process.go
@@ -24,6 +24,7 @@
 	path     string // of the settings file
 	data     string // of the data folder
 	log      string // of the log file
+	programs string // folder that the program is started from
 	mutex    sync.Mutex
 	command  *exec.Cmd
 	ended    chan struct{} // closed when the life is over
@@ -47,6 +48,13 @@
 // DataPath is its data folder.
 func (p *Process) DataPath() string { return p.data }
 
+// RunFrom has the next start take the program from another folder, as an upgrade does.
+func (p *Process) RunFrom(programs string) {
+	p.mutex.Lock()
+	defer p.mutex.Unlock()
+	p.programs = programs
+}
+
 // PID is the id of the operating system's process, or 0.
 func (p *Process) PID() int {
 	p.mutex.Lock()
@@ -75,7 +83,7 @@
 		return fmt.Errorf("cluster: %w", err)
 	}
 	defer func() { _ = log.Close() }()
-	command := exec.Command(filepath.Join(p.cluster.spec.Programs, p.program))
+	command := exec.Command(filepath.Join(p.programs, p.program))
 	command.Env = []string{settings.PathVariable + "=" + p.path, "GOMAXPROCS=1", "PATH=" + os.Getenv("PATH")}
 	command.Stdout, command.Stderr = log, log
 	command.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
