--- a/control/chain/chain_test.go
+++ b/control/chain/chain_test.go
@@ -16,12 +16,12 @@
 	t       *testing.T
 	members map[view.ID]*chain.Chain
 	applied map[view.ID][]string
-	mail    []letter
-	drop    func(letter) bool
+	mail    []envelope
+	drop    func(envelope) bool
 	now     time.Duration
 }
 
-type letter struct {
+type envelope struct {
 	from view.ID
 	chain.Send
 }
@@ -37,7 +37,7 @@
 func newRig(t *testing.T) *rig {
 	return &rig{
 		t: t, members: make(map[view.ID]*chain.Chain), applied: make(map[view.ID][]string),
-		drop: func(letter) bool { return false },
+		drop: func(envelope) bool { return false },
 	}
 }
 
@@ -49,13 +49,13 @@
 func (r *rig) adopt(v *view.View, ids ...view.ID) {
 	for _, id := range ids {
 		r.members[id].Adopt(r.now, v, true, false)
-		r.settle(id)
+		r.perform(id)
 	}
 	r.deliver()
 }
 
-// settle carries out a member's actions.
-func (r *rig) settle(id view.ID) {
+// perform carries out a member's actions.
+func (r *rig) perform(id view.ID) {
 	member := r.members[id]
 	for {
 		actions := member.Take()
@@ -71,10 +71,10 @@
 			}
 		}
 		for _, send := range actions.Sends {
-			r.mail = append(r.mail, letter{id, send})
+			r.mail = append(r.mail, envelope{id, send})
 		}
 		if actions.Install != nil || len(actions.Writes) > 0 {
-			member.OnDisk(r.now, member.Mark())
+			member.OnSynced(r.now, member.LogOffset())
 		}
 	}
 }
@@ -99,19 +99,19 @@
 		case *chain.Gap:
 			to.OnGap(r.now, l.from, m)
 		}
-		r.settle(l.To)
+		r.perform(l.To)
 	}
 }
 
-func (r *rig) order(head view.ID, number uint64, command string) bool {
-	ordered := r.members[head].Order(r.now, 7, number, 0, []byte(command))
-	r.settle(head)
+func (r *rig) propose(head view.ID, number uint64, command string) bool {
+	ordered := r.members[head].Propose(r.now, 7, number, 0, []byte(command))
+	r.perform(head)
 	r.deliver()
 	return ordered
 }
 
-func three(epoch uint64, whole int, chain ...view.ID) *view.View {
-	return &view.View{Epoch: epoch, Chain: chain, Whole: whole}
+func three(epoch uint64, complete int, chain ...view.ID) *view.View {
+	return &view.View{Epoch: epoch, Chain: chain, Whole: complete}
 }
 
 func TestCommandsAreAppliedByAllInOrder(t *testing.T) {
@@ -120,10 +120,10 @@
 		r.join(id, chain.State{})
 	}
 	r.adopt(three(1, 3, 1, 2, 3), 3, 1, 2)
-	require.True(t, r.order(1, 1, "a"))
-	require.True(t, r.order(1, 2, "b"))
-	require.True(t, r.order(1, 1, "a"), "a repeat is ordered already")
-	require.False(t, r.order(2, 3, "c"), "not the head")
+	require.True(t, r.propose(1, 1, "a"))
+	require.True(t, r.propose(1, 2, "b"))
+	require.True(t, r.propose(1, 1, "a"), "a repeat is ordered already")
+	require.False(t, r.propose(2, 3, "c"), "not the head")
 	for id := view.ID(1); id <= 3; id++ {
 		require.Equal(t, []string{"a", "b"}, r.applied[id])
 	}
@@ -135,34 +135,34 @@
 		r.join(id, chain.State{})
 	}
 	r.adopt(three(1, 3, 1, 2, 3), 1, 2, 3)
-	r.drop = func(l letter) bool { _, ok := l.Message.(*chain.Append); return ok && l.To == 3 }
-	r.order(1, 1, "a")
+	r.drop = func(l envelope) bool { _, ok := l.Message.(*chain.Append); return ok && l.To == 3 }
+	r.propose(1, 1, "a")
 	require.Empty(t, r.applied[1])
 	require.Empty(t, r.applied[2])
-	r.drop = func(letter) bool { return false }
-	r.order(1, 2, "b") // shows the tail that something is missing
+	r.drop = func(envelope) bool { return false }
+	r.propose(1, 2, "b") // shows the tail that something is missing
 	require.Equal(t, []string{"a", "b"}, r.applied[1])
 	require.Equal(t, []string{"a", "b"}, r.applied[3])
 }
 
-func TestBeatsMakeUpForWhatWasLost(t *testing.T) {
+func TestHeartbeatsRepairLossesOfMessages(t *testing.T) {
 	r := newRig(t)
 	for id := view.ID(1); id <= 2; id++ {
 		r.join(id, chain.State{})
 	}
 	r.adopt(three(1, 2, 1, 2), 1, 2)
-	r.drop = func(letter) bool { return true }
-	r.order(1, 1, "a")
-	r.drop = func(letter) bool { return false }
-	beat := func(from, to view.ID) {
+	r.drop = func(envelope) bool { return true }
+	r.propose(1, 1, "a")
+	r.drop = func(envelope) bool { return false }
+	heartbeat := func(from, to view.ID) {
 		m := r.members[from]
-		r.members[to].OnBeat(r.now, from, chain.Beat{Epoch: 1, Attached: m.Attached(), Synced: m.Synced(), Committed: m.Committed()})
-		r.settle(to)
+		r.members[to].OnHeartbeat(r.now, from, chain.Heartbeat{Epoch: 1, Attached: m.Attached(), Synced: m.Synced(), Committed: m.Committed()})
+		r.perform(to)
 		r.deliver()
 	}
-	beat(2, 1)
-	r.now += chain.AppendAgain
-	beat(2, 1)
+	heartbeat(2, 1)
+	r.now += chain.AppendRetryInterval
+	heartbeat(2, 1)
 	require.Equal(t, []string{"a"}, r.applied[1])
 	require.Equal(t, []string{"a"}, r.applied[2])
 }
@@ -173,36 +173,36 @@
 		r.join(id, chain.State{})
 	}
 	r.adopt(three(1, 3, 1, 2, 3), 1, 2, 3)
-	r.order(1, 1, "a")
-	r.drop = func(l letter) bool { return l.from == 1 }
-	r.order(1, 2, "lost")
-	r.drop = func(letter) bool { return false }
+	r.propose(1, 1, "a")
+	r.drop = func(l envelope) bool { return l.from == 1 }
+	r.propose(1, 2, "lost")
+	r.drop = func(envelope) bool { return false }
 	r.adopt(three(2, 2, 2, 3), 2, 3)
-	r.order(2, 1, "b")
+	r.propose(2, 1, "b")
 	r.adopt(three(3, 2, 2, 3, 1), 2, 3, 1)
-	r.order(2, 1, "c")
+	r.propose(2, 1, "c")
 	for id := view.ID(1); id <= 3; id++ {
 		require.Equal(t, []string{"a", "b", "c"}, r.applied[id], "%d", id)
 	}
-	require.True(t, r.members[1].Whole())
+	require.True(t, r.members[1].Complete())
 }
 
-func TestAJoinerGetsASnapshotWhenTheLogIsGone(t *testing.T) {
+func TestAJoinerGetsASnapshotWhenTheLogIsCompacted(t *testing.T) {
 	r := newRig(t)
 	r.join(1, chain.State{})
 	r.adopt(three(1, 1, 1), 1)
-	r.order(1, 1, "a")
-	r.order(1, 2, "b")
+	r.propose(1, 1, "a")
+	r.propose(1, 2, "b")
 	require.Empty(t, r.members[1].State().Entries, "covered by the snapshot")
 	r.join(2, chain.State{})
 	v := three(2, 1, 1, 2)
 	r.members[2].Adopt(r.now, v, true, false)
-	require.False(t, r.members[2].Whole())
-	r.settle(2)
+	require.False(t, r.members[2].Complete())
+	r.perform(2)
 	r.adopt(v, 1)
-	require.True(t, r.members[2].Whole())
+	require.True(t, r.members[2].Complete())
 	require.True(t, r.members[2].Attached())
-	r.order(1, 3, "c")
+	r.propose(1, 3, "c")
 	require.Equal(t, []string{"c"}, r.applied[2], "the rest came with the snapshot")
 }
 
@@ -214,46 +214,46 @@
 	r.adopt(three(1, 2, 1, 2), 1, 2)
 	last := r.members[2].Last()
 	r.members[2].Seal()
-	r.order(1, 1, "a")
+	r.propose(1, 1, "a")
 	require.Equal(t, last, r.members[2].Last())
 	require.Empty(t, r.applied[1])
 	r.members[1].Seal()
-	require.False(t, r.order(1, 2, "b"))
+	require.False(t, r.propose(1, 2, "b"))
 }
 
 func TestAHeadThatStartedInItsEpochStaysIdle(t *testing.T) {
 	r := newRig(t)
-	r.join(1, chain.State{Whole: 1})
+	r.join(1, chain.State{CompleteEpoch: 1})
 	r.members[1].Adopt(0, three(1, 1, 1), true, true)
-	r.settle(1)
-	require.False(t, r.order(1, 1, "a"))
-	require.True(t, r.members[1].Whole())
+	r.perform(1)
+	require.False(t, r.propose(1, 1, "a"))
+	require.True(t, r.members[1].Complete())
 }
 
 func TestAChainOfTooFewDisksCommitsNothing(t *testing.T) {
 	r := newRig(t)
 	r.join(1, chain.State{})
 	r.members[1].Adopt(0, three(1, 1, 1), false, false)
-	r.settle(1)
+	r.perform(1)
 	require.True(t, r.members[1].Attached())
-	require.False(t, r.order(1, 1, "a"))
+	require.False(t, r.propose(1, 1, "a"))
 	require.Zero(t, r.members[1].Committed())
 }
 
-func TestARepeatThatComesLateIsNotOrderedAgain(t *testing.T) {
+func TestALateDuplicateIsNotOrderedAgain(t *testing.T) {
 	r := newRig(t)
 	r.join(1, chain.State{})
 	r.adopt(three(1, 1, 1), 1)
-	r.members[1].Order(0, 7, 1, 1, []byte("a"))
-	r.members[1].Order(0, 7, 2, 2, []byte("b"))
-	r.members[1].Order(0, 7, 1, 1, []byte("a"))
-	r.settle(1)
+	r.members[1].Propose(0, 7, 1, 1, []byte("a"))
+	r.members[1].Propose(0, 7, 2, 2, []byte("b"))
+	r.members[1].Propose(0, 7, 1, 1, []byte("a"))
+	r.perform(1)
 	require.Equal(t, []string{"a", "b"}, r.applied[1])
 }
 
 func TestWritesReplayToTheSameState(t *testing.T) {
 	var state chain.State
 	state.Replay(&chain.Write{Entries: []chain.Entry{{Sequence: 1, Epoch: 1}, {Sequence: 2, Epoch: 1}, {Sequence: 3, Epoch: 1}}})
-	state.Replay(&chain.Write{Cut: true, Keep: 1, Entries: []chain.Entry{{Sequence: 2, Epoch: 2}}, Whole: 2})
-	require.Equal(t, chain.State{Entries: []chain.Entry{{Sequence: 1, Epoch: 1}, {Sequence: 2, Epoch: 2}}, Whole: 2}, state)
+	state.Replay(&chain.Write{Truncate: true, TruncateAfter: 1, Entries: []chain.Entry{{Sequence: 2, Epoch: 2}}, CompleteEpoch: 2})
+	require.Equal(t, chain.State{Entries: []chain.Entry{{Sequence: 1, Epoch: 1}, {Sequence: 2, Epoch: 2}}, CompleteEpoch: 2}, state)
 }
--- /dev/null
+++ b/control/chain/commit.go
@@ -0,0 +1,85 @@
+package chain
+
+import (
+	"math"
+	"time"
+)
+
+// defaultApplyBatch is how many entries are handed out to be applied in one step: between two steps a member that has many of them to
+// apply goes on to speak to the others.
+const defaultApplyBatch = 4
+
+// MutateUnboundedApply has all entries handed out at once, which only tests of tests may ask for.
+func (c *Chain) MutateUnboundedApply() { c.applyBatch = math.MaxUint32 }
+
+// MutateEarlyCommit has commits learnt before the log follows the predecessor's, which only tests of tests may ask for.
+func (c *Chain) MutateEarlyCommit() { c.earlyCommit = true }
+
+// HasUnapplied says whether entries are known to be committed that were not handed out yet: Tick does so.
+func (c *Chain) HasUnapplied() bool { return c.log.applied < c.log.committed }
+
+// Unapplied is how many entries the machine's snapshot does not cover.
+func (c *Chain) Unapplied() int { return int(c.log.last() - c.log.applied) }
+
+// LogOffset is up to where the log goes now.
+func (c *Chain) LogOffset() LogOffset {
+	offset := LogOffset{last: c.log.last(), truncations: c.log.truncations}
+	if c.upstream.aligned {
+		offset.alignedEpoch = c.configuration.epoch
+	}
+	return offset
+}
+
+// OnSynced tells that all that was written up to an offset is on disk.
+func (c *Chain) OnSynced(now time.Duration, offset LogOffset) {
+	if offset.truncations != c.log.truncations {
+		return
+	}
+	c.log.synced = max(c.log.synced, offset.last)
+	if offset.alignedEpoch == c.configuration.epoch && c.upstream.aligned && !c.upstream.attached {
+		c.upstream.attached = true
+		c.answerDeferredAttach(now)
+	}
+	c.forward(now)
+	if c.upstream.attached && c.configuration.isTail() && c.configuration.durable {
+		c.commit(c.log.synced)
+	}
+}
+
+// OnAck learns what is committed.
+func (c *Chain) OnAck(message *Ack) {
+	if message.Epoch == c.configuration.epoch {
+		c.learnCommit(message.Committed)
+	}
+}
+
+// learnCommit takes what another member of the epoch says is committed.
+func (c *Chain) learnCommit(committed uint64) {
+	if c.upstream.attached || c.earlyCommit {
+		c.commit(min(committed, c.log.synced))
+	}
+}
+
+func (c *Chain) commit(to uint64) {
+	if to = min(to, c.log.last()); to <= c.log.committed {
+		return
+	}
+	hadUnapplied := c.HasUnapplied()
+	c.log.committed = to
+	if !hadUnapplied || c.applyBatch == math.MaxUint32 {
+		c.applyCommitted() // else Tick does, a batch at a time: a step may commit many times
+	}
+	if predecessor, ok := c.configuration.predecessor(); ok {
+		c.send(predecessor, &Ack{Epoch: c.configuration.epoch, Committed: to})
+	}
+}
+
+// applyCommitted hands out the next batch of committed entries to be applied. The others do not wait for it: they hear what is committed.
+func (c *Chain) applyCommitted() {
+	to := min(c.log.committed, c.log.applied+c.applyBatch)
+	if to <= c.log.applied {
+		return
+	}
+	c.actions.Commits = append(c.actions.Commits, c.log.between(c.log.applied, to)...)
+	c.log.applied = to
+}
--- a/control/chain/compat_test.go
+++ b/control/chain/compat_test.go
@@ -58,10 +58,10 @@
 	}
 	return map[string]message{
 		"entry":  &entries[0],
-		"state":  &State{Base: 41, BaseEpoch: 0x1234, Entries: entries, Whole: 0x100000000},
-		"write":  &Write{Cut: true, Keep: 0x8000, Entries: entries, Whole: 129},
+		"state":  &State{Base: 41, BaseEpoch: 0x1234, Entries: entries, CompleteEpoch: 0x100000000},
+		"write":  &Write{Truncate: true, TruncateAfter: 0x8000, Entries: entries, CompleteEpoch: 129},
 		"attach": &Attach{Epoch: 5, Last: 0x10203, LastEpoch: 4, Committed: 0x10201},
-		"fill":   &Fill{Epoch: 6, Whole: true, Snapshot: []byte("snapshot"), From: 0x4444, FromEpoch: 3, Entries: entries, Committed: 0x5555},
+		"fill":   &Fill{Epoch: 6, HasSnapshot: true, Snapshot: []byte("snapshot"), From: 0x4444, FromEpoch: 3, Entries: entries, Committed: 0x5555},
 		"append": &Append{Epoch: 7, Previous: 0x6666, Entries: entries, Committed: 0x123456789},
 		"ack":    &Ack{Epoch: 8, Committed: 0x7777},
 		"gap":    &Gap{Epoch: 9, Last: 0x8888},
--- a/control/chain/messages.go
+++ b/control/chain/messages.go
@@ -14,18 +14,18 @@
 
 // State is what a member must find on its disk again.
 type State struct {
-	Base      uint64 // sequence of the last entry that the machine's snapshot covers
-	BaseEpoch uint64 // of that entry
-	Entries   []Entry
-	Whole     uint64 // epoch in which it last was known to hold all that was committed before
+	Base          uint64 // sequence of the last entry that the machine's snapshot covers
+	BaseEpoch     uint64 // of that entry
+	Entries       []Entry
+	CompleteEpoch uint64 // epoch in which it last was known to hold all that was committed before
 }
 
 // Write changes the State on disk.
 type Write struct {
-	Cut     bool // entries after Keep are thrown away first
-	Keep    uint64
-	Entries []Entry
-	Whole   uint64 // unless zero: replaces State.Whole
+	Truncate      bool // entries after TruncateAfter are thrown away first
+	TruncateAfter uint64
+	Entries       []Entry
+	CompleteEpoch uint64 // unless zero: replaces State.CompleteEpoch
 }
 
 // Attach asks the predecessor to go on after what the sender has.
@@ -36,15 +36,16 @@
 	Committed uint64 // it surely has what is committed up to here
 }
 
-// Fill answers an Attach: the log goes on after From. Whole says that Snapshot replaces the machine's state by that at From.
+// Fill answers an Attach: the log goes on after From. HasSnapshot says that Snapshot replaces the machine's state by
+// that at From.
 type Fill struct {
-	Epoch     uint64
-	Whole     bool
-	Snapshot  []byte
-	From      uint64
-	FromEpoch uint64
-	Entries   []Entry
-	Committed uint64
+	Epoch       uint64
+	HasSnapshot bool
+	Snapshot    []byte
+	From        uint64
+	FromEpoch   uint64
+	Entries     []Entry
+	Committed   uint64
 }
 
 // Append passes entries on that follow Previous.
--- a/control/chain/messages_gen.go
+++ b/control/chain/messages_gen.go
@@ -527,9 +527,9 @@
 		err = msgp.WrapError(err, "Epoch")
 		return
 	}
-	z.Whole, err = dc.ReadBool()
+	z.HasSnapshot, err = dc.ReadBool()
 	if err != nil {
-		err = msgp.WrapError(err, "Whole")
+		err = msgp.WrapError(err, "HasSnapshot")
 		return
 	}
 	z.Snapshot, err = dc.ReadBytes(z.Snapshot)
@@ -585,9 +585,9 @@
 		err = msgp.WrapError(err, "Epoch")
 		return
 	}
-	err = en.WriteBool(z.Whole)
+	err = en.WriteBool(z.HasSnapshot)
 	if err != nil {
-		err = msgp.WrapError(err, "Whole")
+		err = msgp.WrapError(err, "HasSnapshot")
 		return
 	}
 	err = en.WriteBytes(z.Snapshot)
@@ -631,7 +631,7 @@
 	// array header, size 7
 	o = append(o, 0x97)
 	o = msgp.AppendUint64(o, z.Epoch)
-	o = msgp.AppendBool(o, z.Whole)
+	o = msgp.AppendBool(o, z.HasSnapshot)
 	o = msgp.AppendBytes(o, z.Snapshot)
 	o = msgp.AppendUint64(o, z.From)
 	o = msgp.AppendUint64(o, z.FromEpoch)
@@ -664,9 +664,9 @@
 		err = msgp.WrapError(err, "Epoch")
 		return
 	}
-	z.Whole, bts, err = msgp.ReadBoolBytes(bts)
+	z.HasSnapshot, bts, err = msgp.ReadBoolBytes(bts)
 	if err != nil {
-		err = msgp.WrapError(err, "Whole")
+		err = msgp.WrapError(err, "HasSnapshot")
 		return
 	}
 	z.Snapshot, bts, err = msgp.ReadBytesBytes(bts, z.Snapshot)
@@ -848,9 +848,9 @@
 			return
 		}
 	}
-	z.Whole, err = dc.ReadUint64()
+	z.CompleteEpoch, err = dc.ReadUint64()
 	if err != nil {
-		err = msgp.WrapError(err, "Whole")
+		err = msgp.WrapError(err, "CompleteEpoch")
 		return
 	}
 	return
@@ -885,9 +885,9 @@
 			return
 		}
 	}
-	err = en.WriteUint64(z.Whole)
+	err = en.WriteUint64(z.CompleteEpoch)
 	if err != nil {
-		err = msgp.WrapError(err, "Whole")
+		err = msgp.WrapError(err, "CompleteEpoch")
 		return
 	}
 	return
@@ -908,7 +908,7 @@
 			return
 		}
 	}
-	o = msgp.AppendUint64(o, z.Whole)
+	o = msgp.AppendUint64(o, z.CompleteEpoch)
 	return
 }
 
@@ -952,9 +952,9 @@
 			return
 		}
 	}
-	z.Whole, bts, err = msgp.ReadUint64Bytes(bts)
+	z.CompleteEpoch, bts, err = msgp.ReadUint64Bytes(bts)
 	if err != nil {
-		err = msgp.WrapError(err, "Whole")
+		err = msgp.WrapError(err, "CompleteEpoch")
 		return
 	}
 	o = bts
@@ -983,14 +983,14 @@
 		err = msgp.ArrayError{Wanted: 4, Got: zb0001}
 		return
 	}
-	z.Cut, err = dc.ReadBool()
+	z.Truncate, err = dc.ReadBool()
 	if err != nil {
-		err = msgp.WrapError(err, "Cut")
+		err = msgp.WrapError(err, "Truncate")
 		return
 	}
-	z.Keep, err = dc.ReadUint64()
+	z.TruncateAfter, err = dc.ReadUint64()
 	if err != nil {
-		err = msgp.WrapError(err, "Keep")
+		err = msgp.WrapError(err, "TruncateAfter")
 		return
 	}
 	var zb0002 uint32
@@ -1011,9 +1011,9 @@
 			return
 		}
 	}
-	z.Whole, err = dc.ReadUint64()
+	z.CompleteEpoch, err = dc.ReadUint64()
 	if err != nil {
-		err = msgp.WrapError(err, "Whole")
+		err = msgp.WrapError(err, "CompleteEpoch")
 		return
 	}
 	return
@@ -1026,14 +1026,14 @@
 	if err != nil {
 		return
 	}
-	err = en.WriteBool(z.Cut)
+	err = en.WriteBool(z.Truncate)
 	if err != nil {
-		err = msgp.WrapError(err, "Cut")
+		err = msgp.WrapError(err, "Truncate")
 		return
 	}
-	err = en.WriteUint64(z.Keep)
+	err = en.WriteUint64(z.TruncateAfter)
 	if err != nil {
-		err = msgp.WrapError(err, "Keep")
+		err = msgp.WrapError(err, "TruncateAfter")
 		return
 	}
 	err = en.WriteArrayHeader(uint32(len(z.Entries)))
@@ -1048,9 +1048,9 @@
 			return
 		}
 	}
-	err = en.WriteUint64(z.Whole)
+	err = en.WriteUint64(z.CompleteEpoch)
 	if err != nil {
-		err = msgp.WrapError(err, "Whole")
+		err = msgp.WrapError(err, "CompleteEpoch")
 		return
 	}
 	return
@@ -1061,8 +1061,8 @@
 	o = msgp.Require(b, z.Msgsize())
 	// array header, size 4
 	o = append(o, 0x94)
-	o = msgp.AppendBool(o, z.Cut)
-	o = msgp.AppendUint64(o, z.Keep)
+	o = msgp.AppendBool(o, z.Truncate)
+	o = msgp.AppendUint64(o, z.TruncateAfter)
 	o = msgp.AppendArrayHeader(o, uint32(len(z.Entries)))
 	for za0001 := range z.Entries {
 		o, err = z.Entries[za0001].MarshalMsg(o)
@@ -1071,7 +1071,7 @@
 			return
 		}
 	}
-	o = msgp.AppendUint64(o, z.Whole)
+	o = msgp.AppendUint64(o, z.CompleteEpoch)
 	return
 }
 
@@ -1087,14 +1087,14 @@
 		err = msgp.ArrayError{Wanted: 4, Got: zb0001}
 		return
 	}
-	z.Cut, bts, err = msgp.ReadBoolBytes(bts)
+	z.Truncate, bts, err = msgp.ReadBoolBytes(bts)
 	if err != nil {
-		err = msgp.WrapError(err, "Cut")
+		err = msgp.WrapError(err, "Truncate")
 		return
 	}
-	z.Keep, bts, err = msgp.ReadUint64Bytes(bts)
+	z.TruncateAfter, bts, err = msgp.ReadUint64Bytes(bts)
 	if err != nil {
-		err = msgp.WrapError(err, "Keep")
+		err = msgp.WrapError(err, "TruncateAfter")
 		return
 	}
 	var zb0002 uint32
@@ -1115,9 +1115,9 @@
 			return
 		}
 	}
-	z.Whole, bts, err = msgp.ReadUint64Bytes(bts)
+	z.CompleteEpoch, bts, err = msgp.ReadUint64Bytes(bts)
 	if err != nil {
-		err = msgp.WrapError(err, "Whole")
+		err = msgp.WrapError(err, "CompleteEpoch")
 		return
 	}
 	o = bts
--- a/control/core/bounds_test.go
+++ b/control/core/bounds_test.go
@@ -238,17 +238,17 @@
 	c := chain.New(1, chain.State{}, empty{})
 	c.Adopt(0, &view.View{Epoch: 1, Chain: []view.ID{1, 2}}, true, false)
 	c.Take()
-	c.OnDisk(0, c.Mark())
+	c.OnSynced(0, c.LogOffset())
 	taken := uint64(0)
 	for number := uint64(1); number < 100; number++ {
-		if c.Order(0, 7, number, 1, make([]byte, size)) {
+		if c.Propose(0, 7, number, 1, make([]byte, size)) {
 			taken++
 		}
 	}
 	require.EqualValues(t, chain.MaxUncommitted/size+1, taken)
 	c.Take()
-	c.OnDisk(0, c.Mark())
-	c.OnBeat(0, 2, chain.Beat{Epoch: 1, Attached: true, Synced: 1})
+	c.OnSynced(0, c.LogOffset())
+	c.OnHeartbeat(0, 2, chain.Heartbeat{Epoch: 1, Attached: true, Synced: 1})
 	sent := 0
 	for _, send := range c.Take().Sends {
 		encoded, err := send.Message.(msgp.Marshaler).MarshalMsg(nil)
@@ -258,7 +258,7 @@
 	}
 	require.Greater(t, sent, chain.MaxUncommitted, "all that waits is passed on")
 	c.OnAck(&chain.Ack{Epoch: 1, Committed: c.Last()})
-	require.True(t, c.Order(0, 7, 100, 1, make([]byte, size)), "there is room again")
+	require.True(t, c.Propose(0, 7, 100, 1, make([]byte, size)), "there is room again")
 }
 
 // TestADamagedFileNeverBringsBackAnOlderState has each byte range of a member's files rot: it refuses the disk, or has all that was taken.
--- a/control/core/compat_test.go
+++ b/control/core/compat_test.go
@@ -185,12 +185,12 @@
 	first = &Image{
 		ID: 0x11, Founders: []string{"10.0.0.1:7000", "10.0.0.2:7000"}, View: compatView(1),
 		Vote:    view.Vote{Epoch: 1, Promised: view.Ballot{Round: 2, Proposer: 0x22, Life: 9}},
-		Chain:   chain.State{Base: 3, BaseEpoch: 1, Entries: []chain.Entry{{Sequence: 4, Epoch: 1, Origin: 5, Number: 6, Command: []byte("old")}}, Whole: 1},
+		Chain:   chain.State{Base: 3, BaseEpoch: 1, Entries: []chain.Entry{{Sequence: 4, Epoch: 1, Origin: 5, Number: 6, Command: []byte("old")}}, CompleteEpoch: 1},
 		Machine: []byte("old machine"), Lease: lease.Past{Unknown: true},
 	}
 	second = &Image{
 		ID: 0x11, Founders: first.Founders, View: compatView(2), Vote: first.Vote,
-		Chain: chain.State{Base: 4, BaseEpoch: 1, Whole: 2}, Machine: []byte("machine"), Lease: lease.Past{Holder: 0x22},
+		Chain: chain.State{Base: 4, BaseEpoch: 1, CompleteEpoch: 2}, Machine: []byte("machine"), Lease: lease.Past{Holder: 0x22},
 	}
 	return first, second
 }
@@ -209,7 +209,7 @@
 			Epoch: 2, Promised: view.Ballot{Round: 4, Proposer: 0x33, Life: 8}, AcceptedAt: view.Ballot{Round: 3, Proposer: 0x22, Life: 7}, Accepted: next,
 		}},
 		{View: &next},
-		{Write: &chain.Write{Cut: true, Keep: 6, Entries: instead, Whole: 3}},
+		{Write: &chain.Write{Truncate: true, TruncateAfter: 6, Entries: instead, CompleteEpoch: 3}},
 		{Lease: &lease.Past{Holder: 0x11}},
 	}
 }
@@ -220,7 +220,7 @@
 	records := compatRecords()
 	kept.View, kept.Vote, kept.Lease = *records[2].View, *records[1].Vote, *records[4].Lease
 	kept.Chain.Entries = append(records[0].Write.Entries[:2:2], records[3].Write.Entries...)
-	kept.Chain.Whole = 3
+	kept.Chain.CompleteEpoch = 3
 	return kept
 }
 
--- a/control/core/model_checks_test.go
+++ b/control/core/model_checks_test.go
@@ -130,7 +130,7 @@
 		latest = max(latest, epoch)
 	}
 	for _, member := range m.members {
-		if member.node == nil || member.node.view.Epoch != latest || !member.node.chain.Whole() {
+		if member.node == nil || member.node.view.Epoch != latest || !member.node.chain.Complete() {
 			continue
 		}
 		for number, answer := range m.answers {
@@ -181,7 +181,7 @@
 		if _, voter := v.Voter(id); voter {
 			voters++
 		}
-		if at := v.Position(id); at >= 0 && (at < v.Whole || member.node.view.Epoch == v.Epoch && member.node.chain.Whole()) {
+		if at := v.Position(id); at >= 0 && (at < v.Whole || member.node.view.Epoch == v.Epoch && member.node.chain.Complete()) {
 			whole++
 		}
 	}
--- a/control/core/node.go
+++ b/control/core/node.go
@@ -193,7 +193,7 @@
 
 type batchMark struct {
 	batch uint64
-	mark  chain.Mark
+	mark  chain.LogOffset
 }
 
 // newNode makes a node from what is on its disk, nil if nothing is; then the first output has a write, and the node is silent until
@@ -219,10 +219,10 @@
 	n.self.ID, n.founder, n.view, n.vote = kept.ID, kept.Founders, kept.View, kept.Vote
 	n.chain = chain.New(n.self.ID, kept.Chain, config.Machine)
 	if config.faults.unbounded {
-		n.chain.Unbounded()
+		n.chain.MutateUnboundedApply()
 	}
 	if config.faults.eager {
-		n.chain.Eager()
+		n.chain.MutateEarlyCommit()
 	}
 	if config.faults.forgetful {
 		kept.Lease = lease.Past{}
@@ -397,7 +397,7 @@
 // next is when something is due: often while something is under way, else with the next beat.
 func (n *node) next(now time.Duration) time.Duration {
 	const brisk = 20 * time.Millisecond
-	if n.chain.Behind() && n.aside.from == "" {
+	if n.chain.HasUnapplied() && n.aside.from == "" {
 		return now + time.Millisecond
 	}
 	at := max(n.beatAt, now+brisk)
--- a/control/core/peers.go
+++ b/control/core/peers.go
@@ -19,7 +19,7 @@
 	}
 	n.prepareLate(m.Member)
 	if m.Member.ID != 0 {
-		n.chain.OnBeat(now, m.Member.ID, chain.Beat{Epoch: m.Epoch, Attached: m.Attached, Synced: m.Synced, Committed: m.Committed})
+		n.chain.OnHeartbeat(now, m.Member.ID, chain.Heartbeat{Epoch: m.Epoch, Attached: m.Attached, Synced: m.Synced, Committed: m.Committed})
 	}
 }
 
@@ -207,7 +207,7 @@
 		missing = append(slices.Clone(missing), n.self.ID)
 	}
 	return &beat{
-		Member: n.self, Epoch: n.view.Epoch, Founder: len(n.founder) > 0, Idle: n.idle, Whole: n.chain.Whole(),
+		Member: n.self, Epoch: n.view.Epoch, Founder: len(n.founder) > 0, Idle: n.idle, Whole: n.chain.Complete(),
 		Attached: n.chain.Attached(), Synced: n.chain.Synced(), Committed: n.chain.Committed(),
 		Missing: missing, Leading: n.leads(now), Leader: n.leaderAddress(now), Leaving: n.leaving,
 	}
--- a/control/core/persist.go
+++ b/control/core/persist.go
@@ -70,7 +70,7 @@
 	}
 	n.whole, n.records = false, nil
 	n.out.Writes = append(n.out.Writes, write)
-	n.marks = append(n.marks, batchMark{n.batch, n.chain.Mark()})
+	n.marks = append(n.marks, batchMark{n.batch, n.chain.LogOffset()})
 }
 
 func (n *node) image() []byte {
@@ -95,7 +95,7 @@
 		n.diskAnswers(now, batch)
 	}
 	for len(n.marks) > 0 && n.marks[0].batch <= batch {
-		n.chain.OnDisk(now, n.marks[0].mark)
+		n.chain.OnSynced(now, n.marks[0].mark)
 		n.drain(now)
 		n.marks = n.marks[1:]
 	}
--- a/control/core/simulation_test.go
+++ b/control/core/simulation_test.go
@@ -846,7 +846,7 @@
 			continue
 		}
 		fmt.Fprintf(&text, "%s id %v running %v epoch %d chain %v voters %d learners %d position %d whole %v attached %v sealed %v aside %q idle %v last %d synced %d committed %d missing %v wanted %v proposer %v leader %q\n",
-			member.address, n.self.ID, member.running, n.view.Epoch, n.view.Chain, len(n.view.Voters), len(n.view.Learners), n.chain.Position(), n.chain.Whole(), n.chain.Attached(),
+			member.address, n.self.ID, member.running, n.view.Epoch, n.view.Chain, len(n.view.Voters), len(n.view.Learners), n.chain.Position(), n.chain.Complete(), n.chain.Attached(),
 			n.vote.Sealed(n.view.Epoch), n.aside.from, n.idle, n.chain.Last(), n.chain.Synced(), n.chain.Committed(), n.missing, n.wanted, n.proposer != nil, n.leaderAddress(member.clock()))
 	}
 	return text.String()
--- a/control/core/submitting.go
+++ b/control/core/submitting.go
@@ -58,7 +58,7 @@
 		})
 		return
 	}
-	if n.chain.Order(now, n.origin, pending.number, low, pending.command) {
+	if n.chain.Propose(now, n.origin, pending.number, low, pending.command) {
 		pending.epoch, pending.sentAt = n.view.Epoch, now
 	}
 }
@@ -81,6 +81,6 @@
 	case n.chain.Position() > 0:
 		n.send(n.towardsHead(now), m)
 	default:
-		n.chain.Order(now, m.Origin, m.Number, m.Low, m.Command)
+		n.chain.Propose(now, m.Origin, m.Number, m.Low, m.Command)
 	}
 }
--- a/control/core/views.go
+++ b/control/core/views.go
@@ -15,7 +15,7 @@
 	if !n.isMember(n.self.ID) {
 		return
 	}
-	whole := n.chain.Whole() || n.config.faults.hollow && n.chain.Position() >= 0
+	whole := n.chain.Complete() || n.config.faults.hollow && n.chain.Position() >= 0
 	reply, changed := n.vote.Prepare(n.view.Epoch, m.Ballot)
 	if changed {
 		n.seal()
@@ -94,7 +94,7 @@
 
 // seemsWhole guesses whether a member of the chain is whole, from its last beat.
 func (n *node) seemsWhole(id view.ID) bool {
-	if n.view.Position(id) < n.view.Whole || id == n.self.ID && n.chain.Whole() {
+	if n.view.Position(id) < n.view.Whole || id == n.self.ID && n.chain.Complete() {
 		return true
 	}
 	p := n.find(id)
