--- a/control/chain/chain_test.go
+++ b/control/chain/chain_test.go
@@ -111,7 +111,7 @@
 }
 
 func three(epoch uint64, complete int, chain ...view.ID) *view.View {
-	return &view.View{Epoch: epoch, Chain: chain, Whole: complete}
+	return &view.View{Epoch: epoch, Chain: chain, Complete: complete}
 }
 
 func TestCommandsAreAppliedByAllInOrder(t *testing.T) {
--- a/control/chain/log.go
+++ b/control/chain/log.go
@@ -39,7 +39,7 @@
 
 // Follow is what a decided view means for the State: members named complete in it are.
 func (s *State) Follow(self view.ID, v *view.View) {
-	if position := v.Position(self); position >= 0 && position < v.Whole {
+	if position := v.Position(self); position >= 0 && position < v.Complete {
 		s.CompleteEpoch = v.Epoch
 	}
 }
--- a/control/core/compat_test.go
+++ b/control/core/compat_test.go
@@ -176,7 +176,7 @@
 			{ID: 0x33, Address: "10.0.0.3:7001", Zone: "c", Storage: true},
 		},
 		Learners: []view.Member{{ID: 0x44, Address: "10.0.0.4:7000", Zone: "a"}},
-		Chain:    []view.ID{0x22, 0x11, 0x44, 0x33}, Whole: 2, Holder: 0x22,
+		Chain:    []view.ID{0x22, 0x11, 0x44, 0x33}, Complete: 2, Holder: 0x22,
 	}
 }
 
@@ -184,7 +184,7 @@
 func compatImages() (first, second *Image) {
 	first = &Image{
 		ID: 0x11, Founders: []string{"10.0.0.1:7000", "10.0.0.2:7000"}, View: compatView(1),
-		Vote:    view.Vote{Epoch: 1, Promised: view.Ballot{Round: 2, Proposer: 0x22, Life: 9}},
+		Vote:    view.Vote{Epoch: 1, Promised: view.Ballot{Number: 2, Proposer: 0x22, Incarnation: 9}},
 		Chain:   chain.State{Base: 3, BaseEpoch: 1, Entries: []chain.Entry{{Sequence: 4, Epoch: 1, Origin: 5, Number: 6, Command: []byte("old")}}, CompleteEpoch: 1},
 		Machine: []byte("old machine"), Lease: lease.Past{Unknown: true},
 	}
@@ -206,7 +206,7 @@
 	return []record{
 		{Write: &chain.Write{Entries: entries}},
 		{Vote: &view.Vote{
-			Epoch: 2, Promised: view.Ballot{Round: 4, Proposer: 0x33, Life: 8}, AcceptedAt: view.Ballot{Round: 3, Proposer: 0x22, Life: 7}, Accepted: next,
+			Epoch: 2, Promised: view.Ballot{Number: 4, Proposer: 0x33, Incarnation: 8}, AcceptedAt: view.Ballot{Number: 3, Proposer: 0x22, Incarnation: 7}, Accepted: next,
 		}},
 		{View: &next},
 		{Write: &chain.Write{Truncate: true, TruncateAfter: 6, Entries: instead, CompleteEpoch: 3}},
--- a/control/core/founding.go
+++ b/control/core/founding.go
@@ -40,7 +40,7 @@
 }
 
 func firstView(members []view.Member) view.View {
-	first := view.View{Epoch: 1, Voters: members, Whole: len(members)}
+	first := view.View{Epoch: 1, Voters: members, Complete: len(members)}
 	for _, member := range members {
 		first.Chain = append(first.Chain, member.ID)
 	}
--- a/control/core/foundingstores.go
+++ b/control/core/foundingstores.go
@@ -97,8 +97,8 @@
 	if now < f.retryAt || n.firstVoters(now) == nil {
 		return
 	}
-	f.round = max(f.round, f.vote.Promised.Round) + 1
-	ballot := view.Ballot{Round: f.round, Proposer: seedID(n.self.Address), Life: n.origin}
+	f.round = max(f.round, f.vote.Promised.Number) + 1
+	ballot := view.Ballot{Number: f.round, Proposer: seedID(n.self.Address), Incarnation: n.origin}
 	f.proposer = view.NewProposer(now, f.seeds, ballot, n.config.faults.minority)
 	n.sendSeeds(f.proposer.Prepare())
 }
@@ -106,7 +106,7 @@
 func (n *node) pursueFounding(now time.Duration) {
 	f := n.founding
 	if f.proposer.Failed(now) {
-		f.round = max(f.round, f.proposer.Highest().Round)
+		f.round = max(f.round, f.proposer.Highest().Number)
 		f.proposer = nil
 		f.retryAt = now + foundingRetry + time.Duration(n.config.Random()%uint64(foundingRetry))
 		return
--- a/control/core/model_checks_test.go
+++ b/control/core/model_checks_test.go
@@ -181,7 +181,7 @@
 		if _, voter := v.Voter(id); voter {
 			voters++
 		}
-		if at := v.Position(id); at >= 0 && (at < v.Whole || member.node.view.Epoch == v.Epoch && member.node.chain.Complete()) {
+		if at := v.Position(id); at >= 0 && (at < v.Complete || member.node.view.Epoch == v.Epoch && member.node.chain.Complete()) {
 			whole++
 		}
 	}
--- a/control/core/replacement_test.go
+++ b/control/core/replacement_test.go
@@ -172,7 +172,7 @@
 		if _, ok := v.Voter(m.node.self.ID); ok {
 			voters++
 		}
-		if at := v.Position(m.node.self.ID); at >= 0 && (at < v.Whole || m.node.view.Epoch == v.Epoch && m.node.chain.Complete()) {
+		if at := v.Position(m.node.self.ID); at >= 0 && (at < v.Complete || m.node.view.Epoch == v.Epoch && m.node.chain.Complete()) {
 			whole++
 		}
 	}
--- a/control/core/views.go
+++ b/control/core/views.go
@@ -20,8 +20,8 @@
 	if changed {
 		n.seal()
 	}
-	reply.Whole = whole
-	reply.Holder, reply.Quiet = n.voter.Holder(now)
+	reply.Complete = whole
+	reply.Holder, reply.HolderUnknown = n.voter.Holder(now)
 	n.sendLasting(from.Address, &reply)
 }
 
@@ -75,18 +75,18 @@
 // knowledge is what the node knows of others, as view.Plan asks for it.
 func (n *node) knowledge(now time.Duration, promised func(view.ID) bool) view.Knowledge {
 	know := view.Knowledge{
-		Lives:    func(id view.ID) bool { return promised(id) || n.lives(now, id) },
-		Joinable: func(id view.ID) bool { return n.joinable(now, id) },
-		Touch:    func(a, b view.ID) bool { return n.touch(now, a, b) },
-		Down:     func(id view.ID) bool { return n.silence(now, id) >= n.config.DownAfter },
-		Gone:     func(id view.ID) bool { return n.silence(now, id) >= n.config.GoneAfter },
-		Leaving:  func(id view.ID) bool { return n.leaves(id) || n.mayDepart(now, id) },
-		Spared:   func(id view.ID) bool { return n.spared(now, id) },
-		Eager:    n.config.faults.voting,
+		Alive:               func(id view.ID) bool { return promised(id) || n.lives(now, id) },
+		Joinable:            func(id view.ID) bool { return n.joinable(now, id) },
+		Connected:           func(a, b view.ID) bool { return n.touch(now, a, b) },
+		Down:                func(id view.ID) bool { return n.silence(now, id) >= n.config.DownAfter },
+		Removable:           func(id view.ID) bool { return n.silence(now, id) >= n.config.GoneAfter },
+		Leaving:             func(id view.ID) bool { return n.leaves(id) || n.mayDepart(now, id) },
+		Dispensable:         func(id view.ID) bool { return n.spared(now, id) },
+		MutateImmediateVote: n.config.faults.voting,
 	}
 	for _, p := range n.peers {
 		if p.contacted && p.member.ID != 0 {
-			know.Others = append(know.Others, p.member)
+			know.Known = append(know.Known, p.member)
 		}
 	}
 	return know
@@ -94,7 +94,7 @@
 
 // seemsWhole guesses whether a member of the chain is whole, from its last beat.
 func (n *node) seemsWhole(id view.ID) bool {
-	if n.view.Position(id) < n.view.Whole || id == n.self.ID && n.chain.Complete() {
+	if n.view.Position(id) < n.view.Complete || id == n.self.ID && n.chain.Complete() {
 		return true
 	}
 	p := n.find(id)
@@ -152,7 +152,7 @@
 // prepareLate asks a voter that has just been heard for the promise that is being gathered, unless it has given it: it may have started
 // since the question was sent, or have missed it.
 func (n *node) prepareLate(member view.Member) {
-	if n.proposer != nil && n.proposer.Lacks(member.ID) {
+	if n.proposer != nil && n.proposer.Awaits(member.ID) {
 		n.deliver(post{member.Address, n.proposer.Prepare()})
 	}
 }
@@ -205,11 +205,11 @@
 }
 
 func (n *node) propose(now time.Duration) {
-	n.round = max(n.round, n.vote.Promised.Round) + 1
+	n.round = max(n.round, n.vote.Promised.Number) + 1
 	if n.vote.Epoch != n.view.Epoch {
 		n.round = 1
 	}
-	n.proposer = view.NewProposer(now, n.view, view.Ballot{Round: n.round, Proposer: n.self.ID, Life: n.origin}, n.config.faults.minority)
+	n.proposer = view.NewProposer(now, n.view, view.Ballot{Number: n.round, Proposer: n.self.ID, Incarnation: n.origin}, n.config.faults.minority)
 	n.sendMembers(n.proposer.Prepare())
 }
 
@@ -217,7 +217,7 @@
 func (n *node) pursue(now time.Duration) {
 	p := n.proposer
 	if p.Failed(now) {
-		n.round = max(n.round, p.Highest().Round)
+		n.round = max(n.round, p.Highest().Number)
 		n.proposer = nil
 		pause := rankPause + time.Duration(n.config.Random()%uint64(2*rankPause))
 		n.retryAt = now + pause + time.Duration(n.rank(now))*rankPause
--- a/control/view/compat_test.go
+++ b/control/view/compat_test.go
@@ -54,12 +54,12 @@
 func samples() map[string]message {
 	voter := Member{ID: 0xfedcba9876543210, Address: "10.0.0.1:7200", Zone: "a", Storage: true}
 	learner := Member{ID: 0x1234, Address: "10.0.0.2:7200", Zone: "b", Storage: true}
-	ballot := Ballot{Round: 0x10000, Proposer: 0xfedcba9876543210, Life: 0x0102030405060708}
-	promised := Ballot{Round: 0x10001, Proposer: 0x1234, Life: 77}
-	accepted := Ballot{Round: 3, Proposer: 5, Life: 0x8000}
+	ballot := Ballot{Number: 0x10000, Proposer: 0xfedcba9876543210, Incarnation: 0x0102030405060708}
+	promised := Ballot{Number: 0x10001, Proposer: 0x1234, Incarnation: 77}
+	accepted := Ballot{Number: 3, Proposer: 5, Incarnation: 0x8000}
 	decided := View{
 		Epoch: 0x100000000, Voters: []Member{voter, {ID: 9, Address: "10.0.0.3:7200", Zone: "c", Storage: true}}, Learners: []Member{learner},
-		Chain: []ID{0xfedcba9876543210, 9, 0x1234}, Whole: 2, Holder: 9, Vacant: true,
+		Chain: []ID{0xfedcba9876543210, 9, 0x1234}, Complete: 2, Holder: 9, Vacant: true,
 	}
 	return map[string]message{
 		"member":       &voter,
@@ -67,7 +67,7 @@
 		"ballot":       &ballot,
 		"vote":         &Vote{Epoch: 300, Promised: promised, AcceptedAt: accepted, Accepted: decided},
 		"prepare":      &Prepare{View: decided, Ballot: ballot},
-		"promise":      &Promise{Epoch: 301, Ballot: ballot, Granted: true, Promised: promised, AcceptedAt: accepted, Accepted: decided, Whole: true, Holder: 9, Quiet: true},
+		"promise":      &Promise{Epoch: 301, Ballot: ballot, Granted: true, Promised: promised, AcceptedAt: accepted, Accepted: decided, Complete: true, Holder: 9, HolderUnknown: true},
 		"accept":       &Accept{Epoch: 302, Ballot: ballot, View: decided},
 		"accept-reply": &AcceptReply{Epoch: 303, Ballot: ballot, Granted: true, Promised: promised},
 	}
--- a/control/view/explore_test.go
+++ b/control/view/explore_test.go
@@ -15,25 +15,25 @@
 
 // Ticks of the model: a view that is wanted is decided within one, as long as a majority of the voters is up.
 const (
-	downTicks    = 2  // of silence, then a voter may lose its vote to another
-	joinTicks    = 1  // after a start, until a machine is heard of
-	fillTicks    = 2  // after a machine has come into the chain, until it is whole
-	catchupTicks = 6  // after a start, until a machine does not count as lost any more
-	goneTicks    = 14 // of silence, then a voter may be given up
+	downTicks      = 2  // of silence, then a voter may lose its vote to another
+	joinTicks      = 1  // after a start, until a machine is heard of
+	fillTicks      = 2  // after a machine has come into the chain, until it is complete
+	catchupTicks   = 6  // after a start, until a machine does not count as lost any more
+	removableTicks = 14 // of silence, then a voter may be given up
 )
 
-// machine is one of a place in the core: it is up or lost.
+// machine is one of a site of the core: it is up or lost.
 type machine struct {
 	ID      view.ID
 	Address int
 	Up      bool
 	Stops   bool // it has been told to stop, and waits for its vote to be taken
-	Since   int  // ticks since it has started or was lost, up to goneTicks
+	Since   int  // ticks since it has started or was lost, up to removableTicks
 	Filled  int  // ticks in the chain, up to fillTicks
 }
 
-// place is a place in the core. It counts as lost while its machine is down, and until its successor has had its time.
-type place struct {
+// site is where one member of the core runs. It counts as lost while its machine is down, and until its successor has had its time.
+type site struct {
 	Machine   machine
 	Successor *machine // of a planned replacement: it has come, the old one still runs
 	Waits     int      // ticks until it is not lost any more, zero if it is not
@@ -42,42 +42,42 @@
 // replacing is a model of the membership alone: machines are lost and replaced, and a view is decided whenever another is planned. The rest
 // of the core is assumed as its simulation shows it: silence is noticed, newcomers are heard of and filled within bounds.
 type replacing struct {
-	lost    int // losses that are borne
-	Places  []place
-	Ended   []machine // that were replaced, until they are silent for goneTicks
-	View    view.View
-	Next    view.ID
-	Left    int // replacements that may still be begun
-	mistake func(know *view.Knowledge)
+	tolerated int // losses that are borne
+	Sites     []site
+	Replaced  []machine // that were replaced, until they are unreachable for removableTicks
+	View      view.View
+	Next      view.ID
+	Left      int // replacements that may still be begun
+	mistake   func(know *view.Knowledge)
 }
 
-func newReplacing(places, lost, replacements int) *replacing {
-	r := &replacing{lost: lost, Left: replacements, Next: view.ID(places + 1)}
+func newReplacing(sites, tolerated, replacements int) *replacing {
+	r := &replacing{tolerated: tolerated, Left: replacements, Next: view.ID(sites + 1)}
 	r.View.Epoch = 1
-	for i := range places {
+	for i := range sites {
 		id := view.ID(i + 1)
-		r.Places = append(r.Places, place{Machine: machine{ID: id, Address: i, Up: true, Since: goneTicks, Filled: fillTicks}})
+		r.Sites = append(r.Sites, site{Machine: machine{ID: id, Address: i, Up: true, Since: removableTicks, Filled: fillTicks}})
 		m := view.Member{ID: id, Address: fmt.Sprint(i)}
-		if i < places-1+places%2 {
+		if i < sites-1+sites%2 {
 			r.View.Voters = append(r.View.Voters, m)
 		} else {
 			r.View.Learners = append(r.View.Learners, m)
 		}
 		r.View.Chain = append(r.View.Chain, id)
 	}
-	r.View.Whole = places
+	r.View.Complete = sites
 	return r
 }
 
 // machines lists all that exist, or were there lately.
 func (r *replacing) machines() []*machine {
 	var all []*machine
-	for i := range r.Ended {
-		all = append(all, &r.Ended[i])
+	for i := range r.Replaced {
+		all = append(all, &r.Replaced[i])
 	}
-	for i := range r.Places {
-		all = append(all, &r.Places[i].Machine)
-		if successor := r.Places[i].Successor; successor != nil {
+	for i := range r.Sites {
+		all = append(all, &r.Sites[i].Machine)
+		if successor := r.Sites[i].Successor; successor != nil {
 			all = append(all, successor)
 		}
 	}
@@ -94,24 +94,24 @@
 }
 
 func (r *replacing) knowledge() view.Knowledge {
-	silent := func(id view.ID, ticks int) bool {
+	unreachable := func(id view.ID, ticks int) bool {
 		m := r.find(id)
 		return m == nil || !m.Up && m.Since >= ticks
 	}
 	know := view.Knowledge{
-		Lives: func(id view.ID) bool { return !silent(id, 1) },
+		Alive: func(id view.ID) bool { return !unreachable(id, 1) },
 		Joinable: func(id view.ID) bool {
 			m := r.find(id)
 			return m != nil && m.Up && (m.Since >= joinTicks || r.View.Position(id) >= 0)
 		},
-		Touch:   func(a, b view.ID) bool { return true },
-		Down:    func(id view.ID) bool { return silent(id, downTicks) },
-		Gone:    func(id view.ID) bool { return silent(id, goneTicks) },
-		Leaving: func(id view.ID) bool { m := r.find(id); return m != nil && m.Stops },
+		Connected: func(a, b view.ID) bool { return true },
+		Down:      func(id view.ID) bool { return unreachable(id, downTicks) },
+		Removable: func(id view.ID) bool { return unreachable(id, removableTicks) },
+		Leaving:   func(id view.ID) bool { m := r.find(id); return m != nil && m.Stops },
 	}
 	for _, m := range r.machines() {
 		if m.Up {
-			know.Others = append(know.Others, view.Member{ID: m.ID, Address: fmt.Sprint(m.Address)})
+			know.Known = append(know.Known, view.Member{ID: m.ID, Address: fmt.Sprint(m.Address)})
 		}
 	}
 	if r.mistake != nil {
@@ -120,10 +120,10 @@
 	return know
 }
 
-func (r *replacing) whole(id view.ID) bool {
+func (r *replacing) complete(id view.ID) bool {
 	m := r.find(id)
 	at := r.View.Position(id)
-	return m != nil && m.Up && at >= 0 && (at < r.View.Whole || m.Filled >= fillTicks)
+	return m != nil && m.Up && at >= 0 && (at < r.View.Complete || m.Filled >= fillTicks)
 }
 
 func (r *replacing) upVoters() int {
@@ -141,7 +141,7 @@
 	if r.upVoters() < r.View.Majority() {
 		return
 	}
-	next, ok := view.Plan(&r.View, r.knowledge(), r.whole)
+	next, ok := view.Plan(&r.View, r.knowledge(), r.complete)
 	if !ok || view.Same(&r.View, &next) {
 		return
 	}
@@ -153,15 +153,15 @@
 func (r *replacing) tick() {
 	r.decide()
 	for _, m := range r.machines() {
-		m.Since = min(m.Since+1, goneTicks)
+		m.Since = min(m.Since+1, removableTicks)
 		if m.Up && r.View.Position(m.ID) >= 0 {
 			m.Filled = min(m.Filled+1, fillTicks)
 		}
 	}
-	r.Ended = slices.DeleteFunc(r.Ended, func(m machine) bool { return m.Since >= goneTicks })
+	r.Replaced = slices.DeleteFunc(r.Replaced, func(m machine) bool { return m.Since >= removableTicks })
 	r.decide()
-	for i := range r.Places {
-		p := &r.Places[i]
+	for i := range r.Sites {
+		p := &r.Sites[i]
 		p.Waits = max(0, p.Waits-1)
 		if p.Machine.Stops {
 			r.end(p.Machine)
@@ -170,31 +170,31 @@
 	}
 }
 
-// counted says whether a place counts as lost.
-func (p *place) counted() bool {
+// counted says whether a site counts as lost.
+func (p *site) counted() bool {
 	return p.Waits > 0 || !p.Machine.Up || p.Successor != nil && !p.Successor.Up
 }
 
-func (r *replacing) lostPlaces() int {
-	lost := 0
-	for i := range r.Places {
-		if r.Places[i].counted() {
-			lost++
+func (r *replacing) lostSites() int {
+	counted := 0
+	for i := range r.Sites {
+		if r.Sites[i].counted() {
+			counted++
 		}
 	}
-	return lost
+	return counted
 }
 
-// Enabled implements explore.System: a machine may be lost when that is within the tolerance, or its place counts as lost already.
+// Enabled implements explore.System: a machine may be lost when that is within the tolerance, or its site counts as lost already.
 func (r *replacing) Enabled() []explore.Action {
 	actions := []explore.Action{{Name: "tick"}}
 	add := func(verb string, at int) {
 		fault := verb == "lose" || verb == "lose-new" || verb == "plan"
 		actions = append(actions, explore.Action{Name: fmt.Sprint(verb, " ", at), Fault: fault})
 	}
-	may := r.lostPlaces() < r.lost
-	for at := range r.Places {
-		p := &r.Places[at]
+	may := r.lostSites() < r.tolerated
+	for at := range r.Sites {
+		p := &r.Sites[at]
 		counted := p.counted()
 		switch {
 		case !p.Machine.Up:
@@ -231,7 +231,7 @@
 		r.tick()
 		return
 	}
-	p := &r.Places[at]
+	p := &r.Sites[at]
 	switch verb {
 	case "lose":
 		p.Machine.Up, p.Machine.Since = false, 0
@@ -259,7 +259,7 @@
 	if m.Up {
 		m.Up, m.Since = false, 0
 	}
-	r.Ended = append(r.Ended, m)
+	r.Replaced = append(r.Replaced, m)
 }
 
 func (r *replacing) newcomer(address int) machine {
@@ -285,8 +285,8 @@
 		},
 		Omit: map[reflect.Type][]string{reflect.TypeFor[machine](): {"Address"}, reflect.TypeFor[view.Member](): {"Address"}},
 	}
-	b := encoder.Append(nil, r.Places)
-	b = encoder.Append(b, r.Ended)
+	b := encoder.Append(nil, r.Sites)
+	b = encoder.Append(b, r.Replaced)
 	b = encoder.Append(b, r.View)
 	b = encoder.Append(b, r.Left)
 	for _, member := range r.View.Members() {
@@ -300,11 +300,11 @@
 // Clone implements explore.System.
 func (r *replacing) Clone() explore.System { return explore.Clone(r) }
 
-// Check implements explore.System: whatever else may be lost, a majority is left, and a whole member.
+// Check implements explore.System: whatever else may be lost, a majority is left, and a complete member.
 func (r *replacing) Check() error {
-	voters, whole := 0, 0
-	for i := range r.Places {
-		p := &r.Places[i]
+	voters, complete := 0, 0
+	for i := range r.Sites {
+		p := &r.Sites[i]
 		if p.counted() && p.Successor == nil || !p.Machine.Up {
 			continue
 		}
@@ -316,17 +316,17 @@
 			if _, voter := r.View.Voter(m.ID); voter {
 				voters++
 			}
-			if r.whole(m.ID) {
-				whole++
+			if r.complete(m.ID) {
+				complete++
 			}
 		}
 	}
-	more := max(0, r.lost-r.lostPlaces())
+	more := max(0, r.tolerated-r.lostSites())
 	if voters-more < r.View.Majority() {
 		return fmt.Errorf("%d of %d voters can be relied on, and %d more may be lost", voters, len(r.View.Voters), more)
 	}
-	if whole-more < 1 {
-		return fmt.Errorf("%d whole members can be relied on, and %d more may be lost", whole, more)
+	if complete-more < 1 {
+		return fmt.Errorf("%d complete members can be relied on, and %d more may be lost", complete, more)
 	}
 	return nil
 }
@@ -335,10 +335,10 @@
 
 // TestNoOrderOfReplacementsLeavesNoMajority searches from calm cores, as far as a number of states allows.
 func TestNoOrderOfReplacementsLeavesNoMajority(t *testing.T) {
-	for _, c := range []struct{ places, lost, replacements, faults int }{{3, 1, 2, 3}, {4, 1, 2, 3}, {5, 1, 2, 3}, {5, 2, 2, 3}} {
-		t.Run(fmt.Sprintf("%d machines, %d lost", c.places, c.lost), func(t *testing.T) {
+	for _, c := range []struct{ sites, tolerated, replacements, faults int }{{3, 1, 2, 3}, {4, 1, 2, 3}, {5, 1, 2, 3}, {5, 2, 2, 3}} {
+		t.Run(fmt.Sprintf("%d machines, %d lost", c.sites, c.tolerated), func(t *testing.T) {
 			t.Parallel()
-			result := explore.Run(newReplacing(c.places, c.lost, c.replacements), explore.Scope{States: *searchLarge, Faults: c.faults})
+			result := explore.Run(newReplacing(c.sites, c.tolerated, c.replacements), explore.Scope{States: *searchLarge, Faults: c.faults})
 			t.Log(result)
 			require.Nil(t, result.Violation)
 		})
@@ -348,9 +348,9 @@
 // TestVotesThatAreKeptAreFound has voters that are down, or that are told to stop, keep their votes, or newcomers get votes at once.
 func TestVotesThatAreKeptAreFound(t *testing.T) {
 	for name, mistake := range map[string]func(know *view.Knowledge){
-		"down":     func(know *view.Knowledge) { know.Down = know.Gone },
+		"down":     func(know *view.Knowledge) { know.Down = know.Removable },
 		"stopping": func(know *view.Knowledge) { know.Leaving = no },
-		"eager":    func(know *view.Knowledge) { know.Eager = true },
+		"eager":    func(know *view.Knowledge) { know.MutateImmediateVote = true },
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
--- a/control/view/members.go
+++ b/control/view/members.go
@@ -6,32 +6,32 @@
 //
 // A newcomer is a learner at first, so that it raises no majority before it can be relied on. It gets a vote in three ways: it takes that
 // of a voter that is down, leaves, or has lost its disk, which leaves the majority as it is; it makes an even number of voters odd, which
-// does so too; or two that are whole become voters together, which raises the majority by one and the losses that are borne by one.
+// does so too; or two that are complete become voters together, which raises the majority by one and the losses that are borne by one.
 type membership struct {
-	know     Knowledge
-	whole    func(ID) bool
-	voters   []Member
-	learners []Member
+	knowledge Knowledge
+	complete  func(ID) bool
+	voters    []Member
+	learners  []Member
 }
 
-func planMembers(current *View, know Knowledge, whole func(ID) bool) (voters, learners []Member) {
-	m := &membership{know: know, whole: whole}
-	m.keep(current)
+func planMembers(current *View, knowledge Knowledge, complete func(ID) bool) (voters, learners []Member) {
+	m := &membership{knowledge: knowledge, complete: complete}
+	m.retain(current)
 	m.admit()
-	if know.Eager {
+	if knowledge.MutateImmediateVote {
 		m.voters, m.learners = append(m.voters, m.learners...), nil
 	}
 	m.replace()
 	m.grow()
-	m.giveUp()
-	m.learners = slices.DeleteFunc(m.learners, func(member Member) bool { return know.Gone(member.ID) })
+	m.demote()
+	m.learners = slices.DeleteFunc(m.learners, func(member Member) bool { return knowledge.Removable(member.ID) })
 	return m.voters, m.learners
 }
 
-// keep keeps the members, except that a new disk replaces the one of its address, vote included, and that those go who wish to and may.
-func (m *membership) keep(current *View) {
+// retain takes over the members, except that a new disk replaces the one of its address, vote included, and that those go who wish to and may.
+func (m *membership) retain(current *View) {
 	for _, member := range current.Voters {
-		if m.spared(member.ID) {
+		if m.dispensable(member.ID) {
 			continue
 		}
 		if successor, ok := m.successor(member); ok {
@@ -42,7 +42,7 @@
 		}
 	}
 	for _, member := range current.Learners {
-		if _, replaced := m.successor(member); !replaced && !m.has(member.ID) && !m.spared(member.ID) {
+		if _, replaced := m.successor(member); !replaced && !m.has(member.ID) && !m.dispensable(member.ID) {
 			m.learners = append(m.learners, member)
 		}
 	}
@@ -50,7 +50,7 @@
 
 // admit makes those learners that were heard of and are no members.
 func (m *membership) admit() {
-	for _, member := range sortedMembers(m.know.Others) {
+	for _, member := range sortedMembers(m.knowledge.Known) {
 		if !m.has(member.ID) && m.eligible(member) && !m.superseded(member) {
 			m.learners = append(m.learners, member)
 		}
@@ -63,8 +63,8 @@
 		if !m.unreliable(member) {
 			continue
 		}
-		if heir := m.best(); heir >= 0 {
-			m.voters[i], m.learners[heir] = m.learners[heir], member
+		if replacement := m.bestCandidate(); replacement >= 0 {
+			m.voters[i], m.learners[replacement] = m.learners[replacement], member
 		}
 	}
 }
@@ -72,11 +72,11 @@
 // grow makes voters of learners as far as that lets more be lost.
 func (m *membership) grow() {
 	if len(m.voters)%2 == 0 {
-		m.promote(m.best())
+		m.promote(m.bestCandidate())
 	}
 	for {
-		first := m.bestWhole(-1)
-		second := m.bestWhole(first)
+		first := m.bestComplete(-1)
+		second := m.bestComplete(first)
 		if first < 0 || second < 0 {
 			return
 		}
@@ -92,17 +92,17 @@
 	}
 }
 
-// best is the place of the learner that had better get a vote, -1 if there is none that can: a whole one, if there is one.
-func (m *membership) best() int {
-	if at := m.bestWhole(-1); at >= 0 {
+// bestCandidate is the index of the learner that had better get a vote, -1 if there is none that can: a complete one, if there is one.
+func (m *membership) bestCandidate() int {
+	if at := m.bestComplete(-1); at >= 0 {
 		return at
 	}
 	return slices.IndexFunc(m.learners, m.eligible)
 }
 
-func (m *membership) bestWhole(but int) int {
+func (m *membership) bestComplete(but int) int {
 	for at, member := range m.learners {
-		if at != but && m.eligible(member) && m.whole(member.ID) {
+		if at != but && m.eligible(member) && m.complete(member.ID) {
 			return at
 		}
 	}
@@ -110,10 +110,12 @@
 }
 
 func (m *membership) eligible(member Member) bool {
-	return m.know.Joinable(member.ID) && !m.know.Leaving(member.ID)
+	return m.knowledge.Joinable(member.ID) && !m.knowledge.Leaving(member.ID)
 }
 
-func (m *membership) spared(id ID) bool { return m.know.Spared != nil && m.know.Spared(id) }
+func (m *membership) dispensable(id ID) bool {
+	return m.knowledge.Dispensable != nil && m.knowledge.Dispensable(id)
+}
 
 func (m *membership) has(id ID) bool {
 	_, voter := find(m.voters, id)
@@ -123,10 +125,10 @@
 
 // successor finds the member that has a voter's or learner's address with another disk.
 func (m *membership) successor(of Member) (Member, bool) {
-	if m.know.Lives(of.ID) {
+	if m.knowledge.Alive(of.ID) {
 		return Member{}, false
 	}
-	for _, other := range m.know.Others {
+	for _, other := range m.knowledge.Known {
 		if other.Address == of.Address && other.ID != of.ID && m.eligible(other) && !m.superseded(other) {
 			return other, true
 		}
@@ -136,30 +138,30 @@
 
 // superseded says whether a member that is heard of shares its address with another that is heard of too: the address tells too little.
 func (m *membership) superseded(member Member) bool {
-	return slices.ContainsFunc(m.know.Others, func(other Member) bool {
-		return other.Address == member.Address && other.ID > member.ID && m.know.Joinable(other.ID)
+	return slices.ContainsFunc(m.knowledge.Known, func(other Member) bool {
+		return other.Address == member.Address && other.ID > member.ID && m.knowledge.Joinable(other.ID)
 	})
 }
 
 // leastVoters is how many voters are kept: were there fewer, the loss of one for good could leave nobody to decide, though others come back.
 const leastVoters = 3
 
-// giveUp drops voters that are down or leave as far as that lets the rest bear more losses. They are learners until they come back.
-func (m *membership) giveUp() {
-	var gone []ID
+// demote drops voters that are down or leave as far as that lets the rest bear more losses. They are learners until they come back.
+func (m *membership) demote() {
+	var unreliable []ID
 	for _, member := range m.voters {
 		if m.unreliable(member) {
-			gone = append(gone, member.ID)
+			unreliable = append(unreliable, member.ID)
 		}
 	}
-	best, bestMargin := 0, margin(len(m.voters), len(gone))
-	for drop := 1; drop <= min(len(gone), len(m.voters)-leastVoters); drop++ {
-		if left := margin(len(m.voters)-drop, len(gone)-drop); left > bestMargin {
+	best, bestMargin := 0, margin(len(m.voters), len(unreliable))
+	for drop := 1; drop <= min(len(unreliable), len(m.voters)-leastVoters); drop++ {
+		if left := margin(len(m.voters)-drop, len(unreliable)-drop); left > bestMargin {
 			best, bestMargin = drop, left
 		}
 	}
 	m.voters = slices.DeleteFunc(m.voters, func(member Member) bool {
-		dropped := slices.Contains(gone[:best], member.ID)
+		dropped := slices.Contains(unreliable[:best], member.ID)
 		if dropped {
 			m.learners = append(m.learners, member)
 		}
@@ -169,7 +171,7 @@
 
 // unreliable says whether a voter is down, or about to be.
 func (m *membership) unreliable(member Member) bool {
-	return m.know.Down(member.ID) || m.know.Leaving(member.ID)
+	return m.knowledge.Down(member.ID) || m.knowledge.Leaving(member.ID)
 }
 
 // margin is how many more voters may be lost with a majority left.
--- a/control/view/members_test.go
+++ b/control/view/members_test.go
@@ -39,15 +39,15 @@
 	planned, _ = view.Plan(&current, know, no123)
 	require.Equal(t, []view.ID{1, 2, 4}, ids(planned.Voters), "even before it is filled")
 	require.Equal(t, []view.ID{3}, ids(planned.Learners), "the other may come back")
-	know.Gone = among(3)
+	know.Removable = among(3)
 	planned, _ = view.Plan(&current, know, yes)
 	require.Empty(t, planned.Learners)
 }
 
-// no123 has all but the newcomer whole.
+// no123 has all but the newcomer complete.
 func no123(id view.ID) bool { return id != 4 }
 
-func TestAWholeLearnerIsPreferred(t *testing.T) {
+func TestACompleteLearnerIsPreferred(t *testing.T) {
 	current := of(7, []view.ID{1, 2, 4, 5}, 1, 2, 3)
 	current.Learners = []view.Member{member(4), member(5)}
 	know := knowing(among(1, 2, 4, 5), 1, 2, 3, 4, 5)
@@ -60,7 +60,7 @@
 	current := of(7, []view.ID{1, 2, 3, 4, 5}, 1, 2, 3)
 	current.Learners = []view.Member{member(4), member(5)}
 	planned, _ := view.Plan(&current, knowing(yes, 1, 2, 3, 4, 5), among(1, 2, 3, 4))
-	require.Equal(t, []view.ID{1, 2, 3}, ids(planned.Voters), "one is not whole")
+	require.Equal(t, []view.ID{1, 2, 3}, ids(planned.Voters), "one is not complete")
 	planned, _ = view.Plan(&current, knowing(yes, 1, 2, 3, 4, 5), yes)
 	require.ElementsMatch(t, []view.ID{1, 2, 3, 4, 5}, ids(planned.Voters))
 	require.Empty(t, planned.Learners)
@@ -89,7 +89,7 @@
 	require.True(t, ok)
 	require.Equal(t, []view.ID{1, 2, 3}, planned.Chain, "all leave")
 	planned, _ = view.Plan(&alone, know3(among(1)), among(1))
-	require.Equal(t, []view.ID{1, 2, 3}[:1], planned.Chain[:1], "only the one that leaves is whole")
+	require.Equal(t, []view.ID{1, 2, 3}[:1], planned.Chain[:1], "only the one that leaves is complete")
 }
 
 func know3(leaving func(view.ID) bool) view.Knowledge {
@@ -101,7 +101,7 @@
 func TestANewDiskTakesTheVoteOfItsAddress(t *testing.T) {
 	current := of(7, []view.ID{1, 2, 3}, 1, 2, 3)
 	know := knowing(among(2, 3, 9, 4), 2, 3, 4)
-	know.Others = append(know.Others, view.Member{ID: 9, Address: member(1).Address})
+	know.Known = append(know.Known, view.Member{ID: 9, Address: member(1).Address})
 	planned, _ := view.Plan(&current, know, among(2, 3))
 	require.Equal(t, []view.ID{9, 2, 3}, ids(planned.Voters))
 	require.Equal(t, []view.ID{4}, ids(planned.Learners))
@@ -110,18 +110,18 @@
 func TestLearnersCountInNoMajority(t *testing.T) {
 	current := of(7, []view.ID{1, 2, 3, 4}, 1, 2, 3)
 	current.Learners = []view.Member{member(4)}
-	ballot := view.Ballot{Round: 1, Proposer: 1}
+	ballot := view.Ballot{Number: 1, Proposer: 1}
 	p := view.NewProposer(0, current, ballot, false)
 	promise := func(id view.ID) {
-		p.Promised(id, &view.Promise{Epoch: 7, Ballot: ballot, Granted: true, Whole: true})
+		p.Promised(id, &view.Promise{Epoch: 7, Ballot: ballot, Granted: true, Complete: true})
 	}
 	promise(1)
 	promise(4)
-	require.False(t, p.Gathered(view.GatherTime, no))
+	require.False(t, p.Gathered(view.GatherTimeout, no))
 	promise(2)
-	require.True(t, p.Gathered(view.GatherTime, no))
-	accept := p.Choose(func(whole func(view.ID) bool) (view.View, bool) {
-		require.True(t, whole(4), "that it is whole counts")
+	require.True(t, p.Gathered(view.GatherTimeout, no))
+	accept := p.Choose(func(complete func(view.ID) bool) (view.View, bool) {
+		require.True(t, complete(4), "that it is complete counts")
 		return current, true
 	})
 	accepted := &view.AcceptReply{Epoch: 7, Ballot: ballot, Granted: true}
--- a/control/view/plan.go
+++ b/control/view/plan.go
@@ -4,59 +4,59 @@
 
 // Knowledge is what a proposer knows of the others when it plans.
 type Knowledge struct {
-	Lives    func(ID) bool      // it is heard of
-	Joinable func(ID) bool      // it lives, and has for long enough to be taken in
-	Touch    func(a, b ID) bool // messages pass between both, both ways
-	Down     func(ID) bool      // it has been silent for so long that its vote had better be another's, or nobody's
-	Gone     func(ID) bool      // it has been down for so long that it is better forgotten
-	Leaving  func(ID) bool      // it lives, and is about to end or wishes to be no member any more
-	Spared   func(ID) bool      // it wishes to be no member any more, and the others can do without it; nil: none does
-	Others   []Member           // members that were heard of, whether or not they are of the view
-	Eager    bool               // a mistake that tests make on purpose: a newcomer gets a vote at once
+	Alive               func(ID) bool      // it is heard of
+	Joinable            func(ID) bool      // it lives, and has for long enough to be taken in
+	Connected           func(a, b ID) bool // messages pass between both, both ways
+	Down                func(ID) bool      // it has been unreachable for so long that its vote had better be another's, or nobody's
+	Removable           func(ID) bool      // it has been down for so long that it is better forgotten
+	Leaving             func(ID) bool      // it lives, and is about to end or wishes to be no member any more
+	Dispensable         func(ID) bool      // it wishes to be no member any more, and the others can do without it; nil: none does
+	Known               []Member           // members that were heard of, whether or not they are of the view
+	MutateImmediateVote bool               // a mutation of tests: a newcomer gets a vote at once
 }
 
-// Plan makes the successor of a view, epoch and holder apart: members of the chain that are whole stay in their order, then
-// come those that may join. Members that are about to end are left out, unless no other is whole. It refuses a chain without any whole
+// Plan makes the successor of a view, epoch and holder apart: members of the chain that are complete stay in their order, then
+// come those that may join. Members that are about to end are left out, unless no other is complete. It refuses a chain without any complete
 // member.
-func Plan(current *View, know Knowledge, whole func(ID) bool) (View, bool) {
-	voters, learners := planMembers(current, know, whole)
+func Plan(current *View, knowledge Knowledge, complete func(ID) bool) (View, bool) {
+	voters, learners := planMembers(current, knowledge, complete)
 	next := View{Voters: voters, Learners: learners}
-	next.Chain = keepChain(current, &next, know, func(id ID) bool { return whole(id) && !know.Leaving(id) })
+	next.Chain = retainChain(current, &next, knowledge, func(id ID) bool { return complete(id) && !knowledge.Leaving(id) })
 	if len(next.Chain) == 0 {
-		next.Chain = keepChain(current, &next, know, whole)
+		next.Chain = retainChain(current, &next, knowledge, complete)
 	}
-	next.Whole = len(next.Chain)
-	if next.Whole == 0 {
+	next.Complete = len(next.Chain)
+	if next.Complete == 0 {
 		return View{}, false
 	}
 	for _, id := range joiners(current, &next) {
-		if !slices.Contains(next.Chain, id) && know.Joinable(id) && !know.Leaving(id) && fits(next.Chain, id, know) {
+		if !slices.Contains(next.Chain, id) && knowledge.Joinable(id) && !knowledge.Leaving(id) && fits(next.Chain, id, knowledge) {
 			next.Chain = append(next.Chain, id)
 		}
 	}
 	return next, true
 }
 
-// keepChain lists those of the chain that live and are whole, but for those that would part too many of the others.
-func keepChain(current, next *View, know Knowledge, whole func(ID) bool) []ID {
+// retainChain lists those of the chain that live and are complete, but for those that would part too many of the others.
+func retainChain(current, next *View, knowledge Knowledge, complete func(ID) bool) []ID {
 	var kept []ID
 	for _, id := range current.Chain {
-		if _, member := next.Member(id); member && know.Lives(id) && whole(id) {
+		if _, member := next.Member(id); member && knowledge.Alive(id) && complete(id) {
 			kept = append(kept, id)
 		}
 	}
-	return longest(kept, know.Touch)
+	return longestConnected(kept, knowledge.Connected)
 }
 
-// longest is the longest part of a list, in its order, whose neighbours touch; of several the one that begins first. One that hears nobody,
-// even the head, must not shut out the others: were it lost then, nobody would be whole.
-func longest(list []ID, touch func(a, b ID) bool) []ID {
+// longestConnected is the longest part of a list, in its order, whose neighbours are connected; of several the one that begins first. One that hears nobody,
+// even the head, must not exclude the others: were it lost then, nobody would be complete.
+func longestConnected(list []ID, connected func(a, b ID) bool) []ID {
 	length, before := make([]int, len(list)), make([]int, len(list))
 	end := -1
 	for i := range list {
 		length[i], before[i] = 1, -1
 		for j := range i {
-			if touch(list[j], list[i]) && length[j]+1 > length[i] {
+			if connected(list[j], list[i]) && length[j]+1 > length[i] {
 				length[i], before[i] = length[j]+1, j
 			}
 		}
@@ -72,8 +72,8 @@
 	return chain
 }
 
-func fits(chain []ID, id ID, know Knowledge) bool {
-	return len(chain) == 0 || know.Touch(chain[len(chain)-1], id)
+func fits(chain []ID, id ID, knowledge Knowledge) bool {
+	return len(chain) == 0 || knowledge.Connected(chain[len(chain)-1], id)
 }
 
 // joiners lists the members, those of the current chain first and in its order, so that a plan is the same as long as nothing changes.
@@ -102,10 +102,10 @@
 
 // Durability is what a chain must have to commit.
 type Durability struct {
-	Copies      int // disks
-	LostZones   int // zones that may be lost: the chain lies in more
-	LostRegions int
-	RegionOf    func(zone string) string
+	Copies           int // disks
+	ToleratedZones   int // zones that may be lost: the chain lies in more
+	ToleratedRegions int
+	RegionOf         func(zone string) string
 }
 
 // Met says whether the chain of a view has enough disks, in enough zones and regions.
@@ -121,10 +121,10 @@
 	if len(v.Chain) < d.Copies {
 		return false
 	}
-	return len(zones) > d.LostZones && (d.LostRegions == 0 || len(regions) > d.LostRegions)
+	return len(zones) > d.ToleratedZones && (d.ToleratedRegions == 0 || len(regions) > d.ToleratedRegions)
 }
 
 // Voters is how many voters bear the losses that are to be borne, if they lie in as many zones.
 func (d Durability) Voters() int {
-	return max(leastVoters, 2*max(d.Copies-1, d.LostZones, d.LostRegions)+1)
+	return max(leastVoters, 2*max(d.Copies-1, d.ToleratedZones, d.ToleratedRegions)+1)
 }
--- a/control/view/proposer.go
+++ b/control/view/proposer.go
@@ -4,40 +4,40 @@
 
 // Time limits of a proposal.
 const (
-	GatherTime  = 120 * time.Millisecond // a majority having promised, so long is waited for the others that live
-	AttemptTime = 500 * time.Millisecond // then an attempt is given up
+	GatherTimeout  = 120 * time.Millisecond // a majority having promised, so long is waited for the others that live
+	AttemptTimeout = 500 * time.Millisecond // then an attempt is given up
 )
 
 // Proposer runs one attempt at deciding the successor of a view.
 type Proposer struct {
-	view     View
-	ballot   Ballot
-	started  time.Duration
-	promises map[ID]*Promise
-	accepts  map[ID]bool
-	value    *View // once the second phase has begun
-	highest  Ballot
-	minority bool
+	view           View
+	ballot         Ballot
+	started        time.Duration
+	promises       map[ID]*Promise
+	accepts        map[ID]bool
+	value          *View // once the second phase has begun
+	highest        Ballot
+	mutateMinority bool
 }
 
-// NewProposer starts an attempt. The caller sends Prepare to all members: learners tell whether they are whole, and count in no majority. With minority, which only tests of tests may ask for, a single
-// voter decides.
-func NewProposer(now time.Duration, current View, ballot Ballot, minority bool) *Proposer {
+// NewProposer starts an attempt. The caller sends Prepare to all members: learners answer whether they are complete, and count in no
+// majority. With mutateMinority, a mutation of tests, a single voter decides.
+func NewProposer(now time.Duration, current View, ballot Ballot, mutateMinority bool) *Proposer {
 	return &Proposer{
 		view: current, ballot: ballot, started: now,
 		promises: make(map[ID]*Promise), accepts: make(map[ID]bool), highest: ballot,
-		minority: minority,
+		mutateMinority: mutateMinority,
 	}
 }
 
 // Prepare is the message of the first phase.
 func (p *Proposer) Prepare() *Prepare { return &Prepare{View: p.view, Ballot: p.ballot} }
 
-// Gathering says whether promises are still waited for.
+// Gathering says whether the first phase goes on: promises are waited for.
 func (p *Proposer) Gathering() bool { return p.value == nil }
 
-// Lacks says whether a member's promise is waited for.
-func (p *Proposer) Lacks(id ID) bool {
+// Awaits says whether a member's promise is waited for.
+func (p *Proposer) Awaits(id ID) bool {
 	_, member := p.view.Member(id)
 	return member && p.Gathering() && p.promises[id] == nil
 }
@@ -47,11 +47,11 @@
 
 // Failed says whether the attempt is lost: another ballot is in the way, or it took too long.
 func (p *Proposer) Failed(now time.Duration) bool {
-	return p.ballot.Less(p.highest) || now-p.started >= AttemptTime
+	return p.ballot.Less(p.highest) || now-p.started >= AttemptTimeout
 }
 
 func (p *Proposer) quorum() int {
-	if p.minority {
+	if p.mutateMinority {
 		return 1
 	}
 	return p.view.Majority()
@@ -69,28 +69,28 @@
 		return
 	}
 	if !promise.Granted {
-		p.hear(promise.Promised)
+		p.observe(promise.Promised)
 		return
 	}
 	p.promises[from] = promise
 }
 
-func (p *Proposer) hear(ballot Ballot) {
+func (p *Proposer) observe(ballot Ballot) {
 	if p.highest.Less(ballot) {
 		p.highest = ballot
 	}
 }
 
 // Gathered says whether the second phase may begin: a majority has promised, and either everybody that lives, or time is up.
-func (p *Proposer) Gathered(now time.Duration, lives func(ID) bool) bool {
+func (p *Proposer) Gathered(now time.Duration, alive func(ID) bool) bool {
 	if p.value != nil || p.votes() < p.quorum() {
 		return false
 	}
-	if now-p.started >= GatherTime {
+	if now-p.started >= GatherTimeout {
 		return true
 	}
 	for _, member := range p.view.Members() {
-		if p.promises[member.ID] == nil && lives(member.ID) {
+		if p.promises[member.ID] == nil && alive(member.ID) {
 			return false
 		}
 	}
@@ -109,11 +109,11 @@
 }
 
 // Choose begins the second phase: with the view that a promise has shown to be accepted, else with one that plan makes out of those
-// whole members of the chain that promised. It returns nil if there is none to propose. The caller sends it to all members.
-func (p *Proposer) Choose(plan func(whole func(ID) bool) (View, bool)) *Accept {
+// complete members of the chain that promised. It returns nil if there is none to propose. The caller sends it to all members.
+func (p *Proposer) Choose(plan func(complete func(ID) bool) (View, bool)) *Accept {
 	value := p.accepted()
 	if value == nil {
-		planned, ok := plan(p.whole)
+		planned, ok := plan(p.complete)
 		if !ok {
 			return nil
 		}
@@ -139,9 +139,9 @@
 	return &value
 }
 
-func (p *Proposer) whole(id ID) bool {
+func (p *Proposer) complete(id ID) bool {
 	promise := p.promises[id]
-	return promise != nil && promise.Whole && p.view.Position(id) >= 0
+	return promise != nil && promise.Complete && p.view.Position(id) >= 0
 }
 
 // holder is whom all promises that know of a lease name. Since any holder has leases of a majority, nobody else can be one. It is
@@ -152,7 +152,7 @@
 		if promise == nil {
 			continue
 		}
-		if promise.Quiet || holder != 0 && promise.Holder != 0 && promise.Holder != holder {
+		if promise.HolderUnknown || holder != 0 && promise.Holder != 0 && promise.Holder != holder {
 			return 0, false
 		}
 		if promise.Holder != 0 {
@@ -171,7 +171,7 @@
 		return nil
 	}
 	if !reply.Granted {
-		p.hear(reply.Promised)
+		p.observe(reply.Promised)
 		return nil
 	}
 	p.accepts[from] = true
--- a/control/view/view.go
+++ b/control/view/view.go
@@ -1,5 +1,3 @@
-// Package view agrees on who belongs to the core and in which order its chain runs. The view of each epoch is decided by single-decree
-// Paxos among the voters of the epoch before. It is pure: promises that must be on disk before they are told are the caller's to sync.
 package view
 
 import (
@@ -30,7 +28,7 @@
 	Voters   []Member // an odd number where there are enough: they decide on the next view, and grant the leader lease
 	Learners []Member // the other members: they may be of the chain, and count in no majority
 	Chain    []ID     // the head first
-	Whole    int      // the first so many of Chain hold all that was committed in earlier epochs
+	Complete int      // the first so many of Chain hold all that was committed in earlier epochs
 	Holder   ID       // the only one that may hold the leader lease as the view is decided; zero if that is not known
 	Vacant   bool     // nobody can hold the lease as the view is decided
 }
@@ -87,20 +85,20 @@
 
 // Ballot orders the attempts to decide one view.
 type Ballot struct {
-	Round    uint64
-	Proposer ID
-	Life     uint64 // of the proposer: one that has forgotten its ballots in a restart makes others
+	Number      uint64 // climbs with each attempt of a proposer
+	Proposer    ID
+	Incarnation uint64 // of the proposer: one that has forgotten its ballots in a restart makes others
 }
 
 // Less says whether b comes before other.
 func (b Ballot) Less(other Ballot) bool {
-	if b.Round != other.Round {
-		return b.Round < other.Round
+	if b.Number != other.Number {
+		return b.Number < other.Number
 	}
 	if b.Proposer != other.Proposer {
 		return b.Proposer < other.Proposer
 	}
-	return b.Life < other.Life
+	return b.Incarnation < other.Incarnation
 }
 
 // Prepare asks a voter of View to promise a ballot for the view that follows. It carries the view, for voters that have not heard of it.
@@ -111,15 +109,15 @@
 
 // Promise answers a Prepare. If not Granted, Promised is the ballot that stands in the way.
 type Promise struct {
-	Epoch      uint64 // of the view whose successor is sought
-	Ballot     Ballot
-	Granted    bool
-	Promised   Ballot
-	AcceptedAt Ballot
-	Accepted   View // epoch zero: none
-	Whole      bool // the voter is of the chain and holds all that was committed before Epoch, and what it took in it
-	Holder     ID   // whom it has granted the leader lease, zero if nobody
-	Quiet      bool // it can't know whom it granted
+	Epoch         uint64 // of the view whose successor is sought
+	Ballot        Ballot
+	Granted       bool
+	Promised      Ballot
+	AcceptedAt    Ballot
+	Accepted      View // epoch zero: none
+	Complete      bool // the voter is of the chain and holds all that was committed before Epoch, and what it took in it
+	Holder        ID   // whom it has granted the leader lease, zero if nobody
+	HolderUnknown bool // it can't know whom it granted
 }
 
 // Accept asks a voter to accept a successor of the view of Epoch.
--- a/control/view/view_gen.go
+++ b/control/view/view_gen.go
@@ -33,9 +33,9 @@
 		err = msgp.ArrayError{Wanted: 3, Got: zb0002}
 		return
 	}
-	z.Ballot.Round, err = dc.ReadUint64()
+	z.Ballot.Number, err = dc.ReadUint64()
 	if err != nil {
-		err = msgp.WrapError(err, "Ballot", "Round")
+		err = msgp.WrapError(err, "Ballot", "Number")
 		return
 	}
 	{
@@ -47,9 +47,9 @@
 		}
 		z.Ballot.Proposer = ID(zb0003)
 	}
-	z.Ballot.Life, err = dc.ReadUint64()
+	z.Ballot.Incarnation, err = dc.ReadUint64()
 	if err != nil {
-		err = msgp.WrapError(err, "Ballot", "Life")
+		err = msgp.WrapError(err, "Ballot", "Incarnation")
 		return
 	}
 	err = z.View.DecodeMsg(dc)
@@ -77,9 +77,9 @@
 	if err != nil {
 		return
 	}
-	err = en.WriteUint64(z.Ballot.Round)
+	err = en.WriteUint64(z.Ballot.Number)
 	if err != nil {
-		err = msgp.WrapError(err, "Ballot", "Round")
+		err = msgp.WrapError(err, "Ballot", "Number")
 		return
 	}
 	err = en.WriteUint64(uint64(z.Ballot.Proposer))
@@ -87,9 +87,9 @@
 		err = msgp.WrapError(err, "Ballot", "Proposer")
 		return
 	}
-	err = en.WriteUint64(z.Ballot.Life)
+	err = en.WriteUint64(z.Ballot.Incarnation)
 	if err != nil {
-		err = msgp.WrapError(err, "Ballot", "Life")
+		err = msgp.WrapError(err, "Ballot", "Incarnation")
 		return
 	}
 	err = z.View.EncodeMsg(en)
@@ -108,9 +108,9 @@
 	o = msgp.AppendUint64(o, z.Epoch)
 	// array header, size 3
 	o = append(o, 0x93)
-	o = msgp.AppendUint64(o, z.Ballot.Round)
+	o = msgp.AppendUint64(o, z.Ballot.Number)
 	o = msgp.AppendUint64(o, uint64(z.Ballot.Proposer))
-	o = msgp.AppendUint64(o, z.Ballot.Life)
+	o = msgp.AppendUint64(o, z.Ballot.Incarnation)
 	o, err = z.View.MarshalMsg(o)
 	if err != nil {
 		err = msgp.WrapError(err, "View")
@@ -146,9 +146,9 @@
 		err = msgp.ArrayError{Wanted: 3, Got: zb0002}
 		return
 	}
-	z.Ballot.Round, bts, err = msgp.ReadUint64Bytes(bts)
+	z.Ballot.Number, bts, err = msgp.ReadUint64Bytes(bts)
 	if err != nil {
-		err = msgp.WrapError(err, "Ballot", "Round")
+		err = msgp.WrapError(err, "Ballot", "Number")
 		return
 	}
 	{
@@ -160,9 +160,9 @@
 		}
 		z.Ballot.Proposer = ID(zb0003)
 	}
-	z.Ballot.Life, bts, err = msgp.ReadUint64Bytes(bts)
+	z.Ballot.Incarnation, bts, err = msgp.ReadUint64Bytes(bts)
 	if err != nil {
-		err = msgp.WrapError(err, "Ballot", "Life")
+		err = msgp.WrapError(err, "Ballot", "Incarnation")
 		return
 	}
 	bts, err = z.View.UnmarshalMsg(bts)
@@ -319,9 +319,9 @@
 		err = msgp.ArrayError{Wanted: 3, Got: zb0001}
 		return
 	}
-	z.Round, err = dc.ReadUint64()
+	z.Number, err = dc.ReadUint64()
 	if err != nil {
-		err = msgp.WrapError(err, "Round")
+		err = msgp.WrapError(err, "Number")
 		return
 	}
 	{
@@ -333,9 +333,9 @@
 		}
 		z.Proposer = ID(zb0002)
 	}
-	z.Life, err = dc.ReadUint64()
+	z.Incarnation, err = dc.ReadUint64()
 	if err != nil {
-		err = msgp.WrapError(err, "Life")
+		err = msgp.WrapError(err, "Incarnation")
 		return
 	}
 	return
@@ -348,9 +348,9 @@
 	if err != nil {
 		return
 	}
-	err = en.WriteUint64(z.Round)
+	err = en.WriteUint64(z.Number)
 	if err != nil {
-		err = msgp.WrapError(err, "Round")
+		err = msgp.WrapError(err, "Number")
 		return
 	}
 	err = en.WriteUint64(uint64(z.Proposer))
@@ -358,9 +358,9 @@
 		err = msgp.WrapError(err, "Proposer")
 		return
 	}
-	err = en.WriteUint64(z.Life)
+	err = en.WriteUint64(z.Incarnation)
 	if err != nil {
-		err = msgp.WrapError(err, "Life")
+		err = msgp.WrapError(err, "Incarnation")
 		return
 	}
 	return
@@ -371,9 +371,9 @@
 	o = msgp.Require(b, z.Msgsize())
 	// array header, size 3
 	o = append(o, 0x93)
-	o = msgp.AppendUint64(o, z.Round)
+	o = msgp.AppendUint64(o, z.Number)
 	o = msgp.AppendUint64(o, uint64(z.Proposer))
-	o = msgp.AppendUint64(o, z.Life)
+	o = msgp.AppendUint64(o, z.Incarnation)
 	return
 }
 
@@ -389,9 +389,9 @@
 		err = msgp.ArrayError{Wanted: 3, Got: zb0001}
 		return
 	}
-	z.Round, bts, err = msgp.ReadUint64Bytes(bts)
+	z.Number, bts, err = msgp.ReadUint64Bytes(bts)
 	if err != nil {
-		err = msgp.WrapError(err, "Round")
+		err = msgp.WrapError(err, "Number")
 		return
 	}
 	{
@@ -403,9 +403,9 @@
 		}
 		z.Proposer = ID(zb0002)
 	}
-	z.Life, bts, err = msgp.ReadUint64Bytes(bts)
+	z.Incarnation, bts, err = msgp.ReadUint64Bytes(bts)
 	if err != nil {
-		err = msgp.WrapError(err, "Life")
+		err = msgp.WrapError(err, "Incarnation")
 		return
 	}
 	o = bts
@@ -624,9 +624,9 @@
 		err = msgp.ArrayError{Wanted: 3, Got: zb0002}
 		return
 	}
-	z.Ballot.Round, err = dc.ReadUint64()
+	z.Ballot.Number, err = dc.ReadUint64()
 	if err != nil {
-		err = msgp.WrapError(err, "Ballot", "Round")
+		err = msgp.WrapError(err, "Ballot", "Number")
 		return
 	}
 	{
@@ -638,9 +638,9 @@
 		}
 		z.Ballot.Proposer = ID(zb0003)
 	}
-	z.Ballot.Life, err = dc.ReadUint64()
+	z.Ballot.Incarnation, err = dc.ReadUint64()
 	if err != nil {
-		err = msgp.WrapError(err, "Ballot", "Life")
+		err = msgp.WrapError(err, "Ballot", "Incarnation")
 		return
 	}
 	return
@@ -663,9 +663,9 @@
 	if err != nil {
 		return
 	}
-	err = en.WriteUint64(z.Ballot.Round)
+	err = en.WriteUint64(z.Ballot.Number)
 	if err != nil {
-		err = msgp.WrapError(err, "Ballot", "Round")
+		err = msgp.WrapError(err, "Ballot", "Number")
 		return
 	}
 	err = en.WriteUint64(uint64(z.Ballot.Proposer))
@@ -673,9 +673,9 @@
 		err = msgp.WrapError(err, "Ballot", "Proposer")
 		return
 	}
-	err = en.WriteUint64(z.Ballot.Life)
+	err = en.WriteUint64(z.Ballot.Incarnation)
 	if err != nil {
-		err = msgp.WrapError(err, "Ballot", "Life")
+		err = msgp.WrapError(err, "Ballot", "Incarnation")
 		return
 	}
 	return
@@ -693,9 +693,9 @@
 	}
 	// array header, size 3
 	o = append(o, 0x93)
-	o = msgp.AppendUint64(o, z.Ballot.Round)
+	o = msgp.AppendUint64(o, z.Ballot.Number)
 	o = msgp.AppendUint64(o, uint64(z.Ballot.Proposer))
-	o = msgp.AppendUint64(o, z.Ballot.Life)
+	o = msgp.AppendUint64(o, z.Ballot.Incarnation)
 	return
 }
 
@@ -726,9 +726,9 @@
 		err = msgp.ArrayError{Wanted: 3, Got: zb0002}
 		return
 	}
-	z.Ballot.Round, bts, err = msgp.ReadUint64Bytes(bts)
+	z.Ballot.Number, bts, err = msgp.ReadUint64Bytes(bts)
 	if err != nil {
-		err = msgp.WrapError(err, "Ballot", "Round")
+		err = msgp.WrapError(err, "Ballot", "Number")
 		return
 	}
 	{
@@ -740,9 +740,9 @@
 		}
 		z.Ballot.Proposer = ID(zb0003)
 	}
-	z.Ballot.Life, bts, err = msgp.ReadUint64Bytes(bts)
+	z.Ballot.Incarnation, bts, err = msgp.ReadUint64Bytes(bts)
 	if err != nil {
-		err = msgp.WrapError(err, "Ballot", "Life")
+		err = msgp.WrapError(err, "Ballot", "Incarnation")
 		return
 	}
 	o = bts
@@ -797,9 +797,9 @@
 		err = msgp.WrapError(err, "Accepted")
 		return
 	}
-	z.Whole, err = dc.ReadBool()
+	z.Complete, err = dc.ReadBool()
 	if err != nil {
-		err = msgp.WrapError(err, "Whole")
+		err = msgp.WrapError(err, "Complete")
 		return
 	}
 	{
@@ -811,9 +811,9 @@
 		}
 		z.Holder = ID(zb0002)
 	}
-	z.Quiet, err = dc.ReadBool()
+	z.HolderUnknown, err = dc.ReadBool()
 	if err != nil {
-		err = msgp.WrapError(err, "Quiet")
+		err = msgp.WrapError(err, "HolderUnknown")
 		return
 	}
 	return
@@ -856,9 +856,9 @@
 		err = msgp.WrapError(err, "Accepted")
 		return
 	}
-	err = en.WriteBool(z.Whole)
+	err = en.WriteBool(z.Complete)
 	if err != nil {
-		err = msgp.WrapError(err, "Whole")
+		err = msgp.WrapError(err, "Complete")
 		return
 	}
 	err = en.WriteUint64(uint64(z.Holder))
@@ -866,9 +866,9 @@
 		err = msgp.WrapError(err, "Holder")
 		return
 	}
-	err = en.WriteBool(z.Quiet)
+	err = en.WriteBool(z.HolderUnknown)
 	if err != nil {
-		err = msgp.WrapError(err, "Quiet")
+		err = msgp.WrapError(err, "HolderUnknown")
 		return
 	}
 	return
@@ -901,9 +901,9 @@
 		err = msgp.WrapError(err, "Accepted")
 		return
 	}
-	o = msgp.AppendBool(o, z.Whole)
+	o = msgp.AppendBool(o, z.Complete)
 	o = msgp.AppendUint64(o, uint64(z.Holder))
-	o = msgp.AppendBool(o, z.Quiet)
+	o = msgp.AppendBool(o, z.HolderUnknown)
 	return
 }
 
@@ -949,9 +949,9 @@
 		err = msgp.WrapError(err, "Accepted")
 		return
 	}
-	z.Whole, bts, err = msgp.ReadBoolBytes(bts)
+	z.Complete, bts, err = msgp.ReadBoolBytes(bts)
 	if err != nil {
-		err = msgp.WrapError(err, "Whole")
+		err = msgp.WrapError(err, "Complete")
 		return
 	}
 	{
@@ -963,9 +963,9 @@
 		}
 		z.Holder = ID(zb0002)
 	}
-	z.Quiet, bts, err = msgp.ReadBoolBytes(bts)
+	z.HolderUnknown, bts, err = msgp.ReadBoolBytes(bts)
 	if err != nil {
-		err = msgp.WrapError(err, "Quiet")
+		err = msgp.WrapError(err, "HolderUnknown")
 		return
 	}
 	o = bts
@@ -1053,9 +1053,9 @@
 			z.Chain[za0003] = ID(zb0005)
 		}
 	}
-	z.Whole, err = dc.ReadInt()
+	z.Complete, err = dc.ReadInt()
 	if err != nil {
-		err = msgp.WrapError(err, "Whole")
+		err = msgp.WrapError(err, "Complete")
 		return
 	}
 	{
@@ -1123,9 +1123,9 @@
 			return
 		}
 	}
-	err = en.WriteInt(z.Whole)
+	err = en.WriteInt(z.Complete)
 	if err != nil {
-		err = msgp.WrapError(err, "Whole")
+		err = msgp.WrapError(err, "Complete")
 		return
 	}
 	err = en.WriteUint64(uint64(z.Holder))
@@ -1167,7 +1167,7 @@
 	for za0003 := range z.Chain {
 		o = msgp.AppendUint64(o, uint64(z.Chain[za0003]))
 	}
-	o = msgp.AppendInt(o, z.Whole)
+	o = msgp.AppendInt(o, z.Complete)
 	o = msgp.AppendUint64(o, uint64(z.Holder))
 	o = msgp.AppendBool(o, z.Vacant)
 	return
@@ -1248,9 +1248,9 @@
 			z.Chain[za0003] = ID(zb0005)
 		}
 	}
-	z.Whole, bts, err = msgp.ReadIntBytes(bts)
+	z.Complete, bts, err = msgp.ReadIntBytes(bts)
 	if err != nil {
-		err = msgp.WrapError(err, "Whole")
+		err = msgp.WrapError(err, "Complete")
 		return
 	}
 	{
--- a/control/view/view_test.go
+++ b/control/view/view_test.go
@@ -15,7 +15,7 @@
 }
 
 func of(epoch uint64, chain []view.ID, voters ...view.ID) view.View {
-	v := view.View{Epoch: epoch, Chain: chain, Whole: len(chain)}
+	v := view.View{Epoch: epoch, Chain: chain, Complete: len(chain)}
 	for _, id := range voters {
 		v.Voters = append(v.Voters, member(id))
 	}
@@ -37,10 +37,10 @@
 	}
 }
 
-func knowing(lives func(view.ID) bool, others ...view.ID) view.Knowledge {
-	know := view.Knowledge{Lives: lives, Joinable: lives, Touch: func(a, b view.ID) bool { return true }, Down: no, Gone: no, Leaving: no}
+func knowing(alive func(view.ID) bool, others ...view.ID) view.Knowledge {
+	know := view.Knowledge{Alive: alive, Joinable: alive, Connected: func(a, b view.ID) bool { return true }, Down: no, Removable: no, Leaving: no}
 	for _, id := range others {
-		know.Others = append(know.Others, member(id))
+		know.Known = append(know.Known, member(id))
 	}
 	return know
 }
@@ -48,16 +48,16 @@
 func TestAnOlderBallotIsRefused(t *testing.T) {
 	var vote view.Vote
 	require.False(t, vote.Sealed(4))
-	newer := view.Ballot{Round: 2, Proposer: 1}
+	newer := view.Ballot{Number: 2, Proposer: 1}
 	reply, changed := vote.Prepare(4, newer)
 	require.True(t, reply.Granted && changed)
 	require.True(t, vote.Sealed(4))
 	reply, changed = vote.Prepare(4, newer)
 	require.True(t, reply.Granted && !changed, "a repeat needs no write")
-	reply, _ = vote.Prepare(4, view.Ballot{Round: 1, Proposer: 9})
+	reply, _ = vote.Prepare(4, view.Ballot{Number: 1, Proposer: 9})
 	require.False(t, reply.Granted)
 	require.Equal(t, newer, reply.Promised)
-	accepted, _ := vote.Accept(&view.Accept{Epoch: 4, Ballot: view.Ballot{Round: 1, Proposer: 9}})
+	accepted, _ := vote.Accept(&view.Accept{Epoch: 4, Ballot: view.Ballot{Number: 1, Proposer: 9}})
 	require.False(t, accepted.Granted)
 	require.False(t, vote.Sealed(5))
 }
@@ -74,13 +74,13 @@
 		}
 		var decided []view.View
 		var mail []func()
-		round := uint64(0)
+		number := uint64(0)
 		propose := func(id view.ID) {
-			round++
-			ballot := view.Ballot{Round: round - random.Uint64N(min(round, 2)), Proposer: id, Life: round}
+			number++
+			ballot := view.Ballot{Number: number - random.Uint64N(min(number, 2)), Proposer: id, Incarnation: number}
 			p := view.NewProposer(0, current, ballot, false)
 			value := of(0, []view.ID{id}, 1, 2, 3, 4, 5)
-			value.Holder = view.ID(round)
+			value.Holder = view.ID(number)
 			send := func(f func()) {
 				for range random.IntN(3) {
 					mail = append(mail, f)
@@ -91,7 +91,7 @@
 					promise, _ := vote.Prepare(1, ballot)
 					send(func() {
 						p.Promised(voter, &promise)
-						if !p.Gathered(view.GatherTime, no) {
+						if !p.Gathered(view.GatherTimeout, no) {
 							return
 						}
 						accept := p.Choose(func(func(view.ID) bool) (view.View, bool) { return value, true })
@@ -124,18 +124,18 @@
 	}
 }
 
-func TestAChainKeepsItsOrderAndNeedsAWholeMember(t *testing.T) {
+func TestAChainKeepsItsOrderAndNeedsACompleteMember(t *testing.T) {
 	current := of(7, []view.ID{3, 1, 2}, 1, 2, 3)
 	planned, ok := view.Plan(&current, knowing(among(1, 2, 4), 1, 2, 4), yes)
 	require.True(t, ok)
 	require.Equal(t, []view.ID{1, 2, 4}, planned.Chain)
-	require.Equal(t, 2, planned.Whole)
+	require.Equal(t, 2, planned.Complete)
 	planned, ok = view.Plan(&current, knowing(yes, 1, 2, 3), among(2))
 	require.True(t, ok)
-	require.Equal(t, []view.ID{2, 3, 1}, planned.Chain, "those that are not whole join at the end")
-	require.Equal(t, 1, planned.Whole)
+	require.Equal(t, []view.ID{2, 3, 1}, planned.Chain, "those that are not complete join at the end")
+	require.Equal(t, 1, planned.Complete)
 	_, ok = view.Plan(&current, knowing(yes, 1, 2, 3, 4), among(4))
-	require.False(t, ok, "nobody of the old chain is whole")
+	require.False(t, ok, "nobody of the old chain is complete")
 }
 
 func TestAQuietCoreWantsNoChange(t *testing.T) {
@@ -148,22 +148,22 @@
 func TestNeighboursThatDoNotTouchAreParted(t *testing.T) {
 	current := of(7, []view.ID{1, 2, 3}, 1, 2, 3)
 	know := knowing(yes, 1, 2, 3)
-	know.Touch = func(a, b view.ID) bool { return a+b != 3 } // 1 and 2
+	know.Connected = func(a, b view.ID) bool { return a+b != 3 } // 1 and 2
 	planned, ok := view.Plan(&current, know, yes)
 	require.True(t, ok)
 	require.Equal(t, []view.ID{1, 3, 2}, planned.Chain)
-	require.Equal(t, 2, planned.Whole)
+	require.Equal(t, 2, planned.Complete)
 }
 
-// TestOneThatHearsNobodyDoesNotShutOutTheOthers has the head healed from a one-way cut: it promised, but its last beat misses all.
-func TestOneThatHearsNobodyDoesNotShutOutTheOthers(t *testing.T) {
+// TestOneThatHearsNobodyDoesNotExcludeTheOthers has the head healed from a one-way cut: it promised, but its last beat misses all.
+func TestOneThatHearsNobodyDoesNotExcludeTheOthers(t *testing.T) {
 	for _, deaf := range []view.ID{1, 2, 3} {
 		current := of(7, []view.ID{1, 2, 3}, 1, 2, 3)
 		know := knowing(yes, 1, 2, 3)
-		know.Touch = func(a, b view.ID) bool { return a != deaf && b != deaf }
+		know.Connected = func(a, b view.ID) bool { return a != deaf && b != deaf }
 		planned, ok := view.Plan(&current, know, yes)
 		require.True(t, ok)
-		require.Equal(t, 2, planned.Whole, "%d hears nobody", deaf)
+		require.Equal(t, 2, planned.Complete, "%d hears nobody", deaf)
 		require.NotContains(t, planned.Chain, deaf)
 	}
 }
@@ -171,7 +171,7 @@
 func TestANewDiskReplacesTheOneOfItsAddress(t *testing.T) {
 	current := of(7, []view.ID{1, 2, 3}, 1, 2, 3)
 	know := knowing(among(2, 3, 9), 2, 3)
-	know.Others = append(know.Others, view.Member{ID: 9, Address: member(1).Address})
+	know.Known = append(know.Known, view.Member{ID: 9, Address: member(1).Address})
 	planned, ok := view.Plan(&current, know, yes)
 	require.True(t, ok)
 	require.Equal(t, []view.ID{2, 3, 9}, planned.Chain)
@@ -180,9 +180,9 @@
 
 func TestThoseThatAreDownAreGivenUpIfThatHelps(t *testing.T) {
 	for _, c := range []struct {
-		voters []view.ID
-		gone   []view.ID
-		left   int
+		voters     []view.ID
+		unreliable []view.ID
+		left       int
 	}{
 		{[]view.ID{1, 2, 3}, []view.ID{3}, 3}, // two voters would bear no more than three of which one is down
 		{[]view.ID{1, 2, 3, 4}, []view.ID{4}, 3},
@@ -191,21 +191,21 @@
 		{[]view.ID{1, 2, 3}, []view.ID{2, 3}, 3}, // one alone could be lost for good
 	} {
 		current := of(7, c.voters, c.voters...)
-		know := knowing(func(id view.ID) bool { return !among(c.gone...)(id) }, c.voters...)
-		know.Down = among(c.gone...)
+		know := knowing(func(id view.ID) bool { return !among(c.unreliable...)(id) }, c.voters...)
+		know.Down = among(c.unreliable...)
 		planned, ok := view.Plan(&current, know, yes)
 		require.True(t, ok)
 		require.Len(t, planned.Voters, c.left, "%v", c)
-		know.Down, know.Leaving = no, among(c.gone...)
+		know.Down, know.Leaving = no, among(c.unreliable...)
 		planned, _ = view.Plan(&current, know, yes)
 		require.Len(t, planned.Voters, c.left, "leaving: %v", c)
 	}
 }
 
-func TestAJoinerTakesTheVoteOfOneGone(t *testing.T) {
+func TestAJoinerTakesTheVoteOfOneRemoved(t *testing.T) {
 	current := of(7, []view.ID{1, 2, 3}, 1, 2, 3)
 	know := knowing(among(1, 2, 4), 1, 2, 4)
-	know.Down, know.Gone = among(3), among(3)
+	know.Down, know.Removable = among(3), among(3)
 	planned, _ := view.Plan(&current, know, yes)
 	require.Len(t, planned.Voters, 3)
 	_, stays := planned.Voter(3)
@@ -221,18 +221,18 @@
 	}{
 		{[]view.Promise{{Holder: 1}, {}}, 1, false},
 		{[]view.Promise{{Holder: 1}, {Holder: 2}}, 0, false},
-		{[]view.Promise{{Holder: 1}, {Quiet: true}}, 0, false},
-		{[]view.Promise{{}, {Quiet: true}}, 0, false},
+		{[]view.Promise{{Holder: 1}, {HolderUnknown: true}}, 0, false},
+		{[]view.Promise{{}, {HolderUnknown: true}}, 0, false},
 		{[]view.Promise{{}, {}}, 0, true},
 	} {
-		ballot := view.Ballot{Round: 1, Proposer: 1}
+		ballot := view.Ballot{Number: 1, Proposer: 1}
 		p := view.NewProposer(0, current, ballot, false)
 		for i, promise := range c.promises {
 			promise.Epoch, promise.Ballot, promise.Granted = 1, ballot, true
 			p.Promised(view.ID(i+1), &promise)
 		}
-		require.True(t, p.Gathered(view.GatherTime, yes))
-		require.False(t, p.Failed(view.AttemptTime-time.Millisecond))
+		require.True(t, p.Gathered(view.GatherTimeout, yes))
+		require.False(t, p.Failed(view.AttemptTimeout-time.Millisecond))
 		accept := p.Choose(func(func(view.ID) bool) (view.View, bool) { return current, true })
 		require.Equal(t, c.holder, accept.View.Holder)
 		require.Equal(t, c.vacant, accept.View.Vacant)
@@ -240,14 +240,14 @@
 	}
 }
 
-func TestAChainMustCoverMoreThanMayBeLost(t *testing.T) {
+func TestAChainMustCoverMoreThanTheToleratedLosses(t *testing.T) {
 	v := of(1, []view.ID{1, 2}, 1, 2, 3, 4)
 	require.True(t, view.Durability{Copies: 2}.Met(&v))
 	require.False(t, view.Durability{Copies: 3}.Met(&v))
-	require.True(t, view.Durability{Copies: 2, LostZones: 1}.Met(&v))
-	require.False(t, view.Durability{Copies: 2, LostZones: 2}.Met(&v))
+	require.True(t, view.Durability{Copies: 2, ToleratedZones: 1}.Met(&v))
+	require.False(t, view.Durability{Copies: 2, ToleratedZones: 2}.Met(&v))
 	same := of(1, []view.ID{1, 4}, 1, 2, 3, 4)
-	require.False(t, view.Durability{Copies: 2, LostZones: 1}.Met(&same), "both lie in one zone")
+	require.False(t, view.Durability{Copies: 2, ToleratedZones: 1}.Met(&same), "both lie in one zone")
 	oneRegion := func(string) string { return "r" }
-	require.False(t, view.Durability{Copies: 2, LostRegions: 1, RegionOf: oneRegion}.Met(&v))
+	require.False(t, view.Durability{Copies: 2, ToleratedRegions: 1, RegionOf: oneRegion}.Met(&v))
 }
