--- a/control/chain/compat_test.go
+++ b/control/chain/compat_test.go
@@ -37,9 +37,9 @@
 			streamed := reflect.New(reflect.TypeOf(sample).Elem()).Interface().(message)
 			require.NoError(t, msgp.Decode(bytes.NewReader(golden), streamed))
 			require.Equal(t, sample, streamed)
-			var out bytes.Buffer
-			require.NoError(t, msgp.Encode(&out, streamed))
-			require.Equal(t, golden, out.Bytes())
+			var buffer bytes.Buffer
+			require.NoError(t, msgp.Encode(&buffer, streamed))
+			require.Equal(t, golden, buffer.Bytes())
 		})
 	}
 }
--- a/control/core/aside.go
+++ b/control/core/aside.go
@@ -59,7 +59,7 @@
 	n.out.Disk = append(n.out.Disk, diskChange{Fault: fault})
 	n.whole, n.records, n.held = true, nil, nil
 	n.proposer, n.wanted = nil, -1
-	if n.leads(now) || n.holder.Asking() {
+	if n.leads(now) || n.holder.Seeking() {
 		n.drop(lossDisk)
 	}
 	for _, pending := range n.pending {
@@ -112,7 +112,7 @@
 	case *chain.Ack:
 		n.chain.OnAck(m)
 	case *lease.Request:
-		if from.ID == n.voter.Past().Holder {
+		if from.ID == n.voter.PreviousGrant().Holder {
 			n.onLeaseRequest(now, from, m) // a renewal changes nothing on disk
 		}
 	case *lease.Release:
--- a/control/core/bounds_test.go
+++ b/control/core/bounds_test.go
@@ -64,7 +64,7 @@
 	l.machine, l.store = state.NewMachine(), store
 	l.node, err = newNode(l.now, nodeConfig{
 		Address: address, Seeds: []string{address}, Bootstrap: true, Disk: true, Candidate: true, Durability: view.Durability{Copies: 1},
-		DownAfter: time.Minute, GoneAfter: time.Minute, Terms: lease.DefaultTerms, LeastLog: leastLog, MostRecords: mostRecords, Machine: l.machine,
+		DownAfter: time.Minute, GoneAfter: time.Minute, Terms: lease.DefaultTiming, LeastLog: leastLog, MostRecords: mostRecords, Machine: l.machine,
 		Random: func() uint64 { random += 2; return random },
 	}, snapshot, records)
 	require.NoError(l.t, err)
--- a/control/core/compat_test.go
+++ b/control/core/compat_test.go
@@ -186,11 +186,11 @@
 		ID: 0x11, Founders: []string{"10.0.0.1:7000", "10.0.0.2:7000"}, View: compatView(1),
 		Vote:    view.Vote{Epoch: 1, Promised: view.Ballot{Number: 2, Proposer: 0x22, Incarnation: 9}},
 		Chain:   chain.State{Base: 3, BaseEpoch: 1, Entries: []chain.Entry{{Sequence: 4, Epoch: 1, Origin: 5, Number: 6, Command: []byte("old")}}, CompleteEpoch: 1},
-		Machine: []byte("old machine"), Lease: lease.Past{Unknown: true},
+		Machine: []byte("old machine"), Lease: lease.PreviousGrant{Unknown: true},
 	}
 	second = &Image{
 		ID: 0x11, Founders: first.Founders, View: compatView(2), Vote: first.Vote,
-		Chain: chain.State{Base: 4, BaseEpoch: 1, CompleteEpoch: 2}, Machine: []byte("machine"), Lease: lease.Past{Holder: 0x22},
+		Chain: chain.State{Base: 4, BaseEpoch: 1, CompleteEpoch: 2}, Machine: []byte("machine"), Lease: lease.PreviousGrant{Holder: 0x22},
 	}
 	return first, second
 }
@@ -210,7 +210,7 @@
 		}},
 		{View: &next},
 		{Write: &chain.Write{Truncate: true, TruncateAfter: 6, Entries: instead, CompleteEpoch: 3}},
-		{Lease: &lease.Past{Holder: 0x11}},
+		{Lease: &lease.PreviousGrant{Holder: 0x11}},
 	}
 }
 
@@ -243,7 +243,7 @@
 
 	machine := &compatMachine{}
 	node, err := newNode(time.Second, nodeConfig{
-		Address: "10.0.0.1:7000", Disk: true, Terms: lease.DefaultTerms, Machine: machine, Random: func() uint64 { return 1 },
+		Address: "10.0.0.1:7000", Disk: true, Terms: lease.DefaultTiming, Machine: machine, Random: func() uint64 { return 1 },
 	}, snapshot, records)
 	require.NoError(t, err)
 	require.Equal(t, kept.Machine, machine.state)
--- a/control/core/core.go
+++ b/control/core/core.go
@@ -136,7 +136,7 @@
 	config := nodeConfig{
 		Address: c.address, Zone: settings.Zone, Seeds: settings.SeedAddresses(), Bootstrap: settings.Bootstrap,
 		Disk: settings.DataDir != "", Candidate: c.config.Lead != nil, Storage: c.config.Storage, Durability: DurabilityOf(settings),
-		DownAfter: DownAfter(durationOf(settings.Bounds.CatchupS)), GoneAfter: GoneAfter(durationOf(settings.Bounds.CatchupS)), Terms: lease.DefaultTerms, LeastLog: leastLog, MostRecords: mostRecords,
+		DownAfter: DownAfter(durationOf(settings.Bounds.CatchupS)), GoneAfter: GoneAfter(durationOf(settings.Bounds.CatchupS)), Terms: lease.DefaultTiming, LeastLog: leastLog, MostRecords: mostRecords,
 		Machine: c.config.Machine, Random: c.random,
 	}
 	var snapshot []byte
--- a/control/core/image.go
+++ b/control/core/image.go
@@ -19,7 +19,7 @@
 	Vote     view.Vote
 	Chain    chain.State
 	Machine  []byte
-	Lease    lease.Past
+	Lease    lease.PreviousGrant
 }
 
 // record is one change of the image on disk. One of its parts is set.
@@ -27,7 +27,7 @@
 	View  *view.View
 	Vote  *view.Vote
 	Write *chain.Write
-	Lease *lease.Past
+	Lease *lease.PreviousGrant
 }
 
 // ReadImage decodes what a member's slots.Store has kept.
--- a/control/core/image_gen.go
+++ b/control/core/image_gen.go
@@ -309,7 +309,7 @@
 		z.Lease = nil
 	} else {
 		if z.Lease == nil {
-			z.Lease = new(lease.Past)
+			z.Lease = new(lease.PreviousGrant)
 		}
 		err = z.Lease.DecodeMsg(dc)
 		if err != nil {
@@ -490,7 +490,7 @@
 		z.Lease = nil
 	} else {
 		if z.Lease == nil {
-			z.Lease = new(lease.Past)
+			z.Lease = new(lease.PreviousGrant)
 		}
 		bts, err = z.Lease.UnmarshalMsg(bts)
 		if err != nil {
--- a/control/core/leading.go
+++ b/control/core/leading.go
@@ -25,7 +25,7 @@
 	if changed {
 		n.keepPast()
 	}
-	reply := &lease.Reply{Epoch: m.Epoch, Life: m.Life, Round: m.Round, Granted: granted}
+	reply := &lease.Reply{Epoch: m.Epoch, Incarnation: m.Incarnation, ElectionRound: m.ElectionRound, Granted: granted}
 	if n.lasting >= n.pastBatch {
 		n.deliver(post{from.Address, reply})
 		return
@@ -35,7 +35,7 @@
 
 // keepPast has the name of the newest holder written.
 func (n *node) keepPast() {
-	past := n.voter.Past()
+	past := n.voter.PreviousGrant()
 	n.log(&record{Lease: &past})
 	n.pastBatch = n.batch + 1
 }
@@ -45,7 +45,7 @@
 	if n.holder.Granted(&n.view, from.ID, m) && !before {
 		n.beatAt = now
 	}
-	if !n.leads(now) && n.holder.Lost(&n.view) {
+	if !n.leads(now) && n.holder.Refused(&n.view) {
 		n.stepBack(now)
 	}
 }
@@ -69,7 +69,7 @@
 }
 
 // LeaseUntil is when the lease that this node holds ends.
-func (n *node) LeaseUntil() time.Duration { return n.holder.Until() }
+func (n *node) LeaseUntil() time.Duration { return n.holder.ExpiresAt() }
 
 // Release begins an orderly end: it gives the lease back, and has the others go on without this node. Left says when they do.
 func (n *node) Release(now time.Duration) {
@@ -126,9 +126,9 @@
 
 // seekLease renews the lease, or asks for it when nobody has it: the first of the chain at once, others later.
 func (n *node) seekLease(now time.Duration) {
-	asked, granted := n.holder.Asked()
+	asked, granted := n.holder.LastRequest()
 	if n.leads(now) {
-		wait := n.config.Terms.Renew
+		wait := n.config.Terms.RenewInterval
 		if !granted {
 			wait = askAgain
 		}
@@ -138,10 +138,10 @@
 		}
 		return
 	}
-	if n.holder.Asking() && (n.holder.Lost(&n.view) || now-asked >= askAgain) {
+	if n.holder.Seeking() && (n.holder.Refused(&n.view) || now-asked >= askAgain) {
 		n.stepBack(now)
 	}
-	if n.seeking(now) && !n.holder.Asking() && now >= n.askAt && now >= n.leaderLost+n.patience(now) {
+	if n.seeking(now) && !n.holder.Seeking() && now >= n.askAt && now >= n.leaderLost+n.patience(now) {
 		n.ask(now)
 	}
 }
@@ -156,7 +156,7 @@
 // patience is how long a candidate leaves the lease to those before it. After a restart of the whole core the one that held it last gets it
 // at once.
 func (n *node) patience(now time.Duration) time.Duration {
-	switch heir := n.voter.Heir(now); {
+	switch heir := n.voter.PreviousHolder(now); {
 	case heir == n.self.ID:
 		return 0
 	case heir != 0 && now-n.started < heirPause:
@@ -166,7 +166,7 @@
 	if rank == 0 {
 		return 0
 	}
-	return n.config.Terms.Length + time.Duration(rank)*leaderPause
+	return n.config.Terms.Duration + time.Duration(rank)*leaderPause
 }
 
 // candidateRank is how many members of the chain come before this one as candidates. Those of stores come after the control processes.
@@ -184,4 +184,4 @@
 	return rank
 }
 
-func (n *node) ask(now time.Duration) { n.sendVoters(n.holder.Ask(now, n.view.Epoch)) }
+func (n *node) ask(now time.Duration) { n.sendVoters(n.holder.StartRound(now, n.view.Epoch)) }
--- a/control/core/model_state_test.go
+++ b/control/core/model_state_test.go
@@ -16,7 +16,7 @@
 	modelOmitted = map[reflect.Type][]string{
 		reflect.TypeFor[node]():        {"config", "out", "logBytes", "imageSize"},
 		reflect.TypeFor[modelMember](): {"machine", "state", "address"},
-		reflect.TypeFor[lease.Voter](): {"terms"}, reflect.TypeFor[lease.Holder](): {"terms"},
+		reflect.TypeFor[lease.Voter](): {"timing"}, reflect.TypeFor[lease.Holder](): {"timing"},
 	}
 )
 
--- a/control/core/model_test.go
+++ b/control/core/model_test.go
@@ -237,8 +237,8 @@
 	return DownAfter(modelCatchup)
 }
 
-func (m *model) terms() lease.Terms {
-	terms := lease.DefaultTerms
+func (m *model) terms() lease.Timing {
+	terms := lease.DefaultTiming
 	if m.scope.margin != 0 {
 		terms.Margin = m.scope.margin
 	}
--- a/control/core/node.go
+++ b/control/core/node.go
@@ -45,7 +45,7 @@
 	Durability view.Durability
 	DownAfter  time.Duration // a voter that is silent for longer may lose its vote
 	GoneAfter  time.Duration // a learner that is silent for longer is forgotten
-	Terms      lease.Terms
+	Terms      lease.Timing
 	LeastLog   int // bytes of log before a snapshot is taken
 	// MostRecords are in the log before a snapshot is taken, however short they are: a member that starts applies them again, and until
 	// then neither answers nor leads.
@@ -207,7 +207,7 @@
 	n.self = view.Member{Address: config.Address, Zone: config.Zone, Storage: config.Storage}
 	if !config.Disk {
 		n.chain = chain.New(0, chain.State{}, config.Machine)
-		n.voter = lease.NewVoter(now, config.Terms, lease.Past{Unknown: true})
+		n.voter = lease.NewVoter(now, config.Terms, lease.PreviousGrant{Unknown: true})
 		n.holder = lease.NewHolder(config.Terms, n.origin)
 		n.founding = newFounding(&config)
 		return n, nil
@@ -225,7 +225,7 @@
 		n.chain.MutateEarlyCommit()
 	}
 	if config.faults.forgetful {
-		kept.Lease = lease.Past{}
+		kept.Lease = lease.PreviousGrant{}
 	}
 	n.voter = lease.NewVoter(now, config.Terms, kept.Lease)
 	n.holder = lease.NewHolder(config.Terms, n.origin)
@@ -412,10 +412,10 @@
 		return now + brisk
 	}
 	if n.holder.Valid(now) {
-		asked, granted := n.holder.Asked()
+		asked, granted := n.holder.LastRequest()
 		wait := askAgain
 		if granted {
-			wait = n.config.Terms.Renew
+			wait = n.config.Terms.RenewInterval
 		}
 		at = min(at, max(asked+wait, now+brisk))
 	}
--- a/control/core/persist.go
+++ b/control/core/persist.go
@@ -76,7 +76,7 @@
 func (n *node) image() []byte {
 	kept := Image{
 		ID: n.self.ID, Founders: n.founder, View: n.view, Vote: n.vote,
-		Chain: n.chain.State(), Machine: n.config.Machine.Snapshot(), Lease: n.voter.Past(),
+		Chain: n.chain.State(), Machine: n.config.Machine.Snapshot(), Lease: n.voter.PreviousGrant(),
 	}
 	n.stateSize = len(kept.Machine)
 	data, err := kept.MarshalMsg(nil)
--- a/control/core/simulation_test.go
+++ b/control/core/simulation_test.go
@@ -293,12 +293,12 @@
 	m.machine, m.calls = &register{s: m.s}, make(map[uint64]string)
 	drawn := 0
 	random := rand.New(rand.NewPCG(m.idSeed, uint64(m.life)))
-	terms := lease.DefaultTerms
+	terms := lease.DefaultTiming
 	switch m.s.mutant {
 	case noMargin:
 		terms.Margin = 0
 	case lingeringLeader:
-		terms.Margin = -terms.Length
+		terms.Margin = -terms.Duration
 	}
 	config := nodeConfig{
 		Address: m.address, Zone: m.zone, Seeds: m.s.seeds(), Bootstrap: m.fresh && snapshot == nil, Disk: !m.diskless, Candidate: true,
--- a/control/core/takers_test.go
+++ b/control/core/takers_test.go
@@ -13,7 +13,7 @@
 // diskless is a node without a disk that has heard beats at given times.
 func diskless(t *testing.T, beats map[time.Duration][]beat) *node {
 	n, err := newNode(0, nodeConfig{
-		Address: "self", Seeds: []string{"cut", "head", "tail", "new"}, Terms: lease.DefaultTerms, Machine: &register{},
+		Address: "self", Seeds: []string{"cut", "head", "tail", "new"}, Terms: lease.DefaultTiming, Machine: &register{},
 		Random: func() uint64 { return 7 },
 	}, nil, nil)
 	require.NoError(t, err)
--- a/control/lease/compat_test.go
+++ b/control/lease/compat_test.go
@@ -37,9 +37,9 @@
 			streamed := reflect.New(reflect.TypeOf(sample).Elem()).Interface().(message)
 			require.NoError(t, msgp.Decode(bytes.NewReader(golden), streamed))
 			require.Equal(t, sample, streamed)
-			var out bytes.Buffer
-			require.NoError(t, msgp.Encode(&out, streamed))
-			require.Equal(t, golden, out.Bytes())
+			var buffer bytes.Buffer
+			require.NoError(t, msgp.Encode(&buffer, streamed))
+			require.Equal(t, golden, buffer.Bytes())
 		})
 	}
 }
@@ -53,9 +53,9 @@
 // samples has one value of each message, by the name of its file, with no field zero.
 func samples() map[string]message {
 	return map[string]message{
-		"request": &Request{Epoch: 300, Life: 0xfedcba9876543210, Round: 0x10000},
-		"reply":   &Reply{Epoch: 301, Life: 0x0102030405060708, Round: 0x100000000, Granted: true},
-		"release": &Release{Life: 0xfedcba9876543211, Round: 129},
-		"past":    &Past{Holder: 0xfedcba9876543212, Unknown: true},
+		"request": &Request{Epoch: 300, Incarnation: 0xfedcba9876543210, ElectionRound: 0x10000},
+		"reply":   &Reply{Epoch: 301, Incarnation: 0x0102030405060708, ElectionRound: 0x100000000, Granted: true},
+		"release": &Release{Incarnation: 0xfedcba9876543211, ElectionRound: 129},
+		"past":    &PreviousGrant{Holder: 0xfedcba9876543212, Unknown: true},
 	}
 }
--- /dev/null
+++ b/control/lease/holder.go
@@ -0,0 +1,83 @@
+package lease
+
+import (
+	"time"
+
+	"ravendale/control/view"
+)
+
+// Holder is a candidate's side.
+type Holder struct {
+	timing        Timing
+	incarnation   uint64
+	electionRound uint64
+	requestedAt   time.Duration // when the current round was sent
+	epoch         uint64
+	grants        map[view.ID]bool
+	refusals      map[view.ID]bool
+	granted       bool // the current round has a majority
+	expiresAt     time.Duration
+}
+
+// NewHolder makes a candidate that holds nothing, in an incarnation of that number.
+func NewHolder(timing Timing, incarnation uint64) *Holder {
+	return &Holder{timing: timing, incarnation: incarnation}
+}
+
+// StartRound begins a round. The caller sends the request to all voters.
+func (h *Holder) StartRound(now time.Duration, epoch uint64) *Request {
+	h.electionRound++
+	h.requestedAt, h.epoch, h.granted = now, epoch, false
+	h.grants, h.refusals = make(map[view.ID]bool), make(map[view.ID]bool)
+	return &Request{Epoch: epoch, Incarnation: h.incarnation, ElectionRound: h.electionRound}
+}
+
+// Granted takes an answer, and says whether the lease now lasts longer.
+func (h *Holder) Granted(current *view.View, from view.ID, reply *Reply) bool {
+	if h.grants == nil || reply.Incarnation != h.incarnation || reply.ElectionRound != h.electionRound || reply.Epoch != h.epoch || current.Epoch != h.epoch || h.granted {
+		return false
+	}
+	if _, ok := current.Voter(from); !ok {
+		return false
+	}
+	if !reply.Granted {
+		h.refusals[from] = true
+		return false
+	}
+	h.grants[from] = true
+	if len(h.grants) < current.Majority() {
+		return false
+	}
+	h.granted = true
+	h.expiresAt = h.requestedAt + h.timing.Duration - h.timing.Margin
+	return true
+}
+
+// Refused says whether so many voters refused the current round that it can't get a majority.
+func (h *Holder) Refused(current *view.View) bool {
+	return h.grants != nil && !h.granted && len(h.refusals) > len(current.Voters)-current.Majority()
+}
+
+// ExpiresAt is when the lease ends, which may lie in the past.
+func (h *Holder) ExpiresAt() time.Duration { return h.expiresAt }
+
+// Valid says whether the lease is held.
+func (h *Holder) Valid(now time.Duration) bool { return now < h.expiresAt }
+
+// LastRequest is when the current round was begun, and whether it got a majority.
+func (h *Holder) LastRequest() (at time.Duration, granted bool) { return h.requestedAt, h.granted }
+
+// Outdated says whether the current round was begun in another epoch and has no majority: nobody will answer it any more.
+func (h *Holder) Outdated(epoch uint64) bool { return !h.granted && h.epoch != epoch }
+
+// Seeking says whether a round has been begun whose answers still count.
+func (h *Holder) Seeking() bool { return h.grants != nil }
+
+// Drop ends the lease, or the round in which it is sought: no answer to it counts any more. The caller sends the release to all voters.
+func (h *Holder) Drop() *Release {
+	h.expiresAt = 0
+	release := &Release{Incarnation: h.incarnation, ElectionRound: h.electionRound}
+	h.electionRound++
+	h.grants, h.granted = nil, false
+	return release
+}
--- a/control/lease/lease_test.go
+++ b/control/lease/lease_test.go
@@ -16,17 +16,21 @@
 	c  = view.ID(3)
 )
 
-func testTerms() Terms { return Terms{Length: 1000 * ms, Margin: 100 * ms, Renew: 250 * ms} }
+func testTiming() Timing {
+	return Timing{Duration: 1000 * ms, Margin: 100 * ms, RenewInterval: 250 * ms}
+}
 
-func request(life, round uint64) *Request { return &Request{Epoch: 1, Life: life, Round: round} }
+func request(incarnation, electionRound uint64) *Request {
+	return &Request{Epoch: 1, Incarnation: incarnation, ElectionRound: electionRound}
+}
 
-func grants(v *Voter, now time.Duration, candidate view.ID, life, round uint64) bool {
-	granted, _ := v.Grant(now, candidate, request(life, round))
+func grants(v *Voter, now time.Duration, candidate view.ID, incarnation, electionRound uint64) bool {
+	granted, _ := v.Grant(now, candidate, request(incarnation, electionRound))
 	return granted
 }
 
 func TestAVoterGrantsOneAtATime(t *testing.T) {
-	v := NewVoter(0, testTerms(), Past{})
+	v := NewVoter(0, testTiming(), PreviousGrant{})
 	granted, changed := v.Grant(0, a, request(7, 1))
 	require.True(t, granted)
 	require.True(t, changed, "who it is has to be written")
@@ -35,43 +39,43 @@
 	require.False(t, changed, "a renewal need not be")
 	require.False(t, grants(v, 1499*ms, b, 8, 1))
 	require.True(t, grants(v, 1500*ms, b, 8, 2))
-	require.Equal(t, Past{Holder: b}, v.Past())
+	require.Equal(t, PreviousGrant{Holder: b}, v.PreviousGrant())
 }
 
 func TestAVoterThatStartsGrantsOnlyToWhomItGrantedLast(t *testing.T) {
-	v := NewVoter(5000*ms, testTerms(), Past{Holder: a})
-	require.Equal(t, a, v.Heir(5000*ms))
+	v := NewVoter(5000*ms, testTiming(), PreviousGrant{Holder: a})
+	require.Equal(t, a, v.PreviousHolder(5000*ms))
 	require.False(t, grants(v, 5000*ms, b, 8, 1))
-	require.True(t, grants(v, 5001*ms, a, 9, 1), "in whatever life")
+	require.True(t, grants(v, 5001*ms, a, 9, 1), "in whatever incarnation")
 	require.False(t, grants(v, 6000*ms, b, 8, 2), "not while that lasts")
 	require.True(t, grants(v, 6001*ms, b, 8, 3))
 
-	v = NewVoter(5000*ms, testTerms(), Past{Holder: a})
+	v = NewVoter(5000*ms, testTiming(), PreviousGrant{Holder: a})
 	require.False(t, grants(v, 5999*ms, b, 8, 1), "its old grant may last so long")
 	require.True(t, grants(v, 6000*ms, b, 8, 2))
 }
 
 func TestAVoterThatNeverGrantedNeedNotWait(t *testing.T) {
-	require.True(t, grants(NewVoter(5000*ms, testTerms(), Past{}), 5000*ms, b, 8, 1))
+	require.True(t, grants(NewVoter(5000*ms, testTiming(), PreviousGrant{}), 5000*ms, b, 8, 1))
 }
 
 func TestAVoterThatCannotKnowWaitsForAll(t *testing.T) {
-	v := NewVoter(0, testTerms(), Past{Unknown: true})
+	v := NewVoter(0, testTiming(), PreviousGrant{Unknown: true})
 	require.False(t, grants(v, 999*ms, a, 7, 1))
 	require.False(t, grants(v, 999*ms, b, 8, 1))
-	require.Zero(t, v.Heir(0))
-	_, quiet := v.Holder(0)
-	require.True(t, quiet)
+	require.Zero(t, v.PreviousHolder(0))
+	_, unknown := v.Holder(0)
+	require.True(t, unknown)
 	require.True(t, grants(v, 1000*ms, b, 8, 2))
 }
 
-func TestAReleaseEndsOnlyGrantsOfItsLife(t *testing.T) {
-	v := NewVoter(0, testTerms(), Past{})
+func TestAReleaseEndsOnlyGrantsOfItsIncarnation(t *testing.T) {
+	v := NewVoter(0, testTiming(), PreviousGrant{})
 	require.True(t, grants(v, 0, a, 7, 40))
-	require.True(t, grants(v, 100*ms, a, 9, 1), "the next life")
-	v.Release(a, &Release{Life: 7, Round: 41})
-	require.False(t, grants(v, 200*ms, b, 8, 1), "a late release of the life before")
-	v.Release(a, &Release{Life: 9, Round: 1})
+	require.True(t, grants(v, 100*ms, a, 9, 1), "the next incarnation")
+	v.Release(a, &Release{Incarnation: 7, ElectionRound: 41})
+	require.False(t, grants(v, 200*ms, b, 8, 1), "a late release of the incarnation before")
+	v.Release(a, &Release{Incarnation: 9, ElectionRound: 1})
 	require.True(t, grants(v, 200*ms, b, 8, 2))
 }
 
@@ -83,31 +87,31 @@
 	return v
 }
 
-func TestAnAnswerCountsOnlyInItsLife(t *testing.T) {
+func TestAnAnswerCountsOnlyInItsIncarnation(t *testing.T) {
 	current := threeVoters(1, a, b, c)
-	h := NewHolder(testTerms(), 9)
-	h.Ask(0, 1)
-	require.False(t, h.Granted(current, a, &Reply{Epoch: 1, Life: 7, Round: 1, Granted: true}))
-	require.False(t, h.Granted(current, b, &Reply{Epoch: 1, Life: 7, Round: 1, Granted: true}))
+	h := NewHolder(testTiming(), 9)
+	h.StartRound(0, 1)
+	require.False(t, h.Granted(current, a, &Reply{Epoch: 1, Incarnation: 7, ElectionRound: 1, Granted: true}))
+	require.False(t, h.Granted(current, b, &Reply{Epoch: 1, Incarnation: 7, ElectionRound: 1, Granted: true}))
 	require.False(t, h.Valid(0))
-	require.False(t, h.Granted(current, a, &Reply{Epoch: 1, Life: 9, Round: 1, Granted: true}))
-	require.True(t, h.Granted(current, b, &Reply{Epoch: 1, Life: 9, Round: 1, Granted: true}))
+	require.False(t, h.Granted(current, a, &Reply{Epoch: 1, Incarnation: 9, ElectionRound: 1, Granted: true}))
+	require.True(t, h.Granted(current, b, &Reply{Epoch: 1, Incarnation: 9, ElectionRound: 1, Granted: true}))
 	require.True(t, h.Valid(899*ms))
 	require.False(t, h.Valid(900*ms), "a margin before the voters' end")
 }
 
 func TestOtherVotersInheritWhoCanHold(t *testing.T) {
 	old, same, other := threeVoters(4, a, b, c), threeVoters(5, c, b, a), threeVoters(5, a, b)
-	require.Equal(t, Past{Holder: c}, Past{Holder: c}.Adopt(old, same))
+	require.Equal(t, PreviousGrant{Holder: c}, PreviousGrant{Holder: c}.Adopt(old, same))
 	other.Holder = a
-	require.Equal(t, Past{Holder: a}, Past{Holder: c}.Adopt(old, other))
+	require.Equal(t, PreviousGrant{Holder: a}, PreviousGrant{Holder: c}.Adopt(old, other))
 	other.Holder = 0
-	require.Equal(t, Past{Unknown: true}, Past{Holder: c}.Adopt(old, other))
-	require.Equal(t, Past{Unknown: true}, Past{}.Adopt(threeVoters(0), threeVoters(7, a, b, c)), "a newcomer")
-	require.Equal(t, Past{}, Past{}.Adopt(threeVoters(0), threeVoters(1, a, b, c)), "a founder")
-	require.Equal(t, Past{Unknown: true}, Past{Holder: c}.Adopt(old, threeVoters(6, a, b, c)), "one that missed a view")
+	require.Equal(t, PreviousGrant{Unknown: true}, PreviousGrant{Holder: c}.Adopt(old, other))
+	require.Equal(t, PreviousGrant{Unknown: true}, PreviousGrant{}.Adopt(threeVoters(0), threeVoters(7, a, b, c)), "a newcomer")
+	require.Equal(t, PreviousGrant{}, PreviousGrant{}.Adopt(threeVoters(0), threeVoters(1, a, b, c)), "a bootstrap member")
+	require.Equal(t, PreviousGrant{Unknown: true}, PreviousGrant{Holder: c}.Adopt(old, threeVoters(6, a, b, c)), "one that missed a view")
 
-	v := NewVoter(0, testTerms(), Past{Holder: c})
+	v := NewVoter(0, testTiming(), PreviousGrant{Holder: c})
 	other.Holder = a
 	v.Adopt(2000*ms, old, other)
 	require.False(t, grants(v, 2999*ms, c, 7, 1))
@@ -117,8 +121,8 @@
 func TestVotersOfAVacantLeaseNeedNotWait(t *testing.T) {
 	old, next := threeVoters(4, a, b, c), threeVoters(5, a, b)
 	next.Vacant = true
-	require.Equal(t, Past{}, Past{Holder: c}.Adopt(old, next))
-	v := NewVoter(0, testTerms(), Past{Unknown: true})
+	require.Equal(t, PreviousGrant{}, PreviousGrant{Holder: c}.Adopt(old, next))
+	v := NewVoter(0, testTiming(), PreviousGrant{Unknown: true})
 	v.Adopt(100*ms, old, next)
 	require.True(t, grants(v, 100*ms, b, 8, 1))
 	require.False(t, grants(v, 101*ms, a, 7, 1))
--- a/control/lease/lease_gen.go
+++ b/control/lease/messages_gen.go
@@ -7,7 +7,7 @@
 )
 
 // DecodeMsg implements msgp.Decodable
-func (z *Past) DecodeMsg(dc *msgp.Reader) (err error) {
+func (z *PreviousGrant) DecodeMsg(dc *msgp.Reader) (err error) {
 	var zb0001 uint32
 	zb0001, err = dc.ReadArrayHeader()
 	if err != nil {
@@ -32,7 +32,7 @@
 }
 
 // EncodeMsg implements msgp.Encodable
-func (z *Past) EncodeMsg(en *msgp.Writer) (err error) {
+func (z *PreviousGrant) EncodeMsg(en *msgp.Writer) (err error) {
 	// array header, size 2
 	err = en.Append(0x92)
 	if err != nil {
@@ -52,7 +52,7 @@
 }
 
 // MarshalMsg implements msgp.Marshaler
-func (z *Past) MarshalMsg(b []byte) (o []byte, err error) {
+func (z *PreviousGrant) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
 	// array header, size 2
 	o = append(o, 0x92)
@@ -66,7 +66,7 @@
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *Past) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *PreviousGrant) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var zb0001 uint32
 	zb0001, bts, err = msgp.ReadArrayHeaderBytes(bts)
 	if err != nil {
@@ -92,7 +92,7 @@
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *Past) Msgsize() (s int) {
+func (z *PreviousGrant) Msgsize() (s int) {
 	s = 1 + z.Holder.Msgsize() + msgp.BoolSize
 	return
 }
@@ -109,14 +109,14 @@
 		err = msgp.ArrayError{Wanted: 2, Got: zb0001}
 		return
 	}
-	z.Life, err = dc.ReadUint64()
+	z.Incarnation, err = dc.ReadUint64()
 	if err != nil {
-		err = msgp.WrapError(err, "Life")
+		err = msgp.WrapError(err, "Incarnation")
 		return
 	}
-	z.Round, err = dc.ReadUint64()
+	z.ElectionRound, err = dc.ReadUint64()
 	if err != nil {
-		err = msgp.WrapError(err, "Round")
+		err = msgp.WrapError(err, "ElectionRound")
 		return
 	}
 	return
@@ -129,14 +129,14 @@
 	if err != nil {
 		return
 	}
-	err = en.WriteUint64(z.Life)
+	err = en.WriteUint64(z.Incarnation)
 	if err != nil {
-		err = msgp.WrapError(err, "Life")
+		err = msgp.WrapError(err, "Incarnation")
 		return
 	}
-	err = en.WriteUint64(z.Round)
+	err = en.WriteUint64(z.ElectionRound)
 	if err != nil {
-		err = msgp.WrapError(err, "Round")
+		err = msgp.WrapError(err, "ElectionRound")
 		return
 	}
 	return
@@ -147,8 +147,8 @@
 	o = msgp.Require(b, z.Msgsize())
 	// array header, size 2
 	o = append(o, 0x92)
-	o = msgp.AppendUint64(o, z.Life)
-	o = msgp.AppendUint64(o, z.Round)
+	o = msgp.AppendUint64(o, z.Incarnation)
+	o = msgp.AppendUint64(o, z.ElectionRound)
 	return
 }
 
@@ -164,14 +164,14 @@
 		err = msgp.ArrayError{Wanted: 2, Got: zb0001}
 		return
 	}
-	z.Life, bts, err = msgp.ReadUint64Bytes(bts)
+	z.Incarnation, bts, err = msgp.ReadUint64Bytes(bts)
 	if err != nil {
-		err = msgp.WrapError(err, "Life")
+		err = msgp.WrapError(err, "Incarnation")
 		return
 	}
-	z.Round, bts, err = msgp.ReadUint64Bytes(bts)
+	z.ElectionRound, bts, err = msgp.ReadUint64Bytes(bts)
 	if err != nil {
-		err = msgp.WrapError(err, "Round")
+		err = msgp.WrapError(err, "ElectionRound")
 		return
 	}
 	o = bts
@@ -201,14 +201,14 @@
 		err = msgp.WrapError(err, "Epoch")
 		return
 	}
-	z.Life, err = dc.ReadUint64()
+	z.Incarnation, err = dc.ReadUint64()
 	if err != nil {
-		err = msgp.WrapError(err, "Life")
+		err = msgp.WrapError(err, "Incarnation")
 		return
 	}
-	z.Round, err = dc.ReadUint64()
+	z.ElectionRound, err = dc.ReadUint64()
 	if err != nil {
-		err = msgp.WrapError(err, "Round")
+		err = msgp.WrapError(err, "ElectionRound")
 		return
 	}
 	z.Granted, err = dc.ReadBool()
@@ -231,14 +231,14 @@
 		err = msgp.WrapError(err, "Epoch")
 		return
 	}
-	err = en.WriteUint64(z.Life)
+	err = en.WriteUint64(z.Incarnation)
 	if err != nil {
-		err = msgp.WrapError(err, "Life")
+		err = msgp.WrapError(err, "Incarnation")
 		return
 	}
-	err = en.WriteUint64(z.Round)
+	err = en.WriteUint64(z.ElectionRound)
 	if err != nil {
-		err = msgp.WrapError(err, "Round")
+		err = msgp.WrapError(err, "ElectionRound")
 		return
 	}
 	err = en.WriteBool(z.Granted)
@@ -255,8 +255,8 @@
 	// array header, size 4
 	o = append(o, 0x94)
 	o = msgp.AppendUint64(o, z.Epoch)
-	o = msgp.AppendUint64(o, z.Life)
-	o = msgp.AppendUint64(o, z.Round)
+	o = msgp.AppendUint64(o, z.Incarnation)
+	o = msgp.AppendUint64(o, z.ElectionRound)
 	o = msgp.AppendBool(o, z.Granted)
 	return
 }
@@ -278,14 +278,14 @@
 		err = msgp.WrapError(err, "Epoch")
 		return
 	}
-	z.Life, bts, err = msgp.ReadUint64Bytes(bts)
+	z.Incarnation, bts, err = msgp.ReadUint64Bytes(bts)
 	if err != nil {
-		err = msgp.WrapError(err, "Life")
+		err = msgp.WrapError(err, "Incarnation")
 		return
 	}
-	z.Round, bts, err = msgp.ReadUint64Bytes(bts)
+	z.ElectionRound, bts, err = msgp.ReadUint64Bytes(bts)
 	if err != nil {
-		err = msgp.WrapError(err, "Round")
+		err = msgp.WrapError(err, "ElectionRound")
 		return
 	}
 	z.Granted, bts, err = msgp.ReadBoolBytes(bts)
@@ -320,14 +320,14 @@
 		err = msgp.WrapError(err, "Epoch")
 		return
 	}
-	z.Life, err = dc.ReadUint64()
+	z.Incarnation, err = dc.ReadUint64()
 	if err != nil {
-		err = msgp.WrapError(err, "Life")
+		err = msgp.WrapError(err, "Incarnation")
 		return
 	}
-	z.Round, err = dc.ReadUint64()
+	z.ElectionRound, err = dc.ReadUint64()
 	if err != nil {
-		err = msgp.WrapError(err, "Round")
+		err = msgp.WrapError(err, "ElectionRound")
 		return
 	}
 	return
@@ -345,14 +345,14 @@
 		err = msgp.WrapError(err, "Epoch")
 		return
 	}
-	err = en.WriteUint64(z.Life)
+	err = en.WriteUint64(z.Incarnation)
 	if err != nil {
-		err = msgp.WrapError(err, "Life")
+		err = msgp.WrapError(err, "Incarnation")
 		return
 	}
-	err = en.WriteUint64(z.Round)
+	err = en.WriteUint64(z.ElectionRound)
 	if err != nil {
-		err = msgp.WrapError(err, "Round")
+		err = msgp.WrapError(err, "ElectionRound")
 		return
 	}
 	return
@@ -364,8 +364,8 @@
 	// array header, size 3
 	o = append(o, 0x93)
 	o = msgp.AppendUint64(o, z.Epoch)
-	o = msgp.AppendUint64(o, z.Life)
-	o = msgp.AppendUint64(o, z.Round)
+	o = msgp.AppendUint64(o, z.Incarnation)
+	o = msgp.AppendUint64(o, z.ElectionRound)
 	return
 }
 
@@ -386,14 +386,14 @@
 		err = msgp.WrapError(err, "Epoch")
 		return
 	}
-	z.Life, bts, err = msgp.ReadUint64Bytes(bts)
+	z.Incarnation, bts, err = msgp.ReadUint64Bytes(bts)
 	if err != nil {
-		err = msgp.WrapError(err, "Life")
+		err = msgp.WrapError(err, "Incarnation")
 		return
 	}
-	z.Round, bts, err = msgp.ReadUint64Bytes(bts)
+	z.ElectionRound, bts, err = msgp.ReadUint64Bytes(bts)
 	if err != nil {
-		err = msgp.WrapError(err, "Round")
+		err = msgp.WrapError(err, "ElectionRound")
 		return
 	}
 	o = bts
--- /dev/null
+++ b/control/lease/voter.go
@@ -0,0 +1,102 @@
+package lease
+
+import (
+	"time"
+
+	"ravendale/control/view"
+)
+
+// Voter is a grantor's memory, of which PreviousGrant is on disk.
+type Voter struct {
+	timing          Timing
+	previous        PreviousGrant // names holder, or whom it granted the lease before it started
+	holder          view.ID
+	incarnation     uint64
+	electionRound   uint64
+	expiresAt       time.Duration
+	restrictedUntil time.Duration // until then it only grants to the holder that previous names
+}
+
+// NewVoter makes a voter from what is on its disk.
+func NewVoter(now time.Duration, timing Timing, previous PreviousGrant) *Voter {
+	v := &Voter{timing: timing, previous: previous}
+	if previous != (PreviousGrant{}) {
+		v.restrictedUntil = now + timing.Duration
+	}
+	return v
+}
+
+// PreviousGrant is what has to be on disk before an answer is sent.
+func (v *Voter) PreviousGrant() PreviousGrant { return v.previous }
+
+// Grant answers a request of a candidate. Changed says that PreviousGrant must be written before the answer is sent.
+func (v *Voter) Grant(now time.Duration, candidate view.ID, request *Request) (granted, changed bool) {
+	if now < v.restrictedUntil {
+		if candidate != v.previous.Holder {
+			return false, false
+		}
+	} else if now < v.expiresAt && candidate != v.holder {
+		return false, false
+	}
+	v.holder, v.incarnation, v.electionRound, v.expiresAt = candidate, request.Incarnation, request.ElectionRound, now+v.timing.Duration
+	previous := PreviousGrant{Holder: candidate}
+	changed = v.previous != previous
+	v.previous = previous
+	return true, changed
+}
+
+// Holder is whom it has granted the lease, zero if nobody; unknown if it can't know.
+func (v *Voter) Holder(now time.Duration) (holder view.ID, unknown bool) {
+	if now < v.restrictedUntil {
+		return v.previous.Holder, v.previous.Unknown
+	}
+	if now < v.expiresAt {
+		return v.holder, false
+	}
+	return 0, false
+}
+
+// PreviousHolder is the only one that it grants the lease, for as long as there is such a one; zero if there is none.
+func (v *Voter) PreviousHolder(now time.Duration) view.ID {
+	if now < v.restrictedUntil {
+		return v.previous.Holder
+	}
+	return 0
+}
+
+// Release forgets a grant.
+func (v *Voter) Release(candidate view.ID, release *Release) {
+	if v.holder == candidate && v.incarnation == release.Incarnation && v.electionRound <= release.ElectionRound {
+		v.expiresAt = 0
+	}
+}
+
+// Adopt tells of a new view. PreviousGrant then changes as the view has it: that needs no writing apart from the view.
+func (v *Voter) Adopt(now time.Duration, old, next *view.View) {
+	if !majoritiesMayBeDisjoint(old, next) {
+		return
+	}
+	v.previous = v.previous.Adopt(old, next)
+	v.restrictedUntil = now
+	if v.previous != (PreviousGrant{}) {
+		v.restrictedUntil += v.timing.Duration
+	}
+}
+
+// Adopt tells of a new view, and returns the PreviousGrant that follows. Where majorities of old and new voters need not meet, the
+// one to reckon with is whoever can hold a lease given by the old ones.
+func (p PreviousGrant) Adopt(old, next *view.View) PreviousGrant {
+	if !majoritiesMayBeDisjoint(old, next) {
+		return p
+	}
+	if next.Vacant {
+		return PreviousGrant{}
+	}
+	return PreviousGrant{Holder: next.Holder, Unknown: next.Holder == 0}
+}
+
+// majoritiesMayBeDisjoint says whether a lease may hold that was granted by voters of which the new ones know nothing.
+func majoritiesMayBeDisjoint(old, next *view.View) bool {
+	founded := old.Epoch == 0 && next.Epoch == 1 // nobody can hold a lease yet that this voter could break
+	return !founded && (next.Epoch != old.Epoch+1 || !next.SameVoters(old))
+}
--- a/test/simulation/control_test.go
+++ b/test/simulation/control_test.go
@@ -78,7 +78,7 @@
 	c.calls, c.applied = make(map[uint64]func(core.Ended)), make(map[*byte]int)
 	c.state = newRecorder(c)
 	c.box = rpc.NewMux()
-	terms, down := lease.DefaultTerms, core.DownAfter(catchup)
+	terms, down := lease.DefaultTiming, core.DownAfter(catchup)
 	if c.world.mutant == keepsVotes {
 		down = 2 * catchup
 	}
