--- a/cmd/ravendale-edge/edge_test.go
+++ b/cmd/ravendale-edge/edge_test.go
@@ -25,6 +25,7 @@
 	"ravendale/cluster/wire"
 	"ravendale/edge/dispatch"
 	"ravendale/store/server"
+	"ravendale/test/diskfolder"
 )
 
 const patience = 8 * time.Second
@@ -138,7 +139,7 @@
 
 func (r *rig) settings(role string) *settings.Settings {
 	return &settings.Settings{
-		Node: role, IP: "127.0.0.1", Zone: "z1", Zones: map[string]string{"z1": "r1"}, DataDir: r.t.TempDir(),
+		Node: role, IP: "127.0.0.1", Zone: "z1", Zones: map[string]string{"z1": "r1"}, DataDir: diskfolder.New(r.t),
 		MaxFds: 1024, MemoryMb: 256, LostNodes: 1, DiskMb: 64, HeartbeatMs: 1000, PortRange: []int{1, 10},
 		Bounds: settings.Bounds{GraceS: 6, CeilingWindowS: 5, OriginOvershoot: 1.1, ConvergeMs: 3000, StatusS: 120},
 	}
--- a/test/systemtest/rig_test.go
+++ b/test/systemtest/rig_test.go
@@ -13,6 +13,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
+	"ravendale/test/diskfolder"
 	"ravendale/test/standin"
 	"ravendale/test/standin/check"
 	"ravendale/test/standin/client"
@@ -158,7 +159,7 @@
 	world, err := standin.Start(standin.Options{Zones: zones, Lag: 300 * time.Millisecond, RatePerS: 20, Services: services()})
 	require.NoError(t, err)
 	t.Cleanup(world.Close)
-	folder := diskFolder(t)
+	folder := diskfolder.New(t)
 	spec := cluster.Spec{
 		Programs: programs, Folder: folder, Provider: world.Platform.Address(), ProviderRate: 20,
 		Zones: zones, EdgesPerZone: 1, StoresPerZone: 1, LostNodes: 1, Settings: settingsOfBounds(),
@@ -178,22 +179,6 @@
 	return r
 }
 
-// memoryFolder is a file system in memory, where a machine has one.
-const memoryFolder = "/dev/shm"
-
-// diskFolder is where the processes' disks lie: in memory, if that can be had. A shared machine's own disk stalls for up to a second now and
-// then; the stores take that for what it is and step aside, but it is on no record of troubles, and the rules would be checked as if there
-// had been none. SIGKILL and lost disks mean the same in memory; no scenario takes the machine's power.
-func diskFolder(t *testing.T) string {
-	t.Helper()
-	folder, err := os.MkdirTemp(memoryFolder, "ravendale-systemtest-")
-	if err != nil {
-		return t.TempDir()
-	}
-	t.Cleanup(func() { _ = os.RemoveAll(folder) })
-	return folder
-}
-
 // end kills the system, and shows the logs' ends if the scenario failed.
 func (r *rig) end() {
 	r.system.Kill()
