--- a/control/leader/leader_test.go
+++ b/control/leader/leader_test.go
@@ -388,7 +388,7 @@
 	f.eventually("it is placed", func() bool { return whole(f.view(), "") })
 	require.Len(t, f.view().Stores, 3)
 	f.eventually("the stores know", all(stores, func(p *process) bool { return p.Snapshot().Stores != nil && p.Current() }))
-	time.Sleep(storeGrace) // a leader that has just begun takes nobody for lost
+	time.Sleep(storeReconnectTimeout) // a leader that has just begun takes nobody for lost
 
 	stores[0].kill()
 	started := time.Now()
@@ -512,7 +512,7 @@
 	f.refuse = context.DeadlineExceeded
 	f.mu.Unlock()
 	f.stores(3)
-	time.Sleep(foundingQuiet + 300*time.Millisecond)
+	time.Sleep(bootstrapQuiet + 300*time.Millisecond)
 	require.Nil(t, f.view())
 	f.mu.Lock()
 	f.refuse = nil
--- a/control/leader/retire.go
+++ b/control/leader/retire.go
@@ -4,7 +4,6 @@
 	"context"
 	"errors"
 	"fmt"
-	"slices"
 
 	"ravendale/cluster/rpc"
 	"ravendale/cluster/wire"
@@ -183,54 +182,3 @@
 	}
 	return s.config.State().Placement, nil
 }
-
-func (t *term) startRetire(ctx context.Context, node string) error {
-	answer := make(chan error, 1)
-	if !t.box.Post(func() { t.retire(ctx, node, answer) }) {
-		return ErrNotLeading
-	}
-	select {
-	case err := <-answer:
-		return err
-	case <-ctx.Done():
-		return fmt.Errorf("%w: %w", ErrUndecided, ctx.Err())
-	case <-t.done:
-		return ErrUndecided
-	}
-}
-
-// unplaced says whether a node's store lives and the placement does not list it yet.
-func unplaced(view *wire.StoreView, live []placement.Store, node string) bool {
-	known, _, _ := placement.Retirement(view, node)
-	return !known && slices.ContainsFunc(live, func(s placement.Store) bool { return s.Node == node })
-}
-
-// retire marks a node's store as one to be emptied. While another placement is on its way, or there is none yet, it waits.
-func (t *term) retire(ctx context.Context, node string, answer chan<- error) {
-	if ctx.Err() != nil {
-		answer <- fmt.Errorf("%w: %w", ErrUndecided, ctx.Err())
-		return
-	}
-	view := t.service.config.State().Placement
-	live := t.live(t.now(), view)
-	if t.submitting || view == nil || view.Epoch < t.epoch || unplaced(view, live, node) {
-		t.work.Go(func() {
-			_ = t.service.host.Sleep(t.ctx, statePoll)
-			t.box.Post(func() { t.retire(ctx, node, answer) })
-		})
-		return
-	}
-	if _, retiring, _ := placement.Retirement(view, node); retiring {
-		answer <- nil
-		return
-	}
-	next, known, enough := placement.Retire(view, live, placementConfig(t.service.settings.Load()), node)
-	switch {
-	case !known:
-		answer <- fmt.Errorf("%w: %q", ErrUnknownNode, node)
-	case !enough:
-		answer <- fmt.Errorf("%w: without %q", ErrTooFew, node)
-	default:
-		t.propose(next, answer)
-	}
-}
--- a/control/leader/status.go
+++ b/control/leader/status.go
@@ -28,7 +28,7 @@
 }
 
 func (t *term) count() *status.Members {
-	stores := t.registry.Stores()
+	stores := t.leases.registry.Stores()
 	leases := make([]status.Lease, len(stores))
 	for i := range stores {
 		leases[i] = status.Lease{
@@ -36,5 +36,5 @@
 			Epoch: stores[i].Status.Epoch, Pending: stores[i].Status.Pending,
 		}
 	}
-	return status.MembersOf(t.registry.Edges(), leases, t.epoch)
+	return status.MembersOf(t.leases.registry.Edges(), leases, t.placer.epoch)
 }
