--- a/cluster/relay/node.go
+++ b/cluster/relay/node.go
@@ -13,10 +13,10 @@
 	"ravendale/cluster/wire"
 )
 
-// BeatEvery is how often a parent tells its children that it lives.
-const BeatEvery = 500 * time.Millisecond
+// HeartbeatInterval is how often a parent tells its children that it lives.
+const HeartbeatInterval = 500 * time.Millisecond
 
-// Beats say that a parent lives, and the uplink gives it up: pings are hardly needed.
+// Heartbeats say that a parent lives, and the uplink gives it up: pings are hardly needed.
 const (
 	pingAfter   = 2 * time.Second
 	closedAfter = 5 * time.Second
@@ -41,15 +41,15 @@
 	started time.Duration
 
 	// The rest belongs to the goroutine of Run.
-	topics   Topics
-	children *Children[*rpc.Conn]
-	uplink   *Uplink
-	link     host.Link
-	beat     time.Duration
-	above    Versions // what the parent said that it has
-	pace     pace
-	held     bool // some update waits for the pace
-	stopped  bool
+	topics       Topics
+	children     *Children[*rpc.Conn]
+	uplink       *Uplink
+	link         host.Link
+	heartbeatDue time.Duration
+	above        Versions // what the parent said that it has
+	pace         pace
+	held         bool // some update waits for the pace
+	stopped      bool
 }
 
 // NewNode makes a node that does nothing before Run.
@@ -186,7 +186,7 @@
 	now := n.now()
 	n.uplink.Tick(now)
 	n.connect()
-	n.sendBeats(now)
+	n.sendHeartbeats(now)
 	if n.held && now >= n.pace.next() {
 		n.push()
 	}
@@ -201,8 +201,8 @@
 	if at, ok := n.topics.Next(); ok && (!found || at < next) {
 		next, found = at, true
 	}
-	if len(n.children.List()) > 0 && (!found || n.beat < next) {
-		next, found = n.beat, true
+	if len(n.children.List()) > 0 && (!found || n.heartbeatDue < next) {
+		next, found = n.heartbeatDue, true
 	}
 	if n.held && (!found || n.pace.next() < next) {
 		next, found = n.pace.next(), true
@@ -213,15 +213,15 @@
 	return max(next-now, time.Millisecond)
 }
 
-func (n *Node) sendBeats(now time.Duration) {
-	if now < n.beat || len(n.children.List()) == 0 {
+func (n *Node) sendHeartbeats(now time.Duration) {
+	if now < n.heartbeatDue || len(n.children.List()) == 0 {
 		return
 	}
-	n.beat = now + BeatEvery
+	n.heartbeatDue = now + HeartbeatInterval
 	versions := n.topics.Versions()
-	beat := wire.Beat{Heads: versions.List()}
+	heartbeat := wire.Heartbeat{Heads: versions.List()}
 	for _, child := range slices.Clone(n.children.List()) {
-		if err := child.Notify(wire.MethodBeat, &beat); err != nil {
+		if err := child.Notify(wire.MethodHeartbeat, &heartbeat); err != nil {
 			n.children.Remove(child)
 		}
 	}
@@ -254,11 +254,11 @@
 			n.take(update)
 		})
 	})
-	rpc.Handle(mux, wire.MethodBeat, func(_ *rpc.Conn, beat *wire.Beat, _ rpc.Reply) {
+	rpc.Handle(mux, wire.MethodHeartbeat, func(_ *rpc.Conn, heartbeat *wire.Heartbeat, _ rpc.Reply) {
 		n.box.Post(func() {
 			n.uplink.Heard(n.now(), address)
-			n.above = VersionsOf(beat.Heads)
-			n.topics.Named(n.now(), beat.Heads)
+			n.above = VersionsOf(heartbeat.Heads)
+			n.topics.Named(n.now(), heartbeat.Heads)
 		})
 	})
 	return mux
--- a/cluster/wire/compat_test.go
+++ b/cluster/wire/compat_test.go
@@ -33,7 +33,7 @@
 		{"update", &Update{Topic: 2, From: Version{Term: 5000000002, Sequence: 5000000003}, To: Version{Term: 5000000004, Sequence: 5000000005}, Delta: true, Compressed: true, Payload: []byte("payload\x00\xff6")}, new(Update)},
 		{"update-flags-1", &Update{Topic: 2, From: Version{Term: 5000000002, Sequence: 5000000003}, To: Version{Term: 5000000004, Sequence: 5000000005}, Delta: true, Compressed: false, Payload: []byte("payload\x00\xff6")}, new(Update)},
 		{"update-flags-2", &Update{Topic: 2, From: Version{Term: 5000000002, Sequence: 5000000003}, To: Version{Term: 5000000004, Sequence: 5000000005}, Delta: true, Compressed: true, Payload: []byte("payload\x00\xff6")}, new(Update)},
-		{"beat", &Beat{Heads: []Version{{Term: 5000000001, Sequence: 5000000002}, {Term: 5000000003, Sequence: 5000000004}}}, new(Beat)},
+		{"beat", &Heartbeat{Heads: []Version{{Term: 5000000001, Sequence: 5000000002}, {Term: 5000000003, Sequence: 5000000004}}}, new(Heartbeat)},
 		{"fetch", &Fetch{Topic: 2, Have: Version{Term: 5000000002, Sequence: 5000000003}}, new(Fetch)},
 		{"host-core", &HostCore{Host: true}, new(HostCore)},
 		{"store", &Store{Disk: "disk-1", Node: "node-2", Address: "address-3", Zone: "zone-4", Region: "region-5", Retiring: true}, new(Store)},
@@ -56,7 +56,7 @@
 		{"claim-reply", &ClaimReply{Code: 2, Epoch: 5000000002, Unknown: []string{"unknown-3", "unknown-4"}}, new(ClaimReply)},
 		{"find", &Find{ID: "id-1", Body: true, Epoch: 5000000002}, new(Find)},
 		{"find-reply", &FindReply{Found: true, State: 2, Signature: "signature-2", Body: []byte("body\x00\xff3")}, new(FindReply)},
-		{"grant", &Grant{Partition: 301, Epoch: 5000000002, ID: "id-3", Failed: 304, Whole: true, Message: Message{ID: "id-5", RequestID: "requestid-6", Route: "route-7", Method: "method-8", Host: "host-9", Target: "target-10", ContentType: "contenttype-11", Key: "key-12", Body: []byte("body\x00\xff13"), SentUnixMs: 1700000000014, DelayMs: 70015, RetentionMs: 70016, Retries: 317, Ordered: true}}, new(Grant)},
+		{"grant", &Grant{Partition: 301, Epoch: 5000000002, ID: "id-3", Failed: 304, HasMessage: true, Message: Message{ID: "id-5", RequestID: "requestid-6", Route: "route-7", Method: "method-8", Host: "host-9", Target: "target-10", ContentType: "contenttype-11", Key: "key-12", Body: []byte("body\x00\xff13"), SentUnixMs: 1700000000014, DelayMs: 70015, RetentionMs: 70016, Retries: 317, Ordered: true}}, new(Grant)},
 	}
 	for _, test := range tests {
 		t.Run(test.file, func(t *testing.T) {
@@ -79,7 +79,7 @@
 // TestNumbersOnTheWireStay holds the numbers that methods, topics, codes and states have in messages.
 func TestNumbersOnTheWireStay(t *testing.T) {
 	methods := map[Method]uint16{
-		MethodRenew: 1, MethodSubscribe: 2, MethodUpdate: 3, MethodBeat: 4, MethodFetch: 5, MethodRetire: 6, MethodRetireState: 7, MethodStatus: 8,
+		MethodRenew: 1, MethodSubscribe: 2, MethodUpdate: 3, MethodHeartbeat: 4, MethodFetch: 5, MethodRetire: 6, MethodRetireState: 7, MethodStatus: 8,
 		MethodHostCore: 9, MethodAttach: 32, MethodPut: 33, MethodReport: 34, MethodClaim: 35, MethodFind: 36, MethodGrant: 37,
 		MethodStorePrivate: 64, MethodCorePrivate: 128,
 	}
--- a/cluster/wire/membership.go
+++ b/cluster/wire/membership.go
@@ -1,6 +1,6 @@
 package wire
 
-//msgp:tuple Version Member StoreStatus Renew RenewReply Subscribe SubscribeReply Update Beat Fetch HostCore
+//msgp:tuple Version Member StoreStatus Renew RenewReply Subscribe SubscribeReply Update Heartbeat Fetch HostCore
 //msgp:tuple Store Placement StoreView Edge Members Worker Workers
 
 // Topic is a kind of state that the control plane gives to all. Of each there is one newest version.
@@ -94,8 +94,8 @@
 	Payload    []byte
 }
 
-// Beat tells a child that its parent lives, and what the newest versions are that it has.
-type Beat struct {
+// Heartbeat tells a child that its parent lives, and what the newest versions are that it has.
+type Heartbeat struct {
 	Heads []Version // by topic
 }
 
--- a/cluster/wire/membership_gen.go
+++ b/cluster/wire/membership_gen.go
@@ -6,156 +6,6 @@
 	"github.com/tinylib/msgp/msgp"
 )
 
-// DecodeMsg implements msgp.Decodable
-func (z *Beat) DecodeMsg(dc *msgp.Reader) (err error) {
-	var zb0001 uint32
-	zb0001, err = dc.ReadArrayHeader()
-	if err != nil {
-		err = msgp.WrapError(err)
-		return
-	}
-	if zb0001 != 1 {
-		err = msgp.ArrayError{Wanted: 1, Got: zb0001}
-		return
-	}
-	var zb0002 uint32
-	zb0002, err = dc.ReadArrayHeader()
-	if err != nil {
-		err = msgp.WrapError(err, "Heads")
-		return
-	}
-	if cap(z.Heads) >= int(zb0002) {
-		z.Heads = (z.Heads)[:zb0002]
-	} else {
-		z.Heads = make([]Version, zb0002)
-	}
-	for za0001 := range z.Heads {
-		var zb0003 uint32
-		zb0003, err = dc.ReadArrayHeader()
-		if err != nil {
-			err = msgp.WrapError(err, "Heads", za0001)
-			return
-		}
-		if zb0003 != 2 {
-			err = msgp.ArrayError{Wanted: 2, Got: zb0003}
-			return
-		}
-		z.Heads[za0001].Term, err = dc.ReadUint64()
-		if err != nil {
-			err = msgp.WrapError(err, "Heads", za0001, "Term")
-			return
-		}
-		z.Heads[za0001].Sequence, err = dc.ReadUint64()
-		if err != nil {
-			err = msgp.WrapError(err, "Heads", za0001, "Sequence")
-			return
-		}
-	}
-	return
-}
-
-// EncodeMsg implements msgp.Encodable
-func (z *Beat) EncodeMsg(en *msgp.Writer) (err error) {
-	// array header, size 1
-	err = en.Append(0x91)
-	if err != nil {
-		return
-	}
-	err = en.WriteArrayHeader(uint32(len(z.Heads)))
-	if err != nil {
-		err = msgp.WrapError(err, "Heads")
-		return
-	}
-	for za0001 := range z.Heads {
-		// array header, size 2
-		err = en.Append(0x92)
-		if err != nil {
-			return
-		}
-		err = en.WriteUint64(z.Heads[za0001].Term)
-		if err != nil {
-			err = msgp.WrapError(err, "Heads", za0001, "Term")
-			return
-		}
-		err = en.WriteUint64(z.Heads[za0001].Sequence)
-		if err != nil {
-			err = msgp.WrapError(err, "Heads", za0001, "Sequence")
-			return
-		}
-	}
-	return
-}
-
-// MarshalMsg implements msgp.Marshaler
-func (z *Beat) MarshalMsg(b []byte) (o []byte, err error) {
-	o = msgp.Require(b, z.Msgsize())
-	// array header, size 1
-	o = append(o, 0x91)
-	o = msgp.AppendArrayHeader(o, uint32(len(z.Heads)))
-	for za0001 := range z.Heads {
-		// array header, size 2
-		o = append(o, 0x92)
-		o = msgp.AppendUint64(o, z.Heads[za0001].Term)
-		o = msgp.AppendUint64(o, z.Heads[za0001].Sequence)
-	}
-	return
-}
-
-// UnmarshalMsg implements msgp.Unmarshaler
-func (z *Beat) UnmarshalMsg(bts []byte) (o []byte, err error) {
-	var zb0001 uint32
-	zb0001, bts, err = msgp.ReadArrayHeaderBytes(bts)
-	if err != nil {
-		err = msgp.WrapError(err)
-		return
-	}
-	if zb0001 != 1 {
-		err = msgp.ArrayError{Wanted: 1, Got: zb0001}
-		return
-	}
-	var zb0002 uint32
-	zb0002, bts, err = msgp.ReadArrayHeaderBytes(bts)
-	if err != nil {
-		err = msgp.WrapError(err, "Heads")
-		return
-	}
-	if cap(z.Heads) >= int(zb0002) {
-		z.Heads = (z.Heads)[:zb0002]
-	} else {
-		z.Heads = make([]Version, zb0002)
-	}
-	for za0001 := range z.Heads {
-		var zb0003 uint32
-		zb0003, bts, err = msgp.ReadArrayHeaderBytes(bts)
-		if err != nil {
-			err = msgp.WrapError(err, "Heads", za0001)
-			return
-		}
-		if zb0003 != 2 {
-			err = msgp.ArrayError{Wanted: 2, Got: zb0003}
-			return
-		}
-		z.Heads[za0001].Term, bts, err = msgp.ReadUint64Bytes(bts)
-		if err != nil {
-			err = msgp.WrapError(err, "Heads", za0001, "Term")
-			return
-		}
-		z.Heads[za0001].Sequence, bts, err = msgp.ReadUint64Bytes(bts)
-		if err != nil {
-			err = msgp.WrapError(err, "Heads", za0001, "Sequence")
-			return
-		}
-	}
-	o = bts
-	return
-}
-
-// Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *Beat) Msgsize() (s int) {
-	s = 1 + msgp.ArrayHeaderSize + (len(z.Heads) * (15 + msgp.Uint64Size + msgp.Uint64Size))
-	return
-}
-
 // DecodeMsg implements msgp.Decodable
 func (z *Edge) DecodeMsg(dc *msgp.Reader) (err error) {
 	var zb0001 uint32
@@ -445,6 +295,156 @@
 	return
 }
 
+// DecodeMsg implements msgp.Decodable
+func (z *Heartbeat) DecodeMsg(dc *msgp.Reader) (err error) {
+	var zb0001 uint32
+	zb0001, err = dc.ReadArrayHeader()
+	if err != nil {
+		err = msgp.WrapError(err)
+		return
+	}
+	if zb0001 != 1 {
+		err = msgp.ArrayError{Wanted: 1, Got: zb0001}
+		return
+	}
+	var zb0002 uint32
+	zb0002, err = dc.ReadArrayHeader()
+	if err != nil {
+		err = msgp.WrapError(err, "Heads")
+		return
+	}
+	if cap(z.Heads) >= int(zb0002) {
+		z.Heads = (z.Heads)[:zb0002]
+	} else {
+		z.Heads = make([]Version, zb0002)
+	}
+	for za0001 := range z.Heads {
+		var zb0003 uint32
+		zb0003, err = dc.ReadArrayHeader()
+		if err != nil {
+			err = msgp.WrapError(err, "Heads", za0001)
+			return
+		}
+		if zb0003 != 2 {
+			err = msgp.ArrayError{Wanted: 2, Got: zb0003}
+			return
+		}
+		z.Heads[za0001].Term, err = dc.ReadUint64()
+		if err != nil {
+			err = msgp.WrapError(err, "Heads", za0001, "Term")
+			return
+		}
+		z.Heads[za0001].Sequence, err = dc.ReadUint64()
+		if err != nil {
+			err = msgp.WrapError(err, "Heads", za0001, "Sequence")
+			return
+		}
+	}
+	return
+}
+
+// EncodeMsg implements msgp.Encodable
+func (z *Heartbeat) EncodeMsg(en *msgp.Writer) (err error) {
+	// array header, size 1
+	err = en.Append(0x91)
+	if err != nil {
+		return
+	}
+	err = en.WriteArrayHeader(uint32(len(z.Heads)))
+	if err != nil {
+		err = msgp.WrapError(err, "Heads")
+		return
+	}
+	for za0001 := range z.Heads {
+		// array header, size 2
+		err = en.Append(0x92)
+		if err != nil {
+			return
+		}
+		err = en.WriteUint64(z.Heads[za0001].Term)
+		if err != nil {
+			err = msgp.WrapError(err, "Heads", za0001, "Term")
+			return
+		}
+		err = en.WriteUint64(z.Heads[za0001].Sequence)
+		if err != nil {
+			err = msgp.WrapError(err, "Heads", za0001, "Sequence")
+			return
+		}
+	}
+	return
+}
+
+// MarshalMsg implements msgp.Marshaler
+func (z *Heartbeat) MarshalMsg(b []byte) (o []byte, err error) {
+	o = msgp.Require(b, z.Msgsize())
+	// array header, size 1
+	o = append(o, 0x91)
+	o = msgp.AppendArrayHeader(o, uint32(len(z.Heads)))
+	for za0001 := range z.Heads {
+		// array header, size 2
+		o = append(o, 0x92)
+		o = msgp.AppendUint64(o, z.Heads[za0001].Term)
+		o = msgp.AppendUint64(o, z.Heads[za0001].Sequence)
+	}
+	return
+}
+
+// UnmarshalMsg implements msgp.Unmarshaler
+func (z *Heartbeat) UnmarshalMsg(bts []byte) (o []byte, err error) {
+	var zb0001 uint32
+	zb0001, bts, err = msgp.ReadArrayHeaderBytes(bts)
+	if err != nil {
+		err = msgp.WrapError(err)
+		return
+	}
+	if zb0001 != 1 {
+		err = msgp.ArrayError{Wanted: 1, Got: zb0001}
+		return
+	}
+	var zb0002 uint32
+	zb0002, bts, err = msgp.ReadArrayHeaderBytes(bts)
+	if err != nil {
+		err = msgp.WrapError(err, "Heads")
+		return
+	}
+	if cap(z.Heads) >= int(zb0002) {
+		z.Heads = (z.Heads)[:zb0002]
+	} else {
+		z.Heads = make([]Version, zb0002)
+	}
+	for za0001 := range z.Heads {
+		var zb0003 uint32
+		zb0003, bts, err = msgp.ReadArrayHeaderBytes(bts)
+		if err != nil {
+			err = msgp.WrapError(err, "Heads", za0001)
+			return
+		}
+		if zb0003 != 2 {
+			err = msgp.ArrayError{Wanted: 2, Got: zb0003}
+			return
+		}
+		z.Heads[za0001].Term, bts, err = msgp.ReadUint64Bytes(bts)
+		if err != nil {
+			err = msgp.WrapError(err, "Heads", za0001, "Term")
+			return
+		}
+		z.Heads[za0001].Sequence, bts, err = msgp.ReadUint64Bytes(bts)
+		if err != nil {
+			err = msgp.WrapError(err, "Heads", za0001, "Sequence")
+			return
+		}
+	}
+	o = bts
+	return
+}
+
+// Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
+func (z *Heartbeat) Msgsize() (s int) {
+	s = 1 + msgp.ArrayHeaderSize + (len(z.Heads) * (15 + msgp.Uint64Size + msgp.Uint64Size))
+	return
+}
+
 // DecodeMsg implements msgp.Decodable
 func (z *HostCore) DecodeMsg(dc *msgp.Reader) (err error) {
 	var zb0001 uint32
--- a/cluster/wire/methods.go
+++ b/cluster/wire/methods.go
@@ -8,7 +8,7 @@
 	MethodRenew       Method = 1 + iota // Renew, RenewReply: any scheduler or store to the control plane
 	MethodSubscribe                     // Subscribe, SubscribeReply: a child to its parent in the relay tree
 	MethodUpdate                        // Update, notification: a parent to its children
-	MethodBeat                          // Beat, notification: a parent to its children
+	MethodHeartbeat                     // Heartbeat, notification: a parent to its children
 	MethodFetch                         // Fetch, Update: a topic asked for outside of the tree
 	MethodRetire                        // an order of the operator: a control process to the one that leads
 	MethodRetireState                   // the operator's question how far that is, to the process that leads
--- a/cluster/wire/queue.go
+++ b/cluster/wire/queue.go
@@ -73,12 +73,12 @@
 
 // Grant hands a message to an edge for delivery, or tells the edge that holds it that its turn has come.
 type Grant struct {
-	Partition uint16
-	Epoch     uint64 // of the store that grants
-	ID        string
-	Failed    uint16 // attempts that failed
-	Whole     bool   // Message is set: the edge did not have it
-	Message   Message
+	Partition  uint16
+	Epoch      uint64 // of the store that grants
+	ID         string
+	Failed     uint16 // attempts that failed
+	HasMessage bool   // Message is set: the edge did not have it
+	Message    Message
 }
 
 // ReportKind says how a delivery went.
--- a/cluster/wire/queue_gen.go
+++ b/cluster/wire/queue_gen.go
@@ -718,9 +718,9 @@
 		err = msgp.WrapError(err, "Failed")
 		return
 	}
-	z.Whole, err = dc.ReadBool()
+	z.HasMessage, err = dc.ReadBool()
 	if err != nil {
-		err = msgp.WrapError(err, "Whole")
+		err = msgp.WrapError(err, "HasMessage")
 		return
 	}
 	err = z.Message.DecodeMsg(dc)
@@ -758,9 +758,9 @@
 		err = msgp.WrapError(err, "Failed")
 		return
 	}
-	err = en.WriteBool(z.Whole)
+	err = en.WriteBool(z.HasMessage)
 	if err != nil {
-		err = msgp.WrapError(err, "Whole")
+		err = msgp.WrapError(err, "HasMessage")
 		return
 	}
 	err = z.Message.EncodeMsg(en)
@@ -780,7 +780,7 @@
 	o = msgp.AppendUint64(o, z.Epoch)
 	o = msgp.AppendString(o, z.ID)
 	o = msgp.AppendUint16(o, z.Failed)
-	o = msgp.AppendBool(o, z.Whole)
+	o = msgp.AppendBool(o, z.HasMessage)
 	o, err = z.Message.MarshalMsg(o)
 	if err != nil {
 		err = msgp.WrapError(err, "Message")
@@ -821,9 +821,9 @@
 		err = msgp.WrapError(err, "Failed")
 		return
 	}
-	z.Whole, bts, err = msgp.ReadBoolBytes(bts)
+	z.HasMessage, bts, err = msgp.ReadBoolBytes(bts)
 	if err != nil {
-		err = msgp.WrapError(err, "Whole")
+		err = msgp.WrapError(err, "HasMessage")
 		return
 	}
 	bts, err = z.Message.UnmarshalMsg(bts)
--- a/edge/dispatch/core.go
+++ b/edge/dispatch/core.go
@@ -149,7 +149,7 @@
 		c.grant(m, g.Failed)
 	case m != nil && !m.released: // its report is repeated until it is acknowledged
 	case c.repeatEnding(g.ID):
-	case g.Whole:
+	case g.HasMessage:
 		c.take(g)
 	case m == nil:
 		c.report(wire.Report{ID: g.ID, Kind: wire.ReportReleased, Failed: g.Failed})
--- a/edge/dispatch/core_test.go
+++ b/edge/dispatch/core_test.go
@@ -195,7 +195,7 @@
 
 func TestFailuresOfBeforeCount(t *testing.T) {
 	w := newWorld(t)
-	w.take(w.core.Grant(w.now, &wire.Grant{ID: "0.1", Whole: true, Failed: 2, Message: *messageTo("/p/", "1")}))
+	w.take(w.core.Grant(w.now, &wire.Grant{ID: "0.1", HasMessage: true, Failed: 2, Message: *messageTo("/p/", "1")}))
 	w.end(w.sent(), worker.Failed)
 	assert.Equal(t, wire.Report{ID: "0.1", Kind: wire.ReportDead, Failed: 3}, w.told())
 }
@@ -278,7 +278,7 @@
 		w := newWorld(t)
 		m := messageTo("/p/", "1")
 		m.DelayMs, m.SentUnixMs = 1500, sent
-		w.take(w.core.Grant(w.now, &wire.Grant{ID: m.ID, Whole: true, Message: *m}))
+		w.take(w.core.Grant(w.now, &wire.Grant{ID: m.ID, HasMessage: true, Message: *m}))
 		w.end(w.sent(), worker.Done)
 		assert.Equal(t, wire.ReportDone, w.told().Kind)
 	}
@@ -318,7 +318,7 @@
 	w := newWorld(t)
 	w.accept("/p/", "1")
 	d := w.sent()
-	w.take(w.core.Grant(w.now, &wire.Grant{ID: "0.1", Whole: true, Message: *messageTo("/p/", "1")}))
+	w.take(w.core.Grant(w.now, &wire.Grant{ID: "0.1", HasMessage: true, Message: *messageTo("/p/", "1")}))
 	w.unsent()
 	w.end(d, worker.Done)
 	assert.Equal(t, wire.ReportDone, w.told().Kind)
@@ -339,7 +339,7 @@
 	w.pass(returnPause)
 	assert.Equal(t, wire.ReportReleased, w.told().Kind)
 	w.take(w.core.Place(w.now, edgesOf("e1")))
-	w.take(w.core.Grant(w.now, &wire.Grant{ID: "0.1", Whole: true, Message: *messageTo("/l/", "1")}))
+	w.take(w.core.Grant(w.now, &wire.Grant{ID: "0.1", HasMessage: true, Message: *messageTo("/l/", "1")}))
 	w.take(w.core.Acknowledged(w.now, "0.1")) // of the release: too late to matter
 	w.pass(2 * time.Second)
 	w.sent()
@@ -394,7 +394,7 @@
 func TestGrantedMessageWaitsForARouteThatMayBeNew(t *testing.T) {
 	w := newWorld(t)
 	grant := func(id string) {
-		w.take(w.core.Grant(w.now, &wire.Grant{ID: "0." + id, Whole: true, Message: *messageTo("/new/", id)}))
+		w.take(w.core.Grant(w.now, &wire.Grant{ID: "0." + id, HasMessage: true, Message: *messageTo("/new/", id)}))
 	}
 	grant("1")
 	w.pass(2 * time.Second)
@@ -522,7 +522,7 @@
 	w.reports = nil
 	w.accept("/p/", "4") // a put that was under way
 	assert.Equal(t, wire.Report{ID: "0.4", Kind: wire.ReportReleased}, w.told())
-	w.take(w.core.Grant(w.now, &wire.Grant{ID: "0.5", Whole: true, Message: *messageTo("/p/", "5")}))
+	w.take(w.core.Grant(w.now, &wire.Grant{ID: "0.5", HasMessage: true, Message: *messageTo("/p/", "5")}))
 	assert.Equal(t, wire.Report{ID: "0.5", Kind: wire.ReportReleased}, w.told())
 	for _, id := range []string{"1", "2", "3", "4", "5"} {
 		w.take(w.core.Acknowledged(w.now, "0."+id))
@@ -552,7 +552,7 @@
 	w.sent()
 	other := messageTo("/p/", "2")
 	other.Body = make([]byte, 1500)
-	w.take(w.core.Grant(w.now, &wire.Grant{ID: other.ID, Whole: true, Message: *other}))
+	w.take(w.core.Grant(w.now, &wire.Grant{ID: other.ID, HasMessage: true, Message: *other}))
 	w.pass(returnPause)
 	assert.Equal(t, wire.ReportReleased, w.told().Kind)
 	w.unsent()
--- a/edge/dispatch/endings_test.go
+++ b/edge/dispatch/endings_test.go
@@ -12,7 +12,7 @@
 )
 
 func wholeGrant(id string) *wire.Grant {
-	return &wire.Grant{ID: "0." + id, Whole: true, Message: *messageTo("/p/", id)}
+	return &wire.Grant{ID: "0." + id, HasMessage: true, Message: *messageTo("/p/", id)}
 }
 
 // A store that took over before it heard of the end hands the message out anew.
--- a/edge/dispatch/plane_test.go
+++ b/edge/dispatch/plane_test.go
@@ -99,7 +99,7 @@
 	for _, id := range []string{"1", "2", "3"} {
 		p.Accept(messageTo("/p/x", id), false)
 	}
-	p.Grant(&wire.Grant{ID: "0.4", Whole: true, Message: *messageTo("/p/x", "4")})
+	p.Grant(&wire.Grant{ID: "0.4", HasMessage: true, Message: *messageTo("/p/x", "4")})
 	require.Eventually(t, func() bool { return len(p.IDs()) == 0 && len(q.kinds()) == 4 }, 3*time.Second, time.Millisecond)
 	for _, r := range q.list() {
 		assert.Equal(t, wire.ReportDone, r.Kind)
--- a/edge/dispatch/repeats_test.go
+++ b/edge/dispatch/repeats_test.go
@@ -140,7 +140,7 @@
 	for class, m := range classes() {
 		for before := range 3 {
 			w := newWorld(t)
-			w.take(w.core.Grant(w.now, &wire.Grant{ID: m.ID, Whole: true, Failed: uint16(before), Message: *m}))
+			w.take(w.core.Grant(w.now, &wire.Grant{ID: m.ID, HasMessage: true, Failed: uint16(before), Message: *m}))
 			runs := 0
 			for range 20 {
 				w.pass(3 * time.Second)
--- a/edge/queueclient/queueclient.go
+++ b/edge/queueclient/queueclient.go
@@ -105,10 +105,10 @@
 	if c.isOver(conn, g) {
 		return
 	}
-	if !g.Whole && c.grantTry(g.ID) {
+	if !g.HasMessage && c.grantTry(g.ID) {
 		return
 	}
-	if g.Whole && c.reports.releasing(g.ID) { // the store takes the repeat of the release for one of this grant
+	if g.HasMessage && c.reports.releasing(g.ID) { // the store takes the repeat of the release for one of this grant
 		c.Report(wire.Report{ID: g.ID, Kind: wire.ReportReleased, Failed: g.Failed})
 		return
 	}
--- a/edge/queueclient/queueclient_test.go
+++ b/edge/queueclient/queueclient_test.go
@@ -471,7 +471,7 @@
 			defer one.mu.Unlock()
 			return len(one.conns) == 1
 		}, soon, time.Millisecond)
-		one.with(func() { _ = one.conns[0].Notify(wire.MethodGrant, &wire.Grant{ID: "0.x", Whole: true}) })
+		one.with(func() { _ = one.conns[0].Notify(wire.MethodGrant, &wire.Grant{ID: "0.x", HasMessage: true}) })
 		require.Eventually(t, func() bool {
 			h.mu.Lock()
 			defer h.mu.Unlock()
--- a/edge/queueclient/races_test.go
+++ b/edge/queueclient/races_test.go
@@ -108,7 +108,7 @@
 		c.reports.resend()
 		require.Eventually(t, func() bool { return s.count() == 2 }, soon, time.Millisecond)
 		s.replies[0].Send(&wire.ReportReply{Code: wire.PutKept})
-		grant := &wire.Grant{ID: "0.1", Whole: true}
+		grant := &wire.Grant{ID: "0.1", HasMessage: true}
 		require.NoError(t, s.conn.Notify(wire.MethodGrant, grant))
 		require.Eventually(t, func() bool { return s.count() == 3 }, soon, time.Millisecond, "it is given back once more")
 		assert.Equal(t, wire.ReportReleased, s.reports[2].Kind)
@@ -185,10 +185,12 @@
 		require.NotZero(t, two.countClaims())
 		c.SetView(placement(6, stores, []uint16{1, 0}))
 		one.with(func() {
-			_ = one.conns[0].Notify(wire.MethodGrant, &wire.Grant{Epoch: 5, ID: "0.old", Whole: true})
-			_ = one.conns[0].Notify(wire.MethodGrant, &wire.Grant{Epoch: 7, ID: "0.new", Whole: true})
+			_ = one.conns[0].Notify(wire.MethodGrant, &wire.Grant{Epoch: 5, ID: "0.old", HasMessage: true})
+			_ = one.conns[0].Notify(wire.MethodGrant, &wire.Grant{Epoch: 7, ID: "0.new", HasMessage: true})
+		})
+		two.with(func() {
+			_ = two.conns[0].Notify(wire.MethodGrant, &wire.Grant{Epoch: 6, ID: "0.right", HasMessage: true})
 		})
-		two.with(func() { _ = two.conns[0].Notify(wire.MethodGrant, &wire.Grant{Epoch: 6, ID: "0.right", Whole: true}) })
 		require.Eventually(t, func() bool { h.mu.Lock(); defer h.mu.Unlock(); return len(h.granted) == 2 }, soon, time.Millisecond)
 		h.with(func() { assert.ElementsMatch(t, []string{"0.new", "0.right"}, h.granted) })
 	})
@@ -207,7 +209,7 @@
 			conn := c.view.Load().stores[0].conn()
 			return conn != nil && conn != earlier
 		}, soon, time.Millisecond)
-		c.granted(earlier, &wire.Grant{Epoch: 1, ID: "0.x", Whole: true})
+		c.granted(earlier, &wire.Grant{Epoch: 1, ID: "0.x", HasMessage: true})
 		h.with(func() { assert.Empty(t, h.granted) })
 	})
 }
--- a/store/queue/core_test.go
+++ b/store/queue/core_test.go
@@ -232,7 +232,7 @@
 	assert.Equal(t, wire.PutKept, code(t, done))
 	require.NotNil(t, last[wire.Grant](e))
 	assert.Equal(t, "0.2", last[wire.Grant](e).ID)
-	assert.False(t, last[wire.Grant](e).Whole)
+	assert.False(t, last[wire.Grant](e).HasMessage)
 }
 
 func TestFirstEndStays(t *testing.T) {
@@ -285,7 +285,7 @@
 	var ids []string
 	for _, notice := range f.notices {
 		grant := notice.(*wire.Grant)
-		assert.True(t, grant.Whole)
+		assert.True(t, grant.HasMessage)
 		assert.Equal(t, "body", string(grant.Message.Body))
 		assert.Equal(t, grant.ID, grant.Message.ID)
 		ids = append(ids, grant.ID)
--- a/store/queue/exploreedge_test.go
+++ b/store/queue/exploreedge_test.go
@@ -82,7 +82,7 @@
 func (w *world) granted(e *modelEdge, l *modelLink, grant *wire.Grant) {
 	held := e.held[grant.ID]
 	if held == nil {
-		if !grant.Whole {
+		if !grant.HasMessage {
 			report := &wire.Report{Epoch: e.epoch, ID: grant.ID, Kind: wire.ReportReleased}
 			l.ends[0].request(wire.MethodReport, report, "release "+grant.ID)
 			return
--- a/store/queue/orphan.go
+++ b/store/queue/orphan.go
@@ -185,6 +185,6 @@
 		return
 	}
 	_ = to.remote.Notify(wire.MethodGrant, &wire.Grant{
-		Partition: p.number, Epoch: c.epoch(), ID: e.id, Failed: e.failed, Whole: true, Message: *message,
+		Partition: p.number, Epoch: c.epoch(), ID: e.id, Failed: e.failed, HasMessage: true, Message: *message,
 	})
 }
--- a/store/queue/rules_test.go
+++ b/store/queue/rules_test.go
@@ -48,7 +48,7 @@
 	for _, notice := range h.notices {
 		switch g, is := notice.(*wire.Grant); {
 		case !is || g.ID != id:
-		case g.Whole:
+		case g.HasMessage:
 			whole++
 		default:
 			reminders++
--- a/store/queue/simedge_test.go
+++ b/store/queue/simedge_test.go
@@ -295,7 +295,7 @@
 		return
 	}
 	if held == nil {
-		if !g.Whole {
+		if !g.HasMessage {
 			e.refuse(g)
 			return
 		}
--- a/store/server/store_test.go
+++ b/store/server/store_test.go
@@ -150,7 +150,7 @@
 	assert.Eventually(t, func() bool { return len(nodes[2].store.Status().Synced) == 1 }, 5*time.Second, 5*time.Millisecond)
 	f := attach(t, nodes[1], "f", 2)
 	grant := f.await(t)
-	assert.True(t, grant.Whole)
+	assert.True(t, grant.HasMessage)
 	assert.Equal(t, "0.2", grant.Message.ID)
 	assert.Equal(t, "body", string(grant.Message.Body))
 	for _, n := range nodes[1:2] {
--- a/test/simulation/edge_test.go
+++ b/test/simulation/edge_test.go
@@ -27,7 +27,7 @@
 			plane.Accept(m, granted)
 		},
 		Granted: func(g *wire.Grant) {
-			if g.Whole {
+			if g.HasMessage {
 				p.world.note("%s is granted %s (%s) whole in epoch %d, sent at %v", p.name, g.Message.RequestID, g.ID, g.Epoch, p.world.messages.byName[g.Message.RequestID].sentAt)
 				p.world.messages.given(g.Message.RequestID, l)
 			}
