--- a/control/placement/former.go
+++ b/control/placement/former.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// The functions of this file keep count of what lies where while a partition has too few whole copies: stores that were dropped then are
+// The functions of this file keep count of what lies where while a partition has too few complete replicas: stores that were dropped then are
 // its former members.
 
 // dropWiped takes out the stores whose disks are lost.
@@ -12,33 +12,33 @@
 	}
 }
 
-func (p *partition) dropWiped() {
-	gone := func(s *store) bool { return s.gone }
-	p.covered = p.covered && !slices.ContainsFunc(p.former, gone)
-	p.replicas = without(p.replicas, gone)
-	p.joining = without(p.joining, gone)
-	p.former = without(p.former, gone)
+func (p *assignment) dropWiped() {
+	wiped := func(s *store) bool { return s.wiped }
+	p.covered = p.covered && !slices.ContainsFunc(p.former, wiped)
+	p.replicas = without(p.replicas, wiped)
+	p.joining = without(p.joining, wiped)
+	p.former = without(p.former, wiped)
 }
 
-// mayStartAnew says whether a partition must do without its whole replicas. Former members that will come back are waited for.
-func (p *partition) mayStartAnew() bool {
+// mayRebuild says whether a partition must do without its complete replicas. Former members that will come back are waited for.
+func (p *assignment) mayRebuild() bool {
 	live := func(s *store) bool { return s.live }
 	if len(p.former) > 0 && len(without(slices.Concat(p.former, p.joining), live)) > 0 {
 		return false
 	}
-	return len(p.replicas) == 0 || p.covered && p.stuck()
+	return len(p.replicas) == 0 || p.covered && p.unavailable()
 }
 
 // sparesStalled says whether enough stores can write to do without those that can't. Else they are waited for: what fewer than Copies
 // members change lies on too few disks.
 func (p *plan) sparesStalled() bool {
-	able := without(p.stores, func(s *store) bool { return !p.certain(s) })
-	return len(able) >= p.config.Copies && (!p.strict() || p.domains(able) >= p.config.Copies)
+	writable := without(p.stores, func(s *store) bool { return !p.certain(s) })
+	return len(writable) >= p.config.Copies && (!p.strict() || p.domains(writable) >= p.config.Copies)
 }
 
-// dropDead takes out the members that don't live, and with spares those that can't write, as long as another whole one can. What they
-// have counts until enough others are whole.
-func (p *partition) dropDead(spares bool) {
+// dropDead takes out the members that don't live, and with spares those that can't write, as long as another complete one can. What they
+// have counts until enough others are complete.
+func (p *assignment) dropDead(spares bool) {
 	works := func(s *store) bool { return s.live && !s.stalled }
 	spares = spares && slices.ContainsFunc(p.replicas, works)
 	dead := func(s *store) bool { return !s.live || s.stalled && (spares || slices.Contains(p.joining, s)) }
@@ -57,33 +57,33 @@
 	p.joining = without(p.joining, dead)
 }
 
-// startAnew is for a partition all whole replicas of which have lost their disks: what former members have and joining ones got is all
+// rebuild is for a partition all complete replicas of which have lost their disks: what former members have and joining ones got is all
 // there is. One of them becomes the primary, and the others give it what it lacks.
-func (p *plan) startAnew(part *partition) {
-	part.covered = false
-	for _, s := range part.joining {
-		part.addFormer(s)
+func (p *plan) rebuild(partition *assignment) {
+	partition.covered = false
+	for _, s := range partition.joining {
+		partition.addFormer(s)
 	}
-	first := slices.IndexFunc(part.former, func(s *store) bool { return s.live && !s.stalled })
+	first := slices.IndexFunc(partition.former, func(s *store) bool { return s.live && !s.stalled })
 	if first < 0 {
-		first = slices.IndexFunc(part.former, func(s *store) bool { return s.live })
+		first = slices.IndexFunc(partition.former, func(s *store) bool { return s.live })
 	}
 	var primary *store
 	if first >= 0 {
-		primary = part.former[first]
+		primary = partition.former[first]
 	} else {
-		primary = p.candidate(part, false)
+		primary = p.candidate(partition, false)
 	}
 	if primary == nil {
 		return
 	}
-	part.replicas = []*store{primary}
-	part.joining = without(part.joining, func(s *store) bool { return s == primary })
-	part.former = without(part.former, func(s *store) bool { return s == primary })
-	part.unsure = len(part.former) > 0
+	partition.replicas = []*store{primary}
+	partition.joining = without(partition.joining, func(s *store) bool { return s == primary })
+	partition.former = without(partition.former, func(s *store) bool { return s == primary })
+	partition.unsure = len(partition.former) > 0
 }
 
-func (p *partition) addFormer(s *store) {
+func (p *assignment) addFormer(s *store) {
 	if !slices.Contains(p.former, s) {
 		p.former = append(p.former, s)
 	}
@@ -92,37 +92,37 @@
 // rejoin has former members that live give an unsure primary what it lacks.
 func (p *plan) rejoin() {
 	for i := range p.partitions {
-		part := &p.partitions[i]
-		if part.stuck() || !part.unsure {
+		partition := &p.partitions[i]
+		if partition.unavailable() || !partition.unsure {
 			continue
 		}
-		for _, s := range part.former {
-			if s.live && !s.stalled && !part.has(s) {
-				part.joining = append(part.joining, s)
+		for _, s := range partition.former {
+			if s.live && !s.stalled && !partition.has(s) {
+				partition.joining = append(partition.joining, s)
 				s.load++
 			}
 		}
 	}
 }
 
-// tell notes the former members that are whole now: each has given an unsure primary what it has.
-func (p *partition) tell() {
+// clearRejoined notes the former members that are complete now: each has given an unsure primary what it has.
+func (p *assignment) clearRejoined() {
 	p.former = without(p.former, func(s *store) bool { return slices.Contains(p.replicas, s) })
 	p.unsure = p.unsure && len(p.former) > 0
 	p.covered = p.covered && len(p.former) > 0
 }
 
-// forgetFormer forgets the former members of partitions of which enough stores that stay are whole. An unsure primary needs all of them.
+// forgetFormer forgets the former members of partitions of which enough stores that stay are complete. An unsure primary needs all of them.
 func (p *plan) forgetFormer() {
 	for i := range p.partitions {
-		part := &p.partitions[i]
-		if part.stuck() {
+		partition := &p.partitions[i]
+		if partition.unavailable() {
 			continue
 		}
-		if !part.unsure && p.enough(part.replicas) || p.config.mutant.forgetFormer {
-			part.former = nil
+		if !partition.unsure && p.enough(partition.replicas) || p.config.mutant.forgetFormer {
+			partition.former = nil
 		}
-		part.tell()
+		partition.clearRejoined()
 	}
 }
 
@@ -135,9 +135,9 @@
 // uncover notes the partitions that go on with too few members: what they change lies on these alone.
 func (p *plan) uncover() {
 	for i := range p.partitions {
-		part := &p.partitions[i]
-		if !part.stuck() {
-			part.covered = part.covered && len(part.members()) >= p.config.Copies
+		partition := &p.partitions[i]
+		if !partition.unavailable() {
+			partition.covered = partition.covered && len(partition.members()) >= p.config.Copies
 		}
 	}
 }
--- a/control/placement/guards_test.go
+++ b/control/placement/guards_test.go
@@ -30,19 +30,19 @@
 
 // certain says whether a disk may be counted on: its store lives, was heard of, and neither is to be emptied nor about to stop.
 func (s *step) certain(disk string) bool {
-	store, lives := s.live[disk]
+	store, alive := s.live[disk]
 	at := slices.IndexFunc(s.next.Stores, func(other wire.Store) bool { return other.Disk == disk })
-	return lives && !store.Leaving && !store.Assumed && at >= 0 && !s.next.Stores[at].Retiring
+	return alive && !store.Leaving && !store.Assumed && at >= 0 && !s.next.Stores[at].Retiring
 }
 
-// gone says whether a disk's machine has another one now.
-func (s *step) gone(disk string) bool {
+// wiped says whether a disk's machine has another one now.
+func (s *step) wiped(disk string) bool {
 	at := slices.IndexFunc(s.view.Stores, func(other wire.Store) bool { return other.Disk == disk })
 	now, known := s.machines[s.view.Stores[at].Node]
 	return known && now != disk
 }
 
-// covered says whether a whole replica is one that does not live, and all that it had is known to be at stores that do.
+// covered says whether a complete replica is one that does not live, and all that it had is known to be at stores that do.
 func (s *step) covered(p int, disk string) bool {
 	alive := make(map[string]bool)
 	for name := range s.live {
@@ -75,41 +75,41 @@
 
 func (s *step) checkPartition(p int) string {
 	before, after := s.view.Partitions[p], s.next.Partitions[p]
-	whole, replicas := disks(s.view, before.Replicas), disks(s.next, after.Replicas)
+	complete, replicas := disks(s.view, before.Replicas), disks(s.next, after.Replicas)
 	former, wasFormer := disks(s.next, after.Former), disks(s.view, before.Former)
-	held := slices.ContainsFunc(whole, func(disk string) bool { _, lives := s.live[disk]; return lives }) ||
+	available := slices.ContainsFunc(complete, func(disk string) bool { _, alive := s.live[disk]; return alive }) ||
 		slices.ContainsFunc(disks(s.view, before.Joining), func(disk string) bool {
-			told, lives := s.live[disk]
-			return lives && told.Epoch == s.view.Epoch && slices.Contains(told.Synced, uint16(p))
+			reported, alive := s.live[disk]
+			return alive && reported.Epoch == s.view.Epoch && slices.Contains(reported.Synced, uint16(p))
 		})
-	for _, disk := range whole {
-		if _, lives := s.live[disk]; lives && !slices.Contains(replicas, disk) && !s.enough(replicas) {
-			return disk + " is whole, lives and is dropped though too few others may be counted on"
+	for _, disk := range complete {
+		if _, alive := s.live[disk]; alive && !slices.Contains(replicas, disk) && !s.enough(replicas) {
+			return disk + " is complete, lives and is dropped though too few others may be counted on"
 		}
 	}
-	for _, disk := range slices.Concat(whole, disks(s.view, before.Joining), wasFormer) {
+	for _, disk := range slices.Concat(complete, disks(s.view, before.Joining), wasFormer) {
 		kept := slices.Contains(replicas, disk) || slices.Contains(former, disk) || slices.Contains(disks(s.next, after.Joining), disk)
-		if !kept && !s.gone(disk) && !s.enough(replicas) && !s.covered(p, disk) {
+		if !kept && !s.wiped(disk) && !s.enough(replicas) && !s.covered(p, disk) {
 			return "what " + disk + " has is forgotten"
 		}
 	}
 	for _, disk := range disks(s.next, after.Joining) {
 		isNew := !slices.Contains(disks(s.view, before.Joining), disk)
 		if isNew && !s.certain(disk) && !(after.Unsure && slices.Contains(wasFormer, disk)) {
-			return disk + " is given a part though it may not be counted on"
+			return disk + " is given a replica though it may not be counted on"
 		}
 	}
-	if !held && !slices.Equal(whole, replicas) && len(former) > 0 && !after.Unsure && len(replicas) > 0 && !s.enough(replicas) &&
-		!slices.ContainsFunc(whole, func(disk string) bool { return slices.Contains(replicas, disk) }) {
-		return "all whole copies are lost, and those that have a part of it are not asked"
+	if !available && !slices.Equal(complete, replicas) && len(former) > 0 && !after.Unsure && len(replicas) > 0 && !s.enough(replicas) &&
+		!slices.ContainsFunc(complete, func(disk string) bool { return slices.Contains(replicas, disk) }) {
+		return "all complete replicas are lost, and those that have some of it are not queried"
 	}
 	return ""
 }
 
 // checkEmptied makes sure that nothing lies on a store alone that is called empty.
 func (s *step) checkEmptied(index uint16) string {
-	for p, place := range s.next.Partitions {
-		if slices.Contains(slices.Concat(place.Replicas, place.Joining, place.Former), index) {
+	for p, placed := range s.next.Partitions {
+		if slices.Contains(slices.Concat(placed.Replicas, placed.Joining, placed.Former), index) {
 			return fmt.Sprintf("%s is called empty, and has partition %d", s.next.Stores[index].Disk, p)
 		}
 	}
@@ -121,14 +121,14 @@
 	random := rand.New(rand.NewPCG(seed, 3))
 	all := storesIn(2, 2, 1)
 	config := Config{Copies: 1 + random.IntN(3), Partitions: 8, Zones: random.IntN(2) == 0, mutant: broken}
-	view, founded := Plan(nil, all, config)
-	if !founded {
-		return "not founded"
+	view, bootstrapped := Plan(nil, all, config)
+	if !bootstrapped {
+		return "not bootstrapped"
 	}
 	up := []bool{true, true, true, true, true}
 	for range 60 {
 		i := random.IntN(len(all))
-		told := living(all, up)
+		reported := living(all, up)
 		switch random.IntN(7) {
 		case 0:
 			up[i] = false
@@ -143,18 +143,18 @@
 				all[i].Disk, up[i] = fmt.Sprintf("%s+", all[i].Disk), true
 			}
 		case 5:
-			if marked, _, enough := Retire(view, told, config, all[i].Node); enough {
+			if marked, _, enough := Retire(view, reported, config, all[i].Node); enough {
 				view = marked
 			}
 		case 6:
 			all[i].Assumed = false
 		}
-		told = living(all, up)
+		reported = living(all, up)
 		if random.IntN(2) == 0 {
-			told = synced(view, told)
+			reported = synced(view, reported)
 		}
-		next, _ := Plan(view, told, config)
-		if fault := newStep(config, view, next, told).check(); fault != "" {
+		next, _ := Plan(view, reported, config)
+		if fault := newStep(config, view, next, reported).check(); fault != "" {
 			return fmt.Sprintf("seed %d: %s", seed, fault)
 		}
 		view = next
@@ -164,7 +164,7 @@
 
 const guardSeeds = 400
 
-func TestNoCopyIsGivenUpThatIsNeeded(t *testing.T) {
+func TestNoReplicaIsGivenUpThatIsNeeded(t *testing.T) {
 	for seed := range uint64(guardSeeds) {
 		require.Empty(t, randomSteps(seed, mutant{}))
 	}
@@ -188,9 +188,9 @@
 	}
 }
 
-// A store that the leader dropped though it ran on, as after a reset of its connections, has what the last whole copy had until then.
+// A store that the leader dropped though it ran on, as after a reset of its connections, has what the last complete replica had until then.
 // Should that one lose its disk, it is asked.
-func TestADroppedStoreIsAskedWhenTheLastWholeCopyIsLost(t *testing.T) {
+func TestAFormerMemberIsQueriedWhenTheLastCompleteReplicaFails(t *testing.T) {
 	live := storesIn(1, 1, 1)
 	c := config(2)
 	view, _ := Plan(nil, live, c)
@@ -201,7 +201,7 @@
 	next, _ := Plan(view, dropped, c)
 	require.Contains(t, disks(next, next.Partitions[0].Former), diskB)
 	next, _ = Plan(next, live, c) // it is back before the other one is filled
-	require.Contains(t, disks(next, next.Partitions[0].Former), diskB, "it is not whole yet")
+	require.Contains(t, disks(next, next.Partitions[0].Former), diskB, "it is not complete yet")
 	wiped := slices.Clone(live)
 	for i := range wiped {
 		if wiped[i].Disk == view.Stores[a].Disk {
@@ -209,16 +209,16 @@
 		}
 	}
 	last, _ := Plan(next, wiped, c)
-	place := last.Partitions[0]
-	require.True(t, place.Unsure)
-	require.Contains(t, disks(last, slices.Concat(place.Replicas, place.Joining)), diskB)
-	require.Len(t, place.Replicas, 1)
-	require.NotEmpty(t, place.Former, "the joining one is asked for what came after")
-	settled := settle(t, last, wiped, c)
-	requireWhole(t, settled, 2)
-	for _, place := range settled.Partitions {
-		require.False(t, place.Unsure)
-		require.Empty(t, place.Former)
+	placed := last.Partitions[0]
+	require.True(t, placed.Unsure)
+	require.Contains(t, disks(last, slices.Concat(placed.Replicas, placed.Joining)), diskB)
+	require.Len(t, placed.Replicas, 1)
+	require.NotEmpty(t, placed.Former, "the joining one is asked for what came after")
+	converged := converge(t, last, wiped, c)
+	requireComplete(t, converged, 2)
+	for _, placed := range converged.Partitions {
+		require.False(t, placed.Unsure)
+		require.Empty(t, placed.Former)
 	}
 }
 
@@ -234,14 +234,14 @@
 			view, _ := Plan(nil, live, c)
 			view, _, _ = Retire(view, live, c, live[0].Node)
 			view, _ = Plan(view, live, c)
-			told := synced(view, live)
-			doubt(&told[1])
-			doubt(&told[2])
-			doubt(&told[3])
-			next, _ := Plan(view, told, c)
+			reported := synced(view, live)
+			doubt(&reported[1])
+			doubt(&reported[2])
+			doubt(&reported[3])
+			next, _ := Plan(view, reported, c)
 			known, retiring, done := Retirement(next, live[0].Node)
 			require.True(t, known && retiring && !done)
-			next = settle(t, next, live, c)
+			next = converge(t, next, live, c)
 			_, _, done = Retirement(next, live[0].Node)
 			require.True(t, done)
 		})
@@ -259,7 +259,7 @@
 }
 
 // A store whose disk takes nothing is taken out where another one holds all, keeps what it alone holds, and is filled again later.
-func TestAStalledStoreIsTakenOutUntilItsDiskTakesAll(t *testing.T) {
+func TestAStalledStoreIsRemovedUntilItsDiskTakesWrites(t *testing.T) {
 	live := storesIn(1, 1, 1)
 	c := config(2)
 	view, _ := Plan(nil, live, c)
@@ -267,21 +267,21 @@
 	stalled[0].Stalled = true
 	next, changed := Plan(view, stalled, c)
 	require.True(t, changed)
-	for p, place := range next.Partitions {
-		require.NotContains(t, disks(next, slices.Concat(place.Replicas, place.Joining)), live[0].Disk, "partition %d", p)
+	for p, placed := range next.Partitions {
+		require.NotContains(t, disks(next, slices.Concat(placed.Replicas, placed.Joining)), live[0].Disk, "partition %d", p)
 		if slices.Contains(disks(view, view.Partitions[p].Replicas), live[0].Disk) {
-			require.Contains(t, disks(next, place.Former), live[0].Disk, "partition %d", p)
+			require.Contains(t, disks(next, placed.Former), live[0].Disk, "partition %d", p)
 		}
 	}
 	alone, _ := Plan(next, stalled[:1], c)
 	alone, _ = Plan(alone, stalled, c)
-	settled := settle(t, alone, stalled, c)
-	requireWhole(t, settled, 2)
-	parts, _ := loads(settled)
-	require.Zero(t, parts[live[0].Disk])
-	settled = settle(t, settled, live, c)
-	parts, _ = loads(settled)
-	requireEven(t, parts, live, 1)
+	converged := converge(t, alone, stalled, c)
+	requireComplete(t, converged, 2)
+	counts, _ := loads(converged)
+	require.Zero(t, counts[live[0].Disk])
+	converged = converge(t, converged, live, c)
+	counts, _ = loads(converged)
+	requireEven(t, counts, live, 1)
 }
 
 // A former member whose disk takes nothing is no member yet: it would stand in for one that is filled.
@@ -289,10 +289,10 @@
 	live := storesIn(1, 1, 1, 1)
 	c := config(2)
 	view, _ := Plan(nil, live, c)
-	place := &view.Partitions[0]
-	primary, other := view.Stores[place.Replicas[0]].Disk, place.Replicas[1]
-	place.Replicas = place.Replicas[:1]
-	place.Former, place.Unsure = []uint16{other}, true
+	placed := &view.Partitions[0]
+	primary, other := view.Stores[placed.Replicas[0]].Disk, placed.Replicas[1]
+	placed.Replicas = placed.Replicas[:1]
+	placed.Former, placed.Unsure = []uint16{other}, true
 	stalled := slices.Clone(live)
 	stalled[slices.IndexFunc(live, func(s Store) bool { return s.Disk == view.Stores[other].Disk })].Stalled = true
 	next, _ := Plan(view, stalled, c)
@@ -303,21 +303,21 @@
 	require.Equal(t, []string{primary}, disks(next, next.Partitions[0].Replicas))
 	next, _ = Plan(next, live, c)
 	require.Contains(t, disks(next, next.Partitions[0].Joining), view.Stores[other].Disk)
-	requireWhole(t, settle(t, next, live, c), 2)
+	requireComplete(t, converge(t, next, live, c), 2)
 }
 
-// One that has just told all leaves the primary sure, also if the primary's own disk stalls at that moment.
-func TestAPrimaryThatWasToldAllIsSureBeforeItIsDropped(t *testing.T) {
+// One that has just handed over all leaves the primary sure, also if the primary's own disk stalls at that moment.
+func TestAPrimaryThatGotAllIsSureBeforeItIsDropped(t *testing.T) {
 	live := storesIn(1, 1, 1)
 	c := config(2)
 	view, _ := Plan(nil, live, c)
-	place := &view.Partitions[0]
-	primary, other := place.Replicas[0], place.Replicas[1]
-	place.Replicas = []uint16{primary}
-	place.Joining, place.Former, place.Unsure = []uint16{other}, []uint16{other}, true
-	told := synced(view, live)
-	told[slices.IndexFunc(live, func(s Store) bool { return s.Disk == view.Stores[primary].Disk })].Stalled = true
-	next, _ := Plan(view, told, c)
+	placed := &view.Partitions[0]
+	primary, other := placed.Replicas[0], placed.Replicas[1]
+	placed.Replicas = []uint16{primary}
+	placed.Joining, placed.Former, placed.Unsure = []uint16{other}, []uint16{other}, true
+	reported := synced(view, live)
+	reported[slices.IndexFunc(live, func(s Store) bool { return s.Disk == view.Stores[primary].Disk })].Stalled = true
+	next, _ := Plan(view, reported, c)
 	require.Equal(t, []string{view.Stores[other].Disk}, disks(next, next.Partitions[0].Replicas))
 	require.Equal(t, []string{view.Stores[primary].Disk}, disks(next, next.Partitions[0].Former))
 	require.False(t, next.Partitions[0].Unsure)
@@ -329,8 +329,8 @@
 	view, _ := Plan(nil, live, c)
 	live[0].Stalled, live[1].Stalled = true, true
 	next, _ := Plan(view, live, c)
-	for p, place := range next.Partitions {
-		require.ElementsMatch(t, disks(view, view.Partitions[p].Replicas), disks(next, place.Replicas), "partition %d", p)
+	for p, placed := range next.Partitions {
+		require.ElementsMatch(t, disks(view, view.Partitions[p].Replicas), disks(next, placed.Replicas), "partition %d", p)
 	}
 }
 
@@ -340,7 +340,7 @@
 	view, _ := Plan(nil, live, c)
 	live[0].Stalled = true
 	next, _ := Plan(view, live[:1], c)
-	for p, place := range next.Partitions {
-		require.Equal(t, []string{live[0].Disk}, disks(next, place.Replicas), "partition %d", p)
+	for p, placed := range next.Partitions {
+		require.Equal(t, []string{live[0].Disk}, disks(next, placed.Replicas), "partition %d", p)
 	}
 }
--- a/control/placement/placement.go
+++ b/control/placement/placement.go
@@ -9,7 +9,7 @@
 	"ravendale/cluster/wire"
 )
 
-// DefaultPartitions is how many partitions a system is founded with. The number never changes afterwards.
+// DefaultPartitions is how many partitions a system is bootstrapped with. The number never changes afterwards.
 const DefaultPartitions = 64
 
 // movesAtOnce bounds the partitions that are moved for balance alone at a time. Lost copies are made up for without a bound.
@@ -17,7 +17,7 @@
 
 // Config says how copies must be spread.
 type Config struct {
-	Copies     int  // whole replicas of each partition
+	Copies     int  // complete replicas of each partition
 	Partitions int  // of a new system
 	Zones      bool // zones may be lost: two copies in one zone count as one
 	Regions    bool // the same of regions
@@ -27,7 +27,7 @@
 
 // mutant takes guards out. Only tests of this package can.
 type mutant struct {
-	countUncertain bool // stores that are about to stop, or were not heard of, are counted on and given parts
+	countUncertain bool // stores that are about to stop, or were not heard of, are counted on and given replicas
 	emptyAtFirst   bool // a store is emptied once one other holds all
 	forgetFormer   bool // what dropped members have is not asked for
 }
@@ -43,11 +43,11 @@
 	Stalled bool // its disk takes nothing
 	Assumed bool // it has not been heard of since the leader began
 	Epoch   uint64
-	Synced  []uint16 // partitions that it is joining and holds whole, as of Epoch
+	Synced  []uint16 // partitions that it is joining and holds completely, as of Epoch
 }
 
-// Founding says whether the stores that live suffice for a first view.
-func Founding(live []Store, config Config) bool {
+// CanBootstrap says whether the stores that live suffice for a first view.
+func CanBootstrap(live []Store, config Config) bool {
 	p := newPlan(nil, live, config)
 	domains := make(map[string]bool)
 	eligible := 0
@@ -65,12 +65,12 @@
 // takes enough stores: see Founding. The current view is not changed.
 func Plan(current *wire.StoreView, live []Store, config Config) (*wire.StoreView, bool) {
 	if current == nil || len(current.Partitions) == 0 {
-		return found(live, config)
+		return bootstrap(live, config)
 	}
 	p := newPlan(current, live, config)
 	p.dropWiped()
 	p.promote(current.Epoch)
-	p.dropGone()
+	p.dropDead()
 	p.forgetFormer()
 	p.rejoin()
 	p.refill()
@@ -88,13 +88,13 @@
 	return next, true
 }
 
-func found(live []Store, config Config) (*wire.StoreView, bool) {
-	if !Founding(live, config) {
+func bootstrap(live []Store, config Config) (*wire.StoreView, bool) {
+	if !CanBootstrap(live, config) {
 		return nil, false
 	}
 	p := newPlan(nil, live, config)
-	p.partitions = make([]partition, config.Partitions)
-	p.assignHomes()
+	p.partitions = make([]assignment, config.Partitions)
+	p.assignPreferredRegions()
 	for i := range p.partitions {
 		for range config.Copies {
 			if s := p.candidate(&p.partitions[i], p.strict()); s != nil {
@@ -149,7 +149,7 @@
 			rest = append(rest, s)
 		}
 	}
-	return Founding(rest, config)
+	return CanBootstrap(rest, config)
 }
 
 // Retirement says how far the emptying of a node's store is.
@@ -161,7 +161,7 @@
 	return true, view.Stores[at].Retiring, view.Stores[at].Retiring && !Holds(view, at) && !former(view, at)
 }
 
-// Holds says whether a store of the view, by its index, has a part in any partition.
+// Holds says whether a store of the view, by its index, is a member of any partition.
 func Holds(view *wire.StoreView, store int) bool {
 	index := uint16(store)
 	for _, p := range view.Partitions {
@@ -178,14 +178,14 @@
 }
 
 func same(a, b *wire.StoreView) bool {
-	samePlace := func(a, b wire.Placement) bool {
+	samePlacement := func(a, b wire.Placement) bool {
 		return slices.Equal(a.Replicas, b.Replicas) && slices.Equal(a.Joining, b.Joining) && slices.Equal(a.Former, b.Former) &&
 			a.Covered == b.Covered && a.Unsure == b.Unsure
 	}
-	return a.Copies == b.Copies && slices.Equal(a.Stores, b.Stores) && slices.EqualFunc(a.Partitions, b.Partitions, samePlace)
+	return a.Copies == b.Copies && slices.Equal(a.Stores, b.Stores) && slices.EqualFunc(a.Partitions, b.Partitions, samePlacement)
 }
 
-// byPlace orders stores that nothing else tells apart.
-func byPlace(a, b Store) int {
+// byZoneAndNode orders stores that nothing else tells apart.
+func byZoneAndNode(a, b Store) int {
 	return cmp.Or(cmp.Compare(a.Zone, b.Zone), cmp.Compare(a.Node, b.Node), cmp.Compare(a.Disk, b.Disk))
 }
--- a/control/placement/placement_test.go
+++ b/control/placement/placement_test.go
@@ -26,8 +26,8 @@
 
 func config(copies int) Config { return Config{Copies: copies, Partitions: DefaultPartitions} }
 
-// settle lets all joining stores fill up, until the plan stays as it is.
-func settle(t require.TestingT, view *wire.StoreView, live []Store, c Config) *wire.StoreView {
+// converge lets all joining stores fill up, until the plan stays as it is.
+func converge(t require.TestingT, view *wire.StoreView, live []Store, c Config) *wire.StoreView {
 	for range 200 {
 		next, changed := Plan(view, synced(view, live), c)
 		if !changed {
@@ -41,18 +41,18 @@
 
 // synced has each store say that it holds all that it is joining.
 func synced(view *wire.StoreView, live []Store) []Store {
-	told := slices.Clone(live)
-	for i := range told {
-		told[i].Epoch, told[i].Synced = view.Epoch, nil
-		for p, place := range view.Partitions {
-			for _, j := range place.Joining {
-				if view.Stores[j].Disk == told[i].Disk {
-					told[i].Synced = append(told[i].Synced, uint16(p))
+	reported := slices.Clone(live)
+	for i := range reported {
+		reported[i].Epoch, reported[i].Synced = view.Epoch, nil
+		for p, placed := range view.Partitions {
+			for _, j := range placed.Joining {
+				if view.Stores[j].Disk == reported[i].Disk {
+					reported[i].Synced = append(reported[i].Synced, uint16(p))
 				}
 			}
 		}
 	}
-	return told
+	return reported
 }
 
 func disks(view *wire.StoreView, indices []uint16) []string {
@@ -63,17 +63,17 @@
 	return names
 }
 
-func loads(view *wire.StoreView) (parts, primaries map[string]int) {
-	parts, primaries = make(map[string]int), make(map[string]int)
-	for _, place := range view.Partitions {
-		for _, name := range disks(view, place.Replicas) {
-			parts[name]++
+func loads(view *wire.StoreView) (counts, primaries map[string]int) {
+	counts, primaries = make(map[string]int), make(map[string]int)
+	for _, placed := range view.Partitions {
+		for _, name := range disks(view, placed.Replicas) {
+			counts[name]++
 		}
-		if len(place.Replicas) > 0 {
-			primaries[view.Stores[place.Replicas[0]].Disk]++
+		if len(placed.Replicas) > 0 {
+			primaries[view.Stores[placed.Replicas[0]].Disk]++
 		}
 	}
-	return parts, primaries
+	return counts, primaries
 }
 
 func requireEven(t require.TestingT, counts map[string]int, live []Store, slack int) {
@@ -85,16 +85,16 @@
 }
 
 func requireZones(t require.TestingT, view *wire.StoreView, want int) {
-	for p, place := range view.Partitions {
+	for p, placed := range view.Partitions {
 		zones := make(map[string]bool)
-		for _, i := range place.Replicas {
+		for _, i := range placed.Replicas {
 			zones[view.Stores[i].Zone] = true
 		}
 		require.Len(t, zones, want, "partition %d", p)
 	}
 }
 
-func TestFoundingTakesEnoughStores(t *testing.T) {
+func TestBootstrapTakesEnoughStores(t *testing.T) {
 	view, changed := Plan(nil, storesIn(1), config(2))
 	require.False(t, changed)
 	require.Nil(t, view)
@@ -110,27 +110,27 @@
 	requireZones(t, view, 2)
 }
 
-func TestAFoundedViewIsEvenAndAtRest(t *testing.T) {
+func TestABootstrappedViewIsEvenAndAtRest(t *testing.T) {
 	live := storesIn(1, 1, 1, 1)
 	view, _ := Plan(nil, live, config(2))
-	parts, primaries := loads(view)
-	requireEven(t, parts, live, 1)
+	counts, primaries := loads(view)
+	requireEven(t, counts, live, 1)
 	requireEven(t, primaries, live, 1)
 	requireZones(t, view, 2)
 	_, changed := Plan(view, live, config(2))
 	require.False(t, changed)
 }
 
-func TestALostStoreIsTakenOutAndSurvivorsKeepTheirOrder(t *testing.T) {
+func TestAFailedStoreIsRemovedAndSurvivorsKeepTheirOrder(t *testing.T) {
 	live := storesIn(1, 1, 1)
 	view, _ := Plan(nil, live, config(3))
-	lost := live[0].Disk
+	failed := live[0].Disk
 	next, changed := Plan(view, live[1:], config(2))
 	require.True(t, changed)
 	require.Equal(t, view.Epoch+1, next.Epoch)
-	for p, place := range next.Partitions {
-		require.NotContains(t, disks(next, place.Replicas), lost, "partition %d", p)
-		require.NotEmpty(t, place.Replicas)
+	for p, placed := range next.Partitions {
+		require.NotContains(t, disks(next, placed.Replicas), failed, "partition %d", p)
+		require.NotEmpty(t, placed.Replicas)
 	}
 }
 
@@ -138,12 +138,12 @@
 	live := storesIn(1, 1, 1)
 	view, _ := Plan(nil, live, config(2))
 	next, _ := Plan(view, live[1:], config(2))
-	for p, place := range next.Partitions {
+	for p, placed := range next.Partitions {
 		before := disks(view, view.Partitions[p].Replicas)
 		survivors := slices.DeleteFunc(before, func(name string) bool { return name == live[0].Disk })
-		require.ElementsMatch(t, survivors, disks(next, place.Replicas), "no one is whole that was not")
+		require.ElementsMatch(t, survivors, disks(next, placed.Replicas), "no one is complete that was not")
 		if len(survivors) < 2 {
-			require.Len(t, place.Joining, 1, "partition %d gets a store that makes up the number", p)
+			require.Len(t, placed.Joining, 1, "partition %d gets a store that makes up the number", p)
 		}
 	}
 }
@@ -160,23 +160,23 @@
 	require.False(t, changed, "what was said of an older epoch does not count")
 	next, changed := Plan(view, synced(view, live[1:]), config(2))
 	require.True(t, changed)
-	for _, place := range next.Partitions {
-		require.Len(t, place.Replicas, 2)
-		require.Empty(t, place.Joining)
+	for _, placed := range next.Partitions {
+		require.Len(t, placed.Replicas, 2)
+		require.Empty(t, placed.Joining)
 	}
 }
 
-func TestAStoreThatReturnsGetsItsPartBackAndPrimariesAreEvenAgain(t *testing.T) {
+func TestAStoreThatReturnsGetsItsReplicasBackAndPrimariesAreEvenAgain(t *testing.T) {
 	live := storesIn(1, 1, 1)
 	view, _ := Plan(nil, live, config(2))
-	view = settle(t, view, live[1:], config(2))
-	view = settle(t, view, live, config(2))
-	parts, primaries := loads(view)
-	requireEven(t, parts, live, 1)
+	view = converge(t, view, live[1:], config(2))
+	view = converge(t, view, live, config(2))
+	counts, primaries := loads(view)
+	requireEven(t, counts, live, 1)
 	requireEven(t, primaries, live, 1)
 }
 
-func TestTheLastWholeCopyIsWaitedFor(t *testing.T) {
+func TestTheLastCompleteReplicaIsWaitedFor(t *testing.T) {
 	live := storesIn(1, 1)
 	view, _ := Plan(nil, live, config(2))
 	none, changed := Plan(view, nil, config(2))
@@ -187,9 +187,9 @@
 	require.False(t, changed, "the other one missed writes: %v", waits)
 	back, changed := Plan(alone, live, config(2))
 	require.True(t, changed)
-	for _, place := range back.Partitions {
-		require.Equal(t, []string{live[0].Disk}, disks(back, place.Replicas))
-		require.Equal(t, []string{live[1].Disk}, disks(back, place.Joining))
+	for _, placed := range back.Partitions {
+		require.Equal(t, []string{live[0].Disk}, disks(back, placed.Replicas))
+		require.Equal(t, []string{live[1].Disk}, disks(back, placed.Joining))
 	}
 }
 
@@ -200,31 +200,31 @@
 	next, changed := Plan(view, live, config(2))
 	require.True(t, changed)
 	require.Len(t, next.Stores, 3, "the old identity is dropped")
-	for _, place := range next.Partitions {
-		require.NotContains(t, disks(next, place.Replicas), "fresh")
-		require.Len(t, append(place.Replicas, place.Joining...), 2)
+	for _, placed := range next.Partitions {
+		require.NotContains(t, disks(next, placed.Replicas), "fresh")
+		require.Len(t, append(placed.Replicas, placed.Joining...), 2)
 	}
-	next = settle(t, next, live, config(2))
-	parts, _ := loads(next)
-	requireEven(t, parts, live, 1)
+	next = converge(t, next, live, config(2))
+	counts, _ := loads(next)
+	requireEven(t, counts, live, 1)
 }
 
-func TestAPartitionWhoseDisksAreAllLostStartsAnew(t *testing.T) {
+func TestAPartitionWhoseDisksAreAllWipedIsRebuilt(t *testing.T) {
 	live := storesIn(1, 1)
 	view, _ := Plan(nil, live, config(2))
 	live[0].Disk, live[1].Disk = "fresh-0", "fresh-1"
 	next, changed := Plan(view, live, config(2))
 	require.True(t, changed)
-	for _, place := range next.Partitions {
-		require.Len(t, place.Replicas, 1)
+	for _, placed := range next.Partitions {
+		require.Len(t, placed.Replicas, 1)
 	}
-	requireWhole(t, settle(t, next, live, config(2)), 2)
+	requireComplete(t, converge(t, next, live, config(2)), 2)
 }
 
-func requireWhole(t require.TestingT, view *wire.StoreView, copies int) {
-	for p, place := range view.Partitions {
-		require.Len(t, place.Replicas, copies, "partition %d", p)
-		require.Empty(t, place.Joining, "partition %d", p)
+func requireComplete(t require.TestingT, view *wire.StoreView, copies int) {
+	for p, placed := range view.Partitions {
+		require.Len(t, placed.Replicas, copies, "partition %d", p)
+		require.Empty(t, placed.Joining, "partition %d", p)
 	}
 }
 
@@ -236,8 +236,8 @@
 	require.True(t, changed)
 	_, primaries := loads(next)
 	require.Zero(t, primaries[live[1].Disk])
-	for p, place := range next.Partitions {
-		require.ElementsMatch(t, disks(view, view.Partitions[p].Replicas), disks(next, place.Replicas), "it still holds its copies")
+	for p, placed := range next.Partitions {
+		require.ElementsMatch(t, disks(view, view.Partitions[p].Replicas), disks(next, placed.Replicas), "it still holds its copies")
 	}
 }
 
@@ -250,13 +250,13 @@
 	marked, known, enough := Retire(view, live, c, live[0].Node)
 	require.True(t, known && enough)
 	next, _ := Plan(marked, live, c)
-	for p, place := range next.Partitions {
-		require.ElementsMatch(t, disks(view, view.Partitions[p].Replicas), disks(next, place.Replicas), "nothing is dropped yet")
+	for p, placed := range next.Partitions {
+		require.ElementsMatch(t, disks(view, view.Partitions[p].Replicas), disks(next, placed.Replicas), "nothing is dropped yet")
 	}
 	_, retiring, done := Retirement(next, live[0].Node)
 	require.True(t, retiring && !done)
-	next = settle(t, next, live, c)
-	requireWhole(t, next, 2)
+	next = converge(t, next, live, c)
+	requireComplete(t, next, 2)
 	_, _, done = Retirement(next, live[0].Node)
 	require.True(t, done)
 	_, known, enough = Retire(next, live, c, live[1].Node)
@@ -264,19 +264,19 @@
 	require.False(t, enough, "two stores must remain")
 }
 
-func TestZonesAreKeptApartWhereTheyMayBeLost(t *testing.T) {
+func TestReplicasLieInSeveralZonesWhereAZoneMayFail(t *testing.T) {
 	live := storesIn(2, 2)
 	strict := config(2)
 	strict.Zones = true
 	view, _ := Plan(nil, live, strict)
 	requireZones(t, view, 2)
-	oneZone := settle(t, view, live[:2], strict)
-	for _, place := range oneZone.Partitions {
-		require.Len(t, place.Replicas, 1, "a second copy in the same zone counts for nothing")
-		require.Empty(t, place.Joining)
+	oneZone := converge(t, view, live[:2], strict)
+	for _, placed := range oneZone.Partitions {
+		require.Len(t, placed.Replicas, 1, "a second copy in the same zone counts for nothing")
+		require.Empty(t, placed.Joining)
 	}
-	back := settle(t, oneZone, live, strict)
-	requireWhole(t, back, 2)
+	back := converge(t, oneZone, live, strict)
+	requireComplete(t, back, 2)
 	requireZones(t, back, 2)
 }
 
@@ -284,10 +284,10 @@
 	live := storesIn(2, 1)
 	c := config(2)
 	view, _ := Plan(nil, live, c)
-	view = settle(t, view, live[:2], c)
-	requireWhole(t, view, 2)
-	view = settle(t, view, live, c)
-	requireWhole(t, view, 2)
+	view = converge(t, view, live[:2], c)
+	requireComplete(t, view, 2)
+	view = converge(t, view, live, c)
+	requireComplete(t, view, 2)
 	requireZones(t, view, 2)
 }
 
@@ -297,19 +297,19 @@
 	next, changed := Plan(view, live, config(2))
 	require.True(t, changed)
 	joining := 0
-	for _, place := range next.Partitions {
-		joining += len(place.Joining)
+	for _, placed := range next.Partitions {
+		joining += len(placed.Joining)
 	}
 	require.Equal(t, movesAtOnce, joining)
 }
 
-// TestNoWholeCopyIsLostFromTheView plays losses, returns, new disks, retirements and fillings in any order.
-func TestNoWholeCopyIsLostFromTheView(t *testing.T) {
+// TestNoCompleteReplicaIsDroppedFromTheView plays losses, returns, new disks, retirements and fillings in any order.
+func TestNoCompleteReplicaIsDroppedFromTheView(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		all := storesIn(2, 2, 1)
 		c := Config{Copies: rapid.IntRange(1, 3).Draw(t, "copies"), Partitions: 16, Zones: rapid.Bool().Draw(t, "strict")}
-		view, founded := Plan(nil, all, c)
-		require.True(t, founded)
+		view, bootstrapped := Plan(nil, all, c)
+		require.True(t, bootstrapped)
 		up := make([]bool, len(all))
 		for i := range up {
 			up[i] = true
@@ -334,9 +334,9 @@
 					view = marked
 				}
 			case "fill":
-				told := synced(view, live)
-				next, _ := Plan(view, told, c)
-				requireNext(t, view, next, told)
+				reported := synced(view, live)
+				next, _ := Plan(view, reported, c)
+				requireNext(t, view, next, reported)
 				view = next
 				continue
 			}
@@ -348,8 +348,8 @@
 		for i := range all {
 			up[i], all[i].Leaving = true, false
 		}
-		view = settle(t, view, all, c)
-		requireWhole(t, view, c.Copies)
+		view = converge(t, view, all, c)
+		requireComplete(t, view, c.Copies)
 		if c.Copies <= 2 {
 			requireZonesOfKept(t, view, c.Copies)
 		}
@@ -367,8 +367,8 @@
 	return live
 }
 
-// requireNext checks one step: epochs grow by one, nobody becomes whole who was not or did not say so, and a partition that had a
-// living whole replica has one that lived or said so.
+// requireNext checks one step: epochs grow by one, nobody becomes complete who was not or did not say so, and a partition that had a
+// living complete replica has one that lived or said so.
 func requireNext(t require.TestingT, view, next *wire.StoreView, live []Store) {
 	if next == view {
 		return
@@ -384,19 +384,19 @@
 	for p := range view.Partitions {
 		before, after := disks(view, view.Partitions[p].Replicas), disks(next, next.Partitions[p].Replicas)
 		joining := disks(view, view.Partitions[p].Joining)
-		held := slices.ContainsFunc(before, func(name string) bool { return alive[name] }) ||
-			slices.ContainsFunc(joining, func(name string) bool { return saysWhole(live, name, view.Epoch, p) })
+		available := slices.ContainsFunc(before, func(name string) bool { return alive[name] }) ||
+			slices.ContainsFunc(joining, func(name string) bool { return reportsSynced(live, name, view.Epoch, p) })
 		for _, name := range after {
-			require.False(t, held && !alive[name], "partition %d: a dead store stays", p)
-			if held {
-				require.True(t, slices.Contains(before, name) || slices.Contains(joining, name) && saysWhole(live, name, view.Epoch, p),
+			require.False(t, available && !alive[name], "partition %d: a dead store stays", p)
+			if available {
+				require.True(t, slices.Contains(before, name) || slices.Contains(joining, name) && reportsSynced(live, name, view.Epoch, p),
 					"partition %d: %s is not whole", p, name)
 			}
 		}
-		if held {
+		if available {
 			require.NotEmpty(t, after, "partition %d lost its copies", p)
 		}
-		if !held && !coveredBy(view, p, alive) && !allReplaced(view, view.Partitions[p].Replicas, machines) {
+		if !available && !coveredBy(view, p, alive) && !allReplaced(view, view.Partitions[p].Replicas, machines) {
 			for i, name := range before {
 				s := view.Stores[view.Partitions[p].Replicas[i]]
 				if now, ok := machines[s.Node]; !ok || now == s.Disk {
@@ -412,14 +412,14 @@
 	}
 }
 
-// coveredBy says whether stores that live have all that was accepted, though no whole replica lives.
+// coveredBy says whether stores that live have all that was accepted, though no complete replica lives.
 func coveredBy(view *wire.StoreView, partition int, alive map[string]bool) bool {
-	place := view.Partitions[partition]
+	placed := view.Partitions[partition]
 	dead := func(name string) bool { return !alive[name] }
-	return place.Covered && !slices.ContainsFunc(disks(view, slices.Concat(place.Former, place.Joining)), dead)
+	return placed.Covered && !slices.ContainsFunc(disks(view, slices.Concat(placed.Former, placed.Joining)), dead)
 }
 
-func saysWhole(live []Store, disk string, epoch uint64, partition int) bool {
+func reportsSynced(live []Store, disk string, epoch uint64, partition int) bool {
 	return slices.ContainsFunc(live, func(s Store) bool {
 		return s.Disk == disk && s.Epoch == epoch && slices.Contains(s.Synced, uint16(partition))
 	})
@@ -458,8 +458,8 @@
 	view, _ := Plan(nil, live, c)
 	view, _, _ = Retire(view, live, c, live[0].Node)
 	live[0].Disk = "fresh"
-	view = settle(t, view, live, c)
-	requireWhole(t, view, 2)
+	view = converge(t, view, live, c)
+	requireComplete(t, view, 2)
 	known, retiring, done := Retirement(view, live[0].Node)
 	require.True(t, known && retiring && done)
 }
@@ -469,13 +469,13 @@
 	c := config(2)
 	view, _ := Plan(nil, live, c)
 	view, _, _ = Retire(view, live, c, live[0].Node)
-	view = settle(t, view, live, c)
+	view = converge(t, view, live, c)
 	live[0].Disk = "successor"
-	view = settle(t, view, live, c)
+	view = converge(t, view, live, c)
 	_, retiring, _ := Retirement(view, live[0].Node)
 	require.False(t, retiring)
-	parts, _ := loads(view)
-	requireEven(t, parts, live, 1)
+	counts, _ := loads(view)
+	requireEven(t, counts, live, 1)
 }
 
 // storesOfTwoRegions are two stores in each of two zones a region.
@@ -493,9 +493,9 @@
 // crossing counts the partitions whose replicas lie in several regions.
 func crossing(view *wire.StoreView) int {
 	count := 0
-	for _, place := range view.Partitions {
-		for _, r := range place.Replicas[1:] {
-			if view.Stores[r].Region != view.Stores[place.Replicas[0]].Region {
+	for _, placed := range view.Partitions {
+		for _, r := range placed.Replicas[1:] {
+			if view.Stores[r].Region != view.Stores[placed.Replicas[0]].Region {
 				count++
 				break
 			}
@@ -508,15 +508,15 @@
 	live := storesOfTwoRegions()
 	view, ok := Plan(nil, live, config(2))
 	require.True(t, ok)
-	require.Zero(t, crossing(view), "as founded")
-	require.Zero(t, crossing(settle(t, view, live, config(2))))
+	require.Zero(t, crossing(view), "as bootstrapped")
+	require.Zero(t, crossing(converge(t, view, live, config(2))))
 	c := config(2)
 	c.Regions = true
 	view, _ = Plan(nil, live, c)
 	require.Equal(t, DefaultPartitions, crossing(view), "the loss of a region is to be borne")
 }
 
-func TestCopiesComeHomeOnceTheirRegionHasStoresAgain(t *testing.T) {
+func TestReplicasReturnToTheirPreferredRegionOnceItHasStoresAgain(t *testing.T) {
 	live := storesOfTwoRegions()
 	west := slices.DeleteFunc(slices.Clone(live), func(s Store) bool { return s.Region == "east" })
 	for name, left := range map[string][]Store{
@@ -524,11 +524,11 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			view, _ := Plan(nil, live, config(2))
-			view = settle(t, view, left, config(2))
-			view = settle(t, view, live, config(2))
+			view = converge(t, view, left, config(2))
+			view = converge(t, view, live, config(2))
 			require.Zero(t, crossing(view))
-			parts, primaries := loads(view)
-			requireEven(t, parts, live, 2)
+			counts, primaries := loads(view)
+			requireEven(t, counts, live, 2)
 			requireEven(t, primaries, live, 1)
 		})
 	}
--- a/control/placement/primaries.go
+++ b/control/placement/primaries.go
@@ -6,11 +6,11 @@
 func (p *plan) choosePrimaries() {
 	primaries := make(map[*store]int)
 	for i := range p.partitions {
-		part := &p.partitions[i]
-		if part.stuck() {
+		partition := &p.partitions[i]
+		if partition.unavailable() {
 			continue
 		}
-		primaries[part.replicas[0]]++
+		primaries[partition.replicas[0]]++
 	}
 	for i := range p.partitions {
 		p.relieve(&p.partitions[i], primaries)
@@ -20,26 +20,26 @@
 }
 
 // relieve takes a partition's primary off a store that is to go, if another one holds all.
-func (p *plan) relieve(part *partition, primaries map[*store]int) {
-	if part.stuck() || part.replicas[0].eligible() {
+func (p *plan) relieve(partition *assignment, primaries map[*store]int) {
+	if partition.unavailable() || partition.replicas[0].eligible() {
 		return
 	}
 	var best *store
-	for _, s := range part.replicas {
+	for _, s := range partition.replicas {
 		if s.eligible() && (best == nil || primaries[s] < primaries[best]) {
 			best = s
 		}
 	}
 	if best != nil {
-		makePrimary(part, best, primaries)
+		makePrimary(partition, best, primaries)
 	}
 }
 
-func makePrimary(part *partition, s *store, primaries map[*store]int) {
-	primaries[part.replicas[0]]--
+func makePrimary(partition *assignment, s *store, primaries map[*store]int) {
+	primaries[partition.replicas[0]]--
 	primaries[s]++
-	rest := without(part.replicas, func(r *store) bool { return r == s })
-	part.replicas = slices.Concat([]*store{s}, rest)
+	rest := without(partition.replicas, func(r *store) bool { return r == s })
+	partition.replicas = slices.Concat([]*store{s}, rest)
 }
 
 // even makes one store the primary of one partition more, and one that has at least two more of one less, by a chain of
@@ -50,7 +50,7 @@
 	for _, source := range sources {
 		if chain := p.chain(source, primaries); chain != nil {
 			for _, change := range chain {
-				makePrimary(change.part, change.to, primaries)
+				makePrimary(change.partition, change.to, primaries)
 			}
 			return true
 		}
@@ -59,8 +59,8 @@
 }
 
 type change struct {
-	part *partition
-	to   *store
+	partition *assignment
+	to        *store
 }
 
 // chain finds the shortest sequence of changes that takes a primary off the source and ends at a store with at least two less.
@@ -71,15 +71,15 @@
 		from := queue[0]
 		queue = queue[1:]
 		for i := range p.partitions {
-			part := &p.partitions[i]
-			if part.stuck() || part.replicas[0] != from {
+			partition := &p.partitions[i]
+			if partition.unavailable() || partition.replicas[0] != from {
 				continue
 			}
-			for _, to := range part.replicas[1:] {
+			for _, to := range partition.replicas[1:] {
 				if _, seen := reached[to]; seen || !to.eligible() {
 					continue
 				}
-				reached[to] = append(slices.Clone(reached[from]), change{part: part, to: to})
+				reached[to] = append(slices.Clone(reached[from]), change{partition: partition, to: to})
 				if primaries[source]-primaries[to] >= 2 {
 					return reached[to]
 				}
