--- a/control/discovery/discovery_test.go
+++ b/control/discovery/discovery_test.go
@@ -140,7 +140,7 @@
 	require.Equal(t, 1, connections)
 }
 
-func TestAListThatIsNotReadWholeIsNone(t *testing.T) {
+func TestAnIncompleteListIsDiscarded(t *testing.T) {
 	p := newPlatform(t, func(call int, w http.ResponseWriter, r *http.Request) {
 		if call == 2 {
 			w.WriteHeader(http.StatusTooManyRequests)
@@ -177,7 +177,7 @@
 	}
 }
 
-func TestASilentPlatformIsGivenUp(t *testing.T) {
+func TestAPlatformThatDoesNotAnswerTimesOut(t *testing.T) {
 	release := make(chan struct{})
 	p := newPlatform(t, func(int, http.ResponseWriter, *http.Request) { <-release })
 	t.Cleanup(func() { close(release) })
--- a/control/discovery/list.go
+++ b/control/discovery/list.go
@@ -58,11 +58,11 @@
 func (e *instance) worker() wire.Worker {
 	return wire.Worker{
 		ID: e.ID, Service: e.Backend, Address: e.Address, Zone: e.Zone, Version: e.Version,
-		Capacity: whole(e.Capacity), Draining: e.State == stateDraining, WarmupMillis: whole(e.WarmupMs),
+		Capacity: toUint32(e.Capacity), Draining: e.State == stateDraining, WarmupMillis: toUint32(e.WarmupMs),
 	}
 }
 
-func whole(figure float64) uint32 {
+func toUint32(figure float64) uint32 {
 	if !(figure > 0) {
 		return 0
 	}
--- a/control/discovery/outage_test.go
+++ b/control/discovery/outage_test.go
@@ -28,7 +28,7 @@
 	require.False(t, o.saw(listOf(4, 0), 5*time.Second))
 }
 
-func TestWorkersThatAreGoneForLongAreNotWaitedFor(t *testing.T) {
+func TestWorkersThatAreMissingForLongAreNotWaitedFor(t *testing.T) {
 	var o outages
 	o.saw(listOf(6, 0), 0)
 	require.True(t, o.saw(listOf(1, 0), time.Second))
--- a/control/discovery/pace.go
+++ b/control/discovery/pace.go
@@ -7,11 +7,11 @@
 )
 
 const (
-	longestInterval = 1200 * time.Millisecond
-	drainParts      = 3 // of the drain bound passes between two reads
-	rateShare       = 2 // one part in so many of the platform's rate is used
-	firstRetry      = 250 * time.Millisecond
-	longestRetry    = 2 * time.Second
+	longestInterval    = 1200 * time.Millisecond
+	readsPerDrainBound = 3 // of the drain bound passes between two reads
+	rateDivisor        = 2 // one part in so many of the platform's rate is used
+	firstRetry         = 250 * time.Millisecond
+	longestRetry       = 2 * time.Second
 )
 
 // Pace decides when the list is read. It is pure.
@@ -24,9 +24,9 @@
 
 // NewPace follows from the bound on drains, and from how many calls a second the platform allows.
 func NewPace(drain time.Duration, ratePerSecond float64) *Pace {
-	p := &Pace{interval: min(longestInterval, drain/drainParts)}
+	p := &Pace{interval: min(longestInterval, drain/readsPerDrainBound)}
 	if ratePerSecond > 0 {
-		p.gap = time.Duration(float64(rateShare*time.Second) / ratePerSecond)
+		p.gap = time.Duration(float64(rateDivisor*time.Second) / ratePerSecond)
 	}
 	return p
 }
--- a/control/leader/leases.go
+++ b/control/leader/leases.go
@@ -33,7 +33,7 @@
 func (l *memberLeases) disconnected(now time.Duration, c *rpc.Conn) registry.Changes {
 	number := l.connections[c]
 	delete(l.connections, c)
-	return l.registry.Broken(now, number)
+	return l.registry.Disconnected(now, number)
 }
 
 func (l *memberLeases) renew(now time.Duration, connection uint64, renew *wire.Renew) (time.Duration, registry.Changes) {
--- a/control/leader/placer.go
+++ b/control/leader/placer.go
@@ -15,7 +15,7 @@
 
 // Times of the placement.
 const (
-	storeReconnectTimeout = 1500 * time.Millisecond // for stores to find a new leader before one of them is taken for lost
+	storeReconnectTimeout = 1500 * time.Millisecond // for stores to find a new leader before one of them counts as unavailable
 	bootstrapQuiet        = 500 * time.Millisecond  // without a new store, before the queue is placed first
 	placementInterval     = 200 * time.Millisecond  // each new placement disturbs: only losses are acted on at once
 )
@@ -33,7 +33,7 @@
 
 	due       bool            // something that the placement goes by has changed since it was planned
 	plannedAt time.Duration   // when it was planned last
-	urgent    bool            // a store was lost since
+	urgent    bool            // a store expired, is leaving or stalled since
 	view      *wire.StoreView // the newest that this process has applied
 	epoch     uint64          // the newest that was agreed on, as far as this term knows
 
@@ -57,7 +57,7 @@
 
 func (p *placer) changed(changes registry.Changes) {
 	p.due = p.due || changes.Stores
-	p.urgent = p.urgent || changes.Lost
+	p.urgent = p.urgent || changes.Urgent
 }
 
 // follow takes the placement that this process has applied.
--- a/control/registry/registry.go
+++ b/control/registry/registry.go
@@ -17,7 +17,7 @@
 	replacedKept = 512
 )
 
-// Config has the times after which members are taken for lost. All are counted from the last renewal.
+// Config has the times after which members expire. All are counted from the last renewal.
 type Config struct {
 	EdgeLease  time.Duration
 	StoreLease time.Duration
@@ -36,7 +36,7 @@
 	return Config{EdgeLease: heartbeats * heartbeat, StoreLease: storeLease, Reconnect: reconnectTime}
 }
 
-// Suspicion is the longest time after which a member is taken for lost.
+// Suspicion is the longest time after which a member expires.
 func (c Config) Suspicion() time.Duration { return max(c.EdgeLease, c.StoreLease) }
 
 // Store is a store that holds a lease.
@@ -57,13 +57,13 @@
 type Changes struct {
 	Members bool // the topic of members
 	Stores  bool // which stores live, or what they say
-	Lost    bool // a store is lost, is leaving, or has a disk that takes nothing
+	Urgent  bool // a store expired, is leaving, or has a disk that takes nothing
 }
 
 func (c *Changes) add(other Changes) {
 	c.Members = c.Members || other.Members
 	c.Stores = c.Stores || other.Stores
-	c.Lost = c.Lost || other.Lost
+	c.Urgent = c.Urgent || other.Urgent
 }
 
 // Registry is the table.
@@ -79,7 +79,7 @@
 	return &Registry{config: config, entries: make(map[string]*entry), replaced: make(map[string]bool)}
 }
 
-// Adopt takes over schedulers that an earlier leader knew. Those who don't renew within a lease are lost.
+// Adopt takes over schedulers that an earlier leader knew. Those who don't renew within a lease expire.
 func (r *Registry) Adopt(now time.Duration, members *wire.Members) Changes {
 	var changes Changes
 	for _, edge := range members.Edges {
@@ -109,7 +109,7 @@
 
 // Renew takes a renewal that came over a connection, and returns the lease granted; zero if none is.
 func (r *Registry) Renew(now time.Duration, link uint64, renew *wire.Renew) (time.Duration, Changes) {
-	changes := r.forgive(now)
+	changes := r.compensateStall(now)
 	id := renew.Member.ID
 	if id == "" || r.replaced[id] {
 		return 0, changes
@@ -157,7 +157,7 @@
 	}
 	if renew.Member.Storage {
 		changes.Stores = known.member != renew.Member || !sameStatus(known.status, renew.Store)
-		changes.Lost = renew.Member.Leaving && !known.member.Leaving || renew.Store.Stalled && !known.status.Stalled
+		changes.Urgent = renew.Member.Leaving && !known.member.Leaving || renew.Store.Stalled && !known.status.Stalled
 	}
 	return changes
 }
@@ -167,10 +167,10 @@
 	return a.Epoch == b.Epoch && a.Stalled == b.Stalled && slices.Equal(a.Synced, b.Synced)
 }
 
-// Broken tells that a connection ended. A store whose last renewal came over it must renew soon. A scheduler has its lease, by which
+// Disconnected tells that a connection ended. A store whose last renewal came over it must renew soon. A scheduler has its lease, by which
 // it may act, to the end.
-func (r *Registry) Broken(now time.Duration, link uint64) Changes {
-	changes := r.forgive(now)
+func (r *Registry) Disconnected(now time.Duration, link uint64) Changes {
+	changes := r.compensateStall(now)
 	for id, known := range r.entries {
 		if known.link != link || link == 0 {
 			continue
@@ -190,7 +190,7 @@
 
 // Tick drops who did not renew in time.
 func (r *Registry) Tick(now time.Duration) Changes {
-	changes := r.forgive(now)
+	changes := r.compensateStall(now)
 	for id, known := range r.entries {
 		if now >= known.deadline {
 			changes.add(r.drop(id))
@@ -203,11 +203,11 @@
 func (r *Registry) drop(id string) Changes {
 	member := r.entries[id].member
 	delete(r.entries, id)
-	return Changes{Members: member.Edge, Stores: member.Storage, Lost: member.Storage}
+	return Changes{Members: member.Edge, Stores: member.Storage, Urgent: member.Storage}
 }
 
-// forgive gives all the time back during which the leader itself stood still: renewals may lie unread.
-func (r *Registry) forgive(now time.Duration) Changes {
+// compensateStall gives all the time back during which the leader itself stood still: renewals may lie unread.
+func (r *Registry) compensateStall(now time.Duration) Changes {
 	if len(r.entries) == 0 || now <= r.next+lateness {
 		return Changes{}
 	}
@@ -232,7 +232,7 @@
 // Next is when Tick must be called; false: not before the next event.
 func (r *Registry) Next() (time.Duration, bool) { return r.next, len(r.entries) > 0 }
 
-// Heard says whether all members adopted from an earlier leader have renewed or are lost.
+// Heard says whether all members adopted from an earlier leader have renewed or expired.
 func (r *Registry) Heard() bool {
 	for _, known := range r.entries {
 		if known.adopted {
--- a/control/registry/registry_test.go
+++ b/control/registry/registry_test.go
@@ -55,7 +55,7 @@
 	require.False(t, r.Edges()[2].Ready)
 }
 
-func TestAnEdgeIsLostAfterItsLease(t *testing.T) {
+func TestAnEdgeExpiresAfterItsLease(t *testing.T) {
 	r := New(testConfig())
 	renew(r, 0, 1, edge("a", "n", "z"))
 	require.Equal(t, Changes{}, run(r, 1999*ms))
@@ -63,21 +63,21 @@
 	require.Empty(t, r.Edges())
 }
 
-func TestAStoreIsLostSoonerAndSoonestWhenItsConnectionBroke(t *testing.T) {
+func TestAStoreExpiresSoonerAndSoonestWhenItsConnectionBroke(t *testing.T) {
 	r := New(testConfig())
 	require.Equal(t, Changes{Stores: true}, renew(r, 0, 1, store("a", "n")))
 	require.Equal(t, Changes{}, run(r, 699*ms))
-	require.Equal(t, Changes{Stores: true, Lost: true}, run(r, 700*ms))
+	require.Equal(t, Changes{Stores: true, Urgent: true}, run(r, 700*ms))
 	renew(r, 1000*ms, 1, store("a", "n"))
-	require.Equal(t, Changes{}, r.Broken(1010*ms, 1))
+	require.Equal(t, Changes{}, r.Disconnected(1010*ms, 1))
 	require.Len(t, r.Stores(), 1, "it may connect again")
-	require.Equal(t, Changes{Stores: true, Lost: true}, run(r, 1160*ms))
+	require.Equal(t, Changes{Stores: true, Urgent: true}, run(r, 1160*ms))
 }
 
 func TestAnEdgeWhoseConnectionBrokeKeepsItsLease(t *testing.T) {
 	r := New(testConfig())
 	renew(r, 0, 1, edge("a", "n", "z"))
-	r.Broken(10*ms, 1)
+	r.Disconnected(10*ms, 1)
 	require.Equal(t, Changes{}, run(r, 1999*ms), "it may act by it")
 	require.Equal(t, Changes{Members: true}, run(r, 2000*ms))
 }
@@ -85,20 +85,20 @@
 func TestABrokenConnectionThatIsMadeAgainMeansNothing(t *testing.T) {
 	r := New(testConfig())
 	renew(r, 0, 1, store("a", "n"))
-	r.Broken(10*ms, 1)
+	r.Disconnected(10*ms, 1)
 	require.Equal(t, Changes{}, renew(r, 100*ms, 2, store("a", "n")))
-	r.Broken(110*ms, 1)
+	r.Disconnected(110*ms, 1)
 	require.Equal(t, Changes{}, run(r, 799*ms), "the old connection says nothing any more")
 }
 
-func TestALeavingStoreLivesUntilItsConnectionEnds(t *testing.T) {
+func TestALeavingStoreStaysUntilItsConnectionEnds(t *testing.T) {
 	r := New(testConfig())
 	renew(r, 0, 1, store("a", "n"))
 	leaving := store("a", "n")
 	leaving.Member.Leaving = true
-	require.Equal(t, Changes{Stores: true, Lost: true}, renew(r, 10*ms, 1, leaving))
+	require.Equal(t, Changes{Stores: true, Urgent: true}, renew(r, 10*ms, 1, leaving))
 	require.True(t, r.Stores()[0].Member.Leaving)
-	require.Equal(t, Changes{Stores: true, Lost: true}, r.Broken(20*ms, 1))
+	require.Equal(t, Changes{Stores: true, Urgent: true}, r.Disconnected(20*ms, 1))
 	require.Empty(t, r.Stores())
 }
 
@@ -111,7 +111,7 @@
 	require.False(t, r.Edges()[0].Ready)
 }
 
-func TestARestartTakesThePlaceOfTheProcessBefore(t *testing.T) {
+func TestARestartReplacesTheProcessBefore(t *testing.T) {
 	r := New(testConfig())
 	renew(r, 0, 1, edge("old", "n", "z"))
 	require.Equal(t, Changes{Members: true}, renew(r, 10*ms, 2, edge("new", "n", "z")))
@@ -133,11 +133,11 @@
 func TestStoresChangeWithWhatTheySayOfPartitions(t *testing.T) {
 	r := New(testConfig())
 	renew(r, 0, 1, store("a", "n"))
-	told := store("a", "n")
-	told.Store.Pending, told.Store.Messages = 5, 9
-	require.Equal(t, Changes{}, renew(r, 10*ms, 1, told))
-	told.Store.Synced = []uint16{3}
-	require.Equal(t, Changes{Stores: true}, renew(r, 20*ms, 1, told))
+	announced := store("a", "n")
+	announced.Store.Pending, announced.Store.Messages = 5, 9
+	require.Equal(t, Changes{}, renew(r, 10*ms, 1, announced))
+	announced.Store.Synced = []uint16{3}
+	require.Equal(t, Changes{Stores: true}, renew(r, 20*ms, 1, announced))
 	require.Equal(t, []uint16{3}, r.Stores()[0].Status.Synced)
 }
 
@@ -162,7 +162,7 @@
 	require.Equal(t, Changes{}, r.Tick(5000*ms), "frozen for five seconds")
 	require.Len(t, r.Edges(), 1)
 	require.Len(t, r.Stores(), 1)
-	require.Equal(t, Changes{Stores: true, Members: true, Lost: true}, run(r, 10000*ms), "they had their time again")
+	require.Equal(t, Changes{Stores: true, Members: true, Urgent: true}, run(r, 10000*ms), "they had their time again")
 }
 
 func TestNamelessMembersGetNothing(t *testing.T) {
