--- a/cmd/ravendalectl/internal/disks/disks_test.go
+++ b/cmd/ravendalectl/internal/disks/disks_test.go
@@ -240,7 +240,7 @@
 		{Kind: queue.RecordEpoch, Sequence: 7},
 		{Partition: 1, ID: "1.a", Message: wire.Message{Body: body}},
 		{Partition: 1, ID: "1.b", Message: wire.Message{Body: body}},
-		{Kind: queue.RecordEnd, Partition: 1, ID: "1.a", State: wire.StateDone},
+		{Kind: queue.RecordFinish, Partition: 1, ID: "1.a", State: wire.StateDone},
 		{Partition: 2, ID: "2.a"}, {Partition: 2, ID: "2.b", State: wire.StateDead}, {Partition: 3, ID: "3.a"},
 		{Kind: queue.RecordDrop, Partition: 2, ID: "2.a"},
 		{Kind: queue.RecordWipe, Partition: 3},
--- a/cmd/ravendalectl/internal/disks/store.go
+++ b/cmd/ravendalectl/internal/disks/store.go
@@ -185,7 +185,7 @@
 		m.partitions[r.Partition] = in
 	}
 	switch r.Kind {
-	case queue.RecordWhole, queue.RecordEnd:
+	case queue.RecordMessage, queue.RecordFinish:
 		in[r.ID] = r.State
 	case queue.RecordDrop:
 		delete(in, r.ID)
--- a/store/queue/apply.go
+++ b/store/queue/apply.go
@@ -20,18 +20,18 @@
 
 // changes says whether a record from the primary tells anything new.
 func (c *Core) changes(r *Record) bool {
-	p := c.at(r.Partition)
+	p := c.partition(r.Partition)
 	e, _ := p.find(r.ID)
 	switch r.Kind {
-	case RecordWhole:
-		return e == nil || e.sequence != r.Sequence || e.state != r.State || e.failed != r.Failed || e.bare && !r.Bare ||
-			e.pending() && e.owner() != r.Holder
-	case RecordEnd:
+	case RecordMessage:
+		return e == nil || e.sequence != r.Sequence || e.state != r.State || e.failed != r.Failed || e.noBody && !r.NoBody ||
+			e.pending() && e.lastLeaseholder() != r.Leaseholder
+	case RecordFinish:
 		return e == nil || e.sequence != r.Sequence || e.state != r.State
 	case RecordFailed:
 		return e != nil && e.failed != r.Failed
-	case RecordHolder:
-		return e != nil && e.pending() && e.owner() != r.Holder
+	case RecordLeaseholder:
+		return e != nil && e.pending() && e.lastLeaseholder() != r.Leaseholder
 	case RecordDrop:
 		return e != nil
 	}
@@ -41,51 +41,51 @@
 // apply brings the tables up to a record that lies at a place in the journal. Old says that the message is not new.
 func (c *Core) apply(r *Record, at journal.Location, old bool) {
 	if r.Kind == RecordEpoch {
-		c.fence = max(c.fence, r.Sequence)
-		c.epochAt = at.Segment
+		c.newestEpoch = max(c.newestEpoch, r.Sequence)
+		c.epochSegment = at.Segment
 		return
 	}
-	p := c.at(r.Partition)
+	p := c.partition(r.Partition)
 	c.sequence = max(c.sequence, r.Sequence)
 	switch r.Kind {
-	case RecordWhole:
-		c.applyWhole(p, r, at, old)
-	case RecordEnd:
-		c.applyEnd(p, r, at)
+	case RecordMessage:
+		c.applyMessage(p, r, at, old)
+	case RecordFinish:
+		c.applyFinish(p, r, at)
 	case RecordFailed:
 		if e, _ := p.find(r.ID); e != nil {
 			p.change(e, func() { e.failed = r.Failed })
 		}
-	case RecordHolder:
+	case RecordLeaseholder:
 		if e, _ := p.find(r.ID); e != nil && e.pending() {
-			p.change(e, func() { e.live.owner = c.intern(r.Holder) })
+			p.change(e, func() { e.delivery.lastLeaseholder = c.intern(r.Leaseholder) })
 		}
 	case RecordDrop:
 		if e, _ := p.find(r.ID); e != nil {
-			c.forget(p, e)
+			c.removeEntry(p, e)
 		}
 	case RecordWipe:
 		c.wipeTable(p)
 	}
 }
 
-func (c *Core) applyWhole(p *partition, r *Record, at journal.Location, old bool) {
-	e, taken := p.find(r.ID)
-	if taken {
+func (c *Core) applyMessage(p *partition, r *Record, at journal.Location, old bool) {
+	e, collides := p.find(r.ID)
+	if collides {
 		return
 	}
-	if e != nil && e.state == wire.StateDead && r.Bare {
-		c.endAnew(p, e, r, at)
+	if e != nil && e.state == wire.StateDead && r.NoBody {
+		c.replaceFinish(p, e, r, at)
 		return
 	}
-	var known *live
+	var known *delivery
 	if e != nil {
-		known = e.live
-		c.forget(p, e)
+		known = e.delivery
+		c.removeEntry(p, e)
 	}
 	e = c.insert(p, r, at, old)
-	if known != nil && e.live != nil { // the steady clock has counted since
-		e.live.due, e.live.expires = known.due, known.expires
+	if known != nil && e.delivery != nil { // the steady clock has counted since
+		e.delivery.due, e.delivery.expires = known.due, known.expires
 	}
 }
 
@@ -93,18 +93,18 @@
 func (c *Core) insert(p *partition, r *Record, at journal.Location, old bool) *entry {
 	e := &entry{id: r.ID, sequence: r.Sequence, state: r.State, failed: r.Failed}
 	if e.pending() {
-		e.live = &live{accepted: r.Sequence, owner: c.intern(r.Holder)}
+		e.delivery = &delivery{acceptSequence: r.Sequence, lastLeaseholder: c.intern(r.Leaseholder)}
 		c.setTimes(e, &r.Message, old)
 		if r.Message.Ordered && r.Message.Key != "" {
 			p.join(e, r.Message.Key)
 		}
 	} else {
-		e.learned = c.seconds()
-		e.bare = e.state == wire.StateDead && (r.Bare || r.Kind == RecordEnd)
+		e.finishedAt = c.seconds()
+		e.noBody = e.state == wire.StateDead && (r.NoBody || r.Kind == RecordFinish)
 	}
 	p.table.insert(e)
-	c.messages++
-	c.place(e, at)
+	c.messageCount++
+	c.setLocation(e, at)
 	return e
 }
 
@@ -120,91 +120,91 @@
 		delay = max(delay-age, 0)
 		retention = max(retention-age, 0) + int64(c.config.ClockSlack/time.Millisecond)
 	}
-	e.live.due = c.millis() + uint32(min(delay, longestSpan))
-	e.live.expires = c.millis() + uint32(min(retention, longestSpan))
+	e.delivery.due = c.millis() + uint32(min(delay, longestSpan))
+	e.delivery.expires = c.millis() + uint32(min(retention, longestSpan))
 }
 
-func (c *Core) applyEnd(p *partition, r *Record, at journal.Location) {
-	e, taken := p.find(r.ID)
+func (c *Core) applyFinish(p *partition, r *Record, at journal.Location) {
+	e, collides := p.find(r.ID)
 	if e == nil {
-		if !taken {
+		if !collides {
 			c.insert(p, r, at, true)
 		}
 		return
 	}
 	if e.pending() {
-		c.markEnded(p, e, r, at)
-		c.settle(p, e)
+		c.markFinished(p, e, r, at)
+		c.dropDelivery(p, e)
 		return
 	}
-	c.endAnew(p, e, r, at)
+	c.replaceFinish(p, e, r, at)
 }
 
-// endAnew gives an ended message another end. The body that is kept of a dead one lies where it did.
-func (c *Core) endAnew(p *partition, e *entry, r *Record, at journal.Location) {
+// replaceFinish gives an ended message another end. The body that is kept of a dead one lies where it did.
+func (c *Core) replaceFinish(p *partition, e *entry, r *Record, at journal.Location) {
 	dead := r.State == wire.StateDead
 	keeps := dead && e.state == wire.StateDead
-	p.removeEnded(e)
+	p.removeFinished(e)
 	p.change(e, func() {
 		e.state, e.sequence = r.State, r.Sequence
-		e.bare = dead && (e.bare || !keeps)
+		e.noBody = dead && (e.noBody || !keeps)
 	})
-	p.insertEnded(e)
+	p.insertFinished(e)
 	if !keeps {
-		c.place(e, at)
+		c.setLocation(e, at)
 	}
 }
 
-// markEnded records an end in memory; the message keeps its place in the order of its key. The body of a dead one is kept.
-func (c *Core) markEnded(p *partition, e *entry, r *Record, at journal.Location) {
+// markFinished records an end in memory; the message keeps its place in the order of its key. The body of a dead one is kept.
+func (c *Core) markFinished(p *partition, e *entry, r *Record, at journal.Location) {
 	p.change(e, func() { e.state, e.sequence = r.State, r.Sequence })
-	e.learned = c.seconds()
+	e.finishedAt = c.seconds()
 	if e.state != wire.StateDead {
-		c.place(e, at)
+		c.setLocation(e, at)
 	}
 }
 
-// settle lets go of what only a pending message needs, and returns the message of its key whose turn it is now, if any.
-func (c *Core) settle(p *partition, e *entry) *entry {
-	if e.live == nil {
+// dropDelivery lets go of what only a pending message needs, and returns the message of its key whose turn it is now, if any.
+func (c *Core) dropDelivery(p *partition, e *entry) *entry {
+	if e.delivery == nil {
 		return nil
 	}
 	next := p.leave(e)
-	c.unlease(e)
-	e.live = nil
+	c.releaseLease(e)
+	e.delivery = nil
 	return next
 }
 
 func (c *Core) seconds() uint32 { return uint32(c.now.Steady / time.Second) }
 
-// place notes where an entry's record lies.
-func (c *Core) place(e *entry, at journal.Location) {
-	c.unplace(e)
-	e.at = at
+// setLocation notes where an entry's record lies.
+func (c *Core) setLocation(e *entry, at journal.Location) {
+	c.clearLocation(e)
+	e.location = at
 	c.segments[at.Segment]++
 }
 
-func (c *Core) unplace(e *entry) {
-	if e.at.Segment == 0 {
+func (c *Core) clearLocation(e *entry) {
+	if e.location.Segment == 0 {
 		return
 	}
-	if c.segments[e.at.Segment]--; c.segments[e.at.Segment] == 0 {
-		delete(c.segments, e.at.Segment)
+	if c.segments[e.location.Segment]--; c.segments[e.location.Segment] == 0 {
+		delete(c.segments, e.location.Segment)
 	}
-	e.at = journal.Location{}
+	e.location = journal.Location{}
 }
 
-// forget takes an entry out of memory.
-func (c *Core) forget(p *partition, e *entry) {
-	if e.live != nil {
+// removeEntry takes an entry out of memory.
+func (c *Core) removeEntry(p *partition, e *entry) {
+	if e.delivery != nil {
 		for _, w := range p.supersede(e) {
 			w.refuse(wire.PutUnknown, c.epoch())
 		}
 	}
 	p.remove(e)
-	c.settle(p, e)
-	c.unplace(e)
-	c.messages--
+	c.dropDelivery(p, e)
+	c.clearLocation(e)
+	c.messageCount--
 }
 
 // intern saves the memory of a name that very many messages have.
@@ -217,25 +217,25 @@
 
 func (c *Core) wipeTable(p *partition) {
 	for _, e := range p.entries {
-		c.unlease(e)
-		c.unplace(e)
-		c.messages--
+		c.releaseLease(e)
+		c.clearLocation(e)
+		c.messageCount--
 	}
 	horizon := p.horizon
 	p.table = newTable()
 	p.horizon = horizon
 }
 
-// write appends a record and returns its bytes, place and position.
-func (c *Core) write(r *Record) (payload []byte, at journal.Location, position uint64) {
+// appendRecord appends a record and returns its bytes, place and position.
+func (c *Core) appendRecord(r *Record) (payload []byte, at journal.Location, position uint64) {
 	payload = r.encode()
-	at, position = c.append(payload)
+	at, position = c.appendPayload(payload)
 	return payload, at, position
 }
 
-// whole makes a record of all that is known of an entry. It fails if the disk does.
-func (c *Core) whole(p *partition, e *entry) (*Record, error) {
-	payload, err := c.journal.Read(e.at)
+// messageRecord makes a record of all that is known of an entry. It fails if the disk does.
+func (c *Core) messageRecord(p *partition, e *entry) (*Record, error) {
+	payload, err := c.journal.Read(e.location)
 	if err != nil {
 		return nil, err
 	}
@@ -243,15 +243,15 @@
 	if err != nil {
 		return nil, err
 	}
-	r.Kind, r.Partition, r.ID = RecordWhole, p.number, e.id
-	r.Sequence, r.State, r.Failed, r.Bare = e.sequence, e.state, e.failed, e.bare
-	r.Holder = e.owner()
+	r.Kind, r.Partition, r.ID = RecordMessage, p.number, e.id
+	r.Sequence, r.State, r.Failed, r.NoBody = e.sequence, e.state, e.failed, e.noBody
+	r.Leaseholder = e.lastLeaseholder()
 	return r, nil
 }
 
-// wholeBytes is the encoding of whole; nil if the disk fails.
-func (c *Core) wholeBytes(p *partition, e *entry) []byte {
-	r, err := c.whole(p, e)
+// messagePayload is the encoding of whole; nil if the disk fails.
+func (c *Core) messagePayload(p *partition, e *entry) []byte {
+	r, err := c.messageRecord(p, e)
 	if err != nil {
 		c.host.Fail(err)
 		return nil
@@ -259,9 +259,9 @@
 	return r.encode()
 }
 
-// message reads a message with its body.
-func (c *Core) message(p *partition, e *entry) (*wire.Message, error) {
-	r, err := c.whole(p, e)
+// readMessage reads a message with its body.
+func (c *Core) readMessage(p *partition, e *entry) (*wire.Message, error) {
+	r, err := c.messageRecord(p, e)
 	if err != nil {
 		return nil, err
 	}
--- /dev/null
+++ b/store/queue/comparison.go
@@ -0,0 +1,321 @@
+package queue
+
+import (
+	"slices"
+	"sort"
+	"time"
+
+	"ravendale/cluster/wire"
+)
+
+// comparison is a comparison of a partition with one member, and what comes of it.
+type comparison struct {
+	p       *partition
+	to      *peer
+	id      uint64
+	merge   bool                   // what only the member knows is taken over; else it is dropped there
+	listed  bool                   // the member has listed all that differs
+	fetches int                    // unanswered
+	buckets *[bucketCount][]*entry // what the store has, as it was when the member began to list
+	toSend  []*entry
+	toDrop  []string
+}
+
+// compare starts to make a member equal to the primary.
+func (c *Core) compare(p *partition, to *peer) {
+	if to.remote == nil {
+		return
+	}
+	p.comparisons = slices.DeleteFunc(p.comparisons, func(f *comparison) bool { return f.to == to })
+	if !c.isComparing(to) {
+		to.stats = comparisonStats{since: c.now.Steady}
+	}
+	c.lastID++
+	f := &comparison{p: p, to: to, id: c.lastID, merge: slices.Contains(p.unmerged, to)}
+	p.comparisons = append(p.comparisons, f)
+	to.flush(c.epoch())
+	_ = to.remote.Notify(MethodCompare, &Compare{
+		Epoch: c.epoch(), Partition: p.number, ComparisonID: f.id, Horizon: p.horizon, Sums: p.sums[:],
+	})
+}
+
+func (c *Core) findComparison(number uint16, from Remote, id uint64) *comparison {
+	p := c.lookUpPartition(number)
+	if p == nil || !p.primary {
+		return nil
+	}
+	for _, f := range p.comparisons {
+		if f.id == id && f.to.remote == from {
+			return f
+		}
+	}
+	return nil
+}
+
+// Differ takes a member's list of one bucket.
+func (c *Core) Differ(now Time, from Remote, m *Differ) {
+	c.now = now
+	f := c.findComparison(m.Partition, from, m.ComparisonID)
+	if f == nil {
+		return
+	}
+	if m.Bucket < bucketCount {
+		c.compareBucket(f, m)
+	}
+	if m.Last {
+		f.listed = true
+		f.buckets = nil
+	}
+	c.advanceComparison(f)
+	c.assignDue()
+	c.flushPeers()
+}
+
+// compareBucket decides what to do about each message of a bucket.
+func (c *Core) compareBucket(f *comparison, m *Differ) {
+	f.to.stats.listed += len(m.Entries)
+	if f.buckets == nil {
+		f.buckets = f.p.buckets(func(int) bool { return true })
+	}
+	theirs := make(map[string]*Digest, len(m.Entries))
+	for i := range m.Entries {
+		theirs[m.Entries[i].ID] = &m.Entries[i]
+	}
+	var fetch []string
+	decide := func(e *entry, digest *Digest) {
+		switch {
+		case digest != nil && digest.Sum == e.sum(hashOf(e.id)):
+		case digest != nil && (digest.suppliesBody(e) || f.merge && digest.ahead(e)):
+			fetch = append(fetch, e.id)
+		default:
+			f.toSend = append(f.toSend, e)
+		}
+	}
+	for _, e := range f.buckets[m.Bucket] {
+		if current, _ := f.p.find(e.id); current != e {
+			continue // it was replaced, or forgotten, since
+		}
+		decide(e, theirs[e.id])
+		delete(theirs, e.id)
+	}
+	for id, digest := range theirs {
+		e, _ := f.p.find(id)
+		switch {
+		case e != nil:
+			decide(e, digest)
+		case f.merge:
+			fetch = append(fetch, id)
+		default:
+			f.toDrop = append(f.toDrop, id)
+		}
+	}
+	sort.Strings(fetch)
+	sort.Strings(f.toDrop)
+	for part := range slices.Chunk(fetch, fetchBatch) {
+		f.fetches++
+		_ = f.to.remote.Notify(MethodFetch, &Fetch{Epoch: c.epoch(), Partition: f.p.number, ComparisonID: f.id, IDs: part})
+	}
+}
+
+// suppliesBody says whether a member has the body of a dead message that this store lacks.
+func (d *Digest) suppliesBody(e *entry) bool {
+	return e.noBody && d.State == wire.StateDead && !d.NoBody
+}
+
+// ahead says whether a member knows more of a message than this store.
+func (d *Digest) ahead(e *entry) bool {
+	if !e.pending() {
+		return false
+	}
+	return d.State != e.state || d.Failed > e.failed
+}
+
+// Fetched takes over what only a member knew.
+func (c *Core) Fetched(now Time, from Remote, m *Fetched) {
+	c.now = now
+	f := c.findComparison(m.Partition, from, m.ComparisonID)
+	if f == nil {
+		return
+	}
+	for _, payload := range m.Records {
+		r, err := decodeRecord(payload)
+		if err != nil {
+			c.config.Log.Error("a store sent a record that can't be read", "error", err)
+			return
+		}
+		f.to.stats.fetched++
+		f.to.stats.bytes += len(payload)
+		c.adoptRecord(f.p, r)
+	}
+	if m.Last {
+		f.fetches--
+	}
+	c.advanceComparison(f)
+	c.assignDue()
+	c.flushPeers()
+}
+
+// adoptRecord applies a record of a member, unless it is known better by now, and gives it to all members.
+func (c *Core) adoptRecord(p *partition, r *Record) {
+	e, collides := p.find(r.ID)
+	digest := Digest{State: r.State, Failed: r.Failed, NoBody: r.NoBody}
+	if collides || e != nil && !digest.ahead(e) && !digest.suppliesBody(e) {
+		return
+	}
+	if e != nil && !e.pending() { // the body of a dead message
+		r.Sequence = e.sequence
+	}
+	var leaseholder *edge
+	var waiters []waiter
+	accepting := false
+	if e != nil && e.delivery != nil {
+		leaseholder, accepting = e.delivery.leaseholder, e.delivery.accepting
+		r.Leaseholder = e.delivery.lastLeaseholder
+		waiters = p.supersede(e)
+	}
+	payload, at, position := c.appendRecord(r)
+	c.apply(r, at, true)
+	e, _ = p.find(r.ID)
+	if e.delivery != nil {
+		e.delivery.accepting = accepting
+		if leaseholder != nil {
+			c.startLease(e, leaseholder)
+		}
+	}
+	o := c.beginOp(p, e, position, payload)
+	o.put = accepting
+	o.waiters = waiters
+}
+
+// advanceComparison sends a member what it lacks, a batch at a time, and ends the comparison once it has all on disk.
+func (c *Core) advanceComparison(f *comparison) {
+	if f.to.unackedBatch == f {
+		return
+	}
+	if len(f.toSend) == 0 && len(f.toDrop) == 0 {
+		if f.listed && f.fetches == 0 {
+			c.finishComparison(f)
+		}
+		return
+	}
+	if !slices.Contains(f.to.comparisons, f) {
+		f.to.enqueueComparison(f)
+	}
+	c.sendNextBatch(f.to)
+}
+
+// enqueueComparison has a comparison wait for its turn. What a takeover waits for comes first.
+func (to *peer) enqueueComparison(f *comparison) {
+	i := len(to.comparisons)
+	if f.merge {
+		i = slices.IndexFunc(to.comparisons, func(other *comparison) bool { return !other.merge })
+		if i < 0 {
+			i = len(to.comparisons)
+		}
+	}
+	to.comparisons = slices.Insert(to.comparisons, i, f)
+}
+
+// cancelComparisons forgets what was on its way to a peer.
+func (to *peer) cancelComparisons() {
+	to.unackedBatch, to.comparisons, to.stats = nil, nil, comparisonStats{}
+}
+
+// sendNextBatch sends the next batch to a peer that has taken the one before.
+func (c *Core) sendNextBatch(to *peer) {
+	for to.unackedBatch == nil && len(to.comparisons) > 0 {
+		f := to.comparisons[0]
+		to.comparisons = to.comparisons[1:]
+		c.sendBatch(f)
+	}
+}
+
+func (c *Core) sendBatch(f *comparison) {
+	f.to.flush(c.epoch())
+	var number uint64
+	size := 0
+	for size < batchBytes && len(f.toDrop) > 0 {
+		payload := (&Record{Kind: RecordDrop, Partition: f.p.number, ID: f.toDrop[0]}).encode()
+		f.toDrop = f.toDrop[1:]
+		number = c.enqueueRecord(f.to, payload, true)
+		size += len(payload)
+	}
+	for size < batchBytes && len(f.toSend) > 0 {
+		e := f.toSend[0]
+		f.toSend = f.toSend[1:]
+		if current, _ := f.p.find(e.id); current != e {
+			continue
+		}
+		payload := c.messagePayload(f.p, e)
+		if payload == nil {
+			return
+		}
+		number = c.enqueueRecord(f.to, payload, true)
+		size += len(payload)
+		f.to.stats.sent++
+	}
+	f.to.stats.bytes += size
+	if number == 0 { // all of it was forgotten meanwhile
+		c.advanceComparison(f)
+		return
+	}
+	f.to.unackedBatch = f
+	f.to.awaitingAck = append(f.to.awaitingAck, peerWait{number: number, comparison: f})
+}
+
+// comparisonStats counts what the comparisons with one peer have come to.
+type comparisonStats struct {
+	since      time.Duration
+	partitions int
+	listed     int // messages that the peer named
+	sent       int // messages that it lacked
+	fetched    int // messages that only it had
+	bytes      int // of those
+}
+
+// countComparison notes that a comparison has ended, and tells once all have that brought something.
+func (c *Core) countComparison(to *peer) {
+	to.stats.partitions++
+	if c.isComparing(to) {
+		return
+	}
+	t := to.stats
+	to.stats = comparisonStats{}
+	if t.sent == 0 && t.fetched == 0 {
+		return
+	}
+	c.config.Log.Info("compared with a store", "disk", to.disk, "epoch", c.epoch(), "partitions", t.partitions, "listed", t.listed,
+		"sent", t.sent, "fetched", t.fetched, "bytes", t.bytes, "took", c.now.Steady-t.since)
+}
+
+func (c *Core) isComparing(to *peer) bool {
+	return slices.ContainsFunc(c.partitions, func(p *partition) bool { return p != nil && p.isComparing(to) })
+}
+
+// finishComparison ends a comparison: the member has what the primary has.
+func (c *Core) finishComparison(f *comparison) {
+	p := f.p
+	p.comparisons = slices.DeleteFunc(p.comparisons, func(other *comparison) bool { return other == f })
+	c.countComparison(f.to)
+	if slices.Contains(p.joiners, f.to) {
+		f.to.flush(c.epoch())
+		_ = f.to.remote.Notify(MethodFilled, &Filled{Epoch: c.epoch(), Partition: p.number})
+	}
+	before := len(p.unmerged)
+	p.unmerged = slices.DeleteFunc(p.unmerged, func(other *peer) bool { return other == f.to })
+	if before > 0 && len(p.unmerged) == 0 {
+		c.openPartition(p)
+	}
+}
+
+// supersede ends the changes of a message that is written anew, and returns who waits for them.
+func (p *partition) supersede(e *entry) []waiter {
+	var waiters []waiter
+	for _, o := range slices.Clone(p.ops) {
+		if o.e == e {
+			waiters = append(waiters, o.waiters...)
+			p.removeOp(o)
+		}
+	}
+	return waiters
+}
--- a/store/queue/fill_test.go
+++ b/store/queue/comparison_test.go
@@ -16,9 +16,9 @@
 func joiner(t *testing.T, messages int) (r *rig, c *heard) {
 	r, b, c := newRig(t), &heard{}, &heard{}
 	view := func(epoch uint64, joining ...uint16) {
-		place := wire.Placement{Replicas: []uint16{0, 1}, Joining: joining}
-		r.core.View(r.now, &wire.StoreView{
-			Epoch: epoch, Copies: 2, Stores: []wire.Store{{Disk: "a"}, {Disk: "b"}, {Disk: "c"}}, Partitions: []wire.Placement{place, place},
+		placed := wire.Placement{Replicas: []uint16{0, 1}, Joining: joining}
+		r.core.SetView(r.now, &wire.StoreView{
+			Epoch: epoch, Copies: 2, Stores: []wire.Store{{Disk: "a"}, {Disk: "b"}, {Disk: "c"}}, Partitions: []wire.Placement{placed, placed},
 		})
 	}
 	view(1)
@@ -27,20 +27,20 @@
 		number := uint16(i % 2)
 		m := plain(fmt.Sprintf("%d.%d", number, i))
 		m.Body = make([]byte, 1000)
-		r.core.Put(r.now, &heard{}, &wire.Put{Partition: number, Epoch: 1, Message: m}, &answer{})
+		r.core.PutMessage(r.now, &heard{}, &wire.Put{Partition: number, Epoch: 1, Message: m}, &answer{})
 	}
-	r.settle(b)
+	r.syncAndAck(b)
 	view(2, 2)
 	r.core.PeerUp(r.now, "c", c)
-	r.settle(b)
+	r.syncAndAck(b)
 	return r, c
 }
 
-// rounds are those of the comparisons under way with a member.
-func rounds(h *heard) (list []uint64) {
+// comparisonIDs are those of the comparisons under way with a member.
+func comparisonIDs(h *heard) (list []uint64) {
 	for _, notice := range h.notices {
 		if m, ok := notice.(*Compare); ok {
-			list = append(list, m.Round)
+			list = append(list, m.ComparisonID)
 		}
 	}
 	return list[len(list)-2:]
@@ -57,10 +57,10 @@
 }
 
 func (r *rig) differ(from *heard, number uint16, have func(e *entry) bool) {
-	round := rounds(from)[number]
+	comparisonID := comparisonIDs(from)[number]
 	for bucket := range bucketCount {
-		m := &Differ{Partition: number, Round: round, Bucket: uint16(bucket), Last: bucket == bucketCount-1}
-		for _, e := range r.core.at(number).buckets(func(int) bool { return true })[bucket] {
+		m := &Differ{Partition: number, ComparisonID: comparisonID, Bucket: uint16(bucket), Last: bucket == bucketCount-1}
+		for _, e := range r.core.partition(number).buckets(func(int) bool { return true })[bucket] {
 			if have(e) {
 				m.Entries = append(m.Entries, Digest{ID: e.id, Sum: e.sum(hashOf(e.id)), State: e.state})
 			}
@@ -81,13 +81,13 @@
 }
 
 // A store that is filled with much still takes new messages in time: what fills it comes in small parts, whatever their partition.
-func TestFillLeavesRoomForNewMessages(t *testing.T) {
+func TestCatchUpDoesNotDelayNewMessages(t *testing.T) {
 	r, c := joiner(t, 200)
 	nothing := func(*entry) bool { return false }
 	r.differ(c, 0, nothing)
 	r.differ(c, 1, nothing)
 	require.Len(t, replicated(c), 1, "one part at a time")
-	r.core.Put(r.now, &heard{}, &wire.Put{Partition: 1, Epoch: 2, Message: plain("1.new")}, &answer{})
+	r.core.PutMessage(r.now, &heard{}, &wire.Put{Partition: 1, Epoch: 2, Message: plain("1.new")}, &answer{})
 	require.Len(t, replicated(c), 2, "a new message does not wait")
 	for part := range 20 {
 		before := len(replicated(c))
@@ -96,7 +96,7 @@
 	}
 	total := 0
 	for _, count := range replicated(c) {
-		assert.LessOrEqual(t, count, fillBytes/1000+1)
+		assert.LessOrEqual(t, count, batchBytes/1000+1)
 		total += count
 	}
 	assert.Equal(t, 201, total)
@@ -107,18 +107,18 @@
 func BenchmarkCompare(b *testing.B) {
 	r := fillCore(b, 3000, true)
 	member := &heard{}
-	p := r.core.at(0)
+	p := r.core.partition(0)
 	to := &peer{disk: "m", remote: member}
 	b.ReportAllocs()
 	for range b.N {
 		member.notices = nil
 		r.core.Compare(r.now, member, &Compare{Epoch: r.core.epoch(), Sums: make([]uint64, bucketCount)})
 		r.core.compare(p, to)
-		round := last[Compare](member).Round
+		comparisonID := last[Compare](member).ComparisonID
 		r.core.byRemote[member] = to
 		for _, notice := range member.notices {
 			if m, ok := notice.(*Differ); ok {
-				m.Round = round
+				m.ComparisonID = comparisonID
 				r.core.Differ(r.now, member, m)
 			}
 		}
@@ -128,17 +128,17 @@
 // Between the lists of two buckets the primary goes on: what has changed since is weighed as it is now.
 func TestListsAreWeighedAgainstWhatIsKnownNow(t *testing.T) {
 	r, c := joiner(t, 20)
-	entries := slices.Collect(maps.Values(r.core.at(0).entries))
+	entries := slices.Collect(maps.Values(r.core.partition(0).entries))
 	slices.SortFunc(entries, func(a, b *entry) int { return bucketOf(hashOf(a.id)) - bucketOf(hashOf(b.id)) })
 	end := entries[len(entries)-1]
-	round := rounds(c)[0]
-	r.core.Differ(r.now, c, &Differ{Round: round, Bucket: 0})
+	comparisonID := comparisonIDs(c)[0]
+	r.core.Differ(r.now, c, &Differ{ComparisonID: comparisonID, Bucket: 0})
 	old := Digest{ID: end.id, Sum: end.sum(hashOf(end.id)), State: end.state}
 	replaced := &Record{ID: end.id, Sequence: end.sequence + 1000, Message: plain("")}
-	r.core.apply(replaced, end.at, true)
+	r.core.apply(replaced, end.location, true)
 	r.ack(c)
 	for bucket := 1; bucket < bucketCount; bucket++ {
-		m := &Differ{Round: round, Bucket: uint16(bucket), Last: bucket == bucketCount-1}
+		m := &Differ{ComparisonID: comparisonID, Bucket: uint16(bucket), Last: bucket == bucketCount-1}
 		if bucket == bucketOf(hashOf(end.id)) {
 			m.Entries = append(m.Entries, old)
 		}
--- a/store/queue/compat_test.go
+++ b/store/queue/compat_test.go
@@ -34,33 +34,33 @@
 func compatRecords() map[string]Record {
 	return map[string]Record{
 		"record-all": {
-			Kind: RecordWhole, Partition: 513, ID: "e9.all", Sequence: 1<<33 + 5, State: wire.StateDropped, Failed: 300, Signature: "signature-1",
-			Holder: "edge-1", Bare: true, Message: compatMessage(),
+			Kind: RecordMessage, Partition: 513, ID: "e9.all", Sequence: 1<<33 + 5, State: wire.StateDropped, Failed: 300, Signature: "signature-1",
+			Leaseholder: "edge-1", NoBody: true, Message: compatMessage(),
 		},
 		"record-whole-pending": {
-			Kind: RecordWhole, Partition: 1, ID: "1.pending", Sequence: 1<<32 + 1, State: wire.StatePending, Failed: 2, Holder: "edge-2",
+			Kind: RecordMessage, Partition: 1, ID: "1.pending", Sequence: 1<<32 + 1, State: wire.StatePending, Failed: 2, Leaseholder: "edge-2",
 			Message: compatMessage(),
 		},
 		"record-whole-done": {
-			Kind: RecordWhole, Partition: 1, ID: "1.done", Sequence: 1<<32 + 2, State: wire.StateDone, Failed: 1, Signature: "signature-2",
+			Kind: RecordMessage, Partition: 1, ID: "1.done", Sequence: 1<<32 + 2, State: wire.StateDone, Failed: 1, Signature: "signature-2",
 		},
 		"record-whole-dead": {
-			Kind: RecordWhole, Partition: 1, ID: "1.dead", Sequence: 1<<32 + 3, State: wire.StateDead, Failed: 9, Message: compatMessage(),
+			Kind: RecordMessage, Partition: 1, ID: "1.dead", Sequence: 1<<32 + 3, State: wire.StateDead, Failed: 9, Message: compatMessage(),
 		},
-		"record-whole-bare": {Kind: RecordWhole, Partition: 1, ID: "1.bare", Sequence: 1<<32 + 4, State: wire.StateDead, Failed: 9, Bare: true},
+		"record-whole-bare": {Kind: RecordMessage, Partition: 1, ID: "1.bare", Sequence: 1<<32 + 4, State: wire.StateDead, Failed: 9, NoBody: true},
 		"record-end": {
-			Kind: RecordEnd, Partition: 2, ID: "2.end", Sequence: 1<<32 + 5, State: wire.StateDone, Failed: 3, Signature: "signature-3",
+			Kind: RecordFinish, Partition: 2, ID: "2.end", Sequence: 1<<32 + 5, State: wire.StateDone, Failed: 3, Signature: "signature-3",
 		},
 		"record-failed": {Kind: RecordFailed, Partition: 3, ID: "3.failed", Failed: 4},
 		"record-drop":   {Kind: RecordDrop, Partition: 4, ID: "4.drop"},
 		"record-wipe":   {Kind: RecordWipe, Partition: 5},
 		"record-epoch":  {Kind: RecordEpoch, Sequence: 77},
-		"record-holder": {Kind: RecordHolder, Partition: 6, ID: "6.holder", Holder: "edge-3"},
+		"record-holder": {Kind: RecordLeaseholder, Partition: 6, ID: "6.holder", Leaseholder: "edge-3"},
 	}
 }
 
 func compatDigest(id string, state wire.State) Digest {
-	return Digest{ID: id, Sum: 0xfedc_ba98_7654_3210, State: state, Failed: 258, Bare: true}
+	return Digest{ID: id, Sum: 0xfedc_ba98_7654_3210, State: state, Failed: 258, NoBody: true}
 }
 
 func compatMessages() map[string]message {
@@ -69,14 +69,14 @@
 		"hello-reply": &HelloReply{Accepted: true},
 		"replicate":   &Replicate{Epoch: 70_000, Number: 1 << 34, Old: true, Records: [][]byte{{1, 2, 3}, []byte("record")}},
 		"acked":       &Acked{Number: 1 << 35},
-		"compare":     &Compare{Epoch: 70_001, Partition: 700, Round: 1 << 36, Horizon: 1 << 37, Sums: []uint64{1, 1 << 63, 3}},
+		"compare":     &Compare{Epoch: 70_001, Partition: 700, ComparisonID: 1 << 36, Horizon: 1 << 37, Sums: []uint64{1, 1 << 63, 3}},
 		"digest":      ref(compatDigest("7.digest", wire.StateDead)),
 		"differ": &Differ{
-			Partition: 701, Round: 1<<36 + 1, Bucket: 31, Last: true,
+			Partition: 701, ComparisonID: 1<<36 + 1, Bucket: 31, Last: true,
 			Entries: []Digest{compatDigest("8.one", wire.StateDone), compatDigest("8.two", wire.StateDropped)},
 		},
-		"fetch":   &Fetch{Epoch: 70_002, Partition: 702, Round: 1<<36 + 2, IDs: []string{"9.one", "9.two"}},
-		"fetched": &Fetched{Partition: 703, Round: 1<<36 + 3, Last: true, Records: [][]byte{{4, 5}, []byte("record-2")}},
+		"fetch":   &Fetch{Epoch: 70_002, Partition: 702, ComparisonID: 1<<36 + 2, IDs: []string{"9.one", "9.two"}},
+		"fetched": &Fetched{Partition: 703, ComparisonID: 1<<36 + 3, Last: true, Records: [][]byte{{4, 5}, []byte("record-2")}},
 		"filled":  &Filled{Epoch: 70_003, Partition: 704},
 	}
 	for name, record := range compatRecords() {
@@ -154,7 +154,7 @@
 		assert.Equal(t, wire.MethodStorePrivate+wire.Method(offset), method)
 	}
 	for number, kind := range []RecordKind{
-		RecordWhole, RecordEnd, RecordFailed, RecordDrop, RecordWipe, RecordEpoch, RecordHolder,
+		RecordMessage, RecordFinish, RecordFailed, RecordDrop, RecordWipe, RecordEpoch, RecordLeaseholder,
 	} {
 		assert.EqualValues(t, number, kind)
 	}
@@ -177,5 +177,5 @@
 		}
 	}
 	require.Equal(t, 4, nonzero)
-	assert.Equal(t, want.Sums, c.at(1).sums[:])
+	assert.Equal(t, want.Sums, c.partition(1).sums[:])
 }
--- a/store/queue/core.go
+++ b/store/queue/core.go
@@ -46,43 +46,43 @@
 
 // Config of a Core. Durations of zero stand for the defaults.
 type Config struct {
-	Disk          string // own identity
-	Zone          string
-	Copies        int           // disks that hold a message before it is accepted, at least
-	Remember      time.Duration // how long ended messages are known
-	DiskBytes     int64         // of the journal at most
-	MaxMessages   int           // in memory at most
-	ClaimWindow   time.Duration // after a takeover nothing is handed out so long
-	RestartWindow time.Duration // the same after a restart
-	EdgeGrace     time.Duration // an edge that has gone has so long to come back
-	ClockSlack    time.Duration // by which the time of day may be wrong: messages are held so much longer after a restart
-	Log           *slog.Logger
+	Disk              string // own identity
+	Zone              string
+	Copies            int           // disks that hold a message before it is accepted, at least
+	FinishedRetention time.Duration // how long ended messages are known
+	DiskBytes         int64         // of the journal at most
+	MaxMessages       int           // in memory at most
+	ClaimWindow       time.Duration // after a takeover nothing is handed out so long
+	RestartWindow     time.Duration // the same after a restart
+	ReconnectTimeout  time.Duration // an edge that has gone has so long to come back
+	ClockSlack        time.Duration // by which the time of day may be wrong: messages are held so much longer after a restart
+	Log               *slog.Logger
 }
 
 // Defaults of Config, and other figures.
 const (
-	DefaultClaimWindow   = 400 * time.Millisecond
-	DefaultRestartWindow = 800 * time.Millisecond
-	DefaultEdgeGrace     = 400 * time.Millisecond
-	DefaultClockSlack    = 15 * time.Second
+	DefaultClaimWindow      = 400 * time.Millisecond
+	DefaultRestartWindow    = 800 * time.Millisecond
+	DefaultReconnectTimeout = 400 * time.Millisecond
+	DefaultClockSlack       = 15 * time.Second
 
-	maintenanceEvery = 2 * time.Second
-	scrubEvery       = 4 * time.Second
-	remindEvery      = 4 * time.Second // longer than an edge waits for the answer to a put
-	maxHandedOver    = 64              // messages that an edge was given whole and that have not ended
-	otherZone        = 8               // handed-over messages that an edge of the own zone may have more than others
-	releasedFor      = 20 * time.Second
-	fillBytes        = 32 << 10 // of one batch that fills a member
-	fetchCount       = 256      // names in one Fetch
-	rewriteBytes     = 512 << 10
-	scrubRound       = 4 // scrubs in which each partition is compared once
+	maintenanceInterval = 2 * time.Second
+	scrubInterval       = 4 * time.Second
+	regrantInterval     = 4 * time.Second // longer than an edge waits for the answer to a put
+	maxAssigned         = 64              // messages that an edge was given whole and that have not ended
+	otherZonePenalty    = 8               // handed-over messages that an edge of the own zone may have more than others
+	wipeDelay           = 20 * time.Second
+	batchBytes          = 32 << 10 // of one batch that fills a member
+	fetchBatch          = 256      // names in one Fetch
+	compactionBytes     = 512 << 10
+	scrubCycle          = 4 // scrubs in which each partition is compared once
 	// A primary hands out messages only if all members took something from it so recently: one that was frozen, and replaced
 	// meanwhile, finds out first.
-	confirmedFor = 300 * time.Millisecond
+	confirmationTimeout = 300 * time.Millisecond
 	// A disk that has taken nothing for so long is stalled.
-	stalledAfter = 500 * time.Millisecond
-	refuseAbove  = 85 // percent of the disk: new messages are refused
-	rewriteAbove = 50 // percent of the disk: old segments are rewritten
+	stallTimeout      = 500 * time.Millisecond
+	refusePercent     = 85 // percent of the disk: new messages are refused
+	compactionPercent = 50 // percent of the disk: old segments are rewritten
 )
 
 func (c Config) withDefaults() Config {
@@ -92,8 +92,8 @@
 	if c.RestartWindow <= 0 {
 		c.RestartWindow = DefaultRestartWindow
 	}
-	if c.EdgeGrace <= 0 {
-		c.EdgeGrace = DefaultEdgeGrace
+	if c.ReconnectTimeout <= 0 {
+		c.ReconnectTimeout = DefaultReconnectTimeout
 	}
 	if c.ClockSlack <= 0 {
 		c.ClockSlack = DefaultClockSlack
@@ -111,35 +111,35 @@
 	host    Host
 	now     Time
 
-	view       *wire.StoreView
-	fence      uint64        // newest epoch seen: what is older is refused
-	sequence   uint64        // newest given or seen
-	durable    uint64        // position up to which the journal is on disk
-	waiting    time.Duration // since when what was appended waits for the disk; never: nothing does
-	stalled    bool          // as it was told last
-	started    bool          // the first view since the start has come
-	partitions []*partition
-	peers      map[string]*peer // by disk
-	peerList   []*peer
-	byRemote   map[Remote]*peer
-	dirty      []*peer // with records that wait to be sent
-	edges      map[string]*edge
-	edgeOf     map[Remote]*edge
-	edgeList   []*edge
-	listed     []string // edges that the control plane names
-	orphans    orphanHeap
-	local      []localWait // changes that wait for the own disk
-	acks       []ackWait   // what is acknowledged once it is on the own disk
-	reminders  []reminder  // by time
-	reminding  map[*entry]bool
-	segments   map[uint32]int
-	messages   int
-	round      uint64
-	wake       time.Duration
-	nextWork   time.Duration
-	nextScrub  time.Duration
-	scrubbed   int
-	epochAt    uint32 // segment that holds the newest epoch
+	view             *wire.StoreView
+	newestEpoch      uint64        // newest epoch seen: what is older is refused
+	sequence         uint64        // newest given or seen
+	durable          uint64        // position up to which the journal is on disk
+	unsyncedSince    time.Duration // since when what was appended waits for the disk; never: nothing does
+	stalled          bool          // as it was told last
+	started          bool          // the first view since the start has come
+	partitions       []*partition
+	peers            map[string]*peer // by disk
+	peerList         []*peer
+	byRemote         map[Remote]*peer
+	unflushed        []*peer // with records that wait to be sent
+	edges            map[string]*edge
+	edgeOf           map[Remote]*edge
+	edgeList         []*edge
+	expectedEdges    []string // edges that the control plane names
+	unowned          unownedHeap
+	awaitingSync     []localWait // changes that wait for the own disk
+	pendingAcks      []ackWait   // what is acknowledged once it is on the own disk
+	regrants         []regrant   // by time
+	regrantScheduled map[*entry]bool
+	segments         map[uint32]int
+	messageCount     int
+	lastID           uint64
+	nextWakeup       time.Duration
+	nextMaintenance  time.Duration
+	nextScrub        time.Duration
+	scrubPosition    int
+	epochSegment     uint32 // segment that holds the newest epoch
 }
 
 // New returns a core that knows nothing. Recover fills it from the journal.
@@ -147,8 +147,8 @@
 	return &Core{
 		config: config.withDefaults(), host: host, peers: make(map[string]*peer), byRemote: make(map[Remote]*peer),
 		edges: make(map[string]*edge), edgeOf: make(map[Remote]*edge), segments: make(map[uint32]int),
-		reminding: make(map[*entry]bool), wake: never, waiting: never,
-		nextWork: maintenanceEvery, nextScrub: scrubEvery,
+		regrantScheduled: make(map[*entry]bool), nextWakeup: never, unsyncedSince: never,
+		nextMaintenance: maintenanceInterval, nextScrub: scrubInterval,
 	}
 }
 
@@ -159,34 +159,34 @@
 	c.now = now
 	c.journal = j
 	c.durable = j.Position()
-	c.wakeAt(c.nextWork)
+	c.wakeAt(c.nextMaintenance)
 }
 
 // partition is one partition as the store knows it.
 type partition struct {
 	table
-	number    uint16
-	primary   bool
-	replica   bool
-	joining   bool
-	since     time.Duration // from when the store has been primary
-	window    time.Duration // nothing is handed out so long after
-	ready     bool          // of a primary: it may hand out
-	members   []*peer       // all others that hold it or are being filled
-	unmerged  []*peer       // replicas that may still know more than the new primary
-	absent    bool          // of a primary that is unsure: former members that may know more are away
-	fillers   []*peer       // joining members
-	syncs     []*filling
-	ops       []*op
-	released  time.Duration // when what is left of it is forgotten; zero: it is held
-	filledFor uint64        // epoch for which the primary said that this store has it whole
-	confirmed time.Duration // when the newest change or barrier began that all members have taken
-	barrier   *op           // under way
-	parked    []orphanEntry // wait for the barrier
+	number            uint16
+	primary           bool
+	replica           bool
+	joining           bool
+	primarySince      time.Duration // from when the store has been primary
+	claimWindow       time.Duration // nothing is handed out so long after
+	ready             bool          // of a primary: it may hand out
+	members           []*peer       // all others that hold it or are being filled
+	unmerged          []*peer       // replicas that may still know more than the new primary
+	formerMembersAway bool          // of a primary that is unsure: former members that may know more are away
+	joiners           []*peer       // joining members
+	comparisons       []*comparison
+	ops               []*op
+	wipeAt            time.Duration    // when what is left of it is forgotten; zero: it is held
+	filledEpoch       uint64           // epoch for which the primary said that this store has it whole
+	confirmedAt       time.Duration    // when the newest change or barrier began that all members have taken
+	barrier           *op              // under way
+	deferred          []unownedMessage // wait for the barrier
 }
 
-// at returns a partition, made if need be.
-func (c *Core) at(number uint16) *partition {
+// partition returns a partition, made if need be.
+func (c *Core) partition(number uint16) *partition {
 	for int(number) >= len(c.partitions) {
 		c.partitions = append(c.partitions, nil)
 	}
@@ -196,8 +196,8 @@
 	return c.partitions[number]
 }
 
-// known returns a partition, nil if there is none of the number.
-func (c *Core) known(number uint16) *partition {
+// lookUpPartition returns a partition, nil if there is none of the number.
+func (c *Core) lookUpPartition(number uint16) *partition {
 	if int(number) >= len(c.partitions) {
 		return nil
 	}
@@ -217,31 +217,31 @@
 }
 
 func (c *Core) wakeAt(steady time.Duration) {
-	if steady < c.wake {
-		c.wake = steady
+	if steady < c.nextWakeup {
+		c.nextWakeup = steady
 		c.host.WakeAt(steady)
 	}
 }
 
 func (c *Core) millis() uint32 { return uint32(c.now.Steady / time.Millisecond) }
 
-// finish sends what the event has produced.
-func (c *Core) finish() {
-	for _, p := range c.dirty {
+// flushPeers sends what the event has produced.
+func (c *Core) flushPeers() {
+	for _, p := range c.unflushed {
 		p.flush(c.epoch())
 	}
-	c.dirty = c.dirty[:0]
+	c.unflushed = c.unflushed[:0]
 }
 
 // Status is what the control plane is told.
 func (c *Core) Status() wire.StoreStatus {
-	status := wire.StoreStatus{Epoch: c.epoch(), Messages: uint64(c.messages), Stalled: c.stalled}
+	status := wire.StoreStatus{Epoch: c.epoch(), Messages: uint64(c.messageCount), Stalled: c.stalled}
 	for _, p := range c.partitions {
 		if p == nil {
 			continue
 		}
 		status.Pending += uint64(p.pending)
-		if p.joining && p.filledFor == status.Epoch && status.Epoch > 0 {
+		if p.joining && p.filledEpoch == status.Epoch && status.Epoch > 0 {
 			status.Synced = append(status.Synced, p.number)
 		}
 	}
@@ -261,38 +261,38 @@
 // Tick does what is due. NextWake is asked for through Host.WakeAt.
 func (c *Core) Tick(now Time) {
 	c.now = now
-	c.wake = never
-	c.watchDisk()
-	c.dropEdges()
-	c.openAll()
-	c.remind()
-	c.handOver()
+	c.nextWakeup = never
+	c.checkStall()
+	c.expireEdges()
+	c.openPartitions()
+	c.regrantDue()
+	c.assignDue()
 	c.maintain()
-	c.finish()
+	c.flushPeers()
 	c.wakeAt(c.nextWake())
 }
 
 // nextWake is when Tick has something to do.
 func (c *Core) nextWake() time.Duration {
-	next := min(c.nextWork, c.nextScrub)
-	if c.waiting != never && !c.stalled {
-		next = min(next, c.waiting+stalledAfter)
+	next := min(c.nextMaintenance, c.nextScrub)
+	if c.unsyncedSince != never && !c.stalled {
+		next = min(next, c.unsyncedSince+stallTimeout)
 	}
 	for _, p := range c.partitions {
-		if p != nil && p.primary && !p.ready && !p.untold() {
-			next = min(next, p.since+p.window)
+		if p != nil && p.primary && !p.ready && !p.isMergePending() {
+			next = min(next, p.primarySince+p.claimWindow)
 		}
 	}
-	if len(c.reminders) > 0 {
-		next = min(next, c.reminders[0].at)
+	if len(c.regrants) > 0 {
+		next = min(next, c.regrants[0].at)
 	}
 	for _, e := range c.edgeList {
-		if e.stale {
-			next = min(next, e.since+c.config.EdgeGrace)
+		if e.mustClaim {
+			next = min(next, e.mustClaimSince+c.config.ReconnectTimeout)
 		}
 	}
-	if len(c.orphans) > 0 {
-		due := time.Duration(c.orphans[0].due) * time.Millisecond
+	if len(c.unowned) > 0 {
+		due := time.Duration(c.unowned[0].due) * time.Millisecond
 		if due > c.now.Steady { // else they wait for an edge
 			next = min(next, due)
 		}
--- a/store/queue/core_test.go
+++ b/store/queue/core_test.go
@@ -62,7 +62,7 @@
 func (r *rig) WakeAt(time.Duration)                     {}
 func (r *rig) StatusChanged()                           {}
 func (r *rig) Fail(err error)                           { r.t.Error(err) }
-func (r *rig) sync()                                    { r.core.Durable(r.now, r.Position()) }
+func (r *rig) sync()                                    { r.core.JournalSynced(r.now, r.Position()) }
 func (r *rig) pass(d time.Duration) {
 	r.now.Steady += d
 	r.now.UnixMs += int64(d / ms)
@@ -70,7 +70,7 @@
 }
 func (r *rig) put(m wire.Message, from Remote) *answer { return r.putAs(m, from, true) }
 func (r *rig) attach(id string, from Remote) {
-	r.core.Attach(r.now, from, &wire.Attach{Edge: id}, &answer{})
+	r.core.AttachEdge(r.now, from, &wire.Attach{Edge: id}, &answer{})
 }
 func (r *rig) claim(from Remote, ids ...string) *answer  { return r.claimAt(r.core.epoch(), from, ids) }
 func (r *rig) report(m wire.Report, from Remote) *answer { return r.reportAt(r.core.epoch(), m, from) }
@@ -78,34 +78,34 @@
 func (r *rig) putAs(m wire.Message, from Remote, dispatch bool) *answer {
 	a := &answer{}
 	m.SentUnixMs = r.now.UnixMs
-	r.core.Put(r.now, from, &wire.Put{Epoch: r.core.epoch(), Message: m, Dispatch: dispatch}, a)
+	r.core.PutMessage(r.now, from, &wire.Put{Epoch: r.core.epoch(), Message: m, Dispatch: dispatch}, a)
 	return a
 }
 
 func (r *rig) claimAt(epoch uint64, from Remote, ids []string) *answer {
 	a := &answer{}
-	r.core.Claim(r.now, from, &wire.Claim{Epoch: epoch, IDs: ids}, a)
+	r.core.ClaimMessages(r.now, from, &wire.Claim{Epoch: epoch, IDs: ids}, a)
 	return a
 }
 
 func (r *rig) reportAt(epoch uint64, m wire.Report, from Remote) *answer {
 	a := &answer{}
 	m.Epoch = epoch
-	r.core.Report(r.now, from, &m, a)
+	r.core.ReportDelivery(r.now, from, &m, a)
 	return a
 }
 
 // newRig returns a store that the test has yet to give a view.
 func newRig(t *testing.T) *rig {
 	r := &rig{t: t, now: Time{Steady: time.Second, UnixMs: 1_000_000}}
-	r.core = New(Config{Disk: "a", Copies: 2, Remember: 10 * time.Second}, r)
+	r.core = New(Config{Disk: "a", Copies: 2, FinishedRetention: 10 * time.Second}, r)
 	r.core.Start(r.now, r)
 	return r
 }
 
 // view puts a view of one partition into force; the store has the index 0.
 func (r *rig) view(epoch uint64, replicas, joining []uint16) {
-	r.core.View(r.now, &wire.StoreView{
+	r.core.SetView(r.now, &wire.StoreView{
 		Epoch: epoch, Copies: 2, Stores: []wire.Store{{Disk: "a"}, {Disk: "b"}, {Disk: "c"}},
 		Partitions: []wire.Placement{{Replicas: replicas, Joining: joining}},
 	})
@@ -128,7 +128,7 @@
 func (r *rig) same(member *heard) {
 	c := last[Compare](member)
 	require.NotNil(r.t, c)
-	r.core.Differ(r.now, member, &Differ{Round: c.Round, Bucket: bucketCount, Last: true})
+	r.core.Differ(r.now, member, &Differ{ComparisonID: c.ComparisonID, Bucket: bucketCount, Last: true})
 }
 
 // ack has a member acknowledge all that it was sent.
@@ -138,7 +138,7 @@
 	}
 }
 
-func (r *rig) settle(member *heard) {
+func (r *rig) syncAndAck(member *heard) {
 	r.sync()
 	r.ack(member)
 }
@@ -163,7 +163,7 @@
 }
 func ordered(id string) wire.Message { m := plain(id); m.Key, m.Ordered = "k", true; return m }
 
-func TestPutIsKeptOnceItIsOnAllDisks(t *testing.T) {
+func TestPutIsAcceptedOnceItIsOnAllDisks(t *testing.T) {
 	r, b, e := primary(t)
 	first := r.put(plain("0.x"), e)
 	again := r.put(plain("0.x"), e)
@@ -185,12 +185,12 @@
 func TestPutIsRefused(t *testing.T) {
 	r, _, e := primary(t)
 	a := &answer{}
-	r.core.Put(r.now, e, &wire.Put{Epoch: 0, Message: plain("0.x")}, a)
+	r.core.PutMessage(r.now, e, &wire.Put{Epoch: 0, Message: plain("0.x")}, a)
 	assert.Equal(t, wire.PutStale, code(t, a))
-	r.core.Put(r.now, e, &wire.Put{Epoch: 1, Partition: 1, Message: plain("1.x")}, a)
+	r.core.PutMessage(r.now, e, &wire.Put{Epoch: 1, Partition: 1, Message: plain("1.x")}, a)
 	assert.Equal(t, wire.PutNotPrimary, code(t, a))
 	a = &answer{}
-	r.core.Put(r.now, e, &wire.Put{Epoch: 1, Partition: 0, Message: plain("1.x")}, a)
+	r.core.PutMessage(r.now, e, &wire.Put{Epoch: 1, Partition: 0, Message: plain("1.x")}, a)
 	assert.ErrorContains(t, a.err, "1.x")
 	r.view(2, []uint16{0}, nil)
 	before := len(r.records)
@@ -217,11 +217,11 @@
 	assert.Equal(t, wire.PutUnknown, code(t, put))
 }
 
-func TestNextOfAKeyIsGrantedOnceTheEndIsOnAllDisks(t *testing.T) {
+func TestNextOfAKeyIsGrantedOnceTheFinishIsOnAllDisks(t *testing.T) {
 	r, b, e := primary(t)
 	first := r.put(ordered("0.1"), e)
 	second := r.put(ordered("0.2"), e)
-	r.settle(b)
+	r.syncAndAck(b)
 	assert.True(t, first.message.(*wire.PutReply).Granted)
 	assert.False(t, second.message.(*wire.PutReply).Granted)
 	done := r.report(wire.Report{ID: "0.1", Kind: wire.ReportDone, Signature: "s"}, e)
@@ -235,37 +235,37 @@
 	assert.False(t, last[wire.Grant](e).Whole)
 }
 
-func TestFirstEndStays(t *testing.T) {
+func TestFirstFinishStays(t *testing.T) {
 	r, b, e := primary(t)
 	r.put(plain("0.1"), e)
-	r.settle(b)
+	r.syncAndAck(b)
 	r.report(wire.Report{ID: "0.1", Kind: wire.ReportDone, Signature: "s"}, e)
 	later := r.report(wire.Report{ID: "0.1", Kind: wire.ReportDead}, e)
 	assert.Nil(t, later.message, "it waits for the first")
-	r.settle(b)
+	r.syncAndAck(b)
 	assert.Equal(t, wire.PutKept, code(t, later))
 	find := &answer{}
-	r.core.Find(r.now, &wire.Find{ID: "0.1", Body: true}, find)
+	r.core.FindMessage(r.now, &wire.Find{ID: "0.1", Body: true}, find)
 	assert.Equal(t, &wire.FindReply{Found: true, State: wire.StateDone, Signature: "s"}, find.message)
 }
 
 func TestDeadKeepsItsBodyAndFailedAttemptsAreCounted(t *testing.T) {
 	r, b, e := primary(t)
 	r.put(plain("0.1"), e)
-	r.settle(b)
+	r.syncAndAck(b)
 	r.report(wire.Report{ID: "0.1", Kind: wire.ReportFailed, Failed: 2}, e)
-	r.settle(b)
+	r.syncAndAck(b)
 	r.report(wire.Report{ID: "0.1", Kind: wire.ReportFailed, Failed: 1}, e)
-	entry, _ := r.core.at(0).find("0.1")
+	entry, _ := r.core.partition(0).find("0.1")
 	assert.EqualValues(t, 2, entry.failed)
 	r.report(wire.Report{ID: "0.1", Kind: wire.ReportDead}, e)
-	r.settle(b)
+	r.syncAndAck(b)
 	find := &answer{}
-	r.core.Find(r.now, &wire.Find{ID: "0.1", Body: true}, find)
+	r.core.FindMessage(r.now, &wire.Find{ID: "0.1", Body: true}, find)
 	assert.Equal(t, &wire.FindReply{Found: true, State: wire.StateDead, Body: []byte("body")}, find.message)
 }
 
-func TestMessagesOfAnEdgeThatHasGoneAreHandedOver(t *testing.T) {
+func TestMessagesOfADisconnectedEdgeAreReassigned(t *testing.T) {
 	r, b, e := primary(t)
 	f := &heard{}
 	r.attach("f", f)
@@ -273,7 +273,7 @@
 	r.put(plain("0.1"), e)
 	r.put(ordered("0.2"), e)
 	r.put(ordered("0.3"), e)
-	r.settle(b)
+	r.syncAndAck(b)
 	r.core.EdgeDown(r.now, e)
 	r.pass(300 * ms)
 	r.ack(b)
@@ -281,7 +281,7 @@
 	r.pass(200 * ms)
 	r.ack(b) // the barrier
 	assert.Nil(t, last[wire.Grant](f), "whose they are now is not on all disks")
-	r.settle(b)
+	r.syncAndAck(b)
 	var ids []string
 	for _, notice := range f.notices {
 		grant := notice.(*wire.Grant)
@@ -300,7 +300,7 @@
 	r.claim(f)
 	r.put(plain("0.1"), e)
 	r.put(plain("0.2"), e)
-	r.settle(b)
+	r.syncAndAck(b)
 	r.core.EdgeDown(r.now, e)
 	r.attach("e", back)
 	reply := r.claim(back, "0.1", "0.9")
@@ -309,11 +309,11 @@
 	r.ack(b)
 	given := len(f.notices) + len(back.notices)
 	assert.Equal(t, 1, given, "only 0.2 is given anew")
-	entry, _ := r.core.at(0).find("0.1")
-	assert.Equal(t, "e", entry.live.holder.id)
+	entry, _ := r.core.partition(0).find("0.1")
+	assert.Equal(t, "e", entry.delivery.leaseholder.id)
 }
 
-func TestOrphansWaitForTheirDelayAndEndWithTheirRetention(t *testing.T) {
+func TestUnownedMessagesWaitForTheirDelayAndFinishWithTheirRetention(t *testing.T) {
 	r, b, e := primary(t)
 	delayed := plain("0.1")
 	delayed.DelayMs = 2000
@@ -321,40 +321,40 @@
 	expiring := plain("0.2")
 	expiring.DelayMs, expiring.RetentionMs = 5000, 3000
 	r.putAs(expiring, e, false)
-	r.settle(b)
+	r.syncAndAck(b)
 	r.pass(1900 * ms)
 	r.ack(b)
 	assert.Nil(t, last[wire.Grant](e))
 	r.pass(200 * ms)
 	r.ack(b)
-	r.settle(b)
+	r.syncAndAck(b)
 	require.NotNil(t, last[wire.Grant](e))
 	assert.Equal(t, "0.1", last[wire.Grant](e).ID)
 	r.pass(1000 * ms)
-	r.settle(b)
-	entry, _ := r.core.at(0).find("0.2")
+	r.syncAndAck(b)
+	entry, _ := r.core.partition(0).find("0.2")
 	assert.Equal(t, wire.StateDead, entry.state)
 }
 
-func TestMessageThatItsHolderForgotEndsLongAfterItsRetention(t *testing.T) {
+func TestMessageThatItsLeaseholderForgotFinishesLongAfterItsRetention(t *testing.T) {
 	r, b, e := primary(t)
 	r.put(plain("0.1"), e)
-	r.settle(b)
+	r.syncAndAck(b)
 	r.pass(100 * time.Second)
-	entry, _ := r.core.at(0).find("0.1")
+	entry, _ := r.core.partition(0).find("0.1")
 	assert.Equal(t, wire.StatePending, entry.state)
 	r.pass(10 * time.Second)
 	assert.Equal(t, wire.StateDead, entry.state)
 }
 
-func TestHandOversAreBounded(t *testing.T) {
+func TestAssignmentsAreBounded(t *testing.T) {
 	r, b, e := primary(t)
 	for i := range 100 {
 		r.putAs(plain(fmt.Sprintf("0.%d", i)), e, false)
 	}
-	r.settle(b)
+	r.syncAndAck(b)
 	r.ack(b)
-	r.settle(b)
+	r.syncAndAck(b)
 	grants := func() (n int) {
 		for _, notice := range e.notices {
 			if _, ok := notice.(*wire.Grant); ok {
@@ -363,19 +363,19 @@
 		}
 		return n
 	}
-	assert.Equal(t, maxHandedOver, grants())
+	assert.Equal(t, maxAssigned, grants())
 	r.report(wire.Report{ID: last[wire.Grant](e).ID, Kind: wire.ReportDone}, e)
-	r.settle(b)
-	r.settle(b)
-	assert.Equal(t, maxHandedOver+1, grants())
+	r.syncAndAck(b)
+	r.syncAndAck(b)
+	assert.Equal(t, maxAssigned+1, grants())
 }
 
-func TestFrozenPrimaryAsksBeforeItHandsOver(t *testing.T) {
+func TestFrozenPrimaryConfirmsBeforeItAssigns(t *testing.T) {
 	r, b, e := primary(t)
 	delayed := plain("0.1")
 	delayed.DelayMs = 5000
 	r.putAs(delayed, e, false)
-	r.settle(b)
+	r.syncAndAck(b)
 	r.pass(20 * time.Second) // frozen; b has a newer epoch by now, and does not answer
 	assert.Nil(t, last[wire.Grant](e))
 	assert.Empty(t, last[Replicate](b).Records)
@@ -388,8 +388,8 @@
 func TestTakeover(t *testing.T) {
 	r, b, e := newRig(t), &heard{}, &heard{}
 	r.view(1, []uint16{1, 0}, nil)
-	first := &Record{Kind: RecordWhole, ID: "0.1", Sequence: 1<<32 + 1, Message: ordered("")}
-	second := &Record{Kind: RecordWhole, ID: "0.2", Sequence: 1<<32 + 2, Message: ordered("")}
+	first := &Record{Kind: RecordMessage, ID: "0.1", Sequence: 1<<32 + 1, Message: ordered("")}
+	second := &Record{Kind: RecordMessage, ID: "0.2", Sequence: 1<<32 + 2, Message: ordered("")}
 	r.core.Replicate(r.now, &heard{}, &Replicate{Epoch: 1, Number: 1, Records: [][]byte{first.encode(), second.encode()}})
 	r.sync()
 	r.attach("e", e)
@@ -399,26 +399,26 @@
 	r.pass(10 * time.Second)
 	assert.Nil(t, last[wire.Grant](e), "nothing is granted before the other replica has told what it knows")
 
-	round := last[Compare](b).Round
-	end := &Record{Kind: RecordWhole, ID: "0.1", Sequence: 1<<32 + 3, State: wire.StateDone, Signature: "s"}
-	third := &Record{Kind: RecordWhole, ID: "0.3", Sequence: 1<<32 + 4, Message: ordered("")}
+	comparisonID := last[Compare](b).ComparisonID
+	end := &Record{Kind: RecordMessage, ID: "0.1", Sequence: 1<<32 + 3, State: wire.StateDone, Signature: "s"}
+	third := &Record{Kind: RecordMessage, ID: "0.3", Sequence: 1<<32 + 4, Message: ordered("")}
 	for i, id := range []string{"0.1", "0.3"} {
 		theirs := Digest{ID: id, Sum: 1}
 		if id == "0.1" {
 			theirs.State = wire.StateDone
 		}
-		r.core.Differ(r.now, b, &Differ{Round: round, Bucket: uint16(bucketOf(hashOf(id))), Entries: []Digest{theirs}, Last: i == 1})
+		r.core.Differ(r.now, b, &Differ{ComparisonID: comparisonID, Bucket: uint16(bucketOf(hashOf(id))), Entries: []Digest{theirs}, Last: i == 1})
 		assert.Equal(t, []string{id}, last[Fetch](b).IDs)
 	}
-	r.core.Fetched(r.now, b, &Fetched{Round: round, Last: true, Records: [][]byte{end.encode()}})
+	r.core.Fetched(r.now, b, &Fetched{ComparisonID: comparisonID, Last: true, Records: [][]byte{end.encode()}})
 	assert.Nil(t, last[wire.Grant](e))
-	r.core.Fetched(r.now, b, &Fetched{Round: round, Last: true, Records: [][]byte{third.encode()}})
+	r.core.Fetched(r.now, b, &Fetched{ComparisonID: comparisonID, Last: true, Records: [][]byte{third.encode()}})
 	r.ack(b)
 	r.sync()
 	r.ack(b)
 	require.NotNil(t, last[wire.Grant](e))
 	assert.Equal(t, "0.2", last[wire.Grant](e).ID)
-	entry, _ := r.core.at(0).find("0.3")
+	entry, _ := r.core.partition(0).find("0.3")
 	require.NotNil(t, entry)
 	assert.Equal(t, wire.PutKept, code(t, r.report(wire.Report{ID: "0.1", Kind: wire.ReportDone}, e)))
 }
@@ -427,7 +427,7 @@
 	r, p := newRig(t), &heard{}
 	r.view(2, []uint16{1, 0}, nil)
 	r.sync()
-	record := &Record{Kind: RecordWhole, ID: "0.1", Sequence: 2<<32 + 1, Message: plain("")}
+	record := &Record{Kind: RecordMessage, ID: "0.1", Sequence: 2<<32 + 1, Message: plain("")}
 	r.core.Replicate(r.now, p, &Replicate{Epoch: 1, Number: 1, Records: [][]byte{record.encode()}})
 	r.sync()
 	assert.Nil(t, last[Acked](p))
@@ -451,70 +451,70 @@
 	for _, id := range []string{"0.1", "0.2", "0.3"} {
 		r.put(ordered(id), e)
 	}
-	r.settle(b)
+	r.syncAndAck(b)
 	r.report(wire.Report{ID: "0.1", Kind: wire.ReportDone, Signature: "s"}, e)
 	r.report(wire.Report{ID: "0.2", Kind: wire.ReportFailed, Failed: 3}, e)
-	r.settle(b)
-	before := r.core.at(0)
+	r.syncAndAck(b)
+	before := r.core.partition(0)
 	again := New(Config{Disk: "a", Copies: 2}, r)
 	replay(t, r, again)
-	after := again.at(0)
+	after := again.partition(0)
 	assert.Equal(t, before.sums, after.sums)
 	assert.Equal(t, 2, after.pending)
-	assert.Equal(t, r.core.fence, again.fence)
+	assert.Equal(t, r.core.newestEpoch, again.newestEpoch)
 	assert.Equal(t, r.core.sequence, again.sequence)
 	head, _ := after.find("0.2")
-	assert.Equal(t, head, head.live.key.head())
+	assert.Equal(t, head, head.delivery.key.head())
 }
 
-func TestEndsAreForgottenInOrderOnceOldEnough(t *testing.T) {
+func TestFinishedMessagesAreForgottenInOrderOnceOldEnough(t *testing.T) {
 	r, b, e := primary(t)
 	r.put(plain("0.1"), e)
 	r.put(plain("0.2"), e)
-	r.settle(b)
+	r.syncAndAck(b)
 	r.report(wire.Report{ID: "0.1", Kind: wire.ReportDone}, e)
-	r.settle(b)
+	r.syncAndAck(b)
 	r.pass(8 * time.Second)
 	r.report(wire.Report{ID: "0.2", Kind: wire.ReportDone}, e)
-	r.settle(b)
+	r.syncAndAck(b)
 	r.pass(6 * time.Second)
-	assert.Len(t, r.core.at(0).entries, 1)
+	assert.Len(t, r.core.partition(0).entries, 1)
 	r.pass(10 * time.Second)
-	assert.Empty(t, r.core.at(0).entries)
+	assert.Empty(t, r.core.partition(0).entries)
 	r.same(b)
 	r.pass(10 * time.Second)
 	assert.NotZero(t, last[Compare](b).Horizon)
 }
 
-func TestPartitionIsWipedOnceOthersAreWhole(t *testing.T) {
+func TestPartitionIsWipedOnceOtherReplicasAreComplete(t *testing.T) {
 	r := newRig(t)
 	r.view(1, []uint16{1, 0}, nil)
-	record := &Record{Kind: RecordWhole, ID: "0.1", Sequence: 1<<32 + 1, Message: plain("")}
+	record := &Record{Kind: RecordMessage, ID: "0.1", Sequence: 1<<32 + 1, Message: plain("")}
 	r.core.Replicate(r.now, &heard{}, &Replicate{Epoch: 1, Number: 1, Records: [][]byte{record.encode()}})
 	r.view(2, []uint16{1}, []uint16{2})
-	assert.Len(t, r.core.at(0).entries, 1)
+	assert.Len(t, r.core.partition(0).entries, 1)
 	r.view(3, []uint16{1, 2}, nil)
-	r.pass(releasedFor - ms)
-	assert.Len(t, r.core.at(0).entries, 1)
-	r.pass(maintenanceEvery)
-	assert.Empty(t, r.core.at(0).entries)
-	assert.Zero(t, r.core.messages)
+	r.pass(wipeDelay - ms)
+	assert.Len(t, r.core.partition(0).entries, 1)
+	r.pass(maintenanceInterval)
+	assert.Empty(t, r.core.partition(0).entries)
+	assert.Zero(t, r.core.messageCount)
 }
 
 // A store that was away for a moment, and replaced meanwhile, needs only what has changed.
 func TestPartitionThatComesBackSoonIsNotWiped(t *testing.T) {
 	r := newRig(t)
 	r.view(1, []uint16{1, 0}, nil)
-	record := &Record{Kind: RecordWhole, ID: "0.1", Sequence: 1<<32 + 1, Message: plain("")}
+	record := &Record{Kind: RecordMessage, ID: "0.1", Sequence: 1<<32 + 1, Message: plain("")}
 	r.core.Replicate(r.now, &heard{}, &Replicate{Epoch: 1, Number: 1, Records: [][]byte{record.encode()}})
 	r.view(3, []uint16{1, 2}, nil)
-	r.pass(releasedFor / 2)
+	r.pass(wipeDelay / 2)
 	r.view(4, []uint16{1, 2}, []uint16{0})
 	b := &heard{}
-	r.core.Compare(r.now, b, &Compare{Epoch: 4, Sums: r.core.at(0).sums[:]})
+	r.core.Compare(r.now, b, &Compare{Epoch: 4, Sums: r.core.partition(0).sums[:]})
 	assert.EqualValues(t, bucketCount, last[Differ](b).Bucket, "nothing differs")
-	r.pass(2 * releasedFor)
-	assert.Len(t, r.core.at(0).entries, 1)
+	r.pass(2 * wipeDelay)
+	assert.Len(t, r.core.partition(0).entries, 1)
 }
 
 func TestPartitionIsWipedSoonerOnACrowdedDisk(t *testing.T) {
@@ -522,12 +522,12 @@
 	r.core.config.MaxMessages = 3
 	r.view(1, []uint16{1, 0}, nil)
 	for i := range 2 {
-		record := &Record{Kind: RecordWhole, ID: fmt.Sprintf("0.%d", i), Sequence: uint64(i), Message: plain("")}
+		record := &Record{Kind: RecordMessage, ID: fmt.Sprintf("0.%d", i), Sequence: uint64(i), Message: plain("")}
 		r.core.Replicate(r.now, &heard{}, &Replicate{Epoch: 1, Number: 1, Records: [][]byte{record.encode()}})
 	}
 	r.view(3, []uint16{1, 2}, nil)
-	r.pass(maintenanceEvery)
-	assert.Empty(t, r.core.at(0).entries)
+	r.pass(maintenanceInterval)
+	assert.Empty(t, r.core.partition(0).entries)
 }
 
 // fillCore puts messages into a core, and has them end if wanted.
@@ -541,7 +541,7 @@
 			r.report(wire.Report{ID: id, Kind: wire.ReportDone, Signature: "s"}, e)
 		}
 		if i%100 == 0 || i == n-1 {
-			r.settle(peer)
+			r.syncAndAck(peer)
 			peer.notices = peer.notices[:0]
 			e.notices = nil
 		}
@@ -566,8 +566,8 @@
 	b.ReportMetric(bytes/count, "B/message")
 }
 
-func BenchmarkMemoryPending(b *testing.B) { benchmarkMemory(b, false) }
-func BenchmarkMemoryEnded(b *testing.B)   { benchmarkMemory(b, true) }
+func BenchmarkMemoryPending(b *testing.B)  { benchmarkMemory(b, false) }
+func BenchmarkMemoryFinished(b *testing.B) { benchmarkMemory(b, true) }
 
 func BenchmarkPut(b *testing.B) {
 	b.ReportAllocs()
@@ -576,7 +576,7 @@
 
 // A primary that is lost may leave a message at some of the members. A repeat of the put is accepted once it is at all.
 func TestARepeatedPutIsAcceptedOnceAllMembersHaveIt(t *testing.T) {
-	r, b := successor(t, &Record{ID: "0.1", Sequence: 1, Holder: "e", Message: plain("")})
+	r, b := successor(t, &Record{ID: "0.1", Sequence: 1, Leaseholder: "e", Message: plain("")})
 	e := &heard{}
 	r.attach("e", e)
 	r.sync()
--- a/store/queue/dead_test.go
+++ b/store/queue/dead_test.go
@@ -12,7 +12,7 @@
 
 func (r *rig) find(id string, body bool) *wire.FindReply {
 	a := &answer{}
-	r.core.Find(r.now, &wire.Find{ID: id, Body: body, Epoch: r.core.epoch()}, a)
+	r.core.FindMessage(r.now, &wire.Find{ID: id, Body: body, Epoch: r.core.epoch()}, a)
 	return a.message.(*wire.FindReply)
 }
 
@@ -33,7 +33,7 @@
 }
 
 func deadEnd(sequence uint64) *Record {
-	return &Record{Kind: RecordEnd, ID: "0.1", Sequence: sequence, State: wire.StateDead}
+	return &Record{Kind: RecordFinish, ID: "0.1", Sequence: sequence, State: wire.StateDead}
 }
 
 // A primary that was replaced while it ended a message has one end on disk, its successor another.
@@ -41,13 +41,13 @@
 	r := member(t)
 	r.take(1, &Record{ID: "0.1", Sequence: 1, Message: plain("")}, deadEnd(2), deadEnd(3))
 	assert.Equal(t, &wire.FindReply{Found: true, State: wire.StateDead, Body: []byte("body")}, r.find("0.1", true))
-	bare := &Record{ID: "0.1", Sequence: 4, State: wire.StateDead, Bare: true}
+	bare := &Record{ID: "0.1", Sequence: 4, State: wire.StateDead, NoBody: true}
 	r.take(1, bare)
 	assert.Equal(t, "body", string(r.find("0.1", true).Body))
 
 	again := New(Config{Disk: "a", Copies: 2}, r)
 	replay(t, r, again)
-	assert.Equal(t, r.core.at(0).sums, again.at(0).sums)
+	assert.Equal(t, r.core.partition(0).sums, again.partition(0).sums)
 }
 
 // A joining member may hear of an end before it was sent the message.
@@ -68,25 +68,25 @@
 	r.core.PeerUp(r.now, "b", b)
 	r.same(b)
 	r.pass(time.Second)
-	r.pass(scrubEvery)
+	r.pass(scrubInterval)
 	bucket := uint16(bucketOf(hashOf("0.1")))
-	round := last[Compare](b).Round
+	comparisonID := last[Compare](b).ComparisonID
 	theirs := Digest{ID: "0.1", Sum: 1, State: wire.StateDead}
-	r.core.Differ(r.now, b, &Differ{Round: round, Bucket: bucket, Entries: []Digest{theirs}, Last: true})
+	r.core.Differ(r.now, b, &Differ{ComparisonID: comparisonID, Bucket: bucket, Entries: []Digest{theirs}, Last: true})
 	require.NotNil(t, last[Fetch](b))
-	whole := &Record{ID: "0.1", Sequence: 1, State: wire.StateDead, Message: plain("")}
-	r.core.Fetched(r.now, b, &Fetched{Round: round, Last: true, Records: [][]byte{whole.encode()}})
+	full := &Record{ID: "0.1", Sequence: 1, State: wire.StateDead, Message: plain("")}
+	r.core.Fetched(r.now, b, &Fetched{ComparisonID: comparisonID, Last: true, Records: [][]byte{full.encode()}})
 	assert.Equal(t, "body", string(r.find("0.1", true).Body))
-	entry, _ := r.core.at(0).find("0.1")
+	entry, _ := r.core.partition(0).find("0.1")
 	assert.EqualValues(t, 2, entry.sequence)
 }
 
 func TestBodyOfADroppedMessageIsNotFound(t *testing.T) {
 	r, b, e := primary(t)
 	r.put(plain("0.1"), e)
-	r.settle(b)
+	r.syncAndAck(b)
 	r.report(wire.Report{ID: "0.1", Kind: wire.ReportDropped}, e)
-	r.settle(b)
+	r.syncAndAck(b)
 	assert.Equal(t, &wire.FindReply{Found: true, State: wire.StateDropped}, r.find("0.1", false))
 	assert.Equal(t, &wire.FindReply{}, r.find("0.1", true))
 }
--- a/store/queue/entry.go
+++ b/store/queue/entry.go
@@ -12,32 +12,32 @@
 
 // entry is what is known in memory of one message. There are very many: it is kept small.
 type entry struct {
-	id       string
-	sequence uint64 // of acceptance; once ended, of the end
-	at       journal.Location
-	live     *live  // while it has not ended at all members
-	learned  uint32 // seconds of the steady clock at which its end was learnt
-	failed   uint16
-	state    wire.State
-	bare     bool // it is dead, and its body is not here
-}
-
-// live is what only a pending message needs.
-type live struct {
-	key      *keyQueue // of a message with an order
-	holder   *edge     // who may deliver it
-	owner    string    // Member.ID of who put it, or was granted it last: the same at all members
-	last     *op       // newest change that is not at all members yet
-	accepted uint64    // sequence of acceptance
-	due      uint32    // milliseconds of the steady clock
-	expires  uint32    // milliseconds of the steady clock
-	session  uint16    // of the holder, when it was given the message
-	putting  bool      // it is not kept by all members yet
-	granted  bool      // its turn has come, and the holder was told
-	whole    bool      // the holder was given it by a Grant
-	waiting  bool      // it is among the orphans
-	returned bool      // its owner has given it back
-	owed     bool      // the holder is to be granted it once all members know
+	id         string
+	sequence   uint64 // of acceptance; once ended, of the end
+	location   journal.Location
+	delivery   *delivery // while it has not ended at all members
+	finishedAt uint32    // seconds of the steady clock at which its end was learnt
+	failed     uint16
+	state      wire.State
+	noBody     bool // it is dead, and its body is not here
+}
+
+// delivery is what only a pending message needs.
+type delivery struct {
+	key             *keyQueue // of a message with an order
+	leaseholder     *edge     // who may deliver it
+	lastLeaseholder string    // Member.ID of who put it, or was granted it last: the same at all members
+	lastChange      *op       // newest change that is not at all members yet
+	acceptSequence  uint64    // sequence of acceptance
+	due             uint32    // milliseconds of the steady clock
+	expires         uint32    // milliseconds of the steady clock
+	session         uint16    // of the holder, when it was given the message
+	accepting       bool      // it is not kept by all members yet
+	granted         bool      // its turn has come, and the holder was told
+	assigned        bool      // the holder was given it by a Grant
+	queued          bool      // it is among the orphans
+	released        bool      // its owner has given it back
+	grantPending    bool      // the holder is to be granted it once all members know
 }
 
 func (e *entry) pending() bool { return e.state == wire.StatePending }
@@ -69,8 +69,8 @@
 }
 
 func acceptedBefore(a, b *entry) bool {
-	if a.live.accepted != b.live.accepted {
-		return a.live.accepted < b.live.accepted
+	if a.delivery.acceptSequence != b.delivery.acceptSequence {
+		return a.delivery.acceptSequence < b.delivery.acceptSequence
 	}
 	return a.id < b.id
 }
@@ -91,36 +91,36 @@
 
 // sum stands for all that members must agree on of a message.
 func (e *entry) sum(hash uint64) uint64 {
-	var room [48]byte
-	b := room[:20]
+	var buffer [48]byte
+	b := buffer[:20]
 	binary.LittleEndian.PutUint64(b[:], hash)
 	binary.LittleEndian.PutUint64(b[8:], e.sequence)
 	b[16] = byte(e.state)
 	if e.pending() {
 		binary.LittleEndian.PutUint16(b[17:], e.failed)
 	}
-	if e.bare {
+	if e.noBody {
 		b[19] = 1
 	}
-	return xxhash.Sum64(append(b, e.owner()...))
+	return xxhash.Sum64(append(b, e.lastLeaseholder()...))
 }
 
-// owner is who put a pending message, or was granted it last; else empty.
-func (e *entry) owner() string {
+// lastLeaseholder is who put a pending message, or was granted it last; else empty.
+func (e *entry) lastLeaseholder() string {
 	if !e.pending() {
 		return ""
 	}
-	return e.live.owner
+	return e.delivery.lastLeaseholder
 }
 
 // table is a partition's content.
 type table struct {
-	entries map[uint64]*entry // by hash of the name
-	keys    map[uint64]*keyQueue
-	sums    [bucketCount]uint64
-	ended   []*entry // by sequence
-	horizon uint64   // ends up to this sequence are forgotten
-	pending int
+	entries  map[uint64]*entry // by hash of the name
+	keys     map[uint64]*keyQueue
+	sums     [bucketCount]uint64
+	finished []*entry // by sequence
+	horizon  uint64   // ends up to this sequence are forgotten
+	pending  int
 }
 
 func newTable() table {
@@ -128,7 +128,7 @@
 }
 
 // find returns a message's entry, nil if there is none. Taken says that another message is in its place.
-func (t *table) find(id string) (e *entry, taken bool) {
+func (t *table) find(id string) (e *entry, collides bool) {
 	e = t.entries[hashOf(id)]
 	if e == nil || e.id == id {
 		return e, false
@@ -139,16 +139,16 @@
 func (t *table) insert(e *entry) {
 	hash := hashOf(e.id)
 	t.entries[hash] = e
-	t.count(e, hash, 1)
+	t.addToSum(e, hash, 1)
 	if e.pending() {
 		t.pending++
 	} else {
-		t.insertEnded(e)
+		t.insertFinished(e)
 	}
 }
 
-// count adds an entry to its bucket's sum, or takes it away.
-func (t *table) count(e *entry, hash uint64, sign int) {
+// addToSum adds an entry to its bucket's sum, or takes it away.
+func (t *table) addToSum(e *entry, hash uint64, sign int) {
 	if sign > 0 {
 		t.sums[bucketOf(hash)] += e.sum(hash)
 	} else {
@@ -159,44 +159,44 @@
 // change has f change what members must agree on.
 func (t *table) change(e *entry, f func()) {
 	hash := hashOf(e.id)
-	t.count(e, hash, -1)
+	t.addToSum(e, hash, -1)
 	wasPending := e.pending()
 	f()
-	t.count(e, hash, 1)
+	t.addToSum(e, hash, 1)
 	if wasPending && !e.pending() {
 		t.pending--
-		t.insertEnded(e)
+		t.insertFinished(e)
 	}
 }
 
-func (t *table) insertEnded(e *entry) {
-	n := len(t.ended)
-	if n == 0 || before(t.ended[n-1], e) {
-		t.ended = append(t.ended, e)
+func (t *table) insertFinished(e *entry) {
+	n := len(t.finished)
+	if n == 0 || before(t.finished[n-1], e) {
+		t.finished = append(t.finished, e)
 		return
 	}
-	i := sort.Search(n, func(i int) bool { return before(e, t.ended[i]) })
-	t.ended = append(t.ended, nil)
-	copy(t.ended[i+1:], t.ended[i:])
-	t.ended[i] = e
+	i := sort.Search(n, func(i int) bool { return before(e, t.finished[i]) })
+	t.finished = append(t.finished, nil)
+	copy(t.finished[i+1:], t.finished[i:])
+	t.finished[i] = e
 }
 
-func (t *table) removeEnded(e *entry) {
-	i := sort.Search(len(t.ended), func(i int) bool { return !before(t.ended[i], e) })
-	if i < len(t.ended) && t.ended[i] == e {
-		t.ended = append(t.ended[:i], t.ended[i+1:]...)
+func (t *table) removeFinished(e *entry) {
+	i := sort.Search(len(t.finished), func(i int) bool { return !before(t.finished[i], e) })
+	if i < len(t.finished) && t.finished[i] == e {
+		t.finished = append(t.finished[:i], t.finished[i+1:]...)
 	}
 }
 
 // remove forgets an entry; the caller takes it out of its key's order after it.
 func (t *table) remove(e *entry) {
 	hash := hashOf(e.id)
-	t.count(e, hash, -1)
+	t.addToSum(e, hash, -1)
 	delete(t.entries, hash)
 	if e.pending() {
 		t.pending--
 	} else {
-		t.removeEnded(e)
+		t.removeFinished(e)
 	}
 }
 
@@ -209,18 +209,18 @@
 		t.keys[hash] = q
 	}
 	q.insert(e)
-	e.live.key = q
+	e.delivery.key = q
 }
 
 // leave takes a message out of its key's order, and returns the new head, if it was the head and there is one.
 func (t *table) leave(e *entry) *entry {
-	if e.live == nil || e.live.key == nil {
+	if e.delivery == nil || e.delivery.key == nil {
 		return nil
 	}
-	q := e.live.key
+	q := e.delivery.key
 	wasHead := q.head() == e
 	q.remove(e)
-	e.live.key = nil
+	e.delivery.key = nil
 	if len(q.entries) == 0 {
 		delete(t.keys, q.hash)
 		return nil
--- a/store/queue/exploreactions_test.go
+++ b/store/queue/exploreactions_test.go
@@ -15,12 +15,12 @@
 // before, counts against the bound of the scope.
 func (w *world) Enabled() []explore.Action {
 	var actions []explore.Action
-	add := func(name string, words ...any) {
-		actions = append(actions, explore.Action{Name: strings.TrimSpace(fmt.Sprintln(append([]any{name}, words...)...))})
+	add := func(name string, fields ...any) {
+		actions = append(actions, explore.Action{Name: strings.TrimSpace(fmt.Sprintln(append([]any{name}, fields...)...))})
 	}
 	for _, l := range w.links {
 		for side, end := range l.ends {
-			if len(end.out) > 0 {
+			if len(end.outgoing) > 0 {
 				add("deliver", l.from, l.to, side)
 			}
 		}
@@ -42,11 +42,11 @@
 		add("pass")
 	}
 	rank := func(a explore.Action) int {
-		word := strings.Fields(a.Name)[0]
-		if w.config.hasty && (word == "plan" || word == "remove") {
+		verb := strings.Fields(a.Name)[0]
+		if w.config.hasty && (verb == "plan" || verb == "remove") {
 			return -1
 		}
-		return slices.Index(modelOrder, word)
+		return slices.Index(modelOrder, verb)
 	}
 	slices.SortStableFunc(actions, func(a, b explore.Action) int { return rank(a) - rank(b) })
 	for i := range actions {
@@ -104,28 +104,28 @@
 		return false
 	}
 	for _, other := range w.stores {
-		if other.lost && other != s {
+		if other.failed && other != s {
 			return false
 		}
 	}
-	return !s.lost
+	return !s.failed
 }
 
 // forgive has lost stores count no more once enough others are whole: they have had their time.
 func (w *world) forgive() {
-	place := w.view.Partitions[0]
-	for _, i := range place.Replicas {
+	placed := w.view.Partitions[0]
+	for _, i := range placed.Replicas {
 		s := w.byDisk(w.view.Stores[i].Disk)
 		if s == nil || !s.up || s.core.epoch() != w.view.Epoch || s.durable < len(s.records) {
 			return
 		}
 	}
-	if len(place.Replicas) < modelCopies || place.Unsure {
+	if len(placed.Replicas) < modelCopies || placed.Unsure {
 		return
 	}
 	for _, s := range w.stores {
 		if s.up && s.heard {
-			s.lost = false
+			s.failed = false
 		}
 	}
 }
@@ -137,22 +137,22 @@
 	primary := w.primary(e)
 	reachable := primary != nil && w.link(e.name, primary.name) != nil
 	for i, id := range modelMessages {
-		m, held := w.messages[id], e.held[id]
+		m, delivery := w.messages[id], e.deliveries[id]
 		first := i == 0 || w.messages[modelMessages[i-1]].accepted
-		if e.name == "e" && held == nil && !m.accepted && !m.ended && first && reachable {
+		if e.name == "e" && delivery == nil && !m.accepted && !m.finished && first && reachable {
 			add("put", id)
 		}
-		if held == nil || held.asked {
+		if delivery == nil || delivery.requested {
 			continue
 		}
 		switch {
-		case !held.kept && reachable:
+		case !delivery.accepted && reachable:
 			add("again", id)
-		case held.ended && reachable:
+		case delivery.finished && reachable:
 			add("report", e.name, id)
-		case held.running:
+		case delivery.running:
 			add("finish", e.name, id)
-		case held.kept && held.granted && !held.ended:
+		case delivery.accepted && delivery.granted && !delivery.finished:
 			add("run", e.name, id)
 		}
 	}
@@ -161,7 +161,7 @@
 // isQuiet says whether nothing is on its way.
 func (w *world) isQuiet() bool {
 	for _, l := range w.links {
-		if len(l.ends[0].out)+len(l.ends[1].out) > 0 {
+		if len(l.ends[0].outgoing)+len(l.ends[1].outgoing) > 0 {
 			return false
 		}
 	}
@@ -182,7 +182,7 @@
 func (w *world) quiet() {
 	for !w.isQuiet() {
 		for _, action := range w.Enabled() {
-			if word := strings.Fields(action.Name)[0]; word == "deliver" || word == "sync" || word == "view" {
+			if verb := strings.Fields(action.Name)[0]; verb == "deliver" || verb == "sync" || verb == "view" {
 				w.Do(action.Name)
 				break
 			}
@@ -206,15 +206,15 @@
 		if !s.heard || s.removed {
 			continue
 		}
-		told := placement.Store{Disk: s.disk, Node: s.name, Address: s.name, Zone: s.name}
+		reported := placement.Store{Disk: s.disk, Node: s.name, Address: s.name, Zone: s.name}
 		if s.up {
 			status := s.core.Status()
-			told.Epoch, told.Synced = status.Epoch, status.Synced
+			reported.Epoch, reported.Synced = status.Epoch, status.Synced
 		}
 		if w.config.mutant.takeUnfilled {
-			told.Epoch, told.Synced = w.view.Epoch, []uint16{0}
+			reported.Epoch, reported.Synced = w.view.Epoch, []uint16{0}
 		}
-		live = append(live, told)
+		live = append(live, reported)
 	}
 	next, changed := placement.Plan(w.view, live, w.plan())
 	if changed && w.config.mutant.forgetFormer {
@@ -235,15 +235,15 @@
 			continue
 		}
 		if w.config.mutant.ackBeforeSync && s.durable < len(s.records) {
-			s.core.Durable(s.time(), s.Position())
+			s.core.JournalSynced(s.time(), s.Position())
 		}
 		for _, p := range s.core.partitions {
 			if p == nil || !p.primary || !w.config.mutant.grantEarly {
 				continue
 			}
 			for _, o := range slices.Clone(p.ops) {
-				if o.end {
-					o.missing, o.local = 0, true
+				if o.finish {
+					o.unacked, o.synced = 0, true
 					s.core.complete(o)
 				}
 			}
@@ -255,7 +255,7 @@
 func (w *world) checkCopies(id string) {
 	copies := 0
 	for _, s := range w.stores {
-		if s.holds(id) {
+		if s.stores(id) {
 			copies++
 		}
 	}
@@ -269,11 +269,11 @@
 	for _, id := range modelMessages {
 		copies := 0
 		for _, s := range w.stores {
-			if s != removed && (s.lost || s.holds(id)) {
+			if s != removed && (s.failed || s.stores(id)) {
 				copies++
 			}
 		}
-		if m := w.messages[id]; m.accepted && !m.ended && copies < modelCopies {
+		if m := w.messages[id]; m.accepted && !m.finished && copies < modelCopies {
 			w.fault("%s is removed, and %s has %d other copies", removed.name, id, copies)
 		}
 	}
@@ -284,23 +284,23 @@
 	if w.failure != "" {
 		return fmt.Errorf("%s", w.failure)
 	}
-	place := w.view.Partitions[0]
+	placed := w.view.Partitions[0]
 	for _, id := range modelMessages {
-		if m := w.messages[id]; !m.accepted || m.ended {
+		if m := w.messages[id]; !m.accepted || m.finished {
 			continue
 		}
-		held := false
+		stored := false
 		for i, known := range w.view.Stores {
 			s := w.byDisk(known.Disk)
-			if s == nil || !s.holds(id) {
-				if s != nil && slices.Contains(place.Replicas, uint16(i)) && !place.Unsure {
+			if s == nil || !s.stores(id) {
+				if s != nil && slices.Contains(placed.Replicas, uint16(i)) && !placed.Unsure {
 					return fmt.Errorf("%s is called whole and lacks %s", known.Disk, id)
 				}
 				continue
 			}
-			held = held || slices.Contains(slices.Concat(place.Replicas, place.Joining, place.Former), uint16(i))
+			stored = stored || slices.Contains(slices.Concat(placed.Replicas, placed.Joining, placed.Former), uint16(i))
 		}
-		if !held {
+		if !stored {
 			return fmt.Errorf("%s was accepted, and no store that counts has it", id)
 		}
 	}
@@ -314,5 +314,5 @@
 func (w *world) State() []byte {
 	d := &dumper{seen: make(map[uintptr]int)}
 	d.value(reflectOf(w))
-	return d.out
+	return d.data
 }
--- a/store/queue/exploredump_test.go
+++ b/store/queue/exploredump_test.go
@@ -12,7 +12,7 @@
 
 // dumper writes a state with all that it points to in one form, cycles included: each pointer is followed once, and numbered.
 type dumper struct {
-	out  []byte
+	data []byte
 	seen map[uintptr]int
 }
 
@@ -28,7 +28,7 @@
 		d.number(int64(v.Uint()))
 	case reflect.String:
 		d.number(int64(v.Len()))
-		d.out = append(d.out, v.String()...)
+		d.data = append(d.data, v.String()...)
 	case reflect.Pointer:
 		d.pointer(v)
 	case reflect.Interface:
@@ -58,7 +58,7 @@
 	return 0
 }
 
-func (d *dumper) number(n int64) { d.out = binary.AppendVarint(d.out, n) }
+func (d *dumper) number(n int64) { d.data = binary.AppendVarint(d.data, n) }
 
 func (d *dumper) pointer(v reflect.Value) {
 	if v.IsNil() || v.Type() == loggerType {
@@ -88,7 +88,7 @@
 	d.number(int64(len(items)))
 	for _, i := range items {
 		d.number(int64(len(i.name)))
-		d.out = append(d.out, i.name...)
+		d.data = append(d.data, i.name...)
 		d.value(i.value)
 	}
 }
--- a/store/queue/exploreedge_test.go
+++ b/store/queue/exploreedge_test.go
@@ -13,26 +13,26 @@
 
 func (w *world) put(id string) {
 	e := w.edge("e")
-	if e.held[id] == nil {
-		e.held[id] = &modelHeld{}
+	if e.deliveries[id] == nil {
+		e.deliveries[id] = &modelDelivery{}
 	}
-	e.held[id].asked = true
+	e.deliveries[id].requested = true
 	put := &wire.Put{Epoch: e.epoch, Message: modelMessageOf(id), Dispatch: true}
 	w.link(e.name, w.primary(e).name).ends[0].request(wire.MethodPut, put, "put "+id)
 }
 
 // work runs a message at a worker, or reports that it has ended.
 func (w *world) work(what string, e *modelEdge, id string) {
-	held := e.held[id]
+	delivery := e.deliveries[id]
 	switch what {
 	case "run":
-		held.running = true
+		delivery.running = true
 		w.checkRun(e, id)
 	case "finish":
-		held.running, held.ended = false, true
-		w.messages[id].ended = true
+		delivery.running, delivery.finished = false, true
+		w.messages[id].finished = true
 	case "report":
-		held.asked = true
+		delivery.requested = true
 		report := &wire.Report{Epoch: e.epoch, ID: id, Kind: wire.ReportDone, Signature: "s"}
 		w.link(e.name, w.primary(e).name).ends[0].request(wire.MethodReport, report, "report "+id)
 	}
@@ -40,7 +40,7 @@
 
 func (w *world) checkRun(by *modelEdge, id string) {
 	for _, e := range w.edges {
-		if other := e.held[id]; e != by && other != nil && other.running {
+		if other := e.deliveries[id]; e != by && other != nil && other.running {
 			w.fault("%s runs at %s and at %s", id, e.name, by.name)
 		}
 	}
@@ -48,7 +48,7 @@
 		if earlier == id {
 			return
 		}
-		if m := w.messages[earlier]; m.accepted && !m.ended {
+		if m := w.messages[earlier]; m.accepted && !m.finished {
 			w.fault("%s runs before %s has ended", id, earlier)
 		}
 	}
@@ -60,37 +60,37 @@
 		w.granted(e, l, decode[wire.Grant](p.payload))
 		return
 	}
-	words := strings.Fields(p.call)
-	switch words[0] {
+	fields := strings.Fields(p.call)
+	switch fields[0] {
 	case "claim":
-		w.claimed(e, l, words[1], decode[wire.ClaimReply](p.payload))
+		w.claimed(e, l, fields[1], decode[wire.ClaimReply](p.payload))
 	case "put":
-		w.answeredPut(e, words[1], decode[wire.PutReply](p.payload))
+		w.answeredPut(e, fields[1], decode[wire.PutReply](p.payload))
 	case "report":
-		held := e.held[words[1]]
-		if held == nil {
+		delivery := e.deliveries[fields[1]]
+		if delivery == nil {
 			return
 		}
-		held.asked = false
+		delivery.requested = false
 		if decode[wire.ReportReply](p.payload).Code == wire.PutKept {
-			w.messages[words[1]].reported = true
-			delete(e.held, words[1])
+			w.messages[fields[1]].reported = true
+			delete(e.deliveries, fields[1])
 		}
 	}
 }
 
 func (w *world) granted(e *modelEdge, l *modelLink, grant *wire.Grant) {
-	held := e.held[grant.ID]
-	if held == nil {
+	delivery := e.deliveries[grant.ID]
+	if delivery == nil {
 		if !grant.Whole {
 			report := &wire.Report{Epoch: e.epoch, ID: grant.ID, Kind: wire.ReportReleased}
 			l.ends[0].request(wire.MethodReport, report, "release "+grant.ID)
 			return
 		}
-		held = &modelHeld{}
-		e.held[grant.ID] = held
+		delivery = &modelDelivery{}
+		e.deliveries[grant.ID] = delivery
 	}
-	held.kept, held.granted = true, true
+	delivery.accepted, delivery.granted = true, true
 }
 
 func (w *world) claimed(e *modelEdge, l *modelLink, epoch string, reply *wire.ClaimReply) {
@@ -104,23 +104,23 @@
 		return
 	}
 	for _, id := range reply.Unknown {
-		if held := e.held[id]; held != nil && held.kept && !held.running && !held.ended {
-			delete(e.held, id)
+		if delivery := e.deliveries[id]; delivery != nil && delivery.accepted && !delivery.running && !delivery.finished {
+			delete(e.deliveries, id)
 		}
 	}
 }
 
 func (w *world) answeredPut(e *modelEdge, id string, reply *wire.PutReply) {
-	held := e.held[id]
-	if held != nil {
-		held.asked = false
+	delivery := e.deliveries[id]
+	if delivery != nil {
+		delivery.requested = false
 	}
 	if reply.Code != wire.PutKept {
 		return
 	}
 	w.messages[id].accepted = true
-	if held != nil {
-		held.kept = true
-		held.granted = held.granted || reply.Granted
+	if delivery != nil {
+		delivery.accepted = true
+		delivery.granted = delivery.granted || reply.Granted
 	}
 }
--- a/store/queue/explorestore_test.go
+++ b/store/queue/explorestore_test.go
@@ -20,10 +20,10 @@
 
 // modelEnd is one end of a connection, as a core knows it.
 type modelEnd struct {
-	world  *world
-	name   string
-	closed bool
-	out    []packet // on the way to the other end
+	world    *world
+	name     string
+	closed   bool
+	outgoing []packet // on the way to the other end
 }
 
 func (e *modelEnd) Notify(method wire.Method, message msgp.Marshaler) error {
@@ -35,7 +35,7 @@
 		e.world.fault("%s is granted after its end was acknowledged", grant.ID)
 	}
 	if !e.closed {
-		e.out = append(e.out, packet{method: method, payload: payload})
+		e.outgoing = append(e.outgoing, packet{method: method, payload: payload})
 	}
 	return nil
 }
@@ -52,7 +52,7 @@
 	}
 	payload, _ := message.MarshalMsg(nil)
 	if !r.end.closed {
-		r.end.out = append(r.end.out, packet{payload: payload, call: r.call, answer: true})
+		r.end.outgoing = append(r.end.outgoing, packet{payload: payload, call: r.call, answer: true})
 	}
 }
 
@@ -67,11 +67,11 @@
 	durable int
 	up      bool
 	heard   bool // the leader counts it among those that live
-	lost    bool // it counts as lost
+	failed  bool // it counts as lost
 	removed bool
 	started time.Duration
 	core    *Core
-	lives   int
+	starts  int
 }
 
 func (s *modelStore) Append(payload []byte) (journal.Location, uint64) {
@@ -94,8 +94,8 @@
 func (s *modelStore) start() {
 	s.up, s.heard = true, true
 	s.started = s.world.now
-	s.lives++
-	s.core = New(Config{Disk: s.disk, Copies: modelCopies, Remember: time.Hour, Log: modelLog}, s)
+	s.starts++
+	s.core = New(Config{Disk: s.disk, Copies: modelCopies, FinishedRetention: time.Hour, Log: modelLog}, s)
 	for i, record := range s.records {
 		if err := s.core.Recover(s.time(), journal.Location{Segment: 1, Offset: uint32(i + 1)}, record); err != nil {
 			s.world.fault("recovery of %s: %v", s.name, err)
@@ -104,21 +104,21 @@
 	s.core.Start(s.time(), s)
 }
 
-// holds says whether a message lies on the store's disk for good.
-func (s *modelStore) holds(id string) bool {
-	held := false
+// stores says whether a message lies on the store's disk for good.
+func (s *modelStore) stores(id string) bool {
+	stored := false
 	for _, payload := range s.records[:s.durable] {
 		r, err := decodeRecord(payload)
 		switch {
 		case err != nil:
 			return false
 		case r.ID == id && r.Kind != RecordDrop:
-			held = true
+			stored = true
 		case r.ID == id, r.Kind == RecordWipe:
-			held = false
+			stored = false
 		}
 	}
-	return held
+	return stored
 }
 
 // modelLink is a connection: of a store that may lead to another one, or of an edge to a store.
--- a/store/queue/exploreworld_test.go
+++ b/store/queue/exploreworld_test.go
@@ -14,20 +14,20 @@
 
 // modelEdge is a scheduler.
 type modelEdge struct {
-	name  string
-	epoch uint64 // of the view that it acts under
-	held  map[string]*modelHeld
+	name       string
+	epoch      uint64 // of the view that it acts under
+	deliveries map[string]*modelDelivery
 }
 
-type modelHeld struct {
-	kept, granted, running, ended bool
-	asked                         bool // a put or a report is under way
+type modelDelivery struct {
+	accepted, granted, running, finished bool
+	requested                            bool // a put or a report is under way
 }
 
 // modelMessage is what the client and the worker know.
 type modelMessage struct {
 	accepted bool // the client was told
-	ended    bool // the worker succeeded
+	finished bool // the worker succeeded
 	reported bool // the end was acknowledged
 }
 
@@ -69,12 +69,12 @@
 	w.views[view.Epoch] = view
 	for _, s := range w.stores {
 		s.start()
-		s.core.View(s.time(), view)
+		s.core.SetView(s.time(), view)
 		s.durable = len(s.records)
-		s.core.Durable(s.time(), s.Position())
+		s.core.JournalSynced(s.time(), s.Position())
 	}
 	for _, name := range []string{"e", "f"} {
-		w.edges = append(w.edges, &modelEdge{name: name, epoch: view.Epoch, held: make(map[string]*modelHeld)})
+		w.edges = append(w.edges, &modelEdge{name: name, epoch: view.Epoch, deliveries: make(map[string]*modelDelivery)})
 	}
 	w.connect()
 	w.quiet()
@@ -148,17 +148,17 @@
 
 func (e *modelEnd) request(method wire.Method, message msgp.Marshaler, call string) {
 	payload, _ := message.MarshalMsg(nil)
-	e.out = append(e.out, packet{method: method, payload: payload, call: call})
+	e.outgoing = append(e.outgoing, packet{method: method, payload: payload, call: call})
 }
 
 // primary is the store that leads under an edge's view.
 func (w *world) primary(e *modelEdge) *modelStore {
 	view := w.views[e.epoch]
-	place := view.Partitions[0]
-	if len(place.Replicas) == 0 {
+	placed := view.Partitions[0]
+	if len(placed.Replicas) == 0 {
 		return nil
 	}
-	return w.byDisk(view.Stores[place.Replicas[0]].Disk)
+	return w.byDisk(view.Stores[placed.Replicas[0]].Disk)
 }
 
 func (w *world) byDisk(disk string) *modelStore {
@@ -173,7 +173,7 @@
 	claim := &wire.Claim{Epoch: e.epoch}
 	if w.primary(e) == to {
 		for _, id := range modelMessages {
-			if e.held[id] != nil {
+			if e.deliveries[id] != nil {
 				claim.IDs = append(claim.IDs, id)
 			}
 		}
@@ -183,26 +183,26 @@
 
 // Do implements explore.System.
 func (w *world) Do(name string) {
-	words := strings.Fields(name)
-	switch words[0] {
+	fields := strings.Fields(name)
+	switch fields[0] {
 	case "deliver":
-		w.deliver(w.link(words[1], words[2]), int(words[3][0]-'0'))
+		w.deliver(w.link(fields[1], fields[2]), int(fields[3][0]-'0'))
 	case "plan":
 		next, _ := w.next()
 		w.enact(next)
 	case "retire":
-		w.retire(words[1])
+		w.retire(fields[1])
 	case "pass":
 		w.passes++
 		w.pass()
 	case "put", "again":
-		w.put(words[1])
+		w.put(fields[1])
 	case "run", "finish", "report":
-		w.work(words[0], w.edge(words[1]), words[2])
+		w.work(fields[0], w.edge(fields[1]), fields[2])
 	case "view":
-		w.take(words[1])
+		w.take(fields[1])
 	default:
-		w.disturb(words[0], w.store(words[1]))
+		w.disturb(fields[0], w.store(fields[1]))
 	}
 	w.mutate()
 	w.connect()
@@ -217,13 +217,13 @@
 				w.claim(e, s)
 			}
 		}
-		for _, held := range e.held {
-			held.asked = false // what was asked under the old view is asked again
+		for _, delivery := range e.deliveries {
+			delivery.requested = false // what was asked under the old view is asked again
 		}
 		return
 	}
 	s := w.store(name)
-	s.core.View(s.time(), w.view)
+	s.core.SetView(s.time(), w.view)
 }
 
 func (w *world) retire(name string) {
@@ -243,7 +243,7 @@
 	switch what {
 	case "sync":
 		s.durable = len(s.records)
-		s.core.Durable(s.time(), s.Position())
+		s.core.JournalSynced(s.time(), s.Position())
 	case "start":
 		s.start()
 	case "miss":
@@ -253,10 +253,10 @@
 	case "reset":
 		s.heard = false
 	case "power":
-		s.lost = true
+		s.failed = true
 		w.stop(s)
 	case "wipe", "remove":
-		s.lost, s.removed = what == "wipe", what == "remove"
+		s.failed, s.removed = what == "wipe", what == "remove"
 		if s.removed {
 			w.checkElsewhere(s)
 		}
@@ -280,8 +280,8 @@
 			from.core.PeerDown(from.time(), l.ends[0])
 		}
 		if e := w.edge(l.from); e != nil {
-			for _, held := range e.held {
-				held.asked = false
+			for _, delivery := range e.deliveries {
+				delivery.requested = false
 			}
 		}
 		return true
@@ -291,8 +291,8 @@
 // deliver takes what one end has sent to the other.
 func (w *world) deliver(l *modelLink, side int) {
 	from, to := l.ends[side], l.ends[1-side]
-	sent := from.out
-	from.out = nil
+	sent := from.outgoing
+	from.outgoing = nil
 	for _, p := range sent {
 		if side == 0 {
 			w.store(l.to).receive(to, p)
@@ -318,13 +318,13 @@
 	case MethodFilled:
 		s.core.Filled(now, decode[Filled](p.payload))
 	case wire.MethodAttach:
-		s.core.Attach(now, from, decode[wire.Attach](p.payload), reply)
+		s.core.AttachEdge(now, from, decode[wire.Attach](p.payload), reply)
 	case wire.MethodClaim:
-		s.core.Claim(now, from, decode[wire.Claim](p.payload), reply)
+		s.core.ClaimMessages(now, from, decode[wire.Claim](p.payload), reply)
 	case wire.MethodPut:
-		s.core.Put(now, from, decode[wire.Put](p.payload), reply)
+		s.core.PutMessage(now, from, decode[wire.Put](p.payload), reply)
 	case wire.MethodReport:
-		s.core.Report(now, from, decode[wire.Report](p.payload), reply)
+		s.core.ReportDelivery(now, from, decode[wire.Report](p.payload), reply)
 	}
 }
 
--- a/store/queue/member.go
+++ b/store/queue/member.go
@@ -8,27 +8,27 @@
 
 // The events of this file come from the primaries of partitions that the store is a member of.
 
-// raise refuses older epochs from now on.
-func (c *Core) raise(epoch uint64) {
-	if epoch <= c.fence {
+// raiseEpoch refuses older epochs from now on.
+func (c *Core) raiseEpoch(epoch uint64) {
+	if epoch <= c.newestEpoch {
 		return
 	}
-	c.fence = epoch
+	c.newestEpoch = epoch
 	c.writeEpoch()
 }
 
 func (c *Core) writeEpoch() {
-	_, at, _ := c.write(&Record{Kind: RecordEpoch, Sequence: c.fence})
-	c.epochAt = at.Segment
+	_, at, _ := c.appendRecord(&Record{Kind: RecordEpoch, Sequence: c.newestEpoch})
+	c.epochSegment = at.Segment
 }
 
 // Replicate applies what a primary has changed, and acknowledges it once it is on disk.
 func (c *Core) Replicate(now Time, from Remote, m *Replicate) {
 	c.now = now
-	if m.Epoch < c.fence {
+	if m.Epoch < c.newestEpoch {
 		return
 	}
-	c.raise(m.Epoch)
+	c.raiseEpoch(m.Epoch)
 	for _, payload := range m.Records {
 		r, err := decodeRecord(payload)
 		if err != nil {
@@ -36,23 +36,23 @@
 			return
 		}
 		if c.changes(r) {
-			at, _ := c.append(payload)
+			at, _ := c.appendPayload(payload)
 			c.apply(r, at, m.Old)
 		}
 	}
-	c.acks = append(c.acks, ackWait{position: c.journal.Position(), remote: from, number: m.Number})
-	c.acknowledge()
+	c.pendingAcks = append(c.pendingAcks, ackWait{position: c.journal.Position(), remote: from, number: m.Number})
+	c.sendAcks()
 }
 
 // Compare answers what of a partition differs from the primary's.
 func (c *Core) Compare(now Time, from Remote, m *Compare) {
 	c.now = now
-	if m.Epoch < c.fence || len(m.Sums) != bucketCount {
+	if m.Epoch < c.newestEpoch || len(m.Sums) != bucketCount {
 		return
 	}
-	c.raise(m.Epoch)
-	p := c.at(m.Partition)
-	c.forgetUpTo(p, m.Horizon)
+	c.raiseEpoch(m.Epoch)
+	p := c.partition(m.Partition)
+	c.trimFinished(p, m.Horizon)
 	last := -1
 	for bucket := range bucketCount {
 		if p.sums[bucket] != m.Sums[bucket] {
@@ -60,22 +60,22 @@
 		}
 	}
 	if last < 0 {
-		_ = from.Notify(MethodDiffer, &Differ{Partition: m.Partition, Round: m.Round, Bucket: bucketCount, Last: true})
+		_ = from.Notify(MethodDiffer, &Differ{Partition: m.Partition, ComparisonID: m.ComparisonID, Bucket: bucketCount, Last: true})
 		return
 	}
 	lists := p.buckets(func(bucket int) bool { return p.sums[bucket] != m.Sums[bucket] })
 	for bucket := range last + 1 {
 		if p.sums[bucket] != m.Sums[bucket] {
-			_ = from.Notify(MethodDiffer, p.differ(m.Round, bucket, bucket == last, lists[bucket]))
+			_ = from.Notify(MethodDiffer, p.differ(m.ComparisonID, bucket, bucket == last, lists[bucket]))
 		}
 	}
 }
 
 // differ lists one bucket.
-func (p *partition) differ(round uint64, bucket int, last bool, list []*entry) *Differ {
-	answer := &Differ{Partition: p.number, Round: round, Bucket: uint16(bucket), Last: last}
+func (p *partition) differ(id uint64, bucket int, last bool, list []*entry) *Differ {
+	answer := &Differ{Partition: p.number, ComparisonID: id, Bucket: uint16(bucket), Last: last}
 	for _, e := range list {
-		answer.Entries = append(answer.Entries, Digest{ID: e.id, Sum: e.sum(hashOf(e.id)), State: e.state, Failed: e.failed, Bare: e.bare})
+		answer.Entries = append(answer.Entries, Digest{ID: e.id, Sum: e.sum(hashOf(e.id)), State: e.state, Failed: e.failed, NoBody: e.noBody})
 	}
 	return answer
 }
@@ -97,25 +97,25 @@
 // Fetch answers with all that is known of some messages.
 func (c *Core) Fetch(now Time, from Remote, m *Fetch) {
 	c.now = now
-	if m.Epoch < c.fence {
+	if m.Epoch < c.newestEpoch {
 		return
 	}
-	p := c.at(m.Partition)
-	answer := &Fetched{Partition: m.Partition, Round: m.Round}
+	p := c.partition(m.Partition)
+	answer := &Fetched{Partition: m.Partition, ComparisonID: m.ComparisonID}
 	size := 0
 	for _, id := range m.IDs {
 		e, _ := p.find(id)
 		if e == nil {
 			continue
 		}
-		payload := c.wholeBytes(p, e)
+		payload := c.messagePayload(p, e)
 		if payload == nil {
 			return
 		}
 		answer.Records = append(answer.Records, payload)
-		if size += len(payload); size >= fillBytes {
+		if size += len(payload); size >= batchBytes {
 			_ = from.Notify(MethodFetched, answer)
-			answer = &Fetched{Partition: m.Partition, Round: m.Round}
+			answer = &Fetched{Partition: m.Partition, ComparisonID: m.ComparisonID}
 			size = 0
 		}
 	}
@@ -126,18 +126,18 @@
 // Filled notes that this store has a partition whole.
 func (c *Core) Filled(now Time, m *Filled) {
 	c.now = now
-	if m.Epoch < c.fence {
+	if m.Epoch < c.newestEpoch {
 		return
 	}
-	p := c.at(m.Partition)
-	p.filledFor = m.Epoch
+	p := c.partition(m.Partition)
+	p.filledEpoch = m.Epoch
 	if p.joining && m.Epoch == c.epoch() {
 		c.host.StatusChanged()
 	}
 }
 
-// Find answers a question about a message.
-func (c *Core) Find(now Time, m *wire.Find, reply Replier) {
+// FindMessage answers a question about a message.
+func (c *Core) FindMessage(now Time, m *wire.Find, reply Replier) {
 	c.now = now
 	answer, err := c.lookUp(m)
 	if errors.Is(err, errAbsence) {
@@ -157,36 +157,36 @@
 
 func (c *Core) lookUp(m *wire.Find) (*wire.FindReply, error) {
 	number, _ := wire.PartitionOf(m.ID)
-	p := c.known(number)
+	p := c.lookUpPartition(number)
 	if p == nil || !p.primary && !p.replica {
-		return c.absent(m)
+		return c.absentReply(m)
 	}
 	e, _ := p.find(m.ID)
 	if e == nil {
-		return c.absent(m)
+		return c.absentReply(m)
 	}
-	if m.Body && (e.bare || e.state == wire.StateDropped) {
-		return c.absent(m) // no body is here; of a dead message another replica has it
+	if m.Body && (e.noBody || e.state == wire.StateDropped) {
+		return c.absentReply(m) // no body is here; of a dead message another replica has it
 	}
 	answer := &wire.FindReply{Found: true, State: e.state}
-	kept := e.pending() || e.state == wire.StateDead
-	if e.state != wire.StateDone && !(m.Body && kept) {
+	hasBody := e.pending() || e.state == wire.StateDead
+	if e.state != wire.StateDone && !(m.Body && hasBody) {
 		return answer, nil
 	}
-	r, err := c.whole(p, e)
+	r, err := c.messageRecord(p, e)
 	if err != nil {
 		return nil, err
 	}
 	answer.Signature = r.Signature
-	if m.Body && kept {
+	if m.Body && hasBody {
 		answer.Body = r.Message.Body
 	}
 	return answer, nil
 }
 
-// absent says that a message is not here. If all stores say so under one placement, no replica of its partition has it.
-func (c *Core) absent(m *wire.Find) (*wire.FindReply, error) {
-	if c.view == nil || m.Epoch != c.view.Epoch || c.fence > c.view.Epoch {
+// absentReply says that a message is not here. If all stores say so under one placement, no replica of its partition has it.
+func (c *Core) absentReply(m *wire.Find) (*wire.FindReply, error) {
+	if c.view == nil || m.Epoch != c.view.Epoch || c.newestEpoch > c.view.Epoch {
 		return nil, errAbsence
 	}
 	return &wire.FindReply{}, nil
--- a/store/queue/peer.go
+++ b/store/queue/peer.go
@@ -10,23 +10,23 @@
 
 // peer is another store.
 type peer struct {
-	disk    string
-	remote  Remote // nil while there is no connection
-	number  uint64 // of the newest Replicate on the connection
-	outbox  [][]byte
-	old     bool // of the records in the outbox
-	waiting []peerWait
-	filling *filling   // whose batch it has yet to acknowledge: one at a time, so that new messages find the way free
-	queued  []*filling // that have something to send
-	tally   tally
+	disk         string
+	remote       Remote // nil while there is no connection
+	number       uint64 // of the newest Replicate on the connection
+	outbox       [][]byte
+	old          bool // of the records in the outbox
+	awaitingAck  []peerWait
+	unackedBatch *comparison   // whose batch it has yet to acknowledge: one at a time, so that new messages find the way free
+	comparisons  []*comparison // that have something to send
+	stats        comparisonStats
 }
 
 // peerWait is something that waits until a peer has synced a Replicate.
 type peerWait struct {
-	number uint64
-	op     *op
-	member int // the peer's place among the members of the partition
-	fill   *filling
+	number     uint64
+	op         *op
+	member     int // the peer's place among the members of the partition
+	comparison *comparison
 }
 
 // op is a change that is not on disk at all members yet.
@@ -35,9 +35,9 @@
 	e       *entry // nil: a barrier
 	since   time.Duration
 	put     bool
-	end     bool
-	local   bool   // it is on the own disk
-	missing uint64 // bit by member
+	finish  bool
+	synced  bool   // it is on the own disk
+	unacked uint64 // bit by member
 	waiters []waiter
 	index   int // in the partition's list
 }
@@ -72,33 +72,33 @@
 	p.outbox = p.outbox[:0]
 }
 
-// post queues a record for a peer that is connected, and returns the number of the Replicate that it goes in.
-func (c *Core) post(to *peer, payload []byte, old bool) uint64 {
+// enqueueRecord queues a record for a peer that is connected, and returns the number of the Replicate that it goes in.
+func (c *Core) enqueueRecord(to *peer, payload []byte, old bool) uint64 {
 	if len(to.outbox) > 0 && to.old != old {
 		to.flush(c.epoch())
 	}
 	if len(to.outbox) == 0 {
 		to.number++
 		to.old = old
-		c.dirty = append(c.dirty, to)
+		c.unflushed = append(c.unflushed, to)
 	}
 	to.outbox = append(to.outbox, payload)
 	return to.number
 }
 
-// begin starts a change of an entry that is in the journal up to a position.
-func (c *Core) begin(p *partition, e *entry, position uint64, payload []byte) *op {
+// beginOp starts a change of an entry that is in the journal up to a position.
+func (c *Core) beginOp(p *partition, e *entry, position uint64, payload []byte) *op {
 	o := &op{p: p, e: e, since: c.now.Steady, index: len(p.ops)}
 	p.ops = append(p.ops, o)
-	if e.live != nil {
-		e.live.last = o
+	if e.delivery != nil {
+		e.delivery.lastChange = o
 	}
-	c.local = append(c.local, localWait{position: position, op: o})
+	c.awaitingSync = append(c.awaitingSync, localWait{position: position, op: o})
 	for i, member := range p.members {
-		o.missing |= 1 << i
+		o.unacked |= 1 << i
 		if member.remote != nil {
-			number := c.post(member, payload, false)
-			member.waiting = append(member.waiting, peerWait{number: number, op: o, member: i})
+			number := c.enqueueRecord(member, payload, false)
+			member.awaitingAck = append(member.awaitingAck, peerWait{number: number, op: o, member: i})
 		}
 	}
 	return o
@@ -111,15 +111,15 @@
 		return
 	}
 	if o.e == nil {
-		c.postBarrier(o, member)
+		c.sendBarrier(o, member)
 		return
 	}
-	payload := c.wholeBytes(o.p, o.e)
+	payload := c.messagePayload(o.p, o.e)
 	if payload == nil {
 		return
 	}
-	number := c.post(to, payload, true)
-	to.waiting = append(to.waiting, peerWait{number: number, op: o, member: member})
+	number := c.enqueueRecord(to, payload, true)
+	to.awaitingAck = append(to.awaitingAck, peerWait{number: number, op: o, member: member})
 }
 
 // PeerUp tells that a store is connected, and that it has the disk that was meant.
@@ -129,7 +129,7 @@
 	if to == nil {
 		return
 	}
-	c.disconnect(to)
+	c.disconnectPeer(to)
 	to.remote = remote
 	c.byRemote[remote] = to
 	for _, p := range c.partitions {
@@ -141,37 +141,37 @@
 			continue
 		}
 		for _, o := range p.ops {
-			if o.missing&(1<<member) != 0 {
+			if o.unacked&(1<<member) != 0 {
 				c.resend(o, member)
 			}
 		}
 		c.compare(p, to)
 	}
-	c.finish()
+	c.flushPeers()
 }
 
 // PeerDown tells that a connection to a store is lost.
 func (c *Core) PeerDown(now Time, remote Remote) {
 	c.now = now
 	if to := c.byRemote[remote]; to != nil {
-		c.disconnect(to)
+		c.disconnectPeer(to)
 	}
 }
 
-func (c *Core) disconnect(to *peer) {
+func (c *Core) disconnectPeer(to *peer) {
 	if to.remote == nil {
 		return
 	}
 	delete(c.byRemote, to.remote)
 	to.remote = nil
 	to.number = 0
-	to.waiting = nil
-	to.dropFills()
+	to.awaitingAck = nil
+	to.cancelComparisons()
 	clear(to.outbox)
 	to.outbox = to.outbox[:0]
 	for _, p := range c.partitions {
 		if p != nil {
-			p.syncs = slices.DeleteFunc(p.syncs, func(f *filling) bool { return f.to == to })
+			p.comparisons = slices.DeleteFunc(p.comparisons, func(f *comparison) bool { return f.to == to })
 		}
 	}
 }
@@ -184,62 +184,62 @@
 		return
 	}
 	n := 0
-	for n < len(to.waiting) && to.waiting[n].number <= m.Number {
+	for n < len(to.awaitingAck) && to.awaitingAck[n].number <= m.Number {
 		n++
 	}
-	done := slices.Clone(to.waiting[:n])
-	to.waiting = slices.Delete(to.waiting, 0, n)
+	done := slices.Clone(to.awaitingAck[:n])
+	to.awaitingAck = slices.Delete(to.awaitingAck, 0, n)
 	for _, wait := range done {
-		if wait.fill != nil {
-			to.filling = nil
-			c.pump(wait.fill)
-			c.fillNext(to)
+		if wait.comparison != nil {
+			to.unackedBatch = nil
+			c.advanceComparison(wait.comparison)
+			c.sendNextBatch(to)
 			continue
 		}
-		wait.op.missing &^= 1 << wait.member
+		wait.op.unacked &^= 1 << wait.member
 		c.complete(wait.op)
 	}
-	c.handOver()
-	c.finish()
+	c.assignDue()
+	c.flushPeers()
 }
 
-// Durable tells that the journal is on disk up to a position.
-func (c *Core) Durable(now Time, position uint64) {
+// JournalSynced tells that the journal is on disk up to a position.
+func (c *Core) JournalSynced(now Time, position uint64) {
 	c.now = now
 	c.durable = max(c.durable, position)
-	c.synced()
+	c.noteSync()
 	n := 0
-	for n < len(c.local) && c.local[n].position <= position {
+	for n < len(c.awaitingSync) && c.awaitingSync[n].position <= position {
 		n++
 	}
-	done := slices.Clone(c.local[:n])
-	c.local = slices.Delete(c.local, 0, n)
+	done := slices.Clone(c.awaitingSync[:n])
+	c.awaitingSync = slices.Delete(c.awaitingSync, 0, n)
 	for _, wait := range done {
-		wait.op.local = true
+		wait.op.synced = true
 		c.complete(wait.op)
 	}
-	c.acknowledge()
-	c.handOver()
-	c.finish()
+	c.sendAcks()
+	c.assignDue()
+	c.flushPeers()
 }
 
-// acknowledge tells primaries what has become durable here, once for each connection.
-func (c *Core) acknowledge() {
+// sendAcks tells primaries what has become durable here, once for each connection.
+func (c *Core) sendAcks() {
 	n := 0
-	for n < len(c.acks) && c.acks[n].position <= c.durable {
+	for n < len(c.pendingAcks) && c.pendingAcks[n].position <= c.durable {
 		n++
 	}
 	for i := range n {
 		if !c.ackedLater(i, n) {
-			_ = c.acks[i].remote.Notify(MethodAcked, &Acked{Number: c.acks[i].number})
+			_ = c.pendingAcks[i].remote.Notify(MethodAcked, &Acked{Number: c.pendingAcks[i].number})
 		}
 	}
-	c.acks = slices.Delete(c.acks, 0, n)
+	c.pendingAcks = slices.Delete(c.pendingAcks, 0, n)
 }
 
 func (c *Core) ackedLater(i, n int) bool {
-	for _, other := range c.acks[i+1 : n] {
-		if other.remote == c.acks[i].remote {
+	for _, other := range c.pendingAcks[i+1 : n] {
+		if other.remote == c.pendingAcks[i].remote {
 			return true
 		}
 	}
@@ -248,53 +248,53 @@
 
 // complete ends a change if it is on disk everywhere.
 func (c *Core) complete(o *op) {
-	if !o.local || o.missing != 0 || o.index < 0 || o.put && len(o.p.members)+1 < c.copies() {
+	if !o.synced || o.unacked != 0 || o.index < 0 || o.put && len(o.p.members)+1 < c.requiredCopies() {
 		return // with too few members a message is not accepted; the next placement goes on with it
 	}
 	o.p.removeOp(o)
-	o.p.confirmed = max(o.p.confirmed, o.since)
+	o.p.confirmedAt = max(o.p.confirmedAt, o.since)
 	if o.e == nil {
-		c.unpark(o.p)
+		c.endBarrier(o.p)
 		return
 	}
 	e := o.e
-	if e.live != nil && e.live.last == o {
-		e.live.last = nil
+	if e.delivery != nil && e.delivery.lastChange == o {
+		e.delivery.lastChange = nil
 	}
-	if o.put && e.live != nil {
-		e.live.putting = false
+	if o.put && e.delivery != nil {
+		e.delivery.accepting = false
 	}
 	var next *entry
-	if o.end {
-		next = c.settle(o.p, e)
+	if o.finish {
+		next = c.dropDelivery(o.p, e)
 	}
 	if o.put && e.pending() {
-		c.turn(o.p, e, o.told(e.live.holder))
+		c.grantOrRequeue(o.p, e, o.notifiesByReply(e.delivery.leaseholder))
 	}
-	if e.live != nil && e.live.last == nil && e.live.owed {
-		c.grantWhole(o.p, e)
+	if e.delivery != nil && e.delivery.lastChange == nil && e.delivery.grantPending {
+		c.grantWithBody(o.p, e)
 	}
 	for _, w := range o.waiters {
-		c.answer(o, w)
+		c.replyTo(o, w)
 	}
 	if next != nil {
-		c.turn(o.p, next, false)
+		c.grantOrRequeue(o.p, next, false)
 	}
 }
 
-// told says whether an edge hears of the change by a reply on its present connection.
-func (o *op) told(holder *edge) bool {
+// notifiesByReply says whether an edge hears of the change by a reply on its present connection.
+func (o *op) notifiesByReply(leaseholder *edge) bool {
 	return slices.ContainsFunc(o.waiters, func(w waiter) bool {
-		return w.put && holder != nil && w.edge == holder && w.session == holder.session && holder.remote != nil
+		return w.put && leaseholder != nil && w.edge == leaseholder && w.session == leaseholder.session && leaseholder.remote != nil
 	})
 }
 
-func (c *Core) answer(o *op, w waiter) {
+func (c *Core) replyTo(o *op, w waiter) {
 	if !w.put {
 		w.reply.Send(&wire.ReportReply{Code: wire.PutKept, Epoch: c.epoch()})
 		return
 	}
-	w.reply.Send(c.kept(o.p, o.e, w.edge))
+	w.reply.Send(c.putReply(o.p, o.e, w.edge))
 }
 
 func (p *partition) removeOp(o *op) {
@@ -306,40 +306,40 @@
 	o.index = -1
 }
 
-// askMembers begins a barrier: once all members have answered, none of them knew a newer epoch when it began.
-func (c *Core) askMembers(p *partition) {
+// startBarrier begins a barrier: once all members have answered, none of them knew a newer epoch when it began.
+func (c *Core) startBarrier(p *partition) {
 	if p.barrier != nil {
 		return
 	}
-	o := &op{p: p, since: c.now.Steady, local: true, index: len(p.ops)}
+	o := &op{p: p, since: c.now.Steady, synced: true, index: len(p.ops)}
 	p.ops = append(p.ops, o)
 	p.barrier = o
 	for member := range p.members {
-		o.missing |= 1 << member
+		o.unacked |= 1 << member
 		c.resend(o, member)
 	}
 	c.complete(o)
 }
 
-func (c *Core) postBarrier(o *op, member int) {
+func (c *Core) sendBarrier(o *op, member int) {
 	to := o.p.members[member]
 	to.flush(c.epoch())
 	to.number++
-	to.waiting = append(to.waiting, peerWait{number: to.number, op: o, member: member})
+	to.awaitingAck = append(to.awaitingAck, peerWait{number: to.number, op: o, member: member})
 	_ = to.remote.Notify(MethodReplicate, &Replicate{Epoch: c.epoch(), Number: to.number})
 }
 
-// unpark puts the messages that waited for a barrier back among the orphans.
-func (c *Core) unpark(p *partition) {
-	parked := p.parked
-	p.parked = nil
+// endBarrier puts the messages that waited for a barrier back among the orphans.
+func (c *Core) endBarrier(p *partition) {
+	parked := p.deferred
+	p.deferred = nil
 	if p.barrier != nil && p.barrier.index >= 0 {
 		p.removeOp(p.barrier)
 	}
 	p.barrier = nil
 	for _, o := range parked {
-		if o.e.live != nil {
-			heap.Push(&c.orphans, o)
+		if o.e.delivery != nil {
+			heap.Push(&c.unowned, o)
 		}
 	}
 }
--- a/store/queue/protocol.go
+++ b/store/queue/protocol.go
@@ -42,11 +42,11 @@
 
 // Compare asks a member which part of a partition differs from the primary's.
 type Compare struct {
-	Epoch     uint64
-	Partition uint16
-	Round     uint64 // names the comparison
-	Horizon   uint64 // ends up to this sequence are forgotten
-	Sums      []uint64
+	Epoch        uint64
+	Partition    uint16
+	ComparisonID uint64 // names the comparison
+	Horizon      uint64 // ends up to this sequence are forgotten
+	Sums         []uint64
 }
 
 // Digest stands for what a member knows of one message.
@@ -55,32 +55,32 @@
 	Sum    uint64
 	State  wire.State
 	Failed uint16
-	Bare   bool // it is dead, and its body is not there
+	NoBody bool // it is dead, and its body is not there
 }
 
 // Differ lists what a member has in one bucket.
 type Differ struct {
-	Partition uint16
-	Round     uint64
-	Bucket    uint16 // bucketCount: none
-	Last      bool   // no more buckets differ
-	Entries   []Digest
+	Partition    uint16
+	ComparisonID uint64
+	Bucket       uint16 // bucketCount: none
+	Last         bool   // no more buckets differ
+	Entries      []Digest
 }
 
 // Fetch asks a member for what it knows of some messages.
 type Fetch struct {
-	Epoch     uint64
-	Partition uint16
-	Round     uint64
-	IDs       []string
+	Epoch        uint64
+	Partition    uint16
+	ComparisonID uint64
+	IDs          []string
 }
 
 // Fetched answers a Fetch with whole records.
 type Fetched struct {
-	Partition uint16
-	Round     uint64
-	Last      bool // of the answers to one Fetch
-	Records   [][]byte
+	Partition    uint16
+	ComparisonID uint64
+	Last         bool // of the answers to one Fetch
+	Records      [][]byte
 }
 
 // Filled tells a joining member that it has all of a partition on disk.
--- a/store/queue/protocol_gen.go
+++ b/store/queue/protocol_gen.go
@@ -99,9 +99,9 @@
 		err = msgp.WrapError(err, "Partition")
 		return
 	}
-	z.Round, err = dc.ReadUint64()
+	z.ComparisonID, err = dc.ReadUint64()
 	if err != nil {
-		err = msgp.WrapError(err, "Round")
+		err = msgp.WrapError(err, "ComparisonID")
 		return
 	}
 	z.Horizon, err = dc.ReadUint64()
@@ -147,9 +147,9 @@
 		err = msgp.WrapError(err, "Partition")
 		return
 	}
-	err = en.WriteUint64(z.Round)
+	err = en.WriteUint64(z.ComparisonID)
 	if err != nil {
-		err = msgp.WrapError(err, "Round")
+		err = msgp.WrapError(err, "ComparisonID")
 		return
 	}
 	err = en.WriteUint64(z.Horizon)
@@ -179,7 +179,7 @@
 	o = append(o, 0x95)
 	o = msgp.AppendUint64(o, z.Epoch)
 	o = msgp.AppendUint16(o, z.Partition)
-	o = msgp.AppendUint64(o, z.Round)
+	o = msgp.AppendUint64(o, z.ComparisonID)
 	o = msgp.AppendUint64(o, z.Horizon)
 	o = msgp.AppendArrayHeader(o, uint32(len(z.Sums)))
 	for za0001 := range z.Sums {
@@ -210,9 +210,9 @@
 		err = msgp.WrapError(err, "Partition")
 		return
 	}
-	z.Round, bts, err = msgp.ReadUint64Bytes(bts)
+	z.ComparisonID, bts, err = msgp.ReadUint64Bytes(bts)
 	if err != nil {
-		err = msgp.WrapError(err, "Round")
+		err = msgp.WrapError(err, "ComparisonID")
 		return
 	}
 	z.Horizon, bts, err = msgp.ReadUint64Bytes(bts)
@@ -265,9 +265,9 @@
 		err = msgp.WrapError(err, "Partition")
 		return
 	}
-	z.Round, err = dc.ReadUint64()
+	z.ComparisonID, err = dc.ReadUint64()
 	if err != nil {
-		err = msgp.WrapError(err, "Round")
+		err = msgp.WrapError(err, "ComparisonID")
 		return
 	}
 	z.Bucket, err = dc.ReadUint16()
@@ -313,9 +313,9 @@
 		err = msgp.WrapError(err, "Partition")
 		return
 	}
-	err = en.WriteUint64(z.Round)
+	err = en.WriteUint64(z.ComparisonID)
 	if err != nil {
-		err = msgp.WrapError(err, "Round")
+		err = msgp.WrapError(err, "ComparisonID")
 		return
 	}
 	err = en.WriteUint16(z.Bucket)
@@ -349,7 +349,7 @@
 	// array header, size 5
 	o = append(o, 0x95)
 	o = msgp.AppendUint16(o, z.Partition)
-	o = msgp.AppendUint64(o, z.Round)
+	o = msgp.AppendUint64(o, z.ComparisonID)
 	o = msgp.AppendUint16(o, z.Bucket)
 	o = msgp.AppendBool(o, z.Last)
 	o = msgp.AppendArrayHeader(o, uint32(len(z.Entries)))
@@ -380,9 +380,9 @@
 		err = msgp.WrapError(err, "Partition")
 		return
 	}
-	z.Round, bts, err = msgp.ReadUint64Bytes(bts)
+	z.ComparisonID, bts, err = msgp.ReadUint64Bytes(bts)
 	if err != nil {
-		err = msgp.WrapError(err, "Round")
+		err = msgp.WrapError(err, "ComparisonID")
 		return
 	}
 	z.Bucket, bts, err = msgp.ReadUint16Bytes(bts)
@@ -458,9 +458,9 @@
 		err = msgp.WrapError(err, "Failed")
 		return
 	}
-	z.Bare, err = dc.ReadBool()
+	z.NoBody, err = dc.ReadBool()
 	if err != nil {
-		err = msgp.WrapError(err, "Bare")
+		err = msgp.WrapError(err, "NoBody")
 		return
 	}
 	return
@@ -493,9 +493,9 @@
 		err = msgp.WrapError(err, "Failed")
 		return
 	}
-	err = en.WriteBool(z.Bare)
+	err = en.WriteBool(z.NoBody)
 	if err != nil {
-		err = msgp.WrapError(err, "Bare")
+		err = msgp.WrapError(err, "NoBody")
 		return
 	}
 	return
@@ -514,7 +514,7 @@
 		return
 	}
 	o = msgp.AppendUint16(o, z.Failed)
-	o = msgp.AppendBool(o, z.Bare)
+	o = msgp.AppendBool(o, z.NoBody)
 	return
 }
 
@@ -550,9 +550,9 @@
 		err = msgp.WrapError(err, "Failed")
 		return
 	}
-	z.Bare, bts, err = msgp.ReadBoolBytes(bts)
+	z.NoBody, bts, err = msgp.ReadBoolBytes(bts)
 	if err != nil {
-		err = msgp.WrapError(err, "Bare")
+		err = msgp.WrapError(err, "NoBody")
 		return
 	}
 	o = bts
@@ -587,9 +587,9 @@
 		err = msgp.WrapError(err, "Partition")
 		return
 	}
-	z.Round, err = dc.ReadUint64()
+	z.ComparisonID, err = dc.ReadUint64()
 	if err != nil {
-		err = msgp.WrapError(err, "Round")
+		err = msgp.WrapError(err, "ComparisonID")
 		return
 	}
 	var zb0002 uint32
@@ -630,9 +630,9 @@
 		err = msgp.WrapError(err, "Partition")
 		return
 	}
-	err = en.WriteUint64(z.Round)
+	err = en.WriteUint64(z.ComparisonID)
 	if err != nil {
-		err = msgp.WrapError(err, "Round")
+		err = msgp.WrapError(err, "ComparisonID")
 		return
 	}
 	err = en.WriteArrayHeader(uint32(len(z.IDs)))
@@ -657,7 +657,7 @@
 	o = append(o, 0x94)
 	o = msgp.AppendUint64(o, z.Epoch)
 	o = msgp.AppendUint16(o, z.Partition)
-	o = msgp.AppendUint64(o, z.Round)
+	o = msgp.AppendUint64(o, z.ComparisonID)
 	o = msgp.AppendArrayHeader(o, uint32(len(z.IDs)))
 	for za0001 := range z.IDs {
 		o = msgp.AppendString(o, z.IDs[za0001])
@@ -687,9 +687,9 @@
 		err = msgp.WrapError(err, "Partition")
 		return
 	}
-	z.Round, bts, err = msgp.ReadUint64Bytes(bts)
+	z.ComparisonID, bts, err = msgp.ReadUint64Bytes(bts)
 	if err != nil {
-		err = msgp.WrapError(err, "Round")
+		err = msgp.WrapError(err, "ComparisonID")
 		return
 	}
 	var zb0002 uint32
@@ -740,9 +740,9 @@
 		err = msgp.WrapError(err, "Partition")
 		return
 	}
-	z.Round, err = dc.ReadUint64()
+	z.ComparisonID, err = dc.ReadUint64()
 	if err != nil {
-		err = msgp.WrapError(err, "Round")
+		err = msgp.WrapError(err, "ComparisonID")
 		return
 	}
 	z.Last, err = dc.ReadBool()
@@ -783,9 +783,9 @@
 		err = msgp.WrapError(err, "Partition")
 		return
 	}
-	err = en.WriteUint64(z.Round)
+	err = en.WriteUint64(z.ComparisonID)
 	if err != nil {
-		err = msgp.WrapError(err, "Round")
+		err = msgp.WrapError(err, "ComparisonID")
 		return
 	}
 	err = en.WriteBool(z.Last)
@@ -814,7 +814,7 @@
 	// array header, size 4
 	o = append(o, 0x94)
 	o = msgp.AppendUint16(o, z.Partition)
-	o = msgp.AppendUint64(o, z.Round)
+	o = msgp.AppendUint64(o, z.ComparisonID)
 	o = msgp.AppendBool(o, z.Last)
 	o = msgp.AppendArrayHeader(o, uint32(len(z.Records)))
 	for za0001 := range z.Records {
@@ -840,9 +840,9 @@
 		err = msgp.WrapError(err, "Partition")
 		return
 	}
-	z.Round, bts, err = msgp.ReadUint64Bytes(bts)
+	z.ComparisonID, bts, err = msgp.ReadUint64Bytes(bts)
 	if err != nil {
-		err = msgp.WrapError(err, "Round")
+		err = msgp.WrapError(err, "ComparisonID")
 		return
 	}
 	z.Last, bts, err = msgp.ReadBoolBytes(bts)
--- a/store/queue/record.go
+++ b/store/queue/record.go
@@ -13,27 +13,27 @@
 
 // The kinds of records.
 const (
-	RecordWhole  RecordKind = iota // all that is known of a message; replaces what was known
-	RecordEnd                      // State, Sequence and Signature
-	RecordFailed                   // Failed
-	RecordDrop                     // the message was never kept
-	RecordWipe                     // the partition is held no more
-	RecordEpoch                    // Sequence is the newest epoch seen
-	RecordHolder                   // Holder
+	RecordMessage     RecordKind = iota // all that is known of a message; replaces what was known
+	RecordFinish                        // State, Sequence and Signature
+	RecordFailed                        // Failed
+	RecordDrop                          // the message was never kept
+	RecordWipe                          // the partition is held no more
+	RecordEpoch                         // Sequence is the newest epoch seen
+	RecordLeaseholder                   // Holder
 )
 
 // Record is one change, as it lies in the journal and goes to other stores.
 type Record struct {
-	Kind      RecordKind
-	Partition uint16
-	ID        string
-	Sequence  uint64 // order of acceptance; of an ended message, order of ends
-	State     wire.State
-	Failed    uint16
-	Signature string
-	Holder    string       // of a pending message: Member.ID of the edge that put it, or was granted it last
-	Bare      bool         // of a whole record: the message is dead, and its body is not here
-	Message   wire.Message // without ID; empty for ended messages but dead ones
+	Kind        RecordKind
+	Partition   uint16
+	ID          string
+	Sequence    uint64 // order of acceptance; of an ended message, order of ends
+	State       wire.State
+	Failed      uint16
+	Signature   string
+	Leaseholder string       // of a pending message: Member.ID of the edge that put it, or was granted it last
+	NoBody      bool         // of a whole record: the message is dead, and its body is not here
+	Message     wire.Message // without ID; empty for ended messages but dead ones
 }
 
 // encode makes the bytes of a record.
--- a/store/queue/record_gen.go
+++ b/store/queue/record_gen.go
@@ -57,14 +57,14 @@
 		err = msgp.WrapError(err, "Signature")
 		return
 	}
-	z.Holder, err = dc.ReadString()
+	z.Leaseholder, err = dc.ReadString()
 	if err != nil {
-		err = msgp.WrapError(err, "Holder")
+		err = msgp.WrapError(err, "Leaseholder")
 		return
 	}
-	z.Bare, err = dc.ReadBool()
+	z.NoBody, err = dc.ReadBool()
 	if err != nil {
-		err = msgp.WrapError(err, "Bare")
+		err = msgp.WrapError(err, "NoBody")
 		return
 	}
 	err = z.Message.DecodeMsg(dc)
@@ -117,14 +117,14 @@
 		err = msgp.WrapError(err, "Signature")
 		return
 	}
-	err = en.WriteString(z.Holder)
+	err = en.WriteString(z.Leaseholder)
 	if err != nil {
-		err = msgp.WrapError(err, "Holder")
+		err = msgp.WrapError(err, "Leaseholder")
 		return
 	}
-	err = en.WriteBool(z.Bare)
+	err = en.WriteBool(z.NoBody)
 	if err != nil {
-		err = msgp.WrapError(err, "Bare")
+		err = msgp.WrapError(err, "NoBody")
 		return
 	}
 	err = z.Message.EncodeMsg(en)
@@ -151,8 +151,8 @@
 	}
 	o = msgp.AppendUint16(o, z.Failed)
 	o = msgp.AppendString(o, z.Signature)
-	o = msgp.AppendString(o, z.Holder)
-	o = msgp.AppendBool(o, z.Bare)
+	o = msgp.AppendString(o, z.Leaseholder)
+	o = msgp.AppendBool(o, z.NoBody)
 	o, err = z.Message.MarshalMsg(o)
 	if err != nil {
 		err = msgp.WrapError(err, "Message")
@@ -212,14 +212,14 @@
 		err = msgp.WrapError(err, "Signature")
 		return
 	}
-	z.Holder, bts, err = msgp.ReadStringBytes(bts)
+	z.Leaseholder, bts, err = msgp.ReadStringBytes(bts)
 	if err != nil {
-		err = msgp.WrapError(err, "Holder")
+		err = msgp.WrapError(err, "Leaseholder")
 		return
 	}
-	z.Bare, bts, err = msgp.ReadBoolBytes(bts)
+	z.NoBody, bts, err = msgp.ReadBoolBytes(bts)
 	if err != nil {
-		err = msgp.WrapError(err, "Bare")
+		err = msgp.WrapError(err, "NoBody")
 		return
 	}
 	bts, err = z.Message.UnmarshalMsg(bts)
@@ -233,7 +233,7 @@
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
 func (z *Record) Msgsize() (s int) {
-	s = 1 + msgp.Uint8Size + msgp.Uint16Size + msgp.StringPrefixSize + len(z.ID) + msgp.Uint64Size + z.State.Msgsize() + msgp.Uint16Size + msgp.StringPrefixSize + len(z.Signature) + msgp.StringPrefixSize + len(z.Holder) + msgp.BoolSize + z.Message.Msgsize()
+	s = 1 + msgp.Uint8Size + msgp.Uint16Size + msgp.StringPrefixSize + len(z.ID) + msgp.Uint64Size + z.State.Msgsize() + msgp.Uint16Size + msgp.StringPrefixSize + len(z.Signature) + msgp.StringPrefixSize + len(z.Leaseholder) + msgp.BoolSize + z.Message.Msgsize()
 	return
 }
 
--- a/store/queue/rules_test.go
+++ b/store/queue/rules_test.go
@@ -17,7 +17,7 @@
 // restarted returns the store of a rig after a restart with its disk, a while later, before its first view.
 func (r *rig) restarted(away time.Duration) *rig {
 	next := &rig{t: r.t, records: r.records, now: Time{Steady: time.Second, UnixMs: r.now.UnixMs + int64(away/ms)}}
-	next.core = New(Config{Disk: "a", Copies: 2, Remember: 10 * time.Second}, next)
+	next.core = New(Config{Disk: "a", Copies: 2, FinishedRetention: 10 * time.Second}, next)
 	for i, payload := range next.records {
 		require.NoError(r.t, next.core.Recover(next.now, journal.Location{Segment: 1, Offset: uint32(i + 1)}, payload))
 	}
@@ -36,35 +36,35 @@
 	return b, e
 }
 
-// settleAll has all be on all disks.
-func (r *rig) settleAll(member *heard) {
+// syncAndAckAll has all be on all disks.
+func (r *rig) syncAndAckAll(member *heard) {
 	for range 3 {
-		r.settle(member)
+		r.syncAndAck(member)
 	}
 }
 
 // grants counts the grants of a message that an edge was sent.
-func (h *heard) grants(id string) (whole, reminders int) {
+func (h *heard) grants(id string) (full, reminders int) {
 	for _, notice := range h.notices {
 		switch g, is := notice.(*wire.Grant); {
 		case !is || g.ID != id:
 		case g.Whole:
-			whole++
+			full++
 		default:
 			reminders++
 		}
 	}
-	return whole, reminders
+	return full, reminders
 }
 
 // grantsAfter has a span pass, and a grant come with its end.
 func (r *rig) grantsAfter(span time.Duration, member, to *heard) {
 	r.t.Helper()
 	r.pass(span - 100*ms)
-	r.settleAll(member)
+	r.syncAndAckAll(member)
 	assert.Nil(r.t, last[wire.Grant](to))
 	r.pass(200 * ms)
-	r.settleAll(member)
+	r.syncAndAckAll(member)
 	assert.NotNil(r.t, last[wire.Grant](to))
 }
 
@@ -77,11 +77,11 @@
 		m := plain("0.1")
 		m.Key, m.Ordered = oddKey, isOrdered
 		r.put(m, e)
-		r.settle(b)
+		r.syncAndAck(b)
 		again := r.restarted(time.Second)
 		b, e = again.leads(2)
 		again.pass(time.Second)
-		again.settleAll(b)
+		again.syncAndAckAll(b)
 		grant := last[wire.Grant](e)
 		require.NotNil(t, grant)
 		assert.Equal(t, oddKey, grant.Message.Key)
@@ -92,7 +92,7 @@
 		r.claim(e)
 		r.fetched(b, &Record{ID: "0.1", Sequence: 1, Message: m})
 		r.pass(2 * time.Second)
-		r.settleAll(b)
+		r.syncAndAckAll(b)
 		grant = last[wire.Grant](e)
 		require.NotNil(t, grant)
 		assert.Equal(t, oddKey, grant.Message.Key)
@@ -103,13 +103,13 @@
 func TestFailuresCountAfterARestartAndATakeOver(t *testing.T) {
 	r, b, e := primary(t)
 	r.put(plain("0.1"), e)
-	r.settle(b)
+	r.syncAndAck(b)
 	r.report(wire.Report{ID: "0.1", Kind: wire.ReportFailed, Failed: 2}, e)
-	r.settle(b)
+	r.syncAndAck(b)
 	again := r.restarted(time.Second)
 	b, e = again.leads(2)
 	again.pass(time.Second)
-	again.settleAll(b)
+	again.syncAndAckAll(b)
 	require.NotNil(t, last[wire.Grant](e))
 	assert.EqualValues(t, 2, last[wire.Grant](e).Failed)
 
@@ -119,7 +119,7 @@
 	r.claim(e)
 	r.fetched(b, &Record{ID: "0.1", Sequence: 1, Failed: 3, Message: plain("")})
 	r.pass(2 * time.Second)
-	r.settleAll(b)
+	r.syncAndAckAll(b)
 	require.NotNil(t, last[wire.Grant](e))
 	assert.EqualValues(t, 3, last[wire.Grant](e).Failed, "the other replica had heard of more")
 }
@@ -131,25 +131,25 @@
 	r.attach("f", f)
 	r.claim(f)
 	r.put(plain("0.1"), e)
-	r.settle(b)
+	r.syncAndAck(b)
 	r.report(wire.Report{ID: "0.1", Kind: wire.ReportFailed, Failed: 2}, e)
 	r.report(wire.Report{ID: "0.1", Kind: wire.ReportReleased}, e)
-	r.settleAll(b)
+	r.syncAndAckAll(b)
 	require.NotNil(t, last[wire.Grant](f))
 	assert.EqualValues(t, 2, last[wire.Grant](f).Failed)
 }
 
 // ORDER: no length of a delay brings its end before its time.
-func TestLongestDelaysDoNotComeRound(t *testing.T) {
+func TestLongestDelaysDoNotWrapAround(t *testing.T) {
 	r, b, e := primary(t)
 	for i, delay := range []uint32{1 << 31, 1<<32 - 1} {
 		m := plain(fmt.Sprintf("0.%d", i))
 		m.DelayMs, m.RetentionMs = delay, 1<<32-1
 		r.putAs(m, e, false)
 	}
-	r.settleAll(b)
+	r.syncAndAckAll(b)
 	r.pass(10 * time.Hour)
-	r.settleAll(b)
+	r.syncAndAckAll(b)
 	assert.Nil(t, last[wire.Grant](e))
 }
 
@@ -175,82 +175,82 @@
 	m := plain("0.1")
 	m.DelayMs = 5000
 	r.putAs(m, e, false)
-	r.settle(b)
+	r.syncAndAck(b)
 	again := r.restarted(2 * time.Second)
 	b, e = again.leads(2)
 	again.grantsAfter(3*time.Second, b, e)
 }
 
 // LOST: an edge that did not take a grant, as one that it took for another store's, does not hold the message for ever.
-func TestGrantThatWasNotTakenIsGivenToAnother(t *testing.T) {
+func TestGrantThatWasNotTakenIsReassigned(t *testing.T) {
 	r, b, e := primary(t)
 	r.putAs(plain("0.1"), e, false)
-	r.settleAll(b)
-	whole, _ := e.grants("0.1")
-	require.Equal(t, 1, whole)
+	r.syncAndAckAll(b)
+	full, _ := e.grants("0.1")
+	require.Equal(t, 1, full)
 	f := &heard{}
 	r.attach("f", f)
 	r.claim(f)
-	r.pass(remindEvery)
+	r.pass(regrantInterval)
 	_, reminders := e.grants("0.1")
 	require.Equal(t, 1, reminders)
 	r.report(wire.Report{ID: "0.1", Kind: wire.ReportReleased}, e) // what an edge answers that does not hold it
-	r.settleAll(b)
-	whole, _ = f.grants("0.1")
-	assert.Equal(t, 1, whole)
+	r.syncAndAckAll(b)
+	full, _ = f.grants("0.1")
+	assert.Equal(t, 1, full)
 }
 
 // LOST: messages that no worker can be had for, more of them than an edge is given at once, do not hold others up.
-func TestMessagesThatNobodyCanRunDoNotHoldOthersUp(t *testing.T) {
+func TestMessagesThatNobodyCanRunDoNotBlockOthers(t *testing.T) {
 	r, b, e := primary(t)
-	for i := range 3 * maxHandedOver {
+	for i := range 3 * maxAssigned {
 		r.putAs(plain(fmt.Sprintf("0.stuck%d", i)), e, false)
 	}
 	r.putAs(plain("0.1"), e, false)
-	r.settleAll(b)
+	r.syncAndAckAll(b)
 	for range 3 {
-		whole, _ := e.grants("0.1")
-		require.Zero(t, whole)
-		r.pass(remindEvery)
-		r.settleAll(b)
+		full, _ := e.grants("0.1")
+		require.Zero(t, full)
+		r.pass(regrantInterval)
+		r.syncAndAckAll(b)
 	}
-	whole, _ := e.grants("0.1")
-	assert.Equal(t, 1, whole)
-	assert.Equal(t, 1, r.core.edges["e"].given, "the others have lost their places")
-	for i := range 3 * maxHandedOver {
+	full, _ := e.grants("0.1")
+	assert.Equal(t, 1, full)
+	assert.Equal(t, 1, r.core.edges["e"].assigned, "the others have lost their places")
+	for i := range 3 * maxAssigned {
 		r.report(wire.Report{ID: fmt.Sprintf("0.stuck%d", i), Kind: wire.ReportDone}, e)
 	}
 	r.report(wire.Report{ID: "0.1", Kind: wire.ReportDone}, e)
-	r.settleAll(b)
-	assert.Zero(t, r.core.edges["e"].given)
+	r.syncAndAckAll(b)
+	assert.Zero(t, r.core.edges["e"].assigned)
 }
 
-func TestMessageThatIsGivenBackOftenIsRemindedOfOnce(t *testing.T) {
+func TestMessageThatIsReleasedOftenIsGrantedAgainOnce(t *testing.T) {
 	r, b, e := primary(t)
 	r.putAs(plain("0.1"), e, false)
-	r.settleAll(b)
+	r.syncAndAckAll(b)
 	for range 50 {
 		r.report(wire.Report{ID: "0.1", Kind: wire.ReportReleased}, e)
-		r.settleAll(b)
+		r.syncAndAckAll(b)
 	}
-	assert.Len(t, r.core.reminders, 1)
-	r.pass(remindEvery)
+	assert.Len(t, r.core.regrants, 1)
+	r.pass(regrantInterval)
 	_, reminders := e.grants("0.1")
 	assert.Equal(t, 1, reminders)
 	r.report(wire.Report{ID: "0.1", Kind: wire.ReportDone}, e)
-	r.settleAll(b)
-	r.pass(remindEvery)
-	assert.Empty(t, r.core.reminders)
-	assert.Empty(t, r.core.reminding)
+	r.syncAndAckAll(b)
+	r.pass(regrantInterval)
+	assert.Empty(t, r.core.regrants)
+	assert.Empty(t, r.core.regrantScheduled)
 }
 
 // State: the stamp of the run that succeeded, from any replica and after a restart.
 func TestStateIsDoneWithTheSignatureAfterARestart(t *testing.T) {
 	r, b, e := primary(t)
 	r.put(plain("0.1"), e)
-	r.settle(b)
+	r.syncAndAck(b)
 	r.report(wire.Report{ID: "0.1", Kind: wire.ReportDone, Signature: "s"}, e)
-	r.settle(b)
+	r.syncAndAck(b)
 	want := &wire.FindReply{Found: true, State: wire.StateDone, Signature: "s"}
 	assert.Equal(t, want, r.find("0.1", false))
 	again := r.restarted(time.Second)
@@ -261,13 +261,13 @@
 }
 
 // LOST: a store says that a message is not there only under the placement by which it was asked.
-func TestAbsenceIsToldUnderTheAskersPlacementOnly(t *testing.T) {
+func TestAbsenceIsReportedUnderTheAskersPlacementOnly(t *testing.T) {
 	r, b, e := primary(t)
 	r.put(plain("0.1"), e)
-	r.settle(b)
+	r.syncAndAck(b)
 	ask := func(r *rig, id string, epoch uint64) *answer {
 		a := &answer{}
-		r.core.Find(r.now, &wire.Find{ID: id, Epoch: epoch}, a)
+		r.core.FindMessage(r.now, &wire.Find{ID: id, Epoch: epoch}, a)
 		return a
 	}
 	assert.Equal(t, &wire.FindReply{}, ask(r, "0.9", 1).message)
@@ -286,18 +286,18 @@
 }
 
 // State: the body of a dead letter is there as long as its state is told, after a restart too.
-func TestBodyOfADeadLetterIsThereAsLongAsItsState(t *testing.T) {
+func TestBodyOfADeadMessageIsThereAsLongAsItsState(t *testing.T) {
 	r, b, e := primary(t)
 	r.put(plain("0.1"), e)
-	r.settle(b)
+	r.syncAndAck(b)
 	r.report(wire.Report{ID: "0.1", Kind: wire.ReportDead}, e)
-	r.settle(b)
+	r.syncAndAck(b)
 	want := &wire.FindReply{Found: true, State: wire.StateDead, Body: []byte("body")}
-	r.pass(r.core.config.Remember)
+	r.pass(r.core.config.FinishedRetention)
 	assert.Equal(t, want, r.find("0.1", true))
 	again := r.restarted(time.Second)
 	again.leads(2)
-	again.pass(again.core.config.Remember)
+	again.pass(again.core.config.FinishedRetention)
 	assert.Equal(t, want, again.find("0.1", true))
 	again.pass(10 * time.Second)
 	assert.Equal(t, &wire.FindReply{}, again.find("0.1", true), "forgotten, some time after")
--- a/store/queue/sim_test.go
+++ b/store/queue/sim_test.go
@@ -48,18 +48,18 @@
 }
 
 type sim struct {
-	t       *testing.T
-	seed    uint64
-	random  *rand.Rand
-	now     time.Duration
-	events  simEvents
-	order   int
-	stores  []*simStore
-	edges   []*simEdge
-	view    *wire.StoreView
-	cut     map[[2]string]bool
-	mutant  mutant
-	failure string
+	t           *testing.T
+	seed        uint64
+	random      *rand.Rand
+	now         time.Duration
+	events      simEvents
+	order       int
+	stores      []*simStore
+	edges       []*simEdge
+	view        *wire.StoreView
+	partitioned map[[2]string]bool
+	mutant      mutant
+	failure     string
 
 	messages map[string]*simMessage
 	names    []string
@@ -71,17 +71,17 @@
 }
 
 type simMessage struct {
-	message   wire.Message
-	sentAt    time.Duration
-	keptAt    time.Duration // zero: never told
-	endedAt   time.Duration // at the worker
-	doneAcked bool
-	runs      int
+	message    wire.Message
+	sentAt     time.Duration
+	acceptedAt time.Duration // zero: never told
+	finishedAt time.Duration // at the worker
+	doneAcked  bool
+	runs       int
 }
 
 func newSim(t *testing.T, seed uint64, stores, edges, partitions, copies int, m mutant) *sim {
 	s := &sim{
-		t: t, seed: seed, random: rand.New(rand.NewPCG(seed, 7)), cut: make(map[[2]string]bool), mutant: m,
+		t: t, seed: seed, random: rand.New(rand.NewPCG(seed, 7)), partitioned: make(map[[2]string]bool), mutant: m,
 		messages: make(map[string]*simMessage), byKey: make(map[string][]*simMessage), lag: 60 * ms,
 	}
 	for i := range stores {
@@ -92,11 +92,11 @@
 		s.view.Stores = append(s.view.Stores, wire.Store{Disk: store.disk.name, Address: store.disk.name})
 	}
 	for p := range partitions {
-		var place wire.Placement
+		var placed wire.Placement
 		for i := range copies {
-			place.Replicas = append(place.Replicas, uint16((p+i)%stores))
+			placed.Replicas = append(placed.Replicas, uint16((p+i)%stores))
 		}
-		s.view.Partitions = append(s.view.Partitions, place)
+		s.view.Partitions = append(s.view.Partitions, placed)
 	}
 	for _, store := range s.stores {
 		store.start()
@@ -140,17 +140,17 @@
 
 // simDisk keeps records; those that were not synced may be lost.
 type simDisk struct {
-	name    string
-	sim     *sim
-	records [][]byte
-	first   int // index of the first that was not removed
-	gone    int // index of the first of which the removal was not asked for
-	durable int
-	removes []simRemove
-	owner   *simStore
-	life    int
-	syncing bool
-	stalled time.Duration // until then it takes nothing
+	name        string
+	sim         *sim
+	records     [][]byte
+	first       int // index of the first that was not removed
+	removed     int // index of the first of which the removal was not asked for
+	durable     int
+	removes     []simRemove
+	owner       *simStore
+	incarnation int
+	syncing     bool
+	stalled     time.Duration // until then it takes nothing
 }
 
 const simSegment = 40 // records
@@ -173,9 +173,9 @@
 		return
 	}
 	d.syncing = true
-	life := d.life
+	incarnation := d.incarnation
 	d.sim.after(d.sim.between(50*time.Microsecond, 100*time.Microsecond), func() {
-		if life != d.life {
+		if incarnation != d.incarnation {
 			return
 		}
 		upTo := len(d.records)
@@ -185,7 +185,7 @@
 		}
 		takes = max(takes, d.stalled-d.sim.now)
 		d.sim.after(takes, func() {
-			if life != d.life {
+			if incarnation != d.incarnation {
 				return
 			}
 			d.durable = max(d.durable, upTo)
@@ -194,7 +194,7 @@
 			if d.durable < len(d.records) {
 				d.sync()
 			}
-			d.owner.core.Durable(d.owner.time(), uint64(d.durable))
+			d.owner.core.JournalSynced(d.owner.time(), uint64(d.durable))
 		})
 	})
 }
@@ -211,8 +211,8 @@
 
 // Remove takes effect once all that was appended so far is on disk.
 func (d *simDisk) Remove(segment uint32) {
-	d.gone = int(segment) * simSegment
-	d.removes = append(d.removes, simRemove{first: d.gone, after: len(d.records)})
+	d.removed = int(segment) * simSegment
+	d.removes = append(d.removes, simRemove{first: d.removed, after: len(d.records)})
 	d.remove()
 }
 
@@ -224,20 +224,20 @@
 }
 
 func (d *simDisk) Segments() (oldest, newest uint32) {
-	return uint32(d.gone/simSegment) + 1, uint32(max(len(d.records)-1, 0)/simSegment) + 1
+	return uint32(d.removed/simSegment) + 1, uint32(max(len(d.records)-1, 0)/simSegment) + 1
 }
 
-func (d *simDisk) Used() int64 { return int64(len(d.records)-d.gone) * 100 }
+func (d *simDisk) Used() int64 { return int64(len(d.records)-d.removed) * 100 }
 
 // stop ends the life of who uses the disk; without power, part of what was not synced is lost.
 func (d *simDisk) stop(power bool) {
-	d.life++
+	d.incarnation++
 	d.syncing = false
 	if power {
 		d.records = d.records[:d.durable+d.sim.random.IntN(len(d.records)-d.durable+1)]
 	}
 	d.durable = len(d.records)
-	d.removes, d.gone = nil, d.first
+	d.removes, d.removed = nil, d.first
 }
 
 // simConn is a connection; each end notifies the other.
@@ -276,7 +276,7 @@
 		if !c.open {
 			return
 		}
-		if s.cut[[2]string{c.names[e.side], c.names[1-e.side]}] {
+		if s.partitioned[[2]string{c.names[e.side], c.names[1-e.side]}] {
 			s.after(1200*ms, c.close) // what is lost on a connection ends it
 			c.lastAt[e.side] = 1 << 62
 			return
@@ -349,21 +349,21 @@
 
 // simStore is a store with its disk.
 type simStore struct {
-	sim    *sim
-	copies int
-	core   *Core
-	disk   *simDisk
-	up     bool
-	downAt time.Duration
-	upAt   time.Duration
-	skew   int64         // of its time of day, in milliseconds
-	keeps  time.Duration // ended messages are known so long
-	conns  []*simConn
-	links  map[string]*simConn
+	sim       *sim
+	copies    int
+	core      *Core
+	disk      *simDisk
+	up        bool
+	downAt    time.Duration
+	upAt      time.Duration
+	skew      int64         // of its time of day, in milliseconds
+	retention time.Duration // ended messages are known so long
+	conns     []*simConn
+	links     map[string]*simConn
 }
 
 func newSimStore(s *sim, i, copies int) *simStore {
-	store := &simStore{sim: s, copies: copies, skew: int64(s.random.IntN(4000)) - 2000, keeps: 10 * time.Second}
+	store := &simStore{sim: s, copies: copies, skew: int64(s.random.IntN(4000)) - 2000, retention: 10 * time.Second}
 	store.disk = &simDisk{name: fmt.Sprintf("disk%d", i), sim: s, owner: store}
 	return store
 }
@@ -377,8 +377,8 @@
 	n.upAt = n.sim.now
 	n.links = make(map[string]*simConn)
 	n.core = New(Config{
-		Disk: n.disk.name, Copies: n.copies, Remember: n.keeps, DiskBytes: int64(1<<18) << (n.sim.seed % 3),
-	}, simHost{n, n.disk.life})
+		Disk: n.disk.name, Copies: n.copies, FinishedRetention: n.retention, DiskBytes: int64(1<<18) << (n.sim.seed % 3),
+	}, simHost{n, n.disk.incarnation})
 	n.core.now = n.time()
 	for i := n.disk.first; i < len(n.disk.records); i++ {
 		at := journal.Location{Segment: uint32(i/simSegment) + 1, Offset: uint32(i % simSegment)}
@@ -400,10 +400,10 @@
 func (j simJournal) Append(payload []byte) (journal.Location, uint64) {
 	at, position := j.simDisk.Append(payload)
 	if j.store.sim.mutant.ackBeforeSync {
-		life := j.life
+		incarnation := j.incarnation
 		j.sim.after(0, func() {
-			if life == j.life {
-				j.store.core.Durable(j.store.time(), position)
+			if incarnation == j.incarnation {
+				j.store.core.JournalSynced(j.store.time(), position)
 			}
 		})
 	}
@@ -411,14 +411,14 @@
 }
 
 type simHost struct {
-	store *simStore
-	life  int
+	store       *simStore
+	incarnation int
 }
 
 func (h simHost) WakeAt(steady time.Duration) {
 	n := h.store
 	n.sim.after(max(n.upAt+steady-n.sim.now, 0), func() {
-		if n.up && n.disk.life == h.life {
+		if n.up && n.disk.incarnation == h.incarnation {
 			n.core.Tick(n.time())
 		}
 	})
@@ -448,41 +448,43 @@
 
 // link connects to the other stores of the view, over and over.
 func (n *simStore) link() {
-	life := n.disk.life
+	incarnation := n.disk.incarnation
 	for _, other := range n.sim.stores {
-		if c := n.links[other.disk.name]; n.core.peers[other.disk.name] == nil || c != nil && c.open || !other.up || n.sim.isCut(n.disk.name, other.disk.name) {
+		if c := n.links[other.disk.name]; n.core.peers[other.disk.name] == nil || c != nil && c.open || !other.up || n.sim.isPartitioned(n.disk.name, other.disk.name) {
 			continue
 		}
 		c := n.sim.connect(n.disk.name, other.disk.name)
 		n.links[other.disk.name] = c
 		n.conns = append(n.conns, c)
 		other.conns = append(other.conns, c)
-		otherLife := other.disk.life
+		otherIncarnation := other.disk.incarnation
 		c.ends[0].take = func(method wire.Method, payload []byte, _ *simReply) {
-			if n.up && n.disk.life == life {
+			if n.up && n.disk.incarnation == incarnation {
 				n.answered(c.ends[0], method, payload)
 			}
 		}
 		c.ends[1].take = func(method wire.Method, payload []byte, reply *simReply) {
-			if other.up && other.disk.life == otherLife {
+			if other.up && other.disk.incarnation == otherIncarnation {
 				other.take(c.ends[1], method, payload, reply)
 			}
 		}
 		c.closed[0] = func() {
-			if n.up && n.disk.life == life {
+			if n.up && n.disk.incarnation == incarnation {
 				n.core.PeerDown(n.time(), c.ends[0])
 			}
 		}
 		n.core.PeerUp(n.time(), other.disk.name, c.ends[0])
 	}
 	n.sim.after(n.sim.between(20*ms, 200*ms), func() {
-		if n.up && n.disk.life == life {
+		if n.up && n.disk.incarnation == incarnation {
 			n.link()
 		}
 	})
 }
 
-func (s *sim) isCut(a, b string) bool { return s.cut[[2]string{a, b}] || s.cut[[2]string{b, a}] }
+func (s *sim) isPartitioned(a, b string) bool {
+	return s.partitioned[[2]string{a, b}] || s.partitioned[[2]string{b, a}]
+}
 
 func (n *simStore) answered(from *simEnd, method wire.Method, payload []byte) {
 	switch method {
@@ -507,15 +509,15 @@
 	case MethodFilled:
 		n.core.Filled(now, decode[Filled](payload))
 	case wire.MethodAttach:
-		n.core.Attach(now, from, decode[wire.Attach](payload), reply)
+		n.core.AttachEdge(now, from, decode[wire.Attach](payload), reply)
 	case wire.MethodPut:
-		n.core.Put(now, from, decode[wire.Put](payload), reply)
+		n.core.PutMessage(now, from, decode[wire.Put](payload), reply)
 	case wire.MethodReport:
-		n.core.Report(now, from, decode[wire.Report](payload), reply)
+		n.core.ReportDelivery(now, from, decode[wire.Report](payload), reply)
 	case wire.MethodClaim:
-		n.core.Claim(now, from, decode[wire.Claim](payload), reply)
+		n.core.ClaimMessages(now, from, decode[wire.Claim](payload), reply)
 	case wire.MethodFind:
-		n.core.Find(now, decode[wire.Find](payload), reply)
+		n.core.FindMessage(now, decode[wire.Find](payload), reply)
 	}
 	n.mutate()
 }
@@ -529,14 +531,14 @@
 		}
 		if m.ackOwnOnly {
 			for _, o := range slices.Clone(p.ops) {
-				o.missing = 0
+				o.unacked = 0
 				n.core.complete(o)
 			}
 		}
 		if m.grantEarly {
 			for _, o := range slices.Clone(p.ops) {
-				if o.end {
-					o.missing, o.local = 0, true
+				if o.finish {
+					o.unacked, o.synced = 0, true
 					n.core.complete(o)
 				}
 			}
@@ -557,11 +559,11 @@
 
 // publish sends the newest view to a store, some time later.
 func (s *sim) publish(n *simStore) {
-	life, view := n.disk.life, s.view
+	incarnation, view := n.disk.incarnation, s.view
 	s.after(s.between(0, s.lag), func() {
-		if n.up && n.disk.life == life {
-			n.core.Edges(n.time(), s.members())
-			n.core.View(n.time(), view)
+		if n.up && n.disk.incarnation == incarnation {
+			n.core.SetEdges(n.time(), s.members())
+			n.core.SetView(n.time(), view)
 			n.mutate()
 		}
 	})
@@ -574,8 +576,8 @@
 		return
 	}
 	next := &wire.StoreView{Epoch: s.view.Epoch + 1, Copies: s.view.Copies, Stores: s.view.Stores}
-	for number, place := range s.view.Partitions {
-		next.Partitions = append(next.Partitions, s.place(uint16(number), place))
+	for number, placed := range s.view.Partitions {
+		next.Partitions = append(next.Partitions, s.nextPlacement(uint16(number), placed))
 	}
 	if fmt.Sprint(next.Partitions) == fmt.Sprint(s.view.Partitions) {
 		return
@@ -602,12 +604,12 @@
 	}
 }
 
-func (s *sim) place(number uint16, place wire.Placement) wire.Placement {
-	lives := func(i uint16) bool { return s.stores[i].up || s.now-s.stores[i].downAt < time.Second }
-	replicas := slices.DeleteFunc(slices.Clone(place.Replicas), func(i uint16) bool { return !lives(i) })
-	joining := slices.DeleteFunc(slices.Clone(place.Joining), func(i uint16) bool { return !lives(i) })
+func (s *sim) nextPlacement(number uint16, placed wire.Placement) wire.Placement {
+	isAlive := func(i uint16) bool { return s.stores[i].up || s.now-s.stores[i].downAt < time.Second }
+	replicas := slices.DeleteFunc(slices.Clone(placed.Replicas), func(i uint16) bool { return !isAlive(i) })
+	joining := slices.DeleteFunc(slices.Clone(placed.Joining), func(i uint16) bool { return !isAlive(i) })
 	if len(replicas) == 0 {
-		return place
+		return placed
 	}
 	for _, i := range slices.Clone(joining) {
 		status := s.stores[i].core.Status()
@@ -617,8 +619,8 @@
 			joining = slices.DeleteFunc(joining, func(other uint16) bool { return other == i })
 		}
 	}
-	for try := range s.stores {
-		i := uint16((int(number) + int(s.view.Epoch) + try) % len(s.stores))
+	for offset := range s.stores {
+		i := uint16((int(number) + int(s.view.Epoch) + offset) % len(s.stores))
 		if len(replicas)+len(joining) >= int(s.view.Copies) {
 			break
 		}
--- a/store/queue/simdebug_test.go
+++ b/store/queue/simdebug_test.go
@@ -19,26 +19,26 @@
 			}
 			text += fmt.Sprintf("\n %s: primary %v replica %v joining %v ready %v unmerged %d epoch %d state %d", n.disk.name,
 				p.primary, p.replica, p.joining, p.ready, len(p.unmerged), n.core.epoch(), e.state)
-			if l := e.live; l != nil {
-				text += fmt.Sprintf(" putting %v granted %v whole %v waiting %v due %d now %v", l.putting, l.granted, l.whole, l.waiting, l.due, n.time())
+			if l := e.delivery; l != nil {
+				text += fmt.Sprintf(" putting %v granted %v whole %v waiting %v due %d now %v", l.accepting, l.granted, l.assigned, l.queued, l.due, n.time())
 				if l.key != nil {
 					text += " head " + l.key.head().id
 					if head := l.key.head(); head != e && p.primary {
 						text += " {" + s.describe(head.id) + "}"
 					}
 				}
-				if l.holder != nil {
-					text += fmt.Sprintf(" holder %s connected %v stale %v claimed %d", l.holder.id, l.holder.remote != nil, l.holder.stale, l.holder.claimed)
+				if l.leaseholder != nil {
+					text += fmt.Sprintf(" holder %s connected %v stale %v claimed %d", l.leaseholder.id, l.leaseholder.remote != nil, l.leaseholder.mustClaim, l.leaseholder.claimedEpoch)
 				}
-				if l.last != nil {
-					text += fmt.Sprintf(" changing: local %v missing %b", l.last.local, l.last.missing)
+				if l.lastChange != nil {
+					text += fmt.Sprintf(" changing: local %v missing %b", l.lastChange.synced, l.lastChange.unacked)
 				}
 			}
 		}
 	}
 	for _, e := range s.edges {
-		if held := e.held[id]; held != nil {
-			text += fmt.Sprintf("\n %s: %+v", e.id, held)
+		if delivery := e.deliveries[id]; delivery != nil {
+			text += fmt.Sprintf("\n %s: %+v", e.id, delivery)
 		}
 	}
 	return text
--- a/store/queue/simedge_test.go
+++ b/store/queue/simedge_test.go
@@ -11,54 +11,54 @@
 
 // simEdge is a scheduler: it puts messages, runs what it may, and reports.
 type simEdge struct {
-	sim   *sim
-	index int
-	id    string
-	life  int
-	up    bool
-	view  *wire.StoreView
-	conns map[uint16]*simConn
-	held  map[string]*simHeld
-	puts  map[string]bool     // under way
-	ended map[string]*simHeld // that were reported, and acknowledged
-	count int
+	sim         *sim
+	index       int
+	id          string
+	incarnation int
+	up          bool
+	view        *wire.StoreView
+	conns       map[uint16]*simConn
+	deliveries  map[string]*simDelivery
+	puts        map[string]bool         // under way
+	finished    map[string]*simDelivery // that were reported, and acknowledged
+	count       int
 }
 
-// simHeld is a message that an edge holds.
-type simHeld struct {
-	message wire.Message
-	kept    bool
-	granted bool
-	running bool
-	report  *wire.Report // to be acknowledged
-	failed  uint16
+// simDelivery is a message that an edge holds.
+type simDelivery struct {
+	message  wire.Message
+	accepted bool
+	granted  bool
+	running  bool
+	report   *wire.Report // to be acknowledged
+	failed   uint16
 }
 
 func newSimEdge(s *sim, index int) *simEdge { return &simEdge{sim: s, index: index} }
 
 func (e *simEdge) start() {
-	e.life++
+	e.incarnation++
 	e.up = true
-	e.id = fmt.Sprintf("edge%d-%d", e.index, e.life)
+	e.id = fmt.Sprintf("edge%d-%d", e.index, e.incarnation)
 	e.view = nil
 	e.conns = make(map[uint16]*simConn)
-	e.held = make(map[string]*simHeld)
+	e.deliveries = make(map[string]*simDelivery)
 	e.puts = make(map[string]bool)
-	e.ended = make(map[string]*simHeld)
-	life := e.life
+	e.finished = make(map[string]*simDelivery)
+	incarnation := e.incarnation
 	e.publish()
-	e.loop(life, 5*ms, 40*ms, e.connect)
-	e.loop(life, ms, 20*ms, e.put)
-	e.loop(life, 30*ms, 60*ms, e.work)
+	e.loop(incarnation, 5*ms, 40*ms, e.connect)
+	e.loop(incarnation, ms, 20*ms, e.put)
+	e.loop(incarnation, 30*ms, 60*ms, e.work)
 }
 
-func (e *simEdge) loop(life int, low, high time.Duration, run func()) {
+func (e *simEdge) loop(incarnation int, low, high time.Duration, run func()) {
 	e.sim.after(e.sim.between(low, high), func() {
-		if !e.up || e.life != life {
+		if !e.up || e.incarnation != incarnation {
 			return
 		}
 		run()
-		e.loop(life, low, high, run)
+		e.loop(incarnation, low, high, run)
 	})
 }
 
@@ -79,9 +79,9 @@
 }
 
 func (e *simEdge) publish() {
-	life, view := e.life, e.sim.view
+	incarnation, view := e.incarnation, e.sim.view
 	e.sim.after(e.sim.between(0, e.sim.lag), func() {
-		if !e.up || e.life != life || e.view != nil && e.view.Epoch >= view.Epoch {
+		if !e.up || e.incarnation != incarnation || e.view != nil && e.view.Epoch >= view.Epoch {
 			return
 		}
 		e.view = view
@@ -97,7 +97,7 @@
 	}
 	for i, n := range e.sim.stores {
 		c := e.conns[uint16(i)]
-		if !n.up || c != nil && c.open || e.sim.isCut(e.name(), n.disk.name) {
+		if !n.up || c != nil && c.open || e.sim.isPartitioned(e.name(), n.disk.name) {
 			continue
 		}
 		e.open(uint16(i), n)
@@ -110,19 +110,19 @@
 	c := e.sim.connect(e.name(), n.disk.name)
 	e.conns[i] = c
 	n.conns = append(n.conns, c)
-	life, storeLife := e.life, n.disk.life
+	incarnation, storeIncarnation := e.incarnation, n.disk.incarnation
 	c.ends[0].take = func(method wire.Method, payload []byte, _ *simReply) {
-		if e.up && e.life == life && method == wire.MethodGrant {
+		if e.up && e.incarnation == incarnation && method == wire.MethodGrant {
 			e.granted(decode[wire.Grant](payload))
 		}
 	}
 	c.ends[1].take = func(method wire.Method, payload []byte, reply *simReply) {
-		if n.up && n.disk.life == storeLife {
+		if n.up && n.disk.incarnation == storeIncarnation {
 			n.take(c.ends[1], method, payload, reply)
 		}
 	}
 	c.closed[1] = func() {
-		if n.up && n.disk.life == storeLife {
+		if n.up && n.disk.incarnation == storeIncarnation {
 			n.core.EdgeDown(n.time(), c.ends[1])
 		}
 	}
@@ -132,7 +132,7 @@
 
 func (e *simEdge) names() []string {
 	var names []string
-	for id := range e.held {
+	for id := range e.deliveries {
 		names = append(names, id)
 	}
 	sort.Strings(names)
@@ -154,23 +154,23 @@
 			claim.IDs = append(claim.IDs, id)
 		}
 	}
-	life, c := e.life, e.conns[i]
+	incarnation, c := e.incarnation, e.conns[i]
 	c.ends[0].request(wire.MethodClaim, claim, func(payload []byte) {
 		reply := decode[wire.ClaimReply](payload)
-		if !e.up || e.life != life || claim.Epoch != e.view.Epoch {
+		if !e.up || e.incarnation != incarnation || claim.Epoch != e.view.Epoch {
 			return
 		}
 		if reply.Code != wire.PutKept {
 			e.sim.after(50*ms, func() {
-				if e.up && e.life == life && c.open && claim.Epoch == e.view.Epoch {
+				if e.up && e.incarnation == incarnation && c.open && claim.Epoch == e.view.Epoch {
 					e.claim(i)
 				}
 			})
 			return
 		}
 		for _, id := range reply.Unknown {
-			if held := e.held[id]; held != nil && held.kept && held.report == nil && !held.running {
-				delete(e.held, id)
+			if delivery := e.deliveries[id]; delivery != nil && delivery.accepted && delivery.report == nil && !delivery.running {
+				delete(e.deliveries, id)
 			}
 		}
 	})
@@ -199,31 +199,31 @@
 	e.sim.messages[id] = message
 	e.sim.byKey[key] = append(e.sim.byKey[key], message)
 	e.sim.names = append(e.sim.names, id)
-	e.held[id] = &simHeld{message: m}
+	e.deliveries[id] = &simDelivery{message: m}
 	e.puts[id] = true
-	e.try(id, 0)
+	e.attemptPut(id, 0)
 }
 
-func (e *simEdge) try(id string, tries int) {
-	held := e.held[id]
+func (e *simEdge) attemptPut(id string, attempts int) {
+	delivery := e.deliveries[id]
 	i, ok := e.primary(id)
 	c := e.conns[i]
-	if held == nil || !ok {
+	if delivery == nil || !ok {
 		delete(e.puts, id)
 		return
 	}
-	life := e.life
+	incarnation := e.incarnation
 	again := func() {
 		e.sim.after(50*ms, func() {
-			if e.up && e.life == life && e.puts[id] {
-				e.try(id, tries+1)
+			if e.up && e.incarnation == incarnation && e.puts[id] {
+				e.attemptPut(id, attempts+1)
 			}
 		})
 	}
-	if tries > 20 {
+	if attempts > 20 {
 		delete(e.puts, id)
-		if !held.kept { // a grant told otherwise
-			delete(e.held, id) // given up: the client is told nothing
+		if !delivery.accepted { // a grant told otherwise
+			delete(e.deliveries, id) // given up: the client is told nothing
 		}
 		return
 	}
@@ -232,12 +232,12 @@
 		return
 	}
 	number, _ := wire.PartitionOf(id)
-	put := &wire.Put{Partition: number, Epoch: e.view.Epoch, Message: held.message, Dispatch: true}
+	put := &wire.Put{Partition: number, Epoch: e.view.Epoch, Message: delivery.message, Dispatch: true}
 	answered := false
 	c.ends[0].request(wire.MethodPut, put, func(payload []byte) {
 		answered = true
 		reply := decode[wire.PutReply](payload)
-		if !e.up || e.life != life {
+		if !e.up || e.incarnation != incarnation {
 			return
 		}
 		if !e.puts[id] {
@@ -249,28 +249,28 @@
 			return
 		}
 		delete(e.puts, id)
-		if e.sim.messages[id].keptAt == 0 {
-			e.sim.messages[id].keptAt = e.sim.now
+		if e.sim.messages[id].acceptedAt == 0 {
+			e.sim.messages[id].acceptedAt = e.sim.now
 		}
-		if e.held[id] != held { // it was dropped, or has ended by now
+		if e.deliveries[id] != delivery { // it was dropped, or has ended by now
 			return
 		}
-		held.kept = true
-		if reply.Granted || !held.message.Ordered {
-			held.granted = true
+		delivery.accepted = true
+		if reply.Granted || !delivery.message.Ordered {
+			delivery.granted = true
 		}
 		e.deliver(id)
 	})
 	e.sim.after(1500*ms, func() {
-		if !answered && e.up && e.life == life && e.puts[id] {
-			e.try(id, tries+1)
+		if !answered && e.up && e.incarnation == incarnation && e.puts[id] {
+			e.attemptPut(id, attempts+1)
 		}
 	})
 }
 
 // giveBack has the store hand a message to another edge that was kept after this one had given it up.
 func (e *simEdge) giveBack(c *simConn, id string, reply *wire.PutReply) {
-	if reply.Code != wire.PutKept || e.held[id] != nil {
+	if reply.Code != wire.PutKept || e.deliveries[id] != nil {
 		return
 	}
 	number, _ := wire.PartitionOf(id)
@@ -288,13 +288,13 @@
 }
 
 func (e *simEdge) granted(g *wire.Grant) {
-	held := e.held[g.ID]
-	if ended := e.ended[g.ID]; held == nil && ended != nil {
-		e.held[g.ID] = ended
-		e.report(g.ID, ended)
+	delivery := e.deliveries[g.ID]
+	if finished := e.finished[g.ID]; delivery == nil && finished != nil {
+		e.deliveries[g.ID] = finished
+		e.report(g.ID, finished)
 		return
 	}
-	if held == nil {
+	if delivery == nil {
 		if !g.Whole {
 			e.refuse(g)
 			return
@@ -303,11 +303,11 @@
 		if want := e.sim.messages[g.ID].message; string(m.Body) != string(want.Body) || m.Key != want.Key {
 			e.sim.fail("message %s was handed over changed", g.ID)
 		}
-		held = &simHeld{message: m, kept: true, failed: g.Failed}
-		e.held[g.ID] = held
+		delivery = &simDelivery{message: m, accepted: true, failed: g.Failed}
+		e.deliveries[g.ID] = delivery
 	}
-	held.granted = true
-	held.kept = true
+	delivery.granted = true
+	delivery.accepted = true
 	e.deliver(g.ID)
 }
 
@@ -317,9 +317,9 @@
 		return
 	}
 	for _, id := range e.names() {
-		held := e.held[id]
-		if held.report != nil {
-			e.report(id, held)
+		delivery := e.deliveries[id]
+		if delivery.report != nil {
+			e.report(id, delivery)
 			continue
 		}
 		e.deliver(id)
@@ -327,71 +327,71 @@
 }
 
 func (e *simEdge) deliver(id string) {
-	held := e.held[id]
+	delivery := e.deliveries[id]
 	m := e.sim.messages[id]
-	due := m.sentAt + time.Duration(held.message.DelayMs)*ms
-	if !held.kept || !held.granted || held.running || held.report != nil || e.sim.now < due {
+	due := m.sentAt + time.Duration(delivery.message.DelayMs)*ms
+	if !delivery.accepted || !delivery.granted || delivery.running || delivery.report != nil || e.sim.now < due {
 		return
 	}
-	held.running = true
+	delivery.running = true
 	e.sim.started(m)
-	life := e.life
+	incarnation := e.incarnation
 	e.sim.after(e.sim.between(ms, 30*ms), func() {
 		failed := e.sim.random.IntN(12) == 0
-		if !failed && m.endedAt == 0 {
-			m.endedAt = e.sim.now
+		if !failed && m.finishedAt == 0 {
+			m.finishedAt = e.sim.now
 		}
-		if !e.up || e.life != life {
+		if !e.up || e.incarnation != incarnation {
 			return // the answer has nobody to go to
 		}
-		held.running = false
-		held.report = &wire.Report{ID: id, Kind: wire.ReportDone, Signature: "signed " + id}
+		delivery.running = false
+		delivery.report = &wire.Report{ID: id, Kind: wire.ReportDone, Signature: "signed " + id}
 		if failed {
-			held.failed++
-			held.report = &wire.Report{ID: id, Kind: wire.ReportFailed, Failed: held.failed}
+			delivery.failed++
+			delivery.report = &wire.Report{ID: id, Kind: wire.ReportFailed, Failed: delivery.failed}
 		}
-		e.report(id, held)
+		e.report(id, delivery)
 	})
 }
 
-func (e *simEdge) report(id string, held *simHeld) {
+func (e *simEdge) report(id string, delivery *simDelivery) {
 	i, ok := e.primary(id)
 	c := e.conns[i]
 	if !ok || c == nil || !c.open {
 		return
 	}
-	report := *held.report
+	report := *delivery.report
 	report.Partition, _ = wire.PartitionOf(id)
 	report.Epoch = e.view.Epoch
-	life := e.life
+	incarnation := e.incarnation
 	c.ends[0].request(wire.MethodReport, &report, func(payload []byte) {
 		reply := decode[wire.ReportReply](payload)
-		if !e.up || e.life != life || reply.Code != wire.PutKept || e.held[id] != held || held.report == nil {
+		if !e.up || e.incarnation != incarnation || reply.Code != wire.PutKept || e.deliveries[id] != delivery || delivery.report == nil {
 			return
 		}
 		if report.Kind == wire.ReportFailed {
-			if held.report.Kind == wire.ReportFailed && held.report.Failed == report.Failed {
-				held.report = nil
+			if delivery.report.Kind == wire.ReportFailed && delivery.report.Failed == report.Failed {
+				delivery.report = nil
 			}
 			return
 		}
 		e.sim.messages[id].doneAcked = true
-		e.ended[id] = held
-		delete(e.held, id)
+		e.finished[id] = delivery
+		delete(e.deliveries, id)
 	})
 }
 
 // started checks what may run.
 func (s *sim) started(m *simMessage) {
 	m.runs++
-	if s.calm && m.endedAt > 0 {
+	if s.calm && m.finishedAt > 0 {
 		s.fail("message %s runs again after its end:%s", m.message.ID, s.describe(m.message.ID))
 	}
 	if !m.message.Ordered {
 		return
 	}
 	for _, other := range s.byKey[m.message.Key] {
-		if other.keptAt > 0 && other.keptAt < m.sentAt && other.endedAt == 0 {
+		if other.acceptedAt > 0 && other.acceptedAt < m.sentAt && other.finishedAt == 0 {
 			s.fail("message %s runs before %s has ended, which was accepted before it was sent", m.message.ID, other.message.ID)
 		}
 	}
@@ -401,10 +401,10 @@
 func (s *sim) check() {
 	for _, id := range s.names {
 		m := s.messages[id]
-		if m.keptAt == 0 {
+		if m.acceptedAt == 0 {
 			continue
 		}
-		if m.endedAt == 0 {
+		if m.finishedAt == 0 {
 			s.fail("message %s was accepted and has not ended:%s", id, s.describe(id))
 			return
 		}
@@ -414,21 +414,21 @@
 
 // checkEqual finds out whether all members of each partition know the same.
 func (s *sim) checkEqual() {
-	for number, place := range s.view.Partitions {
-		primary, _ := s.storeOf(s.view, place.Replicas[0])
-		first := s.stores[primary].core.at(uint16(number))
-		if len(place.Joining) > 0 || len(place.Replicas) < int(s.view.Copies) {
-			s.fail("partition %d has not got back its members: %v", number, place)
+	for number, placed := range s.view.Partitions {
+		primary, _ := s.storeOf(s.view, placed.Replicas[0])
+		first := s.stores[primary].core.partition(uint16(number))
+		if len(placed.Joining) > 0 || len(placed.Replicas) < int(s.view.Copies) {
+			s.fail("partition %d has not got back its members: %v", number, placed)
 		}
 		// What was never accepted may wait for its retention to end: its edge claimed it while it was being put, and gave it up.
 		for _, e := range first.sorted(func(_ uint64, e *entry) bool { return e.pending() }) {
-			if s.messages[e.id].keptAt > 0 || e.live.holder == nil || e.live.key != nil {
+			if s.messages[e.id].acceptedAt > 0 || e.delivery.leaseholder == nil || e.delivery.key != nil {
 				s.fail("message %s is left pending:%s", e.id, s.describe(e.id))
 			}
 		}
-		for _, replica := range place.Replicas[1:] {
+		for _, replica := range placed.Replicas[1:] {
 			i, _ := s.storeOf(s.view, replica)
-			other := s.stores[i].core.at(uint16(number))
+			other := s.stores[i].core.partition(uint16(number))
 			if first.horizon == other.horizon && first.sums != other.sums {
 				s.fail("partition %d differs at %s and %s", number, s.stores[primary].disk.name, s.stores[i].disk.name)
 			}
--- a/store/queue/simplan_test.go
+++ b/store/queue/simplan_test.go
@@ -18,9 +18,9 @@
 // loss comes at any time: a connection that is reset, for which the leader drops a store that has lost nothing; a disk that takes no
 // more; a retirement; a new store.
 
-// plannedKeeps is how long ended messages are known: as in use, much longer than a store that is not a member any more keeps what it
+// plannedRetention is how long ended messages are known: as in use, much longer than a store that is not a member any more keeps what it
 // had (releasedFor). Else a store that joins with what it had long ago can bring back a message that all others have forgotten.
-const plannedKeeps = 2 * releasedFor
+const plannedRetention = 2 * wipeDelay
 
 // catchUp is how long a store counts as lost after its return.
 const catchUp = 4400 * ms
@@ -45,13 +45,13 @@
 
 // plannedNode is what the leader and the world know of a machine.
 type plannedNode struct {
-	store   *simStore
-	name    string
-	told    placement.Store // of the last renewal
-	heard   bool            // it holds a lease
-	removed bool            // the machine is gone for good
-	lost    bool            // it counts as lost
-	losses  int
+	store    *simStore
+	name     string
+	reported placement.Store // of the last renewal
+	heard    bool            // it holds a lease
+	removed  bool            // the machine is gone for good
+	counted  bool            // it counts as lost
+	losses   int
 }
 
 func newPlanned(t *testing.T, seed uint64, m planMutant) *planned {
@@ -68,7 +68,7 @@
 	}
 	var live []placement.Store
 	for _, n := range p.nodes {
-		live = append(live, n.told)
+		live = append(live, n.reported)
 	}
 	view, founded := placement.Plan(nil, live, p.config)
 	require.True(t, founded)
@@ -79,21 +79,21 @@
 
 func (p *planned) adopt(store *simStore, name string) *plannedNode {
 	n := &plannedNode{store: store, name: name, heard: true}
-	store.keeps = plannedKeeps
+	store.retention = plannedRetention
 	if store.core != nil {
-		store.core.config.Remember = plannedKeeps
+		store.core.config.FinishedRetention = plannedRetention
 	}
-	n.tell()
+	n.renew()
 	p.nodes = append(p.nodes, n)
 	return n
 }
 
-// tell is a renewal.
-func (n *plannedNode) tell() {
-	n.told = placement.Store{Disk: n.store.disk.name, Node: n.name, Address: n.name, Zone: n.name, Leaving: n.told.Leaving}
+// renew is a renewal.
+func (n *plannedNode) renew() {
+	n.reported = placement.Store{Disk: n.store.disk.name, Node: n.name, Address: n.name, Zone: n.name, Leaving: n.reported.Leaving}
 	if n.store.core != nil {
 		status := n.store.core.Status()
-		n.told.Epoch, n.told.Synced, n.told.Stalled = status.Epoch, status.Synced, status.Stalled
+		n.reported.Epoch, n.reported.Synced, n.reported.Stalled = status.Epoch, status.Synced, status.Stalled
 	}
 }
 
@@ -102,10 +102,10 @@
 	var live []placement.Store
 	for _, n := range p.nodes {
 		if n.store.up && n.heard {
-			n.tell()
+			n.renew()
 		}
 		if n.heard {
-			live = append(live, p.mutated(n.told))
+			live = append(live, p.mutated(n.reported))
 		}
 	}
 	view := p.view
@@ -120,7 +120,7 @@
 	}
 	if changed || view != p.view {
 		p.enact(next)
-		p.note("%+v", next.Partitions)
+		p.logEvent("%+v", next.Partitions)
 	}
 	for _, n := range p.nodes {
 		if _, _, done := placement.Retirement(p.view, n.name); done && !n.removed {
@@ -137,20 +137,20 @@
 	}
 	p.after(p.between(0, 60*ms), func() {
 		if n := p.nodes[p.random.IntN(len(p.nodes))]; p.play("wipe", n) {
-			p.note("wipe %s %s", when, n.name)
+			p.logEvent("wipe %s %s", when, n.name)
 			p.effects["wipe "+when]++
 		}
 	})
 }
 
-func (p *planned) mutated(told placement.Store) placement.Store {
-	if p.mutant.takeUnfilled && told.Epoch == p.view.Epoch {
-		told.Synced = nil
+func (p *planned) mutated(reported placement.Store) placement.Store {
+	if p.mutant.takeUnfilled && reported.Epoch == p.view.Epoch {
+		reported.Synced = nil
 		for number := range p.view.Partitions {
-			told.Synced = append(told.Synced, uint16(number))
+			reported.Synced = append(reported.Synced, uint16(number))
 		}
 	}
-	return told
+	return reported
 }
 
 // early takes a retiring store out once one other replica is whole, as the mutant does.
@@ -161,8 +161,8 @@
 	}
 	next := *view
 	next.Partitions = slices.Clone(view.Partitions)
-	for i, place := range next.Partitions {
-		rest := slices.DeleteFunc(slices.Clone(place.Replicas), func(s uint16) bool { return int(s) == at })
+	for i, placed := range next.Partitions {
+		rest := slices.DeleteFunc(slices.Clone(placed.Replicas), func(s uint16) bool { return int(s) == at })
 		if len(rest) > 0 {
 			next.Partitions[i].Replicas = rest
 		}
@@ -170,28 +170,28 @@
 	return &next
 }
 
-// losing says whether another store may be lost now, and that one counts from now on.
-func (p *planned) losing(n *plannedNode) bool {
-	lost := 0
+// startLoss says whether another store may be lost now, and that one counts from now on.
+func (p *planned) startLoss(n *plannedNode) bool {
+	failed := 0
 	for _, other := range p.nodes {
-		if other.lost {
-			lost++
+		if other.counted {
+			failed++
 		}
 	}
-	if n.lost || n.removed || !n.store.up || lost >= p.config.Copies-1 {
+	if n.counted || n.removed || !n.store.up || failed >= p.config.Copies-1 {
 		return false
 	}
-	n.lost = true
+	n.counted = true
 	n.losses++
 	return true
 }
 
-// found has a store that is back count no more after its time.
-func (p *planned) found(n *plannedNode) {
+// endLoss has a store that is back count no more after its time.
+func (p *planned) endLoss(n *plannedNode) {
 	losses := n.losses
 	p.after(catchUp, func() {
 		if n.losses == losses {
-			n.lost = false
+			n.counted = false
 			p.strike("after return")
 		}
 	})
@@ -200,9 +200,9 @@
 // down stops a store; the leader finds out a little later.
 func (p *planned) down(n *plannedNode, power bool) {
 	n.store.stop(power)
-	life := n.store.disk.life
+	incarnation := n.store.disk.incarnation
 	p.after(p.between(150*ms, 700*ms), func() {
-		if n.store.disk.life == life && !n.store.up {
+		if n.store.disk.incarnation == incarnation && !n.store.up {
 			n.heard = false
 		}
 	})
@@ -214,18 +214,18 @@
 			return
 		}
 		n.store.start()
-		n.told.Leaving = false
+		n.reported.Leaving = false
 		p.hear(n, p.between(50*ms, 300*ms))
-		p.found(n)
+		p.endLoss(n)
 	})
 }
 
 func (p *planned) hear(n *plannedNode, pause time.Duration) {
-	life := n.store.disk.life
+	incarnation := n.store.disk.incarnation
 	p.after(pause, func() {
-		if n.store.up && n.store.disk.life == life {
+		if n.store.up && n.store.disk.incarnation == incarnation {
 			n.heard = true
-			n.tell()
+			n.renew()
 		}
 	})
 }
@@ -233,8 +233,8 @@
 // wipe gives a store that is down an empty disk.
 func (p *planned) wipe(n *plannedNode) {
 	old := n.store.disk
-	n.store.disk = &simDisk{name: fmt.Sprintf("%s+%d", old.name, n.losses), sim: p.sim, owner: n.store, life: old.life}
-	p.checkHeld()
+	n.store.disk = &simDisk{name: fmt.Sprintf("%s+%d", old.name, n.losses), sim: p.sim, owner: n.store, incarnation: old.incarnation}
+	p.checkStored()
 }
 
 // remove takes a machine away for good, with its disk. An empty one of another name and address comes in its place.
@@ -245,9 +245,9 @@
 	}
 	p.after(p.between(0, 2*time.Second), func() {
 		p.add()
-		p.found(n) // it counts until its successor has caught up
+		p.endLoss(n) // it counts until its successor has caught up
 	})
-	p.checkHeld()
+	p.checkStored()
 }
 
 func (p *planned) add() *plannedNode {
@@ -260,14 +260,14 @@
 	return n
 }
 
-// trouble plays events until the end.
-func (p *planned) trouble() {
+// playFaults plays events until the end.
+func (p *planned) playFaults() {
 	p.after(p.between(100*ms, 1500*ms), func() {
 		if p.stopped {
 			return
 		}
 		p.event()
-		p.trouble()
+		p.playFaults()
 	})
 }
 
@@ -275,13 +275,13 @@
 	n := p.nodes[p.random.IntN(len(p.nodes))]
 	name := []string{"kill", "power", "wipe", "replace", "reset", "reset", "retire", "leave", "edge", "all", "add", "stall"}[p.random.IntN(12)]
 	if p.play(name, n) {
-		p.note("%s %s", name, n.name)
+		p.logEvent("%s %s", name, n.name)
 		p.effects[name]++
 	}
 }
 
-// note tells what happens to a history that is looked at.
-func (p *planned) note(format string, args ...any) {
+// logEvent tells what happens to a history that is looked at.
+func (p *planned) logEvent(format string, args ...any) {
 	if p.trace != nil {
 		p.trace("%v "+format, append([]any{p.now}, args...)...)
 	}
@@ -291,16 +291,16 @@
 func (p *planned) play(name string, n *plannedNode) bool {
 	switch name {
 	case "kill", "power", "leave":
-		if !p.losing(n) {
+		if !p.startLoss(n) {
 			return false
 		}
-		n.told.Leaving = name == "leave"
+		n.reported.Leaving = name == "leave"
 		p.after(p.between(0, 400*ms), func() {
 			p.down(n, name == "power")
 			p.back(n, p.between(100*ms, 3*time.Second))
 		})
 	case "wipe": // now and then all others lose power as well
-		if !p.losing(n) {
+		if !p.startLoss(n) {
 			return false
 		}
 		all := p.random.IntN(3) == 0
@@ -311,7 +311,7 @@
 			p.blackout(n)
 		}
 	case "replace":
-		if !p.losing(n) {
+		if !p.startLoss(n) {
 			return false
 		}
 		p.remove(n)
@@ -325,7 +325,7 @@
 	case "edge":
 		return p.restartEdge(p.edges[p.random.IntN(len(p.edges))])
 	case "all":
-		if slices.ContainsFunc(p.nodes, func(n *plannedNode) bool { return n.lost }) {
+		if slices.ContainsFunc(p.nodes, func(n *plannedNode) bool { return n.counted }) {
 			return false
 		}
 		p.blackout(nil)
@@ -344,7 +344,7 @@
 		if n == but || n.removed || !n.store.up {
 			continue
 		}
-		n.lost = true
+		n.counted = true
 		n.losses++
 		p.down(n, true)
 		p.back(n, p.between(100*ms, 800*ms))
@@ -372,7 +372,7 @@
 	var live []placement.Store
 	for _, other := range p.nodes {
 		if other.heard {
-			live = append(live, other.told)
+			live = append(live, other.reported)
 		}
 	}
 	marked, _, enough := placement.Retire(p.view, live, p.config, n.name)
@@ -392,28 +392,28 @@
 	return e.up
 }
 
-// checkHeld finds out whether all that was accepted and has not ended is on some disk that is left, of a store that has, or had, a part
+// checkStored finds out whether all that was accepted and has not ended is on some disk that is left, of a store that has, or had, a part
 // in its partition.
-func (p *planned) checkHeld() {
-	held := make(map[string]bool)
+func (p *planned) checkStored() {
+	stored := make(map[string]bool)
 	for _, n := range p.nodes {
 		at := slices.IndexFunc(p.view.Stores, func(s wire.Store) bool { return s.Disk == n.store.disk.name })
 		if n.removed || at < 0 {
 			continue
 		}
 		core := n.store.recovered()
-		for number, place := range p.view.Partitions {
-			if !slices.Contains(slices.Concat(place.Replicas, place.Joining, place.Former), uint16(at)) || core.known(uint16(number)) == nil {
+		for number, placed := range p.view.Partitions {
+			if !slices.Contains(slices.Concat(placed.Replicas, placed.Joining, placed.Former), uint16(at)) || core.lookUpPartition(uint16(number)) == nil {
 				continue
 			}
-			for _, e := range core.at(uint16(number)).entries {
-				held[e.id] = true
+			for _, e := range core.partition(uint16(number)).entries {
+				stored[e.id] = true
 			}
 		}
 	}
 	for _, id := range p.names {
-		if m := p.messages[id]; m.keptAt > 0 && m.endedAt == 0 && !held[id] {
-			p.fail("message %s was accepted at %v, and no store that counts has it:%s", id, m.keptAt, p.describe(id))
+		if m := p.messages[id]; m.acceptedAt > 0 && m.finishedAt == 0 && !stored[id] {
+			p.fail("message %s was accepted at %v, and no store that counts has it:%s", id, m.acceptedAt, p.describe(id))
 			return
 		}
 	}
@@ -421,7 +421,7 @@
 
 // recovered is what a store would know if it lost power now.
 func (n *simStore) recovered() *Core {
-	core := New(Config{Disk: n.disk.name, Copies: n.copies}, simHost{n, n.disk.life})
+	core := New(Config{Disk: n.disk.name, Copies: n.copies}, simHost{n, n.disk.incarnation})
 	for i := n.disk.first; i < n.disk.durable; i++ {
 		at := journal.Location{Segment: uint32(i/simSegment) + 1, Offset: uint32(i % simSegment)}
 		if err := core.Recover(n.time(), at, n.disk.records[i]); err != nil {
--- a/store/queue/simplanrun_test.go
+++ b/store/queue/simplanrun_test.go
@@ -16,7 +16,7 @@
 	if os.Getenv("QUEUE_TRACE") != "" {
 		p.trace = t.Logf
 	}
-	p.trouble()
+	p.playFaults()
 	p.run(25 * time.Second)
 	p.stopped = true
 	for _, e := range p.edges { // what only an edge knows is lost
@@ -24,7 +24,7 @@
 	}
 	p.run(45 * time.Second)
 	if p.failure == "" {
-		p.checkHeld()
+		p.checkStored()
 		p.check()
 	}
 	return p.failure, p.effects
--- a/store/queue/simrun_test.go
+++ b/store/queue/simrun_test.go
@@ -46,9 +46,9 @@
 		}
 	case 6: // a link between stores is cut, one way or both
 		other := s.stores[s.random.IntN(len(s.stores))]
-		s.cutLink(store.disk.name, other.disk.name)
+		s.partitionLink(store.disk.name, other.disk.name)
 	case 7: // a link of an edge is cut
-		s.cutLink(s.edges[s.random.IntN(len(s.edges))].name(), store.disk.name)
+		s.partitionLink(s.edges[s.random.IntN(len(s.edges))].name(), store.disk.name)
 	}
 }
 
@@ -60,13 +60,13 @@
 	s.after(pause, n.start)
 }
 
-func (s *sim) cutLink(a, b string) {
+func (s *sim) partitionLink(a, b string) {
 	way := [2]string{a, b}
 	if s.random.IntN(2) == 0 {
 		way = [2]string{b, a}
 	}
-	s.cut[way] = true
-	s.after(s.between(50*ms, 2*time.Second), func() { delete(s.cut, way) })
+	s.partitioned[way] = true
+	s.after(s.between(50*ms, 2*time.Second), func() { delete(s.partitioned, way) })
 }
 
 // shuffle has the replicas of partitions change places, now and then, as a leader does around planned work.
@@ -76,12 +76,12 @@
 			return
 		}
 		next := &wire.StoreView{Epoch: s.view.Epoch + 1, Copies: s.view.Copies, Stores: s.view.Stores}
-		for _, place := range s.view.Partitions {
-			place.Replicas = slices.Clone(place.Replicas)
+		for _, placed := range s.view.Partitions {
+			placed.Replicas = slices.Clone(placed.Replicas)
 			if s.random.IntN(2) == 0 {
-				place.Replicas = append(place.Replicas[1:], place.Replicas[0])
+				placed.Replicas = append(placed.Replicas[1:], placed.Replicas[0])
 			}
-			next.Partitions = append(next.Partitions, place)
+			next.Partitions = append(next.Partitions, placed)
 		}
 		s.enact(next)
 		s.shuffle()
--- a/store/queue/stall_test.go
+++ b/store/queue/stall_test.go
@@ -10,12 +10,12 @@
 )
 
 // A store whose disk takes nothing says so and refuses new messages, surely; once the disk has taken all it goes on.
-func TestAStoreWithAStalledDiskStepsAside(t *testing.T) {
+func TestAStoreWithAStalledDiskRefusesPuts(t *testing.T) {
 	r, b, e := primary(t)
 	r.sync()
 	waits := r.put(plain("0.1"), e)
 	r.ack(b)
-	r.pass(stalledAfter - ms)
+	r.pass(stallTimeout - ms)
 	assert.False(t, r.core.Status().Stalled)
 	r.pass(ms)
 	assert.True(t, r.core.Status().Stalled)
@@ -27,11 +27,11 @@
 	assert.False(t, r.core.Status().Stalled)
 	assert.Equal(t, wire.PutKept, code(t, waits))
 	kept := r.put(plain("0.2"), e)
-	r.settle(b)
+	r.syncAndAck(b)
 	assert.Equal(t, wire.PutKept, code(t, kept))
 }
 
-func TestAFullDiskIsToldAtOnce(t *testing.T) {
+func TestAFullDiskIsReportedAtOnce(t *testing.T) {
 	r, b, e := primary(t)
 	r.sync()
 	r.core.DiskFull(r.now)
@@ -54,8 +54,8 @@
 		r.put(plain("0.1"+string(rune('a'+i))), e)
 		r.put(plain("0.2"+string(rune('a'+i))), e)
 		r.ack(b)
-		r.pass(stalledAfter - 100*ms)
-		r.core.Durable(r.now, r.Position()-1)
+		r.pass(stallTimeout - 100*ms)
+		r.core.JournalSynced(r.now, r.Position()-1)
 		assert.False(t, r.core.Status().Stalled)
 	}
 	r.sync()
@@ -70,7 +70,7 @@
 	r.sync()
 	waits := r.put(plain("0.1"), e)
 	r.ack(b)
-	r.pass(stalledAfter)
+	r.pass(stallTimeout)
 	r.view(2, []uint16{1}, []uint16{2})
 	assert.Equal(t, wire.PutUnknown, code(t, waits))
 }
--- a/store/queue/view.go
+++ b/store/queue/view.go
@@ -6,32 +6,32 @@
 	"ravendale/cluster/wire"
 )
 
-// View puts a newer placement of the partitions into force.
-func (c *Core) View(now Time, view *wire.StoreView) {
+// SetView puts a newer placement of the partitions into force.
+func (c *Core) SetView(now Time, view *wire.StoreView) {
 	c.now = now
 	if c.view != nil && view.Epoch <= c.view.Epoch {
 		return
 	}
 	// Others may have led this store's partitions under an epoch that it was not told of.
-	missed := c.view != nil && view.Epoch > c.view.Epoch+1 && c.fence > c.view.Epoch
+	missed := c.view != nil && view.Epoch > c.view.Epoch+1 && c.newestEpoch > c.view.Epoch
 	c.view = view
-	c.raise(view.Epoch)
+	c.raiseEpoch(view.Epoch)
 	c.updatePeers()
 	for _, to := range c.peerList {
-		to.waiting = nil
-		to.dropFills()
+		to.awaitingAck = nil
+		to.cancelComparisons()
 	}
 	for number := range view.Partitions {
-		if p := c.at(uint16(number)); missed && p.primary {
-			c.step(p)
+		if p := c.partition(uint16(number)); missed && p.primary {
+			c.stepDown(p)
 			p.primary = false
 		}
-		c.assign(c.at(uint16(number)), &view.Partitions[number])
+		c.applyPlacement(c.partition(uint16(number)), &view.Partitions[number])
 	}
 	c.started = true
-	c.openAll()
-	c.handOver()
-	c.finish()
+	c.openPartitions()
+	c.assignDue()
+	c.flushPeers()
 	c.wakeAt(c.nextWake())
 	if len(c.Status().Synced) > 0 {
 		c.host.StatusChanged()
@@ -58,7 +58,7 @@
 	}
 	for _, to := range c.peerList {
 		if !slices.Contains(list, to) {
-			c.disconnect(to)
+			c.disconnectPeer(to)
 			delete(c.peers, to.disk)
 		}
 	}
@@ -76,7 +76,7 @@
 	return disks
 }
 
-func (c *Core) others(disks []string) []*peer {
+func (c *Core) peersOf(disks []string) []*peer {
 	var list []*peer
 	for _, disk := range disks {
 		if to := c.peers[disk]; to != nil {
@@ -86,59 +86,59 @@
 	return list
 }
 
-// assign gives the store its part in a partition.
-func (c *Core) assign(p *partition, place *wire.Placement) {
-	replicas, joining := c.disks(place.Replicas), c.disks(place.Joining)
+// applyPlacement gives the store its part in a partition.
+func (c *Core) applyPlacement(p *partition, placement *wire.Placement) {
+	replicas, joining := c.disks(placement.Replicas), c.disks(placement.Joining)
 	wasPrimary := p.primary
 	p.primary = len(replicas) > 0 && replicas[0] == c.config.Disk
 	p.replica = slices.Contains(replicas, c.config.Disk)
 	p.joining = !p.replica && slices.Contains(joining, c.config.Disk)
 	oldMembers := p.members
-	p.fillers = c.others(joining)
-	p.members = append(c.others(replicas), p.fillers...)
-	p.syncs = nil
+	p.joiners = c.peersOf(joining)
+	p.members = append(c.peersOf(replicas), p.joiners...)
+	p.comparisons = nil
 	if p.primary {
-		p.released = 0
-		tellers := c.others(replicas)
-		p.absent = false
-		if place.Unsure {
-			former := c.formerOf(p, place)
-			p.absent = len(former) < len(place.Former)
-			tellers = append(tellers, former...)
+		p.wipeAt = 0
+		sources := c.peersOf(replicas)
+		p.formerMembersAway = false
+		if placement.Unsure {
+			former := c.formerJoiners(p, placement)
+			p.formerMembersAway = len(former) < len(placement.Former)
+			sources = append(sources, former...)
 		}
-		c.lead(p, wasPrimary, tellers, oldMembers)
+		c.lead(p, wasPrimary, sources, oldMembers)
 		return
 	}
 	if wasPrimary {
-		c.step(p)
+		c.stepDown(p)
 	}
-	c.release(p, len(joining) == 0 && len(place.Former) == 0 && len(replicas) >= c.config.Copies)
+	c.scheduleWipe(p, len(joining) == 0 && len(placement.Former) == 0 && len(replicas) >= c.config.Copies)
 }
 
-// formerOf are the joining members of a partition that were members before.
-func (c *Core) formerOf(p *partition, place *wire.Placement) []*peer {
-	former := c.others(c.disks(place.Former))
-	return slices.DeleteFunc(slices.Clone(p.fillers), func(to *peer) bool { return !slices.Contains(former, to) })
+// formerJoiners are the joining members of a partition that were members before.
+func (c *Core) formerJoiners(p *partition, placement *wire.Placement) []*peer {
+	former := c.peersOf(c.disks(placement.Former))
+	return slices.DeleteFunc(slices.Clone(p.joiners), func(to *peer) bool { return !slices.Contains(former, to) })
 }
 
 // lead makes the store the primary of a partition, or goes on with it under a new epoch. Tellers are the members that may know more than
 // this store: all replicas, if it has not led until now, and former members that join an unsure primary.
-func (c *Core) lead(p *partition, wasPrimary bool, tellers, oldMembers []*peer) {
+func (c *Core) lead(p *partition, wasPrimary bool, sources, oldMembers []*peer) {
 	if wasPrimary {
-		untold := func(to *peer) bool { return slices.Contains(p.unmerged, to) || !slices.Contains(oldMembers, to) }
-		p.unmerged = slices.DeleteFunc(slices.Clone(tellers), func(to *peer) bool { return !untold(to) })
+		isUnmerged := func(to *peer) bool { return slices.Contains(p.unmerged, to) || !slices.Contains(oldMembers, to) }
+		p.unmerged = slices.DeleteFunc(slices.Clone(sources), func(to *peer) bool { return !isUnmerged(to) })
 	} else {
-		p.unmerged = slices.Clone(tellers)
+		p.unmerged = slices.Clone(sources)
 		p.ready = false
-		p.since = c.now.Steady
-		p.window = c.config.ClaimWindow
+		p.primarySince = c.now.Steady
+		p.claimWindow = c.config.ClaimWindow
 		if !c.started {
-			p.window = c.config.RestartWindow
+			p.claimWindow = c.config.RestartWindow
 		}
 	}
-	c.unpark(p)
+	c.endBarrier(p)
 	for _, o := range slices.Clone(p.ops) {
-		o.missing = 1<<len(p.members) - 1
+		o.unacked = 1<<len(p.members) - 1
 		for member := range p.members {
 			c.resend(o, member)
 		}
@@ -146,14 +146,14 @@
 	}
 	for _, to := range p.members {
 		known := wasPrimary && slices.Contains(oldMembers, to)
-		if !known || slices.Contains(p.unmerged, to) || slices.Contains(p.fillers, to) {
+		if !known || slices.Contains(p.unmerged, to) || slices.Contains(p.joiners, to) {
 			c.compare(p, to)
 		}
 	}
 }
 
-// step ends the store's time as the primary of a partition.
-func (c *Core) step(p *partition) {
+// stepDown ends the store's time as the primary of a partition.
+func (c *Core) stepDown(p *partition) {
 	ops := p.ops
 	p.ops = nil
 	for _, o := range ops {
@@ -162,58 +162,58 @@
 			w.refuse(wire.PutUnknown, c.epoch())
 		}
 		o.waiters = nil
-		if o.end {
-			c.settle(p, o.e)
+		if o.finish {
+			c.dropDelivery(p, o.e)
 		}
 	}
-	for _, o := range p.parked {
-		if o.e.live != nil {
-			o.e.live.waiting = false
+	for _, o := range p.deferred {
+		if o.e.delivery != nil {
+			o.e.delivery.queued = false
 		}
 	}
-	p.barrier, p.parked, p.confirmed = nil, nil, 0
+	p.barrier, p.deferred, p.confirmedAt = nil, nil, 0
 	for _, e := range p.entries {
-		if e.live != nil {
-			c.unlease(e)
-			e.live.last = nil
-			e.live.putting = false
+		if e.delivery != nil {
+			c.releaseLease(e)
+			e.delivery.lastChange = nil
+			e.delivery.accepting = false
 		}
 	}
 	p.ready = false
 	p.unmerged = nil
 }
 
-// release lets go of a partition that others hold whole: not at once, for a store that was away for a moment is likely to be given it
+// scheduleWipe lets go of a partition that others hold whole: not at once, for a store that was away for a moment is likely to be given it
 // back, and then needs only what has changed.
-func (c *Core) release(p *partition, whole bool) {
+func (c *Core) scheduleWipe(p *partition, complete bool) {
 	switch {
-	case p.replica || p.joining || !whole || len(p.entries) == 0:
-		p.released = 0
-	case p.released == 0:
-		p.released = c.now.Steady + releasedFor
+	case p.replica || p.joining || !complete || len(p.entries) == 0:
+		p.wipeAt = 0
+	case p.wipeAt == 0:
+		p.wipeAt = c.now.Steady + wipeDelay
 	}
 }
 
-// wipeReleased forgets partitions that were let go of, sooner if there is little room.
-func (c *Core) wipeReleased() {
+// wipeDue forgets partitions that were let go of, sooner if there is little room.
+func (c *Core) wipeDue() {
 	for _, p := range c.partitions {
-		if p == nil || p.released == 0 || c.now.Steady < p.released && !c.tight() {
+		if p == nil || p.wipeAt == 0 || c.now.Steady < p.wipeAt && !c.isHalfFull() {
 			continue
 		}
-		c.write(&Record{Kind: RecordWipe, Partition: p.number})
+		c.appendRecord(&Record{Kind: RecordWipe, Partition: p.number})
 		c.wipeTable(p)
-		p.released = 0
+		p.wipeAt = 0
 	}
 }
 
-// tight says whether the store has half as much as it can hold.
-func (c *Core) tight() bool {
-	return c.crowded() || c.config.MaxMessages > 0 && c.messages*2 > c.config.MaxMessages
+// isHalfFull says whether the store has half as much as it can hold.
+func (c *Core) isHalfFull() bool {
+	return c.needsCompaction() || c.config.MaxMessages > 0 && c.messageCount*2 > c.config.MaxMessages
 }
 
-// crowded says whether the disk has so much that old segments are rewritten.
-func (c *Core) crowded() bool {
-	return c.config.DiskBytes > 0 && c.journal.Used()*100 > c.config.DiskBytes*rewriteAbove
+// needsCompaction says whether the disk has so much that old segments are rewritten.
+func (c *Core) needsCompaction() bool {
+	return c.config.DiskBytes > 0 && c.journal.Used()*100 > c.config.DiskBytes*compactionPercent
 }
 
 func (w waiter) refuse(code wire.PutCode, epoch uint64) {
--- a/store/server/handlers.go
+++ b/store/server/handlers.go
@@ -11,12 +11,12 @@
 // register names the handlers of all that edges and primaries send.
 func (s *Store) register() {
 	mux := s.config.Mux
-	request(s, mux, wire.MethodPut, (*queue.Core).Put)
-	request(s, mux, wire.MethodReport, (*queue.Core).Report)
-	request(s, mux, wire.MethodClaim, (*queue.Core).Claim)
-	request(s, mux, wire.MethodAttach, (*queue.Core).Attach)
+	request(s, mux, wire.MethodPut, (*queue.Core).PutMessage)
+	request(s, mux, wire.MethodReport, (*queue.Core).ReportDelivery)
+	request(s, mux, wire.MethodClaim, (*queue.Core).ClaimMessages)
+	request(s, mux, wire.MethodAttach, (*queue.Core).AttachEdge)
 	rpc.Handle(mux, wire.MethodFind, func(_ *rpc.Conn, m *wire.Find, reply rpc.Reply) {
-		s.do(func(now queue.Time) { s.core.Find(now, m, reply) })
+		s.do(func(now queue.Time) { s.core.FindMessage(now, m, reply) })
 	})
 	rpc.Handle(mux, queue.MethodHello, func(_ *rpc.Conn, m *queue.Hello, reply rpc.Reply) {
 		reply.Send(&queue.HelloReply{Accepted: m.To == s.config.Disk})
--- a/store/server/store.go
+++ b/store/server/store.go
@@ -81,10 +81,10 @@
 	s := config.Settings
 	return queue.Config{
 		Disk: config.Disk, Zone: s.Zone, Copies: s.Copies(),
-		Remember:    settings.Seconds(s.Bounds.StatusS) + remembered,
-		DiskBytes:   max(int64(s.DiskMb)<<20-asideBytes(s.DataDir), 0),
-		MaxMessages: s.MemoryMb << 20 / memoryPart / bytesPerMessage,
-		Log:         config.Log,
+		FinishedRetention: settings.Seconds(s.Bounds.StatusS) + remembered,
+		DiskBytes:         max(int64(s.DiskMb)<<20-asideBytes(s.DataDir), 0),
+		MaxMessages:       s.MemoryMb << 20 / memoryPart / bytesPerMessage,
+		Log:               config.Log,
 	}
 }
 
@@ -131,7 +131,7 @@
 }
 
 func (s *Store) synced(position uint64) {
-	s.do(func(now queue.Time) { s.core.Durable(now, position) })
+	s.do(func(now queue.Time) { s.core.JournalSynced(now, position) })
 }
 
 func (s *Store) full() { s.do(s.core.DiskFull) }
@@ -168,7 +168,7 @@
 		return
 	}
 	s.do(func(now queue.Time) {
-		s.core.View(now, view)
+		s.core.SetView(now, view)
 		s.updateLinks()
 	})
 	s.hurryLinks()
@@ -189,7 +189,7 @@
 	if members == nil {
 		return
 	}
-	s.do(func(now queue.Time) { s.core.Edges(now, members.Edges) })
+	s.do(func(now queue.Time) { s.core.SetEdges(now, members.Edges) })
 }
 
 // Close writes and syncs all that is queued.
--- a/test/simulation/queue_test.go
+++ b/test/simulation/queue_test.go
@@ -63,7 +63,7 @@
 	if r.durable < len(r.kept) {
 		r.sync()
 	}
-	r.process.queue.Durable(r.process.time(), uint64(r.durable))
+	r.process.queue.JournalSynced(r.process.time(), uint64(r.durable))
 }
 
 // Position implements queue.Journal.
@@ -108,7 +108,7 @@
 	p.records.life = l
 	p.peers = make(map[string]host.Link)
 	p.queue = queue.New(queue.Config{
-		Disk: p.disk, Zone: p.zone, Copies: p.world.settings.lost + 1, Remember: time.Minute, DiskBytes: 1 << 20, Log: l.log(),
+		Disk: p.disk, Zone: p.zone, Copies: p.world.settings.lost + 1, FinishedRetention: time.Minute, DiskBytes: 1 << 20, Log: l.log(),
 	}, queueHost{p, l})
 	for i := p.records.first; i < len(p.records.kept); i++ {
 		at := journal.Location{Segment: uint32(i/segmentRecords) + 1, Offset: uint32(i % segmentRecords)}
@@ -147,10 +147,10 @@
 
 // handleStore registers what edges and other stores call, as package store/server does.
 func (p *process) handleStore() {
-	request(p, p.box, wire.MethodPut, (*queue.Core).Put)
-	request(p, p.box, wire.MethodReport, (*queue.Core).Report)
-	request(p, p.box, wire.MethodClaim, (*queue.Core).Claim)
-	request(p, p.box, wire.MethodAttach, (*queue.Core).Attach)
+	request(p, p.box, wire.MethodPut, (*queue.Core).PutMessage)
+	request(p, p.box, wire.MethodReport, (*queue.Core).ReportDelivery)
+	request(p, p.box, wire.MethodClaim, (*queue.Core).ClaimMessages)
+	request(p, p.box, wire.MethodAttach, (*queue.Core).AttachEdge)
 	rpc.Handle(p.box, queue.MethodHello, func(_ *rpc.Conn, m *queue.Hello, reply rpc.Reply) {
 		reply.Send(&queue.HelloReply{Accepted: m.To == p.disk})
 	})
@@ -186,12 +186,12 @@
 func (p *process) takeStore(l *life) {
 	s := p.agent.Snapshot()
 	if s.Members != nil {
-		p.queue.Edges(p.time(), s.Members.Edges)
+		p.queue.SetEdges(p.time(), s.Members.Edges)
 	}
 	if s.Stores == nil {
 		return
 	}
-	p.queue.View(p.time(), s.Stores)
+	p.queue.SetView(p.time(), s.Stores)
 	wanted := p.queue.Peers()
 	for disk, link := range p.peers {
 		if !slices.ContainsFunc(wanted, func(other wire.Store) bool { return other.Disk == disk }) {
