--- a/store/queue/apply.go
+++ b/store/queue/apply.go
@@ -42,7 +42,7 @@
 func (c *Core) apply(r *Record, at journal.Location, old bool) {
 	if r.Kind == RecordEpoch {
 		c.newestEpoch = max(c.newestEpoch, r.Sequence)
-		c.epochSegment = at.Segment
+		c.disk.epochSegment = at.Segment
 		return
 	}
 	p := c.partition(r.Partition)
@@ -175,25 +175,6 @@
 	return next
 }
 
-func (c *Core) seconds() uint32 { return uint32(c.now.Steady / time.Second) }
-
-// setLocation notes where an entry's record lies.
-func (c *Core) setLocation(e *entry, at journal.Location) {
-	c.clearLocation(e)
-	e.location = at
-	c.segments[at.Segment]++
-}
-
-func (c *Core) clearLocation(e *entry) {
-	if e.location.Segment == 0 {
-		return
-	}
-	if c.segments[e.location.Segment]--; c.segments[e.location.Segment] == 0 {
-		delete(c.segments, e.location.Segment)
-	}
-	e.location = journal.Location{}
-}
-
 // removeEntry takes an entry out of memory.
 func (c *Core) removeEntry(p *partition, e *entry) {
 	if e.delivery != nil {
@@ -209,62 +190,8 @@
 
 // intern saves the memory of a name that very many messages have.
 func (c *Core) intern(id string) string {
-	if e := c.edges[id]; e != nil {
+	if e := c.edges.byID[id]; e != nil {
 		return e.id
 	}
 	return id
 }
-
-func (c *Core) wipeTable(p *partition) {
-	for _, e := range p.entries {
-		c.releaseLease(e)
-		c.clearLocation(e)
-		c.messageCount--
-	}
-	horizon := p.horizon
-	p.table = newTable()
-	p.horizon = horizon
-}
-
-// appendRecord appends a record and returns its bytes, place and position.
-func (c *Core) appendRecord(r *Record) (payload []byte, at journal.Location, position uint64) {
-	payload = r.encode()
-	at, position = c.appendPayload(payload)
-	return payload, at, position
-}
-
-// messageRecord makes a record of all that is known of an entry. It fails if the disk does.
-func (c *Core) messageRecord(p *partition, e *entry) (*Record, error) {
-	payload, err := c.journal.Read(e.location)
-	if err != nil {
-		return nil, err
-	}
-	r, err := decodeRecord(payload)
-	if err != nil {
-		return nil, err
-	}
-	r.Kind, r.Partition, r.ID = RecordMessage, p.number, e.id
-	r.Sequence, r.State, r.Failed, r.NoBody = e.sequence, e.state, e.failed, e.noBody
-	r.Leaseholder = e.lastLeaseholder()
-	return r, nil
-}
-
-// messagePayload is the encoding of whole; nil if the disk fails.
-func (c *Core) messagePayload(p *partition, e *entry) []byte {
-	r, err := c.messageRecord(p, e)
-	if err != nil {
-		c.host.Fail(err)
-		return nil
-	}
-	return r.encode()
-}
-
-// readMessage reads a message with its body.
-func (c *Core) readMessage(p *partition, e *entry) (*wire.Message, error) {
-	r, err := c.messageRecord(p, e)
-	if err != nil {
-		return nil, err
-	}
-	r.Message.ID = e.id
-	return &r.Message, nil
-}
--- /dev/null
+++ b/store/queue/barrier.go
@@ -0,0 +1,41 @@
+package queue
+
+import "container/heap"
+
+// startBarrier begins a barrier: once all members have answered, none of them knew a newer epoch when it began.
+func (c *Core) startBarrier(p *partition) {
+	if p.barrier != nil {
+		return
+	}
+	o := &op{p: p, since: c.now.Steady, synced: true, index: len(p.ops)}
+	p.ops = append(p.ops, o)
+	p.barrier = o
+	for member := range p.members {
+		o.unacked |= 1 << member
+		c.resend(o, member)
+	}
+	c.complete(o)
+}
+
+func (c *Core) sendBarrier(o *op, member int) {
+	to := o.p.members[member]
+	to.flush(c.epoch())
+	to.number++
+	to.awaitingAck = append(to.awaitingAck, peerWait{number: to.number, op: o, member: member})
+	_ = to.remote.Notify(MethodReplicate, &Replicate{Epoch: c.epoch(), Number: to.number})
+}
+
+// endBarrier puts the messages that waited for a barrier back among the orphans.
+func (c *Core) endBarrier(p *partition) {
+	parked := p.deferred
+	p.deferred = nil
+	if p.barrier != nil && p.barrier.index >= 0 {
+		p.removeOp(p.barrier)
+	}
+	p.barrier = nil
+	for _, o := range parked {
+		if o.e.delivery != nil {
+			heap.Push(&c.unowned, o)
+		}
+	}
+}
--- /dev/null
+++ b/store/queue/claim.go
@@ -0,0 +1,61 @@
+package queue
+
+import "ravendale/cluster/wire"
+
+// ClaimMessages notes what an edge holds.
+func (c *Core) ClaimMessages(now Time, from Remote, m *wire.Claim, reply Replier) {
+	c.now = now
+	e := c.edges.byRemote[from]
+	if e == nil || c.view == nil || m.Epoch != c.view.Epoch || c.newestEpoch > c.view.Epoch {
+		reply.Send(&wire.ClaimReply{Code: wire.PutStale, Epoch: c.newestEpoch})
+		return
+	}
+	answer := &wire.ClaimReply{Code: wire.PutKept, Epoch: c.epoch()}
+	claimed := make(map[string]struct{}, len(m.IDs))
+	for _, id := range m.IDs {
+		if c.claimMessage(e, id) {
+			claimed[id] = struct{}{}
+		} else {
+			answer.Unknown = append(answer.Unknown, id)
+		}
+	}
+	if e.mustClaim {
+		e.mustClaim = false
+		c.requeueLeases(e, claimed)
+	}
+	e.claimedEpoch = c.epoch()
+	c.unreserve(e)
+	reply.Send(answer)
+	c.openPartitions()
+	c.assignDue()
+	c.flushPeers()
+}
+
+// claimMessage says whether an edge may keep a message.
+func (c *Core) claimMessage(by *edge, id string) bool {
+	number, ok := wire.PartitionOf(id)
+	p := c.lookUpPartition(number)
+	if !ok {
+		return false
+	}
+	if p == nil || !p.primary {
+		return true // not this store's to say
+	}
+	e, _ := p.find(id)
+	if e == nil || !e.pending() || e.delivery.leaseholder != nil && e.delivery.leaseholder != by {
+		return false
+	}
+	assigned := e.delivery.assigned && e.delivery.leaseholder == by
+	if e.delivery.leaseholder == nil {
+		c.scheduleRegrant(p, e)
+	}
+	c.startLease(e, by)
+	c.recordLeaseholder(p, e, by)
+	if assigned {
+		e.delivery.assigned = true
+		by.assigned++
+	}
+	e.delivery.granted = false
+	c.grantOrRequeue(p, e, false)
+	return true
+}
--- a/store/queue/comparison.go
+++ b/store/queue/comparison.go
@@ -3,7 +3,6 @@
 import (
 	"slices"
 	"sort"
-	"time"
 
 	"ravendale/cluster/wire"
 )
@@ -263,35 +262,6 @@
 	f.to.awaitingAck = append(f.to.awaitingAck, peerWait{number: number, comparison: f})
 }
 
-// comparisonStats counts what the comparisons with one peer have come to.
-type comparisonStats struct {
-	since      time.Duration
-	partitions int
-	listed     int // messages that the peer named
-	sent       int // messages that it lacked
-	fetched    int // messages that only it had
-	bytes      int // of those
-}
-
-// countComparison notes that a comparison has ended, and tells once all have that brought something.
-func (c *Core) countComparison(to *peer) {
-	to.stats.partitions++
-	if c.isComparing(to) {
-		return
-	}
-	t := to.stats
-	to.stats = comparisonStats{}
-	if t.sent == 0 && t.fetched == 0 {
-		return
-	}
-	c.config.Log.Info("compared with a store", "disk", to.disk, "epoch", c.epoch(), "partitions", t.partitions, "listed", t.listed,
-		"sent", t.sent, "fetched", t.fetched, "bytes", t.bytes, "took", c.now.Steady-t.since)
-}
-
-func (c *Core) isComparing(to *peer) bool {
-	return slices.ContainsFunc(c.partitions, func(p *partition) bool { return p != nil && p.isComparing(to) })
-}
-
 // finishComparison ends a comparison: the member has what the primary has.
 func (c *Core) finishComparison(f *comparison) {
 	p := f.p
@@ -308,14 +278,15 @@
 	}
 }
 
-// supersede ends the changes of a message that is written anew, and returns who waits for them.
-func (p *partition) supersede(e *entry) []waiter {
-	var waiters []waiter
-	for _, o := range slices.Clone(p.ops) {
-		if o.e == e {
-			waiters = append(waiters, o.waiters...)
-			p.removeOp(o)
+func (p *partition) isComparing(to *peer) bool {
+	for _, f := range p.comparisons {
+		if f.to == to {
+			return true
 		}
 	}
-	return waiters
+	return false
+}
+
+func (c *Core) isComparing(to *peer) bool {
+	return slices.ContainsFunc(c.partitions, func(p *partition) bool { return p != nil && p.isComparing(to) })
 }
--- a/store/queue/comparison_test.go
+++ b/store/queue/comparison_test.go
@@ -100,7 +100,7 @@
 		total += count
 	}
 	assert.Equal(t, 201, total)
-	assert.False(t, r.core.isComparing(r.core.peers["c"]))
+	assert.False(t, r.core.isComparing(r.core.peers.byDisk["c"]))
 }
 
 // BenchmarkCompare lists and weighs a partition of which a part of every bucket differs.
@@ -115,7 +115,7 @@
 		r.core.Compare(r.now, member, &Compare{Epoch: r.core.epoch(), Sums: make([]uint64, bucketCount)})
 		r.core.compare(p, to)
 		comparisonID := last[Compare](member).ComparisonID
-		r.core.byRemote[member] = to
+		r.core.peers.byRemote[member] = to
 		for _, notice := range member.notices {
 			if m, ok := notice.(*Differ); ok {
 				m.ComparisonID = comparisonID
--- /dev/null
+++ b/store/queue/comparisonstats.go
@@ -0,0 +1,28 @@
+package queue
+
+import "time"
+
+// comparisonStats counts what the comparisons with one peer have come to.
+type comparisonStats struct {
+	since      time.Duration
+	partitions int
+	listed     int // messages that the peer named
+	sent       int // messages that it lacked
+	fetched    int // messages that only it had
+	bytes      int // of those
+}
+
+// countComparison notes that a comparison has ended, and tells once all have that brought something.
+func (c *Core) countComparison(to *peer) {
+	to.stats.partitions++
+	if c.isComparing(to) {
+		return
+	}
+	t := to.stats
+	to.stats = comparisonStats{}
+	if t.sent == 0 && t.fetched == 0 {
+		return
+	}
+	c.config.Log.Info("compared with a store", "disk", to.disk, "epoch", c.epoch(), "partitions", t.partitions, "listed", t.listed,
+		"sent", t.sent, "fetched", t.fetched, "bytes", t.bytes, "took", c.now.Steady-t.since)
+}
--- /dev/null
+++ b/store/queue/config.go
@@ -0,0 +1,66 @@
+package queue
+
+import (
+	"log/slog"
+	"time"
+)
+
+// Config of a Core. Durations of zero stand for the defaults.
+type Config struct {
+	Disk              string // own identity
+	Zone              string
+	Copies            int           // disks that hold a message before it is accepted, at least
+	FinishedRetention time.Duration // how long ended messages are known
+	DiskBytes         int64         // of the journal at most
+	MaxMessages       int           // in memory at most
+	ClaimWindow       time.Duration // after a takeover nothing is handed out so long
+	RestartWindow     time.Duration // the same after a restart
+	ReconnectTimeout  time.Duration // an edge that has gone has so long to come back
+	ClockSlack        time.Duration // by which the time of day may be wrong: messages are held so much longer after a restart
+	Log               *slog.Logger
+}
+
+// Defaults of Config, and other figures.
+const (
+	DefaultClaimWindow      = 400 * time.Millisecond
+	DefaultRestartWindow    = 800 * time.Millisecond
+	DefaultReconnectTimeout = 400 * time.Millisecond
+	DefaultClockSlack       = 15 * time.Second
+
+	maintenanceInterval = 2 * time.Second
+	scrubInterval       = 4 * time.Second
+	regrantInterval     = 4 * time.Second // longer than an edge waits for the answer to a put
+	maxAssigned         = 64              // messages that an edge was given whole and that have not ended
+	otherZonePenalty    = 8               // handed-over messages that an edge of the own zone may have more than others
+	wipeDelay           = 20 * time.Second
+	batchBytes          = 32 << 10 // of one batch that fills a member
+	fetchBatch          = 256      // names in one Fetch
+	compactionBytes     = 512 << 10
+	scrubCycle          = 4 // scrubs in which each partition is compared once
+	// A primary hands out messages only if all members took something from it so recently: one that was frozen, and replaced
+	// meanwhile, finds out first.
+	confirmationTimeout = 300 * time.Millisecond
+	// A disk that has taken nothing for so long is stalled.
+	stallTimeout      = 500 * time.Millisecond
+	refusePercent     = 85 // percent of the disk: new messages are refused
+	compactionPercent = 50 // percent of the disk: old segments are rewritten
+)
+
+func (c Config) withDefaults() Config {
+	if c.ClaimWindow <= 0 {
+		c.ClaimWindow = DefaultClaimWindow
+	}
+	if c.RestartWindow <= 0 {
+		c.RestartWindow = DefaultRestartWindow
+	}
+	if c.ReconnectTimeout <= 0 {
+		c.ReconnectTimeout = DefaultReconnectTimeout
+	}
+	if c.ClockSlack <= 0 {
+		c.ClockSlack = DefaultClockSlack
+	}
+	if c.Log == nil {
+		c.Log = slog.Default()
+	}
+	return c
+}
--- a/store/queue/core.go
+++ b/store/queue/core.go
@@ -1,7 +1,6 @@
 package queue
 
 import (
-	"log/slog"
 	"time"
 
 	"github.com/tinylib/msgp/msgp"
@@ -44,164 +43,45 @@
 	Fail(err error)              // the disk can't be trusted
 }
 
-// Config of a Core. Durations of zero stand for the defaults.
-type Config struct {
-	Disk              string // own identity
-	Zone              string
-	Copies            int           // disks that hold a message before it is accepted, at least
-	FinishedRetention time.Duration // how long ended messages are known
-	DiskBytes         int64         // of the journal at most
-	MaxMessages       int           // in memory at most
-	ClaimWindow       time.Duration // after a takeover nothing is handed out so long
-	RestartWindow     time.Duration // the same after a restart
-	ReconnectTimeout  time.Duration // an edge that has gone has so long to come back
-	ClockSlack        time.Duration // by which the time of day may be wrong: messages are held so much longer after a restart
-	Log               *slog.Logger
-}
-
-// Defaults of Config, and other figures.
-const (
-	DefaultClaimWindow      = 400 * time.Millisecond
-	DefaultRestartWindow    = 800 * time.Millisecond
-	DefaultReconnectTimeout = 400 * time.Millisecond
-	DefaultClockSlack       = 15 * time.Second
-
-	maintenanceInterval = 2 * time.Second
-	scrubInterval       = 4 * time.Second
-	regrantInterval     = 4 * time.Second // longer than an edge waits for the answer to a put
-	maxAssigned         = 64              // messages that an edge was given whole and that have not ended
-	otherZonePenalty    = 8               // handed-over messages that an edge of the own zone may have more than others
-	wipeDelay           = 20 * time.Second
-	batchBytes          = 32 << 10 // of one batch that fills a member
-	fetchBatch          = 256      // names in one Fetch
-	compactionBytes     = 512 << 10
-	scrubCycle          = 4 // scrubs in which each partition is compared once
-	// A primary hands out messages only if all members took something from it so recently: one that was frozen, and replaced
-	// meanwhile, finds out first.
-	confirmationTimeout = 300 * time.Millisecond
-	// A disk that has taken nothing for so long is stalled.
-	stallTimeout      = 500 * time.Millisecond
-	refusePercent     = 85 // percent of the disk: new messages are refused
-	compactionPercent = 50 // percent of the disk: old segments are rewritten
-)
-
-func (c Config) withDefaults() Config {
-	if c.ClaimWindow <= 0 {
-		c.ClaimWindow = DefaultClaimWindow
-	}
-	if c.RestartWindow <= 0 {
-		c.RestartWindow = DefaultRestartWindow
-	}
-	if c.ReconnectTimeout <= 0 {
-		c.ReconnectTimeout = DefaultReconnectTimeout
-	}
-	if c.ClockSlack <= 0 {
-		c.ClockSlack = DefaultClockSlack
-	}
-	if c.Log == nil {
-		c.Log = slog.Default()
-	}
-	return c
-}
-
-// Core is one store's part of the queue. It is used by one goroutine at a time.
+// Core is one store's part of the queue: a coordinator that gets events with their time, and shares them out to its parts. It is used by
+// one goroutine at a time.
 type Core struct {
-	config  Config
-	journal Journal
-	host    Host
-	now     Time
-
-	view             *wire.StoreView
-	newestEpoch      uint64        // newest epoch seen: what is older is refused
-	sequence         uint64        // newest given or seen
-	durable          uint64        // position up to which the journal is on disk
-	unsyncedSince    time.Duration // since when what was appended waits for the disk; never: nothing does
-	stalled          bool          // as it was told last
-	started          bool          // the first view since the start has come
-	partitions       []*partition
-	peers            map[string]*peer // by disk
-	peerList         []*peer
-	byRemote         map[Remote]*peer
-	unflushed        []*peer // with records that wait to be sent
-	edges            map[string]*edge
-	edgeOf           map[Remote]*edge
-	edgeList         []*edge
-	expectedEdges    []string // edges that the control plane names
-	unowned          unownedHeap
-	awaitingSync     []localWait // changes that wait for the own disk
-	pendingAcks      []ackWait   // what is acknowledged once it is on the own disk
-	regrants         []regrant   // by time
-	regrantScheduled map[*entry]bool
-	segments         map[uint32]int
-	messageCount     int
-	lastID           uint64
-	nextWakeup       time.Duration
-	nextMaintenance  time.Duration
-	nextScrub        time.Duration
-	scrubPosition    int
-	epochSegment     uint32 // segment that holds the newest epoch
+	config Config
+	host   Host
+	now    Time // of the event that is being handled
+
+	view         *wire.StoreView // the placement in force; nil before the first
+	viewSeen     bool            // the first view since the start has been put into force
+	newestEpoch  uint64          // the newest epoch seen: what is older is refused (a fencing token)
+	sequence     uint64          // the newest sequence given or seen
+	lastID       uint64          // of comparisons and assignments
+	messageCount int
+
+	disk       diskState
+	peers      peerSet
+	edges      edgeSet
+	partitions []*partition // by number; nil where the store knows nothing
+	unowned    unownedHeap
+	regrants   regrantQueue
+	schedule   schedule
 }
 
 // New returns a core that knows nothing. Recover fills it from the journal.
 func New(config Config, host Host) *Core {
 	return &Core{
-		config: config.withDefaults(), host: host, peers: make(map[string]*peer), byRemote: make(map[Remote]*peer),
-		edges: make(map[string]*edge), edgeOf: make(map[Remote]*edge), segments: make(map[uint32]int),
-		regrantScheduled: make(map[*entry]bool), nextWakeup: never, unsyncedSince: never,
-		nextMaintenance: maintenanceInterval, nextScrub: scrubInterval,
+		config: config.withDefaults(), host: host, disk: newDiskState(), peers: newPeerSet(), edges: newEdgeSet(),
+		regrants: newRegrantQueue(), schedule: newSchedule(),
 	}
 }
 
+// never is a time that does not come.
 const never = time.Duration(1<<63 - 1)
 
 // Start gives the core its journal, once all of it has gone through Recover.
 func (c *Core) Start(now Time, j Journal) {
 	c.now = now
-	c.journal = j
-	c.durable = j.Position()
-	c.wakeAt(c.nextMaintenance)
-}
-
-// partition is one partition as the store knows it.
-type partition struct {
-	table
-	number            uint16
-	primary           bool
-	replica           bool
-	joining           bool
-	primarySince      time.Duration // from when the store has been primary
-	claimWindow       time.Duration // nothing is handed out so long after
-	ready             bool          // of a primary: it may hand out
-	members           []*peer       // all others that hold it or are being filled
-	unmerged          []*peer       // replicas that may still know more than the new primary
-	formerMembersAway bool          // of a primary that is unsure: former members that may know more are away
-	joiners           []*peer       // joining members
-	comparisons       []*comparison
-	ops               []*op
-	wipeAt            time.Duration    // when what is left of it is forgotten; zero: it is held
-	filledEpoch       uint64           // epoch for which the primary said that this store has it whole
-	confirmedAt       time.Duration    // when the newest change or barrier began that all members have taken
-	barrier           *op              // under way
-	deferred          []unownedMessage // wait for the barrier
-}
-
-// partition returns a partition, made if need be.
-func (c *Core) partition(number uint16) *partition {
-	for int(number) >= len(c.partitions) {
-		c.partitions = append(c.partitions, nil)
-	}
-	if c.partitions[number] == nil {
-		c.partitions[number] = &partition{table: newTable(), number: number}
-	}
-	return c.partitions[number]
-}
-
-// lookUpPartition returns a partition, nil if there is none of the number.
-func (c *Core) lookUpPartition(number uint16) *partition {
-	if int(number) >= len(c.partitions) {
-		return nil
-	}
-	return c.partitions[number]
+	c.disk.open(j)
+	c.wakeAt(c.schedule.maintenance)
 }
 
 func (c *Core) epoch() uint64 {
@@ -217,25 +97,22 @@
 }
 
 func (c *Core) wakeAt(steady time.Duration) {
-	if steady < c.nextWakeup {
-		c.nextWakeup = steady
+	if steady < c.schedule.wakeup {
+		c.schedule.wakeup = steady
 		c.host.WakeAt(steady)
 	}
 }
 
 func (c *Core) millis() uint32 { return uint32(c.now.Steady / time.Millisecond) }
 
+func (c *Core) seconds() uint32 { return uint32(c.now.Steady / time.Second) }
+
 // flushPeers sends what the event has produced.
-func (c *Core) flushPeers() {
-	for _, p := range c.unflushed {
-		p.flush(c.epoch())
-	}
-	c.unflushed = c.unflushed[:0]
-}
+func (c *Core) flushPeers() { c.peers.flush(c.epoch()) }
 
 // Status is what the control plane is told.
 func (c *Core) Status() wire.StoreStatus {
-	status := wire.StoreStatus{Epoch: c.epoch(), Messages: uint64(c.messageCount), Stalled: c.stalled}
+	status := wire.StoreStatus{Epoch: c.epoch(), Messages: uint64(c.messageCount), Stalled: c.disk.stalled}
 	for _, p := range c.partitions {
 		if p == nil {
 			continue
@@ -261,7 +138,7 @@
 // Tick does what is due. NextWake is asked for through Host.WakeAt.
 func (c *Core) Tick(now Time) {
 	c.now = now
-	c.nextWakeup = never
+	c.schedule.wakeup = never
 	c.checkStall()
 	c.expireEdges()
 	c.openPartitions()
@@ -274,23 +151,12 @@
 
 // nextWake is when Tick has something to do.
 func (c *Core) nextWake() time.Duration {
-	next := min(c.nextMaintenance, c.nextScrub)
-	if c.unsyncedSince != never && !c.stalled {
-		next = min(next, c.unsyncedSince+stallTimeout)
-	}
+	next := min(c.schedule.maintenance, c.schedule.scrub, c.disk.stallDue(), c.regrants.due(), c.edges.claimsDue(c.config.ReconnectTimeout))
 	for _, p := range c.partitions {
 		if p != nil && p.primary && !p.ready && !p.isMergePending() {
 			next = min(next, p.primarySince+p.claimWindow)
 		}
 	}
-	if len(c.regrants) > 0 {
-		next = min(next, c.regrants[0].at)
-	}
-	for _, e := range c.edgeList {
-		if e.mustClaim {
-			next = min(next, e.mustClaimSince+c.config.ReconnectTimeout)
-		}
-	}
 	if len(c.unowned) > 0 {
 		due := time.Duration(c.unowned[0].due) * time.Millisecond
 		if due > c.now.Steady { // else they wait for an edge
--- a/store/queue/edge.go
+++ b/store/queue/edge.go
@@ -22,14 +22,59 @@
 	mustClaimSince time.Duration
 }
 
+// edgeSet are the schedulers that are connected, or have been a moment ago.
+type edgeSet struct {
+	byID     map[string]*edge
+	byRemote map[Remote]*edge // those that are connected
+	list     []*edge          // in the order in which they came
+	expected []string         // identities of all that the control plane names
+}
+
+func newEdgeSet() edgeSet {
+	return edgeSet{byID: make(map[string]*edge), byRemote: make(map[Remote]*edge)}
+}
+
+// claimsDue is when the first edge loses what it has not claimed; never, if none has to claim.
+func (s *edgeSet) claimsDue(timeout time.Duration) time.Duration {
+	due := never
+	for _, e := range s.list {
+		if e.mustClaim {
+			due = min(due, e.mustClaimSince+timeout)
+		}
+	}
+	return due
+}
+
+// allClaimed says whether every scheduler there is has said what it leases under an epoch.
+func (s *edgeSet) allClaimed(epoch uint64) bool {
+	for _, id := range s.expected {
+		if e := s.byID[id]; e == nil || e.claimedEpoch != epoch {
+			return false
+		}
+	}
+	return len(s.expected) > 0
+}
+
+func (s *edgeSet) remove(e *edge) {
+	delete(s.byID, e.id)
+	s.list = slices.DeleteFunc(s.list, func(other *edge) bool { return other == e })
+}
+
+// grant notifies an edge, if it is connected, that it may deliver a message that it has.
+func (e *edge) grant(epoch uint64, p *partition, m *entry) {
+	if e.remote != nil {
+		_ = e.remote.Notify(wire.MethodGrant, &wire.Grant{Partition: p.number, Epoch: epoch, ID: m.id, Failed: m.failed})
+	}
+}
+
 // AttachEdge tells who is at the other end of a connection.
 func (c *Core) AttachEdge(now Time, from Remote, m *wire.Attach, reply Replier) {
 	c.now = now
-	e := c.edges[m.Edge]
+	e := c.edges.byID[m.Edge]
 	if e == nil {
 		e = &edge{id: m.Edge}
-		c.edges[m.Edge] = e
-		c.edgeList = append(c.edgeList, e)
+		c.edges.byID[m.Edge] = e
+		c.edges.list = append(c.edges.list, e)
 	}
 	e.zone, e.draining = m.Zone, m.Draining
 	if e.remote != from {
@@ -41,11 +86,11 @@
 }
 
 func (c *Core) connectEdge(e *edge, from Remote) {
-	if old := c.edgeOf[from]; old != nil { // the connection was another's
+	if old := c.edges.byRemote[from]; old != nil { // the connection was another's
 		c.disconnectEdge(old)
 	}
 	if e.remote != nil {
-		delete(c.edgeOf, e.remote)
+		delete(c.edges.byRemote, e.remote)
 	}
 	if e.session > 0 {
 		c.startClaimTimeout(e)
@@ -53,7 +98,7 @@
 	e.remote = from
 	e.session++
 	e.claimedEpoch = 0
-	c.edgeOf[from] = e
+	c.edges.byRemote[from] = e
 }
 
 // startClaimTimeout starts the time in which an edge must claim what it holds.
@@ -68,13 +113,13 @@
 // EdgeDown tells that an edge's connection is lost.
 func (c *Core) EdgeDown(now Time, remote Remote) {
 	c.now = now
-	if e := c.edgeOf[remote]; e != nil {
+	if e := c.edges.byRemote[remote]; e != nil {
 		c.disconnectEdge(e)
 	}
 }
 
 func (c *Core) disconnectEdge(e *edge) {
-	delete(c.edgeOf, e.remote)
+	delete(c.edges.byRemote, e.remote)
 	e.remote = nil
 	e.claimedEpoch = 0
 	c.startClaimTimeout(e)
@@ -82,15 +127,14 @@
 
 // expireEdges takes back what edges hold that have gone for too long.
 func (c *Core) expireEdges() {
-	for _, e := range slices.Clone(c.edgeList) {
+	for _, e := range slices.Clone(c.edges.list) {
 		if !e.mustClaim || c.now.Steady < e.mustClaimSince+c.config.ReconnectTimeout {
 			continue
 		}
 		e.mustClaim = false
 		c.requeueLeases(e, nil)
 		if e.remote == nil {
-			delete(c.edges, e.id)
-			c.edgeList = slices.DeleteFunc(c.edgeList, func(other *edge) bool { return other == e })
+			c.edges.remove(e)
 			c.unreserve(e)
 		}
 	}
@@ -114,159 +158,11 @@
 // SetEdges tells which schedulers there are.
 func (c *Core) SetEdges(now Time, edges []wire.Edge) {
 	c.now = now
-	c.expectedEdges = c.expectedEdges[:0]
+	c.edges.expected = c.edges.expected[:0]
 	for i := range edges {
-		c.expectedEdges = append(c.expectedEdges, edges[i].ID)
-	}
-	c.openPartitions()
-	c.assignDue()
-	c.flushPeers()
-}
-
-// allClaimed says whether every scheduler there is has said what it holds.
-func (c *Core) allClaimed() bool {
-	for _, id := range c.expectedEdges {
-		if e := c.edges[id]; e == nil || e.claimedEpoch != c.epoch() {
-			return false
-		}
-	}
-	return len(c.expectedEdges) > 0
-}
-
-// ClaimMessages notes what an edge holds.
-func (c *Core) ClaimMessages(now Time, from Remote, m *wire.Claim, reply Replier) {
-	c.now = now
-	e := c.edgeOf[from]
-	if e == nil || c.view == nil || m.Epoch != c.view.Epoch || c.newestEpoch > c.view.Epoch {
-		reply.Send(&wire.ClaimReply{Code: wire.PutStale, Epoch: c.newestEpoch})
-		return
-	}
-	answer := &wire.ClaimReply{Code: wire.PutKept, Epoch: c.epoch()}
-	claimed := make(map[string]struct{}, len(m.IDs))
-	for _, id := range m.IDs {
-		if c.claimMessage(e, id) {
-			claimed[id] = struct{}{}
-		} else {
-			answer.Unknown = append(answer.Unknown, id)
-		}
-	}
-	if e.mustClaim {
-		e.mustClaim = false
-		c.requeueLeases(e, claimed)
+		c.edges.expected = append(c.edges.expected, edges[i].ID)
 	}
-	e.claimedEpoch = c.epoch()
-	c.unreserve(e)
-	reply.Send(answer)
 	c.openPartitions()
 	c.assignDue()
 	c.flushPeers()
 }
-
-// claimMessage says whether an edge may keep a message.
-func (c *Core) claimMessage(by *edge, id string) bool {
-	number, ok := wire.PartitionOf(id)
-	p := c.lookUpPartition(number)
-	if !ok {
-		return false
-	}
-	if p == nil || !p.primary {
-		return true // not this store's to say
-	}
-	e, _ := p.find(id)
-	if e == nil || !e.pending() || e.delivery.leaseholder != nil && e.delivery.leaseholder != by {
-		return false
-	}
-	assigned := e.delivery.assigned && e.delivery.leaseholder == by
-	if e.delivery.leaseholder == nil {
-		c.scheduleRegrant(p, e)
-	}
-	c.startLease(e, by)
-	c.recordLeaseholder(p, e, by)
-	if assigned {
-		e.delivery.assigned = true
-		by.assigned++
-	}
-	e.delivery.granted = false
-	c.grantOrRequeue(p, e, false)
-	return true
-}
-
-// startLease gives an edge the right to deliver a message.
-func (c *Core) startLease(e *entry, to *edge) {
-	c.releaseLease(e)
-	e.delivery.leaseholder = to
-	e.delivery.session = to.session
-}
-
-func (c *Core) releaseLease(e *entry) {
-	if e.delivery == nil || e.delivery.leaseholder == nil {
-		return
-	}
-	c.unassign(e.delivery)
-	e.delivery.leaseholder = nil
-	e.delivery.granted = false
-	e.delivery.grantPending = false
-}
-
-// recordLeaseholder has all members note who may deliver a message.
-func (c *Core) recordLeaseholder(p *partition, e *entry, by *edge) {
-	if e.delivery.lastLeaseholder == by.id {
-		return
-	}
-	p.change(e, func() { e.delivery.lastLeaseholder = by.id })
-	payload, _, position := c.appendRecord(&Record{Kind: RecordLeaseholder, Partition: p.number, ID: e.id, Leaseholder: by.id})
-	c.beginOp(p, e, position, payload).put = e.delivery.accepting
-}
-
-// isDeliverable says whether a message may be delivered now as far as its order goes.
-func (c *Core) isDeliverable(p *partition, e *entry) bool {
-	if !p.primary || !p.ready || !e.pending() || e.delivery.accepting {
-		return false
-	}
-	return e.delivery.key == nil || e.delivery.key.head() == e
-}
-
-// grantOrRequeue grants a message to its holder if it may run, or makes an orphan of it. Quiet: the holder hears of it by a reply.
-func (c *Core) grantOrRequeue(p *partition, e *entry, quiet bool) {
-	if !e.pending() || !c.isDeliverable(p, e) {
-		return
-	}
-	if e.delivery.leaseholder == nil {
-		c.requeueMessage(p, e)
-		return
-	}
-	if e.delivery.key == nil || e.delivery.granted {
-		return
-	}
-	e.delivery.granted = true
-	if !quiet && e.delivery.leaseholder.remote != nil {
-		_ = e.delivery.leaseholder.remote.Notify(wire.MethodGrant, &wire.Grant{Partition: p.number, Epoch: c.epoch(), ID: e.id, Failed: e.failed})
-	}
-}
-
-// openPartitions lets partitions hand out whose time has come.
-func (c *Core) openPartitions() {
-	for _, p := range c.partitions {
-		if p != nil && p.primary && !p.ready {
-			c.openPartition(p)
-		}
-	}
-}
-
-// isMergePending says whether other stores may know more of a partition than its primary.
-func (p *partition) isMergePending() bool { return p.formerMembersAway || len(p.unmerged) > 0 }
-
-// openPartition lets a partition hand out messages, if all is known that the other replicas knew, and edges have claimed.
-func (c *Core) openPartition(p *partition) {
-	if p.isMergePending() {
-		return
-	}
-	if c.now.Steady < p.primarySince+p.claimWindow && !c.allClaimed() {
-		c.wakeAt(p.primarySince + p.claimWindow)
-		return
-	}
-	p.ready = true
-	for _, e := range p.sorted(func(_ uint64, e *entry) bool { return e.pending() }) {
-		c.grantOrRequeue(p, e, false)
-	}
-}
--- a/store/queue/exploreworld_test.go
+++ b/store/queue/exploreworld_test.go
@@ -124,7 +124,7 @@
 			continue
 		}
 		for _, from := range w.stores {
-			if from.up && from != to && from.core.peers[to.disk] != nil && w.link(from.name, to.name) == nil {
+			if from.up && from != to && from.core.peers.byDisk[to.disk] != nil && w.link(from.name, to.name) == nil {
 				l := w.open(from.name, to.name)
 				from.core.PeerUp(from.time(), to.disk, l.ends[0])
 			}
--- /dev/null
+++ b/store/queue/keyqueue.go
@@ -0,0 +1,29 @@
+package queue
+
+import "sort"
+
+// keyQueue are the messages of one order key that have not ended at all members, in the order of acceptance.
+type keyQueue struct {
+	hash    uint64
+	entries []*entry
+}
+
+func (q *keyQueue) head() *entry { return q.entries[0] }
+
+func (q *keyQueue) insert(e *entry) {
+	i := sort.Search(len(q.entries), func(i int) bool { return acceptedBefore(e, q.entries[i]) })
+	q.entries = append(q.entries, nil)
+	copy(q.entries[i+1:], q.entries[i:])
+	q.entries[i] = e
+}
+
+func (q *keyQueue) remove(e *entry) {
+	for i, other := range q.entries {
+		if other == e {
+			copy(q.entries[i:], q.entries[i+1:])
+			q.entries[len(q.entries)-1] = nil
+			q.entries = q.entries[:len(q.entries)-1]
+			return
+		}
+	}
+}
--- a/store/queue/maintain.go
+++ b/store/queue/maintain.go
@@ -10,14 +10,14 @@
 
 // maintain forgets what has been known for long enough, gives disk space back, and compares one partition.
 func (c *Core) maintain() {
-	if c.now.Steady >= c.nextMaintenance {
-		c.nextMaintenance = c.now.Steady + maintenanceInterval
+	if c.now.Steady >= c.schedule.maintenance {
+		c.schedule.maintenance = c.now.Steady + maintenanceInterval
 		c.wipeDue()
 		c.expireFinished()
 		c.reclaimSegments()
 	}
-	if c.now.Steady >= c.nextScrub {
-		c.nextScrub = c.now.Steady + scrubInterval
+	if c.now.Steady >= c.schedule.scrub {
+		c.schedule.scrub = c.now.Steady + scrubInterval
 		c.scrub()
 	}
 }
@@ -65,9 +65,9 @@
 		}
 	}
 	for range (len(led) + scrubCycle - 1) / scrubCycle {
-		c.scrubPosition = (c.scrubPosition + 1) % len(led)
-		c.expireLeased(led[c.scrubPosition])
-		c.compareAll(led[c.scrubPosition])
+		c.schedule.scrubPosition = (c.schedule.scrubPosition + 1) % len(led)
+		c.expireLeased(led[c.schedule.scrubPosition])
+		c.compareAll(led[c.schedule.scrubPosition])
 	}
 }
 
@@ -90,27 +90,18 @@
 	}
 }
 
-func (p *partition) isComparing(to *peer) bool {
-	for _, f := range p.comparisons {
-		if f.to == to {
-			return true
-		}
-	}
-	return false
-}
-
 // reclaimSegments removes the oldest segments that hold nothing that is needed, and rewrites old ones if the disk fills up.
 func (c *Core) reclaimSegments() {
-	oldest, newest := c.journal.Segments()
-	for ; oldest < newest && c.segments[oldest] == 0; oldest++ {
-		if c.epochSegment <= oldest {
+	oldest, newest := c.disk.journal.Segments()
+	for ; oldest < newest && c.disk.references[oldest] == 0; oldest++ {
+		if c.disk.epochSegment <= oldest {
 			c.writeEpoch()
 		}
-		c.journal.Remove(oldest)
+		c.disk.journal.Remove(oldest)
 	}
 	if oldest < newest && c.needsCompaction() {
 		c.compact(oldest)
-		c.nextMaintenance = min(c.nextMaintenance, c.now.Steady+maintenanceInterval/20)
+		c.schedule.maintenance = min(c.schedule.maintenance, c.now.Steady+maintenanceInterval/20)
 	}
 }
 
@@ -136,3 +127,36 @@
 		}
 	}
 }
+
+// scheduleWipe lets go of a partition that others hold whole: not at once, for a store that was away for a moment is likely to be given it
+// back, and then needs only what has changed.
+func (c *Core) scheduleWipe(p *partition, complete bool) {
+	switch {
+	case p.replica || p.joining || !complete || len(p.entries) == 0:
+		p.wipeAt = 0
+	case p.wipeAt == 0:
+		p.wipeAt = c.now.Steady + wipeDelay
+	}
+}
+
+// wipeDue forgets partitions that were let go of, sooner if there is little room.
+func (c *Core) wipeDue() {
+	for _, p := range c.partitions {
+		if p == nil || p.wipeAt == 0 || c.now.Steady < p.wipeAt && !c.isHalfFull() {
+			continue
+		}
+		c.appendRecord(&Record{Kind: RecordWipe, Partition: p.number})
+		c.wipeTable(p)
+		p.wipeAt = 0
+	}
+}
+
+// isHalfFull says whether the store has half as much as it can hold.
+func (c *Core) isHalfFull() bool {
+	return c.needsCompaction() || c.config.MaxMessages > 0 && c.messageCount*2 > c.config.MaxMessages
+}
+
+// needsCompaction says whether the disk has so much that old segments are rewritten.
+func (c *Core) needsCompaction() bool {
+	return c.config.DiskBytes > 0 && c.disk.journal.Used()*100 > c.config.DiskBytes*compactionPercent
+}
--- a/store/queue/member.go
+++ b/store/queue/member.go
@@ -1,11 +1,5 @@
 package queue
 
-import (
-	"errors"
-
-	"ravendale/cluster/wire"
-)
-
 // The events of this file come from the primaries of partitions that the store is a member of.
 
 // raiseEpoch refuses older epochs from now on.
@@ -19,7 +13,7 @@
 
 func (c *Core) writeEpoch() {
 	_, at, _ := c.appendRecord(&Record{Kind: RecordEpoch, Sequence: c.newestEpoch})
-	c.epochSegment = at.Segment
+	c.disk.epochSegment = at.Segment
 }
 
 // Replicate applies what a primary has changed, and acknowledges it once it is on disk.
@@ -40,8 +34,8 @@
 			c.apply(r, at, m.Old)
 		}
 	}
-	c.pendingAcks = append(c.pendingAcks, ackWait{position: c.journal.Position(), remote: from, number: m.Number})
-	c.sendAcks()
+	c.disk.pendingAcks = append(c.disk.pendingAcks, ackWait{position: c.disk.journal.Position(), remote: from, number: m.Number})
+	c.disk.sendAcks()
 }
 
 // Compare answers what of a partition differs from the primary's.
@@ -135,59 +129,3 @@
 		c.host.StatusChanged()
 	}
 }
-
-// FindMessage answers a question about a message.
-func (c *Core) FindMessage(now Time, m *wire.Find, reply Replier) {
-	c.now = now
-	answer, err := c.lookUp(m)
-	if errors.Is(err, errAbsence) {
-		reply.Fail(err)
-		return
-	}
-	if err != nil {
-		c.host.Fail(err)
-		reply.Fail(err)
-		return
-	}
-	reply.Send(answer)
-}
-
-// errAbsence answers a question about a message that is not here, but may be elsewhere.
-var errAbsence = errors.New("queue: the message is not here, under another placement than the asker's")
-
-func (c *Core) lookUp(m *wire.Find) (*wire.FindReply, error) {
-	number, _ := wire.PartitionOf(m.ID)
-	p := c.lookUpPartition(number)
-	if p == nil || !p.primary && !p.replica {
-		return c.absentReply(m)
-	}
-	e, _ := p.find(m.ID)
-	if e == nil {
-		return c.absentReply(m)
-	}
-	if m.Body && (e.noBody || e.state == wire.StateDropped) {
-		return c.absentReply(m) // no body is here; of a dead message another replica has it
-	}
-	answer := &wire.FindReply{Found: true, State: e.state}
-	hasBody := e.pending() || e.state == wire.StateDead
-	if e.state != wire.StateDone && !(m.Body && hasBody) {
-		return answer, nil
-	}
-	r, err := c.messageRecord(p, e)
-	if err != nil {
-		return nil, err
-	}
-	answer.Signature = r.Signature
-	if m.Body && hasBody {
-		answer.Body = r.Message.Body
-	}
-	return answer, nil
-}
-
-// absentReply says that a message is not here. If all stores say so under one placement, no replica of its partition has it.
-func (c *Core) absentReply(m *wire.Find) (*wire.FindReply, error) {
-	if c.view == nil || m.Epoch != c.view.Epoch || c.newestEpoch > c.view.Epoch {
-		return nil, errAbsence
-	}
-	return &wire.FindReply{}, nil
-}
--- /dev/null
+++ b/store/queue/op.go
@@ -0,0 +1,145 @@
+package queue
+
+import (
+	"slices"
+	"time"
+
+	"ravendale/cluster/wire"
+)
+
+// op is a change that is not on disk at all members yet.
+type op struct {
+	p       *partition
+	e       *entry // nil: a barrier
+	since   time.Duration
+	put     bool
+	finish  bool
+	synced  bool   // it is on the own disk
+	unacked uint64 // bit by member
+	waiters []waiter
+	index   int // in the partition's list
+}
+
+// waiter is a request that is answered once a change is at all members.
+type waiter struct {
+	reply   Replier
+	put     bool
+	edge    *edge
+	session uint16 // of the edge, when it asked
+}
+
+// beginOp starts a change of an entry that is in the journal up to a position.
+func (c *Core) beginOp(p *partition, e *entry, position uint64, payload []byte) *op {
+	o := &op{p: p, e: e, since: c.now.Steady, index: len(p.ops)}
+	p.ops = append(p.ops, o)
+	if e.delivery != nil {
+		e.delivery.lastChange = o
+	}
+	c.disk.awaitingSync = append(c.disk.awaitingSync, localWait{position: position, op: o})
+	for i, member := range p.members {
+		o.unacked |= 1 << i
+		if member.remote != nil {
+			number := c.enqueueRecord(member, payload, false)
+			member.awaitingAck = append(member.awaitingAck, peerWait{number: number, op: o, member: i})
+		}
+	}
+	return o
+}
+
+// resend sends the newest state of a change's message to one member.
+func (c *Core) resend(o *op, member int) {
+	to := o.p.members[member]
+	if to.remote == nil {
+		return
+	}
+	if o.e == nil {
+		c.sendBarrier(o, member)
+		return
+	}
+	payload := c.messagePayload(o.p, o.e)
+	if payload == nil {
+		return
+	}
+	number := c.enqueueRecord(to, payload, true)
+	to.awaitingAck = append(to.awaitingAck, peerWait{number: number, op: o, member: member})
+}
+
+// complete ends a change if it is on disk everywhere.
+func (c *Core) complete(o *op) {
+	if !o.synced || o.unacked != 0 || o.index < 0 || o.put && len(o.p.members)+1 < c.requiredCopies() {
+		return // with too few members a message is not accepted; the next placement goes on with it
+	}
+	o.p.removeOp(o)
+	o.p.confirmedAt = max(o.p.confirmedAt, o.since)
+	if o.e == nil {
+		c.endBarrier(o.p)
+		return
+	}
+	e := o.e
+	if e.delivery != nil && e.delivery.lastChange == o {
+		e.delivery.lastChange = nil
+	}
+	if o.put && e.delivery != nil {
+		e.delivery.accepting = false
+	}
+	var next *entry
+	if o.finish {
+		next = c.dropDelivery(o.p, e)
+	}
+	if o.put && e.pending() {
+		c.grantOrRequeue(o.p, e, o.notifiesByReply(e.delivery.leaseholder))
+	}
+	if e.delivery != nil && e.delivery.lastChange == nil && e.delivery.grantPending {
+		c.grantWithBody(o.p, e)
+	}
+	for _, w := range o.waiters {
+		c.replyTo(o, w)
+	}
+	if next != nil {
+		c.grantOrRequeue(o.p, next, false)
+	}
+}
+
+// notifiesByReply says whether an edge hears of the change by a reply on its present connection.
+func (o *op) notifiesByReply(leaseholder *edge) bool {
+	return slices.ContainsFunc(o.waiters, func(w waiter) bool {
+		return w.put && leaseholder != nil && w.edge == leaseholder && w.session == leaseholder.session && leaseholder.remote != nil
+	})
+}
+
+func (c *Core) replyTo(o *op, w waiter) {
+	if !w.put {
+		w.reply.Send(&wire.ReportReply{Code: wire.PutKept, Epoch: c.epoch()})
+		return
+	}
+	w.reply.Send(c.putReply(o.p, o.e, w.edge))
+}
+
+func (p *partition) removeOp(o *op) {
+	last := len(p.ops) - 1
+	p.ops[o.index] = p.ops[last]
+	p.ops[o.index].index = o.index
+	p.ops[last] = nil
+	p.ops = p.ops[:last]
+	o.index = -1
+}
+
+// supersede ends the changes of a message that is written anew, and returns who waits for them.
+func (p *partition) supersede(e *entry) []waiter {
+	var waiters []waiter
+	for _, o := range slices.Clone(p.ops) {
+		if o.e == e {
+			waiters = append(waiters, o.waiters...)
+			p.removeOp(o)
+		}
+	}
+	return waiters
+}
+
+func (w waiter) refuse(code wire.PutCode, epoch uint64) {
+	if w.put {
+		w.reply.Send(&wire.PutReply{Code: code, Epoch: epoch})
+		return
+	}
+	w.reply.Send(&wire.ReportReply{Code: code, Epoch: epoch})
+}
--- a/store/queue/view.go
+++ b/store/queue/placement.go
@@ -17,7 +17,7 @@
 	c.view = view
 	c.raiseEpoch(view.Epoch)
 	c.updatePeers()
-	for _, to := range c.peerList {
+	for _, to := range c.peers.list {
 		to.awaitingAck = nil
 		to.cancelComparisons()
 	}
@@ -28,7 +28,7 @@
 		}
 		c.applyPlacement(c.partition(uint16(number)), &view.Partitions[number])
 	}
-	c.started = true
+	c.viewSeen = true
 	c.openPartitions()
 	c.assignDue()
 	c.flushPeers()
@@ -49,20 +49,20 @@
 func (c *Core) updatePeers() {
 	var list []*peer
 	for _, store := range c.Peers() {
-		to := c.peers[store.Disk]
+		to := c.peers.byDisk[store.Disk]
 		if to == nil {
 			to = &peer{disk: store.Disk}
-			c.peers[store.Disk] = to
+			c.peers.byDisk[store.Disk] = to
 		}
 		list = append(list, to)
 	}
-	for _, to := range c.peerList {
+	for _, to := range c.peers.list {
 		if !slices.Contains(list, to) {
 			c.disconnectPeer(to)
-			delete(c.peers, to.disk)
+			delete(c.peers.byDisk, to.disk)
 		}
 	}
-	c.peerList = list
+	c.peers.list = list
 }
 
 // disks resolves indices of stores.
@@ -79,7 +79,7 @@
 func (c *Core) peersOf(disks []string) []*peer {
 	var list []*peer
 	for _, disk := range disks {
-		if to := c.peers[disk]; to != nil {
+		if to := c.peers.byDisk[disk]; to != nil {
 			list = append(list, to)
 		}
 	}
@@ -132,7 +132,7 @@
 		p.ready = false
 		p.primarySince = c.now.Steady
 		p.claimWindow = c.config.ClaimWindow
-		if !c.started {
+		if !c.viewSeen {
 			p.claimWindow = c.config.RestartWindow
 		}
 	}
@@ -182,44 +182,3 @@
 	p.ready = false
 	p.unmerged = nil
 }
-
-// scheduleWipe lets go of a partition that others hold whole: not at once, for a store that was away for a moment is likely to be given it
-// back, and then needs only what has changed.
-func (c *Core) scheduleWipe(p *partition, complete bool) {
-	switch {
-	case p.replica || p.joining || !complete || len(p.entries) == 0:
-		p.wipeAt = 0
-	case p.wipeAt == 0:
-		p.wipeAt = c.now.Steady + wipeDelay
-	}
-}
-
-// wipeDue forgets partitions that were let go of, sooner if there is little room.
-func (c *Core) wipeDue() {
-	for _, p := range c.partitions {
-		if p == nil || p.wipeAt == 0 || c.now.Steady < p.wipeAt && !c.isHalfFull() {
-			continue
-		}
-		c.appendRecord(&Record{Kind: RecordWipe, Partition: p.number})
-		c.wipeTable(p)
-		p.wipeAt = 0
-	}
-}
-
-// isHalfFull says whether the store has half as much as it can hold.
-func (c *Core) isHalfFull() bool {
-	return c.needsCompaction() || c.config.MaxMessages > 0 && c.messageCount*2 > c.config.MaxMessages
-}
-
-// needsCompaction says whether the disk has so much that old segments are rewritten.
-func (c *Core) needsCompaction() bool {
-	return c.config.DiskBytes > 0 && c.journal.Used()*100 > c.config.DiskBytes*compactionPercent
-}
-
-func (w waiter) refuse(code wire.PutCode, epoch uint64) {
-	if w.put {
-		w.reply.Send(&wire.PutReply{Code: code, Epoch: epoch})
-		return
-	}
-	w.reply.Send(&wire.ReportReply{Code: code, Epoch: epoch})
-}
--- /dev/null
+++ b/store/queue/records.go
@@ -0,0 +1,64 @@
+package queue
+
+import (
+	"ravendale/cluster/wire"
+	"ravendale/store/journal"
+)
+
+// appendRecord appends a record and returns its bytes, place and position.
+func (c *Core) appendRecord(r *Record) (payload []byte, at journal.Location, position uint64) {
+	payload = r.encode()
+	at, position = c.appendPayload(payload)
+	return payload, at, position
+}
+
+// messageRecord makes a record of all that is known of an entry. It fails if the disk does.
+func (c *Core) messageRecord(p *partition, e *entry) (*Record, error) {
+	payload, err := c.disk.journal.Read(e.location)
+	if err != nil {
+		return nil, err
+	}
+	r, err := decodeRecord(payload)
+	if err != nil {
+		return nil, err
+	}
+	r.Kind, r.Partition, r.ID = RecordMessage, p.number, e.id
+	r.Sequence, r.State, r.Failed, r.NoBody = e.sequence, e.state, e.failed, e.noBody
+	r.Leaseholder = e.lastLeaseholder()
+	return r, nil
+}
+
+// messagePayload is the encoding of whole; nil if the disk fails.
+func (c *Core) messagePayload(p *partition, e *entry) []byte {
+	r, err := c.messageRecord(p, e)
+	if err != nil {
+		c.host.Fail(err)
+		return nil
+	}
+	return r.encode()
+}
+
+// readMessage reads a message with its body.
+func (c *Core) readMessage(p *partition, e *entry) (*wire.Message, error) {
+	r, err := c.messageRecord(p, e)
+	if err != nil {
+		return nil, err
+	}
+	r.Message.ID = e.id
+	return &r.Message, nil
+}
+
+// setLocation notes where an entry's record lies.
+func (c *Core) setLocation(e *entry, at journal.Location) {
+	c.clearLocation(e)
+	e.location = at
+	c.disk.addReference(at.Segment)
+}
+
+func (c *Core) clearLocation(e *entry) {
+	if e.location.Segment == 0 {
+		return
+	}
+	c.disk.dropReference(e.location.Segment)
+	e.location = journal.Location{}
+}
--- a/store/queue/regrant.go
+++ b/store/queue/regrant.go
@@ -1,10 +1,6 @@
 package queue
 
-import (
-	"time"
-
-	"ravendale/cluster/wire"
-)
+import "time"
 
 // regrant is due for a message that an edge claimed or was given. It may not hold it: it gave up the put under which it claimed the
 // message, or did not take the grant, as one of a store that it did not take for the primary. Nothing tells the store so.
@@ -14,46 +10,62 @@
 	e  *entry
 }
 
-// scheduleRegrant has a message's holder reminded, once for each message.
+// regrantQueue has the regrants by time, one at most for each message.
+type regrantQueue struct {
+	queue     []regrant
+	scheduled map[*entry]bool
+}
+
+func newRegrantQueue() regrantQueue { return regrantQueue{scheduled: make(map[*entry]bool)} }
+
+// due is when the first is due; never, if there is none.
+func (q *regrantQueue) due() time.Duration {
+	if len(q.queue) == 0 {
+		return never
+	}
+	return q.queue[0].at
+}
+
+// push adds the newest one.
+func (q *regrantQueue) push(r regrant) {
+	q.scheduled[r.e] = true
+	q.queue = append(q.queue, r)
+}
+
+// pop removes and returns the first.
+func (q *regrantQueue) pop() regrant {
+	r := q.queue[0]
+	q.queue = q.queue[1:]
+	delete(q.scheduled, r.e)
+	if len(q.queue) == 0 {
+		q.queue = nil
+	}
+	return r
+}
+
+// scheduleRegrant has a message granted again to its leaseholder, once for each message.
 func (c *Core) scheduleRegrant(p *partition, e *entry) {
-	if c.regrantScheduled[e] {
+	if c.regrants.scheduled[e] {
 		return
 	}
-	c.regrantScheduled[e] = true
 	at := c.now.Steady + regrantInterval
-	c.regrants = append(c.regrants, regrant{at: at, p: p, e: e})
+	c.regrants.push(regrant{at: at, p: p, e: e})
 	c.wakeAt(at)
 }
 
-// regrantDue grants messages that have not ended to their holders again: an edge gives back what it does not hold.
+// regrantDue grants messages that are not finished to their leaseholders again: an edge releases what it does not have.
 func (c *Core) regrantDue() {
-	for len(c.regrants) > 0 && c.regrants[0].at <= c.now.Steady {
-		r := c.regrants[0]
-		c.regrants = c.regrants[1:]
-		delete(c.regrantScheduled, r.e)
+	for c.regrants.due() <= c.now.Steady {
+		r := c.regrants.pop()
 		if !r.isLeased() {
 			continue
 		}
 		c.unassign(r.e.delivery)
 		if c.wasGranted(r) {
-			_ = r.e.delivery.leaseholder.remote.Notify(wire.MethodGrant, &wire.Grant{Partition: r.p.number, Epoch: c.epoch(), ID: r.e.id, Failed: r.e.failed})
+			r.e.delivery.leaseholder.grant(c.epoch(), r.p, r.e)
 		}
 		c.scheduleRegrant(r.p, r.e)
 	}
-	if len(c.regrants) == 0 {
-		c.regrants = nil
-	}
-}
-
-// unassign gives the place of a message back that its holder was given long ago: those that no worker can be had for must not keep
-// others from being handed over. What an edge has no room for it gives back by itself.
-func (c *Core) unassign(l *delivery) {
-	if !l.assigned {
-		return
-	}
-	l.assigned = false
-	l.leaseholder.assigned--
-	c.unreserve(l.leaseholder)
 }
 
 // isLeased says whether a message is still there, and with an edge.
--- /dev/null
+++ b/store/queue/report.go
@@ -0,0 +1,87 @@
+package queue
+
+import (
+	"fmt"
+
+	"ravendale/cluster/wire"
+)
+
+// ReportDelivery records what became of a delivery.
+func (c *Core) ReportDelivery(now Time, from Remote, m *wire.Report, reply Replier) {
+	c.now = now
+	p, code := c.admit(m.Partition, m.Epoch)
+	if code != wire.PutKept {
+		reply.Send(&wire.ReportReply{Code: code, Epoch: c.newestEpoch})
+		return
+	}
+	e, _ := p.find(m.ID)
+	switch {
+	case e == nil && p.isMergePending(): // another store may know the message
+		reply.Send(&wire.ReportReply{Code: wire.PutUnknown, Epoch: c.epoch()})
+	case e == nil:
+		reply.Send(&wire.ReportReply{Code: wire.PutKept, Epoch: c.epoch()})
+	case !e.pending():
+		c.replyAfterLastChange(e, reply)
+	default:
+		c.applyReport(p, e, from, m, reply)
+	}
+	c.assignDue()
+	c.flushPeers()
+}
+
+// replyAfterLastChange answers a report that changes nothing, once what is known is at all members.
+func (c *Core) replyAfterLastChange(e *entry, reply Replier) {
+	if e.delivery != nil && e.delivery.lastChange != nil {
+		e.delivery.lastChange.waiters = append(e.delivery.lastChange.waiters, waiter{reply: reply})
+		return
+	}
+	reply.Send(&wire.ReportReply{Code: wire.PutKept, Epoch: c.epoch()})
+}
+
+func (c *Core) applyReport(p *partition, e *entry, from Remote, m *wire.Report, reply Replier) {
+	switch m.Kind {
+	case wire.ReportDone:
+		c.finishMessage(p, e, wire.StateDone, m.Signature, reply)
+	case wire.ReportDead, wire.ReportExpired:
+		c.finishMessage(p, e, wire.StateDead, "", reply)
+	case wire.ReportDropped:
+		c.finishMessage(p, e, wire.StateDropped, "", reply)
+	case wire.ReportFailed:
+		c.countFailures(p, e, m.Failed, reply)
+	case wire.ReportReleased:
+		if sender := c.edges.byRemote[from]; sender != nil && e.delivery.leaseholder == sender {
+			e.delivery.released = true
+			c.requeueMessage(p, e)
+		}
+		reply.Send(&wire.ReportReply{Code: wire.PutKept, Epoch: c.epoch()})
+	default:
+		reply.Fail(fmt.Errorf("queue: report of unknown kind %d for message %q", m.Kind, m.ID))
+	}
+}
+
+// finishMessage records a message's end. Reply may be nil.
+func (c *Core) finishMessage(p *partition, e *entry, state wire.State, signature string, reply Replier) {
+	r := &Record{
+		Kind: RecordFinish, Partition: p.number, ID: e.id, Sequence: c.nextSequence(), State: state, Failed: e.failed,
+		Signature: signature,
+	}
+	payload, at, position := c.appendRecord(r)
+	c.markFinished(p, e, r, at)
+	o := c.beginOp(p, e, position, payload)
+	o.finish = true
+	if reply != nil {
+		o.waiters = append(o.waiters, waiter{reply: reply})
+	}
+}
+
+func (c *Core) countFailures(p *partition, e *entry, failed uint16, reply Replier) {
+	if failed <= e.failed {
+		c.replyAfterLastChange(e, reply)
+		return
+	}
+	p.change(e, func() { e.failed = failed })
+	payload, _, position := c.appendRecord(&Record{Kind: RecordFailed, Partition: p.number, ID: e.id, Failed: failed})
+	o := c.beginOp(p, e, position, payload)
+	o.put = e.delivery.accepting
+	o.waiters = append(o.waiters, waiter{reply: reply})
+}
--- a/store/queue/rules_test.go
+++ b/store/queue/rules_test.go
@@ -216,13 +216,13 @@
 	}
 	full, _ := e.grants("0.1")
 	assert.Equal(t, 1, full)
-	assert.Equal(t, 1, r.core.edges["e"].assigned, "the others have lost their places")
+	assert.Equal(t, 1, r.core.edges.byID["e"].assigned, "the others have lost their places")
 	for i := range 3 * maxAssigned {
 		r.report(wire.Report{ID: fmt.Sprintf("0.stuck%d", i), Kind: wire.ReportDone}, e)
 	}
 	r.report(wire.Report{ID: "0.1", Kind: wire.ReportDone}, e)
 	r.syncAndAckAll(b)
-	assert.Zero(t, r.core.edges["e"].assigned)
+	assert.Zero(t, r.core.edges.byID["e"].assigned)
 }
 
 func TestMessageThatIsReleasedOftenIsGrantedAgainOnce(t *testing.T) {
@@ -233,15 +233,15 @@
 		r.report(wire.Report{ID: "0.1", Kind: wire.ReportReleased}, e)
 		r.syncAndAckAll(b)
 	}
-	assert.Len(t, r.core.regrants, 1)
+	assert.Len(t, r.core.regrants.queue, 1)
 	r.pass(regrantInterval)
 	_, reminders := e.grants("0.1")
 	assert.Equal(t, 1, reminders)
 	r.report(wire.Report{ID: "0.1", Kind: wire.ReportDone}, e)
 	r.syncAndAckAll(b)
 	r.pass(regrantInterval)
-	assert.Empty(t, r.core.regrants)
-	assert.Empty(t, r.core.regrantScheduled)
+	assert.Empty(t, r.core.regrants.queue)
+	assert.Empty(t, r.core.regrants.scheduled)
 }
 
 // State: the stamp of the run that succeeded, from any replica and after a restart.
--- a/store/queue/sim_test.go
+++ b/store/queue/sim_test.go
@@ -450,7 +450,7 @@
 func (n *simStore) link() {
 	incarnation := n.disk.incarnation
 	for _, other := range n.sim.stores {
-		if c := n.links[other.disk.name]; n.core.peers[other.disk.name] == nil || c != nil && c.open || !other.up || n.sim.isPartitioned(n.disk.name, other.disk.name) {
+		if c := n.links[other.disk.name]; n.core.peers.byDisk[other.disk.name] == nil || c != nil && c.open || !other.up || n.sim.isPartitioned(n.disk.name, other.disk.name) {
 			continue
 		}
 		c := n.sim.connect(n.disk.name, other.disk.name)
