--- a/store/queue/apply.go
+++ b/store/queue/apply.go
@@ -7,7 +7,7 @@
 	"ravendale/store/journal"
 )
 
-// Recover is told of each record of the journal, in order, before Start.
+// Recover applies a record of the journal: each of them, in order, before Start. It fails for a record that can't be decoded.
 func (c *Core) Recover(now Time, at journal.Location, payload []byte) error {
 	c.now = now
 	r, err := decodeRecord(payload)
@@ -18,7 +18,7 @@
 	return nil
 }
 
-// changes says whether a record from the primary tells anything new.
+// changes says whether a record from the primary would change anything here.
 func (c *Core) changes(r *Record) bool {
 	p := c.partition(r.Partition)
 	e, _ := p.find(r.ID)
@@ -38,7 +38,8 @@
 	return true
 }
 
-// apply brings the tables up to a record that lies at a place in the journal. Old says that the message is not new.
+// apply brings the tables up to a record that lies at a location of the journal. Old: the message is not new, so its times are worked out by
+// the time of day.
 func (c *Core) apply(r *Record, at journal.Location, old bool) {
 	if r.Kind == RecordEpoch {
 		c.newestEpoch = max(c.newestEpoch, r.Sequence)
@@ -111,8 +112,8 @@
 // longestSpan is what delays and retentions are cut to, in milliseconds: added to the steady clock they must not come round to now.
 const longestSpan = 1 << 31
 
-// setTimes works out when a message is due and when it ends unrun. For one that is not new the time of day is all there is: it may
-// be wrong, and is not let move a delay past its full length, nor an end before its time.
+// setTimes works out when a message is due and when its retention is over. For one that is not new the time of day is all there is: it may
+// be wrong, so it must neither prolong a delay beyond its full length nor shorten a retention.
 func (c *Core) setTimes(e *entry, m *wire.Message, old bool) {
 	delay, retention := int64(m.DelayMs), int64(m.RetentionMs)
 	if old {
@@ -140,7 +141,7 @@
 	c.replaceFinish(p, e, r, at)
 }
 
-// replaceFinish gives an ended message another end. The body that is kept of a dead one lies where it did.
+// replaceFinish gives a finished message another outcome. The body of a dead one stays where it lies.
 func (c *Core) replaceFinish(p *partition, e *entry, r *Record, at journal.Location) {
 	dead := r.State == wire.StateDead
 	keeps := dead && e.state == wire.StateDead
@@ -155,7 +156,8 @@
 	}
 }
 
-// markFinished records an end in memory; the message keeps its place in the order of its key. The body of a dead one is kept.
+// markFinished records an outcome in memory; the message keeps its position in its key order until all members have the outcome. The location
+// of a dead one stays that of its body.
 func (c *Core) markFinished(p *partition, e *entry, r *Record, at journal.Location) {
 	p.change(e, func() { e.state, e.sequence = r.State, r.Sequence })
 	e.finishedAt = c.seconds()
@@ -164,7 +166,7 @@
 	}
 }
 
-// dropDelivery lets go of what only a pending message needs, and returns the message of its key whose turn it is now, if any.
+// dropDelivery frees the delivery state of a message, and returns the new head of its key order, if there is one.
 func (c *Core) dropDelivery(p *partition, e *entry) *entry {
 	if e.delivery == nil {
 		return nil
@@ -175,7 +177,7 @@
 	return next
 }
 
-// removeEntry takes an entry out of memory.
+// removeEntry removes a message from memory, and refuses those who wait for its operations.
 func (c *Core) removeEntry(p *partition, e *entry) {
 	if e.delivery != nil {
 		for _, w := range p.supersede(e) {
--- a/store/queue/assign.go
+++ b/store/queue/assign.go
@@ -6,7 +6,7 @@
 	"ravendale/cluster/wire"
 )
 
-// assignDue gives orphans that are due to edges.
+// assignDue assigns unowned messages that are due to edges, and finishes those whose retention is over.
 func (c *Core) assignDue() {
 	for len(c.unowned) > 0 && c.unowned[0].due <= c.millis() {
 		top := c.unowned[0]
@@ -39,12 +39,13 @@
 	}
 }
 
+// isConfirmed says whether all members have acknowledged something so recently that none of them can have known a newer epoch.
 func (c *Core) isConfirmed(p *partition) bool {
 	return len(p.members) == 0 || c.now.Steady < p.confirmedAt+confirmationTimeout
 }
 
-// target picks who is given an orphan: its owner, who may have ended it already and then says so, as long as it lives. If it can't be given
-// anything now the message waits for it.
+// target picks the edge that an unowned message is assigned to: its last leaseholder as long as that one is connected, since it may have
+// finished it already and then reports so. If nothing can be assigned to that one now, the message waits for it.
 func (c *Core) target(e *entry) (to, waitsFor *edge) {
 	leaseholder := c.edges.byID[e.delivery.lastLeaseholder]
 	switch {
@@ -56,22 +57,22 @@
 	return nil, leaseholder
 }
 
-// canAssign says whether an edge can be given a message whole.
+// canAssign says whether a message can be assigned to an edge: it has claimed under this epoch, and has not too many already.
 func (c *Core) canAssign(e *edge) bool {
 	return e.remote != nil && e.claimedEpoch == c.epoch() && e.assigned < maxAssigned
 }
 
-// unreserve puts the messages that wait for an edge back among the orphans.
+// unreserve puts the messages that are reserved for an edge back among the unowned ones.
 func (c *Core) unreserve(e *edge) {
-	waiting := e.reserved
+	reserved := e.reserved
 	e.reserved = nil
-	for _, o := range waiting {
+	for _, o := range reserved {
 		heap.Push(&c.unowned, o)
 	}
 }
 
-// leastLoadedEdge picks the edge with the least to do that may be given a message, preferably of the own zone, and rather not the one
-// that has given it back.
+// leastLoadedEdge picks the edge with the fewest assigned messages, preferably of the own zone, and rather not the one that has released this
+// message; nil if there is none.
 func (c *Core) leastLoadedEdge(releasedBy string) *edge {
 	var best *edge
 	least := 0
@@ -90,6 +91,7 @@
 	return best
 }
 
+// load is how many messages are assigned to an edge, with a penalty for another zone.
 func (c *Core) load(e *edge) int {
 	if e.zone != c.config.Zone {
 		return e.assigned + otherZonePenalty
@@ -97,7 +99,7 @@
 	return e.assigned
 }
 
-// assignMessage hands a message to an edge, once all members know whose it is.
+// assignMessage leases a message to an edge, which is granted it with its body once all members know of the lease.
 func (c *Core) assignMessage(p *partition, e *entry, to *edge) {
 	c.startLease(e, to)
 	e.delivery.assigned = true
@@ -114,11 +116,12 @@
 	}
 }
 
+// grantWithBody sends a message with its body to its leaseholder.
 func (c *Core) grantWithBody(p *partition, e *entry) {
 	e.delivery.grantPending = false
 	to := e.delivery.leaseholder
 	if to.remote == nil {
-		return // it is taken back, if it does not come and claim it
+		return // it is requeued, if the edge does not reconnect and claim it
 	}
 	message, err := c.readMessage(p, e)
 	if err != nil {
@@ -130,8 +133,8 @@
 	})
 }
 
-// unassign gives the place of a message back that its holder was given long ago: those that no worker can be had for must not keep
-// others from being handed over. What an edge has no room for it gives back by itself.
+// unassign has a message count no more among those that are assigned to its leaseholder, when that has had it for long: messages that no
+// worker is there for must not block others. What an edge has no capacity for it releases by itself.
 func (c *Core) unassign(l *delivery) {
 	if !l.assigned {
 		return
--- a/store/queue/barrier.go
+++ b/store/queue/barrier.go
@@ -2,7 +2,8 @@
 
 import "container/heap"
 
-// startBarrier begins a barrier: once all members have answered, none of them knew a newer epoch when it began.
+// startBarrier sends an empty Replicate to all members. Once all have acknowledged it, none of them knew a newer epoch when it was sent: the
+// store was the primary then.
 func (c *Core) startBarrier(p *partition) {
 	if p.barrier != nil {
 		return
@@ -17,6 +18,7 @@
 	c.complete(o)
 }
 
+// sendBarrier sends a barrier to one member.
 func (c *Core) sendBarrier(o *op, member int) {
 	to := o.p.members[member]
 	to.flush(c.epoch())
@@ -25,15 +27,15 @@
 	_ = to.remote.Notify(MethodReplicate, &Replicate{Epoch: c.epoch(), Number: to.number})
 }
 
-// endBarrier puts the messages that waited for a barrier back among the orphans.
+// endBarrier puts the messages that were deferred until a barrier back among the unowned ones.
 func (c *Core) endBarrier(p *partition) {
-	parked := p.deferred
+	deferred := p.deferred
 	p.deferred = nil
 	if p.barrier != nil && p.barrier.index >= 0 {
 		p.removeOp(p.barrier)
 	}
 	p.barrier = nil
-	for _, o := range parked {
+	for _, o := range deferred {
 		if o.e.delivery != nil {
 			heap.Push(&c.unowned, o)
 		}
--- a/store/queue/claim.go
+++ b/store/queue/claim.go
@@ -2,7 +2,8 @@
 
 import "ravendale/cluster/wire"
 
-// ClaimMessages notes what an edge holds.
+// ClaimMessages has an edge lease what it says it has, under the epoch in force. What it was assigned and does not claim is requeued; the
+// answer names what it may not go on with.
 func (c *Core) ClaimMessages(now Time, from Remote, m *wire.Claim, reply Replier) {
 	c.now = now
 	e := c.edges.byRemote[from]
@@ -31,7 +32,7 @@
 	c.flushPeers()
 }
 
-// claimMessage says whether an edge may keep a message.
+// claimMessage leases a message to an edge that claims it, and says whether the edge may go on with it.
 func (c *Core) claimMessage(by *edge, id string) bool {
 	number, ok := wire.PartitionOf(id)
 	p := c.lookUpPartition(number)
--- a/store/queue/comparison.go
+++ b/store/queue/comparison.go
@@ -12,7 +12,7 @@
 	p       *partition
 	to      *peer
 	id      uint64
-	merge   bool                   // what only the member knows is taken over; else it is dropped there
+	merge   bool                   // what only the member knows is adopted; else it is dropped there
 	listed  bool                   // the member has listed all that differs
 	fetches int                    // unanswered
 	buckets *[bucketCount][]*entry // what the store has, as it was when the member began to list
@@ -92,7 +92,7 @@
 	}
 	for _, e := range f.buckets[m.Bucket] {
 		if current, _ := f.p.find(e.id); current != e {
-			continue // it was replaced, or forgotten, since
+			continue // it was replaced or removed since
 		}
 		decide(e, theirs[e.id])
 		delete(theirs, e.id)
@@ -129,7 +129,7 @@
 	return d.State != e.state || d.Failed > e.failed
 }
 
-// Fetched takes over what only a member knew.
+// Fetched adopts what only a member knew.
 func (c *Core) Fetched(now Time, from Remote, m *Fetched) {
 	c.now = now
 	f := c.findComparison(m.Partition, from, m.ComparisonID)
@@ -154,7 +154,7 @@
 	c.flushPeers()
 }
 
-// adoptRecord applies a record of a member, unless it is known better by now, and gives it to all members.
+// adoptRecord applies a record of a member, unless more is known by now, and sends it to all members.
 func (c *Core) adoptRecord(p *partition, r *Record) {
 	e, collides := p.find(r.ID)
 	digest := Digest{State: r.State, Failed: r.Failed, NoBody: r.NoBody}
@@ -203,7 +203,7 @@
 	c.sendNextBatch(f.to)
 }
 
-// enqueueComparison has a comparison wait for its turn. What a takeover waits for comes first.
+// enqueueComparison queues a comparison that has something to send. Those that a takeover waits for come first.
 func (to *peer) enqueueComparison(f *comparison) {
 	i := len(to.comparisons)
 	if f.merge {
@@ -215,12 +215,12 @@
 	to.comparisons = slices.Insert(to.comparisons, i, f)
 }
 
-// cancelComparisons forgets what was on its way to a peer.
+// cancelComparisons drops all comparisons with a peer.
 func (to *peer) cancelComparisons() {
 	to.unackedBatch, to.comparisons, to.stats = nil, nil, comparisonStats{}
 }
 
-// sendNextBatch sends the next batch to a peer that has taken the one before.
+// sendNextBatch sends the next batch to a peer that has acknowledged the one before.
 func (c *Core) sendNextBatch(to *peer) {
 	for to.unackedBatch == nil && len(to.comparisons) > 0 {
 		f := to.comparisons[0]
@@ -254,7 +254,7 @@
 		f.to.stats.sent++
 	}
 	f.to.stats.bytes += size
-	if number == 0 { // all of it was forgotten meanwhile
+	if number == 0 { // all of it was removed meanwhile
 		c.advanceComparison(f)
 		return
 	}
--- a/store/queue/comparisonstats.go
+++ b/store/queue/comparisonstats.go
@@ -12,7 +12,7 @@
 	bytes      int // of those
 }
 
-// countComparison notes that a comparison has ended, and tells once all have that brought something.
+// countComparison counts a comparison that has ended, and logs the sums once all with the peer have, unless nothing differed.
 func (c *Core) countComparison(to *peer) {
 	to.stats.partitions++
 	if c.isComparing(to) {
--- a/store/queue/core.go
+++ b/store/queue/core.go
@@ -17,16 +17,18 @@
 
 // Remote is a connection to an edge or another store.
 type Remote interface {
+	// Notify sends a notification. It fails if the connection is closed, which the core hears of by EdgeDown or PeerDown as well.
 	Notify(method wire.Method, message msgp.Marshaler) error
 }
 
-// Replier answers one request.
+// Replier answers one request, once: with a reply, or an error.
 type Replier interface {
 	Send(message msgp.Marshaler)
 	Fail(err error)
 }
 
-// Journal is the store's disk.
+// Journal is the store's write-ahead log; package journal has one. Positions are bytes appended since it was opened; they are not
+// comparable between two openings.
 type Journal interface {
 	Append(payload []byte) (at journal.Location, position uint64)
 	Position() uint64
@@ -77,13 +79,14 @@
 // never is a time that does not come.
 const never = time.Duration(1<<63 - 1)
 
-// Start gives the core its journal, once all of it has gone through Recover.
+// Start has the core use its journal, once all records have gone through Recover.
 func (c *Core) Start(now Time, j Journal) {
 	c.now = now
 	c.disk.open(j)
 	c.wakeAt(c.schedule.maintenance)
 }
 
+// epoch is that of the placement in force; zero before the first.
 func (c *Core) epoch() uint64 {
 	if c.view == nil {
 		return 0
@@ -91,11 +94,13 @@
 	return c.view.Epoch
 }
 
+// nextSequence grows, and is larger than any that was given under an older epoch.
 func (c *Core) nextSequence() uint64 {
 	c.sequence = max(c.sequence+1, c.epoch()<<32)
 	return c.sequence
 }
 
+// wakeAt has Tick called at a time at the latest.
 func (c *Core) wakeAt(steady time.Duration) {
 	if steady < c.schedule.wakeup {
 		c.schedule.wakeup = steady
@@ -110,7 +115,7 @@
 // flushPeers sends what the event has produced.
 func (c *Core) flushPeers() { c.peers.flush(c.epoch()) }
 
-// Status is what the control plane is told.
+// Status is what the store reports to the control plane.
 func (c *Core) Status() wire.StoreStatus {
 	status := wire.StoreStatus{Epoch: c.epoch(), Messages: uint64(c.messageCount), Stalled: c.disk.stalled}
 	for _, p := range c.partitions {
@@ -135,7 +140,7 @@
 	return false
 }
 
-// Tick does what is due. NextWake is asked for through Host.WakeAt.
+// Tick does what is due. The next one is asked for through Host.WakeAt.
 func (c *Core) Tick(now Time) {
 	c.now = now
 	c.schedule.wakeup = never
--- a/store/queue/disk.go
+++ b/store/queue/disk.go
@@ -9,13 +9,13 @@
 
 // diskState is what the core knows of its journal: how far it is synced, and what waits for that.
 //
-// A store whose disk takes nothing stays up: it accepts no new messages, and tells the control plane, which has others take its place until
-// the disk takes all that waits.
+// A store whose disk stalls stays up: it refuses new messages, and reports to the control plane, which has others replace it until all that
+// waits is synced.
 type diskState struct {
 	journal       Journal        // nil before Start
 	durable       uint64         // position up to which the journal is synced
 	unsyncedSince time.Duration  // since when what was appended waits for the disk; never: nothing does
-	stalled       bool           // as the control plane was told last
+	stalled       bool           // as it was reported last
 	references    map[uint32]int // by segment: entries whose record lies in it
 	epochSegment  uint32         // the segment that holds the newest epoch
 	awaitingSync  []localWait    // in order: operations that wait for the own disk
@@ -44,7 +44,7 @@
 	d.durable = j.Position()
 }
 
-// stallDue is when the disk counts as stalled, unless it takes something before.
+// stallDue is when the disk counts as stalled, unless it syncs something before; never, if nothing waits.
 func (d *diskState) stallDue() time.Duration {
 	if d.unsyncedSince == never || d.stalled {
 		return never
@@ -63,7 +63,7 @@
 	return done
 }
 
-// sendAcks tells primaries what has become durable here, once for each connection.
+// sendAcks acknowledges to primaries what has become durable here, once for each connection.
 func (d *diskState) sendAcks() {
 	n := 0
 	for n < len(d.pendingAcks) && d.pendingAcks[n].position <= d.durable {
@@ -98,7 +98,7 @@
 	return c.disk.journal.Append(payload)
 }
 
-// noteSync notes that the disk has taken something, and whether more waits.
+// noteSync records that the disk has synced something, and whether more waits.
 func (c *Core) noteSync() {
 	c.disk.unsyncedSince = never
 	if c.disk.durable < c.disk.journal.Position() {
@@ -118,7 +118,7 @@
 	}
 }
 
-// DiskFull tells that the disk has no room for what was appended.
+// DiskFull handles that the disk has no capacity for what was appended: it counts as stalled at once.
 func (c *Core) DiskFull(now Time) {
 	c.now = now
 	if c.disk.unsyncedSince != never {
@@ -135,7 +135,7 @@
 	c.host.StatusChanged()
 }
 
-// JournalSynced tells that the journal is on disk up to a position.
+// JournalSynced handles that the journal is synced up to a position: operations may complete, and primaries get their acknowledgements.
 func (c *Core) JournalSynced(now Time, position uint64) {
 	c.now = now
 	c.disk.durable = max(c.disk.durable, position)
--- a/store/queue/edge.go
+++ b/store/queue/edge.go
@@ -14,11 +14,11 @@
 	remote         Remote // nil while there is no connection
 	draining       bool
 	session        uint16           // raised with each connection
-	claimedEpoch   uint64           // epoch for which it has said what it holds, on this connection
-	assigned       int              // messages that it was given whole and that have not ended
-	reserved       []unownedMessage // messages that only it is to be given, while it lives
-	lastAssignment uint64           // when it was given one last
-	mustClaim      bool             // it holds messages from before it went, which it has not claimed
+	claimedEpoch   uint64           // epoch under which it has claimed, on this connection
+	assigned       int              // messages that it was assigned, sent with their body, and has not finished
+	reserved       []unownedMessage // unowned messages that wait for this edge, while it is connected
+	lastAssignment uint64           // when it was assigned one last, as a count
+	mustClaim      bool             // it leases messages since an earlier connection, and has not claimed them yet
 	mustClaimSince time.Duration
 }
 
@@ -67,7 +67,7 @@
 	}
 }
 
-// AttachEdge tells who is at the other end of a connection.
+// AttachEdge handles that an edge says who it is, on its connection.
 func (c *Core) AttachEdge(now Time, from Remote, m *wire.Attach, reply Replier) {
 	c.now = now
 	e := c.edges.byID[m.Edge]
@@ -101,7 +101,7 @@
 	c.edges.byRemote[from] = e
 }
 
-// startClaimTimeout starts the time in which an edge must claim what it holds.
+// startClaimTimeout starts the time in which an edge must claim what it leases.
 func (c *Core) startClaimTimeout(e *edge) {
 	if !e.mustClaim {
 		e.mustClaim = true
@@ -110,7 +110,7 @@
 	}
 }
 
-// EdgeDown tells that an edge's connection is lost.
+// EdgeDown handles that an edge's connection is closed.
 func (c *Core) EdgeDown(now Time, remote Remote) {
 	c.now = now
 	if e := c.edges.byRemote[remote]; e != nil {
@@ -125,7 +125,7 @@
 	c.startClaimTimeout(e)
 }
 
-// expireEdges takes back what edges hold that have gone for too long.
+// expireEdges requeues what edges lease that have not come back or claimed in time, and drops those that are away.
 func (c *Core) expireEdges() {
 	for _, e := range slices.Clone(c.edges.list) {
 		if !e.mustClaim || c.now.Steady < e.mustClaimSince+c.config.ReconnectTimeout {
@@ -140,7 +140,7 @@
 	}
 }
 
-// requeueLeases makes orphans of what an edge was given on earlier connections, but for what it claims.
+// requeueLeases requeues what an edge has leased on earlier connections, but for what it claims.
 func (c *Core) requeueLeases(e *edge, claimed map[string]struct{}) {
 	for _, p := range c.partitions {
 		if p == nil || !p.primary {
@@ -155,7 +155,7 @@
 	}
 }
 
-// SetEdges tells which schedulers there are.
+// SetEdges takes the list of edges from the control plane: once all of them have claimed, a new primary need not wait any longer.
 func (c *Core) SetEdges(now Time, edges []wire.Edge) {
 	c.now = now
 	c.edges.expected = c.edges.expected[:0]
--- a/store/queue/entry.go
+++ b/store/queue/entry.go
@@ -9,13 +9,13 @@
 	"ravendale/store/journal"
 )
 
-// entry is what is known in memory of one message. There are very many: it is kept small.
+// entry is the index entry of one message; its body is in the journal. There are very many entries, so it is small.
 type entry struct {
 	id         string
-	sequence   uint64 // of acceptance; once ended, of the end
+	sequence   uint64 // of acceptance; once finished, of the outcome
 	location   journal.Location
-	delivery   *delivery // while it has not ended at all members
-	finishedAt uint32    // seconds of the steady clock at which its end was learnt
+	delivery   *delivery // nil once it is finished at all members
+	finishedAt uint32    // seconds of the steady clock at which its outcome was learnt
 	failed     uint16
 	state      wire.State
 	noBody     bool // it is dead, and its body is not here
@@ -30,13 +30,13 @@
 	acceptSequence  uint64    // sequence of acceptance
 	due             uint32    // milliseconds of the steady clock
 	expires         uint32    // milliseconds of the steady clock
-	session         uint16    // of the holder, when it was given the message
-	accepting       bool      // it is not kept by all members yet
-	granted         bool      // its turn has come, and the holder was told
-	assigned        bool      // the holder was given it by a Grant
-	queued          bool      // it is among the orphans
-	released        bool      // its owner has given it back
-	grantPending    bool      // the holder is to be granted it once all members know
+	session         uint16    // of the leaseholder, when the lease began
+	accepting       bool      // it is not on disk at all members yet
+	granted         bool      // it may be delivered, and the leaseholder was notified
+	assigned        bool      // the leaseholder was sent it with its body by a Grant
+	queued          bool      // it is in the heap of unowned messages, reserved or deferred
+	released        bool      // its last leaseholder has given it back by itself
+	grantPending    bool      // the leaseholder is to be granted it once all members know of the lease
 }
 
 func (e *entry) pending() bool { return e.state == wire.StatePending }
--- a/store/queue/keyqueue.go
+++ b/store/queue/keyqueue.go
@@ -2,7 +2,7 @@
 
 import "sort"
 
-// keyQueue are the messages of one order key that have not ended at all members, in the order of acceptance.
+// keyQueue are the messages of one order key that are not finished at all members, in the order of acceptance. Only its head may be delivered.
 type keyQueue struct {
 	hash    uint64
 	entries []*entry
--- a/store/queue/lease.go
+++ b/store/queue/lease.go
@@ -1,12 +1,13 @@
 package queue
 
-// startLease gives an edge the right to deliver a message.
+// startLease leases a message to an edge: that one alone may deliver it, as long as it stays connected or comes back in time.
 func (c *Core) startLease(e *entry, to *edge) {
 	c.releaseLease(e)
 	e.delivery.leaseholder = to
 	e.delivery.session = to.session
 }
 
+// releaseLease ends a message's lease, if there is one.
 func (c *Core) releaseLease(e *entry) {
 	if e.delivery == nil || e.delivery.leaseholder == nil {
 		return
@@ -17,7 +18,7 @@
 	e.delivery.grantPending = false
 }
 
-// recordLeaseholder has all members note who may deliver a message.
+// recordLeaseholder replicates who leases a message: after a takeover that one is asked first.
 func (c *Core) recordLeaseholder(p *partition, e *entry, by *edge) {
 	if e.delivery.lastLeaseholder == by.id {
 		return
@@ -27,7 +28,7 @@
 	c.beginOp(p, e, position, payload).put = e.delivery.accepting
 }
 
-// isDeliverable says whether a message may be delivered now as far as its order goes.
+// isDeliverable says whether a message may be delivered as far as its acceptance and its key order go; its delay is another matter.
 func (c *Core) isDeliverable(p *partition, e *entry) bool {
 	if !p.primary || !p.ready || !e.pending() || e.delivery.accepting {
 		return false
@@ -35,7 +36,8 @@
 	return e.delivery.key == nil || e.delivery.key.head() == e
 }
 
-// grantOrRequeue grants a message to its holder if it may run, or makes an orphan of it. Quiet: the holder hears of it by a reply.
+// grantOrRequeue grants a message to its leaseholder if it may be delivered now, or has it assigned if no edge leases it. Quiet: the leaseholder
+// hears of it by a reply.
 func (c *Core) grantOrRequeue(p *partition, e *entry, quiet bool) {
 	if !e.pending() || !c.isDeliverable(p, e) {
 		return
--- a/store/queue/maintain.go
+++ b/store/queue/maintain.go
@@ -8,7 +8,7 @@
 	"ravendale/store/journal"
 )
 
-// maintain forgets what has been known for long enough, gives disk space back, and compares one partition.
+// maintain removes finished messages after their retention, reclaims disk space, and compares some partitions with their members.
 func (c *Core) maintain() {
 	if c.now.Steady >= c.schedule.maintenance {
 		c.schedule.maintenance = c.now.Steady + maintenanceInterval
@@ -22,7 +22,7 @@
 	}
 }
 
-// expireFinished forgets ends that are at all members and old enough, in their order.
+// expireFinished removes finished messages that are so at all members and old enough, in the order of their outcomes.
 func (c *Core) expireFinished() {
 	for _, p := range c.partitions {
 		if p == nil || !p.primary || !p.ready {
@@ -42,7 +42,7 @@
 	return c.seconds() > e.finishedAt+uint32(c.config.FinishedRetention.Seconds())
 }
 
-// trimFinished forgets all ends up to a sequence.
+// trimFinished removes all finished messages up to a sequence.
 func (c *Core) trimFinished(p *partition, horizon uint64) {
 	if horizon <= p.horizon {
 		return
@@ -71,7 +71,7 @@
 	}
 }
 
-// expireLeased ends messages whose holder should have reported their end long ago: it does not hold them any more.
+// expireLeased finishes messages whose leaseholder should have reported an outcome long ago: it does not have them any more.
 func (c *Core) expireLeased(p *partition) {
 	slack := uint32(c.config.ClockSlack / time.Millisecond)
 	late := func(_ uint64, e *entry) bool {
@@ -90,7 +90,7 @@
 	}
 }
 
-// reclaimSegments removes the oldest segments that hold nothing that is needed, and rewrites old ones if the disk fills up.
+// reclaimSegments removes the oldest segments that have no references, and compacts old ones if the disk fills up.
 func (c *Core) reclaimSegments() {
 	oldest, newest := c.disk.journal.Segments()
 	for ; oldest < newest && c.disk.references[oldest] == 0; oldest++ {
@@ -128,8 +128,8 @@
 	}
 }
 
-// scheduleWipe lets go of a partition that others hold whole: not at once, for a store that was away for a moment is likely to be given it
-// back, and then needs only what has changed.
+// scheduleWipe has a partition wiped that others have complete: not at once, for a store that was away for a moment is likely to join it
+// again, and then needs only what has changed.
 func (c *Core) scheduleWipe(p *partition, complete bool) {
 	switch {
 	case p.replica || p.joining || !complete || len(p.entries) == 0:
@@ -139,7 +139,7 @@
 	}
 }
 
-// wipeDue forgets partitions that were let go of, sooner if there is little room.
+// wipeDue wipes partitions whose time has come, and all that are scheduled if there is little capacity left.
 func (c *Core) wipeDue() {
 	for _, p := range c.partitions {
 		if p == nil || p.wipeAt == 0 || c.now.Steady < p.wipeAt && !c.isHalfFull() {
@@ -151,7 +151,7 @@
 	}
 }
 
-// isHalfFull says whether the store has half as much as it can hold.
+// isHalfFull says whether the store has half as many messages, or bytes, as it can have.
 func (c *Core) isHalfFull() bool {
 	return c.needsCompaction() || c.config.MaxMessages > 0 && c.messageCount*2 > c.config.MaxMessages
 }
--- a/store/queue/member.go
+++ b/store/queue/member.go
@@ -117,7 +117,7 @@
 	_ = from.Notify(MethodFetched, answer)
 }
 
-// Filled notes that this store has a partition whole.
+// Filled handles that the primary says that this store has a partition complete, under an epoch: Status names it from then on.
 func (c *Core) Filled(now Time, m *Filled) {
 	c.now = now
 	if m.Epoch < c.newestEpoch {
--- a/store/queue/op.go
+++ b/store/queue/op.go
@@ -7,20 +7,20 @@
 	"ravendale/cluster/wire"
 )
 
-// op is a change that is not on disk at all members yet.
+// op is an operation under way: a change, or a barrier, that is not on disk at all members of its partition yet.
 type op struct {
 	p       *partition
-	e       *entry // nil: a barrier
-	since   time.Duration
-	put     bool
-	finish  bool
-	synced  bool   // it is on the own disk
-	unacked uint64 // bit by member
+	e       *entry        // nil: a barrier
+	since   time.Duration // when it began
+	put     bool          // it accepts the message
+	finish  bool          // it finishes the message
+	synced  bool          // it is on the own disk
+	unacked uint64        // bit by member
 	waiters []waiter
 	index   int // in the partition's list
 }
 
-// waiter is a request that is answered once a change is at all members.
+// waiter is a request that is answered once an operation is complete.
 type waiter struct {
 	reply   Replier
 	put     bool
@@ -28,7 +28,7 @@
 	session uint16 // of the edge, when it asked
 }
 
-// beginOp starts a change of an entry that is in the journal up to a position.
+// beginOp starts the operation of a change whose record was appended, up to a position of the journal, and sends the record to all members.
 func (c *Core) beginOp(p *partition, e *entry, position uint64, payload []byte) *op {
 	o := &op{p: p, e: e, since: c.now.Steady, index: len(p.ops)}
 	p.ops = append(p.ops, o)
@@ -46,7 +46,7 @@
 	return o
 }
 
-// resend sends the newest state of a change's message to one member.
+// resend sends the newest state of an operation's message to one member.
 func (c *Core) resend(o *op, member int) {
 	to := o.p.members[member]
 	if to.remote == nil {
@@ -64,7 +64,7 @@
 	to.awaitingAck = append(to.awaitingAck, peerWait{number: number, op: o, member: member})
 }
 
-// complete ends a change if it is on disk everywhere.
+// complete ends an operation if it is on disk everywhere, answers who waits for it, and grants what may be delivered by it.
 func (c *Core) complete(o *op) {
 	if !o.synced || o.unacked != 0 || o.index < 0 || o.put && len(o.p.members)+1 < c.requiredCopies() {
 		return // with too few members a message is not accepted; the next placement goes on with it
@@ -100,13 +100,14 @@
 	}
 }
 
-// notifiesByReply says whether an edge hears of the change by a reply on its present connection.
+// notifiesByReply says whether a leaseholder hears of the operation by a reply on its present connection.
 func (o *op) notifiesByReply(leaseholder *edge) bool {
 	return slices.ContainsFunc(o.waiters, func(w waiter) bool {
 		return w.put && leaseholder != nil && w.edge == leaseholder && w.session == leaseholder.session && leaseholder.remote != nil
 	})
 }
 
+// replyTo answers a request whose operation is complete.
 func (c *Core) replyTo(o *op, w waiter) {
 	if !w.put {
 		w.reply.Send(&wire.ReportReply{Code: wire.PutKept, Epoch: c.epoch()})
@@ -124,7 +125,7 @@
 	o.index = -1
 }
 
-// supersede ends the changes of a message that is written anew, and returns who waits for them.
+// supersede ends the operations of a message that is written anew, and returns who waits for them.
 func (p *partition) supersede(e *entry) []waiter {
 	var waiters []waiter
 	for _, o := range slices.Clone(p.ops) {
@@ -136,6 +137,7 @@
 	return waiters
 }
 
+// refuse answers a request that is not known to have taken effect.
 func (w waiter) refuse(code wire.PutCode, epoch uint64) {
 	if w.put {
 		w.reply.Send(&wire.PutReply{Code: code, Epoch: epoch})
--- a/store/queue/partition.go
+++ b/store/queue/partition.go
@@ -10,17 +10,17 @@
 	replica           bool
 	joining           bool
 	primarySince      time.Duration // from when the store has been primary
-	claimWindow       time.Duration // nothing is handed out so long after
-	ready             bool          // of a primary: it may hand out
-	members           []*peer       // all others that hold it or are being filled
+	claimWindow       time.Duration // nothing is granted for so long after, unless all edges have claimed
+	ready             bool          // of a primary: it may grant messages
+	members           []*peer       // the other replicas, and the joiners
 	unmerged          []*peer       // replicas that may still know more than the new primary
 	formerMembersAway bool          // of a primary that is unsure: former members that may know more are away
 	joiners           []*peer       // joining members
 	comparisons       []*comparison
 	ops               []*op
-	wipeAt            time.Duration    // when what is left of it is forgotten; zero: it is held
-	filledEpoch       uint64           // epoch for which the primary said that this store has it whole
-	confirmedAt       time.Duration    // when the newest change or barrier began that all members have taken
+	wipeAt            time.Duration    // when what is left of it is wiped; zero: not at all
+	filledEpoch       uint64           // epoch under which the primary said that this store has it complete
+	confirmedAt       time.Duration    // when the newest operation began that all members have acknowledged
 	barrier           *op              // under way
 	deferred          []unownedMessage // wait for the barrier
 }
@@ -47,7 +47,7 @@
 // isMergePending says whether other stores may know more of a partition than its primary.
 func (p *partition) isMergePending() bool { return p.formerMembersAway || len(p.unmerged) > 0 }
 
-// openPartitions lets partitions hand out whose time has come.
+// openPartitions opens the partitions whose time has come.
 func (c *Core) openPartitions() {
 	for _, p := range c.partitions {
 		if p != nil && p.primary && !p.ready {
@@ -56,7 +56,8 @@
 	}
 }
 
-// openPartition lets a partition hand out messages, if all is known that the other replicas knew, and edges have claimed.
+// openPartition has a primary grant messages of a partition, if all is known that the other replicas knew, and edges have claimed or had the
+// time for it.
 func (c *Core) openPartition(p *partition) {
 	if p.isMergePending() {
 		return
--- a/store/queue/peer.go
+++ b/store/queue/peer.go
@@ -39,7 +39,7 @@
 type peerWait struct {
 	number     uint64
 	op         *op
-	member     int // the peer's place among the members of the partition
+	member     int // the peer's index among the members of the partition
 	comparison *comparison
 }
 
@@ -68,7 +68,7 @@
 	return to.number
 }
 
-// PeerUp tells that a store is connected, and that it has the disk that was meant.
+// PeerUp handles that a store is connected, and has said that it has the disk that was meant.
 func (c *Core) PeerUp(now Time, disk string, remote Remote) {
 	c.now = now
 	to := c.peers.byDisk[disk]
@@ -96,7 +96,7 @@
 	c.flushPeers()
 }
 
-// PeerDown tells that a connection to a store is lost.
+// PeerDown handles that a connection to a store is closed.
 func (c *Core) PeerDown(now Time, remote Remote) {
 	c.now = now
 	if to := c.peers.byRemote[remote]; to != nil {
@@ -122,7 +122,7 @@
 	}
 }
 
-// Acked tells that a member has synced what it was sent.
+// Acked handles that a member has synced what it was sent, up to a number.
 func (c *Core) Acked(now Time, from Remote, m *Acked) {
 	c.now = now
 	to := c.peers.byRemote[from]
--- a/store/queue/placement.go
+++ b/store/queue/placement.go
@@ -12,7 +12,7 @@
 	if c.view != nil && view.Epoch <= c.view.Epoch {
 		return
 	}
-	// Others may have led this store's partitions under an epoch that it was not told of.
+	// Others may have led this store's partitions under an epoch that it has not seen.
 	missed := c.view != nil && view.Epoch > c.view.Epoch+1 && c.newestEpoch > c.view.Epoch
 	c.view = view
 	c.raiseEpoch(view.Epoch)
@@ -86,7 +86,7 @@
 	return list
 }
 
-// applyPlacement gives the store its part in a partition.
+// applyPlacement gives the store its role in a partition.
 func (c *Core) applyPlacement(p *partition, placement *wire.Placement) {
 	replicas, joining := c.disks(placement.Replicas), c.disks(placement.Joining)
 	wasPrimary := p.primary
@@ -152,7 +152,7 @@
 	}
 }
 
-// stepDown ends the store's time as the primary of a partition.
+// stepDown ends the store's time as the primary of a partition: operations are given up, and all leases end.
 func (c *Core) stepDown(p *partition) {
 	ops := p.ops
 	p.ops = nil
--- a/store/queue/protocol.go
+++ b/store/queue/protocol.go
@@ -45,7 +45,7 @@
 	Epoch        uint64
 	Partition    uint16
 	ComparisonID uint64 // names the comparison
-	Horizon      uint64 // ends up to this sequence are forgotten
+	Horizon      uint64 // finished messages up to this sequence are removed
 	Sums         []uint64
 }
 
@@ -75,7 +75,7 @@
 	IDs          []string
 }
 
-// Fetched answers a Fetch with whole records.
+// Fetched answers a Fetch with records of kind RecordMessage.
 type Fetched struct {
 	Partition    uint16
 	ComparisonID uint64
@@ -83,7 +83,7 @@
 	Records      [][]byte
 }
 
-// Filled tells a joining member that it has all of a partition on disk.
+// Filled notifies a joining member that it has all of a partition on disk.
 type Filled struct {
 	Epoch     uint64
 	Partition uint16
--- a/store/queue/put.go
+++ b/store/queue/put.go
@@ -18,7 +18,8 @@
 	return p, wire.PutKept
 }
 
-// PutMessage keeps a message.
+// PutMessage accepts a message: the reply is sent once it is on the disks of all members of its partition. A repeated put of the same message
+// gets the same answer.
 func (c *Core) PutMessage(now Time, from Remote, m *wire.Put, reply Replier) {
 	c.now = now
 	number, ok := wire.PartitionOf(m.Message.ID)
@@ -45,8 +46,10 @@
 	c.flushPeers()
 }
 
+// requiredCopies is on how many disks a message must be before it is accepted.
 func (c *Core) requiredCopies() int { return max(c.config.Copies, int(c.view.Copies)) }
 
+// refusesPuts says whether there is no capacity for new messages: on disk, in memory, or as the disk stalls.
 func (c *Core) refusesPuts() bool {
 	if c.disk.stalled {
 		return true
@@ -57,6 +60,7 @@
 	return c.config.MaxMessages > 0 && c.messageCount >= c.config.MaxMessages
 }
 
+// acceptNew starts the operation that accepts a message.
 func (c *Core) acceptNew(p *partition, m *wire.Put, sender *edge, reply Replier) {
 	r := &Record{Kind: RecordMessage, Partition: p.number, ID: m.Message.ID, Sequence: c.nextSequence(), Message: m.Message}
 	r.Message.ID = ""
@@ -74,6 +78,7 @@
 	o.waiters = append(o.waiters, putWaiter(reply, sender))
 }
 
+// acceptRepeat answers a put of a message that is known already, at once or with the operation under way.
 func (c *Core) acceptRepeat(p *partition, e *entry, m *wire.Put, from *edge, reply Replier) {
 	if e.delivery != nil && e.pending() && e.delivery.leaseholder == nil && m.Dispatch && from != nil {
 		c.startLease(e, from)
@@ -91,12 +96,12 @@
 	reply.Send(c.putReply(p, e, from))
 }
 
-// isFullyReplicated says whether all that a primary has is at enough members. What one before it left unfinished may not be.
+// isFullyReplicated says whether all that a primary has is at enough members. What an earlier primary left incomplete may not be.
 func (c *Core) isFullyReplicated(p *partition) bool {
 	return !p.isMergePending() && len(p.joiners) == 0 && len(p.members)+1 >= c.requiredCopies()
 }
 
-// replicateAgain has all members take a message, and answers then.
+// replicateAgain has all members acknowledge a message, and answers then.
 func (c *Core) replicateAgain(p *partition, e *entry, w waiter) {
 	payload := c.messagePayload(p, e)
 	if payload == nil {
--- a/store/queue/record.go
+++ b/store/queue/record.go
@@ -16,10 +16,10 @@
 	RecordMessage     RecordKind = iota // all that is known of a message; replaces what was known
 	RecordFinish                        // State, Sequence and Signature
 	RecordFailed                        // Failed
-	RecordDrop                          // the message was never kept
-	RecordWipe                          // the partition is held no more
+	RecordDrop                          // the message was never accepted
+	RecordWipe                          // all of the partition is removed
 	RecordEpoch                         // Sequence is the newest epoch seen
-	RecordLeaseholder                   // Holder
+	RecordLeaseholder                   // Leaseholder
 )
 
 // Record is one change, as it lies in the journal and goes to other stores.
@@ -27,22 +27,22 @@
 	Kind        RecordKind
 	Partition   uint16
 	ID          string
-	Sequence    uint64 // order of acceptance; of an ended message, order of ends
+	Sequence    uint64 // order of acceptance; of a finished message, order of outcomes
 	State       wire.State
 	Failed      uint16
 	Signature   string
 	Leaseholder string       // of a pending message: Member.ID of the edge that put it, or was granted it last
-	NoBody      bool         // of a whole record: the message is dead, and its body is not here
-	Message     wire.Message // without ID; empty for ended messages but dead ones
+	NoBody      bool         // of a RecordMessage: the message is dead, and its body is not here
+	Message     wire.Message // without ID; empty for finished messages but dead ones
 }
 
-// encode makes the bytes of a record.
+// encode makes the bytes of a record. Encoding to memory does not fail.
 func (r *Record) encode() []byte {
 	payload, _ := r.MarshalMsg(make([]byte, 0, r.Msgsize()))
 	return payload
 }
 
-// decodeRecord reads a record, and gives its message the name.
+// decodeRecord reads a record. The message in it has no ID.
 func decodeRecord(payload []byte) (*Record, error) {
 	r := new(Record)
 	if _, err := r.UnmarshalMsg(payload); err != nil {
--- a/store/queue/records.go
+++ b/store/queue/records.go
@@ -5,7 +5,7 @@
 	"ravendale/store/journal"
 )
 
-// appendRecord appends a record and returns its bytes, place and position.
+// appendRecord appends a record to the journal and returns its bytes, its location, and the position up to which it must be synced.
 func (c *Core) appendRecord(r *Record) (payload []byte, at journal.Location, position uint64) {
 	payload = r.encode()
 	at, position = c.appendPayload(payload)
@@ -28,7 +28,7 @@
 	return r, nil
 }
 
-// messagePayload is the encoding of whole; nil if the disk fails.
+// messagePayload is the encoding of messageRecord; nil if the disk fails, which ends the store.
 func (c *Core) messagePayload(p *partition, e *entry) []byte {
 	r, err := c.messageRecord(p, e)
 	if err != nil {
--- a/store/queue/regrant.go
+++ b/store/queue/regrant.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// regrant is due for a message that an edge claimed or was given. It may not hold it: it gave up the put under which it claimed the
-// message, or did not take the grant, as one of a store that it did not take for the primary. Nothing tells the store so.
+// regrant is a second grant of a message that an edge claimed or was assigned. The edge may not have it: it gave up the put under which it
+// claimed the message, or ignored the grant, as one of a store that it did not take for the primary. The store is not notified of that.
 type regrant struct {
 	at time.Duration
 	p  *partition
@@ -74,8 +74,8 @@
 	return current == r.e && r.p.primary && r.e.pending() && r.e.delivery.leaseholder != nil
 }
 
-// wasGranted says whether a message's holder is connected and was granted it: else the grant is still to come, with its turn or with the
-// word of all members.
+// wasGranted says whether a message's leaseholder is connected and was granted it: else the grant is still to come, once it is the head of its key
+// order or all members know of the lease.
 func (c *Core) wasGranted(r regrant) bool {
 	l := r.e.delivery
 	return l.leaseholder.remote != nil && !l.grantPending && (l.key == nil || l.granted) && c.isDeliverable(r.p, r.e)
--- a/store/queue/report.go
+++ b/store/queue/report.go
@@ -6,7 +6,7 @@
 	"ravendale/cluster/wire"
 )
 
-// ReportDelivery records what became of a delivery.
+// ReportDelivery records what became of a delivery: an outcome, a failure, or that the edge releases the message. The first outcome stays.
 func (c *Core) ReportDelivery(now Time, from Remote, m *wire.Report, reply Replier) {
 	c.now = now
 	p, code := c.admit(m.Partition, m.Epoch)
@@ -59,7 +59,7 @@
 	}
 }
 
-// finishMessage records a message's end. Reply may be nil.
+// finishMessage gives a message its outcome. Reply may be nil.
 func (c *Core) finishMessage(p *partition, e *entry, state wire.State, signature string, reply Replier) {
 	r := &Record{
 		Kind: RecordFinish, Partition: p.number, ID: e.id, Sequence: c.nextSequence(), State: state, Failed: e.failed,
@@ -74,6 +74,7 @@
 	}
 }
 
+// countFailures records how many attempts of a message have failed, if that is more than is known.
 func (c *Core) countFailures(p *partition, e *entry, failed uint16, reply Replier) {
 	if failed <= e.failed {
 		c.replyAfterLastChange(e, reply)
--- a/store/queue/table.go
+++ b/store/queue/table.go
@@ -12,7 +12,7 @@
 	keys     map[uint64]*keyQueue
 	sums     [bucketCount]uint64
 	finished []*entry // by sequence
-	horizon  uint64   // ends up to this sequence are forgotten
+	horizon  uint64   // finished messages up to this sequence are removed
 	pending  int
 }
 
@@ -20,7 +20,7 @@
 	return table{entries: make(map[uint64]*entry), keys: make(map[uint64]*keyQueue)}
 }
 
-// find returns a message's entry, nil if there is none. Taken says that another message is in its place.
+// find returns a message's entry, nil if there is none. Collides: another message has the same hash.
 func (t *table) find(id string) (e *entry, collides bool) {
 	e = t.entries[hashOf(id)]
 	if e == nil || e.id == id {
@@ -40,7 +40,7 @@
 	}
 }
 
-// addToSum adds an entry to its bucket's sum, or takes it away.
+// addToSum adds an entry to its bucket's sum, or subtracts it if the sign is negative.
 func (t *table) addToSum(e *entry, hash uint64, sign int) {
 	if sign > 0 {
 		t.sums[bucketOf(hash)] += e.sum(hash)
@@ -81,7 +81,7 @@
 	}
 }
 
-// remove forgets an entry; the caller takes it out of its key's order after it.
+// remove removes an entry; the caller takes it out of its key order afterwards.
 func (t *table) remove(e *entry) {
 	hash := hashOf(e.id)
 	t.addToSum(e, hash, -1)
@@ -105,7 +105,7 @@
 	e.delivery.key = q
 }
 
-// leave takes a message out of its key's order, and returns the new head, if it was the head and there is one.
+// leave removes a message from its key order, and returns the new head, if the message was the head and there is a next one.
 func (t *table) leave(e *entry) *entry {
 	if e.delivery == nil || e.delivery.key == nil {
 		return nil
--- a/store/queue/unowned.go
+++ b/store/queue/unowned.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// unownedMessage is a message that some edge is to be found for.
+// unownedMessage is a deliverable message that no edge leases.
 type unownedMessage struct {
 	due uint32 // milliseconds of the steady clock
 	p   *partition
@@ -38,7 +38,7 @@
 	return x
 }
 
-// requeueMessage takes a message from its holder, if any, and has it handed to another once it is due.
+// requeueMessage ends a message's lease, if any, and has it assigned to an edge once it is due.
 func (c *Core) requeueMessage(p *partition, e *entry) {
 	c.releaseLease(e)
 	if e.delivery.queued || !c.isDeliverable(p, e) {
@@ -47,7 +47,7 @@
 	e.delivery.queued = true
 	due := min(e.delivery.due, e.delivery.expires)
 	heap.Push(&c.unowned, unownedMessage{due: due, p: p, e: e})
-	if due > c.millis() { // else the event ends with a hand-over
+	if due > c.millis() { // else the event ends with assignDue
 		c.wakeAt(time.Duration(due) * time.Millisecond)
 	}
 }
@@ -59,7 +59,7 @@
 	}
 }
 
-// isUnowned says whether a message is still there and without a holder.
+// isUnowned says whether a message is still there, deliverable, and leased to no edge.
 func (c *Core) isUnowned(o unownedMessage) bool {
 	current, _ := o.p.find(o.e.id)
 	return current == o.e && o.e.delivery != nil && o.e.delivery.queued && o.e.delivery.leaseholder == nil && c.isDeliverable(o.p, o.e)
