--- a/cmd/ravendale-edge/edge.go
+++ b/cmd/ravendale-edge/edge.go
@@ -20,74 +20,74 @@
 	"ravendale/edge/worker"
 )
 
-const currentLook = 50 * time.Millisecond // pause between looks for the first newest state
+const currentPollInterval = 50 * time.Millisecond // pause between looks for the first newest state
 
 // What a process takes for itself.
 const (
-	otherDescriptors = 500      // of files, of connections to workers, stores and other schedulers
-	leastConns       = 64       // of clients
-	mostBodies       = 24 << 20 // bytes of messages held
-	bodiesPart       = 8        // of the process's memory they take one in so many
+	reservedDescriptors = 500      // of files, of connections to workers, stores and other schedulers
+	minClientConns      = 64       // of clients
+	maxBodyBytes        = 24 << 20 // bytes of messages held
+	bodyMemoryDivisor   = 8        // of the process's memory they take one in so many
 )
 
 // Times of a planned stop. The platform takes two misses, a second each, to send no more new connections.
 const (
-	acceptFor    = 2200 * time.Millisecond
+	acceptPeriod = 2200 * time.Millisecond
 	acceptMargin = 1500 * time.Millisecond // before the grace is over, nothing more is accepted
 	answerMargin = 1200 * time.Millisecond // ... all is answered
 	reportMargin = time.Second             // ... all outcomes are reported
-	leaveTime    = 400 * time.Millisecond
+	leaveTimeout = 400 * time.Millisecond
 )
 
 // Listening is tried again for a while: the process before this one may still hold the address.
 const (
-	listenFor   = 3 * time.Second
-	listenPause = 50 * time.Millisecond
+	listenTimeout = 3 * time.Second
+	listenPause   = 50 * time.Millisecond
 )
 
 // edge is the process, put together.
 type edge struct {
-	env      program.Environment
-	id       string // Member.ID
-	mux      *rpc.Mux
-	agent    *member.Agent
-	workers  *worker.Client
-	plane    *dispatch.Plane
-	queue    *queueclient.Client
-	ingress  *ingress.Server
-	current  func() bool // the state is as new as the leader named first
-	stopping atomic.Bool
-
-	mu    sync.Mutex // guards what is taken of snapshots
-	taken [wire.TopicCount]wire.Version
+	env        program.Environment
+	id         string // Member.ID
+	mux        *rpc.Mux
+	agent      *member.Agent
+	workers    *worker.Client
+	dispatcher *dispatch.Manager
+	queue      *queueclient.Client
+	ingress    *ingress.Server
+	current    func() bool // the state is as new as the leader named first
+	stopping   atomic.Bool
+
+	mu      sync.Mutex // guards what is taken of snapshots
+	applied [wire.TopicCount]wire.Version
 }
 
 func newEdge(env program.Environment) (*edge, error) {
 	s := env.Settings
 	e := &edge{env: env, id: strconv.FormatUint(rand.Uint64(), 36), mux: rpc.NewMux(), workers: worker.NewClient()}
 	id := e.id
-	e.plane = dispatch.NewPlane(planeConfig(s, id), e.workers)
+	e.dispatcher = dispatch.NewManager(dispatchConfig(s, id), e.workers)
 	e.queue = queueclient.New(queueclient.Config{
 		Edge: id, Zone: s.Zone, Log: env.Log,
-		Kept: e.plane.Accept, Granted: e.plane.Grant, Acknowledged: e.plane.Acknowledged,
-		Unknown: e.plane.Unknown, Held: e.plane.IDs,
+		Accepted: e.dispatcher.Accept, Granted: e.dispatcher.Grant, Acknowledged: e.dispatcher.Acknowledged,
+		Unknown: e.dispatcher.Unknown, Owned: e.dispatcher.MessageIDs,
 	})
 	e.queue.Handle(e.mux)
-	e.plane.Start(e.queue)
+	e.dispatcher.Start(e.queue)
 	e.agent = member.New(member.Config{
 		Settings: s, Mux: e.mux, Log: env.Log, Ready: e.usable,
 		Self: wire.Member{ID: id, Node: s.Node, Address: s.EdgeAddress(), Zone: s.Zone, Region: s.Region, Edge: true},
 	})
-	e.agent.OnChange(e.changed)
+	e.agent.OnChange(e.stateChanged)
 	e.current = e.agent.Current
 	e.ingress = ingress.New(ingress.Config{
-		Queue: e.queue, Index: e.plane.Index, Ready: e.isCurrent, Takes: e.plane.Takes,
-		MaxConns: max(s.MaxFds-otherDescriptors, leastConns), Log: env.Log,
+		Queue: e.queue, Index: e.dispatcher.Index, Ready: e.isCurrent, Accepts: e.dispatcher.Accepts,
+		MaxConns: max(s.MaxFds-reservedDescriptors, minClientConns), Log: env.Log,
 	})
 	return e, nil
 }
 
-func planeConfig(s *settings.Settings, id string) dispatch.Config {
+func dispatchConfig(s *settings.Settings, id string) dispatch.Config {
 	zones := make([]string, 0, len(s.Zones))
 	for zone := range s.Zones {
 		zones = append(zones, zone)
@@ -99,14 +99,14 @@
 		Window:    settings.Seconds(s.Bounds.CeilingWindowS),
 		Overshoot: s.Bounds.OriginOvershoot,
 		Converge:  settings.Milliseconds(s.Bounds.ConvergeMs),
-		MaxBodies: min(mostBodies, s.MemoryMb*mb/bodiesPart),
+		MaxBodies: min(maxBodyBytes, s.MemoryMb*mb/bodyMemoryDivisor),
 	}
 }
 
-// changed takes a newer state. Before the agent has what the leader named first, an old one could be taken for the newest.
-func (e *edge) changed(wire.Topic, *member.Snapshot) {
+// stateChanged takes a newer state. Before the agent has what the leader named first, an old one could be taken for the newest.
+func (e *edge) stateChanged(wire.Topic, *member.Snapshot) {
 	if e.current() {
-		e.take(e.agent.Snapshot())
+		e.apply(e.agent.Snapshot())
 	}
 }
 
@@ -116,26 +116,26 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(currentLook):
+		case <-time.After(currentPollInterval):
 		}
 	}
-	e.take(e.agent.Snapshot())
+	e.apply(e.agent.Snapshot())
 }
 
-// take hands what is newer in a snapshot to the parts that need it.
-func (e *edge) take(s *member.Snapshot) {
-	defer e.ingress.Changed()
+// apply hands what is newer in a snapshot to the parts that need it.
+func (e *edge) apply(s *member.Snapshot) {
+	defer e.ingress.ConfigChanged()
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.isNewer(s, wire.TopicMembers) && s.Members != nil {
-		e.plane.Place(s.Members.Edges)
+		e.dispatcher.SetEdges(s.Members.Edges)
 	}
 	if e.isNewer(s, wire.TopicWorkers) && s.Workers != nil {
-		e.plane.List(s.Workers)
+		e.dispatcher.SetWorkers(s.Workers)
 	}
 	if e.isNewer(s, wire.TopicConfig) && s.Catalog != nil {
-		e.ingress.Limit(s.Catalog.Config().Limits)
-		e.plane.Configure(s.Catalog)
+		e.ingress.SetLimits(s.Catalog.Config().Limits)
+		e.dispatcher.ApplyConfig(s.Catalog)
 	}
 	if e.isNewer(s, wire.TopicStores) {
 		e.queue.SetView(s.Stores)
@@ -144,10 +144,10 @@
 
 // isNewer says whether a topic has a newer version than the one taken, and notes it.
 func (e *edge) isNewer(s *member.Snapshot, topic wire.Topic) bool {
-	if !e.taken[topic].Less(s.Versions[topic]) {
+	if !e.applied[topic].Less(s.Versions[topic]) {
 		return false
 	}
-	e.taken[topic] = s.Versions[topic]
+	e.applied[topic] = s.Versions[topic]
 	return true
 }
 
@@ -155,7 +155,7 @@
 
 func (e *edge) isCurrent() bool { return e.current() }
 
-func (e *edge) ready() bool { return e.usable() && e.current() && e.plane.Index() != nil }
+func (e *edge) ready() bool { return e.usable() && e.current() && e.dispatcher.Index() != nil }
 
 // run serves until the context ends, and then stops in order.
 func (e *edge) run(ctx context.Context) error {
@@ -179,7 +179,7 @@
 	go e.agent.Run(alive)
 	go e.awaitCurrent(alive)
 	go e.env.WatchSettings(alive, e.agent.SetSettings)
-	go watchBacklogs(alive, e.plane, e.env.Log)
+	go watchBacklogs(alive, e.dispatcher, e.env.Log)
 	<-ctx.Done()
 	e.stop(settings.Seconds(s.Bounds.GraceS))
 	readiness.Close()
@@ -187,11 +187,11 @@
 	return nil
 }
 
-func listen[T any](try func() (T, error)) (T, error) {
+func listen[T any](open func() (T, error)) (T, error) {
 	began := time.Now()
 	for {
-		listener, err := try()
-		if err == nil || time.Since(began) > listenFor {
+		listener, err := open()
+		if err == nil || time.Since(began) > listenTimeout {
 			return listener, err
 		}
 		time.Sleep(listenPause)
@@ -200,14 +200,14 @@
 
 // stop ends the process's work within its grace: it asks for no more connections, still takes what comes for a while, gives
 // back what is not under way, ends what is, and sees that all outcomes are on record.
-func (e *edge) stop(grace time.Duration) {
+func (e *edge) stop(period time.Duration) {
 	began := time.Now()
-	left := func(margin time.Duration) time.Duration { return max(grace-margin-time.Since(began), 0) }
+	left := func(margin time.Duration) time.Duration { return max(period-margin-time.Since(began), 0) }
 	e.stopping.Store(true)
 	e.queue.Drain()
-	e.plane.Stop()
-	e.ingress.Leave()
-	time.Sleep(min(acceptFor, left(acceptMargin)))
+	e.dispatcher.Stop()
+	e.ingress.Drain()
+	time.Sleep(min(acceptPeriod, left(acceptMargin)))
 
 	answers, cancelAnswers := context.WithTimeout(context.Background(), left(answerMargin))
 	defer cancelAnswers()
@@ -215,13 +215,13 @@
 
 	reports, cancelReports := context.WithTimeout(context.Background(), left(reportMargin))
 	defer cancelReports()
-	if !e.plane.Drained(reports) {
+	if !e.dispatcher.AwaitDrained(reports) {
 		e.env.Log.Warn("stopped with deliveries under way")
 	}
-	leaving, cancelLeaving := context.WithTimeout(context.Background(), leaveTime)
+	leaving, cancelLeaving := context.WithTimeout(context.Background(), leaveTimeout)
 	defer cancelLeaving()
 	e.agent.Leave(leaving)
-	e.plane.Close()
+	e.dispatcher.Close()
 	e.queue.Close()
 	e.workers.Close()
 }
--- a/cmd/ravendale-edge/edge_test.go
+++ b/cmd/ravendale-edge/edge_test.go
@@ -45,7 +45,7 @@
 	store    *store.Store
 	server   *rpc.Server
 	disk     string
-	ended    sync.Once
+	stopOnce sync.Once
 }
 
 type rigEdge struct {
@@ -66,7 +66,7 @@
 	address string
 }
 
-func (w *rigWorker) ServeHTTP(out http.ResponseWriter, r *http.Request) {
+func (w *rigWorker) ServeHTTP(response http.ResponseWriter, r *http.Request) {
 	body, _ := io.ReadAll(r.Body)
 	id, key := r.Header.Get("Request-Id"), r.Header.Get("Order-Key")
 	w.mu.Lock()
@@ -82,11 +82,11 @@
 		w.running[key]--
 		w.mu.Unlock()
 	}()
-	out.Header().Set("Request-Id", id)
-	if answer != nil && answer(out, r, run) {
+	response.Header().Set("Request-Id", id)
+	if answer != nil && answer(response, r, run) {
 		return
 	}
-	out.Header().Set("Signature", "sig-"+id)
+	response.Header().Set("Signature", "sig-"+id)
 }
 
 func (w *rigWorker) list() []string {
@@ -131,8 +131,8 @@
 	for range edges {
 		r.addEdge()
 	}
-	r.place(1, []uint16{0, 1}, []uint16{1, 2}, []uint16{2, 0}, []uint16{0, 2})
-	r.tell()
+	r.setPlacement(1, []uint16{0, 1}, []uint16{1, 2}, []uint16{2, 0}, []uint16{0, 2})
+	r.distribute()
 	return r
 }
 
@@ -174,7 +174,7 @@
 }
 
 func (s *rigStore) end() {
-	s.ended.Do(func() {
+	s.stopOnce.Do(func() {
 		s.server.Close()
 		_ = s.store.Close()
 	})
@@ -190,9 +190,9 @@
 
 // addEdge starts an edge. Ports that were free a moment ago may be another program's by then: it is tried with others.
 func (r *rig) addEdge() {
-	const tries = 5
+	const attempts = 5
 	var err error
-	for range tries {
+	for range attempts {
 		var added *rigEdge
 		if added, err = r.startEdge(); err == nil {
 			r.edges = append(r.edges, added)
@@ -216,7 +216,7 @@
 	go func() { added.done <- e.run(ctx) }()
 	r.t.Cleanup(func() {
 		e.queue.Close()
-		e.plane.Close()
+		e.dispatcher.Close()
 	})
 	for { // http is the last that is listened on
 		conn, err := net.Dial("tcp4", s.ListenHTTP)
@@ -232,7 +232,7 @@
 	}
 }
 
-func (r *rig) place(epoch uint64, partitions ...[]uint16) {
+func (r *rig) setPlacement(epoch uint64, partitions ...[]uint16) {
 	r.view = &wire.StoreView{Epoch: epoch, Copies: 2}
 	for _, s := range r.stores {
 		r.view.Stores = append(r.view.Stores, wire.Store{Disk: s.disk, Address: s.server.Address(), Zone: "z1"})
@@ -242,8 +242,8 @@
 	}
 }
 
-// tell gives all processes the newest state.
-func (r *rig) tell() {
+// distribute gives all processes the newest state.
+func (r *rig) distribute() {
 	r.version++
 	members := &wire.Members{}
 	for _, e := range r.edges {
@@ -268,7 +268,7 @@
 		s.store.SetView(r.view)
 	}
 	for _, e := range r.edges {
-		e.take(snapshot)
+		e.apply(snapshot)
 	}
 }
 
@@ -346,7 +346,7 @@
 	return signature
 }
 
-func TestMessagesAreKeptRunAndTold(t *testing.T) {
+func TestMessagesAreAcceptedRunAndReported(t *testing.T) {
 	r := newRig(t, 3, 2)
 	one, two := r.edges[0], r.edges[1]
 	r.awaitReady(one)
@@ -407,8 +407,8 @@
 	assert.Equal(t, ids, firsts)
 }
 
-// held has a message under way at the worker, until the channel is closed.
-func (r *rig) held(at *rigEdge) (name string, hold chan struct{}) {
+// startRunning has a message under way at the worker, until the channel is closed.
+func (r *rig) startRunning(at *rigEdge) (name string, hold chan struct{}) {
 	hold = make(chan struct{})
 	r.worker.answerBy(func(http.ResponseWriter, *http.Request, int) bool {
 		<-hold
@@ -424,7 +424,7 @@
 	one, two := r.edges[0], r.edges[1]
 	r.awaitReady(one)
 	r.awaitReady(two)
-	running, hold := r.held(one)
+	running, hold := r.startRunning(one)
 	delayed := r.put(one, "/p/x", "delayed", "", 1500)
 	began := time.Now()
 	one.stop()
@@ -445,10 +445,10 @@
 	r.awaitReady(one)
 	r.awaitReady(two)
 	name := r.put(one, "/p/x", "orphan", "", 300)
-	one.plane.Close()
+	one.dispatcher.Close()
 	one.queue.Close()
 	r.edges = r.edges[1:]
-	r.tell()
+	r.distribute()
 	assert.Equal(t, "sig-orphan", r.awaitState(two, name, "done"))
 }
 
@@ -462,8 +462,8 @@
 		names[id] = r.put(one, "/f/x", id, fmt.Sprint("key", i), 700)
 	}
 	r.stores[0].end()
-	r.place(2, []uint16{1, 2}, []uint16{1, 2}, []uint16{2, 1}, []uint16{2, 1})
-	r.tell()
+	r.setPlacement(2, []uint16{1, 2}, []uint16{1, 2}, []uint16{2, 1}, []uint16{2, 1})
+	r.distribute()
 	for i := range 4 {
 		id := fmt.Sprintf("after%d", i)
 		names[id] = r.put(one, "/p/x", id, "", 0)
--- a/cmd/ravendale-edge/rules_test.go
+++ b/cmd/ravendale-edge/rules_test.go
@@ -19,12 +19,12 @@
 	r.awaitState(two, r.put(one, "/p/x", "plain", key, 0), "done")
 	ordered := r.put(one, "/f/x", "ordered", key, 1500)
 	delayed := r.put(one, "/p/x", "delayed", key, 1500)
-	one.plane.Close()
+	one.dispatcher.Close()
 	one.queue.Close()
 	r.edges = r.edges[1:]
 	r.restartStores()
-	r.place(2, []uint16{0, 1}, []uint16{1, 2}, []uint16{2, 0}, []uint16{0, 2})
-	r.tell()
+	r.setPlacement(2, []uint16{0, 1}, []uint16{1, 2}, []uint16{2, 0}, []uint16{0, 2})
+	r.distribute()
 	r.awaitState(two, ordered, "done")
 	r.awaitState(two, delayed, "done")
 	for _, id := range []string{"plain", "ordered", "delayed"} {
@@ -49,8 +49,8 @@
 			assert.Equal(t, http.StatusServiceUnavailable, status)
 		}
 	}
-	r.place(2, []uint16{0, 1}, []uint16{1, 2}, []uint16{2, 0}, []uint16{0, 2})
-	r.tell()
+	r.setPlacement(2, []uint16{0, 1}, []uint16{1, 2}, []uint16{2, 0}, []uint16{0, 2})
+	r.distribute()
 	assert.Equal(t, "sig-m1", r.awaitState(one, done, "done"))
 	assert.Equal(t, "sig-m1", r.awaitState(two, done, "done"))
 	r.awaitState(two, pending, "pending")
@@ -62,7 +62,7 @@
 	one, two := r.edges[0], r.edges[1]
 	r.awaitReady(one)
 	r.awaitReady(two)
-	name, hold := r.held(one)
+	name, hold := r.startRunning(one)
 	one.stop()
 	ask := func() int {
 		response, err := http.Get("http://" + one.env.Settings.ListenReady + "/v1/readyz")
@@ -75,11 +75,11 @@
 	require.Eventually(t, func() bool { return ask() == http.StatusServiceUnavailable }, patience, time.Millisecond)
 	assert.Len(t, r.worker.list(), 1, "it still runs")
 	close(hold)
-	for ended := false; !ended; {
+	for stopped := false; !stopped; {
 		select {
 		case err := <-one.done:
 			require.NoError(t, err)
-			ended = true
+			stopped = true
 		default:
 			require.NotEqual(t, http.StatusOK, ask())
 		}
--- a/edge/dispatch/backlog.go
+++ b/edge/dispatch/backlog.go
@@ -11,15 +11,15 @@
 	Service string
 	Oldest  time.Duration // how long ago the oldest of them came due
 
-	Turn    int // they wait for the message before them in their order
-	Paused  int // between two tries
-	Token   int // for a token of the service's ceiling
-	Held    int // until the decision module has a worker for them
-	Running int // an attempt is under way
+	KeyOrder    int // they wait for the message before them in their order
+	BackingOff  int // between two tries
+	RateLimited int // for a token of the service's ceiling
+	Queued      int // until the decision module has a worker for them
+	InFlight    int // an attempt is under way
 
-	Workers int // that may be sent to
-	Sick    int // of these: passed over since they showed no life or failed too often
-	Full    int // ... that had no room a short while ago
+	Workers    int // that may be sent to
+	Unhealthy  int // of these: passed over since they showed no life or failed too often
+	AtCapacity int // ... that had no room a short while ago
 }
 
 // Backlogs tells of the services of which a message has been due for a time, by name.
@@ -27,7 +27,7 @@
 	c.now = max(now, c.now)
 	found := make(map[*service]*Backlog)
 	for _, m := range c.messages {
-		if m.phase == reported || m.start > c.now {
+		if m.phase == phaseReported || m.notBefore > c.now {
 			continue
 		}
 		_, s, _ := c.route(m)
@@ -39,45 +39,45 @@
 		}
 		found[s].count(m, c.now)
 	}
-	var late []Backlog
+	var overdue []Backlog
 	for s, b := range found {
 		if b.Oldest >= due {
 			s.describe(b, c.now)
-			late = append(late, *b)
+			overdue = append(overdue, *b)
 		}
 	}
-	slices.SortFunc(late, func(a, b Backlog) int { return strings.Compare(a.Service, b.Service) })
-	return late
+	slices.SortFunc(overdue, func(a, b Backlog) int { return strings.Compare(a.Service, b.Service) })
+	return overdue
 }
 
 func (b *Backlog) count(m *message, now time.Duration) {
-	b.Oldest = max(b.Oldest, now-m.start)
+	b.Oldest = max(b.Oldest, now-m.notBefore)
 	switch {
-	case m.phase == ungranted:
-		b.Turn++
-	case m.phase == throttled:
-		b.Token++
-	case m.phase == handed && m.job.live():
-		b.Running++
-	case m.phase == handed || m.phase == queued:
-		b.Held++
+	case m.phase == phaseKeyOrder:
+		b.KeyOrder++
+	case m.phase == phaseRateLimited:
+		b.RateLimited++
+	case m.phase == phaseSubmitted && m.job.isInFlight():
+		b.InFlight++
+	case m.phase == phaseSubmitted || m.phase == phaseQueued:
+		b.Queued++
 	default:
-		b.Paused++
+		b.BackingOff++
 	}
 }
 
 // describe tells what the service's module knows of its workers.
 func (s *service) describe(b *Backlog, now time.Duration) {
-	b.Workers = s.ready
+	b.Workers = s.readyWorkers
 	for _, w := range s.module.Memory().Workers {
 		if w.SickTill > now {
-			b.Sick++
+			b.Unhealthy++
 		}
-		if w.Fulls > 0 && now-w.TurnedAway < fullFor {
-			b.Full++
+		if w.Fulls > 0 && now-w.TurnedAway < fullWindow {
+			b.AtCapacity++
 		}
 	}
 }
 
-// fullFor is how long a worker counts as full in a Backlog after it turned a message away.
-const fullFor = 10 * time.Second
+// fullWindow is how long a worker counts as full in a Backlog after it turned a message away.
+const fullWindow = 10 * time.Second
--- a/edge/dispatch/core_test.go
+++ b/edge/dispatch/core_test.go
@@ -23,9 +23,9 @@
 	config  catalog.Config
 	workers wire.Workers
 
-	out     []Deliver
-	cancels []Cancel
-	reports []wire.Report
+	deliveries []Deliver
+	cancels    []Cancel
+	reports    []wire.Report
 }
 
 // edgesOf lists edges of zone z1.
@@ -62,7 +62,7 @@
 		}
 	}
 	w.configure()
-	w.list()
+	w.listWorkers()
 	return w
 }
 
@@ -70,19 +70,19 @@
 	config := w.config
 	config.Routes = append([]catalog.Route(nil), config.Routes...)
 	config.Services = append([]catalog.Service(nil), config.Services...)
-	w.take(w.core.Configure(w.now, catalog.NewIndex(&config)))
+	w.apply(w.core.ApplyConfig(w.now, catalog.NewIndex(&config)))
 }
 
-func (w *world) list() {
+func (w *world) listWorkers() {
 	workers := wire.Workers{Entries: append([]wire.Worker(nil), w.workers.Entries...)}
-	w.take(w.core.List(w.now, &workers))
+	w.apply(w.core.SetWorkers(w.now, &workers))
 }
 
-func (w *world) take(actions []Action) {
+func (w *world) apply(actions []Action) {
 	for _, action := range actions {
 		switch a := action.(type) {
 		case Deliver:
-			w.out = append(w.out, a)
+			w.deliveries = append(w.deliveries, a)
 		case Cancel:
 			w.cancels = append(w.cancels, a)
 		case Report:
@@ -96,7 +96,7 @@
 	until := w.now + span
 	for w.core.Next() <= until {
 		w.now = max(w.now, w.core.Next())
-		w.take(w.core.Tick(w.now))
+		w.apply(w.core.Tick(w.now))
 	}
 	w.now = until
 }
@@ -108,20 +108,20 @@
 	}
 }
 
-func (w *world) accept(path, id string) { w.take(w.core.Accept(w.now, messageTo(path, id), false)) }
+func (w *world) accept(path, id string) { w.apply(w.core.Accept(w.now, messageTo(path, id), false)) }
 
 // sent returns the only delivery since the last look.
 func (w *world) sent() Deliver {
 	w.t.Helper()
-	require.Len(w.t, w.out, 1)
-	d := w.out[0]
-	w.out = nil
+	require.Len(w.t, w.deliveries, 1)
+	d := w.deliveries[0]
+	w.deliveries = nil
 	return d
 }
 
-func (w *world) unsent() {
+func (w *world) sentNothing() {
 	w.t.Helper()
-	require.Empty(w.t, w.out)
+	require.Empty(w.t, w.deliveries)
 }
 
 func (w *world) end(d Deliver, outcome worker.Outcome) {
@@ -129,10 +129,10 @@
 	if outcome == worker.Done {
 		result.Signature = "sig"
 	}
-	w.take(w.core.Ended(w.now, d.Job, d.Attempt, result))
+	w.apply(w.core.FinishAttempt(w.now, d.Job, d.Attempt, result))
 }
 
-func (w *world) told() wire.Report {
+func (w *world) reported() wire.Report {
 	w.t.Helper()
 	require.Len(w.t, w.reports, 1)
 	r := w.reports[0]
@@ -144,7 +144,7 @@
 	w := newWorld(t)
 	m := messageTo("/p/x%2F?a=b", "1")
 	m.Key, m.ContentType = "k", "text/x"
-	w.take(w.core.Accept(w.now, m, false))
+	w.apply(w.core.Accept(w.now, m, false))
 	d := w.sent().Delivery
 	assert.Equal(t, d.Worker, d.Instance)
 	d.Worker, d.Instance, d.Address = "", "", ""
@@ -154,22 +154,22 @@
 	}, d)
 }
 
-func TestDoneIsReportedAndHeldUntilAcknowledged(t *testing.T) {
+func TestDoneIsReportedAndOwnedUntilAcknowledged(t *testing.T) {
 	w := newWorld(t)
 	w.accept("/p/", "1")
-	assert.NotZero(t, w.core.Held())
+	assert.NotZero(t, w.core.MessageBytes())
 	w.end(w.sent(), worker.Done)
-	assert.Equal(t, wire.Report{ID: "0.1", Kind: wire.ReportDone, Signature: "sig"}, w.told())
-	assert.Zero(t, w.core.Held(), "the body is let go")
-	assert.Equal(t, []string{"0.1"}, w.core.IDs())
+	assert.Equal(t, wire.Report{ID: "0.1", Kind: wire.ReportDone, Signature: "sig"}, w.reported())
+	assert.Zero(t, w.core.MessageBytes(), "the body is let go")
+	assert.Equal(t, []string{"0.1"}, w.core.MessageIDs())
 	w.pass(100 * time.Second)
 	assert.Empty(t, w.reports)
-	w.take(w.core.Acknowledged(w.now, "0.1"))
+	w.apply(w.core.Acknowledged(w.now, "0.1"))
 	assert.True(t, w.core.Idle())
 	assert.Empty(t, w.core.jobs)
 }
 
-func TestAServiceWithACeilingAndNoBoundOnConnectionsIsSentTo(t *testing.T) {
+func TestARateLimitedServiceWithoutABoundOnConnectionsIsSentTo(t *testing.T) {
 	w := newWorld(t)
 	w.config.Services[2].MaxConns = 0
 	w.configure()
@@ -182,34 +182,34 @@
 	w := newWorld(t)
 	w.accept("/p/", "1")
 	w.end(w.sent(), worker.Failed)
-	assert.Equal(t, wire.Report{ID: "0.1", Kind: wire.ReportFailed, Failed: 1}, w.told())
+	assert.Equal(t, wire.Report{ID: "0.1", Kind: wire.ReportFailed, Failed: 1}, w.reported())
 	w.end(w.sent(), worker.Failed) // the second attempt went out at once
-	assert.EqualValues(t, 2, w.told().Failed)
-	w.unsent()
-	w.pass(failedPause)
+	assert.EqualValues(t, 2, w.reported().Failed)
+	w.sentNothing()
+	w.pass(minFailureBackoff)
 	w.end(w.sent(), worker.Failed)
-	assert.Equal(t, wire.Report{ID: "0.1", Kind: wire.ReportDead, Failed: 3}, w.told())
+	assert.Equal(t, wire.Report{ID: "0.1", Kind: wire.ReportDead, Failed: 3}, w.reported())
 	w.pass(10 * time.Second)
-	w.unsent()
+	w.sentNothing()
 }
 
 func TestFailuresOfBeforeCount(t *testing.T) {
 	w := newWorld(t)
-	w.take(w.core.Grant(w.now, &wire.Grant{ID: "0.1", Whole: true, Failed: 2, Message: *messageTo("/p/", "1")}))
+	w.apply(w.core.Grant(w.now, &wire.Grant{ID: "0.1", Whole: true, Failed: 2, Message: *messageTo("/p/", "1")}))
 	w.end(w.sent(), worker.Failed)
-	assert.Equal(t, wire.Report{ID: "0.1", Kind: wire.ReportDead, Failed: 3}, w.told())
+	assert.Equal(t, wire.Report{ID: "0.1", Kind: wire.ReportDead, Failed: 3}, w.reported())
 }
 
 func TestRefusedForGoodIsDead(t *testing.T) {
 	w := newWorld(t)
 	w.accept("/p/", "1")
-	w.end(w.sent(), worker.Refused)
-	assert.Equal(t, wire.ReportDead, w.told().Kind)
+	w.end(w.sent(), worker.Rejected)
+	assert.Equal(t, wire.ReportDead, w.reported().Kind)
 }
 
 func TestUnknownOutcomesAreNoAttempts(t *testing.T) {
 	for _, path := range []string{"/p/", "/s/"} {
-		for _, outcome := range []worker.Outcome{worker.Broken, worker.Silent} {
+		for _, outcome := range []worker.Outcome{worker.Broken, worker.TimedOut} {
 			w := newWorld(t)
 			w.accept(path, "1")
 			w.end(w.sent(), outcome)
@@ -217,24 +217,24 @@
 			for range 6 {
 				w.end(d, outcome)
 				w.pass(5 * time.Second)
-				require.NotEmpty(t, w.out)
-				d, w.out = w.out[0], nil
+				require.NotEmpty(t, w.deliveries)
+				d, w.deliveries = w.deliveries[0], nil
 			}
 			assert.Empty(t, w.reports)
 			w.end(d, worker.Done)
-			assert.Equal(t, wire.ReportDone, w.told().Kind)
+			assert.Equal(t, wire.ReportDone, w.reported().Kind)
 		}
 	}
 }
 
 func TestWhatDidNotRunIsTriedElsewhere(t *testing.T) {
-	for _, outcome := range []worker.Outcome{worker.Full, worker.Unreachable, worker.WrongWorker, worker.NoRoom, worker.NotRun} {
+	for _, outcome := range []worker.Outcome{worker.AtCapacity, worker.Unreachable, worker.WrongWorker, worker.NoConnection, worker.NotRun} {
 		w := newWorld(t)
 		w.accept("/p/", "1")
 		w.end(w.sent(), outcome)
 		w.pass(150 * ms)
 		w.end(w.sent(), worker.Done)
-		assert.Equal(t, wire.ReportDone, w.told().Kind)
+		assert.Equal(t, wire.ReportDone, w.reported().Kind)
 	}
 }
 
@@ -242,45 +242,45 @@
 	w := newWorld(t)
 	w.accept("/p/", "1")
 	for range 20 {
-		require.NotEmpty(t, w.out)
-		d := w.out[0]
-		w.out = nil
-		w.end(d, worker.Full)
+		require.NotEmpty(t, w.deliveries)
+		d := w.deliveries[0]
+		w.deliveries = nil
+		w.end(d, worker.AtCapacity)
 		w.pass(4 * time.Second)
 	}
 	assert.Empty(t, w.reports)
 }
 
-func TestRepeatIsTriedALittleLater(t *testing.T) {
+func TestDuplicateIsRetriedALittleLater(t *testing.T) {
 	w := newWorld(t)
 	w.accept("/s/", "1")
-	w.end(w.sent(), worker.Repeat)
-	w.unsent()
-	w.pass(repeatPause)
+	w.end(w.sent(), worker.Duplicate)
+	w.sentNothing()
+	w.pass(duplicateDelay)
 	w.end(w.sent(), worker.Done)
-	assert.Equal(t, wire.ReportDone, w.told().Kind)
+	assert.Equal(t, wire.ReportDone, w.reported().Kind)
 }
 
 func TestDelayIsKept(t *testing.T) {
 	w := newWorld(t)
 	m := messageTo("/p/", "1")
 	m.DelayMs = 1500
-	w.take(w.core.Accept(w.now, m, false))
+	w.apply(w.core.Accept(w.now, m, false))
 	w.pass(1499 * ms)
-	w.unsent()
+	w.sentNothing()
 	w.pass(1 * ms)
 	w.sent()
 }
 
 // The store has kept the delay, and it keeps the end: the time of day, which may be off by any amount, moves neither.
-func TestWholeGrantIsDue(t *testing.T) {
+func TestGrantWithItsMessageIsDue(t *testing.T) {
 	for _, sent := range []int64{0, time.Now().UnixMilli(), time.Now().Add(time.Hour).UnixMilli()} {
 		w := newWorld(t)
 		m := messageTo("/p/", "1")
 		m.DelayMs, m.SentUnixMs = 1500, sent
-		w.take(w.core.Grant(w.now, &wire.Grant{ID: m.ID, Whole: true, Message: *m}))
+		w.apply(w.core.Grant(w.now, &wire.Grant{ID: m.ID, Whole: true, Message: *m}))
 		w.end(w.sent(), worker.Done)
-		assert.Equal(t, wire.ReportDone, w.told().Kind)
+		assert.Equal(t, wire.ReportDone, w.reported().Kind)
 	}
 }
 
@@ -288,18 +288,18 @@
 	w := newWorld(t)
 	m := messageTo("/p/", "1")
 	m.Ordered, m.Key = true, "k"
-	w.take(w.core.Accept(w.now, m, false))
+	w.apply(w.core.Accept(w.now, m, false))
 	w.pass(10 * time.Second)
-	w.unsent()
+	w.sentNothing()
 	grant := &wire.Grant{ID: m.ID}
-	w.take(w.core.Grant(w.now, grant))
+	w.apply(w.core.Grant(w.now, grant))
 	d := w.sent()
-	w.take(w.core.Grant(w.now, grant)) // repeated
-	w.unsent()
+	w.apply(w.core.Grant(w.now, grant)) // repeated
+	w.sentNothing()
 	w.end(d, worker.Done)
-	w.told()
-	w.take(w.core.Grant(w.now, grant)) // and after its end
-	w.unsent()
+	w.reported()
+	w.apply(w.core.Grant(w.now, grant)) // and after its end
+	w.sentNothing()
 	assert.Empty(t, w.reports)
 }
 
@@ -307,40 +307,40 @@
 	w := newWorld(t)
 	m := messageTo("/p/", "1")
 	m.Ordered, m.Key, m.DelayMs = true, "k", 1000
-	w.take(w.core.Accept(w.now, m, true))
+	w.apply(w.core.Accept(w.now, m, true))
 	w.pass(999 * ms)
-	w.unsent()
+	w.sentNothing()
 	w.pass(1 * ms)
 	w.sent()
 }
 
-func TestWholeGrantOfAHeldMessageIsNoNews(t *testing.T) {
+func TestGrantOfAnOwnedMessageChangesNothing(t *testing.T) {
 	w := newWorld(t)
 	w.accept("/p/", "1")
 	d := w.sent()
-	w.take(w.core.Grant(w.now, &wire.Grant{ID: "0.1", Whole: true, Message: *messageTo("/p/", "1")}))
-	w.unsent()
+	w.apply(w.core.Grant(w.now, &wire.Grant{ID: "0.1", Whole: true, Message: *messageTo("/p/", "1")}))
+	w.sentNothing()
 	w.end(d, worker.Done)
-	assert.Equal(t, wire.ReportDone, w.told().Kind)
+	assert.Equal(t, wire.ReportDone, w.reported().Kind)
 }
 
 func TestGrantOfAnUnknownMessageIsGivenBack(t *testing.T) {
 	w := newWorld(t)
-	w.take(w.core.Grant(w.now, &wire.Grant{ID: "0.7"}))
-	assert.Equal(t, wire.Report{ID: "0.7", Kind: wire.ReportReleased}, w.told())
+	w.apply(w.core.Grant(w.now, &wire.Grant{ID: "0.7"}))
+	assert.Equal(t, wire.Report{ID: "0.7", Kind: wire.ReportReleased}, w.reported())
 }
 
 func TestGivenBackMessageMayBeGrantedAgain(t *testing.T) {
 	w := newWorld(t)
 	w.config.Services[2].RatePerS = 4
-	w.take(w.core.Place(w.now, edgesOf("other"))) // this edge has no share of any ceiling
+	w.apply(w.core.SetEdges(w.now, edgesOf("other"))) // this edge has no share of any ceiling
 	w.accept("/l/", "1")
 	assert.Empty(t, w.reports, "it may come again at once: not too fast")
-	w.pass(returnPause)
-	assert.Equal(t, wire.ReportReleased, w.told().Kind)
-	w.take(w.core.Place(w.now, edgesOf("e1")))
-	w.take(w.core.Grant(w.now, &wire.Grant{ID: "0.1", Whole: true, Message: *messageTo("/l/", "1")}))
-	w.take(w.core.Acknowledged(w.now, "0.1")) // of the release: too late to matter
+	w.pass(releaseDelay)
+	assert.Equal(t, wire.ReportReleased, w.reported().Kind)
+	w.apply(w.core.SetEdges(w.now, edgesOf("e1")))
+	w.apply(w.core.Grant(w.now, &wire.Grant{ID: "0.1", Whole: true, Message: *messageTo("/l/", "1")}))
+	w.apply(w.core.Acknowledged(w.now, "0.1")) // of the release: too late to matter
 	w.pass(2 * time.Second)
 	w.sent()
 }
@@ -348,53 +348,53 @@
 func TestRetentionEndsAMessage(t *testing.T) {
 	w := newWorld(t)
 	w.workers.Entries = nil
-	w.list()
+	w.listWorkers()
 	w.accept("/p/", "1")
-	w.pass(90*time.Second + expirySlack - ms)
+	w.pass(90*time.Second + expiryMargin - ms)
 	assert.Empty(t, w.reports)
 	w.pass(2 * time.Second)
-	assert.Equal(t, wire.ReportExpired, w.told().Kind)
+	assert.Equal(t, wire.ReportExpired, w.reported().Kind)
 }
 
 func TestRetentionEndsAMessageThatWaitsForItsTurn(t *testing.T) {
 	w := newWorld(t)
 	m := messageTo("/p/", "1")
 	m.Ordered, m.Key = true, "k"
-	w.take(w.core.Accept(w.now, m, false))
+	w.apply(w.core.Accept(w.now, m, false))
 	w.pass(92 * time.Second)
-	assert.Equal(t, wire.ReportExpired, w.told().Kind)
+	assert.Equal(t, wire.ReportExpired, w.reported().Kind)
 }
 
-func TestRouteThatIsGoneDropsItsMessages(t *testing.T) {
+func TestRemovedRouteDropsItsMessages(t *testing.T) {
 	w := newWorld(t)
 	delayed := messageTo("/p/", "1")
 	delayed.DelayMs = 5000
-	w.take(w.core.Accept(w.now, delayed, false))
+	w.apply(w.core.Accept(w.now, delayed, false))
 	w.accept("/p/", "2")
 	running := w.sent()
 	w.config.Routes = w.config.Routes[1:]
 	w.configure()
-	assert.Equal(t, wire.Report{ID: "0.1", Kind: wire.ReportDropped}, w.told())
+	assert.Equal(t, wire.Report{ID: "0.1", Kind: wire.ReportDropped}, w.reported())
 	w.end(running, worker.Broken)
-	assert.Equal(t, wire.Report{ID: "0.2", Kind: wire.ReportDropped}, w.told())
+	assert.Equal(t, wire.Report{ID: "0.2", Kind: wire.ReportDropped}, w.reported())
 	w.pass(10 * time.Second)
-	w.unsent()
+	w.sentNothing()
 }
 
-func TestRunThatEndsWellAfterItsRouteIsGoneIsDone(t *testing.T) {
+func TestRunThatSucceedsAfterItsRouteWasRemovedIsDone(t *testing.T) {
 	w := newWorld(t)
 	w.accept("/p/", "2")
 	running := w.sent()
 	w.config.Routes = w.config.Routes[1:]
 	w.configure()
 	w.end(running, worker.Done)
-	assert.Equal(t, wire.ReportDone, w.told().Kind)
+	assert.Equal(t, wire.ReportDone, w.reported().Kind)
 }
 
 func TestGrantedMessageWaitsForARouteThatMayBeNew(t *testing.T) {
 	w := newWorld(t)
 	grant := func(id string) {
-		w.take(w.core.Grant(w.now, &wire.Grant{ID: "0." + id, Whole: true, Message: *messageTo("/new/", id)}))
+		w.apply(w.core.Grant(w.now, &wire.Grant{ID: "0." + id, Whole: true, Message: *messageTo("/new/", id)}))
 	}
 	grant("1")
 	w.pass(2 * time.Second)
@@ -405,12 +405,12 @@
 	w.configure()
 	w.pass(time.Second)
 	w.end(w.sent(), worker.Done)
-	w.told()
+	w.reported()
 	w.config.Routes = w.config.Routes[:3]
 	w.configure()
 	grant("2")
 	w.pass(5 * time.Second)
-	assert.Equal(t, wire.ReportDropped, w.told().Kind)
+	assert.Equal(t, wire.ReportDropped, w.reported().Kind)
 }
 
 func TestNewestServiceAndTimeoutAreUsed(t *testing.T) {
@@ -426,54 +426,54 @@
 }
 
 // The module must not send a waiting job to the service of before.
-func TestJobThatWaitsForRoomFollowsItsRoute(t *testing.T) {
+func TestJobThatWaitsForCapacityFollowsItsRoute(t *testing.T) {
 	w := newWorld(t)
 	w.accept("/p/", "1")
 	for range 3 { // full everywhere: the module holds it, or it comes back
-		if len(w.out) == 0 {
+		if len(w.deliveries) == 0 {
 			w.pass(10 * ms)
 			continue
 		}
-		d := w.out[0]
-		w.out = nil
-		w.end(d, worker.Full)
+		d := w.deliveries[0]
+		w.deliveries = nil
+		w.end(d, worker.AtCapacity)
 	}
-	w.out = nil
+	w.deliveries = nil
 	w.config.Routes[0].Service = "safe"
 	w.configure()
 	w.pass(3 * time.Second)
-	for _, d := range w.out {
+	for _, d := range w.deliveries {
 		assert.Contains(t, d.Delivery.Worker, "safe-")
 	}
-	assert.NotEmpty(t, w.out)
+	assert.NotEmpty(t, w.deliveries)
 }
 
-func TestDrainingAndGoneWorkersGetNothing(t *testing.T) {
+func TestDrainingAndRemovedWorkersGetNothing(t *testing.T) {
 	w := newWorld(t)
 	w.workers.Entries[0].Draining = true
 	w.workers.Entries = append(w.workers.Entries[:1], w.workers.Entries[2:]...) // s-0 drains, s-1 is gone
-	w.list()
+	w.listWorkers()
 	for i := range 30 {
 		w.accept("/p/", fmt.Sprint(i))
 		w.pass(20 * ms)
 	}
-	for _, d := range w.out {
+	for _, d := range w.deliveries {
 		assert.Equal(t, "s-2", d.Delivery.Worker)
 	}
-	assert.NotEmpty(t, w.out)
+	assert.NotEmpty(t, w.deliveries)
 }
 
 func TestWorkersThatReturnAreUsedAtOnce(t *testing.T) {
 	w := newWorld(t)
 	all := w.workers.Entries
 	w.workers.Entries = nil
-	w.list()
+	w.listWorkers()
 	w.accept("/p/", "1")
 	w.pass(20 * time.Second)
-	w.unsent()
+	w.sentNothing()
 	w.workers.Entries = all
-	w.list()
-	w.take(w.core.Tick(w.now))
+	w.listWorkers()
+	w.apply(w.core.Tick(w.now))
 	w.sent()
 }
 
@@ -481,23 +481,23 @@
 	w := newWorld(t)
 	w.accept("/p/", "1")
 	d := w.sent()
-	w.take(w.core.Unknown(w.now, "0.1"))
+	w.apply(w.core.Unknown(w.now, "0.1"))
 	assert.Equal(t, []Cancel{{Job: d.Job, Attempt: d.Attempt}}, w.cancels)
 	w.end(d, worker.Cancelled)
 	w.pass(5 * time.Second)
-	w.unsent()
+	w.sentNothing()
 	assert.Empty(t, w.reports)
 	assert.True(t, w.core.Idle())
-	assert.Zero(t, w.core.Held())
+	assert.Zero(t, w.core.MessageBytes())
 }
 
-func TestUnknownMessageThatHasEndedKeepsItsReport(t *testing.T) {
+func TestUnknownMessageThatIsCompletedKeepsItsReport(t *testing.T) {
 	w := newWorld(t)
 	w.accept("/p/", "1")
 	w.end(w.sent(), worker.Done)
-	w.take(w.core.Unknown(w.now, "0.1"))
+	w.apply(w.core.Unknown(w.now, "0.1"))
 	assert.False(t, w.core.Idle())
-	w.take(w.core.Acknowledged(w.now, "0.1"))
+	w.apply(w.core.Acknowledged(w.now, "0.1"))
 	assert.True(t, w.core.Idle())
 }
 
@@ -506,56 +506,56 @@
 	w.accept("/p/", "1")
 	running := w.sent()
 	failing := messageTo("/p/", "2")
-	w.take(w.core.Accept(w.now, failing, false))
+	w.apply(w.core.Accept(w.now, failing, false))
 	second := w.sent()
 	delayed := messageTo("/p/", "3")
 	delayed.DelayMs = 5000
-	w.take(w.core.Accept(w.now, delayed, false))
-	w.take(w.core.Stop(w.now))
-	assert.Equal(t, wire.Report{ID: "0.3", Kind: wire.ReportReleased}, w.told())
+	w.apply(w.core.Accept(w.now, delayed, false))
+	w.apply(w.core.Stop(w.now))
+	assert.Equal(t, wire.Report{ID: "0.3", Kind: wire.ReportReleased}, w.reported())
 	w.end(running, worker.Done)
-	assert.Equal(t, wire.ReportDone, w.told().Kind)
+	assert.Equal(t, wire.ReportDone, w.reported().Kind)
 	w.end(second, worker.Failed)
 	assert.Equal(t, []wire.Report{
 		{ID: "0.2", Kind: wire.ReportFailed, Failed: 1}, {ID: "0.2", Kind: wire.ReportReleased, Failed: 1},
 	}, w.reports)
 	w.reports = nil
 	w.accept("/p/", "4") // a put that was under way
-	assert.Equal(t, wire.Report{ID: "0.4", Kind: wire.ReportReleased}, w.told())
-	w.take(w.core.Grant(w.now, &wire.Grant{ID: "0.5", Whole: true, Message: *messageTo("/p/", "5")}))
-	assert.Equal(t, wire.Report{ID: "0.5", Kind: wire.ReportReleased}, w.told())
+	assert.Equal(t, wire.Report{ID: "0.4", Kind: wire.ReportReleased}, w.reported())
+	w.apply(w.core.Grant(w.now, &wire.Grant{ID: "0.5", Whole: true, Message: *messageTo("/p/", "5")}))
+	assert.Equal(t, wire.Report{ID: "0.5", Kind: wire.ReportReleased}, w.reported())
 	for _, id := range []string{"1", "2", "3", "4", "5"} {
-		w.take(w.core.Acknowledged(w.now, "0."+id))
+		w.apply(w.core.Acknowledged(w.now, "0."+id))
 	}
 	assert.True(t, w.core.Idle())
-	assert.Zero(t, w.core.Running())
+	assert.Zero(t, w.core.InFlight())
 }
 
 func TestStopAfterNotRunGivesBack(t *testing.T) {
-	for _, outcome := range []worker.Outcome{worker.Full, worker.Unreachable, worker.Repeat, worker.Broken} {
+	for _, outcome := range []worker.Outcome{worker.AtCapacity, worker.Unreachable, worker.Duplicate, worker.Broken} {
 		w := newWorld(t)
 		w.accept("/p/", "1")
 		d := w.sent()
-		w.take(w.core.Stop(w.now))
+		w.apply(w.core.Stop(w.now))
 		w.end(d, outcome)
-		w.unsent()
-		assert.Equal(t, wire.ReportReleased, w.told().Kind)
+		w.sentNothing()
+		assert.Equal(t, wire.ReportReleased, w.reported().Kind)
 	}
 }
 
-func TestHeldBodiesAreBounded(t *testing.T) {
+func TestOwnedBodiesAreBounded(t *testing.T) {
 	w := newWorld(t)
 	w.core.config.MaxBodies = 2000
 	m := messageTo("/p/", "1")
 	m.Body = make([]byte, 1500)
-	w.take(w.core.Accept(w.now, m, false))
+	w.apply(w.core.Accept(w.now, m, false))
 	w.sent()
 	other := messageTo("/p/", "2")
 	other.Body = make([]byte, 1500)
-	w.take(w.core.Grant(w.now, &wire.Grant{ID: other.ID, Whole: true, Message: *other}))
-	w.pass(returnPause)
-	assert.Equal(t, wire.ReportReleased, w.told().Kind)
-	w.unsent()
+	w.apply(w.core.Grant(w.now, &wire.Grant{ID: other.ID, Whole: true, Message: *other}))
+	w.pass(releaseDelay)
+	assert.Equal(t, wire.ReportReleased, w.reported().Kind)
+	w.sentNothing()
 }
 
 func TestConnectionsAreShared(t *testing.T) {
@@ -563,17 +563,17 @@
 	for i := range w.workers.Entries {
 		w.workers.Entries[i].Capacity = 100
 	}
-	w.list()
-	assert.Equal(t, 80, w.core.Connections()["s-0"].Most)
-	assert.Equal(t, 8, w.core.Connections()["10.0.0.9:80"].Most)
-	w.take(w.core.Place(w.now, edgesOf("e1", "e2", "e3", "e4")))
-	assert.Equal(t, 20, w.core.Connections()["s-0"].Most)
+	w.listWorkers()
+	assert.Equal(t, 80, w.core.Connections()["s-0"].Max)
+	assert.Equal(t, 8, w.core.Connections()["10.0.0.9:80"].Max)
+	w.apply(w.core.SetEdges(w.now, edgesOf("e1", "e2", "e3", "e4")))
+	assert.Equal(t, 20, w.core.Connections()["s-0"].Max)
 	many := make([]wire.Edge, 300)
 	for i := range many {
 		many[i] = wire.Edge{ID: fmt.Sprintf("e%d", i), Zone: "z1"}
 	}
-	w.take(w.core.Place(w.now, many))
-	assert.Equal(t, 1, w.core.Connections()["s-0"].Most)
+	w.apply(w.core.SetEdges(w.now, many))
+	assert.Equal(t, 1, w.core.Connections()["s-0"].Max)
 	assert.True(t, w.core.Connections()["s-0"].Scarce, "not all edges can have one")
 }
 
@@ -581,24 +581,24 @@
 func TestConnectionsAreSharedWithEdgesOfAMomentAgo(t *testing.T) {
 	w := newWorld(t)
 	w.workers.Entries[0].Capacity = 100
-	w.list()
-	w.take(w.core.Place(w.now, edgesOf("e1", "e2", "e3", "e4")))
+	w.listWorkers()
+	w.apply(w.core.SetEdges(w.now, edgesOf("e1", "e2", "e3", "e4")))
 	w.pass(time.Second)
-	w.take(w.core.Place(w.now, edgesOf("e1")))
-	assert.Equal(t, 20, w.core.Connections()["s-0"].Most)
+	w.apply(w.core.SetEdges(w.now, edgesOf("e1")))
+	assert.Equal(t, 20, w.core.Connections()["s-0"].Max)
 	w.pass(time.Second)
-	w.take(w.core.Place(w.now, edgesOf("e1", "e2")))
-	w.pass(edgesCountedFor - 2*time.Second)
-	w.list()
-	assert.Equal(t, 20, w.core.Connections()["s-0"].Most)
+	w.apply(w.core.SetEdges(w.now, edgesOf("e1", "e2")))
+	w.pass(edgePeakWindow - 2*time.Second)
+	w.listWorkers()
+	assert.Equal(t, 20, w.core.Connections()["s-0"].Max)
 	w.pass(2 * time.Second)
-	w.list()
-	assert.Equal(t, 40, w.core.Connections()["s-0"].Most)
+	w.listWorkers()
+	assert.Equal(t, 40, w.core.Connections()["s-0"].Max)
 }
 
 func TestConnectionsAreBoundByCapacity(t *testing.T) {
 	w := newWorld(t)
-	assert.Equal(t, 4+beyondCapacity, w.core.Connections()["s-0"].Most)
+	assert.Equal(t, 4+connectionSlack, w.core.Connections()["s-0"].Max)
 }
 
 func TestEndpointGetsNoExpectedInstance(t *testing.T) {
--- a/edge/dispatch/dispatch.go
+++ b/edge/dispatch/dispatch.go
@@ -46,17 +46,17 @@
 
 // Times of the plane.
 const (
-	giveBack      = 1500 * time.Millisecond // a module that found no worker for so long gives a message back
-	firstPause    = 40 * time.Millisecond   // before a message is tried again that nothing ran, doubling
-	longestPause  = time.Second
-	failedPause   = 150 * time.Millisecond // after the second failed attempt, doubling
-	longestFailed = 2 * time.Second
-	returnPause   = 15 * time.Millisecond  // before a message is given back that may come again at once
-	tokenLife     = 20 * time.Millisecond  // a token is spent so soon, or lost
-	longestLine   = 300 * time.Millisecond // for a token: new messages are another edge's to deliver while it is longer
-	repeatPause   = 120 * time.Millisecond // while another attempt of the message is running
-	expirySlack   = 500 * time.Millisecond // clocks of day differ, and no message may end early
-	forever       = 1000 * time.Hour
+	moduleTimeout     = 1500 * time.Millisecond // a module that found no worker for so long gives a message back
+	minBackoff        = 40 * time.Millisecond   // before a message is tried again that nothing ran, doubling
+	maxBackoff        = time.Second
+	minFailureBackoff = 150 * time.Millisecond // after the second failed attempt, doubling
+	maxFailureBackoff = 2 * time.Second
+	releaseDelay      = 15 * time.Millisecond  // before a message is given back that may come again at once
+	tokenTTL          = 20 * time.Millisecond  // a token is spent so soon, or lost
+	maxTokenWait      = 300 * time.Millisecond // for a token: new messages are another edge's to deliver while it is longer
+	duplicateDelay    = 120 * time.Millisecond // while another attempt of the message is running
+	expiryMargin      = 500 * time.Millisecond // clocks of day differ, and no message may end early
+	forever           = 1000 * time.Hour
 )
 
 // messageOverhead is what a held message takes besides its body, in bytes.
--- a/edge/dispatch/job.go
+++ b/edge/dispatch/job.go
@@ -10,73 +10,73 @@
 
 // job is a message's stay with a module, until the last of its attempts has ended.
 type job struct {
-	id       JobID
-	service  *service
-	message  *message
-	active   bool // the message waits for this job
-	held     bool // it is active, and no attempt is under way
-	full     bool // no worker had room for its last attempt
-	attempts []attempt
-	out      int
-	token    bool // it took one
-	tokenAt  time.Duration
+	id           JobID
+	service      *service
+	message      *message
+	active       bool // the message waits for this job
+	counted      bool // it is active, and no attempt is under way
+	sawFull      bool // no worker had room for its last attempt
+	attempts     []attempt
+	inFlight     int
+	hasToken     bool // it took one
+	tokenTakenAt time.Duration
 }
 
 type attempt struct {
-	worker         string
-	out, cancelled bool
+	worker              string
+	inFlight, cancelled bool
 }
 
-func (j *job) live() bool {
-	return slices.ContainsFunc(j.attempts, func(a attempt) bool { return a.out && !a.cancelled })
+func (j *job) isInFlight() bool {
+	return slices.ContainsFunc(j.attempts, func(a attempt) bool { return a.inFlight && !a.cancelled })
 }
 
-// track keeps the count of jobs that wait with the module.
-func (j *job) track() {
-	held := j.active && !j.live()
+// updateCount keeps the count of jobs that wait with the module.
+func (j *job) updateCount() {
+	waiting := j.active && !j.isInFlight()
 	switch {
-	case held && !j.held:
-		j.service.held++
-	case !held && j.held:
-		j.service.held--
+	case waiting && !j.counted:
+		j.service.waitingJobs++
+	case !waiting && j.counted:
+		j.service.waitingJobs--
 	}
-	j.held = held
+	j.counted = waiting
 }
 
-func (c *Core) handOver(m *message, s *service, token bool) {
+func (c *Core) submit(m *message, s *service, token bool) {
 	c.lastJob++
-	j := &job{id: c.lastJob, service: s, message: m, active: true, token: token, tokenAt: c.now}
+	j := &job{id: c.lastJob, service: s, message: m, active: true, hasToken: token, tokenTakenAt: c.now}
 	c.jobs[j.id] = j
-	s.open++
+	s.openJobs++
 	m.job, m.service = j, s
-	j.track()
-	c.schedule(m, handed, c.now+giveBack)
-	c.feed(s, ravendale.Event{Kind: ravendale.JobArrived, Job: ravendale.JobID(j.id), Class: 0, Tenant: -1, Left: jobDeadline, Retry: m.tried})
-	m.tried = true
+	j.updateCount()
+	c.scheduleAt(m, phaseSubmitted, c.now+moduleTimeout)
+	c.queueEvent(s, ravendale.Event{Kind: ravendale.JobArrived, Job: ravendale.JobID(j.id), Class: 0, Tenant: -1, Left: jobDeadline, Retry: m.submitted})
+	m.submitted = true
 }
 
-func (c *Core) close(j *job) {
+func (c *Core) withdrawJob(j *job) {
 	if !j.active {
 		return
 	}
 	j.active = false
-	c.feed(j.service, ravendale.Event{Kind: ravendale.ClientLeft, Job: ravendale.JobID(j.id)})
-	c.forgetJob(j)
+	c.queueEvent(j.service, ravendale.Event{Kind: ravendale.ClientLeft, Job: ravendale.JobID(j.id)})
+	c.removeIdleJob(j)
 }
 
-func (c *Core) forgetJob(j *job) {
-	j.track()
-	if !j.active && j.out == 0 && c.jobs[j.id] == j {
+func (c *Core) removeIdleJob(j *job) {
+	j.updateCount()
+	if !j.active && j.inFlight == 0 && c.jobs[j.id] == j {
 		delete(c.jobs, j.id)
-		j.service.open--
+		j.service.openJobs--
 	}
 }
 
-// carryOut does what a module asks for.
-func (c *Core) carryOut(s *service, a ravendale.Action) {
+// execute does what a module asks for.
+func (c *Core) execute(s *service, a ravendale.Action) {
 	switch a.Kind {
 	case ravendale.SetTimer:
-		s.timer = min(s.timer, c.now+a.Wait)
+		s.timerAt = min(s.timerAt, c.now+a.Wait)
 		return
 	case ravendale.Send, ravendale.Cancel, ravendale.Refuse, ravendale.Fail:
 	default:
@@ -90,74 +90,74 @@
 	case ravendale.Send:
 		c.send(j, a.Worker)
 	case ravendale.Cancel:
-		c.cancel(j, a.Attempt)
+		c.cancelAttempt(j, a.Attempt)
 	default:
-		c.givenUp(j)
+		c.moduleGaveUp(j)
 	}
 }
 
-func (c *Core) cancel(j *job, number int) {
-	if a := &j.attempts[number]; a.out && !a.cancelled {
+func (c *Core) cancelAttempt(j *job, number int) {
+	if a := &j.attempts[number]; a.inFlight && !a.cancelled {
 		a.cancelled = true
-		c.act(Cancel{Job: j.id, Attempt: number})
+		c.emit(Cancel{Job: j.id, Attempt: number})
 	}
 }
 
-// givenUp takes a message back that its module has no more use for.
-func (c *Core) givenUp(j *job) {
+// moduleGaveUp takes a message back that its module has no more use for.
+func (c *Core) moduleGaveUp(j *job) {
 	if !j.active {
 		return
 	}
 	j.active = false
-	c.forgetJob(j)
+	c.removeIdleJob(j)
 	m := j.message
 	m.job, m.service = nil, nil
 	if c.stopping {
 		c.release(m)
 		return
 	}
-	if j.full {
+	if j.sawFull {
 		c.requeue(m, j.service)
 		return
 	}
-	c.pause(m)
+	c.backOff(m)
 }
 
 // requeue has a message wait until a worker has room. What takes tokens would spend them on asking.
 func (c *Core) requeue(m *message, s *service) {
 	if s.bucket != nil {
-		c.pause(m)
+		c.backOff(m)
 		return
 	}
-	c.wait(m, c.now)
+	c.deferUntil(m, c.now)
 }
 
 // send makes an attempt, if the newest configuration still wants it.
 func (c *Core) send(j *job, name string) {
-	number, copies := len(j.attempts), j.live()
-	j.attempts = append(j.attempts, attempt{worker: name, out: true})
-	j.out++
-	j.track()
+	number, copies := len(j.attempts), j.isInFlight()
+	j.attempts = append(j.attempts, attempt{worker: name, inFlight: true})
+	j.inFlight++
+	j.updateCount()
 	m := j.message
-	route, s, gone := c.route(m)
+	route, s, dropped := c.route(m)
 	address := j.service.addresses[name]
 	switch {
 	case !j.active || address == "":
-		c.ended(j, number, worker.Result{Outcome: worker.NotRun})
+		c.endAttempt(j, number, worker.Result{Outcome: worker.NotRun})
 	case copies && s.queue.len() > 0: // N, the open messages, counts those that wait
-		c.ended(j, number, worker.Result{Outcome: worker.NoRoom})
+		c.endAttempt(j, number, worker.Result{Outcome: worker.NoConnection})
 	case c.stopping:
-		c.unsent(j, number)
+		c.abortAttempt(j, number)
 		c.release(m)
-	case gone || c.now >= m.expires || s != j.service || j.lacksToken(c.now):
-		c.unsent(j, number)
-		c.wait(m, c.now)
+	case dropped || c.now >= m.expiresAt || s != j.service || j.lacksToken(c.now):
+		c.abortAttempt(j, number)
+		c.deferUntil(m, c.now)
 	default:
 		instance := name
 		if s.endpoint != "" {
 			instance = ""
 		}
-		c.act(Deliver{Job: j.id, Attempt: number, Delivery: worker.Delivery{
+		c.emit(Deliver{Job: j.id, Attempt: number, Delivery: worker.Delivery{
 			Worker: name, Address: address, Instance: instance,
 			Method: m.Method, Host: m.Host, Target: m.Target, RequestID: m.RequestID, OrderKey: m.Key,
 			ContentType: m.ContentType, Body: m.Body, Limit: milliseconds(route.TimeoutMs),
@@ -169,15 +169,15 @@
 	return time.Duration(figure * float64(time.Millisecond))
 }
 
-// unsent ends an attempt that was not made, and its job.
-func (c *Core) unsent(j *job, number int) {
-	j.attempts[number].out = false
-	j.out--
+// abortAttempt ends an attempt that was not made, and its job.
+func (c *Core) abortAttempt(j *job, number int) {
+	j.attempts[number].inFlight = false
+	j.inFlight--
 	j.active = false
 	j.message.job, j.message.service = nil, nil
 	c.refund(j)
-	c.feed(j.service, ravendale.Event{Kind: ravendale.AttemptEnded, Job: ravendale.JobID(j.id), Attempt: number, Outcome: ravendale.NotSent, Closed: true})
-	c.forgetJob(j)
+	c.queueEvent(j.service, ravendale.Event{Kind: ravendale.AttemptEnded, Job: ravendale.JobID(j.id), Attempt: number, Outcome: ravendale.NotSent, Closed: true})
+	c.removeIdleJob(j)
 }
 
 // lacksToken says whether an attempt has to wait for a token: the one that the job had was given back, or waited with the module, and
@@ -186,16 +186,16 @@
 	if j.service.bucket == nil {
 		return false
 	}
-	if !j.token || now-j.tokenAt > tokenLife {
-		j.token, j.tokenAt = j.service.bucket.take(now), now
+	if !j.hasToken || now-j.tokenTakenAt > tokenTTL {
+		j.hasToken, j.tokenTakenAt = j.service.bucket.take(now), now
 	}
-	return !j.token
+	return !j.hasToken
 }
 
 // refund gives a token back whose attempt never came to the worker.
 func (c *Core) refund(j *job) {
-	if j.token && j.service.bucket != nil {
-		j.token = false
+	if j.hasToken && j.service.bucket != nil {
+		j.hasToken = false
 		j.service.bucket.refund()
 	}
 }
--- a/edge/dispatch/home_test.go
+++ b/edge/dispatch/localzone_test.go
@@ -11,36 +11,36 @@
 )
 
 // inZones has service s run by workers of two zones, with a capacity of 4 each.
-func inZones(t *testing.T, home, away int) *world {
+func inZones(t *testing.T, local, away int) *world {
 	w := newWorld(t)
 	w.workers.Entries = nil
-	for i := range home + away {
+	for i := range local + away {
 		zone := "z1"
-		if i >= home {
+		if i >= local {
 			zone = "z2"
 		}
 		w.workers.Entries = append(w.workers.Entries, wire.Worker{
 			ID: fmt.Sprint(zone, "-", i), Service: "s", Address: fmt.Sprintf("10.0.0.%d:80", i), Zone: zone, Capacity: 4,
 		})
 	}
-	w.take(w.core.Place(w.now, []wire.Edge{{ID: "e1", Zone: "z1"}, {ID: "e2", Zone: "z2"}}))
-	w.list()
+	w.apply(w.core.SetEdges(w.now, []wire.Edge{{ID: "e1", Zone: "z1"}, {ID: "e2", Zone: "z2"}}))
+	w.listWorkers()
 	return w
 }
 
 // runs has messages run one after the other, and counts those that stayed in the edge's zone.
-func runs(w *world, count int) (home int) {
+func runs(w *world, count int) (local int) {
 	for i := range count {
 		id := fmt.Sprint("run", i)
 		w.accept("/p/", id)
 		d := w.sent()
 		if d.Delivery.Worker[:2] == "z1" {
-			home++
+			local++
 		}
 		w.end(d, worker.Done)
-		w.take(w.core.Acknowledged(w.now, "0."+id))
+		w.apply(w.core.Acknowledged(w.now, "0."+id))
 	}
-	return home
+	return local
 }
 
 func TestWorkersOfTheOwnZoneArePreferred(t *testing.T) {
@@ -50,18 +50,18 @@
 		w.accept("/p/", fmt.Sprint(i))
 	}
 	used := make(map[string]bool)
-	for _, d := range w.out {
+	for _, d := range w.deliveries {
 		used[d.Delivery.Worker] = true
 	}
 	assert.Len(t, used, 5, "but not one twice while another has nothing")
-	assert.Equal(t, 4+beyondCapacity, w.core.Connections()["z1-0"].Most)
+	assert.Equal(t, 4+connectionSlack, w.core.Connections()["z1-0"].Max)
 }
 
 // A zone with less than its part must not be overrun: there the module's own choice is all there is.
 func TestFewWorkersOfTheOwnZoneAreNotPreferred(t *testing.T) {
-	for home, weight := range map[int]float64{2: 4, 4: 4 * homeWeight} {
-		w := inZones(t, home, 10-home)
-		for _, entry := range w.core.services["s"].listed {
+	for local, weight := range map[int]float64{2: 4, 4: 4 * localZoneWeight} {
+		w := inZones(t, local, 10-local)
+		for _, entry := range w.core.services["s"].entries {
 			if entry.Zone == 0 {
 				assert.Equal(t, weight, entry.Weight)
 			} else {
--- a/edge/dispatch/plane_test.go
+++ b/edge/dispatch/manager_test.go
@@ -21,7 +21,7 @@
 
 // fakeQueue acknowledges reports at once, on another goroutine, unless it is held.
 type fakeQueue struct {
-	plane *Plane
+	plane *Manager
 
 	mu      sync.Mutex
 	reports []wire.Report
@@ -64,21 +64,21 @@
 	return kinds
 }
 
-// newPlane has one service with a single endpoint, which the handler plays.
-func newPlane(t *testing.T, handler http.HandlerFunc) (*Plane, *fakeQueue) {
+// startManager has one service with a single endpoint, which the handler plays.
+func startManager(t *testing.T, handler http.HandlerFunc) (*Manager, *fakeQueue) {
 	server := httptest.NewServer(handler)
 	t.Cleanup(server.Close)
 	client := worker.NewClient()
 	t.Cleanup(client.Close)
-	p := NewPlane(Config{
+	p := NewManager(Config{
 		Topology: Topology{Edge: "e1", Zone: "z1", Zones: []string{"z1"}}, Window: 5 * time.Second, Overshoot: 1.1,
 		MaxBodies: 1 << 20,
 	}, client)
 	t.Cleanup(p.Close)
 	q := &fakeQueue{plane: p}
 	p.Start(q)
-	p.Place(edgesOf("e1"))
-	p.Configure(catalog.NewIndex(&catalog.Config{
+	p.SetEdges(edgesOf("e1"))
+	p.ApplyConfig(catalog.NewIndex(&catalog.Config{
 		Routes:   []catalog.Route{{Name: "r", Host: "a.example", PathPrefix: "/p/", Type: DeferredType, Service: "s", TimeoutMs: 2000, Retries: 3}},
 		Services: []catalog.Service{{Name: "s", Endpoint: server.Listener.Addr().(*net.TCPAddr).String(), MaxConns: 20}},
 	}))
@@ -91,26 +91,26 @@
 	w.Header().Set("Signature", "sig")
 }
 
-func TestPlaneDeliversAndReports(t *testing.T) {
-	p, q := newPlane(t, succeed)
-	assert.True(t, p.Takes("s", 100))
-	assert.False(t, p.Takes("s", 2<<20), "no room")
-	assert.False(t, p.Takes("other", 1))
+func TestManagerDeliversAndReports(t *testing.T) {
+	p, q := startManager(t, succeed)
+	assert.True(t, p.Accepts("s", 100))
+	assert.False(t, p.Accepts("s", 2<<20), "no room")
+	assert.False(t, p.Accepts("other", 1))
 	for _, id := range []string{"1", "2", "3"} {
 		p.Accept(messageTo("/p/x", id), false)
 	}
 	p.Grant(&wire.Grant{ID: "0.4", Whole: true, Message: *messageTo("/p/x", "4")})
-	require.Eventually(t, func() bool { return len(p.IDs()) == 0 && len(q.kinds()) == 4 }, 3*time.Second, time.Millisecond)
+	require.Eventually(t, func() bool { return len(p.MessageIDs()) == 0 && len(q.kinds()) == 4 }, 3*time.Second, time.Millisecond)
 	for _, r := range q.list() {
 		assert.Equal(t, wire.ReportDone, r.Kind)
 		assert.Equal(t, "sig", r.Signature)
 	}
 }
 
-func TestPlaneTriesAgainByItself(t *testing.T) {
+func TestManagerRetriesByItself(t *testing.T) {
 	var mu sync.Mutex
 	calls := 0
-	p, q := newPlane(t, func(w http.ResponseWriter, r *http.Request) {
+	p, q := startManager(t, func(w http.ResponseWriter, r *http.Request) {
 		mu.Lock()
 		calls++
 		number := calls
@@ -129,13 +129,13 @@
 		}
 	})
 	p.Accept(messageTo("/p/x", "1"), false)
-	require.Eventually(t, func() bool { return len(p.IDs()) == 0 }, 5*time.Second, time.Millisecond)
+	require.Eventually(t, func() bool { return len(p.MessageIDs()) == 0 }, 5*time.Second, time.Millisecond)
 	assert.Equal(t, []wire.ReportKind{wire.ReportFailed, wire.ReportDone}, q.kinds())
 }
 
 func TestPlannedStopEndsWhatIsUnderWay(t *testing.T) {
 	began, hold := make(chan struct{}), make(chan struct{})
-	p, q := newPlane(t, func(w http.ResponseWriter, r *http.Request) {
+	p, q := startManager(t, func(w http.ResponseWriter, r *http.Request) {
 		close(began)
 		<-hold
 		succeed(w, r)
@@ -146,31 +146,31 @@
 	delayed.DelayMs = 60000
 	p.Accept(delayed, false)
 	p.Stop()
-	assert.False(t, p.Takes("s", 1))
+	assert.False(t, p.Accepts("s", 1))
 	require.Eventually(t, func() bool { return len(q.kinds()) == 1 }, 3*time.Second, time.Millisecond)
 	short, cancel := context.WithTimeout(context.Background(), 50*time.Millisecond)
 	defer cancel()
-	assert.False(t, p.Drained(short))
+	assert.False(t, p.AwaitDrained(short))
 	time.AfterFunc(50*time.Millisecond, func() { close(hold) })
-	assert.True(t, p.Drained(context.Background()))
+	assert.True(t, p.AwaitDrained(context.Background()))
 	assert.Equal(t, []wire.ReportKind{wire.ReportReleased, wire.ReportDone}, q.kinds())
 }
 
 func TestDrainWaitsForAcknowledgements(t *testing.T) {
-	p, q := newPlane(t, succeed)
+	p, q := startManager(t, succeed)
 	q.hold = true
 	p.Accept(messageTo("/p/x", "1"), false)
 	require.Eventually(t, func() bool { return len(q.kinds()) == 1 }, 3*time.Second, time.Millisecond)
 	p.Stop()
 	short, cancel := context.WithTimeout(context.Background(), 50*time.Millisecond)
 	defer cancel()
-	assert.False(t, p.Drained(short))
+	assert.False(t, p.AwaitDrained(short))
 	go p.Acknowledged("0.1")
-	assert.True(t, p.Drained(context.Background()))
+	assert.True(t, p.AwaitDrained(context.Background()))
 }
 
-func TestPlaneUnderLoad(t *testing.T) {
-	p, q := newPlane(t, succeed)
+func TestManagerUnderLoad(t *testing.T) {
+	p, q := startManager(t, succeed)
 	const count = 500
 	var group sync.WaitGroup
 	for part := range 5 {
@@ -181,5 +181,5 @@
 		})
 	}
 	group.Wait()
-	require.Eventually(t, func() bool { return len(p.IDs()) == 0 && len(q.kinds()) == count }, 10*time.Second, time.Millisecond)
+	require.Eventually(t, func() bool { return len(p.MessageIDs()) == 0 && len(q.kinds()) == count }, 10*time.Second, time.Millisecond)
 }
--- a/edge/dispatch/message.go
+++ b/edge/dispatch/message.go
@@ -10,32 +10,32 @@
 type phase uint8
 
 const (
-	ungranted phase = iota // it waits for its turn in the order of its key
-	waiting                // until due
-	throttled              // for a token of its service's ceiling
-	queued                 // until its service's module can be handed another
-	handed                 // its service's module has it
-	returning              // given back when it is due, for another edge to deliver
-	reported               // its end is told to the queue, and not yet acknowledged
+	phaseKeyOrder    phase = iota // it waits for its turn in the order of its key
+	phaseDeferred                 // until due
+	phaseRateLimited              // for a token of its service's ceiling
+	phaseQueued                   // until its service's module can be handed another
+	phaseSubmitted                // its service's module has it
+	phaseReleasing                // given back when it is due, for another edge to deliver
+	phaseReported                 // its end is told to the queue, and not yet acknowledged
 )
 
 // message is one that the edge holds.
 type message struct {
 	wire.Message
-	phase    phase
-	due      time.Duration // when it is to be looked at
-	start    time.Duration // it may not run earlier
-	beginBy  time.Duration // its route's aim for that
-	dropAt   time.Duration // it is not dropped earlier for want of a route
-	expires  time.Duration // the end of its retention
-	failed   uint16        // failed attempts
-	pauses   int           // tries that ran nothing
-	broken   int           // tries with an unknown outcome that were followed at once
-	granted  bool
-	released bool // reported as given back
-	tried    bool
-	size     int
-	position int // in the queue of those with a time; -1: not there
+	phase           phase
+	dueAt           time.Duration // when it is to be looked at
+	notBefore       time.Duration // it may not run earlier
+	startTarget     time.Duration // its route's aim for that
+	dropAfter       time.Duration // it is not dropped earlier for want of a route
+	expiresAt       time.Duration // the end of its retention
+	failedAttempts  uint16        // failedAttempts attempts
+	backoffs        int           // tries that ran nothing
+	unknownOutcomes int           // tries with an unknown outcome that were followed at once
+	granted         bool
+	released        bool // reported as given back
+	submitted       bool
+	bytes           int
+	heapIndex       int // in the queue of those with a time; -1: not there
 
 	service *service // while throttled or handed
 	job     *job     // while handed
@@ -46,31 +46,31 @@
 	return path
 }
 
-func (m *message) ready() bool { return !m.Ordered || m.granted }
+func (m *message) isGranted() bool { return !m.Ordered || m.granted }
 
-// agenda is a heap of messages by due time.
-type agenda []*message
+// schedule is a heap of messages by due time.
+type schedule []*message
 
-func (a agenda) Len() int           { return len(a) }
-func (a agenda) Less(i, j int) bool { return a[i].due < a[j].due }
-func (a agenda) Swap(i, j int) {
+func (a schedule) Len() int           { return len(a) }
+func (a schedule) Less(i, j int) bool { return a[i].dueAt < a[j].dueAt }
+func (a schedule) Swap(i, j int) {
 	a[i], a[j] = a[j], a[i]
-	a[i].position, a[j].position = i, j
+	a[i].heapIndex, a[j].heapIndex = i, j
 }
 
 // Push is called by the heap.
-func (a *agenda) Push(x any) {
+func (a *schedule) Push(x any) {
 	m := x.(*message)
-	m.position = len(*a)
+	m.heapIndex = len(*a)
 	*a = append(*a, m)
 }
 
 // Pop is called by the heap.
-func (a *agenda) Pop() any {
+func (a *schedule) Pop() any {
 	last := len(*a) - 1
 	m := (*a)[last]
 	(*a)[last] = nil
 	*a = (*a)[:last]
-	m.position = -1
+	m.heapIndex = -1
 	return m
 }
--- a/edge/dispatch/outcome.go
+++ b/edge/dispatch/outcome.go
@@ -9,91 +9,91 @@
 )
 
 var moduleOutcomes = map[worker.Outcome]ravendale.Outcome{
-	worker.Done:        ravendale.OK,
-	worker.Failed:      ravendale.Error,
-	worker.Refused:     ravendale.Rejected,
-	worker.Full:        ravendale.FullUp,
-	worker.NoRoom:      ravendale.FullUp,
-	worker.NotRun:      ravendale.NotSent,
-	worker.Repeat:      ravendale.NotSent,
-	worker.WrongWorker: ravendale.ConnectFailed,
-	worker.Unreachable: ravendale.ConnectFailed,
-	worker.Broken:      ravendale.Reset,
-	worker.Silent:      ravendale.TimedOut,
-	worker.Cancelled:   ravendale.Cancelled,
+	worker.Done:         ravendale.OK,
+	worker.Failed:       ravendale.Error,
+	worker.Rejected:     ravendale.Rejected,
+	worker.AtCapacity:   ravendale.FullUp,
+	worker.NoConnection: ravendale.FullUp,
+	worker.NotRun:       ravendale.NotSent,
+	worker.Duplicate:    ravendale.NotSent,
+	worker.WrongWorker:  ravendale.ConnectFailed,
+	worker.Unreachable:  ravendale.ConnectFailed,
+	worker.Broken:       ravendale.Reset,
+	worker.TimedOut:     ravendale.TimedOut,
+	worker.Cancelled:    ravendale.Cancelled,
 }
 
-// Ended takes the end of an attempt.
-func (c *Core) Ended(now time.Duration, id JobID, number int, result worker.Result) []Action {
+// FinishAttempt takes the end of an attempt.
+func (c *Core) FinishAttempt(now time.Duration, id JobID, number int, result worker.Result) []Action {
 	c.begin(now)
-	if j := c.jobs[id]; j != nil && number < len(j.attempts) && j.attempts[number].out {
-		c.ended(j, number, result)
-		c.spend(j.service)
+	if j := c.jobs[id]; j != nil && number < len(j.attempts) && j.attempts[number].inFlight {
+		c.endAttempt(j, number, result)
+		c.sendRateLimited(j.service)
 	}
 	return c.end()
 }
 
-func (c *Core) ended(j *job, number int, result worker.Result) {
-	if c.mutant.resetIsNotRun && result.Outcome.MayHaveRun() {
+func (c *Core) endAttempt(j *job, number int, result worker.Result) {
+	if c.mutations.resetCountsAsNotRun && result.Outcome.MayHaveRun() {
 		result.Outcome = worker.Unreachable
 	}
-	j.attempts[number].out = false
-	j.out--
-	j.full = result.Outcome == worker.Full || result.Outcome == worker.NoRoom
-	j.track()
-	if result.Outcome == worker.NoRoom || result.Outcome == worker.Unreachable {
+	j.attempts[number].inFlight = false
+	j.inFlight--
+	j.sawFull = result.Outcome == worker.AtCapacity || result.Outcome == worker.NoConnection
+	j.updateCount()
+	if result.Outcome == worker.NoConnection || result.Outcome == worker.Unreachable {
 		c.refund(j)
 	}
 	if result.Outcome == worker.WrongWorker {
-		c.lose(j.service, j.attempts[number].worker)
+		c.excludeReplaced(j.service, j.attempts[number].worker)
 	}
-	closed := c.closes(j, result.Outcome)
+	closed := c.endsJob(j, result.Outcome)
 	m := j.message
 	if closed {
 		j.active = false
 		m.job, m.service = nil, nil
 	}
-	c.feed(j.service, ravendale.Event{
+	c.queueEvent(j.service, ravendale.Event{
 		Kind: ravendale.AttemptEnded, Job: ravendale.JobID(j.id), Attempt: number,
 		Outcome: moduleOutcomes[result.Outcome], Took: result.Took, Closed: closed,
 	})
-	c.forgetJob(j)
+	c.removeIdleJob(j)
 	switch {
 	case result.Outcome == worker.Done:
 		c.succeed(m, result.Signature)
-	case m.phase != reported && c.messages[m.ID] == m:
-		c.conclude(m, result, closed)
+	case m.phase != phaseReported && c.messages[m.ID] == m:
+		c.applyOutcome(m, result, closed)
 	}
 }
 
-// closes says whether an outcome ends the job: the module goes on by itself only with what surely did not run, and while
+// endsJob says whether an outcome ends the job: the module goes on by itself only with what surely did not run, and while
 // another attempt is under way.
-func (c *Core) closes(j *job, outcome worker.Outcome) bool {
+func (c *Core) endsJob(j *job, outcome worker.Outcome) bool {
 	switch {
 	case !j.active:
 		return false
-	case outcome == worker.Done || outcome == worker.Refused:
+	case outcome == worker.Done || outcome == worker.Rejected:
 		return true
-	case j.live():
+	case j.isInFlight():
 		return false
 	case c.stopping:
 		return true
 	}
 	switch outcome {
-	case worker.Full, worker.NoRoom, worker.Unreachable, worker.WrongWorker:
+	case worker.AtCapacity, worker.NoConnection, worker.Unreachable, worker.WrongWorker:
 		return false
 	}
 	return true
 }
 
-// conclude draws the consequences of an outcome that is no success for its message.
-func (c *Core) conclude(m *message, result worker.Result, closed bool) {
+// applyOutcome draws the consequences of an outcome that is no success for its message.
+func (c *Core) applyOutcome(m *message, result worker.Result, closed bool) {
 	switch result.Outcome {
-	case worker.Refused:
+	case worker.Rejected:
 		c.finish(m, wire.Report{Kind: wire.ReportDead})
 		return
 	case worker.Failed:
-		if c.fail(m) {
+		if c.countFailure(m) {
 			return
 		}
 	}
@@ -104,37 +104,37 @@
 		c.release(m)
 		return
 	}
-	c.again(m, result.Outcome)
+	c.retry(m, result.Outcome)
 }
 
-// fail counts a failed attempt, and says whether it was the last.
-func (c *Core) fail(m *message) bool {
-	m.failed++
+// countFailure counts a failed attempt, and says whether it was the last.
+func (c *Core) countFailure(m *message) bool {
+	m.failedAttempts++
 	retries := int(m.Retries)
 	if route, _, _ := c.route(m); route != nil {
 		retries = route.Retries
 	}
-	if int(m.failed) >= retries {
+	if int(m.failedAttempts) >= retries {
 		c.finish(m, wire.Report{Kind: wire.ReportDead})
 		return true
 	}
-	c.report(wire.Report{ID: m.ID, Kind: wire.ReportFailed, Failed: m.failed})
+	c.report(wire.Report{ID: m.ID, Kind: wire.ReportFailed, Failed: m.failedAttempts})
 	return false
 }
 
-// again has a message tried once more: after a failure or an unknown outcome at once the first time.
-func (c *Core) again(m *message, outcome worker.Outcome) {
+// retry has a message tried once more: after a failure or an unknown outcome at once the first time.
+func (c *Core) retry(m *message, outcome worker.Outcome) {
 	switch {
-	case outcome == worker.Repeat:
-		c.wait(m, c.now+repeatPause)
-	case outcome == worker.Failed && m.failed > 1:
-		c.wait(m, c.now+min(failedPause<<min(int(m.failed)-2, 8), longestFailed))
+	case outcome == worker.Duplicate:
+		c.deferUntil(m, c.now+duplicateDelay)
+	case outcome == worker.Failed && m.failedAttempts > 1:
+		c.deferUntil(m, c.now+min(minFailureBackoff<<min(int(m.failedAttempts)-2, 8), maxFailureBackoff))
 	case outcome == worker.Failed:
-		c.wait(m, c.now)
-	case outcome == worker.NotRun || m.broken > 0:
-		c.pause(m)
+		c.deferUntil(m, c.now)
+	case outcome == worker.NotRun || m.unknownOutcomes > 0:
+		c.backOff(m)
 	default:
-		m.broken++
-		c.wait(m, c.now)
+		m.unknownOutcomes++
+		c.deferUntil(m, c.now)
 	}
 }
--- a/edge/dispatch/repeats_test.go
+++ b/edge/dispatch/outcome_test.go
@@ -25,10 +25,10 @@
 // after is what each outcome leads to, for a message's first attempt. No class of messages makes a difference: whether a message may be
 // out twice at the same time does (copies), and whether an attempt needs a token.
 var after = map[worker.Outcome]follow{
-	worker.Done: ends, worker.Refused: ends,
+	worker.Done: ends, worker.Rejected: ends,
 	worker.Failed: countsOn,
-	worker.Broken: atOnce, worker.Silent: atOnce, worker.Cancelled: atOnce,
-	worker.Full: soon, worker.NotRun: soon, worker.WrongWorker: soon, worker.Repeat: soon, worker.Unreachable: soon, worker.NoRoom: soon,
+	worker.Broken: atOnce, worker.TimedOut: atOnce, worker.Cancelled: atOnce,
+	worker.AtCapacity: soon, worker.NotRun: soon, worker.WrongWorker: soon, worker.Duplicate: soon, worker.Unreachable: soon, worker.NoConnection: soon,
 }
 
 // classes are messages that differ in what may be done about them.
@@ -45,25 +45,25 @@
 		for class, m := range classes() {
 			t.Run(fmt.Sprintf("%d %s", outcome, class), func(t *testing.T) {
 				w := newWorld(t)
-				w.take(w.core.Accept(w.now, m, true))
+				w.apply(w.core.Accept(w.now, m, true))
 				w.pass(2 * time.Second) // for a token
 				first := w.sent()
 				w.end(first, outcome)
 				if want == ends {
-					assert.NotEqual(t, wire.ReportFailed, w.told().Kind)
+					assert.NotEqual(t, wire.ReportFailed, w.reported().Kind)
 					w.pass(time.Minute)
-					w.unsent()
+					w.sentNothing()
 					return
 				}
 				if want == countsOn {
-					assert.Equal(t, wire.Report{ID: m.ID, Kind: wire.ReportFailed, Failed: 1}, w.told())
+					assert.Equal(t, wire.Report{ID: m.ID, Kind: wire.ReportFailed, Failed: 1}, w.reported())
 				}
 				if want != soon && class != "with a ceiling" {
-					require.NotEmpty(t, w.out, "at once")
+					require.NotEmpty(t, w.deliveries, "at once")
 				}
 				w.pass(3 * time.Second)
-				require.NotEmpty(t, w.out)
-				assert.Equal(t, first.Delivery.RequestID, w.out[0].Delivery.RequestID)
+				require.NotEmpty(t, w.deliveries)
+				assert.Equal(t, first.Delivery.RequestID, w.deliveries[0].Delivery.RequestID)
 				assert.Empty(t, w.reports, "neither ended nor given back")
 			})
 		}
@@ -73,15 +73,15 @@
 
 // One attempt of a message is out at a time, whatever its service: the module makes copies only on room that workers say is free, and
 // they do not. What follows an unknown outcome is sent once the connection of the attempt before is closed.
-func TestNoMessageIsOutTwice(t *testing.T) {
+func TestNoMessageIsInFlightTwice(t *testing.T) {
 	for class, m := range classes() {
 		w := newWorld(t)
-		w.take(w.core.Accept(w.now, m, true))
+		w.apply(w.core.Accept(w.now, m, true))
 		for range 30 {
 			w.pass(2 * time.Second)
-			w.end(w.sent(), worker.Silent)
+			w.end(w.sent(), worker.TimedOut)
 			w.pass(50 * ms)
-			if len(w.out) > 0 { // the next, at once
+			if len(w.deliveries) > 0 { // the next, at once
 				w.end(w.sent(), worker.Broken)
 			}
 		}
@@ -92,13 +92,13 @@
 }
 
 // resets counts the attempts of a message, each of which ends in a reset at once, before any pause.
-func resets(t *testing.T, m mutant) (attempts int) {
+func resets(t *testing.T, m mutations) (attempts int) {
 	w := newWorld(t)
-	w.core.mutant = m
+	w.core.mutations = m
 	w.accept("/p/", "1")
-	for len(w.out) > 0 && attempts < 100 {
-		d := w.out[0]
-		w.out = w.out[1:]
+	for len(w.deliveries) > 0 && attempts < 100 {
+		d := w.deliveries[0]
+		w.deliveries = w.deliveries[1:]
 		attempts++
 		w.end(d, worker.Broken)
 	}
@@ -107,32 +107,32 @@
 
 // What may have run is sent again at once a single time. The module, which goes on by itself with what did not run, has no part in it.
 func TestResetIsFollowedAtOnceASingleTime(t *testing.T) {
-	assert.Equal(t, 2, resets(t, mutant{}))
+	assert.Equal(t, 2, resets(t, mutations{}))
 }
 
-func TestMutantThatTakesAResetForNotSentIsCaught(t *testing.T) {
-	assert.Greater(t, resets(t, mutant{resetIsNotRun: true}), 2)
+func TestMutationThatTakesAResetForNotSentIsCaught(t *testing.T) {
+	assert.Greater(t, resets(t, mutations{resetCountsAsNotRun: true}), 2)
 }
 
 // A reset leaves open whether the message ran; its success, known here, does not.
-func runsAfterItsEnd(t *testing.T, m mutant) int {
+func runsAfterItsEnd(t *testing.T, m mutations) int {
 	w := newWorld(t)
-	w.core.mutant = m
+	w.core.mutations = m
 	w.accept("/p/", "1")
 	w.end(w.sent(), worker.Broken)
 	w.end(w.sent(), worker.Done)
-	w.told()
-	w.take(w.core.Acknowledged(w.now, "0.1"))
-	w.take(w.core.Grant(w.now, wholeGrant("1")))
-	return len(w.out)
+	w.reported()
+	w.apply(w.core.Acknowledged(w.now, "0.1"))
+	w.apply(w.core.Grant(w.now, grantWithMessage("1")))
+	return len(w.deliveries)
 }
 
 func TestMessageIsNotSentAgainAfterASuccess(t *testing.T) {
-	assert.Zero(t, runsAfterItsEnd(t, mutant{}))
+	assert.Zero(t, runsAfterItsEnd(t, mutations{}))
 }
 
-func TestMutantThatForgetsEndingsIsCaught(t *testing.T) {
-	assert.Equal(t, 1, runsAfterItsEnd(t, mutant{forgetsEndings: true}))
+func TestMutationThatForgetsCompletionsIsCaught(t *testing.T) {
+	assert.Equal(t, 1, runsAfterItsEnd(t, mutations{forgetsCompleted: true}))
 }
 
 // BUDGET: a message that fails at each run is not sent once more than its route says, whoever counted the failures before.
@@ -140,13 +140,13 @@
 	for class, m := range classes() {
 		for before := range 3 {
 			w := newWorld(t)
-			w.take(w.core.Grant(w.now, &wire.Grant{ID: m.ID, Whole: true, Failed: uint16(before), Message: *m}))
+			w.apply(w.core.Grant(w.now, &wire.Grant{ID: m.ID, Whole: true, Failed: uint16(before), Message: *m}))
 			runs := 0
 			for range 20 {
 				w.pass(3 * time.Second)
-				for len(w.out) > 0 {
-					d := w.out[0]
-					w.out = w.out[1:]
+				for len(w.deliveries) > 0 {
+					d := w.deliveries[0]
+					w.deliveries = w.deliveries[1:]
 					runs++
 					w.end(d, worker.Failed)
 				}
--- a/edge/dispatch/property_test.go
+++ b/edge/dispatch/property_test.go
@@ -14,12 +14,12 @@
 
 // journey is what a message went through.
 type journey struct {
-	message  *wire.Message
-	accepted time.Duration
-	granted  bool
-	failures int
-	ended    bool // a last report is out
-	out      int
+	message   *wire.Message
+	accepted  time.Duration
+	granted   bool
+	failures  int
+	completed bool // a last report is out
+	inFlight  int
 }
 
 // chaos plays drawn events against a core and checks each action.
@@ -37,60 +37,60 @@
 
 func (c *chaos) check() {
 	c.checkQueues()
-	for _, d := range c.out {
+	for _, d := range c.deliveries {
 		id := "0." + d.Delivery.RequestID
 		j := c.journeys[id]
 		switch {
-		case j.ended:
+		case j.completed:
 			c.r.Fatalf("%s is sent after its end", id)
 		case j.message.Ordered && !j.granted:
 			c.r.Fatalf("%s is sent before its turn", id)
 		case c.now < j.accepted+time.Duration(j.message.DelayMs)*ms:
 			c.r.Fatalf("%s is sent before its delay is over", id)
-		case j.out > 0 && !isIdempotent(j.message):
+		case j.inFlight > 0 && !isIdempotent(j.message):
 			c.r.Fatalf("%s is sent twice at once", id)
 		}
-		if c.isOut(d.Delivery.Worker) {
+		if c.isExcluded(d.Delivery.Worker) {
 			c.r.Fatalf("%s is sent to %s, which drains or is gone", id, d.Delivery.Worker)
 		}
-		j.out++
+		j.inFlight++
 		c.attempts[key(d.Job, d.Attempt)] = id
 		c.running = append(c.running, d)
 	}
-	c.out = nil
+	c.deliveries = nil
 	for _, r := range c.reports {
 		j := c.journeys[r.ID]
-		if j.ended {
+		if j.completed {
 			c.r.Fatalf("%s is reported after its end", r.ID)
 		}
 		if r.Kind == wire.ReportDead && j.failures < int(j.message.Retries) && c.refused != r.ID {
 			c.r.Fatalf("%s is dead after %d failures", r.ID, j.failures)
 		}
-		j.ended = r.Kind != wire.ReportFailed
+		j.completed = r.Kind != wire.ReportFailed
 	}
 	c.reports = nil
 }
 
 // checkQueues compares what is counted of the services' queues with what they hold.
 func (c *chaos) checkQueues() {
-	held, waiting := make(map[*service]int), make(map[*service]int)
+	waitingJobs, queued := make(map[*service]int), make(map[*service]int)
 	for _, j := range c.core.jobs {
-		if j.active && !j.live() {
-			held[j.service]++
+		if j.active && !j.isInFlight() {
+			waitingJobs[j.service]++
 		}
 	}
 	for _, m := range c.core.messages {
-		if m.phase == queued {
-			waiting[m.service]++
+		if m.phase == phaseQueued {
+			queued[m.service]++
 		}
 	}
 	for name, s := range c.core.services {
 		switch {
-		case s.held != held[s]:
-			c.r.Fatalf("%s counts %d jobs that wait with the module, want %d", name, s.held, held[s])
-		case s.queue.len() != waiting[s]:
-			c.r.Fatalf("%s has %d messages in its queue, want %d", name, s.queue.len(), waiting[s])
-		case waiting[s] > 0 && held[s] == 0:
+		case s.waitingJobs != waitingJobs[s]:
+			c.r.Fatalf("%s counts %d jobs that wait with the module, want %d", name, s.waitingJobs, waitingJobs[s])
+		case s.queue.len() != queued[s]:
+			c.r.Fatalf("%s has %d messages in its queue, want %d", name, s.queue.len(), queued[s])
+		case queued[s] > 0 && waitingJobs[s] == 0:
 			c.r.Fatalf("%s has messages in its queue and none waits with the module", name)
 		}
 	}
@@ -98,7 +98,7 @@
 
 func isIdempotent(m *wire.Message) bool { return m.Target[1] == 's' }
 
-func (c *chaos) isOut(name string) bool {
+func (c *chaos) isExcluded(name string) bool {
 	return !slices.ContainsFunc(c.workers.Entries, func(w wire.Worker) bool { return w.ID == name && !w.Draining }) && name != "10.0.0.9:80"
 }
 
@@ -109,14 +109,14 @@
 	m.Ordered = rapid.Bool().Draw(c.r, "ordered")
 	j := &journey{message: m, accepted: c.now, granted: rapid.Bool().Draw(c.r, "granted")}
 	c.journeys[m.ID] = j
-	c.take(c.core.Accept(c.now, m, j.granted))
+	c.apply(c.core.Accept(c.now, m, j.granted))
 }
 
 func (c *chaos) grant() {
-	for _, id := range c.core.IDs() {
+	for _, id := range c.core.MessageIDs() {
 		if j := c.journeys[id]; j.message.Ordered {
 			j.granted = true
-			c.take(c.core.Grant(c.now, &wire.Grant{ID: id}))
+			c.apply(c.core.Grant(c.now, &wire.Grant{ID: id}))
 			return
 		}
 	}
@@ -131,11 +131,11 @@
 	c.running = slices.Delete(c.running, i, i+1)
 	id := c.attempts[key(d.Job, d.Attempt)]
 	j := c.journeys[id]
-	j.out--
+	j.inFlight--
 	if outcome == worker.Failed {
 		j.failures++
 	}
-	if outcome == worker.Refused {
+	if outcome == worker.Rejected {
 		c.refused = id
 	}
 	c.end(d, outcome)
@@ -147,12 +147,12 @@
 	for i := range c.workers.Entries {
 		c.workers.Entries[i].Draining = rapid.IntRange(0, 3).Draw(c.r, "draining") == 0
 	}
-	c.list()
+	c.listWorkers()
 }
 
 var someOutcomes = []worker.Outcome{
-	worker.Done, worker.Failed, worker.Refused, worker.Full, worker.NotRun, worker.WrongWorker, worker.Repeat,
-	worker.Unreachable, worker.NoRoom, worker.Broken, worker.Silent,
+	worker.Done, worker.Failed, worker.Rejected, worker.AtCapacity, worker.NotRun, worker.WrongWorker, worker.Duplicate,
+	worker.Unreachable, worker.NoConnection, worker.Broken, worker.TimedOut,
 }
 
 func (c *chaos) step() {
@@ -169,7 +169,7 @@
 		until := c.now + time.Duration(rapid.IntRange(1, 900).Draw(c.r, "pause"))*ms
 		for c.core.Next() <= until {
 			c.now = max(c.now, c.core.Next())
-			c.take(c.core.Tick(c.now))
+			c.apply(c.core.Tick(c.now))
 			c.check()
 		}
 		c.now = until
@@ -188,7 +188,7 @@
 		for i := range c.workers.Entries {
 			c.workers.Entries[i].Draining = false
 		}
-		c.list()
+		c.listWorkers()
 		c.check()
 		for deadline := c.now + 60*time.Second; c.now < deadline; c.now += 50 * ms {
 			c.grant()
@@ -197,25 +197,25 @@
 				c.finish(worker.Done)
 			}
 			for c.core.Next() <= c.now {
-				c.take(c.core.Tick(c.now))
+				c.apply(c.core.Tick(c.now))
 				c.check()
 			}
-			for _, id := range c.core.IDs() {
+			for _, id := range c.core.MessageIDs() {
 				if j := c.journeys[id]; j.message.Ordered && !j.granted {
 					j.granted = true
-					c.take(c.core.Grant(c.now, &wire.Grant{ID: id}))
+					c.apply(c.core.Grant(c.now, &wire.Grant{ID: id}))
 					c.check()
 				}
 			}
 		}
 		for id, j := range c.journeys {
-			if !j.ended {
+			if !j.completed {
 				r.Fatalf("%s has not ended", id)
 			}
-			c.take(c.core.Acknowledged(c.now, id))
+			c.apply(c.core.Acknowledged(c.now, id))
 		}
-		if !c.core.Idle() || len(c.core.jobs) > 0 || c.core.Held() != 0 || len(c.core.agenda) > 0 {
-			r.Fatalf("left behind: %d messages, %d jobs, %d bytes", len(c.core.messages), len(c.core.jobs), c.core.Held())
+		if !c.core.Idle() || len(c.core.jobs) > 0 || c.core.MessageBytes() != 0 || len(c.core.agenda) > 0 {
+			r.Fatalf("left behind: %d messages, %d jobs, %d bytes", len(c.core.messages), len(c.core.jobs), c.core.MessageBytes())
 		}
 	})
 }
--- a/edge/dispatch/ceiling.go
+++ b/edge/dispatch/ratelimit.go
@@ -13,18 +13,18 @@
 
 // The parts of a ceiling. A bound on what comes in any window allows so many arrivals besides the rate.
 const (
-	boundExtra    = 5    // arrivals that the bound allows in a window besides the rate
-	spared        = 2    // of them left for sends that are held up and come together
-	usedPart      = 0.93 // of the rest, for clocks and links that are not even
-	burstPart     = 0.5  // of the window's budget that bursts may take
-	largeBurst    = 2    // where edges are few
-	fewestSenders = 2
-	quickRate     = 4 // tokens a second: no more edges send than can have so many each
-	fewParts      = 8 // edges are few while their large bursts are under this part of the budget
+	budgetSlack       = 5    // arrivals that the bound allows in a window besides the rate
+	reservedArrivals  = 2    // of them left for sends that are held up and come together
+	rateFraction      = 0.93 // of the rest, for clocks and links that are not even
+	burstFraction     = 0.5  // of the window's budget that bursts may take
+	largeBurst        = 2    // where edges are few
+	minSenders        = 2
+	minSenderRate     = 4 // tokens a second: no more edges send than can have so many each
+	largeBurstDivisor = 8 // edges are few while their large bursts are under this part of the budget
 )
 
-// Ceiling bounds what all edges together send to a service in any window.
-type Ceiling struct {
+// RateLimit bounds what all edges together send to a service in any window.
+type RateLimit struct {
 	RatePerS  float64
 	Window    time.Duration
 	Overshoot float64 // factor on rate x window
@@ -37,31 +37,31 @@
 }
 
 // budget is how many arrivals the bound allows in a window.
-func (c Ceiling) budget() float64 {
-	return c.RatePerS*c.Window.Seconds()*c.Overshoot + boundExtra
+func (c RateLimit) budget() float64 {
+	return c.RatePerS*c.Window.Seconds()*c.Overshoot + budgetSlack
 }
 
 // senders is how many of a number of edges may send. Few with a quick supply of tokens keep messages waiting less than many
 // with a slow one each, but no zone should be without, and one that goes away should not be the only one.
-func (c Ceiling) senders(edges, zones int) int {
-	room := int((c.budget() - spared) * burstPart)
-	wanted := max(int(math.Ceil(c.RatePerS*c.Overshoot/quickRate)), zones, fewestSenders)
-	return max(1, min(edges, wanted, room))
+func (c RateLimit) senders(edges, zones int) int {
+	maxSenders := int((c.budget() - reservedArrivals) * burstFraction)
+	target := max(int(math.Ceil(c.RatePerS*c.Overshoot/minSenderRate)), zones, minSenders)
+	return max(1, min(edges, target, maxSenders))
 }
 
 // Divide returns an edge's share among edges for a service. Edges that list the same others get shares that sum up to
 // less than the bound; where not all may send, the first of each zone by hash of service and edge do, then the second.
-func (c Ceiling) Divide(service, edge string, edges []wire.Edge) Share {
+func (c RateLimit) Divide(service, edge string, edges []wire.Edge) Share {
 	count := c.senders(len(edges), countZones(edges))
-	if !slices.Contains(chosen(service, edges, count), edge) {
+	if !slices.Contains(selectSenders(service, edges, count), edge) {
 		return Share{}
 	}
 	burst := 1.0
-	if largeBurst*float64(count) <= c.budget()/fewParts {
+	if largeBurst*float64(count) <= c.budget()/largeBurstDivisor {
 		burst = largeBurst
 	}
-	spare := c.budget() - float64(count)*burst - spared
-	rate := usedPart * spare / (c.Window.Seconds() * float64(count))
+	spare := c.budget() - float64(count)*burst - reservedArrivals
+	rate := rateFraction * spare / (c.Window.Seconds() * float64(count))
 	return Share{Rate: max(0, min(rate, c.RatePerS)), Burst: burst}
 }
 
@@ -77,22 +77,22 @@
 	id   string
 	zone string
 	hash uint64
-	turn int // its place in its zone
+	rank int // its place in its zone
 }
 
-// chosen returns the IDs of count of the edges.
-func chosen(service string, edges []wire.Edge, count int) []string {
+// selectSenders returns the IDs of count of the edges.
+func selectSenders(service string, edges []wire.Edge, count int) []string {
 	ranked := make([]candidate, len(edges))
 	for i := range edges {
 		ranked[i] = candidate{id: edges[i].ID, zone: edges[i].Zone, hash: xxhash.Sum64String(service + "\x00" + edges[i].ID)}
 	}
 	slices.SortFunc(ranked, byHash)
-	turns := make(map[string]int)
+	counts := make(map[string]int)
 	for i := range ranked {
-		ranked[i].turn = turns[ranked[i].zone]
-		turns[ranked[i].zone]++
+		ranked[i].rank = counts[ranked[i].zone]
+		counts[ranked[i].zone]++
 	}
-	slices.SortStableFunc(ranked, func(a, b candidate) int { return cmp.Compare(a.turn, b.turn) })
+	slices.SortStableFunc(ranked, func(a, b candidate) int { return cmp.Compare(a.rank, b.rank) })
 	var ids []string
 	for i := range min(count, len(ranked)) {
 		ids = append(ids, ranked[i].id)
@@ -116,13 +116,13 @@
 	b.filled = now
 }
 
-// full is how much of a token is enough: sums of fractions may miss one by a little.
-const full = 1 - 1e-9
+// oneToken is how much of a token is enough: sums of fractions may miss one by a little.
+const oneToken = 1 - 1e-9
 
 // take takes a token if there is one.
 func (b *bucket) take(now time.Duration) bool {
 	b.fill(now)
-	if b.tokens < full {
+	if b.tokens < oneToken {
 		return false
 	}
 	b.tokens--
@@ -132,7 +132,7 @@
 // next is when there is a token.
 func (b *bucket) next(now time.Duration) time.Duration {
 	b.fill(now)
-	if b.tokens >= full {
+	if b.tokens >= oneToken {
 		return now
 	}
 	if b.share.Rate <= 0 {
--- a/edge/dispatch/ceiling_test.go
+++ b/edge/dispatch/ratelimit_test.go
@@ -23,9 +23,9 @@
 }
 
 // Whatever the edges are sent and whenever, no window sees more than the bound.
-func TestCeilingHoldsInEachWindow(t *testing.T) {
+func TestRateLimitHoldsInEachWindow(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		c := Ceiling{
+		c := RateLimit{
 			RatePerS:  rapid.Float64Range(0.5, 200).Draw(t, "rate"),
 			Window:    time.Duration(rapid.Float64Range(1, 10).Draw(t, "window") * float64(time.Second)),
 			Overshoot: rapid.Float64Range(1, 1.5).Draw(t, "overshoot"),
@@ -49,7 +49,7 @@
 }
 
 // greedy sends whenever there is a token, from a drawn time on, with pauses.
-func greedy(t *rapid.T, c Ceiling, edge string, edges []wire.Edge) (sends []time.Duration) {
+func greedy(t *rapid.T, c RateLimit, edge string, edges []wire.Edge) (sends []time.Duration) {
 	share := c.Divide("s", edge, edges)
 	if share.Burst == 0 {
 		return nil
@@ -70,8 +70,8 @@
 	return sends
 }
 
-func TestCeilingIsUsed(t *testing.T) {
-	c := Ceiling{RatePerS: 39, Window: 5 * time.Second, Overshoot: 1.1}
+func TestRateLimitIsUsed(t *testing.T) {
+	c := RateLimit{RatePerS: 39, Window: 5 * time.Second, Overshoot: 1.1}
 	for _, count := range []int{1, 4, 12, 58} {
 		edges := edgesIn(4, count)
 		sum := 0.0
@@ -82,8 +82,8 @@
 	}
 }
 
-func TestSmallCeilingGoesToAFewEdges(t *testing.T) {
-	c := Ceiling{RatePerS: 1, Window: 5 * time.Second, Overshoot: 1.1}
+func TestSmallRateLimitGoesToAFewEdges(t *testing.T) {
+	c := RateLimit{RatePerS: 1, Window: 5 * time.Second, Overshoot: 1.1}
 	edges := edgesIn(3, 50)
 	senders := 0
 	for _, edge := range edges {
@@ -99,9 +99,9 @@
 func TestBucketBeginsEmptyAfterAChange(t *testing.T) {
 	w := newWorld(t)
 	w.pass(10 * time.Second)
-	w.take(w.core.Place(w.now, edgesOf("e1", "e2")))
+	w.apply(w.core.SetEdges(w.now, edgesOf("e1", "e2")))
 	w.accept("/l/", "1")
-	w.unsent()
+	w.sentNothing()
 	w.pass(2 * time.Second)
 	w.sent()
 }
@@ -110,20 +110,20 @@
 func TestEachAttemptTakesAToken(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		w := newWorld(t)
-		ceiling := Ceiling{RatePerS: 4, Window: 5 * time.Second, Overshoot: 1.1}
+		rateLimit := RateLimit{RatePerS: 4, Window: 5 * time.Second, Overshoot: 1.1}
 		var sends []time.Duration
 		next := 0
-		outcomes := []worker.Outcome{worker.Done, worker.Full, worker.Broken, worker.Failed, worker.Silent, worker.Repeat, worker.Unreachable, worker.NoRoom}
+		outcomes := []worker.Outcome{worker.Done, worker.AtCapacity, worker.Broken, worker.Failed, worker.TimedOut, worker.Duplicate, worker.Unreachable, worker.NoConnection}
 		for end := w.now + 15*time.Second; w.now < end; {
 			for range rapid.IntRange(0, 4).Draw(r, "arrivals") {
 				next++
 				w.accept("/l/", fmt.Sprint(next))
 			}
-			for len(w.out) > 0 {
-				d := w.out[0]
-				w.out = w.out[1:]
+			for len(w.deliveries) > 0 {
+				d := w.deliveries[0]
+				w.deliveries = w.deliveries[1:]
 				outcome := rapid.SampledFrom(outcomes).Draw(r, "outcome")
-				if outcome != worker.Unreachable && outcome != worker.NoRoom { // those never came to the worker
+				if outcome != worker.Unreachable && outcome != worker.NoConnection { // those never came to the worker
 					sends = append(sends, w.now)
 				}
 				w.end(d, outcome)
@@ -133,12 +133,12 @@
 		for i, at := range sends {
 			count := 0
 			for _, earlier := range sends[:i+1] {
-				if earlier > at-ceiling.Window {
+				if earlier > at-rateLimit.Window {
 					count++
 				}
 			}
-			if float64(count) > ceiling.budget() {
-				r.Fatalf("%d sends in a window, of %.1f", count, ceiling.budget())
+			if float64(count) > rateLimit.budget() {
+				r.Fatalf("%d sends in a window, of %.1f", count, rateLimit.budget())
 			}
 		}
 		assert.NotEmpty(t, sends)
@@ -155,7 +155,7 @@
 	bucket.tokens, bucket.filled = -1, w.now // the one that is given back is the last for now
 	w.end(first, worker.Unreachable)
 	w.pass(ms)
-	assert.Empty(t, w.out)
+	assert.Empty(t, w.deliveries)
 	w.pass(2 * time.Second)
 	w.sent()
 }
@@ -164,28 +164,28 @@
 func TestTokensThatWaitAreNotSpentTogether(t *testing.T) {
 	w := newWorld(t)
 	w.pass(10 * time.Second)
-	ceiling := Ceiling{RatePerS: 4, Window: 5 * time.Second, Overshoot: 1.1}
+	rateLimit := RateLimit{RatePerS: 4, Window: 5 * time.Second, Overshoot: 1.1}
 	for i := range 200 {
 		w.accept("/l/", fmt.Sprint(i))
 	}
 	for end := w.now + 8*time.Second; w.now < end; w.pass(20 * ms) {
-		for len(w.out) > 0 {
-			d := w.out[0]
-			w.out = w.out[1:]
-			w.end(d, worker.NoRoom)
+		for len(w.deliveries) > 0 {
+			d := w.deliveries[0]
+			w.deliveries = w.deliveries[1:]
+			w.end(d, worker.NoConnection)
 		}
 	}
 	sent := 0
-	for end := w.now + ceiling.Window; w.now < end; w.pass(20 * ms) {
-		for len(w.out) > 0 {
-			d := w.out[0]
-			w.out = w.out[1:]
+	for end := w.now + rateLimit.Window; w.now < end; w.pass(20 * ms) {
+		for len(w.deliveries) > 0 {
+			d := w.deliveries[0]
+			w.deliveries = w.deliveries[1:]
 			sent++
 			w.end(d, worker.Done)
 		}
 	}
-	assert.LessOrEqual(t, float64(sent), ceiling.budget())
-	assert.Greater(t, float64(sent), ceiling.budget()/2)
+	assert.LessOrEqual(t, float64(sent), rateLimit.budget())
+	assert.Greater(t, float64(sent), rateLimit.budget()/2)
 }
 
 func TestTokenIsKeptWhereNothingWasSent(t *testing.T) {
@@ -195,23 +195,23 @@
 	d := w.sent()
 	s := w.core.services["limited"]
 	before := s.bucket.tokens
-	w.end(d, worker.NoRoom)
+	w.end(d, worker.NoConnection)
 	assert.Greater(t, s.bucket.tokens, before)
 }
 
-func TestMessagesWaitInLineForTokens(t *testing.T) {
+func TestMessagesWaitInOrderForTokens(t *testing.T) {
 	w := newWorld(t)
 	for i := range 6 {
 		w.accept("/l/", fmt.Sprint(i))
 	}
 	w.pass(4 * time.Second)
-	for i, d := range w.out {
+	for i, d := range w.deliveries {
 		assert.Equal(t, fmt.Sprint(i), d.Delivery.RequestID)
 	}
-	assert.NotEmpty(t, w.out)
+	assert.NotEmpty(t, w.deliveries)
 }
 
-func TestCeilingThatIsLiftedLetsAllGo(t *testing.T) {
+func TestRateLimitThatIsLiftedLetsAllGo(t *testing.T) {
 	w := newWorld(t)
 	for i := range 6 {
 		w.accept("/l/", fmt.Sprint(i))
@@ -219,12 +219,12 @@
 	w.config.Services[2].RatePerS = 0
 	w.configure()
 	w.pass(100 * ms)
-	assert.Len(t, w.out, 6)
+	assert.Len(t, w.deliveries, 6)
 }
 
 func TestEachZoneHasASender(t *testing.T) {
 	for _, rate := range []float64{3, 39} {
-		c := Ceiling{RatePerS: rate, Window: 5 * time.Second, Overshoot: 1.1}
+		c := RateLimit{RatePerS: rate, Window: 5 * time.Second, Overshoot: 1.1}
 		edges := edgesIn(4, 58)
 		zones := make(map[string]int)
 		for _, edge := range edges {
@@ -238,7 +238,7 @@
 
 // Where many edges could have a trickle each, fewer have a supply that keeps nobody waiting for long.
 func TestSendersHaveAQuickSupply(t *testing.T) {
-	c := Ceiling{RatePerS: 39, Window: 5 * time.Second, Overshoot: 1.1}
+	c := RateLimit{RatePerS: 39, Window: 5 * time.Second, Overshoot: 1.1}
 	edges := edgesIn(4, 58)
 	for _, edge := range edges {
 		if share := c.Divide("s", edge.ID, edges); share.Burst > 0 {
@@ -247,21 +247,21 @@
 	}
 }
 
-func TestLongLinesSendNewMessagesToOthers(t *testing.T) {
+func TestLongTokenWaitsSendNewMessagesToOthers(t *testing.T) {
 	w := newWorld(t)
 	w.pass(10 * time.Second)
-	assert.True(t, w.core.Takes(w.now, "limited", 10))
+	assert.True(t, w.core.Accepts(w.now, "limited", 10))
 	for i := range 6 {
 		w.accept("/l/", fmt.Sprint(i))
 	}
-	assert.False(t, w.core.Takes(w.now, "limited", 10))
-	assert.True(t, w.core.Takes(w.now, "s", 10))
+	assert.False(t, w.core.Accepts(w.now, "limited", 10))
+	assert.True(t, w.core.Accepts(w.now, "s", 10))
 	w.pass(10 * time.Second)
-	assert.True(t, w.core.Takes(w.now, "limited", 10))
-	w.take(w.core.Place(w.now, edgesOf("other")))
-	assert.False(t, w.core.Takes(w.now, "limited", 10), "not a sender")
-	w.take(w.core.Stop(w.now))
-	assert.False(t, w.core.Takes(w.now, "s", 10))
+	assert.True(t, w.core.Accepts(w.now, "limited", 10))
+	w.apply(w.core.SetEdges(w.now, edgesOf("other")))
+	assert.False(t, w.core.Accepts(w.now, "limited", 10), "not a sender")
+	w.apply(w.core.Stop(w.now))
+	assert.False(t, w.core.Accepts(w.now, "s", 10))
 }
 
 // An endpoint that refused one message was left alone by the edge for as long as all edges together took 150 ms each: ten seconds with 69.
@@ -273,10 +273,10 @@
 	}
 	w.config.Services[2].RatePerS = 300 // all edges may send
 	w.configure()
-	w.take(w.core.Place(w.now, edgesOf(edges...)))
+	w.apply(w.core.SetEdges(w.now, edgesOf(edges...)))
 	w.pass(5 * time.Second)
 	w.accept("/l/", "1")
-	w.end(w.sent(), worker.Full)
+	w.end(w.sent(), worker.AtCapacity)
 	w.pass(3 * time.Second)
-	assert.NotEmpty(t, w.out)
+	assert.NotEmpty(t, w.deliveries)
 }
--- a/edge/dispatch/gone.go
+++ b/edge/dispatch/replaced.go
@@ -6,27 +6,27 @@
 	"ravendale/cluster/wire"
 )
 
-// goneFor is how long a worker that another has replaced gets nothing, though it is listed. It is longer than the list lags behind.
-const goneFor = 5 * time.Second
+// replacedFor is how long a worker that another has replaced gets nothing, though it is listed. It is longer than the list lags behind.
+const replacedFor = 5 * time.Second
 
-// gone are listed workers whose address another has by now.
-type gone struct {
+// replacedWorkers are listed workers whose address another has by now.
+type replacedWorkers struct {
 	until map[string]time.Duration // by name
 	next  time.Duration            // when the first of them may be tried again; 0: there is none
 }
 
-func (g *gone) has(name string) bool {
+func (g *replacedWorkers) has(name string) bool {
 	_, is := g.until[name]
 	return is
 }
 
-func (g *gone) add(now time.Duration, name string) {
-	g.until[name] = now + goneFor
-	g.plan()
+func (g *replacedWorkers) add(now time.Duration, name string) {
+	g.until[name] = now + replacedFor
+	g.updateNext()
 }
 
-// keep forgets all that are not listed any more.
-func (g *gone) keep(workers *wire.Workers) {
+// retain forgets all that are not listed any more.
+func (g *replacedWorkers) retain(workers *wire.Workers) {
 	if len(g.until) == 0 {
 		return
 	}
@@ -39,11 +39,11 @@
 			delete(g.until, name)
 		}
 	}
-	g.plan()
+	g.updateNext()
 }
 
-// forget forgets those whose time is over, and says whether there were some.
-func (g *gone) forget(now time.Duration) bool {
+// expire forgets those whose time is over, and says whether there were some.
+func (g *replacedWorkers) expire(now time.Duration) bool {
 	if g.next == 0 || g.next > now {
 		return false
 	}
@@ -52,11 +52,11 @@
 			delete(g.until, name)
 		}
 	}
-	g.plan()
+	g.updateNext()
 	return true
 }
 
-func (g *gone) plan() {
+func (g *replacedWorkers) updateNext() {
 	g.next = 0
 	for _, until := range g.until {
 		if g.next == 0 || until < g.next {
--- a/edge/dispatch/gone_test.go
+++ b/edge/dispatch/replaced_test.go
@@ -13,22 +13,22 @@
 func TestWorkerThatAnotherReplacedGetsNothingMore(t *testing.T) {
 	w := newWorld(t)
 	w.workers.Entries = w.workers.Entries[:1]
-	w.list()
+	w.listWorkers()
 	w.accept("/p/", "1")
 	w.end(w.sent(), worker.WrongWorker)
 	w.accept("/p/", "2")
-	w.pass(goneFor / 2)
-	w.unsent()
+	w.pass(replacedFor / 2)
+	w.sentNothing()
 	assert.NotContains(t, w.core.Connections(), "s-0")
-	w.list() // as it was
-	w.pass(goneFor/2 - ms)
-	w.unsent()
+	w.listWorkers() // as it was
+	w.pass(replacedFor/2 - ms)
+	w.sentNothing()
 	w.workers.Entries[0].ID = "s-9"
-	w.list()
-	assert.Empty(t, w.core.gone.until)
+	w.listWorkers()
+	assert.Empty(t, w.core.replaced.until)
 	w.pass(0)
-	assert.Len(t, w.out, 2, "both at once")
-	for _, d := range w.out {
+	assert.Len(t, w.deliveries, 2, "both at once")
+	for _, d := range w.deliveries {
 		assert.Equal(t, "s-9", d.Delivery.Instance)
 	}
 }
@@ -42,11 +42,11 @@
 	assert.NotEqual(t, first.Delivery.Instance, second.Delivery.Instance)
 	for range 20 {
 		w.accept("/p/", "2")
-		for _, d := range w.out {
+		for _, d := range w.deliveries {
 			assert.NotEqual(t, first.Delivery.Instance, d.Delivery.Instance)
 			w.end(d, worker.Failed)
 		}
-		w.out = nil
+		w.deliveries = nil
 	}
 }
 
@@ -54,12 +54,12 @@
 func TestWorkerThatSeemedReplacedIsTriedAgain(t *testing.T) {
 	w := newWorld(t)
 	w.workers.Entries = w.workers.Entries[:1]
-	w.list()
+	w.listWorkers()
 	w.accept("/p/", "1")
 	w.end(w.sent(), worker.WrongWorker)
-	w.pass(goneFor)
+	w.pass(replacedFor)
 	w.pass(0)
 	w.end(w.sent(), worker.Done)
 	w.pass(time.Second)
-	assert.Zero(t, w.core.gone.next)
+	assert.Zero(t, w.core.replaced.next)
 }
--- a/edge/dispatch/topology.go
+++ b/edge/dispatch/topology.go
@@ -14,15 +14,15 @@
 	"ravendale/edge/worker"
 )
 
-// Configure takes a configuration. Messages whose route it lacks end.
-func (c *Core) Configure(now time.Duration, index *catalog.Index) []Action {
+// ApplyConfig takes a configuration. Messages whose route it lacks end.
+func (c *Core) ApplyConfig(now time.Duration, index *catalog.Index) []Action {
 	c.begin(now)
 	c.index = index
 	named := make(map[string]bool)
 	for i := range index.Config().Services {
 		config := &index.Config().Services[i]
 		named[config.Name] = true
-		c.retune(config)
+		c.configureService(config)
 	}
 	maps.DeleteFunc(c.services, func(name string, _ *service) bool { return !named[name] })
 	c.followRoutes()
@@ -32,22 +32,22 @@
 // followRoutes ends messages whose route is gone, and takes those that wait for a service back that their route leads away from.
 func (c *Core) followRoutes() {
 	for _, m := range c.messages {
-		if m.phase == reported || m.phase == handed && m.job.live() {
+		if m.phase == phaseReported || m.phase == phaseSubmitted && m.job.isInFlight() {
 			continue
 		}
-		_, s, gone := c.route(m)
+		_, s, dropped := c.route(m)
 		switch {
-		case gone:
+		case dropped:
 			c.finish(m, wire.Report{Kind: wire.ReportDropped})
 		case m.service != nil && m.service != s:
-			c.leave(m)
-			c.schedule(m, waiting, c.now)
+			c.withdraw(m)
+			c.scheduleAt(m, phaseDeferred, c.now)
 		}
 	}
 }
 
-// retune brings what the plane has for a service up to the configuration, the workers' list and the topology.
-func (c *Core) retune(config *catalog.Service) {
+// configureService brings what the plane has for a service up to the configuration, the workers' list and the topology.
+func (c *Core) configureService(config *catalog.Service) {
 	settings := moduleSettings(config, &c.config.Topology)
 	s := c.services[config.Name]
 	if s == nil {
@@ -55,37 +55,37 @@
 		if err != nil {
 			return // no configuration makes such settings
 		}
-		s = &service{name: config.Name, module: module, timer: forever}
+		s = &service{name: config.Name, module: module, timerAt: forever}
 		c.services[config.Name] = s
 	} else if !sameSettings(&s.settings, &settings) {
 		_ = s.module.Retune(settings) // refused, the old ones stay in force
 	}
 	s.settings, s.endpoint = settings, config.Endpoint
-	c.relist(s, config)
-	c.limit(s, config)
+	c.updateWorkers(s, config)
+	c.applyRateLimit(s, config)
 }
 
 func sameSettings(a, b *ravendale.Settings) bool {
 	return a.Dispatchers == b.Dispatchers && a.Me == b.Me && a.MaxAttempts == b.MaxAttempts && a.Classes[0] == b.Classes[0]
 }
 
-// relist tells a module of its workers, and wakes what waited for the first of them.
-func (c *Core) relist(s *service, config *catalog.Service) {
-	list, addresses := entries(config, c.workers, &c.gone, &c.config.Topology)
-	if slices.Equal(list, s.listed) && sameAddresses(s.addresses, addresses) {
+// updateWorkers tells a module of its workers, and wakes what waited for the first of them.
+func (c *Core) updateWorkers(s *service, config *catalog.Service) {
+	list, addresses := entries(config, c.workers, &c.replaced, &c.config.Topology)
+	if slices.Equal(list, s.entries) && sameAddresses(s.addresses, addresses) {
 		return
 	}
-	were := s.ready
+	before := s.readyWorkers
 	s.capacities = capacities(c.workers, addresses)
-	s.listed, s.addresses, s.ready = list, addresses, 0
+	s.entries, s.addresses, s.readyWorkers = list, addresses, 0
 	for i := range list {
 		if list[i].State == ravendale.Ready {
-			s.ready++
+			s.readyWorkers++
 		}
 	}
-	c.feed(s, ravendale.Event{Kind: ravendale.WorkersListed, List: ravendale.Full, Entries: list})
-	if were == 0 && s.ready > 0 {
-		c.hurry(s)
+	c.queueEvent(s, ravendale.Event{Kind: ravendale.WorkersListed, List: ravendale.Full, Entries: list})
+	if before == 0 && s.readyWorkers > 0 {
+		c.retryNow(s)
 	}
 }
 
@@ -101,89 +101,89 @@
 	return true
 }
 
-// hurry has a service's paused messages tried at once.
-func (c *Core) hurry(s *service) {
+// retryNow has a service's paused messages tried at once.
+func (c *Core) retryNow(s *service) {
 	for _, m := range c.messages {
-		if m.phase != waiting || m.pauses == 0 {
+		if m.phase != phaseDeferred || m.backoffs == 0 {
 			continue
 		}
 		if _, found, _ := c.route(m); found == s {
-			m.pauses = 0
-			c.schedule(m, waiting, max(c.now, m.start))
+			m.backoffs = 0
+			c.scheduleAt(m, phaseDeferred, max(c.now, m.notBefore))
 		}
 	}
 }
 
-// limit sets a service's share of its ceiling. A new share's bucket is empty.
-func (c *Core) limit(s *service, config *catalog.Service) {
+// applyRateLimit sets a service's share of its ceiling. A new share's bucket is empty.
+func (c *Core) applyRateLimit(s *service, config *catalog.Service) {
 	if config.RatePerS <= 0 {
 		s.bucket = nil
-		c.lookAnew(s.throttled)
-		s.throttled = nil
+		c.reroute(s.rateLimited)
+		s.rateLimited = nil
 		return
 	}
-	c.lookAnew(s.queue.messages)
+	c.reroute(s.queue.messages)
 	s.queue.messages = nil
-	c.forgetEmpty()
-	ceiling := Ceiling{RatePerS: config.RatePerS, Window: c.config.Window, Overshoot: c.config.Overshoot}
-	share := ceiling.Divide(s.name, c.config.Topology.Edge, c.config.Topology.Edges)
-	s.room = c.roomAt(s, config)
+	c.pruneBacklogged()
+	rateLimit := RateLimit{RatePerS: config.RatePerS, Window: c.config.Window, Overshoot: c.config.Overshoot}
+	share := rateLimit.Divide(s.name, c.config.Topology.Edge, c.config.Topology.Edges)
+	s.maxOpenJobs = c.connectionCapacity(s, config)
 	if s.bucket == nil || s.bucket.share != share {
 		s.bucket = newBucket(share, c.now)
 	}
 	if share.Burst == 0 {
-		for _, m := range slices.Clone(s.throttled) {
+		for _, m := range slices.Clone(s.rateLimited) {
 			c.release(m)
 		}
 	}
 }
 
-// roomAt is how many connections may be open to all workers of a service.
-func (c *Core) roomAt(s *service, config *catalog.Service) int {
+// connectionCapacity is how many connections may be open to all workers of a service.
+func (c *Core) connectionCapacity(s *service, config *catalog.Service) int {
 	if config.MaxConns <= 0 {
 		return math.MaxInt // no bound is given
 	}
-	room := 0
-	for _, connections := range s.connections(config, max(c.edges.highest(c.now), len(c.config.Topology.Edges))) {
-		room += connections
+	capacity := 0
+	for _, connections := range s.connectionLimits(config, max(c.edgePeak.highest(c.now), len(c.config.Topology.Edges))) {
+		capacity += connections
 	}
-	return room
+	return capacity
 }
 
-// List takes the platform's list of workers.
-func (c *Core) List(now time.Duration, workers *wire.Workers) []Action {
+// SetWorkers takes the platform's list of workers.
+func (c *Core) SetWorkers(now time.Duration, workers *wire.Workers) []Action {
 	c.begin(now)
 	c.workers = workers
-	c.gone.keep(workers)
-	c.retuneAll()
+	c.replaced.retain(workers)
+	c.configureServices()
 	return c.end()
 }
 
-// lose takes a worker for gone whose address another has, whatever the list says: a worker that starts again has another name.
-func (c *Core) lose(s *service, name string) {
+// excludeReplaced takes a worker for gone whose address another has, whatever the list says: a worker that starts again has another name.
+func (c *Core) excludeReplaced(s *service, name string) {
 	config := c.index.Service(s.name)
-	if config == nil || s.endpoint != "" || c.gone.has(name) {
+	if config == nil || s.endpoint != "" || c.replaced.has(name) {
 		return
 	}
-	c.gone.add(c.now, name)
-	c.relist(s, config)
+	c.replaced.add(c.now, name)
+	c.updateWorkers(s, config)
 }
 
-// Place takes the edges that share the work.
-func (c *Core) Place(now time.Duration, edges []wire.Edge) []Action {
+// SetEdges takes the edges that share the work.
+func (c *Core) SetEdges(now time.Duration, edges []wire.Edge) []Action {
 	c.begin(now)
 	c.config.Topology.Edges = edges
-	c.edges.add(c.now, len(edges))
-	c.retuneAll()
+	c.edgePeak.add(c.now, len(edges))
+	c.configureServices()
 	return c.end()
 }
 
-func (c *Core) retuneAll() {
+func (c *Core) configureServices() {
 	if c.index == nil {
 		return
 	}
 	for i := range c.index.Config().Services {
-		c.retune(&c.index.Config().Services[i])
+		c.configureService(&c.index.Config().Services[i])
 	}
 }
 
@@ -193,15 +193,15 @@
 	if c.index == nil {
 		return shares
 	}
-	edges := max(c.edges.highest(c.now), len(c.config.Topology.Edges))
+	edges := max(c.edgePeak.highest(c.now), len(c.config.Topology.Edges))
 	for _, s := range c.services {
 		config := c.index.Service(s.name)
 		if config == nil {
 			continue
 		}
 		scarce := isScarce(config.MaxConns, edges)
-		for name, most := range s.connections(config, edges) {
-			shares[name] = worker.Share{Most: most, Scarce: scarce}
+		for name, most := range s.connectionLimits(config, edges) {
+			shares[name] = worker.Share{Max: most, Scarce: scarce}
 		}
 	}
 	return shares
--- a/edge/dispatch/waitqueue.go
+++ b/edge/dispatch/waitqueue.go
@@ -13,12 +13,12 @@
 func (q *waitQueue) len() int { return len(q.messages) }
 
 func (q *waitQueue) add(m *message) {
-	i := sort.Search(len(q.messages), func(i int) bool { return m.beginBy < q.messages[i].beginBy })
+	i := sort.Search(len(q.messages), func(i int) bool { return m.startTarget < q.messages[i].startTarget })
 	q.messages = slices.Insert(q.messages, i, m)
 }
 
 func (q *waitQueue) remove(m *message) {
-	for i := q.from(m.beginBy); i < len(q.messages); i++ {
+	for i := q.from(m.startTarget); i < len(q.messages); i++ {
 		if q.messages[i] == m {
 			q.messages = slices.Delete(q.messages, i, i+1)
 			return
@@ -28,7 +28,7 @@
 
 // from is the index of the first message that is to begin at a time or later.
 func (q *waitQueue) from(at time.Duration) int {
-	return sort.Search(len(q.messages), func(i int) bool { return at <= q.messages[i].beginBy })
+	return sort.Search(len(q.messages), func(i int) bool { return at <= q.messages[i].startTarget })
 }
 
 // first returns the message that goes next; nil: there is none. The oldest of those that can still begin within their aim is first.
@@ -45,40 +45,40 @@
 func (c *Core) enqueue(m *message, s *service) {
 	m.service = s
 	if s.queue.len() == 0 {
-		c.queues = append(c.queues, s)
+		c.backlogged = append(c.backlogged, s)
 	}
 	s.queue.add(m)
-	c.schedule(m, queued, m.expires)
+	c.scheduleAt(m, phaseQueued, m.expiresAt)
 }
 
 // dequeue takes a message out of its service's queue.
 func (c *Core) dequeue(m *message) {
 	m.service.queue.remove(m)
-	c.forgetEmpty()
+	c.pruneBacklogged()
 }
 
-// forgetEmpty keeps the list of the services with messages in their queues.
-func (c *Core) forgetEmpty() {
-	c.queues = slices.DeleteFunc(c.queues, func(s *service) bool { return s.queue.len() == 0 })
+// pruneBacklogged keeps the list of the services with messages in their queues.
+func (c *Core) pruneBacklogged() {
+	c.backlogged = slices.DeleteFunc(c.backlogged, func(s *service) bool { return s.queue.len() == 0 })
 }
 
-// lookAnew has messages that waited for a service look for their route and what they wait for.
-func (c *Core) lookAnew(messages []*message) {
+// reroute has messages that waited for a service look for their route and what they wait for.
+func (c *Core) reroute(messages []*message) {
 	for _, m := range messages {
 		m.service = nil
-		c.schedule(m, waiting, c.now)
+		c.scheduleAt(m, phaseDeferred, c.now)
 	}
 }
 
-// handQueued hands a module the first message of its queue, if all that the module has are under way, and says whether one was handed.
-func (c *Core) handQueued() bool {
-	for _, s := range c.queues {
-		if s.held > 0 {
+// submitQueued hands a module the first message of its queue, if all that the module has are under way, and says whether one was handed.
+func (c *Core) submitQueued() bool {
+	for _, s := range c.backlogged {
+		if s.waitingJobs > 0 {
 			continue
 		}
 		m := s.queue.first(c.now)
 		c.dequeue(m)
-		c.handOver(m, s, false)
+		c.submit(m, s, false)
 		return true
 	}
 	return false
--- a/edge/dispatch/waitqueue_test.go
+++ b/edge/dispatch/waitqueue_test.go
@@ -16,7 +16,7 @@
 func TestFreshMessagesGoBeforeLateOnes(t *testing.T) {
 	q := waitQueue{}
 	add := func(id string, start time.Duration) {
-		m := &message{beginBy: start + 600*ms}
+		m := &message{startTarget: start + 600*ms}
 		m.ID = id
 		q.add(m)
 	}
@@ -46,7 +46,7 @@
 				q.remove(m)
 				delete(in, m)
 			} else {
-				m := &message{beginBy: time.Duration(rapid.IntRange(0, 25).Draw(r, "begin by"))}
+				m := &message{startTarget: time.Duration(rapid.IntRange(0, 25).Draw(r, "begin by"))}
 				q.add(m)
 				in[m] = true
 			}
@@ -61,13 +61,13 @@
 func fullWorld(t *testing.T) (w *world, running Deliver) {
 	w = newWorld(t)
 	w.workers.Entries = w.workers.Entries[:1]
-	w.list()
+	w.listWorkers()
 	w.accept("/p/", "first")
 	running = w.sent()
 	w.accept("/p/", "turned away")
 	d := w.sent()
-	w.end(d, worker.Full)
-	w.unsent()
+	w.end(d, worker.AtCapacity)
+	w.sentNothing()
 	return w, running
 }
 
@@ -76,27 +76,27 @@
 	for i := range 5 {
 		w.accept("/p/", fmt.Sprint(i))
 	}
-	w.unsent()
+	w.sentNothing()
 	s := w.core.services["s"]
-	assert.Equal(t, 1, s.held)
+	assert.Equal(t, 1, s.waitingJobs)
 	assert.Equal(t, 5, s.queue.len())
 	w.end(running, worker.Done)
-	assert.NotEmpty(t, w.out, "a finish makes room")
-	assert.Equal(t, "turned away", w.out[0].Delivery.RequestID)
+	assert.NotEmpty(t, w.deliveries, "a finish makes room")
+	assert.Equal(t, "turned away", w.deliveries[0].Delivery.RequestID)
 }
 
 func TestMessagesThatWaitGoOnceTheirWorkersAreListed(t *testing.T) {
 	w, running := fullWorld(t)
 	w.accept("/p/", "waits")
 	w.workers.Entries = nil
-	w.list()
+	w.listWorkers()
 	w.end(running, worker.Broken)
-	w.unsent()
+	w.sentNothing()
 	w.workers.Entries = []wire.Worker{{ID: "new", Service: "s", Address: "10.0.0.7:80", Zone: "z1", Capacity: 4}}
-	w.list()
-	w.pass(longestPause)
+	w.listWorkers()
+	w.pass(maxBackoff)
 	var sent []string
-	for _, d := range w.out {
+	for _, d := range w.deliveries {
 		assert.Equal(t, "new", d.Delivery.Worker)
 		sent = append(sent, d.Delivery.RequestID)
 	}
@@ -114,38 +114,38 @@
 		dropped = append(dropped, r.ID)
 	}
 	assert.Contains(t, dropped, "0.waits")
-	assert.Empty(t, w.core.queues)
+	assert.Empty(t, w.core.backlogged)
 }
 
 func TestMessagesThatWaitExpire(t *testing.T) {
 	w, _ := fullWorld(t)
 	w.accept("/p/", "waits")
 	m := w.core.messages["0.waits"]
-	w.core.services["s"].held = 10 // the module finds no room
-	m.expires = w.now + time.Second
-	w.core.schedule(m, queued, m.expires)
+	w.core.services["s"].waitingJobs = 10 // the module finds no room
+	m.expiresAt = w.now + time.Second
+	w.core.scheduleAt(m, phaseQueued, m.expiresAt)
 	w.pass(1100 * ms)
-	assert.Equal(t, reported, m.phase)
+	assert.Equal(t, phaseReported, m.phase)
 	assert.Zero(t, w.core.services["s"].queue.len())
 }
 
-func TestMessagesThatWaitTakeTokensOnceTheirServiceHasACeiling(t *testing.T) {
+func TestMessagesThatWaitTakeTokensOnceTheirServiceHasARateLimit(t *testing.T) {
 	w, running := fullWorld(t)
 	w.accept("/p/", "waits")
 	w.config.Services[0].RatePerS = 4
 	w.configure()
-	assert.Empty(t, w.core.queues)
+	assert.Empty(t, w.core.backlogged)
 	w.end(running, worker.Done)
-	w.out = nil
+	w.deliveries = nil
 	w.pass(2 * time.Second)
-	assert.NotEmpty(t, w.out)
-	assert.Less(t, len(w.out), 10)
+	assert.NotEmpty(t, w.deliveries)
+	assert.Less(t, len(w.deliveries), 10)
 }
 
 func TestMessagesThatWaitAreGivenBackAtAStop(t *testing.T) {
 	w, _ := fullWorld(t)
 	w.accept("/p/", "waits")
-	w.take(w.core.Stop(w.now))
+	w.apply(w.core.Stop(w.now))
 	var released []string
 	for _, r := range w.reports {
 		if r.Kind == wire.ReportReleased {
@@ -153,48 +153,48 @@
 		}
 	}
 	assert.ElementsMatch(t, []string{"0.turned away", "0.waits"}, released)
-	assert.Empty(t, w.core.queues)
+	assert.Empty(t, w.core.backlogged)
 }
 
 func TestNoCopyGoesWhileMessagesWait(t *testing.T) {
 	w, running := fullWorld(t)
 	w.accept("/p/", "waits")
 	j := w.core.jobs[running.Job]
-	w.out = nil
+	w.deliveries = nil
 	w.core.begin(w.now)
 	w.core.send(j, "s-0") // as the module's copy of a job that is under way
-	w.take(w.core.end())
-	for _, d := range w.out {
+	w.apply(w.core.end())
+	for _, d := range w.deliveries {
 		assert.NotEqual(t, running.Job, d.Job)
 	}
-	assert.True(t, j.live(), "the first attempt goes on")
+	assert.True(t, j.isInFlight(), "the first attempt goes on")
 }
 
 // Workers that have no room make no message sleep: it goes as soon as one has.
 func TestAMessageThatFoundAllWorkersFullIsNotPaused(t *testing.T) {
-	for _, outcome := range []worker.Outcome{worker.Full, worker.NoRoom} {
+	for _, outcome := range []worker.Outcome{worker.AtCapacity, worker.NoConnection} {
 		w := newWorld(t)
 		w.accept("/p/", "m")
-		for range attemptsOfJob {
+		for range attemptsPerJob {
 			w.end(w.sent(), outcome)
 		}
 		m := w.core.messages["0.m"]
-		assert.Equal(t, handed, m.phase, "the module has it again")
-		assert.Zero(t, m.pauses)
+		assert.Equal(t, phaseSubmitted, m.phase, "the module has it again")
+		assert.Zero(t, m.backoffs)
 	}
 }
 
-func TestTheAimOfARouteOrdersWhatWaits(t *testing.T) {
+func TestTheStartTargetOfARouteOrdersWhatWaits(t *testing.T) {
 	for _, aim := range []time.Duration{600 * ms, 50 * ms} {
 		w := newWorld(t)
 		w.config.Routes[0].StartTargetMs = float64(aim.Milliseconds())
 		w.configure()
 		w.workers.Entries = w.workers.Entries[:1]
-		w.list()
+		w.listWorkers()
 		w.accept("/p/", "first")
 		running := w.sent()
 		w.accept("/p/", "turned away")
-		w.end(w.sent(), worker.Full)
+		w.end(w.sent(), worker.AtCapacity)
 		for _, id := range []string{"older", "newer"} {
 			w.accept("/p/", id)
 			w.now += 20 * ms
@@ -215,16 +215,16 @@
 	w.config.Routes[0].Service = "safe"
 	w.config.Services = w.config.Services[1:]
 	w.workers.Entries = append(w.workers.Entries, wire.Worker{ID: "safe-9", Service: "safe", Address: "10.0.0.9:80", Zone: "z1", Capacity: 4})
-	w.list()
+	w.listWorkers()
 	w.configure()
 	w.pass(ms)
 	var sent []string
-	for _, d := range w.out {
+	for _, d := range w.deliveries {
 		assert.Equal(t, "safe-9", d.Delivery.Worker)
 		sent = append(sent, d.Delivery.RequestID)
 	}
 	assert.ElementsMatch(t, []string{"turned away", "waits"}, sent)
-	assert.Empty(t, w.core.queues)
+	assert.Empty(t, w.core.backlogged)
 }
 
 // A service has no room, or no workers at all, and the operator has its route lead to another: what waits goes there.
@@ -239,18 +239,18 @@
 			for i := range 3 {
 				w.workers.Entries = append(w.workers.Entries, wire.Worker{ID: fmt.Sprint("safe-", i), Service: "safe", Address: "10.0.0.9:80", Zone: "z1", Capacity: 4})
 			}
-			w.list()
-			w.out = nil
+			w.listWorkers()
+			w.deliveries = nil
 			w.config.Routes[0].Service = "safe"
 			w.configure()
 			w.pass(ms)
 			var sent []string
-			for _, d := range w.out {
+			for _, d := range w.deliveries {
 				assert.Contains(t, d.Delivery.Worker, "safe-")
 				sent = append(sent, d.Delivery.RequestID)
 			}
 			assert.ElementsMatch(t, []string{"turned away", "0", "1", "2", "3", "4"}, sent)
-			assert.True(t, w.core.jobs[running.Job].live(), "what is under way stays")
+			assert.True(t, w.core.jobs[running.Job].isInFlight(), "what is under way stays")
 		})
 	}
 }
@@ -260,8 +260,8 @@
 	w := newWorld(t)
 	ordered, delayed := messageTo("/s/", "ordered"), messageTo("/s/", "delayed")
 	ordered.Ordered, delayed.DelayMs = true, 5000
-	w.take(w.core.Accept(w.now, ordered, false))
-	w.take(w.core.Accept(w.now, delayed, false))
+	w.apply(w.core.Accept(w.now, ordered, false))
+	w.apply(w.core.Accept(w.now, delayed, false))
 	w.accept("/p/", "paused")
 	for range 2 {
 		w.end(w.sent(), worker.Broken)
@@ -269,5 +269,5 @@
 	w.config.Routes[1].TimeoutMs = 700
 	w.configure()
 	w.pass(ms)
-	w.unsent()
+	w.sentNothing()
 }
--- a/edge/ingress/compat_test.go
+++ b/edge/ingress/compat_test.go
@@ -35,8 +35,8 @@
 	return dateField.ReplaceAllString(answer, "Date: Sat, 01 Jan 2000 00:00:00 GMT\r")
 }
 
-// wholeAnswer sends a request and returns all bytes that the server sends until it ends the connection.
-func wholeAnswer(t *testing.T, address, request string) string {
+// allBytes sends a request and returns all bytes that the server sends until it ends the connection.
+func allBytes(t *testing.T, address, request string) string {
 	t.Helper()
 	conn, err := net.Dial("tcp4", address)
 	require.NoError(t, err)
@@ -77,9 +77,9 @@
 		prepare func(s *site)
 	}{
 		"put-kept":               {request: head + "Content-Length: 5\r\n\r\nhello"},
-		"put-kept-while-leaving": {request: head + empty, prepare: func(s *site) { s.server.Leave() }},
-		"put-refused":            {request: head + empty, prepare: func(s *site) { s.queue.result = queueclient.Refused }},
-		"put-unsure":             {request: head + empty, prepare: func(s *site) { s.queue.result = queueclient.Unsure }},
+		"put-kept-while-leaving": {request: head + empty, prepare: func(s *site) { s.server.Drain() }},
+		"put-refused":            {request: head + empty, prepare: func(s *site) { s.queue.result = queueclient.Rejected }},
+		"put-unsure":             {request: head + empty, prepare: func(s *site) { s.queue.result = queueclient.Unknown }},
 		"put-not-ready":          {request: head + "Deadline-Ms: 50\r\n" + empty, prepare: func(s *site) { s.ready = false }},
 		"put-without-route":      {request: strings.Replace(head, "/p/x", "/none", 1) + empty},
 		"put-bad-field":          {request: head + "Delay-Ms: -1\r\n" + empty},
@@ -87,7 +87,7 @@
 		"put-garbled":            {request: "POST\r\n\r\n"},
 		"put-body-too-large":     {request: head + "Content-Length: 1001\r\n\r\n" + strings.Repeat("x", 1001)},
 		"put-header-too-large": {request: head + "X: " + strings.Repeat("x", 3000) + "\r\n" + empty, prepare: func(s *site) {
-			s.server.Limit(catalog.Limits{MaxHeaderBytes: 2000, IdleTimeoutMs: 400})
+			s.server.SetLimits(catalog.Limits{MaxHeaderBytes: 2000, IdleTimeoutMs: 400})
 		}},
 		"put-header-fills-buffer":   {request: head + "X: " + strings.Repeat("x", 8192-len(head)-len("X: "))},
 		"put-head-too-slow":         {request: head},
@@ -98,7 +98,7 @@
 		"state-dropped":             {request: get("/v1/message/0.dropped")},
 		"state-not-found":           {request: get("/v1/message/0.none")},
 		"state-not-known":           {request: get("/v1/message/0.unknown")},
-		"state-done-while-leaving":  {request: get("/v1/message/0.done"), prepare: func(s *site) { s.server.Leave() }},
+		"state-done-while-leaving":  {request: get("/v1/message/0.done"), prepare: func(s *site) { s.server.Drain() }},
 		"body-pending":              {request: get("/v1/message-body/0.pending")},
 		"body-dead-letter":          {request: get("/v1/message-body/0.dead")},
 		"body-done":                 {request: get("/v1/message-body/0.done")},
@@ -117,7 +117,7 @@
 			if c.prepare != nil {
 				c.prepare(s)
 			}
-			got := atOneTime(wholeAnswer(t, s.server.Address(), c.request))
+			got := atOneTime(allBytes(t, s.server.Address(), c.request))
 			assert.Equal(t, golden(t, name+".http"), got)
 		})
 	}
@@ -138,7 +138,7 @@
 			r, err := ListenReady("127.0.0.1:0", func() bool { return c.ready })
 			require.NoError(t, err)
 			defer r.Close()
-			got := wholeAnswer(t, r.Address(), fmt.Sprintf("GET %s HTTP/1.1\r\nHost: p\r\nConnection: close\r\n\r\n", c.path))
+			got := allBytes(t, r.Address(), fmt.Sprintf("GET %s HTTP/1.1\r\nHost: p\r\nConnection: close\r\n\r\n", c.path))
 			assert.Equal(t, golden(t, name+".http"), got)
 		})
 	}
--- a/edge/ingress/hold.go
+++ b/edge/ingress/configwait.go
@@ -9,14 +9,14 @@
 	"ravendale/cluster/catalog"
 )
 
-// signal wakes all who wait for a change.
-type signal struct {
+// broadcast wakes all who wait for a change.
+type broadcast struct {
 	mu   sync.Mutex
 	next chan struct{}
 }
 
 // wait returns a channel that is closed at the next change.
-func (s *signal) wait() <-chan struct{} {
+func (s *broadcast) wait() <-chan struct{} {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.next == nil {
@@ -25,7 +25,7 @@
 	return s.next
 }
 
-func (s *signal) raise() {
+func (s *broadcast) raise() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.next != nil {
@@ -34,8 +34,8 @@
 	}
 }
 
-// Changed says that Config.Index or Config.Ready may tell something new.
-func (s *Server) Changed() { s.changed.raise() }
+// ConfigChanged says that Config.Index or Config.Ready may tell something new.
+func (s *Server) ConfigChanged() { s.changed.raise() }
 
 // awaitIndex returns the configuration that holds, once this process is ready, or nil if that takes too long; and how long it
 // waited. A request that comes just before is worth a short wait: turned away it would only come again.
@@ -44,7 +44,7 @@
 		return index, 0
 	}
 	began := time.Now()
-	expired := time.NewTimer(holdLimit(header))
+	expired := time.NewTimer(configWait(header))
 	defer expired.Stop()
 	for {
 		changed := s.changed.wait()
@@ -66,9 +66,9 @@
 	return s.config.Index()
 }
 
-func holdLimit(header *fasthttp.RequestHeader) time.Duration {
+func configWait(header *fasthttp.RequestHeader) time.Duration {
 	if deadline := deadlineOf(header); deadline > 0 {
-		return min(partOfDeadline(deadline, deadlinePart), longestHold)
+		return min(deadlineFraction(deadline, putFraction), maxConfigWait)
 	}
-	return longestHold
+	return maxConfigWait
 }
--- a/edge/ingress/hold_test.go
+++ b/edge/ingress/configwait_test.go
@@ -20,7 +20,7 @@
 	s.server.config.Index = func() *catalog.Index { return index }
 	return s, func() {
 		ready.Store(true)
-		s.server.Changed()
+		s.server.ConfigChanged()
 	}
 }
 
@@ -30,18 +30,18 @@
 	began := time.Now()
 	assert.Equal(t, http.StatusAccepted, s.ask(t, head+"Deadline-Ms: 10000\r\nContent-Length: 0\r\n\r\n").status)
 	assert.GreaterOrEqual(t, time.Since(began), 100*time.Millisecond)
-	assert.Less(t, time.Since(began), longestHold, "it is woken")
-	assert.LessOrEqual(t, s.queue.limits[0], longestPut)
+	assert.Less(t, time.Since(began), maxConfigWait, "it is woken")
+	assert.LessOrEqual(t, s.queue.limits[0], maxDeadlinePutTime)
 	assert.Equal(t, http.StatusAccepted, s.ask(t, head+"Content-Length: 0\r\n\r\n").status)
 }
 
 // What a request waited is taken off the time for its put.
 func TestTheWaitCounts(t *testing.T) {
 	s, arrive := late(t)
-	var asked atomic.Int32
+	var polls atomic.Int32
 	ready := s.server.config.Ready
 	s.server.config.Ready = func() bool {
-		if asked.Add(1) == 2 { // the request is there, and its wait is counted
+		if polls.Add(1) == 2 { // the request is there, and its wait is counted
 			time.AfterFunc(100*time.Millisecond, arrive)
 		}
 		return ready()
@@ -52,9 +52,9 @@
 
 func TestRequestIsRefusedWhenTheConfigurationDoesNotCome(t *testing.T) {
 	s, _ := late(t)
-	for deadline, most := range map[string]time.Duration{"100": 42 * time.Millisecond, "10000": longestHold} {
+	for deadline, most := range map[string]time.Duration{"100": 42 * time.Millisecond, "10000": maxConfigWait} {
 		began := time.Now()
-		s.server.Changed() // of something else
+		s.server.ConfigChanged() // of something else
 		got := s.ask(t, head+"Deadline-Ms: "+deadline+"\r\nContent-Length: 0\r\n\r\n")
 		assert.Equal(t, http.StatusServiceUnavailable, got.status)
 		assert.GreaterOrEqual(t, time.Since(began), most)
--- a/edge/ingress/framing.go
+++ b/edge/ingress/framing.go
@@ -6,21 +6,21 @@
 	"github.com/valyala/fasthttp"
 )
 
-// wellFramed says whether all who read the request agree on where it ends and what it names. Requests that two readers may
+// isUnambiguous says whether all who read the request agree on where it ends and what it names. Requests that two readers may
 // take for different ones are how others are smuggled in.
-func wellFramed(h *fasthttp.RequestHeader) bool {
+func isUnambiguous(h *fasthttp.RequestHeader) bool {
 	target := h.RequestURI()
-	if len(target) == 0 || target[0] != '/' || !plain(target) {
+	if len(target) == 0 || target[0] != '/' || !isVisible(target) {
 		return false
 	}
-	if len(h.Host()) == 0 || !plain(h.Host()) || !h.IsHTTP11() {
+	if len(h.Host()) == 0 || !isVisible(h.Host()) || !h.IsHTTP11() {
 		return false
 	}
-	return wellFormedFields(h.RawHeaders())
+	return validFields(h.RawHeaders())
 }
 
-// plain says whether bytes are visible ASCII, without spaces, or beyond ASCII.
-func plain(text []byte) bool {
+// isVisible says whether bytes are visible ASCII, without spaces, or beyond ASCII.
+func isVisible(text []byte) bool {
 	for _, b := range text {
 		if b <= ' ' || b == 0x7f {
 			return false
@@ -29,7 +29,7 @@
 	return true
 }
 
-func wellFormedFields(raw []byte) bool {
+func validFields(raw []byte) bool {
 	var lengths, codings, hosts int
 	for len(raw) > 0 {
 		line, rest, found := bytes.Cut(raw, []byte("\n"))
@@ -48,7 +48,7 @@
 		switch {
 		case bytes.EqualFold(name, []byte("Content-Length")):
 			lengths++
-			if !digits(value) {
+			if !isDecimal(value) {
 				return false
 			}
 		case bytes.EqualFold(name, []byte("Transfer-Encoding")):
@@ -63,7 +63,7 @@
 	return lengths+codings <= 1 && hosts == 1
 }
 
-func digits(text []byte) bool {
+func isDecimal(text []byte) bool {
 	for _, b := range text {
 		if b < '0' || b > '9' {
 			return false
--- a/edge/ingress/handler.go
+++ b/edge/ingress/handler.go
@@ -25,29 +25,29 @@
 
 // How long a message is tried to be kept.
 const (
-	targetsTried  = 5 // times the route's aim
-	leastPutTime  = 250 * time.Millisecond
-	mostPutTime   = 600 * time.Millisecond
-	longestPut    = 2 * time.Second // for clients that say that they wait longer
-	deadlinePart  = 0.42            // of what a client waits: refused by then, it may be taken elsewhere
-	answerPart    = 0.47            // ... and closed by then, if no answer is likely to come
-	hopePart      = 0.9             // ... or by then: it has to reach the client, too
-	longestAnswer = 2500 * time.Millisecond
-	unknownTarget = 100 * time.Millisecond
-	longestHold   = 300 * time.Millisecond // for a configuration, of a request that comes before there is one
+	putTargets         = 5 // times the route's aim
+	minPutTime         = 250 * time.Millisecond
+	maxPutTime         = 600 * time.Millisecond
+	maxDeadlinePutTime = 2 * time.Second // for clients that say that they wait longer
+	putFraction        = 0.42            // of what a client waits: refused by then, it may be taken elsewhere
+	answerFraction     = 0.47            // ... and closed by then, if no answer is likely to come
+	lateAnswerFraction = 0.9             // ... or by then: it has to reach the client, too
+	maxAnswerTime      = 2500 * time.Millisecond
+	defaultTarget      = 100 * time.Millisecond
+	maxConfigWait      = 300 * time.Millisecond // for a configuration, of a request that comes before there is one
 )
 
-func (s *Server) handle(ctx *fasthttp.RequestCtx) {
-	s.answer(ctx)
-	if s.leaving.Load() {
+func (s *Server) handleRequest(ctx *fasthttp.RequestCtx) {
+	s.route(ctx)
+	if s.draining.Load() {
 		ctx.SetConnectionClose()
 	}
 }
 
-func (s *Server) answer(ctx *fasthttp.RequestCtx) {
+func (s *Server) route(ctx *fasthttp.RequestCtx) {
 	header := &ctx.Request.Header
-	if !wellFramed(header) {
-		malformed(ctx)
+	if !isUnambiguous(header) {
+		badRequest(ctx)
 		return
 	}
 	if limit := s.limits.Load().MaxHeaderBytes; limit > 0 && len(header.RawHeaders())+len(header.RequestURI()) > limit {
@@ -57,26 +57,26 @@
 	}
 	path, _, _ := bytes.Cut(header.RequestURI(), []byte("?"))
 	if header.IsGet() && bytes.HasPrefix(path, []byte(statePath)) {
-		s.tellState(ctx, string(path[len(statePath):]))
+		s.serveState(ctx, string(path[len(statePath):]))
 		return
 	}
 	if header.IsGet() && bytes.HasPrefix(path, []byte(bodyPath)) {
-		s.tellBody(ctx, string(path[len(bodyPath):]))
+		s.serveBody(ctx, string(path[len(bodyPath):]))
 		return
 	}
-	s.take(ctx, string(path))
+	s.serveRequest(ctx, string(path))
 }
 
-func malformed(ctx *fasthttp.RequestCtx) {
+func badRequest(ctx *fasthttp.RequestCtx) {
 	ctx.SetStatusCode(fasthttp.StatusBadRequest)
 	ctx.SetConnectionClose()
 }
 
-// take has a message kept.
-func (s *Server) take(ctx *fasthttp.RequestCtx, path string) {
-	index, held := s.awaitIndex(&ctx.Request.Header)
+// serveRequest has a message kept.
+func (s *Server) serveRequest(ctx *fasthttp.RequestCtx, path string) {
+	index, waited := s.awaitIndex(&ctx.Request.Header)
 	if index == nil {
-		refuse(ctx)
+		unavailable(ctx)
 		return
 	}
 	route := index.Match(string(ctx.Request.Header.Host()), path)
@@ -84,41 +84,41 @@
 		ctx.SetStatusCode(fasthttp.StatusNotFound)
 		return
 	}
-	m, limits, ok := read(&ctx.Request, route)
+	m, limits, ok := parseMessage(&ctx.Request, route)
 	if !ok {
 		ctx.SetStatusCode(fasthttp.StatusBadRequest)
 		return
 	}
 	body := ctx.Request.Body()
-	takes := s.config.Takes(route.Service, len(body))
-	if m.Body = body; takes {
+	accepts := s.config.Accepts(route.Service, len(body))
+	if m.Body = body; accepts {
 		m.Body = bytes.Clone(body)
 	}
-	limits.Try = max(limits.Try-held, 0)
-	switch s.config.Queue.PutWithin(m, takes, limits) {
-	case queueclient.Kept:
+	limits.Attempts = max(limits.Attempts-waited, 0)
+	switch s.config.Queue.PutWithin(m, accepts, limits) {
+	case queueclient.Accepted:
 		ctx.Response.Header.Set("Msg-Id", m.ID)
 		ctx.SetStatusCode(fasthttp.StatusAccepted)
-	case queueclient.Refused:
-		refuse(ctx)
+	case queueclient.Rejected:
+		unavailable(ctx)
 	default: // no answer promises nothing
 		_ = ctx.Conn().Close()
 		ctx.SetConnectionClose()
 	}
 }
 
-// read makes a message of a request, without its body, and says how long it may be tried to be kept.
-func read(request *fasthttp.Request, route *catalog.Route) (m *wire.Message, limits queueclient.Limits, ok bool) {
+// parseMessage makes a message of a request, without its body, and says how long it may be tried to be kept.
+func parseMessage(request *fasthttp.Request, route *catalog.Route) (m *wire.Message, limits queueclient.Limits, ok bool) {
 	header := &request.Header
 	id, once := single(header, "Request-Id")
-	if !once || !isName(id) {
+	if !once || !isRequestID(id) {
 		return nil, limits, false
 	}
 	key, once := single(header, "Order-Key")
 	if !once {
 		return nil, limits, false
 	}
-	delay, fine := figure(header, "Delay-Ms")
+	delay, fine := parseNumber(header, "Delay-Ms")
 	if !fine || delay > math.MaxUint32 {
 		return nil, limits, false
 	}
@@ -132,7 +132,7 @@
 
 // deadlineOf is how long the client waits, in milliseconds, 0 if it does not say so: it is only a hint.
 func deadlineOf(header *fasthttp.RequestHeader) float64 {
-	deadline, fine := figure(header, "Deadline-Ms")
+	deadline, fine := parseNumber(header, "Deadline-Ms")
 	if !fine {
 		return 0
 	}
@@ -146,24 +146,24 @@
 
 func putLimits(route *catalog.Route, deadlineMs float64) queueclient.Limits {
 	if deadlineMs > 0 {
-		part := partOfDeadline(deadlineMs, deadlinePart)
+		putTime := deadlineFraction(deadlineMs, putFraction)
 		return queueclient.Limits{
-			Try:    min(part, longestPut),
-			Answer: min(partOfDeadline(deadlineMs, answerPart)-part, longestAnswer),
-			Hope:   min(partOfDeadline(deadlineMs, hopePart)-part, longestAnswer),
+			Attempts: min(putTime, maxDeadlinePutTime),
+			Answer:   min(deadlineFraction(deadlineMs, answerFraction)-putTime, maxAnswerTime),
+			Hope:     min(deadlineFraction(deadlineMs, lateAnswerFraction)-putTime, maxAnswerTime),
 		}
 	}
-	target := orElse(milliseconds(route.TargetMs), unknownTarget)
-	try := min(max(targetsTried*target, leastPutTime), mostPutTime)
-	return queueclient.Limits{Try: try, Answer: longestAnswer, Hope: longestAnswer}
+	target := orDefault(milliseconds(route.TargetMs), defaultTarget)
+	putTime := min(max(putTargets*target, minPutTime), maxPutTime)
+	return queueclient.Limits{Attempts: putTime, Answer: maxAnswerTime, Hope: maxAnswerTime}
 }
 
-func partOfDeadline(deadlineMs, part float64) time.Duration {
-	return milliseconds(min(deadlineMs, math.MaxInt32) * part)
+func deadlineFraction(deadlineMs, fraction float64) time.Duration {
+	return milliseconds(min(deadlineMs, math.MaxInt32) * fraction)
 }
 
-// isName says whether a text can be a request's id.
-func isName(text string) bool {
+// isRequestID says whether a text can be a request's id.
+func isRequestID(text string) bool {
 	for i := range len(text) {
 		if text[i] < ' ' || text[i] == 0x7f {
 			return false
@@ -172,8 +172,8 @@
 	return text != ""
 }
 
-// figure reads a field that is a number of 0 or more; absent, it is 0.
-func figure(h *fasthttp.RequestHeader, name string) (float64, bool) {
+// parseNumber reads a field that is a number of 0 or more; absent, it is 0.
+func parseNumber(h *fasthttp.RequestHeader, name string) (float64, bool) {
 	text, once := single(h, name)
 	if text == "" || !once {
 		return 0, once && len(h.PeekAll(name)) == 0
@@ -197,7 +197,7 @@
 	wire.StateDropped: "dead_letter",
 }
 
-func (s *Server) tellState(ctx *fasthttp.RequestCtx, id string) {
+func (s *Server) serveState(ctx *fasthttp.RequestCtx, id string) {
 	found := s.find(ctx, id, false)
 	if found == nil {
 		return
@@ -208,14 +208,14 @@
 	}
 	text, err := json.Marshal(answer)
 	if err != nil {
-		refuse(ctx)
+		unavailable(ctx)
 		return
 	}
 	ctx.SetContentType("application/json")
 	ctx.SetBody(text)
 }
 
-func (s *Server) tellBody(ctx *fasthttp.RequestCtx, id string) {
+func (s *Server) serveBody(ctx *fasthttp.RequestCtx, id string) {
 	found := s.find(ctx, id, true)
 	if found == nil {
 		return
@@ -237,7 +237,7 @@
 	case errors.Is(err, queueclient.ErrNotFound):
 		ctx.SetStatusCode(fasthttp.StatusNotFound)
 	default:
-		refuse(ctx)
+		unavailable(ctx)
 	}
 	return nil
 }
--- a/edge/ingress/ingress.go
+++ b/edge/ingress/ingress.go
@@ -28,33 +28,33 @@
 	Queue    Queue
 	Index    func() *catalog.Index                    // nil until there is a configuration
 	Ready    func() bool                              // the configuration is current; else messages are turned away
-	Takes    func(service string, bodyBytes int) bool // this edge will deliver such a message itself
+	Accepts  func(service string, bodyBytes int) bool // this edge will deliver such a message itself
 	MaxConns int                                      // connections open at once
 	Log      *slog.Logger                             // nil: the default
 }
 
 // Limits that hold until a configuration names others, and where it names none.
 const (
-	defaultHeaderBytes = 16 << 10
-	defaultBodyBytes   = 1 << 20
-	defaultHeaderTime  = 5 * time.Second
-	defaultIdleTime    = 15 * time.Second
-
-	leastHeaderBuffer = 4 << 10
-	writeBuffer       = 512
-	bodyTime          = 15 * time.Second // for a whole body
-	writeTime         = 10 * time.Second
-	sweepEvery        = 100 * time.Millisecond
-	acceptPause       = 20 * time.Millisecond
+	defaultHeaderBytes   = 16 << 10
+	defaultBodyBytes     = 1 << 20
+	defaultHeaderTimeout = 5 * time.Second
+	defaultIdleTimeout   = 15 * time.Second
+
+	minHeaderBuffer = 4 << 10
+	writeBuffer     = 512
+	bodyTimeout     = 15 * time.Second // for a whole body
+	writeTimeout    = 10 * time.Second
+	sweepInterval   = 100 * time.Millisecond
+	acceptPause     = 20 * time.Millisecond
 )
 
 // Server takes connections of clients.
 type Server struct {
-	config  Config
-	limits  atomic.Pointer[limits]
-	leaving atomic.Bool
-	changed signal
-	slots   chan struct{} // one for each connection
+	config   Config
+	limits   atomic.Pointer[limits]
+	draining atomic.Bool
+	changed  broadcast
+	slots    chan struct{} // one for each connection
 
 	mu       sync.Mutex
 	listener net.Listener
@@ -83,14 +83,14 @@
 	return s
 }
 
-// Limit sets what clients may send; it holds for new connections, the size of bodies for all.
-func (s *Server) Limit(next catalog.Limits) {
+// SetLimits sets what clients may send; it holds for new connections, the size of bodies for all.
+func (s *Server) SetLimits(next catalog.Limits) {
 	if s.limits.Load().Limits != next {
 		s.limits.Store(s.newLimits(next))
 	}
 }
 
-func orElse[T int | time.Duration](figure, other T) T {
+func orDefault[T int | time.Duration](figure, other T) T {
 	if figure > 0 {
 		return figure
 	}
@@ -103,16 +103,16 @@
 
 func (s *Server) newLimits(l catalog.Limits) *limits {
 	return &limits{Limits: l, server: &fasthttp.Server{
-		Handler:                       s.handle,
+		Handler:                       s.handleRequest,
 		ErrorHandler:                  answerError,
 		HeaderReceived:                s.bodyLimits,
-		ConnState:                     follow,
-		ReadBufferSize:                max(orElse(l.MaxHeaderBytes, defaultHeaderBytes), leastHeaderBuffer),
+		ConnState:                     trackState,
+		ReadBufferSize:                max(orDefault(l.MaxHeaderBytes, defaultHeaderBytes), minHeaderBuffer),
 		WriteBufferSize:               writeBuffer,
-		ReadTimeout:                   orElse(milliseconds(l.HeaderTimeoutMs), defaultHeaderTime),
-		IdleTimeout:                   orElse(milliseconds(l.IdleTimeoutMs), defaultIdleTime),
-		WriteTimeout:                  writeTime,
-		MaxRequestBodySize:            orElse(l.MaxBodyBytes, defaultBodyBytes),
+		ReadTimeout:                   orDefault(milliseconds(l.HeaderTimeoutMs), defaultHeaderTimeout),
+		IdleTimeout:                   orDefault(milliseconds(l.IdleTimeoutMs), defaultIdleTimeout),
+		WriteTimeout:                  writeTimeout,
+		MaxRequestBodySize:            orDefault(l.MaxBodyBytes, defaultBodyBytes),
 		Concurrency:                   cap(s.slots) + 1,
 		ReduceMemoryUsage:             true,
 		DisablePreParseMultipartForm:  true,
@@ -120,24 +120,24 @@
 		NoDefaultDate:                 true,
 		NoDefaultContentType:          true,
 		LogAllErrors:                  false,
-		Logger:                        silent{},
+		Logger:                        discardLogger{},
 		DisableHeaderNamesNormalizing: false,
 	}}
 }
 
-// silent drops fasthttp's own lines, which tell of clients' mistakes.
-type silent struct{}
+// discardLogger drops fasthttp's own lines, which tell of clients' mistakes.
+type discardLogger struct{}
 
-func (silent) Printf(string, ...any) {}
+func (discardLogger) Printf(string, ...any) {}
 
 func (s *Server) bodyLimits(*fasthttp.RequestHeader) fasthttp.RequestConfig {
 	return fasthttp.RequestConfig{
-		ReadTimeout:        bodyTime,
-		MaxRequestBodySize: orElse(s.limits.Load().MaxBodyBytes, defaultBodyBytes),
+		ReadTimeout:        bodyTimeout,
+		MaxRequestBodySize: orDefault(s.limits.Load().MaxBodyBytes, defaultBodyBytes),
 	}
 }
 
-func follow(conn net.Conn, state fasthttp.ConnState) {
+func trackState(conn net.Conn, state fasthttp.ConnState) {
 	if c, ok := conn.(*clientConn); ok {
 		c.idle.Store(state != fasthttp.StateActive)
 	}
@@ -188,18 +188,18 @@
 	<-s.slots
 }
 
-// Leave has each answer end its connection from now on.
-func (s *Server) Leave() { s.leaving.Store(true) }
+// Drain has each answer end its connection from now on.
+func (s *Server) Drain() { s.draining.Store(true) }
 
 // Close stops taking connections, ends idle ones, and waits until what is in hand is answered or done is closed.
 func (s *Server) Close(done <-chan struct{}) {
-	s.Leave()
+	s.Drain()
 	s.mu.Lock()
 	if s.listener != nil {
 		_ = s.listener.Close()
 	}
 	s.mu.Unlock()
-	ticker := time.NewTicker(sweepEvery)
+	ticker := time.NewTicker(sweepInterval)
 	defer ticker.Stop()
 	for s.endIdle() > 0 {
 		select {
@@ -240,8 +240,8 @@
 	ctx.SetConnectionClose()
 }
 
-// refuse answers that the request was not taken, and never will be.
-func refuse(ctx *fasthttp.RequestCtx) {
+// unavailable answers that the request was not taken, and never will be.
+func unavailable(ctx *fasthttp.RequestCtx) {
 	ctx.Response.Header.Set("Retry-After", strconv.Itoa(retryAfterS))
 	ctx.SetStatusCode(fasthttp.StatusServiceUnavailable)
 }
--- a/edge/ingress/ingress_test.go
+++ b/edge/ingress/ingress_test.go
@@ -27,13 +27,13 @@
 	limits   []time.Duration
 	answers  []queueclient.Limits
 	result   queueclient.Result
-	hold     chan struct{} // nil: answer at once
+	blocked  chan struct{} // nil: answer at once
 	find     func(id string, body bool) (*wire.FindReply, error)
 }
 
 func (q *fakeQueue) PutWithin(m *wire.Message, dispatch bool, limits queueclient.Limits) queueclient.Result {
-	if q.hold != nil {
-		<-q.hold
+	if q.blocked != nil {
+		<-q.blocked
 	}
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -42,7 +42,7 @@
 	kept.Body = append([]byte(nil), m.Body...)
 	q.messages = append(q.messages, kept)
 	q.dispatch = append(q.dispatch, dispatch)
-	q.limits = append(q.limits, limits.Try)
+	q.limits = append(q.limits, limits.Attempts)
 	q.answers = append(q.answers, limits)
 	return q.result
 }
@@ -56,15 +56,15 @@
 }
 
 type site struct {
-	queue  *fakeQueue
-	server *Server
-	index  *catalog.Index
-	ready  bool
-	takes  bool
+	queue   *fakeQueue
+	server  *Server
+	index   *catalog.Index
+	ready   bool
+	accepts bool
 }
 
 func newSite(t *testing.T) *site {
-	s := &site{queue: &fakeQueue{}, ready: true, takes: true}
+	s := &site{queue: &fakeQueue{}, ready: true, accepts: true}
 	s.index = catalog.NewIndex(&catalog.Config{
 		Routes: []catalog.Route{
 			{Name: "long", Host: "a.example", PathPrefix: "/p/q/", Type: dispatch.DeferredType, Service: "s", TargetMs: 80, Retries: 4, RetentionS: 90, Ordered: true},
@@ -75,9 +75,9 @@
 	})
 	s.server = New(Config{
 		Queue: s.queue, Index: func() *catalog.Index { return s.index }, Ready: func() bool { return s.ready },
-		Takes: func(string, int) bool { return s.takes }, MaxConns: 50,
+		Accepts: func(string, int) bool { return s.accepts }, MaxConns: 50,
 	})
-	s.server.Limit(catalog.Limits{MaxHeaderBytes: 8192, MaxBodyBytes: 1000, HeaderTimeoutMs: 300, IdleTimeoutMs: 400})
+	s.server.SetLimits(catalog.Limits{MaxHeaderBytes: 8192, MaxBodyBytes: 1000, HeaderTimeoutMs: 300, IdleTimeoutMs: 400})
 	require.NoError(t, s.server.Listen("127.0.0.1:0"))
 	t.Cleanup(func() {
 		done := make(chan struct{})
@@ -154,7 +154,7 @@
 }
 
 // UNASKED: the key is kept as it came, byte by byte, whether or not its route keeps an order.
-func TestOrderKeyIsKeptAsItCame(t *testing.T) {
+func TestOrderKeyIsKeptAsItWasSent(t *testing.T) {
 	const key = "K \xe9\xff,\t\"=;:%20/ k"
 	s := newSite(t)
 	for _, path := range []string{"/p/q/", "/p/x"} {
@@ -282,7 +282,7 @@
 	s := newSite(t)
 	c := s.dial(t).send(head + "Content-Length: 0\r\n\r\n")
 	require.Equal(t, http.StatusAccepted, c.read().status)
-	s.server.Limit(catalog.Limits{MaxBodyBytes: 10})
+	s.server.SetLimits(catalog.Limits{MaxBodyBytes: 10})
 	c.send(head + "Content-Length: 11\r\n\r\nhello world")
 	assert.Equal(t, http.StatusRequestEntityTooLarge, c.read().status)
 }
@@ -296,7 +296,7 @@
 	assert.InDelta(t, 300, time.Since(began).Milliseconds(), 200)
 }
 
-func TestIdleConnectionEndsWithoutAWord(t *testing.T) {
+func TestIdleConnectionEndsWithoutAnAnswer(t *testing.T) {
 	s := newSite(t)
 	c := s.dial(t).send(head + "Content-Length: 0\r\n\r\n")
 	require.Equal(t, http.StatusAccepted, c.read().status)
@@ -322,7 +322,7 @@
 
 func TestWhatWasNotKeptIsRefused(t *testing.T) {
 	s := newSite(t)
-	s.queue.result = queueclient.Refused
+	s.queue.result = queueclient.Rejected
 	c := s.dial(t).send(head + "Content-Length: 0\r\n\r\n")
 	got := c.read()
 	assert.Equal(t, http.StatusServiceUnavailable, got.status)
@@ -332,7 +332,7 @@
 
 func TestWhatMayBeKeptGetsNoAnswer(t *testing.T) {
 	s := newSite(t)
-	s.queue.result = queueclient.Unsure
+	s.queue.result = queueclient.Unknown
 	c := s.dial(t).send(head + "Content-Length: 0\r\n\r\n")
 	assert.True(t, c.closed())
 }
@@ -350,7 +350,7 @@
 
 func TestMessageThatAnotherEdgeDelivers(t *testing.T) {
 	s := newSite(t)
-	s.takes = false
+	s.accepts = false
 	assert.Equal(t, http.StatusAccepted, s.ask(t, head+"Content-Length: 2\r\n\r\nok").status)
 	assert.False(t, s.queue.dispatch[0])
 	assert.Equal(t, "ok", string(s.queue.messages[0].Body))
@@ -361,8 +361,8 @@
 	for _, deadline := range []string{"", "Deadline-Ms: 1000\r\n", "Deadline-Ms: 60000\r\n", "Deadline-Ms: x\r\n"} {
 		require.Equal(t, http.StatusAccepted, s.ask(t, head+deadline+"Content-Length: 0\r\n\r\n").status)
 	}
-	assert.Equal(t, []time.Duration{400 * time.Millisecond, 420 * time.Millisecond, longestPut, 400 * time.Millisecond}, s.queue.limits)
-	assert.Equal(t, queueclient.Limits{Try: 420 * time.Millisecond, Answer: 50 * time.Millisecond, Hope: 480 * time.Millisecond}, s.queue.answers[1])
+	assert.Equal(t, []time.Duration{400 * time.Millisecond, 420 * time.Millisecond, maxDeadlinePutTime, 400 * time.Millisecond}, s.queue.limits)
+	assert.Equal(t, queueclient.Limits{Attempts: 420 * time.Millisecond, Answer: 50 * time.Millisecond, Hope: 480 * time.Millisecond}, s.queue.answers[1])
 }
 
 func TestStates(t *testing.T) {
@@ -402,9 +402,9 @@
 	assert.Equal(t, http.StatusServiceUnavailable, ask("/v1/message-body/0.lost").status)
 }
 
-func TestCloseAnswersWhatIsInHand(t *testing.T) {
+func TestCloseAnswersWhatIsInFlight(t *testing.T) {
 	s := newSite(t)
-	s.queue.hold = make(chan struct{})
+	s.queue.blocked = make(chan struct{})
 	idle, busy := s.dial(t), s.dial(t)
 	busy.send(head + "Content-Length: 0\r\n\r\n")
 	time.Sleep(30 * time.Millisecond)
@@ -414,7 +414,7 @@
 		close(closed)
 	}()
 	assert.True(t, idle.closed())
-	close(s.queue.hold)
+	close(s.queue.blocked)
 	got := busy.read()
 	assert.Equal(t, http.StatusAccepted, got.status)
 	assert.True(t, got.last)
@@ -424,9 +424,9 @@
 	assert.Error(t, err)
 }
 
-func TestLeaveStillTakes(t *testing.T) {
+func TestDrainStillAccepts(t *testing.T) {
 	s := newSite(t)
-	s.server.Leave()
+	s.server.Drain()
 	got := s.ask(t, head+"Content-Length: 0\r\n\r\n")
 	assert.Equal(t, http.StatusAccepted, got.status)
 	assert.True(t, got.last)
@@ -434,8 +434,8 @@
 
 func TestCloseEndsWhenItMust(t *testing.T) {
 	s := newSite(t)
-	s.queue.hold = make(chan struct{})
-	defer close(s.queue.hold)
+	s.queue.blocked = make(chan struct{})
+	defer close(s.queue.blocked)
 	s.dial(t).send(head + "Content-Length: 0\r\n\r\n")
 	time.Sleep(30 * time.Millisecond)
 	done := make(chan struct{})
--- a/edge/ingress/readiness.go
+++ b/edge/ingress/readiness.go
@@ -8,10 +8,10 @@
 )
 
 const (
-	readyPath   = "/v1/readyz"
-	readyBuffer = 1 << 10
-	readyTime   = 10 * time.Second
-	readyConns  = 16
+	readyPath     = "/v1/readyz"
+	readyBuffer   = 1 << 10
+	readyTimeout  = 10 * time.Second
+	maxReadyConns = 16
 )
 
 // Readiness tells the platform whether this edge wants new connections.
@@ -35,8 +35,8 @@
 				ctx.SetStatusCode(fasthttp.StatusServiceUnavailable)
 			}
 		},
-		ReadBufferSize: readyBuffer, WriteBufferSize: writeBuffer, ReadTimeout: readyTime, WriteTimeout: readyTime,
-		Concurrency: readyConns, ReduceMemoryUsage: true, GetOnly: true, Logger: silent{},
+		ReadBufferSize: readyBuffer, WriteBufferSize: writeBuffer, ReadTimeout: readyTimeout, WriteTimeout: readyTimeout,
+		Concurrency: maxReadyConns, ReduceMemoryUsage: true, GetOnly: true, Logger: discardLogger{},
 		NoDefaultServerHeader: true, NoDefaultDate: true, NoDefaultContentType: true,
 	}}
 	go func() { _ = r.server.Serve(listener) }() // it ends when the listener does
--- a/edge/queueclient/compat_test.go
+++ b/edge/queueclient/compat_test.go
@@ -15,11 +15,11 @@
 func TestNamesOfMessagesKeepTheirForm(t *testing.T) {
 	text, err := os.ReadFile(filepath.Join("testdata", "compat", "message-names.txt"))
 	require.NoError(t, err)
-	c := &Client{life: "3k9z0"}
+	c := &Client{incarnation: "3k9z0"}
 	var names strings.Builder
 	for i, partition := range []uint16{0, 1, 4095, 65535} {
-		c.names.Store(uint64(i * 40))
-		name := c.name(partition)
+		c.issuedIDs.Store(uint64(i * 40))
+		name := c.newID(partition)
 		found, ok := wire.PartitionOf(name)
 		assert.True(t, ok)
 		assert.Equal(t, partition, found)
--- a/edge/queueclient/find.go
+++ b/edge/queueclient/find.go
@@ -20,7 +20,7 @@
 	if !ok {
 		return nil, ErrNotFound
 	}
-	expired := time.NewTimer(findLimit)
+	expired := time.NewTimer(findTimeout)
 	defer expired.Stop()
 	for {
 		v := c.view.Load()
@@ -30,7 +30,7 @@
 		if int(partition) >= len(v.Partitions) {
 			return nil, ErrNotFound
 		}
-		s := &search{request: &wire.Find{ID: id, Body: body, Epoch: v.Epoch}, answers: make(chan findAnswer, maxAsked)}
+		s := &search{request: &wire.Find{ID: id, Body: body, Epoch: v.Epoch}, answers: make(chan findAnswer, maxStoresAsked)}
 		reply, again, err := s.ask(stages(v, partition), expired)
 		if !again {
 			return reply, err
@@ -38,7 +38,7 @@
 	}
 }
 
-const maxAsked = 256
+const maxStoresAsked = 256
 
 type search struct {
 	request *wire.Find
@@ -59,7 +59,7 @@
 	}
 	var others []*store
 	for _, s := range v.stores {
-		if !known[s] && len(others) < maxAsked/2 {
+		if !known[s] && len(others) < maxStoresAsked/2 {
 			others = append(others, s)
 		}
 	}
@@ -71,36 +71,36 @@
 
 // ask goes through the stages. It asks those of the next one when the ones before have not answered for a while, or said no.
 func (s *search) ask(stages [][]*store, expired *time.Timer) (reply *wire.FindReply, again bool, err error) {
-	no := make(map[*store]bool)
-	asked, all := 0, 0
+	absent := make(map[*store]bool)
+	sent, all := 0, 0
 	for _, stage := range stages {
 		all += len(stage)
 		for _, store := range stage {
-			asked += s.start(store)
+			sent += s.start(store)
 		}
-		patience := time.NewTimer(findPatience)
-		for waiting := true; waiting && len(no) < asked; {
+		stageTimer := time.NewTimer(findStageTimeout)
+		for waiting := true; waiting && len(absent) < sent; {
 			select {
 			case a := <-s.answers:
 				if a.reply != nil && a.reply.Found {
-					patience.Stop()
+					stageTimer.Stop()
 					return a.reply, false, nil
 				}
 				if a.reply == nil {
-					asked--
+					sent--
 				} else {
-					no[a.store] = true
+					absent[a.store] = true
 				}
-			case <-patience.C:
+			case <-stageTimer.C:
 				waiting = false
 			case <-expired.C:
-				patience.Stop()
+				stageTimer.Stop()
 				return nil, false, ErrNoAnswer
 			}
 		}
-		patience.Stop()
+		stageTimer.Stop()
 	}
-	if len(no) == all {
+	if len(absent) == all {
 		return nil, false, ErrNotFound
 	}
 	select {
@@ -110,7 +110,7 @@
 		if a.reply != nil && a.reply.Found {
 			return a.reply, false, nil
 		}
-	case <-time.After(findPatience):
+	case <-time.After(findStageTimeout):
 	}
 	return nil, true, nil
 }
--- a/edge/queueclient/find_test.go
+++ b/edge/queueclient/find_test.go
@@ -45,11 +45,11 @@
 		reply, err = c.Find("0.x", true)
 		require.NoError(t, err)
 		assert.Equal(t, []byte("b"), reply.Body)
-		assert.Less(t, time.Since(began), 2*findPatience)
+		assert.Less(t, time.Since(began), 2*findStageTimeout)
 	})
 }
 
-func TestFindWithoutTheWordOfAllIsNoAnswer(t *testing.T) {
+func TestFindWithoutAnswersOfAllStoresIsNoAnswer(t *testing.T) {
 	onFakeTime(t, func(t *testing.T) {
 		one, two := newFakeStore(t), newFakeStore(t)
 		one.find = func(*wire.Find) *wire.FindReply { return nil }
--- a/edge/queueclient/outage_test.go
+++ b/edge/queueclient/outage_test.go
@@ -11,19 +11,19 @@
 )
 
 // All stores have gone silent. Once that is known a message is not put into the void, but refused: its client may try again.
-func TestPutsToSilentStoresAreRefusedInTime(t *testing.T) {
+func TestPutsToUnresponsiveStoresAreRejectedInTime(t *testing.T) {
 	onFakeTime(t, func(t *testing.T) {
 		one := newFakeStore(t)
 		one.put = func(*wire.Put, int) *wire.PutReply { return nil }
 		c, _ := newClient(t)
 		c.SetView(placement(1, []*fakeStore{one}, []uint16{0}, []uint16{0}))
 		connected(t, c)
-		limits := Limits{Try: 2 * putPatience, Answer: 20 * time.Millisecond, Hope: soon}
+		limits := Limits{Attempts: 2 * minAttemptTimeout, Answer: 20 * time.Millisecond, Hope: soon}
 		began := time.Now()
-		require.Equal(t, Unsure, c.PutWithin(plain(), true, limits))
+		require.Equal(t, Unknown, c.PutWithin(plain(), true, limits))
 		assert.Less(t, time.Since(began), soon/2, "nothing hints that an answer comes")
 		for _, m := range []*wire.Message{plain(), ordered()} {
-			assert.Equal(t, Refused, c.PutWithin(m, true, limits))
+			assert.Equal(t, Rejected, c.PutWithin(m, true, limits))
 		}
 		assert.LessOrEqual(t, one.countPuts(), 2)
 	})
@@ -47,14 +47,14 @@
 		go c.Put(plain(), true, soon)
 		<-arrived
 		primary := c.view.Load().primary(0)
-		require.Eventually(t, func() bool { return primary.suspect(c.now()) }, soon, time.Millisecond)
+		require.Eventually(t, func() bool { return primary.isSuspect(c.now()) }, soon, time.Millisecond)
 		suspected := time.Now()
 		second := make(chan Result, 1)
-		go func() { second <- c.PutWithin(plain(), true, Limits{Try: soon}) }()
+		go func() { second <- c.PutWithin(plain(), true, Limits{Attempts: soon}) }()
 		close(release)
-		require.Equal(t, Kept, <-second)
-		assert.Less(t, time.Since(suspected), suspectFor)
-		assert.False(t, primary.suspect(c.now()))
+		require.Equal(t, Accepted, <-second)
+		assert.Less(t, time.Since(suspected), suspectTimeout)
+		assert.False(t, primary.isSuspect(c.now()))
 	})
 }
 
@@ -64,14 +64,14 @@
 		one := newFakeStore(t)
 		one.put = func(_ *wire.Put, number int) *wire.PutReply {
 			if number > 1 {
-				time.Sleep(putPatience * 2 / 3)
+				time.Sleep(minAttemptTimeout * 2 / 3)
 			}
 			return &wire.PutReply{Code: wire.PutKept}
 		}
 		c, _ := newClient(t)
 		c.SetView(placement(1, []*fakeStore{one}, []uint16{0}))
 		connected(t, c)
-		require.Equal(t, Kept, c.Put(plain(), true, soon))
-		assert.Equal(t, Kept, c.PutWithin(plain(), true, Limits{Try: 20 * time.Millisecond, Answer: 20 * time.Millisecond, Hope: soon}))
+		require.Equal(t, Accepted, c.Put(plain(), true, soon))
+		assert.Equal(t, Accepted, c.PutWithin(plain(), true, Limits{Attempts: 20 * time.Millisecond, Answer: 20 * time.Millisecond, Hope: soon}))
 	})
 }
--- a/edge/queueclient/queueclient.go
+++ b/edge/queueclient/queueclient.go
@@ -18,16 +18,16 @@
 
 // Times of the client.
 const (
-	putPatience    = 150 * time.Millisecond  // a put without an answer for so long is made elsewhere
-	mostPatience   = time.Second             // ... and at most, while all answers are slow
-	lastPatience   = 2500 * time.Millisecond // for answers that are missing when the time to try is over
-	suspectFor     = time.Second             // a store that left a put unanswered is passed over for so long
-	refusalPause   = 25 * time.Millisecond   // before a put that was refused is tried again
-	reportPatience = 500 * time.Millisecond  // a report without an answer for so long is sent again
-	reportPause    = 50 * time.Millisecond   // before a report that was refused is sent again
-	claimPause     = 50 * time.Millisecond   // before a claim that was refused is sent again
-	findPatience   = 300 * time.Millisecond  // a question without an answer for so long goes to others, too
-	findLimit      = 1500 * time.Millisecond // askers wait two seconds
+	minAttemptTimeout = 150 * time.Millisecond  // a put without an answer for so long is made elsewhere
+	maxAttemptTimeout = time.Second             // ... and at most, while all answers are slow
+	lastAnswerTimeout = 2500 * time.Millisecond // for answers that are missing when the time to try is over
+	suspectTimeout    = time.Second             // a store that left a put unanswered is passed over for so long
+	rejectedPause     = 25 * time.Millisecond   // before a put that was refused is tried again
+	reportTimeout     = 500 * time.Millisecond  // a report without an answer for so long is sent again
+	reportRetryPause  = 50 * time.Millisecond   // before a report that was refused is sent again
+	claimRetryPause   = 50 * time.Millisecond   // before a claim that was refused is sent again
+	findStageTimeout  = 300 * time.Millisecond  // a question without an answer for so long goes to others, too
+	findTimeout       = 1500 * time.Millisecond // askers wait two seconds
 )
 
 // Config of a Client. Its functions are called by goroutines that read connections: they must not wait.
@@ -36,16 +36,16 @@
 	Zone    string
 	Options rpc.Options // of connections to stores; Mux is filled in
 
-	// Kept hears of each message that was put with Dispatch and kept, before any grant of it.
-	Kept func(m *wire.Message, granted bool)
+	// Accepted hears of each message that was put with Dispatch and kept, before any grant of it.
+	Accepted func(m *wire.Message, granted bool)
 	// Granted hears of grants.
 	Granted func(g *wire.Grant)
 	// Acknowledged hears that a report which ends a message, or gives it back, is on disk.
 	Acknowledged func(id string)
 	// Unknown hears of a held message that a store does not know as pending.
 	Unknown func(id string)
-	// Held lists the messages that the edge holds.
-	Held func() []string
+	// Owned lists the messages that the edge holds.
+	Owned func() []string
 
 	Log  *slog.Logger // nil: the default
 	Host host.Host    // nil: host.System
@@ -53,18 +53,18 @@
 
 // Client of the queue. Its methods may be called by any goroutine.
 type Client struct {
-	config  Config
-	host    host.Host
-	started time.Duration
-	view    atomic.Pointer[view]
-	names   atomic.Uint64
-	answer  atomic.Int64  // mean time of an answer to a put
-	life    string        // makes the names of this life unlike all others
-	last    time.Duration // lastPatience, but for tests
+	config      Config
+	host        host.Host
+	started     time.Duration
+	view        atomic.Pointer[view]
+	issuedIDs   atomic.Uint64
+	meanLatency atomic.Int64  // mean time of an answer to a put
+	incarnation string        // makes the names of this life unlike all others
+	lastTimeout time.Duration // lastPatience, but for tests
 
 	mu       sync.Mutex
-	stores   map[string]*store // by disk
-	tries    map[string]*try   // of puts without a result, by message
+	stores   map[string]*store   // by disk
+	attempts map[string]*attempt // of puts without a result, by message
 	draining bool
 	closed   bool
 
@@ -74,9 +74,9 @@
 // view is a placement with the stores' connections. It is immutable.
 type view struct {
 	*wire.StoreView
-	stores []*store // by index in StoreView.Stores
-	host   host.Host
-	own    []uint16 // partitions whose primary is in the edge's zone
+	stores  []*store // by index in StoreView.Stores
+	host    host.Host
+	ownZone []uint16 // partitions whose primary is in the edge's zone
 }
 
 // New returns a client without a placement.
@@ -86,8 +86,8 @@
 	}
 	machine := host.Or(config.Host)
 	c := &Client{
-		config: config, host: machine, started: machine.Now(), last: lastPatience, life: strconv.FormatUint(machine.Uint64()>>16, 36),
-		stores: make(map[string]*store), tries: make(map[string]*try),
+		config: config, host: machine, started: machine.Now(), lastTimeout: lastAnswerTimeout, incarnation: strconv.FormatUint(machine.Uint64()>>16, 36),
+		stores: make(map[string]*store), attempts: make(map[string]*attempt),
 	}
 	c.reports.init(c)
 	mux := rpc.NewMux()
@@ -98,26 +98,26 @@
 
 // Handle registers what stores may call.
 func (c *Client) Handle(mux *rpc.Mux) {
-	rpc.Handle(mux, wire.MethodGrant, func(conn *rpc.Conn, g *wire.Grant, _ rpc.Reply) { c.granted(conn, g) })
+	rpc.Handle(mux, wire.MethodGrant, func(conn *rpc.Conn, g *wire.Grant, _ rpc.Reply) { c.handleGrant(conn, g) })
 }
 
-func (c *Client) granted(conn *rpc.Conn, g *wire.Grant) {
-	if c.isOver(conn, g) {
+func (c *Client) handleGrant(conn *rpc.Conn, g *wire.Grant) {
+	if c.isStale(conn, g) {
 		return
 	}
-	if !g.Whole && c.grantTry(g.ID) {
+	if !g.Whole && c.grantAttempt(g.ID) {
 		return
 	}
-	if g.Whole && c.reports.releasing(g.ID) { // the store takes the repeat of the release for one of this grant
+	if g.Whole && c.reports.isReleasing(g.ID) { // the store takes the repeat of the release for one of this grant
 		c.Report(wire.Report{ID: g.ID, Kind: wire.ReportReleased, Failed: g.Failed})
 		return
 	}
 	c.config.Granted(g)
 }
 
-// isOver says whether a grant came too late to count: it is from a store that is not the partition's primary any more, or from a
+// isStale says whether a grant came too late to count: it is from a store that is not the partition's primary any more, or from a
 // connection before the present one. The claims that this edge has made since do not name its message, which may be another's.
-func (c *Client) isOver(conn *rpc.Conn, g *wire.Grant) bool {
+func (c *Client) isStale(conn *rpc.Conn, g *wire.Grant) bool {
 	v := c.view.Load()
 	if v == nil || g.Epoch > v.Epoch {
 		return false // this edge is the one that is behind
@@ -136,16 +136,16 @@
 		return
 	}
 	v := &view{StoreView: next, host: c.host}
-	gone := c.stores
+	removed := c.stores
 	c.stores = make(map[string]*store, len(next.Stores))
 	for i := range next.Stores {
-		v.stores = append(v.stores, c.adopt(&next.Stores[i], gone))
+		v.stores = append(v.stores, c.adopt(&next.Stores[i], removed))
 	}
-	v.own = ownPartitions(next, c.config.Zone)
+	v.ownZone = ownPartitions(next, c.config.Zone)
 	c.view.Store(v)
 	c.mu.Unlock()
-	for _, disk := range slices.Sorted(maps.Keys(gone)) {
-		gone[disk].link.Close()
+	for _, disk := range slices.Sorted(maps.Keys(removed)) {
+		removed[disk].link.Close()
 	}
 	c.reports.resend() // first: what has ended needs no claim
 	for _, s := range v.stores {
@@ -155,10 +155,10 @@
 }
 
 // adopt returns the store of an entry: the one known, taken out of gone, or a new one.
-func (c *Client) adopt(entry *wire.Store, gone map[string]*store) *store {
-	s := gone[entry.Disk]
+func (c *Client) adopt(entry *wire.Store, known map[string]*store) *store {
+	s := known[entry.Disk]
 	if s != nil && s.address == entry.Address {
-		delete(gone, entry.Disk)
+		delete(known, entry.Disk)
 	} else {
 		s = newStore(c, entry)
 	}
@@ -249,20 +249,20 @@
 	return v.stores[replicas[0]]
 }
 
-// answers says whether nothing tells against a partition's stores.
-func (v *view) answers(partition uint16, now time.Duration) bool {
+// isAvailable says whether nothing tells against a partition's stores.
+func (v *view) isAvailable(partition uint16, now time.Duration) bool {
 	replicas := v.Partitions[partition].Replicas
 	for _, i := range replicas {
-		if int(i) >= len(v.stores) || v.stores[i].suspect(now) {
+		if int(i) >= len(v.stores) || v.stores[i].isSuspect(now) {
 			return false
 		}
 	}
 	return len(replicas) > 0
 }
 
-// mayPut says whether a put to a partition may be tried now. While its stores leave puts unanswered one goes there at a time: the
+// mayAttempt says whether a put to a partition may be tried now. While its stores leave puts unanswered one goes there at a time: the
 // rest would promise nothing to their clients either, who do better if they are refused in time.
-func (v *view) mayPut(partition uint16, now time.Duration) bool {
+func (v *view) mayAttempt(partition uint16, now time.Duration) bool {
 	for _, s := range v.replicas(partition) {
 		if time.Duration(s.suspectUntil.Load()) > now {
 			return v.primary(partition).unanswered.Load() == 0
@@ -274,37 +274,37 @@
 // choose draws a partition for a message without an order: in the own zone and with stores that answer, if there is one; else
 // anywhere with such stores; else with a primary that is connected. Those tried before come last. While another try may still be
 // answered, only a partition that is not tried and answers is worth one more.
-func (v *view) choose(now time.Duration, tried []uint16, waiting bool) (uint16, bool) {
+func (v *view) choose(now time.Duration, attempted []uint16, pending bool) (uint16, bool) {
 	everywhere := func(i int) uint16 { return uint16(i) }
-	own := func(i int) uint16 { return v.own[i] }
-	answers := func(p uint16) bool { return v.answers(p, now) }
+	ownZone := func(i int) uint16 { return v.ownZone[i] }
+	available := func(p uint16) bool { return v.isAvailable(p, now) }
 	connected := func(p uint16) bool { s := v.primary(p); return s != nil && s.conn() != nil }
 	for _, untried := range []bool{true, false} {
-		skip := func(p uint16) bool { return untried && slices.Contains(tried, p) }
-		if p, ok := v.draw(len(v.own), own, skip, answers); ok {
+		skip := func(p uint16) bool { return untried && slices.Contains(attempted, p) }
+		if p, ok := v.pick(len(v.ownZone), ownZone, skip, available); ok {
 			return p, true
 		}
-		if p, ok := v.draw(len(v.Partitions), everywhere, skip, answers); ok {
+		if p, ok := v.pick(len(v.Partitions), everywhere, skip, available); ok {
 			return p, true
 		}
-		if waiting {
+		if pending {
 			break
 		}
-		if p, ok := v.draw(len(v.Partitions), everywhere, skip, connected); ok {
+		if p, ok := v.pick(len(v.Partitions), everywhere, skip, connected); ok {
 			return p, true
 		}
 	}
 	return 0, false
 }
 
-// draw returns the first that will do of count partitions, from a random one on.
-func (v *view) draw(count int, at func(int) uint16, skip, will func(uint16) bool) (uint16, bool) {
+// pick returns the first that will do of count partitions, from a random one on.
+func (v *view) pick(count int, at func(int) uint16, skip, suitable func(uint16) bool) (uint16, bool) {
 	if count == 0 {
 		return 0, false
 	}
 	start := int(v.host.Uint64() % uint64(count))
 	for i := range count {
-		if p := at((start + i) % count); !skip(p) && will(p) {
+		if p := at((start + i) % count); !skip(p) && suitable(p) {
 			return p, true
 		}
 	}
--- a/edge/queueclient/queueclient_test.go
+++ b/edge/queueclient/queueclient_test.go
@@ -124,32 +124,32 @@
 	return count
 }
 
-// heard is what a client told its edge.
-type heard struct {
+// recorder is what a client told its edge.
+type recorder struct {
 	mu           sync.Mutex
-	kept         map[string]bool // by message: granted
+	accepted     map[string]bool // by message: granted
 	granted      []string
 	acknowledged []string
 	unknown      []string
-	held         []string
+	owned        []string
 }
 
-func (h *heard) with(f func()) {
+func (h *recorder) with(f func()) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	f()
 }
 
-func newClient(t *testing.T) (*Client, *heard) {
-	h := &heard{kept: make(map[string]bool)}
+func newClient(t *testing.T) (*Client, *recorder) {
+	h := &recorder{accepted: make(map[string]bool)}
 	c := New(Config{
 		Edge: "edge-1", Zone: "z1", Options: rpc.Options{DialContext: memory.dial},
-		Kept:         func(m *wire.Message, granted bool) { h.with(func() { h.kept[m.ID] = granted }) },
+		Accepted:     func(m *wire.Message, granted bool) { h.with(func() { h.accepted[m.ID] = granted }) },
 		Granted:      func(g *wire.Grant) { h.with(func() { h.granted = append(h.granted, g.ID) }) },
 		Acknowledged: func(id string) { h.with(func() { h.acknowledged = append(h.acknowledged, id) }) },
 		Unknown:      func(id string) { h.with(func() { h.unknown = append(h.unknown, id) }) },
-		Held: func() (ids []string) {
-			h.with(func() { ids = append(ids, h.held...) })
+		Owned: func() (ids []string) {
+			h.with(func() { ids = append(ids, h.owned...) })
 			return ids
 		},
 	})
@@ -209,11 +209,11 @@
 		assert.True(t, c.Usable())
 		for range 10 {
 			m := plain()
-			require.Equal(t, Kept, c.Put(m, true, time.Second))
+			require.Equal(t, Accepted, c.Put(m, true, time.Second))
 			partition, ok := wire.PartitionOf(m.ID)
 			assert.True(t, ok)
 			assert.EqualValues(t, 1, partition)
-			h.with(func() { assert.Contains(t, h.kept, m.ID) })
+			h.with(func() { assert.Contains(t, h.accepted, m.ID) })
 		}
 		one.with(func() {
 			assert.Len(t, one.puts, 10)
@@ -226,14 +226,14 @@
 	})
 }
 
-func TestPutThatIsNotForThisEdgeIsNotTold(t *testing.T) {
+func TestPutThatIsNotForThisEdgeIsNotNotified(t *testing.T) {
 	onFakeTime(t, func(t *testing.T) {
 		one := newFakeStore(t)
 		c, h := newClient(t)
 		c.SetView(placement(1, []*fakeStore{one}, []uint16{0}))
 		connected(t, c)
-		require.Equal(t, Kept, c.Put(plain(), false, time.Second))
-		h.with(func() { assert.Empty(t, h.kept) })
+		require.Equal(t, Accepted, c.Put(plain(), false, time.Second))
+		h.with(func() { assert.Empty(t, h.accepted) })
 	})
 }
 
@@ -245,10 +245,10 @@
 		c.SetView(placement(1, []*fakeStore{one, two}, []uint16{0}, []uint16{1}))
 		connected(t, c)
 		m := plain()
-		require.Equal(t, Kept, c.Put(m, true, time.Second))
+		require.Equal(t, Accepted, c.Put(m, true, time.Second))
 		partition, _ := wire.PartitionOf(m.ID)
 		assert.EqualValues(t, 1, partition)
-		h.with(func() { assert.Len(t, h.kept, 1) })
+		h.with(func() { assert.Len(t, h.accepted, 1) })
 		one.with(func() { assert.NotEqual(t, one.puts[0].Message.ID, m.ID) })
 	})
 }
@@ -261,8 +261,8 @@
 			c, _ := newClient(t)
 			c.SetView(placement(1, []*fakeStore{one}, []uint16{0}))
 			connected(t, c)
-			assert.Equal(t, Refused, c.Put(plain(), true, 100*time.Millisecond))
-			assert.Equal(t, Refused, c.Put(ordered(), true, 100*time.Millisecond))
+			assert.Equal(t, Rejected, c.Put(plain(), true, 100*time.Millisecond))
+			assert.Equal(t, Rejected, c.Put(ordered(), true, 100*time.Millisecond))
 			assert.Less(t, one.countPuts(), 40, "without a pause")
 		}
 	})
@@ -271,11 +271,11 @@
 func TestPutWithoutStoresIsRefused(t *testing.T) {
 	onFakeTime(t, func(t *testing.T) {
 		c, _ := newClient(t)
-		assert.Equal(t, Refused, c.Put(plain(), true, 60*time.Millisecond))
+		assert.Equal(t, Rejected, c.Put(plain(), true, 60*time.Millisecond))
 		one := newFakeStore(t)
 		one.server.Close()
 		c.SetView(placement(1, []*fakeStore{one}, []uint16{0}))
-		assert.Equal(t, Refused, c.Put(plain(), true, 60*time.Millisecond))
+		assert.Equal(t, Rejected, c.Put(plain(), true, 60*time.Millisecond))
 	})
 }
 
@@ -297,17 +297,17 @@
 					one := newFakeStore(t)
 					one.put = answer
 					c, _ := newClient(t)
-					c.last = 50 * time.Millisecond
+					c.lastTimeout = 50 * time.Millisecond
 					c.SetView(placement(1, []*fakeStore{one}, []uint16{0}))
 					connected(t, c)
-					assert.Equal(t, Unsure, c.Put(m, true, 100*time.Millisecond))
+					assert.Equal(t, Unknown, c.Put(m, true, 100*time.Millisecond))
 				})
 			})
 		}
 	}
 }
 
-func TestPutLeavesASilentStore(t *testing.T) {
+func TestPutLeavesAnUnresponsiveStore(t *testing.T) {
 	onFakeTime(t, func(t *testing.T) {
 		one, two := newFakeStore(t), newFakeStore(t)
 		one.put = func(*wire.Put, int) *wire.PutReply { return nil }
@@ -315,19 +315,19 @@
 		c.SetView(placement(1, []*fakeStore{one, two}, []uint16{0}, []uint16{1}))
 		connected(t, c)
 		began := time.Now()
-		require.Equal(t, Kept, c.Put(plain(), true, time.Second))
-		assert.GreaterOrEqual(t, time.Since(began), putPatience)
+		require.Equal(t, Accepted, c.Put(plain(), true, time.Second))
+		assert.GreaterOrEqual(t, time.Since(began), minAttemptTimeout)
 		for range 5 {
 			began = time.Now()
-			require.Equal(t, Kept, c.Put(plain(), true, time.Second))
-			assert.Less(t, time.Since(began), putPatience, "the silent store is passed over")
+			require.Equal(t, Accepted, c.Put(plain(), true, time.Second))
+			assert.Less(t, time.Since(began), minAttemptTimeout, "the silent store is passed over")
 		}
 		assert.Equal(t, 1, one.countPuts())
 	})
 }
 
 // A replica that does not sync keeps its primary from answering: the partition's stores are all passed over.
-func TestPutPassesOverTheStoresOfASilentPartition(t *testing.T) {
+func TestPutPassesOverTheStoresOfAnUnresponsivePartition(t *testing.T) {
 	onFakeTime(t, func(t *testing.T) {
 		one, two, three := newFakeStore(t), newFakeStore(t), newFakeStore(t)
 		one.put = func(p *wire.Put, _ int) *wire.PutReply {
@@ -339,8 +339,8 @@
 		c, _ := newClient(t)
 		c.SetView(placement(1, []*fakeStore{one, two, three}, []uint16{0, 1}, []uint16{2}))
 		connected(t, c)
-		require.Equal(t, Kept, c.Put(plain(), true, time.Second))
-		assert.True(t, c.view.Load().stores[1].suspect(c.now()))
+		require.Equal(t, Accepted, c.Put(plain(), true, time.Second))
+		assert.True(t, c.view.Load().stores[1].isSuspect(c.now()))
 		assert.Equal(t, 1, three.countPuts())
 	})
 }
@@ -352,16 +352,16 @@
 			one, two := newFakeStore(t), newFakeStore(t)
 			for _, s := range []*fakeStore{one, two} {
 				s.put = func(*wire.Put, int) *wire.PutReply {
-					time.Sleep(2 * putPatience)
+					time.Sleep(2 * minAttemptTimeout)
 					return &wire.PutReply{Code: wire.PutKept}
 				}
 			}
 			c, h := newClient(t)
 			c.SetView(placement(1, []*fakeStore{one, two}, []uint16{0, 1}, []uint16{1, 0}))
 			connected(t, c)
-			assert.Equal(t, Kept, c.Put(m, true, putPatience/2))
+			assert.Equal(t, Accepted, c.Put(m, true, minAttemptTimeout/2))
 			assert.Equal(t, 1, one.countPuts()+two.countPuts())
-			h.with(func() { assert.Len(t, h.kept, 1) })
+			h.with(func() { assert.Len(t, h.accepted, 1) })
 		}
 	})
 }
@@ -369,15 +369,15 @@
 func TestPatienceGrowsWithTheAnswers(t *testing.T) {
 	onFakeTime(t, func(t *testing.T) {
 		c, _ := newClient(t)
-		assert.Equal(t, putPatience, c.patience())
+		assert.Equal(t, minAttemptTimeout, c.attemptTimeout())
 		for range 50 {
-			c.sawAnswer(100 * time.Millisecond)
+			c.observeLatency(100 * time.Millisecond)
 		}
-		assert.InDelta(t, 400, c.patience().Milliseconds(), 10)
+		assert.InDelta(t, 400, c.attemptTimeout().Milliseconds(), 10)
 		for range 50 {
-			c.sawAnswer(time.Minute)
+			c.observeLatency(time.Minute)
 		}
-		assert.Equal(t, mostPatience, c.patience())
+		assert.Equal(t, maxAttemptTimeout, c.attemptTimeout())
 	})
 }
 
@@ -404,13 +404,13 @@
 		c.SetView(placement(1, []*fakeStore{one, two}, []uint16{0}, []uint16{1}))
 		connected(t, c)
 		m := plain()
-		require.Equal(t, Kept, c.Put(m, true, time.Second))
+		require.Equal(t, Accepted, c.Put(m, true, time.Second))
 		first := <-arrived
 		late.Send(&wire.PutReply{Code: wire.PutKept})
 		report := <-dropped
 		assert.Equal(t, first.Message.ID, report.ID)
 		assert.Equal(t, wire.ReportDropped, report.Kind)
-		h.with(func() { assert.Len(t, h.kept, 1); assert.Contains(t, h.kept, m.ID) })
+		h.with(func() { assert.Len(t, h.accepted, 1); assert.Contains(t, h.accepted, m.ID) })
 	})
 }
 
@@ -425,7 +425,7 @@
 		connected(t, c)
 		time.AfterFunc(60*time.Millisecond, func() { c.SetView(placement(2, stores, []uint16{1, 0})) })
 		m := ordered()
-		require.Equal(t, Kept, c.Put(m, true, time.Second))
+		require.Equal(t, Accepted, c.Put(m, true, time.Second))
 		one.with(func() {
 			for _, p := range one.puts {
 				assert.Equal(t, m.ID, p.Message.ID)
@@ -437,7 +437,7 @@
 			assert.Equal(t, m.ID, two.puts[0].Message.ID)
 			assert.EqualValues(t, 2, two.puts[0].Epoch)
 		})
-		h.with(func() { assert.Equal(t, map[string]bool{m.ID: true}, h.kept) })
+		h.with(func() { assert.Equal(t, map[string]bool{m.ID: true}, h.accepted) })
 	})
 }
 
@@ -453,9 +453,9 @@
 		c.SetView(placement(1, []*fakeStore{one}, []uint16{0}))
 		connected(t, c)
 		m := ordered()
-		require.Equal(t, Kept, c.Put(m, true, time.Second))
+		require.Equal(t, Accepted, c.Put(m, true, time.Second))
 		h.with(func() {
-			assert.Equal(t, map[string]bool{m.ID: true}, h.kept)
+			assert.Equal(t, map[string]bool{m.ID: true}, h.accepted)
 			assert.Empty(t, h.granted)
 		})
 	})
@@ -549,7 +549,7 @@
 	})
 }
 
-func TestReportSurvivesALostConnection(t *testing.T) {
+func TestReportSurvivesADisconnect(t *testing.T) {
 	onFakeTime(t, func(t *testing.T) {
 		one := newFakeStore(t)
 		one.report = func(_ *wire.Report, number int) wire.PutCode {
@@ -572,7 +572,7 @@
 	onFakeTime(t, func(t *testing.T) {
 		one, two := newFakeStore(t), newFakeStore(t)
 		c, h := newClient(t)
-		h.held = []string{"0.a", "1.b", "1.c"}
+		h.owned = []string{"0.a", "1.b", "1.c"}
 		two.claim = func(m *wire.Claim) *wire.ClaimReply {
 			if len(m.IDs) == 0 {
 				return &wire.ClaimReply{}
@@ -634,7 +634,7 @@
 		c.SetView(next)
 		connected(t, c)
 		assert.NotSame(t, before, c.view.Load().stores[0])
-		assert.Equal(t, Kept, c.Put(plain(), true, time.Second))
+		assert.Equal(t, Accepted, c.Put(plain(), true, time.Second))
 	})
 }
 
--- a/edge/queueclient/races_test.go
+++ b/edge/queueclient/races_test.go
@@ -30,9 +30,9 @@
 			c.Put(m, true, time.Second)
 			kept <- m.ID
 		}()
-		require.Eventually(t, func() bool { return len(c.putting()) == 1 }, soon, time.Millisecond)
+		require.Eventually(t, func() bool { return len(c.pendingPuts()) == 1 }, soon, time.Millisecond)
 		var id string
-		c.config.Held = func() []string {
+		c.config.Owned = func() []string {
 			close(answer)
 			id = <-kept
 			return nil // as it was before
@@ -44,40 +44,40 @@
 }
 
 // A grant comes over another connection while the edge is being told that the message is kept.
-func TestGrantWhileTheEdgeIsTold(t *testing.T) {
+func TestGrantWhileTheEdgeIsNotified(t *testing.T) {
 	onFakeTime(t, func(t *testing.T) {
 		one := newFakeStore(t)
 		c, h := newClient(t)
-		told := c.config.Kept
-		c.config.Kept = func(m *wire.Message, granted bool) {
-			c.granted(c.view.Load().stores[0].conn(), &wire.Grant{ID: m.ID})
+		notify := c.config.Accepted
+		c.config.Accepted = func(m *wire.Message, granted bool) {
+			c.handleGrant(c.view.Load().stores[0].conn(), &wire.Grant{ID: m.ID})
 			h.with(func() { assert.Empty(t, h.granted, "before the message is known") })
-			told(m, granted)
+			notify(m, granted)
 		}
 		c.SetView(placement(1, []*fakeStore{one}, []uint16{0}))
 		connected(t, c)
 		m := ordered()
-		require.Equal(t, Kept, c.Put(m, true, time.Second))
+		require.Equal(t, Accepted, c.Put(m, true, time.Second))
 		h.with(func() { assert.Equal(t, []string{m.ID}, h.granted) })
 	})
 }
 
-// heldBack is a store that answers reports when it is told to.
-type heldBack struct {
+// delayedStore is a store that answers reports when it is told to.
+type delayedStore struct {
 	mu      sync.Mutex
 	conn    *rpc.Conn
 	reports []wire.Report
 	replies []rpc.Reply
 }
 
-func (s *heldBack) count() int {
+func (s *delayedStore) count() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.reports)
 }
 
-func newHeldBack(t *testing.T) (*heldBack, *fakeStore) {
-	s := &heldBack{}
+func newDelayedStore(t *testing.T) (*delayedStore, *fakeStore) {
+	s := &delayedStore{}
 	mux := rpc.NewMux()
 	rpc.Handle(mux, wire.MethodAttach, func(c *rpc.Conn, _ *wire.Attach, reply rpc.Reply) {
 		s.mu.Lock()
@@ -99,7 +99,7 @@
 // A release is sent twice. The store takes the first and hands the message back to the same edge; the second is still on its way.
 func TestMessageIsNotTakenWhileItsReleaseIsOnItsWay(t *testing.T) {
 	onFakeTime(t, func(t *testing.T) {
-		s, store := newHeldBack(t)
+		s, store := newDelayedStore(t)
 		c, h := newClient(t)
 		c.SetView(placement(1, []*fakeStore{store}, []uint16{0}))
 		connected(t, c)
@@ -118,7 +118,7 @@
 		require.NoError(t, s.conn.Notify(wire.MethodGrant, grant))
 		require.Eventually(t, func() bool { h.mu.Lock(); defer h.mu.Unlock(); return len(h.granted) == 1 }, soon, time.Millisecond)
 		assert.Zero(t, c.Pending())
-		assert.Empty(t, c.reports.waiting)
+		assert.Empty(t, c.reports.pendingReports)
 	})
 }
 
@@ -132,7 +132,7 @@
 		c.SetView(placement(1, []*fakeStore{one, two}, []uint16{0, 1}, []uint16{1, 0}))
 		connected(t, c)
 		m := plain()
-		require.Equal(t, Kept, c.Put(m, true, soon))
+		require.Equal(t, Accepted, c.Put(m, true, soon))
 		require.Eventually(t, func() bool { return one.countReports() == one.countPuts() }, soon, time.Millisecond)
 		one.with(func() {
 			require.NotEmpty(t, one.puts)
@@ -155,7 +155,7 @@
 			c, _ := newClient(t)
 			c.SetView(placement(1, []*fakeStore{one}, []uint16{0}))
 			connected(t, c)
-			require.Equal(t, Unsure, c.Put(m, true, 60*time.Millisecond))
+			require.Equal(t, Unknown, c.Put(m, true, 60*time.Millisecond))
 			names := make(map[string]bool)
 			one.with(func() {
 				for _, p := range one.puts {
@@ -207,7 +207,7 @@
 			conn := c.view.Load().stores[0].conn()
 			return conn != nil && conn != earlier
 		}, soon, time.Millisecond)
-		c.granted(earlier, &wire.Grant{Epoch: 1, ID: "0.x", Whole: true})
+		c.handleGrant(earlier, &wire.Grant{Epoch: 1, ID: "0.x", Whole: true})
 		h.with(func() { assert.Empty(t, h.granted) })
 	})
 }
@@ -226,7 +226,7 @@
 		connected(t, c)
 		c.Report(wire.Report{ID: "0.done", Kind: wire.ReportDone})
 		c.Report(wire.Report{ID: "0.drop", Kind: wire.ReportDropped})
-		h.with(func() { h.held = []string{"0.done"} })
+		h.with(func() { h.owned = []string{"0.done"} })
 		require.Eventually(t, func() bool { return one.countReports() >= 2 }, soon, time.Millisecond)
 		claims := two.countClaims()
 		require.NotZero(t, claims)
--- a/edge/queueclient/report.go
+++ b/edge/queueclient/report.go
@@ -13,29 +13,29 @@
 type reports struct {
 	client *Client
 
-	mu      sync.Mutex
-	waiting map[string]*reporting
-	timer   host.Timer
-	wakeAt  time.Duration // 0: the timer does not run
-	stopped bool
+	mu             sync.Mutex
+	pendingReports map[string]*pendingReport
+	timer          host.Timer
+	wakeAt         time.Duration // 0: the timer does not run
+	stopped        bool
 }
 
-// reporting is what is to be told of one message.
-type reporting struct {
+// pendingReport is what is to be told of one message.
+type pendingReport struct {
 	queue  []wire.Report
 	sent   uint64        // number of the newest sending; answers to older ones only count if they acknowledge
-	due    time.Duration // when it is sent again
+	dueAt  time.Duration // when it is sent again
 	number uint64        // of the report at the head
 
 	releases int // sendings of a report that gives the message back without an answer
 }
 
-// over says whether nothing is to be told of the message any more, and nothing that was can still be taken.
-func (w *reporting) over() bool { return len(w.queue) == 0 && w.releases == 0 }
+// isDone says whether nothing is to be told of the message any more, and nothing that was can still be taken.
+func (w *pendingReport) isDone() bool { return len(w.queue) == 0 && w.releases == 0 }
 
 func (r *reports) init(c *Client) {
 	r.client = c
-	r.waiting = make(map[string]*reporting)
+	r.pendingReports = make(map[string]*pendingReport)
 }
 
 // Report tells the primary of a message's partition what became of a delivery, again until it is acknowledged. Partition and
@@ -48,10 +48,10 @@
 	report.Partition = partition
 	r := &c.reports
 	r.mu.Lock()
-	w := r.waiting[report.ID]
+	w := r.pendingReports[report.ID]
 	if w == nil {
-		w = &reporting{}
-		r.waiting[report.ID] = w
+		w = &pendingReport{}
+		r.pendingReports[report.ID] = w
 	}
 	w.queue = append(w.queue, report)
 	first := len(w.queue) == 1
@@ -65,7 +65,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	count := 0
-	for _, w := range r.waiting {
+	for _, w := range r.pendingReports {
 		if len(w.queue) > 0 {
 			count++
 		}
@@ -73,11 +73,11 @@
 	return count
 }
 
-// releasing says whether the message is being given back: a store that has taken that may be told so once more.
-func (r *reports) releasing(id string) bool {
+// isReleasing says whether the message is being given back: a store that has taken that may be told so once more.
+func (r *reports) isReleasing(id string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	w := r.waiting[id]
+	w := r.pendingReports[id]
 	return w != nil && (w.releases > 0 || slices.ContainsFunc(w.queue, isRelease))
 }
 
@@ -86,7 +86,7 @@
 // send sends the report at the head of a message's queue.
 func (r *reports) send(id string) {
 	r.mu.Lock()
-	w := r.waiting[id]
+	w := r.pendingReports[id]
 	if w == nil || len(w.queue) == 0 || r.stopped {
 		r.mu.Unlock()
 		return
@@ -94,8 +94,8 @@
 	report := w.queue[0]
 	w.sent++
 	sent, number := w.sent, w.number
-	w.due = r.client.now() + reportPatience
-	r.wake(w.due)
+	w.dueAt = r.client.now() + reportTimeout
+	r.wakeBy(w.dueAt)
 	r.mu.Unlock()
 
 	v := r.client.view.Load()
@@ -111,41 +111,41 @@
 		return // it is sent again once the connection is up, or another store is the primary
 	}
 	report.Epoch = v.Epoch
-	r.count(w, &report, 1)
+	r.countRelease(w, &report, 1)
 	conn.Start(wire.MethodReport, &report, func(payload []byte, err error) {
 		reply := wire.ReportReply{Code: wire.PutUnknown}
 		if err == nil {
 			_, err = reply.UnmarshalMsg(payload)
 		}
-		r.count(w, &report, -1)
-		r.answered(id, number, sent, err == nil && reply.Code == wire.PutKept)
+		r.countRelease(w, &report, -1)
+		r.handleReply(id, number, sent, err == nil && reply.Code == wire.PutKept)
 	})
 }
 
-// count counts the sendings of a release that have no answer.
-func (r *reports) count(w *reporting, report *wire.Report, change int) {
+// countRelease counts the sendings of a release that have no answer.
+func (r *reports) countRelease(w *pendingReport, report *wire.Report, change int) {
 	if !isRelease(*report) {
 		return
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	w.releases += change
-	if w.over() {
-		delete(r.waiting, report.ID)
+	if w.isDone() {
+		delete(r.pendingReports, report.ID)
 	}
 }
 
-func (r *reports) answered(id string, number, sent uint64, kept bool) {
+func (r *reports) handleReply(id string, number, sent uint64, accepted bool) {
 	r.mu.Lock()
-	w := r.waiting[id]
+	w := r.pendingReports[id]
 	if w == nil || w.number != number {
 		r.mu.Unlock()
 		return
 	}
-	if !kept {
+	if !accepted {
 		if w.sent == sent {
-			w.due = r.client.now() + reportPause
-			r.wake(w.due)
+			w.dueAt = r.client.now() + reportRetryPause
+			r.wakeBy(w.dueAt)
 		}
 		r.mu.Unlock()
 		return
@@ -154,8 +154,8 @@
 	w.queue = w.queue[1:]
 	w.number++
 	last := len(w.queue) == 0
-	if w.over() {
-		delete(r.waiting, id)
+	if w.isDone() {
+		delete(r.pendingReports, id)
 	}
 	r.mu.Unlock()
 	if kind != wire.ReportFailed {
@@ -170,8 +170,8 @@
 func (r *reports) ids() []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	ids := make([]string, 0, len(r.waiting))
-	for id, w := range r.waiting {
+	ids := make([]string, 0, len(r.pendingReports))
+	for id, w := range r.pendingReports {
 		if len(w.queue) > 0 {
 			ids = append(ids, id)
 		}
@@ -187,7 +187,7 @@
 	}
 }
 
-func (r *reports) wake(at time.Duration) {
+func (r *reports) wakeBy(at time.Duration) {
 	if r.stopped || r.wakeAt != 0 && r.wakeAt <= at {
 		return
 	}
@@ -204,17 +204,17 @@
 	r.wakeAt = 0
 	now, next := r.client.now(), time.Duration(0)
 	var due []string
-	for id, w := range r.waiting {
+	for id, w := range r.pendingReports {
 		switch {
 		case len(w.queue) == 0:
-		case w.due <= now:
+		case w.dueAt <= now:
 			due = append(due, id)
-		case next == 0 || w.due < next:
-			next = w.due
+		case next == 0 || w.dueAt < next:
+			next = w.dueAt
 		}
 	}
 	if next > 0 {
-		r.wake(next)
+		r.wakeBy(next)
 	}
 	r.mu.Unlock()
 	slices.Sort(due)
--- a/edge/queueclient/store.go
+++ b/edge/queueclient/store.go
@@ -17,18 +17,18 @@
 	link         host.Link
 	suspectUntil atomic.Int64 // steady time of the client
 	unanswered   atomic.Int64 // puts that it owes an answer, as a primary
-	keptAt       atomic.Int64 // steady time of the client at which it kept a message last, as a primary
+	acceptedAt   atomic.Int64 // steady time of the client at which it kept a message last, as a primary
 }
 
 func newStore(c *Client, entry *wire.Store) *store {
 	s := &store{client: c, address: entry.Address}
-	s.link = c.host.Connect(entry.Address, c.config.Options, s.up, nil)
+	s.link = c.host.Connect(entry.Address, c.config.Options, s.connected, nil)
 	return s
 }
 
 func (s *store) conn() *rpc.Conn { return s.link.Conn() }
 
-func (s *store) up(conn *rpc.Conn) {
+func (s *store) connected(conn *rpc.Conn) {
 	s.attach(conn)
 	s.client.reports.resend()
 	s.claimOn(conn)
@@ -55,19 +55,19 @@
 	if conn == nil || v == nil {
 		return
 	}
-	putting := s.client.putting() // in the order in which messages go through the lists: none slips by
-	held := slices.Sorted(slices.Values(s.client.config.Held()))
+	pending := s.client.pendingPuts() // in the order in which messages go through the lists: none slips by
+	owned := slices.Sorted(slices.Values(s.client.config.Owned()))
 	reporting := s.client.reports.ids()
 	claim := &wire.Claim{Epoch: v.Epoch}
-	kept, claimed := make(map[string]bool), make(map[string]bool)
-	for _, id := range held {
-		if v.leads(s, id) {
+	ownedHere, claimed := make(map[string]bool), make(map[string]bool)
+	for _, id := range owned {
+		if v.isPrimary(s, id) {
 			claim.IDs = append(claim.IDs, id)
-			kept[id], claimed[id] = true, true
+			ownedHere[id], claimed[id] = true, true
 		}
 	}
-	for _, id := range append(putting, reporting...) {
-		if v.leads(s, id) && !claimed[id] {
+	for _, id := range append(pending, reporting...) {
+		if v.isPrimary(s, id) && !claimed[id] {
 			claimed[id] = true
 			claim.IDs = append(claim.IDs, id)
 		}
@@ -80,13 +80,13 @@
 		if err != nil {
 			return // a lost connection claims again when it is back
 		}
-		s.claimed(conn, v, kept, reply)
+		s.handleClaimReply(conn, v, ownedHere, reply)
 	})
 }
 
-func (s *store) claimed(conn *rpc.Conn, v *view, kept map[string]bool, reply *wire.ClaimReply) {
+func (s *store) handleClaimReply(conn *rpc.Conn, v *view, owned map[string]bool, reply *wire.ClaimReply) {
 	if reply.Code != wire.PutKept {
-		s.client.host.AfterFunc(claimPause, func() {
+		s.client.host.AfterFunc(claimRetryPause, func() {
 			if conn.Err() == nil && s.client.view.Load() == v { // else there is another claim
 				s.claimOn(conn)
 			}
@@ -94,33 +94,33 @@
 		return
 	}
 	for _, id := range reply.Unknown {
-		if kept[id] { // a put or a report under way settles itself
+		if owned[id] { // a put or a report under way settles itself
 			s.client.config.Unknown(id)
 		}
 	}
 }
 
-func (v *view) leads(s *store, id string) bool {
+func (v *view) isPrimary(s *store, id string) bool {
 	partition, ok := wire.PartitionOf(id)
 	return ok && v.primary(partition) == s
 }
 
-// suspect says whether something tells against the store: it isn't connected, or left a put unanswered.
-func (s *store) suspect(now time.Duration) bool {
+// isSuspect says whether something tells against the store: it isn't connected, or left a put unanswered.
+func (s *store) isSuspect(now time.Duration) bool {
 	return time.Duration(s.suspectUntil.Load()) > now || s.conn() == nil
 }
 
-func (s *store) kept(now time.Duration) { s.keptAt.Store(int64(now)) }
+func (s *store) recordAccepted(now time.Duration) { s.acceptedAt.Store(int64(now)) }
 
-// keptSince says whether it kept a message after a time.
-func (s *store) keptSince(at time.Duration) bool {
-	kept := time.Duration(s.keptAt.Load())
+// acceptedSince says whether it kept a message after a time.
+func (s *store) acceptedSince(at time.Duration) bool {
+	kept := time.Duration(s.acceptedAt.Load())
 	return kept > 0 && kept >= at
 }
 
-func (s *store) blame(now time.Duration) { s.suspectUntil.Store(int64(now + suspectFor)) }
+func (s *store) markSuspect(now time.Duration) { s.suspectUntil.Store(int64(now + suspectTimeout)) }
 
-func (s *store) clear() {
+func (s *store) clearSuspect() {
 	if s.suspectUntil.Load() != 0 {
 		s.suspectUntil.Store(0)
 	}
--- a/edge/worker/answer.go
+++ b/edge/worker/answer.go
@@ -27,8 +27,8 @@
 	requestID   string
 	signature   string
 	notExecuted bool
-	keep        bool          // the connection may be used again
-	idle        time.Duration // how long the worker keeps it
+	reusable    bool          // the connection may be used again
+	idleTimeout time.Duration // how long the worker keeps it
 }
 
 // readAnswer reads a whole answer; any error means that it was cut or garbled.
@@ -46,11 +46,11 @@
 		requestID:   string(bytes.Join(ids, nil)),
 		signature:   string(header.Peek("Signature")),
 		notExecuted: len(header.Peek("Not-Executed")) > 0,
-		keep:        !header.ConnectionClose(),
-		idle:        keepAlive(string(header.Peek("Keep-Alive"))),
+		reusable:    !header.ConnectionClose(),
+		idleTimeout: keepAlive(string(header.Peek("Keep-Alive"))),
 	}
 	endless, err := skipBody(reader, header, method)
-	a.keep = a.keep && !endless
+	a.reusable = a.reusable && !endless
 	return a, err
 }
 
@@ -73,7 +73,7 @@
 
 // keepAlive reads the time-out of a Keep-Alive field, and shortens it by the margin.
 func keepAlive(field string) time.Duration {
-	idle := defaultIdle
+	idle := defaultIdleTimeout
 	for part := range strings.SplitSeq(field, ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(part), "=")
 		seconds, err := strconv.ParseFloat(strings.TrimSpace(value), 64)
@@ -188,9 +188,9 @@
 	case a.status == fasthttp.StatusInternalServerError:
 		return Failed
 	case a.status == fasthttp.StatusUnprocessableEntity:
-		return Refused
+		return Rejected
 	case a.status == fasthttp.StatusConflict:
-		return Repeat
+		return Duplicate
 	}
 	return Broken
 }
@@ -198,9 +198,9 @@
 func classifyNotRun(status int) Outcome {
 	switch status {
 	case fasthttp.StatusServiceUnavailable, fasthttp.StatusTooManyRequests:
-		return Full
+		return AtCapacity
 	case fasthttp.StatusConflict:
-		return Repeat
+		return Duplicate
 	}
 	return NotRun
 }
