--- a/edge/worker/answers_test.go
+++ b/edge/worker/answer_test.go
@@ -20,18 +20,20 @@
 // longBody is more than the buffers of a connection take.
 const longBody = 8 << 20
 
-// said writes an answer with a length.
-func said(status, requestID, more string) string {
+// answerWithLength writes an answer with a length.
+func answerWithLength(status, requestID, more string) string {
 	return "HTTP/1.1 " + status + "\r\nRequest-Id: " + requestID + "\r\n" + more + "Content-Length: 0\r\n\r\n"
 }
 
 func done(requestID string) string {
-	return said("200 OK", requestID, "Signature: "+requestID+"\r\n")
+	return answerWithLength("200 OK", requestID, "Signature: "+requestID+"\r\n")
 }
 
-func failed(requestID string) string { return said("500 Failed", requestID, "") }
+func failed(requestID string) string { return answerWithLength("500 Failed", requestID, "") }
 
-func full(requestID string) string { return said("503 Full", requestID, "Not-Executed: true\r\n") }
+func full(requestID string) string {
+	return answerWithLength("503 Full", requestID, "Not-Executed: true\r\n")
+}
 
 func named(address, requestID string) *Delivery {
 	d := delivery(address)
@@ -43,12 +45,12 @@
 func scripted(t *testing.T, answers map[[2]int]string) (address string, requests *atomic.Int32) {
 	requests = new(atomic.Int32)
 	address = script(t, func(number int, conn net.Conn, reader *bufio.Reader) {
-		for place := 0; ; place++ {
+		for index := 0; ; index++ {
 			if _, _, err := readRequest(reader); err != nil {
 				return
 			}
 			requests.Add(1)
-			if _, err := io.WriteString(conn, answers[[2]int{number, place}]); err != nil {
+			if _, err := io.WriteString(conn, answers[[2]int{number, index}]); err != nil {
 				return
 			}
 		}
@@ -65,35 +67,35 @@
 }
 
 // lateAnswer has a worker answer an earlier request a second time, just as another has come.
-func lateAnswer(t *testing.T, m mutant) (second Result, requests int32) {
+func lateAnswer(t *testing.T, m mutations) (second Result, requests int32) {
 	address, count := scripted(t, map[[2]int]string{
 		{0, 0}: done("id-1"),
-		{0, 1}: said("422 Never", "id-1", "") + done("id-2"),
+		{0, 1}: answerWithLength("422 Never", "id-1", "") + done("id-2"),
 		{1, 0}: done("id-2"),
 	})
 	client := patientClient()
 	defer client.Close()
-	client.mutant = m
+	client.mutations = m
 	require.Equal(t, Done, deliver(client, named(address, "id-1")).Outcome)
 	second = deliver(client, named(address, "id-2"))
 	assert.Zero(t, client.pools["i-1"].open, "a connection with answers that belong to nobody is not kept")
 	return second, count.Load()
 }
 
-func TestLateAnswerIsReadPast(t *testing.T) {
-	result, requests := lateAnswer(t, mutant{})
+func TestLateAnswerIsSkipped(t *testing.T) {
+	result, requests := lateAnswer(t, mutations{})
 	assert.Equal(t, Done, result.Outcome)
 	assert.Equal(t, "id-2", result.Signature)
 	assert.EqualValues(t, 2, requests, "it is not sent again")
 }
 
-func TestMutantThatTakesForeignAnswersIsCaught(t *testing.T) {
-	result, _ := lateAnswer(t, mutant{takesForeign: true})
-	assert.Equal(t, Refused, result.Outcome, "the other message's end")
+func TestMutationThatAcceptsForeignAnswersIsCaught(t *testing.T) {
+	result, _ := lateAnswer(t, mutations{acceptsForeign: true})
+	assert.Equal(t, Rejected, result.Outcome, "the other message's end")
 }
 
 // secondAnswer has a worker answer an attempt twice, the second time as the next attempt has come.
-func secondAnswer(t *testing.T, m mutant, first string) (second Result) {
+func secondAnswer(t *testing.T, m mutations, first string) (second Result) {
 	address, _ := scripted(t, map[[2]int]string{
 		{0, 0}: first,
 		{0, 1}: first, // and the run goes on
@@ -101,7 +103,7 @@
 	})
 	client := patientClient()
 	defer client.Close()
-	client.mutant = m
+	client.mutations = m
 	deliver(client, named(address, "id-1"))
 	return deliver(client, named(address, "id-1"))
 }
@@ -109,24 +111,24 @@
 // All attempts of a message have the same id: only the connection tells their answers apart.
 func TestSecondAnswerToAnAttemptIsNotTakenForThatToTheNext(t *testing.T) {
 	for name, first := range map[string]string{
-		"failed": failed("id-1"), "full": full("id-1"), "repeat": said("409 Runs", "id-1", "Not-Executed: true\r\n"),
+		"failed": failed("id-1"), "full": full("id-1"), "repeat": answerWithLength("409 Runs", "id-1", "Not-Executed: true\r\n"),
 	} {
 		t.Run(name, func(t *testing.T) {
-			assert.Equal(t, Done, secondAnswer(t, mutant{}, first).Outcome)
+			assert.Equal(t, Done, secondAnswer(t, mutations{}, first).Outcome)
 		})
 	}
 }
 
-func TestMutantThatCarriesAMessageAgainIsCaught(t *testing.T) {
-	assert.Equal(t, Failed, secondAnswer(t, mutant{carriesAgain: true}, failed("id-1")).Outcome, "counted twice")
+func TestMutationThatResendsOnAConnectionIsCaught(t *testing.T) {
+	assert.Equal(t, Failed, secondAnswer(t, mutations{resendsOnConnection: true}, failed("id-1")).Outcome, "counted twice")
 }
 
 // The limit holds though the only connection may not carry the message again.
-func TestConnectionThatMayNotCarryAMessageMakesRoom(t *testing.T) {
+func TestConnectionThatMayNotSendAMessageIsReplaced(t *testing.T) {
 	address, _ := scripted(t, map[[2]int]string{{0, 0}: failed("id-1"), {1, 0}: done("id-1"), {1, 1}: done("id-2")})
 	client := patientClient()
 	defer client.Close()
-	client.Limit(map[string]Share{"i-1": {Most: 1}})
+	client.SetLimits(map[string]Share{"i-1": {Max: 1}})
 	assert.Equal(t, Failed, deliver(client, named(address, "id-1")).Outcome)
 	assert.Equal(t, Done, deliver(client, named(address, "id-1")).Outcome)
 	assert.Equal(t, Done, deliver(client, named(address, "id-2")).Outcome, "on the connection that has replaced it")
@@ -147,7 +149,7 @@
 	})
 	client := patientClient()
 	defer client.Close()
-	for i := range 2*mostCarried + 2 {
+	for i := range 2*maxUnresolved + 2 {
 		require.Equal(t, Failed, deliver(client, named(address, fmt.Sprint(i))).Outcome)
 	}
 	assert.EqualValues(t, 2, conns.Load())
@@ -159,12 +161,12 @@
 	address, _ := scripted(t, map[[2]int]string{{0, 0}: unnamed, {0, 1}: unnamed})
 	client := patientClient()
 	defer client.Close()
-	assert.Equal(t, Full, deliver(client, named(address, "id-1")).Outcome)
+	assert.Equal(t, AtCapacity, deliver(client, named(address, "id-1")).Outcome)
 	assert.Equal(t, Broken, deliver(client, named(address, "id-2")).Outcome)
 }
 
 func TestAnswerOfTwoRequestsIsNobodys(t *testing.T) {
-	address, _ := scripted(t, map[[2]int]string{{0, 0}: said("200 OK", "id-1", "Signature: s\r\nRequest-Id: id-2\r\n")})
+	address, _ := scripted(t, map[[2]int]string{{0, 0}: answerWithLength("200 OK", "id-1", "Signature: s\r\nRequest-Id: id-2\r\n")})
 	client := patientClient()
 	defer client.Close()
 	assert.Equal(t, Broken, deliver(client, named(address, "id-1")).Outcome)
@@ -173,7 +175,7 @@
 // What comes after an answer, or between requests, belongs to no request: the connection is given up.
 func TestConnectionWithSomethingToReadIsNotUsed(t *testing.T) {
 	more := map[string]string{
-		"a second answer": said("422 Never", "id-2", ""), "no answer": "x\r\n", "a rest": strings.Repeat("x", 3*readBuffer),
+		"a second answer": answerWithLength("422 Never", "id-2", ""), "no answer": "x\r\n", "a rest": strings.Repeat("x", 3*readBuffer),
 	}
 	for name, extra := range more {
 		t.Run("at once, "+name, func(t *testing.T) {
@@ -201,7 +203,7 @@
 			defer client.Close()
 			require.Equal(t, Done, deliver(client, named(address, "id-1")).Outcome)
 			close(kept)
-			awaitWord(t, client)
+			awaitReadable(t, client)
 			assert.Equal(t, Done, deliver(client, named(address, "id-2")).Outcome)
 		})
 	}
@@ -246,8 +248,8 @@
 		answer string
 		want   Outcome
 	}{
-		"full": {full("id-1"), Full}, "failed": {failed("id-1"), Failed}, "refused": {said("422 Never", "id-1", ""), Refused},
-		"of another": {done("id-2"), Broken}, "without a length": {"HTTP/1.1 503 Full\r\nRequest-Id: id-1\r\nNot-Executed: 1\r\n\r\n", Full},
+		"full": {full("id-1"), AtCapacity}, "failed": {failed("id-1"), Failed}, "refused": {answerWithLength("422 Never", "id-1", ""), Rejected},
+		"of another": {done("id-2"), Broken}, "without a length": {"HTTP/1.1 503 Full\r\nRequest-Id: id-1\r\nNot-Executed: 1\r\n\r\n", AtCapacity},
 		"garbled": {"HTTP/1.1 9\r\n\r\n", Broken},
 	}
 	for ending, then := range ends {
@@ -268,25 +270,25 @@
 
 // A worker that reads nothing does not hold its answer up, nor a cancel.
 func TestWorkerThatDoesNotReadIsHeardAndLeft(t *testing.T) {
-	gone := make(chan struct{})
-	defer close(gone)
+	finished := make(chan struct{})
+	defer close(finished)
 	answered := make(chan struct{})
 	address := early(t, full("id-1"), func(net.Conn) {
 		close(answered)
-		<-gone
+		<-finished
 	})
 	client := patientClient()
 	defer client.Close()
 	d := named(address, "id-1")
 	d.Body = make([]byte, longBody)
-	assert.Equal(t, Full, deliver(client, d).Outcome)
+	assert.Equal(t, AtCapacity, deliver(client, d).Outcome)
 	<-answered
 	assert.Zero(t, client.pools["i-1"].open, "the request did not go out whole")
 
 	heard := make(chan struct{})
 	d.Address = early(t, "", func(net.Conn) {
 		close(heard)
-		<-gone
+		<-finished
 	})
 	result := make(chan Result, 1)
 	call := client.Start(d, func(r Result) { result <- r })
@@ -322,26 +324,26 @@
 }
 
 // The end of an answer that comes after the time given to the worker, and the slack, is not waited for, and no later request gets it.
-func TestAnswerThatIsNotWholeAtTheDeadlineIsUnknown(t *testing.T) {
+func TestAnswerThatIsIncompleteAtTheDeadlineIsUnknown(t *testing.T) {
 	rest := make(chan struct{})
 	address := script(t, func(number int, conn net.Conn, reader *bufio.Reader) {
 		if _, _, err := readRequest(reader); err != nil {
 			return
 		}
-		whole := done("id-1")
+		complete := done("id-1")
 		if number > 0 {
-			_, _ = io.WriteString(conn, whole)
+			_, _ = io.WriteString(conn, complete)
 			return
 		}
-		_, _ = io.WriteString(conn, whole[:len(whole)-1])
+		_, _ = io.WriteString(conn, complete[:len(complete)-1])
 		<-rest
-		_, _ = io.WriteString(conn, whole[len(whole)-1:])
+		_, _ = io.WriteString(conn, complete[len(complete)-1:])
 	})
 	client := patientClient()
 	defer client.Close()
 	d := named(address, "id-1")
 	d.Limit = time.Millisecond
-	require.Equal(t, Silent, deliver(client, d).Outcome)
+	require.Equal(t, TimedOut, deliver(client, d).Outcome)
 	assert.Zero(t, client.pools["i-1"].open)
 	close(rest)
 	assert.Equal(t, Done, deliver(client, named(address, "id-1")).Outcome)
@@ -352,11 +354,11 @@
 	address, _ := scripted(t, map[[2]int]string{{0, 0}: done("id-1"), {1, 0}: done("id-1")})
 	for _, scarce := range []bool{false, true} {
 		client := patientClient()
-		client.Limit(map[string]Share{"i-1": {Most: 1, Scarce: scarce}})
+		client.SetLimits(map[string]Share{"i-1": {Max: 1, Scarce: scarce}})
 		require.Equal(t, Done, deliver(client, named(address, "id-1")).Outcome)
 		client.mu.Lock()
 		for _, conn := range client.pools["i-1"].idle {
-			assert.Equal(t, !scarce, conn.until-client.now() > scarceIdle)
+			assert.Equal(t, !scarce, conn.expiresAt-client.now() > scarceIdleTimeout)
 		}
 		client.mu.Unlock()
 		client.Close()
--- a/edge/worker/client.go
+++ b/edge/worker/client.go
@@ -9,9 +9,9 @@
 
 // Client has the connections to all workers. Its methods may be called by any goroutine.
 type Client struct {
-	started time.Time
-	dial    func(ctx context.Context, address string) (*connection, error)
-	mutant  mutant
+	started   time.Time
+	dial      func(ctx context.Context, address string) (*connection, error)
+	mutations mutations
 
 	mu     sync.Mutex
 	pools  map[string]*pool
@@ -22,10 +22,10 @@
 
 // pool has the connections to one worker.
 type pool struct {
-	share Share
-	open  int // connections, and those that are being made
-	idle  []*connection
-	gone  bool // no longer named: what is open is closed after use
+	share   Share
+	open    int // connections, and those that are being made
+	idle    []*connection
+	retired bool // no longer named: what is open is closed after use
 }
 
 // NewClient returns a client without connections.
@@ -37,20 +37,20 @@
 
 // Share is what a sender may have of a worker's connections.
 type Share struct {
-	Most   int  // connections that may be open; 0: no bound
+	Max    int  // connections that may be open; 0: no bound
 	Scarce bool // the worker takes fewer than there are senders: an idle one keeps another sender out
 }
 
-// Limit sets the shares of workers, by name. Idle connections to workers that it does not name are
+// SetLimits sets the shares of workers, by name. Idle connections to workers that it does not name are
 // closed, and those in use after their delivery.
-func (c *Client) Limit(shares map[string]Share) {
+func (c *Client) SetLimits(shares map[string]Share) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for name, p := range c.pools {
 		if _, named := shares[name]; named {
 			continue
 		}
-		p.gone = true
+		p.retired = true
 		p.closeIdle()
 		if p.open == 0 {
 			delete(c.pools, name)
@@ -58,7 +58,7 @@
 	}
 	for name, share := range shares {
 		p := c.pool(name)
-		p.share, p.gone = share, false
+		p.share, p.retired = share, false
 	}
 }
 
@@ -101,8 +101,8 @@
 	}
 }
 
-// use makes a connection the call's own to close, unless the call was cancelled.
-func (call *Call) use(conn *connection) bool {
+// bind makes a connection the call's own to close, unless the call was cancelled.
+func (call *Call) bind(conn *connection) bool {
 	call.mu.Lock()
 	defer call.mu.Unlock()
 	if call.cancelled {
@@ -112,8 +112,8 @@
 	return true
 }
 
-// release ends the call's hold on its connection and says whether it was cancelled.
-func (call *Call) release() bool {
+// unbind ends the call's hold on its connection and says whether it was cancelled.
+func (call *Call) unbind() bool {
 	call.mu.Lock()
 	defer call.mu.Unlock()
 	call.conn = nil
@@ -138,56 +138,56 @@
 
 func (c *Client) deliver(ctx context.Context, call *Call) Result {
 	d := call.delivery
-	conn, outcome := c.take(ctx, d)
+	conn, outcome := c.acquire(ctx, d)
 	if conn == nil {
 		return Result{Outcome: outcome}
 	}
-	if !call.use(conn) {
-		c.give(d.Worker, conn, 0)
+	if !call.bind(conn) {
+		c.release(d.Worker, conn, 0)
 		return Result{Outcome: Cancelled}
 	}
 	outcome, a := conn.exchange(d)
-	if call.release() {
-		c.give(d.Worker, conn, 0)
-		if outcome == Done || outcome == Failed || outcome == Refused { // the answer had come whole
+	if call.unbind() {
+		c.release(d.Worker, conn, 0)
+		if outcome == Done || outcome == Failed || outcome == Rejected { // the answer had come whole
 			return Result{Outcome: outcome, Signature: a.signature}
 		}
 		return Result{Outcome: Cancelled}
 	}
-	idle := a.idle
-	if !a.keep || outcome.MayHaveRun() || outcome == WrongWorker || len(conn.carried) > mostCarried {
+	idle := a.idleTimeout
+	if !a.reusable || outcome.MayHaveRun() || outcome == WrongWorker || len(conn.unresolved) > maxUnresolved {
 		idle = 0
 	}
-	c.give(d.Worker, conn, idle)
+	c.release(d.Worker, conn, idle)
 	return Result{Outcome: outcome, Signature: a.signature}
 }
 
-// take returns a connection to a worker: an idle one if it is still open, or a new one.
-func (c *Client) take(ctx context.Context, d *Delivery) (*connection, Outcome) {
+// acquire returns a connection to a worker: an idle one if it is still open, or a new one.
+func (c *Client) acquire(ctx context.Context, d *Delivery) (*connection, Outcome) {
 	for {
-		conn, room := c.reserve(d.Worker, d.RequestID)
-		if !room {
-			return nil, NoRoom
+		conn, reserved := c.reserve(d.Worker, d.RequestID)
+		if !reserved {
+			return nil, NoConnection
 		}
 		if conn == nil {
 			break
 		}
-		if conn.quiet() {
+		if conn.isIdle() {
 			return conn, Done
 		}
-		c.give(d.Worker, conn, 0)
+		c.release(d.Worker, conn, 0)
 	}
 	conn, err := c.dial(ctx, d.Address)
 	if err != nil {
 		c.unreserve(d.Worker)
 		return nil, Unreachable
 	}
-	conn.mutant = c.mutant
+	conn.mutations = c.mutations
 	return conn, Done
 }
 
 // reserve takes an idle connection that may carry the message, or else room for a new one.
-func (c *Client) reserve(name, requestID string) (conn *connection, room bool) {
+func (c *Client) reserve(name, requestID string) (conn *connection, reserved bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	p := c.pool(name)
@@ -195,7 +195,7 @@
 	if conn = p.pick(requestID); conn != nil {
 		return conn, true
 	}
-	if p.share.Most > 0 && p.open >= p.share.Most {
+	if p.share.Max > 0 && p.open >= p.share.Max {
 		if len(p.idle) == 0 {
 			return nil, false
 		}
@@ -208,7 +208,7 @@
 // pick takes the idle connection that was used last of those that may carry a message; nil: there is none.
 func (p *pool) pick(requestID string) *connection {
 	for i := len(p.idle) - 1; i >= 0; i-- {
-		if conn := p.idle[i]; conn.mayCarry(requestID) {
+		if conn := p.idle[i]; conn.maySend(requestID) {
 			p.idle = slices.Delete(p.idle, i, i+1)
 			return conn
 		}
@@ -225,7 +225,7 @@
 // closeExpired closes idle connections whose time has passed.
 func (p *pool) closeExpired(now time.Duration) {
 	p.idle = slices.DeleteFunc(p.idle, func(conn *connection) bool {
-		if conn.until > now {
+		if conn.expiresAt > now {
 			return false
 		}
 		_ = conn.socket.Close()
@@ -237,36 +237,36 @@
 func (c *Client) unreserve(name string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.drop(name)
+	c.removeConnection(name)
 }
 
-func (c *Client) drop(name string) {
+func (c *Client) removeConnection(name string) {
 	p := c.pool(name)
 	p.open--
-	if p.open == 0 && p.gone {
+	if p.open == 0 && p.retired {
 		delete(c.pools, name)
 	}
 }
 
-// give takes a connection back, to be kept for a time, or to be closed where that is 0.
-func (c *Client) give(name string, conn *connection, idle time.Duration) {
+// release takes a connection back, to be kept for a time, or to be closed where that is 0.
+func (c *Client) release(name string, conn *connection, idle time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	p := c.pool(name)
-	if idle <= 0 || p.gone || c.closed || p.share.Most > 0 && p.open > p.share.Most {
+	if idle <= 0 || p.retired || c.closed || p.share.Max > 0 && p.open > p.share.Max {
 		_ = conn.socket.Close()
-		c.drop(name)
+		c.removeConnection(name)
 		return
 	}
 	if p.share.Scarce {
-		idle = min(idle, scarceIdle)
+		idle = min(idle, scarceIdleTimeout)
 	}
-	conn.until = c.now() + idle
+	conn.expiresAt = c.now() + idle
 	p.idle = append(p.idle, conn)
-	c.wake(conn.until)
+	c.sweepAt(conn.expiresAt)
 }
 
-func (c *Client) wake(at time.Duration) {
+func (c *Client) sweepAt(at time.Duration) {
 	if c.wakeAt != 0 && c.wakeAt <= at {
 		return
 	}
@@ -287,13 +287,13 @@
 	for _, p := range c.pools {
 		p.closeExpired(now)
 		for _, conn := range p.idle {
-			if next == 0 || conn.until < next {
-				next = conn.until
+			if next == 0 || conn.expiresAt < next {
+				next = conn.expiresAt
 			}
 		}
 	}
 	if next > 0 {
-		c.wake(next)
+		c.sweepAt(next)
 	}
 }
 
--- a/edge/worker/client_test.go
+++ b/edge/worker/client_test.go
@@ -85,37 +85,37 @@
 
 func TestOutcomes(t *testing.T) {
 	const (
-		whole = "Request-Id: id-1\r\nContent-Length: 2\r\n\r\nok"
-		mine  = "Request-Id: id-1\r\n"
+		complete = "Request-Id: id-1\r\nContent-Length: 2\r\n\r\nok"
+		mine     = "Request-Id: id-1\r\n"
 	)
 	cases := map[string]struct {
 		answer string
 		want   Outcome
 	}{
-		"done":                      {"HTTP/1.1 200 OK\r\nSignature: s\r\n" + whole, Done},
+		"done":                      {"HTTP/1.1 200 OK\r\nSignature: s\r\n" + complete, Done},
 		"done, no content":          {"HTTP/1.1 204 No Content\r\nSignature: s\r\n" + mine + "\r\n", Done},
 		"done, in chunks":           {"HTTP/1.1 200 OK\r\nSignature: s\r\n" + mine + "Transfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n", Done},
-		"done, after an interim":    {"HTTP/1.1 102 Processing\r\n\r\nHTTP/1.1 200 OK\r\nSignature: s\r\n" + whole, Done},
-		"no signature":              {"HTTP/1.1 200 OK\r\n" + whole, Broken},
+		"done, after an interim":    {"HTTP/1.1 102 Processing\r\n\r\nHTTP/1.1 200 OK\r\nSignature: s\r\n" + complete, Done},
+		"no signature":              {"HTTP/1.1 200 OK\r\n" + complete, Broken},
 		"of another request":        {"HTTP/1.1 200 OK\r\nSignature: s\r\nRequest-Id: id-2\r\nContent-Length: 0\r\n\r\n", Broken},
 		"of no request":             {"HTTP/1.1 200 OK\r\nSignature: s\r\nContent-Length: 0\r\n\r\n", Broken},
-		"failed":                    {"HTTP/1.1 500 Failed\r\n" + whole, Failed},
+		"failed":                    {"HTTP/1.1 500 Failed\r\n" + complete, Failed},
 		"failed, another request":   {"HTTP/1.1 500 Failed\r\nRequest-Id: id-2\r\nContent-Length: 0\r\n\r\n", Broken},
-		"refused":                   {"HTTP/1.1 422 Never\r\n" + whole, Refused},
+		"refused":                   {"HTTP/1.1 422 Never\r\n" + complete, Rejected},
 		"refused, another request":  {"HTTP/1.1 422 Never\r\nRequest-Id: id-2\r\nContent-Length: 0\r\n\r\n", Broken},
-		"full":                      {"HTTP/1.1 503 Full\r\nNot-Executed: 1\r\n" + whole, Full},
-		"over the ceiling":          {"HTTP/1.1 429 Slow\r\nNot-Executed: 1\r\n" + whole, Full},
-		"running elsewhere":         {"HTTP/1.1 409 Runs\r\nNot-Executed: 1\r\n" + whole, Repeat},
+		"full":                      {"HTTP/1.1 503 Full\r\nNot-Executed: 1\r\n" + complete, AtCapacity},
+		"over the ceiling":          {"HTTP/1.1 429 Slow\r\nNot-Executed: 1\r\n" + complete, AtCapacity},
+		"running elsewhere":         {"HTTP/1.1 409 Runs\r\nNot-Executed: 1\r\n" + complete, Duplicate},
 		"not run":                   {"HTTP/1.1 400 Bad\r\nNot-Executed: 1\r\nContent-Length: 0\r\n\r\n", NotRun},
 		"another instance":          {"HTTP/1.1 421 Other\r\nContent-Length: 0\r\n\r\n", WrongWorker},
-		"503 without the promise":   {"HTTP/1.1 503 Full\r\n" + whole, Broken},
-		"stopped at its deadline":   {"HTTP/1.1 504 Late\r\n" + whole, Broken},
-		"200 that says not run":     {"HTTP/1.1 200 OK\r\nNot-Executed: 1\r\nSignature: s\r\n" + whole, Done},
+		"503 without the promise":   {"HTTP/1.1 503 Full\r\n" + complete, Broken},
+		"stopped at its deadline":   {"HTTP/1.1 504 Late\r\n" + complete, Broken},
+		"200 that says not run":     {"HTTP/1.1 200 OK\r\nNot-Executed: 1\r\nSignature: s\r\n" + complete, Done},
 		"garbled":                   {"HTTP/1.1 2x0 OK\r\n\r\n", Broken},
 		"garbled chunks":            {"HTTP/1.1 200 OK\r\nSignature: s\r\n" + mine + "Transfer-Encoding: chunked\r\n\r\nzz\r\nok\r\n0\r\n\r\n", Broken},
 		"chunk longer than told":    {"HTTP/1.1 200 OK\r\nSignature: s\r\n" + mine + "Transfer-Encoding: chunked\r\n\r\n2\r\nokay\r\n0\r\n\r\n", Broken},
-		"cut within the body":       {"HTTP/1.1 200 OK\r\nSignature: s\r\n" + mine + "Content-Length: 9\r\n\r\nok", Silent},
-		"cut before the last chunk": {"HTTP/1.1 200 OK\r\nSignature: s\r\n" + mine + "Transfer-Encoding: chunked\r\n\r\n2\r\nok\r\n", Silent},
+		"cut within the body":       {"HTTP/1.1 200 OK\r\nSignature: s\r\n" + mine + "Content-Length: 9\r\n\r\nok", TimedOut},
+		"cut before the last chunk": {"HTTP/1.1 200 OK\r\nSignature: s\r\n" + mine + "Transfer-Encoding: chunked\r\n\r\n2\r\nok\r\n", TimedOut},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -123,7 +123,7 @@
 			client := patientClient()
 			defer client.Close()
 			d := delivery(answering(t, c.answer))
-			if c.want == Silent {
+			if c.want == TimedOut {
 				d.Limit = 100 * time.Millisecond
 			}
 			result := deliver(client, d)
@@ -153,7 +153,7 @@
 	}
 }
 
-func TestRequestGoesOutUnchanged(t *testing.T) {
+func TestRequestIsSentUnchanged(t *testing.T) {
 	seen := make(chan string, 1)
 	address := script(t, func(_ int, conn net.Conn, reader *bufio.Reader) {
 		head := ""
@@ -174,7 +174,7 @@
 		"Content-Type: text/x\r\nExpect-Instance: i-1\r\nDeadline-Ms: 60000\r\nContent-Length: 5\r\n\r\nhello", <-seen)
 }
 
-func TestLargeBodyGoesOutWhole(t *testing.T) {
+func TestLargeBodyIsSentCompletely(t *testing.T) {
 	size := make(chan int, 1)
 	address := script(t, func(_ int, conn net.Conn, reader *bufio.Reader) {
 		_, body, _ := readRequest(reader)
@@ -208,8 +208,8 @@
 	assert.EqualValues(t, 1, conns.Load())
 }
 
-// awaitWord waits until something has come on the connection to a worker that lies idle, its end included.
-func awaitWord(t *testing.T, client *Client) {
+// awaitReadable waits until something has come on the connection to a worker that lies idle, its end included.
+func awaitReadable(t *testing.T, client *Client) {
 	t.Helper()
 	client.mu.Lock()
 	idle := slices.Clone(client.pools["i-1"].idle)
@@ -251,7 +251,7 @@
 			defer client.Close()
 			require.Equal(t, Done, deliver(client, delivery(address)).Outcome)
 			close(answered)
-			awaitWord(t, client)
+			awaitReadable(t, client)
 			assert.Equal(t, Done, deliver(client, delivery(address)).Outcome)
 			assert.EqualValues(t, 2, requests.Load())
 		})
@@ -268,7 +268,7 @@
 	defer client.Close()
 	for range 3 {
 		require.Equal(t, Done, deliver(client, delivery(address)).Outcome)
-		awaitWord(t, client)
+		awaitReadable(t, client)
 	}
 }
 
@@ -316,7 +316,7 @@
 	assert.Equal(t, 3*time.Second, keepAlive("timeout=x"))
 }
 
-func TestSilentWorkerIsWaitedForToTheLimit(t *testing.T) {
+func TestUnresponsiveWorkerIsWaitedForToTheLimit(t *testing.T) {
 	onFakeTime(t, func(_ net.Conn, reader *bufio.Reader) {
 		_, _, _ = readRequest(reader)
 		_, _ = reader.ReadByte()
@@ -324,7 +324,7 @@
 		d := delivery("")
 		d.Limit = 150 * time.Millisecond
 		result := deliver(client, d)
-		assert.Equal(t, Silent, result.Outcome)
+		assert.Equal(t, TimedOut, result.Outcome)
 		assert.Equal(t, d.Limit+answerSlack, result.Took)
 	})
 }
@@ -378,19 +378,19 @@
 	})
 	client := patientClient()
 	defer client.Close()
-	client.Limit(map[string]Share{"i-1": {Most: 2}})
+	client.SetLimits(map[string]Share{"i-1": {Max: 2}})
 	results := make(chan Result, 3)
 	for range 3 {
 		d := delivery(address)
 		client.Start(d, func(r Result) { results <- r })
 	}
-	assert.Equal(t, NoRoom, (<-results).Outcome)
+	assert.Equal(t, NoConnection, (<-results).Outcome)
 	close(hold)
 	assert.Equal(t, Done, (<-results).Outcome)
 	assert.Equal(t, Done, (<-results).Outcome)
 }
 
-func TestConnectionsToWorkersThatAreGoneAreClosed(t *testing.T) {
+func TestConnectionsToRemovedWorkersAreClosed(t *testing.T) {
 	closed := make(chan struct{})
 	address := script(t, func(_ int, conn net.Conn, reader *bufio.Reader) {
 		_, _, _ = readRequest(reader)
@@ -400,9 +400,9 @@
 	})
 	client := patientClient()
 	defer client.Close()
-	client.Limit(map[string]Share{"i-1": {Most: 0}})
+	client.SetLimits(map[string]Share{"i-1": {Max: 0}})
 	require.Equal(t, Done, deliver(client, delivery(address)).Outcome)
-	client.Limit(map[string]Share{"i-2": {Most: 0}})
+	client.SetLimits(map[string]Share{"i-2": {Max: 0}})
 	<-closed
 	assert.Nil(t, client.pools["i-1"])
 }
--- a/edge/worker/connection.go
+++ b/edge/worker/connection.go
@@ -16,28 +16,28 @@
 )
 
 const (
-	readBuffer  = 4 << 10  // bounds the head of an answer, too
-	smallBody   = 8 << 10  // copied behind the head, to go in one write
-	keptRequest = 16 << 10 // larger buffers are given back after use
-	maxLate     = 4        // answers to earlier requests that are read past
-	mostCarried = 32       // messages to be sent again that a connection is kept with
+	readBuffer       = 4 << 10  // bounds the head of an answer, too
+	smallBody        = 8 << 10  // copied behind the head, to go in one write
+	maxPooledRequest = 16 << 10 // larger buffers are given back after use
+	maxLateAnswers   = 4        // answers to earlier requests that are read past
+	maxUnresolved    = 32       // messages to be sent again that a connection is kept with
 )
 
 // connection is one to a worker. Whoever took it from the pool owns it.
 type connection struct {
-	socket net.Conn
-	raw    syscall.RawConn
-	until  time.Duration // idle, it is closed then, by the client's steady clock
+	socket    net.Conn
+	raw       syscall.RawConn
+	expiresAt time.Duration // idle, it is closed then, by the client's steady clock
 
-	used    bool     // an answer was read from it
-	carried []uint64 // hashes of the ids of messages that were sent on it, and may be sent again
-	mutant  mutant
+	used       bool     // an answer was read from it
+	unresolved []uint64 // hashes of the ids of messages that were sent on it, and may be sent again
+	mutations  mutations
 }
 
-// mutant takes guards away. Only tests set it, to show that they notice.
-type mutant struct {
-	takesForeign bool // an answer is the delivery's whatever request it names
-	carriesAgain bool // a message is sent again on a connection that carried it
+// mutations takes guards away. Only tests set it, to show that they notice.
+type mutations struct {
+	acceptsForeign      bool // an answer is the delivery's whatever request it names
+	resendsOnConnection bool // a message is sent again on a connection that carried it
 }
 
 var readers = sync.Pool{New: func() any { return bufio.NewReaderSize(nil, readBuffer) }}
@@ -66,9 +66,9 @@
 	})
 }
 
-// quiet says whether an idle connection is still open with nothing to read: what comes between requests belongs to none. It looks
+// isIdle says whether an idle connection is still open with nothing to read: what comes between requests belongs to none. It looks
 // without regard to the deadline of the exchange before.
-func (c *connection) quiet() bool {
+func (c *connection) isIdle() bool {
 	if c.raw == nil {
 		return true
 	}
@@ -87,25 +87,25 @@
 		return Broken, answer{}
 	}
 	written := c.write(d)
-	a, err := c.await(d)
+	a, err := c.awaitAnswer(d)
 	if !c.isWritten(written) {
-		a.keep = false
+		a.reusable = false
 	}
 	if err != nil {
-		return broken(err), answer{}
+		return outcomeOf(err), answer{}
 	}
-	if c.mutant.takesForeign {
+	if c.mutations.acceptsForeign {
 		a.requestID = d.RequestID
 	}
 	outcome := classify(a, d.RequestID, !c.used)
 	c.used = true
-	c.note(d.RequestID, outcome)
+	c.remember(d.RequestID, outcome)
 	return outcome, a
 }
 
-// await reads answers up to the delivery's own. One that names another request is late, of a delivery before: only a connection that
+// awaitAnswer reads answers up to the delivery's own. One that names another request is late, of a delivery before: only a connection that
 // was used has such.
-func (c *connection) await(d *Delivery) (answer, error) {
+func (c *connection) awaitAnswer(d *Delivery) (answer, error) {
 	reader := readers.Get().(*bufio.Reader)
 	defer func() {
 		reader.Reset(nil)
@@ -117,31 +117,31 @@
 		if err != nil {
 			return answer{}, err
 		}
-		if c.used && a.keep && late < maxLate && a.isOfAnother(d.RequestID) && !c.mutant.takesForeign {
+		if c.used && a.reusable && late < maxLateAnswers && a.isOfAnother(d.RequestID) && !c.mutations.acceptsForeign {
 			continue
 		}
-		a.keep = a.keep && late == 0 && reader.Buffered() == 0
+		a.reusable = a.reusable && late == 0 && reader.Buffered() == 0
 		return a, nil
 	}
 }
 
-// note remembers a message that the answer leaves to be sent again.
-func (c *connection) note(requestID string, outcome Outcome) {
-	if outcome != Done && outcome != Refused {
-		c.carried = append(c.carried, xxhash.Sum64String(requestID))
+// remember remembers a message that the answer leaves to be sent again.
+func (c *connection) remember(requestID string, outcome Outcome) {
+	if outcome != Done && outcome != Rejected {
+		c.unresolved = append(c.unresolved, xxhash.Sum64String(requestID))
 	}
 }
 
-// mayCarry says whether a message can be sent: a second answer to an earlier attempt, which has the same name, would be taken for that
+// maySend says whether a message can be sent: a second answer to an earlier attempt, which has the same name, would be taken for that
 // to the new one.
-func (c *connection) mayCarry(requestID string) bool {
-	return len(c.carried) == 0 || c.mutant.carriesAgain || !slices.Contains(c.carried, xxhash.Sum64String(requestID))
+func (c *connection) maySend(requestID string) bool {
+	return len(c.unresolved) == 0 || c.mutations.resendsOnConnection || !slices.Contains(c.unresolved, xxhash.Sum64String(requestID))
 }
 
-func broken(err error) Outcome {
+func outcomeOf(err error) Outcome {
 	var late interface{ Timeout() bool }
 	if errors.As(err, &late) && late.Timeout() {
-		return Silent
+		return TimedOut
 	}
 	return Broken
 }
@@ -151,7 +151,7 @@
 func (c *connection) write(d *Delivery) (written chan error) {
 	buffer := requests.Get().(*[]byte)
 	defer func() {
-		if cap(*buffer) <= keptRequest {
+		if cap(*buffer) <= maxPooledRequest {
 			requests.Put(buffer)
 		}
 	}()
@@ -183,7 +183,7 @@
 	if written == nil {
 		return true
 	}
-	_ = c.socket.SetWriteDeadline(time.Now().Add(overtakenFor))
+	_ = c.socket.SetWriteDeadline(time.Now().Add(overtakenTimeout))
 	return <-written == nil
 }
 
--- a/edge/worker/worker.go
+++ b/edge/worker/worker.go
@@ -11,22 +11,22 @@
 
 // The outcomes of a delivery.
 const (
-	Done        Outcome = iota // it ran with success, and the answer came whole
-	Failed                     // it ran and failed: an attempt
-	Refused                    // it can never be done
-	Full                       // it did not run: the worker has no room, or the service's ceiling is reached
-	NotRun                     // it did not run, for another reason
-	WrongWorker                // it did not run: another worker has the address
-	Repeat                     // it did not run: another attempt of the message is running
-	Unreachable                // it did not run: no connection came up
-	NoRoom                     // it was not sent: all connections that may be open are in use
-	Broken                     // it may have run: the answer was cut, garbled or of another request
-	Silent                     // it may have run, or may still: no answer came in time
-	Cancelled                  // it may have run: the sender gave it up
+	Done         Outcome = iota // it ran with success, and the answer came whole
+	Failed                      // it ran and failed: an attempt
+	Rejected                    // it can never be done
+	AtCapacity                  // it did not run: the worker has no room, or the service's ceiling is reached
+	NotRun                      // it did not run, for another reason
+	WrongWorker                 // it did not run: another worker has the address
+	Duplicate                   // it did not run: another attempt of the message is running
+	Unreachable                 // it did not run: no connection came up
+	NoConnection                // it was not sent: all connections that may be open are in use
+	Broken                      // it may have run: the answer was cut, garbled or of another request
+	TimedOut                    // it may have run, or may still: no answer came in time
+	Cancelled                   // it may have run: the sender gave it up
 )
 
 // MayHaveRun says whether a delivery with this outcome leaves open that the message ran.
-func (o Outcome) MayHaveRun() bool { return o == Broken || o == Silent || o == Cancelled }
+func (o Outcome) MayHaveRun() bool { return o == Broken || o == TimedOut || o == Cancelled }
 
 // Delivery is one attempt to have a message run.
 type Delivery struct {
@@ -52,11 +52,11 @@
 
 // Times of a connection.
 const (
-	connectTimeout = 300 * time.Millisecond
-	userTimeout    = 600 * time.Millisecond // bytes that nobody acknowledges for so long end the connection
-	answerSlack    = 120 * time.Millisecond // past the limit, for the worker's own word that it stopped
-	overtakenFor   = 5 * time.Millisecond   // for what is left to write of a request that has its answer
-	defaultIdle    = 4 * time.Second        // how long a worker keeps an idle connection that has not said
-	scarceIdle     = 100 * time.Millisecond // how long an idle connection is kept that another sender may want
-	idleMargin     = time.Second            // closed so long before the worker would, a quarter of its time at most
+	connectTimeout     = 300 * time.Millisecond
+	userTimeout        = 600 * time.Millisecond // bytes that nobody acknowledges for so long end the connection
+	answerSlack        = 120 * time.Millisecond // past the limit, for the worker's own word that it stopped
+	overtakenTimeout   = 5 * time.Millisecond   // for what is left to write of a request that has its answer
+	defaultIdleTimeout = 4 * time.Second        // how long a worker keeps an idle connection that has not said
+	scarceIdleTimeout  = 100 * time.Millisecond // how long an idle connection is kept that another sender may want
+	idleMargin         = time.Second            // closed so long before the worker would, a quarter of its time at most
 )
--- a/test/lab/hollow/slope_test.go
+++ b/test/lab/hollow/slope_test.go
@@ -202,7 +202,7 @@
 			for b.Loop() {
 				changed := append([]wire.Edge(nil), list.Edges...)
 				changed[i%count].Ready = false
-				plane.Place(changed)
+				plane.SetEdges(changed)
 				i++
 			}
 		})
@@ -212,14 +212,14 @@
 			for b.Loop() {
 				changed := append([]wire.Worker(nil), entries.Entries...)
 				changed[i%len(changed)].Draining = true
-				plane.List(&wire.Workers{Entries: changed})
+				plane.SetWorkers(&wire.Workers{Entries: changed})
 				i++
 			}
 		})
 	}
 }
 
-func newPlane(b *testing.B, count int) (*dispatch.Plane, *wire.Members, *wire.Workers) {
+func newPlane(b *testing.B, count int) (*dispatch.Manager, *wire.Members, *wire.Workers) {
 	const services, workersEach = 3, 10
 	list := members(count)
 	self := list.Edges[count/2]
@@ -231,7 +231,7 @@
 	}
 	client := worker.NewClient()
 	b.Cleanup(client.Close)
-	plane := dispatch.NewPlane(dispatch.Config{
+	plane := dispatch.NewManager(dispatch.Config{
 		Topology: dispatch.Topology{Edge: self.ID, Zone: self.Zone, Zones: zones}, Window: 5 * time.Second, Overshoot: 1.1,
 		Converge: 3 * time.Second, MaxBodies: 1 << 20,
 	}, client)
@@ -239,8 +239,8 @@
 	config, err := catalog.Parse(document(1, services, services))
 	require.NoError(b, err)
 	entries := discovery.Sort(workers(workersEach*count, services))
-	plane.Configure(catalog.NewIndex(config))
-	plane.Place(list.Edges)
-	plane.List(entries)
+	plane.ApplyConfig(catalog.NewIndex(config))
+	plane.SetEdges(list.Edges)
+	plane.SetWorkers(entries)
 	return plane, list, entries
 }
--- a/test/simulation/edge_test.go
+++ b/test/simulation/edge_test.go
@@ -18,11 +18,11 @@
 		Window:   ceilingWindow, Overshoot: ceilingOvershoot, Converge: converge, MaxBodies: 1 << 24,
 	}
 	p.taken = [wire.TopicCount]wire.Version{}
-	p.plane = dispatch.NewPlaneOn(l, config, &deliveries{process: p, life: l})
+	p.plane = dispatch.NewManagerOn(l, config, &deliveries{process: p, life: l})
 	plane, ends := p.plane, make(map[string]wire.ReportKind)
 	p.client = queueclient.New(queueclient.Config{
-		Edge: id, Zone: p.zone, Log: l.log(), Host: l, Unknown: plane.Unknown, Held: plane.IDs,
-		Kept: func(m *wire.Message, granted bool) {
+		Edge: id, Zone: p.zone, Log: l.log(), Host: l, Unknown: plane.Unknown, Owned: plane.MessageIDs,
+		Accepted: func(m *wire.Message, granted bool) {
 			p.world.messages.given(m.RequestID, l)
 			plane.Accept(m, granted)
 		},
@@ -66,13 +66,13 @@
 		return true
 	}
 	if newer(wire.TopicMembers) && s.Members != nil {
-		p.plane.Place(s.Members.Edges)
+		p.plane.SetEdges(s.Members.Edges)
 	}
 	if newer(wire.TopicWorkers) && s.Workers != nil {
-		p.plane.List(s.Workers)
+		p.plane.SetWorkers(s.Workers)
 	}
 	if newer(wire.TopicConfig) && s.Catalog != nil {
-		p.plane.Configure(s.Catalog)
+		p.plane.ApplyConfig(s.Catalog)
 	}
 	if newer(wire.TopicStores) {
 		p.client.SetView(s.Stores)
@@ -131,8 +131,8 @@
 	}
 	client, plane, service := p.client, p.plane, r.service
 	p.life.begin(func() {
-		limits := queueclient.Limits{Try: time.Second, Answer: time.Second, Hope: 2 * time.Second}
-		if client.PutWithin(m, plane.Takes(service, len(m.Body)), limits) == queueclient.Kept {
+		limits := queueclient.Limits{Attempts: time.Second, Answer: time.Second, Hope: 2 * time.Second}
+		if client.PutWithin(m, plane.Accepts(service, len(m.Body)), limits) == queueclient.Accepted {
 			w.messages.kept(r, m.ID)
 		}
 	})
@@ -145,7 +145,7 @@
 }
 
 // Limit implements dispatch.Workers.
-func (d *deliveries) Limit(map[string]worker.Share) {}
+func (d *deliveries) SetLimits(map[string]worker.Share) {}
 
 // delivery is a call of a worker. It implements dispatch.Call.
 type delivery struct {
@@ -212,10 +212,10 @@
 		call.end(w.between(200*time.Millisecond, 300*time.Millisecond), worker.Unreachable)
 		return
 	case s.running[name]:
-		call.end(back(), worker.Repeat)
+		call.end(back(), worker.Duplicate)
 		return
 	case len(s.running) >= s.room:
-		call.end(back(), worker.Full)
+		call.end(back(), worker.AtCapacity)
 		return
 	}
 	s.running[name] = true
@@ -225,11 +225,11 @@
 		takes *= 5
 	}
 	if takes > limit {
-		call.end(limit, worker.Silent)
+		call.end(limit, worker.TimedOut)
 	}
 	w.after(takes, func() {
 		if s.lives != life {
-			call.end(limit, worker.Silent) // it crashed meanwhile
+			call.end(limit, worker.TimedOut) // it crashed meanwhile
 			return
 		}
 		delete(s.running, name)
@@ -242,7 +242,7 @@
 		switch {
 		case w.random.IntN(100) < s.lossy:
 			w.took("answer_lost")
-			call.end(limit, worker.Silent)
+			call.end(limit, worker.TimedOut)
 		case w.random.IntN(100) < s.garbles:
 			w.took("garble")
 			call.end(back(), worker.Broken)
