--- /dev/null
+++ b/edge/dispatch/admission.go
@@ -0,0 +1,75 @@
+package dispatch
+
+import (
+	"slices"
+
+	"ravendale/cluster/catalog"
+	"ravendale/cluster/wire"
+)
+
+// route finds a message's route and service in the newest configuration. Gone says that the message has to end.
+func (c *Core) route(m *message) (route *catalog.Route, s *service, dropped bool) {
+	if c.index == nil {
+		return nil, nil, false
+	}
+	route = c.index.Match(m.Host, m.path())
+	if !deliverable(route) {
+		return nil, nil, c.now >= m.dropAfter
+	}
+	return route, c.services[route.Service], false
+}
+
+// admit hands a message that is due to its service's module, or has it wait for what is missing.
+func (c *Core) admit(m *message) {
+	if c.now >= m.expiresAt {
+		c.finish(m, wire.Report{Kind: wire.ReportExpired})
+		return
+	}
+	route, s, dropped := c.route(m)
+	switch {
+	case dropped:
+		c.finish(m, wire.Report{Kind: wire.ReportDropped})
+	case s == nil || s.readyWorkers == 0:
+		c.backOff(m)
+	case s.tokens == nil:
+		m.startTarget = m.notBefore + milliseconds(route.StartTargetMs)
+		c.enqueue(m, s)
+	case s.tokens.share.Burst == 0:
+		c.scheduleAt(m, phaseReleasing, c.now+releaseDelay)
+	case len(s.rateLimited) == 0 && s.openJobs < s.maxOpenJobs && s.tokens.take(c.now):
+		c.submit(m, s, true)
+	default:
+		m.service = s
+		s.rateLimited = append(s.rateLimited, m)
+		c.scheduleAt(m, phaseRateLimited, m.expiresAt)
+	}
+}
+
+// withdraw ends a message's stay with its module, or in the line for a token.
+func (c *Core) withdraw(m *message) {
+	switch {
+	case m.phase == phaseRateLimited:
+		m.service.rateLimited = slices.DeleteFunc(m.service.rateLimited, func(other *message) bool { return other == m })
+	case m.phase == phaseQueued:
+		c.dequeue(m)
+	case m.job != nil:
+		c.withdrawJob(m.job)
+	}
+	m.job, m.service = nil, nil
+}
+
+// sendRateLimited hands over throttled messages while there are tokens.
+func (c *Core) sendRateLimited(s *service) {
+	for len(s.rateLimited) > 0 && s.tokens != nil && s.openJobs < s.maxOpenJobs && s.tokens.take(c.now) {
+		m := s.rateLimited[0]
+		s.rateLimited = slices.Delete(s.rateLimited, 0, 1)
+		if _, current, dropped := c.route(m); dropped || current != s || s.readyWorkers == 0 {
+			s.tokens.tokens++
+			m.service = nil
+			c.scheduleAt(m, phaseDeferred, c.now)
+			c.admit(m)
+			continue
+		}
+		c.submit(m, s, true)
+	}
+}
--- /dev/null
+++ b/edge/dispatch/bucket.go
@@ -0,0 +1,47 @@
+package dispatch
+
+import (
+	"time"
+)
+
+// bucket holds an edge's tokens for a service. It begins empty, and after each change of the share.
+type bucket struct {
+	share  Share
+	tokens float64
+	filled time.Duration
+}
+
+func newBucket(share Share, now time.Duration) *bucket { return &bucket{share: share, filled: now} }
+
+func (b *bucket) fill(now time.Duration) {
+	b.tokens = min(b.share.Burst, b.tokens+b.share.Rate*(now-b.filled).Seconds())
+	b.filled = now
+}
+
+// oneToken is how much of a token is enough: sums of fractions may miss one by a little.
+const oneToken = 1 - 1e-9
+
+// take takes a token if there is one.
+func (b *bucket) take(now time.Duration) bool {
+	b.fill(now)
+	if b.tokens < oneToken {
+		return false
+	}
+	b.tokens--
+	return true
+}
+
+// next is when there is a token.
+func (b *bucket) next(now time.Duration) time.Duration {
+	b.fill(now)
+	if b.tokens >= oneToken {
+		return now
+	}
+	if b.share.Rate <= 0 {
+		return now + forever
+	}
+	return now + time.Duration((1-b.tokens)/b.share.Rate*float64(time.Second)) + time.Microsecond
+}
+
+// refund gives a token back that was not used.
+func (b *bucket) refund() { b.tokens = min(b.share.Burst, b.tokens+1) }
--- a/edge/dispatch/dispatch.go
+++ b/edge/dispatch/config.go
@@ -1,5 +1,3 @@
-// Package dispatch delivers the messages that an edge holds. The Core decides: time and events in, actions out, with one
-// decision module for each service. The Plane gives it the clock, the workers' connections and the queue.
 package dispatch
 
 import (
@@ -7,35 +5,18 @@
 
 	"ravendale/cluster/catalog"
 	"ravendale/cluster/wire"
-	"ravendale/edge/worker"
 )
 
-// JobID names a message's stay with a decision module. Each hand-over to the module makes another.
-type JobID uint32
-
-// Action is one thing that the owner of a Core is to do.
-type Action interface{ action() }
-
-// Deliver asks for an attempt to be made. Its end is told by Ended.
-type Deliver struct {
-	Job      JobID
-	Attempt  int
-	Delivery worker.Delivery
-}
-
-// Cancel asks for an attempt's connection to be closed. Its end is told all the same.
-type Cancel struct {
-	Job     JobID
-	Attempt int
+// Config of a Core.
+type Config struct {
+	Topology  Topology
+	Window    time.Duration // of ceilings
+	Overshoot float64       // of ceilings
+	Converge  time.Duration // a route that is missing here may be new: granted messages wait so long for it
+	MaxBodies int           // bytes of held messages; more is given back
+	Seed      uint64
 }
 
-// Report asks for the queue to be told of an outcome, until it has acknowledged that.
-type Report struct{ Report wire.Report }
-
-func (Deliver) action() {}
-func (Cancel) action()  {}
-func (Report) action()  {}
-
 // Topology is where the edge stands among others.
 type Topology struct {
 	Edge  string      // Member.ID of this edge
--- a/edge/dispatch/topology.go
+++ b/edge/dispatch/configure.go
@@ -2,7 +2,6 @@
 
 import (
 	"maps"
-	"math"
 	"slices"
 	"time"
 
@@ -11,7 +10,6 @@
 	"ravendale"
 	"ravendale/cluster/catalog"
 	"ravendale/cluster/wire"
-	"ravendale/edge/worker"
 )
 
 // ApplyConfig takes a configuration. Messages whose route it lacks end.
@@ -117,7 +115,7 @@
 // applyRateLimit sets a service's share of its ceiling. A new share's bucket is empty.
 func (c *Core) applyRateLimit(s *service, config *catalog.Service) {
 	if config.RatePerS <= 0 {
-		s.bucket = nil
+		s.tokens = nil
 		c.reroute(s.rateLimited)
 		s.rateLimited = nil
 		return
@@ -128,8 +126,8 @@
 	rateLimit := RateLimit{RatePerS: config.RatePerS, Window: c.config.Window, Overshoot: c.config.Overshoot}
 	share := rateLimit.Divide(s.name, c.config.Topology.Edge, c.config.Topology.Edges)
 	s.maxOpenJobs = c.connectionCapacity(s, config)
-	if s.bucket == nil || s.bucket.share != share {
-		s.bucket = newBucket(share, c.now)
+	if s.tokens == nil || s.tokens.share != share {
+		s.tokens = newBucket(share, c.now)
 	}
 	if share.Burst == 0 {
 		for _, m := range slices.Clone(s.rateLimited) {
@@ -138,18 +136,6 @@
 	}
 }
 
-// connectionCapacity is how many connections may be open to all workers of a service.
-func (c *Core) connectionCapacity(s *service, config *catalog.Service) int {
-	if config.MaxConns <= 0 {
-		return math.MaxInt // no bound is given
-	}
-	capacity := 0
-	for _, connections := range s.connectionLimits(config, max(c.edgePeak.highest(c.now), len(c.config.Topology.Edges))) {
-		capacity += connections
-	}
-	return capacity
-}
-
 // SetWorkers takes the platform's list of workers.
 func (c *Core) SetWorkers(now time.Duration, workers *wire.Workers) []Action {
 	c.begin(now)
@@ -186,37 +172,3 @@
 		c.configureService(&c.index.Config().Services[i])
 	}
 }
-
-// Connections says what this edge may have of each worker's connections, by name.
-func (c *Core) Connections() map[string]worker.Share {
-	shares := make(map[string]worker.Share)
-	if c.index == nil {
-		return shares
-	}
-	edges := max(c.edgePeak.highest(c.now), len(c.config.Topology.Edges))
-	for _, s := range c.services {
-		config := c.index.Service(s.name)
-		if config == nil {
-			continue
-		}
-		scarce := isScarce(config.MaxConns, edges)
-		for name, most := range s.connectionLimits(config, edges) {
-			shares[name] = worker.Share{Max: most, Scarce: scarce}
-		}
-	}
-	return shares
-}
-
-// capacities says how many messages workers run at once, by name.
-func capacities(workers *wire.Workers, named map[string]string) map[string]int {
-	capacities := make(map[string]int, len(named))
-	if workers == nil {
-		return capacities
-	}
-	for i := range workers.Entries {
-		if w := &workers.Entries[i]; named[w.ID] != "" {
-			capacities[w.ID] = int(w.Capacity)
-		}
-	}
-	return capacities
-}
--- /dev/null
+++ b/edge/dispatch/intake.go
@@ -0,0 +1,88 @@
+package dispatch
+
+import (
+	"time"
+
+	"ravendale/cluster/wire"
+)
+
+// Accept takes a message that was put by this edge and kept. It may have been granted whole, and have ended, before that.
+func (c *Core) Accept(now time.Duration, m *wire.Message, granted bool) []Action {
+	c.begin(now)
+	if c.messages[m.ID] == nil && !c.resendReport(m.ID) {
+		c.add(m, arrival{granted: granted})
+	}
+	return c.end()
+}
+
+// Grant takes a store's grant. A whole message is due: the store, whose steady clock has counted since it was sent, keeps its
+// delay, and its end too. The time of day says nothing reliable of either. What ended here is not run again: the store that
+// hands it out has not heard of that, as when it has just become the primary.
+func (c *Core) Grant(now time.Duration, g *wire.Grant) []Action {
+	c.begin(now)
+	m := c.messages[g.ID]
+	switch {
+	case m != nil && m.phase != phaseReported:
+		c.setGranted(m, g.Failed)
+	case m != nil && !m.released: // its report is repeated until it is acknowledged
+	case c.resendReport(g.ID):
+	case g.Whole:
+		c.addGranted(g)
+	case m == nil:
+		c.report(wire.Report{ID: g.ID, Kind: wire.ReportReleased, Failed: g.Failed})
+	}
+	return c.end()
+}
+
+func (c *Core) addGranted(g *wire.Grant) {
+	message := g.Message
+	message.ID = g.ID
+	message.DelayMs = 0
+	from := arrival{granted: true, failedAttempts: g.Failed, routeTimeout: c.config.Converge}
+	from.overLimit = c.config.MaxBodies > 0 && c.messageBytes+len(message.Body) > c.config.MaxBodies
+	if from.overLimit {
+		message.Body = nil
+	}
+	c.add(&message, from)
+}
+
+func (c *Core) setGranted(m *message, failed uint16) {
+	m.failedAttempts = max(m.failedAttempts, failed)
+	if m.granted {
+		return
+	}
+	m.granted = true
+	if m.phase == phaseKeyOrder {
+		c.deferUntil(m, m.notBefore)
+	}
+}
+
+// arrival says how a message came.
+type arrival struct {
+	granted        bool
+	failedAttempts uint16
+	routeTimeout   time.Duration // for a route that is not known here yet
+	overLimit      bool          // there is no room for it
+}
+
+func (c *Core) add(source *wire.Message, from arrival) {
+	m := &message{Message: *source, granted: from.granted, failedAttempts: from.failedAttempts, dropAfter: c.now + from.routeTimeout, heapIndex: -1}
+	m.size = len(m.Body) + messageOverhead
+	c.messageBytes += m.size
+	m.notBefore = c.now + time.Duration(m.DelayMs)*time.Millisecond
+	m.expiresAt = c.now + forever
+	if m.RetentionMs > 0 {
+		m.expiresAt = c.now + time.Duration(m.RetentionMs)*time.Millisecond + expiryMargin
+	}
+	c.messages[m.ID] = m
+	switch {
+	case c.stopping:
+		c.release(m)
+	case from.overLimit:
+		c.scheduleAt(m, phaseReleasing, c.now+releaseDelay)
+	case m.isGranted():
+		c.deferUntil(m, max(m.notBefore, c.now))
+	default:
+		c.scheduleAt(m, phaseKeyOrder, m.expiresAt)
+	}
+}
--- a/edge/dispatch/job.go
+++ b/edge/dispatch/job.go
@@ -14,8 +14,8 @@
 	service      *service
 	message      *message
 	active       bool // the message waits for this job
-	counted      bool // it is active, and no attempt is under way
-	sawFull      bool // no worker had room for its last attempt
+	isWaiting    bool // it is active, and no attempt is under way
+	noCapacity   bool // no worker had room for its last attempt
 	attempts     []attempt
 	inFlight     int
 	hasToken     bool // it took one
@@ -35,12 +35,12 @@
 func (j *job) updateCount() {
 	waiting := j.active && !j.isInFlight()
 	switch {
-	case waiting && !j.counted:
+	case waiting && !j.isWaiting:
 		j.service.waitingJobs++
-	case !waiting && j.counted:
+	case !waiting && j.isWaiting:
 		j.service.waitingJobs--
 	}
-	j.counted = waiting
+	j.isWaiting = waiting
 }
 
 func (c *Core) submit(m *message, s *service, token bool) {
@@ -116,7 +116,7 @@
 		c.release(m)
 		return
 	}
-	if j.sawFull {
+	if j.noCapacity {
 		c.requeue(m, j.service)
 		return
 	}
@@ -125,7 +125,7 @@
 
 // requeue has a message wait until a worker has room. What takes tokens would spend them on asking.
 func (c *Core) requeue(m *message, s *service) {
-	if s.bucket != nil {
+	if s.tokens != nil {
 		c.backOff(m)
 		return
 	}
@@ -183,19 +183,19 @@
 // lacksToken says whether an attempt has to wait for a token: the one that the job had was given back, or waited with the module, and
 // there is no other. Tokens that wait somewhere would all be spent at once on top of those that came to the bucket meanwhile.
 func (j *job) lacksToken(now time.Duration) bool {
-	if j.service.bucket == nil {
+	if j.service.tokens == nil {
 		return false
 	}
 	if !j.hasToken || now-j.tokenTakenAt > tokenTTL {
-		j.hasToken, j.tokenTakenAt = j.service.bucket.take(now), now
+		j.hasToken, j.tokenTakenAt = j.service.tokens.take(now), now
 	}
 	return !j.hasToken
 }
 
 // refund gives a token back whose attempt never came to the worker.
 func (c *Core) refund(j *job) {
-	if j.hasToken && j.service.bucket != nil {
+	if j.hasToken && j.service.tokens != nil {
 		j.hasToken = false
-		j.service.bucket.refund()
+		j.service.tokens.refund()
 	}
 }
--- a/edge/dispatch/message.go
+++ b/edge/dispatch/message.go
@@ -34,7 +34,7 @@
 	granted         bool
 	released        bool // reported as given back
 	submitted       bool
-	bytes           int
+	size            int
 	heapIndex       int // in the queue of those with a time; -1: not there
 
 	service *service // while throttled or handed
@@ -47,30 +47,3 @@
 }
 
 func (m *message) isGranted() bool { return !m.Ordered || m.granted }
-
-// schedule is a heap of messages by due time.
-type schedule []*message
-
-func (a schedule) Len() int           { return len(a) }
-func (a schedule) Less(i, j int) bool { return a[i].dueAt < a[j].dueAt }
-func (a schedule) Swap(i, j int) {
-	a[i], a[j] = a[j], a[i]
-	a[i].heapIndex, a[j].heapIndex = i, j
-}
-
-// Push is called by the heap.
-func (a *schedule) Push(x any) {
-	m := x.(*message)
-	m.heapIndex = len(*a)
-	*a = append(*a, m)
-}
-
-// Pop is called by the heap.
-func (a *schedule) Pop() any {
-	last := len(*a) - 1
-	m := (*a)[last]
-	(*a)[last] = nil
-	*a = (*a)[:last]
-	m.heapIndex = -1
-	return m
-}
--- a/edge/dispatch/outcome.go
+++ b/edge/dispatch/outcome.go
@@ -39,7 +39,7 @@
 	}
 	j.attempts[number].inFlight = false
 	j.inFlight--
-	j.sawFull = result.Outcome == worker.AtCapacity || result.Outcome == worker.NoConnection
+	j.noCapacity = result.Outcome == worker.AtCapacity || result.Outcome == worker.NoConnection
 	j.updateCount()
 	if result.Outcome == worker.NoConnection || result.Outcome == worker.Unreachable {
 		c.refund(j)
--- a/edge/dispatch/property_test.go
+++ b/edge/dispatch/property_test.go
@@ -214,7 +214,7 @@
 			}
 			c.apply(c.core.Acknowledged(c.now, id))
 		}
-		if !c.core.Idle() || len(c.core.jobs) > 0 || c.core.MessageBytes() != 0 || len(c.core.agenda) > 0 {
+		if !c.core.Idle() || len(c.core.jobs) > 0 || c.core.MessageBytes() != 0 || len(c.core.due) > 0 {
 			r.Fatalf("left behind: %d messages, %d jobs, %d bytes", len(c.core.messages), len(c.core.jobs), c.core.MessageBytes())
 		}
 	})
--- a/edge/dispatch/ratelimit_test.go
+++ b/edge/dispatch/ratelimit_test.go
@@ -151,7 +151,7 @@
 	w.pass(10 * time.Second)
 	w.accept("/l/", "1")
 	first := w.sent()
-	bucket := w.core.services["limited"].bucket
+	bucket := w.core.services["limited"].tokens
 	bucket.tokens, bucket.filled = -1, w.now // the one that is given back is the last for now
 	w.end(first, worker.Unreachable)
 	w.pass(ms)
@@ -194,9 +194,9 @@
 	w.accept("/l/", "1")
 	d := w.sent()
 	s := w.core.services["limited"]
-	before := s.bucket.tokens
+	before := s.tokens.tokens
 	w.end(d, worker.NoConnection)
-	assert.Greater(t, s.bucket.tokens, before)
+	assert.Greater(t, s.tokens.tokens, before)
 }
 
 func TestMessagesWaitInOrderForTokens(t *testing.T) {
--- a/edge/dispatch/service.go
+++ b/edge/dispatch/service.go
@@ -9,14 +9,6 @@
 	"ravendale/cluster/wire"
 )
 
-// The module's settings for a service.
-const (
-	attemptsPerJob   = 3 // that the module makes by itself: those that ran nothing are followed by others
-	attemptsPerToken = 1 // where each attempt needs a token
-	jobDeadline      = forever
-	unknownZone      = -1
-)
-
 // service is what the plane has for one service: its decision module, its workers and its ceiling.
 type service struct {
 	name         string
@@ -27,7 +19,7 @@
 	entries      []ravendale.Entry
 	capacities   map[string]int // by worker: how many messages it runs at once
 	readyWorkers int            // listed workers that may be sent to
-	bucket       *bucket        // nil: no ceiling
+	tokens       *bucket        // nil: no ceiling
 	rateLimited  []*message     // wait for tokens, in the order in which they came
 	queue        waitQueue      // wait to be handed to the module
 	openJobs     int            // jobs with the module, or whose attempts are out
@@ -36,6 +28,14 @@
 	timerAt      time.Duration  // the module's; forever: none
 }
 
+// The module's settings for a service.
+const (
+	attemptsPerJob   = 3 // that the module makes by itself: those that ran nothing are followed by others
+	attemptsPerToken = 1 // where each attempt needs a token
+	jobDeadline      = forever
+	unknownZone      = -1
+)
+
 func moduleSettings(config *catalog.Service, t *Topology) ravendale.Settings {
 	me := max(slices.IndexFunc(t.Edges, func(e wire.Edge) bool { return e.ID == t.Edge }), 0)
 	effect := ravendale.Unsafe
@@ -84,47 +84,6 @@
 	return list, addresses
 }
 
-// homeWeight is how much heavier a worker of the edge's own zone weighs where that has its part of the capacity: bodies that cross
-// zones are priced, and the module draws among workers with equally few slots by weight.
-const (
-	localZoneWeight   = 4
-	localZoneFraction = 0.75 // of the edges' part, that the zone's capacity must be
-)
-
-// preferLocalZone raises the weight of workers in the own zone, if they are enough for its edges.
-func preferLocalZone(list []ravendale.Entry, t *Topology) {
-	zone := slices.Index(t.Zones, t.Zone)
-	all, local := 0.0, 0.0
-	for i := range list {
-		if list[i].State != ravendale.Ready {
-			continue
-		}
-		all += list[i].Weight
-		if list[i].Zone == zone {
-			local += list[i].Weight
-		}
-	}
-	if len(t.Edges) == 0 || local*float64(len(t.Edges)) < localZoneFraction*all*float64(t.edgesInZone()) {
-		return
-	}
-	for i := range list {
-		if list[i].Zone == zone {
-			list[i].Weight *= localZoneWeight
-		}
-	}
-}
-
-// edgesInZone counts the edges of the own zone.
-func (t *Topology) edgesInZone() int {
-	count := 0
-	for i := range t.Edges {
-		if t.Edges[i].Zone == t.Zone {
-			count++
-		}
-	}
-	return count
-}
-
 func entry(w *wire.Worker, t *Topology) ravendale.Entry {
 	state := ravendale.Ready
 	if w.Draining {
@@ -135,80 +94,29 @@
 	}
 }
 
-// The parts of a worker's connections that edges may have.
-const (
-	connectionFraction = 0.8              // all together: those of processes that have just ended may still be open
-	connectionSlack    = 2                // one edge, above what the worker runs at once
-	edgePeakWindow     = 10 * time.Second // where the list of edges was longer a while ago, it counts as that long
-	minConnections     = 1
-)
-
-// connectionShare is how many connections one of a number of edges may have to a worker that takes maxConns; 0 is no bound.
-func connectionShare(maxConns, edges int) int {
-	if maxConns <= 0 {
-		return 0
-	}
-	return max(minConnections, int(connectionFraction*float64(maxConns)/float64(max(edges, 1))))
-}
-
-// isScarce says whether a worker takes fewer connections than there are edges. Each may still have one.
-func isScarce(maxConns, edges int) bool {
-	return maxConns > 0 && connectionFraction*float64(maxConns) < minConnections*float64(edges)
-}
-
-// connectionLimits is how many connections this edge may have to each worker of a service.
-func (s *service) connectionLimits(config *catalog.Service, edges int) map[string]int {
-	share := connectionShare(config.MaxConns, edges)
-	limits := make(map[string]int, len(s.addresses))
-	for name := range s.addresses {
-		limits[name] = share
-	}
-	if s.endpoint != "" || share == 0 {
-		return limits
-	}
-	for name := range limits {
-		limits[name] = min(share, s.capacities[name]+connectionSlack)
-	}
-	return limits
-}
-
-// peak knows the highest count of the last while.
-type peak struct {
-	counts []sample // falling
-}
-
-type sample struct {
-	at    time.Duration
-	count int
-}
-
-func (p *peak) add(now time.Duration, count int) {
-	for len(p.counts) > 0 && p.counts[len(p.counts)-1].count <= count {
-		p.counts = p.counts[:len(p.counts)-1]
-	}
-	p.counts = append(p.counts, sample{now, count})
-}
-
-// highest is the highest count that held at some time since a while before now.
-func (p *peak) highest(now time.Duration) int {
-	for len(p.counts) > 1 && p.counts[1].at <= now-edgePeakWindow {
-		p.counts = p.counts[1:]
+// capacities says how many messages workers run at once, by name.
+func capacities(workers *wire.Workers, named map[string]string) map[string]int {
+	capacities := make(map[string]int, len(named))
+	if workers == nil {
+		return capacities
 	}
-	if len(p.counts) == 0 {
-		return 0
+	for i := range workers.Entries {
+		if w := &workers.Entries[i]; named[w.ID] != "" {
+			capacities[w.ID] = int(w.Capacity)
+		}
 	}
-	return p.counts[0].count
+	return capacities
 }
 
 // tokenWait is how long a message that comes now would wait for a token.
 func (s *service) tokenWait(now time.Duration) time.Duration {
-	if s.bucket == nil {
+	if s.tokens == nil {
 		return 0
 	}
-	if s.bucket.share.Rate <= 0 {
+	if s.tokens.share.Rate <= 0 {
 		return forever
 	}
-	s.bucket.fill(now)
-	missing := max(float64(len(s.rateLimited))+1-s.bucket.tokens, 0)
-	return time.Duration(missing / s.bucket.share.Rate * float64(time.Second))
+	s.tokens.fill(now)
+	missing := max(float64(len(s.rateLimited))+1-s.tokens.tokens, 0)
+	return time.Duration(missing / s.tokens.share.Rate * float64(time.Second))
 }
