--- a/edge/dispatch/action.go
+++ b/edge/dispatch/action.go
@@ -5,26 +5,26 @@
 	"ravendale/edge/worker"
 )
 
-// JobID names a message's stay with a decision module. Each hand-over to the module makes another.
+// JobID names a message's stay with a decision module. Each submission to the module makes a new one.
 type JobID uint32
 
 // Action is one thing that the owner of a Core is to do.
 type Action interface{ action() }
 
-// Deliver asks for an attempt to be made. Its end is told by Ended.
+// Deliver requests an attempt. Its outcome is to be passed to Core.FinishAttempt.
 type Deliver struct {
 	Job      JobID
 	Attempt  int
 	Delivery worker.Delivery
 }
 
-// Cancel asks for an attempt's connection to be closed. Its end is told all the same.
+// Cancel requests that an attempt's connection be closed. Its outcome is passed to Core.FinishAttempt all the same.
 type Cancel struct {
 	Job     JobID
 	Attempt int
 }
 
-// Report asks for the queue to be told of an outcome, until it has acknowledged that.
+// Report requests that the queue be notified of an outcome, repeatedly until it acknowledges.
 type Report struct{ Report wire.Report }
 
 func (Deliver) action() {}
--- a/edge/dispatch/admission.go
+++ b/edge/dispatch/admission.go
@@ -7,7 +7,7 @@
 	"ravendale/cluster/wire"
 )
 
-// route finds a message's route and service in the newest configuration. Gone says that the message has to end.
+// route finds a message's route and service in the newest configuration. Dropped reports that the message has no route any more.
 func (c *Core) route(m *message) (route *catalog.Route, s *service, dropped bool) {
 	if c.index == nil {
 		return nil, nil, false
@@ -19,7 +19,7 @@
 	return route, c.services[route.Service], false
 }
 
-// admit hands a message that is due to its service's module, or has it wait for what is missing.
+// admit submits a message that is due to its service's module, or has it wait for what is missing: workers, capacity or a token.
 func (c *Core) admit(m *message) {
 	if c.now >= m.expiresAt {
 		c.finish(m, wire.Report{Kind: wire.ReportExpired})
@@ -45,7 +45,7 @@
 	}
 }
 
-// withdraw ends a message's stay with its module, or in the line for a token.
+// withdraw takes a message back from its module, its service's queue or the wait for a token.
 func (c *Core) withdraw(m *message) {
 	switch {
 	case m.phase == phaseRateLimited:
@@ -58,7 +58,7 @@
 	m.job, m.service = nil, nil
 }
 
-// sendRateLimited hands over throttled messages while there are tokens.
+// sendRateLimited submits rate-limited messages while there are tokens.
 func (c *Core) sendRateLimited(s *service) {
 	for len(s.rateLimited) > 0 && s.tokens != nil && s.openJobs < s.maxOpenJobs && s.tokens.take(c.now) {
 		m := s.rateLimited[0]
--- a/edge/dispatch/backlog.go
+++ b/edge/dispatch/backlog.go
@@ -6,23 +6,23 @@
 	"time"
 )
 
-// Backlog tells where the messages of one service stand that are due and have not ended. Each is counted once.
+// Backlog reports the state of one service's messages that are due and not completed. Each is counted once.
 type Backlog struct {
 	Service string
-	Oldest  time.Duration // how long ago the oldest of them came due
+	Oldest  time.Duration // since the oldest of them became due
 
-	KeyOrder    int // they wait for the message before them in their order
-	BackingOff  int // between two tries
-	RateLimited int // for a token of the service's ceiling
+	KeyOrder    int // behind another message of their key order
+	BackingOff  int // between two attempts
+	RateLimited int // waiting for a token of the service's rate limit
 	Queued      int // until the decision module has a worker for them
 	InFlight    int // an attempt is under way
 
 	Workers    int // that may be sent to
-	Unhealthy  int // of these: passed over since they showed no life or failed too often
-	AtCapacity int // ... that had no room a short while ago
+	Unhealthy  int // of these: unresponsive, or failed too often
+	AtCapacity int // of these: rejected a message within fullWindow
 }
 
-// Backlogs tells of the services of which a message has been due for a time, by name.
+// Backlogs returns, sorted by name, the services of which a message has been due for at least a time.
 func (c *Core) Backlogs(now time.Duration, due time.Duration) []Backlog {
 	c.now = max(now, c.now)
 	found := make(map[*service]*Backlog)
@@ -66,7 +66,7 @@
 	}
 }
 
-// describe tells what the service's module knows of its workers.
+// describe adds what the service's module knows of its workers.
 func (s *service) describe(b *Backlog, now time.Duration) {
 	b.Workers = s.readyWorkers
 	for _, w := range s.module.Memory().Workers {
@@ -79,5 +79,5 @@
 	}
 }
 
-// fullWindow is how long a worker counts as full in a Backlog after it turned a message away.
+// fullWindow is how long a worker counts as at capacity in a Backlog after it rejected a message.
 const fullWindow = 10 * time.Second
--- a/edge/dispatch/bucket.go
+++ b/edge/dispatch/bucket.go
@@ -4,7 +4,7 @@
 	"time"
 )
 
-// bucket holds an edge's tokens for a service. It begins empty, and after each change of the share.
+// bucket is an edge's token bucket for a service. It starts empty, and again after each change of the share.
 type bucket struct {
 	share  Share
 	tokens float64
@@ -18,10 +18,10 @@
 	b.filled = now
 }
 
-// oneToken is how much of a token is enough: sums of fractions may miss one by a little.
+// oneToken is how much of a token suffices: sums of fractions may miss one by a little.
 const oneToken = 1 - 1e-9
 
-// take takes a token if there is one.
+// take takes a token, and reports whether there was one.
 func (b *bucket) take(now time.Duration) bool {
 	b.fill(now)
 	if b.tokens < oneToken {
@@ -31,7 +31,7 @@
 	return true
 }
 
-// next is when there is a token.
+// next returns when there is a token.
 func (b *bucket) next(now time.Duration) time.Duration {
 	b.fill(now)
 	if b.tokens >= oneToken {
@@ -43,5 +43,5 @@
 	return now + time.Duration((1-b.tokens)/b.share.Rate*float64(time.Second)) + time.Microsecond
 }
 
-// refund gives a token back that was not used.
+// refund returns a token that was not used.
 func (b *bucket) refund() { b.tokens = min(b.share.Burst, b.tokens+1) }
--- a/edge/dispatch/completions.go
+++ b/edge/dispatch/completions.go
@@ -6,13 +6,13 @@
 	"ravendale/cluster/wire"
 )
 
-// Endings are remembered up to a number, and for a time: long past that in which a store may hand out anew what ended here.
+// Completions are remembered up to a number, and for a time: long past that in which a store may grant again what was completed here.
 const (
 	maxCompletions = 4096
 	completionTTL  = time.Minute
 )
 
-// completions remembers how messages ended here, so that none is run again if a store hands it out anew before it knows.
+// completions remembers the terminal reports of messages, so that none is run again if a store grants it again before it knows.
 type completions struct {
 	reports map[string]wire.Report
 	order   []completion // oldest first
@@ -23,7 +23,7 @@
 	expiresAt time.Duration
 }
 
-// add remembers the report of a message's end; of several the first counts.
+// add remembers a message's terminal report; of several the first counts.
 func (e *completions) add(now time.Duration, report wire.Report) {
 	if _, known := e.reports[report.ID]; known {
 		return
@@ -44,7 +44,7 @@
 	}
 }
 
-// find returns the report of a message's end.
+// find returns a message's terminal report, if it is remembered.
 func (e *completions) find(now time.Duration, id string) (wire.Report, bool) {
 	e.expire(now)
 	report, known := e.reports[id]
--- a/edge/dispatch/configure.go
+++ b/edge/dispatch/configure.go
@@ -12,7 +12,7 @@
 	"ravendale/cluster/wire"
 )
 
-// ApplyConfig takes a configuration. Messages whose route it lacks end.
+// ApplyConfig puts a configuration in force. Messages whose route it lacks are dropped.
 func (c *Core) ApplyConfig(now time.Duration, index *catalog.Index) []Action {
 	c.begin(now)
 	c.index = index
@@ -27,7 +27,7 @@
 	return c.end()
 }
 
-// followRoutes ends messages whose route is gone, and takes those that wait for a service back that their route leads away from.
+// followRoutes drops messages whose route was removed, and withdraws those that wait for a service which their route leads away from.
 func (c *Core) followRoutes() {
 	for _, m := range c.messages {
 		if m.phase == phaseReported || m.phase == phaseSubmitted && m.job.isInFlight() {
@@ -44,19 +44,19 @@
 	}
 }
 
-// configureService brings what the plane has for a service up to the configuration, the workers' list and the topology.
+// configureService updates a service's state to the configuration, the list of workers and the topology.
 func (c *Core) configureService(config *catalog.Service) {
 	settings := moduleSettings(config, &c.config.Topology)
 	s := c.services[config.Name]
 	if s == nil {
 		module, err := ravendale.New(settings, c.config.Seed^xxhash.Sum64String(config.Name))
 		if err != nil {
-			return // no configuration makes such settings
+			return // no valid configuration makes such settings
 		}
 		s = &service{name: config.Name, module: module, timerAt: forever}
 		c.services[config.Name] = s
 	} else if !sameSettings(&s.settings, &settings) {
-		_ = s.module.Retune(settings) // refused, the old ones stay in force
+		_ = s.module.Retune(settings) // rejected, the old ones stay in force
 	}
 	s.settings, s.endpoint = settings, config.Endpoint
 	c.updateWorkers(s, config)
@@ -67,7 +67,7 @@
 	return a.Dispatchers == b.Dispatchers && a.Me == b.Me && a.MaxAttempts == b.MaxAttempts && a.Classes[0] == b.Classes[0]
 }
 
-// updateWorkers tells a module of its workers, and wakes what waited for the first of them.
+// updateWorkers notifies a module of its workers, and retries what waited for the first of them.
 func (c *Core) updateWorkers(s *service, config *catalog.Service) {
 	list, addresses := entries(config, c.workers, &c.replaced, &c.config.Topology)
 	if slices.Equal(list, s.entries) && sameAddresses(s.addresses, addresses) {
@@ -99,7 +99,7 @@
 	return true
 }
 
-// retryNow has a service's paused messages tried at once.
+// retryNow has a service's messages that back off attempted at once.
 func (c *Core) retryNow(s *service) {
 	for _, m := range c.messages {
 		if m.phase != phaseDeferred || m.backoffs == 0 {
@@ -112,7 +112,7 @@
 	}
 }
 
-// applyRateLimit sets a service's share of its ceiling. A new share's bucket is empty.
+// applyRateLimit sets a service's share of its rate limit. The bucket of a new share is empty.
 func (c *Core) applyRateLimit(s *service, config *catalog.Service) {
 	if config.RatePerS <= 0 {
 		s.tokens = nil
@@ -145,7 +145,7 @@
 	return c.end()
 }
 
-// excludeReplaced takes a worker for gone whose address another has, whatever the list says: a worker that starts again has another name.
+// excludeReplaced excludes a worker whose address another has, whatever the list says: a worker that starts again has another name.
 func (c *Core) excludeReplaced(s *service, name string) {
 	config := c.index.Service(s.name)
 	if config == nil || s.endpoint != "" || c.replaced.has(name) {
--- a/edge/dispatch/connections.go
+++ b/edge/dispatch/connections.go
@@ -8,15 +8,15 @@
 	"ravendale/edge/worker"
 )
 
-// The parts of a worker's connections that edges may have.
+// The shares of a worker's connections that edges may have.
 const (
-	connectionFraction = 0.8              // all together: those of processes that have just ended may still be open
-	connectionSlack    = 2                // one edge, above what the worker runs at once
-	edgePeakWindow     = 10 * time.Second // where the list of edges was longer a while ago, it counts as that long
+	connectionFraction = 0.8              // of all edges together: those of processes that have just stopped may still be open
+	connectionSlack    = 2                // of one edge, above what the worker runs at once
+	edgePeakWindow     = 10 * time.Second // the number of edges counts as the highest of this window
 	minConnections     = 1
 )
 
-// connectionShare is how many connections one of a number of edges may have to a worker that takes maxConns; 0 is no bound.
+// connectionShare returns how many connections one of a number of edges may have to a worker that takes maxConns; 0: no bound.
 func connectionShare(maxConns, edges int) int {
 	if maxConns <= 0 {
 		return 0
@@ -24,12 +24,12 @@
 	return max(minConnections, int(connectionFraction*float64(maxConns)/float64(max(edges, 1))))
 }
 
-// isScarce says whether a worker takes fewer connections than there are edges. Each may still have one.
+// isScarce reports whether a worker takes fewer connections than there are edges. Each may still have one.
 func isScarce(maxConns, edges int) bool {
 	return maxConns > 0 && connectionFraction*float64(maxConns) < minConnections*float64(edges)
 }
 
-// connectionLimits is how many connections this edge may have to each worker of a service.
+// connectionLimits returns how many connections this edge may have to each worker of a service.
 func (s *service) connectionLimits(config *catalog.Service, edges int) map[string]int {
 	share := connectionShare(config.MaxConns, edges)
 	limits := make(map[string]int, len(s.addresses))
@@ -45,7 +45,7 @@
 	return limits
 }
 
-// connectionCapacity is how many connections may be open to all workers of a service.
+// connectionCapacity returns how many connections this edge may have to all workers of a service together.
 func (c *Core) connectionCapacity(s *service, config *catalog.Service) int {
 	if config.MaxConns <= 0 {
 		return math.MaxInt // no bound is given
@@ -57,7 +57,7 @@
 	return capacity
 }
 
-// Connections says what this edge may have of each worker's connections, by name.
+// Connections returns this edge's share of each worker's connections, by the worker's name.
 func (c *Core) Connections() map[string]worker.Share {
 	shares := make(map[string]worker.Share)
 	if c.index == nil {
@@ -77,9 +77,9 @@
 	return shares
 }
 
-// peak knows the highest count of the last while.
+// peak tracks the highest count within edgePeakWindow.
 type peak struct {
-	counts []sample // falling
+	counts []sample // with falling counts
 }
 
 type sample struct {
@@ -94,7 +94,7 @@
 	p.counts = append(p.counts, sample{now, count})
 }
 
-// highest is the highest count that held at some time since a while before now.
+// highest returns the highest count that held at some time within the window.
 func (p *peak) highest(now time.Duration) int {
 	for len(p.counts) > 1 && p.counts[1].at <= now-edgePeakWindow {
 		p.counts = p.counts[1:]
--- a/edge/dispatch/core.go
+++ b/edge/dispatch/core.go
@@ -10,7 +10,8 @@
 	"ravendale/cluster/wire"
 )
 
-// Core holds messages and decides about their delivery. Times are steady and never go back. It is not safe for concurrent use.
+// Core has the messages that an edge owns and decides about their delivery. It does no I/O: each method takes the time and an
+// event, and returns what is to be done. Times are monotonic and never go back. A Core is not safe for concurrent use.
 type Core struct {
 	config       Config
 	index        *catalog.Index
@@ -24,7 +25,7 @@
 	edgePeak     peak
 	replaced     replacedWorkers
 	backlogged   []*service // whose queues are not empty
-	messageBytes int        // bytes
+	messageBytes int        // that the messages take in memory
 	stopping     bool
 	mutations    mutations
 
@@ -39,13 +40,13 @@
 	event   ravendale.Event
 }
 
-// mutations takes guards away. Only tests set it, to show that they notice.
+// mutations are deliberate mistakes. Only tests set them, to show that they are caught.
 type mutations struct {
 	resetCountsAsNotRun bool // what may have run counts as not sent
-	forgetsCompleted    bool // what has ended here is run again if it is handed out anew
+	forgetsCompleted    bool // what is completed is run again if it is granted again
 }
 
-// NewCore returns a Core that holds nothing and knows no configuration.
+// NewCore returns a Core without messages and without a configuration.
 func NewCore(config Config) *Core {
 	return &Core{
 		config: config, services: make(map[string]*service), messages: make(map[string]*message), jobs: make(map[JobID]*job),
@@ -53,13 +54,13 @@
 	}
 }
 
-// MessageBytes is how many bytes the held messages take.
+// MessageBytes returns the memory that the messages take, in bytes.
 func (c *Core) MessageBytes() int { return c.messageBytes }
 
-// Idle says whether no message is held any more.
+// Idle reports whether there are no messages.
 func (c *Core) Idle() bool { return len(c.messages) == 0 }
 
-// InFlight counts attempts under way.
+// InFlight counts the attempts under way.
 func (c *Core) InFlight() int {
 	count := 0
 	for _, j := range c.jobs {
@@ -68,11 +69,11 @@
 	return count
 }
 
-// MessageIDs names the held messages.
+// MessageIDs returns the IDs of the messages that this edge owns, in no order.
 func (c *Core) MessageIDs() []string { return slices.Collect(maps.Keys(c.messages)) }
 
-// Accepts says whether this edge should deliver a new message of a service, with a body of a size. Where it may not send, or
-// others have shorter lines, the stores hand it to one of those.
+// Accepts reports whether this edge should deliver a new message of a service, with a body of a size in bytes. Where it may not send,
+// or others have shorter waits for a token, the stores grant it to one of those.
 func (c *Core) Accepts(now time.Duration, name string, size int) bool {
 	s := c.services[name]
 	full := c.config.MaxBodies > 0 && c.messageBytes+size > c.config.MaxBodies
@@ -89,7 +90,7 @@
 	return c.actions
 }
 
-// runModules has the modules handle what happened, and what follows from it.
+// runModules has the modules handle their events, and those that follow from them.
 func (c *Core) runModules() {
 	for len(c.moduleEvents) > 0 {
 		e := c.moduleEvents[0]
@@ -108,7 +109,7 @@
 	c.moduleEvents = append(c.moduleEvents, moduleEvent{s, event})
 }
 
-// Next is when Tick is due.
+// Next returns when Tick is due.
 func (c *Core) Next() time.Duration {
 	next := c.now + forever
 	if c.replaced.next > 0 {
@@ -145,7 +146,7 @@
 	return c.end()
 }
 
-// Stop gives back all that is not under way, and from then on all that does not end with a report.
+// Stop releases all that is not in flight, and from then on all that an attempt does not complete.
 func (c *Core) Stop(now time.Duration) []Action {
 	c.begin(now)
 	c.stopping = true
--- a/edge/dispatch/due.go
+++ b/edge/dispatch/due.go
@@ -7,7 +7,7 @@
 	"ravendale/cluster/wire"
 )
 
-// dueHeap is a heap of messages by due time.
+// dueHeap orders messages by when they are due.
 type dueHeap []*message
 
 func (a dueHeap) Len() int { return len(a) }
@@ -19,14 +19,14 @@
 	a[i].heapIndex, a[j].heapIndex = i, j
 }
 
-// Push is called by the heap.
+// Push implements heap.Interface.
 func (a *dueHeap) Push(x any) {
 	m := x.(*message)
 	m.heapIndex = len(*a)
 	*a = append(*a, m)
 }
 
-// Pop is called by the heap.
+// Pop implements heap.Interface.
 func (a *dueHeap) Pop() any {
 	last := len(*a) - 1
 	m := (*a)[last]
@@ -36,7 +36,7 @@
 	return m
 }
 
-// scheduleAt has a message looked at at a time.
+// scheduleAt puts a message into a phase, and has processDue called for it at a time.
 func (c *Core) scheduleAt(m *message, p phase, due time.Duration) {
 	m.phase, m.dueAt = p, due
 	if m.heapIndex < 0 {
@@ -52,7 +52,7 @@
 	}
 }
 
-// deferUntil has a message tried at a time: now if that has come.
+// deferUntil has a message admitted at a time: now if that has come.
 func (c *Core) deferUntil(m *message, until time.Duration) {
 	c.scheduleAt(m, phaseDeferred, until)
 	if until <= c.now {
@@ -60,14 +60,14 @@
 	}
 }
 
-// backOff has a message that nothing ran tried again, at growing intervals.
+// backOff defers a message that was not run, for intervals that double.
 func (c *Core) backOff(m *message) {
 	pause := min(minBackoff<<min(m.backoffs, 10), maxBackoff)
 	m.backoffs++
 	c.deferUntil(m, c.now+pause)
 }
 
-// processDue does what is due for a message, and moves it on in the agenda.
+// processDue does what is due for a message, and schedules what follows.
 func (c *Core) processDue(m *message) {
 	switch {
 	case m.phase == phaseDeferred:
--- a/edge/dispatch/intake.go
+++ b/edge/dispatch/intake.go
@@ -6,7 +6,7 @@
 	"ravendale/cluster/wire"
 )
 
-// Accept takes a message that was put by this edge and kept. It may have been granted whole, and have ended, before that.
+// Accept takes a message that was put by this edge and accepted by its store. It may have been granted, and completed, before that.
 func (c *Core) Accept(now time.Duration, m *wire.Message, granted bool) []Action {
 	c.begin(now)
 	if c.messages[m.ID] == nil && !c.resendReport(m.ID) {
@@ -15,9 +15,9 @@
 	return c.end()
 }
 
-// Grant takes a store's grant. A whole message is due: the store, whose steady clock has counted since it was sent, keeps its
-// delay, and its end too. The time of day says nothing reliable of either. What ended here is not run again: the store that
-// hands it out has not heard of that, as when it has just become the primary.
+// Grant takes a store's grant. A grant with its message (Whole) is due: the store, whose steady clock has counted since it was sent,
+// keeps its delay, and its end too. The time of day says nothing reliable of either. What was completed here is not run again: the
+// store that grants it has not heard of that, as when it has just become the primary.
 func (c *Core) Grant(now time.Duration, g *wire.Grant) []Action {
 	c.begin(now)
 	m := c.messages[g.ID]
@@ -57,12 +57,12 @@
 	}
 }
 
-// arrival says how a message came.
+// arrival describes how a message came.
 type arrival struct {
 	granted        bool
 	failedAttempts uint16
 	routeTimeout   time.Duration // for a route that is not known here yet
-	overLimit      bool          // there is no room for it
+	overLimit      bool          // its body does not fit into memory
 }
 
 func (c *Core) add(source *wire.Message, from arrival) {
--- a/edge/dispatch/job.go
+++ b/edge/dispatch/job.go
@@ -8,14 +8,14 @@
 	"ravendale/edge/worker"
 )
 
-// job is a message's stay with a module, until the last of its attempts has ended.
+// job is a message's stay with a module, until the last of its attempts has finished.
 type job struct {
 	id           JobID
 	service      *service
 	message      *message
 	active       bool // the message waits for this job
-	isWaiting    bool // it is active, and no attempt is under way
-	noCapacity   bool // no worker had room for its last attempt
+	isWaiting    bool // active, without an attempt under way: the service counts it
+	noCapacity   bool // no worker had capacity for its last attempt
 	attempts     []attempt
 	inFlight     int
 	hasToken     bool // it took one
@@ -31,7 +31,7 @@
 	return slices.ContainsFunc(j.attempts, func(a attempt) bool { return a.inFlight && !a.cancelled })
 }
 
-// updateCount keeps the count of jobs that wait with the module.
+// updateCount keeps the service's count of jobs that wait with the module.
 func (j *job) updateCount() {
 	waiting := j.active && !j.isInFlight()
 	switch {
@@ -123,7 +123,7 @@
 	c.backOff(m)
 }
 
-// requeue has a message wait until a worker has room. What takes tokens would spend them on asking.
+// requeue has a message wait until a worker has capacity. Under a rate limit it would spend tokens on asking.
 func (c *Core) requeue(m *message, s *service) {
 	if s.tokens != nil {
 		c.backOff(m)
@@ -132,7 +132,7 @@
 	c.deferUntil(m, c.now)
 }
 
-// send makes an attempt, if the newest configuration still wants it.
+// send makes an attempt, if the newest configuration still allows it.
 func (c *Core) send(j *job, name string) {
 	number, copies := len(j.attempts), j.isInFlight()
 	j.attempts = append(j.attempts, attempt{worker: name, inFlight: true})
@@ -169,7 +169,7 @@
 	return time.Duration(figure * float64(time.Millisecond))
 }
 
-// abortAttempt ends an attempt that was not made, and its job.
+// abortAttempt finishes an attempt that was not made, and its job.
 func (c *Core) abortAttempt(j *job, number int) {
 	j.attempts[number].inFlight = false
 	j.inFlight--
@@ -180,7 +180,7 @@
 	c.removeIdleJob(j)
 }
 
-// lacksToken says whether an attempt has to wait for a token: the one that the job had was given back, or waited with the module, and
+// lacksToken reports whether an attempt has to wait for a token: the one that the job had was returned, or waited with the module, and
 // there is no other. Tokens that wait somewhere would all be spent at once on top of those that came to the bucket meanwhile.
 func (j *job) lacksToken(now time.Duration) bool {
 	if j.service.tokens == nil {
@@ -192,7 +192,7 @@
 	return !j.hasToken
 }
 
-// refund gives a token back whose attempt never came to the worker.
+// refund returns a token whose attempt never came to the worker.
 func (c *Core) refund(j *job) {
 	if j.hasToken && j.service.tokens != nil {
 		j.hasToken = false
--- a/edge/dispatch/localzone.go
+++ b/edge/dispatch/localzone.go
@@ -6,11 +6,11 @@
 	"ravendale"
 )
 
-// homeWeight is how much heavier a worker of the edge's own zone weighs where that has its part of the capacity: bodies that cross
+// localZoneWeight is how much heavier a worker of the edge's own zone weighs where that has its share of the capacity: bodies that cross
 // zones are priced, and the module draws among workers with equally few slots by weight.
 const (
 	localZoneWeight   = 4
-	localZoneFraction = 0.75 // of the edges' part, that the zone's capacity must be
+	localZoneFraction = 0.75 // of the zone's edges' share, that its capacity must be at least
 )
 
 // preferLocalZone raises the weight of workers in the own zone, if they are enough for its edges.
--- a/edge/dispatch/manager.go
+++ b/edge/dispatch/manager.go
@@ -15,17 +15,18 @@
 // Queue takes reports, and repeats each until it is acknowledged.
 type Queue interface {
 	Report(report wire.Report)
-	Pending() int // reports without an acknowledgement
+	Pending() int // counts reports without an acknowledgement
 }
 
-// Manager runs a Core. Its methods may be called by any goroutine and do not wait.
+// Manager drives a Core: it gives it the clock, the workers' connections and the queue. Its methods may be called by any goroutine
+// and do not wait, but for AwaitDrained.
 type Manager struct {
 	workers Workers
 	queue   Queue
 	host    host.Host
 	started time.Duration
 	index   atomic.Pointer[catalog.Index]
-	changed chan struct{} // capacity 1: something was handled
+	changed chan struct{} // capacity 1: an event was handled
 
 	mu     sync.Mutex
 	core   *Core
@@ -40,15 +41,15 @@
 	attempt int
 }
 
-// Workers carries deliveries out.
+// Workers executes deliveries.
 type Workers interface {
 	// Start begins a delivery. Done is called once, not before Start has returned.
 	Start(delivery *worker.Delivery, done func(worker.Result)) Call
-	// SetLimits says how many connections may be open to each worker.
+	// SetLimits sets this edge's share of the connections to each worker, by name.
 	SetLimits(shares map[string]worker.Share)
 }
 
-// Call is a delivery under way.
+// Call is a delivery under way. Cancel closes its connection.
 type Call interface{ Cancel() }
 
 // httpWorkers are the workers that a worker.Client reaches.
@@ -59,12 +60,12 @@
 	return w.Client.Start(delivery, done)
 }
 
-// NewManager returns a plane that holds nothing. Start must be called before anything else is.
+// NewManager returns a manager without messages. Start must be called before anything else is.
 func NewManager(config Config, client *worker.Client) *Manager {
 	return NewManagerOn(host.System, config, httpWorkers{client})
 }
 
-// NewManagerOn is NewPlane with a host and workers of the caller's.
+// NewManagerOn is NewManager with a host and workers of the caller's.
 func NewManagerOn(machine host.Host, config Config, workers Workers) *Manager {
 	if config.Seed == 0 {
 		config.Seed = machine.Uint64()
@@ -75,12 +76,12 @@
 	}
 }
 
-// Start gives the plane its queue.
+// Start gives the manager its queue.
 func (p *Manager) Start(queue Queue) { p.queue = queue }
 
 func (p *Manager) now() time.Duration { return p.host.Now() - p.started }
 
-// handle has the core handle an event, and carries out what it asks for.
+// handle has the core handle an event, and executes what it asks for.
 func (p *Manager) handle(event func(core *Core, now time.Duration) []Action) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -140,7 +141,7 @@
 	})
 }
 
-// Accept takes a message that was put by this edge and kept.
+// Accept takes a message that was put by this edge and accepted by its store.
 func (p *Manager) Accept(m *wire.Message, granted bool) {
 	p.handle(func(core *Core, now time.Duration) []Action { return core.Accept(now, m, granted) })
 }
@@ -150,17 +151,17 @@
 	p.handle(func(core *Core, now time.Duration) []Action { return core.Grant(now, g) })
 }
 
-// Acknowledged hears that the queue has a message's last report.
+// Acknowledged is called when the queue has acknowledged a message's last report.
 func (p *Manager) Acknowledged(id string) {
 	p.handle(func(core *Core, now time.Duration) []Action { return core.Acknowledged(now, id) })
 }
 
-// Unknown hears that the queue does not know a message as pending.
+// Unknown is called when the queue does not know a message as pending.
 func (p *Manager) Unknown(id string) {
 	p.handle(func(core *Core, now time.Duration) []Action { return core.Unknown(now, id) })
 }
 
-// ApplyConfig takes a configuration.
+// ApplyConfig puts a configuration in force.
 func (p *Manager) ApplyConfig(index *catalog.Index) {
 	p.handle(func(core *Core, now time.Duration) []Action {
 		actions := core.ApplyConfig(now, index)
@@ -188,36 +189,36 @@
 	})
 }
 
-// Index is the configuration that the plane delivers by, nil until there is one.
+// Index returns the configuration in force, nil until there is one.
 func (p *Manager) Index() *catalog.Index { return p.index.Load() }
 
-// Accepts says whether this edge should deliver a new message of a service, with a body of a size.
+// Accepts reports whether this edge should deliver a new message of a service, with a body of a size in bytes.
 func (p *Manager) Accepts(service string, size int) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return !p.closed && p.core.Accepts(p.now(), service, size)
 }
 
-// MessageIDs names the messages held.
+// MessageIDs returns the IDs of the messages that this edge owns, in no order.
 func (p *Manager) MessageIDs() []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.core.MessageIDs()
 }
 
-// Backlogs tells of the services of which a message has been due for a time.
+// Backlogs returns the services of which a message has been due for at least a time.
 func (p *Manager) Backlogs(due time.Duration) []Backlog {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.core.Backlogs(p.now(), due)
 }
 
-// Stop gives back all that is not under way, at once.
+// Stop releases all that is not in flight, at once.
 func (p *Manager) Stop() {
 	p.handle(func(core *Core, now time.Duration) []Action { return core.Stop(now) })
 }
 
-// AwaitDrained returns once nothing is under way and all reports are acknowledged, or the context ends. It says which.
+// AwaitDrained waits until nothing is in flight and all reports are acknowledged, or the context ends. It reports whether all was done.
 func (p *Manager) AwaitDrained(ctx context.Context) bool {
 	for {
 		if p.isIdle() {
@@ -237,7 +238,7 @@
 	return p.core.InFlight() == 0 && p.core.Idle() && p.queue.Pending() == 0
 }
 
-// Close ends the plane; events after it count for nothing.
+// Close ends the manager; events after it are ignored.
 func (p *Manager) Close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/edge/dispatch/message.go
+++ b/edge/dispatch/message.go
@@ -10,35 +10,35 @@
 type phase uint8
 
 const (
-	phaseKeyOrder    phase = iota // it waits for its turn in the order of its key
+	phaseKeyOrder    phase = iota // behind another message of its key order
 	phaseDeferred                 // until due
-	phaseRateLimited              // for a token of its service's ceiling
-	phaseQueued                   // until its service's module can be handed another
+	phaseRateLimited              // waiting for a token of its service's rate limit
+	phaseQueued                   // until its service's module can be given another
 	phaseSubmitted                // its service's module has it
-	phaseReleasing                // given back when it is due, for another edge to deliver
-	phaseReported                 // its end is told to the queue, and not yet acknowledged
+	phaseReleasing                // released when it is due, for another edge to deliver
+	phaseReported                 // its terminal report is sent, and not yet acknowledged
 )
 
-// message is one that the edge holds.
+// message is one that the edge owns.
 type message struct {
 	wire.Message
 	phase           phase
-	dueAt           time.Duration // when it is to be looked at
+	dueAt           time.Duration // when processDue is called for it
 	notBefore       time.Duration // it may not run earlier
-	startTarget     time.Duration // its route's aim for that
+	startTarget     time.Duration // when it should run at the latest: notBefore and its route's startTargetMs
 	dropAfter       time.Duration // it is not dropped earlier for want of a route
 	expiresAt       time.Duration // the end of its retention
-	failedAttempts  uint16        // failedAttempts attempts
-	backoffs        int           // tries that ran nothing
-	unknownOutcomes int           // tries with an unknown outcome that were followed at once
+	failedAttempts  uint16        // as counted by all edges
+	backoffs        int           // attempts in a row that ran nothing
+	unknownOutcomes int           // attempts with an unknown outcome that were retried at once
 	granted         bool
-	released        bool // reported as given back
+	released        bool // the last report releases it
 	submitted       bool
 	size            int
-	heapIndex       int // in the queue of those with a time; -1: not there
+	heapIndex       int // in Core.due; -1: not there
 
-	service *service // while throttled or handed
-	job     *job     // while handed
+	service *service // while rate limited, queued or submitted
+	job     *job     // while submitted
 }
 
 func (m *message) path() string {
--- a/edge/dispatch/outcome.go
+++ b/edge/dispatch/outcome.go
@@ -23,7 +23,7 @@
 	worker.Cancelled:    ravendale.Cancelled,
 }
 
-// FinishAttempt takes the end of an attempt.
+// FinishAttempt takes the outcome of an attempt.
 func (c *Core) FinishAttempt(now time.Duration, id JobID, number int, result worker.Result) []Action {
 	c.begin(now)
 	if j := c.jobs[id]; j != nil && number < len(j.attempts) && j.attempts[number].inFlight {
@@ -66,7 +66,7 @@
 	}
 }
 
-// endsJob says whether an outcome ends the job: the module goes on by itself only with what surely did not run, and while
+// endsJob reports whether an outcome ends the job: the module goes on by itself only with what surely did not run, and while
 // another attempt is under way.
 func (c *Core) endsJob(j *job, outcome worker.Outcome) bool {
 	switch {
@@ -107,7 +107,7 @@
 	c.retry(m, result.Outcome)
 }
 
-// countFailure counts a failed attempt, and says whether it was the last.
+// countFailure counts a failed attempt, and reports whether it was the last.
 func (c *Core) countFailure(m *message) bool {
 	m.failedAttempts++
 	retries := int(m.Retries)
@@ -122,7 +122,7 @@
 	return false
 }
 
-// retry has a message tried once more: after a failure or an unknown outcome at once the first time.
+// retry has a message attempted once more: after a failure or an unknown outcome at once the first time.
 func (c *Core) retry(m *message, outcome worker.Outcome) {
 	switch {
 	case outcome == worker.Duplicate:
--- a/edge/dispatch/ratelimit.go
+++ b/edge/dispatch/ratelimit.go
@@ -11,38 +11,38 @@
 	"ravendale/cluster/wire"
 )
 
-// The parts of a ceiling. A bound on what comes in any window allows so many arrivals besides the rate.
+// The shares of a rate limit. A bound on what comes in any window allows so many arrivals besides the rate.
 const (
 	budgetSlack       = 5    // arrivals that the bound allows in a window besides the rate
-	reservedArrivals  = 2    // of them left for sends that are held up and come together
+	reservedArrivals  = 2    // of them kept for sends that are delayed and arrive together
 	rateFraction      = 0.93 // of the rest, for clocks and links that are not even
 	burstFraction     = 0.5  // of the window's budget that bursts may take
 	largeBurst        = 2    // where edges are few
 	minSenders        = 2
 	minSenderRate     = 4 // tokens a second: no more edges send than can have so many each
-	largeBurstDivisor = 8 // edges are few while their large bursts are under this part of the budget
+	largeBurstDivisor = 8 // edges are few while their large bursts are under this fraction of the budget
 )
 
-// RateLimit bounds what all edges together send to a service in any window.
+// RateLimit bounds what all edges together send to a service in any window (ratePerS of a service).
 type RateLimit struct {
 	RatePerS  float64
 	Window    time.Duration
 	Overshoot float64 // factor on rate x window
 }
 
-// Share is one edge's part of a ceiling: a token bucket. A zero Share sends nothing.
+// Share is one edge's share of a rate limit: a token bucket. A zero Share sends nothing.
 type Share struct {
 	Rate  float64 // tokens a second
 	Burst float64
 }
 
-// budget is how many arrivals the bound allows in a window.
+// budget returns how many arrivals the bound allows in a window.
 func (c RateLimit) budget() float64 {
 	return c.RatePerS*c.Window.Seconds()*c.Overshoot + budgetSlack
 }
 
-// senders is how many of a number of edges may send. Few with a quick supply of tokens keep messages waiting less than many
-// with a slow one each, but no zone should be without, and one that goes away should not be the only one.
+// senders returns how many of a number of edges may send. Few with a quick supply of tokens keep messages waiting less than many
+// with a slow one each, but no zone should be without, and one that leaves should not be the only one.
 func (c RateLimit) senders(edges, zones int) int {
 	maxSenders := int((c.budget() - reservedArrivals) * burstFraction)
 	target := max(int(math.Ceil(c.RatePerS*c.Overshoot/minSenderRate)), zones, minSenders)
@@ -77,7 +77,7 @@
 	id   string
 	zone string
 	hash uint64
-	rank int // its place in its zone
+	rank int // among the edges of its zone
 }
 
 // selectSenders returns the IDs of count of the edges.
--- a/edge/dispatch/replaced.go
+++ b/edge/dispatch/replaced.go
@@ -6,7 +6,7 @@
 	"ravendale/cluster/wire"
 )
 
-// replacedFor is how long a worker that another has replaced gets nothing, though it is listed. It is longer than the list lags behind.
+// replacedFor is how long a worker whose address another has is excluded, though it is listed. It is longer than the list lags behind.
 const replacedFor = 5 * time.Second
 
 // replacedWorkers are listed workers whose address another has by now.
@@ -42,7 +42,7 @@
 	g.updateNext()
 }
 
-// expire forgets those whose time is over, and says whether there were some.
+// expire forgets those whose time is over, and reports whether there were any.
 func (g *replacedWorkers) expire(now time.Duration) bool {
 	if g.next == 0 || g.next > now {
 		return false
--- a/edge/dispatch/report.go
+++ b/edge/dispatch/report.go
@@ -6,7 +6,7 @@
 	"ravendale/cluster/wire"
 )
 
-// finish ends a message here. It is held, without its body, until the queue has acknowledged the report.
+// finish completes a message here. It stays, without its body, until the queue has acknowledged the report.
 func (c *Core) finish(m *message, report wire.Report) {
 	c.withdraw(m)
 	c.removeScheduled(m)
@@ -18,7 +18,7 @@
 	c.report(report)
 }
 
-// succeed ends a message that a worker has run, whether or not it is still held here: whoever has it now must not run it again.
+// succeed completes a message that a worker has run, whether or not this edge still owns it: the present owner must not run it again.
 func (c *Core) succeed(m *message, signature string) {
 	done := wire.Report{ID: m.ID, Kind: wire.ReportDone, Failed: m.failedAttempts, Signature: signature}
 	if owned := c.messages[m.ID]; owned != nil && owned.phase != phaseReported {
@@ -43,7 +43,7 @@
 	c.emit(Report{r})
 }
 
-// resendReport reports once more how a message ended here, and says whether it did.
+// resendReport repeats the terminal report of a message that was completed here, and reports whether there was one.
 func (c *Core) resendReport(id string) bool {
 	report, known := c.completed.find(c.now, id)
 	known = known && !c.mutations.forgetsCompleted
@@ -53,7 +53,7 @@
 	return known
 }
 
-// Acknowledged hears that the queue has a message's last report.
+// Acknowledged is called when the queue has acknowledged a message's last report.
 func (c *Core) Acknowledged(now time.Duration, id string) []Action {
 	c.begin(now)
 	if m := c.messages[id]; m != nil && m.phase == phaseReported {
@@ -62,7 +62,7 @@
 	return c.end()
 }
 
-// Unknown hears that the queue does not know a message as pending: it has ended.
+// Unknown is called when the queue does not know a message as pending: it was completed.
 func (c *Core) Unknown(now time.Duration, id string) []Action {
 	c.begin(now)
 	if m := c.messages[id]; m != nil && m.phase != phaseReported {
--- a/edge/dispatch/service.go
+++ b/edge/dispatch/service.go
@@ -9,7 +9,7 @@
 	"ravendale/cluster/wire"
 )
 
-// service is what the plane has for one service: its decision module, its workers and its ceiling.
+// service is the state of one service: its decision module, its workers and its share of the rate limit.
 type service struct {
 	name         string
 	module       *ravendale.Dispatcher
@@ -19,18 +19,18 @@
 	entries      []ravendale.Entry
 	capacities   map[string]int // by worker: how many messages it runs at once
 	readyWorkers int            // listed workers that may be sent to
-	tokens       *bucket        // nil: no ceiling
-	rateLimited  []*message     // wait for tokens, in the order in which they came
-	queue        waitQueue      // wait to be handed to the module
-	openJobs     int            // jobs with the module, or whose attempts are out
-	waitingJobs  int            // jobs with the module that have no attempt under way
-	maxOpenJobs  int            // connections that may be open to all its workers: with a ceiling, no more jobs are open
-	timerAt      time.Duration  // the module's; forever: none
+	tokens       *bucket        // nil: no rate limit
+	rateLimited  []*message     // wait for tokens, in order of arrival
+	queue        waitQueue      // wait to be submitted to the module
+	openJobs     int            // submitted to the module, or with attempts in flight
+	waitingJobs  int            // open jobs without an attempt in flight
+	maxOpenJobs  int            // under a rate limit: the connections that may be open to all its workers
+	timerAt      time.Duration  // when the module's timer fires; forever: it has none
 }
 
 // The module's settings for a service.
 const (
-	attemptsPerJob   = 3 // that the module makes by itself: those that ran nothing are followed by others
+	attemptsPerJob   = 3 // made by the module itself: those that ran nothing are followed by others
 	attemptsPerToken = 1 // where each attempt needs a token
 	jobDeadline      = forever
 	unknownZone      = -1
@@ -59,7 +59,7 @@
 	}
 }
 
-// entries lists a service's workers for its module, but for those that are gone, and their addresses.
+// entries lists a service's workers for its module, without those that were replaced, and their addresses.
 func entries(config *catalog.Service, workers *wire.Workers, replaced *replacedWorkers, t *Topology) ([]ravendale.Entry, map[string]string) {
 	addresses := make(map[string]string)
 	if config.Endpoint != "" {
@@ -94,7 +94,7 @@
 	}
 }
 
-// capacities says how many messages workers run at once, by name.
+// capacities returns how many messages workers run at once, by name.
 func capacities(workers *wire.Workers, named map[string]string) map[string]int {
 	capacities := make(map[string]int, len(named))
 	if workers == nil {
@@ -108,7 +108,7 @@
 	return capacities
 }
 
-// tokenWait is how long a message that comes now would wait for a token.
+// tokenWait returns how long a message that comes now would wait for a token.
 func (s *service) tokenWait(now time.Duration) time.Duration {
 	if s.tokens == nil {
 		return 0
--- a/edge/dispatch/waitqueue.go
+++ b/edge/dispatch/waitqueue.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// waitQueue holds a service's messages that may run and that its decision module was not handed yet, sorted by when they are to begin. A
-// module is handed a message at a time, once all that it has are under way: so the one that does best to go first does, however many wait.
+// waitQueue has a service's messages that may run and were not submitted to its decision module yet, sorted by when they should start. A
+// module is given a message at a time, once all that it has are in flight: so the one that is best sent next is, however many wait.
 type waitQueue struct{ messages []*message }
 
 func (q *waitQueue) len() int { return len(q.messages) }
@@ -26,14 +26,14 @@
 	}
 }
 
-// from is the index of the first message that is to begin at a time or later.
+// from returns the index of the first message that should start at a time or later.
 func (q *waitQueue) from(at time.Duration) int {
 	return sort.Search(len(q.messages), func(i int) bool { return at <= q.messages[i].startTarget })
 }
 
-// first returns the message that goes next; nil: there is none. The oldest of those that can still begin within their aim is first.
-// Then comes the newest: whatever goes first, the same number misses its aim, but a key whose messages have all run has the next one in
-// time again, and with the oldest first all keys would be late until the last of the backlog has run.
+// first returns the message that goes next; nil: there is none. The oldest of those that can still start within their target is first.
+// Then comes the newest: whatever goes first, the same number misses its target, but a key whose messages have all run has the next one
+// in time again, and with the oldest first all keys would be late until the last of the backlog has run.
 func (q *waitQueue) first(now time.Duration) *message {
 	if len(q.messages) == 0 {
 		return nil
@@ -41,7 +41,7 @@
 	return q.messages[min(q.from(now), len(q.messages)-1)]
 }
 
-// enqueue has a message wait until its service's module can be handed another.
+// enqueue has a message wait until it can be submitted to its service's module.
 func (c *Core) enqueue(m *message, s *service) {
 	m.service = s
 	if s.queue.len() == 0 {
@@ -57,12 +57,12 @@
 	c.pruneBacklogged()
 }
 
-// pruneBacklogged keeps the list of the services with messages in their queues.
+// pruneBacklogged removes services with empty queues from the list.
 func (c *Core) pruneBacklogged() {
 	c.backlogged = slices.DeleteFunc(c.backlogged, func(s *service) bool { return s.queue.len() == 0 })
 }
 
-// reroute has messages that waited for a service look for their route and what they wait for.
+// reroute has messages that waited for a service admitted anew, under their present route.
 func (c *Core) reroute(messages []*message) {
 	for _, m := range messages {
 		m.service = nil
@@ -70,7 +70,7 @@
 	}
 }
 
-// submitQueued hands a module the first message of its queue, if all that the module has are under way, and says whether one was handed.
+// submitQueued submits the first message of a queue whose module has all its jobs in flight, and reports whether there was one.
 func (c *Core) submitQueued() bool {
 	for _, s := range c.backlogged {
 		if s.waitingJobs > 0 {
