--- a/cmd/ravendale-edge/backlog.go
+++ b/cmd/ravendale-edge/backlog.go
@@ -34,13 +34,13 @@
 	for i := range backlogs {
 		b := &backlogs[i]
 		current[b.Service] = true
-		log.Warn("messages wait", "service", b.Service, "oldest", b.Oldest.Round(time.Millisecond),
-			"turn", b.KeyOrder, "paused", b.BackingOff, "token", b.RateLimited, "held", b.Queued, "running", b.InFlight,
-			"workers", b.Workers, "sick", b.Unhealthy, "full", b.AtCapacity)
+		log.Warn("messages overdue", "service", b.Service, "oldest", b.Oldest.Round(time.Millisecond),
+			"key_order", b.KeyOrder, "backing_off", b.BackingOff, "rate_limited", b.RateLimited, "queued", b.Queued, "in_flight", b.InFlight,
+			"workers", b.Workers, "unhealthy", b.Unhealthy, "at_capacity", b.AtCapacity)
 	}
 	for service := range before {
 		if !current[service] {
-			log.Info("no messages wait any more", "service", service)
+			log.Info("no messages overdue", "service", service)
 		}
 	}
 	return current
--- a/cmd/ravendale-edge/backlog_test.go
+++ b/cmd/ravendale-edge/backlog_test.go
@@ -16,11 +16,11 @@
 	log := slog.New(slog.NewTextHandler(&lines, nil))
 
 	were := logBacklogs([]dispatch.Backlog{{Service: "s", Oldest: 2 * time.Second, Queued: 3, Workers: 6, AtCapacity: 5}}, nil, log)
-	assert.Contains(t, lines.String(), `level=WARN msg="messages wait" service=s oldest=2s turn=0 paused=0 token=0 held=3 running=0 workers=6 sick=0 full=5`)
+	assert.Contains(t, lines.String(), `level=WARN msg="messages overdue" service=s oldest=2s key_order=0 backing_off=0 rate_limited=0 queued=3 in_flight=0 workers=6 unhealthy=0 at_capacity=5`)
 
 	lines.Reset()
 	were = logBacklogs(nil, were, log)
-	assert.Contains(t, lines.String(), `level=INFO msg="no messages wait any more" service=s`)
+	assert.Contains(t, lines.String(), `level=INFO msg="no messages overdue" service=s`)
 
 	lines.Reset()
 	logBacklogs(nil, were, log)
--- a/cmd/ravendale-edge/edge.go
+++ b/cmd/ravendale-edge/edge.go
@@ -216,7 +216,7 @@
 	reports, cancelReports := context.WithTimeout(context.Background(), left(reportMargin))
 	defer cancelReports()
 	if !e.dispatcher.AwaitDrained(reports) {
-		e.env.Log.Warn("stopped with deliveries under way")
+		e.env.Log.Warn("stopped with deliveries in flight")
 	}
 	leaving, cancelLeaving := context.WithTimeout(context.Background(), leaveTimeout)
 	defer cancelLeaving()
