--- a/cmd/ravendale-edge/backlog.go
+++ b/cmd/ravendale-edge/backlog.go
@@ -14,7 +14,7 @@
 )
 
 // watchBacklogs logs where messages wait that should have begun, until the context ends.
-func watchBacklogs(ctx context.Context, plane *dispatch.Manager, log *slog.Logger) {
+func watchBacklogs(ctx context.Context, dispatcher *dispatch.Manager, log *slog.Logger) {
 	ticker := time.NewTicker(backlogInterval)
 	defer ticker.Stop()
 	overdue := make(map[string]bool)
@@ -23,7 +23,7 @@
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
-			overdue = logBacklogs(plane.Backlogs(backlogThreshold), overdue, log)
+			overdue = logBacklogs(dispatcher.Backlogs(backlogThreshold), overdue, log)
 		}
 	}
 }
--- a/edge/ingress/configwait.go
+++ b/edge/ingress/configwait.go
@@ -9,6 +9,9 @@
 	"ravendale/cluster/catalog"
 )
 
+// maxConfigWait bounds the wait of a request that comes before there is a configuration.
+const maxConfigWait = 300 * time.Millisecond
+
 // broadcast wakes all who wait for a change.
 type broadcast struct {
 	mu   sync.Mutex
--- a/edge/ingress/handler.go
+++ b/edge/ingress/handler.go
@@ -2,17 +2,9 @@
 
 import (
 	"bytes"
-	"encoding/json"
-	"errors"
-	"math"
-	"strconv"
-	"strings"
-	"time"
 
 	"github.com/valyala/fasthttp"
 
-	"ravendale/cluster/catalog"
-	"ravendale/cluster/wire"
 	"ravendale/edge/dispatch"
 	"ravendale/edge/queueclient"
 )
@@ -23,20 +15,6 @@
 	bodyPath  = "/v1/message-body/"
 )
 
-// How long a message is tried to be kept.
-const (
-	putTargets         = 5 // times the route's aim
-	minPutTime         = 250 * time.Millisecond
-	maxPutTime         = 600 * time.Millisecond
-	maxDeadlinePutTime = 2 * time.Second // for clients that say that they wait longer
-	putFraction        = 0.42            // of what a client waits: refused by then, it may be taken elsewhere
-	answerFraction     = 0.47            // ... and closed by then, if no answer is likely to come
-	lateAnswerFraction = 0.9             // ... or by then: it has to reach the client, too
-	maxAnswerTime      = 2500 * time.Millisecond
-	defaultTarget      = 100 * time.Millisecond
-	maxConfigWait      = 300 * time.Millisecond // for a configuration, of a request that comes before there is one
-)
-
 func (s *Server) handleRequest(ctx *fasthttp.RequestCtx) {
 	s.route(ctx)
 	if s.draining.Load() {
@@ -67,11 +45,6 @@
 	s.serveRequest(ctx, string(path))
 }
 
-func badRequest(ctx *fasthttp.RequestCtx) {
-	ctx.SetStatusCode(fasthttp.StatusBadRequest)
-	ctx.SetConnectionClose()
-}
-
 // serveRequest has a message kept.
 func (s *Server) serveRequest(ctx *fasthttp.RequestCtx, path string) {
 	index, waited := s.awaitIndex(&ctx.Request.Header)
@@ -94,7 +67,7 @@
 	if m.Body = body; accepts {
 		m.Body = bytes.Clone(body)
 	}
-	limits.Attempts = max(limits.Attempts-waited, 0)
+	limits.Attempt = max(limits.Attempt-waited, 0)
 	switch s.config.Queue.PutWithin(m, accepts, limits) {
 	case queueclient.Accepted:
 		ctx.Response.Header.Set("Msg-Id", m.ID)
@@ -106,138 +79,3 @@
 		ctx.SetConnectionClose()
 	}
 }
-
-// parseMessage makes a message of a request, without its body, and says how long it may be tried to be kept.
-func parseMessage(request *fasthttp.Request, route *catalog.Route) (m *wire.Message, limits queueclient.Limits, ok bool) {
-	header := &request.Header
-	id, once := single(header, "Request-Id")
-	if !once || !isRequestID(id) {
-		return nil, limits, false
-	}
-	key, once := single(header, "Order-Key")
-	if !once {
-		return nil, limits, false
-	}
-	delay, fine := parseNumber(header, "Delay-Ms")
-	if !fine || delay > math.MaxUint32 {
-		return nil, limits, false
-	}
-	return &wire.Message{
-		RequestID: id, Route: route.Name, Method: string(header.Method()), Host: string(header.Host()),
-		Target: string(header.RequestURI()), ContentType: string(header.ContentType()), Key: key,
-		SentUnixMs: time.Now().UnixMilli(), DelayMs: uint32(math.Ceil(delay)), RetentionMs: retention(route),
-		Retries: uint16(min(max(route.Retries, 0), math.MaxUint16)), Ordered: route.Ordered && key != "",
-	}, putLimits(route, deadlineOf(header)), true
-}
-
-// deadlineOf is how long the client waits, in milliseconds, 0 if it does not say so: it is only a hint.
-func deadlineOf(header *fasthttp.RequestHeader) float64 {
-	deadline, fine := parseNumber(header, "Deadline-Ms")
-	if !fine {
-		return 0
-	}
-	return deadline
-}
-
-func retention(route *catalog.Route) uint32 {
-	const thousand = 1000
-	return uint32(min(route.RetentionS*thousand, math.MaxUint32))
-}
-
-func putLimits(route *catalog.Route, deadlineMs float64) queueclient.Limits {
-	if deadlineMs > 0 {
-		putTime := deadlineFraction(deadlineMs, putFraction)
-		return queueclient.Limits{
-			Attempts: min(putTime, maxDeadlinePutTime),
-			Answer:   min(deadlineFraction(deadlineMs, answerFraction)-putTime, maxAnswerTime),
-			Hope:     min(deadlineFraction(deadlineMs, lateAnswerFraction)-putTime, maxAnswerTime),
-		}
-	}
-	target := orDefault(milliseconds(route.TargetMs), defaultTarget)
-	putTime := min(max(putTargets*target, minPutTime), maxPutTime)
-	return queueclient.Limits{Attempts: putTime, Answer: maxAnswerTime, Hope: maxAnswerTime}
-}
-
-func deadlineFraction(deadlineMs, fraction float64) time.Duration {
-	return milliseconds(min(deadlineMs, math.MaxInt32) * fraction)
-}
-
-// isRequestID says whether a text can be a request's id.
-func isRequestID(text string) bool {
-	for i := range len(text) {
-		if text[i] < ' ' || text[i] == 0x7f {
-			return false
-		}
-	}
-	return text != ""
-}
-
-// parseNumber reads a field that is a number of 0 or more; absent, it is 0.
-func parseNumber(h *fasthttp.RequestHeader, name string) (float64, bool) {
-	text, once := single(h, name)
-	if text == "" || !once {
-		return 0, once && len(h.PeekAll(name)) == 0
-	}
-	value, err := strconv.ParseFloat(text, 64)
-	if err != nil || math.IsNaN(value) || math.IsInf(value, 0) || value < 0 || strings.ContainsAny(text, "xX_pP") {
-		return 0, false
-	}
-	return value, true
-}
-
-type stateAnswer struct {
-	State     string `json:"state"`
-	Signature string `json:"signature,omitempty"`
-}
-
-var stateNames = map[wire.State]string{
-	wire.StatePending: "pending",
-	wire.StateDone:    "done",
-	wire.StateDead:    "dead_letter",
-	wire.StateDropped: "dead_letter",
-}
-
-func (s *Server) serveState(ctx *fasthttp.RequestCtx, id string) {
-	found := s.find(ctx, id, false)
-	if found == nil {
-		return
-	}
-	answer := stateAnswer{State: stateNames[found.State]}
-	if found.State == wire.StateDone {
-		answer.Signature = found.Signature
-	}
-	text, err := json.Marshal(answer)
-	if err != nil {
-		unavailable(ctx)
-		return
-	}
-	ctx.SetContentType("application/json")
-	ctx.SetBody(text)
-}
-
-func (s *Server) serveBody(ctx *fasthttp.RequestCtx, id string) {
-	found := s.find(ctx, id, true)
-	if found == nil {
-		return
-	}
-	if found.State == wire.StateDone {
-		ctx.SetStatusCode(fasthttp.StatusNotFound)
-		return
-	}
-	ctx.SetContentType("application/octet-stream")
-	ctx.SetBody(found.Body)
-}
-
-// find asks the queue for a message, and answers the client if it can't be told.
-func (s *Server) find(ctx *fasthttp.RequestCtx, id string, body bool) *wire.FindReply {
-	found, err := s.config.Queue.Find(id, body)
-	switch {
-	case err == nil:
-		return found
-	case errors.Is(err, queueclient.ErrNotFound):
-		ctx.SetStatusCode(fasthttp.StatusNotFound)
-	default:
-		unavailable(ctx)
-	}
-	return nil
-}
--- a/edge/ingress/ingress_test.go
+++ b/edge/ingress/ingress_test.go
@@ -42,7 +42,7 @@
 	kept.Body = append([]byte(nil), m.Body...)
 	q.messages = append(q.messages, kept)
 	q.dispatch = append(q.dispatch, dispatch)
-	q.limits = append(q.limits, limits.Attempts)
+	q.limits = append(q.limits, limits.Attempt)
 	q.answers = append(q.answers, limits)
 	return q.result
 }
@@ -362,7 +362,7 @@
 		require.Equal(t, http.StatusAccepted, s.ask(t, head+deadline+"Content-Length: 0\r\n\r\n").status)
 	}
 	assert.Equal(t, []time.Duration{400 * time.Millisecond, 420 * time.Millisecond, maxDeadlinePutTime, 400 * time.Millisecond}, s.queue.limits)
-	assert.Equal(t, queueclient.Limits{Attempts: 420 * time.Millisecond, Answer: 50 * time.Millisecond, Hope: 480 * time.Millisecond}, s.queue.answers[1])
+	assert.Equal(t, queueclient.Limits{Attempt: 420 * time.Millisecond, Answer: 50 * time.Millisecond, LateAnswer: 480 * time.Millisecond}, s.queue.answers[1])
 }
 
 func TestStates(t *testing.T) {
--- /dev/null
+++ b/edge/ingress/lookup.go
@@ -0,0 +1,68 @@
+package ingress
+
+import (
+	"encoding/json"
+	"errors"
+
+	"github.com/valyala/fasthttp"
+
+	"ravendale/cluster/wire"
+	"ravendale/edge/queueclient"
+)
+
+type stateAnswer struct {
+	State     string `json:"state"`
+	Signature string `json:"signature,omitempty"`
+}
+
+var stateNames = map[wire.State]string{
+	wire.StatePending: "pending",
+	wire.StateDone:    "done",
+	wire.StateDead:    "dead_letter",
+	wire.StateDropped: "dead_letter",
+}
+
+func (s *Server) serveState(ctx *fasthttp.RequestCtx, id string) {
+	found := s.find(ctx, id, false)
+	if found == nil {
+		return
+	}
+	answer := stateAnswer{State: stateNames[found.State]}
+	if found.State == wire.StateDone {
+		answer.Signature = found.Signature
+	}
+	text, err := json.Marshal(answer)
+	if err != nil {
+		unavailable(ctx)
+		return
+	}
+	ctx.SetContentType("application/json")
+	ctx.SetBody(text)
+}
+
+func (s *Server) serveBody(ctx *fasthttp.RequestCtx, id string) {
+	found := s.find(ctx, id, true)
+	if found == nil {
+		return
+	}
+	if found.State == wire.StateDone {
+		ctx.SetStatusCode(fasthttp.StatusNotFound)
+		return
+	}
+	ctx.SetContentType("application/octet-stream")
+	ctx.SetBody(found.Body)
+}
+
+// find asks the queue for a message, and answers the client if it can't be told.
+func (s *Server) find(ctx *fasthttp.RequestCtx, id string, body bool) *wire.FindReply {
+	found, err := s.config.Queue.Find(id, body)
+	switch {
+	case err == nil:
+		return found
+	case errors.Is(err, queueclient.ErrNotFound):
+		ctx.SetStatusCode(fasthttp.StatusNotFound)
+	default:
+		unavailable(ctx)
+	}
+	return nil
+}
--- a/edge/queueclient/outage_test.go
+++ b/edge/queueclient/outage_test.go
@@ -18,7 +18,7 @@
 		c, _ := newClient(t)
 		c.SetView(placement(1, []*fakeStore{one}, []uint16{0}, []uint16{0}))
 		connected(t, c)
-		limits := Limits{Attempts: 2 * minAttemptTimeout, Answer: 20 * time.Millisecond, Hope: soon}
+		limits := Limits{Attempt: 2 * minAttemptTimeout, Answer: 20 * time.Millisecond, LateAnswer: soon}
 		began := time.Now()
 		require.Equal(t, Unknown, c.PutWithin(plain(), true, limits))
 		assert.Less(t, time.Since(began), soon/2, "nothing hints that an answer comes")
@@ -50,7 +50,7 @@
 		require.Eventually(t, func() bool { return primary.isSuspect(c.now()) }, soon, time.Millisecond)
 		suspected := time.Now()
 		second := make(chan Result, 1)
-		go func() { second <- c.PutWithin(plain(), true, Limits{Attempts: soon}) }()
+		go func() { second <- c.PutWithin(plain(), true, Limits{Attempt: soon}) }()
 		close(release)
 		require.Equal(t, Accepted, <-second)
 		assert.Less(t, time.Since(suspected), suspectTimeout)
@@ -72,6 +72,6 @@
 		c.SetView(placement(1, []*fakeStore{one}, []uint16{0}))
 		connected(t, c)
 		require.Equal(t, Accepted, c.Put(plain(), true, soon))
-		assert.Equal(t, Accepted, c.PutWithin(plain(), true, Limits{Attempts: 20 * time.Millisecond, Answer: 20 * time.Millisecond, Hope: soon}))
+		assert.Equal(t, Accepted, c.PutWithin(plain(), true, Limits{Attempt: 20 * time.Millisecond, Answer: 20 * time.Millisecond, LateAnswer: soon}))
 	})
 }
--- a/edge/queueclient/store.go
+++ b/edge/queueclient/store.go
@@ -100,11 +100,6 @@
 	}
 }
 
-func (v *view) isPrimary(s *store, id string) bool {
-	partition, ok := wire.PartitionOf(id)
-	return ok && v.primary(partition) == s
-}
-
 // isSuspect says whether something tells against the store: it isn't connected, or left a put unanswered.
 func (s *store) isSuspect(now time.Duration) bool {
 	return time.Duration(s.suspectUntil.Load()) > now || s.conn() == nil
--- a/edge/worker/client_test.go
+++ b/edge/worker/client_test.go
@@ -325,7 +325,7 @@
 		d.Limit = 150 * time.Millisecond
 		result := deliver(client, d)
 		assert.Equal(t, TimedOut, result.Outcome)
-		assert.Equal(t, d.Limit+answerSlack, result.Took)
+		assert.Equal(t, d.Limit+answerMargin, result.Took)
 	})
 }
 
--- a/edge/worker/connection.go
+++ b/edge/worker/connection.go
@@ -6,7 +6,6 @@
 	"errors"
 	"net"
 	"slices"
-	"strconv"
 	"sync"
 	"syscall"
 	"time"
@@ -15,6 +14,17 @@
 	"golang.org/x/sys/unix"
 )
 
+// Times of a connection.
+const (
+	connectTimeout     = 300 * time.Millisecond
+	userTimeout        = 600 * time.Millisecond // bytes that nobody acknowledges for so long end the connection
+	answerMargin       = 120 * time.Millisecond // past the limit, for the worker's own word that it stopped
+	overtakenTimeout   = 5 * time.Millisecond   // for what is left to write of a request that has its answer
+	defaultIdleTimeout = 4 * time.Second        // how long a worker keeps an idle connection that has not said
+	scarceIdleTimeout  = 100 * time.Millisecond // how long an idle connection is kept that another sender may want
+	idleMargin         = time.Second            // closed so long before the worker would, a quarter of its time at most
+)
+
 const (
 	readBuffer       = 4 << 10  // bounds the head of an answer, too
 	smallBody        = 8 << 10  // copied behind the head, to go in one write
@@ -42,8 +52,6 @@
 
 var readers = sync.Pool{New: func() any { return bufio.NewReaderSize(nil, readBuffer) }}
 
-var requests = sync.Pool{New: func() any { return new([]byte) }}
-
 // dialWithin returns what connects to an address within a time, 0 for no bound.
 func dialWithin(limit time.Duration) func(ctx context.Context, address string) (*connection, error) {
 	dialer := net.Dialer{Timeout: limit, KeepAlive: -1, Control: setUserTimeout}
@@ -83,7 +91,7 @@
 
 // exchange sends a delivery and reads its answer, which may come before the request was written whole.
 func (c *connection) exchange(d *Delivery) (Outcome, answer) {
-	if err := c.socket.SetDeadline(time.Now().Add(d.Limit + answerSlack)); err != nil {
+	if err := c.socket.SetDeadline(time.Now().Add(d.Limit + answerMargin)); err != nil {
 		return Broken, answer{}
 	}
 	written := c.write(d)
@@ -145,74 +153,3 @@
 	}
 	return Broken
 }
-
-// write sends a request, the body of a long one while its answer is awaited: then the channel tells how that went. It is nil once all is
-// written. A write that fails says nothing of the answer, which may lie there.
-func (c *connection) write(d *Delivery) (written chan error) {
-	buffer := requests.Get().(*[]byte)
-	defer func() {
-		if cap(*buffer) <= maxPooledRequest {
-			requests.Put(buffer)
-		}
-	}()
-	*buffer = appendHead((*buffer)[:0], d)
-	rest := d.Body
-	if len(rest) <= smallBody {
-		*buffer = append(*buffer, rest...)
-		rest = nil
-	}
-	_, err := c.socket.Write(*buffer)
-	if err == nil && len(rest) == 0 {
-		return nil
-	}
-	written = make(chan error, 1)
-	if err != nil {
-		written <- err
-		return written
-	}
-	go func() {
-		_, err := c.socket.Write(rest)
-		written <- err
-	}()
-	return written
-}
-
-// isWritten waits until nothing more of a request is written, and says whether it went out whole. What an answer has overtaken has
-// little time left.
-func (c *connection) isWritten(written chan error) bool {
-	if written == nil {
-		return true
-	}
-	_ = c.socket.SetWriteDeadline(time.Now().Add(overtakenTimeout))
-	return <-written == nil
-}
-
-func appendHead(b []byte, d *Delivery) []byte {
-	b = append(append(append(b, d.Method...), ' '), d.Target...)
-	b = append(b, " HTTP/1.1\r\n"...)
-	b = appendField(b, "Host", d.Host)
-	b = appendField(b, "Request-Id", d.RequestID)
-	if d.OrderKey != "" {
-		b = appendField(b, "Order-Key", d.OrderKey)
-	}
-	if d.ContentType != "" {
-		b = appendField(b, "Content-Type", d.ContentType)
-	}
-	if d.Instance != "" {
-		b = appendField(b, "Expect-Instance", d.Instance)
-	}
-	b = append(b, "Deadline-Ms: "...)
-	b = strconv.AppendInt(b, max(d.Limit.Milliseconds(), 1), 10)
-	b = append(b, "\r\n"...)
-	if len(d.Body) > 0 || d.Method == "POST" || d.Method == "PUT" || d.Method == "PATCH" {
-		b = append(b, "Content-Length: "...)
-		b = strconv.AppendInt(b, int64(len(d.Body)), 10)
-		b = append(b, "\r\n"...)
-	}
-	return append(b, "\r\n"...)
-}
-
-func appendField(b []byte, name, value string) []byte {
-	b = append(append(b, name...), ": "...)
-	return append(append(b, value...), "\r\n"...)
-}
--- a/edge/worker/worker.go
+++ b/edge/worker/delivery.go
@@ -1,5 +1,3 @@
-// Package worker delivers messages to workers over HTTP/1.1: one request at a time on each connection, idle connections kept for
-// the next, and an outcome for each delivery that says what is known of the run. It decides nothing about retries.
 package worker
 
 import (
@@ -49,14 +47,3 @@
 	Signature string // of the run that was Done
 	Took      time.Duration
 }
-
-// Times of a connection.
-const (
-	connectTimeout     = 300 * time.Millisecond
-	userTimeout        = 600 * time.Millisecond // bytes that nobody acknowledges for so long end the connection
-	answerSlack        = 120 * time.Millisecond // past the limit, for the worker's own word that it stopped
-	overtakenTimeout   = 5 * time.Millisecond   // for what is left to write of a request that has its answer
-	defaultIdleTimeout = 4 * time.Second        // how long a worker keeps an idle connection that has not said
-	scarceIdleTimeout  = 100 * time.Millisecond // how long an idle connection is kept that another sender may want
-	idleMargin         = time.Second            // closed so long before the worker would, a quarter of its time at most
-)
--- /dev/null
+++ b/edge/worker/pool.go
@@ -0,0 +1,173 @@
+package worker
+
+import (
+	"context"
+	"slices"
+	"time"
+)
+
+// pool has the connections to one worker.
+type pool struct {
+	share   Share
+	open    int // connections, and those that are being made
+	idle    []*connection
+	retired bool // no longer named: what is open is closed after use
+}
+
+// Share is what a sender may have of a worker's connections.
+type Share struct {
+	Max    int  // connections that may be open; 0: no bound
+	Scarce bool // the worker takes fewer than there are senders: an idle one keeps another sender out
+}
+
+func (c *Client) pool(name string) *pool {
+	p := c.pools[name]
+	if p == nil {
+		p = &pool{}
+		c.pools[name] = p
+	}
+	return p
+}
+
+// acquire returns a connection to a worker: an idle one if it is still open, or a new one.
+func (c *Client) acquire(ctx context.Context, d *Delivery) (*connection, Outcome) {
+	for {
+		conn, reserved := c.reserve(d.Worker, d.RequestID)
+		if !reserved {
+			return nil, NoConnection
+		}
+		if conn == nil {
+			break
+		}
+		if conn.isIdle() {
+			return conn, Done
+		}
+		c.release(d.Worker, conn, 0)
+	}
+	conn, err := c.dial(ctx, d.Address)
+	if err != nil {
+		c.unreserve(d.Worker)
+		return nil, Unreachable
+	}
+	conn.mutations = c.mutations
+	return conn, Done
+}
+
+// reserve takes an idle connection that may carry the message, or else room for a new one.
+func (c *Client) reserve(name, requestID string) (conn *connection, reserved bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	p := c.pool(name)
+	p.closeExpired(c.now())
+	if conn = p.pick(requestID); conn != nil {
+		return conn, true
+	}
+	if p.share.Max > 0 && p.open >= p.share.Max {
+		if len(p.idle) == 0 {
+			return nil, false
+		}
+		p.closeOldest()
+	}
+	p.open++
+	return nil, true
+}
+
+func (c *Client) unreserve(name string) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.removeConnection(name)
+}
+
+func (c *Client) removeConnection(name string) {
+	p := c.pool(name)
+	p.open--
+	if p.open == 0 && p.retired {
+		delete(c.pools, name)
+	}
+}
+
+// release takes a connection back, to be kept for a time, or to be closed where that is 0.
+func (c *Client) release(name string, conn *connection, idle time.Duration) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	p := c.pool(name)
+	if idle <= 0 || p.retired || c.isClosed || p.share.Max > 0 && p.open > p.share.Max {
+		_ = conn.socket.Close()
+		c.removeConnection(name)
+		return
+	}
+	if p.share.Scarce {
+		idle = min(idle, scarceIdleTimeout)
+	}
+	conn.expiresAt = c.now() + idle
+	p.idle = append(p.idle, conn)
+	c.sweepAt(conn.expiresAt)
+}
+
+func (c *Client) sweepAt(at time.Duration) {
+	if c.wakeAt != 0 && c.wakeAt <= at {
+		return
+	}
+	c.wakeAt = at
+	if wait := at - c.now(); c.sweep == nil {
+		c.sweep = time.AfterFunc(wait, c.closeExpired)
+	} else {
+		c.sweep.Reset(wait)
+	}
+}
+
+// closeExpired closes idle connections whose time has passed.
+func (c *Client) closeExpired() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.wakeAt = 0
+	now, next := c.now(), time.Duration(0)
+	for _, p := range c.pools {
+		p.closeExpired(now)
+		for _, conn := range p.idle {
+			if next == 0 || conn.expiresAt < next {
+				next = conn.expiresAt
+			}
+		}
+	}
+	if next > 0 {
+		c.sweepAt(next)
+	}
+}
+
+// pick takes the idle connection that was used last of those that may carry a message; nil: there is none.
+func (p *pool) pick(requestID string) *connection {
+	for i := len(p.idle) - 1; i >= 0; i-- {
+		if conn := p.idle[i]; conn.maySend(requestID) {
+			p.idle = slices.Delete(p.idle, i, i+1)
+			return conn
+		}
+	}
+	return nil
+}
+
+func (p *pool) closeIdle() {
+	for _, conn := range p.idle {
+		_ = conn.socket.Close()
+	}
+	p.open -= len(p.idle)
+	p.idle = nil
+}
+
+func (p *pool) closeOldest() {
+	_ = p.idle[0].socket.Close()
+	p.idle = slices.Delete(p.idle, 0, 1)
+	p.open--
+}
+
+// closeExpired closes idle connections whose time has passed.
+func (p *pool) closeExpired(now time.Duration) {
+	p.idle = slices.DeleteFunc(p.idle, func(conn *connection) bool {
+		if conn.expiresAt > now {
+			return false
+		}
+		_ = conn.socket.Close()
+		p.open--
+		return true
+	})
+}
--- /dev/null
+++ b/edge/worker/request.go
@@ -0,0 +1,80 @@
+package worker
+
+import (
+	"strconv"
+	"sync"
+	"time"
+)
+
+var requests = sync.Pool{New: func() any { return new([]byte) }}
+
+// write sends a request, the body of a long one while its answer is awaited: then the channel tells how that went. It is nil once all is
+// written. A write that fails says nothing of the answer, which may lie there.
+func (c *connection) write(d *Delivery) (written chan error) {
+	buffer := requests.Get().(*[]byte)
+	defer func() {
+		if cap(*buffer) <= maxPooledRequest {
+			requests.Put(buffer)
+		}
+	}()
+	*buffer = appendHead((*buffer)[:0], d)
+	rest := d.Body
+	if len(rest) <= smallBody {
+		*buffer = append(*buffer, rest...)
+		rest = nil
+	}
+	_, err := c.socket.Write(*buffer)
+	if err == nil && len(rest) == 0 {
+		return nil
+	}
+	written = make(chan error, 1)
+	if err != nil {
+		written <- err
+		return written
+	}
+	go func() {
+		_, err := c.socket.Write(rest)
+		written <- err
+	}()
+	return written
+}
+
+// isWritten waits until nothing more of a request is written, and says whether it went out whole. What an answer has overtaken has
+// little time left.
+func (c *connection) isWritten(written chan error) bool {
+	if written == nil {
+		return true
+	}
+	_ = c.socket.SetWriteDeadline(time.Now().Add(overtakenTimeout))
+	return <-written == nil
+}
+
+func appendHead(b []byte, d *Delivery) []byte {
+	b = append(append(append(b, d.Method...), ' '), d.Target...)
+	b = append(b, " HTTP/1.1\r\n"...)
+	b = appendField(b, "Host", d.Host)
+	b = appendField(b, "Request-Id", d.RequestID)
+	if d.OrderKey != "" {
+		b = appendField(b, "Order-Key", d.OrderKey)
+	}
+	if d.ContentType != "" {
+		b = appendField(b, "Content-Type", d.ContentType)
+	}
+	if d.Instance != "" {
+		b = appendField(b, "Expect-Instance", d.Instance)
+	}
+	b = append(b, "Deadline-Ms: "...)
+	b = strconv.AppendInt(b, max(d.Limit.Milliseconds(), 1), 10)
+	b = append(b, "\r\n"...)
+	if len(d.Body) > 0 || d.Method == "POST" || d.Method == "PUT" || d.Method == "PATCH" {
+		b = append(b, "Content-Length: "...)
+		b = strconv.AppendInt(b, int64(len(d.Body)), 10)
+		b = append(b, "\r\n"...)
+	}
+	return append(b, "\r\n"...)
+}
+
+func appendField(b []byte, name, value string) []byte {
+	b = append(append(b, name...), ": "...)
+	return append(append(b, value...), "\r\n"...)
+}
--- a/test/simulation/edge_test.go
+++ b/test/simulation/edge_test.go
@@ -131,7 +131,7 @@
 	}
 	client, plane, service := p.client, p.plane, r.service
 	p.life.begin(func() {
-		limits := queueclient.Limits{Attempts: time.Second, Answer: time.Second, Hope: 2 * time.Second}
+		limits := queueclient.Limits{Attempt: time.Second, Answer: time.Second, LateAnswer: 2 * time.Second}
 		if client.PutWithin(m, plane.Accepts(service, len(m.Body)), limits) == queueclient.Accepted {
 			w.messages.kept(r, m.ID)
 		}
