--- a/edge/ingress/answers.go
+++ b/edge/ingress/answers.go
@@ -7,7 +7,7 @@
 	"github.com/valyala/fasthttp"
 )
 
-// answerError answers what could not be read.
+// answerError answers a request that could not be read.
 func answerError(ctx *fasthttp.RequestCtx, err error) {
 	var small *fasthttp.ErrSmallBuffer
 	var late interface{ Timeout() bool }
@@ -30,7 +30,7 @@
 	ctx.SetConnectionClose()
 }
 
-// unavailable answers that the request was not taken, and never will be.
+// unavailable answers that the request was not accepted, and never will be.
 func unavailable(ctx *fasthttp.RequestCtx) {
 	ctx.Response.Header.Set("Retry-After", strconv.Itoa(retryAfterS))
 	ctx.SetStatusCode(fasthttp.StatusServiceUnavailable)
--- a/edge/ingress/configwait.go
+++ b/edge/ingress/configwait.go
@@ -37,11 +37,11 @@
 	}
 }
 
-// ConfigChanged says that Config.Index or Config.Ready may tell something new.
+// ConfigChanged is called when Config.Index or Config.Ready may return something new.
 func (s *Server) ConfigChanged() { s.changed.raise() }
 
-// awaitIndex returns the configuration that holds, once this process is ready, or nil if that takes too long; and how long it
-// waited. A request that comes just before is worth a short wait: turned away it would only come again.
+// awaitIndex returns the configuration in force, once this process is ready, or nil if that takes too long; and how long it
+// waited. A request that comes just before is worth a short wait: rejected it would only come again.
 func (s *Server) awaitIndex(header *fasthttp.RequestHeader) (*catalog.Index, time.Duration) {
 	if index := s.readyIndex(); index != nil {
 		return index, 0
--- a/edge/ingress/framing.go
+++ b/edge/ingress/framing.go
@@ -6,7 +6,7 @@
 	"github.com/valyala/fasthttp"
 )
 
-// isUnambiguous says whether all who read the request agree on where it ends and what it names. Requests that two readers may
+// isUnambiguous reports whether all who read the request agree on where it ends and what it names. Requests that two readers may
 // take for different ones are how others are smuggled in.
 func isUnambiguous(h *fasthttp.RequestHeader) bool {
 	target := h.RequestURI()
@@ -19,7 +19,7 @@
 	return validFields(h.RawHeaders())
 }
 
-// isVisible says whether bytes are visible ASCII, without spaces, or beyond ASCII.
+// isVisible reports whether bytes are visible ASCII, without spaces, or beyond ASCII.
 func isVisible(text []byte) bool {
 	for _, b := range text {
 		if b <= ' ' || b == 0x7f {
--- a/edge/ingress/handler.go
+++ b/edge/ingress/handler.go
@@ -9,7 +9,7 @@
 	"ravendale/edge/queueclient"
 )
 
-// Paths of questions about a message; its name follows.
+// Paths of lookups of a message; its ID follows.
 const (
 	statePath = "/v1/message/"
 	bodyPath  = "/v1/message-body/"
@@ -45,7 +45,7 @@
 	s.serveRequest(ctx, string(path))
 }
 
-// serveRequest has a message kept.
+// serveRequest puts a message into the queue.
 func (s *Server) serveRequest(ctx *fasthttp.RequestCtx, path string) {
 	index, waited := s.awaitIndex(&ctx.Request.Header)
 	if index == nil {
@@ -74,7 +74,7 @@
 		ctx.SetStatusCode(fasthttp.StatusAccepted)
 	case queueclient.Rejected:
 		unavailable(ctx)
-	default: // no answer promises nothing
+	default: // a closed connection promises nothing
 		_ = ctx.Conn().Close()
 		ctx.SetConnectionClose()
 	}
--- a/edge/ingress/lookup.go
+++ b/edge/ingress/lookup.go
@@ -53,7 +53,7 @@
 	ctx.SetBody(found.Body)
 }
 
-// find asks the queue for a message, and answers the client if it can't be told.
+// find looks a message up, and answers the client if that fails.
 func (s *Server) find(ctx *fasthttp.RequestCtx, id string, body bool) *wire.FindReply {
 	found, err := s.config.Queue.Find(id, body)
 	switch {
--- a/edge/ingress/message.go
+++ b/edge/ingress/message.go
@@ -13,7 +13,7 @@
 	"ravendale/edge/queueclient"
 )
 
-// parseMessage makes a message of a request, without its body, and says how long it may be tried to be kept.
+// parseMessage makes a message of a request, without its body, and returns how long its put may take.
 func parseMessage(request *fasthttp.Request, route *catalog.Route) (m *wire.Message, limits queueclient.Limits, ok bool) {
 	header := &request.Header
 	id, once := single(header, "Request-Id")
@@ -41,7 +41,7 @@
 	return uint32(min(route.RetentionS*thousand, math.MaxUint32))
 }
 
-// isRequestID says whether a text can be a request's id.
+// isRequestID reports whether a text can be a request's id.
 func isRequestID(text string) bool {
 	for i := range len(text) {
 		if text[i] < ' ' || text[i] == 0x7f {
@@ -51,7 +51,7 @@
 	return text != ""
 }
 
-// parseNumber reads a field that is a number of 0 or more; absent, it is 0.
+// parseNumber parses a field that is a number of 0 or more; absent, it is 0.
 func parseNumber(h *fasthttp.RequestHeader, name string) (float64, bool) {
 	text, once := single(h, name)
 	if text == "" || !once {
--- a/edge/ingress/putlimits.go
+++ b/edge/ingress/putlimits.go
@@ -10,20 +10,20 @@
 	"ravendale/edge/queueclient"
 )
 
-// How long a message is tried to be kept.
+// How long a put may take.
 const (
-	putTargets         = 5 // times the route's aim
+	putTargets         = 5 // times the route's latency target
 	minPutTime         = 250 * time.Millisecond
 	maxPutTime         = 600 * time.Millisecond
 	maxDeadlinePutTime = 2 * time.Second // for clients that say that they wait longer
-	putFraction        = 0.42            // of what a client waits: refused by then, it may be taken elsewhere
+	putFraction        = 0.42            // of what a client waits: rejected by then, it may go elsewhere
 	answerFraction     = 0.47            // ... and closed by then, if no answer is likely to come
-	lateAnswerFraction = 0.9             // ... or by then: it has to reach the client, too
+	lateAnswerFraction = 0.9             // ... or by then: the answer has to reach the client, too
 	maxAnswerTime      = 2500 * time.Millisecond
 	defaultTarget      = 100 * time.Millisecond
 )
 
-// deadlineOf is how long the client waits, in milliseconds, 0 if it does not say so: it is only a hint.
+// deadlineOf returns how long the client waits, in milliseconds, 0 if it does not say so: it is only a hint.
 func deadlineOf(header *fasthttp.RequestHeader) float64 {
 	deadline, fine := parseNumber(header, "Deadline-Ms")
 	if !fine {
--- a/edge/ingress/readiness.go
+++ b/edge/ingress/readiness.go
@@ -14,7 +14,7 @@
 	maxReadyConns = 16
 )
 
-// Readiness tells the platform whether this edge wants new connections.
+// Readiness answers the platform whether this edge takes new connections.
 type Readiness struct {
 	server   *fasthttp.Server
 	listener net.Listener
@@ -43,7 +43,7 @@
 	return r, nil
 }
 
-// Address is where the platform is answered.
+// Address returns where the platform is answered.
 func (r *Readiness) Address() string { return r.listener.Addr().String() }
 
 // Close stops answering.
--- a/edge/ingress/server.go
+++ b/edge/ingress/server.go
@@ -15,23 +15,23 @@
 	"ravendale/edge/queueclient"
 )
 
-// Queue keeps messages and knows what became of them.
+// Queue stores messages and knows their state.
 type Queue interface {
 	PutWithin(m *wire.Message, dispatch bool, limits queueclient.Limits) queueclient.Result
 	Find(id string, body bool) (*wire.FindReply, error)
 }
 
-// Config of a Server.
+// Config holds the options of a Server.
 type Config struct {
 	Queue    Queue
 	Index    func() *catalog.Index                    // nil until there is a configuration
-	Ready    func() bool                              // the configuration is current; else messages are turned away
+	Ready    func() bool                              // the configuration is current; else requests are rejected
 	Accepts  func(service string, bodyBytes int) bool // this edge will deliver such a message itself
 	MaxConns int                                      // connections open at once
-	Log      *slog.Logger                             // nil: the default
+	Log      *slog.Logger                             // nil: slog.Default
 }
 
-// Limits that hold until a configuration names others, and where it names none.
+// Limits in force until a configuration names others, and where it names none.
 const (
 	defaultHeaderBytes   = 16 << 10
 	defaultBodyBytes     = 1 << 20
@@ -40,13 +40,13 @@
 
 	minHeaderBuffer = 4 << 10
 	writeBuffer     = 512
-	bodyTimeout     = 15 * time.Second // for a whole body
+	bodyTimeout     = 15 * time.Second // for a complete body
 	writeTimeout    = 10 * time.Second
 	sweepInterval   = 100 * time.Millisecond
 	acceptPause     = 20 * time.Millisecond
 )
 
-// Server takes connections of clients.
+// Server accepts connections of clients and answers their requests.
 type Server struct {
 	config   Config
 	limits   atomic.Pointer[limits]
@@ -71,7 +71,7 @@
 	idle atomic.Bool
 }
 
-// New returns a Server that does not listen.
+// New returns a Server that does not listen yet.
 func New(config Config) *Server {
 	if config.Log == nil {
 		config.Log = slog.Default()
@@ -81,7 +81,7 @@
 	return s
 }
 
-// SetLimits sets what clients may send; it holds for new connections, the size of bodies for all.
+// SetLimits sets what clients may send. It holds for new connections, the size of bodies for all.
 func (s *Server) SetLimits(next catalog.Limits) {
 	if s.limits.Load().Limits != next {
 		s.limits.Store(s.newLimits(next))
@@ -123,7 +123,7 @@
 	}}
 }
 
-// discardLogger drops fasthttp's own lines, which tell of clients' mistakes.
+// discardLogger drops fasthttp's own lines, which report clients' mistakes.
 type discardLogger struct{}
 
 func (discardLogger) Printf(string, ...any) {}
@@ -141,7 +141,7 @@
 	}
 }
 
-// Listen starts to take connections.
+// Listen starts to accept connections.
 func (s *Server) Listen(address string) error {
 	listener, err := net.Listen("tcp4", address)
 	if err != nil {
@@ -154,7 +154,7 @@
 	return nil
 }
 
-// Address is where the server listens.
+// Address returns where the server listens.
 func (s *Server) Address() string { return s.listener.Addr().String() }
 
 func (s *Server) accept(listener net.Listener) {
@@ -179,17 +179,17 @@
 }
 
 func (s *Server) serve(c *clientConn) {
-	_ = s.limits.Load().server.ServeConn(c) // what went wrong was answered
+	_ = s.limits.Load().server.ServeConn(c) // errors were answered
 	s.mu.Lock()
 	delete(s.conns, c)
 	s.mu.Unlock()
 	<-s.slots
 }
 
-// Drain has each answer end its connection from now on.
+// Drain has each answer close its connection from now on.
 func (s *Server) Drain() { s.draining.Store(true) }
 
-// Close stops taking connections, ends idle ones, and waits until what is in hand is answered or done is closed.
+// Close stops accepting connections, closes idle ones, and waits until what is in flight is answered or done is closed.
 func (s *Server) Close(done <-chan struct{}) {
 	s.Drain()
 	s.mu.Lock()
--- a/edge/queueclient/attempt.go
+++ b/edge/queueclient/attempt.go
@@ -9,21 +9,21 @@
 	"ravendale/cluster/wire"
 )
 
-const attemptsBeforePause = 3 // so many partitions may refuse before a pause
+const attemptsBeforePause = 3 // so many partitions may reject before a pause
 
-// The mean time of an answer is taken over so many, and some of it is waited before a put is made elsewhere.
+// The mean latency of answers is taken over so many, and a multiple of it is waited before a put is attempted elsewhere.
 const (
 	latencySamples = 8
 	latencyFactor  = 4
 )
 
-// observeLatency notes how long a put took to be answered.
+// observeLatency records how long a put took to be answered.
 func (c *Client) observeLatency(took time.Duration) {
 	mean := time.Duration(c.meanLatency.Load())
 	c.meanLatency.Store(int64(mean + (took-mean)/latencySamples))
 }
 
-// attemptTimeout is how long an answer is waited for before the message is tried elsewhere. It grows when all stores are slow: to
+// attemptTimeout is how long an answer is waited for before the next attempt. It grows when all stores are slow: to
 // put everything twice would make them slower.
 func (c *Client) attemptTimeout() time.Duration {
 	return min(max(latencyFactor*time.Duration(c.meanLatency.Load()), minAttemptTimeout), maxAttemptTimeout)
@@ -33,7 +33,7 @@
 
 const (
 	attemptPending  attemptState = iota
-	attemptRejected              // surely not kept
+	attemptRejected              // surely not accepted
 	attemptUnknown
 	attemptAccepted
 )
@@ -94,7 +94,7 @@
 	return v.choose(p.client.now(), attempted, p.hasPending())
 }
 
-// addAttempt adds a try, unless the message was kept meanwhile, or the very same question waits for its answer.
+// addAttempt adds an attempt, unless the message was accepted meanwhile, or the very same request waits for its answer.
 func (p *put) addAttempt(next attempt) *attempt {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -112,7 +112,7 @@
 	return t
 }
 
-// duplicates says whether a try waits for the same store's answer under the same placement.
+// duplicates reports whether another attempt waits for the same store's answer under the same placement.
 func (t *attempt) duplicates(other *attempt) bool {
 	return other.state == attemptPending && other.partition == t.partition && other.conn == t.conn && other.epoch == t.epoch
 }
@@ -121,7 +121,7 @@
 	return wire.MessageID(partition, c.incarnation+"-"+strconv.FormatUint(c.issuedIDs.Add(1), 36))
 }
 
-// reply takes the answer to a try, on the goroutine that reads the connection.
+// reply takes the answer to an attempt, on the goroutine that reads the connection.
 func (t *attempt) reply(payload []byte, err error) {
 	t.stores[0].unanswered.Add(-1)
 	reply := wire.PutReply{Code: wire.PutUnknown}
@@ -146,7 +146,7 @@
 	t.put.wake()
 }
 
-// resolveAccepted takes the message as kept by this try, unless it is too late: then the store is to drop it.
+// resolveAccepted takes the message as accepted by this attempt, unless it is too late: then the store is to drop it.
 func (t *attempt) resolveAccepted(granted bool) {
 	p := t.put
 	for _, s := range t.stores {
@@ -177,7 +177,7 @@
 	p.wake()
 }
 
-// notifyGrant passes a grant on that came over another connection while the edge was being told of the message.
+// notifyGrant passes on a grant that came over another connection while Config.Accepted was being called.
 func (p *put) notifyGrant(t *attempt, granted bool) {
 	p.mu.Lock()
 	p.notified = true
@@ -205,8 +205,8 @@
 	}
 }
 
-// grantAttempt notes a grant of a message that the edge was not told of yet, as one that overtook the answer to its put. It says
-// whether it was one.
+// grantAttempt records a grant of a message that Config.Accepted was not called for yet, as one that overtook the answer to its put. It
+// reports whether it was one.
 func (c *Client) grantAttempt(id string) bool {
 	c.mu.Lock()
 	t := c.attempts[id]
@@ -219,7 +219,7 @@
 	if accepted := t.put.accepted; accepted != nil && (accepted.id != id || t.put.notified) {
 		return false
 	}
-	for _, other := range t.put.attempts { // a repeat under the same name may be the one that is answered
+	for _, other := range t.put.attempts { // a duplicate under the same ID may be the one that is answered
 		if other.id == id {
 			other.granted = true
 		}
--- a/edge/queueclient/client.go
+++ b/edge/queueclient/client.go
@@ -14,16 +14,16 @@
 	"ravendale/cluster/wire"
 )
 
-// Times of the client.
+// Time-outs and pauses of the client.
 const (
-	minAttemptTimeout = 150 * time.Millisecond  // a put without an answer for so long is made elsewhere
+	minAttemptTimeout = 150 * time.Millisecond  // a put without an answer by then is attempted elsewhere
 	maxAttemptTimeout = time.Second             // ... and at most, while all answers are slow
-	lastAnswerTimeout = 2500 * time.Millisecond // for answers that are missing when the time to try is over
-	suspectTimeout    = time.Second             // a store that left a put unanswered is passed over for so long
-	rejectedPause     = 25 * time.Millisecond   // before a put that was refused is tried again
-	reportTimeout     = 500 * time.Millisecond  // a report without an answer for so long is sent again
-	reportRetryPause  = 50 * time.Millisecond   // before a report that was refused is sent again
-	claimRetryPause   = 50 * time.Millisecond   // before a claim that was refused is sent again
+	lastAnswerTimeout = 2500 * time.Millisecond // for answers that are missing when the time for attempts is over
+	suspectTimeout    = time.Second             // a store that left a put unanswered is avoided for so long
+	rejectedPause     = 25 * time.Millisecond   // before a rejected put is attempted again
+	reportTimeout     = 500 * time.Millisecond  // a report without an answer by then is sent again
+	reportRetryPause  = 50 * time.Millisecond   // before a rejected report is sent again
+	claimRetryPause   = 50 * time.Millisecond   // before a rejected claim is sent again
 	findStageTimeout  = 300 * time.Millisecond  // a question without an answer for so long goes to others, too
 	findTimeout       = 1500 * time.Millisecond // askers wait two seconds
 )
@@ -34,35 +34,35 @@
 	Zone    string
 	Options rpc.Options // of connections to stores; Mux is filled in
 
-	// Accepted hears of each message that was put with Dispatch and kept, before any grant of it.
+	// Accepted is called for each message that was put with dispatch and accepted, before any grant of it.
 	Accepted func(m *wire.Message, granted bool)
-	// Granted hears of grants.
+	// Granted is called for each grant.
 	Granted func(g *wire.Grant)
-	// Acknowledged hears that a report which ends a message, or gives it back, is on disk.
+	// Acknowledged is called when a report that completes a message, or releases it, is on disk.
 	Acknowledged func(id string)
-	// Unknown hears of a held message that a store does not know as pending.
+	// Unknown is called for an owned message that a store does not know as pending.
 	Unknown func(id string)
-	// Owned lists the messages that the edge holds.
+	// Owned lists the IDs of the messages that the edge owns.
 	Owned func() []string
 
 	Log  *slog.Logger // nil: the default
 	Host host.Host    // nil: host.System
 }
 
-// Client of the queue. Its methods may be called by any goroutine.
+// Client is an edge's client of the queue. Its methods may be called by any goroutine.
 type Client struct {
 	config      Config
 	host        host.Host
 	started     time.Duration
 	view        atomic.Pointer[view]
 	issuedIDs   atomic.Uint64
-	meanLatency atomic.Int64  // mean time of an answer to a put
-	incarnation string        // makes the names of this life unlike all others
-	lastTimeout time.Duration // lastPatience, but for tests
+	meanLatency atomic.Int64  // time.Duration: mean time of an answer to a put
+	incarnation string        // makes the IDs of this start of the process unlike all others
+	lastTimeout time.Duration // lastAnswerTimeout, but for tests
 
 	mu       sync.Mutex
 	stores   map[string]*store   // by disk
-	attempts map[string]*attempt // of puts without a result, by message
+	attempts map[string]*attempt // of puts without a result, by message ID
 	draining bool
 	closed   bool
 
@@ -86,7 +86,7 @@
 	return c
 }
 
-// Handle registers what stores may call.
+// Handle registers the methods that stores may call.
 func (c *Client) Handle(mux *rpc.Mux) {
 	rpc.Handle(mux, wire.MethodGrant, func(conn *rpc.Conn, g *wire.Grant, _ rpc.Reply) { c.handleGrant(conn, g) })
 }
@@ -105,7 +105,7 @@
 	c.config.Granted(g)
 }
 
-// isStale says whether a grant came too late to count: it is from a store that is not the partition's primary any more, or from a
+// isStale reports whether a grant came too late to count: it is from a store that is not the partition's primary any more, or from a
 // connection before the present one. The claims that this edge has made since do not name its message, which may be another's.
 func (c *Client) isStale(conn *rpc.Conn, g *wire.Grant) bool {
 	v := c.view.Load()
@@ -137,14 +137,14 @@
 	for _, disk := range slices.Sorted(maps.Keys(removed)) {
 		removed[disk].link.Close()
 	}
-	c.reports.resend() // first: what has ended needs no claim
+	c.reports.resend() // first: what is completed needs no claim
 	for _, s := range v.stores {
-		s.link.Hurry() // a new placement may tell that it is back
+		s.link.Hurry() // a new placement may mean that it is back
 		s.claim()
 	}
 }
 
-// adopt returns the store of an entry: the one known, taken out of gone, or a new one.
+// adopt returns the store of an entry: the known one, taken out of the map, or a new one.
 func (c *Client) adopt(entry *wire.Store, known map[string]*store) *store {
 	s := known[entry.Disk]
 	if s != nil && s.address == entry.Address {
@@ -156,7 +156,7 @@
 	return s
 }
 
-// Usable says whether messages can be put: there is a placement, and a primary of it is connected.
+// Usable reports whether messages can be put: there is a placement, and a primary of it is connected.
 func (c *Client) Usable() bool {
 	v := c.view.Load()
 	if v == nil {
@@ -170,7 +170,7 @@
 	return false
 }
 
-// Drain tells the stores to hand nothing more to this edge.
+// Drain notifies the stores that this edge takes no more grants.
 func (c *Client) Drain() {
 	c.mu.Lock()
 	c.draining = true
@@ -184,7 +184,7 @@
 // Pending counts reports that are not yet acknowledged.
 func (c *Client) Pending() int { return c.reports.pending() }
 
-// Close ends all connections.
+// Close closes all connections.
 func (c *Client) Close() {
 	c.mu.Lock()
 	c.closed = true
--- a/edge/queueclient/find.go
+++ b/edge/queueclient/find.go
@@ -13,8 +13,8 @@
 	ErrNoAnswer = errors.New("queueclient: it could not be found out")
 )
 
-// Find asks for the state of a message, and with body for its bytes: the primary of its partition, then the other replicas,
-// and at last all stores. ErrNotFound needs the word of each, under one placement.
+// Find looks up the state of a message, and with body its bytes: at the primary of its partition, then at the other replicas,
+// and at last at all stores. ErrNotFound needs the answer of each, under one placement.
 func (c *Client) Find(id string, body bool) (*wire.FindReply, error) {
 	partition, ok := wire.PartitionOf(id)
 	if !ok {
@@ -50,7 +50,7 @@
 	reply *wire.FindReply // nil: none came
 }
 
-// stages are the stores to ask, in turn.
+// stages returns the stores to ask, stage by stage.
 func stages(v *view, partition uint16) [][]*store {
 	replicas := v.replicas(partition)
 	known := make(map[*store]bool)
@@ -69,7 +69,7 @@
 	return [][]*store{replicas[:1], replicas[1:], others}
 }
 
-// ask goes through the stages. It asks those of the next one when the ones before have not answered for a while, or said no.
+// ask goes through the stages. It asks the stores of the next one when those before have not answered for a while, or do not have it.
 func (s *search) ask(stages [][]*store, expired *time.Timer) (reply *wire.FindReply, again bool, err error) {
 	absent := make(map[*store]bool)
 	sent, all := 0, 0
@@ -115,7 +115,7 @@
 	return nil, true, nil
 }
 
-// start asks a store, and returns 1 if it was asked.
+// start sends the request to a store, and returns 1 if it was sent.
 func (s *search) start(store *store) int {
 	conn := store.conn()
 	if conn == nil {
--- a/edge/queueclient/put.go
+++ b/edge/queueclient/put.go
@@ -9,31 +9,31 @@
 	"ravendale/cluster/wire"
 )
 
-// Result is what became of a Put.
+// Result is the result of a put.
 type Result uint8
 
 // The results of a Put.
 const (
 	Accepted Result = iota // on disk at all replicas
-	Rejected               // surely not kept, now or ever
-	Unknown                // promises nothing
+	Rejected               // surely not accepted, now or later
+	Unknown                // it may have been accepted, or may still be
 )
 
-// Limits bound a put.
+// Limits bound the time of a put.
 type Limits struct {
-	Attempt    time.Duration // for so long it is tried wherever that may work
-	Answer     time.Duration // then an answer that is missing is waited for so long,
+	Attempt    time.Duration // for so long attempts are made
+	Answer     time.Duration // then a missing answer is waited for so long,
 	LateAnswer time.Duration // and so long if stores that have not answered this put answer others
 }
 
-// Put is PutWithin, with a limit for trying and the client's patience for answers.
+// Put is PutWithin, with a limit for attempts and the client's time-out for answers.
 func (c *Client) Put(m *wire.Message, dispatch bool, limit time.Duration) Result {
 	return c.PutWithin(m, dispatch, Limits{Attempt: limit, Answer: c.lastTimeout, LateAnswer: c.lastTimeout})
 }
 
-// PutWithin has a message kept. What has no answer when the time to try is over is waited for a while longer, for a client that
-// is told nothing does not come again. It names the message: ID is set when it was Kept. A message with an order keeps its
-// name and its partition through all tries; another gets new ones with each. With dispatch Config.Kept is told, before it
+// PutWithin puts a message into the queue. What has no answer when the time for attempts is over is waited for a while longer, for a client
+// that gets no answer does not come again. It sets the message's ID if the result is Accepted. A message with a key order keeps its
+// ID and its partition through all attempts; another gets new ones with each. With dispatch it calls Config.Accepted before it
 // returns; the message, its body included, must then not change any more.
 func (c *Client) PutWithin(m *wire.Message, dispatch bool, limits Limits) Result {
 	p := &put{client: c, message: m, dispatch: dispatch, answered: c.host.Signal()}
@@ -55,21 +55,21 @@
 	return p.finish()
 }
 
-// put is one call of Put. The first of its tries that is kept wins.
+// put is one call of PutWithin. The first of its attempts that is accepted wins.
 type put struct {
 	client   *Client
 	message  *wire.Message
 	dispatch bool
-	answered host.Signal // something happened to a try
+	answered host.Signal // something happened to an attempt
 
 	mu       sync.Mutex
 	attempts []*attempt
 	accepted *attempt
-	notified bool // the edge was told that it is kept
+	notified bool // Config.Accepted has returned
 	finished bool
 }
 
-// awaitPending waits for tries that still may be answered, and says whether some may be yet.
+// awaitPending waits for attempts that may still be answered, and reports whether some may be yet.
 func (p *put) awaitPending(limit time.Duration) bool {
 	if limit <= 0 {
 		return true
@@ -84,7 +84,8 @@
 	return false
 }
 
-// expectsLateAnswer says whether a store that owes this put an answer has kept another message a short while ago: it is slow, not gone.
+// expectsLateAnswer reports whether a store that owes this put an answer has accepted another message a short while ago: it is slow, not
+// down.
 func (p *put) expectsLateAnswer() bool {
 	now := p.client.now()
 	patience := p.client.attemptTimeout()
@@ -95,14 +96,14 @@
 	})
 }
 
-// hasPending says whether a try has no answer yet.
+// hasPending reports whether an attempt has no answer yet.
 func (p *put) hasPending() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return slices.ContainsFunc(p.attempts, func(t *attempt) bool { return t.state == attemptPending })
 }
 
-// needsPause says whether the next try would come too soon: after a refusal there is not always another partition to turn to.
+// needsPause reports whether the next attempt would come too soon: after a rejection there is not always another partition to turn to.
 func (p *put) needsPause(t *attempt) bool {
 	if t == nil {
 		return false
@@ -115,7 +116,7 @@
 	return p.message.Ordered || len(p.attempts)%attemptsBeforePause == 0
 }
 
-// await waits until a try has an answer, or a time, and says whether the put goes on.
+// await waits until an attempt has an answer, or a time, and reports whether the put goes on.
 func (p *put) await(t *attempt, wait, expired time.Duration) bool {
 	timeout := p.client.now() + wait
 	for {
@@ -149,7 +150,7 @@
 	return t.state != attemptPending
 }
 
-// suspectStores has the stores passed over that left a try unanswered: any of a partition's may be the slow one.
+// suspectStores marks the stores suspect that left an attempt unanswered: any of a partition's may be the slow one.
 func (p *put) suspectStores(t *attempt) {
 	if t == nil || p.hasAnswer(t) {
 		return
@@ -160,7 +161,7 @@
 	}
 }
 
-// finish ends a put and says what became of it.
+// finish ends a put and returns its result.
 func (p *put) finish() Result {
 	p.mu.Lock()
 	p.finished = true
@@ -178,7 +179,7 @@
 	return result
 }
 
-// unresolved returns the tries that may have been kept without being told so.
+// unresolved returns the attempts that may have been accepted without an answer that says so.
 func (p *put) unresolved() (found []*attempt) {
 	for _, t := range p.attempts {
 		if t.state == attemptPending || t.state == attemptUnknown {
@@ -188,7 +189,7 @@
 	return found
 }
 
-// dropUnresolved has stores forget what they may have kept of a put by other tries than the one that counts: it would run once more.
+// dropUnresolved has stores drop what they may have accepted by other attempts than the one that counts: it would run once more.
 func (p *put) dropUnresolved(unresolved []*attempt) {
 	dropped := make(map[string]bool)
 	if p.accepted != nil {
--- a/edge/queueclient/report.go
+++ b/edge/queueclient/report.go
@@ -9,7 +9,7 @@
 	"ravendale/cluster/wire"
 )
 
-// reports are those that have not been acknowledged. Of one message they are sent one after the other.
+// reports are those that are not acknowledged. Of one message they are sent one after the other.
 type reports struct {
 	client *Client
 
@@ -20,17 +20,17 @@
 	stopped        bool
 }
 
-// pendingReport is what is to be told of one message.
+// pendingReport is what is to be reported of one message.
 type pendingReport struct {
 	queue  []wire.Report
 	sent   uint64        // number of the newest sending; answers to older ones only count if they acknowledge
 	dueAt  time.Duration // when it is sent again
 	number uint64        // of the report at the head
 
-	releases int // sendings of a report that gives the message back without an answer
+	releases int // sendings of a release without an answer
 }
 
-// isDone says whether nothing is to be told of the message any more, and nothing that was can still be taken.
+// isDone reports whether nothing is to be reported of the message any more, and no release that was sent can still be taken.
 func (w *pendingReport) isDone() bool { return len(w.queue) == 0 && w.releases == 0 }
 
 func (r *reports) init(c *Client) {
@@ -38,8 +38,8 @@
 	r.pendingReports = make(map[string]*pendingReport)
 }
 
-// Report tells the primary of a message's partition what became of a delivery, again until it is acknowledged. Partition and
-// Epoch are filled in.
+// Report notifies the primary of a message's partition of an outcome, repeatedly until it is acknowledged. It fills in Partition and
+// Epoch.
 func (c *Client) Report(report wire.Report) {
 	partition, ok := wire.PartitionOf(report.ID)
 	if !ok {
@@ -73,7 +73,7 @@
 	return count
 }
 
-// isReleasing says whether the message is being given back: a store that has taken that may be told so once more.
+// isReleasing reports whether the message is being released: a store that has taken that may get a repeat of it.
 func (r *reports) isReleasing(id string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -83,7 +83,7 @@
 
 func isRelease(report wire.Report) bool { return report.Kind == wire.ReportReleased }
 
-// send sends the report at the head of a message's queue.
+// send sends the first report in a message's queue.
 func (r *reports) send(id string) {
 	r.mu.Lock()
 	w := r.pendingReports[id]
@@ -166,7 +166,7 @@
 	}
 }
 
-// ids lists the messages of which something has to be told.
+// ids lists the messages with reports.
 func (r *reports) ids() []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/edge/queueclient/store.go
+++ b/edge/queueclient/store.go
@@ -10,14 +10,14 @@
 	"ravendale/cluster/wire"
 )
 
-// store is a store's connection, and what is known of its health.
+// store is the connection to a store, and what is known of its health.
 type store struct {
 	client       *Client
 	address      string
 	link         host.Link
-	suspectUntil atomic.Int64 // steady time of the client
+	suspectUntil atomic.Int64 // time.Duration by the client's clock
 	unanswered   atomic.Int64 // puts that it owes an answer, as a primary
-	acceptedAt   atomic.Int64 // steady time of the client at which it kept a message last, as a primary
+	acceptedAt   atomic.Int64 // time.Duration by the client's clock at which it accepted a message last, as a primary
 }
 
 func newStore(c *Client, entry *wire.Store) *store {
@@ -34,7 +34,7 @@
 	s.claimOn(conn)
 }
 
-// attach tells the store who is at this end. What is sent after it on the connection is taken after it.
+// attach identifies this edge to the store. What is sent after it on the connection is taken after it.
 func (s *store) attach(conn *rpc.Conn) {
 	if conn == nil {
 		return
@@ -48,8 +48,8 @@
 
 func (s *store) claim() { s.claimOn(s.conn()) }
 
-// claimOn tells the store which messages this edge holds of the partitions whose primary it is. Those that it has an end to tell of
-// are among them: they must not be handed out before that is heard.
+// claimOn names to the store the messages that this edge owns of the partitions whose primary it is. Those with a report under way
+// are among them: they must not be granted before that is taken.
 func (s *store) claimOn(conn *rpc.Conn) {
 	v := s.client.view.Load()
 	if conn == nil || v == nil {
@@ -78,7 +78,7 @@
 			_, err = reply.UnmarshalMsg(payload)
 		}
 		if err != nil {
-			return // a lost connection claims again when it is back
+			return // the next connection claims again
 		}
 		s.handleClaimReply(conn, v, ownedHere, reply)
 	})
@@ -94,20 +94,20 @@
 		return
 	}
 	for _, id := range reply.Unknown {
-		if owned[id] { // a put or a report under way settles itself
+		if owned[id] { // a put or a report under way resolves itself
 			s.client.config.Unknown(id)
 		}
 	}
 }
 
-// isSuspect says whether something tells against the store: it isn't connected, or left a put unanswered.
+// isSuspect reports whether the store isn't connected, or left a put unanswered.
 func (s *store) isSuspect(now time.Duration) bool {
 	return time.Duration(s.suspectUntil.Load()) > now || s.conn() == nil
 }
 
 func (s *store) recordAccepted(now time.Duration) { s.acceptedAt.Store(int64(now)) }
 
-// acceptedSince says whether it kept a message after a time.
+// acceptedSince reports whether it accepted a message after a time.
 func (s *store) acceptedSince(at time.Duration) bool {
 	kept := time.Duration(s.acceptedAt.Load())
 	return kept > 0 && kept >= at
--- a/edge/queueclient/view.go
+++ b/edge/queueclient/view.go
@@ -26,7 +26,7 @@
 	return own
 }
 
-// replicas of a partition, the primary first.
+// replicas returns the stores of a partition, the primary first.
 func (v *view) replicas(partition uint16) []*store {
 	if int(partition) >= len(v.Partitions) {
 		return nil
@@ -56,7 +56,7 @@
 	return ok && v.primary(partition) == s
 }
 
-// isAvailable says whether nothing tells against a partition's stores.
+// isAvailable reports whether a partition has stores and none of them is suspect.
 func (v *view) isAvailable(partition uint16, now time.Duration) bool {
 	replicas := v.Partitions[partition].Replicas
 	for _, i := range replicas {
@@ -67,8 +67,8 @@
 	return len(replicas) > 0
 }
 
-// mayAttempt says whether a put to a partition may be tried now. While its stores leave puts unanswered one goes there at a time: the
-// rest would promise nothing to their clients either, who do better if they are refused in time.
+// mayAttempt reports whether a put to a partition may be attempted now. While its stores leave puts unanswered one goes there at a time:
+// the rest would promise nothing to their clients either, who do better if they are rejected in time.
 func (v *view) mayAttempt(partition uint16, now time.Duration) bool {
 	for _, s := range v.replicas(partition) {
 		if time.Duration(s.suspectUntil.Load()) > now {
@@ -79,8 +79,8 @@
 }
 
 // choose draws a partition for a message without an order: in the own zone and with stores that answer, if there is one; else
-// anywhere with such stores; else with a primary that is connected. Those tried before come last. While another try may still be
-// answered, only a partition that is not tried and answers is worth one more.
+// anywhere with such stores; else with a primary that is connected. Those attempted before come last. While another attempt may still be
+// answered, only an available partition without an attempt is worth one more.
 func (v *view) choose(now time.Duration, attempted []uint16, pending bool) (uint16, bool) {
 	everywhere := func(i int) uint16 { return uint16(i) }
 	ownZone := func(i int) uint16 { return v.ownZone[i] }
@@ -104,7 +104,7 @@
 	return 0, false
 }
 
-// pick returns the first that will do of count partitions, from a random one on.
+// pick returns the first suitable one of count partitions, from a random one on.
 func (v *view) pick(count int, at func(int) uint16, skip, suitable func(uint16) bool) (uint16, bool) {
 	if count == 0 {
 		return 0, false
--- a/edge/worker/call.go
+++ b/edge/worker/call.go
@@ -27,7 +27,7 @@
 	}
 }
 
-// bind makes a connection the call's own to close, unless the call was cancelled.
+// bind gives the call a connection to close when it is cancelled. It reports false if it was cancelled already.
 func (call *Call) bind(conn *connection) bool {
 	call.mu.Lock()
 	defer call.mu.Unlock()
@@ -38,7 +38,7 @@
 	return true
 }
 
-// unbind ends the call's hold on its connection and says whether it was cancelled.
+// unbind takes the connection from the call, and reports whether it was cancelled.
 func (call *Call) unbind() bool {
 	call.mu.Lock()
 	defer call.mu.Unlock()
--- a/edge/worker/client.go
+++ b/edge/worker/client.go
@@ -76,7 +76,7 @@
 	outcome, a := conn.exchange(d)
 	if call.unbind() {
 		c.release(d.Worker, conn, 0)
-		if outcome == Done || outcome == Failed || outcome == Rejected { // the answer had come whole
+		if outcome == Done || outcome == Failed || outcome == Rejected { // the answer had come completely
 			return Result{Outcome: outcome, Signature: a.signature}
 		}
 		return Result{Outcome: Cancelled}
--- a/edge/worker/connection.go
+++ b/edge/worker/connection.go
@@ -14,45 +14,45 @@
 	"golang.org/x/sys/unix"
 )
 
-// Times of a connection.
+// Time-outs and margins of a connection.
 const (
 	connectTimeout     = 300 * time.Millisecond
 	userTimeout        = 600 * time.Millisecond // bytes that nobody acknowledges for so long end the connection
-	answerMargin       = 120 * time.Millisecond // past the limit, for the worker's own word that it stopped
+	answerMargin       = 120 * time.Millisecond // past the limit, for the worker's own answer that it stopped
 	overtakenTimeout   = 5 * time.Millisecond   // for what is left to write of a request that has its answer
-	defaultIdleTimeout = 4 * time.Second        // how long a worker keeps an idle connection that has not said
-	scarceIdleTimeout  = 100 * time.Millisecond // how long an idle connection is kept that another sender may want
+	defaultIdleTimeout = 4 * time.Second        // how long a worker keeps an idle connection if it does not say (Keep-Alive)
+	scarceIdleTimeout  = 100 * time.Millisecond // how long an idle connection is kept that another sender may need
 	idleMargin         = time.Second            // closed so long before the worker would, a quarter of its time at most
 )
 
 const (
 	readBuffer       = 4 << 10  // bounds the head of an answer, too
 	smallBody        = 8 << 10  // copied behind the head, to go in one write
-	maxPooledRequest = 16 << 10 // larger buffers are given back after use
-	maxLateAnswers   = 4        // answers to earlier requests that are read past
-	maxUnresolved    = 32       // messages to be sent again that a connection is kept with
+	maxPooledRequest = 16 << 10 // larger buffers are not pooled
+	maxLateAnswers   = 4        // answers to earlier requests that are skipped
+	maxUnresolved    = 32       // a connection with more unresolved messages is not kept
 )
 
-// connection is one to a worker. Whoever took it from the pool owns it.
+// connection is a connection to a worker. Whoever acquired it from the pool owns it.
 type connection struct {
 	socket    net.Conn
 	raw       syscall.RawConn
-	expiresAt time.Duration // idle, it is closed then, by the client's steady clock
+	expiresAt time.Duration // when it is closed if it is idle, by the client's clock
 
 	used       bool     // an answer was read from it
 	unresolved []uint64 // hashes of the ids of messages that were sent on it, and may be sent again
 	mutations  mutations
 }
 
-// mutations takes guards away. Only tests set it, to show that they notice.
+// mutations are deliberate mistakes. Only tests set them, to show that they are caught.
 type mutations struct {
 	acceptsForeign      bool // an answer is the delivery's whatever request it names
-	resendsOnConnection bool // a message is sent again on a connection that carried it
+	resendsOnConnection bool // a message is sent again on a connection on which it was sent before
 }
 
 var readers = sync.Pool{New: func() any { return bufio.NewReaderSize(nil, readBuffer) }}
 
-// dialWithin returns what connects to an address within a time, 0 for no bound.
+// dialWithin returns a function that connects to an address within a time, 0 for no bound.
 func dialWithin(limit time.Duration) func(ctx context.Context, address string) (*connection, error) {
 	dialer := net.Dialer{Timeout: limit, KeepAlive: -1, Control: setUserTimeout}
 	return func(ctx context.Context, address string) (*connection, error) {
@@ -74,7 +74,7 @@
 	})
 }
 
-// isIdle says whether an idle connection is still open with nothing to read: what comes between requests belongs to none. It looks
+// isIdle reports whether an idle connection is still open with nothing to read: what comes between requests belongs to none. It looks
 // without regard to the deadline of the exchange before.
 func (c *connection) isIdle() bool {
 	if c.raw == nil {
@@ -89,7 +89,7 @@
 	return err == nil && quiet
 }
 
-// exchange sends a delivery and reads its answer, which may come before the request was written whole.
+// exchange sends a delivery and reads its answer, which may come before the request was written completely.
 func (c *connection) exchange(d *Delivery) (Outcome, answer) {
 	if err := c.socket.SetDeadline(time.Now().Add(d.Limit + answerMargin)); err != nil {
 		return Broken, answer{}
@@ -133,14 +133,14 @@
 	}
 }
 
-// remember remembers a message that the answer leaves to be sent again.
+// remember records a message that the answer leaves to be sent again.
 func (c *connection) remember(requestID string, outcome Outcome) {
 	if outcome != Done && outcome != Rejected {
 		c.unresolved = append(c.unresolved, xxhash.Sum64String(requestID))
 	}
 }
 
-// maySend says whether a message can be sent: a second answer to an earlier attempt, which has the same name, would be taken for that
+// maySend reports whether a message may be sent: a second answer to an earlier attempt, which has the same name, would be taken for that
 // to the new one.
 func (c *connection) maySend(requestID string) bool {
 	return len(c.unresolved) == 0 || c.mutations.resendsOnConnection || !slices.Contains(c.unresolved, xxhash.Sum64String(requestID))
--- a/edge/worker/delivery.go
+++ b/edge/worker/delivery.go
@@ -4,15 +4,15 @@
 	"time"
 )
 
-// Outcome says what is known of a delivery.
+// Outcome is what is known of a delivery.
 type Outcome uint8
 
 // The outcomes of a delivery.
 const (
-	Done         Outcome = iota // it ran with success, and the answer came whole
+	Done         Outcome = iota // it ran with success, and the answer came completely
 	Failed                      // it ran and failed: an attempt
 	Rejected                    // it can never be done
-	AtCapacity                  // it did not run: the worker has no room, or the service's ceiling is reached
+	AtCapacity                  // it did not run: the worker has no capacity, or the service's rate limit is reached
 	NotRun                      // it did not run, for another reason
 	WrongWorker                 // it did not run: another worker has the address
 	Duplicate                   // it did not run: another attempt of the message is running
@@ -23,14 +23,14 @@
 	Cancelled                   // it may have run: the sender gave it up
 )
 
-// MayHaveRun says whether a delivery with this outcome leaves open that the message ran.
+// MayHaveRun reports whether a delivery with this outcome leaves open that the message ran.
 func (o Outcome) MayHaveRun() bool { return o == Broken || o == TimedOut || o == Cancelled }
 
 // Delivery is one attempt to have a message run.
 type Delivery struct {
 	Worker      string // the name under which connections are pooled
 	Address     string // host:port
-	Instance    string // what the worker must be; empty: any
+	Instance    string // the instance that the worker must be (Expect-Instance); empty: any
 	Method      string
 	Host        string
 	Target      string // path and query, byte for byte
@@ -38,12 +38,12 @@
 	OrderKey    string
 	ContentType string
 	Body        []byte
-	Limit       time.Duration // what the worker is given
+	Limit       time.Duration // given to the worker as Deadline-Ms
 }
 
 // Result is how a delivery ended.
 type Result struct {
 	Outcome   Outcome
-	Signature string // of the run that was Done
+	Signature string // of the run, if the outcome is Done
 	Took      time.Duration
 }
--- a/edge/worker/pool.go
+++ b/edge/worker/pool.go
@@ -9,12 +9,12 @@
 // pool has the connections to one worker.
 type pool struct {
 	share   Share
-	open    int // connections, and those that are being made
+	open    int // connections, those that are being made included
 	idle    []*connection
-	retired bool // no longer named: what is open is closed after use
+	retired bool // not named by SetLimits any more: what is open is closed after use
 }
 
-// Share is what a sender may have of a worker's connections.
+// Share is a sender's share of a worker's connections.
 type Share struct {
 	Max    int  // connections that may be open; 0: no bound
 	Scarce bool // the worker takes fewer than there are senders: an idle one keeps another sender out
@@ -53,7 +53,7 @@
 	return conn, Done
 }
 
-// reserve takes an idle connection that may carry the message, or else room for a new one.
+// reserve takes an idle connection on which the message may be sent, or else reserves a new one.
 func (c *Client) reserve(name, requestID string) (conn *connection, reserved bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -86,7 +86,7 @@
 	}
 }
 
-// release takes a connection back, to be kept for a time, or to be closed where that is 0.
+// release returns a connection to the pool, to be kept for a time, or to be closed where that is 0.
 func (c *Client) release(name string, conn *connection, idle time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -135,7 +135,7 @@
 	}
 }
 
-// pick takes the idle connection that was used last of those that may carry a message; nil: there is none.
+// pick takes the idle connection that was used last of those on which a message may be sent; nil: there is none.
 func (p *pool) pick(requestID string) *connection {
 	for i := len(p.idle) - 1; i >= 0; i-- {
 		if conn := p.idle[i]; conn.maySend(requestID) {
--- a/edge/worker/request.go
+++ b/edge/worker/request.go
@@ -8,8 +8,8 @@
 
 var requests = sync.Pool{New: func() any { return new([]byte) }}
 
-// write sends a request, the body of a long one while its answer is awaited: then the channel tells how that went. It is nil once all is
-// written. A write that fails says nothing of the answer, which may lie there.
+// write sends a request, the body of a long one while its answer is awaited: then the channel gets the result. It is nil once all is
+// written. A failed write says nothing of the answer, which may have come.
 func (c *connection) write(d *Delivery) (written chan error) {
 	buffer := requests.Get().(*[]byte)
 	defer func() {
@@ -39,8 +39,8 @@
 	return written
 }
 
-// isWritten waits until nothing more of a request is written, and says whether it went out whole. What an answer has overtaken has
-// little time left.
+// isWritten waits until nothing more of a request is written, and reports whether it was sent completely. What an answer has overtaken
+// has little time left.
 func (c *connection) isWritten(written chan error) bool {
 	if written == nil {
 		return true
