--- a/balancer/config/compat_test.go
+++ b/balancer/config/compat_test.go
@@ -24,8 +24,8 @@
 		MemoryMB: 64, Sockets: 512, Cores: 1, Known: []byte(`{"seq": 1, "whole": true, "hosts": []}`),
 		Settings: ravendale.Settings{
 			Dispatchers: 1, Zone: -1, MaxAttempts: 2, WrittenCount: true,
-			Classes: []ravendale.Class{{Name: "pay", Effect: ravendale.Keyed, Aim: time.Millisecond, Deadline: 2 * time.Second, Window: time.Second,
-				Worth: 1, Kind: -1}},
+			Classes: []ravendale.Class{{Name: "pay", Effect: ravendale.Keyed, LatencyTarget: time.Millisecond, Deadline: 2 * time.Second, Window: time.Second,
+				Value: 1, Kind: -1}},
 		},
 		Names:          Names{Classes: []string{"pay"}},
 		ConnectTimeout: 125 * time.Millisecond, IdleClose: 4 * time.Second,
--- a/balancer/handover/compat_test.go
+++ b/balancer/handover/compat_test.go
@@ -21,24 +21,24 @@
 func yes() *bool { v := true; return &v }
 func no() *bool  { return new(bool) }
 
-var compatMemory = &ravendale.Memory{
-	Out:      map[string]time.Duration{"worker-7": 7 * time.Second},
+var compatMemory = &ravendale.Snapshot{
+	Detached: map[string]time.Duration{"worker-7": 7 * time.Second},
 	Arrivals: 123.5,
 	Peak:     12,
-	Classes: map[string]ravendale.RunMemory{
-		"view": {Run: 11 * time.Millisecond, Dev: 3 * time.Millisecond, Longest: 900 * time.Millisecond, Came: 41, Weight: 2.5},
+	Classes: map[string]ravendale.ClassSnapshot{
+		"view": {Run: 11 * time.Millisecond, Dev: 3 * time.Millisecond, Longest: 900 * time.Millisecond, Arrivals: 41, Weight: 2.5},
 	},
-	Workers: map[string]ravendale.WorkerMemory{
-		"worker-1": {StartedAt: 4 * time.Second, Told: 3 * time.Second, Tokens: 1.25, FilledAt: 6 * time.Second, SickTill: 8 * time.Second,
-			TurnedAway: 9 * time.Second, Faults: 0.375, Limit: 17.5, Fulls: 3, Slots: 2},
+	Workers: map[string]ravendale.WorkerSnapshot{
+		"worker-1": {StartedAt: 4 * time.Second, ListedStart: 3 * time.Second, Tokens: 1.25, FilledAt: 6 * time.Second, UnhealthyUntil: 8 * time.Second,
+			RejectedAt: 9 * time.Second, Faults: 0.375, Limit: 17.5, Rejections: 3, Slots: 2},
 	},
-	Zones:     []ravendale.ZoneMemory{{Busy: 0.25, Queue: 1.5, Prompt: 4 * time.Millisecond}},
-	MeanWorth: 1.75, JobsSeen: 1000, Carried: 33.25, ColdPrompt: 0.875,
+	Zones:     []ravendale.ZoneSnapshot{{Busy: 0.25, Queue: 1.5, StartLatency: 4 * time.Millisecond}},
+	MeanValue: 1.75, JobsSeen: 1000, WarmThroughput: 33.25, WarmingOnTime: 0.875,
 }
 
 var compatTerms = &scheduler.Terms{
 	Classes: []ravendale.Class{{Name: "view", Effect: ravendale.Keyed, Group: ravendale.GroupCell, Window: 40 * time.Second,
-		Aim: 400 * time.Millisecond, Stretch: 1.75, Deadline: 2 * time.Second, Worth: 3.5, LateWorth: 0.5, Kind: 1, Priority: 2}},
+		LatencyTarget: 400 * time.Millisecond, Stretch: 1.75, Deadline: 2 * time.Second, Value: 3.5, LateValue: 0.5, Kind: 1, Priority: 2}},
 	Attempts: 5,
 }
 
@@ -63,7 +63,7 @@
 		Carried: scheduler.Carried{ID: "request-1", Class: "view", AnswerBy: 90 * time.Second,
 			Facts: scheduler.Facts{Class: 1, Tenant: 2, Key: 0x91f03b7c55d20a64, Left: 240 * time.Millisecond, Work: 12 * time.Millisecond,
 				Slots: 2, Memory: 3, Retry: true},
-			Attempts:  []ravendale.Attempted{{Worker: "worker-1", Zone: 2, Cell: 5, SentAt: 17 * time.Second, Out: true, MayRun: true, Started: true}},
+			Attempts:  []ravendale.AttemptSnapshot{{Worker: "worker-1", Zone: 2, Cell: 5, SentAt: 17 * time.Second, InFlight: true, MayRun: true, Started: true}},
 			Unreached: 1},
 		Request: platform.Message{Method: "POST", Target: "/view?x=1", Key: "key-1", ContentType: "application/json", Body: []byte(`{"a":1}`)},
 		Closes:  true,
--- a/balancer/handover/handover.go
+++ b/balancer/handover/handover.go
@@ -45,12 +45,12 @@
 
 // State is what the new process begins with.
 type State struct {
-	List      json.RawMessage   `json:"list"`
-	Discovery string            `json:"discovery"` // where the list comes from,
-	InFile    string            `json:"in_file"`   // and what the file said when it was read
-	Away      bool              `json:"away"`
-	IDs       []string          `json:"ids"` // that may not come again
-	Memory    *ravendale.Memory `json:"memory"`
+	List      json.RawMessage     `json:"list"`
+	Discovery string              `json:"discovery"` // where the list comes from,
+	InFile    string              `json:"in_file"`   // and what the file said when it was read
+	Away      bool                `json:"away"`
+	IDs       []string            `json:"ids"` // that may not come again
+	Memory    *ravendale.Snapshot `json:"memory"`
 }
 
 // Link is one end of the connection. It implements transport.Handler.
--- a/balancer/platform/backend/backend.go
+++ b/balancer/platform/backend/backend.go
@@ -325,7 +325,7 @@
 	case "failed":
 		b.settle(a, ravendale.Error, nil)
 	case "returned":
-		b.settle(a, ravendale.FullUp, nil)
+		b.settle(a, ravendale.Overloaded, nil)
 	case "lost":
 		b.settle(a, ravendale.Reset, nil)
 	}
@@ -548,7 +548,7 @@
 			h.prompt = took
 		}
 	case (resp.Status == 503 || resp.Status == 504) && resp.Header.Get(platform.HeaderNotRun) == "1":
-		l.b.end(a, ravendale.FullUp, nil)
+		l.b.end(a, ravendale.Overloaded, nil)
 	default:
 		if resp.Status != 500 {
 			l.b.o.Log.Warn("unexpected answer of a backend server", "server", a.at.server, "status", resp.Status)
--- a/balancer/platform/node/cores.go
+++ b/balancer/platform/node/cores.go
@@ -323,7 +323,7 @@
 func (m *many) listed(entries []ravendale.Entry, address func(string) string) {
 	for i := range entries {
 		switch e := &entries[i]; e.State {
-		case ravendale.Gone:
+		case ravendale.Removed:
 			manyBackends{m}.Avoid(e.Worker) // while the board still says on which core it is
 			m.board.Drop(e.Worker)
 		case ravendale.Ready:
--- a/balancer/platform/servertable/servertable.go
+++ b/balancer/platform/servertable/servertable.go
@@ -140,7 +140,7 @@
 		h := &l.Hosts[i]
 		listed[h.Host] = true
 		e := t.entry(h)
-		if e.State == ravendale.Gone {
+		if e.State == ravendale.Removed {
 			delete(t.servers, h.Host)
 		} else {
 			h.Dial = cmp.Or(h.Dial, t.servers[h.Host].Dial)
@@ -153,7 +153,7 @@
 		for name := range t.servers {
 			if !listed[name] {
 				delete(t.servers, name)
-				entries = append(entries, ravendale.Entry{Worker: name, Zone: -1, Kind: -1, Cell: -1, State: ravendale.Gone})
+				entries = append(entries, ravendale.Entry{Worker: name, Zone: -1, Kind: -1, Cell: -1, State: ravendale.Removed})
 			}
 		}
 	}
@@ -183,7 +183,7 @@
 	switch h.Health {
 	case "in_service":
 	case "terminated":
-		e.State = ravendale.Gone
+		e.State = ravendale.Removed
 	default: // terminating, or a word that promises nothing
 		e.State = ravendale.Draining
 	}
--- a/balancer/scheduler/carry.go
+++ b/balancer/scheduler/carry.go
@@ -10,12 +10,12 @@
 
 // Carried is a request that another process of this scheduler goes on with: see Carry.
 type Carried struct {
-	ID        string                `json:"id"`
-	Class     string                `json:"class"`
-	AnswerBy  time.Duration         `json:"answer_by"` // on the clock that the two share
-	Facts     Facts                 `json:"facts"`     // Class and Left count for nothing: see above
-	Attempts  []ravendale.Attempted `json:"attempts,omitempty"`
-	Unreached int                   `json:"unreached,omitempty"` // of those, whose connection never came up
+	ID        string                      `json:"id"`
+	Class     string                      `json:"class"`
+	AnswerBy  time.Duration               `json:"answer_by"` // on the clock that the two share
+	Facts     Facts                       `json:"facts"`     // Class and Left count for nothing: see above
+	Attempts  []ravendale.AttemptSnapshot `json:"attempts,omitempty"`
+	Unreached int                         `json:"unreached,omitempty"` // of those, whose connection never came up
 }
 
 // Terms are what a process takes requests under. It goes on with one that was taken under the same.
@@ -92,9 +92,9 @@
 	n := s.open(ex)
 	n.unreached = c.Unreached
 	for i, a := range c.Attempts {
-		d := &Dispatch{Session: n, Worker: a.Worker, Deadline: n.answerBy, number: i, sentAt: a.SentAt, begun: true, ended: !a.Out}
+		d := &Dispatch{Session: n, Worker: a.Worker, Deadline: n.answerBy, number: i, sentAt: a.SentAt, begun: true, ended: !a.InFlight}
 		n.dispatches = append(n.dispatches, d)
-		if !a.Out {
+		if !a.InFlight {
 			continue
 		}
 		n.out++
--- a/balancer/scheduler/scheduler.go
+++ b/balancer/scheduler/scheduler.go
@@ -123,21 +123,21 @@
 }
 
 // Past returns what a process that takes over is to know: the module's memory and the ids that may not come again.
-func (s *Scheduler) Past() (*ravendale.Memory, []string) {
-	return s.module.Memory(), append(slices.Collect(maps.Keys(s.byID)), slices.Collect(maps.Keys(s.past))...)
+func (s *Scheduler) Past() (*ravendale.Snapshot, []string) {
+	return s.module.Snapshot(), append(slices.Collect(maps.Keys(s.byID)), slices.Collect(maps.Keys(s.past))...)
 }
 
 // Inherit takes what Past returned, after the list.
-func (s *Scheduler) Inherit(past *ravendale.Memory, ids []string) {
+func (s *Scheduler) Inherit(past *ravendale.Snapshot, ids []string) {
 	for _, id := range ids {
 		s.TookElsewhere(id)
 	}
 	if past != nil {
-		s.feed(ravendale.Event{Kind: ravendale.Inherited, Past: past})
+		s.feed(ravendale.Event{Kind: ravendale.Inherited, Snapshot: past})
 		for worker, was := range past.Workers {
 			s.there[worker] = was.Slots
 		}
-		for worker := range past.Out {
+		for worker := range past.Detached {
 			s.backend.Avoid(worker)
 		}
 	}
@@ -192,7 +192,7 @@
 }
 
 // Cold says whether a backend server is taken to be warming still.
-func (s *Scheduler) Cold(worker string) bool { return s.module.Cold(worker, s.loop.Now()) }
+func (s *Scheduler) Cold(worker string) bool { return s.module.WarmingUp(worker, s.loop.Now()) }
 
 // Owed is how many requests wait for their answer.
 func (s *Scheduler) Owed() int { return len(s.byID) }
@@ -308,7 +308,7 @@
 }
 
 // arrived tells the module of a session, with the attempts that another process made for it.
-func (s *Scheduler) arrived(n *Session, attempts []ravendale.Attempted) {
+func (s *Scheduler) arrived(n *Session, attempts []ravendale.AttemptSnapshot) {
 	f := &n.ex.Facts
 	s.feed(ravendale.Event{Kind: ravendale.JobArrived, Job: n.job, Class: f.Class, Tenant: f.Tenant, Key: f.Key,
 		Left: f.Left, Work: f.Work, Slots: f.Slots, Memory: f.Memory, Retry: f.Retry, Attempts: attempts})
@@ -332,10 +332,10 @@
 		return false
 	}
 	if !out {
-		s.feed(ravendale.Event{Kind: ravendale.WorkerBack, Worker: worker})
+		s.feed(ravendale.Event{Kind: ravendale.WorkerAttached, Worker: worker})
 		return true
 	}
-	s.feed(ravendale.Event{Kind: ravendale.WorkerOut, Worker: worker})
+	s.feed(ravendale.Event{Kind: ravendale.WorkerDetached, Worker: worker})
 	s.backend.Avoid(worker)
 	return true
 }
@@ -383,7 +383,7 @@
 		if n != nil {
 			n.end(Answer{Kind: Failed})
 		}
-	case ravendale.Probe, ravendale.Tell: // ruled out at every site of this platform
+	case ravendale.Probe, ravendale.NotifyPeers: // ruled out at every site of this platform
 	}
 }
 
@@ -435,7 +435,7 @@
 func (d *Dispatch) Started() { d.note(ravendale.JobStarted, 0) }
 
 // Silent tells that the backend server has not said a word on it, long after it should have.
-func (d *Dispatch) Silent() { d.note(ravendale.AttemptSilent, 0) }
+func (d *Dispatch) Silent() { d.note(ravendale.AttemptUnresponsive, 0) }
 
 // Progressed tells which part of the job is done.
 func (d *Dispatch) Progressed(done float64) { d.note(ravendale.JobProgressed, done) }
--- a/dispatcher_test.go
+++ b/dispatcher_test.go
@@ -1,13 +1,14 @@
 package ravendale
 
 import (
-	"bufio"
 	"encoding/json"
 	"errors"
 	"fmt"
 	"math"
 	"os"
+	"path/filepath"
 	"reflect"
+	"slices"
 	"strconv"
 	"strings"
 	"testing"
@@ -32,14 +33,14 @@
 	return Settings{
 		Dispatchers: 4, Me: 1, Zones: 2, Zone: 0,
 		Classes: []Class{
-			{Name: "s", Effect: Safe, Aim: 400 * ms, Stretch: 2, Deadline: 6 * time.Second, Kind: -1, Worth: 1},
-			{Name: "k", Effect: Keyed, Group: GroupCell, Window: 10 * time.Second, Aim: time.Second, Stretch: 2,
-				Deadline: 25 * time.Second, Kind: -1, Worth: 1},
-			{Name: "u", Effect: Unsafe, Aim: time.Second, Stretch: 2, Deadline: 25 * time.Second, Kind: -1, Worth: 1},
+			{Name: "s", Effect: Safe, LatencyTarget: 400 * ms, Stretch: 2, Deadline: 6 * time.Second, Kind: -1, Value: 1},
+			{Name: "k", Effect: Keyed, Group: GroupCell, Window: 10 * time.Second, LatencyTarget: time.Second, Stretch: 2,
+				Deadline: 25 * time.Second, Kind: -1, Value: 1},
+			{Name: "u", Effect: Unsafe, LatencyTarget: time.Second, Stretch: 2, Deadline: 25 * time.Second, Kind: -1, Value: 1},
 		},
-		MaxAttempts: 5, MayCopy: true, MayCancel: true, AnswerSlack: 20 * ms, DrainGrace: 500 * ms,
-		AskWithin: 10 * time.Second, ColdFrom: 0.15, ColdFor: 20 * time.Second, FallMultiple: 2.5,
-		FallSpan: 2 * time.Second, Tick: 5 * ms,
+		MaxAttempts: 5, MayHedge: true, MayCancel: true, AnswerSlack: 20 * ms, DrainTimeout: 500 * ms,
+		AskWithin: 10 * time.Second, SlowStartFrom: 0.15, SlowStartFor: 20 * time.Second, OverloadMultiple: 2.5,
+		OverloadSpan: 2 * time.Second, Tick: 5 * ms,
 	}
 }
 
@@ -126,7 +127,7 @@
 		b.none(Refuse)
 		b.one(Fail)
 	}
-	for _, o := range []Outcome{FullUp, ConnectFailed, NotSent} {
+	for _, o := range []Outcome{Overloaded, ConnectFailed, NotSent} {
 		b := newBench(t, testSettings(), ready("a", 0, 0), ready("b", 0, 0))
 		b.arrive(1, 2, 25*time.Second)
 		b.end(1, 0, o)
@@ -219,7 +220,7 @@
 // A heavy tail deviates by more than its mean. A job still has its class's aim to start in, else all are refused as they come.
 func TestAHeavyTailDoesNotRefuseEverything(t *testing.T) {
 	b := newBench(t, startSettings(), ready("a", 0, 0))
-	b.d.seen[0].run, b.d.seen[0].dev, b.d.seen[0].longest = 500*ms, time.Second, 6*time.Second
+	b.d.stats[0].run, b.d.stats[0].dev, b.d.stats[0].longest = 500*ms, time.Second, 6*time.Second
 	for id := range JobID(8) { // some find room, and others have to wait
 		b.arrive(id, 0, 6*time.Second)
 		b.none(Refuse)
@@ -247,7 +248,7 @@
 		t.Fatalf("the worker with reported room (%s) is not used: %+v", first, sends)
 	}
 	if len(sends) == 2 {
-		b.do(Event{Kind: AttemptEnded, Job: 2, Attempt: 1, Outcome: FullUp})
+		b.do(Event{Kind: AttemptEnded, Job: 2, Attempt: 1, Outcome: Overloaded})
 		b.none(Send) // 'full' drops a copy
 	}
 }
@@ -259,7 +260,7 @@
 	b.arrive(1, 0, 6*time.Second)
 	b.endWith(1, 0, OK, 2)
 	if j := b.d.byName["far"]; j != nil {
-		b.d.sees(j, 2)
+		b.d.observeFree(j, 2)
 	}
 	b.arrive(2, 0, 6*time.Second)
 	if n := len(b.of(Send)); n != 2 {
@@ -282,12 +283,12 @@
 	b := newBench(t, startSettings(), ready("a", 0, 0), ready("b", 0, 0), ready("c", 0, 0))
 	b.arrive(1, 0, 6*time.Second)
 	first := b.one(Send).Worker
-	b.fire(firstStartWait)
+	b.fire(initialStartTimeout)
 	second := b.one(Send).Worker
 	if second == first {
 		t.Fatal("the second place is in the same queue")
 	}
-	b.fire(firstStartWait) // both wait: the copy moves on, the first keeps its place
+	b.fire(initialStartTimeout) // both wait: the copy moves on, the first keeps its place
 	if c := b.one(Cancel); c.Attempt != 1 {
 		t.Fatalf("attempt %d gives up its place, want 1", c.Attempt)
 	}
@@ -307,7 +308,7 @@
 	b.arrive(1, 0, 6*time.Second)
 	b.one(Send)
 	for range 8 {
-		b.fire(firstStartWait)
+		b.fire(initialStartTimeout)
 		b.none(Send)
 	}
 }
@@ -335,7 +336,7 @@
 	b.arrive(1, 0, 6*time.Second)
 	b.now += 10 * ms
 	b.do(Event{Kind: JobStarted, Job: 1})
-	b.fire(firstStartWait)
+	b.fire(initialStartTimeout)
 	b.none(Send)
 }
 
@@ -361,7 +362,7 @@
 	b.arrive(1, 1, 25*time.Second)
 	first := b.d.byName[b.one(Send).Worker].Entry
 	b.do(Event{Kind: WorkersListed, List: Delta, Entries: []Entry{ready(first.Worker, 0, 1-first.Cell)}})
-	b.fire(firstStartWait)
+	b.fire(initialStartTimeout)
 	if second := b.d.byName[b.one(Send).Worker]; second.Cell != first.Cell {
 		t.Errorf("the second place is at %s of cell %d, the first was in %d", second.Worker, second.Cell, first.Cell)
 	}
@@ -371,7 +372,7 @@
 	b := newBench(t, startSettings(), ready("a", 0, 0), ready("b", 0, 0))
 	b.arrive(1, 2, 25*time.Second)
 	for range 20 {
-		b.fire(firstStartWait)
+		b.fire(initialStartTimeout)
 		b.none(Send)
 		b.none(Cancel)
 	}
@@ -398,12 +399,12 @@
 		leaves bool
 	}{{0, 0, true}, {1, 0, false}, {1, 0.3, true}} {
 		s := startSettings()
-		s.Classes[tc.class].LateWorth = tc.late
+		s.Classes[tc.class].LateValue = tc.late
 		b := newBench(t, s, ready("a", 0, 0), ready("b", 0, 0))
-		b.d.meanWorth, b.d.jobsSeen, b.d.zones[0].busy = 9, 100, 1
+		b.d.arrivals.meanValue, b.d.arrivals.jobs, b.d.zones[0].busy = 9, 100, 1
 		b.arrive(100, tc.class, s.Classes[tc.class].Deadline)
 		b.d.zones[0].busy = 1
-		b.fire(firstStartWait)
+		b.fire(initialStartTimeout)
 		if left := len(b.of(Cancel)) == 1 && len(b.of(Send)) == 0; left != tc.leaves {
 			t.Errorf("%+v: %+v", tc, b.acts)
 		}
@@ -420,10 +421,10 @@
 		cost  float64 // 0: not sent
 	}{{0, 0, 0, 0.5}, {1, 0, 0, 1.5}, {2, 0, 0, 1}, {1, 0, 1, 0}, {1, 15 * time.Second, 1, 1.5}} {
 		b := newBench(t, testSettings(), ready("a", 0, 0))
-		b.d.seen[0].run, b.d.seen[1].run, b.d.seen[0].came, b.d.seen[1].came = 200*ms, 600*ms, 1e9, 1e9
+		b.d.stats[0].run, b.d.stats[1].run, b.d.stats[0].arrivals, b.d.stats[1].arrivals = 200*ms, 600*ms, 1e9, 1e9
 		w := b.d.workers[0]
 		w.StartedAt = b.now - tc.warm
-		b.d.peak, b.d.carried, w.tokens, w.filledAt, w.slots = 10, 0.2, 1, b.now, tc.ours
+		b.d.capacity.peak, b.d.capacity.warmThroughput, w.tokens, w.refilledAt, w.slots = 10, 0.2, 1, b.now, tc.ours
 		b.arrive(1, tc.class, 6*time.Second)
 		if cost := 1 - w.tokens; math.Abs(cost-tc.cost) > 0.01 || (len(b.of(Send)) == 1) != (tc.cost > 0) {
 			t.Errorf("%+v: cost %.2f, %v", tc, cost, b.acts)
@@ -437,12 +438,12 @@
 	for _, tc := range []struct {
 		busy, worth, ours, late float64
 		sent                    bool
-	}{{scarce, 1, 1, 0.25, true}, {scarce + 0.01, 1, 1, 0.25, false}, {scarce + 0.01, 1, 0, 0.25, true}, {tight + 0.01, 1, 0, 0.25, false}, {1, 2, 1, 0.25, true},
-		{scarce - 0.09, 1, 1, 0, false}, {scarce - 0.11, 1, 1, 0, true}} {
+	}{{scarceSlots, 1, 1, 0.25, true}, {scarceSlots + 0.01, 1, 1, 0.25, false}, {scarceSlots + 0.01, 1, 0, 0.25, true}, {tightSlots + 0.01, 1, 0, 0.25, false}, {1, 2, 1, 0.25, true},
+		{scarceSlots - 0.09, 1, 1, 0, false}, {scarceSlots - 0.11, 1, 1, 0, true}} {
 		s := startSettings()
-		s.Classes[2].Worth, s.Classes[2].LateWorth = tc.worth, tc.late
+		s.Classes[2].Value, s.Classes[2].LateValue = tc.worth, tc.late
 		b := newBench(t, s, ready("a", 0, 0))
-		b.d.meanWorth, b.d.jobsSeen, b.d.zones[0].busy, b.d.workers[0].slots = 3, 100, tc.busy, tc.ours
+		b.d.arrivals.meanValue, b.d.arrivals.jobs, b.d.zones[0].busy, b.d.workers[0].slots = 3, 100, tc.busy, tc.ours
 		if b.arrive(2, 2, 25*time.Second); (len(b.of(Send)) == 1) != tc.sent {
 			t.Errorf("%+v: %v", tc, b.acts)
 		}
@@ -456,7 +457,7 @@
 	b := newBench(t, s, ready("a", 0, 0))
 	b.arrive(1, 0, 6*time.Second)
 	b.arrive(2, 0, 6*time.Second)
-	b.endWith(1, 0, FullUp, 0)
+	b.endWith(1, 0, Overloaded, 0)
 	b.none(Send)
 	for range 5 {
 		b.fire(50 * ms)
@@ -473,14 +474,14 @@
 func TestAFullWorkerWithListedSlotsIsTriedAgainAfterAPauseThatDoubles(t *testing.T) {
 	const run = 20 * ms
 	s := testSettings()
-	s.Dispatchers, s.Classes[0].Aim, s.MaxAttempts = 69, 0, 100
+	s.Dispatchers, s.Classes[0].LatencyTarget, s.MaxAttempts = 69, 0, 100
 	b := newBench(t, s, Entry{Worker: "w", State: Ready, Weight: 1, Slots: 3})
 	b.arrive(1, 0, time.Hour)
 	b.now += run
 	b.end(1, 0, OK)
 	b.arrive(2, 0, time.Hour)
 	for attempt, want := range []time.Duration{16 * run, 32 * run, 64 * run} {
-		b.end(2, attempt, FullUp)
+		b.end(2, attempt, Overloaded)
 		b.none(Send)
 		if took := b.untilSent(5 * ms); took < want || took > want+5*ms {
 			t.Errorf("after %d full answers it is tried again in %v, want %v", attempt+1, took, want)
@@ -489,7 +490,7 @@
 	b.now += run
 	b.end(2, 3, OK)
 	b.arrive(3, 0, time.Hour)
-	b.end(3, 0, FullUp)
+	b.end(3, 0, Overloaded)
 	if took := b.untilSent(5 * ms); took < 32*run || took > 32*run+5*ms {
 		t.Errorf("after a finish and one more full answer it is tried again in %v, want %v", took, 32*run)
 	}
@@ -498,7 +499,7 @@
 func TestAWorkerThatIsNewTakesItsPartOfTheSlotsAtFirst(t *testing.T) {
 	for _, tc := range []struct{ dispatchers, slots, sent int }{{69, 3, 1}, {4, 3, 1}, {4, 16, 4}, {1, 16, 16}, {4, 0, 20}} {
 		s := testSettings()
-		s.Dispatchers, s.Me, s.Classes[0].Aim = tc.dispatchers, 0, 0
+		s.Dispatchers, s.Me, s.Classes[0].LatencyTarget = tc.dispatchers, 0, 0
 		b := newBench(t, s, Entry{Worker: "w", State: Ready, Weight: 1, Slots: tc.slots})
 		sent := 0
 		for i := range 20 {
@@ -513,11 +514,11 @@
 
 func TestAFullWorkerOfUnknownSlotsIsTriedByAllTogether(t *testing.T) {
 	s := testSettings()
-	s.Dispatchers, s.Classes[0].Aim = 20, 0
+	s.Dispatchers, s.Classes[0].LatencyTarget = 20, 0
 	b := newBench(t, s, Entry{Worker: "w", State: Ready, Weight: 1})
 	b.arrive(1, 0, time.Hour)
-	b.end(1, 0, FullUp)
-	if took, want := b.untilSent(holdRetry), 20*trialEvery; took < want || took > want+holdRetry {
+	b.end(1, 0, Overloaded)
+	if took, want := b.untilSent(pendingRetry), 20*rejectionRetry; took < want || took > want+pendingRetry {
 		t.Errorf("it is tried again in %v, want %v", took, want)
 	}
 }
@@ -525,7 +526,7 @@
 // untilSent lets the timer fire again and again until a job is sent, and returns how long that took.
 func (b *bench) untilSent(step time.Duration) time.Duration {
 	from := b.now
-	for len(b.of(Send)) == 0 && b.now-from < 2*turnsAwayFor {
+	for len(b.of(Send)) == 0 && b.now-from < 2*rejectionTTL {
 		b.now += step
 		b.d.wakeAt = 0
 		for _, j := range b.d.open {
@@ -539,11 +540,11 @@
 func TestHeldJobsGoByWorthThenAge(t *testing.T) {
 	s := testSettings()
 	s.Classes = append(s.Classes, s.Classes[0])
-	s.Classes[3].Worth = 9
+	s.Classes[3].Value = 9
 	b := newBench(t, s, ready("a", 0, 0))
 	b.arrive(1, 2, 25*time.Second)
 	b.arrive(2, 2, 25*time.Second)
-	b.end(1, 0, FullUp) // a turns jobs away from now on
+	b.end(1, 0, Overloaded) // a turns jobs away from now on
 	b.arrive(3, 0, 6*time.Second)
 	b.arrive(4, 3, 6*time.Second)
 	b.none(Send)
@@ -565,7 +566,7 @@
 			t.Fatalf("job %d goes to the dead worker", id)
 		}
 	}
-	b.now += sickFor
+	b.now += unhealthyFor
 	back := false
 	for id := JobID(20); id < 40; id++ {
 		b.arrive(id, 2, 25*time.Second)
@@ -580,7 +581,7 @@
 func TestNoWorkerDrawsFarMoreThanItsPart(t *testing.T) {
 	b := newBench(t, testSettings(), ready("a", 0, 0), ready("b", 0, 0), ready("c", 0, 0), ready("silent", 0, 0))
 	for _, w := range b.d.workers[:3] {
-		w.turnedAway = b.now
+		w.rejectedAt = b.now
 	}
 	for id := range JobID(50) {
 		b.arrive(id, 2, 25*time.Second)
@@ -594,12 +595,12 @@
 func TestNoJobJoinsALongQueue(t *testing.T) {
 	b := newBench(t, testSettings(), ready("a", 0, 0), ready("b", 0, 0))
 	for _, w := range b.d.workers {
-		b.d.sees(w, -8) // so many wait
+		b.d.observeFree(w, -8) // so many wait
 	}
 	b.arrive(1, 2, 25*time.Second)
 	b.none(Send)
-	b.d.sees(b.d.byName["b"], -1)
-	b.fire(holdRetry)
+	b.d.observeFree(b.d.byName["b"], -1)
+	b.fire(pendingRetry)
 	if a := b.one(Send); a.Worker != "b" {
 		t.Fatalf("the held job goes to %s, want b, where one job waits", a.Worker)
 	}
@@ -622,7 +623,7 @@
 	s := testSettings()
 	s.Classes[0].Kind = 1
 	var fleet []Entry
-	for i := range 3 * scanMost {
+	for i := range 3 * maxScanned {
 		fleet = append(fleet, ready("w"+strconv.Itoa(i), 0, 0))
 	}
 	fleet[7].Kind = 1
@@ -658,7 +659,7 @@
 			b.arrive(JobID(i), 2, 25*time.Second)
 			b.end(JobID(i), 0, o)
 		}
-		if sick := b.d.byName["a"].sickTill > b.now; sick != tc.sick {
+		if sick := b.d.byName["a"].unhealthyUntil > b.now; sick != tc.sick {
 			t.Errorf("%s: sick is %v", name, sick)
 		}
 	}
@@ -673,11 +674,11 @@
 		b.arrive(next, class, 25*time.Second)
 		return b.one(Send).Worker
 	}
-	for b.d.byName["a"].sickTill <= b.now {
+	for b.d.byName["a"].unhealthyUntil <= b.now {
 		outcome := map[string]Outcome{"a": Error, "b": OK}[arrive(2)]
 		b.end(next, 0, outcome)
 	}
-	b.now += sickFor
+	b.now += unhealthyFor
 	if arrive(2) == "a" {
 		t.Error("a job that must not run twice tries the worker")
 	}
@@ -698,7 +699,7 @@
 	b.arrive(1, 2, 25*time.Second)
 	dead := b.one(Send).Worker
 	b.end(1, 0, ConnectFailed)
-	b.now += sickFor
+	b.now += unhealthyFor
 	trials := 0
 	for id := JobID(2); id < 30; id++ {
 		b.arrive(id, 2, 25*time.Second)
@@ -797,14 +798,14 @@
 
 func TestSettingsThatMakeNoSenseAreNamed(t *testing.T) {
 	for want, spoil := range map[string]func(s *Settings){
-		"Classes is empty":     func(s *Settings) { s.Classes = nil },
-		"Classes[1]":           func(s *Settings) { s.Classes[1].Aim = -1 },
-		"Dispatchers":          func(s *Settings) { s.Dispatchers = 0 },
-		"Settings.Me":          func(s *Settings) { s.Me = 4 },
-		"Settings.Zone":        func(s *Settings) { s.Zone = 2 },
-		"MaxAttempts":          func(s *Settings) { s.MaxAttempts = 0 },
-		"has a negative time":  func(s *Settings) { s.Tick = -1 },
-		"Settings.ColdFrom is": func(s *Settings) { s.ColdFrom = 2 },
+		"Classes is empty":          func(s *Settings) { s.Classes = nil },
+		"Classes[1]":                func(s *Settings) { s.Classes[1].LatencyTarget = -1 },
+		"Dispatchers":               func(s *Settings) { s.Dispatchers = 0 },
+		"Settings.Me":               func(s *Settings) { s.Me = 4 },
+		"Settings.Zone":             func(s *Settings) { s.Zone = 2 },
+		"MaxAttempts":               func(s *Settings) { s.MaxAttempts = 0 },
+		"has a negative time":       func(s *Settings) { s.Tick = -1 },
+		"Settings.SlowStartFrom is": func(s *Settings) { s.SlowStartFrom = 2 },
 	} {
 		s := testSettings()
 		spoil(&s)
@@ -814,36 +815,43 @@
 	}
 }
 
-// The files that decide are those that the deploy file names, and together they stay small.
+// The files that decide are those that the deploy file names, and no others but the interface; each is small, and told of in doc.go.
 func TestModuleKeepsItsLimits(t *testing.T) {
-	const maxLines, maxWidth = 950, 130
+	const maxLines, maxWidth = 200, 130 // of a file, of a line
 	deploy, err := os.ReadFile("deploy/balancer.toml")
 	_, policy, _ := strings.Cut(string(deploy), "\npolicy = ")
 	policy, _, _ = strings.Cut(policy, "\n")
-	var files, module []string // a list of strings in TOML is one in JSON
-	err = errors.Join(err, json.Unmarshal([]byte(policy), &files))
-	for _, name := range files {
-		text, readErr := os.ReadFile(name)
-		module, err = append(module, string(text)), errors.Join(err, readErr)
-	}
-	if err != nil {
+	var named []string // a list of strings in TOML is one in JSON
+	err = errors.Join(err, json.Unmarshal([]byte(policy), &named))
+	doc, docErr := os.ReadFile("doc.go")
+	all, globErr := filepath.Glob("*.go")
+	if err = errors.Join(err, docErr, globErr); err != nil {
 		t.Fatal(err)
 	}
-	lines, filled := 0, 0
-	for in := bufio.NewScanner(strings.NewReader(strings.Join(module, ""))); in.Scan(); {
-		lines++
-		if lines == 1 && !strings.Contains(in.Text(), "api.go") {
-			t.Error("the head of the module does not name api.go")
+	deciding := slices.DeleteFunc(all, func(name string) bool {
+		return strings.HasSuffix(name, "_test.go") || slices.Contains([]string{"doc.go", "api.go", "settings.go", "snapshot.go"}, name)
+	})
+	slices.Sort(named)
+	if !slices.Equal(named, deciding) {
+		t.Errorf("policy names %v, and the files that decide are %v", named, deciding)
+	}
+	for _, name := range deciding {
+		text, err := os.ReadFile(name)
+		if err != nil {
+			t.Fatal(err)
 		}
-		if strings.TrimSpace(in.Text()) != "" {
-			filled++
+		if !strings.Contains(string(doc), "\n//\t"+name) {
+			t.Errorf("doc.go does not tell what %s decides", name)
 		}
-		if width := utf8.RuneCountInString(in.Text()); width > maxWidth {
-			t.Errorf("line %d of all together is %d characters wide", lines, width)
+		lines := strings.Split(strings.TrimSuffix(string(text), "\n"), "\n")
+		if len(lines) < 5 || len(lines) > maxLines {
+			t.Errorf("%s has %d lines, at most %d are wanted", name, len(lines), maxLines)
+		}
+		for i, line := range lines {
+			if width := utf8.RuneCountInString(line); width > maxWidth {
+				t.Errorf("%s:%d is %d characters wide", name, i+1, width)
+			}
 		}
-	}
-	if filled == 0 || filled > maxLines {
-		t.Errorf("%d lines that are not blank, at most %d are wanted", filled, maxLines)
 	}
 }
 
@@ -855,7 +863,7 @@
 		most time.Duration
 		want time.Duration
 	}{
-		"told":        {true, 2 * time.Second, holdRetry},
+		"told":        {true, 2 * time.Second, pendingRetry},
 		"told at all": {true, 10 * ms, 10 * ms},
 		"not told":    {false, 2 * time.Second, 0},
 	} {
@@ -873,15 +881,15 @@
 // together take what comes at a usual load.
 func TestAFleetThatIsAllColdTakesItsLoad(t *testing.T) {
 	s := testSettings()
-	s.Dispatchers, s.Me, s.FallMultiple = 1, 0, 3
+	s.Dispatchers, s.Me, s.OverloadMultiple = 1, 0, 3
 	var fleet []Entry
 	for _, name := range []string{"a", "b", "c", "d"} {
 		e := ready(name, 0, 0)
-		e.StartedAt = time.Hour - s.ColdFor/2
+		e.StartedAt = time.Hour - s.SlowStartFor/2
 		fleet = append(fleet, e)
 	}
 	b := newBench(t, s, fleet...)
-	b.d.arrivals, b.d.arrivedAt = 20, b.now // the rate of the jobs below, as if they had come for long
+	b.d.arrivals.rate, b.d.arrivals.last = 20, b.now // the rate of the jobs below, as if they had come for long
 	sent := 0
 	for id := JobID(1); id <= 100; id++ {
 		b.now += 50 * ms
@@ -900,7 +908,7 @@
 // tells when it started, is used at once, and nothing seen of the process before it counts.
 func TestOutByHandIsBesideTheList(t *testing.T) {
 	b := newBench(t, testSettings(), ready("a", 0, 0), ready("b", 0, 0))
-	out, back := Event{Kind: WorkerOut, Worker: "a"}, Event{Kind: WorkerBack, Worker: "a"}
+	out, back := Event{Kind: WorkerDetached, Worker: "a"}, Event{Kind: WorkerAttached, Worker: "a"}
 	only := func(want string, id JobID) {
 		t.Helper()
 		for range 4 {
@@ -912,7 +920,7 @@
 			id++
 		}
 	}
-	for id := JobID(100); b.d.byName["a"].sickTill == 0; id++ {
+	for id := JobID(100); b.d.byName["a"].unhealthyUntil == 0; id++ {
 		b.arrive(id, 2, 25*time.Second)
 		b.end(id, 0, map[string]Outcome{"a": Reset, "b": OK}[b.one(Send).Worker])
 	}
@@ -933,8 +941,8 @@
 	b.now += time.Second
 	b.do(back)
 	a := b.d.byName["a"]
-	if got := b.d.warmth(a); got != b.d.set.ColdFrom || a.sickTill != 0 || a.faults != 0 {
-		t.Fatalf("warmth %v, sick till %v, faults %v", got, a.sickTill, a.faults)
+	if got := b.d.warmUp(a); got != b.d.settings.SlowStartFrom || a.unhealthyUntil != 0 || a.faults != 0 {
+		t.Fatalf("warmth %v, sick till %v, faults %v", got, a.unhealthyUntil, a.faults)
 	}
 	b.arrive(30, 2, 25*time.Second)
 	b.arrive(31, 2, 25*time.Second)
@@ -964,31 +972,31 @@
 	b := newBench(t, testSettings(), ready("a", 0, 0), cold, ready("c", 0, 0))
 	for id := range JobID(4) {
 		b.arrive(id, 2, 25*time.Second)
-		b.end(id, 0, []Outcome{OK, Reset, FullUp, OK}[id])
+		b.end(id, 0, []Outcome{OK, Reset, Overloaded, OK}[id])
 		b.now += 100 * ms
 	}
-	b.do(Event{Kind: WorkerOut, Worker: "a"})
-	b.d.carried, b.d.coldPrompt = 3, 0.5
-	b.d.byName["a"].fulls = 2
-	text, err := json.Marshal(b.d.Memory())
-	var past Memory
+	b.do(Event{Kind: WorkerDetached, Worker: "a"})
+	b.d.capacity.warmThroughput, b.d.capacity.warmingOnTime = 3, 0.5
+	b.d.byName["a"].rejections = 2
+	text, err := json.Marshal(b.d.Snapshot())
+	var past Snapshot
 	if err := errors.Join(err, json.Unmarshal(text, &past)); err != nil {
 		t.Fatal(err)
 	}
-	if past.Arrivals == 0 || past.Out["a"] == 0 || past.Classes["u"].Longest == 0 {
+	if past.Arrivals == 0 || past.Detached["a"] == 0 || past.Classes["u"].Longest == 0 {
 		t.Fatalf("little is handed over: %s", text)
 	}
 	anew := ready("c", 0, 0)
 	anew.StartedAt = b.now
 	next := newBench(t, testSettings(), ready("a", 0, 0), cold, anew)
-	own := next.d.Memory().Workers["c"]
+	own := next.d.Snapshot().Workers["c"]
 	next.now = b.now
-	next.do(Event{Kind: Inherited, Past: &past})
+	next.do(Event{Kind: Inherited, Snapshot: &past})
 	past.Workers["c"] = own
-	if got := next.d.Memory(); !reflect.DeepEqual(got, &past) {
+	if got := next.d.Snapshot(); !reflect.DeepEqual(got, &past) {
 		t.Fatalf("got %+v, want %+v", got, past)
 	}
-	if next.d.seen[2].least == 0 {
+	if next.d.stats[2].least == 0 {
 		t.Error("a full worker would be tried again at once")
 	}
 	w := next.d.byName["b"]
@@ -1012,13 +1020,13 @@
 	b.now += 100 * ms
 	b.end(1, 0, OK)
 	b.arrive(2, 0, 6*time.Second)
-	run, longest := b.d.seen[2].run, b.d.seen[2].longest
+	run, longest := b.d.stats[2].run, b.d.stats[2].longest
 	s.MaxAttempts = 1
 	s.Classes = []Class{s.Classes[2], s.Classes[1]}
 	if err := b.d.Retune(s); err != nil {
 		t.Fatal(err)
 	}
-	if seen := b.d.seen[0]; run == 0 || seen.run != run || seen.longest != longest {
+	if seen := b.d.stats[0]; run == 0 || seen.run != run || seen.longest != longest {
 		t.Fatalf("of the class that moved %+v is known", seen)
 	}
 	b.end(2, 0, Error)
@@ -1027,8 +1035,8 @@
 	b.end(3, 0, Error)
 	b.one(Fail)
 	s.Classes[0].Deadline /= 5
-	if err := b.d.Retune(s); err != nil || b.d.seen[0].longest != 0 || b.d.seen[0].run != run {
-		t.Fatalf("error %v, known %+v", err, b.d.seen[0])
+	if err := b.d.Retune(s); err != nil || b.d.stats[0].longest != 0 || b.d.stats[0].run != run {
+		t.Fatalf("error %v, known %+v", err, b.d.stats[0])
 	}
 	if s.MaxAttempts = 0; b.d.Retune(s) == nil {
 		t.Fatal("no attempts are taken")
--- a/edge/dispatch/backlog.go
+++ b/edge/dispatch/backlog.go
@@ -69,11 +69,11 @@
 // describe tells what the service's module knows of its workers.
 func (s *service) describe(b *Backlog, now time.Duration) {
 	b.Workers = s.ready
-	for _, w := range s.module.Memory().Workers {
-		if w.SickTill > now {
+	for _, w := range s.module.Snapshot().Workers {
+		if w.UnhealthyUntil > now {
 			b.Sick++
 		}
-		if w.Fulls > 0 && now-w.TurnedAway < fullFor {
+		if w.Rejections > 0 && now-w.RejectedAt < fullFor {
 			b.Full++
 		}
 	}
--- a/edge/dispatch/service.go
+++ b/edge/dispatch/service.go
@@ -51,9 +51,9 @@
 		Me:           me,
 		Zones:        len(t.Zones),
 		Zone:         slices.Index(t.Zones, t.Zone),
-		Classes:      []ravendale.Class{{Name: config.Name, Effect: effect, Deadline: jobDeadline, Worth: 1, Kind: -1}},
+		Classes:      []ravendale.Class{{Name: config.Name, Effect: effect, Deadline: jobDeadline, Value: 1, Kind: -1}},
 		MaxAttempts:  attempts,
-		MayCopy:      copies,
+		MayHedge:     copies,
 		MayCancel:    true,
 		WrittenCount: true,
 	}
--- a/example_test.go
+++ b/example_test.go
@@ -15,7 +15,7 @@
 		MayCancel:   true,
 		Classes: []ravendale.Class{{
 			Name: "render", Effect: ravendale.Safe, Kind: -1,
-			Aim: time.Second, Stretch: 2, Deadline: 10 * time.Second, Worth: 1,
+			LatencyTarget: time.Second, Stretch: 2, Deadline: 10 * time.Second, Value: 1,
 		}},
 	}, 42)
 	if err != nil {
@@ -40,7 +40,7 @@
 	}})
 	tell(ravendale.Event{Kind: ravendale.JobArrived, Job: 7, Left: 10 * time.Second})
 	now += 50 * time.Millisecond
-	tell(ravendale.Event{Kind: ravendale.AttemptEnded, Job: 7, Outcome: ravendale.FullUp})
+	tell(ravendale.Event{Kind: ravendale.AttemptEnded, Job: 7, Outcome: ravendale.Overloaded})
 	now += 6 * time.Second
 	tell(ravendale.Event{Kind: ravendale.TimerFired})
 	// Output:
--- a/fleet_test.go
+++ b/fleet_test.go
@@ -66,7 +66,7 @@
 
 func (f *fleet) capacity(w *modelled, from, until time.Duration) float64 {
 	middle := (from+until)/2 - w.born
-	return canDo * (w.from + (1-w.from)*middle.Seconds()/f.set.ColdFor.Seconds()) * (until - from).Seconds()
+	return canDo * (w.from + (1-w.from)*middle.Seconds()/f.set.SlowStartFor.Seconds()) * (until - from).Seconds()
 }
 
 // tell gives a member an event, and what it sends to the workers.
@@ -126,7 +126,7 @@
 		for i := range 10 {
 			e := ready(fmt.Sprintf("new%d", i), 0, 9)
 			e.StartedAt = born
-			f.list, f.workers[e.Worker] = append(f.list, e), &modelled{born: born, from: f.set.ColdFrom * (1 + float64(i%2))}
+			f.list, f.workers[e.Worker] = append(f.list, e), &modelled{born: born, from: f.set.SlowStartFrom * (1 + float64(i%2))}
 		}
 		for _, gone := range []int{0, 10} {
 			for i := range gone {
@@ -142,9 +142,9 @@
 			w := f.workers[e.Worker]
 			least = min(least, float64(len(w.sends))/f.capacity(w, born, f.members[0].now))
 			for i, from := range w.sends {
-				in, _ := slices.BinarySearch(w.sends[i:], from+f.set.FallSpan)
+				in, _ := slices.BinarySearch(w.sends[i:], from+f.set.OverloadSpan)
 				// Whole jobs, drawn by many: one is left to chance.
-				worst = max(worst, float64(in-1)/(f.set.FallMultiple*f.capacity(w, from, from+f.set.FallSpan)))
+				worst = max(worst, float64(in-1)/(f.set.OverloadMultiple*f.capacity(w, from, from+f.set.OverloadSpan)))
 			}
 		}
 		if worst > 1 || least < 1.15 {
@@ -174,12 +174,12 @@
 		return n
 	}
 	for _, life := range []Event{{Kind: JobStarted}, {Kind: AttemptEnded, Outcome: OK}} {
-		if lost, then := own(Event{Kind: AttemptEnded, Outcome: ConnectFailed}), own(life); lost > lostAfter || then > 0 {
+		if lost, then := own(Event{Kind: AttemptEnded, Outcome: ConnectFailed}), own(life); lost > failuresOfZone || then > 0 {
 			t.Errorf("%d jobs to a lost zone until it was left, and %d after that", lost, then)
 		}
-		b.now += 2 * sickFor
-		if own(life); b.d.zones[0].mute > 0 {
-			t.Errorf("after %+v %d signs still count", life, b.d.zones[0].mute)
+		b.now += 2 * unhealthyFor
+		if own(life); b.d.zones[0].failures > 0 {
+			t.Errorf("after %+v %d signs still count", life, b.d.zones[0].failures)
 		}
 	}
 }
@@ -210,7 +210,7 @@
 	workers = append(workers, ready("a0", 0, 0), ready("a1", 0, 0))
 	b, id, tries := newBench(t, testSettings(), workers...), JobID(0), map[JobID]int{}
 	// Jobs until both own workers have turned one away and four connects to the other zone failed in a row.
-	for b.d.zones[1].mute < lostAfter || b.d.byName["a0"].turnedAway == 0 || b.d.byName["a1"].turnedAway == 0 {
+	for b.d.zones[1].failures < failuresOfZone || b.d.byName["a0"].rejectedAt == 0 || b.d.byName["a1"].rejectedAt == 0 {
 		if id++; id > 100 {
 			t.Fatal("the zone was never taken for lost")
 		}
@@ -224,7 +224,7 @@
 			}
 			outcome := ConnectFailed
 			if a.Worker[0] == 'a' {
-				outcome = FullUp
+				outcome = Overloaded
 			}
 			tries[a.Job]++
 			sends = append(sends[1:], b.end(a.Job, tries[a.Job]-1, outcome)...)
@@ -235,7 +235,7 @@
 	b.arrive(id, 0, 6*time.Second)
 	b.none(Send)
 	b.do(Event{Kind: ClientLeft, Job: id})
-	b.now += 3 * sickFor / 2 // the zone's time as lost is over, and its workers' as sick; own ones still turn jobs away
+	b.now += 3 * unhealthyFor / 2 // the zone's time as lost is over, and its workers' as sick; own ones still turn jobs away
 	if sent := b.arrive(id+1, 0, 6*time.Second); len(b.of(Send)) != 1 {
 		t.Errorf("once the zone's time as lost is over, %+v, want a send", sent)
 	}
@@ -249,14 +249,14 @@
 		workers = append(workers, ready(fmt.Sprint("a", i), 0, 0))
 	}
 	b := newBench(t, testSettings(), workers...)
-	for id := range JobID(lostAfter) {
+	for id := range JobID(failuresOfZone) {
 		b.arrive(id, 0, 6*time.Second)
 		b.end(id, 0, ConnectFailed)
 		b.do(Event{Kind: ClientLeft, Job: id})
 	}
-	if b.d.zones[0].lostTill <= b.now {
+	if b.d.zones[0].unavailableUntil <= b.now {
 		t.Fatal("the zone was not taken for lost")
 	}
-	b.arrive(lostAfter, 0, 6*time.Second)
+	b.arrive(failuresOfZone, 0, 6*time.Second)
 	b.one(Send)
 }
--- a/health.go
+++ b/health.go
@@ -2,72 +2,93 @@
 
 import "time"
 
-// startWait is the time by which a job that found room is known to have started: on sockets a worker says so in up to 50 ms.
-func (d *Dispatcher) startWait(w *worker) time.Duration {
-	if prompt := d.zone(w.Zone).prompt; prompt > 0 {
-		return 10*prompt + 20*d.set.Tick
-	}
-	return firstStartWait
+const (
+	unhealthyFor = 2 * time.Second // a worker that gave no answer is passed over, then gets one job at a time
+	// A worker is unhealthy, too, when this part of its last outcomes, averaged over so many, were faults: two in a row, say.
+	faultThreshold, faultWindow = 0.3, 6
+
+	failuresOfZone = 4 // after so many in a row without an answer a zone counts as unavailable
+
+	reportTTL = time.Second // a report is believed for so long, about a mean run
+)
+
+// zone is what was seen of the workers of one zone.
+type zone struct {
+	busy             float64       // part of the samples that found a worker without a free slot, of late
+	queue            float64       // jobs that wait for each slot, by reports of late
+	startLatency     time.Duration // from a send to the start note where nothing waits; 0 until seen
+	failures         int           // connections and calls without an answer in a row, to whichever workers
+	unavailableUntil time.Duration // it is passed over until then for that
 }
 
-func settle(mean *float64, seen float64) { *mean += (seen - *mean) / looksKept }
+// updateMean moves an exponentially weighted mean by one sample.
+func updateMean(mean *float64, sample float64) { *mean += (sample - *mean) / sampleWindow }
 
-// learn notes what an outcome says of the worker's health.
-func (d *Dispatcher) learn(j *job, a *attempt, ev *Event) {
+// observeOutcome takes what an outcome says of the worker's health.
+func (d *Dispatcher) observeOutcome(j *job, a *attempt, ev *Event) {
 	w := a.w
 	if ev.Load.Given && ev.Load.FreeSlots >= 0 {
-		d.sees(w, ev.Load.FreeSlots) // its own word, where workers give it
+		d.observeFree(w, ev.Load.FreeSlots) // by its own report, where workers give one
 	}
 	switch ev.Outcome {
 	case OK:
-		d.zone(w.Zone).mute = 0
-		j.seen.saw(d.now - a.sentAt)
+		d.zone(w.Zone).failures = 0
+		j.stats.observe(d.now - a.sentAt)
 		w.free += j.slots // a report is older than the finish that brings it
-		w.fulls /= 2
-		w.faults -= w.faults / faultsKept
-		if w.faults < faulty {
-			w.sickTill = 0 // until then it is tried with one job at a time
+		w.rejections /= 2
+		w.faults -= w.faults / faultWindow
+		if w.faults < faultThreshold {
+			w.unhealthyUntil = 0 // until then it is tried with one job at a time
 		}
-	case FullUp:
-		w.limit, w.turnedAway, w.fulls = w.slots, d.now, w.fulls+1
-		settle(&d.zone(w.Zone).busy, 1)
+	case Overloaded:
+		w.limit, w.rejectedAt, w.rejections = w.slots, d.now, w.rejections+1
+		updateMean(&d.zone(w.Zone).busy, 1)
 	case ConnectFailed:
-		d.muted(w)
-		d.ail(w)
-	case Error, Reset: // not Rejected: clients that send rubbish must not make workers sick
-		d.fault(w)
+		d.observeSilence(w)
+		d.markUnhealthy(w)
+	case Error, Reset: // not Rejected: clients that send rubbish must not make workers unhealthy
+		d.observeFault(w)
 	}
 }
 
-// fault counts against a worker: one that fails jobs at once has the fewest of our slots and would draw all. One says little.
-func (d *Dispatcher) fault(w *worker) {
-	if w.faults += (1 - w.faults) / faultsKept; w.faults >= faulty {
-		d.ail(w)
+// observeFault counts against a worker: one that fails jobs at once has the fewest of our slots and would draw all. One says
+// little.
+func (d *Dispatcher) observeFault(w *worker) {
+	if w.faults += (1 - w.faults) / faultWindow; w.faults >= faultThreshold {
+		d.markUnhealthy(w)
 	}
 }
 
-// sees notes that a worker has so many slots free; below 0, that jobs wait there.
-func (d *Dispatcher) sees(w *worker, free float64) {
-	w.free, w.seenAt = free, d.now
+// observeFree takes how many slots a worker has free; below 0, how many jobs wait there.
+func (d *Dispatcher) observeFree(w *worker, free float64) {
+	w.free, w.reportedAt = free, d.now
 	z, busy := d.zone(w.Zone), 0.0
 	if free < 1 {
 		busy = 1
 	}
-	settle(&z.busy, busy)
-	settle(&z.queue, max(0, -free))
+	updateMean(&z.busy, busy)
+	updateMean(&z.queue, max(0, -free))
 }
 
-// muted notes that a worker gave no sign of life. Several in a row, and it is the zone: learnt of each worker that takes a
-// dispatcher that sees few jobs as long as the zone is away.
-func (d *Dispatcher) muted(w *worker) {
+// observeSilence counts a worker that gave no answer at all. Several in a row, and it is the zone: a dispatcher that sees few
+// jobs would need as long as the zone is away to learn it of each worker.
+func (d *Dispatcher) observeSilence(w *worker) {
 	z := d.zone(w.Zone)
-	if z.mute++; z.mute >= lostAfter {
-		z.lostTill = d.now + time.Duration((0.75+0.5*d.random.Float64())*float64(sickFor))
+	if z.failures++; z.failures >= failuresOfZone {
+		z.unavailableUntil = d.now + time.Duration((0.75+0.5*d.random.Float64())*float64(unhealthyFor))
 	}
 }
 
-// ail passes a worker over for a while that gave no sign of life.
-func (d *Dispatcher) ail(w *worker) {
-	settle(&d.zone(w.Zone).busy, 1)
-	w.sickTill = d.now + sickFor
+// markUnhealthy passes a worker over for a while that gave no answer.
+func (d *Dispatcher) markUnhealthy(w *worker) {
+	updateMean(&d.zone(w.Zone).busy, 1)
+	w.unhealthyUntil = d.now + unhealthyFor
+}
+
+// zone returns the zone of a number, and one for all that are unknown.
+func (d *Dispatcher) zone(number int) *zone {
+	if number < 0 || number >= d.settings.Zones {
+		return &d.zones[d.settings.Zones]
+	}
+	return &d.zones[number]
 }
--- a/internal/wire/compat_test.go
+++ b/internal/wire/compat_test.go
@@ -16,19 +16,19 @@
 var compatSettings = ravendale.Settings{
 	Dispatchers: 3, Me: 1, Zones: 2, Zone: 1,
 	Classes: []ravendale.Class{
-		{Name: "view", Effect: ravendale.Safe, Group: ravendale.GroupAll, Aim: 400 * time.Millisecond, Stretch: 1.75, Deadline: 2 * time.Second,
-			Window: 30 * time.Second, Worth: 3.5, LateWorth: 0.5, Kind: -1, Priority: 4},
-		{Name: "pay", Effect: ravendale.Keyed, Group: ravendale.GroupCell, Aim: 500 * time.Millisecond, Stretch: 2.25, Deadline: 3 * time.Second,
-			Window: 40 * time.Second, Worth: 4.5, LateWorth: 0.25, Kind: 1, Priority: 5},
-		{Name: "move", Effect: ravendale.Unsafe, Group: ravendale.GroupZone, Aim: time.Millisecond, Deadline: 2 * time.Millisecond,
-			Window: 3 * time.Millisecond, Worth: 1, LateWorth: 0.125, Kind: -1},
+		{Name: "view", Effect: ravendale.Safe, Group: ravendale.GroupAll, LatencyTarget: 400 * time.Millisecond, Stretch: 1.75, Deadline: 2 * time.Second,
+			Window: 30 * time.Second, Value: 3.5, LateValue: 0.5, Kind: -1, Priority: 4},
+		{Name: "pay", Effect: ravendale.Keyed, Group: ravendale.GroupCell, LatencyTarget: 500 * time.Millisecond, Stretch: 2.25, Deadline: 3 * time.Second,
+			Window: 40 * time.Second, Value: 4.5, LateValue: 0.25, Kind: 1, Priority: 5},
+		{Name: "move", Effect: ravendale.Unsafe, Group: ravendale.GroupZone, LatencyTarget: time.Millisecond, Deadline: 2 * time.Millisecond,
+			Window: 3 * time.Millisecond, Value: 1, LateValue: 0.125, Kind: -1},
 	},
 	Tenants: []ravendale.Tenant{{Name: "acme", Share: 0.5, Quota: 250}, {Name: "other", Share: 0.25, Quota: 125}},
 	Prices: ravendale.Prices{CrossZone: 0.01, Waste: 0.02, Connection: 0.03, Handshake: 0.04, Probe: 0.05, Peer: 0.06,
 		LateFail: 0.07},
-	WorthByJob: true, OverShareWorth: 0.375, MaxAttempts: 5, MayCopy: true, MayCancel: true, MayProbe: true, MayTell: true, RetryAfter: true,
+	ValuePerJob: true, OverShareValue: 0.375, MaxAttempts: 5, MayHedge: true, MayCancel: true, MayProbe: true, MayNotifyPeers: true, RetryAfter: true,
 	MaxRetryAfter: 9 * time.Second, MustAsk: true, AskWithin: 8 * time.Second, LiveWeights: true, AnswerSlack: 7 * time.Millisecond,
-	DrainGrace: 6 * time.Second, ColdFrom: 0.2, ColdFor: 30 * time.Second, FallMultiple: 1.5, FallSpan: 4 * time.Second, TellsStart: true,
+	DrainTimeout: 6 * time.Second, SlowStartFrom: 0.2, SlowStartFor: 30 * time.Second, OverloadMultiple: 1.5, OverloadSpan: 4 * time.Second, TellsStart: true,
 	Progress: 50 * time.Millisecond, ReportsIn: ravendale.ReportsInAnswers, Tick: 5 * time.Millisecond,
 }
 
@@ -73,7 +73,7 @@
 		event(ravendale.Event{Kind: ravendale.WorkersListed, List: ravendale.Cached, Entries: []ravendale.Entry{
 			{Worker: "worker_a", Zone: 0, Kind: 1, Cell: 7, State: ravendale.Ready, Weight: 1.5, StartedAt: 900 * time.Microsecond},
 			{Worker: "worker_b", Zone: -1, Kind: -1, Cell: -1, State: ravendale.Draining, Weight: 1},
-			{Worker: "worker_c", Zone: 1, Kind: 0, Cell: -1, State: ravendale.Gone, Weight: 1},
+			{Worker: "worker_c", Zone: 1, Kind: 0, Cell: -1, State: ravendale.Removed, Weight: 1},
 		}}),
 		event(ravendale.Event{Kind: ravendale.JobArrived, Job: 4294967295, Class: 1, Tenant: 0, Key: 0x91f03b7c55d20a64, Left: 240 * time.Millisecond,
 			Work: 12 * time.Millisecond, Slots: 2, Memory: 3, Retry: true}),
@@ -82,7 +82,7 @@
 		event(ravendale.Event{Kind: ravendale.JobStarted, Class: -1, Tenant: -1, Job: 2, Attempt: 1, Worker: "worker_a"}),
 		event(ravendale.Event{Kind: ravendale.JobProgressed, Class: -1, Tenant: -1, Job: 2, Attempt: 1, Worker: "worker_a", Done: 0.5}),
 	}
-	for i, o := range []ravendale.Outcome{ravendale.OK, ravendale.Error, ravendale.FullUp, ravendale.TimedOut, ravendale.ConnectFailed, ravendale.Reset,
+	for i, o := range []ravendale.Outcome{ravendale.OK, ravendale.Error, ravendale.Overloaded, ravendale.TimedOut, ravendale.ConnectFailed, ravendale.Reset,
 		ravendale.Cancelled, ravendale.NotSent} {
 		want = append(want, event(ravendale.Event{Kind: ravendale.AttemptEnded, Class: -1, Tenant: -1, Job: 2, Attempt: i, Worker: "worker_a", Outcome: o,
 			Took: 5 * time.Microsecond, Closed: i == 0, Load: ravendale.Load{Given: true, InFlight: 7, FreeSlots: 0.4, Busy: 0.9}}))
@@ -117,8 +117,8 @@
 		{Kind: ravendale.SetTimer, Wait: 1001 * time.Nanosecond},
 		{Kind: ravendale.Probe, Worker: "worker_b"},
 		{Kind: ravendale.WatchList},
-		{Kind: ravendale.Tell, To: -1},
-		{Kind: ravendale.Tell, To: 2, Data: []byte("hi\x07")},
+		{Kind: ravendale.NotifyPeers, To: -1},
+		{Kind: ravendale.NotifyPeers, To: 2, Data: []byte("hi\x07")},
 	} {
 		b = AppendAction(b, &a)
 	}
--- a/internal/wire/reader.go
+++ b/internal/wire/reader.go
@@ -508,7 +508,7 @@
 	case "E":
 		return ravendale.Error
 	case "F":
-		return ravendale.FullUp
+		return ravendale.Overloaded
 	case "T":
 		return ravendale.TimedOut
 	case "C":
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -47,7 +47,7 @@
 	if all[1].Seed != 5 || all[1].Instance != "scheduler/3" || all[0].Now != time.Millisecond {
 		t.Errorf("seed, instance or clock are wrong: %+v", all[:2])
 	}
-	if s.Dispatchers != 3 || s.Me != 1 || s.MaxAttempts != 5 || !s.MayCopy || s.MayCancel || !s.MustAsk || !s.WorthByJob {
+	if s.Dispatchers != 3 || s.Me != 1 || s.MaxAttempts != 5 || !s.MayHedge || s.MayCancel || !s.MustAsk || !s.ValuePerJob {
 		t.Errorf("limits are wrong: %+v", s)
 	}
 	if s.Zones != 2 || s.Zone != 1 || s.ReportsIn != ravendale.ReportsInAnswers || s.Tick != 5*time.Millisecond {
@@ -60,7 +60,7 @@
 	if c.Effect != ravendale.Keyed || c.Group != ravendale.GroupCell || c.Window != 40*time.Second || c.Kind != 1 || c.Stretch != 2 {
 		t.Errorf("second class is wrong: %+v", c)
 	}
-	if s.Classes[0].Kind != -1 || s.Classes[0].Aim != 400*time.Millisecond {
+	if s.Classes[0].Kind != -1 || s.Classes[0].LatencyTarget != 400*time.Millisecond {
 		t.Errorf("first class is wrong: %+v", s.Classes[0])
 	}
 }
@@ -111,7 +111,7 @@
 	}
 	end := events[5]
 	wantLoad := ravendale.Load{Given: true, InFlight: 7, FreeSlots: 0.4, Busy: -1}
-	if end.Outcome != ravendale.FullUp || end.Attempt != 1 || !end.Closed || end.Load != wantLoad {
+	if end.Outcome != ravendale.Overloaded || end.Attempt != 1 || !end.Closed || end.Load != wantLoad {
 		t.Errorf("outcome is wrong: %+v", end)
 	}
 	if events[6].Outcome != ravendale.TimedOut || events[6].Load.Given {
@@ -177,8 +177,8 @@
 		"notify_me wait-us=2 ctx=w\n":                               {Kind: ravendale.SetTimer, Wait: 1500},
 		"health_check worker=worker_a\n":                            {Kind: ravendale.Probe, Worker: "worker_a"},
 		"stream_changes on=1\n":                                     {Kind: ravendale.WatchList},
-		"broadcast_to dest=all blob=aGkgNw==\n":                     {Kind: ravendale.Tell, To: -1, Data: []byte("hi 7")},
-		"broadcast_to dest=4 blob=-\n":                              {Kind: ravendale.Tell, To: 4},
+		"broadcast_to dest=all blob=aGkgNw==\n":                     {Kind: ravendale.NotifyPeers, To: -1, Data: []byte("hi 7")},
+		"broadcast_to dest=4 blob=-\n":                              {Kind: ravendale.NotifyPeers, To: 4},
 	} {
 		if got := string(AppendAction(nil, &a)); got != want {
 			t.Errorf("wrote %q, want %q", got, want)
--- a/internal/wire/writer.go
+++ b/internal/wire/writer.go
@@ -54,7 +54,7 @@
 		b = append(b, a.Worker...)
 	case ravendale.WatchList:
 		b = append(b, "stream_changes on=1"...)
-	case ravendale.Tell:
+	case ravendale.NotifyPeers:
 		b = append(b, "broadcast_to dest="...)
 		if a.To < 0 {
 			b = append(b, "all"...)
--- a/learnt_test.go
+++ b/learning_test.go
@@ -13,13 +13,13 @@
 func TestALearntRunFadesAsOwnOnesCome(t *testing.T) {
 	run := func(learnt time.Duration, own ...time.Duration) time.Duration {
 		b := newBench(t, testSettings(), Entry{Worker: "w", State: Ready, Weight: 1})
-		b.do(Event{Kind: Learnt, Past: &Memory{Classes: map[string]RunMemory{"s": {Run: learnt, Dev: learnt / 4, Weight: 20}}}})
+		b.do(Event{Kind: Learnt, Snapshot: &Snapshot{Classes: map[string]ClassSnapshot{"s": {Run: learnt, Dev: learnt / 4, Weight: 20}}}})
 		for i, took := range own {
 			b.arrive(JobID(i+1), 0, 6*time.Second)
 			b.now += took
 			b.end(JobID(i+1), 0, OK)
 		}
-		return b.d.Memory().Classes["s"].Run
+		return b.d.Snapshot().Classes["s"].Run
 	}
 	if got := run(200 * ms); got != 200*ms {
 		t.Errorf("at first %v", got)
@@ -46,24 +46,24 @@
 	workers := []Entry{{Worker: "w", State: Ready, Weight: 1}, {Worker: "new", State: Ready, Weight: 1, StartedAt: born},
 		{Worker: "cold", State: Ready, Weight: 1, StartedAt: time.Hour - time.Second}}
 	b := newBench(t, testSettings(), workers...)
-	b.d.seen[0].run = 70 * ms
-	before := b.d.Memory()
-	b.do(Event{Kind: Learnt, Past: &Memory{Arrivals: 1e6, Peak: 999, Out: map[string]time.Duration{"w": 1},
-		Classes: map[string]RunMemory{"s": {Run: time.Second, Dev: 1, Weight: 30}, "k": {Run: time.Second, Weight: 0}},
-		Workers: map[string]WorkerMemory{
-			"w":    {SickTill: b.now + time.Hour, Tokens: 9, StartedAt: 5, Faults: 1},
-			"new":  {Told: born - 1, SickTill: b.now + time.Hour},
-			"cold": {Told: time.Hour - time.Second, StartedAt: 0, Tokens: 9}}}})
-	got := b.d.Memory()
+	b.d.stats[0].run = 70 * ms
+	before := b.d.Snapshot()
+	b.do(Event{Kind: Learnt, Snapshot: &Snapshot{Arrivals: 1e6, Peak: 999, Detached: map[string]time.Duration{"w": 1},
+		Classes: map[string]ClassSnapshot{"s": {Run: time.Second, Dev: 1, Weight: 30}, "k": {Run: time.Second, Weight: 0}},
+		Workers: map[string]WorkerSnapshot{
+			"w":    {UnhealthyUntil: b.now + time.Hour, Tokens: 9, StartedAt: 5, Faults: 1},
+			"new":  {ListedStart: born - 1, UnhealthyUntil: b.now + time.Hour},
+			"cold": {ListedStart: time.Hour - time.Second, StartedAt: 0, Tokens: 9}}}})
+	got := b.d.Snapshot()
 	want := before
 	w := want.Workers["w"]
-	w.SickTill = b.now + sickFor
+	w.UnhealthyUntil = b.now + unhealthyFor
 	want.Workers["w"] = w
 	if diff := cmp.Diff(want, got); diff != "" {
 		t.Error(diff)
 	}
-	b.do(Event{Kind: Learnt, Past: &Memory{Workers: map[string]WorkerMemory{"cold": {Told: time.Hour - time.Second, Tokens: -3}}}})
-	if got := b.d.Memory().Workers["cold"].Tokens; got != 0 {
+	b.do(Event{Kind: Learnt, Snapshot: &Snapshot{Workers: map[string]WorkerSnapshot{"cold": {ListedStart: time.Hour - time.Second, Tokens: -3}}}})
+	if got := b.d.Snapshot().Workers["cold"].Tokens; got != 0 {
 		t.Errorf("a budget that is spent elsewhere is %v here", got)
 	}
 }
@@ -76,23 +76,23 @@
 		workers := []Entry{{Worker: "a", State: Ready, Weight: 1}, {Worker: "b", State: Ready, Weight: 2, StartedAt: time.Hour - 2*time.Second},
 			{Worker: "c", State: Draining, Weight: 1}}
 		b, blind := newBench(t, testSettings(), workers...), newBench(t, testSettings(), workers...)
-		m := &Memory{Classes: make(map[string]RunMemory), Workers: make(map[string]WorkerMemory), Arrivals: rapid.Float64().Draw(rt, "arrivals"),
+		m := &Snapshot{Classes: make(map[string]ClassSnapshot), Workers: make(map[string]WorkerSnapshot), Arrivals: rapid.Float64().Draw(rt, "arrivals"),
 			Peak: rapid.Int().Draw(rt, "peak")}
 		for _, c := range []string{"s", "k", "u"} {
-			m.Classes[c] = RunMemory{Run: time.Duration(span.Draw(rt, "run")), Dev: time.Duration(span.Draw(rt, "dev")), Weight: rapid.Float64().Draw(rt, "weight")}
+			m.Classes[c] = ClassSnapshot{Run: time.Duration(span.Draw(rt, "run")), Dev: time.Duration(span.Draw(rt, "dev")), Weight: rapid.Float64().Draw(rt, "weight")}
 		}
 		for _, w := range workers {
 			told := w.StartedAt
 			if rapid.Bool().Draw(rt, "another start") {
 				told++
 			}
-			m.Workers[w.Worker] = WorkerMemory{Told: told, StartedAt: time.Duration(span.Draw(rt, "start")), Tokens: rapid.Float64Range(-1e9, 1e9).Draw(rt, "tokens"),
-				SickTill: time.Duration(span.Draw(rt, "sick"))}
+			m.Workers[w.Worker] = WorkerSnapshot{ListedStart: told, StartedAt: time.Duration(span.Draw(rt, "start")), Tokens: rapid.Float64Range(-1e9, 1e9).Draw(rt, "tokens"),
+				UnhealthyUntil: time.Duration(span.Draw(rt, "sick"))}
 		}
 		for range 3 {
-			m.Zones = append(m.Zones, ZoneMemory{Prompt: time.Duration(span.Draw(rt, "prompt")), Busy: rapid.Float64().Draw(rt, "busy")})
+			m.Zones = append(m.Zones, ZoneSnapshot{StartLatency: time.Duration(span.Draw(rt, "prompt")), Busy: rapid.Float64().Draw(rt, "busy")})
 		}
-		b.do(Event{Kind: Learnt, Past: m})
+		b.do(Event{Kind: Learnt, Snapshot: m})
 		if got, may := b.d.byName["b"].tokens, blind.d.byName["b"].tokens; got > may {
 			rt.Fatalf("%v sends left for a cold worker, %v without what was learnt", got, may)
 		}
--- a/rules_test.go
+++ b/rules_test.go
@@ -57,7 +57,7 @@
 		a := &j.attempts[ev.Attempt]
 		a.out = false
 		switch ev.Outcome {
-		case FullUp, ConnectFailed, NotSent:
+		case Overloaded, ConnectFailed, NotSent:
 			a.mayHave = false
 		}
 		if ev.Closed {
@@ -76,7 +76,7 @@
 	}
 	if ev.List != Delta {
 		for _, w := range c.workers {
-			w.State, w.toldAt = Gone, now
+			w.State, w.toldAt = Removed, now
 		}
 	}
 	for _, e := range ev.Entries {
@@ -160,7 +160,7 @@
 	if !j.open {
 		c.fault(now, "rule 1: job %d is sent after its final answer", a.Job)
 	}
-	if w.State != Ready && now > w.toldAt+c.set.DrainGrace {
+	if w.State != Ready && now > w.toldAt+c.set.DrainTimeout {
 		c.fault(now, "rule 3: job %d is sent to %s %v after it was said to leave", a.Job, a.Worker, now-w.toldAt)
 	}
 	c.repeat(now, a, j, w)
@@ -185,7 +185,7 @@
 	inGroup := class.Group == GroupAll || class.Group == GroupZone && w.Zone == first.worker.Zone ||
 		class.Group == GroupCell && w.Cell == first.worker.Cell
 	switch {
-	case live > 0 && !c.set.MayCopy:
+	case live > 0 && !c.set.MayHedge:
 		c.fault(now, "rule 2: job %d has two attempts out where copies are forbidden", a.Job)
 	case class.Effect == Unsafe:
 		c.fault(now, "rule 2: unsafe job %d is sent again though it may have run", a.Job)
@@ -197,13 +197,13 @@
 // cold checks the own share of a cold worker: while it is at its coldest, all dispatchers together may
 // send it little, so this one may send it hardly more than one job in a span.
 func (c *checker) cold(now time.Duration, w *checkedWorker) {
-	if w.StartedAt <= 0 || now-w.StartedAt > c.set.ColdFor/4 {
+	if w.StartedAt <= 0 || now-w.StartedAt > c.set.SlowStartFor/4 {
 		return
 	}
 	w.coldSent = append(w.coldSent, now)
 	recent := 0
 	for _, at := range w.coldSent {
-		if at > now-c.set.FallSpan {
+		if at > now-c.set.OverloadSpan {
 			recent++
 		}
 	}
@@ -334,7 +334,7 @@
 		w.end(i, Cancelled)
 	case w.hung[o.worker]:
 	default:
-		outcomes := []Outcome{OK, OK, OK, OK, Error, FullUp, FullUp, ConnectFailed, Reset, NotSent}
+		outcomes := []Outcome{OK, OK, OK, OK, Error, Overloaded, Overloaded, ConnectFailed, Reset, NotSent}
 		w.end(i, outcomes[w.rnd.IntN(len(outcomes))])
 	}
 }
@@ -374,7 +374,7 @@
 	case 1:
 		e.State = Draining
 	case 2:
-		e.State = Gone
+		e.State = Removed
 	default:
 		e.State, e.StartedAt = Ready, w.now
 	}
@@ -400,12 +400,12 @@
 func streamSettings(seed uint64) Settings {
 	s := testSettings()
 	s.Classes = append(s.Classes, Class{Name: "z", Effect: Keyed, Group: GroupZone, Window: time.Second,
-		Aim: time.Second, Deadline: 4 * time.Second, Kind: -1, Worth: 3})
+		LatencyTarget: time.Second, Deadline: 4 * time.Second, Kind: -1, Value: 3})
 	s.Tenants = []Tenant{{Name: "a", Share: 0.5}, {Name: "b", Share: 0.5}}
 	s.TellsStart = seed%2 == 0
-	s.MayCopy = seed%3 > 0
+	s.MayHedge = seed%3 > 0
 	s.MustAsk = seed%4 == 0
-	s.WorthByJob = seed%5 == 0
+	s.ValuePerJob = seed%5 == 0
 	s.Dispatchers = []int{4, 400, 2}[seed%3] // as told: it may be wrong by far
 	if seed%2 == 1 {
 		s.ReportsIn, s.MayProbe = ReportsInAnswers, true
--- a/test/lab/trace.go
+++ b/test/lab/trace.go
@@ -204,7 +204,7 @@
 	for _, s := range spans {
 		jobs := max(float64(s.Jobs), 1)
 		fmt.Fprintf(w, "%v\t%.0f\t%.1f\t%.2f\t%.2f\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%v\t%d\t%d\t%s\t\n", s.From, float64(s.Jobs)/span.Seconds(), s.Open,
-			float64(s.Sends)/jobs, float64(s.Dials)/jobs, s.Served, s.Refused, s.Failed, s.Outcomes[ravendale.Cancelled], s.Outcomes[ravendale.FullUp],
+			float64(s.Sends)/jobs, float64(s.Dials)/jobs, s.Served, s.Refused, s.Failed, s.Outcomes[ravendale.Cancelled], s.Outcomes[ravendale.Overloaded],
 			s.Outcomes[ravendale.ConnectFailed], s.Outcomes[ravendale.Error]+s.Outcomes[ravendale.Reset], s.ToCold, s.MostToOneCold,
 			s.ListCalls, s.ListCallsFailed, s.LateSends, s.LatestSend.Round(time.Millisecond), s.LeftWaiting, s.SentAfterLeft, whys(s.Unsent))
 	}
