--- a/dispatcher_test.go
+++ b/dispatcher_test.go
@@ -228,7 +228,7 @@
 }
 
 // Own slots tie at zero at every dispatcher; copying on that alone copied 60% of all jobs.
-func TestCopiesNeedReportedRoom(t *testing.T) {
+func TestHedgesNeedReportedSlots(t *testing.T) {
 	s := testSettings()
 	s.ReportsIn = ReportsInAnswers
 	b := newBench(t, s, ready("a", 0, 0), ready("b", 0, 0), ready("c", 0, 0))
@@ -279,7 +279,7 @@
 }
 
 // A job stands behind others while room stands elsewhere; its start note is overdue.
-func TestAWaitingJobGetsASecondPlaceAndKeepsTheFirstToStart(t *testing.T) {
+func TestAWaitingJobIsHedgedAndKeepsTheFirstToStart(t *testing.T) {
 	b := newBench(t, startSettings(), ready("a", 0, 0), ready("b", 0, 0), ready("c", 0, 0))
 	b.arrive(1, 0, 6*time.Second)
 	first := b.one(Send).Worker
@@ -301,7 +301,7 @@
 
 // Where no attempt can be taken back each second place is work done twice. Seen on a large calm day without cancel, in a burst of half
 // as much again: a third of what came ran twice, half of the answers were late, and under the gate's share was served.
-func TestAWaitingJobKeepsItsPlaceWhereNoneCanBeTakenBack(t *testing.T) {
+func TestAWaitingJobStaysQueuedWhereNoAttemptCanBeCancelled(t *testing.T) {
 	s := startSettings()
 	s.MayCancel = false
 	b := newBench(t, s, ready("a", 0, 0), ready("b", 0, 0))
@@ -314,7 +314,7 @@
 }
 
 // A send says until when it may go: its connection may take longer to come up than workers drop a repeat.
-func TestARepeatSaysUntilWhenItMayGo(t *testing.T) {
+func TestARetrySaysUntilWhenItMayGo(t *testing.T) {
 	b := newBench(t, testSettings(), ready("a", 0, 0), ready("b", 0, 0))
 	for class, again := range []time.Duration{never / 2, 10*time.Second - 2*5*ms} {
 		id := JobID(class + 1)
@@ -331,7 +331,7 @@
 	}
 }
 
-func TestAPromptStartNeedsNoSecondPlace(t *testing.T) {
+func TestAJobThatStartsInTimeIsNotHedged(t *testing.T) {
 	b := newBench(t, startSettings(), ready("a", 0, 0), ready("b", 0, 0))
 	b.arrive(1, 0, 6*time.Second)
 	b.now += 10 * ms
@@ -357,7 +357,7 @@
 }
 
 // A keyed job that waits moves as well, to workers that would drop the repeat and no further, wherever the first is listed by now.
-func TestAWaitingKeyedJobGetsASecondPlaceInItsGroup(t *testing.T) {
+func TestAWaitingKeyedJobIsHedgedInItsGroup(t *testing.T) {
 	b := newBench(t, startSettings(), ready("a", 0, 0), ready("b", 0, 1), ready("c", 0, 0), ready("d", 0, 1))
 	b.arrive(1, 1, 25*time.Second)
 	first := b.d.byName[b.one(Send).Worker].Entry
@@ -368,7 +368,7 @@
 	}
 }
 
-func TestUnsafeJobGetsNoSecondPlace(t *testing.T) {
+func TestUnsafeJobIsNotHedged(t *testing.T) {
 	b := newBench(t, startSettings(), ready("a", 0, 0), ready("b", 0, 0))
 	b.arrive(1, 2, 25*time.Second)
 	for range 20 {
@@ -379,7 +379,7 @@
 }
 
 // Answers after the aim were worth nothing, and the work took the room of jobs that were not lost yet.
-func TestAWaitingJobThatCannotMakeItsAimIsRefused(t *testing.T) {
+func TestAWaitingJobThatCannotMakeItsLatencyTargetIsRefused(t *testing.T) {
 	b := newBench(t, startSettings(), ready("a", 0, 0))
 	b.do(Event{Kind: JobArrived, Job: 1, Class: 0, Tenant: -1, Left: 6 * time.Second, Work: 500 * ms})
 	latest := 400*ms + 2*500*ms - 500*ms // aim, less a run at the usual pace
@@ -392,7 +392,7 @@
 
 // Jobs worth less tolerate queues better, so they filled them and the dearest class was served worst. But one that may have run
 // in its group can't be refused any more: held for a third of 25 s, bookings came 8 s late, where late earns nothing.
-func TestALesserJobLeavesTheQueueWhileRoomIsScarce(t *testing.T) {
+func TestALowValueJobLeavesTheQueueWhileSlotsAreScarce(t *testing.T) {
 	for _, tc := range []struct {
 		class  int
 		late   float64 // what a late answer earns
@@ -413,7 +413,7 @@
 
 // A cold worker's budget is of work: a job costs its class's mean run over that of all that come, or a whole one before a run
 // was seen. What costs more than all together may send in the rule's span goes to an empty worker only.
-func TestAColdBudgetIsOfWork(t *testing.T) {
+func TestASlowStartBudgetIsOfWork(t *testing.T) {
 	for _, tc := range []struct {
 		class int
 		warm  time.Duration
@@ -434,7 +434,7 @@
 
 // What must not run twice can't be taken back from a queue: worth under half of the mean it waits while room is scarce, but
 // for a worker without our jobs, and while room is very scarce for all.
-func TestALesserUnsafeJobWaitsHereWhileRoomIsScarce(t *testing.T) {
+func TestALowValueUnsafeJobWaitsHereWhileSlotsAreScarce(t *testing.T) {
 	for _, tc := range []struct {
 		busy, worth, ours, late float64
 		sent                    bool
@@ -451,7 +451,7 @@
 }
 
 // Every dispatcher reads the same late reports and tried the same workers until its attempts were gone.
-func TestAWorkerThatTurnedAJobAwayIsUsedOnEvidenceOnly(t *testing.T) {
+func TestAWorkerThatRejectedAJobIsUsedOnEvidenceOnly(t *testing.T) {
 	s := testSettings()
 	s.ReportsIn = ReportsInAnswers
 	b := newBench(t, s, ready("a", 0, 0))
@@ -496,7 +496,7 @@
 	}
 }
 
-func TestAWorkerThatIsNewTakesItsPartOfTheSlotsAtFirst(t *testing.T) {
+func TestAWorkerThatIsNewTakesItsFractionOfTheSlotsAtFirst(t *testing.T) {
 	for _, tc := range []struct{ dispatchers, slots, sent int }{{69, 3, 1}, {4, 3, 1}, {4, 16, 4}, {1, 16, 16}, {4, 0, 20}} {
 		s := testSettings()
 		s.Dispatchers, s.Me, s.Classes[0].LatencyTarget = tc.dispatchers, 0, 0
@@ -537,7 +537,7 @@
 	return b.now - from
 }
 
-func TestHeldJobsGoByWorthThenAge(t *testing.T) {
+func TestPendingJobsGoByValueThenAge(t *testing.T) {
 	s := testSettings()
 	s.Classes = append(s.Classes, s.Classes[0])
 	s.Classes[3].Value = 9
@@ -555,7 +555,7 @@
 }
 
 // A dead worker holds none of our slots and never turns a job away, so it drew everything.
-func TestADeadWorkerIsPassedOverWhileMostAreWell(t *testing.T) {
+func TestADeadWorkerIsPassedOverWhileMostAreHealthy(t *testing.T) {
 	b := newBench(t, testSettings(), ready("a", 0, 0), ready("b", 0, 0), ready("c", 0, 0))
 	b.arrive(1, 2, 25*time.Second)
 	dead := b.one(Send).Worker
@@ -578,7 +578,7 @@
 }
 
 // Where all others were known to be full, a dead worker that had not shown it yet drew 124 jobs at once.
-func TestNoWorkerDrawsFarMoreThanItsPart(t *testing.T) {
+func TestNoWorkerDrawsFarMoreThanItsWeight(t *testing.T) {
 	b := newBench(t, testSettings(), ready("a", 0, 0), ready("b", 0, 0), ready("c", 0, 0), ready("silent", 0, 0))
 	for _, w := range b.d.workers[:3] {
 		w.rejectedAt = b.now
@@ -637,12 +637,12 @@
 	}
 }
 
-// Connections break now and then: each break alone counted as an illness, and the well workers were passed over.
+// Connections break now and then: each break alone counted against it, and the healthy workers were passed over.
 // One that fails most jobs at once always had the fewest of our slots, and drew everything.
-func TestOneFaultIsNoIllness(t *testing.T) {
+func TestOneFaultMakesNoWorkerUnhealthy(t *testing.T) {
 	for name, tc := range map[string]struct {
-		outcomes []Outcome
-		sick     bool
+		outcomes  []Outcome
+		unhealthy bool
 	}{
 		"one":                 {[]Outcome{Reset}, false},
 		"two in a row":        {[]Outcome{Reset, Reset}, true},
@@ -659,8 +659,8 @@
 			b.arrive(JobID(i), 2, 25*time.Second)
 			b.end(JobID(i), 0, o)
 		}
-		if sick := b.d.byName["a"].unhealthyUntil > b.now; sick != tc.sick {
-			t.Errorf("%s: sick is %v", name, sick)
+		if unhealthy := b.d.byName["a"].unhealthyUntil > b.now; unhealthy != tc.unhealthy {
+			t.Errorf("%s: unhealthy is %v", name, unhealthy)
 		}
 	}
 }
@@ -694,7 +694,7 @@
 }
 
 // A worker that showed no life drew a new burst whenever its pause was over.
-func TestASickWorkerIsTriedWithOneJob(t *testing.T) {
+func TestAnUnhealthyWorkerIsTriedWithOneJob(t *testing.T) {
 	b := newBench(t, testSettings(), ready("a", 0, 0), ready("b", 0, 0), ready("c", 0, 0))
 	b.arrive(1, 2, 25*time.Second)
 	dead := b.one(Send).Worker
@@ -721,11 +721,11 @@
 	b.one(Send) // both look dead, so they are used
 }
 
-func TestAColdWorkerGetsItsShareOnly(t *testing.T) {
+func TestAWorkerInSlowStartGetsItsBudgetOnly(t *testing.T) {
 	s := testSettings()
-	cold := ready("cold", 0, 0)
-	cold.StartedAt = time.Hour - 1
-	b := newBench(t, s, ready("a", 0, 0), ready("b", 0, 0), ready("c", 0, 0), cold)
+	warming := ready("cold", 0, 0)
+	warming.StartedAt = time.Hour - 1
+	b := newBench(t, s, ready("a", 0, 0), ready("b", 0, 0), ready("c", 0, 0), warming)
 	var early, late int
 	for id := range JobID(400) {
 		b.now += 50 * ms
@@ -744,7 +744,7 @@
 	}
 }
 
-func TestTheListIsAskedForAndAskedAgainWithDelay(t *testing.T) {
+func TestTheListIsRequestedAndRequestedAgainWithDelay(t *testing.T) {
 	s := testSettings()
 	s.MustAsk = true
 	b := newBench(t, s, ready("a", 0, 0))
@@ -879,7 +879,7 @@
 
 // A fleet that is replaced whole must not starve: once the coldest time is past, cold workers
 // together take what comes at a usual load.
-func TestAFleetThatIsAllColdTakesItsLoad(t *testing.T) {
+func TestAFleetThatIsAllInSlowStartTakesItsLoad(t *testing.T) {
 	s := testSettings()
 	s.Dispatchers, s.Me, s.OverloadMultiple = 1, 0, 3
 	var fleet []Entry
@@ -906,9 +906,9 @@
 
 // Out by hand holds whatever is listed, and is undone by a single call. Back, a worker counts as cold until the list
 // tells when it started, is used at once, and nothing seen of the process before it counts.
-func TestOutByHandIsBesideTheList(t *testing.T) {
+func TestDetachedByAnOperatorIsBesideTheList(t *testing.T) {
 	b := newBench(t, testSettings(), ready("a", 0, 0), ready("b", 0, 0))
-	out, back := Event{Kind: WorkerDetached, Worker: "a"}, Event{Kind: WorkerAttached, Worker: "a"}
+	detached, back := Event{Kind: WorkerDetached, Worker: "a"}, Event{Kind: WorkerAttached, Worker: "a"}
 	only := func(want string, id JobID) {
 		t.Helper()
 		for range 4 {
@@ -924,8 +924,8 @@
 		b.arrive(id, 2, 25*time.Second)
 		b.end(id, 0, map[string]Outcome{"a": Reset, "b": OK}[b.one(Send).Worker])
 	}
-	b.do(out)
-	b.do(out)
+	b.do(detached)
+	b.do(detached)
 	only("b", 1)
 	b.do(Event{Kind: WorkersListed, List: Full, Entries: []Entry{ready("a", 0, 0), ready("b", 0, 0)}})
 	only("b", 10)
@@ -959,17 +959,17 @@
 	}
 	b.now += time.Second
 	e.State = Draining
-	b.do(out)
+	b.do(detached)
 	b.do(Event{Kind: WorkersListed, List: Delta, Entries: []Entry{e}})
 	b.do(back)
 	only("b", 40)
 }
 
 // What a dispatcher hands over comes through JSON and back whole; a worker that has started anew since does not get it.
-func TestMemoryPassesToTheNextProcess(t *testing.T) {
-	cold := ready("b", 0, 0)
-	cold.StartedAt = time.Hour - time.Second
-	b := newBench(t, testSettings(), ready("a", 0, 0), cold, ready("c", 0, 0))
+func TestSnapshotPassesToTheNextProcess(t *testing.T) {
+	warming := ready("b", 0, 0)
+	warming.StartedAt = time.Hour - time.Second
+	b := newBench(t, testSettings(), ready("a", 0, 0), warming, ready("c", 0, 0))
 	for id := range JobID(4) {
 		b.arrive(id, 2, 25*time.Second)
 		b.end(id, 0, []Outcome{OK, Reset, Overloaded, OK}[id])
@@ -979,22 +979,22 @@
 	b.d.capacity.warmThroughput, b.d.capacity.warmingOnTime = 3, 0.5
 	b.d.byName["a"].rejections = 2
 	text, err := json.Marshal(b.d.Snapshot())
-	var past Snapshot
-	if err := errors.Join(err, json.Unmarshal(text, &past)); err != nil {
+	var snapshot Snapshot
+	if err := errors.Join(err, json.Unmarshal(text, &snapshot)); err != nil {
 		t.Fatal(err)
 	}
-	if past.Arrivals == 0 || past.Detached["a"] == 0 || past.Classes["u"].Longest == 0 {
+	if snapshot.Arrivals == 0 || snapshot.Detached["a"] == 0 || snapshot.Classes["u"].Longest == 0 {
 		t.Fatalf("little is handed over: %s", text)
 	}
 	anew := ready("c", 0, 0)
 	anew.StartedAt = b.now
-	next := newBench(t, testSettings(), ready("a", 0, 0), cold, anew)
+	next := newBench(t, testSettings(), ready("a", 0, 0), warming, anew)
 	own := next.d.Snapshot().Workers["c"]
 	next.now = b.now
-	next.do(Event{Kind: Inherited, Snapshot: &past})
-	past.Workers["c"] = own
-	if got := next.d.Snapshot(); !reflect.DeepEqual(got, &past) {
-		t.Fatalf("got %+v, want %+v", got, past)
+	next.do(Event{Kind: Inherited, Snapshot: &snapshot})
+	snapshot.Workers["c"] = own
+	if got := next.d.Snapshot(); !reflect.DeepEqual(got, &snapshot) {
+		t.Fatalf("got %+v, want %+v", got, snapshot)
 	}
 	if next.d.stats[2].least == 0 {
 		t.Error("a full worker would be tried again at once")
@@ -1045,11 +1045,11 @@
 
 // The budget of a cold worker is a share of the first tries: refused clients come back within milliseconds, and what
 // they send again must not raise what is sent to a worker that can do little yet.
-func TestRetriesDoNotRaiseTheBudgetOfAColdWorker(t *testing.T) {
+func TestRetriesDoNotRaiseTheBudgetOfAWorkerInSlowStart(t *testing.T) {
 	sent := func(retries int) float64 {
-		cold := ready("b", 0, 0)
-		cold.StartedAt = time.Hour - 10*time.Second
-		b := newBench(t, testSettings(), ready("a", 0, 0), cold)
+		warming := ready("b", 0, 0)
+		warming.StartedAt = time.Hour - 10*time.Second
+		b := newBench(t, testSettings(), ready("a", 0, 0), warming)
 		n := 0.0
 		for i := range 2000 {
 			for try := range 1 + retries {
@@ -1073,7 +1073,7 @@
 
 // On sockets an attempt whose connection never came up is none by the protocol's count: a job that meets a cut zone keeps
 // some for where it can run, but not without end. The simulator counts every send.
-func TestAttemptsThatNeverCameUpCountOnlyWhereEverySendCounts(t *testing.T) {
+func TestAttemptsThatNeverConnectedCountOnlyWhereEverySendCounts(t *testing.T) {
 	for _, tc := range []struct {
 		written  bool
 		outcomes []Outcome // of the attempts in turn, the last one again and again
--- a/fleet_test.go
+++ b/fleet_test.go
@@ -108,7 +108,7 @@
 // replaced; half of the new ones are as cold as any may be, and the others, which start jobs promptly, must not make these
 // look as if they had room. They do get what they can carry, though rates were seen for 2 s only and the successors come
 // before the others go: one that is sent little warms late.
-func TestAllTogetherKeepToAColdWorkersBudget(t *testing.T) {
+func TestAllTogetherKeepToTheBudgetOfAWorkerInSlowStart(t *testing.T) {
 	for _, n := range []int{1, 2, 3, 10, 30, 80, 100} {
 		f := &fleet{set: startSettings(), workers: make(map[string]*modelled), random: rand.New(rand.NewPCG(uint64(n), 1))}
 		f.set.Tick = 2 * ms
@@ -155,7 +155,7 @@
 
 // A zone that is lost says nothing, and a dispatcher that sees few jobs needs seconds to learn it of each of its workers: after
 // a few signs in a row it goes elsewhere, until the zone speaks or some time has passed.
-func TestALostZoneIsLeftAfterAFewSigns(t *testing.T) {
+func TestAnUnavailableZoneIsLeftAfterAFewSigns(t *testing.T) {
 	workers := kinds(200) // more than are looked at for a job
 	for i := range workers {
 		workers[i].Zone = i / 170
@@ -202,7 +202,7 @@
 // Where the own zone has no room and the other is taken for lost, a job waits for room rather than spend a connect on a
 // zone that says nothing: a cut zone drew one failed connect from each of its workers and scheduler (zone+mass, 300
 // schedulers). It is tried again once the zone's time as lost is over.
-func TestAJobWaitsForRoomRatherThanGoToALostZone(t *testing.T) {
+func TestAJobWaitsForASlotRatherThanGoToAnUnavailableZone(t *testing.T) {
 	var workers []Entry
 	for i := range 12 {
 		workers = append(workers, ready(fmt.Sprint("b", i), 1, 0))
@@ -243,7 +243,7 @@
 
 // Where the lost zone is the own one, or the only one, there is no room to wait for: the job goes to a worker that has not
 // failed yet, as before.
-func TestALostOwnZoneStillGetsJobs(t *testing.T) {
+func TestAnUnavailableOwnZoneStillGetsJobs(t *testing.T) {
 	var workers []Entry
 	for i := range 10 {
 		workers = append(workers, ready(fmt.Sprint("a", i), 0, 0))
--- a/health.go
+++ b/health.go
@@ -44,7 +44,7 @@
 		w.limit, w.rejectedAt, w.rejections = w.slots, d.now, w.rejections+1
 		updateMean(&d.zone(w.Zone).busy, 1)
 	case ConnectFailed:
-		d.observeSilence(w)
+		d.observeNoAnswer(w)
 		d.markUnhealthy(w)
 	case Error, Reset: // not Rejected: clients that send rubbish must not make workers unhealthy
 		d.observeFault(w)
@@ -70,9 +70,9 @@
 	updateMean(&z.queue, max(0, -free))
 }
 
-// observeSilence counts a worker that gave no answer at all. Several in a row, and it is the zone: a dispatcher that sees few
+// observeNoAnswer counts a worker that gave no answer at all. Several in a row, and it is the zone: a dispatcher that sees few
 // jobs would need as long as the zone is away to learn it of each worker.
-func (d *Dispatcher) observeSilence(w *worker) {
+func (d *Dispatcher) observeNoAnswer(w *worker) {
 	z := d.zone(w.Zone)
 	if z.failures++; z.failures >= failuresOfZone {
 		z.unavailableUntil = d.now + time.Duration((0.75+0.5*d.random.Float64())*float64(unhealthyFor))
--- a/outcome.go
+++ b/outcome.go
@@ -73,7 +73,7 @@
 	if j == nil || !j.open || ev.Attempt >= len(j.attempts) || j.class.Effect == Unsafe {
 		return
 	}
-	d.observeSilence(j.attempts[ev.Attempt].w)
+	d.observeNoAnswer(j.attempts[ev.Attempt].w)
 	d.observeFault(j.attempts[ev.Attempt].w)
 	d.cancel(j, ev.Attempt)
 }
--- a/rules_test.go
+++ b/rules_test.go
@@ -28,15 +28,15 @@
 type checkedAttempt struct {
 	worker    Entry
 	sentAt    time.Duration
-	out       bool
+	inFlight  bool
 	mayHave   bool // it may have run
 	cancelled bool
 }
 
 type checkedWorker struct {
 	Entry
-	toldAt   time.Duration // when it was last said to drain or to be gone
-	coldSent []time.Duration
+	drainingAt time.Duration // when it was last said to drain or to be gone
+	earlySends []time.Duration
 }
 
 func newChecker(s Settings) *checker {
@@ -55,7 +55,7 @@
 	case AttemptEnded:
 		j := c.jobs[ev.Job]
 		a := &j.attempts[ev.Attempt]
-		a.out = false
+		a.inFlight = false
 		switch ev.Outcome {
 		case Overloaded, ConnectFailed, NotSent:
 			a.mayHave = false
@@ -76,7 +76,7 @@
 	}
 	if ev.List != Delta {
 		for _, w := range c.workers {
-			w.State, w.toldAt = Removed, now
+			w.State, w.drainingAt = Removed, now
 		}
 	}
 	for _, e := range ev.Entries {
@@ -86,11 +86,11 @@
 			c.workers[e.Worker] = w
 		}
 		if w.StartedAt != e.StartedAt {
-			w.coldSent = nil
+			w.earlySends = nil
 		}
 		w.Entry = e
 		if e.State != Ready {
-			w.toldAt = now
+			w.drainingAt = now
 		}
 	}
 }
@@ -160,12 +160,12 @@
 	if !j.open {
 		c.fault(now, "rule 1: job %d is sent after its final answer", a.Job)
 	}
-	if w.State != Ready && now > w.toldAt+c.set.DrainTimeout {
-		c.fault(now, "rule 3: job %d is sent to %s %v after it was said to leave", a.Job, a.Worker, now-w.toldAt)
+	if w.State != Ready && now > w.drainingAt+c.set.DrainTimeout {
+		c.fault(now, "rule 3: job %d is sent to %s %v after it was said to leave", a.Job, a.Worker, now-w.drainingAt)
 	}
 	c.repeat(now, a, j, w)
-	c.cold(now, w)
-	j.attempts = append(j.attempts, checkedAttempt{worker: w.Entry, sentAt: now, out: true, mayHave: true})
+	c.slowStart(now, w)
+	j.attempts = append(j.attempts, checkedAttempt{worker: w.Entry, sentAt: now, inFlight: true, mayHave: true})
 	if len(j.attempts) > c.set.MaxAttempts {
 		c.fault(now, "job %d has %d attempts", a.Job, len(j.attempts))
 	}
@@ -178,7 +178,7 @@
 	}
 	live := 0
 	for _, earlier := range j.attempts {
-		if earlier.out {
+		if earlier.inFlight {
 			live++
 		}
 	}
@@ -194,40 +194,40 @@
 	}
 }
 
-// cold checks the own share of a cold worker: while it is at its coldest, all dispatchers together may
+// slowStart checks the own share of a worker in its slow start: in its first quarter, all dispatchers together may
 // send it little, so this one may send it hardly more than one job in a span.
-func (c *checker) cold(now time.Duration, w *checkedWorker) {
+func (c *checker) slowStart(now time.Duration, w *checkedWorker) {
 	if w.StartedAt <= 0 || now-w.StartedAt > c.set.SlowStartFor/4 {
 		return
 	}
-	w.coldSent = append(w.coldSent, now)
+	w.earlySends = append(w.earlySends, now)
 	recent := 0
-	for _, at := range w.coldSent {
+	for _, at := range w.earlySends {
 		if at > now-c.set.OverloadSpan {
 			recent++
 		}
 	}
 	if recent > 2 {
-		c.fault(now, "rule 4: %s, cold, is sent %d jobs in a span", w.Worker, recent)
+		c.fault(now, "rule 4: %s, in its slow start, is sent %d jobs in a span", w.Worker, recent)
 	}
 }
 
 // world makes legal random events for one dispatcher and passes both sides to a checker.
 type world struct {
-	rnd     *rand.Rand
-	check   *checker
-	d       *Dispatcher
-	set     Settings
-	now     time.Duration
-	timers  []time.Duration
-	nextID  JobID
-	out     []outAttempt
-	hung    map[string]bool
-	entries []Entry
-	log     []string // every action, to compare two runs
-}
-
-type outAttempt struct {
+	rnd      *rand.Rand
+	check    *checker
+	d        *Dispatcher
+	set      Settings
+	now      time.Duration
+	timers   []time.Duration
+	nextID   JobID
+	inFlight []openAttempt
+	hung     map[string]bool
+	entries  []Entry
+	log      []string // every action, to compare two runs
+}
+
+type openAttempt struct {
 	job     JobID
 	attempt int
 	worker  string
@@ -245,11 +245,11 @@
 		w.entries = append(w.entries, Entry{Worker: fmt.Sprint("w", i), Zone: i % 2, Cell: i % 3,
 			State: Ready, Weight: 1 + float64(i%2)})
 	}
-	w.tell(Event{Kind: WorkersListed, List: Cached, Entries: slices.Clone(w.entries)})
+	w.handle(Event{Kind: WorkersListed, List: Cached, Entries: slices.Clone(w.entries)})
 	return w
 }
 
-func (w *world) tell(ev Event) {
+func (w *world) handle(ev Event) {
 	w.check.event(w.now, &ev)
 	for _, a := range w.d.Handle(w.now, &ev, nil) {
 		w.log = append(w.log, fmt.Sprint(w.now, a))
@@ -258,10 +258,10 @@
 		case SetTimer:
 			w.timers = append(w.timers, w.now+max(a.Wait, w.set.Tick))
 		case Send:
-			w.out = append(w.out, outAttempt{a.Job, len(w.check.jobs[a.Job].attempts) - 1, a.Worker})
+			w.inFlight = append(w.inFlight, openAttempt{a.Job, len(w.check.jobs[a.Job].attempts) - 1, a.Worker})
 		case Probe:
 			if w.rnd.IntN(4) > 0 {
-				w.tell(Event{Kind: ProbeAnswered, Worker: a.Worker, Outcome: OK, Load: w.load()})
+				w.handle(Event{Kind: ProbeAnswered, Worker: a.Worker, Outcome: OK, Load: w.load()})
 			}
 		}
 	}
@@ -284,7 +284,7 @@
 		return at <= w.now
 	})
 	for range due {
-		w.tell(Event{Kind: TimerFired})
+		w.handle(Event{Kind: TimerFired})
 	}
 	switch n := w.rnd.IntN(20); {
 	case n < 6:
@@ -309,14 +309,14 @@
 	w.nextID++
 	class := w.rnd.IntN(len(w.set.Classes))
 	left := time.Duration(1+w.rnd.IntN(100)) * w.set.Classes[class].Deadline / 100
-	w.tell(Event{Kind: JobArrived, Job: w.nextID, Class: class, Tenant: w.rnd.IntN(3) - 1, Left: left,
+	w.handle(Event{Kind: JobArrived, Job: w.nextID, Class: class, Tenant: w.rnd.IntN(3) - 1, Left: left,
 		Work: time.Duration(w.rnd.IntN(3)) * time.Second})
 }
 
 // overdue delivers the time-outs at the clients' deadlines.
 func (w *world) overdue() {
-	for i := 0; i < len(w.out); i++ {
-		if j := w.check.jobs[w.out[i].job]; j.open && w.now >= j.deadline {
+	for i := 0; i < len(w.inFlight); i++ {
+		if j := w.check.jobs[w.inFlight[i].job]; j.open && w.now >= j.deadline {
 			w.end(i, TimedOut)
 			i = -1 // the dispatcher may have changed the list
 		}
@@ -324,11 +324,11 @@
 }
 
 func (w *world) endOne() {
-	if len(w.out) == 0 {
+	if len(w.inFlight) == 0 {
 		return
 	}
-	i := w.rnd.IntN(len(w.out))
-	o := w.out[i]
+	i := w.rnd.IntN(len(w.inFlight))
+	o := w.inFlight[i]
 	switch {
 	case w.check.jobs[o.job].attempts[o.attempt].cancelled && w.rnd.IntN(4) > 0:
 		w.end(i, Cancelled)
@@ -340,22 +340,22 @@
 }
 
 func (w *world) end(i int, outcome Outcome) {
-	o := w.out[i]
-	w.out = slices.Delete(w.out, i, i+1)
+	o := w.inFlight[i]
+	w.inFlight = slices.Delete(w.inFlight, i, i+1)
 	closed := outcome == OK || !w.check.jobs[o.job].open
-	w.tell(Event{Kind: AttemptEnded, Job: o.job, Attempt: o.attempt, Outcome: outcome, Closed: closed, Load: w.load()})
+	w.handle(Event{Kind: AttemptEnded, Job: o.job, Attempt: o.attempt, Outcome: outcome, Closed: closed, Load: w.load()})
 }
 
 func (w *world) note() {
-	if len(w.out) == 0 {
+	if len(w.inFlight) == 0 {
 		return
 	}
-	o := w.out[w.rnd.IntN(len(w.out))]
+	o := w.inFlight[w.rnd.IntN(len(w.inFlight))]
 	kind := JobProgressed
 	if w.rnd.IntN(2) == 0 {
 		kind = JobStarted
 	}
-	w.tell(Event{Kind: kind, Job: o.job, Attempt: o.attempt, Done: w.rnd.Float64()})
+	w.handle(Event{Kind: kind, Job: o.job, Attempt: o.attempt, Done: w.rnd.Float64()})
 }
 
 // change lets a worker drain, go, come back cold or move to another zone, or the list fail or lack half, have some twice and
@@ -366,10 +366,10 @@
 	case 6:
 		e.Zone, e.Cell = w.rnd.IntN(4)-1, w.rnd.IntN(4)-1
 	case 7:
-		w.tell(Event{Kind: WorkersListed, List: Full, Entries: slices.Concat(w.entries[:4], kinds(600), w.entries[2:4])})
+		w.handle(Event{Kind: WorkersListed, List: Full, Entries: slices.Concat(w.entries[:4], kinds(600), w.entries[2:4])})
 		return
 	case 0:
-		w.tell(Event{Kind: WorkersListed, List: Failed})
+		w.handle(Event{Kind: WorkersListed, List: Failed})
 		return
 	case 1:
 		e.State = Draining
@@ -379,10 +379,10 @@
 		e.State, e.StartedAt = Ready, w.now
 	}
 	if w.rnd.IntN(3) == 0 {
-		w.tell(Event{Kind: WorkersListed, List: Full, Entries: slices.Clone(w.entries)})
+		w.handle(Event{Kind: WorkersListed, List: Full, Entries: slices.Clone(w.entries)})
 		return
 	}
-	w.tell(Event{Kind: WorkersListed, List: Delta, Entries: []Entry{*e}})
+	w.handle(Event{Kind: WorkersListed, List: Delta, Entries: []Entry{*e}})
 }
 
 func (w *world) clientLeaves() {
@@ -393,7 +393,7 @@
 		}
 	}
 	if len(open) > 0 {
-		w.tell(Event{Kind: ClientLeft, Job: slices.Min(open)})
+		w.handle(Event{Kind: ClientLeft, Job: slices.Min(open)})
 	}
 }
 
@@ -426,7 +426,7 @@
 			for len(w.timers) > 0 && slices.Min(w.timers) <= w.now {
 				i := slices.Index(w.timers, slices.Min(w.timers))
 				w.timers = slices.Delete(w.timers, i, i+1)
-				w.tell(Event{Kind: TimerFired})
+				w.handle(Event{Kind: TimerFired})
 			}
 		}
 		for _, f := range w.check.faults {
