--- a/balancer/audit/audit_test.go
+++ b/balancer/audit/audit_test.go
@@ -116,7 +116,7 @@
 	c.add(Entry{Kind: Adopted, Epoch: id, Floor: 7, Within: 2000, From: "b"})
 	c.add(Entry{Kind: Standing, Acts: &yes})
 	for _, w := range all {
-		w.add(Entry{Kind: "of the next version", Words: "kept"})
+		w.add(Entry{Kind: "of the next version", Command: "kept"})
 		w.add(Entry{Kind: Stop})
 		w.Close()
 	}
@@ -286,7 +286,7 @@
 		t.Fatal(err)
 	}
 	for i := range 5 {
-		a.add(Entry{Kind: Command, Words: fmt.Sprint(i)})
+		a.add(Entry{Kind: Command, Command: fmt.Sprint(i)})
 	}
 	b.add(Entry{Kind: Witness, Seen: map[string]Seen{"a": {Head: a.settled(t, 6)}}})
 	a.Close()
@@ -340,7 +340,7 @@
 		write.Store(tc.what == "write")
 		sync.Store(tc.what == "sync")
 		for i := range tc.came {
-			w.add(Entry{Kind: Command, Words: fmt.Sprint(i)})
+			w.add(Entry{Kind: Command, Command: fmt.Sprint(i)})
 		}
 		for w.Figures().Failures == 0 {
 			time.Sleep(100 * time.Microsecond)
@@ -348,7 +348,7 @@
 		write.Store(false)
 		sync.Store(false)
 		w.settled(t, 4)
-		w.add(Entry{Kind: Command, Words: "after"})
+		w.add(Entry{Kind: Command, Command: "after"})
 		w.Close()
 		a, err := Read(dir)
 		if err != nil {
@@ -356,7 +356,7 @@
 		}
 		var words []string
 		for _, e := range a.Timeline {
-			words = append(words, e.Kind+e.Words)
+			words = append(words, e.Kind+e.Command)
 		}
 		var want []string
 		if tc.gap {
@@ -381,7 +381,7 @@
 		w.add(span(id, 0, 2))
 		w.settled(t, uint64(i+2))
 	}
-	w.add(Entry{Kind: Command, Words: "kept"})
+	w.add(Entry{Kind: Command, Command: "kept"})
 	w.Close()
 	a, err := Read(dir)
 	if err != nil {
@@ -410,7 +410,7 @@
 		w := begin(dir, name, 1, &now, int64(i)*700, Options{})
 		for j := range 5 {
 			now += int64(i*j) % 3
-			w.add(Entry{Kind: Command, Words: fmt.Sprint(j)})
+			w.add(Entry{Kind: Command, Command: fmt.Sprint(j)})
 		}
 		w.Close()
 		dirs = append(dirs, dir)
--- a/balancer/audit/compat_test.go
+++ b/balancer/audit/compat_test.go
@@ -46,7 +46,7 @@
 		at(7, Entry{Kind: Standing, Acts: &no, Why: "below floor"}),
 		at(8, Entry{Kind: Standing, Acts: &yes, Marked: true, Why: "alone"}),
 		at(9, Entry{Kind: Member, Peer: "b", State: "half"}),
-		at(10, Entry{Kind: Command, Words: "detach worker-1"}),
+		at(10, Entry{Kind: Command, Command: "detach worker-1"}),
 		at(11, Entry{Kind: List, List: 41}),
 		at(12, Entry{Kind: Span, Epoch: epoch, Since: 7, Marked: true, Sent: 8, List: 41,
 			Classes: map[string]Count{"pay": {Taken: 1, Served: 2, Refused: 3, Failed: 4}, "view": {Taken: 5}}}),
--- a/balancer/audit/entry.go
+++ b/balancer/audit/entry.go
@@ -14,8 +14,8 @@
 
 // MaxLine bounds a line, in bytes; that of a fold, which stands for a segment, may be maxFold.
 const (
-	MaxLine = 64 << 10
-	maxFold = 4 << 20
+	MaxEntry = 64 << 10
+	maxFold  = 4 << 20
 )
 
 // Stamp orders entries of several schedulers so that a cause comes before its effect: a hybrid logical clock (Kulkarni and
@@ -124,7 +124,7 @@
 	File     string            `json:"file,omitempty"`     // digest of the operator's file
 	Settings string            `json:"settings,omitempty"` // digest of the platform's settings
 	List     int64             `json:"list,omitempty"`     // seq of the list of servers
-	Words    string            `json:"words,omitempty"`    // of a command
+	Command  string            `json:"words,omitempty"`    // of a command
 	Since    int64             `json:"since,omitempty"`    // Mono at which a span began
 	Marked   bool              `json:"marked,omitempty"`
 	Sent     int               `json:"sent,omitempty"`
@@ -158,7 +158,7 @@
 	if err != nil {
 		return b, prev, fmt.Errorf("entry %d: %w", e.Seq, err)
 	}
-	if most := map[bool]int{true: maxFold, false: MaxLine}[e.Kind == Fold]; len(text) > most-2*hashSize-2 {
+	if most := map[bool]int{true: maxFold, false: MaxEntry}[e.Kind == Fold]; len(text) > most-2*hashSize-2 {
 		return b, prev, fmt.Errorf("entry %d: more than %d bytes", e.Seq, most)
 	}
 	hash = chain(prev, text)
--- a/balancer/audit/read.go
+++ b/balancer/audit/read.go
@@ -44,8 +44,8 @@
 	return fmt.Sprintf("%s: %s: %s: %s", f.Member, f.Kind, f.Place, f.Text)
 }
 
-// Placed is an entry with where it stands.
-type Placed struct {
+// PlacedEntry is an entry with where it stands.
+type PlacedEntry struct {
 	Entry
 	Member      string
 	Incarnation uint64
@@ -57,7 +57,7 @@
 // Record is all that was read of one member.
 type Record struct {
 	Member  string
-	Entries []Placed
+	Entries []PlacedEntry
 	hashes  map[Head]bool     // of the lines that were read whole
 	ends    map[uint64]uint64 // the last number of each incarnation
 	folds   map[uint64]uint64 // and up to which one there are sums alone
@@ -165,7 +165,7 @@
 		r.hashes[Head{f.incarnation, e.Seq, hash}] = err == nil
 		r.hashes[Head{f.incarnation, 0, hash}] = true
 		if e.Kind == Segment && e.Seq < seq { // a write failed, and what of it is on disk all the same was written again
-			r.Entries = slices.DeleteFunc(r.Entries, func(p Placed) bool { return p.Incarnation == f.incarnation && p.Seq > e.Seq })
+			r.Entries = slices.DeleteFunc(r.Entries, func(p PlacedEntry) bool { return p.Incarnation == f.incarnation && p.Seq > e.Seq })
 			seq = e.Seq
 		}
 		seq = max(seq, e.Seq)
@@ -185,7 +185,7 @@
 	known := []string{Start, Stop, Proposed, Accepted, InForce, Adopted, Refused, Standing, Member, Command, List, Span, Gap, Witness,
 		Fold, Segment, Amnesiac}
 	keep := func(e Entry) {
-		r.Entries = append(r.Entries, Placed{Entry: e, Member: r.Member, Incarnation: f.incarnation, Place: place})
+		r.Entries = append(r.Entries, PlacedEntry{Entry: e, Member: r.Member, Incarnation: f.incarnation, Place: place})
 	}
 	switch {
 	case e.Kind == Segment:
@@ -293,13 +293,13 @@
 	a.Findings = slices.Compact(a.Findings)
 }
 
-// AdoptionTold says whether others' records show that a member's was as far as its adoption of an epoch, or farther.
-func (a *Audit) AdoptionTold(member string, epoch uint64) bool {
+// AdoptionWitnessed says whether others' records show that a member's was as far as its adoption of an epoch, or farther.
+func (a *Audit) AdoptionWitnessed(member string, epoch uint64) bool {
 	r := a.records[member]
 	if r == nil {
 		return false
 	}
-	adopted := slices.IndexFunc(r.Entries, func(e Placed) bool { return e.Kind == Adopted && e.Epoch != nil && e.Epoch.Number == epoch })
+	adopted := slices.IndexFunc(r.Entries, func(e PlacedEntry) bool { return e.Kind == Adopted && e.Epoch != nil && e.Epoch.Number == epoch })
 	if adopted < 0 {
 		return false
 	}
--- a/balancer/audit/timeline.go
+++ b/balancer/audit/timeline.go
@@ -11,15 +11,15 @@
 type Audit struct {
 	Members   []string
 	Findings  []Finding
-	Timeline  []Placed // causes before effects, each member's entries in its own order
-	Epochs    []EpochLife
+	Timeline  []PlacedEntry // causes before effects, each member's entries in its own order
+	Epochs    []EpochHistory
 	Straggled []Straggler
 	Below     []Act // acts under the floor after its date: the roll-out's rule was broken
 	records   map[string]*Record
 }
 
-// EpochLife is what became of one epoch. Times are in Unix milliseconds by the reference's clock.
-type EpochLife struct {
+// EpochHistory is what became of one epoch. Times are in Unix milliseconds by the reference's clock.
+type EpochHistory struct {
 	ID       ID
 	Floor    uint64
 	InForce  int64 // when the first member knew
@@ -39,7 +39,7 @@
 
 // Act is a span in which a member took requests under an epoch below the floor.
 type Act struct {
-	Placed
+	PlacedEntry
 	Floor uint64
 	Date  int64
 	Taken int
@@ -128,7 +128,7 @@
 	stamps := make(map[string]Stamp)
 	type keyed struct {
 		stamp Stamp
-		e     *Placed
+		e     *PlacedEntry
 	}
 	var ordered []keyed
 	for _, m := range a.Members {
@@ -151,7 +151,7 @@
 
 // judge holds what was done against the roll-outs' rules.
 func (a *Audit) judge() {
-	lives, loose := make(map[ID]*EpochLife), make(map[*EpochLife]bool)
+	lives, loose := make(map[ID]*EpochHistory), make(map[*EpochHistory]bool)
 	trust := int64(0)
 	for _, e := range a.Timeline {
 		trust = max(trust, e.Trust)
@@ -162,7 +162,7 @@
 		}
 		l := lives[*e.Epoch]
 		if l == nil {
-			l = &EpochLife{ID: *e.Epoch, Adopted: make(map[string]int64)}
+			l = &EpochHistory{ID: *e.Epoch, Adopted: make(map[string]int64)}
 			lives[*e.Epoch] = l
 		}
 		// What a disk held was in force before. A time that nothing was measured for counts only where there is no other.
@@ -203,7 +203,7 @@
 }
 
 // floor looks for members that were below a floor at its date, and what they did then.
-func (a *Audit) floor(l *EpochLife) {
+func (a *Audit) floor(l *EpochHistory) {
 	for _, m := range a.Members {
 		under, acts, lastSeen := uint64(0), false, false
 		var s *Straggler
@@ -249,7 +249,7 @@
 
 // Broken says whether a rule of a roll-out was broken, as far as the records tell.
 func (a *Audit) Broken() bool {
-	return len(a.Below) > 0 || slices.ContainsFunc(a.Epochs, func(l EpochLife) bool { return l.Conflict && l.InForce > 0 })
+	return len(a.Below) > 0 || slices.ContainsFunc(a.Epochs, func(l EpochHistory) bool { return l.Conflict && l.InForce > 0 })
 }
 
 // Under returns the epoch under which each member acted at a time, in Unix milliseconds by the reference's clock; none where
--- a/balancer/fleet/agent/agent.go
+++ b/balancer/fleet/agent/agent.go
@@ -26,23 +26,23 @@
 
 // Options say what an agent works with.
 type Options struct {
-	Loop    *scheduler.Loop
-	Network transport.Network
-	Member  fleet.Config
-	Address map[string]string // of the others, by name
-	Dir     string            // of the state and the record
-	Keys    frames.Keys
-	Span    time.Duration // how long a span of the record is at most
-	Most    int64         // bytes of the record
-	Log     *slog.Logger
+	Loop      *scheduler.Loop
+	Network   transport.Network
+	Member    fleet.Config
+	Address   map[string]string // of the others, by name
+	Dir       string            // of the state and the record
+	Keys      frames.Keys
+	Span      time.Duration // how long a span of the record is at most
+	MaxRecord int64         // bytes of the record
+	Log       *slog.Logger
 
 	Build, File, Settings string // what the process runs: of the program, digests of the operator's file and the settings
 
 	// Check says whether an epoch could be acted under, and Apply has it acted under, between two turns.
 	Check func(*fleet.Epoch) error
 	Apply func(*fleet.Epoch)
-	// Stand is told when the member may take requests, or not any more.
-	Stand func(fleet.StandingOf)
+	// StandingChanged is told when the member may take requests, or not any more.
+	StandingChanged func(fleet.Standing)
 	// Done counts what was done since the start: attempts sent, and requests by class.
 	Done func() (sent int, classes map[string]audit.Count)
 	Wall func() int64 // the system's clock in Unix milliseconds: shown, never trusted
@@ -50,13 +50,13 @@
 
 // Agent is one member.
 type Agent struct {
-	o     Options
-	core  *fleet.Core
-	clock audit.Clock
-	log   *audit.Log
-	began time.Duration
+	o         Options
+	core      *fleet.Core
+	clock     audit.Clock
+	log       *audit.Log
+	startedAt time.Duration
 
-	links    map[string]*line
+	links    map[string]*peerLink
 	accepted map[*link.Link]time.Duration // those that others made, and when the last word came
 	state    *stateWriter
 
@@ -65,39 +65,39 @@
 	spanAt    time.Duration
 	witnessAt time.Duration
 	witnessed bool
-	seq       int64 // of the list of servers
+	listSeq   int64 // of the list of servers
 	ticking   *deadline.Deadline
-	ended     bool
+	stopped   bool
 	refused   uint64 // frames and links
 }
 
-// line is the link to one peer that this member makes, with its retries.
-type line struct {
-	name   string
-	link   *link.Link
-	up     bool
-	heard  time.Duration
-	tries  int
-	next   time.Duration
-	pings  map[uint64]int64 // the own monotonic clock at which a ping was sent, by its number
-	off    int64            // the peer's monotonic clock less the own one, and how wrong that may be
-	skew   int64            // the same of the wall clocks
-	err    int64
-	known  bool
-	bytes  int64
-	failed string
+// peerLink is the link to one peer that this member makes, with its retries.
+type peerLink struct {
+	name        string
+	link        *link.Link
+	up          bool
+	heard       time.Duration
+	attempts    int
+	next        time.Duration
+	pings       map[uint64]int64 // the own monotonic clock at which a ping was sent, by its number
+	offset      int64            // the peer's monotonic clock less the own one, and how wrong that may be
+	skew        int64            // the same of the wall clocks
+	offsetError int64
+	measured    bool
+	bytes       int64
+	failed      string
 }
 
-// heardOfBeats without a word on a link, and it is made anew: after a cut the system would try the old one again in its own time.
-const heardOfBeats = 6
+// silenceHeartbeats without a word on a link, and it is made anew: after a cut the system would try the old one again in its own time.
+const silenceHeartbeats = 6
 
-// witnessBeats is how often the record says how far the peers' were.
-const witnessBeats = 10
+// witnessHeartbeats is how often the record says how far the peers' were.
+const witnessHeartbeats = 10
 
 // New reads the member's disk. A state that is torn or changed is set aside: what it might have promised is asked of the peers.
 func New(o Options) (*Agent, error) {
 	began := o.Loop.Now()
-	a := &Agent{o: o, began: began, links: make(map[string]*line), accepted: make(map[*link.Link]time.Duration),
+	a := &Agent{o: o, startedAt: began, links: make(map[string]*peerLink), accepted: make(map[*link.Link]time.Duration),
 		classes: make(map[string]audit.Count)}
 	if err := os.MkdirAll(o.Dir, 0o755); err != nil {
 		return nil, fmt.Errorf("fleet: %w", err)
@@ -116,11 +116,11 @@
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
 	for name := range o.Address {
-		a.links[name] = &line{name: name, pings: make(map[uint64]int64)}
+		a.links[name] = &peerLink{name: name, pings: make(map[uint64]int64)}
 	}
 	a.state = newStateWriter(path)
 	var before audit.Head
-	a.log, before = audit.Open(audit.Options{Dir: o.Dir, Member: o.Member.Me, Incarnation: a.core.Incarnation(), Most: o.Most,
+	a.log, before = audit.Open(audit.Options{Dir: o.Dir, Member: o.Member.Me, Incarnation: a.core.Incarnation(), Most: o.MaxRecord,
 		Wall: o.Wall, Mono: a.mono})
 	a.add(audit.Entry{Kind: audit.Start, Before: &before, Build: o.Build, File: o.File, Settings: o.Settings,
 		Trust: o.Member.Trust.Milliseconds(), Incarnation: a.core.Incarnation()})
@@ -128,27 +128,27 @@
 }
 
 // mono is the loop's clock in milliseconds since the start; the record is written in turns alone.
-func (a *Agent) mono() int64 { return (a.o.Loop.Now() - a.began).Milliseconds() }
+func (a *Agent) mono() int64 { return (a.o.Loop.Now() - a.startedAt).Milliseconds() }
 
 // Start begins to talk. It is called in a turn of the loop, once.
 func (a *Agent) Start() {
-	a.do(a.core.Start(a.o.Loop.Now()))
+	a.execute(a.core.Start(a.o.Loop.Now()))
 	a.spanAt = a.o.Loop.Now()
 	a.tick()
 }
 
 // tick is a quarter of a beat.
 func (a *Agent) tick() {
-	if a.ended {
+	if a.stopped {
 		return
 	}
 	now := a.o.Loop.Now()
-	a.ticking = a.o.Loop.After(a.o.Member.Beat/4, a.tick)
+	a.ticking = a.o.Loop.After(a.o.Member.Heartbeat/4, a.tick)
 	for _, name := range slices.Sorted(maps.Keys(a.links)) {
-		a.mend(a.links[name], now)
+		a.reconnect(a.links[name], now)
 	}
 	for l, heard := range a.accepted {
-		if now-heard > 4*heardOfBeats*a.o.Member.Beat {
+		if now-heard > 4*silenceHeartbeats*a.o.Member.Heartbeat {
 			delete(a.accepted, l)
 			l.Close()
 		}
@@ -157,45 +157,45 @@
 	if now-a.spanAt >= a.o.Span {
 		a.span()
 	}
-	if wait := witnessBeats * a.o.Member.Beat; now-a.witnessAt >= wait || !a.witnessed && now-a.began > wait/5 { // soon at first: it may be killed young
+	if wait := witnessHeartbeats * a.o.Member.Heartbeat; now-a.witnessAt >= wait || !a.witnessed && now-a.startedAt > wait/5 { // soon at first: it may be killed young
 		a.witness()
 	}
 }
 
-// mend makes a link that is down, or that nothing was heard on, after a wait of full jitter that grows to ten beats: those who
+// reconnect makes a link that is down, or that nothing was heard on, after a wait of full jitter that grows to ten beats: those who
 // lost one peer together do not come back to it together.
-func (a *Agent) mend(n *line, now time.Duration) {
-	if n.link != nil && now-n.heard > heardOfBeats*a.o.Member.Beat {
+func (a *Agent) reconnect(n *peerLink, now time.Duration) {
+	if n.link != nil && now-n.heard > silenceHeartbeats*a.o.Member.Heartbeat {
 		n.link.Close()
 		a.down(n, "nothing heard")
 	}
 	if n.link == nil && now >= n.next {
 		n.heard = now
-		n.link = link.Dial(a.o.Network, a.o.Address[n.name], a.o.Member.Me, a.o.Keys, (*dialled)(&side{a, n}))
+		n.link = link.Dial(a.o.Network, a.o.Address[n.name], a.o.Member.Me, a.o.Keys, (*dialled)(&dialledEnd{a, n}))
 	}
 }
 
-func (a *Agent) down(n *line, why string) {
+func (a *Agent) down(n *peerLink, why string) {
 	n.link, n.up, n.failed = nil, false, why
-	most := a.o.Member.Beat << min(n.tries, 4)
-	n.tries++
-	n.next = a.o.Loop.Now() + time.Duration(rand.Int64N(int64(min(most, 10*a.o.Member.Beat))))
+	most := a.o.Member.Heartbeat << min(n.attempts, 4)
+	n.attempts++
+	n.next = a.o.Loop.Now() + time.Duration(rand.Int64N(int64(min(most, 10*a.o.Member.Heartbeat))))
 	clear(n.pings)
 }
 
 // event feeds the core.
 func (a *Agent) event(ev fleet.Event) {
-	if !a.ended {
-		a.do(a.core.Handle(a.o.Loop.Now(), ev))
+	if !a.stopped {
+		a.execute(a.core.Handle(a.o.Loop.Now(), ev))
 	}
 }
 
-func (a *Agent) do(acts []fleet.Action) {
+func (a *Agent) execute(acts []fleet.Action) {
 	for i := range acts {
 		act := &acts[i]
 		switch act.Kind {
-		case fleet.Tell:
-			a.tell(act.To, act.Word)
+		case fleet.Send:
+			a.send(act.To, act.Message)
 		case fleet.Store:
 			serial := act.Serial
 			a.state.save(act.State, func(err error) {
@@ -208,15 +208,15 @@
 			a.span() // what was done until now was done under the one before
 			a.o.Apply(act.Epoch)
 			a.o.Log.Info("epoch adopted", "epoch", act.Epoch.ID.String(), "floor", act.Epoch.Floor)
-		case fleet.Note:
+		case fleet.Record:
 			if act.Entry.Kind == audit.Refused {
 				a.o.Log.Warn("refused", "epoch", act.Entry.Epoch, "peer", act.Entry.Peer, "why", act.Entry.Why)
 			}
 			a.add(act.Entry)
-		case fleet.Stand:
+		case fleet.StandingChanged:
 			a.span()
 			a.o.Log.Info("standing", "acts", act.Standing.Acts, "marked", act.Standing.Marked, "why", act.Standing.Why)
-			a.o.Stand(act.Standing)
+			a.o.StandingChanged(act.Standing)
 		}
 	}
 }
@@ -224,8 +224,8 @@
 // MayTake says whether a request may be taken now. After a stop of the process it is the first to know.
 func (a *Agent) MayTake() bool { return a.core.StandingAt(a.o.Loop.Now()).Acts }
 
-// tell sends a word to a peer: on the link that this member made, or, where that is down, on the peer's own.
-func (a *Agent) tell(to string, w fleet.Word) {
+// send sends a word to a peer: on the link that this member made, or, where that is down, on the peer's own.
+func (a *Agent) send(to string, w fleet.Message) {
 	w.Stamp, w.Wall, w.Mono, w.Head = a.clock.Now(a.o.Wall()), a.o.Wall(), a.mono(), a.log.Head()
 	text, err := json.Marshal(w)
 	if err != nil {
@@ -244,21 +244,21 @@
 			}
 		}
 	}
-	if n.up && n.link.Tell(link.Word, text) {
+	if n.up && n.link.Send(link.Message, text) {
 		n.bytes += int64(len(text))
 		return
 	}
 	for l := range a.accepted {
-		if l.Peer == to && l.Tell(link.Word, text) {
+		if l.Peer == to && l.Send(link.Message, text) {
 			n.bytes += int64(len(text))
 			return
 		}
 	}
 }
 
-// heard takes a word that came by a link.
-func (a *Agent) heard(from string, text []byte) error {
-	var w fleet.Word
+// receive takes a word that came by a link.
+func (a *Agent) receive(from string, text []byte) error {
+	var w fleet.Message
 	if err := json.Unmarshal(text, &w); err != nil {
 		return fmt.Errorf("%w: %w", frames.ErrContent, err)
 	}
@@ -270,10 +270,10 @@
 	if sent, known := n.pings[w.Number]; w.Kind == fleet.Pong && known {
 		delete(n.pings, w.Number)
 		now := a.mono()
-		n.off, n.err, n.known = w.Mono-(sent+now)/2, (now-sent)/2+1, true
+		n.offset, n.offsetError, n.measured = w.Mono-(sent+now)/2, (now-sent)/2+1, true
 		n.skew = w.Wall - a.o.Wall() + (now-sent)/2
 	}
-	a.event(fleet.Event{Kind: fleet.Heard, Word: w})
+	a.event(fleet.Event{Kind: fleet.Received, Message: w})
 	return nil
 }
 
@@ -286,7 +286,7 @@
 // span closes the span of what was done under the present epoch and standing.
 func (a *Agent) span() {
 	now := a.o.Loop.Now()
-	since := (a.spanAt - a.began).Milliseconds()
+	since := (a.spanAt - a.startedAt).Milliseconds()
 	a.spanAt = now
 	sent, classes := a.o.Done()
 	done := make(map[string]audit.Count)
@@ -301,7 +301,7 @@
 	if n == 0 && len(done) == 0 {
 		return
 	}
-	e := audit.Entry{Kind: audit.Span, Since: since, Sent: n, Classes: done, Marked: a.core.Last().Marked, List: a.seq}
+	e := audit.Entry{Kind: audit.Span, Since: since, Sent: n, Classes: done, Marked: a.core.LastStanding().Marked, List: a.listSeq}
 	if id := a.core.Acting(); id.Number > 0 {
 		e.Epoch = &id
 	}
@@ -313,8 +313,8 @@
 	a.witnessAt = a.o.Loop.Now()
 	seen := make(map[string]audit.Seen)
 	for _, p := range a.core.Peers() {
-		if n := a.links[p.Name]; p.Head.Hash != "" && n.known {
-			seen[p.Name] = audit.Seen{Head: p.Head, OffMs: n.off, ErrMs: n.err}
+		if n := a.links[p.Name]; p.Head.Hash != "" && n.measured {
+			seen[p.Name] = audit.Seen{Head: p.Head, OffMs: n.offset, ErrMs: n.offsetError}
 		}
 	}
 	if len(seen) > 0 {
@@ -324,26 +324,26 @@
 }
 
 // Command has an operator's call in the record, List the list that is acted on, Settings those of the platform.
-func (a *Agent) Command(words string) { a.add(audit.Entry{Kind: audit.Command, Words: words}) }
+func (a *Agent) Command(words string) { a.add(audit.Entry{Kind: audit.Command, Command: words}) }
 
 // List notes the list of servers that is acted on; it goes into each span.
-func (a *Agent) List(seq int64) { a.seq = seq }
+func (a *Agent) List(seq int64) { a.listSeq = seq }
 
 // Settings notes that the platform's settings were read again.
 func (a *Agent) Settings(digest string) {
-	a.add(audit.Entry{Kind: audit.Command, Words: "settings", Settings: digest})
+	a.add(audit.Entry{Kind: audit.Command, Command: "settings", Settings: digest})
 }
 
 // Stop ends the member: its peers are told, and the record is closed with what was done. The disk is waited for in a goroutine, not
 // here: done is called once nothing more is written, by that goroutine.
 func (a *Agent) Stop(why string, done func()) {
-	if a.ended {
+	if a.stopped {
 		return
 	}
 	a.span()
 	a.add(audit.Entry{Kind: audit.Stop, Why: why})
-	a.do(a.core.Handle(a.o.Loop.Now(), fleet.Event{Kind: fleet.Leaving}))
-	a.ended = true
+	a.execute(a.core.Handle(a.o.Loop.Now(), fleet.Event{Kind: fleet.Leaving}))
+	a.stopped = true
 	a.o.Loop.Deadlines.Drop(a.ticking)
 	for _, n := range a.links {
 		if n.link != nil {
@@ -363,18 +363,18 @@
 
 // Opened takes a connection that a peer or a tool made.
 func (a *Agent) Opened(c transport.Conn) transport.Handler {
-	l := link.Accept(c, a.o.Member.Me, a.o.Keys, (*taken)(a))
+	l := link.Accept(c, a.o.Member.Me, a.o.Keys, (*acceptedEnd)(a))
 	a.accepted[l] = a.o.Loop.Now()
 	return l
 }
 
-// side is a link that this member made.
-type side struct {
+// dialledEnd is a link that this member made.
+type dialledEnd struct {
 	a *Agent
-	n *line
+	n *peerLink
 }
 
-type dialled side
+type dialled dialledEnd
 
 func (d *dialled) Up(l *link.Link) {
 	if l.Peer != d.n.name {
@@ -383,15 +383,15 @@
 		d.a.down(d.n, "another member is there")
 		return
 	}
-	d.n.up, d.n.tries, d.n.heard, d.n.failed = true, 0, d.a.o.Loop.Now(), ""
+	d.n.up, d.n.attempts, d.n.heard, d.n.failed = true, 0, d.a.o.Loop.Now(), ""
 }
 
 func (d *dialled) Heard(l *link.Link, kind frames.Kind, content []byte) {
 	d.n.heard = d.a.o.Loop.Now()
-	if kind != link.Word {
+	if kind != link.Message {
 		return
 	}
-	if err := d.a.heard(l.Peer, content); err != nil {
+	if err := d.a.receive(l.Peer, content); err != nil {
 		d.a.refuse(d.n.name, err)
 		l.Close()
 		d.a.down(d.n, err.Error())
@@ -408,20 +408,20 @@
 	d.a.down(d.n, err.Error())
 }
 
-// taken is the agent as the handler of links that others made.
-type taken Agent
+// acceptedEnd is the agent as the handler of links that others made.
+type acceptedEnd Agent
 
-func (t *taken) Up(*link.Link) {}
+func (t *acceptedEnd) Up(*link.Link) {}
 
-func (t *taken) Heard(l *link.Link, kind frames.Kind, content []byte) {
+func (t *acceptedEnd) Heard(l *link.Link, kind frames.Kind, content []byte) {
 	a := (*Agent)(t)
 	a.accepted[l] = a.o.Loop.Now()
 	var err error
 	switch kind {
-	case link.Word:
-		err = a.heard(l.Peer, content)
+	case link.Message:
+		err = a.receive(l.Peer, content)
 	case link.Command:
-		l.Tell(link.Reply, a.command(content))
+		l.Send(link.Reply, a.command(content))
 	default:
 		err = fmt.Errorf("%w: kind %d", frames.ErrContent, kind)
 	}
@@ -432,7 +432,7 @@
 	}
 }
 
-func (t *taken) Down(l *link.Link, err error) {
+func (t *acceptedEnd) Down(l *link.Link, err error) {
 	a := (*Agent)(t)
 	delete(a.accepted, l)
 	if bad(err) {
@@ -476,7 +476,7 @@
 	Force    audit.ID              `json:"force"`
 	Amnesiac bool                  `json:"amnesiac"`
 	Votes    bool                  `json:"votes"`
-	Standing fleet.StandingOf      `json:"standing"`
+	Standing fleet.Standing        `json:"standing"`
 	Record   audit.Figures         `json:"record"`
 	Head     audit.Head            `json:"head"`
 	Refused  uint64                `json:"refused"`
@@ -516,7 +516,7 @@
 		if err != nil {
 			s.Error = err.Error()
 		}
-		a.do(acts)
+		a.execute(acts)
 	default:
 		s.Error = fmt.Sprintf("there is no call %q", r.Verb)
 	}
--- a/balancer/fleet/agent/call.go
+++ b/balancer/fleet/agent/call.go
@@ -60,7 +60,7 @@
 	err            error
 }
 
-func (t *tool) Up(l *link.Link) { l.Tell(link.Command, t.request) }
+func (t *tool) Up(l *link.Link) { l.Send(link.Command, t.request) }
 
 func (t *tool) Heard(_ *link.Link, kind frames.Kind, content []byte) {
 	if kind == link.Reply {
--- a/balancer/fleet/agent/compat_test.go
+++ b/balancer/fleet/agent/compat_test.go
@@ -32,7 +32,7 @@
 	}
 	want := fleet.State{
 		Incarnation: 1_764_000_001, Accepted: fleet.ID{Number: 4, Digest: "aa"}, Adopted: fleet.ID{Number: 3, Digest: "bb"}, Promised: 5,
-		Against: 6, Amnesiac: true, Floor: 2, Peers: map[string]fleet.Memory{"b": {Inc: 7, Vote: 8}, "c": {Inc: 9}},
+		Against: 6, Amnesiac: true, Floor: 2, Peers: map[string]fleet.PeerMemory{"b": {Inc: 7, Vote: 8}, "c": {Inc: 9}},
 		Contents: [][]byte{[]byte(`{"number":4}`), []byte(`{"number":3}`)},
 	}
 	if diff := cmp.Diff(want, got); diff != "" {
@@ -71,10 +71,10 @@
 	compatJSON(t, "status.json", Status{
 		Error: "an error", Name: "a", Inc: 1_764_000_001, Build: "1", Acting: audit.ID{Number: 3, Digest: "bb"},
 		Vote: audit.ID{Number: 4, Digest: "aa"}, Force: audit.ID{Number: 2, Digest: "cc"}, Amnesiac: true, Votes: true,
-		Standing: fleet.StandingOf{Acts: true, Marked: true, Why: fleet.WhyAlone},
+		Standing: fleet.Standing{Acts: true, Marked: true, Why: fleet.WhyAlone},
 		Record:   audit.Figures{Written: 1, Lost: 2, Failures: 3, Bytes: 4},
 		Head:     head, Refused: 5,
-		Peers: map[string]PeerStatus{"b": {State: fleet.Half, Inc: 6, Acting: audit.ID{Number: 7, Digest: "dd"},
+		Peers: map[string]PeerStatus{"b": {State: fleet.OneWay, Inc: 6, Acting: audit.ID{Number: 7, Digest: "dd"},
 			Vote: audit.ID{Number: 8, Digest: "ee"}, HeardMs: 9, AnsweredMs: -1, Link: "down: nothing heard", SkewMs: 11, Bytes: 12, Dropped: 13}},
 	})
 	compatJSON(t, "status_least.json", Status{Name: "a"})
--- a/balancer/fleet/agent/disk.go
+++ b/balancer/fleet/agent/disk.go
@@ -8,13 +8,13 @@
 
 // stateWriter writes states in a goroutine of its own: whatever comes while one is written, the newest alone is next.
 type stateWriter struct {
-	path  string
-	mu    sync.Mutex
-	next  *fleet.State
-	told  []func(error)
-	ended bool
-	wake  chan struct{}
-	done  chan struct{}
+	path      string
+	mu        sync.Mutex
+	next      *fleet.State
+	callbacks []func(error)
+	closing   bool
+	wake      chan struct{}
+	done      chan struct{}
 }
 
 func newStateWriter(path string) *stateWriter {
@@ -27,7 +27,7 @@
 func (w *stateWriter) save(s fleet.State, done func(error)) {
 	w.mu.Lock()
 	w.next = &s
-	w.told = append(w.told, done)
+	w.callbacks = append(w.callbacks, done)
 	w.mu.Unlock()
 	w.rouse()
 }
@@ -43,8 +43,8 @@
 	defer close(w.done)
 	for range w.wake {
 		w.mu.Lock()
-		s, told, ended := w.next, w.told, w.ended
-		w.next, w.told = nil, nil
+		s, told, ended := w.next, w.callbacks, w.closing
+		w.next, w.callbacks = nil, nil
 		w.mu.Unlock()
 		if s != nil {
 			err := saveState(w.path, s)
@@ -61,7 +61,7 @@
 // end has the last state written; the channel is closed once that is done, and nothing more is written.
 func (w *stateWriter) end() (done <-chan struct{}) {
 	w.mu.Lock()
-	w.ended = true
+	w.closing = true
 	w.mu.Unlock()
 	w.rouse()
 	return w.done
--- a/balancer/fleet/agent/state_test.go
+++ b/balancer/fleet/agent/state_test.go
@@ -11,12 +11,12 @@
 	"ravendale/balancer/fleet"
 )
 
-func TestAStateIsWholeOrRefused(t *testing.T) {
+func TestAStateIsCompleteOrRefused(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "a.state")
 	if s, err := loadState(path); err != nil || s.Incarnation != 0 {
 		t.Errorf("no file: %+v, %v", s, err)
 	}
-	want := fleet.State{Incarnation: 7, Promised: 3, Peers: map[string]fleet.Memory{"b": {Inc: 2, Vote: 1}}}
+	want := fleet.State{Incarnation: 7, Promised: 3, Peers: map[string]fleet.PeerMemory{"b": {Inc: 2, Vote: 1}}}
 	for range 2 { // the second one takes the first one's place
 		if err := saveState(path, &want); err != nil {
 			t.Fatal(err)
--- a/balancer/fleet/compat_test.go
+++ b/balancer/fleet/compat_test.go
@@ -16,7 +16,7 @@
 // The files in testdata/compat were written by version a08c060. Members of different versions talk to each other while a
 // fleet is rolled, and each reads the state that the one before it left.
 
-var compatWord = Word{
+var compatMessage = Message{
 	Kind: Ping, From: "a", Inc: 1_764_000_001, Nonce: 0xfedcba9876543210, Number: 17,
 	Accepted: ID{Number: 4, Digest: "aa"}, Adopted: ID{Number: 3, Digest: "bb"}, Force: ID{Number: 2, Digest: "cc"},
 	Against: 5, Floor: 1, Amnesiac: true, YouInc: 1_764_000_002, YouVote: 6, YouNonce: 0x0123456789abcdef,
@@ -25,10 +25,10 @@
 	Head: audit.Head{Incarnation: 1_764_000_003, Seq: 99, Hash: "0123456789abcdef0123456789abcdef"},
 }
 
-func compatWords() map[string]Word {
-	all := map[string]Word{"word_least": {Kind: Ping, From: "a"}}
+func compatMessages() map[string]Message {
+	all := map[string]Message{"word_least": {Kind: Ping, From: "a"}}
 	for _, kind := range []string{Ping, Pong, Stale, Leave, Want, Have, Busy} {
-		w := compatWord
+		w := compatMessage
 		w.Kind = kind
 		all["word_"+kind] = w
 	}
@@ -37,7 +37,7 @@
 
 var compatState = State{
 	Incarnation: 1_764_000_001, Accepted: ID{Number: 4, Digest: "aa"}, Adopted: ID{Number: 3, Digest: "bb"}, Promised: 5, Against: 6,
-	Amnesiac: true, Floor: 2, Peers: map[string]Memory{"b": {Inc: 7, Vote: 8}, "c": {Inc: 9}},
+	Amnesiac: true, Floor: 2, Peers: map[string]PeerMemory{"b": {Inc: 7, Vote: 8}, "c": {Inc: 9}},
 	Contents: [][]byte{[]byte(`{"number":4}`), []byte(`{"number":3}`)},
 }
 
@@ -63,8 +63,8 @@
 	}
 }
 
-func TestGoldenWordsReadAndWriteTheSame(t *testing.T) {
-	for name, word := range compatWords() {
+func TestGoldenMessagesReadAndWriteTheSame(t *testing.T) {
+	for name, word := range compatMessages() {
 		compatJSON(t, name, word)
 	}
 }
--- a/balancer/fleet/core_test.go
+++ b/balancer/fleet/core_test.go
@@ -69,7 +69,7 @@
 
 type flight struct {
 	to   string
-	word Word
+	word Message
 }
 
 func newFleet(n int, fail func(string, ...any)) *fleetOf {
@@ -94,14 +94,14 @@
 
 func (f *fleetOf) start(h *host) {
 	f.nonce++
-	c, err := New(Config{Me: h.name, Names: f.names, Beat: beat, Trust: trust, Strict: f.strict, Build: 1, Nonce: f.nonce, Fresh: 100 * f.nonce, Seed: 1}, h.disk)
+	c, err := New(Config{Me: h.name, Names: f.names, Heartbeat: beat, Trust: trust, Strict: f.strict, Build: 1, Nonce: f.nonce, Fresh: 100 * f.nonce, Seed: 1}, h.disk)
 	if err != nil {
 		f.fail("%s does not start: %v", h.name, err)
 		return
 	}
 	h.Core, h.writing, h.paused, h.at, h.base, h.then = c, nil, false, 0, f.now, time.Hour
 	if f.mutant == "forgets" {
-		c.state.Amnesiac = false
+		c.disk.state.Amnesiac = false
 	}
 	f.do(h, c.Start(f.clock(h)))
 }
@@ -109,10 +109,10 @@
 func (f *fleetOf) do(h *host, acts []Action) {
 	for _, a := range acts {
 		switch a.Kind {
-		case Tell:
-			if a.Word.Kind == Have {
+		case Send:
+			if a.Message.Kind == Have {
 				if h.name == f.forges {
-					a.Word.Content = epoch(a.Word.ID.Number, 0, "forged").Content
+					a.Message.Content = epoch(a.Message.ID.Number, 0, "forged").Content
 				}
 				if f.gave == nil {
 					f.gave = make(map[string][]int)
@@ -124,7 +124,7 @@
 				f.gave[h.name][beats]++
 			}
 			if !f.cut[[2]string{h.name, a.To}] {
-				f.flying = append(f.flying, flight{a.To, a.Word})
+				f.flying = append(f.flying, flight{a.To, a.Message})
 			}
 		case Store:
 			h.writing = append(h.writing, a)
@@ -142,7 +142,7 @@
 				f.fail("%s goes from epoch %d back to %d", h.name, h.at, a.Epoch.Number)
 			}
 			h.at = a.Epoch.Number
-		case Note:
+		case Record:
 			h.noted = append(h.noted, a.Entry)
 		}
 	}
@@ -186,7 +186,7 @@
 		f.flying = slices.Delete(f.flying, i, i+1)
 	}
 	if !f.cut[[2]string{w.word.From, w.to}] {
-		f.event(f.host(w.to), Event{Kind: Heard, Word: w.word})
+		f.event(f.host(w.to), Event{Kind: Received, Message: w.word})
 	}
 }
 
@@ -340,7 +340,7 @@
 		for _, h := range f.hosts {
 			h.paused = false
 			clear(h.refuses)
-			if h.Last().Why == WhyReplaced {
+			if h.LastStanding().Why == WhyReplaced {
 				f.start(h)
 			}
 		}
@@ -349,7 +349,7 @@
 			if h.Force() != f.hosts[0].Force() {
 				t.Errorf("%s knows %v in force, %s %v", h.name, h.Force(), f.names[0], f.hosts[0].Force())
 			}
-			if h.Acting() != h.Force() && h.checked[h.Force()] == nil {
+			if h.Acting() != h.Force() && h.contents.checked[h.Force()] == nil {
 				t.Errorf("%s acts under %v, in force is %v", h.name, h.Acting(), h.Force())
 			}
 		}
@@ -379,11 +379,11 @@
 	for _, h := range f.hosts[11:] {
 		h.paused = true
 	}
-	if err := f.propose(f.hosts[0], epoch(1, 1, strings.Repeat("x", donateMost/3))); err != nil {
+	if err := f.propose(f.hosts[0], epoch(1, 1, strings.Repeat("x", maxServed/3))); err != nil {
 		t.Fatal(err)
 	}
-	if !f.hosts[0].Last().Acts {
-		t.Errorf("the one who proposes stands as %+v", f.hosts[0].Last())
+	if !f.hosts[0].LastStanding().Acts {
+		t.Errorf("the one who proposes stands as %+v", f.hosts[0].LastStanding())
 	}
 	f.pass(2 * time.Second)
 	for _, h := range f.hosts[11:] {
@@ -422,7 +422,7 @@
 	f.forges = ""
 	f.start(f.hosts[0]) // the proposer's vote is on its disk, and now it gives what it should
 	for _, h := range f.hosts {
-		clear(h.bad)
+		clear(h.contents.refused)
 	}
 	f.pass(3 * time.Second)
 	f.forges = "a" // for one that comes to it later others are there
--- a/balancer/fleet/holes_test.go
+++ b/balancer/fleet/holes_test.go
@@ -24,36 +24,36 @@
 			f.start(c)
 			for range 6 {
 				f.pass(100 * time.Millisecond)
-				if c.Last().Acts {
-					t.Fatalf("it acts: %+v", c.Last())
+				if c.LastStanding().Acts {
+					t.Fatalf("it acts: %+v", c.LastStanding())
 				}
 			}
 		},
 		"nor by an epoch that was open first and is known in force later": func(t *testing.T, f *fleetOf, a, b, c *host) {
-			w := Word{Kind: Pong, From: "b", Inc: b.Incarnation(), Nonce: b.cfg.Nonce, Accepted: id}
-			f.event(c, Event{Kind: Heard, Word: w})
+			w := Message{Kind: Pong, From: "b", Inc: b.Incarnation(), Nonce: b.cfg.Nonce, Accepted: id}
+			f.event(c, Event{Kind: Received, Message: w})
 			f.pass(within * 9 / 10)
 			w.Force = id
-			f.event(c, Event{Kind: Heard, Word: w})
+			f.event(c, Event{Kind: Received, Message: w})
 			f.pass(within * 2 / 10)
-			if c.Last().Acts {
-				t.Errorf("it acts: %+v", c.Last())
+			if c.LastStanding().Acts {
+				t.Errorf("it acts: %+v", c.LastStanding())
 			}
 		},
 		"an open question stops a strict member": func(t *testing.T, f *fleetOf, a, b, c *host) {
-			f.event(c, Event{Kind: Heard, Word: Word{Kind: Pong, From: "b", Inc: b.Incarnation(), Nonce: b.cfg.Nonce, Accepted: id}})
+			f.event(c, Event{Kind: Received, Message: Message{Kind: Pong, From: "b", Inc: b.Incarnation(), Nonce: b.cfg.Nonce, Accepted: id}})
 			f.pass(within + 2*beat)
-			if s := c.Last(); s.Acts || s.Why != WhyOpen {
+			if s := c.LastStanding(); s.Acts || s.Why != WhyOpen {
 				t.Errorf("%+v", s)
 			}
 		},
 		"a late word of a former process does no harm to the new one": func(t *testing.T, f *fleetOf, a, b, c *host) {
-			late := Word{Kind: Ping, From: "a", Inc: a.Incarnation(), Nonce: a.cfg.Nonce}
+			late := Message{Kind: Ping, From: "a", Inc: a.Incarnation(), Nonce: a.cfg.Nonce}
 			f.start(a)
 			f.pass(time.Second)
-			f.event(b, Event{Kind: Heard, Word: late})
+			f.event(b, Event{Kind: Received, Message: late})
 			f.pass(time.Second)
-			if a.Last().Why == WhyReplaced {
+			if a.LastStanding().Why == WhyReplaced {
 				t.Error("it stood down")
 			}
 		},
@@ -71,7 +71,7 @@
 			}
 		},
 		"one that forgot is told the floor": func(t *testing.T, f *fleetOf, a, b, c *host) {
-			b.state.Floor = 5
+			b.Core.disk.state.Floor = 5
 			a.disk = State{}
 			f.start(a)
 			f.pass(time.Second)
@@ -102,13 +102,13 @@
 				}
 				return n
 			}
-			w := Word{Kind: Ping, From: "a", Inc: a.Incarnation() + 1, Nonce: 99}
-			f.event(b, Event{Kind: Heard, Word: w})
+			w := Message{Kind: Ping, From: "a", Inc: a.Incarnation() + 1, Nonce: 99}
+			f.event(b, Event{Kind: Received, Message: w})
 			if pongs() != 0 {
 				t.Error("answered before the incarnation was on disk")
 			}
 			f.flush(b, 9)
-			if f.event(b, Event{Kind: Heard, Word: w}); pongs() != 1 {
+			if f.event(b, Event{Kind: Received, Message: w}); pongs() != 1 {
 				t.Error("not answered after")
 			}
 		},
--- a/balancer/fleet/link/compat_test.go
+++ b/balancer/fleet/link/compat_test.go
@@ -28,9 +28,9 @@
 	greeted := len(a.wire)
 	b.l.Data(dialler) // the greeting, and what follows it
 	a.l.Data(b.wire)
-	b.l.Tell(Reply, []byte("an answer"))
-	a.l.Tell(Word, []byte("a word"))
-	a.l.Tell(Command, []byte("a command"))
+	b.l.Send(Reply, []byte("an answer"))
+	a.l.Send(Message, []byte("a word"))
+	a.l.Send(Command, []byte("a command"))
 	if !bytes.Equal(a.wire, dialler) || greeted == 0 {
 		t.Errorf("the dialler writes\n%q\nnot\n%q", a.wire, dialler)
 	}
@@ -51,7 +51,7 @@
 }
 
 func TestKindsOfFramesAreTheNumbersOnTheWire(t *testing.T) {
-	for kind, number := range map[frames.Kind]int{hello: 1, Word: 2, Command: 3, Reply: 4} {
+	for kind, number := range map[frames.Kind]int{hello: 1, Message: 2, Command: 3, Reply: 4} {
 		if int(kind) != number {
 			t.Errorf("%d is not %d", kind, number)
 		}
--- a/balancer/fleet/link/link.go
+++ b/balancer/fleet/link/link.go
@@ -16,7 +16,7 @@
 // Kinds of frames after the first one of each side.
 const (
 	hello   frames.Kind = iota + 1
-	Word                // of a member to another
+	Message             // of a member to another
 	Command             // of a tool to a member
 	Reply
 )
@@ -24,8 +24,8 @@
 // MostUnwritten bounds what waits to be written to a peer that does not read, in bytes: words beyond that are dropped.
 const MostUnwritten = 1 << 20
 
-// use names what the frames are of, so that none of learning's is taken here.
-const use = "fleet"
+// purpose names what the frames are of, so that none of learning's is taken here.
+const purpose = "fleet"
 
 // greeting is what each side says first.
 type greeting struct {
@@ -51,15 +51,15 @@
 	keys   frames.Keys
 	h      Handler
 	draw   [16]byte
-	out    frames.Writer
-	in     frames.Reader
+	writer frames.Writer
+	reader frames.Reader
 	up     bool
 	closed bool
 }
 
 // Accept serves a connection that another side made.
 func Accept(c transport.Conn, me string, keys frames.Keys, h Handler) *Link {
-	l := &Link{me: me, net: c, keys: keys, h: h, in: frames.Reader{Keys: keys}, out: frames.Writer{Keys: keys}}
+	l := &Link{me: me, net: c, keys: keys, h: h, reader: frames.Reader{Keys: keys}, writer: frames.Writer{Keys: keys}}
 	_, _ = rand.Read(l.draw[:]) // never fails: crypto/rand
 	return l
 }
@@ -83,15 +83,15 @@
 }
 
 func (l *Link) write(kind frames.Kind, content []byte) error {
-	b, err := l.out.Append(nil, kind, content)
+	b, err := l.writer.Append(nil, kind, content)
 	if err == nil {
 		l.net.Write(b)
 	}
 	return err
 }
 
-// Tell sends a frame. It says whether that was possible: the link is up, and its peer reads.
-func (l *Link) Tell(kind frames.Kind, content []byte) bool {
+// Send sends a frame. It says whether that was possible: the link is up, and its peer reads.
+func (l *Link) Send(kind frames.Kind, content []byte) bool {
 	if !l.up || l.closed {
 		return false
 	}
@@ -111,9 +111,9 @@
 
 // Data implements transport.Handler.
 func (l *Link) Data(b []byte) {
-	l.in.Feed(b)
+	l.reader.Feed(b)
 	for !l.closed {
-		kind, content, err := l.in.Next()
+		kind, content, err := l.reader.Next()
 		switch {
 		case err != nil:
 			l.fail(err)
@@ -125,7 +125,7 @@
 				l.fail(err)
 				return
 			}
-		case kind < Word || kind > Reply:
+		case kind < Message || kind > Reply:
 			l.fail(fmt.Errorf("%w: kind %d", frames.ErrContent, kind))
 			return
 		default:
@@ -150,14 +150,14 @@
 		l.greet()
 	}
 	l.Peer, l.up = g.From, true
-	l.out.Session = frames.SessionOf(use, l.draw, g.Draw)
-	l.in.Session = frames.SessionOf(use, g.Draw, l.draw)
+	l.writer.Session = frames.SessionOf(purpose, l.draw, g.Draw)
+	l.reader.Session = frames.SessionOf(purpose, g.Draw, l.draw)
 	l.h.Up(l)
 	return nil
 }
 
-// ErrEnded is an end by the other side.
-var ErrEnded = errors.New("the other side ended the link")
+// ErrClosed is an end by the other side.
+var ErrClosed = errors.New("the other side ended the link")
 
 // Closed implements transport.Handler.
 func (l *Link) Closed(err error) {
@@ -166,7 +166,7 @@
 	}
 	l.closed = true
 	if err == nil {
-		err = ErrEnded
+		err = ErrClosed
 	}
 	l.h.Down(l, err)
 }
--- a/balancer/fleet/link/link_test.go
+++ b/balancer/fleet/link/link_test.go
@@ -55,10 +55,10 @@
 	to.l.Data(wire)
 }
 
-func TestWordsGoBothWays(t *testing.T) {
+func TestMessagesGoBothWays(t *testing.T) {
 	a, b := pair(keys, keys)
-	a.l.Tell(Word, []byte("to b"))
-	b.l.Tell(Reply, []byte("to a"))
+	a.l.Send(Message, []byte("to b"))
+	b.l.Send(Reply, []byte("to a"))
 	bring(a, b)
 	bring(b, a)
 	if diff := cmp.Diff([]string{"to a"}, a.words) + cmp.Diff([]string{"to b"}, b.words) + cmp.Diff("b", a.l.Peer) + cmp.Diff("a", b.l.Peer); diff != "" {
@@ -86,7 +86,7 @@
 			b := &end{}
 			b.l = Accept(b, "b", keys, b)
 			w := frames.Writer{Keys: keys}
-			text, _ := w.Append(nil, Word, []byte("x"))
+			text, _ := w.Append(nil, Message, []byte("x"))
 			b.l.Data(text)
 			return b
 		}, frames.ErrContent},
@@ -99,7 +99,7 @@
 			b1.l, b2.l = Accept(b1, "b", keys, b1), Accept(b2, "b", keys, b2)
 			bring(a, b1)
 			bring(b1, a)
-			a.l.Tell(Word, []byte("x"))
+			a.l.Send(Message, []byte("x"))
 			b2.l.Data(recorded)
 			b2.l.Data(a.wire)
 			return b2
@@ -113,14 +113,14 @@
 		}, frames.ErrReplayed},
 		"a frame twice": {func() *end {
 			a, b := pair(keys, keys)
-			a.l.Tell(Word, []byte("x"))
+			a.l.Send(Message, []byte("x"))
 			a.wire = append(a.wire, a.wire...)
 			bring(a, b)
 			return b
 		}, frames.ErrReplayed},
 		"a bit flipped": {func() *end {
 			a, b := pair(keys, keys)
-			a.l.Tell(Word, []byte("word"))
+			a.l.Send(Message, []byte("word"))
 			a.wire[len(a.wire)-1] ^= 1
 			bring(a, b)
 			return b
@@ -138,7 +138,7 @@
 func TestAPeerThatDoesNotReadIsNotWaitedFor(t *testing.T) {
 	a, _ := pair(keys, keys)
 	a.stuck = MostUnwritten + 1
-	if a.l.Tell(Word, []byte("x")) || a.l.Dropped != 1 || a.ended {
+	if a.l.Send(Message, []byte("x")) || a.l.Dropped != 1 || a.ended {
 		t.Errorf("dropped %d, ended %v", a.l.Dropped, a.ended)
 	}
 }
--- a/balancer/operator/compat_test.go
+++ b/balancer/operator/compat_test.go
@@ -18,7 +18,7 @@
 	want := &File{
 		Cores: &Cores{Count: 3},
 		Log:   &Log{Level: Level(slog.LevelWarn), Format: "json"},
-		Fleet: &Fleet{Name: "a", Listen: "127.0.0.1:7001", Dir: "/var/lib/ravendale", Keys: "/etc/ravendale/keys", Beat: 250 * time.Millisecond,
+		Fleet: &Fleet{Name: "a", Listen: "127.0.0.1:7001", Dir: "/var/lib/ravendale", Keys: "/etc/ravendale/keys", Heartbeat: 250 * time.Millisecond,
 			Trust: 3 * time.Second, Span: 20 * time.Second, Record: 2 << 20, Alone: "stop", ShutOut: "exit",
 			Members: []Member{{Name: "a", Address: "127.0.0.1:7001"}, {Name: "b", Address: "127.0.0.1:7002"}}},
 	}
--- a/balancer/operator/operator.go
+++ b/balancer/operator/operator.go
@@ -37,17 +37,17 @@
 
 // Fleet has the scheduler settle with others which policy epoch they act under: see docs/fleet.md.
 type Fleet struct {
-	Name    string        `xml:"name,attr,required"`
-	Listen  string        `xml:"listen,attr,required"`
-	Dir     string        `xml:"dir,attr,required"`  // of its state and its record, of this member alone or shared with others' on one disk
-	Keys    string        `xml:"keys,attr,required"` // a file, as package frames has it
-	Beat    time.Duration `xml:"beat,attr"`          // 500ms
-	Trust   time.Duration `xml:"trust,attr"`         // 5s
-	Span    time.Duration `xml:"span,attr"`          // 10s
-	Record  int64         `xml:"record,attr"`        // bytes, 16 MiB
-	Alone   Alone         `xml:"alone,attr"`
-	ShutOut ShutOut       `xml:"shut-out,attr"`
-	Members []Member      `xml:"member"`
+	Name      string        `xml:"name,attr,required"`
+	Listen    string        `xml:"listen,attr,required"`
+	Dir       string        `xml:"dir,attr,required"`  // of its state and its record, of this member alone or shared with others' on one disk
+	Keys      string        `xml:"keys,attr,required"` // a file, as package frames has it
+	Heartbeat time.Duration `xml:"beat,attr"`          // 500ms
+	Trust     time.Duration `xml:"trust,attr"`         // 5s
+	Span      time.Duration `xml:"span,attr"`          // 10s
+	Record    int64         `xml:"record,attr"`        // bytes, 16 MiB
+	Alone     Alone         `xml:"alone,attr"`
+	ShutOut   ShutOut       `xml:"shut-out,attr"`
+	Members   []Member      `xml:"member"`
 }
 
 // Member is one scheduler of a fleet.
@@ -96,7 +96,7 @@
 
 // Defaults puts in what the file leaves out.
 func (f *Fleet) Defaults() {
-	f.Beat = cmp.Or(f.Beat, 500*time.Millisecond)
+	f.Heartbeat = cmp.Or(f.Heartbeat, 500*time.Millisecond)
 	f.Trust = cmp.Or(f.Trust, 5*time.Second)
 	f.Span = cmp.Or(f.Span, 10*time.Second)
 	f.Record = cmp.Or(f.Record, 16<<20)
@@ -107,10 +107,10 @@
 func (f *Fleet) Check(bad func(string)) {
 	d := *f
 	d.Defaults()
-	if d.Beat < 10*time.Millisecond || d.Beat > time.Minute {
-		bad(fmt.Sprintf("beat: %v is not between 10ms and 1m", d.Beat))
+	if d.Heartbeat < 10*time.Millisecond || d.Heartbeat > time.Minute {
+		bad(fmt.Sprintf("beat: %v is not between 10ms and 1m", d.Heartbeat))
 	}
-	if d.Trust < 4*d.Beat || d.Trust > time.Hour {
+	if d.Trust < 4*d.Heartbeat || d.Trust > time.Hour {
 		bad(fmt.Sprintf("trust: %v is not between four beats and 1h", d.Trust))
 	}
 	if d.Span < 100*time.Millisecond || d.Span > time.Hour {
--- a/balancer/platform/node/fleet.go
+++ b/balancer/platform/node/fleet.go
@@ -35,13 +35,13 @@
 	o      FleetOptions
 	agent  *agent.Agent // nil until the state on disk is this process's
 	lock   *os.File
-	stop   func()           // of the listener
-	patch  []byte           // the settings of the epoch that is acted under
-	stand  fleet.StandingOf // as last told
-	away   bool             // clients are sent away by an operator, whatever the fleet says
-	left   chan struct{}    // closed once the place was let go of; nil until then
-	ending bool             // the file's word for one that is shut out
-	waits  time.Duration    // since when the state is another process's
+	stop   func()         // of the listener
+	patch  []byte         // the settings of the epoch that is acted under
+	stand  fleet.Standing // as last told
+	away   bool           // clients are sent away by an operator, whatever the fleet says
+	left   chan struct{}  // closed once the place was let go of; nil until then
+	ending bool           // the file's word for one that is shut out
+	waits  time.Duration  // since when the state is another process's
 }
 
 const (
@@ -65,7 +65,7 @@
 		m.waits = n.loop.Now()
 		n.setLimits()
 		n.core.Gate(n.mayTake)
-		n.stands(fleet.StandingOf{Acts: m.o.File.Alone != "stop", Marked: m.o.File.Alone != "stop", Why: fleet.WhyStarting})
+		n.stands(fleet.Standing{Acts: m.o.File.Alone != "stop", Marked: m.o.File.Alone != "stop", Why: fleet.WhyStarting})
 	}
 	err := os.MkdirAll(m.o.File.Dir, 0o755)
 	if err == nil && m.lock == nil {
@@ -101,9 +101,9 @@
 	m := n.fleet
 	f := &m.o.File
 	o := agent.Options{Loop: n.loop, Network: n.ports, Address: make(map[string]string), Dir: f.Dir, Keys: m.o.Keys, Span: f.Span,
-		Most: f.Record, Log: n.log.With("fleet", f.Name), Build: fmt.Sprint(m.o.Build), File: m.o.Digest, Wall: m.o.Wall,
-		Check: n.checkEpoch, Apply: n.applyEpoch, Stand: n.stands, Done: n.done, Settings: n.settingsDigest(),
-		Member: fleet.Config{Me: f.Name, Beat: f.Beat, Trust: f.Trust, Strict: f.Alone == "stop", Build: m.o.Build,
+		MaxRecord: f.Record, Log: n.log.With("fleet", f.Name), Build: fmt.Sprint(m.o.Build), File: m.o.Digest, Wall: m.o.Wall,
+		Check: n.checkEpoch, Apply: n.applyEpoch, StandingChanged: n.stands, Done: n.done, Settings: n.settingsDigest(),
+		Member: fleet.Config{Me: f.Name, Heartbeat: f.Heartbeat, Trust: f.Trust, Strict: f.Alone == "stop", Build: m.o.Build,
 			Seed: n.cfg.Seed, Nonce: uint64(m.o.Wall())<<20 | uint64(os.Getpid())}}
 	for _, p := range f.Members {
 		o.Member.Names = append(o.Member.Names, p.Name)
@@ -172,7 +172,7 @@
 }
 
 // stands has clients sent away while the member may not take their requests, and ends the process where the file says so.
-func (n *Node) stands(s fleet.StandingOf) {
+func (n *Node) stands(s fleet.Standing) {
 	m := n.fleet
 	m.stand = s
 	n.clients.SendAway(m.away || !s.Acts)
--- a/cmd/ravendale/fleet.go
+++ b/cmd/ravendale/fleet.go
@@ -293,7 +293,7 @@
 		return errors.Join(refusals...)
 	}
 	fmt.Printf("%v handed in at %s\n", e.ID, took)
-	for end := time.Now().Add(c.Wait); ; time.Sleep(f.Beat) {
+	for end := time.Now().Add(c.Wait); ; time.Sleep(f.Heartbeat) {
 		var behind []string
 		for name, s := range c.call(keys, f.Members) {
 			if s.Error != "" || s.Acting != e.ID {
@@ -360,7 +360,7 @@
 		if !all && slices.Contains([]string{audit.Span, audit.Witness, audit.Member, audit.List}, e.Kind) {
 			continue
 		}
-		text := e.Why + e.Words
+		text := e.Why + e.Command
 		if e.Epoch != nil {
 			text = strings.TrimSpace(e.Epoch.String() + " " + text)
 		}
--- a/test/fleettest/bench.go
+++ b/test/fleettest/bench.go
@@ -505,7 +505,7 @@
 			seen := fmt.Sprintf("%+v, acting under %v, in force %v, %+v", s.Standing, s.Acting, s.Force, s.Peers)
 			switch words[0] {
 			case "acts":
-				return s.Standing == fleet.StandingOf{Acts: true} && s.Votes, seen
+				return s.Standing == fleet.Standing{Acts: true} && s.Votes, seen
 			case "marked":
 				return s.Standing.Marked, seen
 			case "shut":
@@ -549,7 +549,7 @@
 		if err != nil {
 			return false, err.Error()
 		}
-		return records.AdoptionTold(member, epoch), "no record says so"
+		return records.AdoptionWitnessed(member, epoch), "no record says so"
 	})
 }
 
--- a/test/fleettest/fleet_test.go
+++ b/test/fleettest/fleet_test.go
@@ -365,7 +365,7 @@
 			t.Errorf("epoch %v was adopted by %v", l.ID, l.Adopted)
 		}
 	}
-	if want.adopted > 0 && !slices.ContainsFunc(a.Epochs, func(l audit.EpochLife) bool { return l.ID.Number == want.adopted && l.InForce > 0 }) {
+	if want.adopted > 0 && !slices.ContainsFunc(a.Epochs, func(l audit.EpochHistory) bool { return l.ID.Number == want.adopted && l.InForce > 0 }) {
 		t.Errorf("epoch %d was never in force: %+v", want.adopted, a.Epochs)
 	}
 	for _, x := range asked {
