--- a/balancer/fleet/agent/agent.go
+++ b/balancer/fleet/agent/agent.go
@@ -1,15 +1,11 @@
-// Package agent is the shell of a fleet's member: it carries the actions of package fleet out on links and disk, and keeps the
+// Package agent is the shell of a fleet's member: it executes the actions of package fleet on links and disk, and keeps the
 // record of what the scheduler acted on. All of it runs on one loop, the scheduler's; the disk has goroutines of its own.
 package agent
 
 import (
-	"bytes"
-	"encoding/json"
-	"errors"
 	"fmt"
 	"log/slog"
 	"maps"
-	"math/rand/v2"
 	"os"
 	"path/filepath"
 	"slices"
@@ -57,7 +53,7 @@
 	startedAt time.Duration
 
 	links    map[string]*peerLink
-	accepted map[*link.Link]time.Duration // those that others made, and when the last word came
+	accepted map[*link.Link]time.Duration // those that others made, and when the last message came
 	state    *stateWriter
 
 	sent      int // at the last span
@@ -71,29 +67,6 @@
 	refused   uint64 // frames and links
 }
 
-// peerLink is the link to one peer that this member makes, with its retries.
-type peerLink struct {
-	name        string
-	link        *link.Link
-	up          bool
-	heard       time.Duration
-	attempts    int
-	next        time.Duration
-	pings       map[uint64]int64 // the own monotonic clock at which a ping was sent, by its number
-	offset      int64            // the peer's monotonic clock less the own one, and how wrong that may be
-	skew        int64            // the same of the wall clocks
-	offsetError int64
-	measured    bool
-	bytes       int64
-	failed      string
-}
-
-// silenceHeartbeats without a word on a link, and it is made anew: after a cut the system would try the old one again in its own time.
-const silenceHeartbeats = 6
-
-// witnessHeartbeats is how often the record says how far the peers' were.
-const witnessHeartbeats = 10
-
 // New reads the member's disk. A state that is torn or changed is set aside: what it might have promised is asked of the peers.
 func New(o Options) (*Agent, error) {
 	began := o.Loop.Now()
@@ -130,14 +103,14 @@
 // mono is the loop's clock in milliseconds since the start; the record is written in turns alone.
 func (a *Agent) mono() int64 { return (a.o.Loop.Now() - a.startedAt).Milliseconds() }
 
-// Start begins to talk. It is called in a turn of the loop, once.
+// Start begins to connect and to send. It is called in a turn of the loop, once.
 func (a *Agent) Start() {
 	a.execute(a.core.Start(a.o.Loop.Now()))
 	a.spanAt = a.o.Loop.Now()
 	a.tick()
 }
 
-// tick is a quarter of a beat.
+// tick comes each quarter of a heartbeat.
 func (a *Agent) tick() {
 	if a.stopped {
 		return
@@ -162,27 +135,6 @@
 	}
 }
 
-// reconnect makes a link that is down, or that nothing was heard on, after a wait of full jitter that grows to ten beats: those who
-// lost one peer together do not come back to it together.
-func (a *Agent) reconnect(n *peerLink, now time.Duration) {
-	if n.link != nil && now-n.heard > silenceHeartbeats*a.o.Member.Heartbeat {
-		n.link.Close()
-		a.down(n, "nothing heard")
-	}
-	if n.link == nil && now >= n.next {
-		n.heard = now
-		n.link = link.Dial(a.o.Network, a.o.Address[n.name], a.o.Member.Me, a.o.Keys, (*dialled)(&dialledEnd{a, n}))
-	}
-}
-
-func (a *Agent) down(n *peerLink, why string) {
-	n.link, n.up, n.failed = nil, false, why
-	most := a.o.Member.Heartbeat << min(n.attempts, 4)
-	n.attempts++
-	n.next = a.o.Loop.Now() + time.Duration(rand.Int64N(int64(min(most, 10*a.o.Member.Heartbeat))))
-	clear(n.pings)
-}
-
 // event feeds the core.
 func (a *Agent) event(ev fleet.Event) {
 	if !a.stopped {
@@ -224,118 +176,8 @@
 // MayTake says whether a request may be taken now. After a stop of the process it is the first to know.
 func (a *Agent) MayTake() bool { return a.core.StandingAt(a.o.Loop.Now()).Acts }
 
-// send sends a word to a peer: on the link that this member made, or, where that is down, on the peer's own.
-func (a *Agent) send(to string, w fleet.Message) {
-	w.Stamp, w.Wall, w.Mono, w.Head = a.clock.Now(a.o.Wall()), a.o.Wall(), a.mono(), a.log.Head()
-	text, err := json.Marshal(w)
-	if err != nil {
-		a.o.Log.Error("a word that can't be written", "err", err) // of plain values: a fault of the program
-		return
-	}
-	n := a.links[to]
-	if n == nil {
-		return
-	}
-	if w.Kind == fleet.Ping {
-		n.pings[w.Number] = w.Mono
-		for number := range n.pings {
-			if number+200 < w.Number {
-				delete(n.pings, number)
-			}
-		}
-	}
-	if n.up && n.link.Send(link.Message, text) {
-		n.bytes += int64(len(text))
-		return
-	}
-	for l := range a.accepted {
-		if l.Peer == to && l.Send(link.Message, text) {
-			n.bytes += int64(len(text))
-			return
-		}
-	}
-}
-
-// receive takes a word that came by a link.
-func (a *Agent) receive(from string, text []byte) error {
-	var w fleet.Message
-	if err := json.Unmarshal(text, &w); err != nil {
-		return fmt.Errorf("%w: %w", frames.ErrContent, err)
-	}
-	n := a.links[w.From]
-	if n == nil || w.From != from {
-		return fmt.Errorf("%w: a word of %q on the link of %q", frames.ErrContent, w.From, from)
-	}
-	a.clock.Saw(w.Stamp)
-	if sent, known := n.pings[w.Number]; w.Kind == fleet.Pong && known {
-		delete(n.pings, w.Number)
-		now := a.mono()
-		n.offset, n.offsetError, n.measured = w.Mono-(sent+now)/2, (now-sent)/2+1, true
-		n.skew = w.Wall - a.o.Wall() + (now-sent)/2
-	}
-	a.event(fleet.Event{Kind: fleet.Received, Message: w})
-	return nil
-}
-
-// add writes an entry of the record.
-func (a *Agent) add(e audit.Entry) {
-	e.At = a.clock.Now(a.o.Wall())
-	a.log.Add(e)
-}
-
-// span closes the span of what was done under the present epoch and standing.
-func (a *Agent) span() {
-	now := a.o.Loop.Now()
-	since := (a.spanAt - a.startedAt).Milliseconds()
-	a.spanAt = now
-	sent, classes := a.o.Done()
-	done := make(map[string]audit.Count)
-	for name, c := range classes {
-		was := a.classes[name]
-		if d := (audit.Count{Taken: c.Taken - was.Taken, Served: c.Served - was.Served, Refused: c.Refused - was.Refused, Failed: c.Failed - was.Failed}); d != (audit.Count{}) {
-			done[name] = d
-		}
-	}
-	n := sent - a.sent
-	a.sent, a.classes = sent, maps.Clone(classes)
-	if n == 0 && len(done) == 0 {
-		return
-	}
-	e := audit.Entry{Kind: audit.Span, Since: since, Sent: n, Classes: done, Marked: a.core.LastStanding().Marked, List: a.listSeq}
-	if id := a.core.Acting(); id.Number > 0 {
-		e.Epoch = &id
-	}
-	a.add(e)
-}
-
-// witness says how far the peers' records were, and how far their clocks were off.
-func (a *Agent) witness() {
-	a.witnessAt = a.o.Loop.Now()
-	seen := make(map[string]audit.Seen)
-	for _, p := range a.core.Peers() {
-		if n := a.links[p.Name]; p.Head.Hash != "" && n.measured {
-			seen[p.Name] = audit.Seen{Head: p.Head, OffMs: n.offset, ErrMs: n.offsetError}
-		}
-	}
-	if len(seen) > 0 {
-		a.witnessed = true
-		a.add(audit.Entry{Kind: audit.Witness, Seen: seen})
-	}
-}
-
-// Command has an operator's call in the record, List the list that is acted on, Settings those of the platform.
-func (a *Agent) Command(words string) { a.add(audit.Entry{Kind: audit.Command, Command: words}) }
-
-// List notes the list of servers that is acted on; it goes into each span.
-func (a *Agent) List(seq int64) { a.listSeq = seq }
-
-// Settings notes that the platform's settings were read again.
-func (a *Agent) Settings(digest string) {
-	a.add(audit.Entry{Kind: audit.Command, Command: "settings", Settings: digest})
-}
-
-// Stop ends the member: its peers are told, and the record is closed with what was done. The disk is waited for in a goroutine, not
-// here: done is called once nothing more is written, by that goroutine.
+// Stop ends the member: its peers are told, and the record is closed with what was done. The disk is waited for in a goroutine,
+// not here: done is called once nothing more is written, by that goroutine.
 func (a *Agent) Stop(why string, done func()) {
 	if a.stopped {
 		return
@@ -360,198 +202,3 @@
 		done()
 	}()
 }
-
-// Opened takes a connection that a peer or a tool made.
-func (a *Agent) Opened(c transport.Conn) transport.Handler {
-	l := link.Accept(c, a.o.Member.Me, a.o.Keys, (*acceptedEnd)(a))
-	a.accepted[l] = a.o.Loop.Now()
-	return l
-}
-
-// dialledEnd is a link that this member made.
-type dialledEnd struct {
-	a *Agent
-	n *peerLink
-}
-
-type dialled dialledEnd
-
-func (d *dialled) Up(l *link.Link) {
-	if l.Peer != d.n.name {
-		d.a.refuse(d.n.name, fmt.Errorf("at its address is %q", l.Peer))
-		l.Close()
-		d.a.down(d.n, "another member is there")
-		return
-	}
-	d.n.up, d.n.attempts, d.n.heard, d.n.failed = true, 0, d.a.o.Loop.Now(), ""
-}
-
-func (d *dialled) Heard(l *link.Link, kind frames.Kind, content []byte) {
-	d.n.heard = d.a.o.Loop.Now()
-	if kind != link.Message {
-		return
-	}
-	if err := d.a.receive(l.Peer, content); err != nil {
-		d.a.refuse(d.n.name, err)
-		l.Close()
-		d.a.down(d.n, err.Error())
-	}
-}
-
-func (d *dialled) Down(l *link.Link, err error) {
-	if d.n.link != l {
-		return
-	}
-	if bad(err) {
-		d.a.refuse(d.n.name, err)
-	}
-	d.a.down(d.n, err.Error())
-}
-
-// acceptedEnd is the agent as the handler of links that others made.
-type acceptedEnd Agent
-
-func (t *acceptedEnd) Up(*link.Link) {}
-
-func (t *acceptedEnd) Heard(l *link.Link, kind frames.Kind, content []byte) {
-	a := (*Agent)(t)
-	a.accepted[l] = a.o.Loop.Now()
-	var err error
-	switch kind {
-	case link.Message:
-		err = a.receive(l.Peer, content)
-	case link.Command:
-		l.Send(link.Reply, a.command(content))
-	default:
-		err = fmt.Errorf("%w: kind %d", frames.ErrContent, kind)
-	}
-	if err != nil {
-		a.refuse(l.Peer, err)
-		delete(a.accepted, l)
-		l.Close()
-	}
-}
-
-func (t *acceptedEnd) Down(l *link.Link, err error) {
-	a := (*Agent)(t)
-	delete(a.accepted, l)
-	if bad(err) {
-		a.refuse(l.Peer, err)
-	}
-}
-
-// bad says whether a link ended for what came by it: a cut or a restart is none of that.
-func bad(err error) bool {
-	for _, e := range []error{frames.ErrForeign, frames.ErrVersion, frames.ErrTooLarge, frames.ErrKey, frames.ErrMAC, frames.ErrReplayed, frames.ErrContent} {
-		if errors.Is(err, e) {
-			return true
-		}
-	}
-	return false
-}
-
-// refuse notes what a link brought that was not taken: the first of each kind and peer in the log, all in the count.
-func (a *Agent) refuse(peer string, err error) {
-	a.refused++
-	if a.refused&(a.refused-1) == 0 { // the 1st, 2nd, 4th, 8th: whoever sends rubbish does not fill the disk
-		a.add(audit.Entry{Kind: audit.Refused, Peer: peer, Why: err.Error()})
-		a.o.Log.Warn("a link was refused", "peer", peer, "err", err, "so far", a.refused)
-	}
-}
-
-// request is what a tool asks, and Status the answer.
-type request struct {
-	Verb    string          `json:"verb"` // status or roll-out
-	Content json.RawMessage `json:"content,omitempty"`
-}
-
-// Status is how a member sees its fleet.
-type Status struct {
-	Error    string                `json:"error,omitempty"`
-	Name     string                `json:"name"`
-	Inc      uint64                `json:"incarnation"`
-	Build    string                `json:"build"`
-	Acting   audit.ID              `json:"acting"`
-	Vote     audit.ID              `json:"vote"`
-	Force    audit.ID              `json:"force"`
-	Amnesiac bool                  `json:"amnesiac"`
-	Votes    bool                  `json:"votes"`
-	Standing fleet.Standing        `json:"standing"`
-	Record   audit.Figures         `json:"record"`
-	Head     audit.Head            `json:"head"`
-	Refused  uint64                `json:"refused"`
-	Peers    map[string]PeerStatus `json:"peers"`
-}
-
-// PeerStatus is how it sees one peer. Ages are in milliseconds, -1 for never.
-type PeerStatus struct {
-	State      fleet.PeerState `json:"state"`
-	Inc        uint64          `json:"incarnation"`
-	Acting     audit.ID        `json:"acting"`
-	Vote       audit.ID        `json:"vote"`
-	HeardMs    int64           `json:"heard_ms"`
-	AnsweredMs int64           `json:"answered_ms"`
-	Link       string          `json:"link"`    // "up", or why not
-	SkewMs     int64           `json:"skew_ms"` // of its wall clock
-	Bytes      int64           `json:"bytes"`   // of words to it
-	Dropped    int             `json:"dropped"`
-}
-
-// command carries out a tool's call.
-func (a *Agent) command(content []byte) []byte {
-	var r request
-	dec := json.NewDecoder(bytes.NewReader(content))
-	dec.DisallowUnknownFields()
-	s := a.Status()
-	switch err := dec.Decode(&r); {
-	case err != nil:
-		s.Error = "the call makes no sense: " + err.Error()
-	case r.Verb == "status":
-	case r.Verb == "roll-out":
-		e, err := fleet.Unpack(r.Content)
-		var acts []fleet.Action
-		if err == nil {
-			acts, err = a.core.Propose(a.o.Loop.Now(), e)
-		}
-		if err != nil {
-			s.Error = err.Error()
-		}
-		a.execute(acts)
-	default:
-		s.Error = fmt.Sprintf("there is no call %q", r.Verb)
-	}
-	text, err := json.Marshal(s)
-	if err != nil {
-		return []byte(`{"error":"no answer can be written"}`)
-	}
-	return text
-}
-
-// Status returns how this member sees its fleet now.
-func (a *Agent) Status() Status {
-	now := a.o.Loop.Now()
-	s := Status{Name: a.o.Member.Me, Inc: a.core.Incarnation(), Build: a.o.Build, Acting: a.core.Acting(), Vote: a.core.Vote(),
-		Force: a.core.Force(), Amnesiac: a.core.Amnesiac(), Votes: a.core.Votes(), Standing: a.core.StandingAt(now), Record: a.log.Figures(), Head: a.log.Head(),
-		Refused: a.refused, Peers: make(map[string]PeerStatus)}
-	age := func(at time.Duration) int64 {
-		if at < 0 {
-			return -1
-		}
-		return (now - at).Milliseconds()
-	}
-	for _, p := range a.core.Peers() {
-		n := a.links[p.Name]
-		ps := PeerStatus{State: p.State, Inc: p.Inc, Acting: p.Adopted, Vote: p.Accepted, HeardMs: age(p.Heard), AnsweredMs: age(p.Answered),
-			Link: "up", SkewMs: n.skew, Bytes: n.bytes}
-		if !n.up {
-			ps.Link = "down"
-			if n.failed != "" {
-				ps.Link += ": " + n.failed
-			}
-		} else {
-			ps.Dropped = n.link.Dropped
-		}
-		s.Peers[p.Name] = ps
-	}
-	return s
-}
