--- a/control/chain/chain.go
+++ b/control/chain/chain.go
@@ -265,7 +265,7 @@
 		c.attached = true
 		c.answerWaiting(now)
 	}
-	c.forward(now)
+	c.forward()
 	c.commitTail()
 }
 
@@ -420,7 +420,7 @@
 	if !c.successor || beat.Synced+1 < c.next && now-c.reachedAt >= AppendAgain {
 		c.resume(now, beat.Synced)
 	}
-	c.forward(now)
+	c.forward()
 }
 
 // resume goes on after what the successor has.
@@ -444,10 +444,10 @@
 		return
 	}
 	c.resume(now, message.Last)
-	c.forward(now)
+	c.forward()
 }
 
-func (c *Chain) forward(now time.Duration) {
+func (c *Chain) forward() {
 	to, ok := c.successorID()
 	if !ok || !c.attached || !c.successor || c.sealed || c.next > c.synced {
 		return
--- a/control/chain/chain_test.go
+++ b/control/chain/chain_test.go
@@ -41,9 +41,8 @@
 	}
 }
 
-func (r *rig) join(id view.ID, state chain.State) *chain.Chain {
+func (r *rig) join(id view.ID, state chain.State) {
 	r.members[id] = chain.New(id, state, applied{r, id})
-	return r.members[id]
 }
 
 func (r *rig) adopt(v *view.View, ids ...view.ID) {
--- a/control/core/core_test.go
+++ b/control/core/core_test.go
@@ -68,7 +68,7 @@
 func freePort(t *testing.T) int {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	require.NoError(t, err)
-	defer listener.Close()
+	defer func() { require.NoError(t, listener.Close()) }()
 	return listener.Addr().(*net.TCPAddr).Port
 }
 
--- a/control/core/cutoff_test.go
+++ b/control/core/cutoff_test.go
@@ -83,7 +83,7 @@
 	s.watchCut(victim, from)
 	served = s.serviceWithout(victim, from)
 	s.run(from + cutTime)
-	s.expectSide(victim, from)
+	s.expectSide(victim)
 	s.cutOff(victim, way, false)
 	s.healed(victim)
 	if s.broken == "" {
@@ -148,7 +148,7 @@
 }
 
 // expectSide makes sure that the others are whole at the end of the cut, and the one that was cut off is not among them.
-func (s *simulation) expectSide(victim *simulated, from time.Duration) {
+func (s *simulation) expectSide(victim *simulated) {
 	if s.broken != "" {
 		return
 	}
--- a/control/core/delivery.go
+++ b/control/core/delivery.go
@@ -70,7 +70,7 @@
 	case *view.Promise:
 		n.onPromise(now, from, m)
 	case *view.Accept:
-		n.onAccept(now, from, m)
+		n.onAccept(from, m)
 	case *view.AcceptReply:
 		n.onAcceptReply(now, from, m)
 	case *chain.Attach:
--- a/control/core/forward_test.go
+++ b/control/core/forward_test.go
@@ -53,7 +53,7 @@
 				return
 			}
 			assert.ErrorIs(t, err, c.want)
-			assert.Equal(t, c.want == ErrUnavailable, errors.Is(err, ErrUnavailable))
+			assert.Equal(t, errors.Is(c.want, ErrUnavailable), errors.Is(err, ErrUnavailable))
 		})
 	}
 }
--- a/control/core/model_actions_test.go
+++ b/control/core/model_actions_test.go
@@ -68,7 +68,7 @@
 func (m *model) recoveries(at int, member *modelMember, add func(bool, string, ...any)) {
 	name := member.address
 	switch {
-	case member.node == nil && !(m.scope.replaces && at == 0):
+	case member.node == nil && (!m.scope.replaces || at != 0):
 		add(false, "start %s", name)
 	case member.frozen:
 		add(false, "thaw %s", name)
--- a/control/core/node.go
+++ b/control/core/node.go
@@ -280,7 +280,7 @@
 			n.log(&record{Write: &actions.Writes[i]})
 		}
 		for i := range actions.Commits {
-			n.apply(now, &actions.Commits[i])
+			n.apply(&actions.Commits[i])
 		}
 		for _, send := range actions.Sends {
 			n.send(send.To, send.Message.(msgp.Marshaler))
@@ -305,7 +305,7 @@
 	}
 }
 
-func (n *node) apply(now time.Duration, entry *chain.Entry) {
+func (n *node) apply(entry *chain.Entry) {
 	for _, pending := range n.pending {
 		if pending.epoch != 0 && pending.epoch < entry.Epoch {
 			pending.epoch = 0 // what was ordered in that epoch has been applied, and this was not in it
--- a/control/core/replacement_test.go
+++ b/control/core/replacement_test.go
@@ -242,8 +242,8 @@
 		}
 	}
 	struck := r.now
-	r.until(failoverBound, func() bool { return r.simulation.newest > struck })
-	if r.simulation.newest <= struck {
+	r.until(failoverBound, func() bool { return r.newest > struck })
+	if r.newest <= struck {
 		r.fail("nothing was answered for %v after the second loss\n%s", r.now-struck, r.describe())
 	}
 }
--- a/control/core/simulation_test.go
+++ b/control/core/simulation_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"cmp"
+	"errors"
 	"fmt"
 	"math"
 	"math/rand/v2"
@@ -579,12 +580,12 @@
 	}
 	delete(m.calls, end.Number)
 	operation := m.s.operations[command]
-	switch end.Err {
-	case nil:
+	switch {
+	case end.Err == nil:
 		m.s.answered++
 		m.s.newest = m.s.now
 		operation.to, operation.output = m.s.now, string(end.Result)
-	case ErrUnavailable:
+	case errors.Is(end.Err, ErrUnavailable):
 		operation.to, operation.output = m.s.now, "never"
 	}
 }
--- a/control/core/views.go
+++ b/control/core/views.go
@@ -31,7 +31,7 @@
 	n.log(&record{Vote: &vote})
 }
 
-func (n *node) onAccept(now time.Duration, from view.Member, m *view.Accept) {
+func (n *node) onAccept(from view.Member, m *view.Accept) {
 	if m.Epoch < n.view.Epoch {
 		n.sendLasting(from.Address, &decided{View: n.view})
 		return
--- a/control/placement/guards_test.go
+++ b/control/placement/guards_test.go
@@ -95,7 +95,7 @@
 	}
 	for _, disk := range disks(s.next, after.Joining) {
 		isNew := !slices.Contains(disks(s.view, before.Joining), disk)
-		if isNew && !s.certain(disk) && !(after.Unsure && slices.Contains(wasFormer, disk)) {
+		if isNew && !s.certain(disk) && (!after.Unsure || !slices.Contains(wasFormer, disk)) {
 			return disk + " is given a part though it may not be counted on"
 		}
 	}
--- a/control/plane/plane_test.go
+++ b/control/plane/plane_test.go
@@ -8,6 +8,7 @@
 	"testing"
 	"time"
 
+	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
 	"ravendale/control/core"
@@ -62,7 +63,7 @@
 	go func() { ended <- opened.Run(ctx) }()
 	s.Cleanup(func() {
 		cancel()
-		<-ended
+		assert.NoError(s, <-ended)
 	})
 	return opened
 }
--- a/control/registry/registry.go
+++ b/control/registry/registry.go
@@ -109,7 +109,8 @@
 
 // Renew takes a renewal that came over a connection, and returns the lease granted; zero if none is.
 func (r *Registry) Renew(now time.Duration, link uint64, renew *wire.Renew) (time.Duration, Changes) {
-	changes := r.forgive(now)
+	r.forgive(now)
+	var changes Changes
 	id := renew.Member.ID
 	if id == "" || r.replaced[id] {
 		return 0, changes
@@ -170,7 +171,8 @@
 // Broken tells that a connection ended. A store whose last renewal came over it must renew soon. A scheduler has its lease, by which
 // it may act, to the end.
 func (r *Registry) Broken(now time.Duration, link uint64) Changes {
-	changes := r.forgive(now)
+	r.forgive(now)
+	var changes Changes
 	for id, known := range r.entries {
 		if known.link != link || link == 0 {
 			continue
@@ -190,7 +192,8 @@
 
 // Tick drops who did not renew in time.
 func (r *Registry) Tick(now time.Duration) Changes {
-	changes := r.forgive(now)
+	r.forgive(now)
+	var changes Changes
 	for id, known := range r.entries {
 		if now >= known.deadline {
 			changes.add(r.drop(id))
@@ -207,9 +210,9 @@
 }
 
 // forgive gives all the time back during which the leader itself stood still: renewals may lie unread.
-func (r *Registry) forgive(now time.Duration) Changes {
+func (r *Registry) forgive(now time.Duration) {
 	if len(r.entries) == 0 || now <= r.next+lateness {
-		return Changes{}
+		return
 	}
 	late := now - r.next
 	for _, known := range r.entries {
@@ -217,7 +220,6 @@
 		known.deadline = max(known.deadline, now+r.config.Reconnect)
 	}
 	r.schedule()
-	return Changes{}
 }
 
 func (r *Registry) schedule() {
--- a/control/state/orders_test.go
+++ b/control/state/orders_test.go
@@ -165,7 +165,7 @@
 		}
 		return
 	}
-	version, _ := versionIn(body)
+	version := versionIn(body)
 	if version <= current || kind == KindPatch && current == 0 {
 		if result.Outcome != OutcomeInvalid {
 			w.fail("%s on version %d was %v", name, current, result.Outcome)
@@ -197,11 +197,11 @@
 }
 
 // versionIn reads the version that a body of the test names.
-func versionIn(body []byte) (uint64, bool) {
+func versionIn(body []byte) uint64 {
 	_, rest, _ := strings.Cut(string(body), `"version":`)
 	number, _, _ := strings.Cut(rest, ",")
-	version, err := strconv.ParseUint(number, 10, 64)
-	return version, err == nil
+	version, _ := strconv.ParseUint(number, 10, 64) // 0 where the body names none
+	return version
 }
 
 // TestOrdersKeepTheirIdentity plays orders against replicas that lag, restart and install images, with histories of 1 to 6 orders.
@@ -213,7 +213,7 @@
 
 func TestMistakesOfIdentityAreCaught(t *testing.T) {
 	byVersion := func(_ Kind, _ uint64, body []byte) digest {
-		version, _ := versionIn(body)
+		version := versionIn(body)
 		return digestOf(0, version, nil)
 	}
 	withoutKind := func(_ Kind, base uint64, body []byte) digest { return digestOf(0, base, body) }
