--- a/queue/apply.go
+++ b/queue/apply.go
@@ -102,7 +102,7 @@
 		e.learned = c.seconds()
 		e.bare = e.state == wire.StateDead && (r.Bare || r.Kind == RecordEnd)
 	}
-	p.table.insert(e)
+	p.insert(e)
 	c.messages++
 	c.place(e, at)
 	return e
--- a/queue/core_test.go
+++ b/queue/core_test.go
@@ -532,6 +532,7 @@
 
 // fillCore puts messages into a core, and has them end if wanted.
 func fillCore(b *testing.B, n int, end bool) *rig {
+	b.Helper()
 	t := &testing.T{}
 	r, peer, e := primary(t)
 	for i := range n {
--- a/queue/journal/journal.go
+++ b/queue/journal/journal.go
@@ -206,7 +206,7 @@
 	good := uint32(segmentHeader)
 	for {
 		header, err := buffered.next(recordHeader)
-		if err == io.EOF {
+		if errors.Is(err, io.EOF) {
 			return good, nil
 		}
 		if err != nil {
@@ -230,7 +230,7 @@
 	}
 }
 
-func isShort(err error) bool { return err == io.EOF || err == io.ErrUnexpectedEOF }
+func isShort(err error) bool { return errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) }
 
 // damage tells a file that ends too soon from a disk that can't be read.
 func damage(err error) error {
@@ -374,7 +374,7 @@
 func readRecord(file *os.File, at Location) ([]byte, error) {
 	buffer := make([]byte, readGuess)
 	n, err := file.ReadAt(buffer, int64(at.Offset))
-	if err != nil && err != io.EOF {
+	if err != nil && !errors.Is(err, io.EOF) {
 		return nil, fmt.Errorf("journal: segment %d: %w", at.Segment, err)
 	}
 	if n < recordHeader {
--- a/queue/journal/scanner.go
+++ b/queue/journal/scanner.go
@@ -2,6 +2,7 @@
 
 import (
 	"bufio"
+	"errors"
 	"io"
 )
 
@@ -24,7 +25,7 @@
 		at := len(s.buffer)
 		s.buffer = append(s.buffer, make([]byte, part)...)
 		if _, err := io.ReadFull(s.reader, s.buffer[at:]); err != nil {
-			if err == io.EOF && at > 0 {
+			if errors.Is(err, io.EOF) && at > 0 {
 				err = io.ErrUnexpectedEOF
 			}
 			return nil, err
--- a/queue/member.go
+++ b/queue/member.go
@@ -170,7 +170,7 @@
 	}
 	answer := &wire.FindReply{Found: true, State: e.state}
 	kept := e.pending() || e.state == wire.StateDead
-	if e.state != wire.StateDone && !(m.Body && kept) {
+	if e.state != wire.StateDone && (!m.Body || !kept) {
 		return answer, nil
 	}
 	r, err := c.whole(p, e)
--- a/queue/peer.go
+++ b/queue/peer.go
@@ -294,7 +294,7 @@
 		w.reply.Send(&wire.ReportReply{Code: wire.PutKept, Epoch: c.epoch()})
 		return
 	}
-	w.reply.Send(c.kept(o.p, o.e, w.edge))
+	w.reply.Send(c.kept(o.e, w.edge))
 }
 
 func (p *partition) removeOp(o *op) {
--- a/queue/requests.go
+++ b/queue/requests.go
@@ -88,7 +88,7 @@
 		c.keepEverywhere(p, e, asks(reply, from))
 		return
 	}
-	reply.Send(c.kept(p, e, from))
+	reply.Send(c.kept(e, from))
 }
 
 // isEverywhere says whether all that a primary has is at enough members. What one before it left unfinished may not be.
@@ -122,7 +122,7 @@
 }
 
 // kept answers a Put of a message that is on disk at all members.
-func (c *Core) kept(p *partition, e *entry, from *edge) *wire.PutReply {
+func (c *Core) kept(e *entry, from *edge) *wire.PutReply {
 	granted := e.live != nil && e.live.granted && e.live.holder == from && from != nil
 	return &wire.PutReply{Code: wire.PutKept, Epoch: c.epoch(), Granted: granted}
 }
--- a/queue/simplan_test.go
+++ b/queue/simplan_test.go
@@ -250,14 +250,13 @@
 	p.checkHeld()
 }
 
-func (p *planned) add() *plannedNode {
+func (p *planned) add() {
 	store := newSimStore(p.sim, len(p.stores), p.config.Copies)
 	p.stores = append(p.stores, store)
 	n := p.adopt(store, fmt.Sprintf("node%d", len(p.nodes)))
 	n.heard = false
 	store.start()
 	p.hear(n, p.between(50*ms, 300*ms))
-	return n
 }
 
 // trouble plays events until the end.
--- a/queue/simrun_test.go
+++ b/queue/simrun_test.go
@@ -14,7 +14,7 @@
 )
 
 // faults plays a fault now and then, so that no more stores are in trouble at once than may be lost.
-func (s *sim) faults(copies int) {
+func (s *sim) faults() {
 	if s.stopped {
 		return
 	}
@@ -22,12 +22,12 @@
 		if s.stopped {
 			return
 		}
-		s.fault(copies)
-		s.faults(copies)
+		s.fault()
+		s.faults()
 	})
 }
 
-func (s *sim) fault(copies int) {
+func (s *sim) fault() {
 	store := s.stores[s.random.IntN(len(s.stores))]
 	switch s.random.IntN(8) {
 	case 0, 1: // a store is killed
@@ -117,7 +117,7 @@
 	copies := 2 + int(seed%2)
 	stores := copies + 1 + int(seed/2%2)
 	s := newSim(t, seed, stores, 2+int(seed%2), 4, copies, m)
-	s.faults(copies)
+	s.faults()
 	s.run(12 * time.Second)
 	s.stopped = true
 	s.run(30 * time.Second)
