--- a/member/agent_test.go
+++ b/member/agent_test.go
@@ -100,6 +100,7 @@
 }
 
 func (l *leader) agent(t *testing.T, change func(*Config)) *Agent {
+	t.Helper()
 	_, port, _ := net.SplitHostPort(l.server.Address())
 	first, _ := strconv.Atoi(port)
 	config := Config{
--- a/rpc/conn.go
+++ b/rpc/conn.go
@@ -41,6 +41,7 @@
 // RemoteError is what the other end answered in place of a reply.
 type RemoteError struct{ Text string }
 
+// Error gives the other end's text.
 func (e *RemoteError) Error() string { return "rpc: peer answered: " + e.Text }
 
 type frameKind uint8
