--- a/Makefile
+++ b/Makefile
@@ -10,6 +10,7 @@
 lint:
 	test -z "$$(gofmt -l .)"
 	go vet ./...
+	go tool -modfile=tools/golangci-lint/go.mod golangci-lint run ./...
 
 run: build
 	PROXY_CONFIG=example/config.json bin/ravendale
