--- a/standin/cluster/cluster.go
+++ b/test/standin/cluster/cluster.go
@@ -7,7 +7,7 @@
 	"path/filepath"
 	"sync"
 
-	"ravendale/standin/client"
+	"ravendale/test/standin/client"
 )
 
 // Cluster is the system on loopback.
@@ -60,6 +60,8 @@
 		path:    base + ".conf",
 		data:    base + ".data",
 		log:     base + ".log",
+
+		programs: c.spec.Programs,
 	}
 }
 
