--- a/balancer/operator/operator.go
+++ b/balancer/operator/operator.go
@@ -25,7 +25,7 @@
 
 // Cores are what the scheduler serves on: see docs/cores.md.
 type Cores struct {
-	Count int `xml:"count,attr,required"`
+	Count int `xml:"count,attr" required:"true"`
 }
 
 // Check implements xmlfile.Checker.
@@ -37,14 +37,14 @@
 
 // Fleet has the scheduler settle with others which policy epoch they act under: see docs/fleet.md.
 type Fleet struct {
-	Name    string        `xml:"name,attr,required"`
-	Listen  string        `xml:"listen,attr,required"`
-	Dir     string        `xml:"dir,attr,required"`  // of its state and its record, of this member alone or shared with others' on one disk
-	Keys    string        `xml:"keys,attr,required"` // a file, as package frames has it
-	Beat    time.Duration `xml:"beat,attr"`          // 500ms
-	Trust   time.Duration `xml:"trust,attr"`         // 5s
-	Span    time.Duration `xml:"span,attr"`          // 10s
-	Record  int64         `xml:"record,attr"`        // bytes, 16 MiB
+	Name    string        `xml:"name,attr" required:"true"`
+	Listen  string        `xml:"listen,attr" required:"true"`
+	Dir     string        `xml:"dir,attr" required:"true"`  // of its state and its record, of this member alone or shared with others' on one disk
+	Keys    string        `xml:"keys,attr" required:"true"` // a file, as package frames has it
+	Beat    time.Duration `xml:"beat,attr"`                 // 500ms
+	Trust   time.Duration `xml:"trust,attr"`                // 5s
+	Span    time.Duration `xml:"span,attr"`                 // 10s
+	Record  int64         `xml:"record,attr"`               // bytes, 16 MiB
 	Alone   Alone         `xml:"alone,attr"`
 	ShutOut ShutOut       `xml:"shut-out,attr"`
 	Members []Member      `xml:"member"`
@@ -52,8 +52,8 @@
 
 // Member is one scheduler of a fleet.
 type Member struct {
-	Name    string `xml:"name,attr,required"`
-	Address string `xml:"address,attr,required"`
+	Name    string `xml:"name,attr" required:"true"`
+	Address string `xml:"address,attr" required:"true"`
 }
 
 // Alone is what a member does that has not heard of a majority: mark (the default) goes on and says so in the record, stop takes
--- a/balancer/xmlfile/xmlfile.go
+++ b/balancer/xmlfile/xmlfile.go
@@ -31,6 +31,7 @@
 	Reason  string
 }
 
+// Error names file and line, the element where there is one, and what is wrong.
 func (p *Problem) Error() string {
 	if p.Element == "" {
 		return fmt.Sprintf("%s:%d: %s", p.File, p.Line, p.Reason)
@@ -41,6 +42,7 @@
 // Problems are all that is wrong with a file, in the order of its lines.
 type Problems []*Problem
 
+// Error has a line for each problem.
 func (ps Problems) Error() string {
 	lines := make([]string, len(ps))
 	for i, p := range ps {
@@ -54,7 +56,7 @@
 
 // Read reads text into the struct that v points to. A field is an attribute (tag `xml:"name,attr"`), a child element
 // (`xml:"name"`: a struct, a pointer to one for one that may be absent, a slice for any number), or not read (no tag). A
-// third word `required` asks for it. Attributes are strings, numbers, true or false, times with a unit ("250ms"), or
+// second tag `required:"true"` asks for it. Attributes are strings, numbers, true or false, times with a unit ("250ms"), or
 // whatever reads itself as encoding.TextUnmarshaler. Values that v has already are the defaults. The error is Problems.
 func Read(file string, text []byte, root string, v any) error {
 	r := &reader{file: file}
@@ -159,12 +161,13 @@
 
 func places(v reflect.Value) (ps []place) {
 	for i := range v.NumField() {
-		tag, given := v.Type().Field(i).Tag.Lookup("xml")
+		tags := v.Type().Field(i).Tag
+		tag, given := tags.Lookup("xml")
 		if !given || tag == "-" {
 			continue
 		}
 		words := strings.Split(tag, ",")
-		ps = append(ps, place{words[0], slices.Contains(words[1:], "attr"), slices.Contains(words[1:], "required"), v.Field(i)})
+		ps = append(ps, place{words[0], slices.Contains(words[1:], "attr"), tags.Get("required") == "true", v.Field(i)})
 	}
 	return ps
 }
--- a/balancer/xmlfile/xmlfile_test.go
+++ b/balancer/xmlfile/xmlfile_test.go
@@ -10,7 +10,7 @@
 )
 
 type sample struct {
-	Name  string        `xml:"name,attr,required"`
+	Name  string        `xml:"name,attr" required:"true"`
 	Wait  time.Duration `xml:"wait,attr"`
 	Part  float64       `xml:"part,attr"`
 	On    bool          `xml:"on,attr"`
@@ -19,7 +19,7 @@
 	Own   *item         `xml:"own"`
 	Must  struct {
 		N int `xml:"n,attr"`
-	} `xml:"must,required"`
+	} `xml:"must" required:"true"`
 }
 
 type item struct {
--- a/cmd/ravendale/fleet.go
+++ b/cmd/ravendale/fleet.go
@@ -214,15 +214,15 @@
 
 // epochFile is the form of a file that is rolled out.
 type epochFile struct {
-	Number   int64         `xml:"number,attr,required"`
-	Floor    int64         `xml:"floor,attr,required"`
-	Within   time.Duration `xml:"within,attr,required"`
+	Number   int64         `xml:"number,attr" required:"true"`
+	Floor    int64         `xml:"floor,attr" required:"true"`
+	Within   time.Duration `xml:"within,attr" required:"true"`
 	Build    int           `xml:"build,attr"`
 	Settings *settingsFile `xml:"settings"`
 }
 
 type settingsFile struct {
-	File string `xml:"file,attr,required"` // JSON, a merge patch (RFC 7396) for the platform's settings; beside the epoch's file
+	File string `xml:"file,attr" required:"true"` // JSON, a merge patch (RFC 7396) for the platform's settings; beside the epoch's file
 }
 
 // Check implements xmlfile.Checker.
--- a/test/lab/experiment.go
+++ b/test/lab/experiment.go
@@ -13,16 +13,16 @@
 
 // Experiment is what an experiment file says.
 type Experiment struct {
-	Name     string    `xml:"name,attr,required"`
+	Name     string    `xml:"name,attr" required:"true"`
 	About    string    `xml:"about,attr"`
 	Seed     uint64    `xml:"seed,attr"`
 	Drivers  int       `xml:"drivers,attr"` // processes of clients
 	Fleets   int       `xml:"fleets,attr"`  // processes of nodes
-	Rules    RulesXML  `xml:"rules,required"`
-	Nodes    []Nodes   `xml:"nodes,required"`
-	Classes  []Class   `xml:"class,required"`
-	Phases   []Phase   `xml:"phase,required"`
-	Variants []Variant `xml:"variant,required"`
+	Rules    RulesXML  `xml:"rules" required:"true"`
+	Nodes    []Nodes   `xml:"nodes" required:"true"`
+	Classes  []Class   `xml:"class" required:"true"`
+	Phases   []Phase   `xml:"phase" required:"true"`
+	Variants []Variant `xml:"variant" required:"true"`
 	Expect   []Expect  `xml:"expect"`
 
 	figures []string // that are shown, if not figureNames
@@ -59,13 +59,13 @@
 
 // Nodes are some nodes of one kind.
 type Nodes struct {
-	Kind  string  `xml:"kind,attr,required"`
-	Count int     `xml:"count,attr,required"`
-	Speed float64 `xml:"speed,attr,required"`
-	Cores float64 `xml:"cores,attr,required"`
-	Slots float64 `xml:"slots,attr,required"`
+	Kind  string  `xml:"kind,attr" required:"true"`
+	Count int     `xml:"count,attr" required:"true"`
+	Speed float64 `xml:"speed,attr" required:"true"`
+	Cores float64 `xml:"cores,attr" required:"true"`
+	Slots float64 `xml:"slots,attr" required:"true"`
 	Queue int     `xml:"queue,attr"`
-	Site  string  `xml:"site,attr,required"`
+	Site  string  `xml:"site,attr" required:"true"`
 }
 
 // Check implements xmlfile.Checker.
@@ -77,13 +77,13 @@
 
 // Class is a class of jobs, as clients ask for it and as the scheduler is told.
 type Class struct {
-	Name    string        `xml:"name,attr,required"`
-	Effect  string        `xml:"effect,attr,required"` // idempotent, keyed or once
-	Share   float64       `xml:"share,attr,required"`
-	Work    time.Duration `xml:"work,attr,required"`
+	Name    string        `xml:"name,attr" required:"true"`
+	Effect  string        `xml:"effect,attr" required:"true"` // idempotent, keyed or once
+	Share   float64       `xml:"share,attr" required:"true"`
+	Work    time.Duration `xml:"work,attr" required:"true"`
 	Slots   float64       `xml:"slots,attr"`
-	GiveUp  time.Duration `xml:"give-up,attr,required"`
-	Aim     time.Duration `xml:"aim,attr,required"`
+	GiveUp  time.Duration `xml:"give-up,attr" required:"true"`
+	Aim     time.Duration `xml:"aim,attr" required:"true"`
 	Stretch float64       `xml:"stretch,attr"`
 	Worth   float64       `xml:"worth,attr"`
 	Kind    string        `xml:"kind,attr"`   // the only kind of node that runs it, any if not given
@@ -103,12 +103,12 @@
 
 // Phase is one kind of load on each variant.
 type Phase struct {
-	Name     string        `xml:"name,attr,required"`
+	Name     string        `xml:"name,attr" required:"true"`
 	Callers  int           `xml:"callers,attr"`
 	Skew     int           `xml:"skew,attr"`
 	Rate     float64       `xml:"rate,attr"`
 	WarmUp   time.Duration `xml:"warm-up,attr"`
-	For      time.Duration `xml:"for,attr,required"`
+	For      time.Duration `xml:"for,attr" required:"true"`
 	Short    time.Duration `xml:"short,attr"` // in place of For, with --short
 	Restarts []RestartXML  `xml:"restart"`
 	Stalls   []StallXML    `xml:"stall"`
@@ -124,25 +124,25 @@
 
 // RestartXML has every so manieth node drained and begun anew, one after the other.
 type RestartXML struct {
-	Every int           `xml:"every,attr,required"` // 4: every fourth node
-	At    time.Duration `xml:"at,attr,required"`    // of the first drain, from the begin of what is measured
-	Step  time.Duration `xml:"step,attr,required"`
-	Drain time.Duration `xml:"drain,attr,required"` // from the drain told to the restart
+	Every int           `xml:"every,attr" required:"true"` // 4: every fourth node
+	At    time.Duration `xml:"at,attr" required:"true"`    // of the first drain, from the begin of what is measured
+	Step  time.Duration `xml:"step,attr" required:"true"`
+	Drain time.Duration `xml:"drain,attr" required:"true"` // from the drain told to the restart
 }
 
 // StallXML has the scheduler's process stand still (SIGSTOP, SIGCONT) for a while.
 type StallXML struct {
-	At  time.Duration `xml:"at,attr,required"`
-	For time.Duration `xml:"for,attr,required"`
+	At  time.Duration `xml:"at,attr" required:"true"`
+	For time.Duration `xml:"for,attr" required:"true"`
 }
 
 // ActXML is something that operators do.
 type ActXML struct {
-	At    time.Duration `xml:"at,attr,required"`
-	Do    string        `xml:"do,attr,required"` // see acts
-	Node  int           `xml:"node,attr"`        // by its number, for 'hand'
-	For   time.Duration `xml:"for,attr"`         // until it is undone: clients are back, the node is put back
-	Cores int           `xml:"cores,attr"`       // of the new version
+	At    time.Duration `xml:"at,attr" required:"true"`
+	Do    string        `xml:"do,attr" required:"true"` // see acts
+	Node  int           `xml:"node,attr"`               // by its number, for 'hand'
+	For   time.Duration `xml:"for,attr"`                // until it is undone: clients are back, the node is put back
+	Cores int           `xml:"cores,attr"`              // of the new version
 }
 
 // acts are what can be done: the configuration is read again; clients are sent away; a node is taken out by hand, begins
@@ -161,7 +161,7 @@
 
 // Variant is one way to run the scheduler.
 type Variant struct {
-	Name   string `xml:"name,attr,required"`
+	Name   string `xml:"name,attr" required:"true"`
 	Cores  int    `xml:"cores,attr"`
 	Binary string `xml:"binary,attr"` // in place of the one given to run
 	GoGC   string `xml:"gogc,attr"`
@@ -169,7 +169,7 @@
 
 // Expect is what must hold of a figure.
 type Expect struct {
-	Figure  string  `xml:"figure,attr,required"`
+	Figure  string  `xml:"figure,attr" required:"true"`
 	Phase   string  `xml:"phase,attr"`   // all, if empty
 	Variant string  `xml:"variant,attr"` // all, if empty
 	Of      string  `xml:"of,attr"`      // as a ratio to that variant's
--- a/test/lab/fleetplays.go
+++ b/test/lab/fleetplays.go
@@ -21,7 +21,7 @@
 
 // FleetExperiment is a file that plays fleets of schedulers on the bench for processes (package fleettest).
 type FleetExperiment struct {
-	Name     string     `xml:"name,attr,required"`
+	Name     string     `xml:"name,attr" required:"true"`
 	About    string     `xml:"about,attr"`
 	Seed     uint64     `xml:"seed,attr"`
 	RollOuts []RollOuts `xml:"roll-outs"`
@@ -32,27 +32,27 @@
 
 // RollOuts are some, one after the other, on a fleet that is well.
 type RollOuts struct {
-	Members int           `xml:"members,attr,required"`
-	Count   int           `xml:"count,attr,required"`
-	Beat    time.Duration `xml:"beat,attr,required"`
-	Trust   time.Duration `xml:"trust,attr,required"`
+	Members int           `xml:"members,attr" required:"true"`
+	Count   int           `xml:"count,attr" required:"true"`
+	Beat    time.Duration `xml:"beat,attr" required:"true"`
+	Trust   time.Duration `xml:"trust,attr" required:"true"`
 }
 
 // Faults are plays of fleettest.Random, a seed each, some side by side.
 type Faults struct {
-	Members int `xml:"members,attr,required"`
-	Seeds   int `xml:"seeds,attr,required"`
-	Short   int `xml:"short,attr,required"`
+	Members int `xml:"members,attr" required:"true"`
+	Seeds   int `xml:"seeds,attr" required:"true"`
+	Short   int `xml:"short,attr" required:"true"`
 	Beside  int `xml:"beside,attr"`
 	Tamper  int `xml:"tamper,attr"` // so many members' records are tampered with afterwards
 }
 
 // Pair compares schedulers with all of it on and off, in turn.
 type Pair struct {
-	Members int           `xml:"members,attr,required"`
-	Rounds  int           `xml:"rounds,attr,required"`
-	Rate    float64       `xml:"rate,attr,required"` // requests a second and scheduler
-	For     time.Duration `xml:"for,attr,required"`
+	Members int           `xml:"members,attr" required:"true"`
+	Rounds  int           `xml:"rounds,attr" required:"true"`
+	Rate    float64       `xml:"rate,attr" required:"true"` // requests a second and scheduler
+	For     time.Duration `xml:"for,attr" required:"true"`
 }
 
 // Check implements xmlfile.Checker.
