--- a/balancer/knowledge/knowledge.go
+++ b/balancer/knowledge/knowledge.go
@@ -40,6 +40,8 @@
 func (k Kind) isRatio() bool { return k <= Prompt }
 
 const (
+	// oldest is what an age is cut to, so that what is reckoned with it does not overflow: nothing of such a word is left.
+	oldest = time.Duration(math.MaxInt64 / 2)
 	// ownMost is how many own observations of an item leave a prior no weight.
 	ownMost = 50
 	// countMost bounds what one donor's observations of an item count: more are no surer of what comes next.
@@ -121,7 +123,7 @@
 			d.doubt()
 			continue
 		}
-		d.words[w.Subject] = &held{value: w.Value, count: min(w.Count, countMost), seenAt: now - w.Age - unsure}
+		d.words[w.Subject] = &held{value: w.Value, count: min(w.Count, countMost), seenAt: now - min(w.Age, oldest) - unsure}
 	}
 	return refused
 }
--- a/balancer/knowledge/knowledge_test.go
+++ b/balancer/knowledge/knowledge_test.go
@@ -120,6 +120,15 @@
 	}
 }
 
+// An age that the clock can't hold counts as the oldest there is: it came round to the future once, and the word counted as new.
+func TestAnAgeBeyondTheClockCountsAsOld(t *testing.T) {
+	b := NewBook()
+	b.Hear("donor", time.Hour, []Word{{saldo, 1, 100, math.MaxInt64}})
+	if w := b.Prior(time.Hour, saldo).Weight; w > 0.1 {
+		t.Errorf("a word of %v weighs %v", time.Duration(math.MaxInt64), w)
+	}
+}
+
 // Whatever donors say, and when: a prior is finite, within what somebody said of that very subject, weighs no more than its
 // donors together may, falls with time and own observations, and is nothing after fifty.
 func TestPriorsOfAnyDonors(t *testing.T) {
