--- a/balancer/audit/read.go
+++ b/balancer/audit/read.go
@@ -4,6 +4,7 @@
 	"bytes"
 	"cmp"
 	"encoding/json"
+	"errors"
 	"fmt"
 	"os"
 	"path/filepath"
@@ -40,6 +41,7 @@
 	Text   string      `json:"text"`
 }
 
+// String names the member, the kind and the place, and says what is wrong there.
 func (f Finding) String() string {
 	return fmt.Sprintf("%s: %s: %s: %s", f.Member, f.Kind, f.Place, f.Text)
 }
@@ -140,7 +142,7 @@
 			}
 		}
 		e, hash, err := readLine(prev, line)
-		if err == errForm || !whole {
+		if errors.Is(err, errForm) || !whole {
 			if last && i == len(lines)-1 && !whole {
 				r.find(Torn, place, "the last line is cut short")
 				return
--- a/balancer/audit/timeline.go
+++ b/balancer/audit/timeline.go
@@ -134,8 +134,8 @@
 	for _, m := range a.Members {
 		for i := range a.records[m].Entries {
 			e := &a.records[m].Entries[i]
-			if e.Entry.At.Compare(stamps[m]) > 0 {
-				stamps[m] = e.Entry.At
+			if e.At.Compare(stamps[m]) > 0 {
+				stamps[m] = e.At
 			}
 			ordered = append(ordered, keyed{stamps[m], e})
 		}
--- a/balancer/config/config.go
+++ b/balancer/config/config.go
@@ -56,11 +56,11 @@
 	Settings json.RawMessage `json:"settings"`
 }
 
-// Getenv and ReadFile are os.Getenv and os.ReadFile, or what a test puts in their place.
-type (
-	Getenv   = func(string) string
-	ReadFile = func(string) ([]byte, error)
-)
+// Getenv is os.Getenv, or what a test puts in its place.
+type Getenv = func(string) string
+
+// ReadFile is os.ReadFile, or what a test puts in its place.
+type ReadFile = func(string) ([]byte, error)
 
 // Load reads the file that PROXY_CONFIG names, by way of the two functions given.
 func Load(getenv Getenv, read ReadFile) (*Config, error) { return loadAs(getenv, read, nil) }
--- a/balancer/fleet/agent/call.go
+++ b/balancer/fleet/agent/call.go
@@ -20,7 +20,7 @@
 	if err != nil {
 		return nil, err
 	}
-	defer c.Close()
+	defer func() { _ = c.Close() }()
 	if deadline, has := ctx.Deadline(); has {
 		if err := c.SetDeadline(deadline); err != nil {
 			return nil, err
--- a/balancer/fleet/agent/state.go
+++ b/balancer/fleet/agent/state.go
@@ -54,7 +54,7 @@
 	if err != nil {
 		return err
 	}
-	defer dir.Close()
+	defer func() { _ = dir.Close() }()
 	return dir.Sync() // else the old name may come back after a crash
 }
 
@@ -67,7 +67,7 @@
 	if err != nil {
 		return s, err
 	}
-	defer f.Close()
+	defer func() { _ = f.Close() }()
 	b, err := io.ReadAll(io.LimitReader(f, maxState+1))
 	if err != nil {
 		return s, err
--- a/balancer/fleet/core.go
+++ b/balancer/fleet/core.go
@@ -374,20 +374,33 @@
 	return floor
 }
 
-func (c *Core) note(e audit.Entry)  { c.acts = append(c.acts, Action{Kind: Note, Entry: e}) }
-func (c *Core) majority() int       { return len(c.cfg.Names)/2 + 1 }
+func (c *Core) note(e audit.Entry) { c.acts = append(c.acts, Action{Kind: Note, Entry: e}) }
+func (c *Core) majority() int      { return len(c.cfg.Names)/2 + 1 }
+
+// Incarnation is the number of this run of the member; it grows with each start.
 func (c *Core) Incarnation() uint64 { return c.state.Incarnation }
-func (c *Core) Acting() ID          { return c.applied }
-func (c *Core) Vote() ID            { return c.vote }
-func (c *Core) Force() ID           { return c.force }
-func (c *Core) Amnesiac() bool      { return c.state.Amnesiac }
+
+// Acting names the epoch by whose settings this member acts.
+func (c *Core) Acting() ID { return c.applied }
+
+// Vote names the epoch that this member voted for last, as it is on disk.
+func (c *Core) Vote() ID { return c.vote }
+
+// Force names the newest epoch that this member knows to be in force.
+func (c *Core) Force() ID { return c.force }
+
+// Amnesiac says whether this member lost its state and may therefore not vote.
+func (c *Core) Amnesiac() bool { return c.state.Amnesiac }
 
 // Votes says whether this member casts votes.
 func (c *Core) Votes() bool {
 	return !c.state.Amnesiac && !c.noDisk && c.everTrust && c.now >= c.sureAt && !c.replaced
 }
 
-func (c *Core) Content(id ID) *Epoch        { return c.epochs[id] }
+// Content returns an epoch, or nil if its content is not known here.
+func (c *Core) Content(id ID) *Epoch { return c.epochs[id] }
+
+// Last returns the standing as it was last worked out.
 func (c *Core) Last() (standing StandingOf) { return c.standing }
 
 // Peers returns what is known of the others, in the order of the file.
--- a/balancer/fleet/holes_test.go
+++ b/balancer/fleet/holes_test.go
@@ -11,14 +11,14 @@
 // Each case is a hole that the random model found, or may find too seldom: played as it is, and it must not open again.
 func TestHolesStayClosed(t *testing.T) {
 	id := epoch(1, 1, "x").ID
-	refuse := func(f *fleetOf, h *host, numbers ...uint64) {
+	refuse := func(h *host, numbers ...uint64) {
 		for _, n := range numbers {
 			h.refuses[epoch(n, n, "x").ID] = true
 		}
 	}
 	for name, play := range map[string]func(t *testing.T, f *fleetOf, a, b, c *host){
 		"a straggler gets no new time by a restart": func(t *testing.T, f *fleetOf, a, b, c *host) {
-			refuse(f, c, 1)
+			refuse(c, 1)
 			_ = f.propose(a, epoch(1, 1, "x"))
 			f.pass(4 * time.Second)
 			f.start(c)
--- a/balancer/http1/http1.go
+++ b/balancer/http1/http1.go
@@ -22,6 +22,7 @@
 	Reason string
 }
 
+// Error gives the reason and the status.
 func (e *Error) Error() string { return fmt.Sprintf("%s (%d)", e.Reason, e.Status) }
 
 func bad(reason string) *Error { return &Error{Status: 400, Reason: reason} }
--- a/balancer/knowledge/snapshot/snapshot.go
+++ b/balancer/knowledge/snapshot/snapshot.go
@@ -115,7 +115,7 @@
 	if err != nil {
 		return nil, err
 	}
-	defer f.Close()
+	defer func() { _ = f.Close() }()
 	b, err := io.ReadAll(io.LimitReader(f, MaxSize+1))
 	if err != nil {
 		return nil, err
--- a/balancer/platform/node/scenario_test.go
+++ b/balancer/platform/node/scenario_test.go
@@ -204,7 +204,6 @@
 	shut    bool
 	reqs    http1.Requests
 	resps   http1.Responses
-	raw     strings.Builder // of a discovery call
 	seen    []string
 }
 
--- a/balancer/platform/node/sockets_test.go
+++ b/balancer/platform/node/sockets_test.go
@@ -31,7 +31,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	stale.Close()
+	_ = stale.Close()
 	loop, stop := scheduler.NewLoop(scheduler.SystemClock()), make(chan struct{})
 	s := &sockets{Engine: nbionet.New(nbionet.Options{Loop: loop, ConnectTimeout: 5e9, Log: slog.New(slog.NewTextHandler(io.Discard, nil))})}
 	if err := s.Start(); err != nil {
--- a/balancer/scheduler/exchange.go
+++ b/balancer/scheduler/exchange.go
@@ -5,6 +5,7 @@
 // AnswerKind says how a session ended.
 type AnswerKind uint8
 
+// The ways in which a session ends.
 const (
 	Served  AnswerKind = iota // Result is what a backend server gave
 	Refused                   // trying again is harmless, best after RetryAfter
--- a/balancer/scheduler/figures.go
+++ b/balancer/scheduler/figures.go
@@ -98,6 +98,9 @@
 // name gives each class of the settings its line, so that it reads 0 and does not come up late.
 func (s *Scheduler) name() {
 	for i := range s.settings.Classes {
-		s.figures.Classes[s.settings.Classes[i].Name] = s.figures.Classes[s.settings.Classes[i].Name]
+		class := s.settings.Classes[i].Name
+		if _, given := s.figures.Classes[class]; !given {
+			s.figures.Classes[class] = ClassFigures{}
+		}
 	}
 }
--- a/balancer/transport/nbionet/nbionet.go
+++ b/balancer/transport/nbionet/nbionet.go
@@ -155,7 +155,7 @@
 		return nil, 0, err
 	}
 	file := os.NewFile(uintptr(fds[0]), "pair")
-	defer file.Close()
+	defer func() { _ = file.Close() }()
 	std, err := net.FileConn(file)
 	if err == nil {
 		near, err = nbio.NBConn(std)
@@ -408,7 +408,7 @@
 	if f == nil {
 		return nil, fmt.Errorf("descriptor %d is none", descriptor)
 	}
-	defer f.Close() // of the original; the listener has a copy
+	defer func() { _ = f.Close() }() // of the original; the listener has a copy
 	ln, err := net.FileListener(f)
 	if err != nil {
 		return nil, fmt.Errorf("descriptor %d: %w", descriptor, err)
--- a/balancer/transport/nbionet/nbionet_test.go
+++ b/balancer/transport/nbionet/nbionet_test.go
@@ -77,7 +77,7 @@
 	if err != nil {
 		t.Skip("no loopback address 127.9.8.7 here: ", err)
 	}
-	defer ln.Close()
+	defer func() { _ = ln.Close() }()
 	e, o, _ := start(t)
 	n := newEnd()
 	big := bytes.Repeat([]byte("0123456789abcdef"), 64<<10)
@@ -98,7 +98,9 @@
 		}
 	})
 	_ = far.Close()
-	<-n.closed
+	if err := <-n.closed; err == nil {
+		t.Error("closed without a reason")
+	}
 }
 
 func TestAFailedDialIsToldOnce(t *testing.T) {
@@ -138,7 +140,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer far.Close()
+	defer func() { _ = far.Close() }()
 	l := &latch{owner: owner{scheduler.NewLoop(scheduler.SystemClock())}, begun: make(chan struct{}), goOn: make(chan struct{})}
 	e := New(Options{Loop: l, ConnectTimeout: 5 * time.Second})
 	if err := e.Start(); err != nil {
@@ -169,7 +171,7 @@
 		t.Fatal(err)
 	}
 	_ = c.SetReadDeadline(time.Now().Add(5 * time.Second))
-	if _, err := c.Read(make([]byte, 1)); err != io.EOF {
+	if _, err := c.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
 		t.Error("the far end sees: ", err)
 	}
 }
@@ -180,7 +182,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer ln.Close()
+	defer func() { _ = ln.Close() }()
 	raw, err := ln.(*net.TCPListener).SyscallConn()
 	if err == nil {
 		_ = raw.Control(func(fd uintptr) { err = syscall.Listen(int(fd), 0) })
@@ -192,7 +194,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer filler.Close()
+	defer func() { _ = filler.Close() }()
 	e, o, _ := start(t)
 	n := newEnd()
 	o.on(func() { n.net = e.Dial(ln.Addr().String(), n) })
@@ -209,12 +211,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer far.Close()
+	defer func() { _ = far.Close() }()
 	client, err := net.Dial("tcp", far.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer client.Close()
+	defer func() { _ = client.Close() }()
 	late, err := far.Accept()
 	if err != nil {
 		t.Fatal(err)
@@ -229,7 +231,7 @@
 	})
 	o.on(func() {}) // after the turn of that one
 	_ = client.SetReadDeadline(time.Now().Add(5 * time.Second))
-	if _, err := client.Read(make([]byte, 1)); err != io.EOF {
+	if _, err := client.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
 		t.Error("the client sees: ", err)
 	}
 	if g.mu.Lock(); g.open != 0 {
@@ -258,7 +260,7 @@
 			t.Errorf("got %q, %v", back, err)
 		}
 		o.on(func() { n.net.Close() })
-		if _, err := c.Read(back); err != io.EOF { // hung now and then before Close shut the socket down
+		if _, err := c.Read(back); !errors.Is(err, io.EOF) { // hung now and then before Close shut the socket down
 			t.Errorf("read after the close: %v", err)
 		}
 		_ = c.Close()
@@ -273,7 +275,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer c.Close()
+	defer func() { _ = c.Close() }()
 	n := <-accepted
 	o.on(func() { n.net.Write([]byte("no")); n.net.Finish() })
 	if got, err := io.ReadAll(c); err != nil || string(got) != "no" {
@@ -283,7 +285,7 @@
 	for err == nil { // until the engine closes: the test hangs here if it never does
 		_, err = c.Write(flood)
 	}
-	<-n.closed
+	<-n.closed //nolint:errcheck // that it comes is what is waited for: the reason may be none
 	if len(n.data) > 0 {
 		t.Error("bytes that are not wanted were handed on")
 	}
@@ -296,7 +298,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer c.Close()
+	defer func() { _ = c.Close() }()
 	n := <-accepted
 	inTurn, goOn := make(chan struct{}), make(chan struct{})
 	o.Post(func() { close(inTurn); <-goOn })
@@ -327,7 +329,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer held.Close()
+	defer func() { _ = held.Close() }()
 	e, o, accepted := start(t)
 	file, err := held.(*net.TCPListener).File()
 	if err != nil {
@@ -337,7 +339,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	file.Close()
+	_ = file.Close()
 	ln, err := Listen("ignored", fd)
 	if err != nil {
 		t.Fatal(err)
@@ -348,7 +350,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		t.Cleanup(func() { c.Close() })
+		t.Cleanup(func() { _ = c.Close() })
 		return c
 	}
 	dial()
@@ -365,7 +367,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer c.Close()
+	defer func() { _ = c.Close() }()
 	if c.RemoteAddr().String() != theirs.LocalAddr().String() {
 		t.Fatal("accepted another connection")
 	}
@@ -377,7 +379,7 @@
 	if c, err = held.Accept(); err != nil {
 		t.Fatal("ending the engine ended the shared listener: ", err)
 	}
-	c.Close()
+	_ = c.Close()
 	New(Options{Loop: o, Log: slog.New(slog.NewTextHandler(io.Discard, nil))}).Close()
 }
 
@@ -388,7 +390,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer c.Close()
+	defer func() { _ = c.Close() }()
 	n := <-accepted
 	for range 200 {
 		echoed := make(chan int, 1)
@@ -467,7 +469,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer ln.Close()
+	defer func() { _ = ln.Close() }()
 	n := newEnd()
 	o.on(func() { n.net = e.Dial(path, n) })
 	<-n.connected
@@ -477,7 +479,7 @@
 			n.net.Write(text)
 		}
 	})
-	if err := <-n.closed; err != errBehind {
+	if err := <-n.closed; !errors.Is(err, errBehind) {
 		t.Error(err)
 	}
 	o.on(func() {
@@ -513,8 +515,10 @@
 	if more := <-adopted.data; string(text)+string(buf[:n])+string(more) != "with itanswermore" {
 		t.Errorf("%q, %q and %q came, %v", text, buf[:n], more, err)
 	}
-	client.Close()
-	<-adopted.closed
+	_ = client.Close()
+	if err := <-adopted.closed; err == nil {
+		t.Error("closed without a reason")
+	}
 	if len(held.closed)+len(held.data) > 0 {
 		t.Error("whoever gave it away heard of it again")
 	}
@@ -545,7 +549,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			defer far.Close()
+			defer func() { _ = far.Close() }()
 			var clients []*net.TCPConn
 			var held []*end
 			dial := func() {
@@ -579,7 +583,7 @@
 				if err != nil {
 					t.Fatal(err)
 				}
-				defer syscall.Close(fd)
+				defer func() { _ = syscall.Close(fd) }()
 				if fd > last {
 					break
 				}
@@ -637,7 +641,7 @@
 		t.Fatal(err)
 	}
 	fd, err := syscall.Dup(int(file.Fd()))
-	file.Close()
+	_ = file.Close()
 	if err != nil {
 		t.Fatal(err)
 	}
