--- a/cluster/catalog/findings.go
+++ b/cluster/catalog/findings.go
@@ -14,6 +14,7 @@
 	Reason string `json:"reason"`
 }
 
+// String gives the place and the reason.
 func (f Finding) String() string { return f.Place + ": " + f.Reason }
 
 // Findings are all things that were found wrong.
--- a/cluster/program/program.go
+++ b/cluster/program/program.go
@@ -52,11 +52,11 @@
 func start(arguments Arguments, hangup <-chan os.Signal, output io.Writer, run func(context.Context, Environment) error) int {
 	loaded, err := settings.Load(arguments.Settings)
 	if err != nil {
-		fmt.Fprintln(output, err)
+		_, _ = fmt.Fprintln(output, err)
 		return ExitSettings
 	}
 	if arguments.Check {
-		fmt.Fprintf(output, "%s: no findings\n", arguments.Settings)
+		_, _ = fmt.Fprintf(output, "%s: no findings\n", arguments.Settings)
 		return ExitOK
 	}
 	log := Logger(output, arguments.LogLevel, arguments.LogFormat).With("node", loaded.Node)
--- a/control/core/node.go
+++ b/control/core/node.go
@@ -256,18 +256,18 @@
 
 // finish ends each step: it delivers what the node sent to itself, and gives the changes to the disk.
 func (n *node) finish(now time.Duration) {
-	n.drain(now)
+	n.drain()
 	for len(n.inbox) > 0 {
 		letter := n.inbox[0]
 		n.inbox = n.inbox[1:]
 		n.dispatch(now, letter.from, letter.message)
-		n.drain(now)
+		n.drain()
 	}
 	n.flush(now)
 }
 
 // drain turns the chain's actions into the node's.
-func (n *node) drain(now time.Duration) {
+func (n *node) drain() {
 	for {
 		actions := n.chain.Take()
 		if actions.Install == nil && len(actions.Writes)+len(actions.Commits)+len(actions.Sends) == 0 {
@@ -349,7 +349,7 @@
 	n.view = *next
 	n.log(&record{View: next})
 	n.follow(now, false)
-	n.drain(now)
+	n.drain()
 	if n.chain.Position() < 0 && n.holder.Valid(now) {
 		n.drop(lossChain)
 	}
--- a/control/core/persist.go
+++ b/control/core/persist.go
@@ -96,7 +96,7 @@
 	}
 	for len(n.marks) > 0 && n.marks[0].batch <= batch {
 		n.chain.OnDisk(now, n.marks[0].mark)
-		n.drain(now)
+		n.drain()
 		n.marks = n.marks[1:]
 	}
 	if n.config.faults.alone {
--- a/control/discovery/discovery_test.go
+++ b/control/discovery/discovery_test.go
@@ -160,14 +160,14 @@
 func TestBadAnswersAreErrors(t *testing.T) {
 	for name, answer := range map[string]func(int, http.ResponseWriter, *http.Request){
 		"status": func(_ int, w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusInternalServerError) },
-		"json":   func(_ int, w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, `{"instances":[`) },
+		"json":   func(_ int, w http.ResponseWriter, _ *http.Request) { _, _ = fmt.Fprint(w, `{"instances":[`) },
 		"cut": func(_ int, w http.ResponseWriter, _ *http.Request) {
 			w.Header().Set("Content-Length", "1000")
-			fmt.Fprint(w, `{"instances":[]}`)
+			_, _ = fmt.Fprint(w, `{"instances":[]}`)
 		},
 		"long": func(_ int, w http.ResponseWriter, _ *http.Request) {
 			w.Header().Set("Content-Length", fmt.Sprint(maxPage+1))
-			fmt.Fprint(w, strings.Repeat(" ", maxPage+1))
+			_, _ = fmt.Fprint(w, strings.Repeat(" ", maxPage+1))
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/wire/reader.go
+++ b/internal/wire/reader.go
@@ -18,6 +18,7 @@
 // MessageKind tells what a Message is.
 type MessageKind uint8
 
+// The kinds of message, each with the fields of Message that count.
 const (
 	Clock MessageKind = iota // a batch begins: Now, Frame
 	Start                    // an instance begins: Instance, Seed, Settings
