--- a/api.go
+++ b/api.go
@@ -15,6 +15,7 @@
 // Effect says what a second run of a job does.
 type Effect uint8
 
+// The effects of a second run.
 const (
 	Safe   Effect = iota // may run any number of times
 	Keyed                // the workers of one Group discard repeats inside Class.Window
@@ -24,10 +25,11 @@
 // Group says which workers discard each other's repeats of a Keyed job.
 type Group uint8
 
+// The groups.
 const (
-	GroupAll Group = iota
-	GroupZone
-	GroupCell
+	GroupAll  Group = iota // all workers
+	GroupZone              // those of one zone
+	GroupCell              // those of one cell
 )
 
 // Class describes a kind of job.
@@ -103,19 +105,21 @@
 // ReportMode says where load reports come from.
 type ReportMode uint8
 
+// The modes of load reports.
 const (
-	NoReports ReportMode = iota
-	ReportsInAnswers
-	ReportsInProbes
+	NoReports        ReportMode = iota // none come
+	ReportsInAnswers                   // with the answer to each attempt
+	ReportsInProbes                    // with the answer to each probe
 )
 
 // Availability is a worker's state by the list.
 type Availability uint8
 
+// The states of a worker.
 const (
-	Gone Availability = iota
-	Ready
-	Draining
+	Gone     Availability = iota // not in the list any more
+	Ready                        // takes new jobs
+	Draining                     // finishes what it has, and takes no new jobs
 )
 
 // Entry is one worker in a list.
@@ -133,6 +137,7 @@
 // ListKind says how the entries of a WorkerList event apply.
 type ListKind uint8
 
+// The kinds of list.
 const (
 	Delta  ListKind = iota // changed entries only
 	Full                   // the whole list
@@ -143,16 +148,17 @@
 // Outcome is how an attempt ended.
 type Outcome uint8
 
+// The outcomes of an attempt.
 const (
-	OK            Outcome = iota
-	Error                 // may have run
-	FullUp                // turned away unseen
-	TimedOut              // may have run, may still run
-	ConnectFailed         // never ran
-	Reset                 // may have run
-	Cancelled             // may have run
-	NotSent               // never ran
-	Rejected              // the worker could not use the request; nothing promises that it did not run
+	OK            Outcome = iota // it ran to its end
+	Error                        // may have run
+	FullUp                       // turned away unseen
+	TimedOut                     // may have run, may still run
+	ConnectFailed                // never ran
+	Reset                        // may have run
+	Cancelled                    // may have run
+	NotSent                      // never ran
+	Rejected                     // the worker could not use the request; nothing promises that it did not run
 )
 
 // Load is a worker's report of itself; a field it did not give is negative.
@@ -166,6 +172,7 @@
 // EventKind tells what an Event reports, and so which of its fields count.
 type EventKind uint8
 
+// The kinds of event, each with the fields of Event that count.
 const (
 	JobArrived    EventKind = iota // Job, Class, Tenant, Key, Left, Work, Slots, Memory, Retry, Attempts
 	JobStarted                     // Job, Attempt
@@ -265,6 +272,7 @@
 // ActionKind tells what an Action asks for, and so which of its fields count.
 type ActionKind uint8
 
+// The kinds of action, each with the fields of Action that count.
 const (
 	Send      ActionKind = iota // Job, Worker, By: attempts count 0, 1, 2 in the order of their sends
 	Cancel                      // Job, Attempt
--- a/dispatcher_test.go
+++ b/dispatcher_test.go
@@ -135,8 +135,8 @@
 }
 
 // free is a report of free slots that comes with an outcome.
-func (b *bench) endWith(id JobID, attempt int, o Outcome, free float64) []Action {
-	return b.do(Event{Kind: AttemptEnded, Job: id, Attempt: attempt, Outcome: o, Closed: o == OK,
+func (b *bench) endWith(id JobID, attempt int, o Outcome, free float64) {
+	b.do(Event{Kind: AttemptEnded, Job: id, Attempt: attempt, Outcome: o, Closed: o == OK,
 		Load: Load{Given: true, FreeSlots: free, InFlight: -1, Busy: -1}})
 }
 
