--- a/cmd/ravendale-control/control.go
+++ b/cmd/ravendale-control/control.go
@@ -49,5 +49,5 @@
 	stop, cancel := context.WithTimeout(context.Background(), stopWithin)
 	defer cancel()
 	_ = c.api.Shutdown(stop)
-	return nil
+	return err
 }
--- a/cmd/ravendale-edge/edge.go
+++ b/cmd/ravendale-edge/edge.go
@@ -62,7 +62,7 @@
 	taken [wire.TopicCount]wire.Version
 }
 
-func newEdge(env program.Environment) (*edge, error) {
+func newEdge(env program.Environment) *edge {
 	s := env.Settings
 	e := &edge{env: env, id: strconv.FormatUint(rand.Uint64(), 36), mux: rpc.NewMux(), workers: worker.NewClient()}
 	id := e.id
@@ -84,7 +84,7 @@
 		Queue: e.queue, Index: e.plane.Index, Ready: e.isCurrent, Takes: e.plane.Takes,
 		MaxConns: max(s.MaxFds-otherDescriptors, leastConns), Log: env.Log,
 	})
-	return e, nil
+	return e
 }
 
 func planeConfig(s *settings.Settings, id string) dispatch.Config {
--- a/cmd/ravendale-edge/edge_test.go
+++ b/cmd/ravendale-edge/edge_test.go
@@ -209,8 +209,7 @@
 	s.PortRange = []int{port - 1, port + 1}
 	s.ListenHTTP = fmt.Sprintf("127.0.0.1:%d", freePort(r.t))
 	s.ListenReady = fmt.Sprintf("127.0.0.1:%d", freePort(r.t))
-	e, err := newEdge(program.Environment{Settings: s, Log: r.log, Path: "none"})
-	require.NoError(r.t, err)
+	e := newEdge(program.Environment{Settings: s, Log: r.log, Path: "none"})
 	e.current = func() bool { return true }
 	ctx, cancel := context.WithCancel(context.Background())
 	added := &rigEdge{edge: e, stop: cancel, done: make(chan error, 1)}
--- a/cmd/ravendale-edge/main.go
+++ b/cmd/ravendale-edge/main.go
@@ -14,10 +14,6 @@
 	program.Run("ravendale-edge", "Takes messages from clients and delivers them to workers.",
 		func(ctx context.Context, env program.Environment) error {
 			program.Memory(garbagePercent, env.Settings.MemoryMb)
-			e, err := newEdge(env)
-			if err != nil {
-				return err
-			}
-			return e.run(ctx)
+			return newEdge(env).run(ctx)
 		})
 }
--- a/cmd/ravendale-store/corehost.go
+++ b/cmd/ravendale-store/corehost.go
@@ -205,7 +205,7 @@
 
 // wait returns once nothing of the core runs any more, after the context of run has ended.
 func (h *coreHost) wait() {
-	h.mu.Lock() // what has begun before the context ended is counted
-	h.mu.Unlock()
+	h.mu.Lock()   // what has begun before the context ended is counted
+	h.mu.Unlock() //nolint:staticcheck // SA2001: it is only waited for
 	h.work.Wait()
 }
--- a/cmd/ravendale/fleet.go
+++ b/cmd/ravendale/fleet.go
@@ -174,11 +174,11 @@
 
 func showStatus(to io.Writer, all map[string]*agent.Status) error {
 	w := tabwriter.NewWriter(to, 0, 0, 2, ' ', 0)
-	fmt.Fprintln(w, "MEMBER\tINCARNATION\tBUILD\tACTS UNDER\tIN FORCE\tSTANDING\tPEERS ALIVE\tLAG\tRECORD\tNOTES")
+	_, _ = fmt.Fprintln(w, "MEMBER\tINCARNATION\tBUILD\tACTS UNDER\tIN FORCE\tSTANDING\tPEERS ALIVE\tLAG\tRECORD\tNOTES")
 	for _, name := range slices.Sorted(maps.Keys(all)) {
 		s := all[name]
 		if s.Error != "" {
-			fmt.Fprintf(w, "%s\t\t\t\t\tno answer\t\t\t\t%s\n", name, s.Error)
+			_, _ = fmt.Fprintf(w, "%s\t\t\t\t\tno answer\t\t\t\t%s\n", name, s.Error)
 			continue
 		}
 		standing, notes := "acts", []string{}
@@ -206,7 +206,7 @@
 		if s.Refused > 0 {
 			notes = append(notes, fmt.Sprintf("%d refused", s.Refused))
 		}
-		fmt.Fprintf(w, "%s\t%d\t%s\t%v\t%v\t%s\t%d of %d\t%d ms\t%d\t%s\n", name, s.Inc, s.Build, s.Acting, s.Force, standing, alive, len(s.Peers),
+		_, _ = fmt.Fprintf(w, "%s\t%d\t%s\t%v\t%v\t%s\t%d of %d\t%d ms\t%d\t%s\n", name, s.Inc, s.Build, s.Acting, s.Force, standing, alive, len(s.Peers),
 			lag, s.Head.Seq, strings.Join(notes, ", "))
 	}
 	return w.Flush()
@@ -367,26 +367,26 @@
 		if e.Kind == audit.Standing {
 			text = fmt.Sprintf("acts=%v marked=%v %s", *e.Acts, e.Marked, e.Why)
 		}
-		fmt.Fprintf(to, "%s  %-10s %-10s %s\n", clock(e.When), e.Member, e.Kind, strings.TrimSpace(text+" "+e.From+" "+e.Peer+" "+e.State))
+		_, _ = fmt.Fprintf(to, "%s  %-10s %-10s %s\n", clock(e.When), e.Member, e.Kind, strings.TrimSpace(text+" "+e.From+" "+e.Peer+" "+e.State))
 	}
 	for _, l := range a.Epochs {
 		if l.InForce == 0 {
-			fmt.Fprintf(to, "epoch %v: never in force\n", l.ID)
+			_, _ = fmt.Fprintf(to, "epoch %v: never in force\n", l.ID)
 			continue
 		}
-		fmt.Fprintf(to, "epoch %v: in force %s, floor %d from %s, adopted by %d of %d\n", l.ID, clock(l.InForce), l.Floor, clock(l.Date), len(l.Adopted), len(a.Members))
+		_, _ = fmt.Fprintf(to, "epoch %v: in force %s, floor %d from %s, adopted by %d of %d\n", l.ID, clock(l.InForce), l.Floor, clock(l.Date), len(l.Adopted), len(a.Members))
 		if l.Conflict {
-			fmt.Fprintf(to, "BROKEN: another content was in force as epoch %d\n", l.ID.Number)
+			_, _ = fmt.Fprintf(to, "BROKEN: another content was in force as epoch %d\n", l.ID.Number)
 		}
 	}
 	for _, s := range a.Straggled {
-		fmt.Fprintf(to, "straggler %s under epoch %v: %s %d ms after the date %s\n", s.Member, s.Epoch, s.End, s.AfterMs, s.From)
+		_, _ = fmt.Fprintf(to, "straggler %s under epoch %v: %s %d ms after the date %s\n", s.Member, s.Epoch, s.End, s.AfterMs, s.From)
 	}
 	for _, b := range a.Below {
-		fmt.Fprintf(to, "BROKEN: %s took %d requests below floor %d in the span that ended %s, %d ms after the date (%s)\n", b.Member, b.Taken, b.Floor,
+		_, _ = fmt.Fprintf(to, "BROKEN: %s took %d requests below floor %d in the span that ended %s, %d ms after the date (%s)\n", b.Member, b.Taken, b.Floor,
 			clock(b.When), b.When-b.Date, b.Place)
 	}
 	for _, f := range a.Findings {
-		fmt.Fprintln(to, "found:", f)
+		_, _ = fmt.Fprintln(to, "found:", f)
 	}
 }
--- a/cmd/ravendale/stop_test.go
+++ b/cmd/ravendale/stop_test.go
@@ -89,7 +89,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer w.Close()
+	defer func() { _ = w.Close() }()
 	if _, err := http.ReadRequest(bufio.NewReader(w)); err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/ravendalectl/main.go
+++ b/cmd/ravendalectl/main.go
@@ -46,7 +46,7 @@
 		return exitDone // help was asked for, and given
 	}
 	if err != nil {
-		fmt.Fprintf(problems, "ravendalectl: %v\nnext: see ravendalectl --help\n", err)
+		_, _ = fmt.Fprintf(problems, "ravendalectl: %v\nnext: see ravendalectl --help\n", err)
 		return exitUsage
 	}
 	if err := parsed.Run(env); err != nil {
--- a/deploy/build_test.go
+++ b/deploy/build_test.go
@@ -23,7 +23,7 @@
 	if err != nil {
 		t.Fatalf("%v: 'make build' makes it", err)
 	}
-	defer f.Close()
+	defer func() { _ = f.Close() }()
 	interpreter := f.Section(".interp") != nil
 	if libraries, err := f.ImportedLibraries(); err != nil || !interpreter || !slices.Contains(libraries, "libc.so.6") {
 		t.Errorf("bin/ravendale has an interpreter: %v; it needs %v (%v)", interpreter, libraries, err)
--- a/deploy/packages_test.go
+++ b/deploy/packages_test.go
@@ -1,12 +1,12 @@
 package deploy
 
 import (
+	"fmt"
 	"io/fs"
 	"os"
 	"os/exec"
 	"path/filepath"
 	"regexp"
-	"runtime"
 	"slices"
 	"strings"
 	"testing"
@@ -203,9 +203,13 @@
 // run gives a command to a shell that finds only the root's programs and Go; the C compiler finds only the root's headers, libraries
 // and programs.
 func (r systemRoot) run(folder, command string) (output []byte, err error) {
+	tools, err := goRoot()
+	if err != nil {
+		return nil, fmt.Errorf("go env GOROOT: %w", err)
+	}
 	shell := exec.Command(filepath.Join(r.folder, "bin", "sh"), "-c", command)
 	shell.Dir = folder
-	path := []string{filepath.Join(r.folder, "bin"), filepath.Join(r.folder, "usr/bin"), filepath.Join(goRoot(), "bin")}
+	path := []string{filepath.Join(r.folder, "bin"), filepath.Join(r.folder, "usr/bin"), filepath.Join(tools, "bin")}
 	shell.Env = append(goEnvironment(),
 		"PATH="+strings.Join(path, ":"),
 		"CC=gcc -no-canonical-prefixes --sysroot="+r.folder,
@@ -226,11 +230,10 @@
 	return kept
 }
 
-func goRoot() string {
-	if output, err := exec.Command("go", "env", "GOROOT").Output(); err == nil {
-		return strings.TrimSpace(string(output))
-	}
-	return runtime.GOROOT()
+// goRoot is the folder of the Go tools that play the test; without an answer from them no build could work.
+func goRoot() (string, error) {
+	output, err := exec.Command("go", "env", "GOROOT").Output()
+	return strings.TrimSpace(string(output)), err
 }
 
 // copyOfSources copies what a build reads, as a clean checkout has it.
--- a/example/toyserver/main.go
+++ b/example/toyserver/main.go
@@ -34,7 +34,7 @@
 func list(dial string) http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /v1/endpoints", func(w http.ResponseWriter, r *http.Request) {
-		fmt.Fprintf(w, `{"seq":1,"whole":true,"hosts":[{"host":%q,"dial":%q,"site":"here","class":"toy",`+
+		_, _ = fmt.Fprintf(w, `{"seq":1,"whole":true,"hosts":[{"host":%q,"dial":%q,"site":"here","class":"toy",`+
 			`"block":0,"health":"in_service","share":1.0,"born_ms":0}]}`+"\n", name, dial)
 		for r.URL.Query().Get("stream") == "1" {
 			if http.NewResponseController(w).Flush() != nil {
@@ -44,7 +44,7 @@
 			case <-r.Context().Done():
 				return
 			case <-time.After(2 * time.Second):
-				fmt.Fprintln(w)
+				_, _ = fmt.Fprintln(w)
 			}
 		}
 	})
