--- a/control/core/bootstrapstores.go
+++ b/control/core/bootstrapstores.go
@@ -97,8 +97,8 @@
 	if now < f.retryAt || n.firstVoters(now) == nil {
 		return
 	}
-	f.ballotNumber = max(f.ballotNumber, f.vote.Promised.Round) + 1
-	ballot := view.Ballot{Round: f.ballotNumber, Proposer: seedID(n.self.Address), Life: n.origin}
+	f.ballotNumber = max(f.ballotNumber, f.vote.Promised.Number) + 1
+	ballot := view.Ballot{Number: f.ballotNumber, Proposer: seedID(n.self.Address), Incarnation: n.origin}
 	f.proposer = view.NewProposer(now, f.seeds, ballot, n.config.mutations.minorityDecides)
 	n.sendToSeeds(f.proposer.Prepare())
 }
@@ -106,7 +106,7 @@
 func (n *node) continueBootstrap(now time.Duration) {
 	f := n.storeBootstrap
 	if f.proposer.Failed(now) {
-		f.ballotNumber = max(f.ballotNumber, f.proposer.Highest().Round)
+		f.ballotNumber = max(f.ballotNumber, f.proposer.Highest().Number)
 		f.proposer = nil
 		f.retryAt = now + bootstrapRetryInterval + time.Duration(n.config.Random()%uint64(bootstrapRetryInterval))
 		return
--- a/control/core/config.go
+++ b/control/core/config.go
@@ -41,7 +41,7 @@
 	Durability    view.Durability
 	DownAfter     time.Duration // a voter that is silent for longer may lose its vote
 	LearnerExpiry time.Duration // a learner that is silent for longer is forgotten
-	Terms         lease.Terms
+	Terms         lease.Timing
 	MinLogBytes   int // bytes of log before a snapshot is taken
 	// MaxLogRecords are in the log before a snapshot is taken, however short they are: a member that starts applies them again, and until
 	// then neither answers nor leads.
--- a/control/core/core.go
+++ b/control/core/core.go
@@ -136,7 +136,7 @@
 	config := nodeConfig{
 		Address: c.address, Zone: settings.Zone, Seeds: settings.SeedAddresses(), Bootstrap: settings.Bootstrap,
 		Disk: settings.DataDir != "", Candidate: c.config.Lead != nil, Storage: c.config.Storage, Durability: DurabilityOf(settings),
-		DownAfter: DownAfter(durationOf(settings.Bounds.CatchupS)), LearnerExpiry: LearnerExpiry(durationOf(settings.Bounds.CatchupS)), Terms: lease.DefaultTerms, MinLogBytes: minLogBytes, MaxLogRecords: maxLogRecords,
+		DownAfter: DownAfter(durationOf(settings.Bounds.CatchupS)), LearnerExpiry: LearnerExpiry(durationOf(settings.Bounds.CatchupS)), Terms: lease.DefaultTiming, MinLogBytes: minLogBytes, MaxLogRecords: maxLogRecords,
 		Machine: c.config.Machine, Random: c.random,
 	}
 	var snapshot []byte
@@ -192,7 +192,7 @@
 // DurabilityOf is what the chain must have by the losses that the settings name.
 func DurabilityOf(s *settings.Settings) view.Durability {
 	return view.Durability{
-		Copies: s.Copies(), LostZones: s.LostZones, LostRegions: s.LostRegions,
+		Copies: s.Copies(), ToleratedZones: s.LostZones, ToleratedRegions: s.LostRegions,
 		RegionOf: func(zone string) string { return s.Zones[zone] },
 	}
 }
--- a/control/core/degraded.go
+++ b/control/core/degraded.go
@@ -86,7 +86,7 @@
 	d.requireSnapshot()
 	d.deferred = nil
 	n.viewChange.reset()
-	if n.leads(now) || n.lease.holder.Asking() {
+	if n.leads(now) || n.lease.holder.Seeking() {
 		n.dropLease(lossDisk)
 	}
 	for _, pending := range n.commands.pending {
@@ -123,7 +123,7 @@
 	case *chain.Ack:
 		n.chain.OnAck(m)
 	case *lease.Request:
-		if from.ID == n.lease.voter.Past().Holder {
+		if from.ID == n.lease.voter.PreviousGrant().Holder {
 			n.onLeaseRequest(now, from, m) // a renewal changes nothing on disk
 		}
 	case *lease.Release:
--- a/control/core/durability.go
+++ b/control/core/durability.go
@@ -57,7 +57,7 @@
 // writeOffset is the log offset that a write makes durable.
 type writeOffset struct {
 	batch  uint64
-	offset chain.Mark
+	offset chain.LogOffset
 }
 
 // deferredMessage waits for a batch to be durable.
@@ -131,14 +131,14 @@
 	}
 	d.snapshotDue, d.records = false, nil
 	n.output.Writes = append(n.output.Writes, write)
-	d.offsets = append(d.offsets, writeOffset{write.Batch, n.chain.Mark()})
+	d.offsets = append(d.offsets, writeOffset{write.Batch, n.chain.LogOffset()})
 }
 
 // image is all that the member keeps on disk, encoded.
 func (n *node) image() []byte {
 	kept := Image{
 		ID: n.self.ID, BootstrapMembers: n.bootstrapMembers, View: n.view, Vote: n.vote,
-		Chain: n.chain.State(), Machine: n.config.Machine.Snapshot(), Lease: n.lease.voter.Past(),
+		Chain: n.chain.State(), Machine: n.config.Machine.Snapshot(), Lease: n.lease.voter.PreviousGrant(),
 	}
 	n.durability.stateBytes = len(kept.Machine)
 	data, err := kept.MarshalMsg(nil)
@@ -158,8 +158,8 @@
 		n.onRecoveryWrite(now, batch)
 	}
 	for len(d.offsets) > 0 && d.offsets[0].batch <= batch {
-		n.chain.OnDisk(now, d.offsets[0].offset)
-		n.drain(now)
+		n.chain.OnSynced(now, d.offsets[0].offset)
+		n.drain()
 		d.offsets = d.offsets[1:]
 	}
 	if n.config.mutations.commitsAlone {
--- a/control/core/heartbeats.go
+++ b/control/core/heartbeats.go
@@ -17,7 +17,7 @@
 	}
 	n.prepareLate(m.Member)
 	if m.Member.ID != 0 {
-		n.chain.OnBeat(now, m.Member.ID, chain.Beat{Epoch: m.Epoch, Attached: m.Attached, Synced: m.Synced, Committed: m.Committed})
+		n.chain.OnHeartbeat(now, m.Member.ID, chain.Heartbeat{Epoch: m.Epoch, Attached: m.Attached, Synced: m.Synced, Committed: m.Committed})
 	}
 }
 
@@ -34,7 +34,7 @@
 		missing = append(slices.Clone(missing), n.self.ID)
 	}
 	return &heartbeat{
-		Member: n.self, Epoch: n.view.Epoch, Bootstrap: len(n.bootstrapMembers) > 0, CannotOrder: n.cannotOrder, Whole: n.chain.Whole(),
+		Member: n.self, Epoch: n.view.Epoch, Bootstrap: len(n.bootstrapMembers) > 0, CannotOrder: n.cannotOrder, Whole: n.chain.Complete(),
 		Attached: n.chain.Attached(), Synced: n.chain.Synced(), Committed: n.chain.Committed(),
 		Unresponsive: missing, Leading: n.leads(now), Leader: n.leaderAddress(now), Stopping: n.departure.stopping,
 	}
--- a/control/core/leaderlease.go
+++ b/control/core/leaderlease.go
@@ -31,7 +31,7 @@
 	abstainUntil    time.Duration // until then this member does not seek the lease
 }
 
-func newLeaderLease(now time.Duration, terms lease.Terms, origin uint64, previous lease.Past) leaderLease {
+func newLeaderLease(now time.Duration, terms lease.Timing, origin uint64, previous lease.PreviousGrant) leaderLease {
 	return leaderLease{voter: lease.NewVoter(now, terms, previous), holder: lease.NewHolder(terms, origin), leaderlessSince: now}
 }
 
@@ -72,7 +72,7 @@
 	if changed {
 		n.appendGrant()
 	}
-	reply := &lease.Reply{Epoch: m.Epoch, Life: m.Life, Round: m.Round, Granted: granted}
+	reply := &lease.Reply{Epoch: m.Epoch, Incarnation: m.Incarnation, ElectionRound: m.ElectionRound, Granted: granted}
 	if n.durability.durableBatch >= n.lease.grantBatch {
 		n.deliver(outboundMessage{from.Address, reply})
 		return
@@ -82,7 +82,7 @@
 
 // appendGrant has the name of the newest holder written.
 func (n *node) appendGrant() {
-	grant := n.lease.voter.Past()
+	grant := n.lease.voter.PreviousGrant()
 	n.durability.append(&record{Lease: &grant})
 	n.lease.grantBatch = n.durability.lastBatch + 1
 }
@@ -92,7 +92,7 @@
 	if n.lease.holder.Granted(&n.view, from.ID, m) && !before {
 		n.peers.heartbeatDue = now
 	}
-	if !n.leads(now) && n.lease.holder.Lost(&n.view) {
+	if !n.leads(now) && n.lease.holder.Refused(&n.view) {
 		n.backOff(now)
 	}
 }
@@ -106,7 +106,7 @@
 }
 
 // LeaseUntil is when the lease that this node holds ends.
-func (n *node) LeaseUntil() time.Duration { return n.lease.holder.Until() }
+func (n *node) LeaseUntil() time.Duration { return n.lease.holder.ExpiresAt() }
 
 // BeginStop begins an orderly end: it gives the lease back, and has the others go on without this node. Left says when they do.
 func (n *node) BeginStop(now time.Duration) {
@@ -163,9 +163,9 @@
 
 // checkLease renews the lease, or asks for it when nobody has it: the first of the chain at once, others later.
 func (n *node) checkLease(now time.Duration) {
-	requestedAt, granted := n.lease.holder.Asked()
+	requestedAt, granted := n.lease.holder.LastRequest()
 	if n.leads(now) {
-		wait := n.config.Terms.Renew
+		wait := n.config.Terms.RenewInterval
 		if !granted {
 			wait = leaseRetryInterval
 		}
@@ -175,10 +175,10 @@
 		}
 		return
 	}
-	if n.lease.holder.Asking() && (n.lease.holder.Lost(&n.view) || now-requestedAt >= leaseRetryInterval) {
+	if n.lease.holder.Seeking() && (n.lease.holder.Refused(&n.view) || now-requestedAt >= leaseRetryInterval) {
 		n.backOff(now)
 	}
-	if n.wantsLease(now) && !n.lease.holder.Asking() && now >= n.lease.nextRequestAt && now >= n.lease.leaderlessSince+n.candidateDelay(now) {
+	if n.wantsLease(now) && !n.lease.holder.Seeking() && now >= n.lease.nextRequestAt && now >= n.lease.leaderlessSince+n.candidateDelay(now) {
 		n.requestLease(now)
 	}
 }
@@ -193,7 +193,7 @@
 // candidateDelay is how long a candidate leaves the lease to those before it. After a restart of the whole core the one that held it last gets it
 // at once.
 func (n *node) candidateDelay(now time.Duration) time.Duration {
-	switch previous := n.lease.voter.Heir(now); {
+	switch previous := n.lease.voter.PreviousHolder(now); {
 	case previous == n.self.ID:
 		return 0
 	case previous != 0 && now-n.started < previousHolderWindow:
@@ -203,7 +203,7 @@
 	if rank == 0 {
 		return 0
 	}
-	return n.config.Terms.Length + time.Duration(rank)*candidateStagger
+	return n.config.Terms.Duration + time.Duration(rank)*candidateStagger
 }
 
 // candidateRank is how many members of the chain come before this one as candidates. Those of stores come after the control processes.
@@ -221,4 +221,6 @@
 	return rank
 }
 
-func (n *node) requestLease(now time.Duration) { n.sendVoters(n.lease.holder.Ask(now, n.view.Epoch)) }
+func (n *node) requestLease(now time.Duration) {
+	n.sendVoters(n.lease.holder.StartRound(now, n.view.Epoch))
+}
--- a/control/core/model_state_test.go
+++ b/control/core/model_state_test.go
@@ -17,7 +17,7 @@
 		reflect.TypeFor[node]():        {"config", "output"},
 		reflect.TypeFor[durability]():  {"logBytes"},
 		reflect.TypeFor[modelMember](): {"machine", "state", "address"},
-		reflect.TypeFor[lease.Voter](): {"terms"}, reflect.TypeFor[lease.Holder](): {"terms"},
+		reflect.TypeFor[lease.Voter](): {"timing"}, reflect.TypeFor[lease.Holder](): {"timing"},
 	}
 )
 
--- a/control/core/node.go
+++ b/control/core/node.go
@@ -51,7 +51,7 @@
 	n.self = view.Member{Address: config.Address, Zone: config.Zone, Storage: config.Storage}
 	if !config.Disk {
 		n.chain = chain.New(0, chain.State{}, config.Machine)
-		n.lease = newLeaderLease(now, config.Terms, n.origin, lease.Past{Unknown: true})
+		n.lease = newLeaderLease(now, config.Terms, n.origin, lease.PreviousGrant{Unknown: true})
 		n.storeBootstrap = newStoreBootstrap(&config)
 		return n, nil
 	}
@@ -62,13 +62,13 @@
 	n.self.ID, n.bootstrapMembers, n.view, n.vote = kept.ID, kept.BootstrapMembers, kept.View, kept.Vote
 	n.chain = chain.New(n.self.ID, kept.Chain, config.Machine)
 	if config.mutations.appliesAll {
-		n.chain.Unbounded()
+		n.chain.MutateUnboundedApply()
 	}
 	if config.mutations.learnsDetached {
-		n.chain.Eager()
+		n.chain.MutateEarlyCommit()
 	}
 	if config.mutations.forgetsGrant {
-		kept.Lease = lease.Past{}
+		kept.Lease = lease.PreviousGrant{}
 	}
 	n.lease = newLeaderLease(now, config.Terms, n.origin, kept.Lease)
 	if n.view.Epoch > 0 {
@@ -98,18 +98,18 @@
 
 // finish ends each step: it delivers what the node sent to itself, and gives the changes to the disk.
 func (n *node) finish(now time.Duration) {
-	n.drain(now)
+	n.drain()
 	for len(n.inbox) > 0 {
 		message := n.inbox[0]
 		n.inbox = n.inbox[1:]
 		n.dispatch(now, message.from, message.message)
-		n.drain(now)
+		n.drain()
 	}
 	n.flush(now)
 }
 
 // drain turns the chain's actions into the node's.
-func (n *node) drain(now time.Duration) {
+func (n *node) drain() {
 	for {
 		actions := n.chain.Take()
 		if actions.Install == nil && len(actions.Writes)+len(actions.Commits)+len(actions.Sends) == 0 {
@@ -122,7 +122,7 @@
 			n.durability.append(&record{Write: &actions.Writes[i]})
 		}
 		for i := range actions.Commits {
-			n.apply(now, &actions.Commits[i])
+			n.apply(&actions.Commits[i])
 		}
 		for _, send := range actions.Sends {
 			n.send(send.To, send.Message.(msgp.Marshaler))
@@ -147,7 +147,7 @@
 	}
 }
 
-func (n *node) apply(now time.Duration, entry *chain.Entry) {
+func (n *node) apply(entry *chain.Entry) {
 	n.commands.outlive(entry.Epoch)
 	if entry.Origin == 0 {
 		return
@@ -182,7 +182,7 @@
 	n.view = *next
 	n.durability.append(&record{View: next})
 	n.follow(now, false)
-	n.drain(now)
+	n.drain()
 	if n.chain.Position() < 0 && n.lease.holder.Valid(now) {
 		n.dropLease(lossChain)
 	}
@@ -230,7 +230,7 @@
 // next is when something is due: often while something is under way, else with the next beat.
 func (n *node) next(now time.Duration) time.Duration {
 	const brisk = 20 * time.Millisecond
-	if n.chain.Behind() && !n.degraded() {
+	if n.chain.HasUnapplied() && !n.degraded() {
 		return now + time.Millisecond
 	}
 	at := max(n.peers.heartbeatDue, now+brisk)
@@ -245,10 +245,10 @@
 		return now + brisk
 	}
 	if n.lease.holder.Valid(now) {
-		requestedAt, granted := n.lease.holder.Asked()
+		requestedAt, granted := n.lease.holder.LastRequest()
 		wait := leaseRetryInterval
 		if granted {
-			wait = n.config.Terms.Renew
+			wait = n.config.Terms.RenewInterval
 		}
 		at = min(at, max(requestedAt+wait, now+brisk))
 	}
--- a/control/core/partition_test.go
+++ b/control/core/partition_test.go
@@ -83,7 +83,7 @@
 	s.watchPartition(victim, from)
 	served = s.serviceWithout(victim, from)
 	s.run(from + partitionTime)
-	s.expectSide(victim, from)
+	s.expectSide(victim)
 	s.partition(victim, way, false)
 	s.healed(victim)
 	if s.broken == "" {
@@ -148,7 +148,7 @@
 }
 
 // expectSide makes sure that the others are whole at the end of the cut, and the one that was cut off is not among them.
-func (s *simulation) expectSide(victim *simulated, from time.Duration) {
+func (s *simulation) expectSide(victim *simulated) {
 	if s.broken != "" {
 		return
 	}
--- a/control/core/replacement_test.go
+++ b/control/core/replacement_test.go
@@ -172,7 +172,7 @@
 		if _, ok := v.Voter(m.node.self.ID); ok {
 			voters++
 		}
-		if at := v.Position(m.node.self.ID); at >= 0 && (at < v.Whole || m.node.view.Epoch == v.Epoch && m.node.chain.Whole()) {
+		if at := v.Position(m.node.self.ID); at >= 0 && (at < v.Complete || m.node.view.Epoch == v.Epoch && m.node.chain.Complete()) {
 			complete++
 		}
 	}
@@ -242,8 +242,8 @@
 		}
 	}
 	struck := r.now
-	r.until(failoverBound, func() bool { return r.simulation.newest > struck })
-	if r.simulation.newest <= struck {
+	r.until(failoverBound, func() bool { return r.newest > struck })
+	if r.newest <= struck {
 		r.fail("nothing was answered for %v after the second loss\n%s", r.now-struck, r.describe())
 	}
 }
--- a/control/core/viewchange.go
+++ b/control/core/viewchange.go
@@ -26,13 +26,13 @@
 	if !n.isMember(n.self.ID) {
 		return
 	}
-	complete := n.chain.Whole() || n.config.mutations.countsUnfilled && n.chain.Position() >= 0
+	complete := n.chain.Complete() || n.config.mutations.countsUnfilled && n.chain.Position() >= 0
 	reply, changed := n.vote.Prepare(n.view.Epoch, m.Ballot)
 	if changed {
 		n.seal()
 	}
-	reply.Whole = complete
-	reply.Holder, reply.Quiet = n.lease.voter.Holder(now)
+	reply.Complete = complete
+	reply.Holder, reply.HolderUnknown = n.lease.voter.Holder(now)
 	n.sendWhenDurable(from.Address, &reply)
 }
 
@@ -42,7 +42,7 @@
 	n.durability.append(&record{Vote: &vote})
 }
 
-func (n *node) onAccept(now time.Duration, from view.Member, m *view.Accept) {
+func (n *node) onAccept(from view.Member, m *view.Accept) {
 	if m.Epoch < n.view.Epoch {
 		n.sendWhenDurable(from.Address, &decided{View: n.view})
 		return
@@ -86,18 +86,18 @@
 // knowledge is what the node knows of others, as view.Plan asks for it.
 func (n *node) knowledge(now time.Duration, promised func(view.ID) bool) view.Knowledge {
 	know := view.Knowledge{
-		Lives:    func(id view.ID) bool { return promised(id) || n.alive(now, id) },
-		Joinable: func(id view.ID) bool { return n.joinable(now, id) },
-		Touch:    func(a, b view.ID) bool { return n.connected(now, a, b) },
-		Down:     func(id view.ID) bool { return n.unheardFor(now, id) >= n.config.DownAfter },
-		Gone:     func(id view.ID) bool { return n.unheardFor(now, id) >= n.config.LearnerExpiry },
-		Leaving:  func(id view.ID) bool { return n.isStopping(id) || n.replaceable(now, id) },
-		Spared:   func(id view.ID) bool { return n.removable(now, id) },
-		Eager:    n.config.mutations.votesAtOnce,
+		Alive:               func(id view.ID) bool { return promised(id) || n.alive(now, id) },
+		Joinable:            func(id view.ID) bool { return n.joinable(now, id) },
+		Connected:           func(a, b view.ID) bool { return n.connected(now, a, b) },
+		Down:                func(id view.ID) bool { return n.unheardFor(now, id) >= n.config.DownAfter },
+		Removable:           func(id view.ID) bool { return n.unheardFor(now, id) >= n.config.LearnerExpiry },
+		Leaving:             func(id view.ID) bool { return n.isStopping(id) || n.replaceable(now, id) },
+		Dispensable:         func(id view.ID) bool { return n.removable(now, id) },
+		MutateImmediateVote: n.config.mutations.votesAtOnce,
 	}
 	for _, p := range n.peers.byAddress {
 		if p.contacted && p.member.ID != 0 {
-			know.Others = append(know.Others, p.member)
+			know.Known = append(know.Known, p.member)
 		}
 	}
 	return know
@@ -105,7 +105,7 @@
 
 // seemsComplete guesses whether a member of the chain is whole, from its last beat.
 func (n *node) seemsComplete(id view.ID) bool {
-	if n.view.Position(id) < n.view.Whole || id == n.self.ID && n.chain.Whole() {
+	if n.view.Position(id) < n.view.Complete || id == n.self.ID && n.chain.Complete() {
 		return true
 	}
 	p := n.peers.byID(id)
@@ -163,7 +163,7 @@
 // prepareLate asks a voter that has just been heard for the promise that is being gathered, unless it has given it: it may have started
 // since the question was sent, or have missed it.
 func (n *node) prepareLate(member view.Member) {
-	if n.viewChange.proposer != nil && n.viewChange.proposer.Lacks(member.ID) {
+	if n.viewChange.proposer != nil && n.viewChange.proposer.Awaits(member.ID) {
 		n.deliver(outboundMessage{member.Address, n.viewChange.proposer.Prepare()})
 	}
 }
@@ -216,11 +216,11 @@
 }
 
 func (n *node) startBallot(now time.Duration) {
-	n.viewChange.ballotNumber = max(n.viewChange.ballotNumber, n.vote.Promised.Round) + 1
+	n.viewChange.ballotNumber = max(n.viewChange.ballotNumber, n.vote.Promised.Number) + 1
 	if n.vote.Epoch != n.view.Epoch {
 		n.viewChange.ballotNumber = 1
 	}
-	n.viewChange.proposer = view.NewProposer(now, n.view, view.Ballot{Round: n.viewChange.ballotNumber, Proposer: n.self.ID, Life: n.origin}, n.config.mutations.minorityDecides)
+	n.viewChange.proposer = view.NewProposer(now, n.view, view.Ballot{Number: n.viewChange.ballotNumber, Proposer: n.self.ID, Incarnation: n.origin}, n.config.mutations.minorityDecides)
 	n.sendMembers(n.viewChange.proposer.Prepare())
 }
 
@@ -228,7 +228,7 @@
 func (n *node) continueBallot(now time.Duration) {
 	p := n.viewChange.proposer
 	if p.Failed(now) {
-		n.viewChange.ballotNumber = max(n.viewChange.ballotNumber, p.Highest().Round)
+		n.viewChange.ballotNumber = max(n.viewChange.ballotNumber, p.Highest().Number)
 		n.viewChange.proposer = nil
 		pause := proposerStagger + time.Duration(n.config.Random()%uint64(2*proposerStagger))
 		n.viewChange.retryAt = now + pause + time.Duration(n.proposerRank(now))*proposerStagger
--- a/control/discovery/discovery_test.go
+++ b/control/discovery/discovery_test.go
@@ -140,7 +140,7 @@
 	require.Equal(t, 1, connections)
 }
 
-func TestAListThatIsNotReadWholeIsNone(t *testing.T) {
+func TestAnIncompleteListIsDiscarded(t *testing.T) {
 	p := newPlatform(t, func(call int, w http.ResponseWriter, r *http.Request) {
 		if call == 2 {
 			w.WriteHeader(http.StatusTooManyRequests)
@@ -160,14 +160,14 @@
 func TestBadAnswersAreErrors(t *testing.T) {
 	for name, answer := range map[string]func(int, http.ResponseWriter, *http.Request){
 		"status": func(_ int, w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusInternalServerError) },
-		"json":   func(_ int, w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, `{"instances":[`) },
+		"json":   func(_ int, w http.ResponseWriter, _ *http.Request) { _, _ = fmt.Fprint(w, `{"instances":[`) },
 		"cut": func(_ int, w http.ResponseWriter, _ *http.Request) {
 			w.Header().Set("Content-Length", "1000")
-			fmt.Fprint(w, `{"instances":[]}`)
+			_, _ = fmt.Fprint(w, `{"instances":[]}`)
 		},
 		"long": func(_ int, w http.ResponseWriter, _ *http.Request) {
 			w.Header().Set("Content-Length", fmt.Sprint(maxPage+1))
-			fmt.Fprint(w, strings.Repeat(" ", maxPage+1))
+			_, _ = fmt.Fprint(w, strings.Repeat(" ", maxPage+1))
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -177,7 +177,7 @@
 	}
 }
 
-func TestASilentPlatformIsGivenUp(t *testing.T) {
+func TestAPlatformThatDoesNotAnswerTimesOut(t *testing.T) {
 	release := make(chan struct{})
 	p := newPlatform(t, func(int, http.ResponseWriter, *http.Request) { <-release })
 	t.Cleanup(func() { close(release) })
--- a/edge/ingress/hold.go
+++ b/edge/ingress/configwait.go
@@ -9,14 +9,17 @@
 	"ravendale/cluster/catalog"
 )
 
-// signal wakes all who wait for a change.
-type signal struct {
+// maxConfigWait bounds the wait of a request that comes before there is a configuration.
+const maxConfigWait = 300 * time.Millisecond
+
+// broadcast wakes all who wait for a change.
+type broadcast struct {
 	mu   sync.Mutex
 	next chan struct{}
 }
 
 // wait returns a channel that is closed at the next change.
-func (s *signal) wait() <-chan struct{} {
+func (s *broadcast) wait() <-chan struct{} {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.next == nil {
@@ -25,7 +28,7 @@
 	return s.next
 }
 
-func (s *signal) raise() {
+func (s *broadcast) raise() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.next != nil {
@@ -34,17 +37,17 @@
 	}
 }
 
-// Changed says that Config.Index or Config.Ready may tell something new.
-func (s *Server) Changed() { s.changed.raise() }
+// ConfigChanged is called when Config.Index or Config.Ready may return something new.
+func (s *Server) ConfigChanged() { s.changed.raise() }
 
-// awaitIndex returns the configuration that holds, once this process is ready, or nil if that takes too long; and how long it
-// waited. A request that comes just before is worth a short wait: turned away it would only come again.
+// awaitIndex returns the configuration in force, once this process is ready, or nil if that takes too long; and how long it
+// waited. A request that comes just before is worth a short wait: rejected it would only come again.
 func (s *Server) awaitIndex(header *fasthttp.RequestHeader) (*catalog.Index, time.Duration) {
 	if index := s.readyIndex(); index != nil {
 		return index, 0
 	}
 	began := time.Now()
-	expired := time.NewTimer(holdLimit(header))
+	expired := time.NewTimer(configWait(header))
 	defer expired.Stop()
 	for {
 		changed := s.changed.wait()
@@ -66,9 +69,9 @@
 	return s.config.Index()
 }
 
-func holdLimit(header *fasthttp.RequestHeader) time.Duration {
+func configWait(header *fasthttp.RequestHeader) time.Duration {
 	if deadline := deadlineOf(header); deadline > 0 {
-		return min(partOfDeadline(deadline, deadlinePart), longestHold)
+		return min(deadlineFraction(deadline, putFraction), maxConfigWait)
 	}
-	return longestHold
+	return maxConfigWait
 }
--- a/edge/ingress/readiness.go
+++ b/edge/ingress/readiness.go
@@ -8,13 +8,13 @@
 )
 
 const (
-	readyPath   = "/v1/readyz"
-	readyBuffer = 1 << 10
-	readyTime   = 10 * time.Second
-	readyConns  = 16
+	readyPath     = "/v1/readyz"
+	readyBuffer   = 1 << 10
+	readyTimeout  = 10 * time.Second
+	maxReadyConns = 16
 )
 
-// Readiness tells the platform whether this edge wants new connections.
+// Readiness answers the platform whether this edge takes new connections.
 type Readiness struct {
 	server   *fasthttp.Server
 	listener net.Listener
@@ -35,15 +35,15 @@
 				ctx.SetStatusCode(fasthttp.StatusServiceUnavailable)
 			}
 		},
-		ReadBufferSize: readyBuffer, WriteBufferSize: writeBuffer, ReadTimeout: readyTime, WriteTimeout: readyTime,
-		Concurrency: readyConns, ReduceMemoryUsage: true, GetOnly: true, Logger: silent{},
+		ReadBufferSize: readyBuffer, WriteBufferSize: writeBuffer, ReadTimeout: readyTimeout, WriteTimeout: readyTimeout,
+		Concurrency: maxReadyConns, ReduceMemoryUsage: true, GetOnly: true, Logger: discardLogger{},
 		NoDefaultServerHeader: true, NoDefaultDate: true, NoDefaultContentType: true,
 	}}
 	go func() { _ = r.server.Serve(listener) }() // it ends when the listener does
 	return r, nil
 }
 
-// Address is where the platform is answered.
+// Address returns where the platform is answered.
 func (r *Readiness) Address() string { return r.listener.Addr().String() }
 
 // Close stops answering.
--- a/edge/queueclient/find.go
+++ b/edge/queueclient/find.go
@@ -13,14 +13,14 @@
 	ErrNoAnswer = errors.New("queueclient: it could not be found out")
 )
 
-// Find asks for the state of a message, and with body for its bytes: the primary of its partition, then the other replicas,
-// and at last all stores. ErrNotFound needs the word of each, under one placement.
+// Find looks up the state of a message, and with body its bytes: at the primary of its partition, then at the other replicas,
+// and at last at all stores. ErrNotFound needs the answer of each, under one placement.
 func (c *Client) Find(id string, body bool) (*wire.FindReply, error) {
 	partition, ok := wire.PartitionOf(id)
 	if !ok {
 		return nil, ErrNotFound
 	}
-	expired := time.NewTimer(findLimit)
+	expired := time.NewTimer(findTimeout)
 	defer expired.Stop()
 	for {
 		v := c.view.Load()
@@ -30,7 +30,7 @@
 		if int(partition) >= len(v.Partitions) {
 			return nil, ErrNotFound
 		}
-		s := &search{request: &wire.Find{ID: id, Body: body, Epoch: v.Epoch}, answers: make(chan findAnswer, maxAsked)}
+		s := &search{request: &wire.Find{ID: id, Body: body, Epoch: v.Epoch}, answers: make(chan findAnswer, maxStoresAsked)}
 		reply, again, err := s.ask(stages(v, partition), expired)
 		if !again {
 			return reply, err
@@ -38,7 +38,7 @@
 	}
 }
 
-const maxAsked = 256
+const maxStoresAsked = 256
 
 type search struct {
 	request *wire.Find
@@ -50,7 +50,7 @@
 	reply *wire.FindReply // nil: none came
 }
 
-// stages are the stores to ask, in turn.
+// stages returns the stores to ask, stage by stage.
 func stages(v *view, partition uint16) [][]*store {
 	replicas := v.replicas(partition)
 	known := make(map[*store]bool)
@@ -59,7 +59,7 @@
 	}
 	var others []*store
 	for _, s := range v.stores {
-		if !known[s] && len(others) < maxAsked/2 {
+		if !known[s] && len(others) < maxStoresAsked/2 {
 			others = append(others, s)
 		}
 	}
@@ -69,38 +69,38 @@
 	return [][]*store{replicas[:1], replicas[1:], others}
 }
 
-// ask goes through the stages. It asks those of the next one when the ones before have not answered for a while, or said no.
+// ask goes through the stages. It asks the stores of the next one when those before have not answered for a while, or do not have it.
 func (s *search) ask(stages [][]*store, expired *time.Timer) (reply *wire.FindReply, again bool, err error) {
-	no := make(map[*store]bool)
-	asked, all := 0, 0
+	absent := make(map[*store]bool)
+	sent, all := 0, 0
 	for _, stage := range stages {
 		all += len(stage)
 		for _, store := range stage {
-			asked += s.start(store)
+			sent += s.start(store)
 		}
-		patience := time.NewTimer(findPatience)
-		for waiting := true; waiting && len(no) < asked; {
+		stageTimer := time.NewTimer(findStageTimeout)
+		for waiting := true; waiting && len(absent) < sent; {
 			select {
 			case a := <-s.answers:
 				if a.reply != nil && a.reply.Found {
-					patience.Stop()
+					stageTimer.Stop()
 					return a.reply, false, nil
 				}
 				if a.reply == nil {
-					asked--
+					sent--
 				} else {
-					no[a.store] = true
+					absent[a.store] = true
 				}
-			case <-patience.C:
+			case <-stageTimer.C:
 				waiting = false
 			case <-expired.C:
-				patience.Stop()
+				stageTimer.Stop()
 				return nil, false, ErrNoAnswer
 			}
 		}
-		patience.Stop()
+		stageTimer.Stop()
 	}
-	if len(no) == all {
+	if len(absent) == all {
 		return nil, false, ErrNotFound
 	}
 	select {
@@ -110,12 +110,12 @@
 		if a.reply != nil && a.reply.Found {
 			return a.reply, false, nil
 		}
-	case <-time.After(findPatience):
+	case <-time.After(findStageTimeout):
 	}
 	return nil, true, nil
 }
 
-// start asks a store, and returns 1 if it was asked.
+// start sends the request to a store, and returns 1 if it was sent.
 func (s *search) start(store *store) int {
 	conn := store.conn()
 	if conn == nil {
--- a/edge/worker/connection.go
+++ b/edge/worker/connection.go
@@ -6,7 +6,6 @@
 	"errors"
 	"net"
 	"slices"
-	"strconv"
 	"sync"
 	"syscall"
 	"time"
@@ -15,36 +14,45 @@
 	"golang.org/x/sys/unix"
 )
 
+// Time-outs and margins of a connection.
 const (
-	readBuffer  = 4 << 10  // bounds the head of an answer, too
-	smallBody   = 8 << 10  // copied behind the head, to go in one write
-	keptRequest = 16 << 10 // larger buffers are given back after use
-	maxLate     = 4        // answers to earlier requests that are read past
-	mostCarried = 32       // messages to be sent again that a connection is kept with
+	connectTimeout     = 300 * time.Millisecond
+	userTimeout        = 600 * time.Millisecond // bytes that nobody acknowledges for so long end the connection
+	answerMargin       = 120 * time.Millisecond // past the limit, for the worker's own answer that it stopped
+	overtakenTimeout   = 5 * time.Millisecond   // for what is left to write of a request that has its answer
+	defaultIdleTimeout = 4 * time.Second        // how long a worker keeps an idle connection if it does not say (Keep-Alive)
+	scarceIdleTimeout  = 100 * time.Millisecond // how long an idle connection is kept that another sender may need
+	idleMargin         = time.Second            // closed so long before the worker would, a quarter of its time at most
 )
 
-// connection is one to a worker. Whoever took it from the pool owns it.
+const (
+	readBuffer       = 4 << 10  // bounds the head of an answer, too
+	smallBody        = 8 << 10  // copied behind the head, to go in one write
+	maxPooledRequest = 16 << 10 // larger buffers are not pooled
+	maxLateAnswers   = 4        // answers to earlier requests that are skipped
+	maxUnresolved    = 32       // a connection with more unresolved messages is not kept
+)
+
+// connection is a connection to a worker. Whoever acquired it from the pool owns it.
 type connection struct {
-	socket net.Conn
-	raw    syscall.RawConn
-	until  time.Duration // idle, it is closed then, by the client's steady clock
+	socket    net.Conn
+	raw       syscall.RawConn
+	expiresAt time.Duration // when it is closed if it is idle, by the client's clock
 
-	used    bool     // an answer was read from it
-	carried []uint64 // hashes of the ids of messages that were sent on it, and may be sent again
-	mutant  mutant
+	used       bool     // an answer was read from it
+	unresolved []uint64 // hashes of the ids of messages that were sent on it, and may be sent again
+	mutations  mutations
 }
 
-// mutant takes guards away. Only tests set it, to show that they notice.
-type mutant struct {
-	takesForeign bool // an answer is the delivery's whatever request it names
-	carriesAgain bool // a message is sent again on a connection that carried it
+// mutations are deliberate mistakes. Only tests set them, to show that they are caught.
+type mutations struct {
+	acceptsForeign      bool // an answer is the delivery's whatever request it names
+	resendsOnConnection bool // a message is sent again on a connection on which it was sent before
 }
 
 var readers = sync.Pool{New: func() any { return bufio.NewReaderSize(nil, readBuffer) }}
 
-var requests = sync.Pool{New: func() any { return new([]byte) }}
-
-// dialWithin returns what connects to an address within a time, 0 for no bound.
+// dialWithin returns a function that connects to an address within a time, 0 for no bound.
 func dialWithin(limit time.Duration) func(ctx context.Context, address string) (*connection, error) {
 	dialer := net.Dialer{Timeout: limit, KeepAlive: -1, Control: setUserTimeout}
 	return func(ctx context.Context, address string) (*connection, error) {
@@ -66,9 +74,9 @@
 	})
 }
 
-// quiet says whether an idle connection is still open with nothing to read: what comes between requests belongs to none. It looks
+// isIdle reports whether an idle connection is still open with nothing to read: what comes between requests belongs to none. It looks
 // without regard to the deadline of the exchange before.
-func (c *connection) quiet() bool {
+func (c *connection) isIdle() bool {
 	if c.raw == nil {
 		return true
 	}
@@ -81,31 +89,31 @@
 	return err == nil && quiet
 }
 
-// exchange sends a delivery and reads its answer, which may come before the request was written whole.
+// exchange sends a delivery and reads its answer, which may come before the request was written completely.
 func (c *connection) exchange(d *Delivery) (Outcome, answer) {
-	if err := c.socket.SetDeadline(time.Now().Add(d.Limit + answerSlack)); err != nil {
+	if err := c.socket.SetDeadline(time.Now().Add(d.Limit + answerMargin)); err != nil {
 		return Broken, answer{}
 	}
 	written := c.write(d)
-	a, err := c.await(d)
+	a, err := c.awaitAnswer(d)
 	if !c.isWritten(written) {
-		a.keep = false
+		a.reusable = false
 	}
 	if err != nil {
-		return broken(err), answer{}
+		return outcomeOf(err), answer{}
 	}
-	if c.mutant.takesForeign {
+	if c.mutations.acceptsForeign {
 		a.requestID = d.RequestID
 	}
 	outcome := classify(a, d.RequestID, !c.used)
 	c.used = true
-	c.note(d.RequestID, outcome)
+	c.remember(d.RequestID, outcome)
 	return outcome, a
 }
 
-// await reads answers up to the delivery's own. One that names another request is late, of a delivery before: only a connection that
+// awaitAnswer reads answers up to the delivery's own. One that names another request is late, of a delivery before: only a connection that
 // was used has such.
-func (c *connection) await(d *Delivery) (answer, error) {
+func (c *connection) awaitAnswer(d *Delivery) (answer, error) {
 	reader := readers.Get().(*bufio.Reader)
 	defer func() {
 		reader.Reset(nil)
@@ -117,102 +125,31 @@
 		if err != nil {
 			return answer{}, err
 		}
-		if c.used && a.keep && late < maxLate && a.isOfAnother(d.RequestID) && !c.mutant.takesForeign {
+		if c.used && a.reusable && late < maxLateAnswers && a.isOfAnother(d.RequestID) && !c.mutations.acceptsForeign {
 			continue
 		}
-		a.keep = a.keep && late == 0 && reader.Buffered() == 0
+		a.reusable = a.reusable && late == 0 && reader.Buffered() == 0
 		return a, nil
 	}
 }
 
-// note remembers a message that the answer leaves to be sent again.
-func (c *connection) note(requestID string, outcome Outcome) {
-	if outcome != Done && outcome != Refused {
-		c.carried = append(c.carried, xxhash.Sum64String(requestID))
+// remember records a message that the answer leaves to be sent again.
+func (c *connection) remember(requestID string, outcome Outcome) {
+	if outcome != Done && outcome != Rejected {
+		c.unresolved = append(c.unresolved, xxhash.Sum64String(requestID))
 	}
 }
 
-// mayCarry says whether a message can be sent: a second answer to an earlier attempt, which has the same name, would be taken for that
+// maySend reports whether a message may be sent: a second answer to an earlier attempt, which has the same name, would be taken for that
 // to the new one.
-func (c *connection) mayCarry(requestID string) bool {
-	return len(c.carried) == 0 || c.mutant.carriesAgain || !slices.Contains(c.carried, xxhash.Sum64String(requestID))
+func (c *connection) maySend(requestID string) bool {
+	return len(c.unresolved) == 0 || c.mutations.resendsOnConnection || !slices.Contains(c.unresolved, xxhash.Sum64String(requestID))
 }
 
-func broken(err error) Outcome {
+func outcomeOf(err error) Outcome {
 	var late interface{ Timeout() bool }
 	if errors.As(err, &late) && late.Timeout() {
-		return Silent
+		return TimedOut
 	}
 	return Broken
 }
-
-// write sends a request, the body of a long one while its answer is awaited: then the channel tells how that went. It is nil once all is
-// written. A write that fails says nothing of the answer, which may lie there.
-func (c *connection) write(d *Delivery) (written chan error) {
-	buffer := requests.Get().(*[]byte)
-	defer func() {
-		if cap(*buffer) <= keptRequest {
-			requests.Put(buffer)
-		}
-	}()
-	*buffer = appendHead((*buffer)[:0], d)
-	rest := d.Body
-	if len(rest) <= smallBody {
-		*buffer = append(*buffer, rest...)
-		rest = nil
-	}
-	_, err := c.socket.Write(*buffer)
-	if err == nil && len(rest) == 0 {
-		return nil
-	}
-	written = make(chan error, 1)
-	if err != nil {
-		written <- err
-		return written
-	}
-	go func() {
-		_, err := c.socket.Write(rest)
-		written <- err
-	}()
-	return written
-}
-
-// isWritten waits until nothing more of a request is written, and says whether it went out whole. What an answer has overtaken has
-// little time left.
-func (c *connection) isWritten(written chan error) bool {
-	if written == nil {
-		return true
-	}
-	_ = c.socket.SetWriteDeadline(time.Now().Add(overtakenFor))
-	return <-written == nil
-}
-
-func appendHead(b []byte, d *Delivery) []byte {
-	b = append(append(append(b, d.Method...), ' '), d.Target...)
-	b = append(b, " HTTP/1.1\r\n"...)
-	b = appendField(b, "Host", d.Host)
-	b = appendField(b, "Request-Id", d.RequestID)
-	if d.OrderKey != "" {
-		b = appendField(b, "Order-Key", d.OrderKey)
-	}
-	if d.ContentType != "" {
-		b = appendField(b, "Content-Type", d.ContentType)
-	}
-	if d.Instance != "" {
-		b = appendField(b, "Expect-Instance", d.Instance)
-	}
-	b = append(b, "Deadline-Ms: "...)
-	b = strconv.AppendInt(b, max(d.Limit.Milliseconds(), 1), 10)
-	b = append(b, "\r\n"...)
-	if len(d.Body) > 0 || d.Method == "POST" || d.Method == "PUT" || d.Method == "PATCH" {
-		b = append(b, "Content-Length: "...)
-		b = strconv.AppendInt(b, int64(len(d.Body)), 10)
-		b = append(b, "\r\n"...)
-	}
-	return append(b, "\r\n"...)
-}
-
-func appendField(b []byte, name, value string) []byte {
-	b = append(append(b, name...), ": "...)
-	return append(append(b, value...), "\r\n"...)
-}
--- a/store/queue/apply.go
+++ b/store/queue/apply.go
@@ -7,7 +7,7 @@
 	"ravendale/store/journal"
 )
 
-// Recover is told of each record of the journal, in order, before Start.
+// Recover applies a record of the journal: each of them, in order, before Start. It fails for a record that can't be decoded.
 func (c *Core) Recover(now Time, at journal.Location, payload []byte) error {
 	c.now = now
 	r, err := decodeRecord(payload)
@@ -18,74 +18,75 @@
 	return nil
 }
 
-// changes says whether a record from the primary tells anything new.
+// changes says whether a record from the primary would change anything here.
 func (c *Core) changes(r *Record) bool {
-	p := c.at(r.Partition)
+	p := c.partition(r.Partition)
 	e, _ := p.find(r.ID)
 	switch r.Kind {
-	case RecordWhole:
-		return e == nil || e.sequence != r.Sequence || e.state != r.State || e.failed != r.Failed || e.bare && !r.Bare ||
-			e.pending() && e.owner() != r.Holder
-	case RecordEnd:
+	case RecordMessage:
+		return e == nil || e.sequence != r.Sequence || e.state != r.State || e.failed != r.Failed || e.noBody && !r.NoBody ||
+			e.pending() && e.lastLeaseholder() != r.Leaseholder
+	case RecordFinish:
 		return e == nil || e.sequence != r.Sequence || e.state != r.State
 	case RecordFailed:
 		return e != nil && e.failed != r.Failed
-	case RecordHolder:
-		return e != nil && e.pending() && e.owner() != r.Holder
+	case RecordLeaseholder:
+		return e != nil && e.pending() && e.lastLeaseholder() != r.Leaseholder
 	case RecordDrop:
 		return e != nil
 	}
 	return true
 }
 
-// apply brings the tables up to a record that lies at a place in the journal. Old says that the message is not new.
+// apply brings the tables up to a record that lies at a location of the journal. Old: the message is not new, so its times are worked out by
+// the time of day.
 func (c *Core) apply(r *Record, at journal.Location, old bool) {
 	if r.Kind == RecordEpoch {
-		c.fence = max(c.fence, r.Sequence)
-		c.epochAt = at.Segment
+		c.newestEpoch = max(c.newestEpoch, r.Sequence)
+		c.disk.epochSegment = at.Segment
 		return
 	}
-	p := c.at(r.Partition)
+	p := c.partition(r.Partition)
 	c.sequence = max(c.sequence, r.Sequence)
 	switch r.Kind {
-	case RecordWhole:
-		c.applyWhole(p, r, at, old)
-	case RecordEnd:
-		c.applyEnd(p, r, at)
+	case RecordMessage:
+		c.applyMessage(p, r, at, old)
+	case RecordFinish:
+		c.applyFinish(p, r, at)
 	case RecordFailed:
 		if e, _ := p.find(r.ID); e != nil {
 			p.change(e, func() { e.failed = r.Failed })
 		}
-	case RecordHolder:
+	case RecordLeaseholder:
 		if e, _ := p.find(r.ID); e != nil && e.pending() {
-			p.change(e, func() { e.live.owner = c.intern(r.Holder) })
+			p.change(e, func() { e.delivery.lastLeaseholder = c.intern(r.Leaseholder) })
 		}
 	case RecordDrop:
 		if e, _ := p.find(r.ID); e != nil {
-			c.forget(p, e)
+			c.removeEntry(p, e)
 		}
 	case RecordWipe:
 		c.wipeTable(p)
 	}
 }
 
-func (c *Core) applyWhole(p *partition, r *Record, at journal.Location, old bool) {
-	e, taken := p.find(r.ID)
-	if taken {
+func (c *Core) applyMessage(p *partition, r *Record, at journal.Location, old bool) {
+	e, collides := p.find(r.ID)
+	if collides {
 		return
 	}
-	if e != nil && e.state == wire.StateDead && r.Bare {
-		c.endAnew(p, e, r, at)
+	if e != nil && e.state == wire.StateDead && r.NoBody {
+		c.replaceFinish(p, e, r, at)
 		return
 	}
-	var known *live
+	var known *delivery
 	if e != nil {
-		known = e.live
-		c.forget(p, e)
+		known = e.delivery
+		c.removeEntry(p, e)
 	}
 	e = c.insert(p, r, at, old)
-	if known != nil && e.live != nil { // the steady clock has counted since
-		e.live.due, e.live.expires = known.due, known.expires
+	if known != nil && e.delivery != nil { // the steady clock has counted since
+		e.delivery.due, e.delivery.expires = known.due, known.expires
 	}
 }
 
@@ -93,26 +94,26 @@
 func (c *Core) insert(p *partition, r *Record, at journal.Location, old bool) *entry {
 	e := &entry{id: r.ID, sequence: r.Sequence, state: r.State, failed: r.Failed}
 	if e.pending() {
-		e.live = &live{accepted: r.Sequence, owner: c.intern(r.Holder)}
+		e.delivery = &delivery{acceptSequence: r.Sequence, lastLeaseholder: c.intern(r.Leaseholder)}
 		c.setTimes(e, &r.Message, old)
 		if r.Message.Ordered && r.Message.Key != "" {
 			p.join(e, r.Message.Key)
 		}
 	} else {
-		e.learned = c.seconds()
-		e.bare = e.state == wire.StateDead && (r.Bare || r.Kind == RecordEnd)
+		e.finishedAt = c.seconds()
+		e.noBody = e.state == wire.StateDead && (r.NoBody || r.Kind == RecordFinish)
 	}
-	p.table.insert(e)
-	c.messages++
-	c.place(e, at)
+	p.insert(e)
+	c.messageCount++
+	c.setLocation(e, at)
 	return e
 }
 
 // longestSpan is what delays and retentions are cut to, in milliseconds: added to the steady clock they must not come round to now.
 const longestSpan = 1 << 31
 
-// setTimes works out when a message is due and when it ends unrun. For one that is not new the time of day is all there is: it may
-// be wrong, and is not let move a delay past its full length, nor an end before its time.
+// setTimes works out when a message is due and when its retention is over. For one that is not new the time of day is all there is: it may
+// be wrong, so it must neither prolong a delay beyond its full length nor shorten a retention.
 func (c *Core) setTimes(e *entry, m *wire.Message, old bool) {
 	delay, retention := int64(m.DelayMs), int64(m.RetentionMs)
 	if old {
@@ -120,151 +121,79 @@
 		delay = max(delay-age, 0)
 		retention = max(retention-age, 0) + int64(c.config.ClockSlack/time.Millisecond)
 	}
-	e.live.due = c.millis() + uint32(min(delay, longestSpan))
-	e.live.expires = c.millis() + uint32(min(retention, longestSpan))
+	e.delivery.due = c.millis() + uint32(min(delay, longestSpan))
+	e.delivery.expires = c.millis() + uint32(min(retention, longestSpan))
 }
 
-func (c *Core) applyEnd(p *partition, r *Record, at journal.Location) {
-	e, taken := p.find(r.ID)
+func (c *Core) applyFinish(p *partition, r *Record, at journal.Location) {
+	e, collides := p.find(r.ID)
 	if e == nil {
-		if !taken {
+		if !collides {
 			c.insert(p, r, at, true)
 		}
 		return
 	}
 	if e.pending() {
-		c.markEnded(p, e, r, at)
-		c.settle(p, e)
+		c.markFinished(p, e, r, at)
+		c.dropDelivery(p, e)
 		return
 	}
-	c.endAnew(p, e, r, at)
+	c.replaceFinish(p, e, r, at)
 }
 
-// endAnew gives an ended message another end. The body that is kept of a dead one lies where it did.
-func (c *Core) endAnew(p *partition, e *entry, r *Record, at journal.Location) {
+// replaceFinish gives a finished message another outcome. The body of a dead one stays where it lies.
+func (c *Core) replaceFinish(p *partition, e *entry, r *Record, at journal.Location) {
 	dead := r.State == wire.StateDead
 	keeps := dead && e.state == wire.StateDead
-	p.removeEnded(e)
+	p.removeFinished(e)
 	p.change(e, func() {
 		e.state, e.sequence = r.State, r.Sequence
-		e.bare = dead && (e.bare || !keeps)
+		e.noBody = dead && (e.noBody || !keeps)
 	})
-	p.insertEnded(e)
+	p.insertFinished(e)
 	if !keeps {
-		c.place(e, at)
+		c.setLocation(e, at)
 	}
 }
 
-// markEnded records an end in memory; the message keeps its place in the order of its key. The body of a dead one is kept.
-func (c *Core) markEnded(p *partition, e *entry, r *Record, at journal.Location) {
+// markFinished records an outcome in memory; the message keeps its position in its key order until all members have the outcome. The location
+// of a dead one stays that of its body.
+func (c *Core) markFinished(p *partition, e *entry, r *Record, at journal.Location) {
 	p.change(e, func() { e.state, e.sequence = r.State, r.Sequence })
-	e.learned = c.seconds()
+	e.finishedAt = c.seconds()
 	if e.state != wire.StateDead {
-		c.place(e, at)
+		c.setLocation(e, at)
 	}
 }
 
-// settle lets go of what only a pending message needs, and returns the message of its key whose turn it is now, if any.
-func (c *Core) settle(p *partition, e *entry) *entry {
-	if e.live == nil {
+// dropDelivery frees the delivery state of a message, and returns the new head of its key order, if there is one.
+func (c *Core) dropDelivery(p *partition, e *entry) *entry {
+	if e.delivery == nil {
 		return nil
 	}
 	next := p.leave(e)
-	c.unlease(e)
-	e.live = nil
+	c.releaseLease(e)
+	e.delivery = nil
 	return next
 }
 
-func (c *Core) seconds() uint32 { return uint32(c.now.Steady / time.Second) }
-
-// place notes where an entry's record lies.
-func (c *Core) place(e *entry, at journal.Location) {
-	c.unplace(e)
-	e.at = at
-	c.segments[at.Segment]++
-}
-
-func (c *Core) unplace(e *entry) {
-	if e.at.Segment == 0 {
-		return
-	}
-	if c.segments[e.at.Segment]--; c.segments[e.at.Segment] == 0 {
-		delete(c.segments, e.at.Segment)
-	}
-	e.at = journal.Location{}
-}
-
-// forget takes an entry out of memory.
-func (c *Core) forget(p *partition, e *entry) {
-	if e.live != nil {
+// removeEntry removes a message from memory, and refuses those who wait for its operations.
+func (c *Core) removeEntry(p *partition, e *entry) {
+	if e.delivery != nil {
 		for _, w := range p.supersede(e) {
 			w.refuse(wire.PutUnknown, c.epoch())
 		}
 	}
 	p.remove(e)
-	c.settle(p, e)
-	c.unplace(e)
-	c.messages--
+	c.dropDelivery(p, e)
+	c.clearLocation(e)
+	c.messageCount--
 }
 
 // intern saves the memory of a name that very many messages have.
 func (c *Core) intern(id string) string {
-	if e := c.edges[id]; e != nil {
+	if e := c.edges.byID[id]; e != nil {
 		return e.id
 	}
 	return id
 }
-
-func (c *Core) wipeTable(p *partition) {
-	for _, e := range p.entries {
-		c.unlease(e)
-		c.unplace(e)
-		c.messages--
-	}
-	horizon := p.horizon
-	p.table = newTable()
-	p.horizon = horizon
-}
-
-// write appends a record and returns its bytes, place and position.
-func (c *Core) write(r *Record) (payload []byte, at journal.Location, position uint64) {
-	payload = r.encode()
-	at, position = c.append(payload)
-	return payload, at, position
-}
-
-// whole makes a record of all that is known of an entry. It fails if the disk does.
-func (c *Core) whole(p *partition, e *entry) (*Record, error) {
-	payload, err := c.journal.Read(e.at)
-	if err != nil {
-		return nil, err
-	}
-	r, err := decodeRecord(payload)
-	if err != nil {
-		return nil, err
-	}
-	r.Kind, r.Partition, r.ID = RecordWhole, p.number, e.id
-	r.Sequence, r.State, r.Failed, r.Bare = e.sequence, e.state, e.failed, e.bare
-	r.Holder = e.owner()
-	return r, nil
-}
-
-// wholeBytes is the encoding of whole; nil if the disk fails.
-func (c *Core) wholeBytes(p *partition, e *entry) []byte {
-	r, err := c.whole(p, e)
-	if err != nil {
-		c.host.Fail(err)
-		return nil
-	}
-	return r.encode()
-}
-
-// message reads a message with its body.
-func (c *Core) message(p *partition, e *entry) (*wire.Message, error) {
-	r, err := c.whole(p, e)
-	if err != nil {
-		return nil, err
-	}
-	r.Message.ID = e.id
-	return &r.Message, nil
-}
