--- a/control/core/bootstrap.go
+++ b/control/core/bootstrap.go
@@ -9,7 +9,7 @@
 )
 
 // bootstrap proposes the first view, once all seeds are there, at the one with the lowest address. Since only that one ever proposes
-// it, and has it on disk before it tells, it is decided.
+// it, and has it on disk before it sends it, it is decided.
 func (n *node) bootstrap(now time.Duration) {
 	if n.view.Epoch != 0 || len(n.bootstrapMembers) == 0 {
 		return
@@ -39,6 +39,7 @@
 	}
 }
 
+// firstView has all members vote and stand in the chain, the first of them as its head.
 func firstView(members []view.Member) view.View {
 	first := view.View{Epoch: 1, Voters: members, Complete: len(members)}
 	for _, member := range members {
--- a/control/core/bootstrapstores.go
+++ b/control/core/bootstrapstores.go
@@ -10,16 +10,16 @@
 	"ravendale/control/view"
 )
 
-// Times of a founding on stores.
+// Timing of a bootstrap on stores.
 const (
 	bootstrapQuietTime     = 300 * time.Millisecond  // without another store, once there are enough of them
-	bootstrapMaxWait       = 1500 * time.Millisecond // without another store, while there are fewer than wanted
+	bootstrapMaxWait       = 1500 * time.Millisecond // without another store, while there are fewer than required
 	bootstrapStagger       = 2 * time.Second         // by which each further seed waits longer
 	bootstrapRetryInterval = 200 * time.Millisecond
 )
 
 // storeBootstrap decides the first view of a core whose voters are stores. The seeds, none of which has a disk, are the acceptors of its single-decree
-// Paxos: in memory, and therefore only in their first life.
+// Paxos: in memory, and therefore only in their first incarnation.
 type storeBootstrap struct {
 	seeds           view.View     // of epoch 0: its voters are the seeds
 	heard           []string      // seeds that have said that they have no disk
@@ -47,11 +47,11 @@
 	return f
 }
 
-// seedID stands for a seed in the founding: it has no disk to take an identity from.
+// seedID stands for a seed in the bootstrap: it has no disk to take an identity from.
 func seedID(address string) view.ID { return view.ID(xxhash.Sum64String(address) | 1) }
 
-// bootstrapsOnStores says whether it is on this node to have stores found the core: no seed has a disk, and the seeds with lower addresses have had
-// their turn.
+// bootstrapsOnStores says whether it is on this node to have stores bootstrap the core: no seed has a disk, and the seeds with lower addresses have had
+// their time.
 func (n *node) bootstrapsOnStores(now time.Duration) bool {
 	f := n.storeBootstrap
 	if f == nil || n.view.Epoch != 0 || f.seedHasDisk || f.allHeardAt < 0 {
@@ -61,7 +61,7 @@
 	return now >= f.allHeardAt+time.Duration(turn)*bootstrapStagger
 }
 
-// observeSeeds notes which seeds have been heard of.
+// observeSeeds records which seeds have been heard.
 func (n *node) observeSeeds(now time.Duration) {
 	f := n.storeBootstrap
 	if f.allHeardAt >= 0 {
@@ -80,7 +80,7 @@
 	}
 }
 
-// bootstrapOnStores goes on with the founding, at a seed.
+// bootstrapOnStores goes on with the bootstrap, at a seed.
 func (n *node) bootstrapOnStores(now time.Duration) {
 	f := n.storeBootstrap
 	if f == nil || n.view.Epoch != 0 {
@@ -159,7 +159,7 @@
 	}
 }
 
-// announceFirstView tells the first view to its voters and to the other seeds. Who misses that hears of it by the next beats.
+// announceFirstView sends the first view to its voters and to the other seeds. Who misses that hears of it by the next heartbeats.
 func (n *node) announceFirstView(first *view.View) {
 	if first == nil {
 		return
--- a/control/core/chainchange.go
+++ b/control/core/chainchange.go
@@ -7,7 +7,7 @@
 	"ravendale/control/view"
 )
 
-// chainChange is the step from one view to a later one, for the log.
+// chainChange is the step from one view to a later one, as it is logged.
 type chainChange struct {
 	epoch  uint64
 	chain  []string // rpc addresses
--- a/control/core/commands.go
+++ b/control/core/commands.go
@@ -57,7 +57,7 @@
 	}
 }
 
-// Submit takes a command, whose end is told in an output under the number that it returns.
+// Submit takes a command, whose completion is in an output under the number that it returns.
 func (n *node) Submit(now time.Duration, text []byte) uint64 {
 	added := n.commands.add(text)
 	if n.degraded() {
@@ -68,7 +68,7 @@
 	return added.number
 }
 
-// Cancel stops waiting for a command, and says whether it may still be applied; done means that it has ended already.
+// Cancel stops waiting for a command, and says by the error whether it may still be applied; done means that it has ended already.
 func (n *node) Cancel(number uint64) (err error, done bool) {
 	pending := n.commands.pending[number]
 	if pending == nil {
@@ -85,7 +85,7 @@
 }
 
 // submitAll sends what waits to the head, again if that has not helped. Within an epoch the head orders a command once, and a
-// later epoch is only tried when the earlier one is known to have ended without it.
+// later epoch is only attempted when the earlier one is known to have ended without it.
 func (n *node) submitAll(now time.Duration) {
 	if len(n.commands.pending) == 0 || n.degraded() || !n.chain.Attached() || n.vote.Sealed(n.view.Epoch) || !n.config.Durability.Met(&n.view) {
 		return
@@ -114,7 +114,7 @@
 }
 
 // towardsHead is the member that a command for the head is sent to: the head itself, or the first of the chain that this one hears, which passes
-// it on. Neighbours in a chain hear each other, though a cut may part others.
+// it on. Neighbours in a chain hear each other, though a partition may part others.
 func (n *node) towardsHead(now time.Duration) view.ID {
 	for _, id := range n.view.Chain[:max(n.chain.Position(), 0)] {
 		if n.hears(now, id) {
--- a/control/core/core.go
+++ b/control/core/core.go
@@ -1,5 +1,3 @@
-// Package core is the replicated core of the control plane: it orders commands for a state machine so that none that was acknowledged
-// is lost, and grants one process at a time the leader lease. The node does all thinking, without clock, sockets or disk; Core runs it.
 package core
 
 import (
@@ -22,7 +20,7 @@
 	"ravendale/control/view"
 )
 
-// Errors of Submit.
+// Errors of Submit, by what is known of the command: a caller may submit it again only after ErrUnavailable.
 var (
 	ErrUnavailable = errors.New("core: unavailable, the command was not and will not be applied")
 	ErrUnknown     = errors.New("core: the command may or may not be applied")
@@ -37,32 +35,33 @@
 const maxMessageEntries = 2*(chain.MaxUncommitted+MaxCommand) + maxLogBytes
 
 const _ = uint(rpc.MaxFrame - maxMessageEntries - 1<<20) // they fit a frame, with room for what is around them
-// How long a voter may be silent.
+
+// How long a member may be unresponsive before it counts as gone.
 const (
 	downFraction     = 0.7                     // of the time that a new machine has to catch up: by then the one that it replaces has no vote
 	maxDownAfter     = 1500 * time.Millisecond // by then a lease that it held has ended, so that the next holder need not wait for the new voters
 	minLearnerExpiry = 10 * time.Second
 )
 
-// An orderly end waits for the others to go on without this process.
+// An orderly stop waits for the others to go on without this process.
 const (
 	stopTimeout      = 1500 * time.Millisecond // at most
-	stopFraction     = 0.25                    // and of the time that the process has for its end
-	stopPollInterval = 20 * time.Millisecond   // at least, in which word of the lease that is given back may leave
+	stopFraction     = 0.25                    // and of the time that the process has to stop
+	stopPollInterval = 20 * time.Millisecond   // between looks, and the time in which the release of the lease may be sent
 )
 
-// Machine is the state that is kept alike at all members. Its methods are called one at a time, on goroutines of the core's, and must depend on
+// Machine is the replicated state machine. Its methods are called one at a time, on goroutines of the core's, and must depend on
 // nothing but what they are given; they must not call the Core.
 type Machine interface {
 	// Apply executes a committed command. The result goes to whoever submitted it.
 	Apply(command []byte) (result []byte)
-	// Snapshot is the whole state.
+	// Snapshot is the complete state.
 	Snapshot() []byte
-	// Restore replaces the whole state by that of a snapshot.
+	// Restore replaces the complete state by that of a snapshot.
 	Restore(snapshot []byte) error
 }
 
-// Config of a core process.
+// Config is what Open needs.
 type Config struct {
 	Settings *settings.Settings
 	Machine  Machine
@@ -92,10 +91,10 @@
 	Last           uint64
 	Committed      uint64
 	Leader         string // rpc address, empty if unknown
-	DiskFault      string // why this process stands aside, empty if it does not
+	DiskFault      string // why this process is degraded, empty if it is not
 }
 
-// Core is this process's part of the core.
+// Core is this process's part of the core: it drives a node on sockets and files. Its methods may be called by any goroutine.
 type Core struct {
 	config  Config
 	address string
@@ -181,7 +180,7 @@
 	return slots.OSFolder(c.config.Settings.DataDir)
 }
 
-// resetSlots sets a damaged disk's files aside.
+// resetSlots quarantines a damaged disk's files, and opens an empty store.
 func (c *Core) resetSlots() (*slots.Store, []byte, [][]byte, error) {
 	if err := slots.SetAside(c.folder()); err != nil {
 		return nil, nil, nil, err
@@ -197,13 +196,13 @@
 	}
 }
 
-// DownAfter is when a silent voter may lose its vote to another: before its successor counts as reliable, or it would be missed in two
-// places.
+// DownAfter is after how long an unresponsive voter may lose its vote to another, by the time that a new machine has to catch up: before its successor
+// counts as reliable, or it would be missed in two places.
 func DownAfter(catchup time.Duration) time.Duration {
 	return min(maxDownAfter, time.Duration(downFraction*float64(catchup)))
 }
 
-// LearnerExpiry is when a silent learner is forgotten.
+// LearnerExpiry is after how long an unresponsive learner is removed, by the time that a new machine has to catch up.
 func LearnerExpiry(catchup time.Duration) time.Duration { return max(minLearnerExpiry, 2*catchup) }
 
 func durationOf(seconds float64) time.Duration { return settings.Seconds(seconds) }
@@ -215,7 +214,7 @@
 
 func (c *Core) now() time.Duration { return time.Since(c.started) }
 
-// Run takes part in the core until ctx ends. While the disk fails or stalls this process stands aside: it only forwards what is submitted.
+// Run takes part in the core until ctx ends. While the disk fails or stalls this process is degraded: it only forwards what is submitted.
 func (c *Core) Run(ctx context.Context) {
 	diskDone := make(chan struct{})
 	go func() {
@@ -267,7 +266,7 @@
 	c.step(func(now time.Duration) { c.node.Tick(now) })
 }
 
-// step has the node do something, and does what it wants done.
+// step has the node do something, and executes its output.
 func (c *Core) step(do func(now time.Duration)) {
 	c.mu.Lock()
 	if !c.running {
@@ -342,7 +341,7 @@
 	return c.node.Addresses()
 }
 
-// BootstrapsOnStores says whether this process is to have stores take part in a core that is not founded yet, since no seed has a disk.
+// BootstrapsOnStores says whether this process is to have stores take part in a core that is not bootstrapped yet, since no seed has a disk.
 func (c *Core) BootstrapsOnStores() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -359,7 +358,7 @@
 	c.step(func(now time.Duration) { c.node.Leave(now) })
 }
 
-// Removed says whether the others have let this process go after Leave: it may end, and its disk holds nothing that they lack.
+// Removed says whether the others have removed this process after Leave: it may stop, and its disk holds nothing that they lack.
 func (c *Core) Removed() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/control/core/decommission.go
+++ b/control/core/decommission.go
@@ -7,14 +7,14 @@
 	"ravendale/control/view"
 )
 
-// departure is how far this member is on its way out of the core.
+// departure is whether this member is to leave the core, for a while or for good.
 type departure struct {
-	stopping         bool          // its process has been told to end: it will be back
+	stopping         bool          // its process is about to stop, and may be back
 	decommissioning  bool          // it asks to be no voter any more
 	decommissionedAt time.Duration // since when
 }
 
-// leaseTransferTimeout is how long a member that leaves is kept while nobody holds the leader lease: a change of the voters that names a holder lets
+// leaseTransferTimeout is how long a member that is decommissioned is kept while nobody holds the leader lease: a change of the voters that names a holder lets
 // that one go on, while one without a holder has all wait for the end of a lease that may be held.
 const leaseTransferTimeout = 2 * time.Second
 
@@ -41,7 +41,7 @@
 	n.Abdicate(now)
 }
 
-// announceLeaving goes along with each beat of a member that has abdicated or leaves.
+// announceLeaving goes along with each heartbeat of a member that has abdicated or is decommissioned.
 func (n *node) announceLeaving(now time.Duration) {
 	if n.departure.decommissioning || now < n.lease.abstainUntil {
 		n.sendVoters(&leaving{ID: n.self.ID, Vote: n.departure.decommissioning})
@@ -68,7 +68,7 @@
 	return p != nil && now < p.abstainUntil
 }
 
-// removable says whether a member wishes to leave and may: those that stay are a chain that lasts, each of them whole and heard by this one.
+// removable says whether a member wishes to leave and may: those that stay are a chain with enough disks, each of them complete and heard by this one.
 func (n *node) removable(now time.Duration, id view.ID) bool {
 	if !n.wantsRemoval(id) {
 		return false
--- a/control/core/diskwriter.go
+++ b/control/core/diskwriter.go
@@ -11,7 +11,7 @@
 	"ravendale/control/slots"
 )
 
-// diskQueue holds what waits for the disk, in order.
+// diskQueue holds the writes that wait for the disk, in order.
 type diskQueue struct {
 	mu     sync.Mutex
 	writes []diskWrite
--- a/control/core/dispatch.go
+++ b/control/core/dispatch.go
@@ -27,12 +27,13 @@
 	}
 }
 
-func (n *node) deliver(p outboundMessage) {
-	if p.To == n.self.Address {
-		n.inbox = append(n.inbox, inboundMessage{n.self, p.Message})
+// deliver sends a message, by way of the inbox if it is for the node itself.
+func (n *node) deliver(m outboundMessage) {
+	if m.To == n.self.Address {
+		n.inbox = append(n.inbox, inboundMessage{n.self, m.Message})
 		return
 	}
-	n.output.Messages = append(n.output.Messages, p)
+	n.output.Messages = append(n.output.Messages, m)
 }
 
 func (n *node) sendMembers(message msgp.Marshaler) {
@@ -57,6 +58,7 @@
 	n.finish(now)
 }
 
+// dispatch handles a message, as far as the node's state lets it.
 func (n *node) dispatch(now time.Duration, from view.Member, message any) {
 	if !n.config.Disk {
 		n.dispatchDiskless(now, from, message)
--- a/control/core/model.go
+++ b/control/core/driver.go
@@ -9,7 +9,7 @@
 	"ravendale/control/view"
 )
 
-// The logic of a member, without clock, sockets or disk: a simulation of the whole system runs many in virtual time, as Core runs one.
+// The logic of a member, without clock, sockets or disk: a simulation of the system drives many in virtual time, as Core drives one.
 type (
 	// Node is a member of the core.
 	Node = node
@@ -21,7 +21,7 @@
 	DiskWrite = diskWrite
 	// OutboundMessage is a message that it sends.
 	OutboundMessage = outboundMessage
-	// Completion is the end of a command that was submitted to it.
+	// Completion is the outcome of a command that was submitted to it.
 	Completion = completion
 )
 
@@ -46,7 +46,7 @@
 		n.vote.Sealed(n.view.Epoch), n.chain.Last(), n.chain.Committed(), n.peers.unresponsive)
 }
 
-// CopyMessage encodes and decodes a message of a Post, as a connection does.
+// CopyMessage encodes and decodes an outbound message, as a connection does.
 func CopyMessage(message msgp.Marshaler) (any, error) {
 	data, err := message.MarshalMsg(nil)
 	if err != nil {
--- a/control/core/durability.go
+++ b/control/core/durability.go
@@ -11,7 +11,7 @@
 	"ravendale/control/view"
 )
 
-// load reads what is on disk, and restores the machine. On an empty disk it draws an identity.
+// load decodes what is on disk, and restores the machine. On an empty disk it draws an identity.
 func (n *node) load(snapshot []byte, records [][]byte) (*Image, error) {
 	if snapshot == nil {
 		kept := &Image{ID: view.ID(n.config.Random() | 1)}
--- a/control/core/heartbeats.go
+++ b/control/core/heartbeats.go
@@ -7,6 +7,7 @@
 	"ravendale/control/chain"
 )
 
+// onHeartbeat takes a heartbeat. Its sender is told of a later view, and is answered if it was not known.
 func (n *node) onHeartbeat(now time.Duration, m *heartbeat) {
 	known := n.observe(now, m)
 	if m.Epoch < n.view.Epoch {
@@ -29,14 +30,14 @@
 }
 
 func (n *node) heartbeat(now time.Duration) *heartbeat {
-	missing := n.peers.unresponsive
+	unresponsive := n.peers.unresponsive
 	if n.degraded() {
-		missing = append(slices.Clone(missing), n.self.ID)
+		unresponsive = append(slices.Clone(unresponsive), n.self.ID)
 	}
 	return &heartbeat{
-		Member: n.self, Epoch: n.view.Epoch, Bootstrap: len(n.bootstrapMembers) > 0, CannotOrder: n.cannotOrder, Whole: n.chain.Complete(),
+		Member: n.self, Epoch: n.view.Epoch, Bootstrap: len(n.bootstrapMembers) > 0, CannotOrder: n.cannotOrder, Complete: n.chain.Complete(),
 		Attached: n.chain.Attached(), Synced: n.chain.Synced(), Committed: n.chain.Committed(),
-		Unresponsive: missing, Leading: n.leads(now), Leader: n.leaderAddress(now), Stopping: n.departure.stopping,
+		Unresponsive: unresponsive, Leading: n.leads(now), Leader: n.leaderAddress(now), Stopping: n.departure.stopping,
 	}
 }
 
@@ -51,8 +52,8 @@
 	n.announceLeaving(now)
 }
 
-// heartbeatTargets is whom the node's beats go to: all whom it knows. Processes without a disk, of which there may be many, spare one another those, but
-// for the seeds.
+// heartbeatTargets are the rpc addresses that heartbeats go to: all that are known. Processes without a disk, of which there may be many, send one
+// another none, but for the seeds.
 func (n *node) heartbeatTargets() []string {
 	addresses := n.Addresses()
 	if n.config.Disk {
--- a/control/core/image.go
+++ b/control/core/image.go
@@ -13,8 +13,8 @@
 
 // Image is all that a member keeps on disk: the content of a slot, with the records of the log done to it.
 type Image struct {
-	ID               view.ID
-	BootstrapMembers []string // rpc addresses of the seeds, if it may found the core
+	ID               view.ID  // of the disk
+	BootstrapMembers []string // rpc addresses of the seeds, if it may bootstrap the core
 	View             view.View
 	Vote             view.Vote
 	Chain            chain.State
@@ -30,7 +30,7 @@
 	Lease *lease.PreviousGrant
 }
 
-// ReadImage decodes what a member's slots.Store has kept.
+// ReadImage decodes what a member's slots.Store has kept: a snapshot, and the records that followed it.
 func ReadImage(snapshot []byte, records [][]byte) (*Image, error) {
 	kept := &Image{}
 	if _, err := kept.UnmarshalMsg(snapshot); err != nil {
@@ -46,6 +46,7 @@
 	return kept, nil
 }
 
+// replay does a change to the image.
 func (i *Image) replay(change *record) {
 	switch {
 	case change.View != nil:
--- a/control/core/kinds.go
+++ b/control/core/kinds.go
@@ -36,7 +36,7 @@
 	{methodLeaving, func() msgp.Unmarshaler { return new(leaving) }},
 }
 
-// methodOf tells the method of a message.
+// methodOf is the method of a message.
 func methodOf(message msgp.Marshaler) wire.Method {
 	switch message.(type) {
 	case *heartbeat:
--- a/control/core/leaderlease.go
+++ b/control/core/leaderlease.go
@@ -23,7 +23,7 @@
 	voter           *lease.Voter
 	holder          *lease.Holder // this member as a candidate
 	nextRequestAt   time.Duration // not before, a request that failed was the last
-	grantBatch      uint64        // the write that has whom the voter granted the lease last: no grant is told before it is durable
+	grantBatch      uint64        // the write that has whom the voter granted the lease last: no grant is sent before it is durable
 	leader          string        // rpc address of the holder, empty if unknown
 	leaderUntil     time.Duration // until then leader counts without another heartbeat
 	leaderlessSince time.Duration // since when no holder is known
@@ -64,6 +64,7 @@
 	return cause
 }
 
+// onLeaseRequest answers as a voter, once whom it granted the lease is durable.
 func (n *node) onLeaseRequest(now time.Duration, from view.Member, m *lease.Request) {
 	if m.Epoch != n.view.Epoch || !n.isVoter(n.self.ID) || !n.isMember(from.ID) || n.vote.Sealed(n.view.Epoch) {
 		return
@@ -80,7 +81,7 @@
 	n.sendWhenDurable(from.Address, reply)
 }
 
-// appendGrant has the name of the newest holder written.
+// appendGrant has whom the voter granted the lease written.
 func (n *node) appendGrant() {
 	grant := n.lease.voter.PreviousGrant()
 	n.durability.append(&record{Lease: &grant})
@@ -108,7 +109,7 @@
 // LeaseUntil is when the lease that this node holds ends.
 func (n *node) LeaseUntil() time.Duration { return n.lease.holder.ExpiresAt() }
 
-// BeginStop begins an orderly end: it gives the lease back, and has the others go on without this node. Left says when they do.
+// BeginStop begins an orderly stop: it gives the lease back, and has the others go on without this node. StopComplete says when they do.
 func (n *node) BeginStop(now time.Duration) {
 	n.config.Candidate = false
 	n.departure.stopping = !n.config.mutations.keepsVoteOnStop
@@ -123,7 +124,7 @@
 	n.finish(now)
 }
 
-// StopComplete says whether nothing is gained by waiting any longer for the end: a majority of the voters has a view that does without this node,
+// StopComplete says whether nothing is gained by waiting any longer to stop: a majority of the voters has a view that does without this node,
 // as far as that can be.
 func (n *node) StopComplete(now time.Duration) bool {
 	if n.view.Epoch == 0 {
@@ -183,14 +184,14 @@
 	}
 }
 
-// backOff gives back what a round without a majority got, and leaves the next to those before this one.
+// backOff gives back what an election round without a majority got, and leaves the next to those before this one.
 func (n *node) backOff(now time.Duration) {
 	n.sendVoters(n.lease.holder.Drop())
 	pause := time.Duration(n.config.Random() % uint64(leaseRetryInterval/2))
 	n.lease.nextRequestAt = now + pause + time.Duration(n.candidateRank(now))*candidateStagger
 }
 
-// candidateDelay is how long a candidate leaves the lease to those before it. After a restart of the whole core the one that held it last gets it
+// candidateDelay is how long a candidate leaves the lease to those before it. After a restart of the whole core the previous holder gets it
 // at once.
 func (n *node) candidateDelay(now time.Duration) time.Duration {
 	switch previous := n.lease.voter.PreviousHolder(now); {
--- a/control/core/links.go
+++ b/control/core/links.go
@@ -13,7 +13,7 @@
 	"ravendale/control/view"
 )
 
-// Time limits of connections among members, which carry beats all the time.
+// Time limits of connections among members, which carry heartbeats all the time.
 const (
 	pingAfter   = 800 * time.Millisecond
 	peerTimeout = 1600 * time.Millisecond
@@ -104,7 +104,7 @@
 	}
 }
 
-// registerInbound notes a connection whose other end has said who it is, unless this process opened it.
+// registerInbound records a connection whose other end has said who it is, unless this process opened it.
 func (l *links) registerInbound(address string, conn *rpc.Conn) (inbound bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/control/core/messages.go
+++ b/control/core/messages.go
@@ -29,23 +29,23 @@
 	methodLeaving
 )
 
-// heartbeat is what a process tells all others of the core now and then.
+// heartbeat is what a process sends all others of the core each heartbeatInterval, and at once when something of it changes.
 type heartbeat struct {
 	Member       view.Member // its ID is zero if the process has no disk
 	Epoch        uint64      // zero: it knows no view
-	Bootstrap    bool        // it may found the core together with the other seeds
+	Bootstrap    bool        // it may bootstrap the core together with the other seeds
 	CannotOrder  bool        // it is the head and can't order in this epoch
-	Whole        bool
-	Attached     bool
-	Synced       uint64
-	Committed    uint64
-	Unresponsive []view.ID // members that it does not hear; itself: its disk takes nothing, and it stands aside
-	Leading      bool      // it holds the leader lease
-	Leader       string    // rpc address of the holder as it knows, empty if it knows none
-	Stopping     bool      // it is about to end
+	Complete     bool        // its log has all that was committed in earlier epochs
+	Attached     bool        // its log follows its predecessor's
+	Synced       uint64      // sequence up to which its log is durable
+	Committed    uint64      // sequence up to which it knows the log to be committed
+	Unresponsive []view.ID   // members that it does not hear; itself: it is degraded
+	Leading      bool        // it holds the leader lease
+	Leader       string      // rpc address of the holder as it knows, empty if it knows none
+	Stopping     bool        // its process is about to stop
 }
 
-// decided tells of a view that is decided.
+// decided carries a view that is decided.
 type decided struct {
 	View view.View
 }
@@ -55,7 +55,7 @@
 	Epoch   uint64
 	Origin  uint64
 	Number  uint64
-	Low     uint64 // all its commands below have ended
+	Low     uint64 // all commands of the origin with lower numbers have ended
 	Command []byte
 }
 
@@ -65,6 +65,7 @@
 	Command    []byte
 }
 
+// outcome is what became of a forwarded command.
 type outcome uint8
 
 const (
@@ -73,13 +74,14 @@
 	outcomeUnknown
 )
 
+// forwardReply answers forward.
 type forwardReply struct {
 	Outcome outcome
 	Result  []byte
 }
 
-// leaving tells that a member won't seek the leader lease for a while, and whether it wishes to be no voter any more.
+// leaving says that a member won't seek the leader lease for a while.
 type leaving struct {
 	ID   view.ID
-	Vote bool
+	Vote bool // it wishes to be no voter any more
 }
--- a/control/core/messages_gen.go
+++ b/control/core/messages_gen.go
@@ -297,9 +297,9 @@
 		err = msgp.WrapError(err, "CannotOrder")
 		return
 	}
-	z.Whole, err = dc.ReadBool()
+	z.Complete, err = dc.ReadBool()
 	if err != nil {
-		err = msgp.WrapError(err, "Whole")
+		err = msgp.WrapError(err, "Complete")
 		return
 	}
 	z.Attached, err = dc.ReadBool()
@@ -380,9 +380,9 @@
 		err = msgp.WrapError(err, "CannotOrder")
 		return
 	}
-	err = en.WriteBool(z.Whole)
+	err = en.WriteBool(z.Complete)
 	if err != nil {
-		err = msgp.WrapError(err, "Whole")
+		err = msgp.WrapError(err, "Complete")
 		return
 	}
 	err = en.WriteBool(z.Attached)
@@ -443,7 +443,7 @@
 	o = msgp.AppendUint64(o, z.Epoch)
 	o = msgp.AppendBool(o, z.Bootstrap)
 	o = msgp.AppendBool(o, z.CannotOrder)
-	o = msgp.AppendBool(o, z.Whole)
+	o = msgp.AppendBool(o, z.Complete)
 	o = msgp.AppendBool(o, z.Attached)
 	o = msgp.AppendUint64(o, z.Synced)
 	o = msgp.AppendUint64(o, z.Committed)
@@ -493,9 +493,9 @@
 		err = msgp.WrapError(err, "CannotOrder")
 		return
 	}
-	z.Whole, bts, err = msgp.ReadBoolBytes(bts)
+	z.Complete, bts, err = msgp.ReadBoolBytes(bts)
 	if err != nil {
-		err = msgp.WrapError(err, "Whole")
+		err = msgp.WrapError(err, "Complete")
 		return
 	}
 	z.Attached, bts, err = msgp.ReadBoolBytes(bts)
--- a/control/core/model_actions_test.go
+++ b/control/core/model_actions_test.go
@@ -17,24 +17,7 @@
 	if m.broken != "" {
 		return nil
 	}
-	waiting := false
-	for i, at := range m.deliverable() {
-		message := m.mail[at]
-		name := m.name(at)
-		if i == 0 || m.budget.reorder != 0 || message.late {
-			add(false, "deliver %s", name)
-		}
-		waiting = waiting || !message.late
-		if m.budget.lose > 0 {
-			add(true, "lose %s", name)
-		}
-		if m.budget.duplicate > 0 {
-			add(true, "repeat %s", name)
-		}
-		if m.budget.late > 0 && !message.late {
-			add(true, "delay %s", name)
-		}
-	}
+	waiting := m.deliveries(add)
 	for _, member := range m.members {
 		if member.node != nil && !member.frozen && len(member.writes) > 0 {
 			add(false, "sync %s", member.address)
@@ -61,6 +44,28 @@
 	return actions
 }
 
+// deliveries lists what may become of each message, and says whether one that is not late is under way.
+func (m *model) deliveries(add func(fault bool, format string, arguments ...any)) (waiting bool) {
+	for i, at := range m.deliverable() {
+		message := m.mail[at]
+		name := m.name(at)
+		if i == 0 || m.budget.reorder != 0 || message.late {
+			add(false, "deliver %s", name)
+		}
+		waiting = waiting || !message.late
+		if m.budget.lose > 0 {
+			add(true, "lose %s", name)
+		}
+		if m.budget.duplicate > 0 {
+			add(true, "repeat %s", name)
+		}
+		if m.budget.late > 0 && !message.late {
+			add(true, "delay %s", name)
+		}
+	}
+	return waiting
+}
+
 // within says whether this step is among some, nil for all.
 func (m *model) within(steps []int) bool { return steps == nil || slices.Contains(steps, m.steps) }
 
--- a/control/core/model_checks_test.go
+++ b/control/core/model_checks_test.go
@@ -172,7 +172,7 @@
 		return
 	}
 	v := m.newest()
-	voters, whole := 0, 0
+	voters, complete := 0, 0
 	for _, member := range m.members {
 		if !member.up() {
 			continue
@@ -182,13 +182,13 @@
 			voters++
 		}
 		if at := v.Position(id); at >= 0 && (at < v.Complete || member.node.view.Epoch == v.Epoch && member.node.chain.Complete()) {
-			whole++
+			complete++
 		}
 	}
 	if voters < v.Majority() {
 		m.fail("%d of %d voters are up, though no more are lost than may be", voters, len(v.Voters))
 	}
-	if whole == 0 {
+	if complete == 0 {
 		m.fail("no whole member is up, though no more are lost than may be")
 	}
 }
--- a/control/core/node.go
+++ b/control/core/node.go
@@ -40,7 +40,7 @@
 	output output           // gathered until Take
 }
 
-// newNode makes a node from what is on its disk, nil if nothing is; then the first output has a write, and the node is silent until
+// newNode makes a node from what is on its disk, nil if nothing is; then the first output has a write, and the node sends nothing before
 // that is on disk.
 func newNode(now time.Duration, config nodeConfig, snapshot []byte, records [][]byte) (*node, error) {
 	n := &node{
@@ -91,9 +91,9 @@
 
 // Take returns what is to be done.
 func (n *node) Take() output {
-	out := n.output
+	taken := n.output
 	n.output = output{}
-	return out
+	return taken
 }
 
 // finish ends each step: it delivers what the node sent to itself, and gives the changes to the disk.
@@ -130,6 +130,7 @@
 	}
 }
 
+// install replaces the machine's state by another member's. Commands that were sent may be part of it: their outcome is unknown.
 func (n *node) install(fill *chain.Fill) {
 	if n.config.mutations.keepsStaleState {
 		n.durability.requireSnapshot()
@@ -147,6 +148,7 @@
 	}
 }
 
+// apply applies a committed command, and ends it if it was submitted here.
 func (n *node) apply(entry *chain.Entry) {
 	n.commands.outlive(entry.Epoch)
 	if entry.Origin == 0 {
@@ -207,6 +209,7 @@
 	return n.next(now)
 }
 
+// tickMember is all that a member which is not degraded, or a process without a disk, does on its own.
 func (n *node) tickMember(now time.Duration) {
 	n.updateResponsiveness(now)
 	if now >= n.peers.heartbeatDue {
@@ -227,7 +230,7 @@
 	n.submitAll(now)
 }
 
-// next is when something is due: often while something is under way, else with the next beat.
+// next is when something is due: often while something is under way, else with the next heartbeat.
 func (n *node) next(now time.Duration) time.Duration {
 	const brisk = 20 * time.Millisecond
 	if n.chain.HasUnapplied() && !n.degraded() {
--- a/control/core/peers.go
+++ b/control/core/peers.go
@@ -14,7 +14,7 @@
 	n.finish(now)
 }
 
-// hears says whether this node hears a member itself, given the benefit of the doubt while it can't know yet.
+// hears says whether this node hears a member itself, which is taken to be so while the node has not listened for long enough.
 func (n *node) hears(now time.Duration, id view.ID) bool {
 	if id == n.self.ID {
 		return true
@@ -91,7 +91,7 @@
 	return now - max(last, n.peers.suspectFrom-failureTimeout)
 }
 
-// isStopping says whether a member has said that it is about to end.
+// isStopping says whether a member has said that its process is about to stop.
 func (n *node) isStopping(id view.ID) bool {
 	if id == n.self.ID {
 		return n.departure.stopping
@@ -100,7 +100,7 @@
 	return p != nil && p.heartbeat.Stopping
 }
 
-// updateResponsiveness notes whom the node does not hear, and tells the others at once if that changes.
+// updateResponsiveness records whom the node does not hear, and has the others told at once if that changes. Unknown peers are forgotten in time.
 func (n *node) updateResponsiveness(now time.Duration) {
 	var missing []view.ID
 	for _, member := range n.view.Members() {
@@ -120,7 +120,7 @@
 	n.lease.expireLeader(now)
 }
 
-// forgetAfter is how long a stranger may be silent before it is forgotten. The control processes without a disk may know nobody else after
+// forgetAfter is how long an unknown peer may be unresponsive before it is forgotten. The control processes without a disk may know nobody else after
 // a restart.
 func (n *node) forgetAfter(p *peer) time.Duration {
 	if n.config.Storage && p.member.ID == 0 && p.contacted {
--- a/control/core/quorum.go
+++ b/control/core/quorum.go
@@ -7,10 +7,10 @@
 	"ravendale/control/view"
 )
 
-// quorumReportDelay is how long too few voters are heard before that is told: shorter gaps are ordinary failovers.
+// quorumReportDelay is how long too few voters are heard before that is reported: shorter gaps are ordinary failovers.
 const quorumReportDelay = time.Second
 
-// quorumChange tells that too few voters are heard for another view to be decided, or that there are enough again.
+// quorumChange reports that too few voters are heard for another view to be decided, or that there are enough again.
 type quorumChange struct {
 	Unavailable  bool
 	Voters       int
@@ -18,13 +18,13 @@
 	Unresponsive []string // the same, with the reason as far as this node knows
 }
 
-// quorumWatch notices that the quorum of the voters is lost.
+// quorumWatch notices that no quorum of the voters is available.
 type quorumWatch struct {
 	unavailableSince time.Duration // negative: it is there
 	reported         bool
 }
 
-// watchQuorum tells when a majority of the voters is not heard for a while, and when it is heard again.
+// watchQuorum reports when a majority of the voters is not heard for a while, and when it is heard again.
 func (n *node) watchQuorum(now time.Duration) {
 	if n.view.Epoch == 0 || n.majorityHeard(now) {
 		if n.quorum.reported {
@@ -54,7 +54,7 @@
 	return change
 }
 
-// hearsVoter says whether a voter has been heard in this life and still is.
+// hearsVoter says whether a voter has been heard in this incarnation and still is.
 func (n *node) hearsVoter(now time.Duration, id view.ID) bool {
 	return id == n.self.ID || n.peers.byID(id) != nil && n.hears(now, id)
 }
--- a/control/core/submittargets.go
+++ b/control/core/submittargets.go
@@ -7,7 +7,7 @@
 )
 
 // submitTargets lists the members of the core that are known, those first that most likely get a command committed: the leader, then who was heard lately,
-// follows the chain, misses few others and knows the newest view. One that is cut off from the others comes late.
+// is attached to the chain, hears most others and knows the newest view. One that is partitioned from the others comes late.
 func (n *node) submitTargets(now time.Duration) []string {
 	leader := n.leaderAddress(now)
 	rank := func(address string) [5]uint64 {
--- a/control/core/viewchange.go
+++ b/control/core/viewchange.go
@@ -17,6 +17,7 @@
 // reset ends an attempt, as another view is decided or this member may not propose one.
 func (c *viewChange) reset() { c.proposer, c.pendingSince = nil, -1 }
 
+// onPrepare answers another proposer as an acceptor, once the promise is durable.
 func (n *node) onPrepare(now time.Duration, from view.Member, m *view.Prepare) {
 	n.adopt(now, &m.View)
 	if m.View.Epoch < n.view.Epoch {
@@ -36,6 +37,7 @@
 	n.sendWhenDurable(from.Address, &reply)
 }
 
+// seal has the vote written, and the chain take nothing more in this epoch: a successor of its view is being decided.
 func (n *node) seal() {
 	n.chain.Seal()
 	vote := n.vote
@@ -103,13 +105,13 @@
 	return know
 }
 
-// seemsComplete guesses whether a member of the chain is whole, from its last beat.
+// seemsComplete guesses whether a member of the chain is complete, from its last heartbeat.
 func (n *node) seemsComplete(id view.ID) bool {
 	if n.view.Position(id) < n.view.Complete || id == n.self.ID && n.chain.Complete() {
 		return true
 	}
 	p := n.peers.byID(id)
-	return p != nil && p.heartbeat.Epoch == n.view.Epoch && p.heartbeat.Whole
+	return p != nil && p.heartbeat.Epoch == n.view.Epoch && p.heartbeat.Complete
 }
 
 func nobody(view.ID) bool { return false }
@@ -168,7 +170,7 @@
 	}
 }
 
-// proposerRank is how many members that live come before this one as proposers.
+// proposerRank is how many members that are heard come before this one as proposers.
 func (n *node) proposerRank(now time.Duration) int {
 	rank := 0
 	for _, id := range n.proposerOrder() {
@@ -193,7 +195,7 @@
 	return order
 }
 
-// checkViewChange proposes another view when one has been wanted for long enough.
+// checkViewChange proposes another view when one has been pending for long enough.
 func (n *node) checkViewChange(now time.Duration) {
 	if n.view.Epoch == 0 || !n.isMember(n.self.ID) {
 		return
@@ -215,6 +217,7 @@
 	n.startBallot(now)
 }
 
+// startBallot begins an attempt, with a ballot above all that are known.
 func (n *node) startBallot(now time.Duration) {
 	n.viewChange.ballotNumber = max(n.viewChange.ballotNumber, n.vote.Promised.Number) + 1
 	if n.vote.Epoch != n.view.Epoch {
@@ -237,8 +240,8 @@
 	if !p.Gathered(now, func(id view.ID) bool { return n.alive(now, id) }) {
 		return
 	}
-	accept := p.Choose(func(whole func(view.ID) bool) (view.View, bool) {
-		return view.Plan(&n.view, n.knowledge(now, whole), whole)
+	accept := p.Choose(func(complete func(view.ID) bool) (view.View, bool) {
+		return view.Plan(&n.view, n.knowledge(now, complete), complete)
 	})
 	if accept != nil {
 		n.sendMembers(accept)
