--- a/cmd/ravendale-edge/edge_test.go
+++ b/cmd/ravendale-edge/edge_test.go
@@ -407,16 +407,18 @@
 	assert.Equal(t, ids, firsts)
 }
 
-// startRunning has a message under way at the worker, until the channel is closed.
-func (r *rig) startRunning(at *rigEdge) (name string, hold chan struct{}) {
-	hold = make(chan struct{})
+// startRunning has a message under way at the worker, until it is let end, at the latest by the end of the test.
+func (r *rig) startRunning(at *rigEdge) (name string, letEnd func()) {
+	hold := make(chan struct{})
+	letEnd = sync.OnceFunc(func() { close(hold) })
+	r.t.Cleanup(letEnd) // a test that fails before must not leave the worker waiting, which would keep it from closing
 	r.worker.answerBy(func(http.ResponseWriter, *http.Request, int) bool {
 		<-hold
 		return false
 	})
 	name = r.put(at, "/p/x", "running", "", 0)
 	require.Eventually(r.t, func() bool { return len(r.worker.list()) == 1 }, patience, time.Millisecond)
-	return name, hold
+	return name, letEnd
 }
 
 func TestPlannedStopHandsOver(t *testing.T) {
@@ -424,13 +426,13 @@
 	one, two := r.edges[0], r.edges[1]
 	r.awaitReady(one)
 	r.awaitReady(two)
-	running, hold := r.startRunning(one)
+	running, letEnd := r.startRunning(one)
 	delayed := r.put(one, "/p/x", "delayed", "", 1500)
 	began := time.Now()
 	one.stop()
 	time.Sleep(100 * time.Millisecond)
 	taken := r.put(one, "/p/x", "taken while leaving", "", 0)
-	close(hold)
+	letEnd()
 	require.NoError(t, <-one.done)
 	assert.Less(t, time.Since(began), 6*time.Second)
 	for _, name := range []string{running, delayed, taken} {
--- a/cmd/ravendale-edge/rules_test.go
+++ b/cmd/ravendale-edge/rules_test.go
@@ -62,7 +62,7 @@
 	one, two := r.edges[0], r.edges[1]
 	r.awaitReady(one)
 	r.awaitReady(two)
-	name, hold := r.startRunning(one)
+	name, letEnd := r.startRunning(one)
 	one.stop()
 	ask := func() int {
 		response, err := http.Get("http://" + one.env.Settings.ListenReady + "/v1/readyz")
@@ -74,7 +74,7 @@
 	}
 	require.Eventually(t, func() bool { return ask() == http.StatusServiceUnavailable }, patience, time.Millisecond)
 	assert.Len(t, r.worker.list(), 1, "it still runs")
-	close(hold)
+	letEnd()
 	for stopped := false; !stopped; {
 		select {
 		case err := <-one.done:
--- a/control/core/core_test.go
+++ b/control/core/core_test.go
@@ -22,6 +22,7 @@
 	"ravendale/cluster/settings"
 	"ravendale/control/core"
 	"ravendale/control/slots"
+	"ravendale/test/diskfolder"
 )
 
 // list is a machine that keeps all commands in order.
@@ -82,7 +83,7 @@
 	for i := range count + 1 { // the last is no seed
 		processes = append(processes, &process{settings: settings.Settings{
 			Node: fmt.Sprint("node-", i), IP: fmt.Sprintf("127.0.0.%d", i+10), Zone: fmt.Sprint("zone-", i),
-			PortRange: []int{port, port + 3}, Seeds: seeds, Bootstrap: true, DataDir: filepath.Join(t.TempDir(), "data"),
+			PortRange: []int{port, port + 3}, Seeds: seeds, Bootstrap: true, DataDir: filepath.Join(diskfolder.New(t), "data"),
 			LostNodes: 1, Bounds: settings.Bounds{CatchupS: 5},
 		}})
 	}
@@ -180,7 +181,7 @@
 	t.Logf("another leader %v after", time.Since(killed))
 
 	leader.settings.Bootstrap = false
-	leader.settings.DataDir = filepath.Join(t.TempDir(), "new") // it lost its disk
+	leader.settings.DataDir = filepath.Join(diskfolder.New(t), "new") // it lost its disk
 	leader.start(t)
 	require.Eventually(t, func() bool { return leader.list.String() == "a,b,c,d," }, soon, 10*time.Millisecond)
 	for _, p := range seeds {
@@ -406,7 +407,7 @@
 	}
 	anew := processes[2]
 	anew.stop()
-	anew.settings.Bootstrap, anew.settings.DataDir, anew.machine = false, filepath.Join(t.TempDir(), "new"), &counter{}
+	anew.settings.Bootstrap, anew.settings.DataDir, anew.machine = false, filepath.Join(diskfolder.New(t), "new"), &counter{}
 	anew.start(t)
 	require.Eventually(t, counts(anew, commands), 30*time.Second, 10*time.Millisecond)
 	require.Eventually(t, func() bool { return anew.core.Status().Attached }, 30*time.Second, 10*time.Millisecond)
--- a/control/plane/plane_test.go
+++ b/control/plane/plane_test.go
@@ -16,6 +16,7 @@
 	"ravendale/control/core"
 	"ravendale/control/leader"
 	"ravendale/control/state"
+	"ravendale/test/diskfolder"
 )
 
 const (
@@ -76,7 +77,7 @@
 
 func (s *site) openStores(count int) {
 	for i := range count {
-		s.stores = append(s.stores, s.open(storeIP(i), s.TempDir(), true))
+		s.stores = append(s.stores, s.open(storeIP(i), diskfolder.New(s), true))
 	}
 }
 
@@ -153,7 +154,7 @@
 	s := newSite(t)
 	s.lost = 2
 	for i := range 4 {
-		s.controls = append(s.controls, s.open(controlIP(i), s.TempDir(), false))
+		s.controls = append(s.controls, s.open(controlIP(i), diskfolder.New(s), false))
 	}
 	var leading *Plane
 	require.Eventually(t, func() bool {
