--- a/cmd/ravendalectl/disk.go
+++ b/cmd/ravendalectl/disk.go
@@ -140,6 +140,6 @@
 	line("store\tdisk %s, placement %d", s.Disk, s.Epoch)
 	line("messages\t%d pending, %d done, %d dead, %d dropped", s.Pending, s.Done, s.Dead, s.Dropped)
 	for _, p := range s.Partitions {
-		line("  partition\t%d\t%d pending, %d ended", p.Number, p.Pending, p.Ended)
+		line("  partition\t%d\t%d pending, %d ended", p.Number, p.Pending, p.Finished)
 	}
 }
--- a/cmd/ravendalectl/internal/disks/core.go
+++ b/cmd/ravendalectl/internal/disks/core.go
@@ -15,20 +15,20 @@
 
 // Core is what a control process keeps.
 type Core struct {
-	Disk      string   `json:"disk"`
-	Founders  []string `json:"founders,omitempty"` // seeds, if this disk may found the system
-	Epoch     uint64   `json:"epoch"`
-	Voters    []string `json:"voters"` // disk@address
-	Chain     []string `json:"chain"`
-	Sealed    bool     `json:"sealed"`    // it has promised a successor of the epoch
-	Base      uint64   `json:"base"`      // sequence of the newest command that the state covers
-	Last      uint64   `json:"last"`      // sequence of the newest command on disk
-	Version   uint64   `json:"version"`   // of the configuration at Base
-	Term      uint64   `json:"term"`      // of the leader at Base
-	Placement uint64   `json:"placement"` // epoch of the queue's placement at Base
-	Uncovered []string `json:"uncovered"` // kinds of the commands after Base, oldest first: committed or not, the chain decides
-	Document  []byte   `json:"-"`         // the configuration at Base
-	Older     bool     `json:"older"`     // the newest state is lost, and this is the one before
+	Disk             string   `json:"disk"`
+	BootstrapMembers []string `json:"founders,omitempty"` // seeds, if this disk may found the system
+	Epoch            uint64   `json:"epoch"`
+	Voters           []string `json:"voters"` // disk@address
+	Chain            []string `json:"chain"`
+	Sealed           bool     `json:"sealed"`    // it has promised a successor of the epoch
+	Base             uint64   `json:"base"`      // sequence of the newest command that the state covers
+	Last             uint64   `json:"last"`      // sequence of the newest command on disk
+	Version          uint64   `json:"version"`   // of the configuration at Base
+	Term             uint64   `json:"term"`      // of the leader at Base
+	Placement        uint64   `json:"placement"` // epoch of the queue's placement at Base
+	Uncovered        []string `json:"uncovered"` // kinds of the commands after Base, oldest first: committed or not, the chain decides
+	Document         []byte   `json:"-"`         // the configuration at Base
+	Older            bool     `json:"older"`     // the newest state is lost, and this is the one before
 }
 
 // pair is the files of the generations of one parity: a state, and the records that follow it.
@@ -53,18 +53,18 @@
 // fileName is the name of a file as it is, rather than as a store asks for it.
 type fileName func(name string) string
 
-func asItIs(name string) string { return name }
+func sameName(name string) string { return name }
 
-// frozen is a folder of which some files are seen, and none is changed. It notes where a store would go on writing.
-type frozen struct {
+// readOnlyFolder is a folder of which some files are seen, and none is changed. It notes where a store would go on writing.
+type readOnlyFolder struct {
 	dir    string
 	named  fileName
 	hidden map[string]bool
 	opened map[string]int64 // size by name
 }
 
-func freeze(dir string, named fileName, hidden ...string) *frozen {
-	f := &frozen{dir: dir, named: named, hidden: make(map[string]bool), opened: make(map[string]int64)}
+func newReadOnlyFolder(dir string, named fileName, hidden ...string) *readOnlyFolder {
+	f := &readOnlyFolder{dir: dir, named: named, hidden: make(map[string]bool), opened: make(map[string]int64)}
 	for _, name := range hidden {
 		f.hidden[name] = true
 	}
@@ -72,7 +72,7 @@
 }
 
 // Read implements slots.Folder.
-func (f *frozen) Read(name string) ([]byte, error) {
+func (f *readOnlyFolder) Read(name string) ([]byte, error) {
 	if f.hidden[name] {
 		return nil, fs.ErrNotExist
 	}
@@ -80,93 +80,93 @@
 }
 
 // Open implements slots.Folder.
-func (f *frozen) Open(name string, size int64) (slots.File, error) {
+func (f *readOnlyFolder) Open(name string, size int64) (slots.File, error) {
 	f.opened[name] = size
-	return nowhere{}, nil
+	return discardFile{}, nil
 }
 
 // Remove implements slots.Folder.
-func (f *frozen) Remove(string) error { return nil }
+func (f *readOnlyFolder) Remove(string) error { return nil }
 
 // Sync implements slots.Folder.
-func (f *frozen) Rename(string, string) error { return nil }
+func (f *readOnlyFolder) Rename(string, string) error { return nil }
 
 // Sync implements slots.Folder.
-func (f *frozen) Sync() error { return nil }
+func (f *readOnlyFolder) Sync() error { return nil }
 
-type nowhere struct{}
+type discardFile struct{}
 
-func (nowhere) Write(data []byte) (int, error) { return len(data), nil }
-func (nowhere) Sync() error                    { return nil }
-func (nowhere) Close() error                   { return nil }
+func (discardFile) Write(data []byte) (int, error) { return len(data), nil }
+func (discardFile) Sync() error                    { return nil }
+func (discardFile) Close() error                   { return nil }
 
-// found is what a slots.Store finds.
-type found struct {
-	folder   *frozen
+// openResult is what a slots.Store finds.
+type openResult struct {
+	folder   *readOnlyFolder
 	snapshot []byte
 	records  [][]byte
 	err      error
 }
 
-func open(folder *frozen) found {
+func open(folder *readOnlyFolder) openResult {
 	_, snapshot, records, err := slots.OpenFolder(folder)
-	return found{folder, snapshot, records, err}
+	return openResult{folder, snapshot, records, err}
 }
 
-func (f *found) uses(name string) bool {
+func (f *openResult) uses(name string) bool {
 	_, used := f.folder.opened[name]
 	return used
 }
 
 func inspectCore(dir string, named fileName) (*Report, error) {
 	report := &Report{Folder: dir, named: named}
-	whole := open(freeze(dir, named))
-	if whole.err != nil && !errors.Is(whole.err, slots.ErrDamaged) {
-		return nil, whole.err
+	newest := open(newReadOnlyFolder(dir, named))
+	if newest.err != nil && !errors.Is(newest.err, slots.ErrDamaged) {
+		return nil, newest.err
 	}
 	for i, pair := range pairs {
 		other := pairs[1-i]
-		if err := report.addPair(i, &whole, open(freeze(dir, named, other.slot, other.log, pair.log)), open(freeze(dir, named, other.slot, other.log))); err != nil {
+		if err := report.addPair(i, &newest, open(newReadOnlyFolder(dir, named, other.slot, other.log, pair.log)), open(newReadOnlyFolder(dir, named, other.slot, other.log))); err != nil {
 			return nil, err
 		}
 	}
-	best := &whole
-	if whole.err != nil {
-		report.damage("%v: the process would set this aside and join the core as a new member", whole.err)
-		best = survivor(dir, named)
+	best := &newest
+	if newest.err != nil {
+		report.damage("%v: the process would set this aside and join the core as a new member", newest.err)
+		best = olderState(dir, named)
 	}
-	report.readCore(best, whole.err != nil)
+	report.readCore(best, newest.err != nil)
 	return report, nil
 }
 
-// survivor is the older state of a disk that lost its newest.
-func survivor(dir string, named fileName) *found {
+// olderState is the older state of a disk that lost its newest.
+func olderState(dir string, named fileName) *openResult {
 	for i := range pairs {
-		only := open(freeze(dir, named, pairs[1-i].slot, pairs[1-i].log))
+		only := open(newReadOnlyFolder(dir, named, pairs[1-i].slot, pairs[1-i].log))
 		if only.err == nil && only.snapshot != nil {
 			return &only
 		}
 	}
-	return &found{}
+	return &openResult{}
 }
 
 // addPair reports a slot and its log: alone is what a store finds in the slot only, both with the log.
-func (r *Report) addPair(i int, whole *found, alone, both found) error {
+func (r *Report) addPair(i int, newest *openResult, alone, both openResult) error {
 	slot, log := pairs[i].slot, pairs[i].log
 	size, exists, err := sizeOf(r.Folder, r.named(slot))
 	if err != nil {
 		return err
 	}
 	if exists {
-		r.Files = append(r.Files, r.slotFile(slot, size, whole, alone, both))
+		r.Files = append(r.Files, r.slotFile(slot, size, newest, alone, both))
 	}
 	size, exists, err = sizeOf(r.Folder, r.named(log))
 	if err != nil || !exists {
 		return err
 	}
-	file := File{Name: r.named(log), Bytes: size, Good: both.folder.opened[log], Records: len(both.records), Fate: FateWhole}
+	file := File{Name: r.named(log), Bytes: size, Good: both.folder.opened[log], Records: len(both.records), Fate: FateIntact}
 	switch {
-	case !whole.uses(log):
+	case !newest.uses(log):
 		file.Fate = FateOlder
 		if file.Good == 0 {
 			file.Fate = FateUnneeded
@@ -179,12 +179,12 @@
 	return nil
 }
 
-func (r *Report) slotFile(name string, size int64, whole *found, alone, both found) File {
+func (r *Report) slotFile(name string, size int64, newest *openResult, alone, both openResult) File {
 	file := File{Name: r.named(name), Bytes: size}
 	switch {
 	case errors.Is(both.err, slots.ErrDamaged):
-		file.Fate = FateLost // its log shows that it was there
-		if !errors.Is(whole.err, slots.ErrDamaged) {
+		file.Fate = FateUnreadable // its log shows that it was there
+		if !errors.Is(newest.err, slots.ErrDamaged) {
 			file.Fate = FateUnneeded
 		}
 		return file
@@ -193,8 +193,8 @@
 		return file
 	}
 	file.Good, file.Records, file.Fate = size, 1, FateOlder
-	if whole.uses(name) {
-		file.Fate = FateWhole
+	if newest.uses(name) {
+		file.Fate = FateIntact
 	}
 	return file
 }
@@ -211,7 +211,7 @@
 }
 
 // readCore decodes what survives.
-func (r *Report) readCore(from *found, older bool) {
+func (r *Report) readCore(from *openResult, older bool) {
 	if from.snapshot == nil {
 		r.remark("nothing was ever kept here, or nothing of it can be read")
 		return
@@ -236,7 +236,7 @@
 
 func render(i *core.Image) *Core {
 	c := &Core{
-		Disk: i.ID.String(), Founders: i.BootstrapMembers, Epoch: i.View.Epoch, Sealed: i.Vote.Sealed(i.View.Epoch),
+		Disk: i.ID.String(), BootstrapMembers: i.BootstrapMembers, Epoch: i.View.Epoch, Sealed: i.Vote.Sealed(i.View.Epoch),
 		Base: i.Chain.Base, Last: i.Chain.Base, Voters: []string{}, Chain: []string{}, Uncovered: []string{},
 	}
 	for _, member := range i.View.Voters {
--- a/cmd/ravendalectl/internal/disks/disks.go
+++ b/cmd/ravendalectl/internal/disks/disks.go
@@ -1,4 +1,4 @@
-// Package disks reads the disks of processes that don't run, and changes nothing on them: what is whole on them, what was torn by a
+// Package disks reads the disks of processes that don't run, and changes nothing on them: what is intact on them, what was torn by a
 // loss of power, what is lost, and what their processes would find when they start.
 package disks
 
@@ -17,11 +17,11 @@
 
 // The fates of files.
 const (
-	FateWhole    Fate = "whole"
-	FateOlder    Fate = "older"    // whole, and replaced by a newer one
-	FateTorn     Fate = "torn"     // what follows the good part was not synced: it is cut off at the next start, and nobody was told of it
-	FateUnneeded Fate = "unneeded" // not whole, and replaced by a newer one, or never in use
-	FateLost     Fate = "lost"     // what was synced can't be read: the disk is damaged
+	FateIntact     Fate = "whole"
+	FateOlder      Fate = "older"    // intact, and replaced by a newer one
+	FateTorn       Fate = "torn"     // what follows the good part was not synced: it is truncated at the next start, and nothing of it was acknowledged
+	FateUnneeded   Fate = "unneeded" // not intact, and replaced by a newer one, or never in use
+	FateUnreadable Fate = "lost"     // what was synced can't be read: the disk is damaged
 )
 
 // File is one file of a disk.
@@ -95,7 +95,7 @@
 func inspectOne(folder string, entries []os.DirEntry) ([]*Report, error) {
 	var reports []*Report
 	if holds(entries, func(e os.DirEntry) bool { return coreFile(e.Name()) && !e.IsDir() }) {
-		report, err := inspectCore(folder, asItIs)
+		report, err := inspectCore(folder, sameName)
 		if err != nil {
 			return nil, err
 		}
--- a/cmd/ravendalectl/internal/disks/disks_test.go
+++ b/cmd/ravendalectl/internal/disks/disks_test.go
@@ -84,8 +84,8 @@
 	require.NoError(t, err)
 	defer server.Close()
 	ctx, cancel := context.WithCancel(context.Background())
-	ended := make(chan error, 1)
-	go func() { running.Run(ctx); ended <- nil }()
+	exited := make(chan error, 1)
+	go func() { running.Run(ctx); exited <- nil }()
 	for version := 1; version <= versions; {
 		command, err := state.Encode(&state.Set{Base: uint64(version - 1), Body: document(version)})
 		require.NoError(t, err)
@@ -101,7 +101,7 @@
 	}
 	disk = running.Status().ID.String()
 	cancel()
-	require.NoError(t, <-ended)
+	require.NoError(t, <-exited)
 	return folder, disk
 }
 
@@ -148,16 +148,16 @@
 	return dir
 }
 
-func TestAWholeDiskHasItsNewestState(t *testing.T) {
+func TestAnIntactDiskHasItsNewestState(t *testing.T) {
 	report := inspect(t, writeSlots(t))
 	require.Empty(t, report.Damage)
 	require.EqualValues(t, 2, report.Core.Version)
 	require.Equal(t, document(2), report.Core.Document)
-	require.Equal(t, FateWhole, report.file("slot-0").Fate)
+	require.Equal(t, FateIntact, report.file("slot-0").Fate)
 	require.Equal(t, FateOlder, report.file("slot-1").Fate)
 	require.Equal(t, FateOlder, report.file("log-1").Fate)
 	log := report.file("log-0")
-	require.Equal(t, File{Name: "log-0", Bytes: log.Bytes, Good: log.Bytes, Records: 1, Fate: FateWhole}, log)
+	require.Equal(t, File{Name: "log-0", Bytes: log.Bytes, Good: log.Bytes, Records: 1, Fate: FateIntact}, log)
 }
 
 func TestATornLogIsNoDamage(t *testing.T) {
@@ -180,13 +180,13 @@
 	require.EqualValues(t, 2, report.Core.Version)
 }
 
-func TestALostSlotIsDamageAndTheOlderStateIsShown(t *testing.T) {
+func TestAnUnreadableSlotIsDamageAndTheOlderStateIsShown(t *testing.T) {
 	dir := writeSlots(t)
 	change(t, filepath.Join(dir, "slot-0"), func(data []byte) []byte { data[len(data)-1] ^= 1; return data })
 	report := inspect(t, dir)
 	require.True(t, report.Damaged())
 	require.Contains(t, report.Damage[0], "generation 2")
-	require.Equal(t, FateLost, report.file("slot-0").Fate)
+	require.Equal(t, FateUnreadable, report.file("slot-0").Fate)
 	require.True(t, report.Core.Older)
 	require.EqualValues(t, 1, report.Core.Version)
 }
@@ -211,12 +211,12 @@
 	require.Zero(t, reports[0].Core.Version)
 	require.True(t, reports[1].SetAside)
 	require.Contains(t, reports[1].Damage[0], "generation 2")
-	require.Equal(t, FateLost, reports[1].file("damaged-slot-0").Fate)
+	require.Equal(t, FateUnreadable, reports[1].file("damaged-slot-0").Fate)
 	require.True(t, reports[1].Core.Older)
 	require.EqualValues(t, 1, reports[1].Core.Version)
 }
 
-func TestContentOfAnotherKindIsTold(t *testing.T) {
+func TestContentOfAnotherKindIsReported(t *testing.T) {
 	dir := t.TempDir()
 	kept, _, _, err := slots.Open(dir)
 	require.NoError(t, err)
@@ -267,10 +267,10 @@
 	require.NoError(t, err)
 	require.Equal(t, &Store{
 		Disk: disk, Epoch: 7, Pending: 2, Done: 1, Dead: 1,
-		Partitions: []Partition{{Number: 1, Pending: 1, Ended: 1}, {Number: 2, Ended: 1}, {Number: 4, Pending: 1}},
+		Partitions: []Partition{{Number: 1, Pending: 1, Finished: 1}, {Number: 2, Finished: 1}, {Number: 4, Pending: 1}},
 	}, report.Store)
 	for _, file := range report.Files {
-		require.Equal(t, FateWhole, file.Fate)
+		require.Equal(t, FateIntact, file.Fate)
 		require.Equal(t, file.Bytes, file.Good)
 	}
 }
@@ -297,11 +297,11 @@
 	report := inspect(t, dir)
 	require.True(t, report.Damaged())
 	require.Contains(t, report.Damage[0], "0000000002.journal: it can't be read from byte 12 on")
-	require.Equal(t, FateLost, report.Files[1].Fate)
-	require.Equal(t, FateWhole, report.Files[2].Fate, "what follows is still read")
+	require.Equal(t, FateUnreadable, report.Files[1].Fate)
+	require.Equal(t, FateIntact, report.Files[2].Fate, "what follows is still read")
 }
 
-func TestALostSegmentIsDamage(t *testing.T) {
+func TestAMissingSegmentIsDamage(t *testing.T) {
 	dir := writeStore(t)
 	require.NoError(t, os.Remove(segment(dir, 2)))
 	require.NoError(t, os.Remove(filepath.Join(dir, identityFile)))
--- a/cmd/ravendalectl/internal/disks/store.go
+++ b/cmd/ravendalectl/internal/disks/store.go
@@ -34,9 +34,9 @@
 
 // Partition counts the messages of one partition.
 type Partition struct {
-	Number  uint16 `json:"number"`
-	Pending int    `json:"pending"`
-	Ended   int    `json:"ended"`
+	Number   uint16 `json:"number"`
+	Pending  int    `json:"pending"`
+	Finished int    `json:"ended"`
 }
 
 func inspectStore(dir, journalDir string) (*Report, error) {
@@ -93,7 +93,7 @@
 	if err != nil {
 		return fmt.Errorf("disks: %w", err)
 	}
-	file := File{Name: name, Bytes: int64(len(original)), Fate: FateWhole}
+	file := File{Name: name, Bytes: int64(len(original)), Fate: FateIntact}
 	good, err := readSegment(name, original, func(payload []byte) {
 		file.Records++
 		if err := content.apply(payload); err != nil {
@@ -110,7 +110,7 @@
 		file.Fate = FateTorn
 		r.remark("%s: the last %d bytes were torn by a loss of power, or have rotted: on the newest segment one can't be told from the other", name, file.Bytes-good)
 	default:
-		file.Fate = FateLost
+		file.Fate = FateUnreadable
 		r.damage("%s: it can't be read from byte %d on, and it was synced before the next segment was begun: the store would not start", name, good)
 	}
 	r.Files = append(r.Files, file)
@@ -138,17 +138,17 @@
 	if err := opened.Close(); err != nil {
 		return 0, fmt.Errorf("disks: %s: %w", name, err)
 	}
-	mended, err := os.ReadFile(path)
+	repaired, err := os.ReadFile(path)
 	if err != nil {
 		return 0, fmt.Errorf("disks: %w", err)
 	}
-	if !bytes.HasPrefix(original, mended) { // its header was made anew
+	if !bytes.HasPrefix(original, repaired) { // its header was made anew
 		return 0, nil
 	}
-	return int64(len(mended)), nil
+	return int64(len(repaired)), nil
 }
 
-// readIdentity reads the identity, which a store draws anew if it is not whole.
+// readIdentity reads the identity, which a store draws anew if it is not complete.
 func (r *Report) readIdentity(dir string) {
 	content, err := os.ReadFile(filepath.Join(dir, identityFile))
 	if errors.Is(err, fs.ErrNotExist) {
@@ -205,7 +205,7 @@
 				p.Pending++
 			}
 		}
-		p.Ended = len(in) - p.Pending
+		p.Finished = len(in) - p.Pending
 		if len(in) > 0 {
 			s.Partitions = append(s.Partitions, p)
 		}
--- a/cmd/ravendalectl/main_test.go
+++ b/cmd/ravendalectl/main_test.go
@@ -273,7 +273,7 @@
 	var lines []string
 	line := func(format string, arguments ...any) { lines = append(lines, fmt.Sprintf(format, arguments...)) }
 	renderCore(line, &status.Core{DiskFault: "no space left on device"})
-	require.Contains(t, lines, "DISK\tof the process that answers, which stands aside: no space left on device")
+	require.Contains(t, lines, "DISK\tof the process that answers, which is degraded: no space left on device")
 	lines = nil
 	renderCore(line, &status.Core{})
 	require.NotContains(t, strings.Join(lines, "\n"), "DISK\t")
--- a/cmd/ravendalectl/status.go
+++ b/cmd/ravendalectl/status.go
@@ -75,7 +75,7 @@
 	line("core\tepoch %d, %d voters of %d wanted, %d in the chain, %s", c.Epoch, len(c.Voters), c.Wanted, len(c.Chain), commits(c))
 	line("commands\t%d committed, %d known", c.Committed, c.Last)
 	if c.DiskFault != "" {
-		line("DISK\tof the process that answers, which stands aside: %s", c.DiskFault)
+		line("DISK\tof the process that answers, which is degraded: %s", c.DiskFault)
 	}
 	for _, voter := range c.Voters {
 		line("  voter\t%s\t%s\t%s\t%s", voter.Disk, voter.Address, voter.Zone, positionOf(c.Chain, voter.Disk))
--- a/control/core/chainchange.go
+++ b/control/core/chainchange.go
@@ -52,11 +52,11 @@
 	case n.isStopping(member.ID):
 		return "it stops"
 	case !n.hears(now, member.ID):
-		return "it is silent"
+		return "it does not respond"
 	case p != nil && len(p.heartbeat.Unresponsive) > 0:
 		return "it does not hear others"
 	}
-	return "it is behind, or silent to others"
+	return "it is behind, or does not respond to others"
 }
 
 func (c *diskChange) log(log *slog.Logger) {
@@ -64,7 +64,7 @@
 		log.Info("the core's disk takes writes again: this process takes part")
 		return
 	}
-	log.Error("the core's disk fails: this process steps aside", "error", c.Fault)
+	log.Error("the core's disk fails: this process is degraded", "error", c.Fault)
 }
 
 func (c *chainChange) log(log *slog.Logger) {
--- a/control/core/core.go
+++ b/control/core/core.go
@@ -180,7 +180,7 @@
 	return slots.OSFolder(c.config.Settings.DataDir)
 }
 
-// resetSlots quarantines a damaged disk's files, and opens an empty store.
+// resetSlots sets a damaged disk's files aside, and opens an empty store.
 func (c *Core) resetSlots() (*slots.Store, []byte, [][]byte, error) {
 	if err := slots.SetAside(c.folder()); err != nil {
 		return nil, nil, nil, err
--- a/control/core/core_test.go
+++ b/control/core/core_test.go
@@ -310,8 +310,8 @@
 	return slices.DeleteFunc(slices.Clone(processes), func(p *process) bool { return p == than })
 }
 
-// TestADamagedDiskIsQuarantined has a member's newest slot rot while it is down: it joins anew, as another, and what is left stays.
-func TestADamagedDiskIsQuarantined(t *testing.T) {
+// TestADamagedDiskIsSetAside has a member's newest slot rot while it is down: it joins anew, as another, and what is left stays.
+func TestADamagedDiskIsSetAside(t *testing.T) {
 	processes := plan(t, 3)[:3]
 	for _, p := range processes {
 		p.start(t)
--- a/control/core/diskwriter.go
+++ b/control/core/diskwriter.go
@@ -57,7 +57,7 @@
 		}
 		if err := c.put(writes); err != nil {
 			if errors.Is(err, unix.ENOSPC) {
-				_ = slots.DropDamaged(c.folder())
+				_ = slots.RemoveDamaged(c.folder())
 			}
 			c.step(func(now time.Duration) {
 				c.disk.take() // what follows a write that failed is void
--- a/control/core/leaderlease.go
+++ b/control/core/leaderlease.go
@@ -13,7 +13,7 @@
 	lossExpired     = "no majority renewed it in time"
 	lossStop        = "the process stops"
 	lossChain       = "not in the chain any more"
-	lossTransferred = "it was handed over"
+	lossTransferred = "it was transferred"
 	lossDisk        = "the disk fails or stalls"
 )
 
--- a/control/core/quorum.go
+++ b/control/core/quorum.go
@@ -61,8 +61,8 @@
 
 func (c *quorumChange) log(log *slog.Logger) {
 	if c.Unavailable {
-		log.Error("no majority of the core's voters is heard: nothing is decided", "voters", c.Voters, "heard", c.Heard, "silent", c.Unresponsive)
+		log.Error("no majority of the core's voters is heard: nothing is decided", "voters", c.Voters, "heard", c.Heard, "unresponsive", c.Unresponsive)
 		return
 	}
-	log.Info("a majority of the core's voters is heard again", "voters", c.Voters, "heard", c.Heard, "silent", c.Unresponsive)
+	log.Info("a majority of the core's voters is heard again", "voters", c.Voters, "heard", c.Heard, "unresponsive", c.Unresponsive)
 }
--- a/control/slots/damaged.go
+++ b/control/slots/damaged.go
@@ -13,8 +13,8 @@
 func DamagedName(name string) string { return damagedPrefix + name }
 
 // SetAside renames a store's files, so that the folder is as if it had never been used and what is left can still be looked at. Files that were
-// set aside earlier make place. The slots go first: while any log has its name and its slot has not, the folder counts as damaged, so
-// that a loss of power on the way never leaves an older state that seems whole.
+// set aside earlier are replaced. The slots go first: while any log has its name and its slot has not, the folder counts as damaged, so
+// that a loss of power on the way never leaves an older state that seems intact.
 func SetAside(folder Folder) error {
 	for _, names := range [][2]string{slotNames, logNames} {
 		for _, name := range names {
@@ -29,8 +29,8 @@
 	return nil
 }
 
-// DropDamaged removes what was set aside, for room.
-func DropDamaged(folder Folder) error {
+// RemoveDamaged removes what was set aside, so that the disk has capacity again.
+func RemoveDamaged(folder Folder) error {
 	for i := range slotNames {
 		if err := errors.Join(folder.Remove(DamagedName(slotNames[i])), folder.Remove(DamagedName(logNames[i]))); err != nil {
 			return fmt.Errorf("slots: %w", err)
--- a/control/slots/export_test.go
+++ b/control/slots/export_test.go
@@ -1,4 +1,4 @@
 package slots
 
-// Faults are the mistakes that tests may make.
-var Faults = &faults
+// Mutations are the mistakes that tests may make.
+var Mutations = &mutations
--- a/control/slots/slots.go
+++ b/control/slots/slots.go
@@ -1,5 +1,3 @@
-// Package slots keeps a small state on disk: two slot files written in turn hold a snapshot each, and a log of records follows the
-// newer one. Whatever was there when Append or Snapshot returned without an error is there after a loss of power.
 package slots
 
 import (
@@ -13,7 +11,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// Errors of a store.
+// Errors of a store. ErrDamaged is of Open: the disk had more than can be read. ErrFailed is of writes, until Snapshot works.
 var (
 	ErrDamaged = errors.New("slots: what was synced can't be read any more")
 	ErrFailed  = errors.New("slots: a write failed, and only a whole snapshot can follow")
@@ -21,8 +19,8 @@
 
 // A record is its length (4 bytes), its generation (8), the checksum (8) over both and the content, and the content.
 const (
-	headerSize = 4 + 8 + 8
-	maxRecord  = 1 << 30
+	headerBytes    = 4 + 8 + 8
+	maxRecordBytes = 1 << 30
 )
 
 // Names of the files; a generation uses those of its parity.
@@ -39,16 +37,16 @@
 // After an error of Append or Snapshot nobody knows what of the write is on disk: all before it is. The store then takes only a whole
 // snapshot, which goes to the other slot and begins another log, so that nothing ever follows a record that may be torn.
 type Store struct {
-	folder     Folder
-	generation uint64
-	log        File
-	size       int64
-	buffer     []byte
-	err        error
-	closed     bool
-	good       int    // slots that could be read
-	begun      uint64 // newest generation whose log has begun
-	doubtful   bool   // the newest slot may not be lasting, and the other is
+	folder         Folder
+	generation     uint64
+	log            File
+	size           int64
+	buffer         []byte
+	err            error
+	closed         bool
+	readableSlots  int    // slots that could be read
+	newestLog      uint64 // newest generation whose log has begun
+	newestUnsynced bool   // the newest slot may not be durable, and the other is
 }
 
 // Open opens the store in a folder of the operating system, which is made if there is none.
@@ -74,9 +72,9 @@
 	if err != nil {
 		return nil, nil, nil, err
 	}
-	if err := s.settle(size); err != nil {
+	if err := s.makeDurable(size); err != nil {
 		_ = s.fail(err)
-		s.doubtful = s.begun < s.generation && s.good == len(slotNames) && !faults.ForgetDoubt
+		s.newestUnsynced = s.newestLog < s.generation && s.readableSlots == len(slotNames) && !mutations.ForgetDoubt
 	}
 	return s, snapshot, records, nil
 }
@@ -94,7 +92,7 @@
 			return nil, err
 		}
 		if generation > 0 && parity(generation) == i {
-			s.good++
+			s.readableSlots++
 			if generation > s.generation {
 				s.generation, snapshot = generation, content
 			}
@@ -103,10 +101,10 @@
 		if err != nil {
 			return nil, err
 		}
-		s.begun = max(s.begun, generation)
+		s.newestLog = max(s.newestLog, generation)
 	}
-	if s.begun > s.generation {
-		return nil, fmt.Errorf("%w: the log of generation %d has no slot", ErrDamaged, s.begun)
+	if s.newestLog > s.generation {
+		return nil, fmt.Errorf("%w: the log of generation %d has no slot", ErrDamaged, s.newestLog)
 	}
 	return snapshot, nil
 }
@@ -116,9 +114,9 @@
 	if err != nil {
 		return nil, 0, err
 	}
-	content, generation, rest, ok := cut(data)
-	if !ok && faults.TrustTorn && len(data) > headerSize {
-		return data[headerSize:], binary.LittleEndian.Uint64(data[4:]), nil
+	content, generation, rest, ok := cutRecord(data)
+	if !ok && mutations.TrustTorn && len(data) > headerBytes {
+		return data[headerBytes:], binary.LittleEndian.Uint64(data[4:]), nil
 	}
 	if !ok || len(rest) > 0 {
 		return nil, 0, nil
@@ -132,7 +130,7 @@
 	if err != nil {
 		return 0, err
 	}
-	_, generation, _, ok := cut(data)
+	_, generation, _, ok := cutRecord(data)
 	if !ok {
 		return 0, nil
 	}
@@ -155,7 +153,7 @@
 	}
 	rest := data
 	for first := true; ; first = false {
-		content, generation, tail, ok := cut(rest)
+		content, generation, tail, ok := cutRecord(rest)
 		if !ok || generation != s.generation {
 			return records, int64(len(data) - len(rest)), nil
 		}
@@ -166,9 +164,9 @@
 	}
 }
 
-// settle makes all that was read lasting: it may have been written by a process that was killed before it synced. Then it cuts
-// what follows off the log, or begins the log.
-func (s *Store) settle(size int64) error {
+// makeDurable syncs all that was read: it may have been written by a process that was killed before it synced. Then it truncates
+// the log after what was read, or begins the log.
+func (s *Store) makeDurable(size int64) error {
 	name := slotNames[parity(s.generation)]
 	content, err := s.read(name)
 	if err != nil {
@@ -181,7 +179,7 @@
 	if err := errors.Join(slot.Sync(), slot.Close()); err != nil {
 		return fmt.Errorf("slots: %w", err)
 	}
-	if s.good < len(slotNames) && !faults.KeepGhosts {
+	if s.readableSlots < len(slotNames) && !mutations.KeepGhosts {
 		if err := s.clear(slotNames[1-parity(s.generation)]); err != nil {
 			return err
 		}
@@ -189,7 +187,7 @@
 	return s.openLog(size)
 }
 
-// clear makes it lasting that a slot is not good. What made it so may not have been synced: a loss of power could bring back a slot of a later
+// clear makes it durable that a slot is not readable. What made it so may not have been synced: a loss of power could bring back a slot of a later
 // generation, with a state older than what will have followed in the log of this one.
 func (s *Store) clear(name string) error {
 	content, err := s.read(name)
@@ -244,13 +242,13 @@
 	if err := s.write(s.buffer); err != nil {
 		return s.fail(err)
 	}
-	if cap(s.buffer) > keptBuffer {
+	if cap(s.buffer) > maxKeptBuffer {
 		s.buffer = nil
 	}
 	return nil
 }
 
-const keptBuffer = 16 << 10
+const maxKeptBuffer = 16 << 10
 
 func (s *Store) write(data []byte) error {
 	if _, err := s.log.Write(data); err != nil {
@@ -276,11 +274,11 @@
 	return nil
 }
 
-// next is the generation that is written next. It never takes the place of the only slot that is known to be lasting. That is the newest, if
+// next is the generation that is written next. It never overwrites the only slot that is known to be durable. That is the newest, if
 // its log has begun, or if the other was being written; but a newest slot that could not be synced when the store was opened may be
 // what a process left behind that was killed before its sync, and is written anew itself.
 func (s *Store) next() uint64 {
-	if s.doubtful {
+	if s.newestUnsynced {
 		return s.generation + 2
 	}
 	return s.generation + 1
@@ -299,7 +297,7 @@
 	if err := errors.Join(err, slot.Close()); err != nil {
 		return fmt.Errorf("slots: %w", err)
 	}
-	s.generation, s.doubtful = next, false
+	s.generation, s.newestUnsynced = next, false
 	if s.log != nil {
 		_ = s.log.Close() // the slot replaces it
 		s.log = nil
@@ -329,20 +327,20 @@
 	return append(buffer, content...)
 }
 
-// cut takes the first record off data, if it is good.
-func cut(data []byte) (content []byte, generation uint64, rest []byte, ok bool) {
-	if len(data) < headerSize {
+// cutRecord takes the first record off data, if it is good.
+func cutRecord(data []byte) (content []byte, generation uint64, rest []byte, ok bool) {
+	if len(data) < headerBytes {
 		return nil, 0, nil, false
 	}
 	length := int64(binary.LittleEndian.Uint32(data))
-	if length > maxRecord || length > int64(len(data)-headerSize) {
+	if length > maxRecordBytes || length > int64(len(data)-headerBytes) {
 		return nil, 0, nil, false
 	}
-	content = data[headerSize : headerSize+length]
-	if checksum(data[:headerSize-8], content) != binary.LittleEndian.Uint64(data[headerSize-8:]) {
+	content = data[headerBytes : headerBytes+length]
+	if checksum(data[:headerBytes-8], content) != binary.LittleEndian.Uint64(data[headerBytes-8:]) {
 		return nil, 0, nil, false
 	}
-	return content, binary.LittleEndian.Uint64(data[4:]), data[headerSize+length:], true
+	return content, binary.LittleEndian.Uint64(data[4:]), data[headerBytes+length:], true
 }
 
 func checksum(head, content []byte) uint64 {
--- a/control/slots/slots_test.go
+++ b/control/slots/slots_test.go
@@ -52,7 +52,7 @@
 	after, err := os.ReadFile(filepath.Join(folder, slots.DamagedName("slot-0")))
 	require.NoError(t, err)
 	require.Equal(t, before, after)
-	require.NoError(t, slots.DropDamaged(slots.OSFolder(folder)))
+	require.NoError(t, slots.RemoveDamaged(slots.OSFolder(folder)))
 	left, err := os.ReadDir(folder)
 	require.NoError(t, err)
 	require.Empty(t, left)
@@ -109,7 +109,7 @@
 	require.Empty(t, records)
 }
 
-func TestALostSlotIsToldNotPapered(t *testing.T) {
+func TestAnUnreadableSlotIsReported(t *testing.T) {
 	folder := slotstest.New()
 	store, _, _, err := slots.OpenFolder(folder)
 	require.NoError(t, err)
@@ -120,7 +120,7 @@
 	require.ErrorIs(t, err, slots.ErrDamaged)
 }
 
-func TestAfterAFailedWriteOnlyAWholeSnapshotIsTaken(t *testing.T) {
+func TestAfterAFailedWriteOnlyASnapshotIsAccepted(t *testing.T) {
 	for operations := range 6 { // of the snapshot that fail too: none, its slot's, its log's
 		folder := slotstest.New()
 		store, _, _, err := slots.OpenFolder(folder)
@@ -150,9 +150,9 @@
 	}
 }
 
-// TestAFolderWithoutRoomIsStillRead opens a store that was killed before its log began, or in the middle of a record, while nothing can
+// TestAFullFolderIsStillRead opens a store that was killed before its log began, or in the middle of a record, while nothing can
 // be written.
-func TestAFolderWithoutRoomIsStillRead(t *testing.T) {
+func TestAFullFolderIsStillRead(t *testing.T) {
 	folder := slotstest.New()
 	store, _, _, err := slots.OpenFolder(folder)
 	require.NoError(t, err)
@@ -188,14 +188,16 @@
 
 var seeds = flag.Uint64("seeds", 3000, "random histories")
 
-func TestATornSlotTakenAsWholeIsCaught(t *testing.T) { requireCaught(t, &slots.Faults.TrustTorn, 0) }
+func TestATornSlotTakenAsCompleteIsCaught(t *testing.T) {
+	requireCaught(t, &slots.Mutations.TrustTorn, 0)
+}
 
 func TestASlotInDoubtTakenAsLastingIsCaught(t *testing.T) {
-	requireCaught(t, &slots.Faults.ForgetDoubt, 0)
+	requireCaught(t, &slots.Mutations.ForgetDoubt, 0)
 }
 
 func TestASlotThatPowerBringsBackIsCaught(t *testing.T) {
-	requireCaught(t, &slots.Faults.KeepGhosts, 17000)
+	requireCaught(t, &slots.Mutations.KeepGhosts, 17000)
 }
 
 // requireCaught makes a mistake in histories from a seed on, until one breaks.
@@ -322,7 +324,7 @@
 		return
 	}
 	found := state(snapshot, records)
-	whole, older := []string{"two", "a", "b", "c"}, []string{"one", "1", "2"}
-	ok := len(found) == 0 || len(found) <= len(whole) && equal(found, whole[:len(found)]) || equal(found, older)
+	complete, older := []string{"two", "a", "b", "c"}, []string{"one", "1", "2"}
+	ok := len(found) == 0 || len(found) <= len(complete) && equal(found, complete[:len(found)]) || equal(found, older)
 	require.True(t, ok, "%v", found)
 }
--- a/control/status/status.go
+++ b/control/status/status.go
@@ -27,7 +27,7 @@
 	Voters      []Voter  `json:"voters"`
 	Chain       []string `json:"chain"`               // identities of disks, the head first
 	Wanted      int      `json:"votersWanted"`        // voters that bear the losses which the settings name
-	DiskFault   string   `json:"diskFault,omitempty"` // why the disk takes no writes, and this process stands aside; empty: it does
+	DiskFault   string   `json:"diskFault,omitempty"` // why the disk takes no writes, and this process is degraded; empty: it does
 	Attached    bool     `json:"attached"`            // this process follows the chain
 	Durable     bool     `json:"durable"`             // the chain has enough disks to commit
 	Last        uint64   `json:"last"`                // number of the newest command that this process knows
