--- a/control/core/delivery.go
+++ b/control/core/dispatch.go
@@ -10,59 +10,67 @@
 	"ravendale/control/view"
 )
 
-// send posts a message to a member.
+// inboundMessage is one that the node has for itself.
+type inboundMessage struct {
+	from    view.Member
+	message any
+}
+
+// send sends a message to a member, which may be the node itself.
 func (n *node) send(to view.ID, message msgp.Marshaler) {
 	if to == n.self.ID {
-		n.deliver(post{n.self.Address, message})
+		n.deliver(outboundMessage{n.self.Address, message})
 		return
 	}
 	if member, ok := n.view.Member(to); ok {
-		n.deliver(post{member.Address, message})
+		n.deliver(outboundMessage{member.Address, message})
 	}
 }
 
-func (n *node) deliver(p post) {
-	if p.To == n.self.Address {
-		n.inbox = append(n.inbox, letter{n.self, p.Message})
+// deliver sends a message, by way of the inbox if it is for the node itself.
+func (n *node) deliver(m outboundMessage) {
+	if m.To == n.self.Address {
+		n.inbox = append(n.inbox, inboundMessage{n.self, m.Message})
 		return
 	}
-	n.out.Posts = append(n.out.Posts, p)
+	n.output.Messages = append(n.output.Messages, m)
 }
 
 func (n *node) sendMembers(message msgp.Marshaler) {
 	for _, member := range n.view.Members() {
-		n.deliver(post{member.Address, message})
+		n.deliver(outboundMessage{member.Address, message})
 	}
 }
 
 func (n *node) sendVoters(message msgp.Marshaler) {
 	for _, member := range n.view.Voters {
-		n.deliver(post{member.Address, message})
+		n.deliver(outboundMessage{member.Address, message})
 	}
 }
 
 // Receive takes a message of another member, or of a process without a disk.
 func (n *node) Receive(now time.Duration, from view.Member, message any) {
 	if !n.ready() {
-		n.overhearUnborn(now, message)
+		n.observeUninitialized(now, message)
 		return
 	}
 	n.dispatch(now, from, message)
 	n.finish(now)
 }
 
+// dispatch handles a message, as far as the node's state lets it.
 func (n *node) dispatch(now time.Duration, from view.Member, message any) {
 	if !n.config.Disk {
-		n.overhear(now, from, message)
+		n.dispatchDiskless(now, from, message)
 		return
 	}
-	if n.aside.from != "" {
-		n.dispatchAside(now, from, message)
+	if n.degraded() {
+		n.dispatchDegraded(now, from, message)
 		return
 	}
 	switch m := message.(type) {
-	case *beat:
-		n.onBeat(now, m)
+	case *heartbeat:
+		n.onHeartbeat(now, m)
 	case *decided:
 		n.adopt(now, &m.View)
 	case *view.Prepare:
@@ -90,25 +98,25 @@
 	case *lease.Reply:
 		n.onLeaseReply(now, from, m)
 	case *lease.Release:
-		n.voter.Release(from.ID, m)
+		n.lease.voter.Release(from.ID, m)
 	case *leaving:
 		n.onLeaving(now, m)
 	}
 }
 
-// overhear is all that a process without a disk takes in.
-func (n *node) overhear(now time.Duration, from view.Member, message any) {
+// dispatchDiskless is all that a process without a disk takes in.
+func (n *node) dispatchDiskless(now time.Duration, from view.Member, message any) {
 	switch m := message.(type) {
-	case *beat:
-		n.hear(now, m)
+	case *heartbeat:
+		n.observe(now, m)
 		if m.Epoch < n.view.Epoch {
-			n.deliver(post{m.Member.Address, &decided{View: n.view}}) // to one that has just come, it may be the only way to the core
+			n.deliver(outboundMessage{m.Member.Address, &decided{View: n.view}}) // to one that has just come, it may be the only way to the core
 		}
 	case *decided:
 		if m.View.Epoch > n.view.Epoch {
 			n.view = m.View
 		}
 	default:
-		n.onFounding(now, from, message)
+		n.onBootstrapMessage(now, from, message)
 	}
 }
--- a/control/core/messages_gen.go
+++ b/control/core/messages_gen.go
@@ -8,301 +8,6 @@
 	"github.com/tinylib/msgp/msgp"
 )
 
-// DecodeMsg implements msgp.Decodable
-func (z *beat) DecodeMsg(dc *msgp.Reader) (err error) {
-	var zb0001 uint32
-	zb0001, err = dc.ReadArrayHeader()
-	if err != nil {
-		err = msgp.WrapError(err)
-		return
-	}
-	if zb0001 != 12 {
-		err = msgp.ArrayError{Wanted: 12, Got: zb0001}
-		return
-	}
-	err = z.Member.DecodeMsg(dc)
-	if err != nil {
-		err = msgp.WrapError(err, "Member")
-		return
-	}
-	z.Epoch, err = dc.ReadUint64()
-	if err != nil {
-		err = msgp.WrapError(err, "Epoch")
-		return
-	}
-	z.Founder, err = dc.ReadBool()
-	if err != nil {
-		err = msgp.WrapError(err, "Founder")
-		return
-	}
-	z.Idle, err = dc.ReadBool()
-	if err != nil {
-		err = msgp.WrapError(err, "Idle")
-		return
-	}
-	z.Whole, err = dc.ReadBool()
-	if err != nil {
-		err = msgp.WrapError(err, "Whole")
-		return
-	}
-	z.Attached, err = dc.ReadBool()
-	if err != nil {
-		err = msgp.WrapError(err, "Attached")
-		return
-	}
-	z.Synced, err = dc.ReadUint64()
-	if err != nil {
-		err = msgp.WrapError(err, "Synced")
-		return
-	}
-	z.Committed, err = dc.ReadUint64()
-	if err != nil {
-		err = msgp.WrapError(err, "Committed")
-		return
-	}
-	var zb0002 uint32
-	zb0002, err = dc.ReadArrayHeader()
-	if err != nil {
-		err = msgp.WrapError(err, "Missing")
-		return
-	}
-	if cap(z.Missing) >= int(zb0002) {
-		z.Missing = (z.Missing)[:zb0002]
-	} else {
-		z.Missing = make([]view.ID, zb0002)
-	}
-	for za0001 := range z.Missing {
-		err = z.Missing[za0001].DecodeMsg(dc)
-		if err != nil {
-			err = msgp.WrapError(err, "Missing", za0001)
-			return
-		}
-	}
-	z.Leading, err = dc.ReadBool()
-	if err != nil {
-		err = msgp.WrapError(err, "Leading")
-		return
-	}
-	z.Leader, err = dc.ReadString()
-	if err != nil {
-		err = msgp.WrapError(err, "Leader")
-		return
-	}
-	z.Leaving, err = dc.ReadBool()
-	if err != nil {
-		err = msgp.WrapError(err, "Leaving")
-		return
-	}
-	return
-}
-
-// EncodeMsg implements msgp.Encodable
-func (z *beat) EncodeMsg(en *msgp.Writer) (err error) {
-	// array header, size 12
-	err = en.Append(0x9c)
-	if err != nil {
-		return
-	}
-	err = z.Member.EncodeMsg(en)
-	if err != nil {
-		err = msgp.WrapError(err, "Member")
-		return
-	}
-	err = en.WriteUint64(z.Epoch)
-	if err != nil {
-		err = msgp.WrapError(err, "Epoch")
-		return
-	}
-	err = en.WriteBool(z.Founder)
-	if err != nil {
-		err = msgp.WrapError(err, "Founder")
-		return
-	}
-	err = en.WriteBool(z.Idle)
-	if err != nil {
-		err = msgp.WrapError(err, "Idle")
-		return
-	}
-	err = en.WriteBool(z.Whole)
-	if err != nil {
-		err = msgp.WrapError(err, "Whole")
-		return
-	}
-	err = en.WriteBool(z.Attached)
-	if err != nil {
-		err = msgp.WrapError(err, "Attached")
-		return
-	}
-	err = en.WriteUint64(z.Synced)
-	if err != nil {
-		err = msgp.WrapError(err, "Synced")
-		return
-	}
-	err = en.WriteUint64(z.Committed)
-	if err != nil {
-		err = msgp.WrapError(err, "Committed")
-		return
-	}
-	err = en.WriteArrayHeader(uint32(len(z.Missing)))
-	if err != nil {
-		err = msgp.WrapError(err, "Missing")
-		return
-	}
-	for za0001 := range z.Missing {
-		err = z.Missing[za0001].EncodeMsg(en)
-		if err != nil {
-			err = msgp.WrapError(err, "Missing", za0001)
-			return
-		}
-	}
-	err = en.WriteBool(z.Leading)
-	if err != nil {
-		err = msgp.WrapError(err, "Leading")
-		return
-	}
-	err = en.WriteString(z.Leader)
-	if err != nil {
-		err = msgp.WrapError(err, "Leader")
-		return
-	}
-	err = en.WriteBool(z.Leaving)
-	if err != nil {
-		err = msgp.WrapError(err, "Leaving")
-		return
-	}
-	return
-}
-
-// MarshalMsg implements msgp.Marshaler
-func (z *beat) MarshalMsg(b []byte) (o []byte, err error) {
-	o = msgp.Require(b, z.Msgsize())
-	// array header, size 12
-	o = append(o, 0x9c)
-	o, err = z.Member.MarshalMsg(o)
-	if err != nil {
-		err = msgp.WrapError(err, "Member")
-		return
-	}
-	o = msgp.AppendUint64(o, z.Epoch)
-	o = msgp.AppendBool(o, z.Founder)
-	o = msgp.AppendBool(o, z.Idle)
-	o = msgp.AppendBool(o, z.Whole)
-	o = msgp.AppendBool(o, z.Attached)
-	o = msgp.AppendUint64(o, z.Synced)
-	o = msgp.AppendUint64(o, z.Committed)
-	o = msgp.AppendArrayHeader(o, uint32(len(z.Missing)))
-	for za0001 := range z.Missing {
-		o, err = z.Missing[za0001].MarshalMsg(o)
-		if err != nil {
-			err = msgp.WrapError(err, "Missing", za0001)
-			return
-		}
-	}
-	o = msgp.AppendBool(o, z.Leading)
-	o = msgp.AppendString(o, z.Leader)
-	o = msgp.AppendBool(o, z.Leaving)
-	return
-}
-
-// UnmarshalMsg implements msgp.Unmarshaler
-func (z *beat) UnmarshalMsg(bts []byte) (o []byte, err error) {
-	var zb0001 uint32
-	zb0001, bts, err = msgp.ReadArrayHeaderBytes(bts)
-	if err != nil {
-		err = msgp.WrapError(err)
-		return
-	}
-	if zb0001 != 12 {
-		err = msgp.ArrayError{Wanted: 12, Got: zb0001}
-		return
-	}
-	bts, err = z.Member.UnmarshalMsg(bts)
-	if err != nil {
-		err = msgp.WrapError(err, "Member")
-		return
-	}
-	z.Epoch, bts, err = msgp.ReadUint64Bytes(bts)
-	if err != nil {
-		err = msgp.WrapError(err, "Epoch")
-		return
-	}
-	z.Founder, bts, err = msgp.ReadBoolBytes(bts)
-	if err != nil {
-		err = msgp.WrapError(err, "Founder")
-		return
-	}
-	z.Idle, bts, err = msgp.ReadBoolBytes(bts)
-	if err != nil {
-		err = msgp.WrapError(err, "Idle")
-		return
-	}
-	z.Whole, bts, err = msgp.ReadBoolBytes(bts)
-	if err != nil {
-		err = msgp.WrapError(err, "Whole")
-		return
-	}
-	z.Attached, bts, err = msgp.ReadBoolBytes(bts)
-	if err != nil {
-		err = msgp.WrapError(err, "Attached")
-		return
-	}
-	z.Synced, bts, err = msgp.ReadUint64Bytes(bts)
-	if err != nil {
-		err = msgp.WrapError(err, "Synced")
-		return
-	}
-	z.Committed, bts, err = msgp.ReadUint64Bytes(bts)
-	if err != nil {
-		err = msgp.WrapError(err, "Committed")
-		return
-	}
-	var zb0002 uint32
-	zb0002, bts, err = msgp.ReadArrayHeaderBytes(bts)
-	if err != nil {
-		err = msgp.WrapError(err, "Missing")
-		return
-	}
-	if cap(z.Missing) >= int(zb0002) {
-		z.Missing = (z.Missing)[:zb0002]
-	} else {
-		z.Missing = make([]view.ID, zb0002)
-	}
-	for za0001 := range z.Missing {
-		bts, err = z.Missing[za0001].UnmarshalMsg(bts)
-		if err != nil {
-			err = msgp.WrapError(err, "Missing", za0001)
-			return
-		}
-	}
-	z.Leading, bts, err = msgp.ReadBoolBytes(bts)
-	if err != nil {
-		err = msgp.WrapError(err, "Leading")
-		return
-	}
-	z.Leader, bts, err = msgp.ReadStringBytes(bts)
-	if err != nil {
-		err = msgp.WrapError(err, "Leader")
-		return
-	}
-	z.Leaving, bts, err = msgp.ReadBoolBytes(bts)
-	if err != nil {
-		err = msgp.WrapError(err, "Leaving")
-		return
-	}
-	o = bts
-	return
-}
-
-// Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *beat) Msgsize() (s int) {
-	s = 1 + z.Member.Msgsize() + msgp.Uint64Size + msgp.BoolSize + msgp.BoolSize + msgp.BoolSize + msgp.BoolSize + msgp.Uint64Size + msgp.Uint64Size + msgp.ArrayHeaderSize
-	for za0001 := range z.Missing {
-		s += z.Missing[za0001].Msgsize()
-	}
-	s += msgp.BoolSize + msgp.StringPrefixSize + len(z.Leader) + msgp.BoolSize
-	return
-}
-
 // DecodeMsg implements msgp.Decodable
 func (z *decided) DecodeMsg(dc *msgp.Reader) (err error) {
 	var zb0001 uint32
@@ -560,6 +265,301 @@
 	return
 }
 
+// DecodeMsg implements msgp.Decodable
+func (z *heartbeat) DecodeMsg(dc *msgp.Reader) (err error) {
+	var zb0001 uint32
+	zb0001, err = dc.ReadArrayHeader()
+	if err != nil {
+		err = msgp.WrapError(err)
+		return
+	}
+	if zb0001 != 12 {
+		err = msgp.ArrayError{Wanted: 12, Got: zb0001}
+		return
+	}
+	err = z.Member.DecodeMsg(dc)
+	if err != nil {
+		err = msgp.WrapError(err, "Member")
+		return
+	}
+	z.Epoch, err = dc.ReadUint64()
+	if err != nil {
+		err = msgp.WrapError(err, "Epoch")
+		return
+	}
+	z.Bootstrap, err = dc.ReadBool()
+	if err != nil {
+		err = msgp.WrapError(err, "Bootstrap")
+		return
+	}
+	z.CannotOrder, err = dc.ReadBool()
+	if err != nil {
+		err = msgp.WrapError(err, "CannotOrder")
+		return
+	}
+	z.Complete, err = dc.ReadBool()
+	if err != nil {
+		err = msgp.WrapError(err, "Complete")
+		return
+	}
+	z.Attached, err = dc.ReadBool()
+	if err != nil {
+		err = msgp.WrapError(err, "Attached")
+		return
+	}
+	z.Synced, err = dc.ReadUint64()
+	if err != nil {
+		err = msgp.WrapError(err, "Synced")
+		return
+	}
+	z.Committed, err = dc.ReadUint64()
+	if err != nil {
+		err = msgp.WrapError(err, "Committed")
+		return
+	}
+	var zb0002 uint32
+	zb0002, err = dc.ReadArrayHeader()
+	if err != nil {
+		err = msgp.WrapError(err, "Unresponsive")
+		return
+	}
+	if cap(z.Unresponsive) >= int(zb0002) {
+		z.Unresponsive = (z.Unresponsive)[:zb0002]
+	} else {
+		z.Unresponsive = make([]view.ID, zb0002)
+	}
+	for za0001 := range z.Unresponsive {
+		err = z.Unresponsive[za0001].DecodeMsg(dc)
+		if err != nil {
+			err = msgp.WrapError(err, "Unresponsive", za0001)
+			return
+		}
+	}
+	z.Leading, err = dc.ReadBool()
+	if err != nil {
+		err = msgp.WrapError(err, "Leading")
+		return
+	}
+	z.Leader, err = dc.ReadString()
+	if err != nil {
+		err = msgp.WrapError(err, "Leader")
+		return
+	}
+	z.Stopping, err = dc.ReadBool()
+	if err != nil {
+		err = msgp.WrapError(err, "Stopping")
+		return
+	}
+	return
+}
+
+// EncodeMsg implements msgp.Encodable
+func (z *heartbeat) EncodeMsg(en *msgp.Writer) (err error) {
+	// array header, size 12
+	err = en.Append(0x9c)
+	if err != nil {
+		return
+	}
+	err = z.Member.EncodeMsg(en)
+	if err != nil {
+		err = msgp.WrapError(err, "Member")
+		return
+	}
+	err = en.WriteUint64(z.Epoch)
+	if err != nil {
+		err = msgp.WrapError(err, "Epoch")
+		return
+	}
+	err = en.WriteBool(z.Bootstrap)
+	if err != nil {
+		err = msgp.WrapError(err, "Bootstrap")
+		return
+	}
+	err = en.WriteBool(z.CannotOrder)
+	if err != nil {
+		err = msgp.WrapError(err, "CannotOrder")
+		return
+	}
+	err = en.WriteBool(z.Complete)
+	if err != nil {
+		err = msgp.WrapError(err, "Complete")
+		return
+	}
+	err = en.WriteBool(z.Attached)
+	if err != nil {
+		err = msgp.WrapError(err, "Attached")
+		return
+	}
+	err = en.WriteUint64(z.Synced)
+	if err != nil {
+		err = msgp.WrapError(err, "Synced")
+		return
+	}
+	err = en.WriteUint64(z.Committed)
+	if err != nil {
+		err = msgp.WrapError(err, "Committed")
+		return
+	}
+	err = en.WriteArrayHeader(uint32(len(z.Unresponsive)))
+	if err != nil {
+		err = msgp.WrapError(err, "Unresponsive")
+		return
+	}
+	for za0001 := range z.Unresponsive {
+		err = z.Unresponsive[za0001].EncodeMsg(en)
+		if err != nil {
+			err = msgp.WrapError(err, "Unresponsive", za0001)
+			return
+		}
+	}
+	err = en.WriteBool(z.Leading)
+	if err != nil {
+		err = msgp.WrapError(err, "Leading")
+		return
+	}
+	err = en.WriteString(z.Leader)
+	if err != nil {
+		err = msgp.WrapError(err, "Leader")
+		return
+	}
+	err = en.WriteBool(z.Stopping)
+	if err != nil {
+		err = msgp.WrapError(err, "Stopping")
+		return
+	}
+	return
+}
+
+// MarshalMsg implements msgp.Marshaler
+func (z *heartbeat) MarshalMsg(b []byte) (o []byte, err error) {
+	o = msgp.Require(b, z.Msgsize())
+	// array header, size 12
+	o = append(o, 0x9c)
+	o, err = z.Member.MarshalMsg(o)
+	if err != nil {
+		err = msgp.WrapError(err, "Member")
+		return
+	}
+	o = msgp.AppendUint64(o, z.Epoch)
+	o = msgp.AppendBool(o, z.Bootstrap)
+	o = msgp.AppendBool(o, z.CannotOrder)
+	o = msgp.AppendBool(o, z.Complete)
+	o = msgp.AppendBool(o, z.Attached)
+	o = msgp.AppendUint64(o, z.Synced)
+	o = msgp.AppendUint64(o, z.Committed)
+	o = msgp.AppendArrayHeader(o, uint32(len(z.Unresponsive)))
+	for za0001 := range z.Unresponsive {
+		o, err = z.Unresponsive[za0001].MarshalMsg(o)
+		if err != nil {
+			err = msgp.WrapError(err, "Unresponsive", za0001)
+			return
+		}
+	}
+	o = msgp.AppendBool(o, z.Leading)
+	o = msgp.AppendString(o, z.Leader)
+	o = msgp.AppendBool(o, z.Stopping)
+	return
+}
+
+// UnmarshalMsg implements msgp.Unmarshaler
+func (z *heartbeat) UnmarshalMsg(bts []byte) (o []byte, err error) {
+	var zb0001 uint32
+	zb0001, bts, err = msgp.ReadArrayHeaderBytes(bts)
+	if err != nil {
+		err = msgp.WrapError(err)
+		return
+	}
+	if zb0001 != 12 {
+		err = msgp.ArrayError{Wanted: 12, Got: zb0001}
+		return
+	}
+	bts, err = z.Member.UnmarshalMsg(bts)
+	if err != nil {
+		err = msgp.WrapError(err, "Member")
+		return
+	}
+	z.Epoch, bts, err = msgp.ReadUint64Bytes(bts)
+	if err != nil {
+		err = msgp.WrapError(err, "Epoch")
+		return
+	}
+	z.Bootstrap, bts, err = msgp.ReadBoolBytes(bts)
+	if err != nil {
+		err = msgp.WrapError(err, "Bootstrap")
+		return
+	}
+	z.CannotOrder, bts, err = msgp.ReadBoolBytes(bts)
+	if err != nil {
+		err = msgp.WrapError(err, "CannotOrder")
+		return
+	}
+	z.Complete, bts, err = msgp.ReadBoolBytes(bts)
+	if err != nil {
+		err = msgp.WrapError(err, "Complete")
+		return
+	}
+	z.Attached, bts, err = msgp.ReadBoolBytes(bts)
+	if err != nil {
+		err = msgp.WrapError(err, "Attached")
+		return
+	}
+	z.Synced, bts, err = msgp.ReadUint64Bytes(bts)
+	if err != nil {
+		err = msgp.WrapError(err, "Synced")
+		return
+	}
+	z.Committed, bts, err = msgp.ReadUint64Bytes(bts)
+	if err != nil {
+		err = msgp.WrapError(err, "Committed")
+		return
+	}
+	var zb0002 uint32
+	zb0002, bts, err = msgp.ReadArrayHeaderBytes(bts)
+	if err != nil {
+		err = msgp.WrapError(err, "Unresponsive")
+		return
+	}
+	if cap(z.Unresponsive) >= int(zb0002) {
+		z.Unresponsive = (z.Unresponsive)[:zb0002]
+	} else {
+		z.Unresponsive = make([]view.ID, zb0002)
+	}
+	for za0001 := range z.Unresponsive {
+		bts, err = z.Unresponsive[za0001].UnmarshalMsg(bts)
+		if err != nil {
+			err = msgp.WrapError(err, "Unresponsive", za0001)
+			return
+		}
+	}
+	z.Leading, bts, err = msgp.ReadBoolBytes(bts)
+	if err != nil {
+		err = msgp.WrapError(err, "Leading")
+		return
+	}
+	z.Leader, bts, err = msgp.ReadStringBytes(bts)
+	if err != nil {
+		err = msgp.WrapError(err, "Leader")
+		return
+	}
+	z.Stopping, bts, err = msgp.ReadBoolBytes(bts)
+	if err != nil {
+		err = msgp.WrapError(err, "Stopping")
+		return
+	}
+	o = bts
+	return
+}
+
+// Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
+func (z *heartbeat) Msgsize() (s int) {
+	s = 1 + z.Member.Msgsize() + msgp.Uint64Size + msgp.BoolSize + msgp.BoolSize + msgp.BoolSize + msgp.BoolSize + msgp.Uint64Size + msgp.Uint64Size + msgp.ArrayHeaderSize
+	for za0001 := range z.Unresponsive {
+		s += z.Unresponsive[za0001].Msgsize()
+	}
+	s += msgp.BoolSize + msgp.StringPrefixSize + len(z.Leader) + msgp.BoolSize
+	return
+}
+
 // DecodeMsg implements msgp.Decodable
 func (z *leaving) DecodeMsg(dc *msgp.Reader) (err error) {
 	var zb0001 uint32
