--- a/cmd/ravendalectl/internal/disks/disks_test.go
+++ b/cmd/ravendalectl/internal/disks/disks_test.go
@@ -96,7 +96,7 @@
 		require.NoError(t, err)
 		result, err := state.DecodeResult(answer)
 		require.NoError(t, err)
-		require.Equal(t, state.OutcomeTaken, result.Outcome)
+		require.Equal(t, state.OutcomeApplied, result.Outcome)
 		version++
 	}
 	disk = running.Status().ID.String()
--- a/control/api/config.go
+++ b/control/api/config.go
@@ -73,7 +73,7 @@
 		return answerFailure(c, err)
 	}
 	switch result.Outcome {
-	case state.OutcomeTaken, state.OutcomeRepeated:
+	case state.OutcomeApplied, state.OutcomeDuplicate:
 		s.options.Log.Info("order acknowledged", "order", o.name, "base", o.base, "version", result.Version, "outcome", result.Outcome)
 		return c.JSON(takenAnswer{Version: result.Version})
 	case state.OutcomeRefusedVersion:
--- a/control/api/orders_test.go
+++ b/control/api/orders_test.go
@@ -84,7 +84,7 @@
 		w.fail("%v", err)
 		return
 	}
-	if result.Outcome != state.OutcomeTaken {
+	if result.Outcome != state.OutcomeApplied {
 		return
 	}
 	decoded, err := state.Decode(command)
--- a/control/core/bounds_test.go
+++ b/control/core/bounds_test.go
@@ -158,7 +158,7 @@
 	l.start()
 	var most uint64
 	for version := uint64(1); version <= changes; version++ {
-		require.Equal(t, state.OutcomeTaken, l.set(version, size).Outcome)
+		require.Equal(t, state.OutcomeApplied, l.set(version, size).Outcome)
 		require.LessOrEqual(t, l.node.chain.Unapplied(), 1)
 		if version%100 > 0 {
 			continue
@@ -168,7 +168,7 @@
 		most = max(most, memory.HeapInuse)
 		require.NoError(t, l.store.Close())
 		l.start()
-		require.Equal(t, state.OutcomeRepeated, l.set(version, size).Outcome, "the newest order is known again")
+		require.Equal(t, state.OutcomeDuplicate, l.set(version, size).Outcome, "the newest order is known again")
 		require.Equal(t, version, l.machine.Current().Version)
 	}
 	require.Less(t, l.most, int64(12*size), "two slots and two logs")
@@ -181,7 +181,7 @@
 	l := newLone(t)
 	l.start()
 	for version := uint64(1); version <= changes; version++ {
-		require.Equal(t, state.OutcomeTaken, l.set(version, size).Outcome)
+		require.Equal(t, state.OutcomeApplied, l.set(version, size).Outcome)
 	}
 	refused := l.set(changes+1, state.MaxDocument)
 	require.Equal(t, state.OutcomeInvalid, refused.Outcome)
@@ -197,7 +197,7 @@
 	for version := uint64(1); version <= changes; version++ {
 		l.start()
 		require.LessOrEqual(t, l.node.chain.Unapplied(), 2*mostRecords, "they are all applied again")
-		require.Equal(t, state.OutcomeTaken, l.set(version, size).Outcome)
+		require.Equal(t, state.OutcomeApplied, l.set(version, size).Outcome)
 		l.tick()
 		require.NoError(t, l.store.Close())
 	}
@@ -213,14 +213,14 @@
 	l := newLone(t)
 	l.start()
 	for version := uint64(1); version <= changes; version++ {
-		require.Equal(t, state.OutcomeTaken, l.set(version, 10).Outcome)
+		require.Equal(t, state.OutcomeApplied, l.set(version, 10).Outcome)
 	}
 	require.NoError(t, l.store.Close())
 	l.start()
 	require.Equal(t, state.OutcomeUnsure, l.set(changes-kept, 10).Outcome)
 	for _, version := range []uint64{changes - kept + 1, changes - 1, changes} {
 		repeated := l.set(version, 10)
-		require.Equal(t, state.OutcomeRepeated, repeated.Outcome)
+		require.Equal(t, state.OutcomeDuplicate, repeated.Outcome)
 		require.Equal(t, version, repeated.Version)
 	}
 	require.Less(t, l.most, int64(4<<20))
@@ -266,7 +266,7 @@
 	l := newLone(t)
 	l.start()
 	for version := uint64(1); version <= 3; version++ {
-		require.Equal(t, state.OutcomeTaken, l.set(version, 40<<10).Outcome)
+		require.Equal(t, state.OutcomeApplied, l.set(version, 40<<10).Outcome)
 	}
 	require.NoError(t, l.store.Close())
 	for parity := range 2 {
--- a/control/leader/leader.go
+++ b/control/leader/leader.go
@@ -126,7 +126,7 @@
 		}
 		address := s.settings.Load().ControlAddress(s.settings.Load().IP)
 		result, err := s.submit(ctx, &state.TakeTerm{Candidate: address})
-		if err == nil && result.Taken() {
+		if err == nil && result.Applied() {
 			return result.Term, s.applied(ctx, func(now *state.Snapshot) bool { return now.Term >= result.Term })
 		}
 		if err := s.host.Sleep(ctx, retryPause); err != nil {
--- a/control/leader/leader_test.go
+++ b/control/leader/leader_test.go
@@ -153,7 +153,7 @@
 	require.NoError(f.t, err)
 	result, err := state.DecodeResult(answer)
 	require.NoError(f.t, err)
-	require.True(f.t, result.Taken(), "%v", result.Findings)
+	require.True(f.t, result.Applied(), "%v", result.Findings)
 }
 
 // lead has a control process lead until the test ends or it is stopped.
--- a/control/leader/term.go
+++ b/control/leader/term.go
@@ -560,7 +560,7 @@
 	if err != nil {
 		return fmt.Errorf("%w: %w", ErrUndecided, err)
 	}
-	if !result.Taken() {
+	if !result.Applied() {
 		t.service.log.Warn("a placement was refused", "epoch", view.Epoch, "outcome", result.Outcome.String())
 		return fmt.Errorf("%w: %s", errStale, result.Outcome)
 	}
--- a/control/state/bench_test.go
+++ b/control/state/bench_test.go
@@ -20,7 +20,7 @@
 			for version := uint64(1); b.Loop(); version++ {
 				body := fmt.Sprintf(`{"version":%d,"upsert":{"routes":[%s]}}`, version+1, route("r-1"))
 				encoded, _ := Encode(&Patch{Base: version, Body: []byte(body)})
-				if result, err := DecodeResult(m.Apply(encoded)); err != nil || result.Outcome != OutcomeTaken {
+				if result, err := DecodeResult(m.Apply(encoded)); err != nil || result.Outcome != OutcomeApplied {
 					b.Fatal(result, err)
 				}
 			}
--- a/control/state/commands.go
+++ b/control/state/commands.go
@@ -85,9 +85,9 @@
 
 // Encode makes bytes of a command. They share no memory with it.
 func Encode(command Command) ([]byte, error) {
-	out := make([]byte, 1, 1+sizeOf(command))
-	out[0] = byte(command.kind())
-	return command.MarshalMsg(out)
+	buffer := make([]byte, 1, 1+sizeOf(command))
+	buffer[0] = byte(command.kind())
+	return command.MarshalMsg(buffer)
 }
 
 func sizeOf(command Command) int {
--- a/control/state/compat_test.go
+++ b/control/state/compat_test.go
@@ -81,7 +81,7 @@
 	require.Equal(t, stored, encoded)
 
 	numbers := []Outcome{
-		OutcomeTaken, OutcomeRepeated, OutcomeRefusedVersion, OutcomeInvalid, OutcomeStaleTerm, OutcomeStaleEpoch, OutcomeMalformed, OutcomeUnsure,
+		OutcomeApplied, OutcomeDuplicate, OutcomeRefusedVersion, OutcomeInvalid, OutcomeStaleTerm, OutcomeStaleEpoch, OutcomeMalformed, OutcomeUnsure,
 	}
 	for i, outcome := range numbers {
 		require.Equal(t, Outcome(i+1), outcome)
@@ -128,7 +128,7 @@
 	for _, repeated := range []string{"set", "patch"} {
 		result, err := DecodeResult(restored.Apply(golden(t, "command-"+repeated+".bin")))
 		require.NoError(t, err)
-		require.Equal(t, OutcomeRepeated, result.Outcome, repeated)
+		require.Equal(t, OutcomeDuplicate, result.Outcome, repeated)
 	}
 	require.NoError(t, restored.Restore(golden(t, "image-empty.bin")))
 	require.Equal(t, &Snapshot{}, restored.Current())
--- a/control/state/history.go
+++ b/control/state/history.go
@@ -10,8 +10,8 @@
 //msgp:tuple entry
 //msgp:ignore history
 
-// historyLength is how many of the newest orders that were taken are known again when they are repeated. An older one can't be told
-// from one that never was taken: history.mayHaveForgotten.
+// historyLength is how many of the newest orders that were applied are known again when they come again. An older one can't be told
+// from one that never was applied: history.mayHaveDropped.
 const historyLength = 8192
 
 // digestSize is the length of a digest in bytes.
@@ -31,13 +31,13 @@
 	return digest(hash.Sum(sum[:0])[:digestSize])
 }
 
-// entry is an order that was taken.
+// entry is an order that was applied.
 type entry struct {
 	Digest  digest
 	Version uint64 // that it made
 }
 
-// history holds the newest orders that were taken, oldest first but for the wrap at next.
+// history holds the newest orders that were applied, oldest first but for the wrap at next.
 type history struct {
 	entries []entry
 	next    int // where the next one goes once all are in use
@@ -45,19 +45,19 @@
 }
 
 func (h *history) add(d digest, version uint64) {
-	taken := entry{Digest: d, Version: version}
+	added := entry{Digest: d, Version: version}
 	if len(h.entries) < h.limit {
-		h.entries = append(h.entries, taken)
+		h.entries = append(h.entries, added)
 		return
 	}
-	h.entries[h.next] = taken
+	h.entries[h.next] = added
 	h.next = (h.next + 1) % h.limit
 }
 
-// mayHaveForgotten says whether an order that is not found may have been taken all the same, so long ago that it was dropped. Taken is
+// mayHaveDropped says whether an order that is not found may have been applied all the same, so long ago that it was dropped. Total is
 // how many ever were. Versions climb, so an order that was dropped builds on a version below the one that the oldest kept entry made.
-func (h *history) mayHaveForgotten(base, taken uint64) bool {
-	if taken <= uint64(len(h.entries)) {
+func (h *history) mayHaveDropped(base, total uint64) bool {
+	if total <= uint64(len(h.entries)) {
 		return false
 	}
 	return len(h.entries) == 0 || base < h.entries[h.next%len(h.entries)].Version
--- a/control/state/image.go
+++ b/control/state/image.go
@@ -41,7 +41,7 @@
 	Term      uint64
 	Leader    string
 	Edges     []wire.Edge
-	Taken     []entry // oldest first
+	History   []entry // oldest first
 }
 
 // Snapshot encodes the whole state.
@@ -57,16 +57,16 @@
 		Term:      now.Term,
 		Leader:    now.Leader,
 		Edges:     now.Edges,
-		Taken:     m.taken.inOrder(),
+		History:   m.history.inOrder(),
 	}
-	out := make([]byte, 0, headSize+content.Msgsize()+checksumSize)
-	out = append(out, magic...)
-	out = binary.BigEndian.AppendUint16(out, formatNumber)
-	out, err := content.MarshalMsg(out)
+	buffer := make([]byte, 0, headSize+content.Msgsize()+checksumSize)
+	buffer = append(buffer, magic...)
+	buffer = binary.BigEndian.AppendUint16(buffer, formatNumber)
+	buffer, err := content.MarshalMsg(buffer)
 	if err != nil {
 		return nil // can't be: an image has nothing that could fail
 	}
-	return binary.BigEndian.AppendUint64(out, xxhash.Sum64(out))
+	return binary.BigEndian.AppendUint64(buffer, xxhash.Sum64(buffer))
 }
 
 // Restore replaces the whole state by that of a snapshot, or leaves it as it is and returns ErrDamaged or ErrFormat.
@@ -78,9 +78,9 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.parsed = nil
-	m.taken = history{entries: content.Taken, limit: m.taken.limit}
-	if m.faults.dropsHistory {
-		m.taken.entries = nil
+	m.history = history{entries: content.History, limit: m.history.limit}
+	if m.mutations.dropsHistory {
+		m.history.entries = nil
 	}
 	m.current.Store(&Snapshot{
 		Document:  content.Document,
@@ -113,7 +113,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrDamaged, msgp.Cause(err))
 	}
-	if len(rest) > 0 || len(content.Taken) > historyLength {
+	if len(rest) > 0 || len(content.History) > historyLength {
 		return nil, fmt.Errorf("%w: it holds more than it may", ErrDamaged)
 	}
 	if len(content.Document) == 0 {
--- a/control/state/image_gen.go
+++ b/control/state/image_gen.go
@@ -83,18 +83,18 @@
 	var zb0003 uint32
 	zb0003, err = dc.ReadArrayHeader()
 	if err != nil {
-		err = msgp.WrapError(err, "Taken")
+		err = msgp.WrapError(err, "History")
 		return
 	}
-	if cap(z.Taken) >= int(zb0003) {
-		z.Taken = (z.Taken)[:zb0003]
+	if cap(z.History) >= int(zb0003) {
+		z.History = (z.History)[:zb0003]
 	} else {
-		z.Taken = make([]entry, zb0003)
+		z.History = make([]entry, zb0003)
 	}
-	for za0002 := range z.Taken {
-		err = z.Taken[za0002].DecodeMsg(dc)
+	for za0002 := range z.History {
+		err = z.History[za0002].DecodeMsg(dc)
 		if err != nil {
-			err = msgp.WrapError(err, "Taken", za0002)
+			err = msgp.WrapError(err, "History", za0002)
 			return
 		}
 	}
@@ -157,15 +157,15 @@
 			return
 		}
 	}
-	err = en.WriteArrayHeader(uint32(len(z.Taken)))
+	err = en.WriteArrayHeader(uint32(len(z.History)))
 	if err != nil {
-		err = msgp.WrapError(err, "Taken")
+		err = msgp.WrapError(err, "History")
 		return
 	}
-	for za0002 := range z.Taken {
-		err = z.Taken[za0002].EncodeMsg(en)
+	for za0002 := range z.History {
+		err = z.History[za0002].EncodeMsg(en)
 		if err != nil {
-			err = msgp.WrapError(err, "Taken", za0002)
+			err = msgp.WrapError(err, "History", za0002)
 			return
 		}
 	}
@@ -199,11 +199,11 @@
 			return
 		}
 	}
-	o = msgp.AppendArrayHeader(o, uint32(len(z.Taken)))
-	for za0002 := range z.Taken {
-		o, err = z.Taken[za0002].MarshalMsg(o)
+	o = msgp.AppendArrayHeader(o, uint32(len(z.History)))
+	for za0002 := range z.History {
+		o, err = z.History[za0002].MarshalMsg(o)
 		if err != nil {
-			err = msgp.WrapError(err, "Taken", za0002)
+			err = msgp.WrapError(err, "History", za0002)
 			return
 		}
 	}
@@ -284,18 +284,18 @@
 	var zb0003 uint32
 	zb0003, bts, err = msgp.ReadArrayHeaderBytes(bts)
 	if err != nil {
-		err = msgp.WrapError(err, "Taken")
+		err = msgp.WrapError(err, "History")
 		return
 	}
-	if cap(z.Taken) >= int(zb0003) {
-		z.Taken = (z.Taken)[:zb0003]
+	if cap(z.History) >= int(zb0003) {
+		z.History = (z.History)[:zb0003]
 	} else {
-		z.Taken = make([]entry, zb0003)
+		z.History = make([]entry, zb0003)
 	}
-	for za0002 := range z.Taken {
-		bts, err = z.Taken[za0002].UnmarshalMsg(bts)
+	for za0002 := range z.History {
+		bts, err = z.History[za0002].UnmarshalMsg(bts)
 		if err != nil {
-			err = msgp.WrapError(err, "Taken", za0002)
+			err = msgp.WrapError(err, "History", za0002)
 			return
 		}
 	}
@@ -316,8 +316,8 @@
 		s += z.Edges[za0001].Msgsize()
 	}
 	s += msgp.ArrayHeaderSize
-	for za0002 := range z.Taken {
-		s += z.Taken[za0002].Msgsize()
+	for za0002 := range z.History {
+		s += z.History[za0002].Msgsize()
 	}
 	return
 }
--- a/control/state/image_test.go
+++ b/control/state/image_test.go
@@ -27,8 +27,8 @@
 	require.NoError(t, restored.Restore(m.Snapshot()))
 	require.Equal(t, m.Current(), restored.Current())
 	require.Equal(t, m.Snapshot(), restored.Snapshot())
-	require.Equal(t, OutcomeRepeated, set(t, restored, 0, document(5)).Outcome)
-	require.Equal(t, OutcomeTaken, patch(t, restored, 7, `{"version":8,"delete":{"routes":["a"]}}`).Outcome)
+	require.Equal(t, OutcomeDuplicate, set(t, restored, 0, document(5)).Outcome)
+	require.Equal(t, OutcomeApplied, patch(t, restored, 7, `{"version":8,"delete":{"routes":["a"]}}`).Outcome)
 	require.Equal(t, uint64(2), apply(t, restored, &TakeTerm{}).Term)
 }
 
@@ -36,7 +36,7 @@
 	m := filled(t)
 	require.NoError(t, m.Restore(NewMachine().Snapshot()))
 	require.Equal(t, NewMachine().Current(), m.Current())
-	require.Equal(t, OutcomeTaken, set(t, m, 0, document(5)).Outcome)
+	require.Equal(t, OutcomeApplied, set(t, m, 0, document(5)).Outcome)
 }
 
 func TestASnapshotKeepsNothingOfTheBuffer(t *testing.T) {
@@ -48,7 +48,7 @@
 	require.Equal(t, m.Current(), restored.Current())
 }
 
-func TestDamagedSnapshotsAreRefusedWhole(t *testing.T) {
+func TestDamagedSnapshotsChangeNothing(t *testing.T) {
 	snapshot := filled(t).Snapshot()
 	m := NewMachine()
 	set(t, m, 0, document(1))
@@ -88,17 +88,17 @@
 	m := NewMachine()
 	add := func(from, to int) {
 		for i := from; i < to; i++ {
-			m.taken.add(digestOf(KindSet, uint64(i), nil), uint64(i))
+			m.history.add(digestOf(KindSet, uint64(i), nil), uint64(i))
 		}
 	}
 	add(0, historyLength+10)
 	knows := func(m *Machine, from, to int) {
 		for _, i := range []int{from, from + 1, to - 1} {
-			version, ok := m.taken.find(digestOf(KindSet, uint64(i), nil))
+			version, ok := m.history.find(digestOf(KindSet, uint64(i), nil))
 			require.True(t, ok, i)
 			require.Equal(t, uint64(i), version)
 		}
-		_, ok := m.taken.find(digestOf(KindSet, uint64(from-1), nil))
+		_, ok := m.history.find(digestOf(KindSet, uint64(from-1), nil))
 		require.False(t, ok)
 	}
 	knows(m, 10, historyLength+10)
@@ -130,15 +130,15 @@
 	})
 }
 
-// repeatAfterImage has orders taken by one machine, and the newest repeated at another that was filled by an image and at one that was not.
-func repeatAfterImage(t *testing.T, orders int, dropsHistory bool) (outcomes [2]Outcome) {
+// duplicateAfterImage has orders taken by one machine, and the newest repeated at another that was filled by an image and at one that was not.
+func duplicateAfterImage(t *testing.T, orders int, dropsHistory bool) (outcomes [2]Outcome) {
 	t.Helper()
 	first := NewMachine()
 	for base := range orders {
-		require.Equal(t, OutcomeTaken, set(t, first, uint64(base), document(base+1)).Outcome)
+		require.Equal(t, OutcomeApplied, set(t, first, uint64(base), document(base+1)).Outcome)
 	}
 	second := NewMachine()
-	second.faults.dropsHistory = dropsHistory
+	second.mutations.dropsHistory = dropsHistory
 	require.NoError(t, second.Restore(first.Snapshot()))
 	for i, machine := range []*Machine{first, second} {
 		outcomes[i] = set(t, machine, uint64(orders-1), document(orders)).Outcome
@@ -149,10 +149,10 @@
 // TestAnOrderIsKnownAgainAfterAnImage has a member answer the repeat of an order that it knows from an image alone.
 func TestAnOrderIsKnownAgainAfterAnImage(t *testing.T) {
 	for _, orders := range []int{1, 100, historyLength + 100} {
-		require.Equal(t, [2]Outcome{OutcomeRepeated, OutcomeRepeated}, repeatAfterImage(t, orders, false))
+		require.Equal(t, [2]Outcome{OutcomeDuplicate, OutcomeDuplicate}, duplicateAfterImage(t, orders, false))
 	}
 }
 
 func TestAnImageWithoutItsHistoryIsCaught(t *testing.T) {
-	require.Equal(t, [2]Outcome{OutcomeRepeated, OutcomeUnsure}, repeatAfterImage(t, 100, true))
+	require.Equal(t, [2]Outcome{OutcomeDuplicate, OutcomeUnsure}, duplicateAfterImage(t, 100, true))
 }
--- a/control/state/machine_test.go
+++ b/control/state/machine_test.go
@@ -42,7 +42,7 @@
 	m := NewMachine()
 	require.Equal(t, OutcomeRefusedVersion, set(t, m, 1, document(5)).Outcome, "the first builds on 0")
 	taken := set(t, m, 0, document(5))
-	require.Equal(t, OutcomeTaken, taken.Outcome)
+	require.Equal(t, OutcomeApplied, taken.Outcome)
 	require.Equal(t, uint64(5), taken.Version)
 	require.Equal(t, uint64(1), taken.Sequence)
 
@@ -51,7 +51,7 @@
 	require.Equal(t, uint64(5), refused.Version)
 	require.Equal(t, OutcomeRefusedVersion, set(t, m, 4, document(6)).Outcome)
 	require.Equal(t, OutcomeRefusedVersion, set(t, m, 6, document(7)).Outcome)
-	require.Equal(t, OutcomeTaken, set(t, m, 5, document(9)).Outcome)
+	require.Equal(t, OutcomeApplied, set(t, m, 5, document(9)).Outcome)
 	require.Equal(t, document(9), string(m.Current().Document))
 	require.Equal(t, uint64(2), m.Current().Sequence)
 }
@@ -59,24 +59,24 @@
 func TestOfTwoChangesOnTopOfTheSameVersionOneWins(t *testing.T) {
 	m := NewMachine()
 	set(t, m, 0, document(1))
-	require.Equal(t, OutcomeTaken, set(t, m, 1, document(2, route("a"))).Outcome)
+	require.Equal(t, OutcomeApplied, set(t, m, 1, document(2, route("a"))).Outcome)
 	require.Equal(t, OutcomeRefusedVersion, set(t, m, 1, document(2, route("b"))).Outcome, "the same number, another body")
 	require.Equal(t, document(2, route("a")), string(m.Current().Document))
 }
 
-func TestAnOrderThatWasTakenIsAcknowledgedAgain(t *testing.T) {
+func TestAnOrderThatWasAppliedIsAcknowledgedAgain(t *testing.T) {
 	m := NewMachine()
 	set(t, m, 0, document(1))
 	change := `{"version":3,"upsert":{"routes":[` + route("a") + `]}}`
-	require.Equal(t, OutcomeTaken, patch(t, m, 1, change).Outcome)
+	require.Equal(t, OutcomeApplied, patch(t, m, 1, change).Outcome)
 	again := patch(t, m, 1, change)
-	require.Equal(t, OutcomeRepeated, again.Outcome, "although its base is not current and its version not above")
+	require.Equal(t, OutcomeDuplicate, again.Outcome, "although its base is not current and its version not above")
 	require.Equal(t, uint64(3), again.Version)
 	set(t, m, 3, document(4))
 
 	before := m.Current()
 	require.Equal(t, uint64(1), set(t, m, 0, document(1)).Version)
-	require.Equal(t, OutcomeRepeated, patch(t, m, 1, change).Outcome, "also after other versions")
+	require.Equal(t, OutcomeDuplicate, patch(t, m, 1, change).Outcome, "also after other versions")
 	require.Same(t, before, m.Current(), "nothing comes back into force")
 
 	require.Equal(t, OutcomeRefusedVersion, patch(t, m, 0, change).Outcome, "another base is another order")
@@ -91,7 +91,7 @@
 	require.Equal(t, OutcomeInvalid, set(t, m, 1, document(1, route("x"))).Outcome)
 	require.Equal(t, OutcomeRefusedVersion, set(t, m, 2, document(3)).Outcome)
 	set(t, m, 1, document(2))
-	require.Equal(t, OutcomeTaken, set(t, m, 2, document(3)).Outcome, "the same order may be taken once its base is current")
+	require.Equal(t, OutcomeApplied, set(t, m, 2, document(3)).Outcome, "the same order may be taken once its base is current")
 }
 
 func TestInvalidOrdersChangeNothing(t *testing.T) {
@@ -114,7 +114,7 @@
 func TestShowReturnsTheDocument(t *testing.T) {
 	m := NewMachine()
 	empty := apply(t, m, &Show{})
-	require.Equal(t, OutcomeTaken, empty.Outcome)
+	require.Equal(t, OutcomeApplied, empty.Outcome)
 	require.Empty(t, empty.Document)
 	require.Zero(t, empty.Version)
 	set(t, m, 0, document(5))
@@ -143,17 +143,17 @@
 	require.Equal(t, OutcomeStaleTerm, apply(t, m, &PutPlacement{Term: 0, View: view(1)}).Outcome, "nobody leads yet")
 	apply(t, m, &TakeTerm{Candidate: "a"})
 	require.Equal(t, OutcomeStaleEpoch, apply(t, m, &PutPlacement{Term: 1, View: view(2)}).Outcome)
-	require.Equal(t, OutcomeTaken, apply(t, m, &PutPlacement{Term: 1, View: view(1, 0)}).Outcome)
-	require.Equal(t, OutcomeRepeated, apply(t, m, &PutPlacement{Term: 1, View: view(1, 0)}).Outcome)
+	require.Equal(t, OutcomeApplied, apply(t, m, &PutPlacement{Term: 1, View: view(1, 0)}).Outcome)
+	require.Equal(t, OutcomeDuplicate, apply(t, m, &PutPlacement{Term: 1, View: view(1, 0)}).Outcome)
 	require.Equal(t, OutcomeStaleEpoch, apply(t, m, &PutPlacement{Term: 1, View: view(1, 1)}).Outcome)
-	require.Equal(t, OutcomeTaken, apply(t, m, &PutPlacement{Term: 1, View: view(2, 0, 1)}).Outcome)
+	require.Equal(t, OutcomeApplied, apply(t, m, &PutPlacement{Term: 1, View: view(2, 0, 1)}).Outcome)
 
 	apply(t, m, &TakeTerm{Candidate: "b"})
 	late := apply(t, m, &PutPlacement{Term: 1, View: view(3)})
 	require.Equal(t, OutcomeStaleTerm, late.Outcome)
 	require.Equal(t, uint64(2), late.Term)
 	require.Equal(t, OutcomeStaleTerm, apply(t, m, &PutPlacement{Term: 3, View: view(3)}).Outcome, "a term that nobody took")
-	require.Equal(t, OutcomeTaken, apply(t, m, &PutPlacement{Term: 2, View: view(3, 1)}).Outcome)
+	require.Equal(t, OutcomeApplied, apply(t, m, &PutPlacement{Term: 2, View: view(3, 1)}).Outcome)
 	require.Equal(t, []uint16{1}, m.Current().Placement.Partitions[0].Replicas)
 	require.Equal(t, uint64(3), m.Current().Epoch())
 }
@@ -163,12 +163,12 @@
 	edges := []wire.Edge{{ID: "a", Ready: true}, {ID: "b"}}
 	require.Equal(t, OutcomeStaleTerm, apply(t, m, &PutMembers{Edges: edges}).Outcome, "nobody leads yet")
 	apply(t, m, &TakeTerm{Candidate: "a"})
-	require.Equal(t, OutcomeTaken, apply(t, m, &PutMembers{Term: 1, Edges: edges}).Outcome)
+	require.Equal(t, OutcomeApplied, apply(t, m, &PutMembers{Term: 1, Edges: edges}).Outcome)
 	require.Equal(t, []wire.Edge{{ID: "a"}, {ID: "b"}}, m.Current().Edges, "none is ready")
 	apply(t, m, &TakeTerm{Candidate: "b"})
 	require.Equal(t, OutcomeStaleTerm, apply(t, m, &PutMembers{Term: 1}).Outcome)
 	require.Len(t, m.Current().Edges, 2)
-	require.Equal(t, OutcomeTaken, apply(t, m, &PutMembers{Term: 2}).Outcome)
+	require.Equal(t, OutcomeApplied, apply(t, m, &PutMembers{Term: 2}).Outcome)
 	require.Empty(t, m.Current().Edges)
 }
 
@@ -184,9 +184,9 @@
 	m := NewMachine()
 	set(t, m, 0, document(5))
 	before := m.Current()
-	whole, err := Encode(&Set{Base: 5, Body: []byte(document(6))})
+	complete, err := Encode(&Set{Base: 5, Body: []byte(document(6))})
 	require.NoError(t, err)
-	for name, encoded := range map[string][]byte{"nothing": nil, "unknown": {200}, "cut": whole[:len(whole)-1], "trailing": append(whole, 0), "zero": make([]byte, 9)} {
+	for name, encoded := range map[string][]byte{"nothing": nil, "unknown": {200}, "cut": complete[:len(complete)-1], "trailing": append(complete, 0), "zero": make([]byte, 9)} {
 		result, err := DecodeResult(m.Apply(encoded))
 		require.NoError(t, err)
 		require.Equal(t, OutcomeMalformed, result.Outcome, name)
@@ -202,7 +202,7 @@
 	m.Apply(encoded)
 	clear(encoded)
 	require.Equal(t, document(5), string(m.Current().Document))
-	require.Equal(t, OutcomeTaken, patch(t, m, 5, `{"version":6}`).Outcome)
+	require.Equal(t, OutcomeApplied, patch(t, m, 5, `{"version":6}`).Outcome)
 	require.Equal(t, document(6), string(m.Current().Document), "nor does what was read of it")
 }
 
--- a/control/state/model_test.go
+++ b/control/state/model_test.go
@@ -65,7 +65,7 @@
 
 func (m *model) apply(c change) Outcome {
 	if _, ok := m.taken[c.key()]; ok {
-		return OutcomeRepeated
+		return OutcomeDuplicate
 	}
 	if c.base != m.version {
 		return OutcomeRefusedVersion
@@ -84,7 +84,7 @@
 	}
 	m.version = c.version
 	m.taken[c.key()] = c.version
-	return OutcomeTaken
+	return OutcomeApplied
 }
 
 var names = []string{"a", "b", "c"}
--- a/control/state/orders_test.go
+++ b/control/state/orders_test.go
@@ -16,7 +16,7 @@
 type orderWorld struct {
 	random   *rand.Rand
 	limit    int // of the history
-	faults   faults
+	faults   mutations
 	log      [][]byte
 	results  []string // of the log's commands, as the first replica to apply each answered
 	replicas []*Machine
@@ -29,7 +29,7 @@
 
 // playOrders sends orders, most of them new, some again, in any order, to replicas that lag, restart and install images. It returns
 // what was broken.
-func playOrders(seed uint64, mistakes faults) string {
+func playOrders(seed uint64, mistakes mutations) string {
 	w := &orderWorld{
 		random: rand.New(rand.NewPCG(seed, 11)), faults: mistakes, taken: make(map[string]uint64), versions: []uint64{0},
 	}
@@ -48,7 +48,7 @@
 
 func (w *orderWorld) machine() *Machine {
 	m := NewMachine()
-	m.taken.limit, m.faults = w.limit, w.faults
+	m.history.limit, m.mutations = w.limit, w.faults
 	return m
 }
 
@@ -155,7 +155,7 @@
 func (w *orderWorld) check(command Command, result *Result) {
 	name, kind, base, body := identity(command)
 	if version, ok := w.taken[name]; ok {
-		w.checkRepeat(name, version, result)
+		w.checkDuplicate(name, version, result)
 		return
 	}
 	current := w.current()
@@ -172,7 +172,7 @@
 		}
 		return
 	}
-	if result.Outcome != OutcomeTaken || result.Version != version {
+	if result.Outcome != OutcomeApplied || result.Version != version {
 		w.fail("%s on version %d was %v", name, current, result.Outcome)
 		return
 	}
@@ -180,11 +180,11 @@
 	w.versions = append(w.versions, version)
 }
 
-// checkRepeat judges the answer to an order that was taken: it is acknowledged again, or if it is old it gets no clear answer.
-func (w *orderWorld) checkRepeat(name string, version uint64, result *Result) {
+// checkDuplicate judges the answer to an order that was taken: it is acknowledged again, or if it is old it gets no clear answer.
+func (w *orderWorld) checkDuplicate(name string, version uint64, result *Result) {
 	newest := w.versions[max(1, len(w.versions)-w.limit):]
 	switch {
-	case result.Outcome == OutcomeRepeated && result.Version == version:
+	case result.Outcome == OutcomeDuplicate && result.Version == version:
 	case result.Outcome == OutcomeUnsure && !slices.Contains(newest, version):
 	default:
 		w.fail("%s was taken as version %d, and then %v", name, version, result.Outcome)
@@ -207,7 +207,7 @@
 // TestOrdersKeepTheirIdentity plays orders against replicas that lag, restart and install images, with histories of 1 to 6 orders.
 func TestOrdersKeepTheirIdentity(t *testing.T) {
 	for seed := range uint64(1000) {
-		require.Empty(t, playOrders(seed, faults{}))
+		require.Empty(t, playOrders(seed, mutations{}))
 	}
 }
 
@@ -218,7 +218,7 @@
 	}
 	withoutKind := func(_ Kind, base uint64, body []byte) digest { return digestOf(0, base, body) }
 	withoutBase := func(kind Kind, _ uint64, body []byte) digest { return digestOf(kind, 0, body) }
-	for name, mistakes := range map[string]faults{
+	for name, mistakes := range map[string]mutations{
 		"known by the version alone":               {digest: byVersion},
 		"a patch is a set of the same bytes":       {digest: withoutKind},
 		"known without the base":                   {digest: withoutBase},
@@ -238,20 +238,20 @@
 	}
 }
 
-// TestARepeatOlderThanTheHistoryIsNotRefused has more changes than the history keeps, and each order sent again.
-func TestARepeatOlderThanTheHistoryIsNotRefused(t *testing.T) {
+// TestADuplicateOlderThanTheHistoryIsNotRefused has more changes than the history keeps, and each order sent again.
+func TestADuplicateOlderThanTheHistoryIsNotRefused(t *testing.T) {
 	const beyond = 20
 	m := NewMachine()
 	order := func(base uint64) *Result { return set(t, m, base, document(int(base)+1)) }
 	for base := range uint64(historyLength + beyond) {
-		require.Equal(t, OutcomeTaken, order(base).Outcome)
+		require.Equal(t, OutcomeApplied, order(base).Outcome)
 	}
 	for range 2 {
 		for _, base := range []uint64{0, 1, beyond - 1} {
 			require.Equal(t, OutcomeUnsure, order(base).Outcome, "order on %d", base)
 		}
 		for _, base := range []uint64{beyond, beyond + 1, historyLength + beyond - 1} {
-			require.Equal(t, OutcomeRepeated, order(base).Outcome, "order on %d", base)
+			require.Equal(t, OutcomeDuplicate, order(base).Outcome, "order on %d", base)
 		}
 		loser := document(historyLength*2, route("other"))
 		require.Equal(t, OutcomeUnsure, set(t, m, 3, loser).Outcome, "it can't be told from one that was taken")
@@ -268,8 +268,8 @@
 	m := NewMachine()
 	set(t, m, 0, document(1))
 	change := document(2)
-	require.Equal(t, OutcomeTaken, set(t, m, 1, change).Outcome)
-	require.Equal(t, OutcomeRepeated, set(t, m, 1, change).Outcome, "the other operator's")
+	require.Equal(t, OutcomeApplied, set(t, m, 1, change).Outcome)
+	require.Equal(t, OutcomeDuplicate, set(t, m, 1, change).Outcome, "the other operator's")
 	require.Equal(t, OutcomeRefusedVersion, patch(t, m, 1, change).Outcome, "a patch of the same bytes and the same result")
 	require.Equal(t, OutcomeRefusedVersion, set(t, m, 1, strings.Replace(change, "1.50", "1.5", 1)).Outcome, "the same content, other bytes")
 	require.Equal(t, uint64(2), m.Current().Sequence)
--- a/control/state/result.go
+++ b/control/state/result.go
@@ -11,22 +11,22 @@
 
 // The outcomes.
 const (
-	OutcomeTaken          Outcome = 1 + iota // done; of a Barrier and a Show: answered
-	OutcomeRepeated                          // this very order was taken before
+	OutcomeApplied        Outcome = 1 + iota // done; of a Barrier and a Show: answered
+	OutcomeDuplicate                         // this very order was applied before
 	OutcomeRefusedVersion                    // another version of the configuration is in place
 	OutcomeInvalid                           // see Findings
 	OutcomeStaleTerm                         // there is a newer leader
 	OutcomeStaleEpoch                        // the placement is not that of the next epoch
 	OutcomeMalformed                         // not a command that this machine knows
-	OutcomeUnsure                            // too old an order to tell whether it was taken: it changes nothing now
+	OutcomeUnsure                            // too old an order to tell whether it was applied: it changes nothing now
 )
 
 // String names the outcome for logs.
 func (o Outcome) String() string {
 	switch o {
-	case OutcomeTaken:
+	case OutcomeApplied:
 		return "taken"
-	case OutcomeRepeated:
+	case OutcomeDuplicate:
 		return "taken before"
 	case OutcomeRefusedVersion:
 		return "another version is in place"
@@ -53,7 +53,7 @@
 // Result answers a command. All numbers are those after it was applied.
 type Result struct {
 	Outcome  Outcome
-	Version  uint64 // of the configuration; of an order that was repeated, the one that it made
+	Version  uint64 // of the configuration; of a duplicate, the one that the order made
 	Sequence uint64 // of the configuration
 	Term     uint64
 	Epoch    uint64    // of the placement
@@ -74,9 +74,9 @@
 	return result, nil
 }
 
-// Taken says whether the order is in force, or was.
-func (r *Result) Taken() bool {
-	return r.Outcome == OutcomeTaken || r.Outcome == OutcomeRepeated
+// Applied says whether the order is in force, or was.
+func (r *Result) Applied() bool {
+	return r.Outcome == OutcomeApplied || r.Outcome == OutcomeDuplicate
 }
 
 // CatalogFindings are the findings as the catalog has them.
--- a/test/lab/hollow/leader.go
+++ b/test/lab/hollow/leader.go
@@ -120,7 +120,7 @@
 	if err != nil {
 		return 0, err
 	}
-	if !result.Taken() {
+	if !result.Applied() {
 		return 0, fmt.Errorf("%w: %s %v", ErrRefused, result.Outcome, result.Findings)
 	}
 	sequence := l.machine.Current().Sequence
--- a/test/simulation/history_test.go
+++ b/test/simulation/history_test.go
@@ -77,7 +77,7 @@
 		return
 	}
 	change := uint64(0)
-	if kind := state.Kind(command[0]); result.Outcome == state.OutcomeTaken && (kind == state.KindSet || kind == state.KindPatch) {
+	if kind := state.Kind(command[0]); result.Outcome == state.OutcomeApplied && (kind == state.KindSet || kind == state.KindPatch) {
 		change = result.Sequence
 		h.sequences[string(command)] = change
 	}
--- a/test/simulation/operator_test.go
+++ b/test/simulation/operator_test.go
@@ -192,7 +192,7 @@
 
 func answerOf(result *state.Result) answer {
 	switch result.Outcome {
-	case state.OutcomeTaken, state.OutcomeRepeated:
+	case state.OutcomeApplied, state.OutcomeDuplicate:
 		return taken
 	case state.OutcomeRefusedVersion:
 		return refusedVersion
