--- a/cmd/ravendale-control/control.go
+++ b/cmd/ravendale-control/control.go
@@ -37,7 +37,7 @@
 // run serves until the context ends.
 func (c *control) run(ctx context.Context) error {
 	s := c.env.Settings
-	admin, err := plane.Again(func() (net.Listener, error) { return net.Listen("tcp4", s.ListenAdmin) })
+	admin, err := plane.RetryListen(func() (net.Listener, error) { return net.Listen("tcp4", s.ListenAdmin) })
 	if err != nil {
 		return err
 	}
--- a/cmd/ravendalectl/main_test.go
+++ b/cmd/ravendalectl/main_test.go
@@ -88,7 +88,7 @@
 	}
 	s := status.Status{
 		Node: "control-1", Config: status.ConfigOf(c.machine.Current()), Placement: status.PlacementOf(view),
-		Core: status.Core{Epoch: 2, Voters: []status.Voter{{Disk: "1f", Address: "10.0.0.1:7000", Zone: "z"}}, Chain: []string{"1f"}, Wanted: 3},
+		Core: status.Core{Epoch: 2, Voters: []status.Voter{{Disk: "1f", Address: "10.0.0.1:7000", Zone: "z"}}, Chain: []string{"1f"}, RequiredVoters: 3},
 	}
 	if c.leads {
 		s.Members = status.MembersOf([]wire.Edge{{Zone: "z", Ready: true}}, []status.Lease{{Zone: "z", Epoch: 3, Pending: 12}}, 4)
--- a/cmd/ravendalectl/status.go
+++ b/cmd/ravendalectl/status.go
@@ -72,7 +72,7 @@
 		leader = "not known"
 	}
 	line("leader\t%s, term %d", leader, c.Term)
-	line("core\tepoch %d, %d voters of %d wanted, %d in the chain, %s", c.Epoch, len(c.Voters), c.Wanted, len(c.Chain), commits(c))
+	line("core\tepoch %d, %d voters of %d wanted, %d in the chain, %s", c.Epoch, len(c.Voters), c.RequiredVoters, len(c.Chain), commits(c))
 	line("commands\t%d committed, %d known", c.Committed, c.Last)
 	if c.DiskFault != "" {
 		line("DISK\tof the process that answers, which stands aside: %s", c.DiskFault)
--- a/control/api/answers.go
+++ b/control/api/answers.go
@@ -9,11 +9,11 @@
 	"ravendale/control/core"
 )
 
-// retryAfter is what callers that are to come again are told, in seconds.
-const retryAfter = "1"
+// retryAfterSeconds is what callers that are to come again are told, in seconds.
+const retryAfterSeconds = "1"
 
-// takenAnswer acknowledges an order.
-type takenAnswer struct {
+// versionAnswer acknowledges an order.
+type versionAnswer struct {
 	Version uint64 `json:"version"`
 }
 
@@ -36,7 +36,7 @@
 // answerFailure answers what could not be decided here. Only 503 promises that nothing was done.
 func answerFailure(c *fiber.Ctx, err error) error {
 	if errors.Is(err, core.ErrUnavailable) {
-		c.Set(fiber.HeaderRetryAfter, retryAfter)
+		c.Set(fiber.HeaderRetryAfter, retryAfterSeconds)
 		return answer(c, fiber.StatusServiceUnavailable, "unavailable: nothing was changed")
 	}
 	return answerUndecided(c)
--- a/control/api/api.go
+++ b/control/api/api.go
@@ -1,5 +1,3 @@
-// Package api is the operator's HTTP interface: the configuration is set, changed and shown, machines of the queue are retired, and
-// the state of the system is told.
 package api
 
 import (
@@ -54,8 +52,8 @@
 // Bounds of an answer: callers move on after a second, and wait longer for large bodies.
 const (
 	answerWithin  = 850 * time.Millisecond
-	extraPerMega  = time.Second // for each MiB of the body
-	longestAnswer = 15 * time.Second
+	extraPerMiB   = time.Second // for each MiB of the body
+	maxAnswerTime = 15 * time.Second
 )
 
 // Options of a Server.
@@ -72,13 +70,13 @@
 
 // Server serves the interface.
 type Server struct {
-	options Options
-	app     *fiber.App
-	faults  faults
+	options   Options
+	app       *fiber.App
+	mutations mutations
 }
 
-// faults are mistakes that tests make on purpose, to see that they would be caught.
-type faults struct {
+// mutations are mistakes that tests make on purpose, to see that they are caught.
+type mutations struct {
 	current func() uint64 // orders on another version than this process has applied are refused here, not by the chain; nil: none are
 }
 
@@ -120,6 +118,6 @@
 
 func timeFor(body int) time.Duration {
 	const mega = 1 << 20
-	extra := time.Duration(float64(body) / mega * float64(extraPerMega))
-	return min(answerWithin+extra, longestAnswer)
+	extra := time.Duration(float64(body) / mega * float64(extraPerMiB))
+	return min(answerWithin+extra, maxAnswerTime)
 }
--- a/control/api/api_test.go
+++ b/control/api/api_test.go
@@ -136,7 +136,7 @@
 	return fmt.Sprintf(`{"version":%d,"routes":[],"backends":[{"name":"s","ratePerS":39.0}],"limits":{},"other":1.50}`, version)
 }
 
-func TestChangesAreTakenRefusedAndShown(t *testing.T) {
+func TestChangesAreAppliedRefusedAndShown(t *testing.T) {
 	f := newFixture(t)
 	f.show(404)
 	require.JSONEq(t, `{"version":5}`, f.set(200, "0", document(5)))
@@ -152,7 +152,7 @@
 	require.Contains(t, f.logs.String(), "another version is in place")
 }
 
-func TestFindingsAreToldWithTheirPlaces(t *testing.T) {
+func TestFindingsAreAnsweredWithTheirPaths(t *testing.T) {
 	f := newFixture(t)
 	content := f.set(400, "0", `{"version":1,"routes":[{}],"backends":[],"limits":{}}`)
 	require.Contains(t, content, `"place":"routes[0].timeoutMs"`)
@@ -172,12 +172,12 @@
 	require.Zero(t, f.chain.applied)
 }
 
-func TestOnlyASureFailureIsAPromise(t *testing.T) {
+func TestOnlyASureFailureIsAnsweredUnavailable(t *testing.T) {
 	f := newFixture(t)
 	f.chain.before = fmt.Errorf("wrapped: %w", core.ErrUnavailable)
 	response, _ := f.call(http.MethodPost, "/v1/config/set", "0", document(5))
 	require.Equal(t, 503, response.StatusCode)
-	require.Equal(t, retryAfter, response.Header.Get("Retry-After"))
+	require.Equal(t, retryAfterSeconds, response.Header.Get("Retry-After"))
 	f.show(503)
 
 	f.chain.before, f.chain.after = nil, core.ErrUnknown
@@ -194,7 +194,7 @@
 	require.LessOrEqual(t, f.chain.allowed, timeFor(len(document(5))))
 	require.Less(t, timeFor(100<<10), time.Second)
 	require.Equal(t, answerWithin+2*time.Second, timeFor(2<<20))
-	require.Equal(t, longestAnswer, timeFor(64<<20))
+	require.Equal(t, maxAnswerTime, timeFor(64<<20))
 }
 
 func TestAMachineIsRetired(t *testing.T) {
@@ -208,7 +208,7 @@
 	require.Equal(t, 1500*time.Millisecond, f.stores.deadline)
 	require.JSONEq(t, `{"state":"running"}`, f.expect(200, http.MethodGet, "/v1/retire/store-1/show", "", ""))
 	start(200, "store-1", `{"deadlineS":1e300}`)
-	require.Equal(t, longestDeadline, f.stores.deadline)
+	require.Equal(t, maxDeadline, f.stores.deadline)
 	start(404, "store-2", `{"deadlineS":10}`)
 	f.expect(404, http.MethodGet, "/v1/retire/store-2/show", "", "")
 	for _, body := range []string{"", "{}", `{"deadlineS":0}`, `{"deadlineS":-1}`, `{"deadlineS":"10"}`, `{"deadlineS":null}`} {
@@ -227,13 +227,13 @@
 	f.expect(405, http.MethodGet, "/v1/config/set", "", "")
 }
 
-// keeper keeps the commands, as a core does whose caller has given up.
-type keeper struct {
+// recorder keeps the commands, as a core does whose caller has given up.
+type recorder struct {
 	mu       sync.Mutex
 	commands [][]byte
 }
 
-func (k *keeper) Submit(_ context.Context, command []byte) ([]byte, error) {
+func (k *recorder) Submit(_ context.Context, command []byte) ([]byte, error) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.commands = append(k.commands, command)
@@ -241,7 +241,7 @@
 }
 
 func TestCommandsOutliveTheirRequestsOnRealSockets(t *testing.T) {
-	k := &keeper{}
+	k := &recorder{}
 	server := New(Options{Submitter: k, Retirer: &stores{}, Log: slog.New(slog.DiscardHandler)})
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -274,7 +274,7 @@
 }
 
 func TestABodyThatIsTooLargeIsRefusedUnread(t *testing.T) {
-	server := New(Options{Submitter: &keeper{}, Retirer: &stores{}, Log: slog.New(slog.DiscardHandler)})
+	server := New(Options{Submitter: &recorder{}, Retirer: &stores{}, Log: slog.New(slog.DiscardHandler)})
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	require.NoError(t, err)
 	go func() { _ = server.Serve(listener) }()
--- a/control/api/config.go
+++ b/control/api/config.go
@@ -62,7 +62,7 @@
 // change has an order decided and answers it. What is wrong with an order by itself was answered before: that can't meet one that was
 // taken, since an order that was taken had been found right by the same check.
 func (s *Server) change(c *fiber.Ctx, o order) error {
-	if s.faults.current != nil && s.faults.current() != o.base {
+	if s.mutations.current != nil && s.mutations.current() != o.base {
 		return answer(c, fiber.StatusPreconditionFailed, state.OutcomeRefusedVersion.String())
 	}
 	ctx, cancel := bound(len(o.body))
@@ -75,7 +75,7 @@
 	switch result.Outcome {
 	case state.OutcomeApplied, state.OutcomeDuplicate:
 		s.options.Log.Info("order acknowledged", "order", o.name, "base", o.base, "version", result.Version, "outcome", result.Outcome)
-		return c.JSON(takenAnswer{Version: result.Version})
+		return c.JSON(versionAnswer{Version: result.Version})
 	case state.OutcomeRefusedVersion:
 		s.options.Log.Info("order refused", "order", o.name, "base", o.base, "reason", result.Outcome, "version", result.Version)
 		return c.Status(fiber.StatusPreconditionFailed).JSON(errorAnswer{Error: result.Outcome.String(), Version: &result.Version})
--- a/control/api/orders_test.go
+++ b/control/api/orders_test.go
@@ -31,11 +31,11 @@
 
 // member is one process: its server, and how much of the log its machine has applied.
 type member struct {
-	world   *world
-	machine *state.Machine
-	applied int
-	cut     bool // from the others
-	server  *Server
+	world       *world
+	machine     *state.Machine
+	applied     int
+	partitioned bool // from the others
+	server      *Server
 }
 
 // posted is one order of an operator, sent any number of times.
@@ -54,9 +54,9 @@
 	w := m.world
 	command = append([]byte(nil), command...)
 	switch {
-	case m.cut && w.random.IntN(2) == 0, w.random.IntN(12) == 0:
+	case m.partitioned && w.random.IntN(2) == 0, w.random.IntN(12) == 0:
 		return nil, core.ErrUnavailable
-	case m.cut, w.random.IntN(8) == 0:
+	case m.partitioned, w.random.IntN(8) == 0:
 		w.late = append(w.late, command)
 		return nil, core.ErrUnknown
 	}
@@ -73,12 +73,12 @@
 	for ; m.applied < len(w.log); m.applied++ {
 		result = m.machine.Apply(w.log[m.applied])
 	}
-	w.note(command, result)
+	w.record(command, result)
 	return result
 }
 
-// note keeps the account of what the log has taken.
-func (w *world) note(command, encoded []byte) {
+// record keeps the account of what the log has applied.
+func (w *world) record(command, encoded []byte) {
 	result, err := state.DecodeResult(encoded)
 	if err != nil {
 		w.fail("%v", err)
@@ -126,7 +126,7 @@
 		m := &member{world: w, machine: state.NewMachine()}
 		m.server = New(Options{Submitter: m, Retirer: &stores{}, Log: slog.New(slog.DiscardHandler)})
 		if refuseHere {
-			m.server.faults.current = func() uint64 { return m.machine.Current().Version }
+			m.server.mutations.current = func() uint64 { return m.machine.Current().Version }
 		}
 		w.members = append(w.members, m)
 	}
@@ -145,7 +145,7 @@
 	m := w.pick()
 	switch w.random.IntN(10) {
 	case 0:
-		m.cut = !m.cut
+		m.partitioned = !m.partitioned
 	case 1: // it is filled by the member that has most
 		w.install(m)
 	case 2: // it starts anew
@@ -270,15 +270,15 @@
 	return (&state.Result{Outcome: state.OutcomeUnsure, Version: 9}).MarshalMsg(nil)
 }
 
-func TestAnOrderThatCannotBeToldFromATakenOneGetsNoClearAnswer(t *testing.T) {
+func TestAnOrderThatMayHaveBeenAppliedGetsNoClearAnswer(t *testing.T) {
 	f := newFixture(t)
 	f.server.options.Submitter = undecided{}
 	f.set(504, "1", document(5))
 	f.patch(504, "1", `{"version":5}`)
 }
 
-// TestAMemberThatIsCutOffGivesNoClearAnswer has old state in the machine, and a core that takes nothing.
-func TestAMemberThatIsCutOffGivesNoClearAnswer(t *testing.T) {
+// TestAPartitionedMemberGivesNoClearAnswer has old state in the machine, and a core that takes nothing.
+func TestAPartitionedMemberGivesNoClearAnswer(t *testing.T) {
 	f := newFixture(t)
 	f.set(200, "0", document(5))
 	f.chain.before = core.ErrUnavailable
--- a/control/api/redirect_test.go
+++ b/control/api/redirect_test.go
@@ -43,7 +43,7 @@
 	for path, method := range map[string]string{startPath: http.MethodPost, showPath: http.MethodGet} {
 		response, _ := f.call(method, path, "", startBody)
 		require.Equal(t, 503, response.StatusCode)
-		require.Equal(t, retryAfter, response.Header.Get("Retry-After"))
+		require.Equal(t, retryAfterSeconds, response.Header.Get("Retry-After"))
 	}
 }
 
@@ -54,7 +54,7 @@
 	require.JSONEq(t, `{"state":"running"}`, f.expect(200, http.MethodGet, showPath, "", ""))
 }
 
-func TestStatusIsToldByAnyProcess(t *testing.T) {
+func TestStatusIsAnsweredByAnyProcess(t *testing.T) {
 	content := led(t, "10.0.0.2:8046", true).expect(200, http.MethodGet, "/v1/status", "", "")
 	require.Contains(t, content, `"leaderAdmin":"10.0.0.2:8046","leading":false`)
 	require.Contains(t, content, `"version":3`)
--- a/control/api/retire.go
+++ b/control/api/retire.go
@@ -12,8 +12,8 @@
 	"ravendale/cluster/settings"
 )
 
-// longestDeadline bounds how long a machine may take to be emptied.
-const longestDeadline = 365 * 24 * time.Hour
+// maxDeadline bounds how long a machine may take to be emptied.
+const maxDeadline = 365 * 24 * time.Hour
 
 // retireOrder asks for a machine to be emptied.
 type retireOrder struct {
@@ -44,8 +44,8 @@
 	if order.DeadlineS == nil || *order.DeadlineS <= 0 {
 		return 0, errors.New("deadlineS: missing, or not above 0")
 	}
-	if *order.DeadlineS > longestDeadline.Seconds() {
-		return longestDeadline, nil
+	if *order.DeadlineS > maxDeadline.Seconds() {
+		return maxDeadline, nil
 	}
 	return settings.Seconds(*order.DeadlineS), nil
 }
--- a/control/plane/hosting.go
+++ b/control/plane/hosting.go
@@ -25,12 +25,12 @@
 	stopping  map[string]time.Duration // when a store said last that it stops, by the core's address on its machine
 }
 
-const stopWithin = 5 * time.Second // after which a store that said that it stops is a voter like others, until it is heard of again
+const stoppingTimeout = 5 * time.Second // after which a store that said that it stops is a voter like others, until it is heard of again
 
 func newHosting(s *settings.Settings, c *core.Core, log *slog.Logger) *hosting {
-	wanted := core.DurabilityOf(s).Voters()
+	requiredVoters := core.DurabilityOf(s).Voters()
 	return &hosting{
-		settings: s, core: c, log: log, started: time.Now(), recruiter: newRecruiter(wanted), stopping: make(map[string]time.Duration),
+		settings: s, core: c, log: log, started: time.Now(), recruiter: newRecruiter(requiredVoters), stopping: make(map[string]time.Duration),
 	}
 }
 
@@ -45,21 +45,21 @@
 		if store.Leaving || !h.core.WantsStores() {
 			return nil
 		}
-		return h.decide(now, &membership{}, address, store.Zone)
+		return h.decideOrder(now, &membership{}, address, store.Zone)
 	}
 	known := h.membership(placement)
-	known.stopping = h.stops(now, address, store.Leaving)
+	known.stopping = h.recordStopping(now, address, store.Leaving)
 	if address == h.settings.ControlAddress(h.settings.IP) {
 		if known.retiring[address] {
 			h.core.Abdicate() // the next leader has it replaced
 		}
 		return nil
 	}
-	return h.decide(now, known, address, store.Zone)
+	return h.decideOrder(now, known, address, store.Zone)
 }
 
-// stops notes whether a store says that it stops, and lists those that do.
-func (h *hosting) stops(now time.Duration, address string, leaving bool) map[string]bool {
+// recordStopping records whether a store says that it stops, and lists those that do.
+func (h *hosting) recordStopping(now time.Duration, address string, leaving bool) map[string]bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	delete(h.stopping, address)
@@ -68,7 +68,7 @@
 	}
 	stopping := make(map[string]bool)
 	for address, at := range h.stopping {
-		if now-at >= stopWithin {
+		if now-at >= stoppingTimeout {
 			delete(h.stopping, address)
 			continue
 		}
@@ -77,17 +77,17 @@
 	return stopping
 }
 
-func (h *hosting) decide(now time.Duration, core *membership, address, zone string) *wire.HostCore {
+func (h *hosting) decideOrder(now time.Duration, core *membership, address, zone string) *wire.HostCore {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	switch {
-	case h.recruiter.joins(now, core, address, zone):
+	case h.recruiter.shouldJoin(now, core, address, zone):
 		if _, known := core.member(address); !known { // one that is a member already is asked each second until it is back
-			h.log.Info("a store is asked to take part in the core", "store", address, "members", len(core.members), "wanted", h.recruiter.wanted)
+			h.log.Info("a store is asked to take part in the core", "store", address, "members", len(core.members), "wanted", h.recruiter.requiredVoters)
 		}
 		return &wire.HostCore{Host: true}
-	case h.recruiter.leaves(now, core, address):
-		h.log.Info("a store is asked to leave the core", "store", address, "members", len(core.members), "wanted", h.recruiter.wanted)
+	case h.recruiter.shouldLeave(now, core, address):
+		h.log.Info("a store is asked to leave the core", "store", address, "members", len(core.members), "wanted", h.recruiter.requiredVoters)
 		return &wire.HostCore{Host: false}
 	}
 	return nil
--- a/control/plane/plane.go
+++ b/control/plane/plane.go
@@ -1,5 +1,3 @@
-// Package plane assembles the control plane's part of a process: the replicated core, and the leader service that runs on the one that
-// holds the leader lease. Control processes run it, and stores where too few control processes have a disk.
 package plane
 
 import (
@@ -18,8 +16,8 @@
 
 // Listening is tried again for a while: the process before this one may still hold the address.
 const (
-	listenFor   = 3 * time.Second
-	listenPause = 50 * time.Millisecond
+	listenTimeout       = 3 * time.Second
+	listenRetryInterval = 50 * time.Millisecond
 )
 
 // Config of a Plane.
@@ -34,9 +32,9 @@
 type Plane struct {
 	config  Config
 	mux     *rpc.Mux
-	Machine *state.Machine
-	Core    *core.Core
-	Leader  *leader.Service
+	Machine *state.Machine  // what the core's members apply
+	Core    *core.Core      // the replicated core's member, or its client where there is no disk
+	Leader  *leader.Service // runs while this process holds the leader lease
 }
 
 // Open reads the disk, if there is one. Nothing else happens before Run.
@@ -64,7 +62,7 @@
 // Run listens for other processes and takes part in the core until the context ends.
 func (p *Plane) Run(ctx context.Context) error {
 	s := p.config.Settings
-	server, err := Again(func() (*rpc.Server, error) {
+	server, err := RetryListen(func() (*rpc.Server, error) {
 		return rpc.Listen(s.ControlAddress(s.IP), rpc.Options{Mux: p.mux}, nil)
 	})
 	if err != nil {
@@ -78,9 +76,9 @@
 // SetSettings gives the plane settings that were read again.
 func (p *Plane) SetSettings(s *settings.Settings) { p.Leader.SetSettings(s) }
 
-// Again tries to listen until it works, or until some time has passed.
-func Again[T any](listen func() (T, error)) (T, error) {
-	for deadline := time.Now().Add(listenFor); ; time.Sleep(listenPause) {
+// RetryListen tries to listen until it works, or until some time has passed.
+func RetryListen[T any](listen func() (T, error)) (T, error) {
+	for deadline := time.Now().Add(listenTimeout); ; time.Sleep(listenRetryInterval) {
 		listener, err := listen()
 		if err == nil || time.Now().After(deadline) {
 			return listener, err
--- a/control/plane/plane_test.go
+++ b/control/plane/plane_test.go
@@ -25,18 +25,18 @@
 // site is control processes, of which the first three are the seeds, and planes beside stores.
 type site struct {
 	*testing.T
-	port     int
-	lost     int // machines that may be lost at once
-	seeds    []string
-	controls []*Plane
-	stores   []*Plane
+	port      int
+	tolerated int // machines that may be lost at once
+	seeds     []string
+	controls  []*Plane
+	stores    []*Plane
 }
 
 func newSite(t *testing.T) *site {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer func() { _ = listener.Close() }()
-	s := &site{T: t, port: listener.Addr().(*net.TCPAddr).Port, lost: 1}
+	s := &site{T: t, port: listener.Addr().(*net.TCPAddr).Port, tolerated: 1}
 	for i := range 3 {
 		s.seeds = append(s.seeds, controlIP(i)+":1")
 	}
@@ -52,17 +52,17 @@
 	opened, err := Open(Config{
 		Settings: &settings.Settings{
 			Node: "node-" + ip, IP: ip, Zone: "zone-" + ip, Zones: map[string]string{"zone-" + ip: "r"}, PortRange: []int{s.port, s.port + 3},
-			Seeds: s.seeds, Bootstrap: true, LostNodes: s.lost, HeartbeatMs: 1000, Bounds: settings.Bounds{CatchupS: 5, DrainMs: 3000}, ProviderRate: 1,
+			Seeds: s.seeds, Bootstrap: true, LostNodes: s.tolerated, HeartbeatMs: 1000, Bounds: settings.Bounds{CatchupS: 5, DrainMs: 3000}, ProviderRate: 1,
 		},
 		DataDir: dataDir, Storage: storage, Log: slog.New(slog.DiscardHandler),
 	})
 	require.NoError(s, err)
 	ctx, cancel := context.WithCancel(context.Background())
-	ended := make(chan error, 1)
-	go func() { ended <- opened.Run(ctx) }()
+	stopped := make(chan error, 1)
+	go func() { stopped <- opened.Run(ctx) }()
 	s.Cleanup(func() {
 		cancel()
-		<-ended
+		<-stopped
 	})
 	return opened
 }
@@ -150,7 +150,7 @@
 // TestTheLeaderAsksOneStoreBesideFourControlProcesses has a core of three voters and a learner, which is to bear two losses.
 func TestTheLeaderAsksOneStoreBesideFourControlProcesses(t *testing.T) {
 	s := newSite(t)
-	s.lost = 2
+	s.tolerated = 2
 	for i := range 4 {
 		s.controls = append(s.controls, s.open(controlIP(i), s.TempDir(), false))
 	}
--- a/control/plane/recruiter.go
+++ b/control/plane/recruiter.go
@@ -7,17 +7,17 @@
 	"ravendale/control/view"
 )
 
-// Times by which stores are asked to take part in the core.
+// Times by which stores are invited to take part in the core.
 const (
-	zonePatience    = 700 * time.Millisecond  // so long a store of a zone that has none yet is waited for
-	answerWithin    = 3 * time.Second         // after which a store that was asked and has not come is not counted on any more
-	askAgain        = time.Second             // between two questions to the same store
-	replaceAfter    = 1500 * time.Millisecond // a member that is away for longer gets a substitute: a second loss may follow soon
-	startPatience   = 1500 * time.Millisecond // so long control processes that start a little late are waited for
-	controlPatience = 3 * time.Second         // replaceAfter where control processes are members: they return and are replaced by themselves
-	leavePatience   = 2 * time.Second         // so long a substitute for a store that retires is waited for
-	surplusPatience = 30 * time.Second        // so long control processes have made do without a store before that may go
-	membersAtMost   = 2                       // times the wanted number of voters: more than that are not asked, whatever is away
+	zoneTimeout           = 700 * time.Millisecond  // so long a store of a zone that has none yet is waited for
+	inviteTimeout         = 3 * time.Second         // after which a store that was invited and has not come is not counted on any more
+	inviteInterval        = time.Second             // between two invitations of the same store
+	replaceTimeout        = 1500 * time.Millisecond // a member that is away for longer gets a substitute: a second loss may follow soon
+	startupGracePeriod    = 1500 * time.Millisecond // so long control processes that start a little late are waited for
+	controlReplaceTimeout = 3 * time.Second         // replaceTimeout where control processes are members: they return and are replaced by themselves
+	leaveTimeout          = 2 * time.Second         // so long a substitute for a store that retires is waited for
+	surplusTimeout        = 30 * time.Second        // so long control processes have made do without a store before that may go
+	maxMembersFactor      = 2                       // times the required voters: more than that are not invited, whatever is away
 )
 
 // membership is what a process knows of the core.
@@ -28,8 +28,10 @@
 	stopping map[string]bool // the same of those that were told to stop, and may not come back
 }
 
-// stays says whether a member is counted on.
-func (m *membership) stays(address string) bool { return !m.retiring[address] && !m.stopping[address] }
+// isStaying says whether a member is counted on.
+func (m *membership) isStaying(address string) bool {
+	return !m.retiring[address] && !m.stopping[address]
+}
 
 func (m *membership) member(address string) (view.Member, bool) {
 	for _, member := range m.members {
@@ -57,67 +59,68 @@
 	return address
 }
 
-// recruiter decides which stores are asked to take part in the core, and which to leave it, so that there are as many members as the losses
+// recruiter decides which stores are invited to take part in the core, and which are to leave it, so that there are as many members as the losses
 // that are to be borne need. It is pure: time and events go in.
 type recruiter struct {
-	wanted       int // voters
-	asked        map[string]question
-	fewSince     time.Duration // negative: there are enough members, or stores have been asked
-	lackingSince time.Duration // negative: no store is to be asked
-	awaySince    time.Duration // the same of members that are not in the chain
-	leavingSince map[string]time.Duration
+	requiredVoters   int // that bear the losses which the settings name
+	invitations      map[string]invitation
+	fewSince         time.Duration // negative: there are enough members, or stores have been invited
+	needsMemberSince time.Duration // negative: no store is to be invited
+	awaySince        time.Duration // the same of members that are not in the chain
+	leavingSince     map[string]time.Duration
 }
 
-type question struct {
+// invitation is what a store was told last: that it is to take part.
+type invitation struct {
 	zone string
 	at   time.Duration
 }
 
-func newRecruiter(wanted int) *recruiter {
+func newRecruiter(requiredVoters int) *recruiter {
 	return &recruiter{
-		wanted: wanted, asked: make(map[string]question), fewSince: -1, lackingSince: -1, awaySince: -1,
+		requiredVoters: requiredVoters, invitations: make(map[string]invitation), fewSince: -1, needsMemberSince: -1, awaySince: -1,
 		leavingSince: make(map[string]time.Duration),
 	}
 }
 
-// joins says whether a store that was just heard of is to be asked to take part.
-func (r *recruiter) joins(now time.Duration, core *membership, address, zone string) bool {
-	r.look(now, core)
-	if !core.stays(address) {
+// shouldJoin says whether a store that was just heard of is to be invited to take part.
+func (r *recruiter) shouldJoin(now time.Duration, core *membership, address, zone string) bool {
+	r.update(now, core)
+	if !core.isStaying(address) {
 		return false
 	}
-	if last, ok := r.asked[address]; ok && now-last.at < askAgain {
+	if invited, ok := r.invitations[address]; ok && now-invited.at < inviteInterval {
 		return false
 	}
 	if member, ok := core.member(address); ok {
 		if core.attached(member.ID) {
 			return false
 		}
-		return r.ask(now, address, zone) // it may have come back without its disk
+		return r.invite(now, address, zone) // it may have come back without its disk
 	}
-	if !r.lacks(now, core) || r.covered(core, zone) && now-r.lackingSince < zonePatience {
+	if !r.needsMember(now, core) || r.covered(core, zone) && now-r.needsMemberSince < zoneTimeout {
 		return false
 	}
-	return r.ask(now, address, zone)
+	return r.invite(now, address, zone)
 }
 
-func (r *recruiter) ask(now time.Duration, address, zone string) bool {
-	r.asked[address] = question{zone, now}
+func (r *recruiter) invite(now time.Duration, address, zone string) bool {
+	r.invitations[address] = invitation{zone, now}
 	return true
 }
 
-// look notes since when something is lacking, and forgets old questions.
-func (r *recruiter) look(now time.Duration, core *membership) {
-	for address, last := range r.asked {
+// update records since when something is lacking, and forgets old invitations.
+func (r *recruiter) update(now time.Duration, core *membership) {
+	for address, invited := range r.invitations {
 		_, member := core.member(address)
-		if now-last.at >= answerWithin || member {
-			delete(r.asked, address)
+		if now-invited.at >= inviteTimeout || member {
+			delete(r.invitations, address)
 		}
 	}
 	staying, attached := r.count(core)
-	since(&r.fewSince, now, staying+len(r.asked) < r.wanted)
-	since(&r.awaySince, now, attached < min(staying, r.wanted))
-	since(&r.lackingSince, now, r.lacks(now, core))
+	since(&r.fewSince, now, staying+len(r.invitations) < r.requiredVoters)
+	since(&r.awaySince, now, attached < min(staying, r.requiredVoters))
+	since(&r.needsMemberSince, now, r.needsMember(now, core))
 }
 
 func since(at *time.Duration, now time.Duration, holds bool) {
@@ -129,13 +132,13 @@
 	}
 }
 
-// lasted says whether something has been so for a time.
-func lasted(at, now, span time.Duration) bool { return at >= 0 && now-at >= span }
+// lastedFor says whether something has been so for a time.
+func lastedFor(at, now, span time.Duration) bool { return at >= 0 && now-at >= span }
 
 // count tells how many members are to stay, and how many of them are in the chain.
 func (r *recruiter) count(core *membership) (staying, attached int) {
 	for _, member := range core.members {
-		if !core.stays(member.Address) {
+		if !core.isStaying(member.Address) {
 			continue
 		}
 		staying++
@@ -146,40 +149,40 @@
 	return staying, attached
 }
 
-// lacks says whether another store is wanted: there are too few members, or one has been away for long.
-func (r *recruiter) lacks(now time.Duration, core *membership) bool {
-	few, away := time.Duration(0), replaceAfter
+// needsMember says whether another store is required: there are too few members, or one has been away for long.
+func (r *recruiter) needsMember(now time.Duration, core *membership) bool {
+	few, away := time.Duration(0), replaceTimeout
 	if core.hasControl() {
-		few, away = startPatience, controlPatience
+		few, away = startupGracePeriod, controlReplaceTimeout
 	}
 	staying, attached := r.count(core)
-	coming := len(r.asked)
-	if staying+coming < r.wanted {
-		return lasted(r.fewSince, now, few)
+	coming := len(r.invitations)
+	if staying+coming < r.requiredVoters {
+		return lastedFor(r.fewSince, now, few)
 	}
-	return lasted(r.awaySince, now, away) && attached+coming < r.wanted && len(core.members)+coming < membersAtMost*r.wanted
+	return lastedFor(r.awaySince, now, away) && attached+coming < r.requiredVoters && len(core.members)+coming < maxMembersFactor*r.requiredVoters
 }
 
-// covered says whether a zone has a member already, or one that was asked.
+// covered says whether a zone has a member already, or one that was invited.
 func (r *recruiter) covered(core *membership, zone string) bool {
 	for _, member := range core.members {
-		if member.Zone == zone && core.attached(member.ID) && core.stays(member.Address) {
+		if member.Zone == zone && core.attached(member.ID) && core.isStaying(member.Address) {
 			return true
 		}
 	}
-	for _, last := range r.asked {
-		if last.zone == zone {
+	for _, invited := range r.invitations {
+		if invited.zone == zone {
 			return true
 		}
 	}
 	return false
 }
 
-// leaves says whether a store is to leave the core: it is being emptied or stops, and enough others hold the state, or it is not needed any more.
+// shouldLeave says whether a store is to leave the core: it is being emptied or stops, and enough others hold the state, or it is not needed any more.
 // One that is being emptied also leaves if no others come.
-func (r *recruiter) leaves(now time.Duration, core *membership, address string) bool {
+func (r *recruiter) shouldLeave(now time.Duration, core *membership, address string) bool {
 	_, member := core.member(address)
-	staying, enough := core.stays(address), r.enoughWithout(core, address)
+	staying, enough := core.isStaying(address), r.enoughWithout(core, address)
 	if !member || staying && !enough {
 		delete(r.leavingSince, address)
 		return false
@@ -190,17 +193,17 @@
 		r.leavingSince[address] = now
 	}
 	if staying {
-		return now-began >= surplusPatience
+		return now-began >= surplusTimeout
 	}
-	return enough || core.retiring[address] && now-began >= leavePatience && len(r.asked) == 0
+	return enough || core.retiring[address] && now-began >= leaveTimeout && len(r.invitations) == 0
 }
 
-// enoughWithout says whether the core can do without a store: others hold the state, as many as are wanted. One that stays is only let go where
+// enoughWithout says whether the core can do without a store: others hold the state, as many as are required. One that stays is only let go where
 // control processes are members, and one at a time.
 func (r *recruiter) enoughWithout(core *membership, address string) bool {
 	_, attached := r.count(core)
-	if !core.stays(address) {
-		return attached >= r.wanted
+	if !core.isStaying(address) {
+		return attached >= r.requiredVoters
 	}
-	return core.hasControl() && core.lastStore() == address && attached > r.wanted
+	return core.hasControl() && core.lastStore() == address && attached > r.requiredVoters
 }
--- a/control/plane/status.go
+++ b/control/plane/status.go
@@ -4,6 +4,7 @@
 	"context"
 	"encoding/json"
 	"errors"
+	"time"
 
 	"ravendale/cluster/rpc"
 	"ravendale/cluster/wire"
@@ -13,6 +14,9 @@
 //go:generate go run github.com/tinylib/msgp -file status.go -o status_gen.go -tests=false -unexported
 //msgp:tuple statusRequest statusReply
 
+// statusTimeout bounds the answer to another process's statusRequest.
+const statusTimeout = 3 * time.Second
+
 var errNoLeader = errors.New("plane: no leader is known")
 
 // statusRequest asks the process that leads how it sees the system.
@@ -55,7 +59,7 @@
 		return
 	}
 	go func() {
-		ctx, cancel := context.WithTimeout(context.Background(), answerWithin)
+		ctx, cancel := context.WithTimeout(context.Background(), statusTimeout)
 		defer cancel()
 		content, err := json.Marshal(p.status(ctx))
 		if err != nil {
--- a/control/status/compat_test.go
+++ b/control/status/compat_test.go
@@ -15,7 +15,7 @@
 	return Status{
 		Node: "control-1",
 		Core: Core{
-			Disk: "1f", Epoch: 3, Chain: []string{"1f", "2"}, Wanted: 5, DiskFault: "sync: input/output error", Attached: true, Durable: true,
+			Disk: "1f", Epoch: 3, Chain: []string{"1f", "2"}, RequiredVoters: 5, DiskFault: "sync: input/output error", Attached: true, Durable: true,
 			Voters: []Voter{{"1f", "10.0.0.1:7200", "a"}, {"2", "10.0.0.2:7200", "b"}},
 			Last:   9, Committed: 8, Term: 4, Leader: "10.0.0.2:7200", LeaderAdmin: "10.0.0.2:8046", Leading: true,
 		},
--- a/control/status/status.go
+++ b/control/status/status.go
@@ -1,5 +1,3 @@
-// Package status is what the operator is told of the control plane and of the queue: the types of the answer, and how they are made
-// of what a control process knows.
 package status
 
 import (
@@ -22,20 +20,20 @@
 
 // Core is how the process sees the replicated core.
 type Core struct {
-	Disk        string   `json:"disk,omitempty"` // identity of this process's disk; empty if it has none
-	Epoch       uint64   `json:"epoch"`
-	Voters      []Voter  `json:"voters"`
-	Chain       []string `json:"chain"`               // identities of disks, the head first
-	Wanted      int      `json:"votersWanted"`        // voters that bear the losses which the settings name
-	DiskFault   string   `json:"diskFault,omitempty"` // why the disk takes no writes, and this process stands aside; empty: it does
-	Attached    bool     `json:"attached"`            // this process follows the chain
-	Durable     bool     `json:"durable"`             // the chain has enough disks to commit
-	Last        uint64   `json:"last"`                // number of the newest command that this process knows
-	Committed   uint64   `json:"committed"`
-	Term        uint64   `json:"term"`                  // of the newest leader
-	Leader      string   `json:"leader,omitempty"`      // rpc address; empty if unknown
-	LeaderAdmin string   `json:"leaderAdmin,omitempty"` // admin address of another process that leads
-	Leading     bool     `json:"leading"`               // this process leads
+	Disk           string   `json:"disk,omitempty"` // identity of this process's disk; empty if it has none
+	Epoch          uint64   `json:"epoch"`
+	Voters         []Voter  `json:"voters"`
+	Chain          []string `json:"chain"`               // identities of disks, the head first
+	RequiredVoters int      `json:"votersWanted"`        // voters that bear the losses which the settings name
+	DiskFault      string   `json:"diskFault,omitempty"` // why the disk takes no writes, and this process is degraded; empty: it does
+	Attached       bool     `json:"attached"`            // this process follows the chain
+	Durable        bool     `json:"durable"`             // the chain has enough disks to commit
+	Last           uint64   `json:"last"`                // number of the newest command that this process knows
+	Committed      uint64   `json:"committed"`
+	Term           uint64   `json:"term"`                  // of the newest leader
+	Leader         string   `json:"leader,omitempty"`      // rpc address; empty if unknown
+	LeaderAdmin    string   `json:"leaderAdmin,omitempty"` // admin address of another process that leads
+	Leading        bool     `json:"leading"`               // this process leads
 }
 
 // Voter is a member of the core.
@@ -106,7 +104,7 @@
 func CoreOf(s core.Status, term uint64) Core {
 	c := Core{
 		Epoch: s.Epoch, Attached: s.Attached, Durable: s.Durable, Last: s.Last, Committed: s.Committed, Term: term, Leader: s.Leader,
-		DiskFault: s.DiskFault, Wanted: s.Wanted,
+		DiskFault: s.DiskFault, RequiredVoters: s.Wanted,
 		Voters: make([]Voter, len(s.Voters)), Chain: make([]string, len(s.Chain)),
 	}
 	if s.ID != 0 {
@@ -134,25 +132,25 @@
 		p.Stores[i] = Store{Node: s.Node, Zone: s.Zone, Disk: s.Disk, Retiring: s.Retiring}
 	}
 	for i := range v.Partitions {
-		p.count(&v.Partitions[i])
+		p.countPartition(&v.Partitions[i])
 	}
 	return p
 }
 
-func (p *Placement) count(place *wire.Placement) {
-	if len(place.Replicas) < p.Copies {
+func (p *Placement) countPartition(partition *wire.Placement) {
+	if len(partition.Replicas) < p.Copies {
 		p.UnderStrength++
 	}
-	if len(place.Replicas) == 0 {
+	if len(partition.Replicas) == 0 {
 		p.Unheld++
 	}
-	for i, store := range place.Replicas {
+	for i, store := range partition.Replicas {
 		p.Stores[store].Replicas++
 		if i == 0 {
 			p.Stores[store].Primaries++
 		}
 	}
-	for _, store := range place.Joining {
+	for _, store := range partition.Joining {
 		p.Stores[store].Joining++
 	}
 }
--- a/control/status/status_test.go
+++ b/control/status/status_test.go
@@ -18,7 +18,7 @@
 		Voters: []view.Member{{ID: 0x1f, Address: "10.0.0.1:7000", Zone: "a"}, {ID: 2, Address: "10.0.0.2:7000", Zone: "b"}},
 	}
 	require.Equal(t, Core{
-		Disk: "1f", Epoch: 3, Chain: []string{"1f", "2"}, Attached: true, Durable: true, Last: 9, Committed: 8, Leader: "10.0.0.1:7000", Term: 4, Wanted: 3,
+		Disk: "1f", Epoch: 3, Chain: []string{"1f", "2"}, Attached: true, Durable: true, Last: 9, Committed: 8, Leader: "10.0.0.1:7000", Term: 4, RequiredVoters: 3,
 		Voters: []Voter{{"1f", "10.0.0.1:7000", "a"}, {"2", "10.0.0.2:7000", "b"}},
 	}, CoreOf(seen, 4))
 	encoded, err := json.Marshal(CoreOf(core.Status{}, 0))
