--- a/edge/ingress/ingress.go
+++ b/edge/ingress/server.go
@@ -1,11 +1,9 @@
-// Package ingress takes clients' requests: it has those on deferred routes kept by the queue, and answers what became of them.
 package ingress
 
 import (
 	"errors"
 	"log/slog"
 	"net"
-	"strconv"
 	"sync"
 	"sync/atomic"
 	"time"
@@ -17,44 +15,44 @@
 	"ravendale/edge/queueclient"
 )
 
-// Queue keeps messages and knows what became of them.
+// Queue stores messages and knows their state.
 type Queue interface {
 	PutWithin(m *wire.Message, dispatch bool, limits queueclient.Limits) queueclient.Result
 	Find(id string, body bool) (*wire.FindReply, error)
 }
 
-// Config of a Server.
+// Config holds the options of a Server.
 type Config struct {
 	Queue    Queue
 	Index    func() *catalog.Index                    // nil until there is a configuration
-	Ready    func() bool                              // the configuration is current; else messages are turned away
-	Takes    func(service string, bodyBytes int) bool // this edge will deliver such a message itself
+	Ready    func() bool                              // the configuration is current; else requests are rejected
+	Accepts  func(service string, bodyBytes int) bool // this edge will deliver such a message itself
 	MaxConns int                                      // connections open at once
-	Log      *slog.Logger                             // nil: the default
+	Log      *slog.Logger                             // nil: slog.Default
 }
 
-// Limits that hold until a configuration names others, and where it names none.
+// Limits in force until a configuration names others, and where it names none.
 const (
-	defaultHeaderBytes = 16 << 10
-	defaultBodyBytes   = 1 << 20
-	defaultHeaderTime  = 5 * time.Second
-	defaultIdleTime    = 15 * time.Second
-
-	leastHeaderBuffer = 4 << 10
-	writeBuffer       = 512
-	bodyTime          = 15 * time.Second // for a whole body
-	writeTime         = 10 * time.Second
-	sweepEvery        = 100 * time.Millisecond
-	acceptPause       = 20 * time.Millisecond
+	defaultHeaderBytes   = 16 << 10
+	defaultBodyBytes     = 1 << 20
+	defaultHeaderTimeout = 5 * time.Second
+	defaultIdleTimeout   = 15 * time.Second
+
+	minHeaderBuffer = 4 << 10
+	writeBuffer     = 512
+	bodyTimeout     = 15 * time.Second // for a complete body
+	writeTimeout    = 10 * time.Second
+	sweepInterval   = 100 * time.Millisecond
+	acceptPause     = 20 * time.Millisecond
 )
 
-// Server takes connections of clients.
+// Server accepts connections of clients and answers their requests.
 type Server struct {
-	config  Config
-	limits  atomic.Pointer[limits]
-	leaving atomic.Bool
-	changed signal
-	slots   chan struct{} // one for each connection
+	config   Config
+	limits   atomic.Pointer[limits]
+	draining atomic.Bool
+	changed  broadcast
+	slots    chan struct{} // one for each connection
 
 	mu       sync.Mutex
 	listener net.Listener
@@ -73,7 +71,7 @@
 	idle atomic.Bool
 }
 
-// New returns a Server that does not listen.
+// New returns a Server that does not listen yet.
 func New(config Config) *Server {
 	if config.Log == nil {
 		config.Log = slog.Default()
@@ -83,14 +81,14 @@
 	return s
 }
 
-// Limit sets what clients may send; it holds for new connections, the size of bodies for all.
-func (s *Server) Limit(next catalog.Limits) {
+// SetLimits sets what clients may send. It holds for new connections, the size of bodies for all.
+func (s *Server) SetLimits(next catalog.Limits) {
 	if s.limits.Load().Limits != next {
 		s.limits.Store(s.newLimits(next))
 	}
 }
 
-func orElse[T int | time.Duration](figure, other T) T {
+func orDefault[T int | time.Duration](figure, other T) T {
 	if figure > 0 {
 		return figure
 	}
@@ -103,16 +101,16 @@
 
 func (s *Server) newLimits(l catalog.Limits) *limits {
 	return &limits{Limits: l, server: &fasthttp.Server{
-		Handler:                       s.handle,
+		Handler:                       s.handleRequest,
 		ErrorHandler:                  answerError,
 		HeaderReceived:                s.bodyLimits,
-		ConnState:                     follow,
-		ReadBufferSize:                max(orElse(l.MaxHeaderBytes, defaultHeaderBytes), leastHeaderBuffer),
+		ConnState:                     trackState,
+		ReadBufferSize:                max(orDefault(l.MaxHeaderBytes, defaultHeaderBytes), minHeaderBuffer),
 		WriteBufferSize:               writeBuffer,
-		ReadTimeout:                   orElse(milliseconds(l.HeaderTimeoutMs), defaultHeaderTime),
-		IdleTimeout:                   orElse(milliseconds(l.IdleTimeoutMs), defaultIdleTime),
-		WriteTimeout:                  writeTime,
-		MaxRequestBodySize:            orElse(l.MaxBodyBytes, defaultBodyBytes),
+		ReadTimeout:                   orDefault(milliseconds(l.HeaderTimeoutMs), defaultHeaderTimeout),
+		IdleTimeout:                   orDefault(milliseconds(l.IdleTimeoutMs), defaultIdleTimeout),
+		WriteTimeout:                  writeTimeout,
+		MaxRequestBodySize:            orDefault(l.MaxBodyBytes, defaultBodyBytes),
 		Concurrency:                   cap(s.slots) + 1,
 		ReduceMemoryUsage:             true,
 		DisablePreParseMultipartForm:  true,
@@ -120,30 +118,30 @@
 		NoDefaultDate:                 true,
 		NoDefaultContentType:          true,
 		LogAllErrors:                  false,
-		Logger:                        silent{},
+		Logger:                        discardLogger{},
 		DisableHeaderNamesNormalizing: false,
 	}}
 }
 
-// silent drops fasthttp's own lines, which tell of clients' mistakes.
-type silent struct{}
+// discardLogger drops fasthttp's own lines, which report clients' mistakes.
+type discardLogger struct{}
 
-func (silent) Printf(string, ...any) {}
+func (discardLogger) Printf(string, ...any) {}
 
 func (s *Server) bodyLimits(*fasthttp.RequestHeader) fasthttp.RequestConfig {
 	return fasthttp.RequestConfig{
-		ReadTimeout:        bodyTime,
-		MaxRequestBodySize: orElse(s.limits.Load().MaxBodyBytes, defaultBodyBytes),
+		ReadTimeout:        bodyTimeout,
+		MaxRequestBodySize: orDefault(s.limits.Load().MaxBodyBytes, defaultBodyBytes),
 	}
 }
 
-func follow(conn net.Conn, state fasthttp.ConnState) {
+func trackState(conn net.Conn, state fasthttp.ConnState) {
 	if c, ok := conn.(*clientConn); ok {
 		c.idle.Store(state != fasthttp.StateActive)
 	}
 }
 
-// Listen starts to take connections.
+// Listen starts to accept connections.
 func (s *Server) Listen(address string) error {
 	listener, err := net.Listen("tcp4", address)
 	if err != nil {
@@ -156,7 +154,7 @@
 	return nil
 }
 
-// Address is where the server listens.
+// Address returns where the server listens.
 func (s *Server) Address() string { return s.listener.Addr().String() }
 
 func (s *Server) accept(listener net.Listener) {
@@ -181,25 +179,25 @@
 }
 
 func (s *Server) serve(c *clientConn) {
-	_ = s.limits.Load().server.ServeConn(c) // what went wrong was answered
+	_ = s.limits.Load().server.ServeConn(c) // errors were answered
 	s.mu.Lock()
 	delete(s.conns, c)
 	s.mu.Unlock()
 	<-s.slots
 }
 
-// Leave has each answer end its connection from now on.
-func (s *Server) Leave() { s.leaving.Store(true) }
+// Drain has each answer close its connection from now on.
+func (s *Server) Drain() { s.draining.Store(true) }
 
-// Close stops taking connections, ends idle ones, and waits until what is in hand is answered or done is closed.
+// Close stops accepting connections, closes idle ones, and waits until what is in flight is answered or done is closed.
 func (s *Server) Close(done <-chan struct{}) {
-	s.Leave()
+	s.Drain()
 	s.mu.Lock()
 	if s.listener != nil {
 		_ = s.listener.Close()
 	}
 	s.mu.Unlock()
-	ticker := time.NewTicker(sweepEvery)
+	ticker := time.NewTicker(sweepInterval)
 	defer ticker.Stop()
 	for s.endIdle() > 0 {
 		select {
@@ -221,29 +219,3 @@
 	}
 	return len(s.conns)
 }
-
-// answerError answers what could not be read.
-func answerError(ctx *fasthttp.RequestCtx, err error) {
-	var small *fasthttp.ErrSmallBuffer
-	var late interface{ Timeout() bool }
-	status := fasthttp.StatusBadRequest
-	switch {
-	case errors.As(err, &small):
-		status = fasthttp.StatusRequestHeaderFieldsTooLarge
-	case errors.Is(err, fasthttp.ErrBodyTooLarge):
-		status = fasthttp.StatusRequestEntityTooLarge
-	case errors.Is(err, fasthttp.ErrTimeout), errors.As(err, &late) && late.Timeout():
-		status = fasthttp.StatusRequestTimeout
-	}
-	ctx.Response.Reset()
-	ctx.SetStatusCode(status)
-	ctx.SetConnectionClose()
-}
-
-// refuse answers that the request was not taken, and never will be.
-func refuse(ctx *fasthttp.RequestCtx) {
-	ctx.Response.Header.Set("Retry-After", strconv.Itoa(retryAfterS))
-	ctx.SetStatusCode(fasthttp.StatusServiceUnavailable)
-}
-
-const retryAfterS = 1 // the smallest whole number that makes sense
--- /dev/null
+++ b/store/queue/put.go
@@ -0,0 +1,133 @@
+package queue
+
+import (
+	"fmt"
+
+	"ravendale/cluster/wire"
+)
+
+// admit says whether the store may decide on a partition under an epoch, and what to answer if not.
+func (c *Core) admit(number uint16, epoch uint64) (p *partition, code wire.PutCode) {
+	if c.view == nil || epoch != c.view.Epoch || c.newestEpoch > c.view.Epoch {
+		return nil, wire.PutStale
+	}
+	p = c.lookUpPartition(number)
+	if p == nil || !p.primary {
+		return nil, wire.PutNotPrimary
+	}
+	return p, wire.PutKept
+}
+
+// PutMessage accepts a message: the reply is sent once it is on the disks of all members of its partition. A repeated put of the same message
+// gets the same answer.
+func (c *Core) PutMessage(now Time, from Remote, m *wire.Put, reply Replier) {
+	c.now = now
+	number, ok := wire.PartitionOf(m.Message.ID)
+	if !ok || number != m.Partition {
+		reply.Fail(fmt.Errorf("queue: message %q does not lie in partition %d", m.Message.ID, m.Partition))
+		return
+	}
+	p, code := c.admit(m.Partition, m.Epoch)
+	if code != wire.PutKept {
+		reply.Send(&wire.PutReply{Code: code, Epoch: c.newestEpoch})
+		return
+	}
+	sender := c.edges.byRemote[from]
+	e, collides := p.find(m.Message.ID)
+	switch {
+	case e != nil:
+		c.acceptRepeat(p, e, m, sender, reply)
+	case m.Dispatch && sender == nil || collides || len(p.members)+1 < c.requiredCopies() || c.refusesPuts():
+		reply.Send(&wire.PutReply{Code: wire.PutRefused, Epoch: c.epoch()})
+	default:
+		c.acceptNew(p, m, sender, reply)
+	}
+	c.assignDue()
+	c.flushPeers()
+}
+
+// requiredCopies is on how many disks a message must be before it is accepted.
+func (c *Core) requiredCopies() int { return max(c.config.Copies, int(c.view.Copies)) }
+
+// refusesPuts says whether there is no capacity for new messages: on disk, in memory, or as the disk stalls.
+func (c *Core) refusesPuts() bool {
+	if c.disk.stalled {
+		return true
+	}
+	if c.config.DiskBytes > 0 && c.disk.journal.Used()*100 > c.config.DiskBytes*refusePercent {
+		return true
+	}
+	return c.config.MaxMessages > 0 && c.messageCount >= c.config.MaxMessages
+}
+
+// acceptNew starts the operation that accepts a message.
+func (c *Core) acceptNew(p *partition, m *wire.Put, sender *edge, reply Replier) {
+	r := &Record{Kind: RecordMessage, Partition: p.number, ID: m.Message.ID, Sequence: c.nextSequence(), Message: m.Message}
+	r.Message.ID = ""
+	if m.Dispatch && sender != nil {
+		r.Leaseholder = sender.id
+	}
+	payload, at, position := c.appendRecord(r)
+	e := c.insert(p, r, at, false)
+	e.delivery.accepting = true
+	if m.Dispatch && sender != nil {
+		c.startLease(e, sender)
+	}
+	o := c.beginOp(p, e, position, payload)
+	o.put = true
+	o.waiters = append(o.waiters, putWaiter(reply, sender))
+}
+
+// acceptRepeat answers a put of a message that is known already, at once or with the operation under way.
+func (c *Core) acceptRepeat(p *partition, e *entry, m *wire.Put, from *edge, reply Replier) {
+	if e.delivery != nil && e.pending() && e.delivery.leaseholder == nil && m.Dispatch && from != nil {
+		c.startLease(e, from)
+		c.recordLeaseholder(p, e, from)
+		c.grantOrRequeue(p, e, true)
+	}
+	if e.delivery != nil && e.delivery.lastChange != nil && (e.delivery.accepting || e.delivery.lastChange.put) {
+		e.delivery.lastChange.waiters = append(e.delivery.lastChange.waiters, putWaiter(reply, from))
+		return
+	}
+	if e.pending() && !c.isFullyReplicated(p) {
+		c.replicateAgain(p, e, putWaiter(reply, from))
+		return
+	}
+	reply.Send(c.putReply(p, e, from))
+}
+
+// isFullyReplicated says whether all that a primary has is at enough members. What an earlier primary left incomplete may not be.
+func (c *Core) isFullyReplicated(p *partition) bool {
+	return !p.isMergePending() && len(p.joiners) == 0 && len(p.members)+1 >= c.requiredCopies()
+}
+
+// replicateAgain has all members acknowledge a message, and answers then.
+func (c *Core) replicateAgain(p *partition, e *entry, w waiter) {
+	payload := c.messagePayload(p, e)
+	if payload == nil {
+		return
+	}
+	position := c.disk.journal.Position()
+	o := c.beginOp(p, e, position, payload)
+	o.put = true
+	o.waiters = append(o.waiters, w)
+	if c.disk.durable >= position {
+		o.synced = true
+		c.complete(o)
+	}
+}
+
+// putWaiter makes the waiter of a Put.
+func putWaiter(reply Replier, from *edge) waiter {
+	w := waiter{reply: reply, put: true, edge: from}
+	if from != nil {
+		w.session = from.session
+	}
+	return w
+}
+
+// putReply answers a Put of a message that is on disk at all members.
+func (c *Core) putReply(p *partition, e *entry, from *edge) *wire.PutReply {
+	granted := e.delivery != nil && e.delivery.granted && e.delivery.leaseholder == from && from != nil
+	return &wire.PutReply{Code: wire.PutKept, Epoch: c.epoch(), Granted: granted}
+}
