--- a/cmd/ravendalectl/change.go
+++ b/cmd/ravendalectl/change.go
@@ -17,7 +17,7 @@
 type send func(client *operatorclient.Client, ctx context.Context, base uint64, body []byte) (uint64, error)
 
 // run checks a change, and sends it unless it is only to be tried.
-func (c *changeFlags) run(env environment, patch bool, send send) error {
+func (c *changeFlags) run(ctx context.Context, env environment, patch bool, send send) error {
 	content, err := os.ReadFile(c.File)
 	if err != nil {
 		return fileFailed(err)
@@ -30,40 +30,40 @@
 		return err
 	}
 	if c.DryRun {
-		return c.try(env, client, content, patch)
+		return c.dryRun(ctx, env, client, content, patch)
 	}
-	base, taken, err := c.base(env, client, content, patch)
+	base, taken, err := c.base(ctx, env, client, content, patch)
 	if err != nil || taken {
 		return err
 	}
-	version, err := send(client, env.ctx, base, content)
+	version, err := send(client, ctx, base, content)
 	if err != nil {
 		return c.failed(env, content, base, err)
 	}
-	_, err = fmt.Fprintf(env.out, "version %d is in force\n", version)
+	_, err = fmt.Fprintf(env.stdout, "version %d is in force\n", version)
 	return err
 }
 
 // base is the version to build on. Without one given it is that in place, and a whole configuration which is in place already, as
 // after an answer that was lost, is not sent again.
-func (c *changeFlags) base(env environment, client *operatorclient.Client, content []byte, patch bool) (base uint64, taken bool, err error) {
+func (c *changeFlags) base(ctx context.Context, env environment, client *operatorclient.Client, content []byte, patch bool) (base uint64, taken bool, err error) {
 	if c.Base != nil {
 		return *c.Base, false, nil
 	}
-	shown, err := client.Show(env.ctx)
+	shown, err := client.Show(ctx)
 	if err != nil {
 		return 0, false, callFailed(err, "the version in place", "check status and the addresses, then repeat the command: nothing was sent")
 	}
 	if !patch && shown.Version > 0 && bytes.Equal(bytes.TrimSpace(shown.Body), bytes.TrimSpace(content)) {
-		_, err = fmt.Fprintf(env.out, "version %d is in force already\n", shown.Version)
+		_, err = fmt.Fprintf(env.stdout, "version %d is in force already\n", shown.Version)
 		return 0, true, err
 	}
 	return shown.Version, false, nil
 }
 
-// try tells what a change would do.
-func (c *changeFlags) try(env environment, client *operatorclient.Client, content []byte, patch bool) error {
-	shown, err := client.Show(env.ctx)
+// dryRun tells what a change would do.
+func (c *changeFlags) dryRun(ctx context.Context, env environment, client *operatorclient.Client, content []byte, patch bool) error {
+	shown, err := client.Show(ctx)
 	if err != nil {
 		return callFailed(err, "show", "")
 	}
@@ -78,7 +78,7 @@
 	if err != nil {
 		return invalid(env, c.File, content, err)
 	}
-	_, err = listChanges(env.out, shown.Body, next.Document())
+	_, err = listChanges(env.stdout, shown.Body, next.Document())
 	return err
 }
 
@@ -91,7 +91,7 @@
 	}
 	switch failure.Kind {
 	case operatorclient.KindInvalid:
-		listFindings(env.out, c.File, content, failure.Findings)
+		listFindings(env.stdout, c.File, content, failure.Findings)
 	case operatorclient.KindUndecided:
 		return callFailed(err, what, fmt.Sprintf(
 			"repeat it with --base %d and the file unchanged: if it was taken, it is acknowledged again", base))
--- a/cmd/ravendalectl/config.go
+++ b/cmd/ravendalectl/config.go
@@ -2,6 +2,7 @@
 
 import (
 	"bytes"
+	"context"
 	"errors"
 	"fmt"
 	"io"
@@ -37,7 +38,7 @@
 	if err := check(content, c.Patch); err != nil {
 		return invalid(env, c.File, content, err)
 	}
-	_, err = fmt.Fprintf(env.out, "%s: no findings\n", c.File)
+	_, err = fmt.Fprintf(env.stdout, "%s: no findings\n", c.File)
 	return err
 }
 
@@ -55,17 +56,17 @@
 	if !errors.As(err, &findings) {
 		findings = catalog.Findings{{Place: "document", Reason: err.Error()}}
 	}
-	listFindings(env.out, file, content, findings)
+	listFindings(env.stdout, file, content, findings)
 	return oops.Code(codeInvalid).Hint("mend what is listed and check again").Errorf("%s: findings: %d", file, len(findings))
 }
 
-func listFindings(out io.Writer, file string, content []byte, findings catalog.Findings) {
+func listFindings(stdout io.Writer, file string, content []byte, findings catalog.Findings) {
 	for _, finding := range findings {
 		where := file
 		if line, ok := document.Line(content, finding.Place); ok {
 			where = fmt.Sprintf("%s:%d", file, line)
 		}
-		_, _ = fmt.Fprintf(out, "%s: %s\n", where, finding)
+		_, _ = fmt.Fprintf(stdout, "%s: %s\n", where, finding)
 	}
 }
 
@@ -74,19 +75,19 @@
 }
 
 // Run implements the command.
-func (c *showCommand) Run(env environment) error {
+func (c *showCommand) Run(ctx context.Context, env environment) error {
 	client, err := c.client(env)
 	if err != nil {
 		return err
 	}
-	shown, err := client.Show(env.ctx)
+	shown, err := client.Show(ctx)
 	if err != nil {
 		return callFailed(err, "show", "check status and the addresses, then repeat the command")
 	}
 	if shown.Version == 0 {
 		return oops.Code(codeUnknown).Hint("put one into force by config set").Errorf("there is no configuration yet")
 	}
-	_, err = fmt.Fprintf(env.out, "%s\n", bytes.TrimSpace(shown.Body))
+	_, err = fmt.Fprintf(env.stdout, "%s\n", bytes.TrimSpace(shown.Body))
 	return err
 }
 
@@ -103,8 +104,8 @@
 }
 
 // Run implements the command.
-func (c *setCommand) Run(env environment) error {
-	return c.run(env, false, (*operatorclient.Client).Set)
+func (c *setCommand) Run(ctx context.Context, env environment) error {
+	return c.run(ctx, env, false, (*operatorclient.Client).Set)
 }
 
 type patchCommand struct {
@@ -112,8 +113,8 @@
 }
 
 // Run implements the command.
-func (c *patchCommand) Run(env environment) error {
-	return c.run(env, true, (*operatorclient.Client).Patch)
+func (c *patchCommand) Run(ctx context.Context, env environment) error {
+	return c.run(ctx, env, true, (*operatorclient.Client).Patch)
 }
 
 type diffCommand struct {
@@ -124,7 +125,7 @@
 }
 
 // Run implements the command.
-func (c *diffCommand) Run(env environment) error {
+func (c *diffCommand) Run(ctx context.Context, env environment) error {
 	content, err := os.ReadFile(c.File)
 	if err != nil {
 		return fileFailed(err)
@@ -133,7 +134,7 @@
 	if err != nil {
 		return err
 	}
-	shown, err := client.Show(env.ctx)
+	shown, err := client.Show(ctx)
 	if err != nil {
 		return callFailed(err, "show", "")
 	}
@@ -141,7 +142,7 @@
 	if err != nil {
 		return invalid(env, c.File, content, err)
 	}
-	differs, err := listChanges(env.out, shown.Body, next.Document())
+	differs, err := listChanges(env.stdout, shown.Body, next.Document())
 	if err != nil {
 		return err
 	}
@@ -166,18 +167,18 @@
 	return now.Apply(content)
 }
 
-func listChanges(out io.Writer, before, after []byte) (differs bool, err error) {
+func listChanges(stdout io.Writer, before, after []byte) (differs bool, err error) {
 	changes, err := document.Diff(before, after)
 	if err != nil {
 		return false, oops.Wrap(err)
 	}
 	for _, change := range changes {
-		if _, err := fmt.Fprintln(out, change); err != nil {
+		if _, err := fmt.Fprintln(stdout, change); err != nil {
 			return false, err
 		}
 	}
 	if len(changes) == 0 {
-		_, err = fmt.Fprintln(out, "no difference")
+		_, err = fmt.Fprintln(stdout, "no difference")
 	}
 	return len(changes) > 0, err
 }
--- a/cmd/ravendalectl/disk.go
+++ b/cmd/ravendalectl/disk.go
@@ -32,25 +32,25 @@
 		return err
 	}
 	for _, report := range reports {
-		if err := c.write(env.out, report); err != nil {
+		if err := c.write(env.stdout, report); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (c *inspectCommand) write(out io.Writer, report *disks.Report) error {
+func (c *inspectCommand) write(stdout io.Writer, report *disks.Report) error {
 	switch {
 	case c.Document:
 		if report.Core == nil {
 			return nil
 		}
-		_, err := fmt.Fprintf(out, "%s\n", report.Core.Document)
+		_, err := fmt.Fprintf(stdout, "%s\n", report.Core.Document)
 		return err
 	case c.JSON:
-		return json.NewEncoder(out).Encode(report)
+		return json.NewEncoder(stdout).Encode(report)
 	}
-	return renderDisk(out, report)
+	return renderDisk(stdout, report)
 }
 
 type verifyCommand struct {
@@ -66,16 +66,16 @@
 	damaged := 0
 	for _, report := range reports {
 		if report.SetAside {
-			_, _ = fmt.Fprintf(env.out, "%s: has files of a damaged disk that were set aside\n", report.Folder)
+			_, _ = fmt.Fprintf(env.stdout, "%s: has files of a damaged disk that were set aside\n", report.Folder)
 			continue
 		}
 		if !report.Damaged() {
-			_, _ = fmt.Fprintf(env.out, "%s: all that was synced can be read\n", report.Folder)
+			_, _ = fmt.Fprintf(env.stdout, "%s: all that was synced can be read\n", report.Folder)
 			continue
 		}
 		damaged++
 		for _, damage := range report.Damage {
-			_, _ = fmt.Fprintf(env.out, "%s: %s\n", report.Folder, damage)
+			_, _ = fmt.Fprintf(env.stdout, "%s: %s\n", report.Folder, damage)
 		}
 	}
 	if damaged == 0 {
@@ -98,8 +98,8 @@
 }
 
 // renderDisk writes a report for people.
-func renderDisk(out io.Writer, r *disks.Report) error {
-	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
+func renderDisk(stdout io.Writer, r *disks.Report) error {
+	table := tabwriter.NewWriter(stdout, 0, 0, 2, ' ', 0)
 	line := func(format string, arguments ...any) { _, _ = fmt.Fprintf(table, format+"\n", arguments...) }
 	line("disk\t%s", r.Folder)
 	if r.SetAside {
--- a/cmd/ravendalectl/failures.go
+++ b/cmd/ravendalectl/failures.go
@@ -63,11 +63,11 @@
 	return exitFailed
 }
 
-// tell writes what went wrong and what to do next.
-func tell(out io.Writer, err error) {
-	_, _ = fmt.Fprintln(out, "ravendalectl:", err)
+// printError writes what went wrong and what to do next.
+func printError(stdout io.Writer, err error) {
+	_, _ = fmt.Fprintln(stdout, "ravendalectl:", err)
 	if known, ok := oops.AsOops(err); ok && known.Hint() != "" {
-		_, _ = fmt.Fprintln(out, "next:", known.Hint())
+		_, _ = fmt.Fprintln(stdout, "next:", known.Hint())
 	}
 }
 
--- a/cmd/ravendalectl/main.go
+++ b/cmd/ravendalectl/main.go
@@ -25,9 +25,8 @@
 
 // environment is what commands work with beside their arguments.
 type environment struct {
-	ctx   context.Context
-	out   io.Writer
-	sleep func(ctx context.Context, pause time.Duration) error
+	stdout io.Writer
+	sleep  func(ctx context.Context, pause time.Duration) error
 }
 
 const description = "The operator's command line of ravendale.\n\n" + exitCodes
@@ -35,31 +34,32 @@
 func main() {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
-	os.Exit(run(environment{ctx: ctx, out: os.Stdout, sleep: sleep}, os.Args[1:], os.Stderr))
+	os.Exit(run(ctx, environment{stdout: os.Stdout, sleep: sleep}, os.Args[1:], os.Stderr))
 }
 
 // run executes a command line and returns the exit code.
-func run(env environment, arguments []string, problems io.Writer) int {
-	parser, exited := newParser(&commandLine{}, env.out, problems)
+func run(ctx context.Context, env environment, arguments []string, stderr io.Writer) int {
+	parser, exited := newParser(&commandLine{}, env.stdout, stderr)
 	parsed, err := parser.Parse(arguments)
 	if *exited {
 		return exitDone // help was asked for, and given
 	}
 	if err != nil {
-		fmt.Fprintf(problems, "ravendalectl: %v\nnext: see ravendalectl --help\n", err)
+		fmt.Fprintf(stderr, "ravendalectl: %v\nnext: see ravendalectl --help\n", err)
 		return exitUsage
 	}
+	parsed.BindTo(ctx, (*context.Context)(nil))
 	if err := parsed.Run(env); err != nil {
-		tell(problems, err)
+		printError(stderr, err)
 		return codeOf(err)
 	}
 	return exitDone
 }
 
-func newParser(line *commandLine, out, problems io.Writer) (*kong.Kong, *bool) {
+func newParser(line *commandLine, stdout, stderr io.Writer) (*kong.Kong, *bool) {
 	exited := false
 	parser := kong.Must(line,
-		kong.Name("ravendalectl"), kong.Description(description), kong.Writers(out, problems),
+		kong.Name("ravendalectl"), kong.Description(description), kong.Writers(stdout, stderr),
 		kong.Exit(func(int) { exited = true }),
 		kong.ConfigureHelp(kong.HelpOptions{Compact: true}),
 	)
--- a/cmd/ravendalectl/main_test.go
+++ b/cmd/ravendalectl/main_test.go
@@ -31,13 +31,13 @@
 type control struct {
 	machine *state.Machine
 
-	mu     sync.Mutex
-	before error   // of all commands
-	after  []error // of commands that change the configuration, one by one
-	stores map[string]string
-	few    bool
-	asked  int // how often a store's state was asked for
-	leads  bool
+	mu        sync.Mutex
+	before    error   // of all commands
+	after     []error // of commands that change the configuration, one by one
+	stores    map[string]string
+	few       bool
+	requested int // how often a store's state was asked for
+	leads     bool
 }
 
 func (c *control) Submit(_ context.Context, command []byte) ([]byte, error) {
@@ -75,7 +75,7 @@
 	if c.stores[node] == "" {
 		return "", api.ErrUnknownNode
 	}
-	if c.asked++; c.asked == 3 {
+	if c.requested++; c.requested == 3 {
 		c.stores[node] = api.RetireDone
 	}
 	return c.stores[node], nil
@@ -128,24 +128,24 @@
 }
 
 // run executes a command line, and returns what it wrote.
-func (f *fixture) run(exit int, arguments ...string) (out, problems string) {
+func (f *fixture) run(exit int, arguments ...string) (stdout, problems string) {
 	f.t.Helper()
 	var written, wrong bytes.Buffer
 	f.pauses = nil
-	env := environment{ctx: f.t.Context(), out: &written, sleep: func(_ context.Context, pause time.Duration) error {
+	env := environment{stdout: &written, sleep: func(_ context.Context, pause time.Duration) error {
 		f.pauses = append(f.pauses, pause)
 		if len(f.pauses) >= f.most {
 			return context.DeadlineExceeded
 		}
 		return nil
 	}}
-	code := run(env, arguments, &wrong)
+	code := run(f.t.Context(), env, arguments, &wrong)
 	require.Equal(f.t, exit, code, "%s%s", written.String(), wrong.String())
 	return written.String(), wrong.String()
 }
 
 // ask executes a command line that asks the control process.
-func (f *fixture) ask(exit int, arguments ...string) (out, problems string) {
+func (f *fixture) ask(exit int, arguments ...string) (stdout, problems string) {
 	f.t.Helper()
 	return f.run(exit, append(arguments, "--admin", f.admin)...)
 }
@@ -168,20 +168,20 @@
 func TestFilesAreCheckedWithLines(t *testing.T) {
 	f := newFixture(t)
 	good := f.file("good.json", configuration(1, route("a", 5)))
-	out, _ := f.run(exitDone, "config", "check", good)
-	require.Equal(t, good+": no findings\n", out)
+	stdout, _ := f.run(exitDone, "config", "check", good)
+	require.Equal(t, good+": no findings\n", stdout)
 
 	bad := f.file("bad.json", configuration(1, route("a", 5), route("b", 0), route("a", 5)))
-	out, problems := f.run(exitInvalid, "config", "check", bad)
-	require.Contains(t, out, bad+":3: routes[1].timeoutMs: must be above 0\n")
+	stdout, problems := f.run(exitInvalid, "config", "check", bad)
+	require.Contains(t, stdout, bad+":3: routes[1].timeoutMs: must be above 0\n")
 	require.Contains(t, problems, "next: ")
 
-	out, _ = f.run(exitInvalid, "config", "check", f.file("torn.json", "{\n"))
-	require.Contains(t, out, "torn.json:1: byte 2: unexpected end")
+	stdout, _ = f.run(exitInvalid, "config", "check", f.file("torn.json", "{\n"))
+	require.Contains(t, stdout, "torn.json:1: byte 2: unexpected end")
 
 	patch := f.file("patch.json", "{\"version\":2,\n\"delete\":{\"routes\":[1]}}")
-	out, _ = f.run(exitInvalid, "config", "check", "--patch", patch)
-	require.Contains(t, out, "patch.json:2: delete.routes[0]: ")
+	stdout, _ = f.run(exitInvalid, "config", "check", "--patch", patch)
+	require.Contains(t, stdout, "patch.json:2: delete.routes[0]: ")
 	f.run(exitDone, "config", "check", "--patch", f.file("patch.json", `{"version":2}`))
 	_, problems = f.run(exitFailed, "config", "check", filepath.Join(f.folder, "none"))
 	require.Contains(t, problems, "check the path")
@@ -192,29 +192,29 @@
 	_, problems := f.ask(exitUnknown, "config", "show")
 	require.Contains(t, problems, "next: put one into force by config set")
 	first := f.file("first.json", configuration(3, route("a", 5)))
-	out, _ := f.ask(exitDone, "config", "set", "--dry-run", first)
-	require.Contains(t, out, "+ routes ")
+	stdout, _ := f.ask(exitDone, "config", "set", "--dry-run", first)
+	require.Contains(t, stdout, "+ routes ")
 	require.Zero(t, f.control.machine.Current().Version)
 
-	out, _ = f.ask(exitDone, "config", "set", first)
-	require.Equal(t, "version 3 is in force\n", out)
-	out, _ = f.ask(exitDone, "config", "set", first)
-	require.Equal(t, "version 3 is in force already\n", out)
+	stdout, _ = f.ask(exitDone, "config", "set", first)
+	require.Equal(t, "version 3 is in force\n", stdout)
+	stdout, _ = f.ask(exitDone, "config", "set", first)
+	require.Equal(t, "version 3 is in force already\n", stdout)
 	require.EqualValues(t, 1, f.control.machine.Current().Sequence)
 
 	patch := f.file("patch.json", `{"version":4,"upsert":{"routes":[`+route("a", 6)+`]}}`)
-	out, _ = f.ask(exitDone, "config", "patch", "--dry-run", patch)
-	require.Equal(t, "~ routes/a/timeoutMs 5 -> 6\n~ version 3 -> 4\n", out)
-	out, _ = f.ask(exitDone, "config", "diff", "--patch", patch)
-	require.Contains(t, out, "timeoutMs 5 -> 6")
-	out, _ = f.ask(exitDone, "config", "patch", patch)
-	require.Equal(t, "version 4 is in force\n", out)
-	out, _ = f.ask(exitDone, "config", "show")
-	require.Contains(t, out, `"timeoutMs":6`)
+	stdout, _ = f.ask(exitDone, "config", "patch", "--dry-run", patch)
+	require.Equal(t, "~ routes/a/timeoutMs 5 -> 6\n~ version 3 -> 4\n", stdout)
+	stdout, _ = f.ask(exitDone, "config", "diff", "--patch", patch)
+	require.Contains(t, stdout, "timeoutMs 5 -> 6")
+	stdout, _ = f.ask(exitDone, "config", "patch", patch)
+	require.Equal(t, "version 4 is in force\n", stdout)
+	stdout, _ = f.ask(exitDone, "config", "show")
+	require.Contains(t, stdout, `"timeoutMs":6`)
 
 	f.ask(exitDiffers, "config", "diff", "--exit-code", first)
-	out, _ = f.ask(exitDone, "config", "diff", "--exit-code", f.file("same.json", out))
-	require.Equal(t, "no difference\n", out)
+	stdout, _ = f.ask(exitDone, "config", "diff", "--exit-code", f.file("same.json", stdout))
+	require.Equal(t, "no difference\n", stdout)
 }
 
 func TestWhatDoesNotFitIsRefused(t *testing.T) {
@@ -226,29 +226,29 @@
 	f.ask(exitConflict, "config", "set", "--base", "1", "--dry-run", next)
 
 	old := f.file("2.json", configuration(2))
-	out, _ := f.ask(exitInvalid, "config", "set", "--dry-run", old)
-	require.Contains(t, out, "2.json:1: version: 2 is not above the current version 3")
-	out, _ = f.ask(exitInvalid, "config", "set", old)
-	require.Contains(t, out, "2.json:1: version: 2 is not above the current version 3")
+	stdout, _ := f.ask(exitInvalid, "config", "set", "--dry-run", old)
+	require.Contains(t, stdout, "2.json:1: version: 2 is not above the current version 3")
+	stdout, _ = f.ask(exitInvalid, "config", "set", old)
+	require.Contains(t, stdout, "2.json:1: version: 2 is not above the current version 3")
 	f.ask(exitInvalid, "config", "patch", "--dry-run", f.file("p.json", `{"version":9,"upsert":{"routes":[{"name":"r","host":"h","pathPrefix":"/","backend":"none","timeoutMs":1}]}}`))
 }
 
 func TestAPatchNeedsAConfiguration(t *testing.T) {
 	f := newFixture(t)
-	out, _ := f.ask(exitInvalid, "config", "patch", "--dry-run", f.file("p.json", `{"version":9}`))
-	require.Contains(t, out, "there is no configuration yet")
+	stdout, _ := f.ask(exitInvalid, "config", "patch", "--dry-run", f.file("p.json", `{"version":9}`))
+	require.Contains(t, stdout, "there is no configuration yet")
 }
 
-func TestALostAnswerIsMadeUpFor(t *testing.T) {
+func TestAnOrderWithoutAnAnswerIsRetried(t *testing.T) {
 	f := newFixture(t)
 	f.control.after = []error{core.ErrUnknown, core.ErrUnknown}
-	out, _ := f.ask(exitDone, "config", "set", "--base", "0", f.file("3.json", configuration(3)))
-	require.Equal(t, "version 3 is in force\n", out)
+	stdout, _ := f.ask(exitDone, "config", "set", "--base", "0", f.file("3.json", configuration(3)))
+	require.Equal(t, "version 3 is in force\n", stdout)
 	require.Len(t, f.pauses, 2, "two answers were lost")
 	require.EqualValues(t, 1, f.control.machine.Current().Sequence)
 }
 
-func TestAnUnclearEndTellsHowToRepeat(t *testing.T) {
+func TestAnUnclearEndSaysHowToRetry(t *testing.T) {
 	f := newFixture(t)
 	for range f.most {
 		f.control.after = append(f.control.after, core.ErrUnknown)
@@ -257,8 +257,8 @@
 	_, problems := f.ask(exitUndecided, "config", "set", order)
 	require.Contains(t, problems, "repeat it with --base 0 and the file unchanged")
 	f.control.after = nil
-	out, _ := f.ask(exitDone, "config", "set", "--base", "0", order)
-	require.Equal(t, "version 3 is in force\n", out)
+	stdout, _ := f.ask(exitDone, "config", "set", "--base", "0", order)
+	require.Equal(t, "version 3 is in force\n", stdout)
 }
 
 func TestWithoutACoreNothingIsChanged(t *testing.T) {
@@ -269,59 +269,59 @@
 	f.ask(exitUnavailable, "config", "show")
 }
 
-func TestADiskThatFailsIsTold(t *testing.T) {
+func TestAFailingDiskIsReported(t *testing.T) {
 	var lines []string
 	line := func(format string, arguments ...any) { lines = append(lines, fmt.Sprintf(format, arguments...)) }
 	renderCore(line, &status.Core{DiskFault: "no space left on device"})
-	require.Contains(t, lines, "DISK\tof the process that answers, which stands aside: no space left on device")
+	require.Contains(t, lines, "DISK\tof the process that answers, which is degraded: no space left on device")
 	lines = nil
 	renderCore(line, &status.Core{})
 	require.NotContains(t, strings.Join(lines, "\n"), "DISK\t")
 }
 
-func TestStatusIsTold(t *testing.T) {
+func TestStatusIsPrinted(t *testing.T) {
 	f := newFixture(t)
 	f.ask(exitDone, "config", "set", f.file("3.json", configuration(3)))
-	out, _ := f.ask(exitDone, "status")
+	stdout, _ := f.ask(exitDone, "status")
 	for _, part := range []string{
 		"control-1", "this process", "TOO FEW DISKS", "version 3, changed 1 times", "1 under strength", "being emptied", "1 ready, 0 not",
 		"1 live, 0 leaving, 1 behind", "12 messages pending",
 	} {
-		require.Contains(t, out, part)
+		require.Contains(t, stdout, part)
 	}
-	out, _ = f.ask(exitDone, "status", "--json")
+	stdout, _ = f.ask(exitDone, "status", "--json")
 	var seen status.Status
-	require.NoError(t, json.Unmarshal([]byte(out), &seen))
+	require.NoError(t, json.Unmarshal([]byte(stdout), &seen))
 	require.EqualValues(t, 3, seen.Config.Version)
 
 	f.control.leads = false
-	out, _ = f.ask(exitDone, "status")
-	require.Contains(t, out, "the leader was not reached")
+	stdout, _ = f.ask(exitDone, "status")
+	require.Contains(t, stdout, "the leader was not reached")
 }
 
 func TestStatusIsWatchedThroughFailures(t *testing.T) {
 	f := newFixture(t)
 	f.most = 4
-	out, _ := f.ask(exitDone, "status", "--json", "--watch", "--every", "7s")
-	require.Equal(t, 4, strings.Count(out, "\n"))
+	stdout, _ := f.ask(exitDone, "status", "--json", "--watch", "--every", "7s")
+	require.Equal(t, 4, strings.Count(stdout, "\n"))
 	require.Equal(t, 7*time.Second, f.pauses[0])
 	f.admin = deadAddress(t)
-	out, _ = f.ask(exitDone, "status", "--watch")
-	require.Contains(t, out, "next: check the addresses")
+	stdout, _ = f.ask(exitDone, "status", "--watch")
+	require.Contains(t, stdout, "next: check the addresses")
 }
 
 func TestAStoreIsEmptied(t *testing.T) {
 	f := newFixture(t)
 	f.control.stores["store-1"] = api.RetireDone
-	out, _ := f.ask(exitDone, "store", "retire", "store-1")
-	require.Contains(t, out, "until store show says done")
-	out, _ = f.ask(exitDone, "store", "show", "store-1")
-	require.Equal(t, "running\n", out)
-	out, _ = f.ask(exitDone, "store", "retire", "store-1", "--wait")
-	require.Contains(t, out, "store-1 is empty")
+	stdout, _ := f.ask(exitDone, "store", "retire", "store-1")
+	require.Contains(t, stdout, "until store show says done")
+	stdout, _ = f.ask(exitDone, "store", "show", "store-1")
+	require.Equal(t, "running\n", stdout)
+	stdout, _ = f.ask(exitDone, "store", "retire", "store-1", "--wait")
+	require.Contains(t, stdout, "store-1 is empty")
 	require.Equal(t, []time.Duration{retirePoll}, f.pauses)
 
-	f.control.asked = 10
+	f.control.requested = 10
 	_, problems := f.ask(exitUndecided, "store", "retire", "store-1", "--wait", "--deadline", "3s")
 	require.Contains(t, problems, "not empty after 3s")
 	f.control.few = true
@@ -332,7 +332,7 @@
 	f.ask(exitUnknown, "store", "show", "store-2")
 }
 
-func TestMessagesAreAskedForAtEdges(t *testing.T) {
+func TestMessagesAreRequestedFromEdges(t *testing.T) {
 	f := newFixture(t)
 	edge := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		switch r.Host + r.URL.Path {
@@ -348,12 +348,12 @@
 	}))
 	defer edge.Close()
 	at := strings.TrimPrefix(edge.URL, "http://")
-	out, _ := f.run(exitDone, "message", "1.a", "--edge", at, "--host", "h.example")
-	require.Equal(t, "done 3e1b\n", out)
-	out, _ = f.run(exitDone, "message", "1.b", "--edge", at, "--host", "h.example")
-	require.Equal(t, "pending\n", out)
-	out, _ = f.run(exitDone, "message", "1.a", "--edge", deadAddress(t)+","+at, "--host", "h.example", "--body")
-	require.Equal(t, "\x00\xff", out)
+	stdout, _ := f.run(exitDone, "message", "1.a", "--edge", at, "--host", "h.example")
+	require.Equal(t, "done 3e1b\n", stdout)
+	stdout, _ = f.run(exitDone, "message", "1.b", "--edge", at, "--host", "h.example")
+	require.Equal(t, "pending\n", stdout)
+	stdout, _ = f.run(exitDone, "message", "1.a", "--edge", deadAddress(t)+","+at, "--host", "h.example", "--body")
+	require.Equal(t, "\x00\xff", stdout)
 	f.run(exitUnknown, "message", "1.c", "--edge", at, "--host", "h.example")
 	f.run(exitUnknown, "message", "1.a", "--edge", at, "--host", "other", "--body")
 }
@@ -364,16 +364,16 @@
 	require.NoError(t, err)
 	require.NoError(t, kept.Snapshot([]byte("not a core's")))
 	require.NoError(t, kept.Close())
-	out, _ := f.run(exitDone, "disk", "inspect", f.folder)
-	require.Contains(t, out, "slot-1")
-	require.Contains(t, out, "DAMAGE")
-	out, problems := f.run(exitDamaged, "disk", "verify", f.folder)
-	require.Contains(t, out, "not known here")
+	stdout, _ := f.run(exitDone, "disk", "inspect", f.folder)
+	require.Contains(t, stdout, "slot-1")
+	require.Contains(t, stdout, "DAMAGE")
+	stdout, problems := f.run(exitDamaged, "disk", "verify", f.folder)
+	require.Contains(t, stdout, "not known here")
 	require.Contains(t, problems, "next: keep a copy")
-	out, _ = f.run(exitDone, "disk", "inspect", "--json", f.folder)
-	require.Contains(t, out, `"fate":"whole"`)
-	out, _ = f.run(exitDone, "disk", "inspect", "--document", f.folder)
-	require.Empty(t, out)
+	stdout, _ = f.run(exitDone, "disk", "inspect", "--json", f.folder)
+	require.Contains(t, stdout, `"fate":"whole"`)
+	stdout, _ = f.run(exitDone, "disk", "inspect", "--document", f.folder)
+	require.Empty(t, stdout)
 
 	_, problems = f.run(exitUnknown, "disk", "verify", t.TempDir())
 	require.Contains(t, problems, "dataDir")
@@ -382,10 +382,10 @@
 
 func TestCommandLines(t *testing.T) {
 	f := newFixture(t)
-	out, _ := f.run(exitDone, "--help")
-	require.Contains(t, out, "6 nobody could take the order")
-	out, _ = f.run(exitDone, "config", "set", "--help")
-	require.Contains(t, out, "--dry-run")
+	stdout, _ := f.run(exitDone, "--help")
+	require.Contains(t, stdout, "6 nobody could take the order")
+	stdout, _ = f.run(exitDone, "config", "set", "--help")
+	require.Contains(t, stdout, "--dry-run")
 	for _, arguments := range [][]string{
 		{}, {"config"}, {"config", "set"}, {"config", "set", "f", "--base", "-1"}, {"message", "1.a"}, {"store", "retire"}, {"none"},
 		{"status", "--within", "soon"}, {"disk", "inspect"},
--- a/cmd/ravendalectl/message.go
+++ b/cmd/ravendalectl/message.go
@@ -1,6 +1,7 @@
 package main
 
 import (
+	"context"
 	"fmt"
 	"time"
 )
@@ -14,28 +15,28 @@
 }
 
 // Run implements the command.
-func (c *messageCommand) Run(env environment) error {
+func (c *messageCommand) Run(ctx context.Context, env environment) error {
 	client, err := newClient(env, c.Edge, c.Within, "name edges by --edge, as host:port,host:port")
 	if err != nil {
 		return err
 	}
 	const hint = "check the name, the host and the edges; what ended long ago is forgotten"
 	if c.Body {
-		body, err := client.MessageBody(env.ctx, c.Host, c.ID)
+		body, err := client.MessageBody(ctx, c.Host, c.ID)
 		if err != nil {
 			return callFailed(err, c.ID, hint)
 		}
-		_, err = env.out.Write(body)
+		_, err = env.stdout.Write(body)
 		return err
 	}
-	message, err := client.Message(env.ctx, c.Host, c.ID)
+	message, err := client.Message(ctx, c.Host, c.ID)
 	if err != nil {
 		return callFailed(err, c.ID, hint)
 	}
 	if message.Signature != "" {
-		_, err = fmt.Fprintf(env.out, "%s %s\n", message.State, message.Signature)
+		_, err = fmt.Fprintf(env.stdout, "%s %s\n", message.State, message.Signature)
 		return err
 	}
-	_, err = fmt.Fprintln(env.out, message.State)
+	_, err = fmt.Fprintln(env.stdout, message.State)
 	return err
 }
--- a/cmd/ravendalectl/status.go
+++ b/cmd/ravendalectl/status.go
@@ -1,6 +1,7 @@
 package main
 
 import (
+	"context"
 	"encoding/json"
 	"fmt"
 	"io"
@@ -19,39 +20,39 @@
 }
 
 // Run implements the command.
-func (c *statusCommand) Run(env environment) error {
+func (c *statusCommand) Run(ctx context.Context, env environment) error {
 	client, err := c.client(env)
 	if err != nil {
 		return err
 	}
 	for {
-		err := c.once(env, client)
+		err := c.once(ctx, env, client)
 		if !c.Watch {
 			return err
 		}
 		if err != nil {
-			tell(env.out, err)
+			printError(env.stdout, err)
 		}
-		if env.sleep(env.ctx, c.Every) != nil {
+		if env.sleep(ctx, c.Every) != nil {
 			return nil
 		}
 	}
 }
 
-func (c *statusCommand) once(env environment, client *operatorclient.Client) error {
-	seen, err := client.Status(env.ctx)
+func (c *statusCommand) once(ctx context.Context, env environment, client *operatorclient.Client) error {
+	seen, err := client.Status(ctx)
 	if err != nil {
 		return callFailed(err, "status", "check the addresses, and whether control processes run there")
 	}
 	if c.JSON {
-		return json.NewEncoder(env.out).Encode(seen)
+		return json.NewEncoder(env.stdout).Encode(seen)
 	}
-	return render(env.out, seen)
+	return render(env.stdout, seen)
 }
 
 // render writes a status for people.
-func render(out io.Writer, s *status.Status) error {
-	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
+func render(stdout io.Writer, s *status.Status) error {
+	table := tabwriter.NewWriter(stdout, 0, 0, 2, ' ', 0)
 	line := func(format string, arguments ...any) { _, _ = fmt.Fprintf(table, format+"\n", arguments...) }
 	line("answered by\t%s", s.Node)
 	renderCore(line, &s.Core)
@@ -72,10 +73,10 @@
 		leader = "not known"
 	}
 	line("leader\t%s, term %d", leader, c.Term)
-	line("core\tepoch %d, %d voters of %d wanted, %d in the chain, %s", c.Epoch, len(c.Voters), c.RequiredVoters, len(c.Chain), commits(c))
+	line("core\tepoch %d, %d voters of %d required, %d in the chain, %s", c.Epoch, len(c.Voters), c.RequiredVoters, len(c.Chain), commits(c))
 	line("commands\t%d committed, %d known", c.Committed, c.Last)
 	if c.DiskFault != "" {
-		line("DISK\tof the process that answers, which stands aside: %s", c.DiskFault)
+		line("DISK\tof the process that answers, which is degraded: %s", c.DiskFault)
 	}
 	for _, voter := range c.Voters {
 		line("  voter\t%s\t%s\t%s\t%s", voter.Disk, voter.Address, voter.Zone, positionOf(c.Chain, voter.Disk))
@@ -120,7 +121,7 @@
 		if store.Retiring {
 			retiring = "being emptied"
 		}
-		line("  store\t%s\t%s\t%d primaries, %d whole, %d joining\t%s",
+		line("  store\t%s\t%s\t%d primaries, %d complete, %d joining\t%s",
 			store.Node, store.Zone, store.Primaries, store.Replicas, store.Joining, retiring)
 	}
 }
--- a/cmd/ravendalectl/store.go
+++ b/cmd/ravendalectl/store.go
@@ -1,6 +1,7 @@
 package main
 
 import (
+	"context"
 	"errors"
 	"fmt"
 	"time"
@@ -26,19 +27,19 @@
 const retirePoll = time.Second
 
 // Run implements the command.
-func (c *retireCommand) Run(env environment) error {
+func (c *retireCommand) Run(ctx context.Context, env environment) error {
 	client, err := c.client(env)
 	if err != nil {
 		return err
 	}
-	if err := client.StartRetire(env.ctx, c.Node, c.Deadline); err != nil {
+	if err := client.StartRetire(ctx, c.Node, c.Deadline); err != nil {
 		return callFailed(err, c.Node, retireHint(err))
 	}
 	if !c.Wait {
-		_, err := fmt.Fprintf(env.out, "%s is being emptied; keep its machine until store show says done\n", c.Node)
+		_, err := fmt.Fprintf(env.stdout, "%s is being emptied; keep its machine until store show says done\n", c.Node)
 		return err
 	}
-	return c.wait(env, client)
+	return c.wait(ctx, env, client)
 }
 
 func retireHint(err error) string {
@@ -50,17 +51,17 @@
 }
 
 // wait asks until the store is empty, or the deadline has passed.
-func (c *retireCommand) wait(env environment, client *operatorclient.Client) error {
+func (c *retireCommand) wait(ctx context.Context, env environment, client *operatorclient.Client) error {
 	for waited := time.Duration(0); waited < c.Deadline; waited += retirePoll {
-		state, err := client.RetireState(env.ctx, c.Node)
+		state, err := client.RetireState(ctx, c.Node)
 		if err != nil {
 			return callFailed(err, c.Node, "the order was taken; ask again by store show")
 		}
 		if state == operatorclient.RetireDone {
-			_, err := fmt.Fprintf(env.out, "%s is empty: its machine and disk can go\n", c.Node)
+			_, err := fmt.Fprintf(env.stdout, "%s is empty: its machine and disk can go\n", c.Node)
 			return err
 		}
-		if err := env.sleep(env.ctx, retirePoll); err != nil {
+		if err := env.sleep(ctx, retirePoll); err != nil {
 			return oops.Hint("the emptying goes on; ask again by store show").Wrapf(err, "%s", c.Node)
 		}
 	}
@@ -74,15 +75,15 @@
 }
 
 // Run implements the command.
-func (c *storeShow) Run(env environment) error {
+func (c *storeShow) Run(ctx context.Context, env environment) error {
 	client, err := c.client(env)
 	if err != nil {
 		return err
 	}
-	state, err := client.RetireState(env.ctx, c.Node)
+	state, err := client.RetireState(ctx, c.Node)
 	if err != nil {
 		return callFailed(err, c.Node, "")
 	}
-	_, err = fmt.Fprintln(env.out, state)
+	_, err = fmt.Fprintln(env.stdout, state)
 	return err
 }
--- a/control/operatorclient/call.go
+++ b/control/operatorclient/call.go
@@ -38,17 +38,17 @@
 func (c *Client) do(ctx context.Context, call *call) error {
 	ctx, cancel := context.WithTimeout(ctx, call.within)
 	defer cancel()
-	failure := &Error{Kind: KindUnavailable, Reason: "no try was made"}
+	failure := &Error{Kind: KindUnavailable, Reason: "no attempt was made"}
 	refusals := 0
 	for {
-		address := c.options.Addresses[failure.Tries%len(c.options.Addresses)]
-		got, err := c.try(ctx, address, call)
-		failure.Tries++
+		address := c.options.Addresses[failure.Attempts%len(c.options.Addresses)]
+		got, err := c.attempt(ctx, address, call)
+		failure.Attempts++
 		if err == nil && got.status >= 400 && got.status < 500 {
 			refusals++
 		}
 		decided := decide(got, err, refusals, call)
-		failure.note(address, got, err)
+		failure.record(address, got, err)
 		switch decided {
 		case verdictDone:
 			return nil
@@ -58,7 +58,7 @@
 		case verdictUnclear:
 			failure.Kind = KindUndecided
 		}
-		if c.options.Sleep(ctx, pauseAfter(failure.Tries, got.retryAfter())) != nil {
+		if c.options.Sleep(ctx, pauseAfter(failure.Attempts, got.retryAfter())) != nil {
 			return failure
 		}
 	}
@@ -75,8 +75,8 @@
 	return decided
 }
 
-// note keeps what the newest try came to.
-func (e *Error) note(address string, got *answer, err error) {
+// record keeps what the newest attempt came to.
+func (e *Error) record(address string, got *answer, err error) {
 	e.Status, e.Version, e.Findings = 0, 0, nil
 	if err != nil {
 		e.Reason = fmt.Sprintf("%s: %v", address, err)
@@ -84,13 +84,13 @@
 	}
 	e.Status = got.status
 	e.Reason = http.StatusText(got.status)
-	var told struct {
+	var answered struct {
 		Error    string           `json:"error"`
 		Version  uint64           `json:"version"`
 		Findings catalog.Findings `json:"findings"`
 	}
-	if json.Unmarshal(got.body, &told) == nil && told.Error != "" {
-		e.Reason, e.Version, e.Findings = told.Error, told.Version, told.Findings
+	if json.Unmarshal(got.body, &answered) == nil && answered.Error != "" {
+		e.Reason, e.Version, e.Findings = answered.Error, answered.Version, answered.Findings
 	}
 }
 
@@ -105,8 +105,8 @@
 	return time.Duration(min(seconds, 60)) * time.Second
 }
 
-// try sends a call once, and follows redirections.
-func (c *Client) try(ctx context.Context, address string, call *call) (*answer, error) {
+// attempt sends a call once, and follows redirections.
+func (c *Client) attempt(ctx context.Context, address string, call *call) (*answer, error) {
 	ctx, cancel := context.WithTimeout(ctx, timeFor(len(call.body)))
 	defer cancel()
 	target := "http://" + address + call.path
--- a/control/operatorclient/client.go
+++ b/control/operatorclient/client.go
@@ -1,8 +1,3 @@
-// Package operatorclient calls the system as an operator does: the control plane's interface for configurations, stores and status,
-// and the edges' for single messages.
-//
-// An order is sent to one address after another until an answer is clear. Repeats are the same to the byte, so that an order which
-// was taken before its answer got lost is acknowledged again.
 package operatorclient
 
 import (
@@ -29,7 +24,7 @@
 type Options struct {
 	Addresses []string      // host:port, tried in this order; at least one
 	Within    time.Duration // 0: DefaultWithin
-	// Sleep waits between tries; nil: real time.
+	// Sleep waits between attempts; nil: real time.
 	Sleep func(ctx context.Context, pause time.Duration) error
 }
 
--- a/control/operatorclient/client_test.go
+++ b/control/operatorclient/client_test.go
@@ -184,7 +184,7 @@
 	require.Equal(t, &Document{}, shown)
 }
 
-func TestAnOrderWhoseAnswerWasLostIsAcknowledgedElsewhere(t *testing.T) {
+func TestAnOrderWithoutAnAnswerIsAcknowledgedElsewhere(t *testing.T) {
 	s := newSystem(t)
 	first, second := s.start(), s.start()
 	first.after = []error{core.ErrUnknown}
@@ -205,7 +205,7 @@
 	require.Equal(t, []time.Duration{firstPause, 2 * firstPause}, *pauses)
 }
 
-func TestAPromiseIsToldFromAnUnclearEnd(t *testing.T) {
+func TestUnavailableIsKeptApartFromAnUnclearEnd(t *testing.T) {
 	s := newSystem(t)
 	busy := s.start()
 	busy.before = []error{core.ErrUnavailable, core.ErrUnavailable, core.ErrUnavailable}
@@ -213,7 +213,7 @@
 	_, err := client.Set(t.Context(), 0, document(5))
 	failure := failureOf(t, err)
 	require.Equal(t, KindUnavailable, failure.Kind)
-	require.Equal(t, 3, failure.Tries)
+	require.Equal(t, 3, failure.Attempts)
 	require.Equal(t, time.Second, (*pauses)[0], "as long as the answer asked for")
 
 	client, _ = s.client(3, rude(t), deadAddress(t))
@@ -238,7 +238,7 @@
 	require.Empty(t, *pauses)
 }
 
-func TestOtherClientErrorsEndAtTheThirdTry(t *testing.T) {
+func TestOtherClientErrorsEndAtTheThirdAttempt(t *testing.T) {
 	s := newSystem(t)
 	s.stores["store-1"] = RetireDone
 	c := s.start()
@@ -280,7 +280,7 @@
 	require.EqualValues(t, 1+maxRedirects, calls.Load())
 }
 
-func TestStatusIsAskedOfTheLeader(t *testing.T) {
+func TestStatusIsRequestedFromTheLeader(t *testing.T) {
 	s := newSystem(t)
 	other, leader := s.start(), s.start()
 	client, _ := s.client(3, other.address)
@@ -345,7 +345,7 @@
 	} {
 		require.Equal(t, want, judge(status, 1), status)
 	}
-	require.Equal(t, verdictFinal, judge(404, lastClientError))
+	require.Equal(t, verdictFinal, judge(404, maxClientErrors))
 	require.Equal(t, verdictLater, judgeError(fmt.Errorf("wrapped: %w", &net.OpError{Op: "dial", Err: errors.New("refused")})))
 	require.Equal(t, verdictUnclear, judgeError(&net.OpError{Op: "read", Err: errors.New("reset")}))
 	require.Equal(t, verdictUnclear, judgeError(context.DeadlineExceeded))
@@ -354,10 +354,10 @@
 func TestPausesGrow(t *testing.T) {
 	require.Equal(t, firstPause, pauseAfter(1, 0))
 	require.Equal(t, 8*firstPause, pauseAfter(4, 0))
-	require.Equal(t, longestPause, pauseAfter(100, 0))
+	require.Equal(t, maxPause, pauseAfter(100, 0))
 	require.Equal(t, time.Second, pauseAfter(1, time.Second))
-	require.Equal(t, longestPause, pauseAfter(1, time.Hour))
+	require.Equal(t, maxPause, pauseAfter(1, time.Hour))
 	require.Equal(t, answerWithin, timeFor(0))
-	require.Equal(t, answerWithin+2*perMega, timeFor(2<<20))
-	require.Equal(t, longestTry, timeFor(64<<20))
+	require.Equal(t, answerWithin+2*perMiB, timeFor(2<<20))
+	require.Equal(t, maxAttemptTime, timeFor(64<<20))
 }
--- a/control/operatorclient/errors.go
+++ b/control/operatorclient/errors.go
@@ -23,10 +23,10 @@
 type Error struct {
 	Kind     Kind
 	Status   int    // of the last answer; 0: there was none
-	Reason   string // as the last answer has it, or the failure of the last try
+	Reason   string // as the last answer has it, or the failure of the last attempt
 	Version  uint64 // of KindConflict: the version that is in place, 0 if it was not told
 	Findings catalog.Findings
-	Tries    int
+	Attempts int
 }
 
 // Error implements error.
@@ -36,9 +36,9 @@
 		reason = fmt.Sprintf("%s, version %d", reason, e.Version)
 	}
 	if e.Status != 0 {
-		return fmt.Sprintf("%s: %s (status %d, %d tries)", e.Kind, reason, e.Status, e.Tries)
+		return fmt.Sprintf("%s: %s (status %d, %d attempts)", e.Kind, reason, e.Status, e.Attempts)
 	}
-	return fmt.Sprintf("%s: %s (%d tries)", e.Kind, reason, e.Tries)
+	return fmt.Sprintf("%s: %s (%d attempts)", e.Kind, reason, e.Attempts)
 }
 
 // String names the kind.
--- a/control/operatorclient/orders.go
+++ b/control/operatorclient/orders.go
@@ -85,19 +85,19 @@
 
 // RetireState tells how far a machine is.
 func (c *Client) RetireState(ctx context.Context, node string) (string, error) {
-	var told struct {
+	var answered struct {
 		State string `json:"state"`
 	}
 	err := c.do(ctx, c.get("/v1/retire/"+url.PathEscape(node)+"/show", func(body []byte) error {
-		if err := json.Unmarshal(body, &told); err != nil {
+		if err := json.Unmarshal(body, &answered); err != nil {
 			return err
 		}
-		if told.State != RetireRunning && told.State != RetireDone {
-			return fmt.Errorf("operatorclient: state %q", told.State)
+		if answered.State != RetireRunning && answered.State != RetireDone {
+			return fmt.Errorf("operatorclient: state %q", answered.State)
 		}
 		return nil
 	}))
-	return told.State, err
+	return answered.State, err
 }
 
 // Status tells how the system is, as the leader sees it if it can be reached, else as another control process does.
--- a/control/operatorclient/verdict.go
+++ b/control/operatorclient/verdict.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// verdict is what one try means for a call.
+// verdict is what one attempt means for a call.
 type verdict uint8
 
 const (
@@ -17,8 +17,8 @@
 	verdictUnclear // it may have been done: try another address
 )
 
-// lastClientError is at which of its repeats a client error that is not final by itself becomes so.
-const lastClientError = 3
+// maxClientErrors is at which of its repeats a client error that is not final by itself becomes so.
+const maxClientErrors = 3
 
 // judge decides by the status of an answer. Refusals counts the client errors so far, this one included.
 func judge(status, refusals int) verdict {
@@ -35,7 +35,7 @@
 	case status >= 300 && status < 400: // one redirection too many
 		return verdictLater
 	case status >= 400 && status < 500:
-		if refusals >= lastClientError {
+		if refusals >= maxClientErrors {
 			return verdictFinal
 		}
 		return verdictLater
@@ -43,7 +43,7 @@
 	return verdictUnclear
 }
 
-// judgeError decides by the failure of a try that had no answer: only what was never connected was never asked.
+// judgeError decides by the failure of an attempt that had no answer: only what was never connected was never asked.
 func judgeError(err error) verdict {
 	var operation *net.OpError
 	if errors.As(err, &operation) && operation.Op == "dial" {
@@ -65,30 +65,30 @@
 	return KindRefused
 }
 
-// Pauses between tries.
+// Pauses between attempts.
 const (
-	firstPause   = 50 * time.Millisecond
-	longestPause = 2 * time.Second
+	firstPause = 50 * time.Millisecond
+	maxPause   = 2 * time.Second
 )
 
-// pauseAfter is how long to wait after so many tries, or as long as the answer asks for within reason.
-func pauseAfter(tries int, asked time.Duration) time.Duration {
-	pause := longestPause
-	if doublings := tries - 1; doublings < 6 {
-		pause = min(firstPause<<doublings, longestPause)
+// pauseAfter is how long to wait after so many attempts, or as long as the answer asks for within reason.
+func pauseAfter(attempts int, requested time.Duration) time.Duration {
+	pause := maxPause
+	if doublings := attempts - 1; doublings < 6 {
+		pause = min(firstPause<<doublings, maxPause)
 	}
-	return max(pause, min(asked, longestPause))
+	return max(pause, min(requested, maxPause))
 }
 
-// Times of one try.
+// Times of one attempt.
 const (
-	answerWithin = time.Second
-	perMega      = time.Second // more for each MiB of the body
-	longestTry   = 16 * time.Second
+	answerWithin   = time.Second
+	perMiB         = time.Second // more for each MiB of the body
+	maxAttemptTime = 16 * time.Second
 )
 
 func timeFor(body int) time.Duration {
 	const mega = 1 << 20
-	extra := time.Duration(float64(body) / mega * float64(perMega))
-	return min(answerWithin+extra, longestTry)
+	extra := time.Duration(float64(body) / mega * float64(perMiB))
+	return min(answerWithin+extra, maxAttemptTime)
 }
--- a/control/plane/hosting.go
+++ b/control/plane/hosting.go
@@ -82,12 +82,12 @@
 	defer h.mu.Unlock()
 	switch {
 	case h.recruiter.shouldJoin(now, core, address, zone):
-		if _, known := core.member(address); !known { // one that is a member already is asked each second until it is back
-			h.log.Info("a store is asked to take part in the core", "store", address, "members", len(core.members), "wanted", h.recruiter.requiredVoters)
+		if _, known := core.member(address); !known { // one that is a member already is invited each second until it is back
+			h.log.Info("store invited to the core", "store", address, "members", len(core.members), "required_voters", h.recruiter.requiredVoters)
 		}
 		return &wire.HostCore{Host: true}
 	case h.recruiter.shouldLeave(now, core, address):
-		h.log.Info("a store is asked to leave the core", "store", address, "members", len(core.members), "wanted", h.recruiter.requiredVoters)
+		h.log.Info("store dismissed from the core", "store", address, "members", len(core.members), "required_voters", h.recruiter.requiredVoters)
 		return &wire.HostCore{Host: false}
 	}
 	return nil
