--- a/cmd/ravendale-edge/edge.go
+++ b/cmd/ravendale-edge/edge.go
@@ -62,7 +62,7 @@
 	applied [wire.TopicCount]wire.Version
 }
 
-func newEdge(env program.Environment) (*edge, error) {
+func newEdge(env program.Environment) *edge {
 	s := env.Settings
 	e := &edge{env: env, id: strconv.FormatUint(rand.Uint64(), 36), mux: rpc.NewMux(), workers: worker.NewClient()}
 	id := e.id
@@ -84,7 +84,7 @@
 		Queue: e.queue, Index: e.dispatcher.Index, Ready: e.isCurrent, Accepts: e.dispatcher.Accepts,
 		MaxConns: max(s.MaxFds-reservedDescriptors, minClientConns), Log: env.Log,
 	})
-	return e, nil
+	return e
 }
 
 func dispatchConfig(s *settings.Settings, id string) dispatch.Config {
--- a/cmd/ravendale/fleet.go
+++ b/cmd/ravendale/fleet.go
@@ -174,11 +174,11 @@
 
 func showStatus(to io.Writer, all map[string]*agent.Status) error {
 	w := tabwriter.NewWriter(to, 0, 0, 2, ' ', 0)
-	fmt.Fprintln(w, "MEMBER\tINCARNATION\tBUILD\tACTS UNDER\tIN FORCE\tSTANDING\tPEERS ALIVE\tLAG\tRECORD\tNOTES")
+	_, _ = fmt.Fprintln(w, "MEMBER\tINCARNATION\tBUILD\tACTS UNDER\tIN FORCE\tSTANDING\tPEERS ALIVE\tLAG\tRECORD\tNOTES")
 	for _, name := range slices.Sorted(maps.Keys(all)) {
 		s := all[name]
 		if s.Error != "" {
-			fmt.Fprintf(w, "%s\t\t\t\t\tno answer\t\t\t\t%s\n", name, s.Error)
+			_, _ = fmt.Fprintf(w, "%s\t\t\t\t\tno answer\t\t\t\t%s\n", name, s.Error)
 			continue
 		}
 		standing, notes := "acts", []string{}
@@ -206,7 +206,7 @@
 		if s.Refused > 0 {
 			notes = append(notes, fmt.Sprintf("%d refused", s.Refused))
 		}
-		fmt.Fprintf(w, "%s\t%d\t%s\t%v\t%v\t%s\t%d of %d\t%d ms\t%d\t%s\n", name, s.Inc, s.Build, s.Acting, s.Force, standing, alive, len(s.Peers),
+		_, _ = fmt.Fprintf(w, "%s\t%d\t%s\t%v\t%v\t%s\t%d of %d\t%d ms\t%d\t%s\n", name, s.Inc, s.Build, s.Acting, s.Force, standing, alive, len(s.Peers),
 			lag, s.Head.Seq, strings.Join(notes, ", "))
 	}
 	return w.Flush()
@@ -214,15 +214,15 @@
 
 // epochFile is the form of a file that is rolled out.
 type epochFile struct {
-	Number   int64         `xml:"number,attr,required"`
-	Floor    int64         `xml:"floor,attr,required"`
-	Within   time.Duration `xml:"within,attr,required"`
+	Number   int64         `xml:"number,attr" required:"true"`
+	Floor    int64         `xml:"floor,attr" required:"true"`
+	Within   time.Duration `xml:"within,attr" required:"true"`
 	Build    int           `xml:"build,attr"`
 	Settings *settingsFile `xml:"settings"`
 }
 
 type settingsFile struct {
-	File string `xml:"file,attr,required"` // JSON, a merge patch (RFC 7396) for the platform's settings; beside the epoch's file
+	File string `xml:"file,attr" required:"true"` // JSON, a merge patch (RFC 7396) for the platform's settings; beside the epoch's file
 }
 
 // Check implements xmlfile.Checker.
@@ -293,7 +293,7 @@
 		return errors.Join(refusals...)
 	}
 	fmt.Printf("%v handed in at %s\n", e.ID, took)
-	for end := time.Now().Add(c.Wait); ; time.Sleep(f.Beat) {
+	for end := time.Now().Add(c.Wait); ; time.Sleep(f.Heartbeat) {
 		var behind []string
 		for name, s := range c.call(keys, f.Members) {
 			if s.Error != "" || s.Acting != e.ID {
@@ -360,33 +360,33 @@
 		if !all && slices.Contains([]string{audit.Span, audit.Witness, audit.Member, audit.List}, e.Kind) {
 			continue
 		}
-		text := e.Why + e.Words
+		text := e.Why + e.Command
 		if e.Epoch != nil {
 			text = strings.TrimSpace(e.Epoch.String() + " " + text)
 		}
 		if e.Kind == audit.Standing {
 			text = fmt.Sprintf("acts=%v marked=%v %s", *e.Acts, e.Marked, e.Why)
 		}
-		fmt.Fprintf(to, "%s  %-10s %-10s %s\n", clock(e.When), e.Member, e.Kind, strings.TrimSpace(text+" "+e.From+" "+e.Peer+" "+e.State))
+		_, _ = fmt.Fprintf(to, "%s  %-10s %-10s %s\n", clock(e.When), e.Member, e.Kind, strings.TrimSpace(text+" "+e.From+" "+e.Peer+" "+e.State))
 	}
 	for _, l := range a.Epochs {
 		if l.InForce == 0 {
-			fmt.Fprintf(to, "epoch %v: never in force\n", l.ID)
+			_, _ = fmt.Fprintf(to, "epoch %v: never in force\n", l.ID)
 			continue
 		}
-		fmt.Fprintf(to, "epoch %v: in force %s, floor %d from %s, adopted by %d of %d\n", l.ID, clock(l.InForce), l.Floor, clock(l.Date), len(l.Adopted), len(a.Members))
+		_, _ = fmt.Fprintf(to, "epoch %v: in force %s, floor %d from %s, adopted by %d of %d\n", l.ID, clock(l.InForce), l.Floor, clock(l.Date), len(l.Adopted), len(a.Members))
 		if l.Conflict {
-			fmt.Fprintf(to, "BROKEN: another content was in force as epoch %d\n", l.ID.Number)
+			_, _ = fmt.Fprintf(to, "BROKEN: another content was in force as epoch %d\n", l.ID.Number)
 		}
 	}
 	for _, s := range a.Straggled {
-		fmt.Fprintf(to, "straggler %s under epoch %v: %s %d ms after the date %s\n", s.Member, s.Epoch, s.End, s.AfterMs, s.From)
+		_, _ = fmt.Fprintf(to, "straggler %s under epoch %v: %s %d ms after the date %s\n", s.Member, s.Epoch, s.End, s.AfterMs, s.From)
 	}
 	for _, b := range a.Below {
-		fmt.Fprintf(to, "BROKEN: %s took %d requests below floor %d in the span that ended %s, %d ms after the date (%s)\n", b.Member, b.Taken, b.Floor,
+		_, _ = fmt.Fprintf(to, "BROKEN: %s took %d requests below floor %d in the span that ended %s, %d ms after the date (%s)\n", b.Member, b.Taken, b.Floor,
 			clock(b.When), b.When-b.Date, b.Place)
 	}
 	for _, f := range a.Findings {
-		fmt.Fprintln(to, "found:", f)
+		_, _ = fmt.Fprintln(to, "found:", f)
 	}
 }
--- a/cmd/ravendalectl/main.go
+++ b/cmd/ravendalectl/main.go
@@ -45,7 +45,7 @@
 		return exitDone // help was asked for, and given
 	}
 	if err != nil {
-		fmt.Fprintf(stderr, "ravendalectl: %v\nnext: see ravendalectl --help\n", err)
+		_, _ = fmt.Fprintf(stderr, "ravendalectl: %v\nnext: see ravendalectl --help\n", err)
 		return exitUsage
 	}
 	parsed.BindTo(ctx, (*context.Context)(nil))
--- a/control/plane/plane_test.go
+++ b/control/plane/plane_test.go
@@ -8,6 +8,7 @@
 	"testing"
 	"time"
 
+	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
 	"ravendale/cluster/settings"
@@ -62,7 +63,7 @@
 	go func() { stopped <- opened.Run(ctx) }()
 	s.Cleanup(func() {
 		cancel()
-		<-stopped
+		assert.NoError(s, <-stopped)
 	})
 	return opened
 }
