--- a/cmd/ravendale-control/control.go
+++ b/cmd/ravendale-control/control.go
@@ -11,7 +11,7 @@
 	"ravendale/control/plane"
 )
 
-const stopWithin = time.Second // for answers under way when the process is told to stop
+const shutdownTimeout = time.Second // for answers under way when the process is told to stop
 
 // control is the process, put together.
 type control struct {
@@ -42,12 +42,17 @@
 		return err
 	}
 	c.env.Log.Info("started", "admin", s.ListenAdmin, "rpc", s.ControlAddress(s.IP))
+	running, stop := context.WithCancel(ctx)
+	defer stop()
 	var group sync.WaitGroup
-	group.Go(func() { _ = c.api.Serve(admin) })
-	group.Go(func() { c.env.WatchSettings(ctx, c.plane.SetSettings) })
+	group.Go(func() { _ = c.api.Serve(admin) }) // it fails only as its listener is closed
+	group.Go(func() { c.env.WatchSettings(running, c.plane.SetSettings) })
 	err = c.plane.Run(ctx)
-	stop, cancel := context.WithTimeout(context.Background(), stopWithin)
+	stop()
+	shutdown, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 	defer cancel()
-	_ = c.api.Shutdown(stop)
+	_ = c.api.Shutdown(shutdown) // what is under way at the end of its time is cut off
+	_ = admin.Close()            // Shutdown has closed it, unless Serve had not begun
+	group.Wait()
 	return err
 }
--- a/cmd/ravendale-control/main.go
+++ b/cmd/ravendale-control/main.go
@@ -10,15 +10,15 @@
 
 // Garbage collection: a small state, so that a smaller goal costs little.
 const (
-	gcPercent   = 50
-	memoryPart  = 2 // the process aims to stay under its limit divided by this
-	name        = "ravendale-control"
-	description = "The control plane of ravendale: configuration, membership, discovery and placement."
+	gcPercent     = 50
+	memoryDivisor = 2 // the process aims to stay under its memory limit divided by this
+	name          = "ravendale-control"
+	description   = "The control plane of ravendale: configuration, membership, discovery and placement."
 )
 
 func main() {
 	program.Run(name, description, func(ctx context.Context, env program.Environment) error {
-		program.Memory(gcPercent, env.Settings.MemoryMb/memoryPart)
+		program.Memory(gcPercent, env.Settings.MemoryMb/memoryDivisor)
 		c, err := newControl(env)
 		if err != nil {
 			return err
--- a/cmd/ravendale-control/retire.go
+++ b/cmd/ravendale-control/retire.go
@@ -16,14 +16,14 @@
 
 // StartRetire has a node's store emptied. How long that may take is the operator's to watch: emptying is never cut short.
 func (r retirer) StartRetire(ctx context.Context, node string, _ time.Duration) error {
-	return translate(r.leader.StartRetire(ctx, node))
+	return apiError(r.leader.StartRetire(ctx, node))
 }
 
 // RetireState says how far a node's store is.
 func (r retirer) RetireState(ctx context.Context, node string) (string, error) {
 	done, err := r.leader.RetireState(ctx, node)
 	if err != nil {
-		return "", translate(err)
+		return "", apiError(err)
 	}
 	if done {
 		return api.RetireDone, nil
@@ -31,7 +31,7 @@
 	return api.RetireRunning, nil
 }
 
-func translate(err error) error {
+func apiError(err error) error {
 	switch {
 	case errors.Is(err, leader.ErrUnknownNode):
 		return fmt.Errorf("%w: %w", api.ErrUnknownNode, err)
--- a/cmd/ravendale-control/status_test.go
+++ b/cmd/ravendale-control/status_test.go
@@ -28,10 +28,10 @@
 	require.False(t, ok)
 }
 
-func TestOnlyAProcessThatDoesNotLeadPromisesThatNothingWasBegun(t *testing.T) {
-	require.ErrorIs(t, translate(leader.ErrNotLeading), core.ErrUnavailable)
-	require.NotErrorIs(t, translate(leader.ErrUndecided), core.ErrUnavailable)
-	require.ErrorIs(t, translate(leader.ErrUnknownNode), api.ErrUnknownNode)
-	require.ErrorIs(t, translate(leader.ErrTooFew), api.ErrTooFew)
-	require.NoError(t, translate(nil))
+func TestOnlyAProcessThatDoesNotLeadAnswersUnavailable(t *testing.T) {
+	require.ErrorIs(t, apiError(leader.ErrNotLeading), core.ErrUnavailable)
+	require.NotErrorIs(t, apiError(leader.ErrUndecided), core.ErrUnavailable)
+	require.ErrorIs(t, apiError(leader.ErrUnknownNode), api.ErrUnknownNode)
+	require.ErrorIs(t, apiError(leader.ErrTooFew), api.ErrTooFew)
+	require.NoError(t, apiError(nil))
 }
--- a/control/plane/plane.go
+++ b/control/plane/plane.go
@@ -4,6 +4,7 @@
 	"context"
 	"log/slog"
 	"net"
+	"sync"
 	"time"
 
 	"ravendale/cluster/rpc"
@@ -32,6 +33,7 @@
 type Plane struct {
 	config  Config
 	mux     *rpc.Mux
+	answers sync.WaitGroup  // answers of this process's status that are worked out
 	Machine *state.Machine  // what the core's members apply
 	Core    *core.Core      // the replicated core's member, or its client where there is no disk
 	Leader  *leader.Service // runs while this process holds the leader lease
@@ -55,12 +57,14 @@
 		Settings: config.Settings, Mux: p.mux, Log: config.Log, Hosting: newHosting(p.config.Settings, opened, config.Log),
 		Submit: opened.Submit, State: p.Machine.Current, Leader: opened.Leader, Core: opened.Addresses,
 	})
-	rpc.Handle(p.mux, wire.MethodStatus, p.serveStatus)
 	return p, nil
 }
 
 // Run listens for other processes and takes part in the core until the context ends.
 func (p *Plane) Run(ctx context.Context) error {
+	answering, stop := context.WithCancel(context.Background()) // it outlives ctx: a member that leaves still answers
+	defer stop()
+	rpc.Handle(p.mux, wire.MethodStatus, func(_ *rpc.Conn, _ *statusRequest, reply rpc.Reply) { p.serveStatus(answering, reply) })
 	s := p.config.Settings
 	server, err := RetryListen(func() (*rpc.Server, error) {
 		return rpc.Listen(s.ControlAddress(s.IP), rpc.Options{Mux: p.mux}, nil)
@@ -68,8 +72,10 @@
 	if err != nil {
 		return err
 	}
-	defer server.Close()
 	p.Core.Run(ctx)
+	server.Close()
+	stop()
+	p.answers.Wait()
 	return nil
 }
 
--- a/control/plane/status.go
+++ b/control/plane/status.go
@@ -53,13 +53,14 @@
 	return seen
 }
 
-func (p *Plane) serveStatus(_ *rpc.Conn, _ *statusRequest, reply rpc.Reply) {
+// serveStatus answers another process, in a goroutine of its own, which Run waits for.
+func (p *Plane) serveStatus(ctx context.Context, reply rpc.Reply) {
 	if !p.Core.Leads() {
 		reply.Send(&statusReply{})
 		return
 	}
-	go func() {
-		ctx, cancel := context.WithTimeout(context.Background(), statusTimeout)
+	p.answers.Go(func() {
+		ctx, cancel := context.WithTimeout(ctx, statusTimeout)
 		defer cancel()
 		content, err := json.Marshal(p.status(ctx))
 		if err != nil {
@@ -67,7 +68,7 @@
 			return
 		}
 		reply.Send(&statusReply{Status: content})
-	}()
+	})
 }
 
 func (p *Plane) askStatus(ctx context.Context) (seen status.Status, err error) {
