--- a/cmd/ravendalectl/change.go
+++ b/cmd/ravendalectl/change.go
@@ -61,7 +61,7 @@
 	return shown.Version, false, nil
 }
 
-// dryRun tells what a change would do.
+// dryRun prints what a change would do.
 func (c *changeFlags) dryRun(ctx context.Context, env environment, client *operatorclient.Client, content []byte, patch bool) error {
 	shown, err := client.Show(ctx)
 	if err != nil {
@@ -82,7 +82,7 @@
 	return err
 }
 
-// failed tells why a change was not acknowledged.
+// failed makes the error of a change that was not acknowledged.
 func (c *changeFlags) failed(env environment, content []byte, base uint64, err error) error {
 	what := fmt.Sprintf("%s on version %d", c.File, base)
 	var failure *operatorclient.Error
--- a/cmd/ravendalectl/config.go
+++ b/cmd/ravendalectl/config.go
@@ -50,7 +50,7 @@
 	return err
 }
 
-// invalid lists findings, each with its place in the file.
+// invalid lists findings, each with its line in the file.
 func invalid(env environment, file string, content []byte, err error) error {
 	var findings catalog.Findings
 	if !errors.As(err, &findings) {
--- a/cmd/ravendalectl/disk.go
+++ b/cmd/ravendalectl/disk.go
@@ -15,7 +15,7 @@
 
 // diskCommand reads disks.
 type diskCommand struct {
-	Inspect inspectCommand `cmd:"" help:"Tell what is on a disk, and what of it is whole."`
+	Inspect inspectCommand `cmd:"" help:"Tell what is on a disk, and what of it is complete."`
 	Verify  verifyCommand  `cmd:"" help:"Tell only whether all that was synced can be read."`
 }
 
--- a/control/api/answers.go
+++ b/control/api/answers.go
@@ -9,7 +9,7 @@
 	"ravendale/control/core"
 )
 
-// retryAfterSeconds is what callers that are to come again are told, in seconds.
+// retryAfterSeconds is the Retry-After header of answers that ask for a retry, in seconds.
 const retryAfterSeconds = "1"
 
 // versionAnswer acknowledges an order.
@@ -24,7 +24,7 @@
 	Findings catalog.Findings `json:"findings,omitempty"`
 }
 
-// stateAnswer tells how far a machine has been emptied.
+// stateAnswer is how far the retirement of a machine is.
 type stateAnswer struct {
 	State string `json:"state"`
 }
--- a/control/api/api.go
+++ b/control/api/api.go
@@ -19,8 +19,8 @@
 	Submit(ctx context.Context, command []byte) (result []byte, err error)
 }
 
-// Retirer empties machines of the queue. A start that is repeated is acknowledged again. Errors: ErrUnknownNode, ErrTooFew,
-// core.ErrUnavailable if surely nothing was begun; any other says nothing.
+// Retirer empties machines of the queue. A duplicate start is acknowledged again. Errors: ErrUnknownNode, ErrTooFew, core.ErrUnavailable
+// if certainly nothing was begun; after any other it may have been.
 type Retirer interface {
 	StartRetire(ctx context.Context, node string, deadline time.Duration) error
 	RetireState(ctx context.Context, node string) (string, error)
@@ -44,7 +44,7 @@
 	readBuffer     = 4096              // bytes; request line and headers have to fit in
 	writeBuffer    = 1024              // bytes
 	maxConnections = 1024
-	readTimeout    = 60 * time.Second // for a request whole, body included
+	readTimeout    = 60 * time.Second // for a complete request, body included
 	writeTimeout   = 30 * time.Second
 	idleTimeout    = 60 * time.Second
 )
@@ -62,13 +62,13 @@
 	Retirer   Retirer
 	Log       *slog.Logger
 	// Redirect is the admin address of the process that leads, empty if this one does; false: none is known. May be nil: then this
-	// process answers all that it is asked.
+	// process answers all requests.
 	Redirect func() (host string, ok bool)
-	// Status tells how this process sees the system, but for who leads. May be nil: then there is no status.
+	// Status returns how this process sees the system, without who leads. May be nil: then status is answered by 404.
 	Status func(ctx context.Context) status.Status
 }
 
-// Server serves the interface.
+// Server serves the operator's interface.
 type Server struct {
 	options   Options
 	app       *fiber.App
--- a/control/chain/chain.go
+++ b/control/chain/chain.go
@@ -6,11 +6,11 @@
 	"ravendale/control/view"
 )
 
-// Times after which something that may have been lost is sent again.
+// Intervals after which a message that may have been lost is sent again.
 const (
-	AttachRetryInterval = 150 * time.Millisecond
-	AppendRetryInterval = 250 * time.Millisecond
-	GapRetryInterval    = 50 * time.Millisecond
+	AttachRetryInterval = 150 * time.Millisecond // of an Attach that no Fill has answered
+	AppendRetryInterval = 250 * time.Millisecond // of entries that the successor does not report as synced
+	GapRetryInterval    = 50 * time.Millisecond  // between two Gaps
 )
 
 // MaxUncommitted bounds the commands that are ordered and not committed, in bytes, the newest one apart: a head that has more takes no
@@ -34,11 +34,11 @@
 
 // Machine is the state machine that applies what is committed.
 type Machine interface {
-	// Snapshot is the whole state, as it is after the last commit that was handed out.
+	// Snapshot returns the complete state, as it is after the last entry that was handed out to be applied.
 	Snapshot() []byte
 }
 
-// Chain is one member's log and links.
+// Chain is one member's replica: its log, its place in the chain and its links to both neighbours. It is not safe for concurrent use.
 type Chain struct {
 	self    view.ID
 	machine Machine
@@ -78,7 +78,7 @@
 
 func (c *configuration) isTail() bool { return c.position == len(c.members)-1 }
 
-// New makes a member from what is on its disk. It takes no part before Adopt.
+// New makes a member from the state on its disk. It takes part in the chain from Adopt on.
 func New(self view.ID, state State, machine Machine) *Chain {
 	return &Chain{
 		self: self, machine: machine, log: newLog(state), configuration: configuration{position: -1},
@@ -86,38 +86,39 @@
 	}
 }
 
-// State is what has to be on disk, the machine's snapshot apart. It drops the entries that were handed out, which that covers.
+// State returns what has to be on disk beside the machine's snapshot, and compacts the log: entries that were applied are dropped, since
+// the snapshot covers them.
 func (c *Chain) State() State { return c.log.compact() }
 
-// Last is the sequence of the last entry.
+// Last returns the sequence of the last entry.
 func (c *Chain) Last() uint64 { return c.log.last() }
 
-// Synced is up to where the log is on disk.
+// Synced returns the sequence up to which the log is on disk.
 func (c *Chain) Synced() uint64 { return c.log.synced }
 
-// Committed is up to where entries are known to be committed.
+// Committed returns the sequence up to which entries are known to be committed.
 func (c *Chain) Committed() uint64 { return c.log.committed }
 
-// Attached says whether the member follows the chain of its epoch: then it may order, pass on and commit.
+// Attached reports whether the member follows the chain of its epoch, on disk: then it may order, pass on and commit.
 func (c *Chain) Attached() bool { return c.upstream.attached }
 
-// Complete says whether the member holds all that was committed before its epoch.
+// Complete reports whether the member holds all that was committed before its epoch.
 func (c *Chain) Complete() bool {
 	return c.configuration.position >= 0 && c.log.state.CompleteEpoch == c.configuration.epoch
 }
 
-// Position is the member's place in the chain, -1 if it has none.
+// Position returns the member's index in the chain, 0 at the head, -1 if it is not part of it.
 func (c *Chain) Position() int { return c.configuration.position }
 
-// Take returns what there is to do since it was called last.
+// Take returns the actions that came up since it was called last.
 func (c *Chain) Take() Actions {
 	actions := c.actions
 	c.actions = Actions{}
 	return actions
 }
 
-// Adopt moves to a decided view. A member that has just started in it can't know what it ordered before: as the head it
-// stays idle. Durable says whether the chain has disks enough to commit.
+// Adopt moves to a decided view. A member that has restarted in its epoch can't know what it ordered before: as the head it stays idle,
+// until the next epoch. Durable says whether the chain has enough disks to commit.
 func (c *Chain) Adopt(now time.Duration, v *view.View, durable, restarted bool) {
 	c.configuration = configuration{epoch: v.Epoch, members: v.Chain, position: v.Position(c.self), durable: durable}
 	c.upstream.aligned, c.upstream.attached, c.downstream.attached = false, false, false
@@ -132,10 +133,11 @@
 	}
 }
 
-// Seal ends the member's part in its epoch, after it has promised another.
+// Seal ends the member's part in its epoch: it has promised a ballot for the next view, and orders, takes and passes on nothing more.
 func (c *Chain) Seal() { c.configuration.sealed = true }
 
-// Tick hands out what is left to be applied, and sends again what may have been lost.
+// Tick hands out the next batch of committed entries, and sends again what may have been lost. While
+// HasUnapplied it is to be called again soon.
 func (c *Chain) Tick(now time.Duration) {
 	c.applyCommitted()
 	if c.configuration.position > 0 && !c.upstream.aligned && !c.configuration.sealed && now-c.upstream.attachSentAt >= AttachRetryInterval {
@@ -143,8 +145,8 @@
 	}
 }
 
-// Propose appends a command, at the head. False: this member can't, now, and has not. A command ordered before in the epoch is not
-// ordered again; below the origin's low none will be submitted again.
+// Propose has the head order a command: number of its origin's commands, of which none below low will be proposed again. It returns false
+// if this member can't order it now, and has not. A duplicate of a command that was ordered in this epoch is accepted and not ordered again.
 func (c *Chain) Propose(now time.Duration, origin, number, low uint64, command []byte) bool {
 	if c.configuration.position != 0 || !c.upstream.attached || c.configuration.sealed || !c.configuration.durable || c.log.uncommittedBytes() > MaxUncommitted {
 		return false
--- a/control/chain/commit.go
+++ b/control/chain/commit.go
@@ -15,13 +15,13 @@
 // MutateEarlyCommit has commits learnt before the log follows the predecessor's, which only tests of tests may ask for.
 func (c *Chain) MutateEarlyCommit() { c.earlyCommit = true }
 
-// HasUnapplied says whether entries are known to be committed that were not handed out yet: Tick does so.
+// HasUnapplied reports whether committed entries were not handed out yet: Tick hands them out.
 func (c *Chain) HasUnapplied() bool { return c.log.applied < c.log.committed }
 
-// Unapplied is how many entries the machine's snapshot does not cover.
+// Unapplied returns how many entries the machine's snapshot does not cover.
 func (c *Chain) Unapplied() int { return int(c.log.last() - c.log.applied) }
 
-// LogOffset is up to where the log goes now.
+// LogOffset returns the offset that a write covers which holds all that the log has now.
 func (c *Chain) LogOffset() LogOffset {
 	offset := LogOffset{last: c.log.last(), truncations: c.log.truncations}
 	if c.upstream.aligned {
@@ -30,7 +30,8 @@
 	return offset
 }
 
-// OnSynced tells that all that was written up to an offset is on disk.
+// OnSynced handles that all that was written up to an offset is on disk: the member may then be attached, passes on, and as the tail
+// commits. An offset from before a truncation is ignored.
 func (c *Chain) OnSynced(now time.Duration, offset LogOffset) {
 	if offset.truncations != c.log.truncations {
 		return
@@ -46,7 +47,7 @@
 	}
 }
 
-// OnAck learns what is committed.
+// OnAck handles the successor's report of what is committed.
 func (c *Chain) OnAck(message *Ack) {
 	if message.Epoch == c.configuration.epoch {
 		c.learnCommit(message.Committed)
--- a/control/chain/doc.go
+++ b/control/chain/doc.go
@@ -1,5 +1,6 @@
 // Package chain is one member's part in chain replication: the head orders entries, each member has them on disk before it passes them
-// on, the tail commits them, and acknowledgements of the commit go back up to the head.
+// on, the tail commits them, and acknowledgements of the commit go back up to the head (van Renesse and Schneider, "Chain Replication for
+// Supporting High Throughput and Availability", 2004).
 //
 // A Chain does no I/O and has no clock. Whoever drives it
 //
@@ -10,6 +11,6 @@
 //     send;
 //   - after writing takes a LogOffset, and gives that to OnSynced once the write is on disk.
 //
-// In a new epoch a member attaches to its predecessor first: Attach tells what it has, and Fill makes its log the same as the
+// In a new epoch a member attaches to its predecessor first: Attach says what it has, and Fill makes its log the same as the
 // predecessor's, by entries or by a snapshot. It is attached when that is on disk. From then on it takes entries (Append), and commits.
 package chain
--- a/control/chain/downstream.go
+++ b/control/chain/downstream.go
@@ -15,7 +15,8 @@
 	deferredAttaches map[view.ID]*Attach // newest from each member, that could not be answered yet
 }
 
-// OnAttach answers a successor; one that comes too early is answered later.
+// OnAttach answers a successor with a Fill. One that is early, as it knows a newer view or this member is not attached yet, is answered
+// later.
 func (c *Chain) OnAttach(now time.Duration, from view.ID, message *Attach) {
 	if message.Epoch < c.configuration.epoch {
 		return
@@ -56,7 +57,7 @@
 	return fill
 }
 
-// Heartbeat is what a member tells all others now and then about itself.
+// Heartbeat is what a member reports of itself to all others, at intervals.
 type Heartbeat struct {
 	Epoch     uint64
 	Attached  bool
@@ -64,7 +65,7 @@
 	Committed uint64
 }
 
-// OnHeartbeat learns what is committed, and whether the successor misses anything.
+// OnHeartbeat handles another member's report: what is committed, and if it is the successor, what it still lacks.
 func (c *Chain) OnHeartbeat(now time.Duration, from view.ID, heartbeat Heartbeat) {
 	if heartbeat.Epoch != c.configuration.epoch {
 		return
@@ -83,7 +84,7 @@
 	c.forward()
 }
 
-// OnGap sends the successor again what it lacks.
+// OnGap handles the successor's report that entries were lost on the way, and sends them again.
 func (c *Chain) OnGap(now time.Duration, from view.ID, message *Gap) {
 	to, ok := c.configuration.successor()
 	if message.Epoch != c.configuration.epoch || !ok || to != from || !c.downstream.attached || message.Last+1 >= c.downstream.next {
--- a/control/chain/log.go
+++ b/control/chain/log.go
@@ -19,14 +19,14 @@
 	return l
 }
 
-// LogOffset is up to where a write covers the log.
+// LogOffset is the watermark up to which a write covers the log. It is opaque to callers.
 type LogOffset struct {
 	last         uint64
 	truncations  uint64
 	alignedEpoch uint64 // epoch in which the log had been made to follow the predecessor's, zero if it had not
 }
 
-// Replay applies a write that was read from disk.
+// Replay applies a write, as when it is read from disk.
 func (s *State) Replay(w *Write) {
 	if w.Truncate && w.TruncateAfter >= s.Base && w.TruncateAfter-s.Base < uint64(len(s.Entries)) {
 		s.Entries = s.Entries[:w.TruncateAfter-s.Base]
@@ -37,7 +37,7 @@
 	}
 }
 
-// Follow is what a decided view means for the State: members named complete in it are.
+// Follow applies a decided view: the members that it names complete are complete in its epoch.
 func (s *State) Follow(self view.ID, v *view.View) {
 	if position := v.Position(self); position >= 0 && position < v.Complete {
 		s.CompleteEpoch = v.Epoch
--- a/control/chain/upstream.go
+++ b/control/chain/upstream.go
@@ -28,7 +28,7 @@
 	return ok && predecessor == from && epoch == c.configuration.epoch && !c.configuration.sealed
 }
 
-// OnFill makes the log follow the predecessor's.
+// OnFill handles the predecessor's answer to Attach: the log is made to follow the predecessor's.
 func (c *Chain) OnFill(now time.Duration, from view.ID, message *Fill) {
 	if c.upstream.aligned || !c.fromPredecessor(from, message.Epoch) {
 		return
@@ -47,7 +47,7 @@
 // align replaces what follows the entry from which on the predecessor fills.
 func (c *Chain) align(message *Fill) bool {
 	if message.From < c.log.committed || message.From > c.log.last() || c.log.epochAt(message.From) != message.FromEpoch {
-		return false // an answer to an older question
+		return false // an answer to an older Attach
 	}
 	write := Write{Entries: message.Entries, CompleteEpoch: c.configuration.epoch}
 	if message.From < c.log.last() {
@@ -58,7 +58,7 @@
 	return true
 }
 
-// OnAppend takes entries from the predecessor.
+// OnAppend handles entries from the predecessor.
 func (c *Chain) OnAppend(now time.Duration, from view.ID, message *Append) {
 	if !c.upstream.aligned || !c.fromPredecessor(from, message.Epoch) {
 		return
--- a/control/lease/holder.go
+++ b/control/lease/holder.go
@@ -6,7 +6,7 @@
 	"ravendale/control/view"
 )
 
-// Holder is a candidate's side.
+// Holder is the candidate's side of the lease: it seeks, renews and releases it.
 type Holder struct {
 	timing        Timing
 	incarnation   uint64
@@ -19,12 +19,12 @@
 	expiresAt     time.Duration
 }
 
-// NewHolder makes a candidate that holds nothing, in an incarnation of that number.
+// NewHolder makes a candidate that holds no lease. Incarnation is drawn at random at each start of the process.
 func NewHolder(timing Timing, incarnation uint64) *Holder {
 	return &Holder{timing: timing, incarnation: incarnation}
 }
 
-// StartRound begins a round. The caller sends the request to all voters.
+// StartRound starts an election round, to get or renew the lease. The caller sends the request to all voters.
 func (h *Holder) StartRound(now time.Duration, epoch uint64) *Request {
 	h.electionRound++
 	h.requestedAt, h.epoch, h.granted = now, epoch, false
@@ -32,7 +32,7 @@
 	return &Request{Epoch: epoch, Incarnation: h.incarnation, ElectionRound: h.electionRound}
 }
 
-// Granted takes an answer, and says whether the lease now lasts longer.
+// Granted handles a voter's answer, and reports whether the lease now lasts longer.
 func (h *Holder) Granted(current *view.View, from view.ID, reply *Reply) bool {
 	if h.grants == nil || reply.Incarnation != h.incarnation || reply.ElectionRound != h.electionRound || reply.Epoch != h.epoch || current.Epoch != h.epoch || h.granted {
 		return false
@@ -53,24 +53,24 @@
 	return true
 }
 
-// Refused says whether so many voters refused the current round that it can't get a majority.
+// Refused reports whether so many voters have refused the current round that it can't get a majority.
 func (h *Holder) Refused(current *view.View) bool {
 	return h.grants != nil && !h.granted && len(h.refusals) > len(current.Voters)-current.Majority()
 }
 
-// ExpiresAt is when the lease ends, which may lie in the past.
+// ExpiresAt returns when the lease ends, on the clock that StartRound was given; it may lie in the past.
 func (h *Holder) ExpiresAt() time.Duration { return h.expiresAt }
 
-// Valid says whether the lease is held.
+// Valid reports whether the lease is held.
 func (h *Holder) Valid(now time.Duration) bool { return now < h.expiresAt }
 
-// LastRequest is when the current round was begun, and whether it got a majority.
+// LastRequest returns when the current round was started, and whether it got a majority.
 func (h *Holder) LastRequest() (at time.Duration, granted bool) { return h.requestedAt, h.granted }
 
-// Outdated says whether the current round was begun in another epoch and has no majority: nobody will answer it any more.
+// Outdated reports whether the current round was started in another epoch and has no majority: nobody will answer it any more.
 func (h *Holder) Outdated(epoch uint64) bool { return !h.granted && h.epoch != epoch }
 
-// Seeking says whether a round has been begun whose answers still count.
+// Seeking reports whether a round was started whose answers still count.
 func (h *Holder) Seeking() bool { return h.grants != nil }
 
 // Drop ends the lease, or the round in which it is sought: no answer to it counts any more. The caller sends the release to all voters.
--- a/control/lease/messages.go
+++ b/control/lease/messages.go
@@ -20,7 +20,7 @@
 	Granted       bool
 }
 
-// Release gives back what a voter granted up to a round, by a candidate that got no majority or stops.
+// Release gives back what a voter granted up to an election round. A candidate that got no majority or stops sends it.
 type Release struct {
 	Incarnation   uint64
 	ElectionRound uint64
--- a/control/lease/voter.go
+++ b/control/lease/voter.go
@@ -17,7 +17,7 @@
 	restrictedUntil time.Duration // until then it only grants to the holder that previous names
 }
 
-// NewVoter makes a voter from what is on its disk.
+// NewVoter makes a voter from the previous grant on its disk.
 func NewVoter(now time.Duration, timing Timing, previous PreviousGrant) *Voter {
 	v := &Voter{timing: timing, previous: previous}
 	if previous != (PreviousGrant{}) {
@@ -26,10 +26,10 @@
 	return v
 }
 
-// PreviousGrant is what has to be on disk before an answer is sent.
+// PreviousGrant returns what has to be on disk before an answer is sent.
 func (v *Voter) PreviousGrant() PreviousGrant { return v.previous }
 
-// Grant answers a request of a candidate. Changed says that PreviousGrant must be written before the answer is sent.
+// Grant decides on a request of a candidate. Changed says that PreviousGrant must be written before the answer is sent.
 func (v *Voter) Grant(now time.Duration, candidate view.ID, request *Request) (granted, changed bool) {
 	if now < v.restrictedUntil {
 		if candidate != v.previous.Holder {
@@ -45,7 +45,7 @@
 	return true, changed
 }
 
-// Holder is whom it has granted the lease, zero if nobody; unknown if it can't know.
+// Holder returns whom this voter has granted the lease, zero if nobody. Unknown: it has restarted, and can't know.
 func (v *Voter) Holder(now time.Duration) (holder view.ID, unknown bool) {
 	if now < v.restrictedUntil {
 		return v.previous.Holder, v.previous.Unknown
@@ -56,7 +56,8 @@
 	return 0, false
 }
 
-// PreviousHolder is the only one that it grants the lease, for as long as there is such a one; zero if there is none.
+// PreviousHolder returns the only candidate that may be granted the lease while the voter is restricted after a start; zero if there is
+// none, or no restriction.
 func (v *Voter) PreviousHolder(now time.Duration) view.ID {
 	if now < v.restrictedUntil {
 		return v.previous.Holder
@@ -64,14 +65,14 @@
 	return 0
 }
 
-// Release forgets a grant.
+// Release ends a grant, if it is of the same incarnation and not of a later election round.
 func (v *Voter) Release(candidate view.ID, release *Release) {
 	if v.holder == candidate && v.incarnation == release.Incarnation && v.electionRound <= release.ElectionRound {
 		v.expiresAt = 0
 	}
 }
 
-// Adopt tells of a new view. PreviousGrant then changes as the view has it: that needs no writing apart from the view.
+// Adopt moves to a decided view. PreviousGrant then follows from the view: it need not be written apart from that.
 func (v *Voter) Adopt(now time.Duration, old, next *view.View) {
 	if !majoritiesMayBeDisjoint(old, next) {
 		return
@@ -83,7 +84,7 @@
 	}
 }
 
-// Adopt tells of a new view, and returns the PreviousGrant that follows. Where majorities of old and new voters need not meet, the
+// Adopt returns the PreviousGrant that follows from a decided view. Where majorities of old and new voters need not meet, the
 // one to reckon with is whoever can hold a lease given by the old ones.
 func (p PreviousGrant) Adopt(old, next *view.View) PreviousGrant {
 	if !majoritiesMayBeDisjoint(old, next) {
@@ -95,7 +96,7 @@
 	return PreviousGrant{Holder: next.Holder, Unknown: next.Holder == 0}
 }
 
-// majoritiesMayBeDisjoint says whether a lease may hold that was granted by voters of which the new ones know nothing.
+// majoritiesMayBeDisjoint reports whether a lease may be valid that was granted by voters of which the new ones know nothing.
 func majoritiesMayBeDisjoint(old, next *view.View) bool {
 	founded := old.Epoch == 0 && next.Epoch == 1 // nobody can hold a lease yet that this voter could break
 	return !founded && (next.Epoch != old.Epoch+1 || !next.SameVoters(old))
--- a/control/operatorclient/errors.go
+++ b/control/operatorclient/errors.go
@@ -24,7 +24,7 @@
 	Kind     Kind
 	Status   int    // of the last answer; 0: there was none
 	Reason   string // as the last answer has it, or the failure of the last attempt
-	Version  uint64 // of KindConflict: the version that is in place, 0 if it was not told
+	Version  uint64 // of KindConflict: the version that is in place, 0 if it is not known
 	Findings catalog.Findings
 	Attempts int
 }
--- a/control/operatorclient/orders.go
+++ b/control/operatorclient/orders.go
@@ -40,7 +40,7 @@
 	return document, err
 }
 
-// Set puts a whole configuration in the place of version base, and returns its version.
+// Set replaces the configuration of version base, and returns the new version.
 func (c *Client) Set(ctx context.Context, base uint64, document []byte) (uint64, error) {
 	return c.change(ctx, "/v1/config/set", base, document)
 }
@@ -83,7 +83,7 @@
 	RetireDone    = "done"
 )
 
-// RetireState tells how far a machine is.
+// RetireState returns how far a machine is: RetireRunning or RetireDone.
 func (c *Client) RetireState(ctx context.Context, node string) (string, error) {
 	var answered struct {
 		State string `json:"state"`
@@ -100,7 +100,7 @@
 	return answered.State, err
 }
 
-// Status tells how the system is, as the leader sees it if it can be reached, else as another control process does.
+// Status returns how the leader sees the system, or another control process if the leader can't be reached.
 func (c *Client) Status(ctx context.Context) (*status.Status, error) {
 	seen, err := c.status(ctx)
 	if err != nil || seen.Core.Leading || seen.Core.LeaderAdmin == "" {
--- a/control/operatorclient/verdict.go
+++ b/control/operatorclient/verdict.go
@@ -43,7 +43,7 @@
 	return verdictUnclear
 }
 
-// judgeError decides by the failure of an attempt that had no answer: only what was never connected was never asked.
+// judgeError decides by the failure of an attempt that had no answer: only what was never connected was certainly not received.
 func judgeError(err error) verdict {
 	var operation *net.OpError
 	if errors.As(err, &operation) && operation.Op == "dial" {
--- a/control/plane/plane.go
+++ b/control/plane/plane.go
@@ -39,7 +39,7 @@
 	Leader  *leader.Service // runs while this process holds the leader lease
 }
 
-// Open reads the disk, if there is one. Nothing else happens before Run.
+// Open reads the disk, if there is one, and assembles the plane. Nothing runs before Run.
 func Open(config Config) (*Plane, error) {
 	p := &Plane{config: config, mux: rpc.NewMux(), Machine: state.NewMachine()}
 	own := *config.Settings
@@ -79,10 +79,10 @@
 	return nil
 }
 
-// SetSettings gives the plane settings that were read again.
+// SetSettings replaces the settings by those that were read again.
 func (p *Plane) SetSettings(s *settings.Settings) { p.Leader.SetSettings(s) }
 
-// RetryListen tries to listen until it works, or until some time has passed.
+// RetryListen calls listen until it succeeds, for listenTimeout at most: the process before this one may still have the address.
 func RetryListen[T any](listen func() (T, error)) (T, error) {
 	for deadline := time.Now().Add(listenTimeout); ; time.Sleep(listenRetryInterval) {
 		listener, err := listen()
--- a/control/plane/recruiter.go
+++ b/control/plane/recruiter.go
@@ -25,7 +25,7 @@
 	members  []view.Member // voters and learners
 	chain    []view.ID
 	retiring map[string]bool // rpc addresses of the core's members on machines that are being emptied
-	stopping map[string]bool // the same of those that were told to stop, and may not come back
+	stopping map[string]bool // the same of those that are stopping, and may not come back
 }
 
 // isStaying says whether a member is counted on.
@@ -70,7 +70,7 @@
 	leavingSince     map[string]time.Duration
 }
 
-// invitation is what a store was told last: that it is to take part.
+// invitation is the newest order to a store to take part.
 type invitation struct {
 	zone string
 	at   time.Duration
@@ -135,7 +135,7 @@
 // lastedFor says whether something has been so for a time.
 func lastedFor(at, now, span time.Duration) bool { return at >= 0 && now-at >= span }
 
-// count tells how many members are to stay, and how many of them are in the chain.
+// count returns how many members are to stay, and how many of them are in the chain.
 func (r *recruiter) count(core *membership) (staying, attached int) {
 	for _, member := range core.members {
 		if !core.isStaying(member.Address) {
--- a/control/plane/status.go
+++ b/control/plane/status.go
@@ -27,7 +27,8 @@
 	Status []byte
 }
 
-// Status is how this process sees the system. One that has no disk knows nothing by itself: it tells what the leader says.
+// Status is how this process sees the system. One that has no disk knows nothing by itself: it asks the leader,
+// and answers with the little that it has if that can't be reached.
 func (p *Plane) Status(ctx context.Context) status.Status {
 	if p.config.DataDir == "" {
 		if seen, err := p.askStatus(ctx); err == nil {
--- a/control/state/commands.go
+++ b/control/state/commands.go
@@ -28,33 +28,33 @@
 	KindPutMembers
 )
 
-// Command is what the machine can be told.
+// Command is an input of the state machine.
 type Command interface {
 	msgp.Marshaler
 	kind() Kind
 }
 
-// Set puts a whole configuration in the place of version Base.
+// Set replaces the configuration of version Base.
 type Set struct {
 	Base uint64
 	Body []byte `msg:"Body,zerocopy"` // as sent by the operator
 }
 
-// Patch changes items of version Base.
+// Patch changes items of the configuration of version Base.
 type Patch struct {
 	Base uint64
 	Body []byte `msg:"Body,zerocopy"` // as sent by the operator
 }
 
-// Show asks for the configuration.
+// Show reads the configuration.
 type Show struct{}
 
-// TakeTerm asks for a term for a new leader.
+// TakeTerm begins the next term, with the candidate as its leader.
 type TakeTerm struct {
 	Candidate string
 }
 
-// PutPlacement decides the placement of the queue of the next epoch. Term is the leader's.
+// PutPlacement replaces the placement of the queue by that of the next epoch. Term is the leader's.
 type PutPlacement struct {
 	Term uint64
 	View wire.StoreView
@@ -83,7 +83,7 @@
 	ErrTrailing       = errors.New("state: bytes after the end")
 )
 
-// Encode makes bytes of a command. They share no memory with it.
+// Encode returns a command as bytes: its Kind, then its msgpack. They share no memory with it.
 func Encode(command Command) ([]byte, error) {
 	buffer := make([]byte, 1, 1+sizeOf(command))
 	buffer[0] = byte(command.kind())
@@ -97,7 +97,8 @@
 	return 0
 }
 
-// Decode reads a command. Its bodies are parts of encoded.
+// Decode returns the command that Encode wrote. Its bodies are parts of encoded. Errors: ErrUnknownCommand, ErrTrailing, and those of
+// msgp.
 func Decode(encoded []byte) (Command, error) {
 	if len(encoded) == 0 {
 		return nil, fmt.Errorf("%w: empty", ErrUnknownCommand)
--- a/control/state/image.go
+++ b/control/state/image.go
@@ -44,7 +44,7 @@
 	History   []entry // oldest first
 }
 
-// Snapshot encodes the whole state.
+// Snapshot returns the complete state, encoded, with a checksum.
 func (m *Machine) Snapshot() []byte {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -69,7 +69,7 @@
 	return binary.BigEndian.AppendUint64(buffer, xxhash.Sum64(buffer))
 }
 
-// Restore replaces the whole state by that of a snapshot, or leaves it as it is and returns ErrDamaged or ErrFormat.
+// Restore replaces the complete state by that of a snapshot. Errors: ErrDamaged and ErrFormat, after which the state is as it was.
 func (m *Machine) Restore(snapshot []byte) error {
 	content, err := decodeImage(snapshot)
 	if err != nil {
--- a/control/state/machine.go
+++ b/control/state/machine.go
@@ -28,7 +28,7 @@
 	return s.Placement.Epoch
 }
 
-// Machine is the state machine.
+// Machine is the state machine. It is safe for concurrent use.
 type Machine struct {
 	mu        sync.Mutex // held by Apply, Snapshot and Restore
 	current   atomic.Pointer[Snapshot]
@@ -44,14 +44,14 @@
 	refusesOld   bool                                             // an order older than the history is refused
 }
 
-// NewMachine returns a machine in its first state: without configuration, leader and placement.
+// NewMachine returns a machine in its initial state: without configuration, leader and placement.
 func NewMachine() *Machine {
 	m := &Machine{history: history{limit: historyLength}}
 	m.current.Store(&Snapshot{})
 	return m
 }
 
-// Current is the newest state. It may be called at any time by anybody.
+// Current returns the newest state. It is safe for concurrent use.
 func (m *Machine) Current() *Snapshot { return m.current.Load() }
 
 // Apply executes an encoded Command and returns an encoded Result. What can't be decoded changes nothing.
--- a/control/state/result.go
+++ b/control/state/result.go
@@ -6,7 +6,7 @@
 
 //msgp:tuple Result Finding
 
-// Outcome says what became of a command.
+// Outcome is what a command came to.
 type Outcome uint8
 
 // The outcomes.
@@ -21,7 +21,7 @@
 	OutcomeUnsure                            // too old an order to tell whether it was applied: it changes nothing now
 )
 
-// String names the outcome for logs.
+// String returns the outcome's text in logs and in the operator's answers.
 func (o Outcome) String() string {
 	switch o {
 	case OutcomeApplied:
@@ -44,7 +44,7 @@
 	return "unknown"
 }
 
-// Finding is one thing that is wrong with a configuration; see catalog.Finding.
+// Finding is one error in a configuration; see catalog.Finding.
 type Finding struct {
 	Place  string
 	Reason string
@@ -61,7 +61,7 @@
 	Document []byte    `msg:"Document,zerocopy"` // of a Show; empty if there is no configuration yet
 }
 
-// DecodeResult reads what Machine.Apply returned. The document is a part of encoded.
+// DecodeResult returns the Result that Machine.Apply has encoded. Errors: ErrTrailing, and those of msgp. The document is a part of encoded.
 func DecodeResult(encoded []byte) (*Result, error) {
 	result := &Result{}
 	rest, err := result.UnmarshalMsg(encoded)
@@ -74,12 +74,12 @@
 	return result, nil
 }
 
-// Applied says whether the order is in force, or was.
+// Applied reports whether the order is in force, or was.
 func (r *Result) Applied() bool {
 	return r.Outcome == OutcomeApplied || r.Outcome == OutcomeDuplicate
 }
 
-// CatalogFindings are the findings as the catalog has them.
+// CatalogFindings returns the findings in the catalog's type.
 func (r *Result) CatalogFindings() catalog.Findings {
 	findings := make(catalog.Findings, len(r.Findings))
 	for i, finding := range r.Findings {
--- a/control/status/status.go
+++ b/control/status/status.go
@@ -9,7 +9,7 @@
 	"ravendale/control/state"
 )
 
-// Status is the whole answer, as one control process sees it.
+// Status is the complete answer, as one control process sees the system.
 type Status struct {
 	Node      string     `json:"node"` // the machine that answers
 	Core      Core       `json:"core"`
@@ -66,7 +66,7 @@
 	Disk      string `json:"disk"`
 	Retiring  bool   `json:"retiring"`
 	Primaries int    `json:"primaries"`
-	Replicas  int    `json:"replicas"` // held whole, those as the primary included
+	Replicas  int    `json:"replicas"` // complete ones, those as the primary included
 	Joining   int    `json:"joining"`  // being filled
 }
 
@@ -100,7 +100,7 @@
 	Pending uint64
 }
 
-// CoreOf renders what the core and the state machine say.
+// CoreOf returns the core's part of a status, from its state and the state machine's term.
 func CoreOf(s core.Status, term uint64) Core {
 	c := Core{
 		Epoch: s.Epoch, Attached: s.Attached, Durable: s.Durable, Last: s.Last, Committed: s.Committed, Term: term, Leader: s.Leader,
@@ -119,10 +119,10 @@
 	return c
 }
 
-// ConfigOf names the configuration of a state.
+// ConfigOf returns which configuration a state has.
 func ConfigOf(s *state.Snapshot) Config { return Config{Version: s.Version, Sequence: s.Sequence} }
 
-// PlacementOf counts what each store of a placement holds. It is nil if there is none.
+// PlacementOf counts the partitions of each store of a placement. It is nil if there is no placement.
 func PlacementOf(v *wire.StoreView) *Placement {
 	if v == nil {
 		return nil
--- a/control/view/plan.go
+++ b/control/view/plan.go
@@ -2,15 +2,15 @@
 
 import "slices"
 
-// Knowledge is what a proposer knows of the others when it plans.
+// Knowledge is what a proposer knows of the others when it plans a view.
 type Knowledge struct {
 	Alive               func(ID) bool      // it is heard of
-	Joinable            func(ID) bool      // it lives, and has for long enough to be taken in
+	Joinable            func(ID) bool      // it is alive, and has been for long enough to be admitted
 	Connected           func(a, b ID) bool // messages pass between both, both ways
 	Down                func(ID) bool      // it has been unreachable for so long that its vote had better be another's, or nobody's
-	Removable           func(ID) bool      // it has been down for so long that it is better forgotten
-	Leaving             func(ID) bool      // it lives, and is about to end or wishes to be no member any more
-	Dispensable         func(ID) bool      // it wishes to be no member any more, and the others can do without it; nil: none does
+	Removable           func(ID) bool      // it has been down for so long that it is removed
+	Leaving             func(ID) bool      // it is alive, and is about to stop or wants to be no member any more
+	Dispensable         func(ID) bool      // it wants to be no member any more, and the others can do without it; nil: none is
 	Known               []Member           // members that were heard of, whether or not they are of the view
 	MutateImmediateVote bool               // a mutation of tests: a newcomer gets a vote at once
 }
@@ -37,7 +37,7 @@
 	return next, true
 }
 
-// retainChain lists those of the chain that live and are complete, but for those that would part too many of the others.
+// retainChain lists those of the chain that are alive and complete, but for those that would leave too many of the others out.
 func retainChain(current, next *View, knowledge Knowledge, complete func(ID) bool) []ID {
 	var kept []ID
 	for _, id := range current.Chain {
@@ -90,7 +90,7 @@
 	})
 }
 
-// Same says whether a plan would change nothing but to forget learners that are gone.
+// Same reports whether a plan would change nothing but to remove learners.
 func Same(current *View, planned *View) bool {
 	for _, member := range planned.Learners {
 		if _, known := current.Member(member.ID); !known {
@@ -103,12 +103,12 @@
 // Durability is what a chain must have to commit.
 type Durability struct {
 	Copies           int // disks
-	ToleratedZones   int // zones that may be lost: the chain lies in more
+	ToleratedZones   int // zones that may be lost: the chain lies in more of them
 	ToleratedRegions int
 	RegionOf         func(zone string) string
 }
 
-// Met says whether the chain of a view has enough disks, in enough zones and regions.
+// Met reports whether the chain of a view has enough disks, in enough zones and regions.
 func (d Durability) Met(v *View) bool {
 	zones, regions := make(map[string]bool), make(map[string]bool)
 	for _, id := range v.Chain {
@@ -124,7 +124,7 @@
 	return len(zones) > d.ToleratedZones && (d.ToleratedRegions == 0 || len(regions) > d.ToleratedRegions)
 }
 
-// Voters is how many voters bear the losses that are to be borne, if they lie in as many zones.
+// Voters returns how many voters tolerate the losses, if they lie in as many zones.
 func (d Durability) Voters() int {
 	return max(leastVoters, 2*max(d.Copies-1, d.ToleratedZones, d.ToleratedRegions)+1)
 }
--- a/control/view/proposer.go
+++ b/control/view/proposer.go
@@ -30,22 +30,22 @@
 	}
 }
 
-// Prepare is the message of the first phase.
+// Prepare returns the message of the first phase.
 func (p *Proposer) Prepare() *Prepare { return &Prepare{View: p.view, Ballot: p.ballot} }
 
-// Gathering says whether the first phase goes on: promises are waited for.
+// Gathering reports whether the first phase goes on: promises are waited for.
 func (p *Proposer) Gathering() bool { return p.value == nil }
 
-// Awaits says whether a member's promise is waited for.
+// Awaits reports whether a member's promise is waited for.
 func (p *Proposer) Awaits(id ID) bool {
 	_, member := p.view.Member(id)
 	return member && p.Gathering() && p.promises[id] == nil
 }
 
-// Epoch is that of the view whose successor is sought.
+// Epoch returns that of the view whose successor is to be decided.
 func (p *Proposer) Epoch() uint64 { return p.view.Epoch }
 
-// Failed says whether the attempt is lost: another ballot is in the way, or it took too long.
+// Failed reports whether the attempt has failed: another ballot is in the way, or it took longer than AttemptTimeout.
 func (p *Proposer) Failed(now time.Duration) bool {
 	return p.ballot.Less(p.highest) || now-p.started >= AttemptTimeout
 }
@@ -57,10 +57,10 @@
 	return p.view.Majority()
 }
 
-// Highest is the latest ballot that it has heard of.
+// Highest returns the highest ballot that the proposer has seen.
 func (p *Proposer) Highest() Ballot { return p.highest }
 
-// Promised takes an answer of the first phase.
+// Promised handles an answer of the first phase.
 func (p *Proposer) Promised(from ID, promise *Promise) {
 	if promise.Epoch != p.view.Epoch || promise.Ballot != p.ballot {
 		return
@@ -81,7 +81,8 @@
 	}
 }
 
-// Gathered says whether the second phase may begin: a majority has promised, and either everybody that lives, or time is up.
+// Gathered reports whether the second phase may begin: a majority has promised, and either every member that is alive has, or
+// GatherTimeout is over.
 func (p *Proposer) Gathered(now time.Duration, alive func(ID) bool) bool {
 	if p.value != nil || p.votes() < p.quorum() {
 		return false
@@ -162,7 +163,7 @@
 	return holder, holder == 0
 }
 
-// Accepted takes an answer of the second phase. It returns the view once that is decided, and nil before.
+// Accepted handles an answer of the second phase. It returns the view once that is decided, and nil before.
 func (p *Proposer) Accepted(from ID, reply *AcceptReply) *View {
 	if p.value == nil || reply.Epoch != p.view.Epoch || reply.Ballot != p.ballot {
 		return nil
--- a/control/view/view.go
+++ b/control/view/view.go
@@ -11,7 +11,7 @@
 // ID is the identity of a disk, drawn at random when it is first used. Zero is nobody.
 type ID uint64
 
-// String is the identity in hexadecimal.
+// String returns the identity in hexadecimal.
 func (id ID) String() string { return strconv.FormatUint(uint64(id), 16) }
 
 // Member is a process of the core: a disk, and where the process that uses it listens.
@@ -33,10 +33,10 @@
 	Vacant   bool     // nobody can hold the lease as the view is decided
 }
 
-// Voter finds a voter.
+// Voter returns the voter of an identity, if there is one.
 func (v *View) Voter(id ID) (Member, bool) { return find(v.Voters, id) }
 
-// Member finds a voter or a learner.
+// Member returns the voter or learner of an identity, if there is one.
 func (v *View) Member(id ID) (Member, bool) {
 	if member, ok := find(v.Voters, id); ok {
 		return member, true
@@ -44,7 +44,7 @@
 	return find(v.Learners, id)
 }
 
-// Members lists the voters, then the learners.
+// Members returns the voters, then the learners.
 func (v *View) Members() []Member { return slices.Concat(v.Voters, v.Learners) }
 
 func find(members []Member, id ID) (Member, bool) {
@@ -56,10 +56,10 @@
 	return Member{}, false
 }
 
-// Position is a member's place in the chain, -1 if it has none.
+// Position returns a member's index in the chain, 0 at the head, -1 if it is not part of it.
 func (v *View) Position(id ID) int { return slices.Index(v.Chain, id) }
 
-// Head is the first of the chain, zero if there is none.
+// Head returns the first member of the chain, zero if the chain is empty.
 func (v *View) Head() ID {
 	if len(v.Chain) == 0 {
 		return 0
@@ -67,10 +67,10 @@
 	return v.Chain[0]
 }
 
-// Majority is the least number of voters that is more than half of them.
+// Majority returns the least number of voters that is more than half of them.
 func (v *View) Majority() int { return len(v.Voters)/2 + 1 }
 
-// SameVoters says whether both views have the same voters.
+// SameVoters reports whether both views have the same voters, in any order.
 func (v *View) SameVoters(other *View) bool {
 	if len(v.Voters) != len(other.Voters) {
 		return false
@@ -90,7 +90,7 @@
 	Incarnation uint64 // of the proposer: one that has forgotten its ballots in a restart makes others
 }
 
-// Less says whether b comes before other.
+// Less reports whether b comes before other.
 func (b Ballot) Less(other Ballot) bool {
 	if b.Number != other.Number {
 		return b.Number < other.Number
@@ -135,7 +135,8 @@
 	Promised Ballot
 }
 
-// Vote is what a voter has promised and accepted for the successor of the view of Epoch. It must be on disk before it is told.
+// Vote is what a voter has promised and accepted for the successor of the view of Epoch. It must be on disk before an answer leaves that
+// follows from it.
 type Vote struct {
 	Epoch      uint64
 	Promised   Ballot
@@ -143,7 +144,7 @@
 	Accepted   View // epoch zero: none
 }
 
-// Sealed says whether the voter has promised anything for the successor of epoch: then it takes no command of that epoch.
+// Sealed reports whether the voter has promised anything for the successor of epoch: then it takes no command of that epoch.
 func (v *Vote) Sealed(epoch uint64) bool { return v.Epoch == epoch && v.Promised != Ballot{} }
 
 // Prepare promises a ballot, unless a later one is promised. Changed says that the vote must be written before the answer is sent.
