--- a/control/api/api_test.go
+++ b/control/api/api_test.go
@@ -148,7 +148,7 @@
 	require.Contains(t, f.set(400, "7", document(7)), "not above the current version 7")
 
 	require.JSONEq(t, `{"version":5}`, f.set(200, "0", document(5)), "an order that was taken is acknowledged again")
-	require.Contains(t, f.logs.String(), "taken before")
+	require.Contains(t, f.logs.String(), "outcome=duplicate")
 	require.Contains(t, f.logs.String(), "another version is in place")
 }
 
--- a/control/state/result.go
+++ b/control/state/result.go
@@ -25,9 +25,9 @@
 func (o Outcome) String() string {
 	switch o {
 	case OutcomeApplied:
-		return "taken"
+		return "applied"
 	case OutcomeDuplicate:
-		return "taken before"
+		return "duplicate"
 	case OutcomeRefusedVersion:
 		return "another version is in place"
 	case OutcomeInvalid:
@@ -39,7 +39,7 @@
 	case OutcomeMalformed:
 		return "malformed"
 	case OutcomeUnsure:
-		return "too old to tell whether it was taken"
+		return "too old to tell whether it was applied"
 	}
 	return "unknown"
 }
