--- a/control/chain/chain.go
+++ b/control/chain/chain.go
@@ -8,11 +8,13 @@
 
 // Intervals after which a message that may have been lost is sent again.
 const (
-	AttachRetryInterval = 150 * time.Millisecond // of an Attach that no Fill has answered
-	AppendRetryInterval = 250 * time.Millisecond // of entries that the successor does not report as synced
-	GapRetryInterval    = 50 * time.Millisecond  // between two Gaps
+	attachRetryInterval = 150 * time.Millisecond // of an Attach that no Fill has answered
+	gapRetryInterval    = 50 * time.Millisecond  // between two Gaps
 )
 
+// AppendRetryInterval is after how long entries are sent again that the successor does not report as synced.
+const AppendRetryInterval = 250 * time.Millisecond
+
 // MaxUncommitted bounds the commands that are ordered and not committed, in bytes, the newest one apart: a head that has more takes no
 // other. So a message among members, which carries them in one piece, stays under the bound of a frame.
 const MaxUncommitted = 4 << 20
@@ -140,7 +142,7 @@
 // HasUnapplied it is to be called again soon.
 func (c *Chain) Tick(now time.Duration) {
 	c.applyCommitted()
-	if c.configuration.position > 0 && !c.upstream.aligned && !c.configuration.sealed && now-c.upstream.attachSentAt >= AttachRetryInterval {
+	if c.configuration.position > 0 && !c.upstream.aligned && !c.configuration.sealed && now-c.upstream.attachSentAt >= attachRetryInterval {
 		c.sendAttach(now)
 	}
 }
--- a/control/chain/upstream.go
+++ b/control/chain/upstream.go
@@ -76,7 +76,7 @@
 }
 
 func (c *Chain) sendGap(now time.Duration) {
-	if c.upstream.gapSentAt != 0 && now-c.upstream.gapSentAt < GapRetryInterval {
+	if c.upstream.gapSentAt != 0 && now-c.upstream.gapSentAt < gapRetryInterval {
 		return
 	}
 	c.upstream.gapSentAt = now
--- a/control/lease/timing.go
+++ b/control/lease/timing.go
@@ -10,7 +10,7 @@
 }
 
 // DefaultTiming is that of docs/system.md.
-var DefaultTiming = Timing{Duration: DefaultDuration, Margin: DefaultDuration / 10, RenewInterval: DefaultDuration / 4}
+var DefaultTiming = Timing{Duration: defaultDuration, Margin: defaultDuration / 10, RenewInterval: defaultDuration / 4}
 
-// DefaultDuration is how long a voter grants the lease by default.
-const DefaultDuration = 1200 * time.Millisecond
+// defaultDuration is how long a voter grants the lease by default.
+const defaultDuration = 1200 * time.Millisecond
--- a/control/operatorclient/client.go
+++ b/control/operatorclient/client.go
@@ -11,9 +11,9 @@
 
 // Bounds of an order.
 const (
-	DefaultWithin = 30 * time.Second // until an order without a clear answer is given up
-	// RetireWithin bounds how long an order other than a configuration is sent again.
-	RetireWithin = 5 * time.Second
+	defaultWithin = 30 * time.Second // until an order without a clear answer is given up
+	// retireWithin bounds how long an order other than a configuration is sent again.
+	retireWithin = 5 * time.Second
 
 	connectWithin = 500 * time.Millisecond
 	maxAnswer     = 65 << 20 // bytes
@@ -48,7 +48,7 @@
 		}
 	}
 	if options.Within <= 0 {
-		options.Within = DefaultWithin
+		options.Within = defaultWithin
 	}
 	if options.Sleep == nil {
 		options.Sleep = sleep
--- a/control/operatorclient/orders.go
+++ b/control/operatorclient/orders.go
@@ -72,7 +72,7 @@
 	}
 	return c.do(ctx, &call{
 		method: http.MethodPost, path: "/v1/retire/" + url.PathEscape(node) + "/start", body: body,
-		within: min(c.options.Within, RetireWithin),
+		within: min(c.options.Within, retireWithin),
 		accept: func([]byte) error { return nil },
 	})
 }
--- a/control/state/image.go
+++ b/control/state/image.go
@@ -23,8 +23,8 @@
 	checksumSize = 8
 )
 
-// MaxSnapshot bounds an encoded snapshot, in bytes.
-const MaxSnapshot = 256 << 20
+// maxSnapshot bounds an encoded snapshot, in bytes.
+const maxSnapshot = 256 << 20
 
 // Errors of Restore. After any error the machine is as it was.
 var (
@@ -95,7 +95,7 @@
 }
 
 func decodeImage(snapshot []byte) (*image, error) {
-	if len(snapshot) < headSize+checksumSize || len(snapshot) > MaxSnapshot {
+	if len(snapshot) < headSize+checksumSize || len(snapshot) > maxSnapshot {
 		return nil, fmt.Errorf("%w: %d bytes", ErrDamaged, len(snapshot))
 	}
 	body, sum := snapshot[:len(snapshot)-checksumSize], snapshot[len(snapshot)-checksumSize:]
--- a/control/view/proposer.go
+++ b/control/view/proposer.go
@@ -33,13 +33,13 @@
 // Prepare returns the message of the first phase.
 func (p *Proposer) Prepare() *Prepare { return &Prepare{View: p.view, Ballot: p.ballot} }
 
-// Gathering reports whether the first phase goes on: promises are waited for.
-func (p *Proposer) Gathering() bool { return p.value == nil }
+// gathering reports whether the first phase goes on: promises are waited for.
+func (p *Proposer) gathering() bool { return p.value == nil }
 
 // Awaits reports whether a member's promise is waited for.
 func (p *Proposer) Awaits(id ID) bool {
 	_, member := p.view.Member(id)
-	return member && p.Gathering() && p.promises[id] == nil
+	return member && p.gathering() && p.promises[id] == nil
 }
 
 // Epoch returns that of the view whose successor is to be decided.
