--- a/control/plane/plane.go
+++ b/control/plane/plane.go
@@ -1,11 +1,10 @@
-// Package plane assembles the control plane's part of a process: the replicated core, and the leader service that runs on the one that
-// holds the leader lease. Control processes run it, and stores where too few control processes have a disk.
 package plane
 
 import (
 	"context"
 	"log/slog"
 	"net"
+	"sync"
 	"time"
 
 	"ravendale/cluster/rpc"
@@ -18,8 +17,8 @@
 
 // Listening is tried again for a while: the process before this one may still hold the address.
 const (
-	listenFor   = 3 * time.Second
-	listenPause = 50 * time.Millisecond
+	listenTimeout       = 3 * time.Second
+	listenRetryInterval = 50 * time.Millisecond
 )
 
 // Config of a Plane.
@@ -34,12 +33,13 @@
 type Plane struct {
 	config  Config
 	mux     *rpc.Mux
-	Machine *state.Machine
-	Core    *core.Core
-	Leader  *leader.Service
+	answers sync.WaitGroup  // answers of this process's status that are worked out
+	Machine *state.Machine  // what the core's members apply
+	Core    *core.Core      // the replicated core's member, or its client where there is no disk
+	Leader  *leader.Service // runs while this process holds the leader lease
 }
 
-// Open reads the disk, if there is one. Nothing else happens before Run.
+// Open reads the disk, if there is one, and assembles the plane. Nothing runs before Run.
 func Open(config Config) (*Plane, error) {
 	p := &Plane{config: config, mux: rpc.NewMux(), Machine: state.NewMachine()}
 	own := *config.Settings
@@ -57,30 +57,34 @@
 		Settings: config.Settings, Mux: p.mux, Log: config.Log, Hosting: newHosting(p.config.Settings, opened, config.Log),
 		Submit: opened.Submit, State: p.Machine.Current, Leader: opened.Leader, Core: opened.Addresses,
 	})
-	rpc.Handle(p.mux, wire.MethodStatus, p.serveStatus)
 	return p, nil
 }
 
 // Run listens for other processes and takes part in the core until the context ends.
 func (p *Plane) Run(ctx context.Context) error {
+	answering, stop := context.WithCancel(context.Background()) // it outlives ctx: a member that leaves still answers
+	defer stop()
+	rpc.Handle(p.mux, wire.MethodStatus, func(_ *rpc.Conn, _ *statusRequest, reply rpc.Reply) { p.serveStatus(answering, reply) })
 	s := p.config.Settings
-	server, err := Again(func() (*rpc.Server, error) {
+	server, err := RetryListen(func() (*rpc.Server, error) {
 		return rpc.Listen(s.ControlAddress(s.IP), rpc.Options{Mux: p.mux}, nil)
 	})
 	if err != nil {
 		return err
 	}
-	defer server.Close()
 	p.Core.Run(ctx)
+	server.Close()
+	stop()
+	p.answers.Wait()
 	return nil
 }
 
-// SetSettings gives the plane settings that were read again.
+// SetSettings replaces the settings by those that were read again.
 func (p *Plane) SetSettings(s *settings.Settings) { p.Leader.SetSettings(s) }
 
-// Again tries to listen until it works, or until some time has passed.
-func Again[T any](listen func() (T, error)) (T, error) {
-	for deadline := time.Now().Add(listenFor); ; time.Sleep(listenPause) {
+// RetryListen calls listen until it succeeds, for listenTimeout at most: the process before this one may still have the address.
+func RetryListen[T any](listen func() (T, error)) (T, error) {
+	for deadline := time.Now().Add(listenTimeout); ; time.Sleep(listenRetryInterval) {
 		listener, err := listen()
 		if err == nil || time.Now().After(deadline) {
 			return listener, err
