--- a/cluster/catalog/catalog.go
+++ b/cluster/catalog/catalog.go
@@ -1,7 +1,3 @@
-// Package catalog is the operator's configuration: the routes that requests come by, the services that they go to, and limits.
-// It reads and checks whole configurations and changes of single items, and finds the route of a request.
-//
-// What the operator sent is kept as sent: fields that are not known here stay, and numbers are not written anew.
 package catalog
 
 import "encoding/json"
--- a/cluster/member/agent.go
+++ b/cluster/member/agent.go
@@ -1,5 +1,3 @@
-// Package member is the agent that each scheduler and store runs: it holds the process's lease of membership at the leader,
-// takes part in the relay tree, and gives the process the newest state of all topics as immutable snapshots.
 package member
 
 import (
--- a/cluster/program/program.go
+++ b/cluster/program/program.go
@@ -1,4 +1,3 @@
-// Package program has what the processes of the system share at their start and end: arguments, logs, settings and signals.
 package program
 
 import (
--- a/cluster/relay/delta/delta.go
+++ b/cluster/relay/delta/delta.go
@@ -1,5 +1,3 @@
-// Package delta says how one byte string becomes another, in fewer bytes where they have much in common. It knows nothing of
-// what the bytes mean.
 package delta
 
 //go:generate go run github.com/tinylib/msgp -file delta.go -o delta_gen.go -tests=false
--- a/cluster/relay/tree.go
+++ b/cluster/relay/tree.go
@@ -1,6 +1,3 @@
-// Package relay brings updates of the topics from the leader to all processes, along a tree of schedulers with a bounded
-// fan-out. Its parts are pure but for Node: Parents shapes the tree, Topics holds the newest versions, Children and Uplink are
-// a process's two sides in the tree.
 package relay
 
 import "ravendale/cluster/wire"
--- a/cluster/rpc/conn.go
+++ b/cluster/rpc/conn.go
@@ -1,5 +1,3 @@
-// Package rpc carries typed messages between processes: msgpack bodies in length-prefixed frames over TCP. Both ends of a
-// connection may call. It resolves no names, retries nothing and chooses no peers: who talks to whom is settled above it.
 package rpc
 
 import (
--- a/cluster/settings/settings.go
+++ b/cluster/settings/settings.go
@@ -1,5 +1,3 @@
-// Package settings reads the settings file of a process: lines of the form a.b=value, lists separated by commas. Fields that it
-// does not know are ignored.
 package settings
 
 import (
--- a/control/discovery/list.go
+++ b/control/discovery/list.go
@@ -1,5 +1,3 @@
-// Package discovery reads the platform's list of workers: all pages, within the rate that the platform allows, and no oftener
-// than the bound on drains needs.
 package discovery
 
 import (
--- a/control/leader/leader.go
+++ b/control/leader/leader.go
@@ -1,5 +1,3 @@
-// Package leader is what the holder of the leader lease does: it grants leases of membership, reads the platform's list, places the
-// queue, and feeds the relay tree. Of each process there is one Service, which leads in one term after another.
 package leader
 
 import (
--- a/control/placement/placement.go
+++ b/control/placement/placement.go
@@ -1,5 +1,3 @@
-// Package placement decides on which stores the partitions of the queue lie. It is pure: the agreed view and the stores that
-// live go in, the next view comes out.
 package placement
 
 import (
--- a/control/registry/registry.go
+++ b/control/registry/registry.go
@@ -1,5 +1,3 @@
-// Package registry is the leader's table of membership leases: who holds one, which stores live, and what the topic of members
-// says. It is pure: time and events go in; it starts nothing and reads no clock.
 package registry
 
 import (
