--- a/control/placement/compat_test.go
+++ b/control/placement/compat_test.go
@@ -20,57 +20,77 @@
 	return int(uint64(*s)>>33) % n
 }
 
+// machines are the stores of a played system.
+type machines [9]struct {
+	disk                   int
+	down, leaving, stalled bool
+}
+
+// disturb has something happen to a machine, or all of them come back.
+func (m *machines) disturb(random *sequence) {
+	switch at := &m[random.below(len(m))]; random.below(8) {
+	case 0:
+		at.down = true
+	case 1:
+		at.down, at.leaving = false, false
+	case 2:
+		at.disk, at.down = at.disk+1, false
+	case 3:
+		at.leaving = !at.leaving
+	case 4:
+		at.stalled = !at.stalled
+	case 5:
+		for i := range m {
+			m[i].down, m[i].leaving, m[i].stalled = false, false, false
+		}
+	}
+}
+
+// live lists the stores that are up. Most of those that are joining a partition say that they hold it completely.
+func (m *machines) live(view *wire.StoreView, random *sequence) []Store {
+	var live []Store
+	for i, machine := range m {
+		if machine.down {
+			continue
+		}
+		s := Store{
+			Disk: fmt.Sprintf("disk-%d-%d", i, machine.disk), Node: fmt.Sprintf("node-%d", i), Address: fmt.Sprintf("10.0.0.%d:1", i),
+			Zone: fmt.Sprintf("zone-%d", i%3), Region: fmt.Sprintf("region-%d", i%2),
+			Leaving: machine.leaving, Stalled: machine.stalled, Assumed: random.below(12) == 0,
+		}
+		if view != nil {
+			s.Epoch, s.Synced = view.Epoch, syncedIn(view, s.Disk, random)
+		}
+		live = append(live, s)
+	}
+	return live
+}
+
+func syncedIn(view *wire.StoreView, disk string, random *sequence) []uint16 {
+	var synced []uint16
+	for i, p := range view.Partitions {
+		for _, joining := range p.Joining {
+			if view.Stores[joining].Disk == disk && random.below(3) > 0 {
+				synced = append(synced, uint16(i))
+			}
+		}
+	}
+	return synced
+}
+
 // plannedViews plays a long series of losses, returns, lost disks and retirements, and lists each view that was planned: its epoch, its size
 // and the hash of its bytes.
 func plannedViews(t *testing.T, config Config, seed uint64) []byte {
 	t.Helper()
-	const machines = 9
 	random := sequence(seed)
 	var log bytes.Buffer
 	var view *wire.StoreView
-	disks := make([]int, machines)
-	down := make([]bool, machines)
-	leaving := make([]bool, machines)
-	stalled := make([]bool, machines)
+	var system machines
 	for step := range 400 {
-		switch m := random.below(machines); random.below(8) {
-		case 0:
-			down[m] = true
-		case 1:
-			down[m], leaving[m] = false, false
-		case 2:
-			disks[m], down[m] = disks[m]+1, false
-		case 3:
-			leaving[m] = !leaving[m]
-		case 4:
-			stalled[m] = !stalled[m]
-		case 5:
-			clear(down)
-			clear(leaving)
-			clear(stalled)
-		}
-		var live []Store
-		for m := range machines {
-			if down[m] {
-				continue
-			}
-			s := Store{
-				Disk: fmt.Sprintf("disk-%d-%d", m, disks[m]), Node: fmt.Sprintf("node-%d", m), Address: fmt.Sprintf("10.0.0.%d:1", m),
-				Zone: fmt.Sprintf("zone-%d", m%3), Region: fmt.Sprintf("region-%d", m%2), Leaving: leaving[m], Stalled: stalled[m], Assumed: random.below(12) == 0,
-			}
-			if view != nil {
-				s.Epoch = view.Epoch
-				for i, p := range view.Partitions {
-					for _, joining := range p.Joining {
-						if view.Stores[joining].Disk == s.Disk && random.below(3) > 0 {
-							s.Synced = append(s.Synced, uint16(i))
-						}
-					}
-				}
-			}
-			live = append(live, s)
-		}
-		if next, known, enough := Retire(view, live, config, fmt.Sprintf("node-%d", random.below(machines))); random.below(25) == 0 {
+		system.disturb(&random)
+		live := system.live(view, &random)
+		node := fmt.Sprintf("node-%d", random.below(len(system)))
+		if next, known, enough := Retire(view, live, config, node); random.below(25) == 0 {
 			fmt.Fprintf(&log, "%d retire %v %v\n", step, known, enough)
 			if enough {
 				view = next
