--- a/cluster/catalog/findings.go
+++ b/cluster/catalog/findings.go
@@ -14,7 +14,7 @@
 	Reason string `json:"reason"`
 }
 
-// String is the place and the reason, as the log has them.
+// String gives the place and the reason.
 func (f Finding) String() string { return f.Place + ": " + f.Reason }
 
 // Findings are all things that were found wrong.
--- a/control/chain/commit.go
+++ b/control/chain/commit.go
@@ -40,7 +40,7 @@
 		c.upstream.attached = true
 		c.answerDeferredAttach(now)
 	}
-	c.forward(now)
+	c.forward()
 	if c.upstream.attached && c.configuration.isTail() && c.configuration.durable {
 		c.commit(c.log.synced)
 	}
--- a/control/plane/plane_test.go
+++ b/control/plane/plane_test.go
@@ -8,6 +8,7 @@
 	"testing"
 	"time"
 
+	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
 	"ravendale/cluster/settings"
@@ -15,6 +16,7 @@
 	"ravendale/control/core"
 	"ravendale/control/leader"
 	"ravendale/control/state"
+	"ravendale/test/diskfolder"
 )
 
 const (
@@ -62,7 +64,7 @@
 	go func() { ended <- opened.Run(ctx) }()
 	s.Cleanup(func() {
 		cancel()
-		<-ended
+		assert.NoError(s, <-ended)
 	})
 	return opened
 }
@@ -75,7 +77,7 @@
 
 func (s *site) openStores(count int) {
 	for i := range count {
-		s.stores = append(s.stores, s.open(storeIP(i), s.TempDir(), true))
+		s.stores = append(s.stores, s.open(storeIP(i), diskfolder.New(s), true))
 	}
 }
 
@@ -152,7 +154,7 @@
 	s := newSite(t)
 	s.lost = 2
 	for i := range 4 {
-		s.controls = append(s.controls, s.open(controlIP(i), s.TempDir(), false))
+		s.controls = append(s.controls, s.open(controlIP(i), diskfolder.New(s), false))
 	}
 	var leading *Plane
 	require.Eventually(t, func() bool {
--- a/control/registry/registry.go
+++ b/control/registry/registry.go
@@ -107,7 +107,8 @@
 
 // Renew takes a renewal that came over a connection, and returns the lease granted; zero if none is.
 func (r *Registry) Renew(now time.Duration, link uint64, renew *wire.Renew) (time.Duration, Changes) {
-	changes := r.shiftDeadlines(now)
+	r.shiftDeadlines(now)
+	var changes Changes
 	id := renew.Member.ID
 	if id == "" || r.replaced[id] {
 		return 0, changes
@@ -168,7 +169,8 @@
 // Disconnected tells that a connection ended. A store whose last renewal came over it must renew soon. A scheduler has its lease, by which
 // it may act, to the end.
 func (r *Registry) Disconnected(now time.Duration, link uint64) Changes {
-	changes := r.shiftDeadlines(now)
+	r.shiftDeadlines(now)
+	var changes Changes
 	for id, known := range r.entries {
 		if known.link != link || link == 0 {
 			continue
@@ -188,7 +190,8 @@
 
 // Tick drops who did not renew in time.
 func (r *Registry) Tick(now time.Duration) Changes {
-	changes := r.shiftDeadlines(now)
+	r.shiftDeadlines(now)
+	var changes Changes
 	for id, known := range r.entries {
 		if now >= known.deadline {
 			changes.add(r.drop(id))
@@ -205,9 +208,9 @@
 }
 
 // shiftDeadlines gives all the time back during which the leader itself stood still: renewals may lie unread.
-func (r *Registry) shiftDeadlines(now time.Duration) Changes {
+func (r *Registry) shiftDeadlines(now time.Duration) {
 	if len(r.entries) == 0 || now <= r.next+lateness {
-		return Changes{}
+		return
 	}
 	late := now - r.next
 	for _, known := range r.entries {
@@ -215,7 +218,6 @@
 		known.deadline = max(known.deadline, now+r.config.Reconnect)
 	}
 	r.schedule()
-	return Changes{}
 }
 
 func (r *Registry) schedule() {
