--- a/cluster/relay/mailbox/mailbox.go
+++ b/cluster/relay/mailbox/mailbox.go
@@ -1,5 +1,3 @@
-// Package mailbox brings events from many goroutines to the one that handles them, in order. Posting never waits, so it may be
-// done from any callback.
 package mailbox
 
 import (
@@ -93,9 +91,9 @@
 	}
 }
 
-func pause(wanted time.Duration) time.Duration {
-	if wanted <= 0 {
+func pause(requested time.Duration) time.Duration {
+	if requested <= 0 {
 		return idle
 	}
-	return wanted
+	return requested
 }
--- a/control/leader/leader.go
+++ b/control/leader/leader.go
@@ -1,5 +1,3 @@
-// Package leader is what the holder of the leader lease does: it grants leases of membership, reads the platform's list, places the
-// queue, and feeds the relay tree. Of each process there is one Service, which leads in one term after another.
 package leader
 
 import (
@@ -168,10 +166,10 @@
 // placementConfig follows from what may be lost.
 func placementConfig(s *settings.Settings) placement.Config {
 	return placement.Config{
-		Copies:     1 + max(s.LostNodes, s.LostZones, s.LostRegions),
+		Copies:     1 + max(s.ToleratedNodes, s.ToleratedZones, s.ToleratedRegions),
 		Partitions: placement.DefaultPartitions,
-		Zones:      s.LostZones > 0,
-		Regions:    s.LostRegions > 0,
+		Zones:      s.ToleratedZones > 0,
+		Regions:    s.ToleratedRegions > 0,
 	}
 }
 
