--- a/cmd/ravendale-edge/edge_test.go
+++ b/cmd/ravendale-edge/edge_test.go
@@ -43,7 +43,7 @@
 
 type rigStore struct {
 	settings *settings.Settings
-	store    *store.Store
+	store    *server.Store
 	server   *rpc.Server
 	disk     string
 	ended    sync.Once
@@ -150,10 +150,10 @@
 }
 
 func (r *rig) startStore(s *settings.Settings, address string) *rigStore {
-	disk, err := store.Identity(s.DataDir)
+	disk, err := server.Identity(s.DataDir)
 	require.NoError(r.t, err)
 	mux := rpc.NewMux()
-	opened, err := store.Open(store.Config{Settings: s, Disk: disk, Mux: mux, Failed: func(error) {}, Log: r.log})
+	opened, err := server.Open(server.Config{Settings: s, Disk: disk, Mux: mux, Failed: func(error) {}, Log: r.log})
 	require.NoError(r.t, err)
 	server, err := rpc.Listen(address, rpc.Options{Mux: mux}, func(c *rpc.Conn) {
 		c.OnClose(func(error) { go opened.Closed(c) })
--- a/cmd/ravendale-store/process.go
+++ b/cmd/ravendale-store/process.go
@@ -29,7 +29,7 @@
 type process struct {
 	env    program.Environment
 	mux    *rpc.Mux
-	store  *store.Store
+	store  *server.Store
 	agent  *member.Agent
 	core   *coreHost
 	failed chan error
@@ -38,7 +38,7 @@
 func newProcess(ctx context.Context, env program.Environment) (*process, error) {
 	s := env.Settings
 	p := &process{env: env, mux: rpc.NewMux(), failed: make(chan error, 1)}
-	opened, disk, err := store.OpenDisk(ctx, store.Config{
+	opened, disk, err := server.OpenDisk(ctx, server.Config{
 		Settings: s, Mux: p.mux, Log: env.Log, StatusChanged: func() { p.agent.RenewNow() }, Failed: p.fail,
 	})
 	if err != nil {
--- a/cmd/ravendalectl/internal/disks/disks_test.go
+++ b/cmd/ravendalectl/internal/disks/disks_test.go
@@ -231,7 +231,7 @@
 func writeStore(t *testing.T) string {
 	t.Helper()
 	dir := t.TempDir()
-	_, err := store.Identity(dir)
+	_, err := server.Identity(dir)
 	require.NoError(t, err)
 	kept, err := journal.Open(filepath.Join(dir, journalFolder), journal.Options{SegmentBytes: 240}, func(journal.Location, []byte) error { return nil })
 	require.NoError(t, err)
@@ -263,7 +263,7 @@
 	report := inspect(t, dir)
 	require.Empty(t, report.Damage)
 	require.Len(t, report.Files, 3)
-	disk, err := store.Identity(dir)
+	disk, err := server.Identity(dir)
 	require.NoError(t, err)
 	require.Equal(t, &Store{
 		Disk: disk, Epoch: 7, Pending: 2, Done: 1, Dead: 1,
--- a/store/journal/journal.go
+++ b/store/journal/journal.go
@@ -28,21 +28,20 @@
 	DefaultSegmentBytes = 8 << 20
 	MaxRecord           = 48 << 20 // bytes of one record
 
-	recordHeader  = 4 + 4 // length and checksum of the payload
-	segmentHeader = 8 + 4 // magic, number
-	magic         = "rvnjrnl1"
-	suffix        = ".journal"
-	keptBuffer    = 256 << 10              // larger buffers are given back after use
-	roomPause     = 100 * time.Millisecond // a disk without room is tried again
-	readGuess     = 2 << 10                // bytes read in the hope that they hold a record whole
-	scanBuffer    = 64 << 10
+	recordHeader      = 4 + 4 // length and checksum of the payload
+	segmentHeader     = 8 + 4 // magic, number
+	magic             = "rvnjrnl1"
+	suffix            = ".journal"
+	maxSpareBuffer    = 256 << 10              // larger buffers are given back after use
+	fullRetryInterval = 100 * time.Millisecond // a disk without room is tried again
+	readAhead         = 2 << 10                // bytes read in the hope that they hold a record whole
+	scanBuffer        = 64 << 10
 )
 
 // Errors of a journal.
 var (
-	ErrClosed  = errors.New("journal: closed")
-	ErrDamaged = errors.New("journal: damaged record")
-	ErrGone    = errors.New("journal: no such record")
+	ErrDamaged  = errors.New("journal: damaged record")
+	ErrNotFound = errors.New("journal: no such record")
 )
 
 var checksums = crc32.MakeTable(crc32.Castagnoli)
@@ -75,7 +74,7 @@
 	remove  []uint32 // segments to remove once all before is on disk
 }
 
-func (c *chunk) holds(at Location) bool {
+func (c *chunk) contains(at Location) bool {
 	return c.segment == at.Segment && at.Offset >= c.offset && at.Offset < c.offset+uint32(len(c.data))
 }
 
@@ -351,7 +350,7 @@
 	file := j.files[at.Segment]
 	j.mu.Unlock()
 	if file == nil {
-		return nil, fmt.Errorf("%w: segment %d", ErrGone, at.Segment)
+		return nil, fmt.Errorf("%w: segment %d", ErrNotFound, at.Segment)
 	}
 	return readRecord(file, at)
 }
@@ -360,7 +359,7 @@
 	for _, list := range [][]chunk{j.queued, j.writing} {
 		for i := range list {
 			c := &list[i]
-			if !c.holds(at) {
+			if !c.contains(at) {
 				continue
 			}
 			data := c.data[at.Offset-c.offset:]
@@ -372,13 +371,13 @@
 }
 
 func readRecord(file *os.File, at Location) ([]byte, error) {
-	buffer := make([]byte, readGuess)
+	buffer := make([]byte, readAhead)
 	n, err := file.ReadAt(buffer, int64(at.Offset))
 	if err != nil && err != io.EOF {
 		return nil, fmt.Errorf("journal: segment %d: %w", at.Segment, err)
 	}
 	if n < recordHeader {
-		return nil, fmt.Errorf("%w: segment %d at byte %d", ErrGone, at.Segment, at.Offset)
+		return nil, fmt.Errorf("%w: segment %d at byte %d", ErrNotFound, at.Segment, at.Offset)
 	}
 	size, sum := int(binary.BigEndian.Uint32(buffer)), binary.BigEndian.Uint32(buffer[4:])
 	if size == 0 || size > MaxRecord {
@@ -440,14 +439,14 @@
 	j.queued, j.writing = nil, chunks
 	j.mu.Unlock()
 	for i := range chunks {
-		if err := j.writeInTime(&chunks[i]); err != nil {
+		if err := j.writeRetryingFull(&chunks[i]); err != nil {
 			j.fail(err)
 			return false
 		}
 	}
 	j.mu.Lock()
 	j.writing = nil
-	if n := len(chunks); n > 0 && cap(chunks[n-1].data) <= keptBuffer {
+	if n := len(chunks); n > 0 && cap(chunks[n-1].data) <= maxSpareBuffer {
 		j.spare = chunks[n-1].data
 	}
 	j.mu.Unlock()
@@ -466,20 +465,20 @@
 	}
 }
 
-// writeInTime writes a chunk once there is room for it. The whole chunk is written anew then: nothing of it has been synced.
-func (j *Journal) writeInTime(c *chunk) error {
-	for told := false; ; told = true {
+// writeRetryingFull writes a chunk once there is room for it. The whole chunk is written anew then: nothing of it has been synced.
+func (j *Journal) writeRetryingFull(c *chunk) error {
+	for reported := false; ; reported = true {
 		err := j.write(c)
 		if !errors.Is(err, unix.ENOSPC) {
 			return err
 		}
-		if !told && j.options.OnFull != nil {
+		if !reported && j.options.OnFull != nil {
 			j.options.OnFull()
 		}
 		select {
 		case <-j.stop:
 			return err
-		case <-time.After(roomPause):
+		case <-time.After(fullRetryInterval):
 		}
 	}
 }
--- a/store/journal/journal_test.go
+++ b/store/journal/journal_test.go
@@ -175,13 +175,13 @@
 	oldest, _ = j.Segments()
 	assert.EqualValues(t, 3, oldest)
 	_, err := j.Read(places[0])
-	assert.ErrorIs(t, err, ErrGone)
+	assert.ErrorIs(t, err, ErrNotFound)
 	used := j.Used()
 	require.NoError(t, j.Close())
 	assert.Equal(t, sizeOf(t, dir), used)
 }
 
-func TestDiskErrorIsToldAndNothingIsSyncedAfterIt(t *testing.T) {
+func TestDiskErrorIsReportedAndNothingIsSyncedAfterIt(t *testing.T) {
 	failed := make(chan error, 1)
 	j, err := Open(t.TempDir(), Options{
 		OnError: func(err error) { failed <- err },
@@ -206,15 +206,15 @@
 }
 
 // A disk without room is no failure: what was appended waits, is read as before, and is on disk once there is room.
-func TestRecordsWaitForRoom(t *testing.T) {
+func TestRecordsWaitForDiskSpace(t *testing.T) {
 	dir := t.TempDir()
 	var full atomic.Bool
 	refused := make(chan struct{}, 100)
 	synced := make(chan uint64, 100)
-	told := make(chan struct{}, 100)
+	reported := make(chan struct{}, 100)
 	options := Options{
 		SegmentBytes: 200,
-		OnFull:       func() { told <- struct{}{} },
+		OnFull:       func() { reported <- struct{}{} },
 		OnSync:       func(position uint64) { synced <- position },
 		OnError:      func(err error) { t.Error(err) },
 		write: func(file *os.File, data []byte, at int64) error {
@@ -241,7 +241,7 @@
 	<-refused
 	<-refused
 	require.Empty(t, synced, "nothing is called synced")
-	require.Len(t, told, 1)
+	require.Len(t, reported, 1)
 	full.Store(false)
 	await(t, synced, j.Position())
 	require.NoError(t, j.Close())
@@ -250,7 +250,7 @@
 	require.NoError(t, again.Close())
 }
 
-func TestAJournalWithoutRoomCanBeClosed(t *testing.T) {
+func TestAJournalOnAFullDiskCanBeClosed(t *testing.T) {
 	refused := make(chan struct{}, 100)
 	options := Options{OnError: func(error) {}, write: func(*os.File, []byte, int64) error {
 		refused <- struct{}{}
--- a/store/server/compat_test.go
+++ b/store/server/compat_test.go
@@ -1,4 +1,4 @@
-package store
+package server
 
 import (
 	"os"
--- a/store/server/damage.go
+++ b/store/server/damage.go
@@ -1,4 +1,4 @@
-package store
+package server
 
 import (
 	"context"
@@ -15,37 +15,37 @@
 )
 
 const (
-	roomPause     = 200 * time.Millisecond // a disk without room is tried again
-	damagedFolder = "damaged"              // what was set aside
-	damagedPart   = 8                      // it may take one in so many bytes of the disk
+	fullRetryInterval = 200 * time.Millisecond // a disk without room is tried again
+	damagedFolder     = "damaged"              // what was set aside
+	damagedShare      = 8                      // it may take one in so many bytes of the disk
 )
 
 // OpenDisk opens the store of a disk, and names the disk's identity. A disk whose journal is damaged is taken for an empty one with a
 // new identity: the other replicas fill it. What was there is kept beside it, as far as there is room. A disk without room is waited for.
 func OpenDisk(ctx context.Context, config Config) (s *Store, disk string, err error) {
-	for told := false; ; told = true {
-		s, disk, err = openOrBeginAnew(config)
+	for reported := false; ; reported = true {
+		s, disk, err = openOrReplace(config)
 		if !errors.Is(err, unix.ENOSPC) {
 			return s, disk, err
 		}
-		if !told {
+		if !reported {
 			logger(&config).Warn("the disk has no room: the store waits for it", "error", err)
 		}
 		select {
 		case <-ctx.Done():
 			return nil, "", err
-		case <-time.After(roomPause):
+		case <-time.After(fullRetryInterval):
 		}
 	}
 }
 
-func openOrBeginAnew(config Config) (s *Store, disk string, err error) {
+func openOrReplace(config Config) (s *Store, disk string, err error) {
 	s, disk, err = openDisk(config)
 	if !errors.Is(err, journal.ErrDamaged) {
 		return s, disk, err
 	}
 	logger(&config).Error("the journal is damaged: the store begins anew with an empty disk", "lost", disk, "error", err)
-	if err := setAside(config.Settings.DataDir, int64(config.Settings.DiskMb)<<20/damagedPart); err != nil {
+	if err := quarantine(config.Settings.DataDir, int64(config.Settings.DiskMb)<<20/damagedShare); err != nil {
 		return nil, "", err
 	}
 	return openDisk(config)
@@ -61,9 +61,9 @@
 	return s, disk, err
 }
 
-// setAside moves the journal out of the way, cut to its newest segments within a limit in bytes. The identity goes first: with it an
+// quarantine moves the journal out of the way, cut to its newest segments within a limit in bytes. The identity goes first: with it an
 // empty journal would be taken for all that the disk ever had.
-func setAside(dir string, limit int64) error {
+func quarantine(dir string, limit int64) error {
 	from, to := filepath.Join(dir, journalFolder), filepath.Join(dir, damagedFolder)
 	if err := os.Remove(filepath.Join(dir, identityFile)); err != nil && !errors.Is(err, os.ErrNotExist) {
 		return fmt.Errorf("store: identity of a damaged disk: %w", err)
@@ -74,7 +74,7 @@
 	if err := os.RemoveAll(to); err != nil {
 		return fmt.Errorf("store: what was set aside before: %w", err)
 	}
-	if err := cutFolder(from, limit); err != nil {
+	if err := trimFolder(from, limit); err != nil {
 		return err
 	}
 	if err := os.Rename(from, to); err != nil {
@@ -83,8 +83,8 @@
 	return journal.SyncFolder(dir)
 }
 
-// cutFolder removes the files that come first by name, until the rest is within a limit in bytes. Zero: no limit.
-func cutFolder(dir string, limit int64) error {
+// trimFolder removes the files that come first by name, until the rest is within a limit in bytes. Zero: no limit.
+func trimFolder(dir string, limit int64) error {
 	entries, err := os.ReadDir(dir)
 	if err != nil {
 		return fmt.Errorf("store: %w", err)
@@ -106,8 +106,8 @@
 	return journal.SyncFolder(dir)
 }
 
-// asideBytes is the size of what was set aside.
-func asideBytes(dir string) (size int64) {
+// quarantinedBytes is the size of what was set aside.
+func quarantinedBytes(dir string) (size int64) {
 	entries, err := os.ReadDir(filepath.Join(dir, damagedFolder))
 	if err != nil {
 		return 0
--- a/store/server/identity.go
+++ b/store/server/identity.go
@@ -1,4 +1,4 @@
-package store
+package server
 
 import (
 	"crypto/rand"
@@ -24,7 +24,7 @@
 	} else if !errors.Is(err, os.ErrNotExist) {
 		return "", fmt.Errorf("store: %w", err)
 	}
-	return drawIdentity(dir, path)
+	return newIdentity(dir, path)
 }
 
 const identityLength = 26 // of rand.Text
@@ -32,7 +32,7 @@
 // validIdentity says whether a file's content is whole: it was not, if the power failed when it was written first.
 func validIdentity(id string) bool { return len(id) == identityLength }
 
-func drawIdentity(dir, path string) (string, error) {
+func newIdentity(dir, path string) (string, error) {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return "", fmt.Errorf("store: %w", err)
 	}
--- a/store/server/store.go
+++ b/store/server/store.go
@@ -1,5 +1,5 @@
-// Package store runs a queue.Core as a process: journal, clock, connections to edges and to other stores.
-package store
+// Package server runs a queue.Core as a process: journal, clock, connections to edges and to other stores.
+package server
 
 import (
 	"errors"
@@ -21,11 +21,11 @@
 const (
 	journalFolder   = "journal"
 	bytesPerMessage = 500 // of memory, with all that goes along with a message
-	memoryPart      = 2   // messages in memory may take one in so many bytes of the process's limit
-	leastSegment    = 1 << 20
-	segmentsOfDisk  = 45
-	remembered      = 5 * time.Second // beyond the bound of the rules
-	connectWithin   = 300 * time.Millisecond
+	memoryShare     = 2   // messages in memory may take one in so many bytes of the process's limit
+	minSegmentBytes = 1 << 20
+	segmentsPerDisk = 45
+	retentionMargin = 5 * time.Second // beyond the bound of the rules
+	connectTimeout  = 300 * time.Millisecond
 )
 
 // Config of a Store.
@@ -44,13 +44,13 @@
 	started time.Time
 	journal *journal.Journal
 
-	mu       sync.Mutex // guards the core and all below
-	core     *queue.Core
-	timer    *time.Timer
-	links    map[string]*rpc.Link // by disk
-	notified bool                 // StatusChanged is to be called once the lock is free
-	failure  error
-	closed   bool
+	mu            sync.Mutex // guards the core and all below
+	core          *queue.Core
+	timer         *time.Timer
+	links         map[string]*rpc.Link // by disk
+	statusChanged bool                 // StatusChanged is to be called once the lock is free
+	failure       error
+	closed        bool
 }
 
 // Open reads the store's journal and registers its handlers. The store takes part in nothing before SetView.
@@ -81,17 +81,17 @@
 	s := config.Settings
 	return queue.Config{
 		Disk: config.Disk, Zone: s.Zone, Copies: s.Copies(),
-		FinishedRetention: settings.Seconds(s.Bounds.StatusS) + remembered,
-		DiskBytes:         max(int64(s.DiskMb)<<20-asideBytes(s.DataDir), 0),
-		MaxMessages:       s.MemoryMb << 20 / memoryPart / bytesPerMessage,
+		FinishedRetention: settings.Seconds(s.Bounds.StatusS) + retentionMargin,
+		DiskBytes:         max(int64(s.DiskMb)<<20-quarantinedBytes(s.DataDir), 0),
+		MaxMessages:       s.MemoryMb << 20 / memoryShare / bytesPerMessage,
 		Log:               config.Log,
 	}
 }
 
 func (s *Store) recover() error {
-	options := journal.Options{OnSync: s.synced, OnError: s.fail, OnFull: s.full}
+	options := journal.Options{OnSync: s.onSync, OnError: s.fail, OnFull: s.onDiskFull}
 	if s.config.Settings.DiskMb > 0 {
-		options.SegmentBytes = min(max(s.config.Settings.DiskMb<<20/segmentsOfDisk, leastSegment), journal.DefaultSegmentBytes)
+		options.SegmentBytes = min(max(s.config.Settings.DiskMb<<20/segmentsPerDisk, minSegmentBytes), journal.DefaultSegmentBytes)
 	}
 	dir := filepath.Join(s.config.Settings.DataDir, journalFolder)
 	j, err := journal.Open(dir, options, func(at journal.Location, payload []byte) error {
@@ -111,30 +111,30 @@
 	return queue.Time{Steady: time.Since(s.started), UnixMs: time.Now().UnixMilli()}
 }
 
-// do runs f with the lock held.
-func (s *Store) do(f func(now queue.Time)) {
+// handle runs f with the lock held.
+func (s *Store) handle(f func(now queue.Time)) {
 	s.mu.Lock()
 	if s.closed || s.failure != nil {
 		s.mu.Unlock()
 		return
 	}
 	f(s.now())
-	notified, failure := s.notified, s.failure
-	s.notified = false
+	statusChanged, failure := s.statusChanged, s.failure
+	s.statusChanged = false
 	s.mu.Unlock()
 	if failure != nil {
 		s.config.Failed(failure)
 	}
-	if notified && s.config.StatusChanged != nil {
+	if statusChanged && s.config.StatusChanged != nil {
 		s.config.StatusChanged()
 	}
 }
 
-func (s *Store) synced(position uint64) {
-	s.do(func(now queue.Time) { s.core.JournalSynced(now, position) })
+func (s *Store) onSync(position uint64) {
+	s.handle(func(now queue.Time) { s.core.JournalSynced(now, position) })
 }
 
-func (s *Store) full() { s.do(s.core.DiskFull) }
+func (s *Store) onDiskFull() { s.handle(s.core.DiskFull) }
 
 func (s *Store) fail(err error) {
 	s.mu.Lock()
@@ -146,7 +146,7 @@
 	}
 }
 
-func (s *Store) tick() { s.do(s.core.Tick) }
+func (s *Store) tick() { s.handle(s.core.Tick) }
 
 // Status is what the control plane is told.
 func (s *Store) Status() wire.StoreStatus {
@@ -167,16 +167,16 @@
 	if view == nil {
 		return
 	}
-	s.do(func(now queue.Time) {
+	s.handle(func(now queue.Time) {
 		s.core.SetView(now, view)
 		s.updateLinks()
 	})
-	s.hurryLinks()
+	s.reconnectLinks()
 }
 
-// hurryLinks has links that are down connect at once: a store that is back takes part in a placement before its peers would
+// reconnectLinks has links that are down connect at once: a store that is back takes part in a placement before its peers would
 // try again by themselves, and what they take meanwhile waits for it.
-func (s *Store) hurryLinks() {
+func (s *Store) reconnectLinks() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, link := range s.links {
@@ -189,7 +189,7 @@
 	if members == nil {
 		return
 	}
-	s.do(func(now queue.Time) { s.core.SetEdges(now, members.Edges) })
+	s.handle(func(now queue.Time) { s.core.SetEdges(now, members.Edges) })
 }
 
 // Close writes and syncs all that is queued.
@@ -214,14 +214,14 @@
 	if s.links == nil {
 		return
 	}
-	wanted := s.core.Peers()
+	peers := s.core.Peers()
 	for disk, link := range s.links {
-		if !slices.ContainsFunc(wanted, func(w wire.Store) bool { return w.Disk == disk && w.Address == link.Address() }) {
+		if !slices.ContainsFunc(peers, func(w wire.Store) bool { return w.Disk == disk && w.Address == link.Address() }) {
 			go link.Close()
 			delete(s.links, disk)
 		}
 	}
-	for _, other := range wanted {
+	for _, other := range peers {
 		if s.links[other.Disk] == nil {
 			s.links[other.Disk] = s.link(other.Disk, other.Address)
 		}
@@ -229,13 +229,13 @@
 }
 
 func (s *Store) link(disk, address string) *rpc.Link {
-	options := rpc.Options{Mux: s.answers(), ConnectTimeout: connectWithin}
-	return rpc.NewLink(address, options, func(c *rpc.Conn) { s.greet(c, disk) }, nil)
+	options := rpc.Options{Mux: s.memberAnswers(), ConnectTimeout: connectTimeout}
+	return rpc.NewLink(address, options, func(c *rpc.Conn) { s.handshake(c, disk) }, nil)
 }
 
-// greet makes sure that the other end has the disk that is meant.
-func (s *Store) greet(c *rpc.Conn, disk string) {
-	c.OnClose(func(error) { go s.do(func(now queue.Time) { s.core.PeerDown(now, c) }) })
+// handshake makes sure that the other end has the disk that is meant.
+func (s *Store) handshake(c *rpc.Conn, disk string) {
+	c.OnClose(func(error) { go s.handle(func(now queue.Time) { s.core.PeerDown(now, c) }) })
 	c.Start(queue.MethodHello, &queue.Hello{From: s.config.Disk, To: disk}, func(payload []byte, err error) {
 		reply := new(queue.HelloReply)
 		if err == nil {
@@ -245,7 +245,7 @@
 			go c.Close()
 			return
 		}
-		s.do(func(now queue.Time) {
+		s.handle(func(now queue.Time) {
 			if c.Err() == nil {
 				s.core.PeerUp(now, disk, c)
 			}
@@ -260,6 +260,6 @@
 	h.store.timer.Reset(max(steady-time.Since(h.store.started), 0))
 }
 
-func (h host) StatusChanged() { h.store.notified = true }
+func (h host) StatusChanged() { h.store.statusChanged = true }
 
 func (h host) Fail(err error) { h.store.failure = errors.Join(h.store.failure, err) }
--- a/store/server/store_test.go
+++ b/store/server/store_test.go
@@ -1,4 +1,4 @@
-package store
+package server
 
 import (
 	"context"
@@ -206,7 +206,7 @@
 // A disk with damage in an old segment is another, empty one; it opens again as that.
 func TestDamagedDiskBeginsAnew(t *testing.T) {
 	dir := t.TempDir()
-	lost, err := Identity(dir)
+	damaged, err := Identity(dir)
 	require.NoError(t, err)
 	kept, err := journal.Open(filepath.Join(dir, journalFolder), journal.Options{SegmentBytes: 500_000},
 		func(journal.Location, []byte) error { return nil })
@@ -237,19 +237,19 @@
 		require.NoError(t, s.Close())
 		disks = append(disks, disk)
 	}
-	assert.NotEqual(t, lost, disks[0])
+	assert.NotEqual(t, damaged, disks[0])
 	assert.Equal(t, disks[0], disks[1])
-	left := asideBytes(dir)
+	left := quarantinedBytes(dir)
 	assert.Positive(t, left)
 	assert.LessOrEqual(t, left, int64(1<<20))
 }
 
-func TestFolderIsCutToItsNewestFiles(t *testing.T) {
+func TestFolderIsTrimmedToItsNewestFiles(t *testing.T) {
 	dir := t.TempDir()
 	for _, name := range []string{"1", "2", "3"} {
 		require.NoError(t, os.WriteFile(filepath.Join(dir, name), make([]byte, 100), 0o644))
 	}
-	require.NoError(t, cutFolder(dir, 250))
+	require.NoError(t, trimFolder(dir, 250))
 	left, err := filepath.Glob(filepath.Join(dir, "*"))
 	require.NoError(t, err)
 	assert.Equal(t, []string{filepath.Join(dir, "2"), filepath.Join(dir, "3")}, left)
--- a/test/lab/backlog/backlog.go
+++ b/test/lab/backlog/backlog.go
@@ -87,19 +87,19 @@
 
 // node is a store that listens on loopback.
 type node struct {
-	store  *store.Store
+	store  *server.Store
 	server *rpc.Server
 	failed chan error
 }
 
 func open(dir string) (*node, error) {
-	disk, err := store.Identity(dir)
+	disk, err := server.Identity(dir)
 	if err != nil {
 		return nil, err
 	}
 	n := &node{failed: make(chan error, 1)}
 	mux := rpc.NewMux()
-	n.store, err = store.Open(store.Config{
+	n.store, err = server.Open(server.Config{
 		Settings: &settings.Settings{DataDir: dir, DiskMb: manyMb, MemoryMb: manyMb, Zone: "zone"}, Disk: disk, Mux: mux,
 		Failed: func(err error) {
 			select {
