--- /dev/null
+++ b/store/journal/segment.go
@@ -0,0 +1,164 @@
+package journal
+
+import (
+	"encoding/binary"
+	"errors"
+	"fmt"
+	"hash/crc32"
+	"io"
+	"os"
+	"path/filepath"
+	"slices"
+)
+
+// Errors of a journal.
+var (
+	// ErrDamaged is returned by Open and Read for a record or a segment whose bytes are not what was written.
+	ErrDamaged = errors.New("journal: damaged record")
+	// ErrNotFound is returned by Read for a location at which no record is, as its segment was removed.
+	ErrNotFound = errors.New("journal: no such record")
+)
+
+// MaxRecord is the length of the longest payload, in bytes.
+const MaxRecord = 48 << 20
+
+const (
+	recordHeader  = 4 + 4 // length and checksum of the payload
+	segmentHeader = 8 + 4 // magic, number
+	magic         = "rvnjrnl1"
+	suffix        = ".journal"
+)
+
+var checksums = crc32.MakeTable(crc32.Castagnoli)
+
+// Location is where a record starts. The zero Location is none.
+type Location struct {
+	Segment uint32
+	Offset  uint32 // in bytes
+}
+
+// scan reads a segment's records, and returns the length of what precedes the first bad one.
+func scan(file *os.File, number uint32, visit func(Location, []byte) error) (uint32, error) {
+	reader := io.NewSectionReader(file, 0, 1<<40)
+	buffered := newScanner(reader)
+	header, err := buffered.next(segmentHeader)
+	if err != nil && !isShort(err) {
+		return 0, err
+	}
+	if err != nil || string(header[:8]) != magic || binary.BigEndian.Uint32(header[8:]) != number {
+		return 0, ErrDamaged
+	}
+	good := uint32(segmentHeader)
+	for {
+		header, err := buffered.next(recordHeader)
+		if errors.Is(err, io.EOF) {
+			return good, nil
+		}
+		if err != nil {
+			return good, damage(err)
+		}
+		size, sum := binary.BigEndian.Uint32(header), binary.BigEndian.Uint32(header[4:])
+		if size == 0 || size > MaxRecord {
+			return good, ErrDamaged
+		}
+		payload, err := buffered.next(int(size))
+		if err != nil {
+			return good, damage(err)
+		}
+		if crc32.Checksum(payload, checksums) != sum {
+			return good, ErrDamaged
+		}
+		if err := visit(Location{Segment: number, Offset: good}, payload); err != nil {
+			return good, err
+		}
+		good += recordHeader + size
+	}
+}
+
+func isShort(err error) bool { return errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) }
+
+// damage is the error of a record that can't be read: a file that ends too soon is damaged, any other failure is the disk's.
+func damage(err error) error {
+	if isShort(err) {
+		return ErrDamaged
+	}
+	return err
+}
+
+// path is the file of a segment.
+func (j *Journal) path(segment uint32) string {
+	return filepath.Join(j.dir, fmt.Sprintf("%010d%s", segment, suffix))
+}
+
+// segments lists the numbers of the segments on disk, in order.
+func (j *Journal) segments() ([]uint32, error) {
+	entries, err := os.ReadDir(j.dir)
+	if err != nil {
+		return nil, fmt.Errorf("journal: %w", err)
+	}
+	var numbers []uint32
+	for _, entry := range entries {
+		var number uint32
+		if _, err := fmt.Sscanf(entry.Name(), "%010d"+suffix, &number); err == nil && number > 0 {
+			numbers = append(numbers, number)
+		}
+	}
+	slices.Sort(numbers)
+	return numbers, nil
+}
+
+// create makes a segment, whose header goes to disk with the first records.
+func (j *Journal) create(number uint32) error {
+	file, err := os.OpenFile(j.path(number), os.O_RDWR|os.O_CREATE|os.O_TRUNC, 0o644)
+	if err != nil {
+		return fmt.Errorf("journal: %w", err)
+	}
+	header := binary.BigEndian.AppendUint32([]byte(magic), number)
+	if _, err := file.WriteAt(header, 0); err != nil {
+		_ = file.Close()
+		return fmt.Errorf("journal: %w", err)
+	}
+	j.mu.Lock()
+	defer j.mu.Unlock()
+	if old := j.files[number]; old != nil {
+		_ = old.Close()
+	}
+	j.files[number] = file
+	j.sizes[number] = segmentHeader
+	j.used += segmentHeader
+	if number >= j.newest {
+		j.newest = number
+		j.end = max(j.end, segmentHeader)
+	}
+	return nil
+}
+
+// removeFile removes a segment durably: the folder is synced, so that no older one can come back after a newer one was removed.
+func (j *Journal) removeFile(segment uint32) error {
+	j.mu.Lock()
+	file := j.files[segment]
+	delete(j.files, segment)
+	j.used -= int64(j.sizes[segment])
+	delete(j.sizes, segment)
+	j.mu.Unlock()
+	if file != nil {
+		_ = file.Close()
+	}
+	if err := os.Remove(j.path(segment)); err != nil && !os.IsNotExist(err) {
+		return fmt.Errorf("journal: %w", err)
+	}
+	return SyncFolder(j.dir)
+}
+
+// SyncFolder syncs a folder, so that names that were created, renamed or removed in it survive a loss of power.
+func SyncFolder(dir string) error {
+	folder, err := os.Open(dir)
+	if err != nil {
+		return fmt.Errorf("journal: %w", err)
+	}
+	defer func() { _ = folder.Close() }()
+	if err := folder.Sync(); err != nil {
+		return fmt.Errorf("journal: folder %s: %w", dir, err)
+	}
+	return nil
+}
