--- a/store/queue/assign.go
+++ b/store/queue/assign.go
@@ -129,7 +129,7 @@
 		return
 	}
 	_ = to.remote.Notify(wire.MethodGrant, &wire.Grant{
-		Partition: p.number, Epoch: c.epoch(), ID: e.id, Failed: e.failed, Whole: true, Message: *message,
+		Partition: p.number, Epoch: c.epoch(), ID: e.id, Failed: e.failed, HasMessage: true, Message: *message,
 	})
 }
 
