--- a/cmd/ravendale-store/corehost.go
+++ b/cmd/ravendale-store/corehost.go
@@ -18,25 +18,27 @@
 )
 
 const (
-	coreFolder     = "control"              // in the data folder
-	coreRetry      = time.Second            // after the core failed, as by a full disk
-	leftOutPoll    = 100 * time.Millisecond // until the others have let this one go
-	coreFolderMode = 0o700
+	coreFolder          = "control"              // in the data folder
+	coreRetryInterval   = time.Second            // after a member failed, as by a full disk
+	removalPollInterval = 100 * time.Millisecond // how often it is looked whether the others have removed this one
+	coreFolderMode      = 0o700
 )
 
 // coreHost runs a member of the control plane's core beside the store, where too few control processes have a disk: from when a control
-// process asks for it, or from the start if it did so in an earlier life, and until the others have let it go.
+// process requests it, or from the start if the folder of a member is there, and until the others have removed it. Its goroutines run under the
+// context of run, and wait returns once all have ended.
 type coreHost struct {
 	settings *settings.Settings
 	folder   string
 	log      *slog.Logger
 
 	mu      sync.Mutex
-	ctx     context.Context // of the process, nil before run
-	plane   *plane.Plane    // nil while none runs
-	stop    context.CancelFunc
+	plane   *plane.Plane       // nil while none runs
+	stop    context.CancelFunc // nil while none is hosted
 	leaving bool
-	work    sync.WaitGroup
+
+	starting sync.Mutex // held while submit starts a goroutine
+	work     sync.WaitGroup
 }
 
 func newCoreHost(s *settings.Settings, log *slog.Logger) *coreHost {
@@ -45,50 +47,58 @@
 
 // run hosts the core from the start if this disk did so before. It returns at once.
 func (h *coreHost) run(ctx context.Context) {
-	h.mu.Lock()
-	h.ctx = ctx
-	h.mu.Unlock()
 	if _, err := os.Stat(h.folder); !errors.Is(err, fs.ErrNotExist) {
-		h.host()
+		h.order(ctx, true)
 	}
 }
 
-// order takes what a control process wants: that the core is hosted here, or not any more.
-func (h *coreHost) order(host bool) {
+// submit has order called by a goroutine of its own, and returns at once.
+func (h *coreHost) submit(ctx context.Context, host bool) {
+	h.starting.Lock()
+	defer h.starting.Unlock()
+	if ctx.Err() == nil {
+		h.work.Go(func() { h.order(ctx, host) })
+	}
+}
+
+// order does what a control process requests: that the core is hosted here, or not any more. Once the context has ended it hosts nothing.
+func (h *coreHost) order(ctx context.Context, host bool) {
 	if host {
-		h.host()
+		h.host(ctx)
 		return
 	}
-	h.leave()
+	h.leave(ctx)
 }
 
-func (h *coreHost) host() {
+// host has a member run here, unless one does.
+func (h *coreHost) host(ctx context.Context) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.ctx == nil || h.ctx.Err() != nil || h.stop != nil {
+	if ctx.Err() != nil || h.stop != nil {
 		return
 	}
-	ctx, stop := context.WithCancel(h.ctx)
+	member, stop := context.WithCancel(ctx)
 	h.stop, h.leaving = stop, false
-	h.work.Go(func() { h.serve(ctx) })
+	h.work.Go(func() { h.serve(member) })
 }
 
-// serve runs the core until the context ends. A core that fails steps aside, and is opened anew a while later from what the disk has.
+// serve runs the core until the context ends. A member that fails is opened anew a while later from what the disk has.
 func (h *coreHost) serve(ctx context.Context) {
 	for ctx.Err() == nil {
-		err := h.once(ctx)
+		err := h.runMember(ctx)
 		if ctx.Err() != nil || err == nil {
 			return
 		}
-		h.log.Error("the core does not run beside this store", "error", err)
+		h.log.Error("core member failed beside this store", "error", err)
 		select {
 		case <-ctx.Done():
-		case <-time.After(coreRetry):
+		case <-time.After(coreRetryInterval):
 		}
 	}
 }
 
-func (h *coreHost) once(ctx context.Context) error {
+// runMember runs a member until the context ends or it fails.
+func (h *coreHost) runMember(ctx context.Context) error {
 	if err := h.makeFolder(); err != nil {
 		return err
 	}
@@ -99,7 +109,7 @@
 	h.mu.Lock()
 	h.plane = opened
 	h.mu.Unlock()
-	h.log.Info("the core runs beside this store", "rpc", h.settings.ControlAddress(h.settings.IP))
+	h.log.Info("core member started beside this store", "rpc", h.settings.ControlAddress(h.settings.IP))
 	err = opened.Run(ctx)
 	h.mu.Lock()
 	h.plane = nil
@@ -114,7 +124,7 @@
 	return journal.SyncFolder(h.settings.DataDir)
 }
 
-// abdicate has another member lead, if this one does.
+// abdicate transfers the leadership to another member, if this one has it.
 func (h *coreHost) abdicate() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -123,8 +133,8 @@
 	}
 }
 
-// leave has the other members go on without this one, and ends the core here once they do.
-func (h *coreHost) leave() {
+// leave has the other members remove this one, and stops it once they have.
+func (h *coreHost) leave(ctx context.Context) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.plane == nil {
@@ -135,23 +145,23 @@
 		return
 	}
 	h.leaving = true
-	ctx, opened := h.ctx, h.plane
-	h.work.Go(func() { h.awaitLeftOut(ctx, opened) })
+	opened := h.plane
+	h.work.Go(func() { h.awaitRemoval(ctx, opened) })
 }
 
-func (h *coreHost) awaitLeftOut(ctx context.Context, opened *plane.Plane) {
+func (h *coreHost) awaitRemoval(ctx context.Context, opened *plane.Plane) {
 	for !opened.Core.LeftOut() {
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(leftOutPoll):
+		case <-time.After(removalPollInterval):
 		}
 	}
-	h.end(opened)
+	h.stopMember(opened)
 }
 
-// end stops the core and gives up what it kept.
-func (h *coreHost) end(opened *plane.Plane) {
+// stopMember stops a member, and removes its folder.
+func (h *coreHost) stopMember(opened *plane.Plane) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.plane != opened {
@@ -159,18 +169,19 @@
 		return
 	}
 	h.stop()
-	h.work.Go(h.forget)
+	h.work.Go(h.removeFolder)
 }
 
-func (h *coreHost) forget() {
+// removeFolder removes what the core has on this disk, once no member runs any more.
+func (h *coreHost) removeFolder() {
 	for h.running() {
-		time.Sleep(leftOutPoll)
+		time.Sleep(removalPollInterval)
 	}
 	err := errors.Join(os.RemoveAll(h.folder), journal.SyncFolder(h.settings.DataDir))
 	if err != nil {
-		h.log.Warn("what the core kept beside this store was not removed", "error", err)
+		h.log.Warn("core folder not removed from this store", "error", err)
 	}
-	h.log.Info("the core runs beside this store no more")
+	h.log.Info("core member removed from this store")
 	h.mu.Lock()
 	h.stop, h.leaving = nil, false
 	h.mu.Unlock()
@@ -205,7 +216,9 @@
 
 // wait returns once nothing of the core runs any more, after the context of run has ended.
 func (h *coreHost) wait() {
-	h.mu.Lock() // what has begun before the context ended is counted
+	h.starting.Lock() // what began before the context ended is counted
+	h.starting.Unlock()
+	h.mu.Lock()
 	h.mu.Unlock()
 	h.work.Wait()
 }
--- a/cmd/ravendale-store/process.go
+++ b/cmd/ravendale-store/process.go
@@ -16,13 +16,13 @@
 
 // Times of a planned stop and of a start.
 const (
-	leaveTime   = 400 * time.Millisecond // to tell the leader
-	handOffTime = 1500 * time.Millisecond
-	voteTime    = 2500 * time.Millisecond // for another store to take over the vote in the core
-	handOffLook = 50 * time.Millisecond
-	graceMargin = 1500 * time.Millisecond // before the grace is over, the process has ended
-	listenFor   = 3 * time.Second         // the process before this one may still hold the address
-	listenPause = 50 * time.Millisecond
+	leaveTimeout        = 400 * time.Millisecond  // to notify the leader
+	transferTimeout     = 1500 * time.Millisecond // for other stores to become the primaries of this one's partitions
+	voteTimeout         = 2500 * time.Millisecond // for another store to take over the vote in the core
+	pollInterval        = 50 * time.Millisecond
+	stopMargin          = 1500 * time.Millisecond // before the grace is over, the process has ended
+	listenTimeout       = 3 * time.Second         // the process before this one may still have the address
+	listenRetryInterval = 50 * time.Millisecond
 )
 
 // process is the store, put together.
@@ -52,9 +52,8 @@
 			Storage: true, Disk: disk,
 		},
 	})
-	p.agent.OnChange(p.changed)
+	p.agent.OnChange(p.onChange)
 	p.core = newCoreHost(s, env.Log)
-	rpc.Handle(p.mux, wire.MethodHostCore, func(_ *rpc.Conn, order *wire.HostCore, _ rpc.Reply) { go p.core.order(order.Host) })
 	return p, nil
 }
 
@@ -65,10 +64,10 @@
 	}
 }
 
-// changed takes a newer state. Before the agent has what the leader named first, an old placement could be taken for the newest.
-func (p *process) changed(_ wire.Topic, s *member.Snapshot) {
+// onChange takes a newer state. Before the agent has what the leader named first, an old placement could be taken for the newest.
+func (p *process) onChange(_ wire.Topic, s *member.Snapshot) {
 	if p.agent.Current() {
-		p.take(s)
+		p.applySnapshot(s)
 	}
 }
 
@@ -78,29 +77,32 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(handOffLook):
+		case <-time.After(pollInterval):
 		}
 	}
-	p.take(p.agent.Snapshot())
+	p.applySnapshot(p.agent.Snapshot())
 }
 
-func (p *process) take(s *member.Snapshot) {
+func (p *process) applySnapshot(s *member.Snapshot) {
 	p.store.SetEdges(s.Members)
 	p.store.SetView(s.Stores)
 }
 
+// run serves until the context ends, and then as long as a planned stop takes, or until the disk fails.
 func (p *process) run(ctx context.Context) error {
-	server, err := p.listen(ctx)
+	running, stop := context.WithCancel(context.Background())
+	defer stop()
+	rpc.Handle(p.mux, wire.MethodHostCore, func(_ *rpc.Conn, order *wire.HostCore, _ rpc.Reply) { p.core.submit(running, order.Host) })
+	listener, err := p.listen(ctx)
 	if err != nil {
 		return err
 	}
-	running, stop := context.WithCancel(context.Background())
-	defer stop()
 	p.core.run(running)
+	// These three end soon after the context. The process does not wait for them: what is durable does not depend on them.
 	go p.env.WatchSettings(running, p.setSettings)
 	go p.agent.Run(running)
 	go p.awaitCurrent(running)
-	p.env.Log.Info("store is up", "address", server.Address())
+	p.env.Log.Info("store is up", "address", listener.Address())
 	select {
 	case err = <-p.failed:
 	case <-ctx.Done():
@@ -108,7 +110,7 @@
 	}
 	stop()
 	p.core.wait()
-	server.Close()
+	listener.Close()
 	if err != nil {
 		return err
 	}
@@ -120,34 +122,35 @@
 	p.core.setSettings(s)
 }
 
+// listen listens on the store's address, which the process before this one may still have.
 func (p *process) listen(ctx context.Context) (*rpc.Server, error) {
 	options := rpc.Options{Mux: p.mux}
 	onConn := func(c *rpc.Conn) {
-		c.OnClose(func(error) { go p.store.Closed(c) })
+		c.OnClose(func(error) { p.store.Closed(c) })
 	}
-	deadline := time.Now().Add(listenFor)
+	deadline := time.Now().Add(listenTimeout)
 	for {
-		server, err := rpc.Listen(p.env.Settings.StorageAddress(), options, onConn)
+		listener, err := rpc.Listen(p.env.Settings.StorageAddress(), options, onConn)
 		if err == nil || time.Now().After(deadline) || ctx.Err() != nil {
-			return server, err
+			return listener, err
 		}
-		time.Sleep(listenPause)
+		time.Sleep(listenRetryInterval)
 	}
 }
 
 // leave has the leader move what this store decides to others, and serves until then, or for as long as there is time.
 func (p *process) leave() {
-	grace := max(settings.Seconds(p.env.Settings.Bounds.GraceS)-graceMargin, 0)
+	available := max(settings.Seconds(p.env.Settings.Bounds.GraceS)-stopMargin, 0)
 	started := time.Now()
-	told, cancel := context.WithTimeout(context.Background(), leaveTime)
-	p.agent.Leave(told)
+	ctx, cancel := context.WithTimeout(context.Background(), leaveTimeout)
+	p.agent.Leave(ctx)
 	cancel()
-	for p.store.Primary() && time.Since(started) < min(handOffTime, grace) {
-		time.Sleep(handOffLook)
+	for p.store.Primary() && time.Since(started) < min(transferTimeout, available) {
+		time.Sleep(pollInterval)
 	}
 	p.core.abdicate()
-	for p.replaceable() && time.Since(started) < min(voteTime, grace) {
-		time.Sleep(handOffLook)
+	for p.replaceable() && time.Since(started) < min(voteTimeout, available) {
+		time.Sleep(pollInterval)
 	}
 }
 
--- a/store/queue/comparison.go
+++ b/store/queue/comparison.go
@@ -139,7 +139,7 @@
 	for _, payload := range m.Records {
 		r, err := decodeRecord(payload)
 		if err != nil {
-			c.config.Log.Error("a store sent a record that can't be read", "error", err)
+			c.config.Log.Error("undecodable record from a member", "error", err)
 			return
 		}
 		f.to.stats.fetched++
--- a/store/queue/comparisonstats.go
+++ b/store/queue/comparisonstats.go
@@ -23,6 +23,6 @@
 	if t.sent == 0 && t.fetched == 0 {
 		return
 	}
-	c.config.Log.Info("compared with a store", "disk", to.disk, "epoch", c.epoch(), "partitions", t.partitions, "listed", t.listed,
+	c.config.Log.Info("partitions compared with a member", "disk", to.disk, "epoch", c.epoch(), "partitions", t.partitions, "listed", t.listed,
 		"sent", t.sent, "fetched", t.fetched, "bytes", t.bytes, "took", c.now.Steady-t.since)
 }
--- a/store/queue/disk.go
+++ b/store/queue/disk.go
@@ -131,7 +131,7 @@
 		return
 	}
 	c.disk.stalled = true
-	c.config.Log.Warn("the disk takes nothing: no messages are kept until it does", "disk", c.config.Disk)
+	c.config.Log.Warn("disk stalled: new messages are refused until it syncs", "disk", c.config.Disk)
 	c.host.StatusChanged()
 }
 
--- a/store/queue/member.go
+++ b/store/queue/member.go
@@ -26,7 +26,7 @@
 	for _, payload := range m.Records {
 		r, err := decodeRecord(payload)
 		if err != nil {
-			c.config.Log.Error("a primary sent a record that can't be read", "error", err)
+			c.config.Log.Error("undecodable record from a primary", "error", err)
 			return
 		}
 		if c.changes(r) {
--- a/store/server/handlers.go
+++ b/store/server/handlers.go
@@ -38,9 +38,11 @@
 	return mux
 }
 
-// Closed tells that a connection to the server is lost; it is to be hooked up by who listens.
+// Closed handles that a connection to the store's listener is closed; who listens calls it from OnClose. It returns at once.
 func (s *Store) Closed(c *rpc.Conn) {
-	s.handle(func(now queue.Time) { s.core.EdgeDown(now, c) })
+	s.tasks.start(func() {
+		s.handle(func(now queue.Time) { s.core.EdgeDown(now, c) })
+	})
 }
 
 func handleRequest[T any, P interface {
--- a/store/server/store.go
+++ b/store/server/store.go
@@ -1,4 +1,3 @@
-// Package server runs a queue.Core as a process: journal, clock, connections to edges and to other stores.
 package server
 
 import (
@@ -20,22 +19,22 @@
 // Figures of a store.
 const (
 	journalFolder   = "journal"
-	bytesPerMessage = 500 // of memory, with all that goes along with a message
-	memoryShare     = 2   // messages in memory may take one in so many bytes of the process's limit
+	bytesPerMessage = 500 // of memory, with all that belongs to a message
+	memoryShare     = 2   // messages may take one in so many bytes of the process's memory
 	minSegmentBytes = 1 << 20
 	segmentsPerDisk = 45
-	retentionMargin = 5 * time.Second // beyond the bound of the rules
+	retentionMargin = 5 * time.Second // finished messages are known for so much longer than statusS
 	connectTimeout  = 300 * time.Millisecond
 )
 
 // Config of a Store.
 type Config struct {
 	Settings      *settings.Settings
-	Disk          string // from Identity
-	Mux           *rpc.Mux
-	StatusChanged func()      // the control plane should be told Status soon
-	Failed        func(error) // the disk can't be trusted: the process must end
-	Log           *slog.Logger
+	Disk          string       // from Identity; OpenDisk sets it
+	Mux           *rpc.Mux     // gets the store's handlers
+	StatusChanged func()       // Status has changed in a way that the control plane waits for; may be nil
+	Failed        func(error)  // the disk can't be trusted: the process must end
+	Log           *slog.Logger // slog.Default if nil
 }
 
 // Store is the queue of one storage machine. Its methods may be called by any goroutine.
@@ -51,9 +50,12 @@
 	statusChanged bool                 // StatusChanged is to be called once the lock is free
 	failure       error
 	closed        bool
+
+	tasks tasks
 }
 
-// Open reads the store's journal and registers its handlers. The store takes part in nothing before SetView.
+// Open reads the store's journal and registers its handlers. The store takes part in nothing before SetView. It fails with
+// journal.ErrDamaged for a damaged journal.
 func Open(config Config) (*Store, error) {
 	config.Log = logger(&config)
 	s := &Store{config: config, started: time.Now(), links: make(map[string]*rpc.Link)}
@@ -111,7 +113,7 @@
 	return queue.Time{Steady: time.Since(s.started), UnixMs: time.Now().UnixMilli()}
 }
 
-// handle runs f with the lock held.
+// handle has the core handle an event, with the lock held, and calls back what it asked for once the lock is free.
 func (s *Store) handle(f func(now queue.Time)) {
 	s.mu.Lock()
 	if s.closed || s.failure != nil {
@@ -136,6 +138,7 @@
 
 func (s *Store) onDiskFull() { s.handle(s.core.DiskFull) }
 
+// fail ends the store's work as its disk has failed.
 func (s *Store) fail(err error) {
 	s.mu.Lock()
 	first := s.failure == nil && !s.closed
@@ -148,7 +151,7 @@
 
 func (s *Store) tick() { s.handle(s.core.Tick) }
 
-// Status is what the control plane is told.
+// Status is what the store reports to the control plane.
 func (s *Store) Status() wire.StoreStatus {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -184,7 +187,7 @@
 	}
 }
 
-// SetEdges tells which schedulers there are.
+// SetEdges takes the members that the control plane names: a new primary waits until all edges have claimed.
 func (s *Store) SetEdges(members *wire.Members) {
 	if members == nil {
 		return
@@ -192,7 +195,8 @@
 	s.handle(func(now queue.Time) { s.core.SetEdges(now, members.Edges) })
 }
 
-// Close writes and syncs all that is queued.
+// Close closes the links, writes and syncs all that is queued, and waits for the store's goroutines. It fails if the journal does. Handlers
+// that are called afterwards do nothing.
 func (s *Store) Close() error {
 	s.mu.Lock()
 	s.timer.Stop()
@@ -206,6 +210,7 @@
 	s.mu.Lock()
 	s.closed = true
 	s.mu.Unlock()
+	s.tasks.wait()
 	return err
 }
 
@@ -217,7 +222,7 @@
 	peers := s.core.Peers()
 	for disk, link := range s.links {
 		if !slices.ContainsFunc(peers, func(w wire.Store) bool { return w.Disk == disk && w.Address == link.Address() }) {
-			go link.Close()
+			s.tasks.start(link.Close)
 			delete(s.links, disk)
 		}
 	}
@@ -235,14 +240,16 @@
 
 // handshake makes sure that the other end has the disk that is meant.
 func (s *Store) handshake(c *rpc.Conn, disk string) {
-	c.OnClose(func(error) { go s.handle(func(now queue.Time) { s.core.PeerDown(now, c) }) })
+	c.OnClose(func(error) {
+		s.tasks.start(func() { s.handle(func(now queue.Time) { s.core.PeerDown(now, c) }) })
+	})
 	c.Start(queue.MethodHello, &queue.Hello{From: s.config.Disk, To: disk}, func(payload []byte, err error) {
 		reply := new(queue.HelloReply)
 		if err == nil {
 			_, err = reply.UnmarshalMsg(payload)
 		}
 		if err != nil || !reply.Accepted {
-			go c.Close()
+			s.tasks.start(c.Close)
 			return
 		}
 		s.handle(func(now queue.Time) {
--- /dev/null
+++ b/store/server/tasks.go
@@ -0,0 +1,27 @@
+package server
+
+import "sync"
+
+// tasks are the goroutines that a store starts for what must not wait for its lock.
+type tasks struct {
+	mu     sync.Mutex
+	closed bool
+	group  sync.WaitGroup
+}
+
+// start runs f in a goroutine of its own, unless wait was called.
+func (t *tasks) start(f func()) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if !t.closed {
+		t.group.Go(f)
+	}
+}
+
+// wait starts no more, and returns once all have returned.
+func (t *tasks) wait() {
+	t.mu.Lock()
+	t.closed = true
+	t.mu.Unlock()
+	t.group.Wait()
+}
