--- a/balancer/fleet/agent/call.go
+++ b/balancer/fleet/agent/call.go
@@ -20,7 +20,7 @@
 	if err != nil {
 		return nil, err
 	}
-	defer c.Close()
+	defer func() { _ = c.Close() }()
 	if deadline, has := ctx.Deadline(); has {
 		if err := c.SetDeadline(deadline); err != nil {
 			return nil, err
@@ -60,7 +60,7 @@
 	err            error
 }
 
-func (t *tool) Up(l *link.Link) { l.Tell(link.Command, t.request) }
+func (t *tool) Up(l *link.Link) { l.Send(link.Command, t.request) }
 
 func (t *tool) Heard(_ *link.Link, kind frames.Kind, content []byte) {
 	if kind == link.Reply {
--- a/cmd/ravendale-store/corehost.go
+++ b/cmd/ravendale-store/corehost.go
@@ -216,9 +216,9 @@
 
 // wait returns once nothing of the core runs any more, after the context of run has ended.
 func (h *coreHost) wait() {
-	h.starting.Lock() // what began before the context ended is counted
-	h.starting.Unlock()
+	h.starting.Lock()   // what began before the context ended is counted
+	h.starting.Unlock() //nolint:staticcheck // SA2001: it is only waited for
 	h.mu.Lock()
-	h.mu.Unlock()
+	h.mu.Unlock() //nolint:staticcheck // SA2001: it is only waited for
 	h.work.Wait()
 }
