--- a/store/queue/simedge_test.go
+++ b/store/queue/simedge_test.go
@@ -237,29 +237,15 @@
 	c.ends[0].request(wire.MethodPut, put, func(payload []byte) {
 		answered = true
 		reply := decode[wire.PutReply](payload)
-		if !e.up || e.incarnation != incarnation {
-			return
-		}
-		if !e.puts[id] {
+		switch {
+		case !e.up || e.incarnation != incarnation:
+		case !e.puts[id]:
 			e.giveBack(c, id, reply)
-			return
-		}
-		if reply.Code != wire.PutKept {
+		case reply.Code != wire.PutKept:
 			again()
-			return
-		}
-		delete(e.puts, id)
-		if e.sim.messages[id].acceptedAt == 0 {
-			e.sim.messages[id].acceptedAt = e.sim.now
-		}
-		if e.deliveries[id] != delivery { // it was dropped, or has ended by now
-			return
-		}
-		delivery.accepted = true
-		if reply.Granted || !delivery.message.Ordered {
-			delivery.granted = true
+		default:
+			e.putAccepted(id, delivery, reply)
 		}
-		e.deliver(id)
 	})
 	e.sim.after(1500*ms, func() {
 		if !answered && e.up && e.incarnation == incarnation && e.puts[id] {
@@ -268,6 +254,22 @@
 	})
 }
 
+// putAccepted notes that the client was told that a message is accepted, and goes on with its delivery.
+func (e *simEdge) putAccepted(id string, delivery *simDelivery, reply *wire.PutReply) {
+	delete(e.puts, id)
+	if e.sim.messages[id].acceptedAt == 0 {
+		e.sim.messages[id].acceptedAt = e.sim.now
+	}
+	if e.deliveries[id] != delivery { // it was dropped, or is finished by now
+		return
+	}
+	delivery.accepted = true
+	if reply.Granted || !delivery.message.Ordered {
+		delivery.granted = true
+	}
+	e.deliver(id)
+}
+
 // giveBack has the store hand a message to another edge that was kept after this one had given it up.
 func (e *simEdge) giveBack(c *simConn, id string, reply *wire.PutReply) {
 	if reply.Code != wire.PutKept || e.deliveries[id] != nil {
