--- a/store/queue/core_test.go
+++ b/store/queue/core_test.go
@@ -53,7 +53,7 @@
 	put := r.put(plain("0.x"), e)
 	r.sync()
 	c := &heard{}
-	r.view(2, []uint16{0}, []uint16{2}) // b has gone
+	r.view(2, []uint16{0}, []uint16{2}) // b is unavailable
 	r.ack(b)
 	assert.Nil(t, put.message)
 	r.core.PeerUp(r.now, "c", c)
@@ -156,7 +156,7 @@
 	r.pass(time.Second)
 	r.ack(b)
 	given := len(f.notices) + len(back.notices)
-	assert.Equal(t, 1, given, "only 0.2 is given anew")
+	assert.Equal(t, 1, given, "only 0.2 is assigned anew")
 	entry, _ := r.core.partition(0).find("0.1")
 	assert.Equal(t, "e", entry.delivery.leaseholder.id)
 }
@@ -245,7 +245,7 @@
 	r.core.PeerUp(r.now, "b", b)
 	r.claim(e, "0.1", "0.2")
 	r.pass(10 * time.Second)
-	assert.Nil(t, last[wire.Grant](e), "nothing is granted before the other replica has told what it knows")
+	assert.Nil(t, last[wire.Grant](e), "nothing is granted before the other replica has said what it knows")
 
 	comparisonID := last[Compare](b).ComparisonID
 	end := &Record{Kind: RecordMessage, ID: "0.1", Sequence: 1<<32 + 3, State: wire.StateDone, Signature: "s"}
@@ -371,7 +371,7 @@
 	assert.Empty(t, r.core.partition(0).entries)
 }
 
-// A primary that is lost may leave a message at some of the members. A repeat of the put is accepted once it is at all.
+// A primary that is lost may leave a message at some of the members. A repeated put is accepted once it is at all.
 func TestARepeatedPutIsAcceptedOnceAllMembersHaveIt(t *testing.T) {
 	r, b := successor(t, &Record{ID: "0.1", Sequence: 1, Leaseholder: "e", Message: plain("")})
 	e := &heard{}
@@ -387,7 +387,7 @@
 	assert.Equal(t, wire.PutKept, code(t, r.put(plain("0.1"), e)), "all is compared")
 }
 
-// Members that are lost while a message is being kept don't count: it is accepted once it is on enough disks again.
+// Members that are lost while a message is being accepted don't count: it is accepted once it is on enough disks again.
 func TestAPutIsNotAcceptedOnTooFewDisks(t *testing.T) {
 	r, _, e := primary(t)
 	waits := r.put(plain("0.1"), e)
--- a/store/queue/dead_test.go
+++ b/store/queue/dead_test.go
@@ -36,7 +36,7 @@
 	return &Record{Kind: RecordFinish, ID: "0.1", Sequence: sequence, State: wire.StateDead}
 }
 
-// A primary that was replaced while it ended a message has one end on disk, its successor another.
+// A primary that was replaced while it finished a message has one outcome on disk, its successor another.
 func TestAnotherEndLeavesADeadMessageItsBody(t *testing.T) {
 	r := member(t)
 	r.take(1, &Record{ID: "0.1", Sequence: 1, Message: plain("")}, deadEnd(2), deadEnd(3))
--- a/store/queue/explore_test.go
+++ b/store/queue/explore_test.go
@@ -13,11 +13,11 @@
 )
 
 // The model of the explore files is one partition on three stores, a schedulers' world of two, the real planner, and two messages of one key. It
-// is searched in whole within its bounds: every order of deliveries, syncs, views, crashes with and without disk, resets of the leader's
+// is searched completely within its bounds: every order of deliveries, syncs, views, crashes with and without disk, resets of the leader's
 // connections and a retirement.
 //
 // Assumptions. A connection delivers in order, and what it carries at a time at once. Time passes only while nothing is on its way: a
-// delivery takes less than the windows of a takeover. A second store is lost only once enough others are whole again.
+// delivery takes less than the windows of a takeover. A second store is lost only once enough others are complete again.
 
 const modelCopies = 2
 
@@ -26,7 +26,7 @@
 // modelMutant takes a guard out.
 type modelMutant struct {
 	ackBeforeSync bool // members acknowledge what is not on their disk
-	takeUnfilled  bool // a joining store is called whole though it does not say so
+	takeUnfilled  bool // a joining store is called complete though it does not say so
 	retireEarly   bool // a store is removed once one other holds all
 	forgetFormer  bool // what dropped members have is forgotten
 	grantEarly    bool // an end counts once it is on the primary
--- a/store/queue/exploreactions_test.go
+++ b/store/queue/exploreactions_test.go
@@ -98,7 +98,7 @@
 	return w.config.mutant.retireEarly && slices.ContainsFunc(replicas, func(i uint16) bool { return w.view.Stores[i].Disk != s.disk })
 }
 
-// mayLose says whether a store may be lost: one at a time, and the next once enough are whole.
+// mayLose says whether a store may be lost: one at a time, and the next once enough are complete.
 func (w *world) mayLose(s *modelStore) bool {
 	if s.removed {
 		return false
@@ -111,7 +111,7 @@
 	return !s.failed
 }
 
-// forgive has lost stores count no more once enough others are whole: they have had their time.
+// forgive has lost stores count no more once enough others are complete: they have had their time.
 func (w *world) forgive() {
 	placed := w.view.Partitions[0]
 	for _, i := range placed.Replicas {
@@ -294,7 +294,7 @@
 			s := w.byDisk(known.Disk)
 			if s == nil || !s.stores(id) {
 				if s != nil && slices.Contains(placed.Replicas, uint16(i)) && !placed.Unsure {
-					return fmt.Errorf("%s is called whole and lacks %s", known.Disk, id)
+					return fmt.Errorf("%s is called complete and lacks %s", known.Disk, id)
 				}
 				continue
 			}
--- a/store/queue/exploreedge_test.go
+++ b/store/queue/exploreedge_test.go
@@ -21,7 +21,7 @@
 	w.link(e.name, w.primary(e).name).ends[0].request(wire.MethodPut, put, "put "+id)
 }
 
-// work runs a message at a worker, or reports that it has ended.
+// work runs a message at a worker, or reports that it is finished.
 func (w *world) work(what string, e *modelEdge, id string) {
 	delivery := e.deliveries[id]
 	switch what {
@@ -49,7 +49,7 @@
 			return
 		}
 		if m := w.messages[earlier]; m.accepted && !m.finished {
-			w.fault("%s runs before %s has ended", id, earlier)
+			w.fault("%s runs before %s is finished", id, earlier)
 		}
 	}
 }
--- a/store/queue/exploreworld_test.go
+++ b/store/queue/exploreworld_test.go
@@ -26,7 +26,7 @@
 
 // modelMessage is what the client and the worker know.
 type modelMessage struct {
-	accepted bool // the client was told
+	accepted bool // the client got the reply
 	finished bool // the worker succeeded
 	reported bool // the end was acknowledged
 }
--- a/store/queue/rules_test.go
+++ b/store/queue/rules_test.go
@@ -99,7 +99,7 @@
 	}
 }
 
-// BUDGET: failures count on whoever delivers, and whichever store hands out.
+// BUDGET: failures count on whoever delivers, and whichever store grants.
 func TestFailuresCountAfterARestartAndATakeOver(t *testing.T) {
 	r, b, e := primary(t)
 	r.put(plain("0.1"), e)
@@ -124,7 +124,7 @@
 	assert.EqualValues(t, 3, last[wire.Grant](e).Failed, "the other replica had heard of more")
 }
 
-// BUDGET: the failures that one edge has told of count at the next.
+// BUDGET: the failures that one edge has reported count at the next.
 func TestFailuresOfAReleasedMessageGoToTheNextEdge(t *testing.T) {
 	r, b, e := primary(t)
 	f := &heard{}
@@ -200,7 +200,7 @@
 	assert.Equal(t, 1, full)
 }
 
-// LOST: messages that no worker can be had for, more of them than an edge is given at once, do not hold others up.
+// LOST: messages that no worker is there for, more of them than an edge is assigned at once, do not block others.
 func TestMessagesThatNobodyCanRunDoNotBlockOthers(t *testing.T) {
 	r, b, e := primary(t)
 	for i := range 3 * maxAssigned {
@@ -216,7 +216,7 @@
 	}
 	full, _ := e.grants("0.1")
 	assert.Equal(t, 1, full)
-	assert.Equal(t, 1, r.core.edges.byID["e"].assigned, "the others have lost their places")
+	assert.Equal(t, 1, r.core.edges.byID["e"].assigned, "the others are not counted any more")
 	for i := range 3 * maxAssigned {
 		r.report(wire.Report{ID: fmt.Sprintf("0.stuck%d", i), Kind: wire.ReportDone}, e)
 	}
@@ -285,7 +285,7 @@
 	assert.ErrorIs(t, ask(r, "0.9", 3).err, errAbsence, "it has heard of a newer one")
 }
 
-// State: the body of a dead letter is there as long as its state is told, after a restart too.
+// State: the body of a dead message is there as long as its state is known, after a restart too.
 func TestBodyOfADeadMessageIsThereAsLongAsItsState(t *testing.T) {
 	r, b, e := primary(t)
 	r.put(plain("0.1"), e)
--- a/store/queue/sim_test.go
+++ b/store/queue/sim_test.go
@@ -43,7 +43,7 @@
 	ackBeforeSync  bool // a store acknowledges what is not on its disk
 	ackOwnOnly     bool // a primary does not wait for the other members
 	grantEarly     bool // the next of a key is granted when the end of the one before is only on the primary
-	syncWithoutAll bool // a joining member is called whole at once
+	syncWithoutAll bool // a joining member is called complete at once
 }
 
 type sim struct {
@@ -64,7 +64,7 @@
 	names    []string
 	byKey    map[string][]*simMessage
 	stopped  bool          // no more puts and faults
-	calm     bool          // no faults: nothing may run again after it has ended
+	calm     bool          // no faults: nothing may run again after it is finished
 	lag      time.Duration // edges and stores hear of a view so late, at most
 	leader   func()        // who places the partitions; nil: a simple one
 }
@@ -72,7 +72,7 @@
 type simMessage struct {
 	message    wire.Message
 	sentAt     time.Duration
-	acceptedAt time.Duration // zero: never told
+	acceptedAt time.Duration // zero: the client got no reply
 	finishedAt time.Duration // at the worker
 	doneAcked  bool
 	runs       int
--- a/store/queue/simconn_test.go
+++ b/store/queue/simconn_test.go
@@ -36,7 +36,7 @@
 
 func (e *simEnd) other() *simEnd { return e.conn.ends[1-e.side] }
 
-// deliver runs f at the other end, in order, unless the link is cut.
+// deliver runs f at the other end, in order, unless the link is partitioned.
 func (e *simEnd) deliver(f func()) {
 	c, s := e.conn, e.conn.sim
 	at := max(c.lastAt[e.side], s.now+s.between(100*time.Microsecond, 2*ms))
--- a/store/queue/simdebug_test.go
+++ b/store/queue/simdebug_test.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// describe tells all that stores and edges know of a message.
+// describe lists all that stores and edges know of a message.
 func (s *sim) describe(id string) string {
 	text := ""
 	for _, n := range s.stores {
@@ -20,7 +20,7 @@
 			text += fmt.Sprintf("\n %s: primary %v replica %v joining %v ready %v unmerged %d epoch %d state %d", n.disk.name,
 				p.primary, p.replica, p.joining, p.ready, len(p.unmerged), n.core.epoch(), e.state)
 			if l := e.delivery; l != nil {
-				text += fmt.Sprintf(" putting %v granted %v whole %v waiting %v due %d now %v", l.accepting, l.granted, l.assigned, l.queued, l.due, n.time())
+				text += fmt.Sprintf(" accepting %v granted %v assigned %v queued %v due %d now %v", l.accepting, l.granted, l.assigned, l.queued, l.due, n.time())
 				if l.key != nil {
 					text += " head " + l.key.head().id
 					if head := l.key.head(); head != e && p.primary {
@@ -28,10 +28,10 @@
 					}
 				}
 				if l.leaseholder != nil {
-					text += fmt.Sprintf(" holder %s connected %v stale %v claimed %d", l.leaseholder.id, l.leaseholder.remote != nil, l.leaseholder.mustClaim, l.leaseholder.claimedEpoch)
+					text += fmt.Sprintf(" leaseholder %s connected %v must claim %v claimed %d", l.leaseholder.id, l.leaseholder.remote != nil, l.leaseholder.mustClaim, l.leaseholder.claimedEpoch)
 				}
 				if l.lastChange != nil {
-					text += fmt.Sprintf(" changing: local %v missing %b", l.lastChange.synced, l.lastChange.unacked)
+					text += fmt.Sprintf(" operation: synced %v unacked %b", l.lastChange.synced, l.lastChange.unacked)
 				}
 			}
 		}
--- a/store/queue/simdisk_test.go
+++ b/store/queue/simdisk_test.go
@@ -99,7 +99,7 @@
 
 func (d *simDisk) Used() int64 { return int64(len(d.records)-d.removed) * 100 }
 
-// stop ends the life of who uses the disk; without power, part of what was not synced is lost.
+// stop ends the incarnation of who uses the disk; without power, part of what was not synced is lost.
 func (d *simDisk) stop(power bool) {
 	d.incarnation++
 	d.syncing = false
--- a/store/queue/simedge_test.go
+++ b/store/queue/simedge_test.go
@@ -222,8 +222,8 @@
 	}
 	if attempts > 20 {
 		delete(e.puts, id)
-		if !delivery.accepted { // a grant told otherwise
-			delete(e.deliveries, id) // given up: the client is told nothing
+		if !delivery.accepted { // a grant said otherwise
+			delete(e.deliveries, id) // given up: the client gets no reply
 		}
 		return
 	}
@@ -254,7 +254,7 @@
 	})
 }
 
-// putAccepted notes that the client was told that a message is accepted, and goes on with its delivery.
+// putAccepted notes that the client got the reply that a message is accepted, and goes on with its delivery.
 func (e *simEdge) putAccepted(id string, delivery *simDelivery, reply *wire.PutReply) {
 	delete(e.puts, id)
 	if e.sim.messages[id].acceptedAt == 0 {
@@ -270,7 +270,7 @@
 	e.deliver(id)
 }
 
-// giveBack has the store hand a message to another edge that was kept after this one had given it up.
+// giveBack releases a message that was accepted after this edge had given up its put.
 func (e *simEdge) giveBack(c *simConn, id string, reply *wire.PutReply) {
 	if reply.Code != wire.PutKept || e.deliveries[id] != nil {
 		return
@@ -280,7 +280,7 @@
 	c.ends[0].request(wire.MethodReport, report, func([]byte) {})
 }
 
-// refuse gives back a message that this edge does not hold any more.
+// refuse releases a message that this edge does not have any more.
 func (e *simEdge) refuse(g *wire.Grant) {
 	i, _ := e.primary(g.ID)
 	report := &wire.Report{Partition: g.Partition, Epoch: e.view.Epoch, ID: g.ID, Kind: wire.ReportReleased}
@@ -303,7 +303,7 @@
 		}
 		m := g.Message
 		if want := e.sim.messages[g.ID].message; string(m.Body) != string(want.Body) || m.Key != want.Key {
-			e.sim.fail("message %s was handed over changed", g.ID)
+			e.sim.fail("message %s was assigned with other content", g.ID)
 		}
 		delivery = &simDelivery{message: m, accepted: true, failed: g.Failed}
 		e.deliveries[g.ID] = delivery
@@ -313,7 +313,7 @@
 	e.deliver(g.ID)
 }
 
-// work goes on with what was held up: delays, reports that were not acknowledged.
+// work goes on with what waits: delays, reports that were not acknowledged.
 func (e *simEdge) work() {
 	if e.view == nil {
 		return
@@ -394,12 +394,12 @@
 	}
 	for _, other := range s.byKey[m.message.Key] {
 		if other.acceptedAt > 0 && other.acceptedAt < m.sentAt && other.finishedAt == 0 {
-			s.fail("message %s runs before %s has ended, which was accepted before it was sent", m.message.ID, other.message.ID)
+			s.fail("message %s runs before %s is finished, which was accepted before it was sent", m.message.ID, other.message.ID)
 		}
 	}
 }
 
-// check finds out whether all that was accepted has ended, and is known as such at the primary.
+// check verifies that all that was accepted is finished, and is known as such at the primary.
 func (s *sim) check() {
 	for _, id := range s.names {
 		m := s.messages[id]
@@ -407,7 +407,7 @@
 			continue
 		}
 		if m.finishedAt == 0 {
-			s.fail("message %s was accepted and has not ended:%s", id, s.describe(id))
+			s.fail("message %s was accepted and is not finished:%s", id, s.describe(id))
 			return
 		}
 	}
--- a/store/queue/simleader_test.go
+++ b/store/queue/simleader_test.go
@@ -8,7 +8,7 @@
 	"ravendale/cluster/wire"
 )
 
-// members are the edges as the leader sees them: one that has just gone or come may be missed.
+// members are the edges as the leader sees them: one that has just departed or arrived may be missed.
 func (s *sim) members() []wire.Edge {
 	var list []wire.Edge
 	for _, e := range s.edges {
@@ -31,7 +31,7 @@
 	})
 }
 
-// lead is the leader: it takes silent stores out, has others join, and promotes those that are whole.
+// lead is the leader: it removes unavailable stores, has others join, and promotes those that are complete.
 func (s *sim) lead() {
 	if s.leader != nil {
 		s.leader()
--- a/store/queue/simplan_test.go
+++ b/store/queue/simplan_test.go
@@ -18,8 +18,8 @@
 // loss comes at any time: a connection that is reset, for which the leader drops a store that has lost nothing; a disk that takes no
 // more; a retirement; a new store.
 
-// plannedRetention is how long ended messages are known: as in use, much longer than a store that is not a member any more keeps what it
-// had (releasedFor). Else a store that joins with what it had long ago can bring back a message that all others have forgotten.
+// plannedRetention is how long finished messages are known: as in use, much longer than a store that is not a member any more keeps what it
+// had (wipeDelay). Else a store that joins with what it had long ago can bring back a message that all others have forgotten.
 const plannedRetention = 2 * wipeDelay
 
 // catchUp is how long a store counts as lost after its return.
@@ -29,7 +29,7 @@
 type planMutant struct {
 	forgetFormer bool // what dropped members have is forgotten
 	retireEarly  bool // a retirement is done once one other store holds all
-	takeUnfilled bool // a joining store is called whole though it does not say so
+	takeUnfilled bool // a joining store is called complete though it does not say so
 }
 
 // planned is a simulation under the real planner.
@@ -49,7 +49,7 @@
 	name     string
 	reported placement.Store // of the last renewal
 	heard    bool            // it holds a lease
-	removed  bool            // the machine is gone for good
+	removed  bool            // the machine is removed for good
 	counted  bool            // it counts as lost
 	losses   int
 }
@@ -153,7 +153,7 @@
 	return reported
 }
 
-// early takes a retiring store out once one other replica is whole, as the mutant does.
+// early takes a retiring store out once one other replica is complete, as the mutant does.
 func (p *planned) early(view *wire.StoreView, name string) *wire.StoreView {
 	at := slices.IndexFunc(view.Stores, func(s wire.Store) bool { return s.Node == name && s.Retiring })
 	if !p.mutant.retireEarly || at < 0 || !placement.Holds(view, at) {
@@ -279,7 +279,7 @@
 	}
 }
 
-// logEvent tells what happens to a history that is looked at.
+// logEvent logs what happens in a history that is traced.
 func (p *planned) logEvent(format string, args ...any) {
 	if p.trace != nil {
 		p.trace("%v "+format, append([]any{p.now}, args...)...)
@@ -391,7 +391,7 @@
 	return e.up
 }
 
-// checkStored finds out whether all that was accepted and has not ended is on some disk that is left, of a store that has, or had, a part
+// checkStored finds out whether all that was accepted and is not finished is on some disk that is left, of a store that has, or had, a part
 // in its partition.
 func (p *planned) checkStored() {
 	stored := make(map[string]bool)
--- a/store/queue/simrun_test.go
+++ b/store/queue/simrun_test.go
@@ -13,7 +13,7 @@
 	"ravendale/cluster/wire"
 )
 
-// faults plays a fault now and then, so that no more stores are in trouble at once than may be lost.
+// faults plays a fault now and then, so that no more stores have one at once than may be lost.
 func (s *sim) faults() {
 	if s.stopped {
 		return
@@ -44,10 +44,10 @@
 			e.stop()
 			s.after(s.between(100*ms, 2*time.Second), e.start)
 		}
-	case 6: // a link between stores is cut, one way or both
+	case 6: // a link between stores is partitioned, in one direction
 		other := s.stores[s.random.IntN(len(s.stores))]
 		s.partitionLink(store.disk.name, other.disk.name)
-	case 7: // a link of an edge is cut
+	case 7: // a link of an edge is partitioned, in one direction
 		s.partitionLink(s.edges[s.random.IntN(len(s.edges))].name(), store.disk.name)
 	}
 }
@@ -88,7 +88,7 @@
 	})
 }
 
-// playCalm has primaries change without any trouble, and others hear of it late, or not before the next.
+// playCalm has primaries change without any fault, and others hear of it late, or not before the next.
 func playCalm(t *testing.T, seed uint64) string {
 	s := newSim(t, seed, 3, 3, 4, 2+int(seed%2), mutant{})
 	s.calm = true
--- a/store/queue/simstore_test.go
+++ b/store/queue/simstore_test.go
@@ -19,7 +19,7 @@
 	downAt    time.Duration
 	upAt      time.Duration
 	skew      int64         // of its time of day, in milliseconds
-	retention time.Duration // ended messages are known so long
+	retention time.Duration // finished messages are known so long
 	conns     []*simConn
 	links     map[string]*simConn
 }
--- a/store/queue/stall_test.go
+++ b/store/queue/stall_test.go
@@ -19,10 +19,10 @@
 	assert.False(t, r.core.Status().Stalled)
 	r.pass(ms)
 	assert.True(t, r.core.Status().Stalled)
-	assert.Nil(t, waits.message, "whether it is kept is not known")
+	assert.Nil(t, waits.message, "whether it is accepted is not known")
 	records := len(r.records)
 	assert.Equal(t, wire.PutRefused, code(t, r.put(plain("0.2"), e)))
-	assert.Len(t, r.records, records, "nothing of what is refused is kept")
+	assert.Len(t, r.records, records, "nothing of what is refused is written")
 	r.sync()
 	assert.False(t, r.core.Status().Stalled)
 	assert.Equal(t, wire.PutKept, code(t, waits))
@@ -64,7 +64,7 @@
 	assert.False(t, r.core.Status().Stalled)
 }
 
-// What waited for the disk when others took the store's place is not kept by its word.
+// What waited for the disk when others replaced the store is not accepted by it.
 func TestAStalledStoreThatIsReplacedIsUnsureOfWhatWaited(t *testing.T) {
 	r, b, e := primary(t)
 	r.sync()
--- a/store/queue/takeover_test.go
+++ b/store/queue/takeover_test.go
@@ -10,7 +10,7 @@
 	"ravendale/cluster/wire"
 )
 
-// successor returns a store that has just become the primary of partition 0, and the other replica, which has told nothing yet.
+// successor returns a store that has just become the primary of partition 0, and the other replica, which has said nothing yet.
 func successor(t *testing.T, records ...*Record) (r *rig, b *heard) {
 	r, b = member(t), &heard{}
 	r.take(1, records...)
@@ -19,7 +19,7 @@
 	return r, b
 }
 
-// fetched has the other replica tell of a record that only it has.
+// fetched has the other replica send a record that only it has.
 func (r *rig) fetched(b *heard, record *Record) {
 	comparisonID := last[Compare](b).ComparisonID
 	theirs := Digest{ID: record.ID, Sum: 1, State: record.State, Failed: record.Failed}
@@ -65,7 +65,7 @@
 	assert.EqualValues(t, 7, last[wire.Grant](e).Epoch)
 }
 
-// The edge that put a message may have ended it, and its report be on its way: it is asked before another gets the message.
+// The edge that put a message may have finished it, and its report be on its way: it is asked before another gets the message.
 func TestUnownedMessageGoesToItsLastLeaseholderFirst(t *testing.T) {
 	r, b := successor(t, &Record{ID: "0.1", Sequence: 1, Leaseholder: "e", Message: plain("")})
 	e, f := &heard{}, &heard{}
@@ -75,7 +75,7 @@
 	r.same(b)
 	r.pass(10 * time.Second)
 	r.syncAndAck(b)
-	assert.Empty(t, f.notices, "its owner is connected, and has not heard of the new primary yet")
+	assert.Empty(t, f.notices, "its last leaseholder is connected, and has not heard of the new primary yet")
 	r.claim(e)
 	r.syncAndAck(b)
 	require.NotNil(t, last[wire.Grant](e))
@@ -86,7 +86,7 @@
 	assert.Equal(t, wire.PutKept, code(t, released))
 	assert.Empty(t, f.notices, "whose it is now is not on all disks")
 	r.syncAndAck(b)
-	require.NotNil(t, last[wire.Grant](f), "its owner has given it back")
+	require.NotNil(t, last[wire.Grant](f), "its last leaseholder has released it")
 }
 
 func TestUnownedMessageGoesToAnotherEdgeOnceItsLastLeaseholderDisconnected(t *testing.T) {
@@ -147,7 +147,7 @@
 	assert.Equal(t, [bucketCount]uint64{}, other.core.partition(0).sums)
 }
 
-// An edge claims what it is putting, too, and may give it up without a word.
+// An edge claims what it is putting, too, and may give it up without a message.
 func TestClaimedMessageThatItsEdgeGaveUpIsReleased(t *testing.T) {
 	r, b := successor(t, &Record{ID: "0.1", Sequence: 1, Leaseholder: "e", Message: plain("")})
 	e, f := &heard{}, &heard{}
@@ -188,7 +188,7 @@
 	assert.Len(t, e.notices, reported)
 }
 
-// Placements may be skipped on their way. Under one that this store was not told of another was the primary.
+// Placements may be skipped on their way. Under one that this store has not seen another was the primary.
 func TestPrimaryThatMissedAnEpochAsksTheOthers(t *testing.T) {
 	r, b, e := primary(t)
 	put := r.put(plain("0.1"), e)
@@ -200,7 +200,7 @@
 	r.view(3, []uint16{0, 1}, nil)
 	r.claim(e)
 	r.pass(10 * time.Second)
-	assert.Nil(t, last[wire.Grant](e), "the other replica has not told what it knows")
+	assert.Nil(t, last[wire.Grant](e), "the other replica has not said what it knows")
 	assert.Equal(t, wire.PutUnknown, code(t, r.report(wire.Report{ID: "0.1", Kind: wire.ReportDone}, e)))
 	r.same(b)
 	r.syncAndAck(b)
@@ -220,7 +220,7 @@
 	assert.Empty(t, r.core.partition(0).entries)
 }
 
-// A message with an order was granted, and the edge's word that it has none is lost.
+// A message with an order was granted, and the edge's message that it has none is lost.
 func TestGrantedMessageIsGrantedAgain(t *testing.T) {
 	r, b := successor(t, &Record{ID: "0.1", Sequence: 1, Leaseholder: "e", Message: ordered("")}, &Record{ID: "0.2", Sequence: 2, Leaseholder: "e", Message: ordered("")})
 	e := &heard{}
