--- a/cluster/wire/queue.go
+++ b/cluster/wire/queue.go
@@ -2,7 +2,7 @@
 
 //msgp:tuple Message Attach AttachReply Put PutReply Report ReportReply Claim ClaimReply Find FindReply Grant
 
-// Message is a client's request that the system has taken, or is asked to take.
+// Message is a client's request that the system has accepted, or is asked to accept.
 type Message struct {
 	ID          string // its name for clients; PartitionOf tells where it lies
 	RequestID   string
@@ -14,8 +14,8 @@
 	Key         string // Order-Key; empty: no order
 	Body        []byte
 	SentUnixMs  int64  // time of day when it was received
-	DelayMs     uint32 // it may run so long after that
-	RetentionMs uint32 // it ends so long after that, run or not
+	DelayMs     uint32 // it may be delivered so long after that
+	RetentionMs uint32 // it is finished so long after that, delivered or not
 	Retries     uint16 // failed attempts after which it is dead
 	Ordered     bool   // its route is ordered by Key
 }
@@ -28,17 +28,17 @@
 	StatePending State = iota
 	StateDone
 	StateDead    // refused for good, or failed as often as its route allows, or retained to its end
-	StateDropped // its route is gone
+	StateDropped // its route was removed
 )
 
-// Attach tells a store who is at the other end of a connection.
+// Attach says to a store which edge is at the other end of a connection.
 type Attach struct {
 	Edge     string // Member.ID
 	Zone     string
-	Draining bool // take no hand-overs: it is being stopped
+	Draining bool // assign nothing to it: it is being stopped
 }
 
-// AttachReply tells the store's epoch.
+// AttachReply says under which epoch the store acts.
 type AttachReply struct {
 	Epoch uint64
 }
@@ -46,22 +46,22 @@
 // PutCode says what became of a Put.
 type PutCode uint8
 
-// The answers to a Put. Only PutKept accepts a message; after PutStale, PutNotPrimary and PutRefused nothing was kept and
-// nothing will be. PutUnknown promises neither.
+// The answers to a Put. Only PutAccepted accepts a message; after PutStale, PutNotPrimary and PutRefused nothing was accepted and
+// nothing will be. PutUnknown leaves it open.
 const (
-	PutKept       PutCode = iota
+	PutAccepted   PutCode = iota
 	PutStale              // the store acts under another epoch: see PutReply.Epoch
 	PutNotPrimary         // the partition's primary is another store
 	PutRefused            // too few stores, or too full
 	PutUnknown
 )
 
-// Put asks the primary of a partition to keep a message. The same message may be put again.
+// Put asks the primary of a partition to accept a message. The same message may be put again.
 type Put struct {
 	Partition uint16
 	Epoch     uint64
 	Message   Message
-	Dispatch  bool // the edge will deliver it: else the store hands it to one that can
+	Dispatch  bool // the edge will deliver it: else the store assigns it to one that can
 }
 
 // PutReply answers a Put.
@@ -71,7 +71,7 @@
 	Granted bool // of a message with an order: it is the first of its key, and may be delivered now
 }
 
-// Grant hands a message to an edge for delivery, or tells the edge that holds it that its turn has come.
+// Grant assigns a message to an edge for delivery, or notifies its leaseholder that it may deliver it now.
 type Grant struct {
 	Partition  uint16
 	Epoch      uint64 // of the store that grants
@@ -87,14 +87,14 @@
 // The kinds of reports. ReportFailed and ReportReleased leave the message pending.
 const (
 	ReportDone     ReportKind = iota // with Signature
-	ReportFailed                     // one more failed attempt; the edge keeps the message
+	ReportFailed                     // one more failed attempt; the edge goes on leasing the message
 	ReportDead                       // refused for good, or failed too often
-	ReportDropped                    // its route is gone
-	ReportReleased                   // the edge gives it back undelivered
+	ReportDropped                    // its route was removed
+	ReportReleased                   // the edge ends its lease without an outcome
 	ReportExpired                    // retained to its end
 )
 
-// Report tells the primary of a message's partition what became of its delivery. It may be repeated.
+// Report notifies the primary of a message's partition of what became of its delivery. It may be sent again.
 type Report struct {
 	Partition uint16
 	Epoch     uint64
@@ -104,22 +104,22 @@
 	Signature string
 }
 
-// ReportReply is sent once the report is on disk at all replicas. Code is as for a Put: PutKept, PutStale, PutNotPrimary or
-// PutUnknown. A report of an unknown message is PutKept.
+// ReportReply is sent once the report is on disk at all replicas. Code is as for a Put: PutAccepted, PutStale, PutNotPrimary or
+// PutUnknown. A report of an unknown message is PutAccepted.
 type ReportReply struct {
 	Code  PutCode
 	Epoch uint64
 }
 
-// Claim tells a new primary which messages of its partitions an edge holds, so that it does not hand them out anew. It is sent
+// Claim says to a new primary which messages of its partitions an edge leases, so that it does not assign them anew. It is sent
 // after Attach, and again for each epoch, even if empty.
 type Claim struct {
 	Epoch uint64
 	IDs   []string
 }
 
-// ClaimReply lists the claimed messages that the store does not know as pending: the edge drops them if it was never told
-// that they were kept, or if they have ended.
+// ClaimReply lists the claimed messages that the store does not know as pending: the edge drops them if no reply
+// has said that they are accepted, or if they are finished.
 type ClaimReply struct {
 	Code    PutCode
 	Epoch   uint64
--- a/store/journal/read.go
+++ b/store/journal/read.go
@@ -54,7 +54,7 @@
 		return nil, fmt.Errorf("%w: segment %d at byte %d", ErrNotFound, at.Segment, at.Offset)
 	}
 	size, sum := int(binary.BigEndian.Uint32(buffer)), binary.BigEndian.Uint32(buffer[4:])
-	if size == 0 || size > MaxRecord {
+	if size == 0 || size > maxRecord {
 		return nil, fmt.Errorf("%w: segment %d at byte %d", ErrDamaged, at.Segment, at.Offset)
 	}
 	payload := buffer[recordHeader:n]
--- a/store/journal/segment.go
+++ b/store/journal/segment.go
@@ -19,8 +19,8 @@
 	ErrNotFound = errors.New("journal: no such record")
 )
 
-// MaxRecord is the length of the longest payload, in bytes.
-const MaxRecord = 48 << 20
+// maxRecord is the length of the longest payload, in bytes.
+const maxRecord = 48 << 20
 
 const (
 	recordHeader  = 4 + 4 // length and checksum of the payload
@@ -58,7 +58,7 @@
 			return good, damage(err)
 		}
 		size, sum := binary.BigEndian.Uint32(header), binary.BigEndian.Uint32(header[4:])
-		if size == 0 || size > MaxRecord {
+		if size == 0 || size > maxRecord {
 			return good, ErrDamaged
 		}
 		payload, err := buffered.next(int(size))
--- a/store/queue/config.go
+++ b/store/queue/config.go
@@ -22,10 +22,10 @@
 
 // Defaults of Config, and other figures.
 const (
-	DefaultClaimWindow      = 400 * time.Millisecond
-	DefaultRestartWindow    = 800 * time.Millisecond
-	DefaultReconnectTimeout = 400 * time.Millisecond
-	DefaultClockSlack       = 15 * time.Second
+	defaultClaimWindow      = 400 * time.Millisecond
+	defaultRestartWindow    = 800 * time.Millisecond
+	defaultReconnectTimeout = 400 * time.Millisecond
+	defaultClockSlack       = 15 * time.Second
 
 	maintenanceInterval = 2 * time.Second
 	scrubInterval       = 4 * time.Second
@@ -48,16 +48,16 @@
 
 func (c Config) withDefaults() Config {
 	if c.ClaimWindow <= 0 {
-		c.ClaimWindow = DefaultClaimWindow
+		c.ClaimWindow = defaultClaimWindow
 	}
 	if c.RestartWindow <= 0 {
-		c.RestartWindow = DefaultRestartWindow
+		c.RestartWindow = defaultRestartWindow
 	}
 	if c.ReconnectTimeout <= 0 {
-		c.ReconnectTimeout = DefaultReconnectTimeout
+		c.ReconnectTimeout = defaultReconnectTimeout
 	}
 	if c.ClockSlack <= 0 {
-		c.ClockSlack = DefaultClockSlack
+		c.ClockSlack = defaultClockSlack
 	}
 	if c.Log == nil {
 		c.Log = slog.Default()
--- a/store/queue/stall_test.go
+++ b/store/queue/stall_test.go
@@ -25,10 +25,10 @@
 	assert.Len(t, r.records, records, "nothing of what is refused is written")
 	r.sync()
 	assert.False(t, r.core.Status().Stalled)
-	assert.Equal(t, wire.PutKept, code(t, waits))
+	assert.Equal(t, wire.PutAccepted, code(t, waits))
 	kept := r.put(plain("0.2"), e)
 	r.syncAndAck(b)
-	assert.Equal(t, wire.PutKept, code(t, kept))
+	assert.Equal(t, wire.PutAccepted, code(t, kept))
 }
 
 func TestAFullDiskIsReportedAtOnce(t *testing.T) {
@@ -43,7 +43,7 @@
 	assert.Equal(t, wire.PutRefused, code(t, r.put(plain("0.2"), e)))
 	r.sync()
 	assert.False(t, r.core.Status().Stalled)
-	assert.Equal(t, wire.PutKept, code(t, waits))
+	assert.Equal(t, wire.PutAccepted, code(t, waits))
 }
 
 // A disk that is slow and takes one after another is not stalled.
