--- a/cmd/ravendale-store/main.go
+++ b/cmd/ravendale-store/main.go
@@ -1,4 +1,5 @@
-// Command ravendale-store is the durable queue of a storage machine: it keeps messages with other stores until they have ended.
+// Command ravendale-store is the durable queue of a storage machine: it accepts messages, replicates them with other stores, and has them
+// delivered by edges until they are finished.
 package main
 
 import (
--- a/cmd/ravendale-store/process.go
+++ b/cmd/ravendale-store/process.go
@@ -64,14 +64,14 @@
 	}
 }
 
-// onChange takes a newer state. Before the agent has what the leader named first, an old placement could be taken for the newest.
+// onChange handles a newer state. Before the agent has what the leader named first, an old placement could pass for the newest.
 func (p *process) onChange(_ wire.Topic, s *member.Snapshot) {
 	if p.agent.Current() {
 		p.applySnapshot(s)
 	}
 }
 
-// awaitCurrent takes the state that the leader named first, should the word that it is the newest come after it.
+// awaitCurrent applies the state that the leader named first, should the agent learn that it is the newest only after it has come.
 func (p *process) awaitCurrent(ctx context.Context) {
 	for !p.agent.Current() {
 		select {
--- a/store/journal/scanner.go
+++ b/store/journal/scanner.go
@@ -8,7 +8,7 @@
 
 const scanBuffer = 64 << 10
 
-// scanner hands out pieces of a file in a buffer that is used again.
+// scanner reads pieces of a file into a buffer that is used again.
 type scanner struct {
 	reader *bufio.Reader
 	buffer []byte
--- a/store/server/damage.go
+++ b/store/server/damage.go
@@ -17,7 +17,7 @@
 const (
 	fullRetryInterval = 200 * time.Millisecond // after how long a full disk is tried again
 	damagedFolder     = "damaged"              // what is left of a damaged journal
-	damagedShare      = 8                      // it may take one in so many bytes of the disk
+	damagedShare      = 8                      // the quarantine has one in so many bytes of the disk at most
 )
 
 // OpenDisk opens the store of a disk, and returns the disk's identity. A damaged journal is quarantined, as far as there is space for it, and the
@@ -64,7 +64,7 @@
 }
 
 // quarantine moves a damaged journal out of the way, trimmed to its newest segments within a limit in bytes. The identity goes first: with it an
-// empty journal would be taken for all that the disk ever had.
+// empty journal would count as all that the disk ever had.
 func quarantine(dir string, limit int64) error {
 	from, to := filepath.Join(dir, journalFolder), filepath.Join(dir, damagedFolder)
 	if err := os.Remove(filepath.Join(dir, identityFile)); err != nil && !errors.Is(err, os.ErrNotExist) {
--- a/store/server/handlers.go
+++ b/store/server/handlers.go
@@ -29,7 +29,7 @@
 	})
 }
 
-// memberAnswers are the handlers of what members send back.
+// memberAnswers are the handlers of what members answer to a primary.
 func (s *Store) memberAnswers() *rpc.Mux {
 	mux := rpc.NewMux()
 	handleNotification(s, mux, queue.MethodAcked, (*queue.Core).Acked)
--- a/store/server/identity.go
+++ b/store/server/identity.go
@@ -13,7 +13,8 @@
 
 const identityFile = "identity"
 
-// Identity reads the identity of the disk that holds a folder. At first use one is drawn, and lasts before it is returned.
+// Identity reads the identity of the disk on which a data folder is. At first use one is drawn at random, and is durable before it is returned. It
+// fails if the disk does.
 func Identity(dir string) (string, error) {
 	path := filepath.Join(dir, identityFile)
 	content, err := os.ReadFile(path)
@@ -29,7 +30,7 @@
 
 const identityLength = 26 // of rand.Text
 
-// validIdentity says whether a file's content is whole: it was not, if the power failed when it was written first.
+// validIdentity says whether a file's content is complete: it is not, if the power failed when it was written first.
 func validIdentity(id string) bool { return len(id) == identityLength }
 
 func newIdentity(dir, path string) (string, error) {
--- a/store/server/store.go
+++ b/store/server/store.go
@@ -177,8 +177,8 @@
 	s.reconnectLinks()
 }
 
-// reconnectLinks has links that are down connect at once: a store that is back takes part in a placement before its peers would
-// try again by themselves, and what they take meanwhile waits for it.
+// reconnectLinks has links that are down connect at once: a store that has restarted is a member again before its peers would retry by themselves,
+// and what they accept meanwhile waits for it.
 func (s *Store) reconnectLinks() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/store/server/store_test.go
+++ b/store/server/store_test.go
@@ -115,7 +115,18 @@
 	}
 }
 
-// TestStoresOnLoopback keeps messages on two stores, loses one and an edge, and goes on.
+// find asks a store for the state of a message.
+func find(t *testing.T, n *node, id string) *wire.FindReply {
+	t.Helper()
+	c, err := rpc.Dial(t.Context(), n.server.Address(), rpc.Options{})
+	require.NoError(t, err)
+	defer c.Close()
+	found := &wire.FindReply{}
+	require.NoError(t, c.Call(t.Context(), wire.MethodFind, &wire.Find{ID: id}, found))
+	return found
+}
+
+// TestStoresOnLoopback has two stores accept messages, loses one of them and an edge, and goes on.
 func TestStoresOnLoopback(t *testing.T) {
 	dirs := []string{t.TempDir(), t.TempDir(), t.TempDir()}
 	nodes := make([]*node, 3)
@@ -153,14 +164,7 @@
 	assert.True(t, grant.HasMessage)
 	assert.Equal(t, "0.2", grant.Message.ID)
 	assert.Equal(t, "body", string(grant.Message.Body))
-	for _, n := range nodes[1:2] {
-		c, err := rpc.Dial(t.Context(), n.server.Address(), rpc.Options{})
-		require.NoError(t, err)
-		found := &wire.FindReply{}
-		require.NoError(t, c.Call(t.Context(), wire.MethodFind, &wire.Find{ID: "0.1"}, found))
-		assert.Equal(t, &wire.FindReply{Found: true, State: wire.StateDone, Signature: "s"}, found)
-		c.Close()
-	}
+	assert.Equal(t, &wire.FindReply{Found: true, State: wire.StateDone, Signature: "s"}, find(t, nodes[1], "0.1"))
 
 	address := nodes[1].server.Address() // both restart with their disks
 	nodes[1].stop(t)
@@ -171,7 +175,7 @@
 	nodes[2].stop(t)
 }
 
-// BenchmarkPut keeps messages on two stores of one process, over loopback and real syncs.
+// BenchmarkPut has two stores of one process accept messages, over loopback and real syncs.
 func BenchmarkPut(b *testing.B) {
 	t := &testing.T{}
 	nodes := []*node{startNode(t, b.TempDir(), "127.0.0.1:0"), startNode(t, b.TempDir(), "127.0.0.1:0")}
--- a/test/lab/backlog/backlog.go
+++ b/test/lab/backlog/backlog.go
@@ -29,7 +29,7 @@
 	manyMb      = 1 << 20 // no limit of memory or disk is met
 )
 
-// ErrRefused is returned if the store does not take a message.
+// ErrRefused is returned if the store does not accept a message.
 var ErrRefused = errors.New("backlog: the store refuses a message")
 
 // Config of a run.
