--- a/cmd/ravendale-store/corehost.go
+++ b/cmd/ravendale-store/corehost.go
@@ -150,7 +150,7 @@
 }
 
 func (h *coreHost) awaitRemoval(ctx context.Context, opened *plane.Plane) {
-	for !opened.Core.LeftOut() {
+	for !opened.Core.Removed() {
 		select {
 		case <-ctx.Done():
 			return
