--- a/edge/dispatch/core_test.go
+++ b/edge/dispatch/core_test.go
@@ -195,7 +195,7 @@
 
 func TestFailuresOfBeforeCount(t *testing.T) {
 	w := newWorld(t)
-	w.apply(w.core.Grant(w.now, &wire.Grant{ID: "0.1", Whole: true, Failed: 2, Message: *messageTo("/p/", "1")}))
+	w.apply(w.core.Grant(w.now, &wire.Grant{ID: "0.1", HasMessage: true, Failed: 2, Message: *messageTo("/p/", "1")}))
 	w.end(w.sent(), worker.Failed)
 	assert.Equal(t, wire.Report{ID: "0.1", Kind: wire.ReportDead, Failed: 3}, w.reported())
 }
@@ -278,7 +278,7 @@
 		w := newWorld(t)
 		m := messageTo("/p/", "1")
 		m.DelayMs, m.SentUnixMs = 1500, sent
-		w.apply(w.core.Grant(w.now, &wire.Grant{ID: m.ID, Whole: true, Message: *m}))
+		w.apply(w.core.Grant(w.now, &wire.Grant{ID: m.ID, HasMessage: true, Message: *m}))
 		w.end(w.sent(), worker.Done)
 		assert.Equal(t, wire.ReportDone, w.reported().Kind)
 	}
@@ -318,7 +318,7 @@
 	w := newWorld(t)
 	w.accept("/p/", "1")
 	d := w.sent()
-	w.apply(w.core.Grant(w.now, &wire.Grant{ID: "0.1", Whole: true, Message: *messageTo("/p/", "1")}))
+	w.apply(w.core.Grant(w.now, &wire.Grant{ID: "0.1", HasMessage: true, Message: *messageTo("/p/", "1")}))
 	w.sentNothing()
 	w.end(d, worker.Done)
 	assert.Equal(t, wire.ReportDone, w.reported().Kind)
@@ -339,7 +339,7 @@
 	w.pass(releaseDelay)
 	assert.Equal(t, wire.ReportReleased, w.reported().Kind)
 	w.apply(w.core.SetEdges(w.now, edgesOf("e1")))
-	w.apply(w.core.Grant(w.now, &wire.Grant{ID: "0.1", Whole: true, Message: *messageTo("/l/", "1")}))
+	w.apply(w.core.Grant(w.now, &wire.Grant{ID: "0.1", HasMessage: true, Message: *messageTo("/l/", "1")}))
 	w.apply(w.core.Acknowledged(w.now, "0.1")) // of the release: too late to matter
 	w.pass(2 * time.Second)
 	w.sent()
@@ -394,7 +394,7 @@
 func TestGrantedMessageWaitsForARouteThatMayBeNew(t *testing.T) {
 	w := newWorld(t)
 	grant := func(id string) {
-		w.apply(w.core.Grant(w.now, &wire.Grant{ID: "0." + id, Whole: true, Message: *messageTo("/new/", id)}))
+		w.apply(w.core.Grant(w.now, &wire.Grant{ID: "0." + id, HasMessage: true, Message: *messageTo("/new/", id)}))
 	}
 	grant("1")
 	w.pass(2 * time.Second)
@@ -522,7 +522,7 @@
 	w.reports = nil
 	w.accept("/p/", "4") // a put that was under way
 	assert.Equal(t, wire.Report{ID: "0.4", Kind: wire.ReportReleased}, w.reported())
-	w.apply(w.core.Grant(w.now, &wire.Grant{ID: "0.5", Whole: true, Message: *messageTo("/p/", "5")}))
+	w.apply(w.core.Grant(w.now, &wire.Grant{ID: "0.5", HasMessage: true, Message: *messageTo("/p/", "5")}))
 	assert.Equal(t, wire.Report{ID: "0.5", Kind: wire.ReportReleased}, w.reported())
 	for _, id := range []string{"1", "2", "3", "4", "5"} {
 		w.apply(w.core.Acknowledged(w.now, "0."+id))
@@ -552,7 +552,7 @@
 	w.sent()
 	other := messageTo("/p/", "2")
 	other.Body = make([]byte, 1500)
-	w.apply(w.core.Grant(w.now, &wire.Grant{ID: other.ID, Whole: true, Message: *other}))
+	w.apply(w.core.Grant(w.now, &wire.Grant{ID: other.ID, HasMessage: true, Message: *other}))
 	w.pass(releaseDelay)
 	assert.Equal(t, wire.ReportReleased, w.reported().Kind)
 	w.sentNothing()
--- a/edge/dispatch/intake.go
+++ b/edge/dispatch/intake.go
@@ -15,7 +15,7 @@
 	return c.end()
 }
 
-// Grant takes a store's grant. A grant with its message (Whole) is due: the store, whose steady clock has counted since it was sent,
+// Grant takes a store's grant. A grant with its message (HasMessage) is due: the store, whose steady clock has counted since it was sent,
 // keeps its delay, and its end too. The time of day says nothing reliable of either. What was completed here is not run again: the
 // store that grants it has not heard of that, as when it has just become the primary.
 func (c *Core) Grant(now time.Duration, g *wire.Grant) []Action {
@@ -26,7 +26,7 @@
 		c.setGranted(m, g.Failed)
 	case m != nil && !m.released: // its report is repeated until it is acknowledged
 	case c.resendReport(g.ID):
-	case g.Whole:
+	case g.HasMessage:
 		c.addGranted(g)
 	case m == nil:
 		c.report(wire.Report{ID: g.ID, Kind: wire.ReportReleased, Failed: g.Failed})
--- a/edge/queueclient/client.go
+++ b/edge/queueclient/client.go
@@ -95,10 +95,10 @@
 	if c.isStale(conn, g) {
 		return
 	}
-	if !g.Whole && c.grantAttempt(g.ID) {
+	if !g.HasMessage && c.grantAttempt(g.ID) {
 		return
 	}
-	if g.Whole && c.reports.isReleasing(g.ID) { // the store takes the repeat of the release for one of this grant
+	if g.HasMessage && c.reports.isReleasing(g.ID) { // the store takes the repeat of the release for one of this grant
 		c.Report(wire.Report{ID: g.ID, Kind: wire.ReportReleased, Failed: g.Failed})
 		return
 	}
