--- a/edge/dispatch/bucket.go
+++ b/edge/dispatch/bucket.go
@@ -6,12 +6,12 @@
 
 // bucket is an edge's token bucket for a service. It starts empty, and again after each change of the share.
 type bucket struct {
-	share  Share
+	share  rateShare
 	tokens float64
 	filled time.Duration
 }
 
-func newBucket(share Share, now time.Duration) *bucket { return &bucket{share: share, filled: now} }
+func newBucket(share rateShare, now time.Duration) *bucket { return &bucket{share: share, filled: now} }
 
 func (b *bucket) fill(now time.Duration) {
 	b.tokens = min(b.share.Burst, b.tokens+b.share.Rate*(now-b.filled).Seconds())
--- a/edge/dispatch/configure.go
+++ b/edge/dispatch/configure.go
@@ -123,8 +123,8 @@
 	c.reroute(s.queue.messages)
 	s.queue.messages = nil
 	c.pruneBacklogged()
-	rateLimit := RateLimit{RatePerS: config.RatePerS, Window: c.config.Window, Overshoot: c.config.Overshoot}
-	share := rateLimit.Divide(s.name, c.config.Topology.Edge, c.config.Topology.Edges)
+	limit := rateLimit{RatePerS: config.RatePerS, Window: c.config.Window, Overshoot: c.config.Overshoot}
+	share := limit.divide(s.name, c.config.Topology.Edge, c.config.Topology.Edges)
 	s.maxOpenJobs = c.connectionCapacity(s, config)
 	if s.tokens == nil || s.tokens.share != share {
 		s.tokens = newBucket(share, c.now)
--- a/edge/dispatch/ratelimit.go
+++ b/edge/dispatch/ratelimit.go
@@ -23,38 +23,38 @@
 	largeBurstDivisor = 8 // edges are few while their large bursts are under this fraction of the budget
 )
 
-// RateLimit bounds what all edges together send to a service in any window (ratePerS of a service).
-type RateLimit struct {
+// rateLimit bounds what all edges together send to a service in any window (ratePerS of a service).
+type rateLimit struct {
 	RatePerS  float64
 	Window    time.Duration
 	Overshoot float64 // factor on rate x window
 }
 
-// Share is one edge's share of a rate limit: a token bucket. A zero Share sends nothing.
-type Share struct {
+// rateShare is one edge's share of a rate limit: a token bucket. A zero Share sends nothing.
+type rateShare struct {
 	Rate  float64 // tokens a second
 	Burst float64
 }
 
 // budget returns how many arrivals the bound allows in a window.
-func (c RateLimit) budget() float64 {
+func (c rateLimit) budget() float64 {
 	return c.RatePerS*c.Window.Seconds()*c.Overshoot + budgetSlack
 }
 
 // senders returns how many of a number of edges may send. Few with a quick supply of tokens keep messages waiting less than many
 // with a slow one each, but no zone should be without, and one that leaves should not be the only one.
-func (c RateLimit) senders(edges, zones int) int {
+func (c rateLimit) senders(edges, zones int) int {
 	maxSenders := int((c.budget() - reservedArrivals) * burstFraction)
 	target := max(int(math.Ceil(c.RatePerS*c.Overshoot/minSenderRate)), zones, minSenders)
 	return max(1, min(edges, target, maxSenders))
 }
 
-// Divide returns an edge's share among edges for a service. Edges that list the same others get shares that sum up to
+// divide returns an edge's share among edges for a service. Edges that list the same others get shares that sum up to
 // less than the bound; where not all may send, the first of each zone by hash of service and edge do, then the second.
-func (c RateLimit) Divide(service, edge string, edges []wire.Edge) Share {
+func (c rateLimit) divide(service, edge string, edges []wire.Edge) rateShare {
 	count := c.senders(len(edges), countZones(edges))
 	if !slices.Contains(selectSenders(service, edges, count), edge) {
-		return Share{}
+		return rateShare{}
 	}
 	burst := 1.0
 	if largeBurst*float64(count) <= c.budget()/largeBurstDivisor {
@@ -62,7 +62,7 @@
 	}
 	spare := c.budget() - float64(count)*burst - reservedArrivals
 	rate := rateFraction * spare / (c.Window.Seconds() * float64(count))
-	return Share{Rate: max(0, min(rate, c.RatePerS)), Burst: burst}
+	return rateShare{Rate: max(0, min(rate, c.RatePerS)), Burst: burst}
 }
 
 func countZones(edges []wire.Edge) int {
--- a/edge/dispatch/ratelimit_test.go
+++ b/edge/dispatch/ratelimit_test.go
@@ -25,7 +25,7 @@
 // Whatever the edges are sent and whenever, no window sees more than the bound.
 func TestRateLimitHoldsInEachWindow(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		c := RateLimit{
+		c := rateLimit{
 			RatePerS:  rapid.Float64Range(0.5, 200).Draw(t, "rate"),
 			Window:    time.Duration(rapid.Float64Range(1, 10).Draw(t, "window") * float64(time.Second)),
 			Overshoot: rapid.Float64Range(1, 1.5).Draw(t, "overshoot"),
@@ -49,8 +49,8 @@
 }
 
 // greedy sends whenever there is a token, from a drawn time on, with pauses.
-func greedy(t *rapid.T, c RateLimit, edge string, edges []wire.Edge) (sends []time.Duration) {
-	share := c.Divide("s", edge, edges)
+func greedy(t *rapid.T, c rateLimit, edge string, edges []wire.Edge) (sends []time.Duration) {
+	share := c.divide("s", edge, edges)
 	if share.Burst == 0 {
 		return nil
 	}
@@ -71,29 +71,29 @@
 }
 
 func TestRateLimitIsUsed(t *testing.T) {
-	c := RateLimit{RatePerS: 39, Window: 5 * time.Second, Overshoot: 1.1}
+	c := rateLimit{RatePerS: 39, Window: 5 * time.Second, Overshoot: 1.1}
 	for _, count := range []int{1, 4, 12, 58} {
 		edges := edgesIn(4, count)
 		sum := 0.0
 		for _, edge := range edges {
-			sum += c.Divide("s", edge.ID, edges).Rate
+			sum += c.divide("s", edge.ID, edges).Rate
 		}
 		assert.Greater(t, sum, 0.7*c.RatePerS, "%d edges", count)
 	}
 }
 
 func TestSmallRateLimitGoesToAFewEdges(t *testing.T) {
-	c := RateLimit{RatePerS: 1, Window: 5 * time.Second, Overshoot: 1.1}
+	c := rateLimit{RatePerS: 1, Window: 5 * time.Second, Overshoot: 1.1}
 	edges := edgesIn(3, 50)
 	senders := 0
 	for _, edge := range edges {
-		if c.Divide("s", edge.ID, edges).Burst > 0 {
+		if c.divide("s", edge.ID, edges).Burst > 0 {
 			senders++
 		}
 	}
 	assert.Equal(t, c.senders(50, 3), senders)
 	assert.Less(t, senders, 8)
-	assert.Zero(t, c.Divide("s", "stranger", edges))
+	assert.Zero(t, c.divide("s", "stranger", edges))
 }
 
 func TestBucketBeginsEmptyAfterAChange(t *testing.T) {
@@ -110,7 +110,7 @@
 func TestEachAttemptTakesAToken(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		w := newWorld(t)
-		rateLimit := RateLimit{RatePerS: 4, Window: 5 * time.Second, Overshoot: 1.1}
+		limit := rateLimit{RatePerS: 4, Window: 5 * time.Second, Overshoot: 1.1}
 		var sends []time.Duration
 		next := 0
 		outcomes := []worker.Outcome{worker.Done, worker.AtCapacity, worker.Broken, worker.Failed, worker.TimedOut, worker.Duplicate, worker.Unreachable, worker.NoConnection}
@@ -133,12 +133,12 @@
 		for i, at := range sends {
 			count := 0
 			for _, earlier := range sends[:i+1] {
-				if earlier > at-rateLimit.Window {
+				if earlier > at-limit.Window {
 					count++
 				}
 			}
-			if float64(count) > rateLimit.budget() {
-				r.Fatalf("%d sends in a window, of %.1f", count, rateLimit.budget())
+			if float64(count) > limit.budget() {
+				r.Fatalf("%d sends in a window, of %.1f", count, limit.budget())
 			}
 		}
 		assert.NotEmpty(t, sends)
@@ -164,7 +164,7 @@
 func TestTokensThatWaitAreNotSpentTogether(t *testing.T) {
 	w := newWorld(t)
 	w.pass(10 * time.Second)
-	rateLimit := RateLimit{RatePerS: 4, Window: 5 * time.Second, Overshoot: 1.1}
+	limit := rateLimit{RatePerS: 4, Window: 5 * time.Second, Overshoot: 1.1}
 	for i := range 200 {
 		w.accept("/l/", fmt.Sprint(i))
 	}
@@ -176,7 +176,7 @@
 		}
 	}
 	sent := 0
-	for end := w.now + rateLimit.Window; w.now < end; w.pass(20 * ms) {
+	for end := w.now + limit.Window; w.now < end; w.pass(20 * ms) {
 		for len(w.deliveries) > 0 {
 			d := w.deliveries[0]
 			w.deliveries = w.deliveries[1:]
@@ -184,8 +184,8 @@
 			w.end(d, worker.Done)
 		}
 	}
-	assert.LessOrEqual(t, float64(sent), rateLimit.budget())
-	assert.Greater(t, float64(sent), rateLimit.budget()/2)
+	assert.LessOrEqual(t, float64(sent), limit.budget())
+	assert.Greater(t, float64(sent), limit.budget()/2)
 }
 
 func TestTokenIsKeptWhereNothingWasSent(t *testing.T) {
@@ -224,11 +224,11 @@
 
 func TestEachZoneHasASender(t *testing.T) {
 	for _, rate := range []float64{3, 39} {
-		c := RateLimit{RatePerS: rate, Window: 5 * time.Second, Overshoot: 1.1}
+		c := rateLimit{RatePerS: rate, Window: 5 * time.Second, Overshoot: 1.1}
 		edges := edgesIn(4, 58)
 		zones := make(map[string]int)
 		for _, edge := range edges {
-			if share := c.Divide("s", edge.ID, edges); share.Burst > 0 {
+			if share := c.divide("s", edge.ID, edges); share.Burst > 0 {
 				zones[edge.Zone]++
 			}
 		}
@@ -238,10 +238,10 @@
 
 // Where many edges could have a trickle each, fewer have a supply that keeps nobody waiting for long.
 func TestSendersHaveAQuickSupply(t *testing.T) {
-	c := RateLimit{RatePerS: 39, Window: 5 * time.Second, Overshoot: 1.1}
+	c := rateLimit{RatePerS: 39, Window: 5 * time.Second, Overshoot: 1.1}
 	edges := edgesIn(4, 58)
 	for _, edge := range edges {
-		if share := c.Divide("s", edge.ID, edges); share.Burst > 0 {
+		if share := c.divide("s", edge.ID, edges); share.Burst > 0 {
 			assert.Greater(t, share.Rate, 3.0)
 		}
 	}
--- a/edge/dispatch/waitqueue_test.go
+++ b/edge/dispatch/waitqueue_test.go
@@ -142,7 +142,7 @@
 	assert.Less(t, len(w.deliveries), 10)
 }
 
-func TestMessagesThatWaitAreGivenBackAtAStop(t *testing.T) {
+func TestMessagesThatWaitAreReleasedAtAStop(t *testing.T) {
 	w, _ := fullWorld(t)
 	w.accept("/p/", "waits")
 	w.apply(w.core.Stop(w.now))
@@ -171,7 +171,7 @@
 }
 
 // Workers that have no room make no message sleep: it goes as soon as one has.
-func TestAMessageThatFoundAllWorkersFullIsNotPaused(t *testing.T) {
+func TestAMessageThatFoundAllWorkersAtCapacityDoesNotBackOff(t *testing.T) {
 	for _, outcome := range []worker.Outcome{worker.AtCapacity, worker.NoConnection} {
 		w := newWorld(t)
 		w.accept("/p/", "m")
--- a/edge/ingress/configwait_test.go
+++ b/edge/ingress/configwait_test.go
@@ -50,7 +50,7 @@
 	assert.LessOrEqual(t, s.queue.limits[0], 320*time.Millisecond)
 }
 
-func TestRequestIsRefusedWhenTheConfigurationDoesNotCome(t *testing.T) {
+func TestRequestIsRejectedWhenTheConfigurationDoesNotCome(t *testing.T) {
 	s, _ := late(t)
 	for deadline, most := range map[string]time.Duration{"100": 42 * time.Millisecond, "10000": maxConfigWait} {
 		began := time.Now()
--- a/edge/ingress/ingress_test.go
+++ b/edge/ingress/ingress_test.go
@@ -136,7 +136,7 @@
 
 const head = "POST /p/x HTTP/1.1\r\nHost: a.example\r\nRequest-Id: r1\r\n"
 
-func TestMessageIsTaken(t *testing.T) {
+func TestMessageIsAccepted(t *testing.T) {
 	s := newSite(t)
 	got := s.ask(t, "POST /p/q/a%2Fb/../c//d?x=%20&y HTTP/1.1\r\nHost: a.example:80\r\nRequest-Id: r1\r\nOrder-Key: k\r\n"+
 		"Content-Type: text/x\r\nDelay-Ms: 1500\r\nContent-Length: 5\r\n\r\nhello")
@@ -215,7 +215,7 @@
 }
 
 // Whatever two readers may take for different requests is refused, and the connection ends: what follows is not a request.
-func TestSmugglingIsRefused(t *testing.T) {
+func TestSmugglingIsRejected(t *testing.T) {
 	const hidden = "POST /p/hidden HTTP/1.1\r\nHost: a.example\r\nRequest-Id: hidden\r\nContent-Length: 0\r\n\r\n"
 	cases := map[string]string{
 		"length and chunks":        head + "Content-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
@@ -320,7 +320,7 @@
 	}
 }
 
-func TestWhatWasNotKeptIsRefused(t *testing.T) {
+func TestRejectedPutIsUnavailable(t *testing.T) {
 	s := newSite(t)
 	s.queue.result = queueclient.Rejected
 	c := s.dial(t).send(head + "Content-Length: 0\r\n\r\n")
@@ -330,7 +330,7 @@
 	assert.Empty(t, got.header.Get("Msg-Id"))
 }
 
-func TestWhatMayBeKeptGetsNoAnswer(t *testing.T) {
+func TestUnknownPutGetsNoAnswer(t *testing.T) {
 	s := newSite(t)
 	s.queue.result = queueclient.Unknown
 	c := s.dial(t).send(head + "Content-Length: 0\r\n\r\n")
--- /dev/null
+++ b/edge/queueclient/client_test.go
@@ -0,0 +1,136 @@
+package queueclient
+
+import (
+	"slices"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+
+	"ravendale/cluster/wire"
+)
+
+// The answer to a put is lost with the connection; the repeat's comes after the grant.
+func TestGrantThatOvertakesTheAnswer(t *testing.T) {
+	onFakeTime(t, func(t *testing.T) {
+		one := newFakeStore(t)
+		c, h := newClient(t)
+		one.put = func(p *wire.Put, _ int) *wire.PutReply {
+			_ = one.conns[len(one.conns)-1].Notify(wire.MethodGrant, &wire.Grant{ID: p.Message.ID})
+			return &wire.PutReply{Code: wire.PutKept}
+		}
+		c.SetView(placement(1, []*fakeStore{one}, []uint16{0}))
+		connected(t, c)
+		m := ordered()
+		require.Equal(t, Accepted, c.Put(m, true, time.Second))
+		h.with(func() {
+			assert.Equal(t, map[string]bool{m.ID: true}, h.accepted)
+			assert.Empty(t, h.granted)
+		})
+	})
+}
+
+func TestGrantsReachTheEdge(t *testing.T) {
+	onFakeTime(t, func(t *testing.T) {
+		one := newFakeStore(t)
+		c, h := newClient(t)
+		c.SetView(placement(1, []*fakeStore{one}, []uint16{0}))
+		require.Eventually(t, func() bool {
+			one.mu.Lock()
+			defer one.mu.Unlock()
+			return len(one.conns) == 1
+		}, soon, time.Millisecond)
+		one.with(func() { _ = one.conns[0].Notify(wire.MethodGrant, &wire.Grant{ID: "0.x", HasMessage: true}) })
+		require.Eventually(t, func() bool {
+			h.mu.Lock()
+			defer h.mu.Unlock()
+			return len(h.granted) == 1
+		}, soon, time.Millisecond)
+	})
+}
+
+func TestClaimsNameWhatThePrimaryShouldKnow(t *testing.T) {
+	onFakeTime(t, func(t *testing.T) {
+		one, two := newFakeStore(t), newFakeStore(t)
+		c, h := newClient(t)
+		h.owned = []string{"0.a", "1.b", "1.c"}
+		two.claim = func(m *wire.Claim) *wire.ClaimReply {
+			if len(m.IDs) == 0 {
+				return &wire.ClaimReply{}
+			}
+			return &wire.ClaimReply{Unknown: []string{"1.c", "1.stranger"}}
+		}
+		stores := []*fakeStore{one, two}
+		c.SetView(placement(1, stores, []uint16{0, 1}, []uint16{1, 0}))
+		connected(t, c)
+		one.with(func() { assert.Equal(t, []wire.Claim{{Epoch: 1, IDs: []string{"0.a"}}}, distinct(one.claims)) })
+		two.with(func() { assert.Equal(t, []wire.Claim{{Epoch: 1, IDs: []string{"1.b", "1.c"}}}, distinct(two.claims)) })
+		h.with(func() { assert.Equal(t, []string{"1.c"}, slices.Compact(h.unknown)) })
+		claims := one.countClaims()
+		c.SetView(placement(2, stores, []uint16{0, 1}, []uint16{0, 1}))
+		require.Eventually(t, func() bool { return one.countClaims() > claims }, soon, time.Millisecond)
+		one.with(func() {
+			last := one.claims[len(one.claims)-1]
+			assert.EqualValues(t, 2, last.Epoch)
+			assert.ElementsMatch(t, []string{"0.a", "1.b", "1.c"}, last.IDs)
+		})
+	})
+}
+
+func TestClaimIsRepeatedToAStoreThatIsBehind(t *testing.T) {
+	onFakeTime(t, func(t *testing.T) {
+		one := newFakeStore(t)
+		calls := 0
+		one.claim = func(*wire.Claim) *wire.ClaimReply {
+			if calls++; calls < 3 {
+				return &wire.ClaimReply{Code: wire.PutStale}
+			}
+			return &wire.ClaimReply{}
+		}
+		c, _ := newClient(t)
+		c.SetView(placement(4, []*fakeStore{one}, []uint16{0}))
+		require.Eventually(t, func() bool { return one.countClaims() >= 3 }, soon, time.Millisecond)
+	})
+}
+
+func TestOlderViewsAreNotTaken(t *testing.T) {
+	onFakeTime(t, func(t *testing.T) {
+		one := newFakeStore(t)
+		c, _ := newClient(t)
+		c.SetView(placement(4, []*fakeStore{one}, []uint16{0}))
+		c.SetView(placement(3, []*fakeStore{one}, []uint16{0}, []uint16{0}))
+		assert.EqualValues(t, 4, c.view.Load().Epoch)
+	})
+}
+
+func TestStoreWithAnotherDiskIsAnother(t *testing.T) {
+	onFakeTime(t, func(t *testing.T) {
+		one := newFakeStore(t)
+		c, _ := newClient(t)
+		c.SetView(placement(1, []*fakeStore{one}, []uint16{0}))
+		connected(t, c)
+		before := c.view.Load().stores[0]
+		next := placement(2, []*fakeStore{one}, []uint16{0})
+		next.Stores[0].Disk = "other"
+		c.SetView(next)
+		connected(t, c)
+		assert.NotSame(t, before, c.view.Load().stores[0])
+		assert.Equal(t, Accepted, c.Put(plain(), true, time.Second))
+	})
+}
+
+func TestDrainNotifiesTheStores(t *testing.T) {
+	onFakeTime(t, func(t *testing.T) {
+		one := newFakeStore(t)
+		c, _ := newClient(t)
+		c.SetView(placement(1, []*fakeStore{one}, []uint16{0}))
+		connected(t, c)
+		c.Drain()
+		require.Eventually(t, func() bool {
+			one.mu.Lock()
+			defer one.mu.Unlock()
+			return len(one.attaches) > 0 && one.attaches[len(one.attaches)-1].Draining
+		}, soon, time.Millisecond)
+	})
+}
--- /dev/null
+++ b/edge/queueclient/fakestore_test.go
@@ -0,0 +1,199 @@
+package queueclient
+
+import (
+	"errors"
+	"slices"
+	"sync"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"github.com/stretchr/testify/require"
+	"github.com/tinylib/msgp/msgp"
+
+	"ravendale/cluster/rpc"
+	"ravendale/cluster/wire"
+)
+
+const soon = 3 * time.Second // of fake time
+
+// fakeStore is a store that answers as it is told to.
+type fakeStore struct {
+	server *rpc.Server
+
+	mu       sync.Mutex
+	attaches []wire.Attach
+	claims   []wire.Claim
+	puts     []wire.Put
+	reports  []wire.Report
+	conns    []*rpc.Conn
+
+	put    func(p *wire.Put, number int) *wire.PutReply // nil, or a nil answer: none
+	report func(r *wire.Report, number int) wire.PutCode
+	claim  func(c *wire.Claim) *wire.ClaimReply
+	find   func(f *wire.Find) *wire.FindReply
+	unsure bool // it answers that it can't say
+}
+
+func newFakeStore(t *testing.T) *fakeStore {
+	s := &fakeStore{}
+	mux := rpc.NewMux()
+	rpc.Handle(mux, wire.MethodAttach, func(c *rpc.Conn, m *wire.Attach, reply rpc.Reply) {
+		s.mu.Lock()
+		defer s.mu.Unlock()
+		s.attaches = append(s.attaches, *m)
+		s.conns = append(s.conns, c)
+		reply.Send(&wire.AttachReply{})
+	})
+	rpc.Handle(mux, wire.MethodClaim, func(_ *rpc.Conn, m *wire.Claim, reply rpc.Reply) {
+		s.mu.Lock()
+		defer s.mu.Unlock()
+		s.claims = append(s.claims, *m)
+		answer := &wire.ClaimReply{Code: wire.PutKept}
+		if s.claim != nil {
+			answer = s.claim(m)
+		}
+		reply.Send(answer)
+	})
+	rpc.Handle(mux, wire.MethodPut, func(c *rpc.Conn, m *wire.Put, reply rpc.Reply) {
+		s.mu.Lock()
+		defer s.mu.Unlock()
+		s.puts = append(s.puts, *m)
+		answer := &wire.PutReply{Code: wire.PutKept}
+		if s.put != nil {
+			answer = s.put(m, len(s.puts))
+		}
+		send(reply, answer)
+	})
+	rpc.Handle(mux, wire.MethodReport, func(_ *rpc.Conn, m *wire.Report, reply rpc.Reply) {
+		s.mu.Lock()
+		defer s.mu.Unlock()
+		s.reports = append(s.reports, *m)
+		code := wire.PutKept
+		if s.report != nil {
+			code = s.report(m, len(s.reports))
+		}
+		reply.Send(&wire.ReportReply{Code: code})
+	})
+	rpc.Handle(mux, wire.MethodFind, func(_ *rpc.Conn, m *wire.Find, reply rpc.Reply) {
+		s.mu.Lock()
+		defer s.mu.Unlock()
+		answer := &wire.FindReply{}
+		if s.find != nil {
+			answer = s.find(m)
+		}
+		if s.unsure {
+			reply.Fail(errors.New("not under this placement"))
+		} else if answer != nil {
+			reply.Send(answer)
+		}
+	})
+	s.server = rpc.Serve(memory.listen(), rpc.Options{Mux: mux}, nil)
+	t.Cleanup(s.server.Close)
+	return s
+}
+
+func send[T any, P interface {
+	*T
+	msgp.Marshaler
+}](reply rpc.Reply, answer P) {
+	if answer != nil {
+		reply.Send(answer)
+	}
+}
+
+func (s *fakeStore) with(f func()) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	f()
+}
+
+func (s *fakeStore) countPuts() (count int) {
+	s.with(func() { count = len(s.puts) })
+	return count
+}
+
+func (s *fakeStore) countReports() (count int) {
+	s.with(func() { count = len(s.reports) })
+	return count
+}
+
+func (s *fakeStore) countClaims() (count int) {
+	s.with(func() { count = len(s.claims) })
+	return count
+}
+
+// recorder is what a client told its edge.
+type recorder struct {
+	mu           sync.Mutex
+	accepted     map[string]bool // by message: granted
+	granted      []string
+	acknowledged []string
+	unknown      []string
+	owned        []string
+}
+
+func (h *recorder) with(f func()) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	f()
+}
+
+func newClient(t *testing.T) (*Client, *recorder) {
+	h := &recorder{accepted: make(map[string]bool)}
+	c := New(Config{
+		Edge: "edge-1", Zone: "z1", Options: rpc.Options{DialContext: memory.dial},
+		Accepted:     func(m *wire.Message, granted bool) { h.with(func() { h.accepted[m.ID] = granted }) },
+		Granted:      func(g *wire.Grant) { h.with(func() { h.granted = append(h.granted, g.ID) }) },
+		Acknowledged: func(id string) { h.with(func() { h.acknowledged = append(h.acknowledged, id) }) },
+		Unknown:      func(id string) { h.with(func() { h.unknown = append(h.unknown, id) }) },
+		Owned: func() (ids []string) {
+			h.with(func() { ids = append(ids, h.owned...) })
+			return ids
+		},
+	})
+	c.started -= time.Hour // no event falls on its start, a time that stands for never
+	t.Cleanup(c.Close)
+	return c, h
+}
+
+// placement has a partition for each list of stores, the primary first. The first store is in zone z1, the rest in z2.
+func placement(epoch uint64, stores []*fakeStore, partitions ...[]uint16) *wire.StoreView {
+	v := &wire.StoreView{Epoch: epoch, Copies: 1}
+	for i, s := range stores {
+		zone := "z2"
+		if i == 0 {
+			zone = "z1"
+		}
+		address := s.server.Address()
+		v.Stores = append(v.Stores, wire.Store{Disk: address, Address: address, Zone: zone})
+	}
+	for _, replicas := range partitions {
+		v.Partitions = append(v.Partitions, wire.Placement{Replicas: replicas})
+	}
+	return v
+}
+
+// connected waits until the client is connected to all stores and has told them all that there was to tell. What it claims may be told
+// twice then: by the connection that came up, and by the view that was taken.
+func connected(t *testing.T, c *Client) {
+	t.Helper()
+	defer synctest.Wait()
+	require.Eventually(t, func() bool {
+		for _, s := range c.view.Load().stores {
+			if s.conn() == nil {
+				return false
+			}
+		}
+		return true
+	}, soon, time.Millisecond)
+}
+
+// distinct leaves repeats out that follow one another.
+func distinct(claims []wire.Claim) []wire.Claim {
+	return slices.CompactFunc(claims, func(a, b wire.Claim) bool { return a.Epoch == b.Epoch && slices.Equal(a.IDs, b.IDs) })
+}
+
+func plain() *wire.Message { return &wire.Message{RequestID: "r", Body: []byte("b")} }
+
+func ordered() *wire.Message { return &wire.Message{RequestID: "r", Key: "k", Ordered: true} }
--- /dev/null
+++ b/edge/queueclient/put_test.go
@@ -0,0 +1,254 @@
+package queueclient
+
+import (
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+
+	"ravendale/cluster/rpc"
+	"ravendale/cluster/wire"
+)
+
+func TestPutGoesToAPartitionOfTheOwnZone(t *testing.T) {
+	onFakeTime(t, func(t *testing.T) {
+		one, two := newFakeStore(t), newFakeStore(t)
+		c, h := newClient(t)
+		assert.False(t, c.Usable())
+		c.SetView(placement(1, []*fakeStore{one, two}, []uint16{1, 0}, []uint16{0, 1}, []uint16{1, 0}))
+		connected(t, c)
+		assert.True(t, c.Usable())
+		for range 10 {
+			m := plain()
+			require.Equal(t, Accepted, c.Put(m, true, time.Second))
+			partition, ok := wire.PartitionOf(m.ID)
+			assert.True(t, ok)
+			assert.EqualValues(t, 1, partition)
+			h.with(func() { assert.Contains(t, h.accepted, m.ID) })
+		}
+		one.with(func() {
+			assert.Len(t, one.puts, 10)
+			assert.EqualValues(t, 1, one.puts[0].Epoch)
+			assert.True(t, one.puts[0].Dispatch)
+			assert.Equal(t, []byte("b"), one.puts[0].Message.Body)
+			assert.Equal(t, wire.Attach{Edge: "edge-1", Zone: "z1"}, one.attaches[0])
+		})
+		assert.Zero(t, two.countPuts())
+	})
+}
+
+func TestPutThatIsNotForThisEdgeIsNotNotified(t *testing.T) {
+	onFakeTime(t, func(t *testing.T) {
+		one := newFakeStore(t)
+		c, h := newClient(t)
+		c.SetView(placement(1, []*fakeStore{one}, []uint16{0}))
+		connected(t, c)
+		require.Equal(t, Accepted, c.Put(plain(), false, time.Second))
+		h.with(func() { assert.Empty(t, h.accepted) })
+	})
+}
+
+func TestRejectedPutGoesElsewhereUnderAnotherID(t *testing.T) {
+	onFakeTime(t, func(t *testing.T) {
+		one, two := newFakeStore(t), newFakeStore(t)
+		one.put = func(*wire.Put, int) *wire.PutReply { return &wire.PutReply{Code: wire.PutRefused} }
+		c, h := newClient(t)
+		c.SetView(placement(1, []*fakeStore{one, two}, []uint16{0}, []uint16{1}))
+		connected(t, c)
+		m := plain()
+		require.Equal(t, Accepted, c.Put(m, true, time.Second))
+		partition, _ := wire.PartitionOf(m.ID)
+		assert.EqualValues(t, 1, partition)
+		h.with(func() { assert.Len(t, h.accepted, 1) })
+		one.with(func() { assert.NotEqual(t, one.puts[0].Message.ID, m.ID) })
+	})
+}
+
+func TestPutThatAllRejectIsRejected(t *testing.T) {
+	onFakeTime(t, func(t *testing.T) {
+		for _, code := range []wire.PutCode{wire.PutStale, wire.PutNotPrimary, wire.PutRefused} {
+			one := newFakeStore(t)
+			one.put = func(*wire.Put, int) *wire.PutReply { return &wire.PutReply{Code: code} }
+			c, _ := newClient(t)
+			c.SetView(placement(1, []*fakeStore{one}, []uint16{0}))
+			connected(t, c)
+			assert.Equal(t, Rejected, c.Put(plain(), true, 100*time.Millisecond))
+			assert.Equal(t, Rejected, c.Put(ordered(), true, 100*time.Millisecond))
+			assert.Less(t, one.countPuts(), 40, "without a pause")
+		}
+	})
+}
+
+func TestPutWithoutStoresIsRejected(t *testing.T) {
+	onFakeTime(t, func(t *testing.T) {
+		c, _ := newClient(t)
+		assert.Equal(t, Rejected, c.Put(plain(), true, 60*time.Millisecond))
+		one := newFakeStore(t)
+		one.server.Close()
+		c.SetView(placement(1, []*fakeStore{one}, []uint16{0}))
+		assert.Equal(t, Rejected, c.Put(plain(), true, 60*time.Millisecond))
+	})
+}
+
+func TestPutWithoutAClearAnswerIsUnknown(t *testing.T) {
+	answers := map[string]func(*wire.Put, int) *wire.PutReply{
+		"none":    func(*wire.Put, int) *wire.PutReply { return nil },
+		"unknown": func(*wire.Put, int) *wire.PutReply { return &wire.PutReply{Code: wire.PutUnknown} },
+		"unknown, then refused": func(_ *wire.Put, number int) *wire.PutReply {
+			if number == 1 {
+				return &wire.PutReply{Code: wire.PutUnknown}
+			}
+			return &wire.PutReply{Code: wire.PutRefused}
+		},
+	}
+	for name, answer := range answers {
+		for _, m := range []*wire.Message{plain(), ordered()} {
+			t.Run(name, func(t *testing.T) {
+				onFakeTime(t, func(t *testing.T) {
+					one := newFakeStore(t)
+					one.put = answer
+					c, _ := newClient(t)
+					c.lastTimeout = 50 * time.Millisecond
+					c.SetView(placement(1, []*fakeStore{one}, []uint16{0}))
+					connected(t, c)
+					assert.Equal(t, Unknown, c.Put(m, true, 100*time.Millisecond))
+				})
+			})
+		}
+	}
+}
+
+func TestPutLeavesAnUnresponsiveStore(t *testing.T) {
+	onFakeTime(t, func(t *testing.T) {
+		one, two := newFakeStore(t), newFakeStore(t)
+		one.put = func(*wire.Put, int) *wire.PutReply { return nil }
+		c, _ := newClient(t)
+		c.SetView(placement(1, []*fakeStore{one, two}, []uint16{0}, []uint16{1}))
+		connected(t, c)
+		began := time.Now()
+		require.Equal(t, Accepted, c.Put(plain(), true, time.Second))
+		assert.GreaterOrEqual(t, time.Since(began), minAttemptTimeout)
+		for range 5 {
+			began = time.Now()
+			require.Equal(t, Accepted, c.Put(plain(), true, time.Second))
+			assert.Less(t, time.Since(began), minAttemptTimeout, "the silent store is passed over")
+		}
+		assert.Equal(t, 1, one.countPuts())
+	})
+}
+
+// A replica that does not sync keeps its primary from answering: the partition's stores are all passed over.
+func TestPutPassesOverTheStoresOfAnUnresponsivePartition(t *testing.T) {
+	onFakeTime(t, func(t *testing.T) {
+		one, two, three := newFakeStore(t), newFakeStore(t), newFakeStore(t)
+		one.put = func(p *wire.Put, _ int) *wire.PutReply {
+			if p.Partition == 0 {
+				return nil
+			}
+			return &wire.PutReply{Code: wire.PutKept}
+		}
+		c, _ := newClient(t)
+		c.SetView(placement(1, []*fakeStore{one, two, three}, []uint16{0, 1}, []uint16{2}))
+		connected(t, c)
+		require.Equal(t, Accepted, c.Put(plain(), true, time.Second))
+		assert.True(t, c.view.Load().stores[1].isSuspect(c.now()))
+		assert.Equal(t, 1, three.countPuts())
+	})
+}
+
+// All stores are slow: more copies of the same message would only make them slower, and a late answer is better than none.
+func TestPutWaitsForSlowStores(t *testing.T) {
+	onFakeTime(t, func(t *testing.T) {
+		for _, m := range []*wire.Message{plain(), ordered()} {
+			one, two := newFakeStore(t), newFakeStore(t)
+			for _, s := range []*fakeStore{one, two} {
+				s.put = func(*wire.Put, int) *wire.PutReply {
+					time.Sleep(2 * minAttemptTimeout)
+					return &wire.PutReply{Code: wire.PutKept}
+				}
+			}
+			c, h := newClient(t)
+			c.SetView(placement(1, []*fakeStore{one, two}, []uint16{0, 1}, []uint16{1, 0}))
+			connected(t, c)
+			assert.Equal(t, Accepted, c.Put(m, true, minAttemptTimeout/2))
+			assert.Equal(t, 1, one.countPuts()+two.countPuts())
+			h.with(func() { assert.Len(t, h.accepted, 1) })
+		}
+	})
+}
+
+func TestAttemptTimeoutGrowsWithTheLatency(t *testing.T) {
+	onFakeTime(t, func(t *testing.T) {
+		c, _ := newClient(t)
+		assert.Equal(t, minAttemptTimeout, c.attemptTimeout())
+		for range 50 {
+			c.observeLatency(100 * time.Millisecond)
+		}
+		assert.InDelta(t, 400, c.attemptTimeout().Milliseconds(), 10)
+		for range 50 {
+			c.observeLatency(time.Minute)
+		}
+		assert.Equal(t, maxAttemptTimeout, c.attemptTimeout())
+	})
+}
+
+func TestLateAcceptIsDropped(t *testing.T) {
+	onFakeTime(t, func(t *testing.T) {
+		one, two := newFakeStore(t), newFakeStore(t)
+		var late rpc.Reply
+		mux := rpc.NewMux()
+		arrived := make(chan wire.Put, 1)
+		rpc.Handle(mux, wire.MethodPut, func(_ *rpc.Conn, m *wire.Put, reply rpc.Reply) {
+			late = reply
+			arrived <- *m
+		})
+		dropped := make(chan wire.Report, 1)
+		rpc.Handle(mux, wire.MethodReport, func(_ *rpc.Conn, m *wire.Report, reply rpc.Reply) {
+			dropped <- *m
+			reply.Send(&wire.ReportReply{Code: wire.PutKept})
+		})
+		slow := rpc.Serve(memory.listen(), rpc.Options{Mux: mux}, nil)
+		defer slow.Close()
+		one.server.Close()
+		one.server = slow
+		c, h := newClient(t)
+		c.SetView(placement(1, []*fakeStore{one, two}, []uint16{0}, []uint16{1}))
+		connected(t, c)
+		m := plain()
+		require.Equal(t, Accepted, c.Put(m, true, time.Second))
+		first := <-arrived
+		late.Send(&wire.PutReply{Code: wire.PutKept})
+		report := <-dropped
+		assert.Equal(t, first.Message.ID, report.ID)
+		assert.Equal(t, wire.ReportDropped, report.Kind)
+		h.with(func() { assert.Len(t, h.accepted, 1); assert.Contains(t, h.accepted, m.ID) })
+	})
+}
+
+func TestOrderedPutKeepsItsIDAndFollowsThePrimary(t *testing.T) {
+	onFakeTime(t, func(t *testing.T) {
+		one, two := newFakeStore(t), newFakeStore(t)
+		one.put = func(*wire.Put, int) *wire.PutReply { return &wire.PutReply{Code: wire.PutNotPrimary} }
+		two.put = func(*wire.Put, int) *wire.PutReply { return &wire.PutReply{Code: wire.PutKept, Granted: true} }
+		c, h := newClient(t)
+		stores := []*fakeStore{one, two}
+		c.SetView(placement(1, stores, []uint16{0, 1}))
+		connected(t, c)
+		time.AfterFunc(60*time.Millisecond, func() { c.SetView(placement(2, stores, []uint16{1, 0})) })
+		m := ordered()
+		require.Equal(t, Accepted, c.Put(m, true, time.Second))
+		one.with(func() {
+			for _, p := range one.puts {
+				assert.Equal(t, m.ID, p.Message.ID)
+			}
+			assert.NotEmpty(t, one.puts)
+		})
+		two.with(func() {
+			require.Len(t, two.puts, 1)
+			assert.Equal(t, m.ID, two.puts[0].Message.ID)
+			assert.EqualValues(t, 2, two.puts[0].Epoch)
+		})
+		h.with(func() { assert.Equal(t, map[string]bool{m.ID: true}, h.accepted) })
+	})
+}
--- a/edge/queueclient/races_test.go
+++ b/edge/queueclient/races_test.go
@@ -13,7 +13,7 @@
 )
 
 // The store that keeps a message answers while a claim is being made: the message was in no list of the held when that was made.
-func TestClaimNamesWhatIsKeptWhileItIsMade(t *testing.T) {
+func TestClaimNamesWhatIsAcceptedWhileItIsMade(t *testing.T) {
 	onFakeTime(t, func(t *testing.T) {
 		one := newFakeStore(t)
 		answer, kept := make(chan struct{}), make(chan string, 1)
@@ -124,7 +124,7 @@
 
 // A store that is stopped does not know what became of a put, and the message is kept elsewhere under another name. The one that
 // took the store's place may have the first, too, and nobody would hold it.
-func TestWhatMayHaveBeenKeptTwiceIsDropped(t *testing.T) {
+func TestWhatMayHaveBeenAcceptedTwiceIsDropped(t *testing.T) {
 	onFakeTime(t, func(t *testing.T) {
 		one, two := newFakeStore(t), newFakeStore(t)
 		one.put = func(*wire.Put, int) *wire.PutReply { return &wire.PutReply{Code: wire.PutUnknown} }
@@ -147,7 +147,7 @@
 }
 
 // Nothing was promised to the client: two tries that may both have been kept would run the message twice.
-func TestWhatIsUnsureIsDropped(t *testing.T) {
+func TestWhatIsUnknownIsDropped(t *testing.T) {
 	onFakeTime(t, func(t *testing.T) {
 		for _, m := range []*wire.Message{plain(), ordered()} {
 			one := newFakeStore(t)
