--- a/cmd/ravendale-edge/backlog.go
+++ b/cmd/ravendale-edge/backlog.go
@@ -9,11 +9,11 @@
 )
 
 const (
-	backlogInterval  = 2 * time.Second // between looks at what waits
-	backlogThreshold = time.Second     // a message that could have begun so long ago is told of
+	backlogInterval  = 2 * time.Second // between checks of the backlog
+	backlogThreshold = time.Second     // a message that is due for so long is overdue
 )
 
-// watchBacklogs logs where messages wait that should have begun, until the context ends.
+// watchBacklogs logs overdue messages by service, until the context ends.
 func watchBacklogs(ctx context.Context, dispatcher *dispatch.Manager, log *slog.Logger) {
 	ticker := time.NewTicker(backlogInterval)
 	defer ticker.Stop()
@@ -28,7 +28,7 @@
 	}
 }
 
-// logBacklogs logs each backlog, and the end of those that there were at the last look. It returns the services that have one.
+// logBacklogs logs each backlog, and the end of those of the last check. It returns the services that have one.
 func logBacklogs(backlogs []dispatch.Backlog, before map[string]bool, log *slog.Logger) map[string]bool {
 	current := make(map[string]bool, len(backlogs))
 	for i := range backlogs {
--- a/cmd/ravendale-edge/edge.go
+++ b/cmd/ravendale-edge/edge.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"fmt"
 	"math/rand/v2"
 	"slices"
 	"strconv"
@@ -20,32 +21,32 @@
 	"ravendale/edge/worker"
 )
 
-const currentPollInterval = 50 * time.Millisecond // pause between looks for the first newest state
+const currentPollInterval = 50 * time.Millisecond // between checks for the first newest state
 
-// What a process takes for itself.
+// Shares of the process's descriptors and memory.
 const (
 	reservedDescriptors = 500      // of files, of connections to workers, stores and other schedulers
 	minClientConns      = 64       // of clients
-	maxBodyBytes        = 24 << 20 // bytes of messages held
-	bodyMemoryDivisor   = 8        // of the process's memory they take one in so many
+	maxBodyBytes        = 24 << 20 // bytes of owned messages
+	bodyMemoryDivisor   = 8        // they take one in so many bytes of the process's memory
 )
 
-// Times of a planned stop. The platform takes two misses, a second each, to send no more new connections.
+// Time-outs of a planned stop. The platform takes two failed readiness checks, a second each, to send no more new connections.
 const (
 	acceptPeriod = 2200 * time.Millisecond
-	acceptMargin = 1500 * time.Millisecond // before the grace is over, nothing more is accepted
+	acceptMargin = 1500 * time.Millisecond // before the grace period is over, nothing more is accepted
 	answerMargin = 1200 * time.Millisecond // ... all is answered
 	reportMargin = time.Second             // ... all outcomes are reported
 	leaveTimeout = 400 * time.Millisecond
 )
 
-// Listening is tried again for a while: the process before this one may still hold the address.
+// See retryListen.
 const (
 	listenTimeout = 3 * time.Second
 	listenPause   = 50 * time.Millisecond
 )
 
-// edge is the process, put together.
+// edge wires the components of the process.
 type edge struct {
 	env        program.Environment
 	id         string // Member.ID
@@ -55,10 +56,10 @@
 	dispatcher *dispatch.Manager
 	queue      *queueclient.Client
 	ingress    *ingress.Server
-	current    func() bool // the state is as new as the leader named first
+	current    func() bool // the state is as new as the leader reported first
 	stopping   atomic.Bool
 
-	mu      sync.Mutex // guards what is taken of snapshots
+	mu      sync.Mutex // guards applied
 	applied [wire.TopicCount]wire.Version
 }
 
@@ -103,14 +104,14 @@
 	}
 }
 
-// stateChanged takes a newer state. Before the agent has what the leader named first, an old one could be taken for the newest.
+// stateChanged applies a newer state. Before the agent has what the leader reported first, an old one could be taken for the newest.
 func (e *edge) stateChanged(wire.Topic, *member.Snapshot) {
 	if e.current() {
 		e.apply(e.agent.Snapshot())
 	}
 }
 
-// awaitCurrent takes the state that the leader named first, should the word that it is the newest come after it.
+// awaitCurrent applies the state that the leader reported first, should the report that it is the newest come after it.
 func (e *edge) awaitCurrent(ctx context.Context) {
 	for !e.current() {
 		select {
@@ -122,7 +123,7 @@
 	e.apply(e.agent.Snapshot())
 }
 
-// apply hands what is newer in a snapshot to the parts that need it.
+// apply passes what is newer in a snapshot to the components that need it.
 func (e *edge) apply(s *member.Snapshot) {
 	defer e.ingress.ConfigChanged()
 	e.mu.Lock()
@@ -142,7 +143,7 @@
 	}
 }
 
-// isNewer says whether a topic has a newer version than the one taken, and notes it.
+// isNewer reports whether a topic has a newer version than the one applied, and records it.
 func (e *edge) isNewer(s *member.Snapshot, topic wire.Topic) bool {
 	if !e.applied[topic].Less(s.Versions[topic]) {
 		return false
@@ -157,37 +158,56 @@
 
 func (e *edge) ready() bool { return e.usable() && e.current() && e.dispatcher.Index() != nil }
 
-// run serves until the context ends, and then stops in order.
+// run serves until the context ends, and then stops in order. It returns once all of its goroutines have ended.
 func (e *edge) run(ctx context.Context) error {
 	s := e.env.Settings
-	server, err := listen(func() (*rpc.Server, error) {
-		return rpc.Listen(s.EdgeAddress(), rpc.Options{Mux: e.mux}, nil)
-	})
-	if err != nil {
-		return err
-	}
-	readiness, err := listen(func() (*ingress.Readiness, error) { return ingress.ListenReady(s.ListenReady, e.ready) })
+	closeListeners, err := e.listen()
 	if err != nil {
 		return err
 	}
-	if _, err = listen(func() (struct{}, error) { return struct{}{}, e.ingress.Listen(s.ListenHTTP) }); err != nil {
-		return err
-	}
 	e.env.Log.Info("started", "http", s.ListenHTTP, "rpc", s.EdgeAddress())
 	alive, end := context.WithCancel(context.Background())
 	defer end()
-	go e.agent.Run(alive)
-	go e.awaitCurrent(alive)
-	go e.env.WatchSettings(alive, e.agent.SetSettings)
-	go watchBacklogs(alive, e.dispatcher, e.env.Log)
+	var tasks sync.WaitGroup
+	tasks.Go(func() { e.agent.Run(alive) })
+	tasks.Go(func() { e.awaitCurrent(alive) })
+	tasks.Go(func() { e.env.WatchSettings(alive, e.agent.SetSettings) })
+	tasks.Go(func() { watchBacklogs(alive, e.dispatcher, e.env.Log) })
 	<-ctx.Done()
 	e.stop(settings.Seconds(s.Bounds.GraceS))
-	readiness.Close()
-	server.Close()
+	closeListeners()
+	end()
+	tasks.Wait()
 	return nil
 }
 
-func listen[T any](open func() (T, error)) (T, error) {
+// listen listens for peers, the platform and, last, clients. The function that it returns closes what ingress.Close has not closed.
+func (e *edge) listen() (closeListeners func(), err error) {
+	s := e.env.Settings
+	server, err := retryListen(func() (*rpc.Server, error) {
+		return rpc.Listen(s.EdgeAddress(), rpc.Options{Mux: e.mux}, nil)
+	})
+	if err != nil {
+		return nil, fmt.Errorf("listen for stores and edges: %w", err)
+	}
+	readiness, err := retryListen(func() (*ingress.Readiness, error) { return ingress.ListenReady(s.ListenReady, e.ready) })
+	if err != nil {
+		server.Close()
+		return nil, fmt.Errorf("listen for the platform: %w", err)
+	}
+	closeListeners = func() {
+		readiness.Close()
+		server.Close()
+	}
+	if _, err = retryListen(func() (struct{}, error) { return struct{}{}, e.ingress.Listen(s.ListenHTTP) }); err != nil {
+		closeListeners()
+		return nil, fmt.Errorf("listen for clients: %w", err)
+	}
+	return closeListeners, nil
+}
+
+// retryListen opens a listener, again for listenTimeout: the process before this one may still hold the address.
+func retryListen[T any](open func() (T, error)) (T, error) {
 	began := time.Now()
 	for {
 		listener, err := open()
@@ -198,11 +218,11 @@
 	}
 }
 
-// stop ends the process's work within its grace: it asks for no more connections, still takes what comes for a while, gives
-// back what is not under way, ends what is, and sees that all outcomes are on record.
-func (e *edge) stop(period time.Duration) {
+// stop ends the process's work within its grace period: it is not ready any more, still accepts what comes for a while, releases
+// what is not in flight, completes what is, and waits until all outcomes are acknowledged.
+func (e *edge) stop(gracePeriod time.Duration) {
 	began := time.Now()
-	left := func(margin time.Duration) time.Duration { return max(period-margin-time.Since(began), 0) }
+	left := func(margin time.Duration) time.Duration { return max(gracePeriod-margin-time.Since(began), 0) }
 	e.stopping.Store(true)
 	e.queue.Drain()
 	e.dispatcher.Stop()
--- a/cmd/ravendale-edge/main.go
+++ b/cmd/ravendale-edge/main.go
@@ -1,5 +1,5 @@
-// Command ravendale-edge is the scheduler of an edge machine: it takes clients' requests, has them kept by the stores, and
-// delivers them to workers.
+// Command ravendale-edge is the scheduler of an edge machine: it accepts clients' requests, has stores keep them on
+// disk, and delivers them to workers.
 package main
 
 import (
