--- a/control/chain/downstream.go
+++ b/control/chain/downstream.go
@@ -80,7 +80,7 @@
 	if !c.downstream.attached || heartbeat.Synced+1 < c.downstream.next && now-c.downstream.matchAt >= AppendRetryInterval {
 		c.resume(now, heartbeat.Synced)
 	}
-	c.forward(now)
+	c.forward()
 }
 
 // OnGap sends the successor again what it lacks.
@@ -90,7 +90,7 @@
 		return
 	}
 	c.resume(now, message.Last)
-	c.forward(now)
+	c.forward()
 }
 
 // resume goes on after what the successor has.
@@ -100,7 +100,7 @@
 }
 
 // forward passes on to the successor what is synced here.
-func (c *Chain) forward(now time.Duration) {
+func (c *Chain) forward() {
 	to, ok := c.configuration.successor()
 	if !ok || !c.upstream.attached || !c.downstream.attached || c.configuration.sealed || c.downstream.next > c.log.synced {
 		return
