--- a/cmd/ravendale-edge/edge.go
+++ b/cmd/ravendale-edge/edge.go
@@ -27,7 +27,7 @@
 const (
 	reservedDescriptors = 500      // of files, of connections to workers, stores and other schedulers
 	minClientConns      = 64       // of clients
-	maxBodyBytes        = 24 << 20 // bytes of owned messages
+	maxBodyBytes        = 24 << 20 // bytes of leased messages
 	bodyMemoryDivisor   = 8        // they take one in so many bytes of the process's memory
 )
 
@@ -71,7 +71,7 @@
 	e.queue = queueclient.New(queueclient.Config{
 		Edge: id, Zone: s.Zone, Log: env.Log,
 		Accepted: e.dispatcher.Accept, Granted: e.dispatcher.Grant, Acknowledged: e.dispatcher.Acknowledged,
-		Unknown: e.dispatcher.Unknown, Owned: e.dispatcher.MessageIDs,
+		Unknown: e.dispatcher.Unknown, Leased: e.dispatcher.MessageIDs,
 	})
 	e.queue.Handle(e.mux)
 	e.dispatcher.Start(e.queue)
--- a/edge/dispatch/core.go
+++ b/edge/dispatch/core.go
@@ -10,7 +10,7 @@
 	"ravendale/cluster/wire"
 )
 
-// Core has the messages that an edge owns and decides about their delivery. It does no I/O: each method takes the time and an
+// Core has the messages that are leased to an edge and decides about their delivery. It does no I/O: each method takes the time and an
 // event, and returns what is to be done. Times are monotonic and never go back. A Core is not safe for concurrent use.
 type Core struct {
 	config       Config
@@ -69,7 +69,7 @@
 	return count
 }
 
-// MessageIDs returns the IDs of the messages that this edge owns, in no order.
+// MessageIDs returns the IDs of the messages that are leased to this edge, in no order.
 func (c *Core) MessageIDs() []string { return slices.Collect(maps.Keys(c.messages)) }
 
 // Accepts reports whether this edge should deliver a new message of a service, with a body of a size in bytes. Where it may not send,
--- a/edge/dispatch/core_test.go
+++ b/edge/dispatch/core_test.go
@@ -25,7 +25,7 @@
 	}, d)
 }
 
-func TestDoneIsReportedAndOwnedUntilAcknowledged(t *testing.T) {
+func TestDoneIsReportedAndKeptUntilAcknowledged(t *testing.T) {
 	w := newWorld(t)
 	w.accept("/p/", "1")
 	assert.NotZero(t, w.core.MessageBytes())
--- a/edge/dispatch/doc.go
+++ b/edge/dispatch/doc.go
@@ -1,4 +1,4 @@
-// Package dispatch delivers the messages that an edge owns to workers.
+// Package dispatch delivers the messages that are leased to an edge to workers.
 //
 // A message comes by Accept (a client put it at this edge, and its store accepted it) or by Grant (a store leases it to this edge). It waits
 // for the messages before it in its key order, for its delay, and for its service: a rate limit's token, or capacity of a worker. One
--- a/edge/dispatch/intake_test.go
+++ b/edge/dispatch/intake_test.go
@@ -63,7 +63,7 @@
 	w.sent()
 }
 
-func TestGrantOfAnOwnedMessageChangesNothing(t *testing.T) {
+func TestGrantOfALeasedMessageChangesNothing(t *testing.T) {
 	w := newWorld(t)
 	w.accept("/p/", "1")
 	d := w.sent()
@@ -94,7 +94,7 @@
 	w.sent()
 }
 
-func TestOwnedBodiesAreBounded(t *testing.T) {
+func TestLeasedBodiesAreBounded(t *testing.T) {
 	w := newWorld(t)
 	w.core.config.MaxBodies = 2000
 	m := messageTo("/p/", "1")
--- a/edge/dispatch/manager.go
+++ b/edge/dispatch/manager.go
@@ -199,7 +199,7 @@
 	return !p.closed && p.core.Accepts(p.now(), service, size)
 }
 
-// MessageIDs returns the IDs of the messages that this edge owns, in no order.
+// MessageIDs returns the IDs of the messages that are leased to this edge, in no order.
 func (p *Manager) MessageIDs() []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/edge/dispatch/message.go
+++ b/edge/dispatch/message.go
@@ -19,7 +19,7 @@
 	phaseReported                 // its terminal report is sent, and not yet acknowledged
 )
 
-// message is one that the edge owns.
+// message is one that is leased to the edge.
 type message struct {
 	wire.Message
 	phase           phase
--- a/edge/dispatch/report.go
+++ b/edge/dispatch/report.go
@@ -18,11 +18,11 @@
 	c.report(report)
 }
 
-// succeed completes a message that a worker has run, whether or not this edge still owns it: the present owner must not run it again.
+// succeed completes a message that a worker has run, whether or not it is still leased to this edge: the present leaseholder must not run it again.
 func (c *Core) succeed(m *message, signature string) {
 	done := wire.Report{ID: m.ID, Kind: wire.ReportDone, Failed: m.failedAttempts, Signature: signature}
-	if owned := c.messages[m.ID]; owned != nil && owned.phase != phaseReported {
-		c.finish(owned, done)
+	if current := c.messages[m.ID]; current != nil && current.phase != phaseReported {
+		c.finish(current, done)
 		return
 	}
 	if _, known := c.completed.find(c.now, m.ID); !known {
--- a/edge/queueclient/client.go
+++ b/edge/queueclient/client.go
@@ -40,10 +40,10 @@
 	Granted func(g *wire.Grant)
 	// Acknowledged is called when a report that completes a message, or releases it, is on disk.
 	Acknowledged func(id string)
-	// Unknown is called for an owned message that a store does not know as pending.
+	// Unknown is called for a leased message that a store does not know as pending.
 	Unknown func(id string)
-	// Owned lists the IDs of the messages that the edge owns.
-	Owned func() []string
+	// Leased lists the IDs of the messages that are leased to the edge.
+	Leased func() []string
 
 	Log  *slog.Logger // nil: the default
 	Host host.Host    // nil: host.System
--- a/edge/queueclient/client_test.go
+++ b/edge/queueclient/client_test.go
@@ -54,7 +54,7 @@
 	onFakeTime(t, func(t *testing.T) {
 		one, two := newFakeStore(t), newFakeStore(t)
 		c, h := newClient(t)
-		h.owned = []string{"0.a", "1.b", "1.c"}
+		h.leased = []string{"0.a", "1.b", "1.c"}
 		two.claim = func(m *wire.Claim) *wire.ClaimReply {
 			if len(m.IDs) == 0 {
 				return &wire.ClaimReply{}
--- a/edge/queueclient/fakestore_test.go
+++ b/edge/queueclient/fakestore_test.go
@@ -130,7 +130,7 @@
 	granted      []string
 	acknowledged []string
 	unknown      []string
-	owned        []string
+	leased        []string
 }
 
 func (h *recorder) with(f func()) {
@@ -147,8 +147,8 @@
 		Granted:      func(g *wire.Grant) { h.with(func() { h.granted = append(h.granted, g.ID) }) },
 		Acknowledged: func(id string) { h.with(func() { h.acknowledged = append(h.acknowledged, id) }) },
 		Unknown:      func(id string) { h.with(func() { h.unknown = append(h.unknown, id) }) },
-		Owned: func() (ids []string) {
-			h.with(func() { ids = append(ids, h.owned...) })
+		Leased: func() (ids []string) {
+			h.with(func() { ids = append(ids, h.leased...) })
 			return ids
 		},
 	})
--- a/edge/queueclient/races_test.go
+++ b/edge/queueclient/races_test.go
@@ -32,7 +32,7 @@
 		}()
 		require.Eventually(t, func() bool { return len(c.pendingPuts()) == 1 }, soon, time.Millisecond)
 		var id string
-		c.config.Owned = func() []string {
+		c.config.Leased = func() []string {
 			close(answer)
 			id = <-kept
 			return nil // as it was before
@@ -228,7 +228,7 @@
 		connected(t, c)
 		c.Report(wire.Report{ID: "0.done", Kind: wire.ReportDone})
 		c.Report(wire.Report{ID: "0.drop", Kind: wire.ReportDropped})
-		h.with(func() { h.owned = []string{"0.done"} })
+		h.with(func() { h.leased = []string{"0.done"} })
 		require.Eventually(t, func() bool { return one.countReports() >= 2 }, soon, time.Millisecond)
 		claims := two.countClaims()
 		require.NotZero(t, claims)
--- a/edge/queueclient/store.go
+++ b/edge/queueclient/store.go
@@ -48,7 +48,7 @@
 
 func (s *store) claim() { s.claimOn(s.conn()) }
 
-// claimOn names to the store the messages that this edge owns of the partitions whose primary it is. Those with a report under way
+// claimOn names to the store the messages that are leased to this edge, of the partitions whose primary it is. Those with a report under way
 // are among them: they must not be granted before that is taken.
 func (s *store) claimOn(conn *rpc.Conn) {
 	v := s.client.view.Load()
@@ -56,14 +56,14 @@
 		return
 	}
 	pending := s.client.pendingPuts() // in the order in which messages go through the lists: none slips by
-	owned := slices.Sorted(slices.Values(s.client.config.Owned()))
+	leased := slices.Sorted(slices.Values(s.client.config.Leased()))
 	reporting := s.client.reports.ids()
 	claim := &wire.Claim{Epoch: v.Epoch}
-	ownedHere, claimed := make(map[string]bool), make(map[string]bool)
-	for _, id := range owned {
+	leasedHere, claimed := make(map[string]bool), make(map[string]bool)
+	for _, id := range leased {
 		if v.isPrimary(s, id) {
 			claim.IDs = append(claim.IDs, id)
-			ownedHere[id], claimed[id] = true, true
+			leasedHere[id], claimed[id] = true, true
 		}
 	}
 	for _, id := range append(pending, reporting...) {
@@ -80,11 +80,11 @@
 		if err != nil {
 			return // the next connection claims again
 		}
-		s.handleClaimReply(conn, v, ownedHere, reply)
+		s.handleClaimReply(conn, v, leasedHere, reply)
 	})
 }
 
-func (s *store) handleClaimReply(conn *rpc.Conn, v *view, owned map[string]bool, reply *wire.ClaimReply) {
+func (s *store) handleClaimReply(conn *rpc.Conn, v *view, leased map[string]bool, reply *wire.ClaimReply) {
 	if reply.Code != wire.PutKept {
 		s.client.host.AfterFunc(claimRetryPause, func() {
 			if conn.Err() == nil && s.client.view.Load() == v { // else there is another claim
@@ -94,7 +94,7 @@
 		return
 	}
 	for _, id := range reply.Unknown {
-		if owned[id] { // a put or a report under way resolves itself
+		if leased[id] { // a put or a report under way resolves itself
 			s.client.config.Unknown(id)
 		}
 	}
--- a/test/simulation/edge_test.go
+++ b/test/simulation/edge_test.go
@@ -21,7 +21,7 @@
 	p.plane = dispatch.NewManagerOn(l, config, &deliveries{process: p, life: l})
 	plane, ends := p.plane, make(map[string]wire.ReportKind)
 	p.client = queueclient.New(queueclient.Config{
-		Edge: id, Zone: p.zone, Log: l.log(), Host: l, Unknown: plane.Unknown, Owned: plane.MessageIDs,
+		Edge: id, Zone: p.zone, Log: l.log(), Host: l, Unknown: plane.Unknown, Leased: plane.MessageIDs,
 		Accepted: func(m *wire.Message, granted bool) {
 			p.world.messages.given(m.RequestID, l)
 			plane.Accept(m, granted)
