--- a/cmd/ravendale-edge/edge.go
+++ b/cmd/ravendale-edge/edge.go
@@ -231,7 +231,7 @@
 
 	answers, cancelAnswers := context.WithTimeout(context.Background(), left(answerMargin))
 	defer cancelAnswers()
-	e.ingress.Close(answers.Done())
+	e.ingress.Shutdown(answers)
 
 	reports, cancelReports := context.WithTimeout(context.Background(), left(reportMargin))
 	defer cancelReports()
--- a/edge/ingress/ingress_test.go
+++ b/edge/ingress/ingress_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"bufio"
+	"context"
 	"fmt"
 	"io"
 	"net"
@@ -31,7 +32,7 @@
 	find     func(id string, body bool) (*wire.FindReply, error)
 }
 
-func (q *fakeQueue) PutWithin(m *wire.Message, dispatch bool, limits queueclient.Limits) queueclient.Result {
+func (q *fakeQueue) Put(m *wire.Message, dispatch bool, limits queueclient.Limits) queueclient.Result {
 	if q.blocked != nil {
 		<-q.blocked
 	}
@@ -80,9 +81,9 @@
 	s.server.SetLimits(catalog.Limits{MaxHeaderBytes: 8192, MaxBodyBytes: 1000, HeaderTimeoutMs: 300, IdleTimeoutMs: 400})
 	require.NoError(t, s.server.Listen("127.0.0.1:0"))
 	t.Cleanup(func() {
-		done := make(chan struct{})
-		time.AfterFunc(time.Second, func() { close(done) })
-		s.server.Close(done)
+		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
+		defer cancel()
+		s.server.Shutdown(ctx)
 	})
 	return s
 }
@@ -402,7 +403,7 @@
 	assert.Equal(t, http.StatusServiceUnavailable, ask("/v1/message-body/0.lost").status)
 }
 
-func TestCloseAnswersWhatIsInFlight(t *testing.T) {
+func TestShutdownAnswersWhatIsInFlight(t *testing.T) {
 	s := newSite(t)
 	s.queue.blocked = make(chan struct{})
 	idle, busy := s.dial(t), s.dial(t)
@@ -410,7 +411,7 @@
 	time.Sleep(30 * time.Millisecond)
 	closed := make(chan struct{})
 	go func() {
-		s.server.Close(make(chan struct{}))
+		s.server.Shutdown(context.Background())
 		close(closed)
 	}()
 	assert.True(t, idle.closed())
@@ -432,15 +433,15 @@
 	assert.True(t, got.last)
 }
 
-func TestCloseEndsWhenItMust(t *testing.T) {
+func TestShutdownEndsWithItsContext(t *testing.T) {
 	s := newSite(t)
 	s.queue.blocked = make(chan struct{})
 	defer close(s.queue.blocked)
 	s.dial(t).send(head + "Content-Length: 0\r\n\r\n")
 	time.Sleep(30 * time.Millisecond)
-	done := make(chan struct{})
-	close(done)
-	s.server.Close(done)
+	ctx, cancel := context.WithCancel(context.Background())
+	cancel()
+	s.server.Shutdown(ctx)
 }
 
 func TestReadiness(t *testing.T) {
--- a/edge/ingress/server.go
+++ b/edge/ingress/server.go
@@ -1,6 +1,7 @@
 package ingress
 
 import (
+	"context"
 	"errors"
 	"log/slog"
 	"net"
@@ -17,7 +18,7 @@
 
 // Queue stores messages and knows their state.
 type Queue interface {
-	PutWithin(m *wire.Message, dispatch bool, limits queueclient.Limits) queueclient.Result
+	Put(m *wire.Message, dispatch bool, limits queueclient.Limits) queueclient.Result
 	Find(id string, body bool) (*wire.FindReply, error)
 }
 
@@ -189,8 +190,8 @@
 // Drain has each answer close its connection from now on.
 func (s *Server) Drain() { s.draining.Store(true) }
 
-// Close stops accepting connections, closes idle ones, and waits until what is in flight is answered or done is closed.
-func (s *Server) Close(done <-chan struct{}) {
+// Shutdown stops accepting connections, closes idle ones, and waits until what is in flight is answered or the context ends.
+func (s *Server) Shutdown(ctx context.Context) {
 	s.Drain()
 	s.mu.Lock()
 	if s.listener != nil {
@@ -202,7 +203,7 @@
 	for s.endIdle() > 0 {
 		select {
 		case <-ticker.C:
-		case <-done:
+		case <-ctx.Done():
 			return
 		}
 	}
--- a/edge/queueclient/client_test.go
+++ b/edge/queueclient/client_test.go
@@ -23,7 +23,7 @@
 		c.SetView(placement(1, []*fakeStore{one}, []uint16{0}))
 		connected(t, c)
 		m := ordered()
-		require.Equal(t, Accepted, c.Put(m, true, time.Second))
+		require.Equal(t, Accepted, c.putFor(m, true, time.Second))
 		h.with(func() {
 			assert.Equal(t, map[string]bool{m.ID: true}, h.accepted)
 			assert.Empty(t, h.granted)
@@ -116,7 +116,7 @@
 		c.SetView(next)
 		connected(t, c)
 		assert.NotSame(t, before, c.view.Load().stores[0])
-		assert.Equal(t, Accepted, c.Put(plain(), true, time.Second))
+		assert.Equal(t, Accepted, c.putFor(plain(), true, time.Second))
 	})
 }
 
--- a/edge/queueclient/fakestore_test.go
+++ b/edge/queueclient/fakestore_test.go
@@ -130,7 +130,7 @@
 	granted      []string
 	acknowledged []string
 	unknown      []string
-	leased        []string
+	leased       []string
 }
 
 func (h *recorder) with(f func()) {
@@ -194,6 +194,11 @@
 	return slices.CompactFunc(claims, func(a, b wire.Claim) bool { return a.Epoch == b.Epoch && slices.Equal(a.IDs, b.IDs) })
 }
 
+// putFor is Put with a limit for attempts and the client's own time-out for answers.
+func (c *Client) putFor(m *wire.Message, dispatch bool, limit time.Duration) Result {
+	return c.Put(m, dispatch, Limits{Attempt: limit, Answer: c.lastTimeout, LateAnswer: c.lastTimeout})
+}
+
 func plain() *wire.Message { return &wire.Message{RequestID: "r", Body: []byte("b")} }
 
 func ordered() *wire.Message { return &wire.Message{RequestID: "r", Key: "k", Ordered: true} }
--- a/edge/queueclient/outage_test.go
+++ b/edge/queueclient/outage_test.go
@@ -20,10 +20,10 @@
 		connected(t, c)
 		limits := Limits{Attempt: 2 * minAttemptTimeout, Answer: 20 * time.Millisecond, LateAnswer: soon}
 		began := time.Now()
-		require.Equal(t, Unknown, c.PutWithin(plain(), true, limits))
+		require.Equal(t, Unknown, c.Put(plain(), true, limits))
 		assert.Less(t, time.Since(began), soon/2, "nothing hints that an answer comes")
 		for _, m := range []*wire.Message{plain(), ordered()} {
-			assert.Equal(t, Rejected, c.PutWithin(m, true, limits))
+			assert.Equal(t, Rejected, c.Put(m, true, limits))
 		}
 		assert.LessOrEqual(t, one.countPuts(), 2)
 	})
@@ -44,13 +44,13 @@
 		c, _ := newClient(t)
 		c.SetView(placement(1, []*fakeStore{one}, []uint16{0}))
 		connected(t, c)
-		go c.Put(plain(), true, soon)
+		go c.putFor(plain(), true, soon)
 		<-arrived
 		primary := c.view.Load().primary(0)
 		require.Eventually(t, func() bool { return primary.isSuspect(c.now()) }, soon, time.Millisecond)
 		suspected := time.Now()
 		second := make(chan Result, 1)
-		go func() { second <- c.PutWithin(plain(), true, Limits{Attempt: soon}) }()
+		go func() { second <- c.Put(plain(), true, Limits{Attempt: soon}) }()
 		close(release)
 		require.Equal(t, Accepted, <-second)
 		assert.Less(t, time.Since(suspected), suspectTimeout)
@@ -71,7 +71,7 @@
 		c, _ := newClient(t)
 		c.SetView(placement(1, []*fakeStore{one}, []uint16{0}))
 		connected(t, c)
-		require.Equal(t, Accepted, c.Put(plain(), true, soon))
-		assert.Equal(t, Accepted, c.PutWithin(plain(), true, Limits{Attempt: 20 * time.Millisecond, Answer: 20 * time.Millisecond, LateAnswer: soon}))
+		require.Equal(t, Accepted, c.putFor(plain(), true, soon))
+		assert.Equal(t, Accepted, c.Put(plain(), true, Limits{Attempt: 20 * time.Millisecond, Answer: 20 * time.Millisecond, LateAnswer: soon}))
 	})
 }
--- a/edge/queueclient/put.go
+++ b/edge/queueclient/put.go
@@ -26,16 +26,11 @@
 	LateAnswer time.Duration // and so long if stores that have not answered this put answer others
 }
 
-// Put is PutWithin, with a limit for attempts and the client's time-out for answers.
-func (c *Client) Put(m *wire.Message, dispatch bool, limit time.Duration) Result {
-	return c.PutWithin(m, dispatch, Limits{Attempt: limit, Answer: c.lastTimeout, LateAnswer: c.lastTimeout})
-}
-
-// PutWithin puts a message into the queue. What has no answer when the time for attempts is over is waited for a while longer, for a client
+// Put puts a message into the queue. What has no answer when the time for attempts is over is waited for a while longer, for a client
 // that gets no answer does not come again. It sets the message's ID if the result is Accepted. A message with a key order keeps its
 // ID and its partition through all attempts; another gets new ones with each. With dispatch it calls Config.Accepted before it
 // returns; the message, its body included, must then not change any more.
-func (c *Client) PutWithin(m *wire.Message, dispatch bool, limits Limits) Result {
+func (c *Client) Put(m *wire.Message, dispatch bool, limits Limits) Result {
 	p := &put{client: c, message: m, dispatch: dispatch, answered: c.host.Signal()}
 	expired := c.now() + limits.Attempt
 	for goesOn := true; goesOn; {
@@ -55,7 +50,7 @@
 	return p.finish()
 }
 
-// put is one call of PutWithin. The first of its attempts that is accepted wins.
+// put is one call of Put. The first of its attempts that is accepted wins.
 type put struct {
 	client   *Client
 	message  *wire.Message
--- a/edge/queueclient/put_test.go
+++ b/edge/queueclient/put_test.go
@@ -21,7 +21,7 @@
 		assert.True(t, c.Usable())
 		for range 10 {
 			m := plain()
-			require.Equal(t, Accepted, c.Put(m, true, time.Second))
+			require.Equal(t, Accepted, c.putFor(m, true, time.Second))
 			partition, ok := wire.PartitionOf(m.ID)
 			assert.True(t, ok)
 			assert.EqualValues(t, 1, partition)
@@ -44,7 +44,7 @@
 		c, h := newClient(t)
 		c.SetView(placement(1, []*fakeStore{one}, []uint16{0}))
 		connected(t, c)
-		require.Equal(t, Accepted, c.Put(plain(), false, time.Second))
+		require.Equal(t, Accepted, c.putFor(plain(), false, time.Second))
 		h.with(func() { assert.Empty(t, h.accepted) })
 	})
 }
@@ -57,7 +57,7 @@
 		c.SetView(placement(1, []*fakeStore{one, two}, []uint16{0}, []uint16{1}))
 		connected(t, c)
 		m := plain()
-		require.Equal(t, Accepted, c.Put(m, true, time.Second))
+		require.Equal(t, Accepted, c.putFor(m, true, time.Second))
 		partition, _ := wire.PartitionOf(m.ID)
 		assert.EqualValues(t, 1, partition)
 		h.with(func() { assert.Len(t, h.accepted, 1) })
@@ -73,8 +73,8 @@
 			c, _ := newClient(t)
 			c.SetView(placement(1, []*fakeStore{one}, []uint16{0}))
 			connected(t, c)
-			assert.Equal(t, Rejected, c.Put(plain(), true, 100*time.Millisecond))
-			assert.Equal(t, Rejected, c.Put(ordered(), true, 100*time.Millisecond))
+			assert.Equal(t, Rejected, c.putFor(plain(), true, 100*time.Millisecond))
+			assert.Equal(t, Rejected, c.putFor(ordered(), true, 100*time.Millisecond))
 			assert.Less(t, one.countPuts(), 40, "without a pause")
 		}
 	})
@@ -83,11 +83,11 @@
 func TestPutWithoutStoresIsRejected(t *testing.T) {
 	onFakeTime(t, func(t *testing.T) {
 		c, _ := newClient(t)
-		assert.Equal(t, Rejected, c.Put(plain(), true, 60*time.Millisecond))
+		assert.Equal(t, Rejected, c.putFor(plain(), true, 60*time.Millisecond))
 		one := newFakeStore(t)
 		one.server.Close()
 		c.SetView(placement(1, []*fakeStore{one}, []uint16{0}))
-		assert.Equal(t, Rejected, c.Put(plain(), true, 60*time.Millisecond))
+		assert.Equal(t, Rejected, c.putFor(plain(), true, 60*time.Millisecond))
 	})
 }
 
@@ -112,7 +112,7 @@
 					c.lastTimeout = 50 * time.Millisecond
 					c.SetView(placement(1, []*fakeStore{one}, []uint16{0}))
 					connected(t, c)
-					assert.Equal(t, Unknown, c.Put(m, true, 100*time.Millisecond))
+					assert.Equal(t, Unknown, c.putFor(m, true, 100*time.Millisecond))
 				})
 			})
 		}
@@ -127,11 +127,11 @@
 		c.SetView(placement(1, []*fakeStore{one, two}, []uint16{0}, []uint16{1}))
 		connected(t, c)
 		began := time.Now()
-		require.Equal(t, Accepted, c.Put(plain(), true, time.Second))
+		require.Equal(t, Accepted, c.putFor(plain(), true, time.Second))
 		assert.GreaterOrEqual(t, time.Since(began), minAttemptTimeout)
 		for range 5 {
 			began = time.Now()
-			require.Equal(t, Accepted, c.Put(plain(), true, time.Second))
+			require.Equal(t, Accepted, c.putFor(plain(), true, time.Second))
 			assert.Less(t, time.Since(began), minAttemptTimeout, "the silent store is passed over")
 		}
 		assert.Equal(t, 1, one.countPuts())
@@ -151,7 +151,7 @@
 		c, _ := newClient(t)
 		c.SetView(placement(1, []*fakeStore{one, two, three}, []uint16{0, 1}, []uint16{2}))
 		connected(t, c)
-		require.Equal(t, Accepted, c.Put(plain(), true, time.Second))
+		require.Equal(t, Accepted, c.putFor(plain(), true, time.Second))
 		assert.True(t, c.view.Load().stores[1].isSuspect(c.now()))
 		assert.Equal(t, 1, three.countPuts())
 	})
@@ -171,7 +171,7 @@
 			c, h := newClient(t)
 			c.SetView(placement(1, []*fakeStore{one, two}, []uint16{0, 1}, []uint16{1, 0}))
 			connected(t, c)
-			assert.Equal(t, Accepted, c.Put(m, true, minAttemptTimeout/2))
+			assert.Equal(t, Accepted, c.putFor(m, true, minAttemptTimeout/2))
 			assert.Equal(t, 1, one.countPuts()+two.countPuts())
 			h.with(func() { assert.Len(t, h.accepted, 1) })
 		}
@@ -216,7 +216,7 @@
 		c.SetView(placement(1, []*fakeStore{one, two}, []uint16{0}, []uint16{1}))
 		connected(t, c)
 		m := plain()
-		require.Equal(t, Accepted, c.Put(m, true, time.Second))
+		require.Equal(t, Accepted, c.putFor(m, true, time.Second))
 		first := <-arrived
 		late.Send(&wire.PutReply{Code: wire.PutKept})
 		report := <-dropped
@@ -237,7 +237,7 @@
 		connected(t, c)
 		time.AfterFunc(60*time.Millisecond, func() { c.SetView(placement(2, stores, []uint16{1, 0})) })
 		m := ordered()
-		require.Equal(t, Accepted, c.Put(m, true, time.Second))
+		require.Equal(t, Accepted, c.putFor(m, true, time.Second))
 		one.with(func() {
 			for _, p := range one.puts {
 				assert.Equal(t, m.ID, p.Message.ID)
--- a/edge/queueclient/races_test.go
+++ b/edge/queueclient/races_test.go
@@ -27,7 +27,7 @@
 		claims := one.countClaims()
 		go func() {
 			m := plain()
-			c.Put(m, true, time.Second)
+			c.putFor(m, true, time.Second)
 			kept <- m.ID
 		}()
 		require.Eventually(t, func() bool { return len(c.pendingPuts()) == 1 }, soon, time.Millisecond)
@@ -57,7 +57,7 @@
 		c.SetView(placement(1, []*fakeStore{one}, []uint16{0}))
 		connected(t, c)
 		m := ordered()
-		require.Equal(t, Accepted, c.Put(m, true, time.Second))
+		require.Equal(t, Accepted, c.putFor(m, true, time.Second))
 		h.with(func() { assert.Equal(t, []string{m.ID}, h.granted) })
 	})
 }
@@ -132,7 +132,7 @@
 		c.SetView(placement(1, []*fakeStore{one, two}, []uint16{0, 1}, []uint16{1, 0}))
 		connected(t, c)
 		m := plain()
-		require.Equal(t, Accepted, c.Put(m, true, soon))
+		require.Equal(t, Accepted, c.putFor(m, true, soon))
 		require.Eventually(t, func() bool { return one.countReports() == one.countPuts() }, soon, time.Millisecond)
 		one.with(func() {
 			require.NotEmpty(t, one.puts)
@@ -155,7 +155,7 @@
 			c, _ := newClient(t)
 			c.SetView(placement(1, []*fakeStore{one}, []uint16{0}))
 			connected(t, c)
-			require.Equal(t, Unknown, c.Put(m, true, 60*time.Millisecond))
+			require.Equal(t, Unknown, c.putFor(m, true, 60*time.Millisecond))
 			names := make(map[string]bool)
 			one.with(func() {
 				for _, p := range one.puts {
--- a/test/simulation/edge_test.go
+++ b/test/simulation/edge_test.go
@@ -132,7 +132,7 @@
 	client, plane, service := p.client, p.plane, r.service
 	p.life.begin(func() {
 		limits := queueclient.Limits{Attempt: time.Second, Answer: time.Second, LateAnswer: 2 * time.Second}
-		if client.PutWithin(m, plane.Accepts(service, len(m.Body)), limits) == queueclient.Accepted {
+		if client.Put(m, plane.Accepts(service, len(m.Body)), limits) == queueclient.Accepted {
 			w.messages.kept(r, m.ID)
 		}
 	})
