--- a/cmd/ravendale-edge/edge.go
+++ b/cmd/ravendale-edge/edge.go
@@ -96,11 +96,11 @@
 	slices.Sort(zones)
 	const mb = 1 << 20
 	return dispatch.Config{
-		Topology:  dispatch.Topology{Edge: id, Zone: s.Zone, Zones: zones},
-		Window:    settings.Seconds(s.Bounds.CeilingWindowS),
-		Overshoot: s.Bounds.OriginOvershoot,
-		Converge:  settings.Milliseconds(s.Bounds.ConvergeMs),
-		MaxBodies: min(maxBodyBytes, s.MemoryMb*mb/bodyMemoryDivisor),
+		Topology:        dispatch.Topology{Edge: id, Zone: s.Zone, Zones: zones},
+		Window:          settings.Seconds(s.Bounds.CeilingWindowS),
+		Overshoot:       s.Bounds.OriginOvershoot,
+		ConvergenceTime: settings.Milliseconds(s.Bounds.ConvergeMs),
+		MaxBodyBytes:    min(maxBodyBytes, s.MemoryMb*mb/bodyMemoryDivisor),
 	}
 }
 
--- a/cmd/ravendale-edge/edge_test.go
+++ b/cmd/ravendale-edge/edge_test.go
@@ -55,7 +55,7 @@
 	done chan error
 }
 
-// rigWorker answers as it is told, and remembers the runs.
+// rigWorker answers as the test says, and records the runs.
 type rigWorker struct {
 	mu      sync.Mutex
 	runs    []string
@@ -164,7 +164,7 @@
 	return started
 }
 
-// restartStores has all stores end and start again with their disks. They are told nothing.
+// restartStores has all stores end and start again with their disks. They get no state.
 func (r *rig) restartStores() {
 	for _, s := range r.stores {
 		s.end()
@@ -189,7 +189,7 @@
 	return listener.Addr().(*net.TCPAddr).Port
 }
 
-// addEdge starts an edge. Ports that were free a moment ago may be another program's by then: it is tried with others.
+// addEdge starts an edge. Ports that were free a moment ago may be another program's by then: it is started with others.
 func (r *rig) addEdge() {
 	const attempts = 5
 	var err error
--- a/cmd/ravendale-edge/rules_test.go
+++ b/cmd/ravendale-edge/rules_test.go
@@ -32,7 +32,7 @@
 	}
 }
 
-// LOST: stores that have just started, and were told nothing yet, do not say that there is no such message.
+// LOST: stores that have just started, and have no state yet, do not say that there is no such message.
 func TestStateIsNotDeniedWhileStoresStart(t *testing.T) {
 	r := newRig(t, 3, 2)
 	one, two := r.edges[0], r.edges[1]
@@ -56,7 +56,7 @@
 	r.awaitState(two, pending, "pending")
 }
 
-// DRAIN: an edge that was told to stop is not ready from then on, however long it still works.
+// DRAIN: an edge that is being stopped is not ready from then on, however long it still works.
 func TestStoppingEdgeIsNotReady(t *testing.T) {
 	r := newRig(t, 3, 2)
 	one, two := r.edges[0], r.edges[1]
--- a/edge/dispatch/bucket.go
+++ b/edge/dispatch/bucket.go
@@ -13,6 +13,7 @@
 
 func newBucket(share rateShare, now time.Duration) *bucket { return &bucket{share: share, filled: now} }
 
+// fill adds the tokens that came since the last call.
 func (b *bucket) fill(now time.Duration) {
 	b.tokens = min(b.share.Burst, b.tokens+b.share.Rate*(now-b.filled).Seconds())
 	b.filled = now
--- a/edge/dispatch/completions_test.go
+++ b/edge/dispatch/completions_test.go
@@ -35,7 +35,7 @@
 	}
 }
 
-// The answer to its put comes after the message was handed over whole and run.
+// The answer to its put comes after the message was granted with its body and run.
 func TestAcceptedMessageThatWasCompletedHereIsNotRunAgain(t *testing.T) {
 	w := newWorld(t)
 	w.apply(w.core.Grant(w.now, grantWithMessage("1")))
@@ -47,7 +47,7 @@
 	assert.Equal(t, first, w.reported())
 }
 
-// A store that does not know a message may have given it to another edge: the success of the run that was cut off is still told.
+// A store that does not know a message may have given it to another edge: the success of the run that was cut off is still reported.
 func TestSuccessOfAReleasedMessageIsReported(t *testing.T) {
 	w := newWorld(t)
 	w.accept("/p/", "1")
@@ -60,7 +60,7 @@
 	assert.Equal(t, wire.ReportDone, w.reported().Kind)
 }
 
-// The message was let go, came again and runs once more when the first run turns out to have succeeded.
+// The message was released, was granted again and runs once more when the first run turns out to have succeeded.
 func TestLateSuccessEndsTheSecondStay(t *testing.T) {
 	w := newWorld(t)
 	w.accept("/p/", "1")
--- a/edge/dispatch/config.go
+++ b/edge/dispatch/config.go
@@ -9,12 +9,12 @@
 
 // Config holds the options of a Core.
 type Config struct {
-	Topology  Topology
-	Window    time.Duration // of rate limits: see RateLimit
-	Overshoot float64       // of rate limits: see RateLimit
-	Converge  time.Duration // a route that is missing here may be new: a granted message waits so long for it
-	MaxBodies int           // bytes of messages in memory; 0: no bound. A granted message beyond it is released
-	Seed      uint64
+	Topology        Topology
+	Window          time.Duration // of rate limits: see RateLimit
+	Overshoot       float64       // of rate limits: see RateLimit
+	ConvergenceTime time.Duration // a route that is missing here may be new: a granted message waits so long for it
+	MaxBodyBytes    int           // bytes of messages in memory; 0: no bound. A granted message beyond it is released
+	Seed            uint64
 }
 
 // Topology is the edge's place among the edges of the system.
--- a/edge/dispatch/configure.go
+++ b/edge/dispatch/configure.go
@@ -63,6 +63,7 @@
 	c.applyRateLimit(s, config)
 }
 
+// sameSettings compares what of a module's settings may change.
 func sameSettings(a, b *ravendale.Settings) bool {
 	return a.Dispatchers == b.Dispatchers && a.Me == b.Me && a.MaxAttempts == b.MaxAttempts && a.Classes[0] == b.Classes[0]
 }
@@ -164,6 +165,7 @@
 	return c.end()
 }
 
+// configureServices updates all services of the configuration in force.
 func (c *Core) configureServices() {
 	if c.index == nil {
 		return
--- a/edge/dispatch/configure_test.go
+++ b/edge/dispatch/configure_test.go
@@ -76,7 +76,7 @@
 func TestJobThatWaitsForCapacityFollowsItsRoute(t *testing.T) {
 	w := newWorld(t)
 	w.accept("/p/", "1")
-	for range 3 { // full everywhere: the module holds it, or it comes back
+	for range 3 { // rejected everywhere: the module keeps it, or it comes back
 		if len(w.deliveries) == 0 {
 			w.pass(10 * ms)
 			continue
@@ -98,7 +98,7 @@
 func TestDrainingAndRemovedWorkersGetNothing(t *testing.T) {
 	w := newWorld(t)
 	w.workers.Entries[0].Draining = true
-	w.workers.Entries = append(w.workers.Entries[:1], w.workers.Entries[2:]...) // s-0 drains, s-1 is gone
+	w.workers.Entries = append(w.workers.Entries[:1], w.workers.Entries[2:]...) // s-0 drains, s-1 is removed
 	w.listWorkers()
 	for i := range 30 {
 		w.accept("/p/", fmt.Sprint(i))
--- a/edge/dispatch/contention_test.go
+++ b/edge/dispatch/contention_test.go
@@ -27,7 +27,7 @@
 	skew                    float64       // the key of rank i is drawn in proportion to i to the power of -skew
 	perSecond               float64       // messages
 	length                  time.Duration // of the traffic
-	outageFrom, outageUntil time.Duration // the workers are silent; zero: never
+	outageFrom, outageUntil time.Duration // the workers do not respond; zero: never
 	refusing                bool          // ... and connections to them are refused at once
 	listLag                 time.Duration // after their return, under new names, until the edges' lists have these
 	seed                    uint64
@@ -37,7 +37,7 @@
 	warmupFactor   = 1.6
 	networkDelay   = 1500 * time.Microsecond // to a worker, or a store
 	grantDelay     = 8 * time.Millisecond    // from an end to the grant of the next of its key
-	connectTimeout = 300 * time.Millisecond  // until a connection to a silent worker is given up
+	connectTimeout = 300 * time.Millisecond  // until a connection to an unresponsive worker is given up
 	startTarget    = 600 * time.Millisecond  // a message that begins so soon earns all
 	latestStart    = 15 * time.Second        // ... and a part until then
 	settlingTime   = 10 * time.Second        // the edges go on after the traffic
@@ -125,7 +125,7 @@
 	for i := range edges {
 		core := NewCore(Config{
 			Topology: Topology{Edge: edges[i].ID, Zone: edges[i].Zone, Zones: zones},
-			Window:   5 * time.Second, Overshoot: 1.1, Converge: 4 * time.Second, Seed: plan.seed + uint64(i) + 1,
+			Window:   5 * time.Second, Overshoot: 1.1, ConvergenceTime: 4 * time.Second, Seed: plan.seed + uint64(i) + 1,
 		})
 		c.cores = append(c.cores, core)
 		c.ticks = append(c.ticks, 0)
@@ -246,7 +246,7 @@
 
 func (c *contention) inOutage() bool { return c.now >= c.plan.outageFrom && c.now < c.plan.outageUntil }
 
-// end tells an edge of the end of an attempt after a time.
+// end has an edge get the outcome of an attempt after a time.
 func (c *contention) end(edge int, d Deliver, wait time.Duration, outcome worker.Outcome) {
 	c.after(wait, func() {
 		result := worker.Result{Outcome: outcome, Took: wait}
--- a/edge/dispatch/core.go
+++ b/edge/dispatch/core.go
@@ -35,6 +35,7 @@
 	moduleActions []ravendale.Action // of a module, used again
 }
 
+// moduleEvent is an event for the module of a service.
 type moduleEvent struct {
 	service *service
 	event   ravendale.Event
@@ -76,13 +77,14 @@
 // or others have shorter waits for a token, the stores grant it to one of those.
 func (c *Core) Accepts(now time.Duration, name string, size int) bool {
 	s := c.services[name]
-	full := c.config.MaxBodies > 0 && c.messageBytes+size > c.config.MaxBodies
+	full := c.config.MaxBodyBytes > 0 && c.messageBytes+size > c.config.MaxBodyBytes
 	return s != nil && !c.stopping && !full && s.tokenWait(max(now, c.now)) <= maxTokenWait
 }
 
 // begin starts the handling of an event, and end finishes it.
 func (c *Core) begin(now time.Duration) { c.now, c.actions = max(now, c.now), nil }
 
+// end has the modules handle what happened, submits what they can take, and returns what is to be done.
 func (c *Core) end() []Action {
 	for more := true; more; more = c.submitQueued() {
 		c.runModules()
@@ -103,8 +105,10 @@
 	c.moduleEvents = nil
 }
 
+// emit adds an action to those of the event being handled.
 func (c *Core) emit(a Action) { c.actions = append(c.actions, a) }
 
+// queueEvent has a service's module handle an event before the present one ends.
 func (c *Core) queueEvent(s *service, event ravendale.Event) {
 	c.moduleEvents = append(c.moduleEvents, moduleEvent{s, event})
 }
--- a/edge/dispatch/due.go
+++ b/edge/dispatch/due.go
@@ -10,28 +10,28 @@
 // dueHeap orders messages by when they are due.
 type dueHeap []*message
 
-func (a dueHeap) Len() int { return len(a) }
+func (h dueHeap) Len() int { return len(h) }
 
-func (a dueHeap) Less(i, j int) bool { return a[i].dueAt < a[j].dueAt }
+func (h dueHeap) Less(i, j int) bool { return h[i].dueAt < h[j].dueAt }
 
-func (a dueHeap) Swap(i, j int) {
-	a[i], a[j] = a[j], a[i]
-	a[i].heapIndex, a[j].heapIndex = i, j
+func (h dueHeap) Swap(i, j int) {
+	h[i], h[j] = h[j], h[i]
+	h[i].heapIndex, h[j].heapIndex = i, j
 }
 
 // Push implements heap.Interface.
-func (a *dueHeap) Push(x any) {
+func (h *dueHeap) Push(x any) {
 	m := x.(*message)
-	m.heapIndex = len(*a)
-	*a = append(*a, m)
+	m.heapIndex = len(*h)
+	*h = append(*h, m)
 }
 
 // Pop implements heap.Interface.
-func (a *dueHeap) Pop() any {
-	last := len(*a) - 1
-	m := (*a)[last]
-	(*a)[last] = nil
-	*a = (*a)[:last]
+func (h *dueHeap) Pop() any {
+	last := len(*h) - 1
+	m := (*h)[last]
+	(*h)[last] = nil
+	*h = (*h)[:last]
 	m.heapIndex = -1
 	return m
 }
@@ -46,6 +46,7 @@
 	}
 }
 
+// removeScheduled has processDue not called for a message any more.
 func (c *Core) removeScheduled(m *message) {
 	if m.heapIndex >= 0 {
 		heap.Remove(&c.due, m.heapIndex)
--- a/edge/dispatch/intake.go
+++ b/edge/dispatch/intake.go
@@ -34,18 +34,20 @@
 	return c.end()
 }
 
+// addGranted takes a message that a store assigned to this edge.
 func (c *Core) addGranted(g *wire.Grant) {
 	message := g.Message
 	message.ID = g.ID
 	message.DelayMs = 0
-	from := arrival{granted: true, failedAttempts: g.Failed, routeTimeout: c.config.Converge}
-	from.overLimit = c.config.MaxBodies > 0 && c.messageBytes+len(message.Body) > c.config.MaxBodies
+	from := arrival{granted: true, failedAttempts: g.Failed, routeTimeout: c.config.ConvergenceTime}
+	from.overLimit = c.config.MaxBodyBytes > 0 && c.messageBytes+len(message.Body) > c.config.MaxBodyBytes
 	if from.overLimit {
 		message.Body = nil
 	}
 	c.add(&message, from)
 }
 
+// setGranted records that a message may be delivered now, and the failures that its store counted.
 func (c *Core) setGranted(m *message, failed uint16) {
 	m.failedAttempts = max(m.failedAttempts, failed)
 	if m.granted {
@@ -65,6 +67,7 @@
 	overLimit      bool          // its body does not fit into memory
 }
 
+// add takes a message, and schedules what is first: its release, its delay or the end of its wait in its key order.
 func (c *Core) add(source *wire.Message, from arrival) {
 	m := &message{Message: *source, granted: from.granted, failedAttempts: from.failedAttempts, dropAfter: c.now + from.routeTimeout, heapIndex: -1}
 	m.size = len(m.Body) + messageOverhead
@@ -80,7 +83,7 @@
 		c.release(m)
 	case from.overLimit:
 		c.scheduleAt(m, phaseReleasing, c.now+releaseDelay)
-	case m.isGranted():
+	case m.isNextInOrder():
 		c.deferUntil(m, max(m.notBefore, c.now))
 	default:
 		c.scheduleAt(m, phaseKeyOrder, m.expiresAt)
--- a/edge/dispatch/intake_test.go
+++ b/edge/dispatch/intake_test.go
@@ -82,7 +82,7 @@
 func TestReleasedMessageMayBeGrantedAgain(t *testing.T) {
 	w := newWorld(t)
 	w.config.Services[2].RatePerS = 4
-	w.apply(w.core.SetEdges(w.now, edgesOf("other"))) // this edge has no share of any ceiling
+	w.apply(w.core.SetEdges(w.now, edgesOf("other"))) // this edge has no share of any rate limit
 	w.accept("/l/", "1")
 	assert.Empty(t, w.reports, "it may come again at once: not too fast")
 	w.pass(releaseDelay)
@@ -96,7 +96,7 @@
 
 func TestLeasedBodiesAreBounded(t *testing.T) {
 	w := newWorld(t)
-	w.core.config.MaxBodies = 2000
+	w.core.config.MaxBodyBytes = 2000
 	m := messageTo("/p/", "1")
 	m.Body = make([]byte, 1500)
 	w.apply(w.core.Accept(w.now, m, false))
--- a/edge/dispatch/job.go
+++ b/edge/dispatch/job.go
@@ -22,11 +22,13 @@
 	tokenTakenAt time.Duration
 }
 
+// attempt is one request of a job to a worker.
 type attempt struct {
 	worker              string
 	inFlight, cancelled bool
 }
 
+// isInFlight reports whether an attempt is under way that was not cancelled.
 func (j *job) isInFlight() bool {
 	return slices.ContainsFunc(j.attempts, func(a attempt) bool { return a.inFlight && !a.cancelled })
 }
@@ -43,6 +45,7 @@
 	j.isWaiting = waiting
 }
 
+// submit hands a message to its service's module as a new job.
 func (c *Core) submit(m *message, s *service, token bool) {
 	c.lastJob++
 	j := &job{id: c.lastJob, service: s, message: m, active: true, hasToken: token, tokenTakenAt: c.now}
@@ -55,6 +58,7 @@
 	m.submitted = true
 }
 
+// withdrawJob takes a message back from its module.
 func (c *Core) withdrawJob(j *job) {
 	if !j.active {
 		return
@@ -64,6 +68,7 @@
 	c.removeIdleJob(j)
 }
 
+// removeIdleJob forgets a job that no message waits for and that has no attempt in flight.
 func (c *Core) removeIdleJob(j *job) {
 	j.updateCount()
 	if !j.active && j.inFlight == 0 && c.jobs[j.id] == j {
@@ -96,6 +101,7 @@
 	}
 }
 
+// cancelAttempt has an attempt's connection closed. The attempt stays in flight until its outcome comes.
 func (c *Core) cancelAttempt(j *job, number int) {
 	if a := &j.attempts[number]; a.inFlight && !a.cancelled {
 		a.cancelled = true
@@ -134,7 +140,7 @@
 
 // send makes an attempt, if the newest configuration still allows it.
 func (c *Core) send(j *job, name string) {
-	number, copies := len(j.attempts), j.isInFlight()
+	number, hedge := len(j.attempts), j.isInFlight()
 	j.attempts = append(j.attempts, attempt{worker: name, inFlight: true})
 	j.inFlight++
 	j.updateCount()
@@ -144,7 +150,7 @@
 	switch {
 	case !j.active || address == "":
 		c.endAttempt(j, number, worker.Result{Outcome: worker.NotRun})
-	case copies && s.queue.len() > 0: // N, the open messages, counts those that wait
+	case hedge && s.queue.len() > 0: // N, the open messages, counts those that wait
 		c.endAttempt(j, number, worker.Result{Outcome: worker.NoConnection})
 	case c.stopping:
 		c.abortAttempt(j, number)
--- a/edge/dispatch/manager.go
+++ b/edge/dispatch/manager.go
@@ -36,6 +36,7 @@
 	closed bool
 }
 
+// attemptKey names an attempt of a job.
 type attemptKey struct {
 	job     JobID
 	attempt int
@@ -77,173 +78,174 @@
 }
 
 // Start gives the manager its queue.
-func (p *Manager) Start(queue Queue) { p.queue = queue }
+func (d *Manager) Start(queue Queue) { d.queue = queue }
 
-func (p *Manager) now() time.Duration { return p.host.Now() - p.started }
+func (d *Manager) now() time.Duration { return d.host.Now() - d.started }
 
 // handle has the core handle an event, and executes what it asks for.
-func (p *Manager) handle(event func(core *Core, now time.Duration) []Action) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if p.closed {
+func (d *Manager) handle(event func(core *Core, now time.Duration) []Action) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if d.closed {
 		return
 	}
-	for _, action := range event(p.core, p.now()) {
-		p.execute(action)
+	for _, action := range event(d.core, d.now()) {
+		d.execute(action)
 	}
-	p.arm()
+	d.arm()
 	select {
-	case p.changed <- struct{}{}:
+	case d.changed <- struct{}{}:
 	default:
 	}
 }
 
-func (p *Manager) execute(action Action) {
+// execute carries out one action of the core.
+func (d *Manager) execute(action Action) {
 	switch a := action.(type) {
 	case Deliver:
 		key := attemptKey{a.Job, a.Attempt}
-		p.calls[key] = p.workers.Start(&a.Delivery, func(result worker.Result) { p.finishAttempt(key, result) })
+		d.calls[key] = d.workers.Start(&a.Delivery, func(result worker.Result) { d.finishAttempt(key, result) })
 	case Cancel:
-		if running := p.calls[attemptKey{a.Job, a.Attempt}]; running != nil {
+		if running := d.calls[attemptKey{a.Job, a.Attempt}]; running != nil {
 			running.Cancel()
 		}
 	case Report:
-		p.queue.Report(a.Report)
+		d.queue.Report(a.Report)
 	}
 }
 
-func (p *Manager) finishAttempt(key attemptKey, result worker.Result) {
-	p.handle(func(core *Core, now time.Duration) []Action {
-		delete(p.calls, key)
+func (d *Manager) finishAttempt(key attemptKey, result worker.Result) {
+	d.handle(func(core *Core, now time.Duration) []Action {
+		delete(d.calls, key)
 		return core.FinishAttempt(now, key.job, key.attempt, result)
 	})
 }
 
 // arm sets the timer to what is due next.
-func (p *Manager) arm() {
-	next := p.core.Next()
-	if p.timer != nil && next == p.wakeAt {
+func (d *Manager) arm() {
+	next := d.core.Next()
+	if d.timer != nil && next == d.wakeAt {
 		return
 	}
-	p.wakeAt = next
-	wait := max(next-p.now(), 0)
-	if p.timer == nil {
-		p.timer = p.host.AfterFunc(wait, p.tick)
+	d.wakeAt = next
+	wait := max(next-d.now(), 0)
+	if d.timer == nil {
+		d.timer = d.host.AfterFunc(wait, d.tick)
 		return
 	}
-	p.timer.Reset(wait)
+	d.timer.Reset(wait)
 }
 
-func (p *Manager) tick() {
-	p.handle(func(core *Core, now time.Duration) []Action {
-		p.wakeAt = -1
+func (d *Manager) tick() {
+	d.handle(func(core *Core, now time.Duration) []Action {
+		d.wakeAt = -1
 		return core.Tick(now)
 	})
 }
 
 // Accept takes a message that was put by this edge and accepted by its store.
-func (p *Manager) Accept(m *wire.Message, granted bool) {
-	p.handle(func(core *Core, now time.Duration) []Action { return core.Accept(now, m, granted) })
+func (d *Manager) Accept(m *wire.Message, granted bool) {
+	d.handle(func(core *Core, now time.Duration) []Action { return core.Accept(now, m, granted) })
 }
 
 // Grant takes a store's grant.
-func (p *Manager) Grant(g *wire.Grant) {
-	p.handle(func(core *Core, now time.Duration) []Action { return core.Grant(now, g) })
+func (d *Manager) Grant(g *wire.Grant) {
+	d.handle(func(core *Core, now time.Duration) []Action { return core.Grant(now, g) })
 }
 
 // Acknowledged is called when the queue has acknowledged a message's last report.
-func (p *Manager) Acknowledged(id string) {
-	p.handle(func(core *Core, now time.Duration) []Action { return core.Acknowledged(now, id) })
+func (d *Manager) Acknowledged(id string) {
+	d.handle(func(core *Core, now time.Duration) []Action { return core.Acknowledged(now, id) })
 }
 
 // Unknown is called when the queue does not know a message as pending.
-func (p *Manager) Unknown(id string) {
-	p.handle(func(core *Core, now time.Duration) []Action { return core.Unknown(now, id) })
+func (d *Manager) Unknown(id string) {
+	d.handle(func(core *Core, now time.Duration) []Action { return core.Unknown(now, id) })
 }
 
 // ApplyConfig puts a configuration in force.
-func (p *Manager) ApplyConfig(index *catalog.Index) {
-	p.handle(func(core *Core, now time.Duration) []Action {
+func (d *Manager) ApplyConfig(index *catalog.Index) {
+	d.handle(func(core *Core, now time.Duration) []Action {
 		actions := core.ApplyConfig(now, index)
-		p.workers.SetLimits(core.Connections())
+		d.workers.SetLimits(core.Connections())
 		return actions
 	})
-	p.index.Store(index)
+	d.index.Store(index)
 }
 
 // SetWorkers takes the platform's list of workers.
-func (p *Manager) SetWorkers(workers *wire.Workers) {
-	p.handle(func(core *Core, now time.Duration) []Action {
+func (d *Manager) SetWorkers(workers *wire.Workers) {
+	d.handle(func(core *Core, now time.Duration) []Action {
 		actions := core.SetWorkers(now, workers)
-		p.workers.SetLimits(core.Connections())
+		d.workers.SetLimits(core.Connections())
 		return actions
 	})
 }
 
 // SetEdges takes the edges that share the work.
-func (p *Manager) SetEdges(edges []wire.Edge) {
-	p.handle(func(core *Core, now time.Duration) []Action {
+func (d *Manager) SetEdges(edges []wire.Edge) {
+	d.handle(func(core *Core, now time.Duration) []Action {
 		actions := core.SetEdges(now, edges)
-		p.workers.SetLimits(core.Connections())
+		d.workers.SetLimits(core.Connections())
 		return actions
 	})
 }
 
 // Index returns the configuration in force, nil until there is one.
-func (p *Manager) Index() *catalog.Index { return p.index.Load() }
+func (d *Manager) Index() *catalog.Index { return d.index.Load() }
 
 // Accepts reports whether this edge should deliver a new message of a service, with a body of a size in bytes.
-func (p *Manager) Accepts(service string, size int) bool {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return !p.closed && p.core.Accepts(p.now(), service, size)
+func (d *Manager) Accepts(service string, size int) bool {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return !d.closed && d.core.Accepts(d.now(), service, size)
 }
 
 // MessageIDs returns the IDs of the messages that are leased to this edge, in no order.
-func (p *Manager) MessageIDs() []string {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return p.core.MessageIDs()
+func (d *Manager) MessageIDs() []string {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return d.core.MessageIDs()
 }
 
 // Backlogs returns the services of which a message has been due for at least a time.
-func (p *Manager) Backlogs(due time.Duration) []Backlog {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return p.core.Backlogs(p.now(), due)
+func (d *Manager) Backlogs(due time.Duration) []Backlog {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return d.core.Backlogs(d.now(), due)
 }
 
 // Stop releases all that is not in flight, at once.
-func (p *Manager) Stop() {
-	p.handle(func(core *Core, now time.Duration) []Action { return core.Stop(now) })
+func (d *Manager) Stop() {
+	d.handle(func(core *Core, now time.Duration) []Action { return core.Stop(now) })
 }
 
 // AwaitDrained waits until nothing is in flight and all reports are acknowledged, or the context ends. It reports whether all was done.
-func (p *Manager) AwaitDrained(ctx context.Context) bool {
+func (d *Manager) AwaitDrained(ctx context.Context) bool {
 	for {
-		if p.isIdle() {
+		if d.isIdle() {
 			return true
 		}
 		select {
-		case <-p.changed:
+		case <-d.changed:
 		case <-ctx.Done():
 			return false
 		}
 	}
 }
 
-func (p *Manager) isIdle() bool {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return p.core.InFlight() == 0 && p.core.Idle() && p.queue.Pending() == 0
+func (d *Manager) isIdle() bool {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return d.core.InFlight() == 0 && d.core.Idle() && d.queue.Pending() == 0
 }
 
 // Close ends the manager; events after it are ignored.
-func (p *Manager) Close() {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.closed = true
-	if p.timer != nil {
-		p.timer.Stop()
+func (d *Manager) Close() {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.closed = true
+	if d.timer != nil {
+		d.timer.Stop()
 	}
 }
--- a/edge/dispatch/manager_test.go
+++ b/edge/dispatch/manager_test.go
@@ -19,9 +19,9 @@
 	"ravendale/edge/worker"
 )
 
-// fakeQueue acknowledges reports at once, on another goroutine, unless it is held.
+// fakeQueue acknowledges reports at once, on another goroutine, unless it is paused.
 type fakeQueue struct {
-	plane *Manager
+	manager *Manager
 
 	mu      sync.Mutex
 	reports []wire.Report
@@ -41,7 +41,7 @@
 		q.mu.Lock()
 		q.waiting--
 		q.mu.Unlock()
-		q.plane.Acknowledged(r.ID)
+		q.manager.Acknowledged(r.ID)
 	}()
 }
 
@@ -72,10 +72,10 @@
 	t.Cleanup(client.Close)
 	p := NewManager(Config{
 		Topology: Topology{Edge: "e1", Zone: "z1", Zones: []string{"z1"}}, Window: 5 * time.Second, Overshoot: 1.1,
-		MaxBodies: 1 << 20,
+		MaxBodyBytes: 1 << 20,
 	}, client)
 	t.Cleanup(p.Close)
-	q := &fakeQueue{plane: p}
+	q := &fakeQueue{manager: p}
 	p.Start(q)
 	p.SetEdges(edgesOf("e1"))
 	p.ApplyConfig(catalog.NewIndex(&catalog.Config{
--- a/edge/dispatch/message.go
+++ b/edge/dispatch/message.go
@@ -7,6 +7,7 @@
 	"ravendale/cluster/wire"
 )
 
+// phase is where a message stands. What it waits for in a phase is due at message.dueAt.
 type phase uint8
 
 const (
@@ -41,9 +42,11 @@
 	job     *job     // while submitted
 }
 
+// path returns the target without its query, as routes match it.
 func (m *message) path() string {
 	path, _, _ := strings.Cut(m.Target, "?")
 	return path
 }
 
-func (m *message) isGranted() bool { return !m.Ordered || m.granted }
+// isNextInOrder reports whether no other message of the key order has to be completed first.
+func (m *message) isNextInOrder() bool { return !m.Ordered || m.granted }
--- a/edge/dispatch/outcome.go
+++ b/edge/dispatch/outcome.go
@@ -33,6 +33,7 @@
 	return c.end()
 }
 
+// endAttempt takes an attempt's outcome, tells the module of it, and draws the consequences for the message.
 func (c *Core) endAttempt(j *job, number int, result worker.Result) {
 	if c.mutations.resetCountsAsNotRun && result.Outcome.MayHaveRun() {
 		result.Outcome = worker.Unreachable
--- a/edge/dispatch/outcome_test.go
+++ b/edge/dispatch/outcome_test.go
@@ -19,7 +19,7 @@
 	ends     follow = iota // nothing: the message has ended
 	soon                   // another attempt, with the first pause at most
 	atOnce                 // another attempt in the same event
-	countsOn               // the same, and the failure is told to the queue
+	countsOn               // the same, and the failure is reported to the queue
 )
 
 // after is what each outcome leads to, for a message's first attempt. No class of messages makes a difference: whether a message may be
@@ -36,7 +36,7 @@
 	ordered := messageTo("/p/", "1")
 	ordered.Ordered, ordered.Key = true, "k"
 	return map[string]*wire.Message{
-		"not idempotent": messageTo("/p/", "1"), "idempotent": messageTo("/s/", "1"), "with a ceiling": messageTo("/l/", "1"), "ordered": ordered,
+		"not idempotent": messageTo("/p/", "1"), "idempotent": messageTo("/s/", "1"), "with a rate limit": messageTo("/l/", "1"), "ordered": ordered,
 	}
 }
 
@@ -58,7 +58,7 @@
 				if want == countsOn {
 					assert.Equal(t, wire.Report{ID: m.ID, Kind: wire.ReportFailed, Failed: 1}, w.reported())
 				}
-				if want != soon && class != "with a ceiling" {
+				if want != soon && class != "with a rate limit" {
 					require.NotEmpty(t, w.deliveries, "at once")
 				}
 				w.pass(3 * time.Second)
@@ -71,7 +71,7 @@
 	assert.Len(t, after, int(worker.Cancelled)+1, "each outcome has its line")
 }
 
-// One attempt of a message is out at a time, whatever its service: the module makes copies only on room that workers say is free, and
+// One attempt of a message is in flight at a time, whatever its service: the module hedges only on capacity that workers report free, and
 // they do not. What follows an unknown outcome is sent once the connection of the attempt before is closed.
 func TestNoMessageIsInFlightTwice(t *testing.T) {
 	for class, m := range classes() {
--- a/edge/dispatch/ratelimit_test.go
+++ b/edge/dispatch/ratelimit_test.go
@@ -106,7 +106,7 @@
 	w.sent()
 }
 
-// Through the core: each attempt takes a token, those that follow a full or broken one as well.
+// Through the core: each attempt takes a token, those that follow one that was rejected or broken as well.
 func TestEachAttemptTakesAToken(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		w := newWorld(t)
@@ -145,14 +145,14 @@
 	})
 }
 
-// The module tries a worker that can't be reached once more by itself: that takes a token of its own.
+// The module retries a worker that can't be reached once by itself: that takes a token of its own.
 func TestWhatFollowsAFailedConnectTakesAToken(t *testing.T) {
 	w := newWorld(t)
 	w.pass(10 * time.Second)
 	w.accept("/l/", "1")
 	first := w.sent()
 	bucket := w.core.services["limited"].tokens
-	bucket.tokens, bucket.filled = -1, w.now // the one that is given back is the last for now
+	bucket.tokens, bucket.filled = -1, w.now // the one that is refunded is the last for now
 	w.end(first, worker.Unreachable)
 	w.pass(ms)
 	assert.Empty(t, w.deliveries)
--- a/edge/dispatch/replaced.go
+++ b/edge/dispatch/replaced.go
@@ -15,52 +15,53 @@
 	next  time.Duration            // when the first of them may be tried again; 0: there is none
 }
 
-func (g *replacedWorkers) has(name string) bool {
-	_, is := g.until[name]
+func (r *replacedWorkers) has(name string) bool {
+	_, is := r.until[name]
 	return is
 }
 
-func (g *replacedWorkers) add(now time.Duration, name string) {
-	g.until[name] = now + replacedFor
-	g.updateNext()
+func (r *replacedWorkers) add(now time.Duration, name string) {
+	r.until[name] = now + replacedFor
+	r.updateNext()
 }
 
 // retain forgets all that are not listed any more.
-func (g *replacedWorkers) retain(workers *wire.Workers) {
-	if len(g.until) == 0 {
+func (r *replacedWorkers) retain(workers *wire.Workers) {
+	if len(r.until) == 0 {
 		return
 	}
 	listed := make(map[string]bool)
 	for i := range workers.Entries {
 		listed[workers.Entries[i].ID] = true
 	}
-	for name := range g.until {
+	for name := range r.until {
 		if !listed[name] {
-			delete(g.until, name)
+			delete(r.until, name)
 		}
 	}
-	g.updateNext()
+	r.updateNext()
 }
 
 // expire forgets those whose time is over, and reports whether there were any.
-func (g *replacedWorkers) expire(now time.Duration) bool {
-	if g.next == 0 || g.next > now {
+func (r *replacedWorkers) expire(now time.Duration) bool {
+	if r.next == 0 || r.next > now {
 		return false
 	}
-	for name, until := range g.until {
+	for name, until := range r.until {
 		if until <= now {
-			delete(g.until, name)
+			delete(r.until, name)
 		}
 	}
-	g.updateNext()
+	r.updateNext()
 	return true
 }
 
-func (g *replacedWorkers) updateNext() {
-	g.next = 0
-	for _, until := range g.until {
-		if g.next == 0 || until < g.next {
-			g.next = until
+// updateNext recomputes next.
+func (r *replacedWorkers) updateNext() {
+	r.next = 0
+	for _, until := range r.until {
+		if r.next == 0 || until < r.next {
+			r.next = until
 		}
 	}
 }
--- a/edge/dispatch/report.go
+++ b/edge/dispatch/report.go
@@ -30,11 +30,13 @@
 	}
 }
 
+// release gives a message back for another edge to deliver.
 func (c *Core) release(m *message) {
 	m.released = true
 	c.finish(m, wire.Report{Kind: wire.ReportReleased})
 }
 
+// report notifies the queue of an outcome, and remembers those that complete a message.
 func (c *Core) report(r wire.Report) {
 	r.Partition, _ = wire.PartitionOf(r.ID)
 	if r.Kind != wire.ReportFailed && r.Kind != wire.ReportReleased {
--- a/edge/dispatch/service.go
+++ b/edge/dispatch/service.go
@@ -36,15 +36,16 @@
 	unknownZone      = -1
 )
 
+// moduleSettings returns the settings of a service's decision module.
 func moduleSettings(config *catalog.Service, t *Topology) ravendale.Settings {
 	me := max(slices.IndexFunc(t.Edges, func(e wire.Edge) bool { return e.ID == t.Edge }), 0)
 	effect := ravendale.Unsafe
 	if config.Idempotent {
 		effect = ravendale.Safe
 	}
-	attempts, copies := attemptsPerJob, true
+	attempts, hedges := attemptsPerJob, true
 	if config.RatePerS > 0 {
-		attempts, copies = attemptsPerToken, false
+		attempts, hedges = attemptsPerToken, false
 	}
 	return ravendale.Settings{
 		Dispatchers:  max(len(t.Edges), 1),
@@ -53,7 +54,7 @@
 		Zone:         slices.Index(t.Zones, t.Zone),
 		Classes:      []ravendale.Class{{Name: config.Name, Effect: effect, Deadline: jobDeadline, Value: 1, Kind: -1}},
 		MaxAttempts:  attempts,
-		MayHedge:     copies,
+		MayHedge:     hedges,
 		MayCancel:    true,
 		WrittenCount: true,
 	}
@@ -84,6 +85,7 @@
 	return list, addresses
 }
 
+// entry describes a worker to the module.
 func entry(w *wire.Worker, t *Topology) ravendale.Entry {
 	state := ravendale.Ready
 	if w.Draining {
--- a/edge/dispatch/waitqueue_test.go
+++ b/edge/dispatch/waitqueue_test.go
@@ -57,8 +57,8 @@
 	})
 }
 
-// fullWorld has one worker, which a first message found full: one that comes then waits.
-func fullWorld(t *testing.T) (w *world, running Deliver) {
+// busyWorld has one worker, which rejects a first message: one that comes then waits.
+func busyWorld(t *testing.T) (w *world, running Deliver) {
 	w = newWorld(t)
 	w.workers.Entries = w.workers.Entries[:1]
 	w.listWorkers()
@@ -72,7 +72,7 @@
 }
 
 func TestOneMessageWaitsWithTheModuleAndTheOthersBehindIt(t *testing.T) {
-	w, running := fullWorld(t)
+	w, running := busyWorld(t)
 	for i := range 5 {
 		w.accept("/p/", fmt.Sprint(i))
 	}
@@ -86,7 +86,7 @@
 }
 
 func TestMessagesThatWaitGoOnceTheirWorkersAreListed(t *testing.T) {
-	w, running := fullWorld(t)
+	w, running := busyWorld(t)
 	w.accept("/p/", "waits")
 	w.workers.Entries = nil
 	w.listWorkers()
@@ -104,7 +104,7 @@
 }
 
 func TestMessagesThatWaitEndWithTheirRoute(t *testing.T) {
-	w, _ := fullWorld(t)
+	w, _ := busyWorld(t)
 	w.accept("/p/", "waits")
 	w.config.Routes = w.config.Routes[1:]
 	w.configure()
@@ -118,10 +118,10 @@
 }
 
 func TestMessagesThatWaitExpire(t *testing.T) {
-	w, _ := fullWorld(t)
+	w, _ := busyWorld(t)
 	w.accept("/p/", "waits")
 	m := w.core.messages["0.waits"]
-	w.core.services["s"].waitingJobs = 10 // the module finds no room
+	w.core.services["s"].waitingJobs = 10 // the module finds no capacity
 	m.expiresAt = w.now + time.Second
 	w.core.scheduleAt(m, phaseQueued, m.expiresAt)
 	w.pass(1100 * ms)
@@ -130,7 +130,7 @@
 }
 
 func TestMessagesThatWaitTakeTokensOnceTheirServiceHasARateLimit(t *testing.T) {
-	w, running := fullWorld(t)
+	w, running := busyWorld(t)
 	w.accept("/p/", "waits")
 	w.config.Services[0].RatePerS = 4
 	w.configure()
@@ -143,7 +143,7 @@
 }
 
 func TestMessagesThatWaitAreReleasedAtAStop(t *testing.T) {
-	w, _ := fullWorld(t)
+	w, _ := busyWorld(t)
 	w.accept("/p/", "waits")
 	w.apply(w.core.Stop(w.now))
 	var released []string
@@ -157,7 +157,7 @@
 }
 
 func TestNoCopyGoesWhileMessagesWait(t *testing.T) {
-	w, running := fullWorld(t)
+	w, running := busyWorld(t)
 	w.accept("/p/", "waits")
 	j := w.core.jobs[running.Job]
 	w.deliveries = nil
@@ -170,7 +170,7 @@
 	assert.True(t, j.isInFlight(), "the first attempt goes on")
 }
 
-// Workers that have no room make no message sleep: it goes as soon as one has.
+// Workers without capacity have no message back off: it goes as soon as one has capacity.
 func TestAMessageThatFoundAllWorkersAtCapacityDoesNotBackOff(t *testing.T) {
 	for _, outcome := range []worker.Outcome{worker.AtCapacity, worker.NoConnection} {
 		w := newWorld(t)
@@ -210,7 +210,7 @@
 }
 
 func TestMessagesThatWaitLookForTheirRouteWhenTheirServiceGoes(t *testing.T) {
-	w, _ := fullWorld(t)
+	w, _ := busyWorld(t)
 	w.accept("/p/", "waits")
 	w.config.Routes[0].Service = "safe"
 	w.config.Services = w.config.Services[1:]
@@ -227,11 +227,11 @@
 	assert.Empty(t, w.core.backlogged)
 }
 
-// A service has no room, or no workers at all, and the operator has its route lead to another: what waits goes there.
+// A service has no capacity, or no workers at all, and the operator has its route lead to another: what waits goes there.
 func TestMessagesThatWaitFollowTheirRoute(t *testing.T) {
 	for name, workers := range map[string]int{"full": 1, "without workers": 0} {
 		t.Run(name, func(t *testing.T) {
-			w, running := fullWorld(t)
+			w, running := busyWorld(t)
 			for i := range 5 {
 				w.accept("/p/", fmt.Sprint(i))
 			}
--- a/edge/dispatch/world_test.go
+++ b/edge/dispatch/world_test.go
@@ -39,7 +39,7 @@
 	w := &world{t: t, now: time.Second}
 	w.core = NewCore(Config{
 		Topology: Topology{Edge: "e1", Zone: "z1", Zones: []string{"z1", "z2"}, Edges: edgesOf("e1")},
-		Window:   5 * time.Second, Overshoot: 1.1, Converge: 3 * time.Second, Seed: 1,
+		Window:   5 * time.Second, Overshoot: 1.1, ConvergenceTime: 3 * time.Second, Seed: 1,
 	})
 	w.config = catalog.Config{
 		Version: 1,
--- a/edge/ingress/ingress_test.go
+++ b/edge/ingress/ingress_test.go
@@ -154,7 +154,7 @@
 	assert.True(t, s.queue.dispatch[0])
 }
 
-// UNASKED: the key is kept as it came, byte by byte, whether or not its route keeps an order.
+// UNASKED: the key is kept as it was sent, byte by byte, whether or not its route keeps an order.
 func TestOrderKeyIsKeptAsItWasSent(t *testing.T) {
 	const key = "K \xe9\xff,\t\"=;:%20/ k"
 	s := newSite(t)
--- a/edge/queueclient/fakestore_test.go
+++ b/edge/queueclient/fakestore_test.go
@@ -17,7 +17,7 @@
 
 const soon = 3 * time.Second // of fake time
 
-// fakeStore is a store that answers as it is told to.
+// fakeStore is a store that answers as the test says.
 type fakeStore struct {
 	server *rpc.Server
 
@@ -123,7 +123,7 @@
 	return count
 }
 
-// recorder is what a client told its edge.
+// recorder records what a client notifies its edge of.
 type recorder struct {
 	mu           sync.Mutex
 	accepted     map[string]bool // by message: granted
@@ -174,7 +174,7 @@
 	return v
 }
 
-// connected waits until the client is connected to all stores and has told them all that there was to tell. What it claims may be told
+// connected waits until the client is connected to all stores and has notified them of all that there was. What it claims may be sent
 // twice then: by the connection that came up, and by the view that was taken.
 func connected(t *testing.T, c *Client) {
 	t.Helper()
--- a/edge/queueclient/find_test.go
+++ b/edge/queueclient/find_test.go
@@ -35,7 +35,7 @@
 		require.NoError(t, err)
 		assert.Equal(t, found, reply)
 
-		one.with(func() { one.find = func(*wire.Find) *wire.FindReply { return nil } }) // silent
+		one.with(func() { one.find = func(*wire.Find) *wire.FindReply { return nil } }) // unresponsive
 		two.with(func() {
 			two.find = func(f *wire.Find) *wire.FindReply {
 				return &wire.FindReply{Found: true, Body: []byte("b"), State: wire.StatePending}
--- a/edge/queueclient/outage_test.go
+++ b/edge/queueclient/outage_test.go
@@ -10,7 +10,7 @@
 	"ravendale/cluster/wire"
 )
 
-// All stores have gone silent. Once that is known a message is not put into the void, but refused: its client may try again.
+// No store responds any more. Once that is known a put is not left without an answer, but rejected: its client may try again.
 func TestPutsToUnresponsiveStoresAreRejectedInTime(t *testing.T) {
 	onFakeTime(t, func(t *testing.T) {
 		one := newFakeStore(t)
@@ -58,7 +58,7 @@
 	})
 }
 
-// A store that keeps other messages is slow, not gone: its answer is worth waiting for.
+// A store that accepts other messages is slow, not down: its answer is waited for.
 func TestAnswersOfASlowStoreAreHopedFor(t *testing.T) {
 	onFakeTime(t, func(t *testing.T) {
 		one := newFakeStore(t)
--- a/edge/queueclient/races_test.go
+++ b/edge/queueclient/races_test.go
@@ -12,7 +12,7 @@
 	"ravendale/cluster/wire"
 )
 
-// The store that keeps a message answers while a claim is being made: the message was in no list of the held when that was made.
+// The store that accepts a message answers while a claim is being made: the message was in no list of the leased when that was made.
 func TestClaimNamesWhatIsAcceptedWhileItIsMade(t *testing.T) {
 	onFakeTime(t, func(t *testing.T) {
 		one := newFakeStore(t)
@@ -43,7 +43,7 @@
 	})
 }
 
-// A grant comes over another connection while the edge is being told that the message is kept.
+// A grant comes over another connection while the edge is being notified that the message is accepted.
 func TestGrantWhileTheEdgeIsNotified(t *testing.T) {
 	onFakeTime(t, func(t *testing.T) {
 		one := newFakeStore(t)
@@ -62,7 +62,7 @@
 	})
 }
 
-// delayedStore is a store that answers reports when it is told to.
+// delayedStore is a store that answers reports when the test has it do so.
 type delayedStore struct {
 	mu      sync.Mutex
 	conn    *rpc.Conn
@@ -122,7 +122,7 @@
 	})
 }
 
-// A store that is stopped does not know what became of a put, and the message is kept elsewhere under another name. The one that
+// A store that is stopped does not know what became of a put, and the message is accepted elsewhere under another ID. The one that
 // took the store's place may have the first, too, and nobody would hold it.
 func TestWhatMayHaveBeenAcceptedTwiceIsDropped(t *testing.T) {
 	onFakeTime(t, func(t *testing.T) {
@@ -146,7 +146,7 @@
 	})
 }
 
-// Nothing was promised to the client: two tries that may both have been kept would run the message twice.
+// Nothing was promised to the client: two attempts that may both have been accepted would run the message twice.
 func TestWhatIsUnknownIsDropped(t *testing.T) {
 	onFakeTime(t, func(t *testing.T) {
 		for _, m := range []*wire.Message{plain(), ordered()} {
@@ -196,7 +196,7 @@
 	})
 }
 
-// What was handed out over a connection that has been replaced was not claimed on the new one: the store takes it back.
+// What was granted over a connection that has been replaced was not claimed on the new one: the store requeues it.
 func TestGrantsOfAnEarlierConnectionDoNotCount(t *testing.T) {
 	onFakeTime(t, func(t *testing.T) {
 		one := newFakeStore(t)
@@ -214,7 +214,7 @@
 	})
 }
 
-// The end of a message, or that it is to be dropped, has not been heard when another store takes over: it must not hand it out.
+// The end of a message, or that it is to be dropped, is not on record when another store takes over: it must not grant it.
 func TestClaimNamesWhatIsReported(t *testing.T) {
 	onFakeTime(t, func(t *testing.T) {
 		one, two := newFakeStore(t), newFakeStore(t)
--- a/edge/worker/answer_test.go
+++ b/edge/worker/answer_test.go
@@ -108,7 +108,7 @@
 	return deliver(client, named(address, "id-1"))
 }
 
-// All attempts of a message have the same id: only the connection tells their answers apart.
+// All attempts of a message have the same id: only the connection distinguishes their answers.
 func TestSecondAnswerToAnAttemptIsNotTakenForThatToTheNext(t *testing.T) {
 	for name, first := range map[string]string{
 		"failed": failed("id-1"), "full": full("id-1"), "repeat": answerWithLength("409 Runs", "id-1", "Not-Executed: true\r\n"),
@@ -297,7 +297,7 @@
 	assert.Equal(t, Cancelled, (<-result).Outcome)
 }
 
-// An answer without a length ends with its connection: by a close it is whole, by a reset it is not.
+// An answer without a length ends with its connection: by a close it is complete, by a reset it is not.
 func TestAnswerWithoutALength(t *testing.T) {
 	const answer = "HTTP/1.1 200 OK\r\nRequest-Id: id-1\r\nSignature: s\r\n\r\nsome"
 	for _, reset := range []bool{false, true} {
--- a/test/lab/hollow/slope_test.go
+++ b/test/lab/hollow/slope_test.go
@@ -233,7 +233,7 @@
 	b.Cleanup(client.Close)
 	plane := dispatch.NewManager(dispatch.Config{
 		Topology: dispatch.Topology{Edge: self.ID, Zone: self.Zone, Zones: zones}, Window: 5 * time.Second, Overshoot: 1.1,
-		Converge: 3 * time.Second, MaxBodies: 1 << 20,
+		ConvergenceTime: 3 * time.Second, MaxBodyBytes: 1 << 20,
 	}, client)
 	b.Cleanup(plane.Close)
 	config, err := catalog.Parse(document(1, services, services))
--- a/test/simulation/edge_test.go
+++ b/test/simulation/edge_test.go
@@ -15,7 +15,7 @@
 func (p *process) startEdge(l *life, id string) {
 	config := dispatch.Config{
 		Topology: dispatch.Topology{Edge: id, Zone: p.zone, Zones: p.world.zones()},
-		Window:   ceilingWindow, Overshoot: ceilingOvershoot, Converge: converge, MaxBodies: 1 << 24,
+		Window:   ceilingWindow, Overshoot: ceilingOvershoot, ConvergenceTime: converge, MaxBodyBytes: 1 << 24,
 	}
 	p.taken = [wire.TopicCount]wire.Version{}
 	p.plane = dispatch.NewManagerOn(l, config, &deliveries{process: p, life: l})
