--- a/test/simulation/edge_test.go
+++ b/test/simulation/edge_test.go
@@ -11,35 +11,35 @@
 	"ravendale/edge/worker"
 )
 
-// startEdge makes the queue's client and the dispatch plane of an edge, as cmd/ravendale-edge does.
+// startEdge makes the queue's client and the dispatch manager of an edge, as cmd/ravendale-edge does.
 func (p *process) startEdge(l *life, id string) {
 	config := dispatch.Config{
 		Topology: dispatch.Topology{Edge: id, Zone: p.zone, Zones: p.world.zones()},
 		Window:   ceilingWindow, Overshoot: ceilingOvershoot, ConvergenceTime: converge, MaxBodyBytes: 1 << 24,
 	}
 	p.taken = [wire.TopicCount]wire.Version{}
-	p.plane = dispatch.NewManagerOn(l, config, &deliveries{process: p, life: l})
-	plane, ends := p.plane, make(map[string]wire.ReportKind)
+	p.dispatcher = dispatch.NewManagerOn(l, config, &deliveries{process: p, life: l})
+	dispatcher, ends := p.dispatcher, make(map[string]wire.ReportKind)
 	p.client = queueclient.New(queueclient.Config{
-		Edge: id, Zone: p.zone, Log: l.log(), Host: l, Unknown: plane.Unknown, Leased: plane.MessageIDs,
+		Edge: id, Zone: p.zone, Log: l.log(), Host: l, Unknown: dispatcher.Unknown, Leased: dispatcher.MessageIDs,
 		Accepted: func(m *wire.Message, granted bool) {
 			p.world.messages.given(m.RequestID, l)
-			plane.Accept(m, granted)
+			dispatcher.Accept(m, granted)
 		},
 		Granted: func(g *wire.Grant) {
 			if g.HasMessage {
 				p.world.note("%s is granted %s (%s) whole in epoch %d, sent at %v", p.name, g.Message.RequestID, g.ID, g.Epoch, p.world.messages.byName[g.Message.RequestID].sentAt)
 				p.world.messages.given(g.Message.RequestID, l)
 			}
-			plane.Grant(g)
+			dispatcher.Grant(g)
 		},
 		Acknowledged: func(id string) {
 			p.world.messages.acknowledged(id, ends[id])
-			plane.Acknowledged(id)
+			dispatcher.Acknowledged(id)
 		},
 	})
 	p.client.Handle(p.box)
-	plane.Start(&reporter{Client: p.client, messages: p.world.messages, ends: ends})
+	dispatcher.Start(&reporter{Client: p.client, messages: p.world.messages, ends: ends})
 }
 
 // reporter notes how an edge says that messages end.
@@ -66,13 +66,13 @@
 		return true
 	}
 	if newer(wire.TopicMembers) && s.Members != nil {
-		p.plane.SetEdges(s.Members.Edges)
+		p.dispatcher.SetEdges(s.Members.Edges)
 	}
 	if newer(wire.TopicWorkers) && s.Workers != nil {
-		p.plane.SetWorkers(s.Workers)
+		p.dispatcher.SetWorkers(s.Workers)
 	}
 	if newer(wire.TopicConfig) && s.Catalog != nil {
-		p.plane.ApplyConfig(s.Catalog)
+		p.dispatcher.ApplyConfig(s.Catalog)
 	}
 	if newer(wire.TopicStores) {
 		p.client.SetView(s.Stores)
@@ -81,7 +81,7 @@
 
 // usable says whether an edge takes messages.
 func (p *process) usable() bool {
-	return p.edge && p.life != nil && !p.frozen && p.agent.Current() && p.client.Usable() && p.plane.Index() != nil
+	return p.edge && p.life != nil && !p.frozen && p.agent.Current() && p.client.Usable() && p.dispatcher.Index() != nil
 }
 
 // Services of the simulated workers.
@@ -129,10 +129,10 @@
 		r.key = fmt.Sprint("key-", w.random.IntN(5))
 		m.Route, m.Target, m.Key, m.Ordered = "ordered", orderedPath+r.name, r.key, true
 	}
-	client, plane, service := p.client, p.plane, r.service
+	client, dispatcher, service := p.client, p.dispatcher, r.service
 	p.life.begin(func() {
 		limits := queueclient.Limits{Attempt: time.Second, Answer: time.Second, LateAnswer: 2 * time.Second}
-		if client.Put(m, plane.Accepts(service, len(m.Body)), limits) == queueclient.Accepted {
+		if client.Put(m, dispatcher.Accepts(service, len(m.Body)), limits) == queueclient.Accepted {
 			w.messages.kept(r, m.ID)
 		}
 	})
--- a/test/simulation/member_test.go
+++ b/test/simulation/member_test.go
@@ -33,7 +33,7 @@
 	box       *rpc.Mux
 	startedAt time.Duration
 	taken     [wire.TopicCount]wire.Version // by the parts of an edge
-	plane     *dispatch.Manager             // of an edge
+	dispatcher     *dispatch.Manager             // of an edge
 	client    *queueclient.Client           // of an edge
 	queue     *queue.Core                   // of a store
 	peers     map[string]host.Link          // of a store, by disk
