--- a/edge/dispatch/admission.go
+++ b/edge/dispatch/admission.go
@@ -35,13 +35,13 @@
 		m.startTarget = m.notBefore + milliseconds(route.StartTargetMs)
 		c.enqueue(m, s)
 	case s.tokens.share.Burst == 0:
-		c.scheduleAt(m, phaseReleasing, c.now+releaseDelay)
+		c.messages.schedule(m, phaseReleasing, c.now+releaseDelay)
 	case len(s.rateLimited) == 0 && s.openJobs < s.maxOpenJobs && s.tokens.take(c.now):
 		c.submit(m, s, true)
 	default:
 		m.service = s
 		s.rateLimited = append(s.rateLimited, m)
-		c.scheduleAt(m, phaseRateLimited, m.expiresAt)
+		c.messages.schedule(m, phaseRateLimited, m.expiresAt)
 	}
 }
 
@@ -66,7 +66,7 @@
 		if _, current, dropped := c.route(m); dropped || current != s || s.readyWorkers == 0 {
 			s.tokens.tokens++
 			m.service = nil
-			c.scheduleAt(m, phaseDeferred, c.now)
+			c.messages.schedule(m, phaseDeferred, c.now)
 			c.admit(m)
 			continue
 		}
--- a/edge/dispatch/backlog.go
+++ b/edge/dispatch/backlog.go
@@ -26,7 +26,7 @@
 func (c *Core) Backlogs(now time.Duration, due time.Duration) []Backlog {
 	c.now = max(now, c.now)
 	found := make(map[*service]*Backlog)
-	for _, m := range c.messages {
+	for _, m := range c.messages.byID {
 		if m.phase == phaseReported || m.notBefore > c.now {
 			continue
 		}
--- a/edge/dispatch/configure.go
+++ b/edge/dispatch/configure.go
@@ -29,7 +29,7 @@
 
 // followRoutes drops messages whose route was removed, and withdraws those that wait for a service which their route leads away from.
 func (c *Core) followRoutes() {
-	for _, m := range c.messages {
+	for _, m := range c.messages.byID {
 		if m.phase == phaseReported || m.phase == phaseSubmitted && m.job.isInFlight() {
 			continue
 		}
@@ -39,7 +39,7 @@
 			c.finish(m, wire.Report{Kind: wire.ReportDropped})
 		case m.service != nil && m.service != s:
 			c.withdraw(m)
-			c.scheduleAt(m, phaseDeferred, c.now)
+			c.messages.schedule(m, phaseDeferred, c.now)
 		}
 	}
 }
@@ -102,13 +102,13 @@
 
 // retryNow has a service's messages that back off attempted at once.
 func (c *Core) retryNow(s *service) {
-	for _, m := range c.messages {
+	for _, m := range c.messages.byID {
 		if m.phase != phaseDeferred || m.backoffs == 0 {
 			continue
 		}
 		if _, found, _ := c.route(m); found == s {
 			m.backoffs = 0
-			c.scheduleAt(m, phaseDeferred, max(c.now, m.notBefore))
+			c.messages.schedule(m, phaseDeferred, max(c.now, m.notBefore))
 		}
 	}
 }
--- a/edge/dispatch/core.go
+++ b/edge/dispatch/core.go
@@ -13,21 +13,18 @@
 // Core has the messages that are leased to an edge and decides about their delivery. It does no I/O: each method takes the time and an
 // event, and returns what is to be done. Times are monotonic and never go back. A Core is not safe for concurrent use.
 type Core struct {
-	config       Config
-	index        *catalog.Index
-	workers      *wire.Workers
-	services     map[string]*service
-	messages     map[string]*message
-	due          dueHeap
-	jobs         map[JobID]*job
-	lastJob      JobID
-	completed    completions
-	edgePeak     peak
-	replaced     replacedWorkers
-	backlogged   []*service // whose queues are not empty
-	messageBytes int        // that the messages take in memory
-	stopping     bool
-	mutations    mutations
+	config     Config
+	index      *catalog.Index
+	workers    *wire.Workers
+	services   map[string]*service
+	messages   messageTable
+	jobs       jobTable
+	completed  completions
+	edgePeak   peak
+	replaced   replacedWorkers
+	backlogged []*service // whose queues are not empty
+	stopping   bool
+	mutations  mutations
 
 	now           time.Duration
 	moduleEvents  []moduleEvent
@@ -50,34 +47,29 @@
 // NewCore returns a Core without messages and without a configuration.
 func NewCore(config Config) *Core {
 	return &Core{
-		config: config, services: make(map[string]*service), messages: make(map[string]*message), jobs: make(map[JobID]*job),
+		config: config, services: make(map[string]*service), messages: messageTable{byID: make(map[string]*message)},
+		jobs:     jobTable{byID: make(map[JobID]*job)},
 		replaced: replacedWorkers{until: make(map[string]time.Duration)},
 	}
 }
 
 // MessageBytes returns the memory that the messages take, in bytes.
-func (c *Core) MessageBytes() int { return c.messageBytes }
+func (c *Core) MessageBytes() int { return c.messages.bytes }
 
 // Idle reports whether there are no messages.
-func (c *Core) Idle() bool { return len(c.messages) == 0 }
+func (c *Core) Idle() bool { return len(c.messages.byID) == 0 }
 
 // InFlight counts the attempts under way.
-func (c *Core) InFlight() int {
-	count := 0
-	for _, j := range c.jobs {
-		count += j.inFlight
-	}
-	return count
-}
+func (c *Core) InFlight() int { return c.jobs.inFlight() }
 
 // MessageIDs returns the IDs of the messages that are leased to this edge, in no order.
-func (c *Core) MessageIDs() []string { return slices.Collect(maps.Keys(c.messages)) }
+func (c *Core) MessageIDs() []string { return slices.Collect(maps.Keys(c.messages.byID)) }
 
 // Accepts reports whether this edge should deliver a new message of a service, with a body of a size in bytes. Where it may not send,
 // or others have shorter waits for a token, the stores grant it to one of those.
 func (c *Core) Accepts(now time.Duration, name string, size int) bool {
 	s := c.services[name]
-	full := c.config.MaxBodyBytes > 0 && c.messageBytes+size > c.config.MaxBodyBytes
+	full := c.config.MaxBodyBytes > 0 && c.messages.bytes+size > c.config.MaxBodyBytes
 	return s != nil && !c.stopping && !full && s.tokenWait(max(now, c.now)) <= maxTokenWait
 }
 
@@ -119,8 +111,8 @@
 	if c.replaced.next > 0 {
 		next = min(next, c.replaced.next)
 	}
-	if len(c.due) > 0 {
-		next = min(next, c.due[0].dueAt)
+	if first := c.messages.first(); first != nil {
+		next = min(next, first.dueAt)
 	}
 	for _, s := range c.services {
 		next = min(next, s.timerAt)
@@ -137,8 +129,8 @@
 	if c.replaced.expire(c.now) {
 		c.configureServices()
 	}
-	for len(c.due) > 0 && c.due[0].dueAt <= c.now {
-		c.processDue(c.due[0])
+	for first := c.messages.first(); first != nil && first.dueAt <= c.now; first = c.messages.first() {
+		c.processDue(first)
 	}
 	for _, s := range c.services {
 		if s.timerAt <= c.now {
@@ -154,7 +146,7 @@
 func (c *Core) Stop(now time.Duration) []Action {
 	c.begin(now)
 	c.stopping = true
-	for _, m := range c.messages {
+	for _, m := range c.messages.byID {
 		if m.phase != phaseReported && (m.phase != phaseSubmitted || !m.job.isInFlight()) {
 			c.release(m)
 		}
--- a/edge/dispatch/core_test.go
+++ b/edge/dispatch/core_test.go
@@ -37,7 +37,7 @@
 	assert.Empty(t, w.reports)
 	w.apply(w.core.Acknowledged(w.now, "0.1"))
 	assert.True(t, w.core.Idle())
-	assert.Empty(t, w.core.jobs)
+	assert.Empty(t, w.core.jobs.byID)
 }
 
 func TestARateLimitedServiceWithoutABoundOnConnectionsIsSentTo(t *testing.T) {
--- a/edge/dispatch/due.go
+++ b/edge/dispatch/due.go
@@ -1,61 +1,14 @@
 package dispatch
 
 import (
-	"container/heap"
 	"time"
 
 	"ravendale/cluster/wire"
 )
 
-// dueHeap orders messages by when they are due.
-type dueHeap []*message
-
-func (h dueHeap) Len() int { return len(h) }
-
-func (h dueHeap) Less(i, j int) bool { return h[i].dueAt < h[j].dueAt }
-
-func (h dueHeap) Swap(i, j int) {
-	h[i], h[j] = h[j], h[i]
-	h[i].heapIndex, h[j].heapIndex = i, j
-}
-
-// Push implements heap.Interface.
-func (h *dueHeap) Push(x any) {
-	m := x.(*message)
-	m.heapIndex = len(*h)
-	*h = append(*h, m)
-}
-
-// Pop implements heap.Interface.
-func (h *dueHeap) Pop() any {
-	last := len(*h) - 1
-	m := (*h)[last]
-	(*h)[last] = nil
-	*h = (*h)[:last]
-	m.heapIndex = -1
-	return m
-}
-
-// scheduleAt puts a message into a phase, and has processDue called for it at a time.
-func (c *Core) scheduleAt(m *message, p phase, due time.Duration) {
-	m.phase, m.dueAt = p, due
-	if m.heapIndex < 0 {
-		heap.Push(&c.due, m)
-	} else {
-		heap.Fix(&c.due, m.heapIndex)
-	}
-}
-
-// removeScheduled has processDue not called for a message any more.
-func (c *Core) removeScheduled(m *message) {
-	if m.heapIndex >= 0 {
-		heap.Remove(&c.due, m.heapIndex)
-	}
-}
-
 // deferUntil has a message admitted at a time: now if that has come.
 func (c *Core) deferUntil(m *message, until time.Duration) {
-	c.scheduleAt(m, phaseDeferred, until)
+	c.messages.schedule(m, phaseDeferred, until)
 	if until <= c.now {
 		c.admit(m)
 	}
@@ -76,7 +29,7 @@
 	case m.phase == phaseReleasing:
 		c.release(m)
 	case m.phase == phaseSubmitted && m.job.isInFlight():
-		c.scheduleAt(m, phaseSubmitted, c.now+moduleTimeout)
+		c.messages.schedule(m, phaseSubmitted, c.now+moduleTimeout)
 	case m.phase == phaseSubmitted:
 		s := m.service
 		c.withdraw(m)
--- a/edge/dispatch/intake.go
+++ b/edge/dispatch/intake.go
@@ -9,7 +9,7 @@
 // Accept takes a message that was put by this edge and accepted by its store. It may have been granted, and completed, before that.
 func (c *Core) Accept(now time.Duration, m *wire.Message, granted bool) []Action {
 	c.begin(now)
-	if c.messages[m.ID] == nil && !c.resendReport(m.ID) {
+	if c.messages.byID[m.ID] == nil && !c.resendReport(m.ID) {
 		c.add(m, arrival{granted: granted})
 	}
 	return c.end()
@@ -20,7 +20,7 @@
 // store that grants it has not heard of that, as when it has just become the primary.
 func (c *Core) Grant(now time.Duration, g *wire.Grant) []Action {
 	c.begin(now)
-	m := c.messages[g.ID]
+	m := c.messages.byID[g.ID]
 	switch {
 	case m != nil && m.phase != phaseReported:
 		c.setGranted(m, g.Failed)
@@ -40,7 +40,7 @@
 	message.ID = g.ID
 	message.DelayMs = 0
 	from := arrival{granted: true, failedAttempts: g.Failed, routeTimeout: c.config.ConvergenceTime}
-	from.overLimit = c.config.MaxBodyBytes > 0 && c.messageBytes+len(message.Body) > c.config.MaxBodyBytes
+	from.overLimit = c.config.MaxBodyBytes > 0 && c.messages.bytes+len(message.Body) > c.config.MaxBodyBytes
 	if from.overLimit {
 		message.Body = nil
 	}
@@ -69,23 +69,21 @@
 
 // add takes a message, and schedules what is first: its release, its delay or the end of its wait in its key order.
 func (c *Core) add(source *wire.Message, from arrival) {
-	m := &message{Message: *source, granted: from.granted, failedAttempts: from.failedAttempts, dropAfter: c.now + from.routeTimeout, heapIndex: -1}
-	m.size = len(m.Body) + messageOverhead
-	c.messageBytes += m.size
+	m := &message{Message: *source, granted: from.granted, failedAttempts: from.failedAttempts, dropAfter: c.now + from.routeTimeout}
 	m.notBefore = c.now + time.Duration(m.DelayMs)*time.Millisecond
 	m.expiresAt = c.now + forever
 	if m.RetentionMs > 0 {
 		m.expiresAt = c.now + time.Duration(m.RetentionMs)*time.Millisecond + expiryMargin
 	}
-	c.messages[m.ID] = m
+	c.messages.add(m)
 	switch {
 	case c.stopping:
 		c.release(m)
 	case from.overLimit:
-		c.scheduleAt(m, phaseReleasing, c.now+releaseDelay)
+		c.messages.schedule(m, phaseReleasing, c.now+releaseDelay)
 	case m.isNextInOrder():
 		c.deferUntil(m, max(m.notBefore, c.now))
 	default:
-		c.scheduleAt(m, phaseKeyOrder, m.expiresAt)
+		c.messages.schedule(m, phaseKeyOrder, m.expiresAt)
 	}
 }
--- a/edge/dispatch/job.go
+++ b/edge/dispatch/job.go
@@ -22,6 +22,28 @@
 	tokenTakenAt time.Duration
 }
 
+// jobTable has the open jobs: those that a message waits for, or that have attempts in flight.
+type jobTable struct {
+	byID map[JobID]*job
+	last JobID
+}
+
+// add names a job, and adds it.
+func (t *jobTable) add(j *job) {
+	t.last++
+	j.id = t.last
+	t.byID[j.id] = j
+}
+
+// inFlight counts the attempts in flight.
+func (t *jobTable) inFlight() int {
+	count := 0
+	for _, j := range t.byID {
+		count += j.inFlight
+	}
+	return count
+}
+
 // attempt is one request of a job to a worker.
 type attempt struct {
 	worker              string
@@ -47,13 +69,12 @@
 
 // submit hands a message to its service's module as a new job.
 func (c *Core) submit(m *message, s *service, token bool) {
-	c.lastJob++
-	j := &job{id: c.lastJob, service: s, message: m, active: true, hasToken: token, tokenTakenAt: c.now}
-	c.jobs[j.id] = j
+	j := &job{service: s, message: m, active: true, hasToken: token, tokenTakenAt: c.now}
+	c.jobs.add(j)
 	s.openJobs++
 	m.job, m.service = j, s
 	j.updateCount()
-	c.scheduleAt(m, phaseSubmitted, c.now+moduleTimeout)
+	c.messages.schedule(m, phaseSubmitted, c.now+moduleTimeout)
 	c.queueEvent(s, ravendale.Event{Kind: ravendale.JobArrived, Job: ravendale.JobID(j.id), Class: 0, Tenant: -1, Left: jobDeadline, Retry: m.submitted})
 	m.submitted = true
 }
@@ -71,8 +92,8 @@
 // removeIdleJob forgets a job that no message waits for and that has no attempt in flight.
 func (c *Core) removeIdleJob(j *job) {
 	j.updateCount()
-	if !j.active && j.inFlight == 0 && c.jobs[j.id] == j {
-		delete(c.jobs, j.id)
+	if !j.active && j.inFlight == 0 && c.jobs.byID[j.id] == j {
+		delete(c.jobs.byID, j.id)
 		j.service.openJobs--
 	}
 }
@@ -87,7 +108,7 @@
 	default:
 		return
 	}
-	j := c.jobs[JobID(a.Job)]
+	j := c.jobs.byID[JobID(a.Job)]
 	if j == nil {
 		return
 	}
--- a/edge/dispatch/message.go
+++ b/edge/dispatch/message.go
@@ -36,7 +36,7 @@
 	released        bool // the last report releases it
 	submitted       bool
 	size            int
-	heapIndex       int // in Core.due; -1: not there
+	heapIndex       int // in messageTable.due; -1: not there
 
 	service *service // while rate limited, queued or submitted
 	job     *job     // while submitted
--- a/edge/dispatch/outcome.go
+++ b/edge/dispatch/outcome.go
@@ -26,7 +26,7 @@
 // FinishAttempt takes the outcome of an attempt.
 func (c *Core) FinishAttempt(now time.Duration, id JobID, number int, result worker.Result) []Action {
 	c.begin(now)
-	if j := c.jobs[id]; j != nil && number < len(j.attempts) && j.attempts[number].inFlight {
+	if j := c.jobs.byID[id]; j != nil && number < len(j.attempts) && j.attempts[number].inFlight {
 		c.endAttempt(j, number, result)
 		c.sendRateLimited(j.service)
 	}
@@ -62,7 +62,7 @@
 	switch {
 	case result.Outcome == worker.Done:
 		c.succeed(m, result.Signature)
-	case m.phase != phaseReported && c.messages[m.ID] == m:
+	case m.phase != phaseReported && c.messages.byID[m.ID] == m:
 		c.applyOutcome(m, result, closed)
 	}
 }
--- a/edge/dispatch/property_test.go
+++ b/edge/dispatch/property_test.go
@@ -74,12 +74,12 @@
 // checkQueues compares what is counted of the services' queues with what they hold.
 func (c *chaos) checkQueues() {
 	waitingJobs, queued := make(map[*service]int), make(map[*service]int)
-	for _, j := range c.core.jobs {
+	for _, j := range c.core.jobs.byID {
 		if j.active && !j.isInFlight() {
 			waitingJobs[j.service]++
 		}
 	}
-	for _, m := range c.core.messages {
+	for _, m := range c.core.messages.byID {
 		if m.phase == phaseQueued {
 			queued[m.service]++
 		}
@@ -214,8 +214,8 @@
 			}
 			c.apply(c.core.Acknowledged(c.now, id))
 		}
-		if !c.core.Idle() || len(c.core.jobs) > 0 || c.core.MessageBytes() != 0 || len(c.core.due) > 0 {
-			r.Fatalf("left behind: %d messages, %d jobs, %d bytes", len(c.core.messages), len(c.core.jobs), c.core.MessageBytes())
+		if !c.core.Idle() || len(c.core.jobs.byID) > 0 || c.core.MessageBytes() != 0 || len(c.core.messages.due) > 0 {
+			r.Fatalf("left behind: %d messages, %d jobs, %d bytes", len(c.core.messages.byID), len(c.core.jobs.byID), c.core.MessageBytes())
 		}
 	})
 }
--- a/edge/dispatch/report.go
+++ b/edge/dispatch/report.go
@@ -9,11 +9,9 @@
 // finish completes a message here. It stays, without its body, until the queue has acknowledged the report.
 func (c *Core) finish(m *message, report wire.Report) {
 	c.withdraw(m)
-	c.removeScheduled(m)
+	c.messages.unschedule(m)
 	m.phase = phaseReported
-	c.messageBytes -= m.size
-	m.size = 0
-	m.Body = nil
+	c.messages.dropBody(m)
 	report.ID, report.Failed = m.ID, m.failedAttempts
 	c.report(report)
 }
@@ -21,7 +19,7 @@
 // succeed completes a message that a worker has run, whether or not it is still leased to this edge: the present leaseholder must not run it again.
 func (c *Core) succeed(m *message, signature string) {
 	done := wire.Report{ID: m.ID, Kind: wire.ReportDone, Failed: m.failedAttempts, Signature: signature}
-	if current := c.messages[m.ID]; current != nil && current.phase != phaseReported {
+	if current := c.messages.byID[m.ID]; current != nil && current.phase != phaseReported {
 		c.finish(current, done)
 		return
 	}
@@ -58,8 +56,8 @@
 // Acknowledged is called when the queue has acknowledged a message's last report.
 func (c *Core) Acknowledged(now time.Duration, id string) []Action {
 	c.begin(now)
-	if m := c.messages[id]; m != nil && m.phase == phaseReported {
-		delete(c.messages, id)
+	if m := c.messages.byID[id]; m != nil && m.phase == phaseReported {
+		c.messages.remove(m)
 	}
 	return c.end()
 }
@@ -67,11 +65,9 @@
 // Unknown is called when the queue does not know a message as pending: it was completed.
 func (c *Core) Unknown(now time.Duration, id string) []Action {
 	c.begin(now)
-	if m := c.messages[id]; m != nil && m.phase != phaseReported {
+	if m := c.messages.byID[id]; m != nil && m.phase != phaseReported {
 		c.withdraw(m)
-		c.removeScheduled(m)
-		c.messageBytes -= m.size
-		delete(c.messages, id)
+		c.messages.remove(m)
 	}
 	return c.end()
 }
--- a/edge/dispatch/waitqueue.go
+++ b/edge/dispatch/waitqueue.go
@@ -48,7 +48,7 @@
 		c.backlogged = append(c.backlogged, s)
 	}
 	s.queue.add(m)
-	c.scheduleAt(m, phaseQueued, m.expiresAt)
+	c.messages.schedule(m, phaseQueued, m.expiresAt)
 }
 
 // dequeue takes a message out of its service's queue.
@@ -66,7 +66,7 @@
 func (c *Core) reroute(messages []*message) {
 	for _, m := range messages {
 		m.service = nil
-		c.scheduleAt(m, phaseDeferred, c.now)
+		c.messages.schedule(m, phaseDeferred, c.now)
 	}
 }
 
--- a/edge/dispatch/waitqueue_test.go
+++ b/edge/dispatch/waitqueue_test.go
@@ -120,10 +120,10 @@
 func TestMessagesThatWaitExpire(t *testing.T) {
 	w, _ := busyWorld(t)
 	w.accept("/p/", "waits")
-	m := w.core.messages["0.waits"]
+	m := w.core.messages.byID["0.waits"]
 	w.core.services["s"].waitingJobs = 10 // the module finds no capacity
 	m.expiresAt = w.now + time.Second
-	w.core.scheduleAt(m, phaseQueued, m.expiresAt)
+	w.core.messages.schedule(m, phaseQueued, m.expiresAt)
 	w.pass(1100 * ms)
 	assert.Equal(t, phaseReported, m.phase)
 	assert.Zero(t, w.core.services["s"].queue.len())
@@ -159,7 +159,7 @@
 func TestNoCopyGoesWhileMessagesWait(t *testing.T) {
 	w, running := busyWorld(t)
 	w.accept("/p/", "waits")
-	j := w.core.jobs[running.Job]
+	j := w.core.jobs.byID[running.Job]
 	w.deliveries = nil
 	w.core.begin(w.now)
 	w.core.send(j, "s-0") // as the module's copy of a job that is under way
@@ -178,7 +178,7 @@
 		for range attemptsPerJob {
 			w.end(w.sent(), outcome)
 		}
-		m := w.core.messages["0.m"]
+		m := w.core.messages.byID["0.m"]
 		assert.Equal(t, phaseSubmitted, m.phase, "the module has it again")
 		assert.Zero(t, m.backoffs)
 	}
@@ -250,7 +250,7 @@
 				sent = append(sent, d.Delivery.RequestID)
 			}
 			assert.ElementsMatch(t, []string{"turned away", "0", "1", "2", "3", "4"}, sent)
-			assert.True(t, w.core.jobs[running.Job].isInFlight(), "what is under way stays")
+			assert.True(t, w.core.jobs.byID[running.Job].isInFlight(), "what is under way stays")
 		})
 	}
 }
--- a/test/simulation/member_test.go
+++ b/test/simulation/member_test.go
@@ -29,18 +29,18 @@
 	stalled  bool
 
 	// Of one life.
-	agent     *member.Agent
-	box       *rpc.Mux
-	startedAt time.Duration
-	taken     [wire.TopicCount]wire.Version // by the parts of an edge
-	dispatcher     *dispatch.Manager             // of an edge
-	client    *queueclient.Client           // of an edge
-	queue     *queue.Core                   // of a store
-	peers     map[string]host.Link          // of a store, by disk
-	wakes     int
-	served    [wire.TopicCount]wire.Version
-	currentAt time.Duration // negative: it is not current
-	outside   time.Duration // when it last had no path to the core
+	agent      *member.Agent
+	box        *rpc.Mux
+	startedAt  time.Duration
+	taken      [wire.TopicCount]wire.Version // by the parts of an edge
+	dispatcher *dispatch.Manager             // of an edge
+	client     *queueclient.Client           // of an edge
+	queue      *queue.Core                   // of a store
+	peers      map[string]host.Link          // of a store, by disk
+	wakes      int
+	served     [wire.TopicCount]wire.Version
+	currentAt  time.Duration // negative: it is not current
+	outside    time.Duration // when it last had no path to the core
 }
 
 func (w *world) newProcess(number int, zone string, seeds []string, edge bool) *process {
