--- a/edge/queueclient/races_test.go
+++ b/edge/queueclient/races_test.go
@@ -12,8 +12,8 @@
 	"ravendale/cluster/wire"
 )
 
-// The store that keeps a message answers while a claim is being made: the message was in no list of the held when that was made.
-func TestClaimNamesWhatIsKeptWhileItIsMade(t *testing.T) {
+// The store that accepts a message answers while a claim is being made: the message was in no list of the leased when that was made.
+func TestClaimNamesWhatIsAcceptedWhileItIsMade(t *testing.T) {
 	onFakeTime(t, func(t *testing.T) {
 		one := newFakeStore(t)
 		answer, kept := make(chan struct{}), make(chan string, 1)
@@ -27,12 +27,12 @@
 		claims := one.countClaims()
 		go func() {
 			m := plain()
-			c.Put(m, true, time.Second)
+			c.putFor(m, true, time.Second)
 			kept <- m.ID
 		}()
 		require.Eventually(t, func() bool { return len(c.pendingPuts()) == 1 }, soon, time.Millisecond)
 		var id string
-		c.config.Owned = func() []string {
+		c.config.Leased = func() []string {
 			close(answer)
 			id = <-kept
 			return nil // as it was before
@@ -43,7 +43,7 @@
 	})
 }
 
-// A grant comes over another connection while the edge is being told that the message is kept.
+// A grant comes over another connection while the edge is being notified that the message is accepted.
 func TestGrantWhileTheEdgeIsNotified(t *testing.T) {
 	onFakeTime(t, func(t *testing.T) {
 		one := newFakeStore(t)
@@ -57,12 +57,12 @@
 		c.SetView(placement(1, []*fakeStore{one}, []uint16{0}))
 		connected(t, c)
 		m := ordered()
-		require.Equal(t, Accepted, c.Put(m, true, time.Second))
+		require.Equal(t, Accepted, c.putFor(m, true, time.Second))
 		h.with(func() { assert.Equal(t, []string{m.ID}, h.granted) })
 	})
 }
 
-// delayedStore is a store that answers reports when it is told to.
+// delayedStore is a store that answers reports when the test has it do so.
 type delayedStore struct {
 	mu      sync.Mutex
 	conn    *rpc.Conn
@@ -122,9 +122,9 @@
 	})
 }
 
-// A store that is stopped does not know what became of a put, and the message is kept elsewhere under another name. The one that
+// A store that is stopped does not know what became of a put, and the message is accepted elsewhere under another ID. The one that
 // took the store's place may have the first, too, and nobody would hold it.
-func TestWhatMayHaveBeenKeptTwiceIsDropped(t *testing.T) {
+func TestWhatMayHaveBeenAcceptedTwiceIsDropped(t *testing.T) {
 	onFakeTime(t, func(t *testing.T) {
 		one, two := newFakeStore(t), newFakeStore(t)
 		one.put = func(*wire.Put, int) *wire.PutReply { return &wire.PutReply{Code: wire.PutUnknown} }
@@ -132,7 +132,7 @@
 		c.SetView(placement(1, []*fakeStore{one, two}, []uint16{0, 1}, []uint16{1, 0}))
 		connected(t, c)
 		m := plain()
-		require.Equal(t, Accepted, c.Put(m, true, soon))
+		require.Equal(t, Accepted, c.putFor(m, true, soon))
 		require.Eventually(t, func() bool { return one.countReports() == one.countPuts() }, soon, time.Millisecond)
 		one.with(func() {
 			require.NotEmpty(t, one.puts)
@@ -146,8 +146,8 @@
 	})
 }
 
-// Nothing was promised to the client: two tries that may both have been kept would run the message twice.
-func TestWhatIsUnsureIsDropped(t *testing.T) {
+// Nothing was promised to the client: two attempts that may both have been accepted would run the message twice.
+func TestWhatIsUnknownIsDropped(t *testing.T) {
 	onFakeTime(t, func(t *testing.T) {
 		for _, m := range []*wire.Message{plain(), ordered()} {
 			one := newFakeStore(t)
@@ -155,7 +155,7 @@
 			c, _ := newClient(t)
 			c.SetView(placement(1, []*fakeStore{one}, []uint16{0}))
 			connected(t, c)
-			require.Equal(t, Unknown, c.Put(m, true, 60*time.Millisecond))
+			require.Equal(t, Unknown, c.putFor(m, true, 60*time.Millisecond))
 			names := make(map[string]bool)
 			one.with(func() {
 				for _, p := range one.puts {
@@ -196,7 +196,7 @@
 	})
 }
 
-// What was handed out over a connection that has been replaced was not claimed on the new one: the store takes it back.
+// What was granted over a connection that has been replaced was not claimed on the new one: the store requeues it.
 func TestGrantsOfAnEarlierConnectionDoNotCount(t *testing.T) {
 	onFakeTime(t, func(t *testing.T) {
 		one := newFakeStore(t)
@@ -214,7 +214,7 @@
 	})
 }
 
-// The end of a message, or that it is to be dropped, has not been heard when another store takes over: it must not hand it out.
+// The end of a message, or that it is to be dropped, is not on record when another store takes over: it must not grant it.
 func TestClaimNamesWhatIsReported(t *testing.T) {
 	onFakeTime(t, func(t *testing.T) {
 		one, two := newFakeStore(t), newFakeStore(t)
@@ -228,7 +228,7 @@
 		connected(t, c)
 		c.Report(wire.Report{ID: "0.done", Kind: wire.ReportDone})
 		c.Report(wire.Report{ID: "0.drop", Kind: wire.ReportDropped})
-		h.with(func() { h.owned = []string{"0.done"} })
+		h.with(func() { h.leased = []string{"0.done"} })
 		require.Eventually(t, func() bool { return one.countReports() >= 2 }, soon, time.Millisecond)
 		claims := two.countClaims()
 		require.NotZero(t, claims)
