--- a/balancer/audit/audit_test.go
+++ b/balancer/audit/audit_test.go
@@ -248,7 +248,7 @@
 }
 
 // A crash cuts the last line at any byte: that is no tampering, and the next process goes on from what is whole.
-func TestACrashTearsTheLastLineAlone(t *testing.T) {
+func TestACrashTearsTheLastEntryAlone(t *testing.T) {
 	dir := t.TempDir()
 	fleetRecord(t, dir, Options{}, false)
 	files, _ := memberFiles(dir, "a")
--- a/balancer/audit/entry.go
+++ b/balancer/audit/entry.go
@@ -153,7 +153,7 @@
 }
 
 // appendLine writes an entry as a line after one of hash prev.
-func appendLine(b []byte, prev string, e *Entry) (line []byte, hash string, err error) {
+func appendLine(b []byte, prev string, e *Entry) (appended []byte, hash string, err error) {
 	text, err := json.Marshal(e)
 	if err != nil {
 		return b, prev, fmt.Errorf("entry %d: %w", e.Seq, err)
--- a/balancer/audit/log.go
+++ b/balancer/audit/log.go
@@ -1,8 +1,6 @@
 package audit
 
 import (
-	"bytes"
-	"encoding/json"
 	"fmt"
 	"io"
 	"os"
@@ -45,16 +43,16 @@
 
 // Log writes a record in a goroutine of its own: whoever adds an entry never waits for the disk.
 type Log struct {
-	o     Options
-	mu    sync.Mutex
-	waits []Entry
-	lost  uint64 // not told yet
-	all   Figures
-	head  Head
-	ended bool
-	wake  chan struct{}
-	close chan struct{}
-	done  chan struct{}
+	o       Options
+	mu      sync.Mutex
+	queue   []Entry
+	lost    uint64 // not told yet
+	figures Figures
+	head    Head
+	closing bool
+	wake    chan struct{}
+	close   chan struct{}
+	done    chan struct{}
 
 	// The goroutine's own.
 	file   File
@@ -104,11 +102,11 @@
 func (l *Log) Add(e Entry) {
 	e.Wall, e.Mono = l.o.Wall(), l.o.Mono()
 	l.mu.Lock()
-	if len(l.waits) >= l.o.Queue || l.ended {
+	if len(l.queue) >= l.o.Queue || l.closing {
 		l.lost++
-		l.all.Lost++
+		l.figures.Lost++
 	} else {
-		l.waits = append(l.waits, e)
+		l.queue = append(l.queue, e)
 	}
 	l.mu.Unlock()
 	l.rouse()
@@ -132,14 +130,14 @@
 func (l *Log) Figures() Figures {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.all
+	return l.figures
 }
 
 // End has what waits written, and ends the log; the channel is closed once that is done.
 func (l *Log) End() (done <-chan struct{}) {
 	l.mu.Lock()
-	if !l.ended {
-		l.ended = true
+	if !l.closing {
+		l.closing = true
 		close(l.close)
 	}
 	l.mu.Unlock()
@@ -156,10 +154,10 @@
 	for {
 		<-l.wake
 		l.mu.Lock()
-		ended := l.ended
+		closing := l.closing
 		l.mu.Unlock()
-		l.batch(ended)
-		if ended {
+		l.batch(closing)
+		if closing {
 			if l.file != nil {
 				_ = l.file.Close() // it was synced
 			}
@@ -180,35 +178,35 @@
 		return
 	}
 	l.mu.Lock()
-	waits, lost := l.waits, l.lost
-	l.waits, l.lost = nil, 0
+	entries, lost := l.queue, l.lost
+	l.queue, l.lost = nil, 0
 	l.mu.Unlock()
-	if len(waits) == 0 && lost == 0 {
+	if len(entries) == 0 && lost == 0 {
 		return
 	}
-	err := l.write(waits, lost)
+	err := l.write(entries, lost)
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if err != nil {
-		l.waits = append(waits, l.waits...)
+		l.queue = append(entries, l.queue...)
 		l.lost += lost
-		if over := len(l.waits) - l.o.Queue; over > 0 { // the newest go: what is kept has no holes
-			l.waits = l.waits[:l.o.Queue]
+		if over := len(l.queue) - l.o.Queue; over > 0 { // the newest go: what is kept has no holes
+			l.queue = l.queue[:l.o.Queue]
 			l.lost += uint64(over)
-			l.all.Lost += uint64(over)
+			l.figures.Lost += uint64(over)
 		}
-		l.all.Failures++
+		l.figures.Failures++
 		l.rouse()
 		return
 	}
-	l.all.Written += uint64(len(waits))
+	l.figures.Written += uint64(len(entries))
 	l.head = Head{Incarnation: l.o.Incarnation, Seq: l.seq, Hash: l.prev}
-	l.all.Bytes = l.fold()
+	l.figures.Bytes = l.fold()
 }
 
-func (l *Log) write(waits []Entry, lost uint64) (err error) {
-	if len(waits) > 0 {
-		l.at = Entry{At: waits[0].At, Wall: waits[0].Wall, Mono: waits[0].Mono}
+func (l *Log) write(entries []Entry, lost uint64) (err error) {
+	if len(entries) > 0 {
+		l.at = Entry{At: entries[0].At, Wall: entries[0].Wall, Mono: entries[0].Mono}
 	}
 	seq, prev, size := l.seq, l.prev, l.size
 	defer func() {
@@ -233,13 +231,13 @@
 	if lost > 0 {
 		gap := l.at
 		gap.Kind, gap.Lost = Gap, lost
-		waits = append(slices.Clone(waits), gap) // what came before there was no room comes before it
+		entries = append(slices.Clone(entries), gap) // what came before there was no room comes before it
 	}
 	var b []byte
-	for i := range waits {
+	for i := range entries {
 		l.seq++
-		waits[i].Seq = l.seq
-		if b, l.prev, err = appendLine(b, l.prev, &waits[i]); err != nil {
+		entries[i].Seq = l.seq
+		if b, l.prev, err = appendLine(b, l.prev, &entries[i]); err != nil {
 			return err
 		}
 	}
@@ -290,116 +288,11 @@
 
 // parseName reads what fileName wrote.
 func parseName(name string) (member string, incarnation uint64, number int, ok bool) {
-	parts := strings.Split(strings.TrimSuffix(name, suffix), ".")
-	if len(parts) != 3 || !strings.HasSuffix(name, suffix) {
+	fields := strings.Split(strings.TrimSuffix(name, suffix), ".")
+	if len(fields) != 3 || !strings.HasSuffix(name, suffix) {
 		return "", 0, 0, false
 	}
-	incarnation, err := strconv.ParseUint(parts[1], 10, 64)
-	number, err2 := strconv.Atoi(parts[2])
-	return parts[0], incarnation, number, err == nil && err2 == nil
-}
-
-// fold keeps the member's files within their bound: the oldest first becomes sums, and then, if that is not enough, goes. It
-// returns what they take.
-func (l *Log) fold() int64 {
-	files, err := memberFiles(l.o.Dir, l.o.Member)
-	if err != nil {
-		return l.all.Bytes
-	}
-	total := int64(0)
-	for _, f := range files {
-		total += f.size
-	}
-	for pass := 0; pass < 2 && total > l.o.Most; pass++ {
-		for _, f := range files {
-			if total <= l.o.Most || f.path == l.path {
-				break
-			}
-			left := int64(0)
-			if pass == 0 {
-				if left = foldFile(f.path); left < 0 {
-					continue // it is one already, or does not hold together: it stays as it is, for whoever looks into that
-				}
-			} else if os.Remove(f.path) != nil {
-				continue
-			}
-			total -= f.size - left
-		}
-		if files, err = memberFiles(l.o.Dir, l.o.Member); err != nil {
-			break
-		}
-	}
-	return total
-}
-
-// foldFile puts sums in the place of a file's spans, whole or not at all, and returns its size then; below 0, nothing was done.
-func foldFile(path string) int64 {
-	text, err := os.ReadFile(path)
-	if err != nil {
-		return -1
-	}
-	lines := bytes.Split(bytes.TrimSuffix(text, []byte("\n")), []byte("\n"))
-	var head, sum Entry
-	prev := ""
-	sum.Kind = Fold
-	for i, line := range lines {
-		if i == 0 {
-			prev = peekPrev(line)
-		}
-		e, hash, err := readLine(prev, line)
-		if err != nil || e.Kind == Fold {
-			return -1
-		}
-		prev = hash
-		switch {
-		case i == 0:
-			head = *e
-			continue
-		case e.Kind == Span:
-			sum.Spans = addSpan(sum.Spans, e)
-		default:
-			sum.Kept = append(sum.Kept, bytes.Clone(line[2*hashSize+1:]))
-		}
-		sum.Seq, sum.At, sum.Wall, sum.Mono, sum.Upto = e.Seq, e.At, e.Wall, e.Mono, e.Seq
-	}
-	sum.Before = &Head{Incarnation: head.Incarnation, Seq: sum.Seq, Hash: prev}
-	b, hash, err := appendLine(nil, head.Prev, &head)
-	if err == nil {
-		b, _, err = appendLine(b, hash, &sum)
-	}
-	if err != nil || os.WriteFile(path+".new", b, 0o644) != nil || os.Rename(path+".new", path) != nil {
-		return -1
-	}
-	return int64(len(b))
-}
-
-// peekPrev is what a file's first line is chained to, as it says itself.
-func peekPrev(line []byte) string {
-	var e Entry
-	if len(line) > 2*hashSize {
-		_ = json.Unmarshal(line[2*hashSize+1:], &e) // what makes no sense has none
-	}
-	return e.Prev
-}
-
-// addSpan adds what was done in a span to the sum for its epoch.
-func addSpan(sums []Entry, e *Entry) []Entry {
-	i := slices.IndexFunc(sums, func(s Entry) bool {
-		return s.Marked == e.Marked && (s.Epoch == nil) == (e.Epoch == nil) && (s.Epoch == nil || *s.Epoch == *e.Epoch)
-	})
-	if i < 0 {
-		s := *e
-		s.Classes = make(map[string]Count)
-		s.Sent = 0
-		sums = append(sums, s)
-		i = len(sums) - 1
-	}
-	s := &sums[i]
-	s.At, s.Wall, s.Mono, s.Seq = e.At, e.Wall, e.Mono, e.Seq
-	s.Sent += e.Sent
-	for name, c := range e.Classes {
-		t := s.Classes[name]
-		s.Classes[name] = Count{t.Taken + c.Taken, t.Served + c.Served, t.Refused + c.Refused, t.Failed + c.Failed}
-	}
-	return sums
+	incarnation, err := strconv.ParseUint(fields[1], 10, 64)
+	number, err2 := strconv.Atoi(fields[2])
+	return fields[0], incarnation, number, err == nil && err2 == nil
 }
--- a/balancer/audit/read.go
+++ b/balancer/audit/read.go
@@ -34,14 +34,14 @@
 
 // Finding is one thing that a record lacks or that is wrong with it. It is named and never mended.
 type Finding struct {
-	Kind   FindingKind `json:"kind"`
-	Member string      `json:"member"`
-	Place  string      `json:"place"` // file and line, or the incarnation
-	Text   string      `json:"text"`
+	Kind     FindingKind `json:"kind"`
+	Member   string      `json:"member"`
+	Position string      `json:"place"` // file and line, or the incarnation
+	Text     string      `json:"text"`
 }
 
 func (f Finding) String() string {
-	return fmt.Sprintf("%s: %s: %s: %s", f.Member, f.Kind, f.Place, f.Text)
+	return fmt.Sprintf("%s: %s: %s: %s", f.Member, f.Kind, f.Position, f.Text)
 }
 
 // PlacedEntry is an entry with where it stands.
@@ -49,9 +49,9 @@
 	Entry
 	Member      string
 	Incarnation uint64
-	Place       string
-	When        int64 // Unix milliseconds by the reference's clock, as far as is known; see Read
-	Loose       bool  // nothing was measured of its process's clock: the time is its own, and nothing is judged by it
+	Position    string `json:"Place"`
+	When        int64  // Unix milliseconds by the reference's clock, as far as is known; see Read
+	Unaligned   bool   `json:"Loose"` // nothing was measured of its process's clock: the time is its own, and nothing is judged by it
 }
 
 // Record is all that was read of one member.
@@ -107,8 +107,8 @@
 	return r, nil
 }
 
-func (r *Record) find(kind FindingKind, place, text string, args ...any) {
-	r.found = append(r.found, Finding{kind, r.Member, place, fmt.Sprintf(text, args...)})
+func (r *Record) find(kind FindingKind, position, text string, args ...any) {
+	r.found = append(r.found, Finding{kind, r.Member, position, fmt.Sprintf(text, args...)})
 }
 
 // read takes one file. What does not hold together is told, and reading goes on from what the line says of itself.
@@ -123,29 +123,29 @@
 		if len(line) == 0 {
 			continue
 		}
-		place := fmt.Sprintf("%s:%d", name, i+1)
-		whole := line[len(line)-1] == '\n'
+		position := fmt.Sprintf("%s:%d", name, i+1)
+		complete := line[len(line)-1] == '\n'
 		line = bytes.TrimSuffix(line, []byte("\n"))
 		if i == 0 {
-			if told := peekPrev(line); told != prev {
+			if chained := peekPrev(line); chained != prev {
 				switch {
 				case first && f.number > 1:
-					r.find(Folded, place, "what was before has gone, to keep within the bound")
+					r.find(Folded, position, "what was before has gone, to keep within the bound")
 				case first:
-					r.find(Missing, place, "what was before is not there")
-				case !r.hashes[Head{r.head.Incarnation, 0, told}]:
-					r.find(Missing, place, "the end of the file before, or files between, are not there")
+					r.find(Missing, position, "what was before is not there")
+				case !r.hashes[Head{r.head.Incarnation, 0, chained}]:
+					r.find(Missing, position, "the end of the file before, or files between, are not there")
 				}
-				prev = told
+				prev = chained
 			}
 		}
 		e, hash, err := readLine(prev, line)
-		if err == errForm || !whole {
-			if last && i == len(lines)-1 && !whole {
-				r.find(Torn, place, "the last line is cut short")
+		if err == errForm || !complete {
+			if last && i == len(lines)-1 && !complete {
+				r.find(Torn, position, "the last line is cut short")
 				return
 			}
-			r.find(Altered, place, "no line of a record")
+			r.find(Altered, position, "no line of a record")
 			prev = string(line[:min(len(line), 2*hashSize)]) // as the line after may still say
 			continue
 		}
@@ -155,11 +155,11 @@
 		}
 		switch {
 		case e.Seq > next:
-			r.find(Missing, place, "entries %d to %d are not there", next, e.Seq-1)
+			r.find(Missing, position, "entries %d to %d are not there", next, e.Seq-1)
 		case e.Seq < next:
-			r.find(Reordered, place, "entry %d stands after %d", e.Seq, seq)
+			r.find(Reordered, position, "entry %d stands after %d", e.Seq, seq)
 		case err != nil:
-			r.find(Altered, place, "entry %d, or the line before it, is not what was written", e.Seq)
+			r.find(Altered, position, "entry %d, or the line before it, is not what was written", e.Seq)
 		}
 		prev = hash
 		r.hashes[Head{f.incarnation, e.Seq, hash}] = err == nil
@@ -169,7 +169,7 @@
 			seq = e.Seq
 		}
 		seq = max(seq, e.Seq)
-		r.take(f, e, place)
+		r.keep(f, e, position)
 		if e.Kind == Fold && e.Before != nil {
 			prev, hash = e.Before.Hash, e.Before.Hash
 			r.hashes[*e.Before] = true
@@ -180,17 +180,17 @@
 	}
 }
 
-// take keeps an entry, and tells what it says itself of what is missing.
-func (r *Record) take(f memberFile, e *Entry, place string) {
+// keep keeps an entry, and tells what it says itself of what is missing.
+func (r *Record) keep(f memberFile, e *Entry, position string) {
 	known := []string{Start, Stop, Proposed, Accepted, InForce, Adopted, Refused, Standing, Member, Command, List, Span, Gap, Witness,
 		Fold, Segment, Amnesiac}
 	keep := func(e Entry) {
-		r.Entries = append(r.Entries, PlacedEntry{Entry: e, Member: r.Member, Incarnation: f.incarnation, Place: place})
+		r.Entries = append(r.Entries, PlacedEntry{Entry: e, Member: r.Member, Incarnation: f.incarnation, Position: position})
 	}
 	switch {
 	case e.Kind == Segment:
 	case e.Kind == Fold:
-		r.find(Folded, place, "spans up to entry %d are there as sums", e.Upto)
+		r.find(Folded, position, "spans up to entry %d are there as sums", e.Upto)
 		for _, text := range e.Kept {
 			var kept Entry
 			if json.Unmarshal(text, &kept) == nil {
@@ -201,15 +201,15 @@
 			keep(s)
 		}
 	case !slices.Contains(known, e.Kind):
-		r.find(Foreign, place, "entry %d is of a kind that this version does not know: %q", e.Seq, e.Kind)
+		r.find(Foreign, position, "entry %d is of a kind that this version does not know: %q", e.Seq, e.Kind)
 		keep(*e)
 	default:
 		if e.Kind == Gap {
-			r.find(Lost, place, "%d entries could not be written before entry %d", e.Lost, e.Seq)
+			r.find(Lost, position, "%d entries could not be written before entry %d", e.Lost, e.Seq)
 		}
 		if e.Kind == Start && e.Before != nil && e.Before.Hash != "" && e.Before.Incarnation == r.head.Incarnation &&
 			(*e.Before != r.head && !r.hashes[*e.Before]) {
-			r.find(Missing, place, "the record went on to entry %d before this start", e.Before.Seq)
+			r.find(Missing, position, "the record went on to entry %d before this start", e.Before.Seq)
 		}
 		keep(*e)
 	}
@@ -249,75 +249,3 @@
 	a.judge()
 	return a, nil
 }
-
-// witnesses holds each record against what its peers were told of it: a record that was rewritten whole, cut off at its end or
-// put back to an older state holds together by itself.
-func (a *Audit) witnesses() {
-	type told struct {
-		head Head
-		by   string
-	}
-	worst := make(map[string]map[uint64]told)
-	for _, by := range a.Members {
-		for i := range a.records[by].Entries {
-			for peer, seen := range a.records[by].Entries[i].Seen {
-				r := a.records[peer]
-				h := seen.Head
-				if r == nil || h.Hash == "" {
-					continue
-				}
-				end, there := r.ends[h.Incarnation]
-				switch {
-				case there && h.Seq <= end && h.Seq > r.folds[h.Incarnation] && !r.hashes[h]:
-					a.find(Altered, peer, fmt.Sprintf("incarnation %d, entry %d", h.Incarnation, h.Seq), "%s was told another one", by)
-				case !there || h.Seq > end:
-					if worst[peer] == nil {
-						worst[peer] = make(map[uint64]told)
-					}
-					if h.Seq > worst[peer][h.Incarnation].head.Seq {
-						worst[peer][h.Incarnation] = told{h, by}
-					}
-				}
-			}
-		}
-	}
-	for _, peer := range a.Members {
-		for incarnation, t := range worst[peer] {
-			kind, end := Missing, a.records[peer].ends[incarnation]
-			if a.records[peer].head.Incarnation > incarnation {
-				kind = Rolled // a later process went on from an older state of the disk
-			}
-			a.find(kind, peer, fmt.Sprintf("incarnation %d", incarnation), "entries %d to %d are not there; %s was told of them", end+1, t.head.Seq, t.by)
-		}
-	}
-	a.Findings = slices.Compact(a.Findings)
-}
-
-// AdoptionWitnessed says whether others' records show that a member's was as far as its adoption of an epoch, or farther.
-func (a *Audit) AdoptionWitnessed(member string, epoch uint64) bool {
-	r := a.records[member]
-	if r == nil {
-		return false
-	}
-	adopted := slices.IndexFunc(r.Entries, func(e PlacedEntry) bool { return e.Kind == Adopted && e.Epoch != nil && e.Epoch.Number == epoch })
-	if adopted < 0 {
-		return false
-	}
-	entry := r.Entries[adopted]
-	for _, by := range a.Members {
-		for i := range a.records[by].Entries {
-			head := a.records[by].Entries[i].Seen[member].Head
-			if head.Incarnation == entry.Incarnation && head.Seq >= entry.Seq {
-				return true
-			}
-		}
-	}
-	return false
-}
-
-func (a *Audit) find(kind FindingKind, member, place, text string, args ...any) {
-	f := Finding{kind, member, place, fmt.Sprintf(text, args...)}
-	if !slices.Contains(a.Findings, f) {
-		a.Findings = append(a.Findings, f)
-	}
-}
--- /dev/null
+++ b/balancer/audit/witnesses.go
@@ -0,0 +1,78 @@
+package audit
+
+import (
+	"fmt"
+	"slices"
+)
+
+// witnesses holds each record against what its peers were told of it: a record that was rewritten whole, cut off at its end or
+// put back to an older state holds together by itself.
+func (a *Audit) witnesses() {
+	type witnessed struct {
+		head Head
+		by   string
+	}
+	worst := make(map[string]map[uint64]witnessed)
+	for _, by := range a.Members {
+		for i := range a.records[by].Entries {
+			for peer, seen := range a.records[by].Entries[i].Seen {
+				r := a.records[peer]
+				h := seen.Head
+				if r == nil || h.Hash == "" {
+					continue
+				}
+				end, there := r.ends[h.Incarnation]
+				switch {
+				case there && h.Seq <= end && h.Seq > r.folds[h.Incarnation] && !r.hashes[h]:
+					a.find(Altered, peer, fmt.Sprintf("incarnation %d, entry %d", h.Incarnation, h.Seq), "%s was told another one", by)
+				case !there || h.Seq > end:
+					if worst[peer] == nil {
+						worst[peer] = make(map[uint64]witnessed)
+					}
+					if h.Seq > worst[peer][h.Incarnation].head.Seq {
+						worst[peer][h.Incarnation] = witnessed{h, by}
+					}
+				}
+			}
+		}
+	}
+	for _, peer := range a.Members {
+		for incarnation, t := range worst[peer] {
+			kind, end := Missing, a.records[peer].ends[incarnation]
+			if a.records[peer].head.Incarnation > incarnation {
+				kind = Rolled // a later process went on from an older state of the disk
+			}
+			a.find(kind, peer, fmt.Sprintf("incarnation %d", incarnation), "entries %d to %d are not there; %s was told of them", end+1, t.head.Seq, t.by)
+		}
+	}
+	a.Findings = slices.Compact(a.Findings)
+}
+
+// AdoptionWitnessed says whether others' records show that a member's was as far as its adoption of an epoch, or farther.
+func (a *Audit) AdoptionWitnessed(member string, epoch uint64) bool {
+	r := a.records[member]
+	if r == nil {
+		return false
+	}
+	adopted := slices.IndexFunc(r.Entries, func(e PlacedEntry) bool { return e.Kind == Adopted && e.Epoch != nil && e.Epoch.Number == epoch })
+	if adopted < 0 {
+		return false
+	}
+	entry := r.Entries[adopted]
+	for _, by := range a.Members {
+		for i := range a.records[by].Entries {
+			head := a.records[by].Entries[i].Seen[member].Head
+			if head.Incarnation == entry.Incarnation && head.Seq >= entry.Seq {
+				return true
+			}
+		}
+	}
+	return false
+}
+
+func (a *Audit) find(kind FindingKind, member, position, text string, args ...any) {
+	f := Finding{kind, member, position, fmt.Sprintf(text, args...)}
+	if !slices.Contains(a.Findings, f) {
+		a.Findings = append(a.Findings, f)
+	}
+}
--- a/balancer/fleet/agent/agent.go
+++ b/balancer/fleet/agent/agent.go
@@ -78,9 +78,9 @@
 	path := filepath.Join(o.Dir, o.Member.Me+".state")
 	disk, err := loadState(path)
 	if err != nil {
-		aside := fmt.Sprintf("%s.%d.bad", path, a.o.Wall())
-		o.Log.Error("state set aside", "err", err, "file", path, "as", aside)
-		if err := os.Rename(path, aside); err != nil {
+		renamed := fmt.Sprintf("%s.%d.bad", path, a.o.Wall())
+		o.Log.Error("state set aside", "err", err, "file", path, "as", renamed)
+		if err := os.Rename(path, renamed); err != nil {
 			return nil, fmt.Errorf("fleet: %w", err)
 		}
 	}
@@ -121,7 +121,7 @@
 		a.reconnect(a.links[name], now)
 	}
 	for l, heard := range a.accepted {
-		if now-heard > 4*silenceHeartbeats*a.o.Member.Heartbeat {
+		if now-heard > 4*reconnectHeartbeats*a.o.Member.Heartbeat {
 			delete(a.accepted, l)
 			l.Close()
 		}
--- a/balancer/fleet/agent/links.go
+++ b/balancer/fleet/agent/links.go
@@ -32,14 +32,14 @@
 	skew        int64            // and the peer's wall clock less the own one
 }
 
-// silenceHeartbeats without a message on a link, and it is made anew: after a partition the system would try the old one again
+// reconnectHeartbeats without a message on a link, and it is made anew: after a partition the system would try the old one again
 // in its own time.
-const silenceHeartbeats = 6
+const reconnectHeartbeats = 6
 
 // reconnect makes a link that is down, or that nothing was heard on, after a wait of full jitter that grows to ten heartbeats:
 // those who lost one peer together do not come back to it together.
 func (a *Agent) reconnect(n *peerLink, now time.Duration) {
-	if n.link != nil && now-n.heard > silenceHeartbeats*a.o.Member.Heartbeat {
+	if n.link != nil && now-n.heard > reconnectHeartbeats*a.o.Member.Heartbeat {
 		n.link.Close()
 		a.down(n, "nothing heard")
 	}
--- a/balancer/fleet/agent/record.go
+++ b/balancer/fleet/agent/record.go
@@ -56,7 +56,7 @@
 }
 
 // Command has an operator's call in the record, List the list that is acted on, Settings those of the platform.
-func (a *Agent) Command(words string) { a.add(audit.Entry{Kind: audit.Command, Command: words}) }
+func (a *Agent) Command(command string) { a.add(audit.Entry{Kind: audit.Command, Command: command}) }
 
 // List notes the list of servers that is acted on; it goes into each span.
 func (a *Agent) List(seq int64) { a.listSeq = seq }
--- a/balancer/fleet/agent/state.go
+++ b/balancer/fleet/agent/state.go
@@ -76,9 +76,9 @@
 }
 
 func parseState(b []byte) (s fleet.State, err error) {
-	head, text, whole := bytes.Cut(b, []byte("\n"))
+	head, text, found := bytes.Cut(b, []byte("\n"))
 	sum := sha256.Sum256(text)
-	if !whole || len(b) > maxState || string(head) != stateMagic+" "+hex.EncodeToString(sum[:]) {
+	if !found || len(b) > maxState || string(head) != stateMagic+" "+hex.EncodeToString(sum[:]) {
 		return s, ErrState
 	}
 	if err := json.Unmarshal(text, &s); err != nil {
--- a/balancer/fleet/agent/statewriter.go
+++ b/balancer/fleet/agent/statewriter.go
@@ -43,16 +43,16 @@
 	defer close(w.done)
 	for range w.wake {
 		w.mu.Lock()
-		s, told, ended := w.next, w.callbacks, w.closing
+		s, callbacks, closing := w.next, w.callbacks, w.closing
 		w.next, w.callbacks = nil, nil
 		w.mu.Unlock()
 		if s != nil {
 			err := saveState(w.path, s)
-			for _, f := range told {
+			for _, f := range callbacks {
 				f(err)
 			}
 		}
-		if ended {
+		if closing {
 			return
 		}
 	}
--- a/balancer/fleet/core_test.go
+++ b/balancer/fleet/core_test.go
@@ -39,7 +39,7 @@
 	olds       []State  // that the disk held before
 	writing    []Action // asked for, not on disk yet
 	paused     bool
-	lost       bool    // its disk, once
+	wiped      bool    // its disk, once
 	slowBy     float64 // its clock runs at this rate
 	base, then time.Duration
 	noted      []audit.Entry
@@ -68,8 +68,8 @@
 }
 
 type flight struct {
-	to   string
-	word Message
+	to      string
+	message Message
 }
 
 func newFleet(n int, fail func(string, ...any)) *fleetOf {
@@ -185,8 +185,8 @@
 	if !keep {
 		f.flying = slices.Delete(f.flying, i, i+1)
 	}
-	if !f.cut[[2]string{w.word.From, w.to}] {
-		f.event(f.host(w.to), Event{Kind: Received, Message: w.word})
+	if !f.cut[[2]string{w.message.From, w.to}] {
+		f.event(f.host(w.to), Event{Kind: Received, Message: w.message})
 	}
 }
 
@@ -275,16 +275,16 @@
 			f.flush(h, draw("written", 10))
 			forgetful := 1
 			for _, o := range f.hosts {
-				if o != h && o.lost {
+				if o != h && o.wiped {
 					forgetful++
 				}
 			}
 			old := false
 			switch d := draw("disk", 6); {
 			case d == 0 && forgetful < n/2+1:
-				h.disk, h.lost = State{}, true
+				h.disk, h.wiped = State{}, true
 			case d == 1 && forgetful == 1 && len(h.olds) > 0:
-				h.disk, h.lost, old = h.olds[draw("old", len(h.olds))], true, true
+				h.disk, h.wiped, old = h.olds[draw("old", len(h.olds))], true, true
 			}
 			f.start(h)
 			if old {
--- a/balancer/fleet/holes_test.go
+++ b/balancer/fleet/holes_test.go
@@ -96,7 +96,7 @@
 		"nobody answers a process that it might forget": func(t *testing.T, f *fleetOf, a, b, c *host) {
 			pongs := func() (n int) {
 				for _, x := range f.flying {
-					if x.word.Kind == Pong && x.to == "a" {
+					if x.message.Kind == Pong && x.to == "a" {
 						n++
 					}
 				}
--- a/balancer/fleet/link/compat_test.go
+++ b/balancer/fleet/link/compat_test.go
@@ -37,16 +37,16 @@
 	if !bytes.Equal(b.wire, acceptor) {
 		t.Errorf("the other side writes\n%q\nnot\n%q", b.wire, acceptor)
 	}
-	if b.l.Peer != "a" || len(b.words) != 2 || b.words[0] != "a word" || b.words[1] != "a command" {
-		t.Errorf("heard from %q: %q", b.l.Peer, b.words)
+	if b.l.Peer != "a" || len(b.messages) != 2 || b.messages[0] != "a word" || b.messages[1] != "a command" {
+		t.Errorf("heard from %q: %q", b.l.Peer, b.messages)
 	}
 	var c end
 	c.l = Dial(&c, "there", "a", keys, &c)
 	c.l.draw = a.l.draw
 	c.l.Connected()
 	c.l.Data(acceptor)
-	if c.l.Peer != "b" || len(c.words) != 1 || c.words[0] != "an answer" {
-		t.Errorf("heard from %q: %q", c.l.Peer, c.words)
+	if c.l.Peer != "b" || len(c.messages) != 1 || c.messages[0] != "an answer" {
+		t.Errorf("heard from %q: %q", c.l.Peer, c.messages)
 	}
 }
 
--- a/balancer/fleet/link/link_test.go
+++ b/balancer/fleet/link/link_test.go
@@ -15,26 +15,26 @@
 
 // end is one end of a wire: what is written waits until the test brings it over.
 type end struct {
-	l       *Link
-	wire    []byte // written, not brought yet
-	ended   bool
-	stuck   int // bytes that it says are unwritten
-	up      int
-	words   []string
-	down    error
-	dialled transport.Handler
+	l        *Link
+	wire     []byte // written, not brought yet
+	closed   bool
+	stuck    int // bytes that it says are unwritten
+	up       int
+	messages []string
+	down     error
+	dialled  transport.Handler
 }
 
 func (e *end) Write(b []byte)                                    { e.wire = append(e.wire, b...) }
 func (e *end) Ignore()                                           {}
 func (e *end) Finish()                                           {}
-func (e *end) Close()                                            { e.ended = true }
+func (e *end) Close()                                            { e.closed = true }
 func (e *end) Unwritten() int                                    { return e.stuck }
 func (e *end) Peer() string                                      { return "" }
 func (e *end) Dial(_ string, h transport.Handler) transport.Conn { e.dialled = h; return e }
 func (e *end) Up(*Link)                                          { e.up++ }
 func (e *end) Heard(_ *Link, _ frames.Kind, content []byte) {
-	e.words = append(e.words, string(content))
+	e.messages = append(e.messages, string(content))
 }
 func (e *end) Down(_ *Link, err error) { e.down = err }
 
@@ -61,7 +61,7 @@
 	b.l.Send(Reply, []byte("to a"))
 	bring(a, b)
 	bring(b, a)
-	if diff := cmp.Diff([]string{"to a"}, a.words) + cmp.Diff([]string{"to b"}, b.words) + cmp.Diff("b", a.l.Peer) + cmp.Diff("a", b.l.Peer); diff != "" {
+	if diff := cmp.Diff([]string{"to a"}, a.messages) + cmp.Diff([]string{"to b"}, b.messages) + cmp.Diff("b", a.l.Peer) + cmp.Diff("a", b.l.Peer); diff != "" {
 		t.Error(diff)
 	}
 }
@@ -127,8 +127,8 @@
 		}, frames.ErrMAC},
 	} {
 		t.Run(name, func(t *testing.T) {
-			if e := tc.do(); !errors.Is(e.down, tc.want) || !e.ended {
-				t.Errorf("%v, not %v; ended %v", e.down, tc.want, e.ended)
+			if e := tc.do(); !errors.Is(e.down, tc.want) || !e.closed {
+				t.Errorf("%v, not %v; ended %v", e.down, tc.want, e.closed)
 			}
 		})
 	}
@@ -138,8 +138,8 @@
 func TestAPeerThatDoesNotReadIsNotWaitedFor(t *testing.T) {
 	a, _ := pair(keys, keys)
 	a.stuck = MostUnwritten + 1
-	if a.l.Send(Message, []byte("x")) || a.l.Dropped != 1 || a.ended {
-		t.Errorf("dropped %d, ended %v", a.l.Dropped, a.ended)
+	if a.l.Send(Message, []byte("x")) || a.l.Dropped != 1 || a.closed {
+		t.Errorf("dropped %d, ended %v", a.l.Dropped, a.closed)
 	}
 }
 
@@ -154,8 +154,8 @@
 		e := &end{}
 		e.l = Accept(e, "b", frames.Keys{{ID: 7, Secret: bytes.Repeat([]byte{3}, 16)}}, e)
 		e.l.Data(b)
-		if e.up > 0 || len(e.words) > 0 {
-			t.Errorf("up %d, heard %q", e.up, e.words)
+		if e.up > 0 || len(e.messages) > 0 {
+			t.Errorf("up %d, heard %q", e.up, e.messages)
 		}
 	})
 }
--- a/balancer/fleet/peers.go
+++ b/balancer/fleet/peers.go
@@ -123,7 +123,7 @@
 	}
 	c.recordResponse(p.Name, w.Against)
 	p.Adopted, p.Force, p.Floor = w.Adopted, w.Force, w.Floor
-	c.markInForce(w.Force)
+	c.recordInForce(w.Force)
 	if p.youVote = max(p.youVote, w.YouVote); w.YouVote > c.disk.state.Accepted.Number && !c.disk.state.Amnesiac {
 		c.disk.state.Amnesiac = true // the disk was put back to before a vote
 		c.record(audit.Entry{Kind: audit.Amnesiac, Peer: p.Name, Incarnation: c.disk.state.Incarnation})
--- a/balancer/fleet/tally.go
+++ b/balancer/fleet/tally.go
@@ -33,7 +33,7 @@
 		c.tally.openSince[id.Number] = c.knownSince()
 	}
 	if len(c.tally.votes[id]) >= c.majority() {
-		c.markInForce(id)
+		c.recordInForce(id)
 	}
 }
 
@@ -51,8 +51,8 @@
 	c.tally.responses[number][name] = true
 }
 
-// markInForce notes that an epoch is in force, which is so for good.
-func (c *Core) markInForce(id ID) {
+// recordInForce notes that an epoch is in force, which is so for good.
+func (c *Core) recordInForce(id ID) {
 	if id.Number > c.policy.inForce.Number {
 		c.policy.inForce, c.policy.inForceSince[id] = id, c.knownSince()
 		if open, known := c.tally.openSince[id.Number]; known {
--- a/cmd/ravendale/fleet.go
+++ b/cmd/ravendale/fleet.go
@@ -384,7 +384,7 @@
 	}
 	for _, b := range a.Below {
 		fmt.Fprintf(to, "BROKEN: %s took %d requests below floor %d in the span that ended %s, %d ms after the date (%s)\n", b.Member, b.Taken, b.Floor,
-			clock(b.When), b.When-b.Date, b.Place)
+			clock(b.When), b.When-b.Date, b.Position)
 	}
 	for _, f := range a.Findings {
 		fmt.Fprintln(to, "found:", f)
