--- a/balancer/audit/entry.go
+++ b/balancer/audit/entry.go
@@ -78,6 +78,7 @@
 	Digest string `json:"digest,omitempty"` // SHA-256 of the content, in hex
 }
 
+// String is the number and the begin of the digest.
 func (id ID) String() string { return fmt.Sprintf("%d:%.8s", id.Number, id.Digest) }
 
 // Head is how far a record is: the number of its last entry and the hash of its line.
--- a/balancer/audit/read.go
+++ b/balancer/audit/read.go
@@ -40,6 +40,7 @@
 	Text     string      `json:"text"`
 }
 
+// String is the finding as a line.
 func (f Finding) String() string {
 	return fmt.Sprintf("%s: %s: %s: %s", f.Member, f.Kind, f.Position, f.Text)
 }
--- a/internal/wire/nested.go
+++ b/internal/wire/nested.go
@@ -46,11 +46,11 @@
 			return
 		}
 		if _, nested := v[0].(map[string]any); !nested {
-			words := make([]string, len(v))
+			values := make([]string, len(v))
 			for i := range v {
-				words[i] = word(v[i])
+				values[i] = scalar(v[i])
 			}
-			pairs[path] = strings.Join(words, ",")
+			pairs[path] = strings.Join(values, ",")
 			return
 		}
 		pairs[path+".count"] = strconv.Itoa(len(v))
@@ -58,11 +58,11 @@
 			flatten(pairs, fmt.Sprintf("%s.%d", path, i), v[i])
 		}
 	default:
-		pairs[path] = word(v)
+		pairs[path] = scalar(v)
 	}
 }
 
-// word writes a scalar as a line does: spaces and commas become underscores.
-func word(v any) string {
+// scalar writes a scalar as a line does: spaces and commas become underscores.
+func scalar(v any) string {
 	return strings.NewReplacer(" ", "_", ",", "_").Replace(fmt.Sprint(v))
 }
--- a/internal/wire/reader.go
+++ b/internal/wire/reader.go
@@ -5,11 +5,9 @@
 
 import (
 	"bufio"
-	"encoding/base64"
 	"errors"
 	"fmt"
 	"io"
-	"strconv"
 	"time"
 
 	"ravendale"
@@ -39,17 +37,17 @@
 
 // Reader reads messages. The entries and data of an event are valid until the next call of Next.
 type Reader struct {
-	in      *bufio.Reader
-	line    int
-	long    []byte
-	inBatch bool
+	in         *bufio.Reader
+	lineNumber int
+	long       []byte
+	inBatch    bool
 
 	running map[string]*tables // the instances that have started
 	current *tables            // nil until a select line
 	name    string
 
-	words   map[string]string // one copy of each worker's name
-	entries []ravendale.Entry
+	interned map[string]string // one copy of each worker's name
+	entries  []ravendale.Entry
 }
 
 // tables resolve the names of one instance's settings.
@@ -61,9 +59,9 @@
 // NewReader returns a Reader of in.
 func NewReader(in io.Reader) *Reader {
 	return &Reader{
-		in:      bufio.NewReaderSize(in, 1<<20),
-		running: make(map[string]*tables),
-		words:   make(map[string]string),
+		in:       bufio.NewReaderSize(in, 1<<20),
+		running:  make(map[string]*tables),
+		interned: make(map[string]string),
 	}
 }
 
@@ -76,7 +74,7 @@
 		}
 		done, err := r.parse(text, m)
 		if err != nil {
-			return fmt.Errorf("line %d: %w", r.line, err)
+			return fmt.Errorf("line %d: %w", r.lineNumber, err)
 		}
 		if done {
 			return nil
@@ -86,23 +84,23 @@
 
 // readLine returns the next line without its end.
 func (r *Reader) readLine() ([]byte, error) {
-	r.line++
-	part, err := r.in.ReadSlice('\n')
+	r.lineNumber++
+	chunk, err := r.in.ReadSlice('\n')
 	if err == nil {
-		return part[:len(part)-1], nil
+		return chunk[:len(chunk)-1], nil
 	}
-	r.long = append(r.long[:0], part...)
+	r.long = append(r.long[:0], chunk...)
 	for errors.Is(err, bufio.ErrBufferFull) {
-		part, err = r.in.ReadSlice('\n')
-		r.long = append(r.long, part...)
+		chunk, err = r.in.ReadSlice('\n')
+		r.long = append(r.long, chunk...)
 	}
 	switch {
 	case err == nil:
 		return r.long[:len(r.long)-1], nil
 	case !errors.Is(err, io.EOF):
-		return nil, fmt.Errorf("line %d: %w", r.line, err)
+		return nil, fmt.Errorf("line %d: %w", r.lineNumber, err)
 	case r.inBatch || len(r.long) > 0:
-		return nil, fmt.Errorf("line %d: the input ends inside a batch, before your_turn", r.line)
+		return nil, fmt.Errorf("line %d: the input ends inside a batch, before your_turn", r.lineNumber)
 	}
 	return nil, io.EOF
 }
@@ -110,18 +108,18 @@
 // parse reads one line; done is false for a line that only sets the scene.
 func (r *Reader) parse(text []byte, m *Message) (done bool, err error) {
 	f := fields{rest: text}
-	word := string(f.word())
+	keyword := string(f.keyword())
 	if !r.inBatch {
-		switch word {
+		switch keyword {
 		case "":
 			return false, nil
 		case "clock":
 			r.inBatch = true
 			return true, parseClock(&f, m)
 		}
-		return false, fmt.Errorf("%q stands outside a batch", word)
+		return false, fmt.Errorf("%q stands outside a batch", keyword)
 	}
-	switch word {
+	switch keyword {
 	case "your_turn":
 		r.inBatch = false
 		*m = Message{Kind: Turn}
@@ -132,10 +130,10 @@
 		return true, r.parseStart(&f, m)
 	}
 	if r.current == nil {
-		return false, fmt.Errorf("%q concerns no running instance (%q)", word, r.name)
+		return false, fmt.Errorf("%q concerns no running instance (%q)", keyword, r.name)
 	}
 	*m = Message{Kind: Event, Instance: r.name}
-	switch word {
+	switch keyword {
 	case "exit":
 		m.Kind = Exit
 		delete(r.running, r.name)
@@ -144,7 +142,7 @@
 	case "directory_update":
 		return true, r.parseList(&f, &m.Event)
 	}
-	return true, r.parseEvent(word, &f, &m.Event)
+	return true, r.parseEvent(keyword, &f, &m.Event)
 }
 
 func parseClock(f *fields, m *Message) error {
@@ -170,7 +168,7 @@
 	r.name = ""
 	for f.next() {
 		if string(f.key) == "i" {
-			r.name = r.word(f.val)
+			r.name = r.intern(f.val)
 		}
 	}
 	if f.err == nil && r.name == "" {
@@ -244,13 +242,13 @@
 func (r *Reader) parseEntry(text []byte) (ravendale.Entry, error) {
 	entry := ravendale.Entry{Zone: -1, Kind: -1, Cell: -1, State: ravendale.Ready, Weight: 1}
 	f := fields{rest: text}
-	if word := f.word(); string(word) != "m" {
-		return entry, fmt.Errorf("a list entry was expected, not %q", word)
+	if keyword := f.keyword(); string(keyword) != "m" {
+		return entry, fmt.Errorf("a list entry was expected, not %q", keyword)
 	}
 	for f.next() {
 		switch string(f.key) {
 		case "worker":
-			entry.Worker = r.word(f.val)
+			entry.Worker = r.intern(f.val)
 		case "az":
 			entry.Zone = index(r.current.zones, f.val)
 		case "shape":
@@ -286,10 +284,10 @@
 	"whisper":     ravendale.PeerMessage,
 }
 
-func (r *Reader) parseEvent(word string, f *fields, e *ravendale.Event) error {
-	kind, known := eventKinds[word]
+func (r *Reader) parseEvent(keyword string, f *fields, e *ravendale.Event) error {
+	kind, known := eventKinds[keyword]
 	if !known {
-		return fmt.Errorf("message %q is unknown", word)
+		return fmt.Errorf("message %q is unknown", keyword)
 	}
 	*e = ravendale.Event{Kind: kind, Class: -1, Tenant: -1}
 	named := false
@@ -317,7 +315,7 @@
 		case "trial":
 			e.Attempt = f.int()
 		case "worker":
-			e.Worker = r.word(f.val)
+			e.Worker = r.intern(f.val)
 		case "rc":
 			e.Outcome = f.outcome()
 		case "duration-us":
@@ -339,10 +337,10 @@
 		}
 	}
 	if f.err == nil && !named && needsJob(kind) {
-		return fmt.Errorf("%s names no ticket", word)
+		return fmt.Errorf("%s names no ticket", keyword)
 	}
 	if f.err == nil && kind == ravendale.ProbeAnswered && e.Worker == "" {
-		return fmt.Errorf("%s names no worker", word)
+		return fmt.Errorf("%s names no worker", keyword)
 	}
 	return f.err
 }
@@ -361,8 +359,8 @@
 	rest := f.val
 	for len(rest) > 0 {
 		var pair []byte
-		pair, rest = cut(rest, ',')
-		name, value := cut(pair, ':')
+		pair, rest = splitAt(rest, ',')
+		name, value := splitAt(pair, ':')
 		if string(value) == "" {
 			continue
 		}
@@ -385,13 +383,13 @@
 	return load
 }
 
-// word returns the one copy of a short name.
-func (r *Reader) word(b []byte) string {
-	if s, ok := r.words[string(b)]; ok {
+// intern returns the one copy of a short name.
+func (r *Reader) intern(b []byte) string {
+	if s, ok := r.interned[string(b)]; ok {
 		return s
 	}
 	s := string(b)
-	r.words[s] = s
+	r.interned[s] = s
 	return s
 }
 
@@ -403,123 +401,3 @@
 	}
 	return -1
 }
-
-// fields walks the name=value pairs of a line and keeps the first error.
-type fields struct {
-	rest     []byte
-	key, val []byte
-	err      error
-}
-
-// word takes the first part of the line.
-func (f *fields) word() (word []byte) {
-	word, f.rest = cut(f.rest, ' ')
-	return word
-}
-
-func (f *fields) next() bool {
-	if f.err != nil || len(f.rest) == 0 {
-		return false
-	}
-	var pair []byte
-	pair, f.rest = cut(f.rest, ' ')
-	for i, c := range pair {
-		if c == '=' {
-			f.key, f.val = pair[:i], pair[i+1:]
-			return true
-		}
-	}
-	f.err = fmt.Errorf("%q is no name=value pair", pair)
-	return false
-}
-
-func cut(b []byte, sep byte) (head, tail []byte) {
-	for i, c := range b {
-		if c == sep {
-			return b[:i], b[i+1:]
-		}
-	}
-	return b, nil
-}
-
-func (f *fields) bad(what string, val []byte) {
-	if f.err == nil {
-		f.err = fmt.Errorf("%s=%s is no %s", f.key, val, what)
-	}
-}
-
-func (f *fields) uint(bits int) uint64 {
-	v, err := strconv.ParseUint(string(f.val), 10, bits)
-	if err != nil {
-		f.bad("whole number in range", f.val)
-	}
-	return v
-}
-
-func (f *fields) int() int {
-	v, err := strconv.ParseInt(string(f.val), 10, 32)
-	if err != nil {
-		f.bad("whole number in range", f.val)
-	}
-	return int(v)
-}
-
-func (f *fields) micros() time.Duration {
-	v, ok := micros(string(f.val))
-	if !ok {
-		f.bad("time in microseconds", f.val)
-	}
-	return v
-}
-
-func (f *fields) float() float64 { return f.number(f.val) }
-
-func (f *fields) number(val []byte) float64 {
-	v, ok := number(string(val))
-	if !ok {
-		f.bad("number", val)
-	}
-	return v
-}
-
-func (f *fields) hex() uint64 {
-	v, err := strconv.ParseUint(string(f.val), 16, 64)
-	if err != nil {
-		f.bad("hex number of 64 bits", f.val)
-	}
-	return v
-}
-
-func (f *fields) base64() []byte {
-	if string(f.val) == "-" {
-		return nil
-	}
-	data, err := base64.StdEncoding.DecodeString(string(f.val))
-	if err != nil {
-		f.bad("base64 text", f.val)
-	}
-	return data
-}
-
-func (f *fields) outcome() ravendale.Outcome {
-	switch string(f.val) {
-	case "S":
-		return ravendale.OK
-	case "E":
-		return ravendale.Error
-	case "F":
-		return ravendale.Overloaded
-	case "T":
-		return ravendale.TimedOut
-	case "C":
-		return ravendale.ConnectFailed
-	case "R":
-		return ravendale.Reset
-	case "X":
-		return ravendale.Cancelled
-	case "N":
-		return ravendale.NotSent
-	}
-	f.bad("outcome", f.val)
-	return ravendale.Error
-}
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -2,10 +2,6 @@
 
 import (
 	"fmt"
-	"math"
-	"strconv"
-	"strings"
-	"time"
 
 	"ravendale"
 )
@@ -22,212 +18,96 @@
 		x0:    c["specifics.report-x0"],
 		x1:    c["specifics.report-x1"],
 	}
+	s := get.limits()
+	s.Zones, s.Zone = len(names.zones), index(names.zones, []byte(c["locality"]))
+	s.Prices = get.prices()
+	s.Classes, names.classes = get.classes()
+	s.Tenants, names.tenants = get.tenants()
+	return s, names, get.err
+}
+
+// limits reads what stands for itself: numbers, times and permissions.
+func (g *getter) limits() ravendale.Settings {
 	s := ravendale.Settings{
-		Dispatchers:      get.int("balancers"),
-		Me:               get.int("me"),
-		Zones:            len(names.zones),
-		Zone:             index(names.zones, []byte(c["locality"])),
-		MaxAttempts:      get.int("ceilings.attempts-cap"),
-		MayHedge:         get.bool("ceilings.may-duplicate"),
-		MayCancel:        get.bool("ceilings.may-cancel"),
-		MayProbe:         get.bool("ceilings.probes"),
-		MayNotifyPeers:   get.bool("ceilings.peers"),
-		RetryAfter:       get.bool("ceilings.retry-after"),
-		MaxRetryAfter:    get.time("ceilings.max-retry-after-us"),
-		MustAsk:          c["discovery"] == "ask",
-		AskWithin:        get.time("rules.ask-every-us"),
-		LiveWeights:      c["weight-source"] == "live",
-		AnswerSlack:      get.time("rules.grace-to-answer-us"),
-		DrainTimeout:     get.time("rules.stop-sending-within-us"),
-		SlowStartFrom:    get.float("rules.cold-from"),
-		SlowStartFor:     get.time("rules.cold-us"),
-		OverloadMultiple: get.float("rules.fall-multiple"),
-		OverloadSpan:     get.time("rules.fall-us"),
-		TellsStart:       get.bool("specifics.tells-start"),
-		Progress:         get.time("specifics.progress-us"),
-		Tick:             get.time("tick-us"),
-		ValuePerJob:      c["worth-by"] == "request",
-		OverShareValue:   get.float("over-share-worth"),
-		Prices: ravendale.Prices{
-			CrossZone:  get.float("tariffs.cross-zone"),
-			Waste:      get.float("tariffs.waste"),
-			Connection: get.float("tariffs.connection"),
-			Handshake:  get.float("tariffs.handshake"),
-			Probe:      get.float("tariffs.probe"),
-			Peer:       get.float("tariffs.peer"),
-			LateFail:   get.float("tariffs.late-fail"),
-		},
-	}
-	switch c["report.how"] {
+		Dispatchers:      g.int("balancers"),
+		Me:               g.int("me"),
+		MaxAttempts:      g.int("ceilings.attempts-cap"),
+		MayHedge:         g.bool("ceilings.may-duplicate"),
+		MayCancel:        g.bool("ceilings.may-cancel"),
+		MayProbe:         g.bool("ceilings.probes"),
+		MayNotifyPeers:   g.bool("ceilings.peers"),
+		RetryAfter:       g.bool("ceilings.retry-after"),
+		MaxRetryAfter:    g.time("ceilings.max-retry-after-us"),
+		MustAsk:          g.config["discovery"] == "ask",
+		AskWithin:        g.time("rules.ask-every-us"),
+		LiveWeights:      g.config["weight-source"] == "live",
+		AnswerSlack:      g.time("rules.grace-to-answer-us"),
+		DrainTimeout:     g.time("rules.stop-sending-within-us"),
+		SlowStartFrom:    g.float("rules.cold-from"),
+		SlowStartFor:     g.time("rules.cold-us"),
+		OverloadMultiple: g.float("rules.fall-multiple"),
+		OverloadSpan:     g.time("rules.fall-us"),
+		TellsStart:       g.bool("specifics.tells-start"),
+		Progress:         g.time("specifics.progress-us"),
+		Tick:             g.time("tick-us"),
+		ValuePerJob:      g.config["worth-by"] == "request",
+		OverShareValue:   g.float("over-share-worth"),
+	}
+	switch g.config["report.how"] {
 	case "inline":
 		s.ReportsIn = ravendale.ReportsInAnswers
 	case "on_probe":
 		s.ReportsIn = ravendale.ReportsInProbes
 	}
-	kinds := get.list("specifics.class-kind")
-	stretches := get.list("specifics.class-stretch")
-	priorities := get.list("specifics.class-priority")
-	for i := range get.count("request-classes.count") {
-		at := fmt.Sprintf("request-classes.%d.", i)
-		stretch := get.item(stretches, i, "specifics.class-stretch", 0)
-		if _, own := c[at+"aim-stretch"]; own {
-			stretch = get.float(at + "aim-stretch")
-		}
-		class := ravendale.Class{
-			Name:          c[at+"name"],
-			LatencyTarget: get.time(at + "aim-us"),
-			Stretch:       stretch,
-			Deadline:      get.time(at + "give-up-us"),
-			Window:        get.time(at + "window-us"),
-			Value:         get.float(at + "importance"),
-			LateValue:     get.float(at + "late-worth"),
-			Kind:          int(get.item(kinds, i, "specifics.class-kind", -1)),
-			Priority:      int(get.item(priorities, i, "specifics.class-priority", 0)),
-		}
-		class.Effect, class.Group = get.effect(at)
-		s.Classes = append(s.Classes, class)
-		names.classes = append(names.classes, class.Name)
-	}
-	for i := range get.count("projects.count") {
-		at := fmt.Sprintf("projects.%d.", i)
-		s.Tenants = append(s.Tenants, ravendale.Tenant{
-			Name:  c[at+"name"],
-			Share: get.float(at + "share"),
-			Quota: get.float(at + "quota-per-s"),
-		})
-		names.tenants = append(names.tenants, c[at+"name"])
-	}
-	return s, names, get.err
-}
-
-// getter reads values of a config and keeps the first error. An absent value is zero.
-type getter struct {
-	config
-	err error
-}
-
-func (g *getter) bad(path, what string) {
-	if g.err == nil {
-		g.err = fmt.Errorf("setting %s=%s is no %s", path, g.config[path], what)
-	}
+	return s
 }
 
-func (g *getter) int(path string) int {
-	text, given := g.config[path]
-	if !given {
-		return 0
-	}
-	v, err := strconv.ParseInt(text, 10, 32)
-	if err != nil {
-		g.bad(path, "whole number in range")
+func (g *getter) prices() ravendale.Prices {
+	return ravendale.Prices{
+		CrossZone:  g.float("tariffs.cross-zone"),
+		Waste:      g.float("tariffs.waste"),
+		Connection: g.float("tariffs.connection"),
+		Handshake:  g.float("tariffs.handshake"),
+		Probe:      g.float("tariffs.probe"),
+		Peer:       g.float("tariffs.peer"),
+		LateFail:   g.float("tariffs.late-fail"),
 	}
-	return int(v)
 }
 
-// maxCount bounds the lists of a settings line: more is no real line but a broken one.
-const maxCount = 10_000
-
-func (g *getter) count(path string) int {
-	n := g.int(path)
-	if n < 0 || n > maxCount {
-		g.bad(path, "sensible count")
-		return 0
-	}
-	return n
-}
-
-func (g *getter) float(path string) float64 {
-	text, given := g.config[path]
-	if !given {
-		return 0
-	}
-	v, ok := number(text)
-	if !ok {
-		g.bad(path, "number")
-	}
-	return v
-}
-
-func (g *getter) time(path string) time.Duration {
-	text, given := g.config[path]
-	if !given {
-		return 0
-	}
-	v, ok := micros(text)
-	if !ok {
-		g.bad(path, "time in microseconds")
-	}
-	return v
-}
-
-func (g *getter) bool(path string) bool {
-	switch g.config[path] {
-	case "true", "1":
-		return true
-	case "", "false", "0":
-		return false
-	}
-	g.bad(path, "true or false")
-	return false
-}
-
-func (g *getter) list(path string) []string {
-	text := g.config[path]
-	if text == "" {
-		return nil
-	}
-	return strings.Split(text, ",")
-}
-
-// item reads one number of a list that has one for each class; a shorter list gives otherwise.
-func (g *getter) item(list []string, i int, path string, otherwise float64) float64 {
-	if i >= len(list) {
-		return otherwise
-	}
-	v, ok := number(list[i])
-	if !ok {
-		g.bad(path, "list of numbers")
-	}
-	return v
-}
-
-func (g *getter) effect(at string) (ravendale.Effect, ravendale.Group) {
-	effect, group := ravendale.Safe, ravendale.GroupAll
-	switch g.config[at+"effect"] {
-	case "idempotent":
-	case "deduplicated":
-		effect = ravendale.Keyed
-	case "at_most_once":
-		effect = ravendale.Unsafe
-	default:
-		g.bad(at+"effect", "known effect")
-	}
-	switch g.config[at+"group"] {
-	case "", "all":
-	case "zone":
-		group = ravendale.GroupZone
-	case "cell":
-		group = ravendale.GroupCell
-	default:
-		g.bad(at+"group", "known group")
-	}
-	return effect, group
-}
-
-// micros reads a time; what would overflow is no time.
-func micros(text string) (time.Duration, bool) {
-	v, err := strconv.ParseInt(text, 10, 64)
-	if err != nil || v > math.MaxInt64/1000 || v < math.MinInt64/1000 {
-		return 0, false
+// classes reads the classes and their names. Some of their values stand in lists beside them, one for each class.
+func (g *getter) classes() (classes []ravendale.Class, names []string) {
+	kinds := g.list("specifics.class-kind")
+	stretches := g.list("specifics.class-stretch")
+	priorities := g.list("specifics.class-priority")
+	for i := range g.count("request-classes.count") {
+		at := fmt.Sprintf("request-classes.%d.", i)
+		stretch := g.item(stretches, i, "specifics.class-stretch", 0)
+		if _, own := g.config[at+"aim-stretch"]; own {
+			stretch = g.float(at + "aim-stretch")
+		}
+		class := ravendale.Class{
+			Name:          g.config[at+"name"],
+			LatencyTarget: g.time(at + "aim-us"),
+			Stretch:       stretch,
+			Deadline:      g.time(at + "give-up-us"),
+			Window:        g.time(at + "window-us"),
+			Value:         g.float(at + "importance"),
+			LateValue:     g.float(at + "late-worth"),
+			Kind:          int(g.item(kinds, i, "specifics.class-kind", -1)),
+			Priority:      int(g.item(priorities, i, "specifics.class-priority", 0)),
+		}
+		class.Effect, class.Group = g.effect(at)
+		classes, names = append(classes, class), append(names, class.Name)
 	}
-	return time.Duration(v) * time.Microsecond, true
+	return classes, names
 }
 
-// number reads a finite number.
-func number(text string) (float64, bool) {
-	v, err := strconv.ParseFloat(text, 64)
-	if err != nil || math.IsNaN(v) || math.IsInf(v, 0) {
-		return 0, false
+// tenants reads the projects and their names.
+func (g *getter) tenants() (tenants []ravendale.Tenant, names []string) {
+	for i := range g.count("projects.count") {
+		at := fmt.Sprintf("projects.%d.", i)
+		tenant := ravendale.Tenant{Name: g.config[at+"name"], Share: g.float(at + "share"), Quota: g.float(at + "quota-per-s")}
+		tenants, names = append(tenants, tenant), append(names, tenant.Name)
 	}
-	return v, true
+	return tenants, names
 }
--- a/internal/wire/writer.go
+++ b/internal/wire/writer.go
@@ -70,8 +70,8 @@
 	return append(b, '\n')
 }
 
-func appendTicket(b []byte, word string, job ravendale.JobID) []byte {
-	b = append(b, word...)
+func appendTicket(b []byte, verb string, job ravendale.JobID) []byte {
+	b = append(b, verb...)
 	b = append(b, " ticket="...)
 	return strconv.AppendUint(b, uint64(job), 10)
 }
