--- a/balancer/config/config_test.go
+++ b/balancer/config/config_test.go
@@ -28,7 +28,7 @@
 	}, func(string) ([]byte, error) { return []byte(text), nil })
 }
 
-func TestAWholeFile(t *testing.T) {
+func TestACompleteFile(t *testing.T) {
 	c, err := load(whole, map[string]string{"PROXY_NAME": "n4"})
 	if err != nil {
 		t.Fatal(err)
--- a/balancer/cores/board.go
+++ b/balancer/cores/board.go
@@ -13,13 +13,13 @@
 	// Lease is how long after its decision a send may begin. What was decided longer ago was decided on a fleet that has
 	// changed since: it goes back unsent, and is decided anew.
 	Lease = 250 * time.Millisecond
-	// ColdLease is that for a server that warms. The module counts a cold server's budget when it decides; sends that a
-	// core that stood still writes all at once count in the window in which they are written. A window of 2 s then holds at
-	// most what was decided in 2.1 s.
-	ColdLease = 100 * time.Millisecond
-	// Silence is how old the last pulse may be: see Board.Heard. A drain is to be kept within 750 ms of being told; what
+	// SlowStartLease is that for a server in its slow start. The module counts the budget of a server in its slow start when it
+	// decides; sends that a core that stood still writes all at once count in the window in which they are written. A window of 2
+	// s then holds at most what was decided in 2.1 s.
+	SlowStartLease = 100 * time.Millisecond
+	// PulseTimeout is how old the last pulse may be: see Board.Heard. A drain is to be kept within 750 ms of being told; what
 	// the decider had not read by then it has read by the next pulse, or no core begins anything.
-	Silence = 300 * time.Millisecond
+	PulseTimeout = 300 * time.Millisecond
 	// Pulse is how often the decider shows that it hears.
 	Pulse = 50 * time.Millisecond
 )
@@ -51,7 +51,7 @@
 }
 
 // Deaf says whether the last pulse is too old for anything to begin.
-func (b *Board) Deaf(now time.Duration) bool { return now-time.Duration(b.heard.Load()) > Silence }
+func (b *Board) Deaf(now time.Duration) bool { return now-time.Duration(b.heard.Load()) > PulseTimeout }
 
 // Server returns a server, or nil if it is not listed.
 func (b *Board) Server(name string) *Server {
@@ -107,33 +107,33 @@
 	}
 }
 
-// Permit is a decision to send, as the core has it that is to carry it out.
+// Permit is a decision to send, as the core has it that is to execute it.
 type Permit struct {
-	board   *Board
-	server  *Server
-	epoch   uint64
-	decided time.Duration
-	cold    bool
+	board     *Board
+	server    *Server
+	epoch     uint64
+	decided   time.Duration
+	warmingUp bool
 }
 
 // Permit returns one for a send that is decided now, or nil for a server that is not listed.
-func (b *Board) Permit(server string, now time.Duration, cold bool) *Permit {
+func (b *Board) Permit(server string, now time.Duration, warmingUp bool) *Permit {
 	s := b.Server(server)
 	if s == nil {
 		return nil
 	}
-	return &Permit{b, s, s.epoch.Load(), now, cold}
+	return &Permit{b, s, s.epoch.Load(), now, warmingUp}
 }
 
-// Core is the core that is to carry it out.
+// Core is the core that is to execute it.
 func (p *Permit) Core() int { return p.server.Core }
 
-// MayBegin says whether the first byte may be written at a time. It guards the rules on drains and cold servers where
+// MayBegin says whether the first byte may be written at a time. It guards the rules on drains and slow starts where
 // a core, or the decider, stands still between a decision and its sending.
 func (p *Permit) MayBegin(now time.Duration) bool {
 	lease := Lease
-	if p.cold {
-		lease = ColdLease
+	if p.warmingUp {
+		lease = SlowStartLease
 	}
 	return p.server.epoch.Load() == p.epoch && now-p.decided <= lease && !p.board.Deaf(now)
 }
--- a/balancer/cores/cores_test.go
+++ b/balancer/cores/cores_test.go
@@ -89,7 +89,7 @@
 			ends = append(ends, at+window-1)
 		}
 		for _, end := range ends {
-			if got, may := in(begun, end-window, end), in(decided, end-window-ColdLease-1, end); got > may {
+			if got, may := in(begun, end-window, end), in(decided, end-window-SlowStartLease-1, end); got > may {
 				t.Fatalf("%d sends began within %v, and %d were decided in the window longer by the lease", got, window, may)
 			}
 		}
--- a/balancer/fleet/agent/status.go
+++ b/balancer/fleet/agent/status.go
@@ -48,7 +48,7 @@
 	Dropped    int             `json:"dropped"`
 }
 
-// command carries out a tool's call.
+// command executes a tool's call.
 func (a *Agent) command(content []byte) []byte {
 	var r request
 	dec := json.NewDecoder(bytes.NewReader(content))
--- a/balancer/fleet/core.go
+++ b/balancer/fleet/core.go
@@ -33,7 +33,7 @@
 	cfg     Config
 	random  *rand.Rand
 	now     time.Duration
-	actions []Action // of the event in hand
+	actions []Action // of the event in progress
 
 	disk     disk
 	peers    peers
--- a/balancer/frames/frames.go
+++ b/balancer/frames/frames.go
@@ -68,14 +68,14 @@
 		}
 		bad := func(reason string) (Keys, error) { return nil, fmt.Errorf("%s:%d: %s", file, i+1, reason) }
 		var id uint32
-		words := strings.Fields(line)
-		if len(words) != 2 {
+		fields := strings.Fields(line)
+		if len(fields) != 2 {
 			return bad("a number and a secret in hex are wanted")
 		}
-		if _, err := fmt.Sscanf(words[0]+"\n", "%d\n", &id); err != nil || fmt.Sprint(id) != words[0] {
+		if _, err := fmt.Sscanf(fields[0]+"\n", "%d\n", &id); err != nil || fmt.Sprint(id) != fields[0] {
 			return bad("the key's number is none")
 		}
-		secret, err := hex.DecodeString(words[1])
+		secret, err := hex.DecodeString(fields[1])
 		switch {
 		case err != nil:
 			return bad("the secret is no hex")
@@ -163,8 +163,8 @@
 	if length > MaxContent {
 		return 0, nil, ErrTooLarge
 	}
-	whole := headSize + int(length) + macSize
-	if len(r.buf) < whole {
+	size := headSize + int(length) + macSize
+	if len(r.buf) < size {
 		return 0, nil, nil
 	}
 	var secret []byte
@@ -173,18 +173,18 @@
 			secret = k.Secret
 		}
 	}
-	signed := r.buf[:whole-macSize]
+	signed := r.buf[:size-macSize]
 	switch {
 	case secret == nil:
 		return 0, nil, ErrKey
-	case !hmac.Equal(mac(secret, signed), r.buf[whole-macSize:whole]):
+	case !hmac.Equal(mac(secret, signed), r.buf[size-macSize:size]):
 		return 0, nil, ErrMAC
 	case !bytes.Equal(head[5:21], r.Session[:]) || binary.BigEndian.Uint64(head[21:]) != r.number:
 		return 0, nil, ErrReplayed
 	}
 	r.number++
 	kind, content = Kind(head[0]), bytes.Clone(signed[headSize:])
-	r.buf = r.buf[whole:]
+	r.buf = r.buf[size:]
 	if kind == 0 {
 		return 0, nil, ErrContent
 	}
--- a/balancer/frames/frames_test.go
+++ b/balancer/frames/frames_test.go
@@ -33,7 +33,7 @@
 	return err
 }
 
-func TestFramesCarryContent(t *testing.T) {
+func TestFramesHoldContent(t *testing.T) {
 	w, r := &Writer{Keys: Keys{oldKey}, Session: session}, &Reader{Keys: Keys{newKey, oldKey}, Session: session}
 	stream := append(frame(t, w, first, []byte("content")), frame(t, w, then, nil)...)
 	var kinds []Kind
--- a/balancer/handover/compat_test.go
+++ b/balancer/handover/compat_test.go
@@ -53,14 +53,14 @@
 	"took":         {Took: "request-1"},
 	"sent":         {Sent: "worker-1"},
 	"ended":        {Ended: "worker-1"},
-	"out":          {Out: "worker-1"},
-	"back":         {Back: "worker-1"},
+	"out":          {Detached: "worker-1"},
+	"back":         {Attached: "worker-1"},
 	"away":         {Away: yes()},
 	"away_no_more": {Away: no()},
 	"discovery":    {Discovery: "http://127.0.0.1:8500/v1"},
 	"has":          {Has: "request-1"},
 	"job": {Job: &Job{
-		Carried: scheduler.Carried{ID: "request-1", Class: "view", AnswerBy: 90 * time.Second,
+		TransferredRequest: scheduler.TransferredRequest{ID: "request-1", Class: "view", AnswerBy: 90 * time.Second,
 			Facts: scheduler.Facts{Class: 1, Tenant: 2, Key: 0x91f03b7c55d20a64, Left: 240 * time.Millisecond, Work: 12 * time.Millisecond,
 				Slots: 2, Memory: 3, Retry: true},
 			Attempts:  []ravendale.AttemptSnapshot{{Worker: "worker-1", Zone: 2, Cell: 5, SentAt: 17 * time.Second, InFlight: true, MayRun: true, Started: true}},
@@ -68,7 +68,7 @@
 		Request: platform.Message{Method: "POST", Target: "/view?x=1", Key: "key-1", ContentType: "application/json", Body: []byte(`{"a":1}`)},
 		Closes:  true,
 	}},
-	"job_least": {Job: &Job{Carried: scheduler.Carried{ID: "request-2"}}},
+	"job_least": {Job: &Job{TransferredRequest: scheduler.TransferredRequest{ID: "request-2"}}},
 }
 
 // wire is a connection that keeps what is written.
@@ -95,7 +95,7 @@
 			if diff := cmp.Diff([]Message{want}, got); diff != "" {
 				t.Fatalf("the file reads as another message (-want +got):\n%s", diff)
 			}
-			l.Tell(got[0])
+			l.Send(got[0])
 			if !bytes.Equal(w.written, golden) {
 				t.Errorf("the message is written as\n%s\nnot as\n%s", w.written, golden)
 			}
@@ -103,7 +103,7 @@
 	}
 }
 
-func TestEachGoldenMessageIsHeldAgainstAValue(t *testing.T) {
+func TestEachGoldenMessageIsComparedWithAValue(t *testing.T) {
 	files, err := os.ReadDir(filepath.Join("testdata", "compat"))
 	if err != nil || len(files) != len(compatMessages) {
 		t.Errorf("%d files for %d values, %v", len(files), len(compatMessages), err)
--- a/balancer/handover/handover.go
+++ b/balancer/handover/handover.go
@@ -23,11 +23,11 @@
 	State     *State `json:"state,omitempty"`     // the old one's answer
 	Serving   bool   `json:"serving,omitempty"`   // the new one takes clients: the old one is to accept no more
 	Callback  []byte `json:"callback,omitempty"`  // a backend server's call that is not for the sender
-	Took      string `json:"took,omitempty"`      // an id that is in hand now
+	Took      string `json:"took,omitempty"`      // an id that is in progress now
 	Sent      string `json:"sent,omitempty"`      // the server that a dispatch went to
 	Ended     string `json:"ended,omitempty"`     // and of one that is over
-	Out       string `json:"out,omitempty"`       // a server was taken out by hand,
-	Back      string `json:"back,omitempty"`      // or put back
+	Detached  string `json:"out,omitempty"`       // a server was taken out of service,
+	Attached  string `json:"back,omitempty"`      // or put back
 	Away      *bool  `json:"away,omitempty"`      // clients are sent away, or not any more
 	Discovery string `json:"discovery,omitempty"` // the list comes from there now
 
@@ -38,7 +38,7 @@
 
 // Job is a request that another process goes on with.
 type Job struct {
-	scheduler.Carried
+	scheduler.TransferredRequest
 	Request platform.Message `json:"request"`
 	Closes  bool             `json:"closes,omitempty"` // the answer closes the client's connection
 }
@@ -55,31 +55,31 @@
 
 // Link is one end of the connection. It implements transport.Handler.
 type Link struct {
-	net   transport.Conn
-	up    func()        // the connection is made
-	heard func(Message) // a message came
-	lost  func(error)   // it has ended, or was never made
-	in    []byte
-	ended bool
+	net         transport.Conn
+	onConnected func()        // the connection is made
+	onMessage   func(Message) // a message came
+	onClosed    func(error)   // it has ended, or was never made
+	in          []byte
+	closed      bool
 }
 
 // Accept serves a connection that the other process made.
-func Accept(c transport.Conn, heard func(*Link, Message), lost func(*Link, error)) *Link {
+func Accept(c transport.Conn, heard func(*Link, Message), closed func(*Link, error)) *Link {
 	l := &Link{net: c}
-	l.heard, l.lost = func(m Message) { heard(l, m) }, func(err error) { lost(l, err) }
+	l.onMessage, l.onClosed = func(m Message) { heard(l, m) }, func(err error) { closed(l, err) }
 	return l
 }
 
 // Dial connects to the other process, if there is one.
-func Dial(n transport.Network, path string, up func(*Link), heard func(*Link, Message), lost func(*Link, error)) *Link {
-	l := Accept(nil, heard, lost)
-	l.up = func() { up(l) }
+func Dial(n transport.Network, path string, up func(*Link), heard func(*Link, Message), closed func(*Link, error)) *Link {
+	l := Accept(nil, heard, closed)
+	l.onConnected = func() { up(l) }
 	l.net = n.Dial(path, l)
 	return l
 }
 
-// Tell sends a message.
-func (l *Link) Tell(m Message) {
+// Send sends a message.
+func (l *Link) Send(m Message) {
 	text, err := json.Marshal(m)
 	if err != nil {
 		l.fail(err)
@@ -88,19 +88,19 @@
 	l.net.Write(append(text, '\n'))
 }
 
-// Carry sends a message with a connection, as transport.Carrier has it: nil means that it stays.
-func (l *Link) Carry(m Message, c transport.Conn) transport.Given {
-	carrier, can := l.net.(transport.Carrier)
+// SendConn sends a message with a connection, as transport.ConnSender has it: nil means that it stays.
+func (l *Link) SendConn(m Message, c transport.Conn) transport.Given {
+	carrier, can := l.net.(transport.ConnSender)
 	text, err := json.Marshal(m)
-	if !can || err != nil || l.ended {
+	if !can || err != nil || l.closed {
 		return nil
 	}
-	return carrier.Carry(append(text, '\n'), c)
+	return carrier.SendConn(append(text, '\n'), c)
 }
 
 // Given is the connection that came with the message just heard, or nil.
 func (l *Link) Given() transport.Given {
-	if carrier, can := l.net.(transport.Carrier); can {
+	if carrier, can := l.net.(transport.ConnSender); can {
 		return carrier.Given()
 	}
 	return nil
@@ -109,10 +109,10 @@
 // Links are those to all the other processes.
 type Links []*Link
 
-// Tell tells all of them.
-func (ls Links) Tell(m Message) {
+// Send tells all of them.
+func (ls Links) Send(m Message) {
 	for _, l := range ls {
-		l.Tell(m)
+		l.Send(m)
 	}
 }
 
@@ -122,38 +122,38 @@
 }
 
 // Took implements scheduler.Twin.
-func (ls Links) Took(id string) { ls.Tell(Message{Took: id}) }
+func (ls Links) Took(id string) { ls.Send(Message{Took: id}) }
 
 // Sent implements scheduler.Twin.
-func (ls Links) Sent(server string) { ls.Tell(Message{Sent: server}) }
+func (ls Links) Sent(server string) { ls.Send(Message{Sent: server}) }
 
 // Ended implements scheduler.Twin.
-func (ls Links) Ended(server string) { ls.Tell(Message{Ended: server}) }
+func (ls Links) Ended(server string) { ls.Send(Message{Ended: server}) }
 
 // Close ends the link; nothing is heard of it any more.
 func (l *Link) Close() {
-	l.ended = true
+	l.closed = true
 	l.net.Close()
 }
 
 // Connected implements transport.Handler.
-func (l *Link) Connected() { l.up() }
+func (l *Link) Connected() { l.onConnected() }
 
 // Data implements transport.Handler.
 func (l *Link) Data(b []byte) {
 	l.in = append(l.in, b...)
-	for !l.ended {
-		line, rest, whole := bytes.Cut(l.in, []byte("\n"))
-		if !whole {
+	for !l.closed {
+		text, rest, found := bytes.Cut(l.in, []byte("\n"))
+		if !found {
 			break
 		}
 		l.in = rest
 		var m Message
-		if err := json.Unmarshal(line, &m); err != nil {
+		if err := json.Unmarshal(text, &m); err != nil {
 			l.fail(fmt.Errorf("message: %w", err))
 			return
 		}
-		l.heard(m)
+		l.onMessage(m)
 	}
 	if len(l.in) > maxMessage {
 		l.fail(fmt.Errorf("a message of more than %d bytes", maxMessage))
@@ -162,15 +162,15 @@
 
 // Closed implements transport.Handler.
 func (l *Link) Closed(err error) {
-	if !l.ended {
-		l.ended = true
-		l.lost(err)
+	if !l.closed {
+		l.closed = true
+		l.onClosed(err)
 	}
 }
 
 func (l *Link) fail(err error) {
-	if !l.ended {
+	if !l.closed {
 		l.Close()
-		l.lost(err)
+		l.onClosed(err)
 	}
 }
--- a/balancer/http1/http1.go
+++ b/balancer/http1/http1.go
@@ -64,8 +64,8 @@
 		if !isNamed(h[i].Name, name) {
 			continue
 		}
-		for part := range strings.SplitSeq(h[i].Value, ",") {
-			if strings.EqualFold(strings.TrimSpace(part), token) {
+		for chunk := range strings.SplitSeq(h[i].Value, ",") {
+			if strings.EqualFold(strings.TrimSpace(chunk), token) {
 				return true
 			}
 		}
@@ -289,8 +289,8 @@
 				b.state = chunkEnd
 			}
 		default:
-			line, whole, err := p.line()
-			if err != nil || !whole {
+			line, complete, err := p.line()
+			if err != nil || !complete {
 				return out, false, err
 			}
 			if err := b.line(line); err != nil {
@@ -325,7 +325,7 @@
 	return nil
 }
 
-func (p *parser) line() (line string, whole bool, err error) {
+func (p *parser) line() (line string, complete bool, err error) {
 	end := bytes.Index(p.buf, []byte("\r\n"))
 	if end < 0 && len(p.buf) > maxLine || end > maxLine {
 		return "", false, bad("a chunk's size line is too long")
@@ -372,9 +372,9 @@
 		}
 		p.req = &Request{Method: method, Target: target, Header: h, Close: wantsClose(version, h)}
 	}
-	var whole bool
+	var complete bool
 	var err error
-	if p.req.Body, whole, err = p.body.read(&p.parser, p.req.Body); err != nil || !whole {
+	if p.req.Body, complete, err = p.body.read(&p.parser, p.req.Body); err != nil || !complete {
 		return nil, err
 	}
 	req := p.req
@@ -439,7 +439,7 @@
 }
 
 // Read returns what has come of the body after Head, and whether that was the rest of it.
-func (p *Responses) Read() (part []byte, whole bool, err error) {
+func (p *Responses) Read() (chunk []byte, complete bool, err error) {
 	return p.body.read(&p.parser, nil)
 }
 
@@ -455,11 +455,11 @@
 			return nil, &Error{Status: 413, Reason: "the body is too long"}
 		}
 	}
-	part, whole, err := p.Read()
+	chunk, complete, err := p.Read()
 	if err != nil {
 		return nil, err
 	}
-	if p.resp.Body = append(p.resp.Body, part...); !whole {
+	if p.resp.Body = append(p.resp.Body, chunk...); !complete {
 		return nil, nil
 	}
 	resp := p.resp
--- a/balancer/http1/http1_test.go
+++ b/balancer/http1/http1_test.go
@@ -98,7 +98,7 @@
 	}
 }
 
-func TestContinueIsAskedForOnce(t *testing.T) {
+func TestContinueIsRequestedOnce(t *testing.T) {
 	var p Requests
 	p.Feed([]byte("POST /a HTTP/1.1\r\nExpect: 100-continue\r\nContent-Length: 2\r\n\r\n"))
 	if r, err := p.Next(); r != nil || err != nil {
@@ -113,8 +113,8 @@
 func FuzzRequests(f *testing.F) {
 	f.Add("POST /a HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n0\r\n\r\nGET / HTTP/1.1\r\n\r\n")
 	f.Fuzz(func(t *testing.T, text string) {
-		if whole, cut := parse(text, 1<<20), parse(text, 1); whole != cut {
-			t.Errorf("whole: %q, byte by byte: %q", whole, cut)
+		if complete, cut := parse(text, 1<<20), parse(text, 1); complete != cut {
+			t.Errorf("whole: %q, byte by byte: %q", complete, cut)
 		}
 	})
 }
--- a/balancer/knowledge/words/words.go
+++ b/balancer/knowledge/codec/codec.go
@@ -1,5 +1,5 @@
-// Package words is the form of what schedulers know on the wire and on disk. It does no I/O.
-package words
+// Package codec is the form of what schedulers know on the wire and on disk. It does no I/O.
+package codec
 
 import (
 	"encoding/binary"
@@ -12,16 +12,16 @@
 )
 
 // ErrContent is a content that makes no sense.
-var ErrContent = errors.New("words that make no sense")
+var ErrContent = errors.New("items that make no sense")
 
-// Kinds of frames that hold words.
+// Kinds of frames that hold items.
 const (
-	Whole frames.Kind = iota + 2 // all that the sender saw itself; 1 opens a connection
+	Full  frames.Kind = iota + 2 // all that the sender saw itself; 1 opens a connection
 	Delta                        // what changed since
 )
 
-// Append writes words as the content of a frame.
-func Append(b []byte, all []knowledge.Word) []byte {
+// Append writes items as the content of a frame.
+func Append(b []byte, all []knowledge.Item) []byte {
 	b = binary.AppendUvarint(b, uint64(len(all)))
 	for _, w := range all {
 		b = append(b, byte(w.Kind))
@@ -35,19 +35,19 @@
 	return b
 }
 
-// leastWord is the shortest that a word can be, in bytes.
-const leastWord = 1 + 1 + 1 + 8 + 8 + 1
+// minItem is the shortest that an item can be, in bytes.
+const minItem = 1 + 1 + 1 + 8 + 8 + 1
 
 // Read reads what Append wrote: all of it, or none and ErrContent.
-func Read(b []byte) ([]knowledge.Word, error) {
+func Read(b []byte) ([]knowledge.Item, error) {
 	c := cursor{b: b}
 	n := c.uvarint()
-	if n > uint64(len(b))/leastWord || n > knowledge.MostItems {
+	if n > uint64(len(b))/minItem || n > knowledge.MostItems {
 		return nil, ErrContent // guards against a count that asks for more memory than the frame has bytes
 	}
-	all := make([]knowledge.Word, 0, n)
+	all := make([]knowledge.Item, 0, n)
 	for range n {
-		var w knowledge.Word
+		var w knowledge.Item
 		w.Kind = knowledge.Kind(c.byte())
 		w.Name = string(c.take(c.uvarint()))
 		w.Born = time.Duration(c.varint())
--- a/balancer/knowledge/words/words_test.go
+++ b/balancer/knowledge/codec/codec_test.go
@@ -1,4 +1,4 @@
-package words
+package codec
 
 import (
 	"bytes"
@@ -11,19 +11,19 @@
 	"ravendale/balancer/knowledge"
 )
 
-var words = []knowledge.Word{{Subject: knowledge.Subject{Kind: knowledge.Run, Name: "saldo"}, Value: 0.2, Count: 12, Age: time.Second},
-	{Subject: knowledge.Subject{Kind: knowledge.Sick, Name: "s-1", Born: time.Hour}, Value: 1, Count: 1}}
+var items = []knowledge.Item{{Subject: knowledge.Subject{Kind: knowledge.Run, Name: "saldo"}, Value: 0.2, Count: 12, Age: time.Second},
+	{Subject: knowledge.Subject{Kind: knowledge.Unhealthy, Name: "s-1", Born: time.Hour}, Value: 1, Count: 1}}
 
-func TestWordsComeBack(t *testing.T) {
-	got, err := Read(Append(nil, words))
-	if diff := cmp.Diff(words, got); err != nil || diff != "" {
+func TestItemsComeBack(t *testing.T) {
+	got, err := Read(Append(nil, items))
+	if diff := cmp.Diff(items, got); err != nil || diff != "" {
 		t.Error(err, diff)
 	}
 }
 
 // Foreign bytes lead to an error or to words that write back as the same content's, and never to more memory than they have.
-func FuzzWords(f *testing.F) {
-	f.Add(Append(nil, words))
+func FuzzItems(f *testing.F) {
+	f.Add(Append(nil, items))
 	f.Add([]byte{0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 1})
 	f.Add([]byte{1, 0, 0x80})
 	f.Fuzz(func(t *testing.T, b []byte) {
--- a/balancer/knowledge/knowledge_test.go
+++ b/balancer/knowledge/knowledge_test.go
@@ -13,34 +13,34 @@
 
 var (
 	saldo = Subject{Kind: Run, Name: "saldo"}
-	sick  = Subject{Kind: Sick, Name: "s1", Born: time.Hour}
+	sick  = Subject{Kind: Unhealthy, Name: "s1", Born: time.Hour}
 	near  = cmpopts.EquateApprox(0.02, 0.001)
 )
 
 func TestPriors(t *testing.T) {
 	const now = 100 * time.Hour
-	word := func(s Subject, value, count float64, age time.Duration) Word { return Word{s, value, count, age} }
+	word := func(s Subject, value, count float64, age time.Duration) Item { return Item{s, value, count, age} }
 	for name, tc := range map[string]struct {
-		said map[string][]Word
+		said map[string][]Item
 		own  int // observations of 0.2 s
 		ask  Subject
 		want Prior
 	}{
 		"nobody spoke":                     {nil, 0, saldo, Prior{}},
-		"fresh":                            {map[string][]Word{"a": {word(saldo, 0.2, 20, 0)}}, 0, saldo, Prior{Value: 0.2, Weight: 20}},
-		"many observations are no surer":   {map[string][]Word{"a": {word(saldo, 0.2, 1e6, 0)}}, 0, saldo, Prior{Value: 0.2, Weight: 30}},
-		"half of it is left":               {map[string][]Word{"a": {word(saldo, 0.2, 20, 10*time.Minute)}}, 0, saldo, Prior{Value: 0.2, Weight: 10}},
-		"a queue is gone in seconds":       {map[string][]Word{"a": {word(sick, 1, 1, 10*time.Second)}}, 0, sick, Prior{}},
-		"another start of the server":      {map[string][]Word{"a": {word(Subject{Sick, "s1", 2 * time.Hour}, 1, 20, 0)}}, 0, sick, Prior{}},
-		"own observations replace it":      {map[string][]Word{"a": {word(saldo, 0.2, 20, 0)}}, 25, saldo, Prior{Value: 0.2, Weight: 10}},
-		"after fifty it has no weight":     {map[string][]Word{"a": {word(saldo, 0.2, 20, 0)}}, 50, saldo, Prior{}},
-		"two that agree":                   {map[string][]Word{"a": {word(saldo, 0.2, 20, 0)}, "b": {word(saldo, 0.3, 20, 0)}}, 0, saldo, Prior{Value: 0.25, Weight: 40}},
-		"two that do not: the surer, less": {map[string][]Word{"a": {word(saldo, 0.2, 20, 0)}, "b": {word(saldo, 4, 10, 0)}}, 0, saldo, Prior{Value: 0.2, Weight: 15}},
-		"the later word":                   {map[string][]Word{"a": {word(saldo, 9, 20, time.Second), word(saldo, 0.2, 10, 0)}}, 0, saldo, Prior{Value: 0.2, Weight: 10}},
-		"no sense":                         {map[string][]Word{"a": {word(saldo, math.NaN(), 9, 0), word(saldo, -1, 9, 0), word(saldo, 1, -1, 0), word(saldo, 1, 1, -1)}}, 0, saldo, Prior{}},
+		"fresh":                            {map[string][]Item{"a": {word(saldo, 0.2, 20, 0)}}, 0, saldo, Prior{Value: 0.2, Weight: 20}},
+		"many observations are no surer":   {map[string][]Item{"a": {word(saldo, 0.2, 1e6, 0)}}, 0, saldo, Prior{Value: 0.2, Weight: 30}},
+		"half of it is left":               {map[string][]Item{"a": {word(saldo, 0.2, 20, 10*time.Minute)}}, 0, saldo, Prior{Value: 0.2, Weight: 10}},
+		"a queue is gone in seconds":       {map[string][]Item{"a": {word(sick, 1, 1, 10*time.Second)}}, 0, sick, Prior{}},
+		"another start of the server":      {map[string][]Item{"a": {word(Subject{Unhealthy, "s1", 2 * time.Hour}, 1, 20, 0)}}, 0, sick, Prior{}},
+		"own observations replace it":      {map[string][]Item{"a": {word(saldo, 0.2, 20, 0)}}, 25, saldo, Prior{Value: 0.2, Weight: 10}},
+		"after fifty it has no weight":     {map[string][]Item{"a": {word(saldo, 0.2, 20, 0)}}, 50, saldo, Prior{}},
+		"two that agree":                   {map[string][]Item{"a": {word(saldo, 0.2, 20, 0)}, "b": {word(saldo, 0.3, 20, 0)}}, 0, saldo, Prior{Value: 0.25, Weight: 40}},
+		"two that do not: the surer, less": {map[string][]Item{"a": {word(saldo, 0.2, 20, 0)}, "b": {word(saldo, 4, 10, 0)}}, 0, saldo, Prior{Value: 0.2, Weight: 15}},
+		"the later word":                   {map[string][]Item{"a": {word(saldo, 9, 20, time.Second), word(saldo, 0.2, 10, 0)}}, 0, saldo, Prior{Value: 0.2, Weight: 10}},
+		"no sense":                         {map[string][]Item{"a": {word(saldo, math.NaN(), 9, 0), word(saldo, -1, 9, 0), word(saldo, 1, -1, 0), word(saldo, 1, 1, -1)}}, 0, saldo, Prior{}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			b := NewBook()
+			b := NewBase()
 			for from, words := range tc.said {
 				b.Hear(from, now, words)
 			}
@@ -58,15 +58,15 @@
 
 // A donor whose every run time is twenty times off is believed less with each class that is seen, and then not at all.
 func TestADonorThatIsRefutedIsNotBelieved(t *testing.T) {
-	b := NewBook()
-	var words []Word
+	b := NewBase()
+	var words []Item
 	for i := range 6 {
-		words = append(words, Word{Subject{Kind: Run, Name: fmt.Sprint("c", i)}, 4, 100, 0})
+		words = append(words, Item{Subject{Kind: Run, Name: fmt.Sprint("c", i)}, 4, 100, 0})
 	}
 	b.Hear("liar", 0, words)
 	var trust []float64
 	for i := range 4 {
-		for range ownEnough {
+		for range judgedBy {
 			b.See(time.Second, Subject{Kind: Run, Name: fmt.Sprint("c", i)}, 0.2)
 		}
 		trust = append(trust, b.Trust("liar"))
@@ -80,10 +80,10 @@
 }
 
 // What is old does not refute who said it when it was new.
-func TestAnOldWordRefutesNobody(t *testing.T) {
-	b := NewBook()
-	b.Hear("a", 0, []Word{{Subject{Kind: Queue, Name: "z"}, 9, 100, 0}})
-	for range 2 * ownEnough {
+func TestAnOldItemRefutesNobody(t *testing.T) {
+	b := NewBase()
+	b.Hear("a", 0, []Item{{Subject{Kind: Queue, Name: "z"}, 9, 100, 0}})
+	for range 2 * judgedBy {
 		b.See(time.Minute, Subject{Kind: Queue, Name: "z"}, 0)
 	}
 	if b.Trust("a") != 1 {
@@ -93,9 +93,9 @@
 
 // Learners that learn from one another, round and round, never make an old word new: only what one saw itself is passed on.
 func TestRumoursDoNotComeBackAsNew(t *testing.T) {
-	var books []*Book
+	var books []*Base
 	for range 3 {
-		books = append(books, NewBook())
+		books = append(books, NewBase())
 	}
 	for range 5 {
 		books[0].See(0, saldo, 0.2)
@@ -123,10 +123,10 @@
 // Whatever donors say, and when: a prior is finite, within what somebody said of that very subject, weighs no more than its
 // donors together may, falls with time and own observations, and is nothing after fifty.
 func TestPriorsOfAnyDonors(t *testing.T) {
-	subjects := []Subject{saldo, sick, {Sick, "s1", 2 * time.Hour}, {Queue, "z", 0}, {Prompt, "z", 0}, {Faults, "s1", time.Hour}}
+	subjects := []Subject{saldo, sick, {Unhealthy, "s1", 2 * time.Hour}, {Queue, "z", 0}, {StartLatency, "z", 0}, {Faults, "s1", time.Hour}}
 	value := rapid.OneOf(rapid.Float64(), rapid.Float64Range(0, 10), rapid.Just(math.Inf(1)), rapid.Just(math.NaN()))
 	rapid.Check(t, func(t *rapid.T) {
-		b, now := NewBook(), time.Hour
+		b, now := NewBase(), time.Hour
 		heard := make(map[Subject][]float64)
 		donors := rapid.IntRange(1, 5).Draw(t, "donors")
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
@@ -136,8 +136,8 @@
 				b.See(now, s, rapid.Float64Range(0, 10).Draw(t, "seen"))
 				continue
 			}
-			w := Word{s, value.Draw(t, "value"), value.Draw(t, "count"), time.Duration(rapid.Int64().Draw(t, "age"))}
-			b.Hear(fmt.Sprint(rapid.IntRange(1, donors).Draw(t, "donor")), now, []Word{w})
+			w := Item{s, value.Draw(t, "value"), value.Draw(t, "count"), time.Duration(rapid.Int64().Draw(t, "age"))}
+			b.Hear(fmt.Sprint(rapid.IntRange(1, donors).Draw(t, "donor")), now, []Item{w})
 			if w.Sane() {
 				heard[s] = append(heard[s], w.Value)
 			}
@@ -169,10 +169,10 @@
 }
 
 func TestWhatIsKeptOfADonorIsBounded(t *testing.T) {
-	b := NewBook()
-	words := make([]Word, MostItems+5)
+	b := NewBase()
+	words := make([]Item, MostItems+5)
 	for i := range words {
-		words[i] = Word{Subject{Kind: Run, Name: fmt.Sprint(i)}, 1, 1, 0}
+		words[i] = Item{Subject{Kind: Run, Name: fmt.Sprint(i)}, 1, 1, 0}
 	}
 	if refused := b.Hear("a", 0, words); refused != 5 || len(b.Subjects()) != MostItems {
 		t.Errorf("%d refused, %d kept", refused, len(b.Subjects()))
--- a/balancer/knowledge/snapshot/snapshot.go
+++ b/balancer/knowledge/snapshot/snapshot.go
@@ -14,7 +14,7 @@
 	"time"
 
 	"ravendale/balancer/knowledge"
-	"ravendale/balancer/knowledge/words"
+	"ravendale/balancer/knowledge/codec"
 )
 
 const (
@@ -38,18 +38,18 @@
 	ErrSize    = errors.New("a snapshot too large")
 )
 
-// Append writes a snapshot of words that was made at a time, in Unix nanoseconds, big-endian, with SHA-256 over all before it.
-func Append(b []byte, at time.Duration, known []knowledge.Word) []byte {
+// Append writes a snapshot of items that was made at a time, in Unix nanoseconds, big-endian, with SHA-256 over all before it.
+func Append(b []byte, at time.Duration, known []knowledge.Item) []byte {
 	from := len(b)
 	b = append(append(b, magic...), version)
 	b = binary.BigEndian.AppendUint64(b, uint64(at))
-	b = words.Append(b, known)
+	b = codec.Append(b, known)
 	sum := sha256.Sum256(b[from:])
 	return append(b, sum[:]...)
 }
 
-// Parse reads what Append wrote, and makes every word as much older as the snapshot is at the time now.
-func Parse(b []byte, now time.Duration) ([]knowledge.Word, error) {
+// Parse reads what Append wrote, and makes every item as much older as the snapshot is at the time now.
+func Parse(b []byte, now time.Duration) ([]knowledge.Item, error) {
 	switch {
 	case len(b) > MaxSize:
 		return nil, ErrSize
@@ -68,7 +68,7 @@
 	if age > Oldest || age < -Ahead {
 		return nil, fmt.Errorf("%w: of %v ago", ErrTime, age.Round(time.Second))
 	}
-	known, err := words.Read(text[headSize:])
+	known, err := codec.Read(text[headSize:])
 	if err != nil {
 		return nil, err
 	}
@@ -80,7 +80,7 @@
 
 // Save puts a snapshot in the place of the one before, whole or not at all: whoever reads meanwhile, or after a crash, finds
 // the old one or the new one.
-func Save(path string, at time.Duration, known []knowledge.Word) (err error) {
+func Save(path string, at time.Duration, known []knowledge.Item) (err error) {
 	b := Append(nil, at, known)
 	if len(b) > MaxSize {
 		return fmt.Errorf("%s: %w", path, ErrSize)
@@ -110,7 +110,7 @@
 
 // Load reads a file; no more than MaxSize of it, whatever stands there. Errors name the file; os.ErrNotExist is one where
 // there is none.
-func Load(path string, now time.Duration) ([]knowledge.Word, error) {
+func Load(path string, now time.Duration) ([]knowledge.Item, error) {
 	f, err := os.Open(path)
 	if err != nil {
 		return nil, err
--- a/balancer/knowledge/snapshot/snapshot_test.go
+++ b/balancer/knowledge/snapshot/snapshot_test.go
@@ -15,7 +15,7 @@
 
 const at = 1_700_000_000 * time.Second
 
-var known = []knowledge.Word{{Subject: knowledge.Subject{Kind: knowledge.Prompt, Name: "zona-4"}, Value: 0.006, Count: 9, Age: time.Second}}
+var known = []knowledge.Item{{Subject: knowledge.Subject{Kind: knowledge.StartLatency, Name: "zona-4"}, Value: 0.006, Count: 9, Age: time.Second}}
 
 func TestAFileAgesWithTheClock(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "known")
@@ -31,7 +31,7 @@
 	want := known[0]
 	want.Age = 11 * time.Second
 	got, err := Load(path, at+10*time.Second)
-	if diff := cmp.Diff([]knowledge.Word{want}, got); err != nil || diff != "" {
+	if diff := cmp.Diff([]knowledge.Item{want}, got); err != nil || diff != "" {
 		t.Error(err, diff)
 	}
 	if left, err := os.ReadDir(filepath.Dir(path)); err != nil || len(left) != 1 {
--- a/balancer/platform/backend/backend.go
+++ b/balancer/platform/backend/backend.go
@@ -24,7 +24,8 @@
 // holdLeast and holdMost bound how long the last byte of a request is held back: see link.hold.
 const holdLeast, holdMost = time.Millisecond, 10 * time.Millisecond
 
-// echoWithin is how long after an answer the same server may give another to the same request: some milliseconds, by the users' page.
+// echoWithin is how long after an answer the same server may give another to the same request: some milliseconds, by the users'
+// page.
 const echoWithin = 20 * time.Millisecond
 
 // waryFor is how long after a kept connection to a server broke under a request others are thought to break as well.
@@ -32,9 +33,9 @@
 
 const mostHabits = 1024
 
-// silentAfter is when a server should long have said that it took a job: it takes 0.5 to 50 ms, and servers that stand
+// acceptTimeout is when a server should long have said that it took a job: it takes 0.5 to 50 ms, and servers that stand
 // still do so for 80 ms.
-const silentAfter = 250 * time.Millisecond
+const acceptTimeout = 250 * time.Millisecond
 
 // Options say what the backend works with.
 type Options struct {
@@ -61,29 +62,29 @@
 // Backend holds the connections to all backend servers, and the attempts that are out.
 type Backend struct {
 	o      Options
-	live   map[place]*attempt
+	live   map[attemptKey]*attempt
 	byJob  map[*scheduler.Dispatch]*attempt
 	idle   map[string][]*link // by address, newest last
 	habits map[string]*habit  // of servers, by address
 	// withdrawing are the DELETEs on their way. A new attempt of that request at that server waits
 	// behind them: they name only the request, and would end the new attempt too.
-	withdrawing map[place]*withdrawal
+	withdrawing map[attemptKey]*withdrawal
 }
 
-// place is where one request is at one server; there is one attempt at a time.
-type place struct{ id, server string }
+// attemptKey is where one request is at one server; there is one attempt at a time.
+type attemptKey struct{ id, server string }
 
 type withdrawal struct{ waiting *attempt }
 
 // New returns a backend without connections.
 func New(o Options) *Backend {
-	return &Backend{o: o, live: make(map[place]*attempt), byJob: make(map[*scheduler.Dispatch]*attempt),
-		idle: make(map[string][]*link), withdrawing: make(map[place]*withdrawal), habits: make(map[string]*habit)}
+	return &Backend{o: o, live: make(map[attemptKey]*attempt), byJob: make(map[*scheduler.Dispatch]*attempt),
+		idle: make(map[string][]*link), withdrawing: make(map[attemptKey]*withdrawal), habits: make(map[string]*habit)}
 }
 
 // habit is what was seen of a server's connections.
 type habit struct {
-	prompt  time.Duration // the shortest time in which it has answered on a kept one, 0 until seen
+	latency time.Duration // the shortest time in which it has answered on a kept one, 0 until seen
 	brokeAt time.Duration // when a kept one last broke under a request, 0 for never
 }
 
@@ -104,18 +105,18 @@
 type stage uint8
 
 const (
-	waiting  stage = iota // behind a withdrawal
-	dialling              // nothing is written
-	held                  // all but the last byte is written: it can't have run
-	written               // it may have run
-	accepted              // the server answered 202
+	waiting     stage = iota // behind a withdrawal
+	dialling                 // nothing is written
+	lastByteDue              // all but the last byte is written: it can't have run
+	written                  // it may have run
+	accepted                 // the server answered 202
 	over
 )
 
 // attempt is a dispatch as this side sees it.
 type attempt struct {
 	d     *scheduler.Dispatch
-	at    place
+	key   attemptKey
 	addr  string
 	stage stage
 	link  *link // until its response has come
@@ -125,14 +126,14 @@
 
 // Send begins a dispatch.
 func (b *Backend) Send(d *scheduler.Dispatch) {
-	a := &attempt{d: d, at: place{d.Exchange().ID, d.Worker}, addr: b.o.Address(d.Worker)}
-	if a.addr == "" || b.live[a.at] != nil {
+	a := &attempt{d: d, key: attemptKey{d.Exchange().ID, d.Worker}, addr: b.o.Address(d.Worker)}
+	if a.addr == "" || b.live[a.key] != nil {
 		a.stage = over
 		d.End(ravendale.NotSent, nil)
 		return
 	}
-	b.live[a.at], b.byJob[d] = a, a
-	if w := b.withdrawing[a.at]; w != nil {
+	b.live[a.key], b.byJob[d] = a, a
+	if w := b.withdrawing[a.key]; w != nil {
 		w.waiting = a
 		return
 	}
@@ -144,7 +145,7 @@
 	a.stage = dialling
 	if !b.wary(a) {
 		if l := b.take(a.addr); l != nil {
-			l.carry(a)
+			l.begin(a)
 			return
 		}
 	}
@@ -176,17 +177,17 @@
 		return false
 	}
 	a.stage = over
-	delete(b.live, a.at)
+	delete(b.live, a.key)
 	delete(b.byJob, a.d)
-	if w := b.withdrawing[a.at]; w != nil && w.waiting == a {
+	if w := b.withdrawing[a.key]; w != nil && w.waiting == a {
 		w.waiting = nil
 	}
 	return true
 }
 
-// Withdraw gives up an attempt: by DELETE where the server may have the whole request, and by closing its connection until the 202 has
-// come. A 202 may be on its way then, and a server that has sent it takes the close for no cancel: so until the 202 it is both. The
-// close goes first, for a DELETE that overtakes the request finds nothing to end.
+// Withdraw gives up an attempt: by DELETE where the server may have the whole request, and by closing its connection until the
+// 202 has come. A 202 may be on its way then, and a server that has sent it takes the close for no cancel: so until the 202 it
+// is both. The close goes first, for a DELETE that overtakes the request finds nothing to end.
 func (b *Backend) Withdraw(d *scheduler.Dispatch) {
 	a := b.byJob[d]
 	if a == nil {
@@ -197,7 +198,7 @@
 	switch was {
 	case dialling:
 		a.link.attempt = nil // the connection is made all the same, for the next
-	case held, written:
+	case lastByteDue, written:
 		a.link.close()
 	}
 	if begun {
@@ -218,13 +219,13 @@
 	return a.stage > written || a.stage == written && a.link.net.Unwritten() == 0
 }
 
-// Settled says whether a dispatch lives on without any connection of this process: its server has taken it.
-func (b *Backend) Settled(d *scheduler.Dispatch) bool {
+// Transferable says whether a dispatch lives on without any connection of this process: its server has taken it.
+func (b *Backend) Transferable(d *scheduler.Dispatch) bool {
 	a := b.byJob[d]
 	return a != nil && a.stage == accepted
 }
 
-// Release forgets a dispatch that another process goes on with. Calls on it are a stranger's from now on.
+// Release forgets a dispatch that another process goes on with. Calls on it are an unknown attempt's from now on.
 func (b *Backend) Release(d *scheduler.Dispatch) {
 	if a := b.byJob[d]; a != nil {
 		b.drop(a)
@@ -233,8 +234,8 @@
 
 // Adopt goes on with a dispatch that another process released.
 func (b *Backend) Adopt(d *scheduler.Dispatch) {
-	a := &attempt{d: d, at: place{d.Exchange().ID, d.Worker}, addr: b.o.Address(d.Worker), stage: accepted, heard: true, sent: true}
-	b.live[a.at], b.byJob[d] = a, a
+	a := &attempt{d: d, key: attemptKey{d.Exchange().ID, d.Worker}, addr: b.o.Address(d.Worker), stage: accepted, heard: true, sent: true}
+	b.live[a.key], b.byJob[d] = a, a
 }
 
 // withdraw sends a DELETE, once more on a new connection where an idle one turned out to be closed.
@@ -243,16 +244,16 @@
 		return // adopted, and its server is listed no more: nobody is there to be told
 	}
 	w := &withdrawal{}
-	b.withdrawing[a.at] = w
+	b.withdrawing[a.key] = w
 	done := func() {
-		delete(b.withdrawing, a.at)
+		delete(b.withdrawing, a.key)
 		if w.waiting != nil {
 			b.start(w.waiting)
 		}
 	}
-	request := http1.AppendRequest(nil, "DELETE", platform.PathJobs+a.at.id, a.addr, nil, nil)
-	attempt := func(l *link, lost func()) {
-		l.request, l.replied, l.failed = request, done, lost
+	request := http1.AppendRequest(nil, "DELETE", platform.PathJobs+a.key.id, a.addr, nil, nil)
+	attempt := func(l *link, failed func()) {
+		l.request, l.replied, l.failed = request, done, failed
 	}
 	if l := b.take(a.addr); l != nil {
 		attempt(l, func() {
@@ -284,8 +285,8 @@
 	}
 }
 
-// MakeRoom closes idle connections while there are more than there may be.
-func (b *Backend) MakeRoom() {
+// Trim closes idle connections while there are more than there may be.
+func (b *Backend) Trim() {
 	for b.o.Conns.open.Load() > b.o.Conns.most.Load() && b.closeIdle() {
 	}
 }
@@ -302,17 +303,17 @@
 }
 
 // Hear takes what a server says, and returns false where that attempt is not out here.
-func (b *Backend) Hear(s *Said) bool {
-	a := b.live[place{s.ID, s.From}]
+func (b *Backend) Hear(s *Report) bool {
+	a := b.live[attemptKey{s.ID, s.From}]
 	if a != nil {
-		b.word(a, s)
+		b.receive(a, s)
 	}
 	return a != nil
 }
 
-func (b *Backend) word(a *attempt, s *Said) {
+func (b *Backend) receive(a *attempt, s *Report) {
 	if a.stage < written {
-		return // it has not run here: a stranger's word, or another attempt's
+		return // it has not run here: an unknown attempt's report, or another's
 	}
 	a.heard = true
 	switch s.State {
@@ -321,13 +322,13 @@
 	case "running":
 		a.d.Progressed(s.Share)
 	case "done":
-		b.settle(a, ravendale.OK, result(s.Result))
+		b.resolve(a, ravendale.OK, result(s.Result))
 	case "failed":
-		b.settle(a, ravendale.Error, nil)
+		b.resolve(a, ravendale.Error, nil)
 	case "returned":
-		b.settle(a, ravendale.Overloaded, nil)
+		b.resolve(a, ravendale.Overloaded, nil)
 	case "lost":
-		b.settle(a, ravendale.Reset, nil)
+		b.resolve(a, ravendale.Reset, nil)
 	}
 }
 
@@ -343,8 +344,8 @@
 	return raw
 }
 
-// settle ends an attempt by the server's word. Its connection may still wait for the 202.
-func (b *Backend) settle(a *attempt, outcome ravendale.Outcome, result []byte) {
+// resolve ends an attempt by the server's word. Its connection may still wait for the 202.
+func (b *Backend) resolve(a *attempt, outcome ravendale.Outcome, result []byte) {
 	if a.link != nil {
 		a.link.expect(responseWithin)
 	}
@@ -374,7 +375,7 @@
 	}
 	b.o.Log.Debug("dial", "addr", addr)
 	l := &link{b: b, addr: addr}
-	l.timer = b.o.Loop.After(b.o.ConnectTimeout, func() { l.lost() })
+	l.timer = b.o.Loop.After(b.o.ConnectTimeout, func() { l.onClosed() })
 	l.net = b.o.Network.Dial(addr, l)
 	return l
 }
@@ -418,7 +419,7 @@
 	l.b.o.Loop.Deadlines.Drop(l.timer)
 	switch {
 	case l.attempt != nil:
-		l.carry(l.attempt)
+		l.begin(l.attempt)
 	case l.request != nil:
 		l.busy = true
 		l.expect(responseWithin)
@@ -428,8 +429,8 @@
 	}
 }
 
-// carry writes an attempt, if it may still begin.
-func (l *link) carry(a *attempt) {
+// begin writes an attempt, if it may still begin.
+func (l *link) begin(a *attempt) {
 	if !a.d.Due(l.b.o.Loop.Now()) || a.d.MayBegin != nil && !a.d.MayBegin() {
 		l.attempt = nil
 		l.rest()
@@ -446,7 +447,7 @@
 		return
 	}
 	left := max(a.d.Deadline-l.b.o.Loop.Now(), 0)
-	h := append(make(http1.Header, 0, 4), http1.Field{Name: platform.HeaderID, Value: a.at.id},
+	h := append(make(http1.Header, 0, 4), http1.Field{Name: platform.HeaderID, Value: a.key.id},
 		http1.Field{Name: platform.HeaderLeft, Value: strconv.FormatInt(int64(left/time.Millisecond), 10)})
 	if m.Key != "" {
 		h = append(h, http1.Field{Name: platform.HeaderKey, Value: m.Key})
@@ -463,16 +464,16 @@
 	// bytes. With the last byte held back until that would have shown, a break proves that nothing ran, and the
 	// request may go elsewhere; in doubt it could not be sent again.
 	last := len(request) - 1
-	a.stage = held
+	a.stage = lastByteDue
 	l.net.Write(request[:last])
 	l.timer = l.b.o.Loop.After(l.hold(), func() { l.finish(request[last:]) })
 }
 
-// hold is how long a break takes to show: a round trip, and so no longer than the server's fastest answer. On a connection that was
-// answered on just now it is for as long as a second answer may come to the request before. Nothing tells that from the answer to this
-// one, once this is whole: taken for 'turned away', it had what ran sent again.
+// hold is how long a break takes to show: a round trip, and so no longer than the server's fastest answer. On a connection that
+// was answered on just now it is for as long as a second answer may come to the request before. Nothing tells that from the
+// answer to this one, once this is whole: taken for 'turned away', it had what ran sent again.
 func (l *link) hold() time.Duration {
-	hold := min(max(l.b.habit(l.addr).prompt, holdLeast), holdMost)
+	hold := min(max(l.b.habit(l.addr).latency, holdLeast), holdMost)
 	if l.readAt > 0 {
 		hold = max(hold, l.readAt+echoWithin-l.b.o.Loop.Now())
 	}
@@ -493,9 +494,9 @@
 	l.count(a)
 	// Guards against connections that fell silent, whose end nobody tells: the job would wait for its client's time.
 	l.b.o.Loop.Deadlines.Drop(l.timer)
-	l.timer = l.b.o.Loop.After(silentAfter, func() {
+	l.timer = l.b.o.Loop.After(acceptTimeout, func() {
 		if a.stage == written && !a.heard {
-			a.d.Silent()
+			a.d.Unresponsive()
 		}
 	})
 }
@@ -518,7 +519,7 @@
 	resp, err := l.in.Next()
 	if err != nil {
 		l.b.o.Log.Info("an answer of a backend server can't be read", "addr", l.addr, "err", err)
-		l.lost()
+		l.onClosed()
 		return
 	}
 	if resp == nil {
@@ -528,7 +529,7 @@
 	l.b.o.Loop.Deadlines.Drop(l.timer)
 	a, replied := l.attempt, l.replied
 	l.attempt, l.request, l.replied, l.failed = nil, nil, nil, nil
-	if resp.Close || l.in.Buffered() > 0 || a != nil && a.stage == held {
+	if resp.Close || l.in.Buffered() > 0 || a != nil && a.stage == lastByteDue {
 		l.close()
 	} else {
 		l.rest()
@@ -539,19 +540,19 @@
 	switch {
 	case replied != nil:
 		replied()
-	case a != nil && a.stage == held: // answered before the request was whole
+	case a != nil && a.stage == lastByteDue: // answered before the request was whole
 		l.b.end(a, ravendale.ConnectFailed, nil)
 	case a == nil || a.stage != written:
 	case resp.Status == 202:
 		a.stage, a.link = accepted, nil
-		if took, h := l.b.o.Loop.Now()-l.wroteAt, l.b.habit(l.addr); l.uses > 1 && (h.prompt == 0 || took < h.prompt) {
-			h.prompt = took
+		if took, h := l.b.o.Loop.Now()-l.wroteAt, l.b.habit(l.addr); l.uses > 1 && (h.latency == 0 || took < h.latency) {
+			h.latency = took
 		}
 	case (resp.Status == 503 || resp.Status == 504) && resp.Header.Get(platform.HeaderNotRun) == "1":
 		l.b.end(a, ravendale.Overloaded, nil)
 	default:
 		if resp.Status != 500 {
-			l.b.o.Log.Warn("unexpected answer of a backend server", "server", a.at.server, "status", resp.Status)
+			l.b.o.Log.Warn("unexpected answer of a backend server", "server", a.key.server, "status", resp.Status)
 		}
 		if resp.Status/100 == 4 {
 			l.b.end(a, ravendale.Rejected, nil)
@@ -589,7 +590,7 @@
 // expect closes the connection unless a response comes in time.
 func (l *link) expect(within time.Duration) {
 	l.b.o.Loop.Deadlines.Drop(l.timer)
-	l.timer = l.b.o.Loop.After(within, l.lost)
+	l.timer = l.b.o.Loop.After(within, l.onClosed)
 }
 
 // close ends the connection from this side; nothing depends on it.
@@ -604,11 +605,11 @@
 	l.net.Close()
 }
 
-func (l *link) Closed(error) { l.lost() }
+func (l *link) Closed(error) { l.onClosed() }
 
-// lost ends the connection and what it carried. That never ran where no connection came up, or where
+// onClosed ends the connection and what it carried. That never ran where no connection came up, or where
 // the request's last byte is known not to have left; in doubt it may have run.
-func (l *link) lost() {
+func (l *link) onClosed() {
 	if l.closed {
 		return
 	}
--- a/balancer/platform/backend/said.go
+++ b/balancer/platform/backend/report.go
@@ -5,8 +5,8 @@
 	"strconv"
 )
 
-// Said is what a server says of a job.
-type Said struct {
+// Report is what a server says of a job.
+type Report struct {
 	ID     string          `json:"id"`
 	From   string          `json:"from"` // the server
 	State  string          `json:"state"`
@@ -15,10 +15,10 @@
 }
 
 // Read reads a call, and returns nil for what can't be read.
-func Read(body []byte) *Said {
-	s := &Said{}
+func Read(body []byte) *Report {
+	s := &Report{}
 	if !s.plain(body) {
-		if *s = (Said{}); json.Unmarshal(body, s) != nil {
+		if *s = (Report{}); json.Unmarshal(body, s) != nil {
 			return nil
 		}
 	}
@@ -31,7 +31,7 @@
 // plain reads a call in the form that servers write: one flat object with the names above, plain strings and a simple
 // number. It returns false for everything else, good or bad, which encoding/json then reads: that took a seventh of all
 // instructions of a job, which is called back twice or more.
-func (s *Said) plain(b []byte) bool {
+func (s *Report) plain(b []byte) bool {
 	p := plainText{b}
 	if !p.skip('{') {
 		return false
--- a/balancer/platform/backend/said_test.go
+++ b/balancer/platform/backend/report_test.go
@@ -22,8 +22,8 @@
 		f.Add([]byte(seed))
 	}
 	f.Fuzz(func(t *testing.T, body []byte) {
-		var want *Said
-		if s := (Said{}); json.Unmarshal(body, &s) == nil && s.ID != "" && s.From != "" {
+		var want *Report
+		if s := (Report{}); json.Unmarshal(body, &s) == nil && s.ID != "" && s.From != "" {
 			want = &s
 		}
 		if diff := cmp.Diff(want, Read(body)); diff != "" {
@@ -37,7 +37,7 @@
 	for _, body := range []string{`{"id":"9b1f03aa5c7e2d41","from":"s-0badcafe","state":"started"}`,
 		`{"id": "9b1f03aa5c7e2d41", "from": "s-0badcafe", "state": "running", "share": 0.4}`,
 		`{"id":"9b1f03aa5c7e2d41","from":"s-0badcafe","state":"done","result":"words"}` + "\n"} {
-		if !new(Said).plain([]byte(body)) {
+		if !new(Report).plain([]byte(body)) {
 			t.Errorf("%s is read the long way", body)
 		}
 	}
--- a/balancer/platform/frontend/frontend.go
+++ b/balancer/platform/frontend/frontend.go
@@ -32,9 +32,9 @@
 	// connected, but the limit on the processor can hold this process up for most of 100 ms.
 	crowdedPatience = 150 * time.Millisecond
 
-	// goneBy is when, after clients were sent away, none is to be left that is idle or comes with a new job: new
+	// leaveBy is when, after clients were sent away, none is to be left that is idle or comes with a new job: new
 	// connections stop after 0.2 s, and whatever is taken by then has time to be answered.
-	goneBy = 1500 * time.Millisecond
+	leaveBy = 1500 * time.Millisecond
 )
 
 // Options say what a frontend works with.
@@ -47,7 +47,7 @@
 	Tenant   func(name string) int
 	Deadline func(class int) time.Duration         // the longest that a client waits
 	Keyed    func(class int) bool                  // requests of that class carry a key
-	Room     *Room                                 // shared by the frontends of one listener
+	Limits   *ConnLimits                           // shared by the frontends of one listener
 	Crowded  func()                                // tells the others that there is no room, and none to be made here
 	Refused  func(class int, why scheduler.Unsent) // counts what is refused here, by why
 	ComeBack func() time.Duration                  // when those are to come back, 0 where clients are not told
@@ -64,41 +64,41 @@
 	Swamped // whom it is for has too much to do: the server is to come again
 )
 
-// Room is what all frontends of one scheduler have together, whichever loops they are on.
-type Room struct {
-	open, inHand atomic.Int64 // connections, and requests that wait for their answers
+// ConnLimits is what all frontends of one scheduler have together, whichever loops they are on.
+type ConnLimits struct {
+	open, active atomic.Int64 // connections, and requests that wait for their answers
 	ending       atomic.Int64 // of those connections, that were ended here and linger
 
 	maxIdle   atomic.Int64 // above so many connections idle ones are closed
 	maxOpen   atomic.Int64 // above so many, those that have brought no request yet
-	maxActive atomic.Int64 // above so many requests in hand, others are refused
+	maxActive atomic.Int64 // above so many requests in progress, others are refused
 }
 
 // Limit sets how many connections there may be from now on. Requests take a half of them at most; what is above
 // maxOpen is for call-backs and for clients that have something to say.
-func (r *Room) Limit(accepted int) {
+func (r *ConnLimits) Limit(accepted int) {
 	r.maxIdle.Store(int64(accepted / 2))
 	r.maxOpen.Store(int64(accepted * 3 / 4))
 	r.maxActive.Store(int64(accepted * 3 / 4))
 }
 
 // Open is how many connections there are.
-func (r *Room) Open() int { return int(r.open.Load()) }
+func (r *ConnLimits) Open() int { return int(r.open.Load()) }
 
 // Frontend serves the connections of clients, and of backend servers that call back.
 type Frontend struct {
-	o        Options
-	conns    map[*conn]struct{}
-	idle     queue              // connections of clients between requests, longest idle first
-	unproven queue              // connections that have brought no proper request, oldest first
-	crowded  *deadline.Deadline // when the oldest of those is to make room
-	served   atomic.Int64       // requests and calls so far
-	open     atomic.Int64       // connections
-	shed     int                // so many of the next answers close their connections
-	draining bool               // answers close their connections, and nothing new is taken
-	retired  bool               // another process accepts: answers close their connections
-	away     bool               // clients are sent away
-	gone     *deadline.Deadline // when they are to be gone
+	o          Options
+	conns      map[*conn]struct{}
+	idle       queue              // connections of clients between requests, longest idle first
+	unproven   queue              // connections that have brought no proper request, oldest first
+	crowded    *deadline.Deadline // when the oldest of those is to make room
+	served     atomic.Int64       // requests and calls so far
+	open       atomic.Int64       // connections
+	shed       int                // so many of the next answers close their connections
+	draining   bool               // answers close their connections, and nothing new is taken
+	retired    bool               // another process accepts: answers close their connections
+	away       bool               // clients are sent away
+	leaveTimer *deadline.Deadline // when they are to be gone
 }
 
 // queue holds connections in the order in which they joined.
@@ -164,9 +164,9 @@
 		return
 	}
 	f.away = away
-	f.o.Loop.Deadlines.Drop(f.gone)
-	if f.gone = nil; away {
-		f.gone = f.o.Loop.After(goneBy, f.endIdle)
+	f.o.Loop.Deadlines.Drop(f.leaveTimer)
+	if f.leaveTimer = nil; away {
+		f.leaveTimer = f.o.Loop.After(leaveBy, f.endIdle)
 	}
 }
 
@@ -175,7 +175,7 @@
 
 // refuses says whether no new job is taken.
 func (f *Frontend) refuses() bool {
-	return f.draining || f.away && f.o.Loop.Now() >= f.gone.At()
+	return f.draining || f.away && f.o.Loop.Now() >= f.leaveTimer.At()
 }
 
 // endIdle ends the connections of clients that are between requests.
@@ -187,20 +187,20 @@
 
 // conn is one accepted connection.
 type conn struct {
-	f       *Frontend
-	net     transport.Conn
-	in      http1.Requests
-	since   time.Duration
-	current *scheduler.Exchange // the request that waits for its answer
-	proven  bool                // it has brought a proper request
-	closes  bool                // its answer closes the connection
-	closing bool                // nothing more is read
-	ending  bool                // it was ended here, and counts among those
-	flooded bool                // more came than is kept
-	server  bool                // a backend server calls back here
-	isIdle  bool
-	timer   *deadline.Deadline
-	out     []byte
+	f        *Frontend
+	net      transport.Conn
+	in       http1.Requests
+	since    time.Duration
+	current  *scheduler.Exchange // the request that waits for its answer
+	proven   bool                // it has brought a proper request
+	closes   bool                // its answer closes the connection
+	closing  bool                // nothing more is read
+	ending   bool                // it was ended here, and counts among those
+	flooded  bool                // more came than is kept
+	server   bool                // a backend server calls back here
+	isIdle   bool
+	timer    *deadline.Deadline
+	response []byte
 }
 
 // Opened takes a connection that was accepted.
@@ -209,20 +209,20 @@
 	f.conns[n] = struct{}{}
 	f.unproven.join(n)
 	n.timer = f.o.Loop.After(patience, n.overdue)
-	f.o.Room.open.Add(1)
+	f.o.Limits.open.Add(1)
 	f.open.Add(1)
-	f.MakeRoom()
-	if r := f.o.Room; f.o.Crowded != nil && r.open.Load() > r.maxIdle.Load() {
+	f.ShedIdle()
+	if r := f.o.Limits; f.o.Crowded != nil && r.open.Load() > r.maxIdle.Load() {
 		f.o.Crowded()
 	}
 	return n
 }
 
-// MakeRoom guards the descriptors: first connections that brought nothing for some time make room, oldest first,
+// ShedIdle guards the descriptors: first connections that brought nothing for some time make room, oldest first,
 // then idle ones of clients, longest idle first. Without it silent connections fill the table, and clients and
 // backend servers that call back wait unseen in the system's queue.
-func (f *Frontend) MakeRoom() {
-	now, r := f.o.Loop.Now(), f.o.Room
+func (f *Frontend) ShedIdle() {
+	now, r := f.o.Loop.Now(), f.o.Limits
 	if r.open.Load() > r.maxOpen.Load() {
 		for len(f.unproven) > 0 && now-f.unproven[0].since >= crowdedPatience {
 			f.unproven[0].drop()
@@ -234,7 +234,7 @@
 	if r.open.Load() > r.maxOpen.Load() && len(f.unproven) > 0 && f.crowded == nil {
 		f.crowded = f.o.Loop.Deadlines.Add(f.unproven[0].since+crowdedPatience, func() {
 			f.crowded = nil
-			f.MakeRoom()
+			f.ShedIdle()
 		})
 	}
 }
@@ -358,8 +358,8 @@
 		f.o.Refused(facts.Class, scheduler.Leaving)
 		c.answer(scheduler.Answer{Kind: scheduler.Refused}, true)
 		return
-	case f.o.Room.inHand.Load() >= f.o.Room.maxActive.Load():
-		f.o.Refused(facts.Class, scheduler.NoRoom)
+	case f.o.Limits.active.Load() >= f.o.Limits.maxActive.Load():
+		f.o.Refused(facts.Class, scheduler.NoCapacity)
 		c.answer(scheduler.Answer{Kind: scheduler.Refused, RetryAfter: f.o.ComeBack()}, true)
 		return
 	}
@@ -391,10 +391,10 @@
 	c.hold(ex)
 }
 
-// Held returns the connection of a request in hand for another process to answer on, and whether the answer closes it. It
-// returns false where this side has more to do with it: bytes of another request have come, or the answer to an earlier
+// Transferable returns the connection of a request in progress for another process to answer on, and whether the answer closes
+// it. It returns false where this side has more to do with it: bytes of another request have come, or the answer to an earlier
 // one is still being written.
-func (f *Frontend) Held(ex *scheduler.Exchange) (net transport.Conn, closes, ok bool) {
+func (f *Frontend) Transferable(ex *scheduler.Exchange) (net transport.Conn, closes, ok bool) {
 	c, ours := ex.Holder.(*conn)
 	if !ours || c.current != ex || c.closing || c.flooded || c.in.Buffered() > 0 || c.net.Unwritten() > 0 {
 		return nil, false, false
@@ -413,7 +413,7 @@
 func (f *Frontend) Adopt(net transport.Conn, ex *scheduler.Exchange, closes bool) transport.Handler {
 	c := &conn{f: f, net: net, since: f.o.Loop.Now(), proven: true, closes: closes}
 	f.conns[c] = struct{}{}
-	f.o.Room.open.Add(1)
+	f.o.Limits.open.Add(1)
 	f.open.Add(1)
 	c.serveBy(ex)
 	return c
@@ -422,10 +422,10 @@
 // hold sets which request of the connection waits for its answer.
 func (c *conn) hold(ex *scheduler.Exchange) {
 	if c.current != nil {
-		c.f.o.Room.inHand.Add(-1)
+		c.f.o.Limits.active.Add(-1)
 	}
 	if c.current = ex; ex != nil {
-		c.f.o.Room.inHand.Add(1)
+		c.f.o.Limits.active.Add(1)
 	}
 }
 
@@ -520,8 +520,8 @@
 	}
 }
 
-// reject answers what can't be read, and reads no more of it: what follows may be anything. The client is told why; a line of the log
-// for each would have many bad ones fill that.
+// reject answers what can't be read, and reads no more of it: what follows may be anything. The client is told why; a line of
+// the log for each would have many bad ones fill that.
 func (c *conn) reject(status int, reason string) {
 	c.f.o.Log.Debug("rejected", "client", c.net.Peer(), "status", status, "why", reason)
 	c.respond(status, nil, []byte(reason+"\n"), true)
@@ -537,8 +537,8 @@
 	if closes {
 		h = append(h, http1.Field{Name: "Connection", Value: "close"})
 	}
-	c.out = http1.AppendResponse(c.out[:0], status, h, content)
-	c.net.Write(c.out)
+	c.response = http1.AppendResponse(c.response[:0], status, h, content)
+	c.net.Write(c.response)
 	if c.net.Unwritten() > maxUnread {
 		c.drop() // guards the memory against a client that asks and does not read
 		return
@@ -550,14 +550,15 @@
 	c.end()
 }
 
-// end ends a connection to which nothing more is said. The other side sees what was, and then that nothing follows, and has LingerFor
-// to close. What still comes crossed the end, as by the protocol a request may that its client then sends anew: it is read and
-// goes nowhere. Unread, it had the system reset the connection, and answers on their way went with it (RFC 9112, section 9.6).
+// end ends a connection to which nothing more is said. The other side sees what was, and then that nothing follows, and has
+// LingerFor to close. What still comes crossed the end, as by the protocol a request may that its client then sends anew: it is
+// read and goes nowhere. Unread, it had the system reset the connection, and answers on their way went with it (RFC 9112,
+// section 9.6).
 func (c *conn) end() {
 	c.setIdle(false)
 	c.f.unproven.leave(c)
 	c.closing, c.ending = true, true
-	c.f.o.Room.ending.Add(1)
+	c.f.o.Limits.ending.Add(1)
 	c.net.Finish()
 	c.f.o.Loop.Deadlines.Drop(c.timer)
 	c.linger(c.net.Unwritten())
@@ -599,11 +600,11 @@
 	c.closing = true
 	c.f.o.Loop.Deadlines.Drop(c.timer)
 	if _, open := c.f.conns[c]; open {
-		c.f.o.Room.open.Add(-1)
+		c.f.o.Limits.open.Add(-1)
 		c.f.open.Add(-1)
 		delete(c.f.conns, c)
 		if c.ending {
-			c.f.o.Room.ending.Add(-1)
+			c.f.o.Limits.ending.Add(-1)
 		}
 	}
 }
--- a/balancer/platform/frontend/frontend_test.go
+++ b/balancer/platform/frontend/frontend_test.go
@@ -23,22 +23,22 @@
 func TestAnAnswerAfterTheEndOfItsConnectionIsDropped(t *testing.T) {
 	var taken *scheduler.Exchange
 	loop := scheduler.NewLoop(func() time.Duration { return 0 })
-	room := &Room{}
+	room := &ConnLimits{}
 	room.Limit(64)
-	f := New(Options{Loop: loop, Room: room, Accept: func(ex *scheduler.Exchange) { taken = ex },
+	f := New(Options{Loop: loop, Limits: room, Accept: func(ex *scheduler.Exchange) { taken = ex },
 		Class: func(string) int { return 0 }, Tenant: func(string) int { return -1 },
 		Deadline: func(int) time.Duration { return 0 }, Keyed: func(int) bool { return false }, Log: slog.New(slog.DiscardHandler)})
 	for _, late := range []func(){func() { taken.Answer(scheduler.Answer{}) }, func() { taken.Repeated() }} {
 		n := &nowhere{}
 		c := f.Opened(n)
 		c.Data([]byte("POST / HTTP/1.1\r\nX-Txn: 0123456789abcdef\r\nX-Lane: a\r\nX-Remaining-Ms: 9\r\n\r\n"))
-		if taken == nil || room.inHand.Load() != 1 {
+		if taken == nil || room.active.Load() != 1 {
 			t.Fatal("the request was not taken")
 		}
 		taken.Relay = func(func()) {} // what Left tells is on its way
 		c.Closed(nil)
 		late()
-		if len(f.idle) > 0 || len(f.conns) > 0 || n.written > 0 || room.Open() != 0 || room.inHand.Load() != 0 {
+		if len(f.idle) > 0 || len(f.conns) > 0 || n.written > 0 || room.Open() != 0 || room.active.Load() != 0 {
 			t.Errorf("%d idle, %d open (%d in all), %d bytes written", len(f.idle), len(f.conns), room.Open(), n.written)
 		}
 	}
@@ -55,12 +55,12 @@
 func (r *reader) Close()         { r.closed = true }
 
 // Who still takes the last answer keeps its connection for as long as that takes, and then has LingerFor to close.
-func TestASlowReaderIsNotCutOff(t *testing.T) {
+func TestASlowReaderIsNotDisconnected(t *testing.T) {
 	var now time.Duration
 	loop := scheduler.NewLoop(func() time.Duration { return now })
-	room := &Room{}
+	room := &ConnLimits{}
 	room.Limit(64)
-	f := New(Options{Loop: loop, Room: room, Log: slog.New(slog.DiscardHandler)})
+	f := New(Options{Loop: loop, Limits: room, Log: slog.New(slog.DiscardHandler)})
 	r := &reader{left: 3}
 	f.Opened(r).Data([]byte("GET /nowhere HTTP/1.1\r\n\r\n"))
 	for r.left > 0 {
--- a/balancer/platform/management/compat_test.go
+++ b/balancer/platform/management/compat_test.go
@@ -10,7 +10,7 @@
 	"ravendale/balancer/scheduler"
 )
 
-// The files in testdata/compat were written by version a08c060: what operators' tools read at the door.
+// The files in testdata/compat were written by version a08c060: what operators' tools read at the endpoint.
 
 func compatFile(t *testing.T, name string) []byte {
 	t.Helper()
@@ -33,26 +33,26 @@
 	}
 }
 
-func TestGoldenAnswersOfTheDoorAreWrittenTheSame(t *testing.T) {
+func TestGoldenAnswersOfTheEndpointAreWrittenTheSame(t *testing.T) {
 	var ready bool
-	var asked []byte
+	var calls []byte
 	d := New(Options{
 		Ready:   func() bool { return ready },
 		Figures: func() []byte { return Statsd("ravendale", compatFigures) },
-		Hand: func(worker string, out bool) bool {
-			asked = append(asked, worker...)
+		SetDetached: func(worker string, out bool) bool {
+			calls = append(calls, worker...)
 			if out {
-				asked = append(asked, " out\n"...)
+				calls = append(calls, " out\n"...)
 			} else {
-				asked = append(asked, " back\n"...)
+				calls = append(calls, " back\n"...)
 			}
 			return worker != "none"
 		},
 		Away: func(away bool) {
 			if away {
-				asked = append(asked, "away\n"...)
+				calls = append(calls, "away\n"...)
 			} else {
-				asked = append(asked, "not away\n"...)
+				calls = append(calls, "not away\n"...)
 			}
 		},
 	})
@@ -72,7 +72,7 @@
 	if golden := compatFile(t, "answers.txt"); !bytes.Equal(all, golden) {
 		t.Errorf("the answers are written as\n%s\nnot as\n%s", all, golden)
 	}
-	if want := "away\nnot away\nworker/1 out\nworker-1 back\nnone out\n"; string(asked) != want {
-		t.Errorf("the calls were taken for\n%s\nnot for\n%s", asked, want)
+	if want := "away\nnot away\nworker/1 out\nworker-1 back\nnone out\n"; string(calls) != want {
+		t.Errorf("the calls were taken for\n%s\nnot for\n%s", calls, want)
 	}
 }
--- a/balancer/platform/management/management.go
+++ b/balancer/platform/management/management.go
@@ -1,4 +1,4 @@
-// Package management is the door for operators: one HTTP/1.1 call per connection, on a listener of its own, so that
+// Package management is the admin endpoint: one HTTP/1.1 call per connection, on a listener of its own, so that
 // no crowd of clients keeps them out.
 package management
 
@@ -22,37 +22,37 @@
 	lingerFor = 500 * time.Millisecond
 )
 
-// Options say what a door works with.
+// Options say what an endpoint works with.
 type Options struct {
-	Loop    *scheduler.Loop
-	Ready   func() bool                        // this process takes clients
-	Figures func() []byte                      // rendered, in whatever form
-	Hand    func(worker string, out bool) bool // takes a worker out, or puts it back; false: it is unknown
-	Away    func(away bool)                    // sends clients away, or has them back
-	MaxOpen int                                // above so many callers the one that came first makes room
+	Loop        *scheduler.Loop
+	Ready       func() bool                        // this process takes clients
+	Figures     func() []byte                      // rendered, in whatever form
+	SetDetached func(worker string, out bool) bool // takes a worker out, or puts it back; false: it is unknown
+	Away        func(away bool)                    // sends clients away, or has them back
+	MaxOpen     int                                // above so many callers the one that came first makes room
 }
 
-// Door serves the callers.
-type Door struct {
+// Endpoint serves the callers.
+type Endpoint struct {
 	o     Options
 	calls []*call // oldest first
 }
 
-// New returns a door.
-func New(o Options) *Door { return &Door{o: o} }
+// New returns an endpoint.
+func New(o Options) *Endpoint { return &Endpoint{o: o} }
 
 // call is one connection.
 type call struct {
-	d     *Door
+	d     *Endpoint
 	net   transport.Conn
 	in    http1.Requests
 	done  bool // it has its answer
 	timer *deadline.Deadline
 }
 
-// Opened takes a connection that was accepted. It guards the door's few descriptors against callers that connect and
+// Opened takes a connection that was accepted. It guards the endpoint's few descriptors against callers that connect and
 // say nothing: the oldest is shed, those that have had their answer first.
-func (d *Door) Opened(n transport.Conn) transport.Handler {
+func (d *Endpoint) Opened(n transport.Conn) transport.Handler {
 	c := &call{d: d, net: n}
 	d.calls = append(d.calls, c)
 	c.timer = d.o.Loop.After(patience, c.drop)
@@ -82,8 +82,8 @@
 	}
 }
 
-// serve carries out a call. What is asked may come any number of times.
-func (d *Door) serve(req *http1.Request) (status int, content []byte) {
+// serve executes a call. What is asked may come any number of times.
+func (d *Endpoint) serve(req *http1.Request) (status int, content []byte) {
 	path, _, _ := strings.Cut(req.Target, "?")
 	method, act := "POST", func() (int, []byte) { return 404, []byte("there is no such call\n") }
 	ok := []byte("ok\n")
@@ -106,7 +106,7 @@
 		verb, id, _ := strings.Cut(strings.TrimPrefix(path, "/_workers/"), "/")
 		if worker, err := url.PathUnescape(id); err == nil && (verb == "detach" || verb == "attach") {
 			act = func() (int, []byte) {
-				if !d.o.Hand(worker, verb == "detach") {
+				if !d.o.SetDetached(worker, verb == "detach") {
 					return 404, []byte("no such worker\n")
 				}
 				return 200, ok
--- a/balancer/platform/node/cores.go
+++ b/balancer/platform/node/cores.go
@@ -12,7 +12,7 @@
 	"ravendale/balancer/transport"
 )
 
-// On several cores the decider's loop has the module, the sessions, the server table and the operators' door. Each core has
+// On several cores the decider's loop has the module, the sessions, the server table and the operators' endpoint. Each core has
 // a loop with a frontend and a backend, on a poller of its own: the bytes of clients and servers never meet the decider.
 // See docs/cores.md.
 
@@ -34,7 +34,7 @@
 	sched   *scheduler.Scheduler
 	board   *cores.Board
 	all     []*core
-	room    *frontend.Room
+	limits  *frontend.ConnLimits
 	conns   *backend.Conns
 	stray   func(body []byte) // the decider's
 	away    bool
@@ -55,14 +55,14 @@
 }
 
 // gather asks every core, and tells the sum.
-func (m *many) gather(ask func(*core) int, tell func(sum int)) {
+func (m *many) gather(ask func(*core) int, reply func(sum int)) {
 	sum, left := 0, len(m.all)
 	m.each(func(c *core) {
 		n := ask(c)
 		c.loop.Send(m.decider, func() {
 			sum += n
 			if left--; left == 0 {
-				tell(sum)
+				reply(sum)
 			}
 		})
 	})
@@ -77,20 +77,20 @@
 	m.each(func(c *core) { c.frontend.SendAway(away) })
 }
 
-func (m *many) Clients(tell func(int)) {
-	m.gather(func(c *core) int { return c.frontend.Clients() }, tell)
+func (m *many) Clients(reply func(int)) {
+	m.gather(func(c *core) int { return c.frontend.Clients() }, reply)
 }
 
-func (m *many) Finishing(tell func(bool)) {
+func (m *many) Finishing(reply func(bool)) {
 	m.gather(func(c *core) int {
 		if c.frontend.Finishing() {
 			return 1
 		}
 		return 0
-	}, func(sum int) { tell(sum > 0) })
+	}, func(sum int) { reply(sum > 0) })
 }
 
-// Give gives nothing: see Settled.
+// Give gives nothing: see Transferable.
 func (m *many) Give(*scheduler.Exchange, func(transport.Conn, bool) bool) bool { return false }
 
 // Adopt has a core answer a request that another process gave away. The core's frontend has an exchange of its own, as it
@@ -150,13 +150,13 @@
 )
 
 func (m manyFrontends) Limit(accepted int) {
-	m.room.Limit(accepted)
-	m.each(func(c *core) { c.frontend.MakeRoom() })
+	m.limits.Limit(accepted)
+	m.each(func(c *core) { c.frontend.ShedIdle() })
 }
 
 func (m manyBackends) Limit(conns int) {
 	m.conns.Limit(conns)
-	m.each(func(c *core) { c.backend.MakeRoom() })
+	m.each(func(c *core) { c.backend.Trim() })
 }
 
 // Send hands a dispatch to the core that serves its server. While the decider does not hear, it waits: a core would turn it
@@ -166,7 +166,7 @@
 		m.waiting.join(d)
 		return
 	}
-	permit := m.board.Permit(d.Worker, m.decider.Now(), m.sched.Cold(d.Worker))
+	permit := m.board.Permit(d.Worker, m.decider.Now(), m.sched.WarmingUp(d.Worker))
 	if permit == nil {
 		d.End(ravendale.NotSent, nil)
 		return
@@ -202,9 +202,9 @@
 	}
 }
 
-// Settled says no: on several cores a request's two sides are on loops of their own, and no other process can be given
+// Transferable says no: on several cores a request's two sides are on loops of their own, and no other process can be given
 // both in one turn. What is open is answered here.
-func (m manyBackends) Settled(*scheduler.Dispatch) bool { return false }
+func (m manyBackends) Transferable(*scheduler.Dispatch) bool { return false }
 
 // Release is never asked for.
 func (m manyBackends) Release(*scheduler.Dispatch) {}
@@ -212,7 +212,7 @@
 // Adopt hands a dispatch that came from another process to the core that serves its server.
 func (m manyBackends) Adopt(d *scheduler.Dispatch) {
 	s := m.board.Server(d.Worker)
-	if s == nil { // it is listed no more: its calls would be told as a stranger's
+	if s == nil { // it is listed no more: its calls would be taken for an unknown attempt's
 		m.decider.Post(func() { d.End(ravendale.Reset, nil) })
 		return
 	}
@@ -234,19 +234,19 @@
 	m.at(c, func() { c.backend.Avoid(worker) })
 }
 
-func (m manyBackends) Word(body []byte, unknown func()) {
-	said := backend.Read(body)
-	if said == nil {
+func (m manyBackends) PassCallback(body []byte, unknown func()) {
+	report := backend.Read(body)
+	if report == nil {
 		return
 	}
-	s := m.board.Server(said.From)
+	s := m.board.Server(report.From)
 	if s == nil {
 		unknown()
 		return
 	}
 	c := m.all[s.Core]
 	m.at(c, func() {
-		if !c.backend.Hear(said) {
+		if !c.backend.Hear(report) {
 			c.loop.Send(m.decider, unknown)
 		}
 	})
@@ -258,17 +258,17 @@
 
 // callback takes a server's call on whatever core it came to.
 func (m *many) callback(here *core, body []byte) frontend.Heard {
-	said := backend.Read(body)
-	if said == nil {
+	report := backend.Read(body)
+	if report == nil {
 		return frontend.Unreadable
 	}
 	stray := func(from *scheduler.Loop) { from.Send(m.decider, func() { m.stray(body) }) }
-	s := m.board.Server(said.From)
+	s := m.board.Server(report.From)
 	switch {
 	case s == nil:
 		stray(here.loop)
 	case s.Core == here.number:
-		if !here.backend.Hear(said) {
+		if !here.backend.Hear(report) {
 			stray(here.loop)
 		}
 	default:
@@ -277,7 +277,7 @@
 			return frontend.Swamped
 		}
 		here.loop.Send(there.loop, func() {
-			if !there.backend.Hear(said) {
+			if !there.backend.Hear(report) {
 				stray(there.loop)
 			}
 		})
@@ -291,10 +291,10 @@
 	ex.Answer = func(a scheduler.Answer) { m.at(c, func() { answer(a) }) }
 	ex.Repeated = func() { m.at(c, repeated) }
 	ex.Relay = func(f func()) { c.loop.Send(m.decider, f) }
-	came := c.loop.Now()
+	arrivedAt := c.loop.Now()
 	c.loop.Send(m.decider, func() {
 		// The client's time runs from when its request came, not from when the decider hears of it.
-		ex.Facts.Left = max(ex.Facts.Left-max(m.decider.Now()-came, 0), 0)
+		ex.Facts.Left = max(ex.Facts.Left-max(m.decider.Now()-arrivedAt, 0), 0)
 		m.sched.Accept(ex)
 	})
 }
--- a/balancer/platform/node/cores_test.go
+++ b/balancer/platform/node/cores_test.go
@@ -232,7 +232,7 @@
 
 // Sends to a cold server that a stalled core finds late are not written: their budget was counted when they were decided. A
 // warm one may be as late.
-func TestAStalledCoreDoesNotOverfeedAColdServer(t *testing.T) {
+func TestAStalledCoreDoesNotOverloadAServerInSlowStart(t *testing.T) {
 	const script = kept + `
 		op1 call POST /_workers/detach/w2
 		op2 call POST /_workers/detach/w1
@@ -312,7 +312,7 @@
 }
 
 // Limits on clients are sums as well: an idle connection on one core makes room for a newcomer on another.
-func TestIdleClientsOfOneCoreMakeRoomOnAnother(t *testing.T) {
+func TestIdleClientsOfOneCoreAreShedForAnother(t *testing.T) {
 	script := ""
 	for i := range 22 { // with 64 sockets above so many idle ones close
 		script += fmt.Sprintf("i%d open on 1\ni%d send GET /ready HTTP/1.1\\n\\n\n", i, i)
--- a/balancer/platform/node/endings_test.go
+++ b/balancer/platform/node/endings_test.go
@@ -21,8 +21,8 @@
 	"ravendale/balancer/config"
 )
 
-// These tests play endings on real connections: a whole scheduler among scripted clients, backend servers and a discovery, which hold
-// back, break off and reset in the order that does harm. They wait for events; patience only ends a test that hangs.
+// These tests play endings on real connections: a whole scheduler among scripted clients, backend servers and a discovery,
+// which hold back, break off and reset in the order that does harm. They wait for events; patience only ends a test that hangs.
 const patience = 20 * time.Second
 
 // rig is a scheduler on loopback with the world round it.
@@ -89,8 +89,8 @@
 	ln *net.TCPListener
 }
 
-// listen opens a listener whose queue holds one connection that was not accepted: where one waits, the system drops the next call's
-// SYN, and that connection comes up a second later at the earliest, when it is sent again.
+// listen opens a listener whose queue holds one connection that was not accepted: where one waits, the system drops the next
+// call's SYN, and that connection comes up a second later at the earliest, when it is sent again.
 func listen(t *testing.T) *listener {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -236,7 +236,8 @@
 	_ = c.Close()
 }
 
-// taken waits until the other side, a scheduler of this process, has read what was sent, as the system's table of connections has it.
+// taken waits until the other side, a scheduler of this process, has read what was sent, as the system's table of connections
+// has it.
 func (c *conversation) taken() {
 	c.t.Helper()
 	row := fmt.Sprintf("0100007F:%04X 0100007F:%04X 01 ", c.RemoteAddr().(*net.TCPAddr).Port, c.LocalAddr().(*net.TCPAddr).Port)
@@ -313,8 +314,8 @@
 	return r
 }
 
-// busy keeps the scheduler's loop awake: after a pause it sends nothing until it knows what came meanwhile, and that would hide what
-// a connection does that comes up late.
+// busy keeps the scheduler's loop awake: after a pause it sends nothing until it knows what came meanwhile, and that would hide
+// what a connection does that comes up late.
 func (r *rig) busy() {
 	c, over := dial(r.t, r.addr), make(chan struct{})
 	var asking sync.WaitGroup
@@ -369,14 +370,14 @@
 	c.send(fmt.Sprintf("%x\r\n%s\r\n", len(text), text))
 }
 
-// slowDials is a deployment where connections may take their time, idle ones end soon, no work can be taken back, and what has not
-// started in time is given up.
+// slowDials is a deployment where connections may take their time, idle ones end soon, no work can be taken back, and what has
+// not started in time is given up.
 var slowDials = strings.NewReplacer(`"connect-timeout-us":250000`, `"connect-timeout-us":15000000`, `"idle-close-us":5000000`, `"idle-close-us":250000`,
 	`"may-cancel":true`, `"may-cancel":false`, `"aim-us":40`, `"aim-us":2`, `"aim-us":41`, `"aim-us":2`, `"late-worth":0.5`, `"late-worth":0`)
 
-// A connection that comes up when its request has been answered, or its client has gone, carries nothing, whether or not the deployment
-// lets work be cancelled: what has not begun needs no cancel. Seen on a deployment without cancel: twelve requests of a day were sent
-// on after their final answers.
+// A connection that comes up when its request has been answered, or its client has gone, carries nothing, whether or not the
+// deployment lets work be cancelled: what has not begun needs no cancel. Seen on a deployment without cancel: twelve requests
+// of a day were sent on after their final answers.
 func TestNothingIsSentOnForARequestThatIsOver(t *testing.T) {
 	for at, settings := range map[string]string{"no cancel": slowDials.Replace(settings),
 		"cancel":     strings.Replace(slowDials.Replace(settings), `"may-cancel":false`, `"may-cancel":true`, 1),
@@ -405,9 +406,10 @@
 	}
 }
 
-// A repeat of a keyed job whose connection comes up when servers no longer drop it is not sent: it could run twice. Seen on the first
-// deployment with a window of 1 s: sent 0.94 s after the first attempt, on a connection that took up to 250 ms to come up.
-func TestARepeatIsNotSentAfterItsWindow(t *testing.T) {
+// A repeat of a keyed job whose connection comes up when servers no longer drop it is not sent: it could run twice. Seen on the
+// first deployment with a window of 1 s: sent 0.94 s after the first attempt, on a connection that took up to 250 ms to come
+// up.
+func TestARetryIsNotSentAfterItsWindow(t *testing.T) {
 	for at, settings := range map[string]string{shortJobs: settings, longJobs: deployments[longJobs]} {
 		t.Run(at, func(t *testing.T) {
 			t.Parallel()
@@ -434,8 +436,8 @@
 	}
 }
 
-// A list may come indented, in any pieces; one that is spoilt ends the watch with its reason and place, and nothing else: what was
-// listed stands, and who asks is served. Taken by the line, an indented list ended each watch that brought it.
+// A list may come indented, in any pieces; one that is spoilt ends the watch with its reason and place, and nothing else: what
+// was listed stands, and who asks is served. Taken by the line, an indented list ended each watch that brought it.
 func TestListsComeIndentedAndSpoilt(t *testing.T) {
 	for at, settings := range map[string]string{shortJobs: settings, longJobs: deployments[longJobs]} {
 		t.Run(at, func(t *testing.T) {
@@ -463,8 +465,8 @@
 	}
 }
 
-// A request that crosses the end of a resting connection is read and goes nowhere: the client sees the answer before, and then an end
-// in order, and asks anew. Closed over it, the connection was reset.
+// A request that crosses the end of a resting connection is read and goes nowhere: the client sees the answer before, and then
+// an end in order, and asks anew. Closed over it, the connection was reset.
 func TestARequestThatCrossesTheEndOfItsConnection(t *testing.T) {
 	for at, settings := range map[string]string{shortJobs: settings, longJobs: deployments[longJobs]} {
 		for how, end := range map[string]func(*Node){"drain": func(n *Node) { n.clients.Drain() }, "no room": func(n *Node) { n.clients.Limit(1) }} {
@@ -505,8 +507,8 @@
 	}
 }
 
-// Of two who wait for a server, one has gone before there is any: only the other's request is sent on, at once where a server comes,
-// whether the first ended its connection in order, reset it, or sent without end behind its request.
+// Of two who wait for a server, one has gone before there is any: only the other's request is sent on, at once where a server
+// comes, whether the first ended its connection in order, reset it, or sent without end behind its request.
 func TestNothingIsSentOnForAClientThatLeftWhileItWaited(t *testing.T) {
 	for at, settings := range map[string]string{shortJobs: settings, longJobs: deployments[longJobs]} {
 		for how, leave := range map[string]func(*conversation){"end": func(c *conversation) { _ = c.Close() }, "reset": (*conversation).reset,
@@ -573,8 +575,8 @@
 	}
 }
 
-// What a backend server answers that can't be read ends its connection and that attempt, with the reason and the address in the log; the
-// request that may be repeated is, one that waits meanwhile is served, and nothing stays behind.
+// What a backend server answers that can't be read ends its connection and that attempt, with the reason and the address in the
+// log; the request that may be repeated is, one that waits meanwhile is served, and nothing stays behind.
 func TestSpoiltAnswersOfServers(t *testing.T) {
 	for at, settings := range map[string]string{shortJobs: settings, longJobs: deployments[longJobs]} {
 		for how, spoilt := range map[string]struct{ text, why string }{
--- a/balancer/platform/node/sides.go
+++ b/balancer/platform/node/endpoints.go
@@ -43,27 +43,27 @@
 type serverSide interface {
 	scheduler.Backend
 	Limit(conns int)
-	// Word takes a call that another process passed on; unknown is called where that attempt is not out here.
-	Word(body []byte, unknown func())
+	// PassCallback takes a call that another process passed on; unknown is called where that attempt is not out here.
+	PassCallback(body []byte, unknown func())
 }
 
 // oneFrontend is the client side on one core: the frontend itself.
 type oneFrontend struct {
 	*frontend.Frontend
-	room *frontend.Room
+	limits *frontend.ConnLimits
 }
 
 func (f oneFrontend) Limit(accepted int) {
-	f.room.Limit(accepted)
-	f.MakeRoom()
+	f.limits.Limit(accepted)
+	f.ShedIdle()
 }
-func (f oneFrontend) Clients(tell func(int))    { tell(f.Frontend.Clients()) }
-func (f oneFrontend) Finishing(tell func(bool)) { tell(f.Frontend.Finishing()) }
-func (f oneFrontend) Targets() []accept         { return []accept{f.Opened} }
-func (f oneFrontend) Choose() int               { return 0 }
+func (f oneFrontend) Clients(reply func(int))    { reply(f.Frontend.Clients()) }
+func (f oneFrontend) Finishing(reply func(bool)) { reply(f.Frontend.Finishing()) }
+func (f oneFrontend) Targets() []accept          { return []accept{f.Opened} }
+func (f oneFrontend) Choose() int                { return 0 }
 
 func (f oneFrontend) Give(ex *scheduler.Exchange, give func(transport.Conn, bool) bool) bool {
-	client, closes, can := f.Held(ex)
+	client, closes, can := f.Transferable(ex)
 	if !can || !give(client, closes) {
 		return false
 	}
@@ -96,14 +96,14 @@
 
 // avoid ends those to a server that drains or has gone.
 func (w *waiting) avoid(worker string) {
-	var out []*scheduler.Dispatch
+	var avoided []*scheduler.Dispatch
 	*w = slices.DeleteFunc(*w, func(d *scheduler.Dispatch) bool {
 		if d.Worker == worker {
-			out = append(out, d)
+			avoided = append(avoided, d)
 		}
 		return d.Worker == worker
 	})
-	for _, d := range out {
+	for _, d := range avoided {
 		d.End(ravendale.NotSent, nil)
 	}
 }
@@ -122,11 +122,11 @@
 // come is taken.
 type oneBackend struct {
 	*backend.Backend
-	conns   *backend.Conns
-	deaf    bool // until an echo comes
-	mute    bool // the system has no such thing
-	asked   func() bool
-	waiting waiting
+	conns        *backend.Conns
+	deaf         bool // until an echo comes
+	unsupported  bool // the system has no such thing
+	mayBeginFunc func() bool
+	waiting      waiting
 }
 
 // askAgain is when an echo is asked for again that has not come: one whose byte was lost would keep the process from sending
@@ -135,7 +135,7 @@
 
 // gap is called in a turn that comes long after the one before.
 func (b *oneBackend) gap(loop *scheduler.Loop, echo func(func()) error, failed func(error)) {
-	if !b.deaf && !b.mute {
+	if !b.deaf && !b.unsupported {
 		b.deaf = true
 		b.listen(loop, echo, failed)
 	}
@@ -151,7 +151,7 @@
 	}
 	if err := echo(hears); err != nil {
 		// Asking again each time cost a call and a line; descriptors, which may be short too, come back.
-		b.mute = errors.Is(err, syscall.EAFNOSUPPORT) || errors.Is(err, errors.ErrUnsupported)
+		b.unsupported = errors.Is(err, syscall.EAFNOSUPPORT) || errors.Is(err, errors.ErrUnsupported)
 		failed(err)
 		hears()
 	}
@@ -160,7 +160,7 @@
 func (b *oneBackend) mayBegin() bool { return !b.deaf }
 
 func (b *oneBackend) Send(d *scheduler.Dispatch) {
-	d.MayBegin = b.asked
+	d.MayBegin = b.mayBeginFunc
 	if b.deaf {
 		b.waiting.join(d)
 	} else {
@@ -186,10 +186,10 @@
 
 func (b *oneBackend) Limit(conns int) {
 	b.conns.Limit(conns)
-	b.MakeRoom()
+	b.Trim()
 }
 
-func (b *oneBackend) Word(body []byte, unknown func()) {
+func (b *oneBackend) PassCallback(body []byte, unknown func()) {
 	if s := backend.Read(body); s != nil && !b.Hear(s) {
 		unknown()
 	}
--- a/balancer/platform/node/fleet.go
+++ b/balancer/platform/node/fleet.go
@@ -47,8 +47,8 @@
 const (
 	// lockEvery is how often a new process looks whether the one before has let go of the member's state.
 	lockEvery = 50 * time.Millisecond
-	// peersRoom bounds the links of peers and tools; each peer makes one.
-	peersRoom = operator.MostMembers + 16
+	// peerConns bounds the links of peers and tools; each peer makes one.
+	peerConns = operator.MostMembers + 16
 )
 
 // Join makes the scheduler a member of a fleet. It is to be called before Run.
@@ -112,7 +112,7 @@
 		}
 	}
 	var a *agent.Agent
-	stop, err := n.ports.Peers(f.Listen, peersRoom, func(c transport.Conn) transport.Handler { return a.Opened(c) })
+	stop, err := n.ports.Peers(f.Listen, peerConns, func(c transport.Conn) transport.Handler { return a.Opened(c) })
 	if err != nil {
 		return err
 	}
--- a/balancer/platform/node/node.go
+++ b/balancer/platform/node/node.go
@@ -29,14 +29,14 @@
 	killedAfter, mostCounted = 700 * time.Millisecond, 3 * time.Second
 	// answerBefore is how long before that all is answered, and lastRun what the last requests taken have left to run.
 	answerBefore, lastRun = 300 * time.Millisecond, 900 * time.Millisecond
-	// settleFor gives clients time to read the last answers before the process ends.
-	settleFor = 100 * time.Millisecond
-	// busyFor is how long clients are to stay away that come when too many requests are in hand: a run or two.
+	// flushFor gives clients time to read the last answers before the process ends.
+	flushFor = 100 * time.Millisecond
+	// busyFor is how long clients are to stay away that come when too many requests are in progress: a run or two.
 	busyFor = 500 * time.Millisecond
 	// longestStop ends a stop that something holds up.
 	longestStop = 60 * time.Second
-	// doorRoom is how many descriptors are kept for operators' calls, and mostCalls above how many the oldest makes room.
-	doorRoom, mostCalls = 10, 8
+	// adminConns is how many descriptors are kept for operators' calls, and mostCalls above how many the oldest makes room.
+	adminConns, mostCalls = 10, 8
 	// figuresPrefix stands before the names of the figures.
 	figuresPrefix = "proxy"
 )
@@ -46,29 +46,29 @@
 	// Paired, if set, hears how many processes are this scheduler, to share the memory among them.
 	Paired func(processes int)
 
-	read      *config.Config                // as last taken, Reload's own
-	cfg       *config.Config                // the loop's
-	shown     atomic.Pointer[config.Config] // the same, for the frontends' loops
-	log       *slog.Logger
-	loop      *scheduler.Loop
-	core      *scheduler.Scheduler
-	clients   clientSide
-	servers   serverSide
-	many      *many // nil on one core
-	table     *servertable.Table
-	door      *management.Door
-	ports     ports
-	serving   bool               // clients are taken
-	twins     handover.Links     // to the other processes of this scheduler
-	heir      *handover.Link     // the one of them that takes clients in this one's place,
-	heirTerms *scheduler.Terms   // and under what
-	given     int                // requests that were given to it
-	lent      map[string]lent    // by id
-	awaited   *deadline.Deadline // the other process's state is
-	fleet     *member            // nil where it is alone
-	reading   sync.Mutex         // of read, and of the configuration's files
-	err       error              // why it could not start
-	stopped   chan struct{}
+	read           *config.Config                // as last taken, Reload's own
+	cfg            *config.Config                // the loop's
+	shown          atomic.Pointer[config.Config] // the same, for the frontends' loops
+	log            *slog.Logger
+	loop           *scheduler.Loop
+	core           *scheduler.Scheduler
+	clients        clientSide
+	servers        serverSide
+	many           *many // nil on one core
+	table          *servertable.Table
+	admin          *management.Endpoint
+	ports          ports
+	serving        bool               // clients are taken
+	twins          handover.Links     // to the other processes of this scheduler
+	successor      *handover.Link     // the one of them that takes clients in this one's place,
+	successorTerms *scheduler.Terms   // and under what
+	given          int                // requests that were given to it
+	lent           map[string]lent    // by id
+	awaited        *deadline.Deadline // the other process's state is
+	fleet          *member            // nil where it is alone
+	reading        sync.Mutex         // of read, and of the configuration's files
+	err            error              // why it could not start
+	stopped        chan struct{}
 }
 
 // New puts a scheduler together on real sockets. It does not listen yet.
@@ -88,13 +88,13 @@
 	return assemble(cfg, log, loop, loops, s)
 }
 
-// share deals out the descriptors: some are kept for the process itself, its files and discovery, kept more for a fleet's links, a
-// quarter of the others goes to backend servers, who take a job's bytes and answer at once, and the rest to clients, whose
-// connections last as long as their jobs.
-func share(cfg *config.Config, kept int) (accepted, dialled int) {
+// splitDescriptors deals out the descriptors: some are kept for the process itself, its files and discovery, kept more for a
+// fleet's links, a quarter of the others goes to backend servers, who take a job's bytes and answer at once, and the rest to
+// clients, whose connections last as long as their jobs.
+func splitDescriptors(cfg *config.Config, kept int) (accepted, dialled int) {
 	usable := cfg.Sockets*15/16 - kept
 	if cfg.Management != "" {
-		usable -= doorRoom
+		usable -= adminConns
 	}
 	return usable - usable/4, usable / 4
 }
@@ -111,13 +111,13 @@
 	if n.core, err = scheduler.New(loop, cfg.Settings, cfg.Seed, log); err != nil {
 		return nil, err
 	}
-	accepted, dialled := share(cfg, 0)
-	room, conns := &frontend.Room{}, &backend.Conns{}
-	room.Limit(accepted)
+	accepted, dialled := splitDescriptors(cfg, 0)
+	limits, conns := &frontend.ConnLimits{}, &backend.Conns{}
+	limits.Limit(accepted)
 	conns.Limit(dialled)
 	listed := n.core.Listed
 	if len(loops) > 0 {
-		n.many = &many{decider: loop, sched: n.core, board: cores.NewBoard(len(loops)), room: room, conns: conns, stray: n.stray,
+		n.many = &many{decider: loop, sched: n.core, board: cores.NewBoard(len(loops)), limits: limits, conns: conns, stray: n.stray,
 			served: make([]int64, len(loops))}
 		n.many.loads.Store(new(make([]cores.Load, len(loops))))
 		listed = func(kind ravendale.ListKind, entries []ravendale.Entry) {
@@ -129,7 +129,7 @@
 		Pushed: !cfg.Settings.MustAsk, Zones: cfg.Names.Zones, Kinds: cfg.Names.Kinds, Listed: listed, Log: log})
 	back := backend.Options{Loop: loop, Network: network, Address: n.table.Address, ConnectTimeout: cfg.ConnectTimeout,
 		IdleClose: cfg.IdleClose, Conns: conns, Stray: n.stray, Log: log}
-	front := frontend.Options{Loop: loop, Log: log, Room: room, Accept: n.core.Accept, Ready: n.table.Known,
+	front := frontend.Options{Loop: loop, Log: log, Limits: limits, Accept: n.core.Accept, Ready: n.table.Known,
 		Refused:  func(class int, why scheduler.Unsent) { n.core.CountUnsent(class, why) },
 		Class:    func(name string) int { return slices.Index(n.shown.Load().Names.Classes, name) },
 		Tenant:   func(name string) int { return slices.Index(n.shown.Load().Names.Tenants, name) },
@@ -151,9 +151,9 @@
 			return frontend.Unreadable
 		}
 		one := &oneBackend{Backend: b, conns: conns}
-		one.asked = one.mayBegin
-		n.clients, n.servers = oneFrontend{frontend.New(front), room}, one
-		loop.GapOver, loop.Gap = cores.Silence, func() {
+		one.mayBeginFunc = one.mayBegin
+		n.clients, n.servers = oneFrontend{frontend.New(front), limits}, one
+		loop.GapOver, loop.Gap = cores.PulseTimeout, func() {
 			one.gap(loop, network.Echo, func(err error) { log.Warn("can't tell what came while nothing was read", "err", err) })
 		}
 	} else {
@@ -163,9 +163,9 @@
 		n.clients, n.servers = manyFrontends{n.many}, manyBackends{n.many}
 	}
 	n.core.Connect(n.servers, n.table)
-	n.door = management.New(management.Options{Loop: loop, Ready: func() bool { return n.serving },
-		Figures: func() []byte { return management.Statsd(figuresPrefix, n.core.Figures()) },
-		Hand:    n.hand, Away: n.sendAway, MaxOpen: mostCalls})
+	n.admin = management.New(management.Options{Loop: loop, Ready: func() bool { return n.serving },
+		Figures:     func() []byte { return management.Statsd(figuresPrefix, n.core.Figures()) },
+		SetDetached: n.setDetached, Away: n.sendAway, MaxOpen: mostCalls})
 	return n, nil
 }
 
@@ -180,7 +180,7 @@
 	front.Loop = c.loop
 	front.Accept = func(ex *scheduler.Exchange) { m.accept(c, ex) }
 	front.Callback = func(body []byte) frontend.Heard { return m.callback(c, body) }
-	front.Crowded = func() { m.others(c, func(other *core) { other.frontend.MakeRoom() }) }
+	front.Crowded = func() { m.others(c, func(other *core) { other.frontend.ShedIdle() }) }
 	front.Refused = func(class int, why scheduler.Unsent) {
 		c.loop.Send(m.decider, func() { n.core.CountUnsent(class, why) })
 	}
@@ -226,17 +226,17 @@
 	close(n.stopped)
 }
 
-// hand takes a backend server out by hand, or puts it back.
-func (n *Node) hand(worker string, out bool) bool {
-	known := n.core.Hand(worker, out)
-	n.record(fmt.Sprintf("hand %s out=%v known=%v", worker, out, known))
-	n.log.Info("by hand", "server", worker, "out", out, "known", known)
+// setDetached takes a backend server out of service, or puts it back.
+func (n *Node) setDetached(worker string, detached bool) bool {
+	known := n.core.SetDetached(worker, detached)
+	n.record(fmt.Sprintf("hand %s out=%v known=%v", worker, detached, known))
+	n.log.Info("by hand", "server", worker, "out", detached, "known", known)
 	switch {
 	case !known:
-	case out:
-		n.twins.Tell(handover.Message{Out: worker})
+	case detached:
+		n.twins.Send(handover.Message{Detached: worker})
 	default:
-		n.twins.Tell(handover.Message{Back: worker})
+		n.twins.Send(handover.Message{Attached: worker})
 	}
 	return known
 }
@@ -246,7 +246,7 @@
 	n.log.Info("clients sent away", "away", away)
 	n.record(fmt.Sprintf("away=%v", away))
 	n.operatorsAway(away)
-	n.twins.Tell(handover.Message{Away: &away})
+	n.twins.Send(handover.Message{Away: &away})
 }
 
 // operatorsAway is sendAway for this process alone.
@@ -258,8 +258,8 @@
 	n.clients.SendAway(away)
 }
 
-// awayByHand says whether an operator had clients sent away.
-func (n *Node) awayByHand() bool {
+// awayByOperator says whether an operator had clients sent away.
+func (n *Node) awayByOperator() bool {
 	if n.fleet != nil {
 		return n.fleet.away
 	}
@@ -299,9 +299,9 @@
 			n.fleet.agent.Settings(n.settingsDigest())
 		}
 		n.core.CountConfig(true)
-		n.twins.Tell(handover.Message{Terms: n.core.Terms()})
+		n.twins.Send(handover.Message{Terms: n.core.Terms()})
 		if next.Discovery != n.table.Discovery() {
-			n.twins.Tell(handover.Message{Discovery: next.Discovery})
+			n.twins.Send(handover.Message{Discovery: next.Discovery})
 		}
 		n.table.Follow(next.Discovery)
 	})
@@ -317,23 +317,24 @@
 	n.core.Leave(left)
 	n.loop.After(max(left-lastRun, left/3), func() {
 		n.clients.Drain()
-		n.core.WhenQuiet(n.settle)
+		n.core.WhenQuiet(n.endOnceQuiet)
 	})
 	n.loop.After(longestStop, func() { n.end("held up") })
 }
 
-// settle ends the process a little after the last answer, unless that is still being written, or was and clients have not closed
-// yet: with the process go all connections, and one in which a request is unread is reset. Clients that go on coming don't hold it up.
-func (n *Node) settle() { n.settleBy(n.loop.Now() + settleFor + frontend.LingerFor) }
+// endOnceQuiet ends the process a little after the last answer, unless that is still being written, or was and clients have not
+// closed yet: with the process go all connections, and one in which a request is unread is reset. Clients that go on coming
+// don't hold it up.
+func (n *Node) endOnceQuiet() { n.endOnceFlushed(n.loop.Now() + flushFor + frontend.LingerFor) }
 
-func (n *Node) settleBy(latest time.Duration) {
-	n.loop.After(settleFor, func() {
+func (n *Node) endOnceFlushed(latest time.Duration) {
+	n.loop.After(flushFor, func() {
 		n.clients.Finishing(func(finishing bool) {
 			switch {
 			case n.core.Owed() > 0:
-				n.core.WhenQuiet(n.settle)
+				n.core.WhenQuiet(n.endOnceQuiet)
 			case finishing && n.loop.Now() < latest || len(n.lent) > 0:
-				n.settleBy(latest)
+				n.endOnceFlushed(latest)
 			default:
 				n.end("nothing is owed")
 			}
--- a/balancer/platform/node/scenario_test.go
+++ b/balancer/platform/node/scenario_test.go
@@ -63,12 +63,12 @@
 // process is one process, and its ports.
 type process struct {
 	*player
-	loop  *scheduler.Loop
-	node  *Node
-	takes bool                                   // clients
-	heir  func(transport.Conn) transport.Handler // takes the call of a process that takes over
-	twin  *pipe                                  // to the other one, the newest
-	links []*pipe                                // to all others
+	loop      *scheduler.Loop
+	node      *Node
+	takes     bool                                   // clients
+	successor func(transport.Conn) transport.Handler // takes the call of a process that takes over
+	twin      *pipe                                  // to the other one, the newest
+	links     []*pipe                                // to all others
 
 	loops   []*scheduler.Loop // of the cores, if it has several
 	targets []accept
@@ -77,7 +77,7 @@
 }
 
 func (p *process) Operators(string, int, func(transport.Conn) transport.Handler) error { return nil }
-func (p *process) Room(int)                                                            {}
+func (p *process) SetLimit(int)                                                        {}
 func (p *process) Pause(paused bool)                                                   { p.takes = !paused }
 
 func (p *process) Peers(string, int, func(transport.Conn) transport.Handler) (func(), error) {
@@ -85,7 +85,7 @@
 }
 
 func (p *process) Successors(_ string, accept func(transport.Conn) transport.Handler) error {
-	p.heir = accept
+	p.successor = accept
 	return nil
 }
 
@@ -126,7 +126,7 @@
 	given   []*peer // connections that came
 }
 
-func (c *pipe) Carry(b []byte, conn transport.Conn) transport.Given {
+func (c *pipe) SendConn(b []byte, conn transport.Conn) transport.Given {
 	client := conn.(*peer)
 	c.far.loop.Post(func() { c.far.given = append(c.far.given, client) })
 	c.Write(b)
@@ -184,7 +184,7 @@
 	old.twin = &pipe{loop: old.loop, far: p.twin}
 	old.links = append(old.links, old.twin)
 	p.twin.far = old.twin
-	old.loop.Post(func() { old.twin.handler = old.heir(old.twin) })
+	old.loop.Post(func() { old.twin.handler = old.successor(old.twin) })
 	p.loop.Post(h.Connected)
 	return p.twin
 }
@@ -541,7 +541,7 @@
 		}
 		p.peers[who] = c
 		if c.loop = c.p.loop; strings.HasPrefix(who, "op") {
-			c.do(func() { c.handler = n.node.door.Opened(c) })
+			c.do(func() { c.handler = n.node.admin.Opened(c) })
 			return
 		}
 		to := c.p.choose()
@@ -1917,7 +1917,7 @@
 	check := func(tokens, slots, slotsOld float64) {
 		t.Helper()
 		for i, want := range []float64{slots, slotsOld} {
-			memory, _ := p.procs[i].node.core.Past()
+			memory, _ := p.procs[i].node.core.Snapshot()
 			if w := memory.Workers["w1"]; w.Tokens != tokens || w.Slots != want {
 				t.Fatalf("process %d has %v sends left and %v slots in flight, want %v and %v", i, w.Tokens, w.Slots, tokens, want)
 			}
@@ -1929,7 +1929,7 @@
 	p.run("call w1 a1 done x")
 	check(0, 0, 0)
 	slots := func() float64 {
-		memory, _ := p.procs[0].node.core.Past()
+		memory, _ := p.procs[0].node.core.Snapshot()
 		return memory.Workers["w2"].Slots
 	}
 	p.run("op4 call POST /_workers/attach/w2\nc2 ask a3 read 5000\nw2/1 accept\nw2/1 202")
--- a/balancer/platform/node/sockets.go
+++ b/balancer/platform/node/sockets.go
@@ -16,21 +16,21 @@
 
 func (s *sockets) Core(number int) transport.Network { return s.cores[number] }
 
-func (s *sockets) Operators(addr string, room int, accept func(transport.Conn) transport.Handler) error {
+func (s *sockets) Operators(addr string, limit int, accept func(transport.Conn) transport.Handler) error {
 	ln, err := nbionet.Listen(addr, 0)
 	if err != nil {
 		return fmt.Errorf("management: %w", err)
 	}
-	s.Serve(ln, room, accept)
+	s.Serve(ln, limit, accept)
 	return nil
 }
 
-func (s *sockets) Peers(addr string, room int, accept func(transport.Conn) transport.Handler) (func(), error) {
+func (s *sockets) Peers(addr string, limit int, accept func(transport.Conn) transport.Handler) (func(), error) {
 	ln, err := nbionet.Listen(addr, 0)
 	if err != nil {
 		return nil, fmt.Errorf("fleet: %w", err)
 	}
-	return s.Serve(ln, room, accept).Close, nil
+	return s.Serve(ln, limit, accept).Close, nil
 }
 
 func (s *sockets) Successors(path string, accept func(transport.Conn) transport.Handler) error {
@@ -42,7 +42,7 @@
 	return nil
 }
 
-func (s *sockets) Clients(addr string, descriptor, room int, to []accept, choose func() int) error {
+func (s *sockets) Clients(addr string, descriptor, limit int, to []accept, choose func() int) error {
 	ln, err := nbionet.Listen(addr, descriptor)
 	if err != nil {
 		return fmt.Errorf("listen: %w", err)
@@ -54,13 +54,13 @@
 			targets[i].Engine = s.cores[i]
 		}
 	}
-	s.clients = s.Deal(ln, room, targets, choose)
+	s.clients = s.Deal(ln, limit, targets, choose)
 	return nil
 }
 
-func (s *sockets) Room(clients int) {
+func (s *sockets) SetLimit(clients int) {
 	if s.clients != nil {
-		s.clients.SetRoom(clients)
+		s.clients.SetLimit(clients)
 	}
 }
 
--- a/balancer/platform/node/sockets_test.go
+++ b/balancer/platform/node/sockets_test.go
@@ -41,7 +41,7 @@
 	defer func() { s.Close(); close(stop) }()
 	lost, heard := make(chan error, 2), make(chan handover.Message, 2)
 	dial := func() {
-		handover.Dial(s, path, func(l *handover.Link) { l.Tell(handover.Message{Hello: true}) },
+		handover.Dial(s, path, func(l *handover.Link) { l.Send(handover.Message{Hello: true}) },
 			func(_ *handover.Link, m handover.Message) { heard <- m }, func(_ *handover.Link, err error) { lost <- err })
 	}
 	loop.Post(dial)
@@ -49,7 +49,7 @@
 		t.Fatal("a dead process was reached")
 	}
 	err = s.Successors(path, func(c transport.Conn) transport.Handler {
-		return handover.Accept(c, func(l *handover.Link, m handover.Message) { l.Tell(handover.Message{Took: "a", Hello: m.Hello}) },
+		return handover.Accept(c, func(l *handover.Link, m handover.Message) { l.Send(handover.Message{Took: "a", Hello: m.Hello}) },
 			func(*handover.Link, error) {})
 	})
 	if err != nil {
--- a/balancer/platform/node/upgrade.go
+++ b/balancer/platform/node/upgrade.go
@@ -36,18 +36,18 @@
 	Core(number int) transport.Network
 	// Echo calls f once all that had arrived for the node's own loop by now has been handed over.
 	Echo(f func()) error
-	Room(clients int)
+	SetLimit(clients int)
 	Pause(paused bool) // of clients
 	// Adopt serves a client's connection that came from another process, on a core or, below 0, on the node's own loop. It
 	// is called in a turn of that loop, and calls accept at once.
 	Adopt(core int, g transport.Given, accept accept) error
 }
 
-// start opens the door, and asks the process before this one, if there is one.
+// start opens the operators' endpoint, and asks the process before this one, if there is one.
 func (n *Node) start() {
 	cfg := n.cfg
 	if cfg.Management != "" {
-		if err := n.ports.Operators(cfg.Management, doorRoom, n.door.Opened); err != nil {
+		if err := n.ports.Operators(cfg.Management, adminConns, n.admin.Opened); err != nil {
 			n.fail(err)
 			return
 		}
@@ -56,10 +56,10 @@
 		n.begin(nil)
 		return
 	}
-	asked := handover.Dial(n.ports, cfg.Handover, func(l *handover.Link) { l.Tell(handover.Message{Hello: true}) }, n.heard, n.parted)
+	previous := handover.Dial(n.ports, cfg.Handover, func(l *handover.Link) { l.Send(handover.Message{Hello: true}) }, n.heard, n.parted)
 	n.awaited = n.loop.After(stateWithin, func() {
 		n.log.Warn("no word from the process before this one", "at", cfg.Handover)
-		asked.Close()
+		previous.Close()
 		n.begin(nil)
 	})
 }
@@ -97,16 +97,16 @@
 	n.serving = true
 	n.enter()
 	n.log.Info("serving", "name", cfg.Name, "listen", cfg.Listen, "takes over", state != nil)
-	n.twins.Tell(handover.Message{Serving: true, Terms: n.core.Terms()})
+	n.twins.Send(handover.Message{Serving: true, Terms: n.core.Terms()})
 	if cfg.Handover != "" {
-		if err := n.ports.Successors(cfg.Handover, n.successor); err != nil {
+		if err := n.ports.Successors(cfg.Handover, n.acceptSuccessor); err != nil {
 			n.log.Warn("a new version can't take over", "err", err)
 		}
 	}
 }
 
-// successor takes the connection of a new process.
-func (n *Node) successor(c transport.Conn) transport.Handler {
+// acceptSuccessor takes the connection of a new process.
+func (n *Node) acceptSuccessor(c transport.Conn) transport.Handler {
 	return handover.Accept(c, n.heard, n.parted)
 }
 
@@ -119,7 +119,7 @@
 		return
 	}
 	if m.Hello {
-		n.handOver(l)
+		n.sendState(l)
 		return
 	}
 	if !slices.Contains(n.twins, l) {
@@ -136,12 +136,12 @@
 		}
 		return
 	case m.Terms != nil && !m.Serving:
-		if n.heir == l {
-			n.heirTerms = m.Terms
+		if n.successor == l {
+			n.successorTerms = m.Terms
 		}
 		return
 	case m.Serving:
-		n.heir, n.heirTerms = l, m.Terms
+		n.successor, n.successorTerms = l, m.Terms
 		n.log.Info("a new process takes clients", "owed", n.core.Owed())
 		n.leaveFleet("handed over")
 		n.ports.Pause(true)
@@ -149,10 +149,10 @@
 		n.leaveOnceDone()
 		return
 	case m.Callback != nil:
-		n.servers.Word(m.Callback, func() {
-			n.twins.But(l).Tell(m)
-			if n.heir == l && n.given > 0 {
-				l.Tell(m) // it crossed a request that was given away, and comes after that now
+		n.servers.PassCallback(m.Callback, func() {
+			n.twins.But(l).Send(m)
+			if n.successor == l && n.given > 0 {
+				l.Send(m) // it crossed a request that was given away, and comes after that now
 			}
 		})
 		return
@@ -162,28 +162,28 @@
 		n.core.SentElsewhere(m.Sent)
 	case m.Ended != "":
 		n.core.EndedElsewhere(m.Ended)
-	case m.Out != "":
-		n.core.Hand(m.Out, true)
-	case m.Back != "":
-		n.core.Hand(m.Back, false)
+	case m.Detached != "":
+		n.core.SetDetached(m.Detached, true)
+	case m.Attached != "":
+		n.core.SetDetached(m.Attached, false)
 	case m.Away != nil:
 		n.operatorsAway(*m.Away)
 	case m.Discovery != "":
 		n.table.Follow(m.Discovery)
 	}
-	n.twins.But(l).Tell(m)
+	n.twins.But(l).Send(m)
 }
 
-// handOver gives the state to a new process, and joins it.
-func (n *Node) handOver(l *handover.Link) {
+// sendState gives the state to a new process, and joins it.
+func (n *Node) sendState(l *handover.Link) {
 	list, err := n.table.List()
 	if err != nil || !n.serving {
 		l.Close()
 		return
 	}
-	memory, ids := n.core.Past()
-	l.Tell(handover.Message{State: &handover.State{List: list, Discovery: n.table.Discovery(), InFile: n.cfg.InFile(),
-		Away: n.awayByHand(), IDs: ids, Memory: memory}})
+	memory, ids := n.core.Snapshot()
+	l.Send(handover.Message{State: &handover.State{List: list, Discovery: n.table.Discovery(), InFile: n.cfg.InFile(),
+		Away: n.awayByOperator(), IDs: ids, Memory: memory}})
 	n.join(l)
 }
 
@@ -207,8 +207,8 @@
 	n.twins = n.twins.But(l)
 	n.core.Join(n.twins)
 	n.setLimits()
-	if n.heir == l {
-		n.heir = nil
+	if n.successor == l {
+		n.successor = nil
 		n.enter()
 		n.ports.Pause(false)
 		n.clients.Retire(false)
@@ -218,13 +218,13 @@
 
 // limits are this process's part of the descriptors.
 func (n *Node) limits() (accepted, dialled int) {
-	accepted, dialled = share(n.cfg, n.fleetLinks())
+	accepted, dialled = splitDescriptors(n.cfg, n.fleetLinks())
 	return accepted / (1 + len(n.twins)), dialled / (1 + len(n.twins))
 }
 
 func (n *Node) setLimits() {
 	accepted, dialled := n.limits()
-	n.ports.Room(accepted)
+	n.ports.SetLimit(accepted)
 	n.clients.Limit(accepted)
 	n.servers.Limit(dialled)
 	if n.Paired != nil {
@@ -232,25 +232,25 @@
 	}
 }
 
-// giveEvery is how often a process that stops looks for requests that can be given to its heir. A backend server takes up to
+// giveEvery is how often a process that stops looks for requests that can be given to its successor. A backend server takes up to
 // 50 ms to say that it took one.
 const giveEvery = 50 * time.Millisecond
 
-// giveAway gives the heir of a process that stops what is open here, for as long as this one lives: a job may run for longer,
-// clients may still come on the connections that they have, and the heir may come after the order to stop. What can't be
-// given is answered here in time as at any stop.
+// giveAway gives the successor of a process that stops what is open here, for as long as this one lives: a job may run for
+// longer, clients may still come on the connections that they have, and the successor may come after the order to stop. What
+// can't be given is answered here in time as at any stop.
 func (n *Node) giveAway() {
 	n.loop.After(giveEvery, n.giveAway)
-	if n.heir == nil || n.heirTerms == nil {
+	if n.successor == nil || n.successorTerms == nil {
 		return
 	}
-	given := n.core.Carry(n.heirTerms, func(c scheduler.Carried, ex *scheduler.Exchange) bool {
+	given := n.core.Transfer(n.successorTerms, func(c scheduler.TransferredRequest, ex *scheduler.Exchange) bool {
 		message, ok := ex.Message.(*platform.Message)
 		return ok && n.clients.Give(ex, func(client transport.Conn, closes bool) bool {
-			job := &handover.Job{Carried: c, Request: *message, Closes: closes}
-			kept := n.heir.Carry(handover.Message{Job: job}, client)
+			job := &handover.Job{TransferredRequest: c, Request: *message, Closes: closes}
+			kept := n.successor.SendConn(handover.Message{Job: job}, client)
 			if kept != nil {
-				n.lent[c.ID] = lent{job, kept, n.heir}
+				n.lent[c.ID] = lent{job, kept, n.successor}
 			}
 			return kept != nil
 		})
@@ -264,7 +264,7 @@
 func (n *Node) adopt(l *handover.Link, j *handover.Job) {
 	if g := l.Given(); g != nil {
 		n.goOn(g, j)
-		l.Tell(handover.Message{Has: j.ID})
+		l.Send(handover.Message{Has: j.ID})
 	} else {
 		n.log.Warn("a request came without its client", "id", j.ID)
 	}
@@ -277,7 +277,7 @@
 		n.log.Warn("a client was lost between two processes", "id", j.ID, "err", err)
 		return
 	}
-	n.core.Adopt(j.Carried, ex)
+	n.core.Adopt(j.TransferredRequest, ex)
 }
 
 // lent is a request that was given away, for as long as the other process has not said that it goes on with it.
@@ -303,7 +303,7 @@
 	n.loop.After(leaveCheck, func() {
 		n.clients.Clients(func(clients int) {
 			switch {
-			case n.heir == nil: // the new process is gone
+			case n.successor == nil: // the new process is gone
 			case n.core.Owed()+len(n.lent)+clients == 0:
 				n.end("a new process has taken its place")
 			default:
@@ -315,5 +315,5 @@
 
 // stray passes on a call that is not for this process.
 func (n *Node) stray(body []byte) {
-	n.twins.Tell(handover.Message{Callback: body})
+	n.twins.Send(handover.Message{Callback: body})
 }
--- a/balancer/platform/servertable/servertable.go
+++ b/balancer/platform/servertable/servertable.go
@@ -25,15 +25,15 @@
 const (
 	// answerWithin bounds a call: discovery takes calls in turn, and one that waits too long fails there too.
 	answerWithin = 4 * time.Second
-	// silentFor is how long a watch may give no sign of life: an empty line comes every 2 s while nothing changes, and is missed by a
-	// second. What a silent watch misses counts as told 6 s after it fell silent. By then the next has to be there: the module's pause
-	// (up to 1.5 s), and a call that may have to wait its turn.
-	silentFor = 3 * time.Second
+	// watchTimeout is how long a watch may give no sign of life: an empty line comes every 2 s while nothing changes, and is
+	// missed by a second. What a silent watch misses counts as told 6 s after it fell silent. By then the next has to be there:
+	// the module's pause (up to 1.5 s), and a call that may have to wait its turn.
+	watchTimeout = 3 * time.Second
 
 	// Where lists are pushed the other side is an agent on this machine, which answers at once and at no cost: a call
 	// that gives nothing is made anew soon, since whatever the agent has counts as told. A line is missed by half a second.
-	agentAnswers = time.Second
-	agentSilent  = 2500 * time.Millisecond
+	agentAnswers      = time.Second
+	agentWatchTimeout = 2500 * time.Millisecond
 	// A call to an agent that failed is followed by the next after renewLeast, doubled up to renewMost: an agent is
 	// silent while discovery is down, and may be away itself.
 	renewLeast, renewMost = 50 * time.Millisecond, 400 * time.Millisecond
@@ -77,7 +77,7 @@
 
 // List returns the whole list as it stands, in discovery's form, for Recall.
 func (t *Table) List() ([]byte, error) {
-	l := list{Seq: t.seq, Whole: true, Hosts: slices.Collect(maps.Values(t.servers))}
+	l := list{Seq: t.seq, Full: true, Hosts: slices.Collect(maps.Values(t.servers))}
 	slices.SortFunc(l.Hosts, func(a, b host) int { return strings.Compare(a.Host, b.Host) })
 	return json.Marshal(l)
 }
@@ -85,7 +85,7 @@
 // list is discovery's form of a list.
 type list struct {
 	Seq   int64  `json:"seq"`
-	Whole bool   `json:"whole"`
+	Full  bool   `json:"whole"`
 	Hosts []host `json:"hosts"`
 }
 
@@ -127,7 +127,7 @@
 	switch {
 	case cached:
 		kind = ravendale.Cached
-	case l.Whole:
+	case l.Full:
 		kind = ravendale.Full
 	}
 	t.seq = l.Seq
@@ -148,7 +148,7 @@
 		}
 		entries = append(entries, e)
 	}
-	if l.Whole && !cached {
+	if l.Full && !cached {
 		// A server that a whole list lacks has gone, which whoever holds a dispatch to it must hear.
 		for name := range t.servers {
 			if !listed[name] {
@@ -239,11 +239,11 @@
 }
 
 // within is one of two times: where lists are asked for, and where they are pushed.
-func (t *Table) within(asked, pushed time.Duration) time.Duration {
+func (t *Table) within(requested, pushed time.Duration) time.Duration {
 	if t.o.Pushed {
 		return pushed
 	}
-	return asked
+	return requested
 }
 
 // Seq is the version of the list that is held, 0 for none.
@@ -299,16 +299,16 @@
 			return
 		}
 		w.begun = true
-		w.expect(w.t.within(silentFor, agentSilent))
+		w.expect(w.t.within(watchTimeout, agentWatchTimeout))
 	}
-	part, whole, err := w.in.Read()
+	chunk, complete, err := w.in.Read()
 	if err != nil {
 		w.fail(err.Error())
 		return
 	}
-	w.list.feed(part)
+	w.list.feed(chunk)
 	w.take()
-	if whole && w.t.watch == w {
+	if complete && w.t.watch == w {
 		w.fail("ended")
 	}
 }
@@ -332,7 +332,7 @@
 			w.t.o.Listed(ravendale.Delta, nil) // nothing has changed: that is an answer too
 		}
 		w.heard, w.t.failing, w.t.again = true, false, renewLeast
-		w.expect(w.t.within(silentFor, agentSilent))
+		w.expect(w.t.within(watchTimeout, agentWatchTimeout))
 	}
 }
 
--- a/balancer/platform/servertable/stream.go
+++ b/balancer/platform/servertable/stream.go
@@ -25,7 +25,7 @@
 		c := s.buf[s.at]
 		switch {
 		case s.depth == 0 && c == '\n':
-			s.cut(s.at + 1)
+			s.take(s.at + 1)
 			return nil, true, nil
 		case s.depth == 0 && (c == ' ' || c == '\t' || c == '\r'):
 		case s.depth == 0 && c != '{':
@@ -38,16 +38,16 @@
 			s.quoted = true
 		case c == '{':
 			if s.depth++; s.depth == 1 {
-				s.cut(s.at) // blanks before it
+				s.take(s.at) // blanks before it
 			}
 		case c == '}':
 			if s.depth--; s.depth == 0 {
-				return s.cut(s.at + 1), false, nil
+				return s.take(s.at + 1), false, nil
 			}
 		}
 	}
 	if s.depth == 0 {
-		s.cut(s.at) // blanks, however many
+		s.take(s.at) // blanks, however many
 	}
 	if len(s.buf) > maxObject {
 		return nil, false, errTooLong
@@ -55,8 +55,8 @@
 	return nil, false, nil
 }
 
-// cut takes the first n bytes off.
-func (s *stream) cut(n int) []byte {
+// take takes the first n bytes off.
+func (s *stream) take(n int) []byte {
 	head := s.buf[:n]
 	s.buf, s.at = s.buf[n:], 0
 	return head
--- a/balancer/platform/servertable/stream_test.go
+++ b/balancer/platform/servertable/stream_test.go
@@ -38,7 +38,7 @@
 }
 
 // However a list is written, and wherever the network cuts it, the same objects come of it.
-func TestObjectsComeWholeHoweverTheyAreWrittenAndCut(t *testing.T) {
+func TestObjectsComeCompleteHoweverTheyAreWrittenAndSplit(t *testing.T) {
 	_, _ = flag.Set("rapid.seed", "20261202"), flag.Set("rapid.nofailfile", "true")
 	rapid.Check(t, func(rt *rapid.T) {
 		var want []string
--- a/balancer/scheduler/exchange.go
+++ b/balancer/scheduler/exchange.go
@@ -33,11 +33,11 @@
 // Exchange is the one place where the client side and the server side meet. A frontend fills it in and is
 // called back with the answer; a backend server reads Message, whose form only the two of them know.
 type Exchange struct {
-	ID       string // unique among the requests in hand
+	ID       string // unique among the requests in progress
 	Facts    Facts
 	Message  any
 	Answer   func(Answer) // called exactly once, unless the client leaves before, or Repeated is
-	Repeated func()       // called instead where a request with that id is in hand, or was of late
+	Repeated func()       // called instead where a request with that id is in progress, or was of late
 
 	// Relay, if set, brings a call to the scheduler's loop: the frontend has another.
 	Relay func(func())
--- a/balancer/scheduler/figures.go
+++ b/balancer/scheduler/figures.go
@@ -24,11 +24,11 @@
 
 // Why requests end unsent.
 const (
-	NoTime  Unsent = iota // it came with its time spent, or it ran out while the module waited
-	NoStart               // the module gave up on it while time was left: no ready server, budget or room in time
-	Leaving               // the scheduler stops and takes nothing new: another has room
-	NoRoom                // the scheduler holds as many requests as it may
-	Unsents               // how many reasons there are
+	NoTime     Unsent = iota // it came with its time spent, or it ran out while the module waited
+	NoStart                  // the module gave up on it while time was left: no ready server, budget or room in time
+	Leaving                  // the scheduler stops and takes nothing new: another has room
+	NoCapacity               // the scheduler holds as many requests as it may
+	Unsents                  // how many reasons there are
 )
 
 // String is the reason's name in figures and logs.
@@ -39,7 +39,7 @@
 	return "unsent(" + strconv.Itoa(int(u)) + ")"
 }
 
-// ClassFigures count the requests of one class by their answer, and those that were taken in hand.
+// ClassFigures count the requests of one class by their answer, and those that were taken in progress.
 type ClassFigures struct{ Answered, Deferred, Errored, Taken int }
 
 // Figures returns the figures of now.
--- a/balancer/scheduler/loop.go
+++ b/balancer/scheduler/loop.go
@@ -24,13 +24,13 @@
 	Gap     func()
 	GapOver time.Duration
 
-	clock func() time.Duration
-	turn  sync.Mutex
-	now   time.Duration // the turn's
-	armed time.Duration // when timer fires; the turn's
-	timer *time.Timer
-	ended bool
-	sent  []*Loop // to, in this turn; the turn's
+	clock  func() time.Duration
+	turn   sync.Mutex
+	now    time.Duration // the turn's
+	armed  time.Duration // when timer fires; the turn's
+	timer  *time.Timer
+	closed bool
+	sent   []*Loop // to, in this turn; the turn's
 
 	mu     sync.Mutex
 	posted []func()
@@ -108,7 +108,7 @@
 // turn, once Run has ended.
 func (l *Loop) Begin() bool {
 	l.turn.Lock()
-	if l.ended {
+	if l.closed {
 		l.turn.Unlock()
 		return false
 	}
@@ -134,15 +134,15 @@
 	}
 }
 
-// mostRounds is how often one goroutine goes on with a loop for others before Run has to: its own connections wait
+// maxTurns is how often one goroutine goes on with a loop for others before Run has to: its own connections wait
 // meanwhile.
-const mostRounds = 8
+const maxTurns = 8
 
 // finish ends a turn, and returns the loops that something was sent to. What others enqueued up to the end of the
 // turn, and could not take a turn for, is taken here: whoever enqueues tries for the turn after that, and this looks
 // after giving it back.
 func (l *Loop) finish() (sent []*Loop) {
-	for round := 1; ; round++ {
+	for turn := 1; ; turn++ {
 		l.takePosted()
 		l.Deadlines.Sweep(l.now)
 		if at, any := l.Deadlines.Next(); any && at < l.armed {
@@ -160,14 +160,14 @@
 		if !l.any.Load() {
 			return sent
 		}
-		if round == mostRounds {
+		if turn == maxTurns {
 			l.rouse()
 			return sent
 		}
 		if !l.turn.TryLock() {
 			return sent
 		}
-		if l.ended {
+		if l.closed {
 			l.turn.Unlock()
 			return sent
 		}
@@ -180,7 +180,7 @@
 	if !l.any.Load() || !l.turn.TryLock() {
 		return nil
 	}
-	if l.ended {
+	if l.closed {
 		l.turn.Unlock()
 		return nil
 	}
@@ -219,7 +219,7 @@
 		select {
 		case <-stop:
 			l.turn.Lock()
-			l.ended = true
+			l.closed = true
 			l.turn.Unlock()
 			return
 		case <-l.wake:
--- a/balancer/scheduler/loop_test.go
+++ b/balancer/scheduler/loop_test.go
@@ -9,7 +9,7 @@
 
 // Loops that send to one another from several goroutines at once lose nothing, keep the order of what one sent to one
 // other, and never have two turns at a time. Nobody wakes them: there is no Run.
-func TestLoopsCarryOnForOneAnother(t *testing.T) {
+func TestLoopsTakeTurnsForOneAnother(t *testing.T) {
 	const loops, workers, rounds = 3, 4, 3000
 	var all [loops]*Loop
 	var inTurn [loops]atomic.Int32
--- a/balancer/scheduler/scheduler.go
+++ b/balancer/scheduler/scheduler.go
@@ -17,16 +17,16 @@
 	"ravendale/balancer/deadline"
 )
 
-// Backend carries out dispatches. Each Send is to lead to exactly one Dispatch.End, unless Withdraw comes before.
+// Backend executes dispatches. Each Send is to lead to exactly one Dispatch.End, unless Withdraw comes before.
 type Backend interface {
 	Send(d *Dispatch)
 	Withdraw(d *Dispatch) // stop waiting for it, and stop the work if possible
 	Retract(d *Dispatch)  // its request is over: unless it has begun it must not, and ends as not sent
 	Avoid(worker string)  // it drains or is gone: what is not on its way there must not go
 
-	Settled(d *Dispatch) bool // whether it needs no connection of this process any more
-	Release(d *Dispatch)      // of those: another process goes on with it
-	Adopt(d *Dispatch)        // takes one that another process released
+	Transferable(d *Dispatch) bool // whether it needs no connection of this process any more
+	Release(d *Dispatch)           // of those: another process goes on with it
+	Adopt(d *Dispatch)             // takes one that another process released
 }
 
 // ServerTable watches the list of backend servers, and tells Scheduler.Listed.
@@ -34,7 +34,7 @@
 
 // Twin stands for the other processes of one scheduler while a new version takes over from an old one.
 type Twin interface {
-	Took(id string)      // a request is in hand here
+	Took(id string)      // a request is in progress here
 	Sent(worker string)  // a dispatch went there
 	Ended(worker string) // one of those is over
 }
@@ -43,36 +43,36 @@
 // itself; this only guards the rule that nothing taken stays unanswered.
 const answerSlack = 5 * time.Millisecond
 
-// lateWord is how long after the end of a request some word of a backend server on it may still come: a server tries
+// lateCallback is how long after the end of a request some word of a backend server on it may still come: a server tries
 // every call until it is answered, ten times at most, and may have stood still before.
-const lateWord = 5 * time.Second
+const lateCallback = 5 * time.Second
 
 // idKept is how long an id is not taken again after its request was answered: a word that comes late would count for the
 // newcomer. An attempt that was given up may run on for as long as the longest job does.
-func (s *Scheduler) idKept() time.Duration { return s.longest + lateWord }
+func (s *Scheduler) idKept() time.Duration { return s.longest + lateCallback }
 
-// idKeptElsewhere is that for an id of the other process, which may still be in hand there for as long.
-func (s *Scheduler) idKeptElsewhere() time.Duration { return 2*s.longest + lateWord }
+// idKeptElsewhere is that for an id of the other process, which may still be in progress there for as long.
+func (s *Scheduler) idKeptElsewhere() time.Duration { return 2*s.longest + lateCallback }
 
 // releaseEvery bounds how often ids are let go of.
 const releaseEvery = 50 * time.Millisecond
 
-// Scheduler carries out what the decision module decides. All of it belongs to the loop's goroutine.
+// Scheduler executes what the decision module decides. All of it belongs to the loop's goroutine.
 type Scheduler struct {
-	loop     *Loop
-	module   *ravendale.Dispatcher
-	settings ravendale.Settings
-	longest  time.Duration // that a client has ever waited at most, by the settings
-	backend  Backend
-	twin     Twin               // nil at first
-	there    map[string]float64 // the other one's dispatches, by server
-	table    ServerTable
-	log      *slog.Logger
+	loop              *Loop
+	module            *ravendale.Dispatcher
+	settings          ravendale.Settings
+	longest           time.Duration // that a client has ever waited at most, by the settings
+	backend           Backend
+	twin              Twin               // nil at first
+	elsewhereInFlight map[string]float64 // the other one's dispatches, by server
+	table             ServerTable
+	log               *slog.Logger
 
 	lastJob  ravendale.JobID
 	sessions map[ravendale.JobID]*Session
 	byID     map[string]*Session // those that are owed an answer
-	past     map[string]struct{} // ids that were answered of late
+	recent   map[string]struct{} // ids that were answered of late
 
 	kept, keptElsewhere []keptID // those, in the order in which they are let go of
 
@@ -92,7 +92,7 @@
 		return nil, fmt.Errorf("settings: %w", err)
 	}
 	s := &Scheduler{loop: loop, module: module, settings: settings, log: log, figures: Figures{Classes: make(map[string]ClassFigures)},
-		sessions: make(map[ravendale.JobID]*Session), byID: make(map[string]*Session), past: make(map[string]struct{}), there: make(map[string]float64)}
+		sessions: make(map[ravendale.JobID]*Session), byID: make(map[string]*Session), recent: make(map[string]struct{}), elsewhereInFlight: make(map[string]float64)}
 	s.name()
 	s.longest = settings.LongestDeadline()
 	return s, nil
@@ -104,7 +104,7 @@
 		return fmt.Errorf("settings: %w", err)
 	}
 	s.settings = settings
-	s.longest = max(s.longest, settings.LongestDeadline()) // of those in hand too
+	s.longest = max(s.longest, settings.LongestDeadline()) // of those in progress too
 	s.name()
 	return nil
 }
@@ -116,34 +116,34 @@
 // those that stay, what is out now is no longer counted either.
 func (s *Scheduler) Join(t Twin) {
 	s.twin = t
-	for worker, n := range s.there {
+	for worker, n := range s.elsewhereInFlight {
 		s.feed(ravendale.Event{Kind: ravendale.SentElsewhere, Worker: worker, Slots: -n})
 	}
-	s.there = make(map[string]float64)
+	s.elsewhereInFlight = make(map[string]float64)
 }
 
-// Past returns what a process that takes over is to know: the module's memory and the ids that may not come again.
-func (s *Scheduler) Past() (*ravendale.Snapshot, []string) {
-	return s.module.Snapshot(), append(slices.Collect(maps.Keys(s.byID)), slices.Collect(maps.Keys(s.past))...)
+// Snapshot returns what a process that takes over is to know: the module's memory and the ids that may not come again.
+func (s *Scheduler) Snapshot() (*ravendale.Snapshot, []string) {
+	return s.module.Snapshot(), append(slices.Collect(maps.Keys(s.byID)), slices.Collect(maps.Keys(s.recent))...)
 }
 
-// Inherit takes what Past returned, after the list.
-func (s *Scheduler) Inherit(past *ravendale.Snapshot, ids []string) {
+// Inherit takes what Snapshot returned, after the list.
+func (s *Scheduler) Inherit(snapshot *ravendale.Snapshot, ids []string) {
 	for _, id := range ids {
 		s.TookElsewhere(id)
 	}
-	if past != nil {
-		s.feed(ravendale.Event{Kind: ravendale.Inherited, Snapshot: past})
-		for worker, was := range past.Workers {
-			s.there[worker] = was.Slots
+	if snapshot != nil {
+		s.feed(ravendale.Event{Kind: ravendale.Inherited, Snapshot: snapshot})
+		for worker, was := range snapshot.Workers {
+			s.elsewhereInFlight[worker] = was.Slots
 		}
-		for worker := range past.Detached {
+		for worker := range snapshot.Detached {
 			s.backend.Avoid(worker)
 		}
 	}
 }
 
-// TookElsewhere notes an id that the other process has in hand, or had.
+// TookElsewhere notes an id that the other process has in progress, or had.
 func (s *Scheduler) TookElsewhere(id string) { s.keep(id, s.idKeptElsewhere(), &s.keptElsewhere) }
 
 // SentElsewhere notes a dispatch of the other process, and EndedElsewhere the end of one.
@@ -153,10 +153,10 @@
 func (s *Scheduler) EndedElsewhere(worker string) { s.elsewhere(worker, -1) }
 
 func (s *Scheduler) elsewhere(worker string, slots float64) {
-	if s.there[worker]+slots < 0 {
+	if s.elsewhereInFlight[worker]+slots < 0 {
 		return // sent before the two joined
 	}
-	s.there[worker] += slots
+	s.elsewhereInFlight[worker] += slots
 	s.feed(ravendale.Event{Kind: ravendale.SentElsewhere, Worker: worker, Slots: slots})
 }
 
@@ -164,7 +164,7 @@
 // deadline, and no longer hold the request's head that they were cut from.
 func (s *Scheduler) keep(id string, long time.Duration, of *[]keptID) {
 	id = strings.Clone(id)
-	s.past[id] = struct{}{}
+	s.recent[id] = struct{}{}
 	if *of = append(*of, keptID{id, s.loop.Now() + long}); len(*of) == 1 {
 		s.loop.After(long, func() { s.release(of) })
 	}
@@ -180,7 +180,7 @@
 func (s *Scheduler) release(of *[]keptID) {
 	n := 0
 	for n < len(*of) && (*of)[n].till <= s.loop.Now() {
-		delete(s.past, (*of)[n].id)
+		delete(s.recent, (*of)[n].id)
 		(*of)[n] = keptID{}
 		n++
 	}
@@ -191,8 +191,8 @@
 	}
 }
 
-// Cold says whether a backend server is taken to be warming still.
-func (s *Scheduler) Cold(worker string) bool { return s.module.WarmingUp(worker, s.loop.Now()) }
+// WarmingUp says whether a backend server is taken to be warming still.
+func (s *Scheduler) WarmingUp(worker string) bool { return s.module.WarmingUp(worker, s.loop.Now()) }
 
 // Owed is how many requests wait for their answer.
 func (s *Scheduler) Owed() int { return len(s.byID) }
@@ -215,7 +215,7 @@
 	}
 }
 
-// Session is a request in hand.
+// Session is a request in progress.
 type Session struct {
 	s          *Scheduler
 	job        ravendale.JobID
@@ -226,7 +226,7 @@
 	answerBy   time.Duration
 	guard      *deadline.Deadline
 	dispatches []*Dispatch
-	out        int  // dispatches without an outcome
+	inFlight   int  // dispatches without an outcome
 	closed     bool // it has had its answer, or the client has left
 }
 
@@ -249,23 +249,23 @@
 	sentAt time.Duration
 	timer  *deadline.Deadline
 	begun  bool // the backend has it
-	ended  bool
+	done   bool
 }
 
 // Repeatable says whether the request may run any number of times.
 func (d *Dispatch) Repeatable() bool { return d.Session.class.Effect == ravendale.Safe }
 
-// Due says whether the last byte of the request, with which it begins, may be written at a time. Any loop may ask. A connection can
-// take longer to come up than the request lives, or than a server drops a repeat of it.
+// Due says whether the last byte of the request, with which it begins, may be written at a time. Any loop may ask. A connection
+// can take longer to come up than the request lives, or than a server drops a repeat of it.
 func (d *Dispatch) Due(now time.Duration) bool { return !d.off.Load() && now < d.by }
 
 // Exchange is the request that the dispatch is for.
 func (d *Dispatch) Exchange() *Exchange { return d.Session.ex }
 
-// Accept takes a request. It calls Repeated where one with that id is in hand, or was of late: clients never use one
+// Accept takes a request. It calls Repeated where one with that id is in progress, or was of late: clients never use one
 // twice, and nothing changes for the first.
 func (s *Scheduler) Accept(ex *Exchange) {
-	if _, was := s.past[ex.ID]; was || s.byID[ex.ID] != nil {
+	if _, was := s.recent[ex.ID]; was || s.byID[ex.ID] != nil {
 		ex.Repeated()
 		return
 	}
@@ -282,10 +282,11 @@
 	s.arrived(n, nil)
 }
 
-// Gate has a function asked before each new request: where it says no the request is refused at once. What is in hand goes on.
+// Gate has a function asked before each new request: where it says no the request is refused at once. What is in progress goes
+// on.
 func (s *Scheduler) Gate(may func() bool) { s.gate = may }
 
-// open makes a session of a request, and takes it in hand.
+// open makes a session of a request, and takes it in progress.
 func (s *Scheduler) open(ex *Exchange) *Session {
 	s.lastJob++
 	n := &Session{s: s, job: s.lastJob, ex: ex, attempts: s.settings.MaxAttempts, class: ravendale.Class{Effect: ravendale.Unsafe},
@@ -325,13 +326,13 @@
 	}
 }
 
-// Hand takes a backend server out by hand, or puts it back; whatever is listed meanwhile, nothing new goes to one that is
-// out. It returns false where no such server is known.
-func (s *Scheduler) Hand(worker string, out bool) bool {
+// SetDetached takes a backend server out of service, or puts it back; whatever is listed meanwhile, nothing new goes to one
+// that is out. It returns false where no such server is known.
+func (s *Scheduler) SetDetached(worker string, detached bool) bool {
 	if !s.module.Knows(worker) {
 		return false
 	}
-	if !out {
+	if !detached {
 		s.feed(ravendale.Event{Kind: ravendale.WorkerAttached, Worker: worker})
 		return true
 	}
@@ -340,7 +341,7 @@
 	return true
 }
 
-// feed hands the module an event and carries out its actions in order. Events that come up meanwhile wait.
+// feed hands the module an event and executes its actions in order. Events that come up meanwhile wait.
 func (s *Scheduler) feed(ev ravendale.Event) {
 	s.events = append(s.events, ev)
 	if s.busy {
@@ -350,14 +351,14 @@
 	for i := 0; i < len(s.events); i++ {
 		s.actions = s.module.Handle(s.loop.Now(), &s.events[i], s.actions[:0])
 		for j := range s.actions {
-			s.carryOut(&s.actions[j])
+			s.execute(&s.actions[j])
 		}
 	}
 	clear(s.events)
 	s.events, s.busy = s.events[:0], false
 }
 
-func (s *Scheduler) carryOut(a *ravendale.Action) {
+func (s *Scheduler) execute(a *ravendale.Action) {
 	n := s.sessions[a.Job]
 	switch a.Kind {
 	case ravendale.SetTimer:
@@ -370,7 +371,7 @@
 		}
 	case ravendale.Cancel:
 		if n != nil && a.Attempt >= 0 && a.Attempt < len(n.dispatches) {
-			if d := n.dispatches[a.Attempt]; !d.ended {
+			if d := n.dispatches[a.Attempt]; !d.done {
 				s.backend.Withdraw(d)
 				d.finish(ravendale.Cancelled)
 			}
@@ -397,7 +398,7 @@
 		d.Deadline = min(d.Deadline, now+a.Wait)
 	}
 	n.dispatches = append(n.dispatches, d)
-	n.out++
+	n.inFlight++
 	if n.closed || a.Wait < 0 || now >= d.Deadline || len(n.dispatches)-n.unreached > n.attempts {
 		d.finish(ravendale.NotSent)
 		return
@@ -407,7 +408,7 @@
 		s.twin.Sent(d.Worker)
 	}
 	if s.traces() {
-		s.log.Debug("send", "job", n.job, "try", d.number, "class", n.class.Name, "server", d.Worker, "cold", s.Cold(d.Worker), "open", len(s.byID))
+		s.log.Debug("send", "job", n.job, "try", d.number, "class", n.class.Name, "server", d.Worker, "cold", s.WarmingUp(d.Worker), "open", len(s.byID))
 	}
 	s.backend.Send(d)
 }
@@ -423,7 +424,7 @@
 
 // Sent tells that the request is written whole.
 func (d *Dispatch) Sent() {
-	d.tell(func() {
+	d.relay(func() {
 		s := d.Session.s
 		if s.figures.Sends++; s.traces() {
 			s.log.Debug("sent", "job", d.Session.job, "try", d.number, "server", d.Worker)
@@ -432,17 +433,17 @@
 }
 
 // Started tells that the job runs.
-func (d *Dispatch) Started() { d.note(ravendale.JobStarted, 0) }
+func (d *Dispatch) Started() { d.report(ravendale.JobStarted, 0) }
 
-// Silent tells that the backend server has not said a word on it, long after it should have.
-func (d *Dispatch) Silent() { d.note(ravendale.AttemptUnresponsive, 0) }
+// Unresponsive tells that the backend server has not said a word on it, long after it should have.
+func (d *Dispatch) Unresponsive() { d.report(ravendale.AttemptUnresponsive, 0) }
 
 // Progressed tells which part of the job is done.
-func (d *Dispatch) Progressed(done float64) { d.note(ravendale.JobProgressed, done) }
+func (d *Dispatch) Progressed(done float64) { d.report(ravendale.JobProgressed, done) }
 
-func (d *Dispatch) note(kind ravendale.EventKind, done float64) {
-	d.tell(func() {
-		if !d.ended {
+func (d *Dispatch) report(kind ravendale.EventKind, done float64) {
+	d.relay(func() {
+		if !d.done {
 			if s := d.Session.s; s.traces() {
 				s.log.Debug("note", "job", d.Session.job, "try", d.number, "server", d.Worker, "kind", kind, "took", s.loop.Now()-d.sentAt)
 			}
@@ -451,8 +452,8 @@
 	})
 }
 
-// tell calls f in the scheduler's turn.
-func (d *Dispatch) tell(f func()) {
+// relay calls f in the scheduler's turn.
+func (d *Dispatch) relay(f func()) {
 	if d.Relay != nil {
 		d.Relay(f)
 	} else {
@@ -462,8 +463,8 @@
 
 // End gives the outcome of a dispatch; only the first counts. The first OK of a session is its answer.
 func (d *Dispatch) End(outcome ravendale.Outcome, result []byte) {
-	d.tell(func() {
-		if d.ended {
+	d.relay(func() {
+		if d.done {
 			return
 		}
 		if outcome == ravendale.OK {
@@ -475,13 +476,13 @@
 
 // finish tells the module an outcome, once.
 func (d *Dispatch) finish(outcome ravendale.Outcome) {
-	if d.ended {
+	if d.done {
 		return
 	}
 	n := d.Session
-	d.ended = true
+	d.done = true
 	n.s.loop.Deadlines.Drop(d.timer)
-	n.out--
+	n.inFlight--
 	if outcome == ravendale.ConnectFailed {
 		n.unreached++
 	}
@@ -522,7 +523,7 @@
 // retract keeps what has not begun from beginning, where the module may not cancel, too.
 func (n *Session) retract() {
 	for _, d := range n.dispatches {
-		if !d.ended {
+		if !d.done {
 			n.s.backend.Retract(d)
 		}
 	}
@@ -573,7 +574,7 @@
 
 // forget drops a session of which nothing more can come.
 func (n *Session) forget() {
-	if n.closed && n.out == 0 {
+	if n.closed && n.inFlight == 0 {
 		delete(n.s.sessions, n.job)
 	}
 }
--- a/balancer/scheduler/carry.go
+++ b/balancer/scheduler/transfer.go
@@ -8,8 +8,8 @@
 	"ravendale"
 )
 
-// Carried is a request that another process of this scheduler goes on with: see Carry.
-type Carried struct {
+// TransferredRequest is a request that another process of this scheduler goes on with: see Transfer.
+type TransferredRequest struct {
 	ID        string                      `json:"id"`
 	Class     string                      `json:"class"`
 	AnswerBy  time.Duration               `json:"answer_by"` // on the clock that the two share
@@ -34,19 +34,19 @@
 	return n.attempts == t.Attempts && slices.Contains(t.Classes, n.class)
 }
 
-// Carry gives requests in hand away that the terms suit, each by hand, which returns false where it can't be given: that
-// one stays. What is given away is no longer owed here, its attempts go on, and nothing more is heard of them. Only a
-// request of which each attempt has ended or was taken by its backend server can be given: the connections of the others
-// are this process's.
-func (s *Scheduler) Carry(terms *Terms, hand func(Carried, *Exchange) bool) (given int) {
+// Transfer gives requests in progress away that the terms suit, each by transfer, which returns false where it can't be given:
+// that one stays. What is given away is no longer owed here, its attempts go on, and nothing more is heard of them. Only a
+// request of which each attempt has ended or was taken by its backend server can be given: the connections of the others are
+// this process's.
+func (s *Scheduler) Transfer(terms *Terms, transfer func(TransferredRequest, *Exchange) bool) (given int) {
 	for _, job := range slices.Sorted(maps.Keys(s.sessions)) { // oldest first
 		n := s.sessions[job]
-		if n == nil || n.closed || !terms.suits(n) || !n.settled() {
+		if n == nil || n.closed || !terms.suits(n) || !n.transferable() {
 			continue
 		}
-		c := Carried{ID: n.ex.ID, Class: n.class.Name, AnswerBy: n.answerBy, Facts: n.ex.Facts,
+		c := TransferredRequest{ID: n.ex.ID, Class: n.class.Name, AnswerBy: n.answerBy, Facts: n.ex.Facts,
 			Attempts: s.module.Attempts(n.job), Unreached: n.unreached}
-		if hand(c, n.ex) {
+		if transfer(c, n.ex) {
 			n.giveAway()
 			given++
 		}
@@ -54,10 +54,10 @@
 	return given
 }
 
-// settled says whether each attempt has ended, or lives on without this process.
-func (n *Session) settled() bool {
+// transferable says whether each attempt has ended, or lives on without this process.
+func (n *Session) transferable() bool {
 	for _, d := range n.dispatches {
-		if !d.ended && !n.s.backend.Settled(d) {
+		if !d.done && !n.s.backend.Transferable(d) {
 			return false
 		}
 	}
@@ -75,7 +75,7 @@
 	n.closed = true
 	s.feed(ravendale.Event{Kind: ravendale.ClientLeft, Job: n.job})
 	for _, d := range n.dispatches {
-		if !d.ended {
+		if !d.done {
 			s.backend.Release(d)
 			d.finish(ravendale.Cancelled)
 		}
@@ -84,7 +84,7 @@
 }
 
 // Adopt goes on with a request that another process gave away.
-func (s *Scheduler) Adopt(c Carried, ex *Exchange) {
+func (s *Scheduler) Adopt(c TransferredRequest, ex *Exchange) {
 	ex.ID, ex.Facts = c.ID, c.Facts
 	ex.Facts.Class = slices.IndexFunc(s.settings.Classes, func(class ravendale.Class) bool { return class.Name == c.Class })
 	ex.Facts.Left = max(c.AnswerBy-s.loop.Now(), 0)
@@ -92,12 +92,12 @@
 	n := s.open(ex)
 	n.unreached = c.Unreached
 	for i, a := range c.Attempts {
-		d := &Dispatch{Session: n, Worker: a.Worker, Deadline: n.answerBy, number: i, sentAt: a.SentAt, begun: true, ended: !a.InFlight}
+		d := &Dispatch{Session: n, Worker: a.Worker, Deadline: n.answerBy, number: i, sentAt: a.SentAt, begun: true, done: !a.InFlight}
 		n.dispatches = append(n.dispatches, d)
 		if !a.InFlight {
 			continue
 		}
-		n.out++
+		n.inFlight++
 		d.limit()
 		s.backend.Adopt(d)
 		if s.twin != nil {
--- a/balancer/transport/nbionet/nbionet.go
+++ b/balancer/transport/nbionet/nbionet.go
@@ -78,10 +78,10 @@
 	e.nb = nbio.NewEngine(nbio.Config{Name: "ravendale", Network: "tcp", NPoller: 1,
 		ReadBufferSize: readBuffer, MaxConnReadTimesPerEventLoop: readsATurn})
 	// nbio leaves its buffer cut to the length of the last read: hand it out whole each time.
-	whole := make([]byte, readBuffer)
-	buf := whole
+	full := make([]byte, readBuffer)
+	buf := full
 	e.nb.OnReadBufferAlloc(func(*nbio.Conn) *[]byte {
-		buf = whole
+		buf = full
 		return &buf
 	})
 	e.nb.OnData(func(c *nbio.Conn, data []byte) {
@@ -102,7 +102,7 @@
 	e.nb.OnClose(func(c *nbio.Conn, err error) {
 		if n, ok := c.Session().(*conn); ok {
 			n.release()
-			e.loop.Post(func() { n.lost(err) })
+			e.loop.Post(func() { n.onClosed(err) })
 		}
 	})
 	return e
@@ -201,8 +201,8 @@
 // running is closed once the poller reads. It is the session of a connection that is there for that alone.
 type running chan struct{}
 
-// awaitPoller waits until the poller runs. nbio (v1.6.8) clears the mark of a stop as its loop begins, and never ends if it is stopped
-// before.
+// awaitPoller waits until the poller runs. nbio (v1.6.8) clears the mark of a stop as its loop begins, and never ends if it is
+// stopped before.
 func (e *Engine) awaitPoller() error {
 	near, far, err := pair()
 	if err != nil {
@@ -235,8 +235,8 @@
 	return err
 }
 
-// Close ends the listeners, all connections and the dials under way; a connection that comes up later is closed. nbio panics if told
-// to end what never started, or has ended.
+// Close ends the listeners, all connections and the dials under way; a connection that comes up later is closed. nbio panics if
+// told to end what never started, or has ended.
 func (e *Engine) Close() {
 	e.mu.Lock()
 	before := e.closed
@@ -259,8 +259,8 @@
 
 // Serve accepts from a listener, which it owns from now on, up to room connections at once; more wait in the system's
 // queue. The listener may be shared with other processes: it is closed, but never shut down.
-func (e *Engine) Serve(ln net.Listener, room int, accept func(transport.Conn) transport.Handler) *Gate {
-	return e.Deal(ln, room, []Target{{e, accept}}, func() int { return 0 })
+func (e *Engine) Serve(ln net.Listener, limit int, accept func(transport.Conn) transport.Handler) *Gate {
+	return e.Deal(ln, limit, []Target{{e, accept}}, func() int { return 0 })
 }
 
 // Target is where a connection may go that was accepted.
@@ -270,8 +270,8 @@
 }
 
 // Deal is Serve for connections that go to several engines: choose says to which, in a goroutine of its own.
-func (e *Engine) Deal(ln net.Listener, room int, targets []Target, choose func() int) *Gate {
-	g := &Gate{ln: ln, targets: targets, choose: choose, room: max(room, 1)}
+func (e *Engine) Deal(ln net.Listener, limit int, targets []Target, choose func() int) *Gate {
+	g := &Gate{ln: ln, targets: targets, choose: choose, limit: max(limit, 1)}
 	g.cond.L = &g.mu
 	e.gates = append(e.gates, g)
 	go g.run()
@@ -286,7 +286,7 @@
 
 	mu             sync.Mutex
 	cond           sync.Cond
-	open, room     int
+	open, limit    int
 	paused, closed bool
 }
 
@@ -303,10 +303,10 @@
 // Resume undoes Pause.
 func (g *Gate) Resume() { g.set(func() { g.paused = false }, time.Time{}) }
 
-// SetRoom sets how many connections there may be.
-func (g *Gate) SetRoom(room int) {
+// SetLimit sets how many connections there may be.
+func (g *Gate) SetLimit(limit int) {
 	g.mu.Lock()
-	g.room = max(room, 1)
+	g.limit = max(limit, 1)
 	g.mu.Unlock()
 	g.cond.Signal()
 }
@@ -349,7 +349,7 @@
 func (g *Gate) enter() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	for !g.closed && (g.paused || g.open >= g.room) {
+	for !g.closed && (g.paused || g.open >= g.limit) {
 		g.cond.Wait()
 	}
 	g.open++
@@ -388,11 +388,11 @@
 	e.loop.Post(func() {
 		n.open = true
 		if err := e.add(c); err != nil {
-			n.gone = true // it is closed
+			n.closed = true // it is closed
 			n.release()
 			return
 		}
-		if n.handler = accept(n); n.gone {
+		if n.handler = accept(n); n.closed {
 			n.handler.Closed(net.ErrClosed)
 		}
 	})
@@ -451,9 +451,9 @@
 	return fmt.Sprintf("/proc/self/fd/%d/%s", dir.Fd(), filepath.Base(path)), func() { _ = dir.Close() }, nil
 }
 
-// Dial connects to a TCP address, or the path of a Unix socket, with the standard library and hands the connection to nbio. nbio's own DialAsync takes the
-// first four bytes of an IPv4 address that the standard library gives in sixteen (net_unix.go:136 in
-// v1.6.8), and so connects to 0.0.0.0: seen as 'connection refused' by discovery at 127.8.200.1.
+// Dial connects to a TCP address, or the path of a Unix socket, with the standard library and hands the connection to nbio.
+// nbio's own DialAsync takes the first four bytes of an IPv4 address that the standard library gives in sixteen
+// (net_unix.go:136 in v1.6.8), and so connects to 0.0.0.0: seen as 'connection refused' by discovery at 127.8.200.1.
 func (e *Engine) Dial(addr string, h transport.Handler) transport.Conn {
 	if strings.HasPrefix(addr, "/") {
 		return e.dialLocal(addr, h)
@@ -481,8 +481,8 @@
 		}
 		if err != nil {
 			e.loop.Post(func() {
-				if !l.gone {
-					l.gone = true
+				if !l.closed {
+					l.closed = true
 					h.Closed(err)
 				}
 			})
@@ -527,7 +527,7 @@
 	nb        *nbio.Conn
 	handler   transport.Handler
 	open      bool
-	gone      bool // closed by either side
+	closed    bool // closed by either side
 	queued    atomic.Int64
 	written   atomic.Int64
 	finishing atomic.Bool
@@ -540,14 +540,14 @@
 
 func (n *conn) connected(c *nbio.Conn, err error) {
 	switch {
-	case n.gone && c != nil:
+	case n.closed && c != nil:
 		n.nb = c
 		n.leave() // given up while it was being made
 		return
 	case err != nil:
-		n.lost(err)
+		n.onClosed(err)
 		return
-	case n.gone:
+	case n.closed:
 		return
 	}
 	n.nb, n.open = c, true
@@ -555,16 +555,16 @@
 }
 
 func (n *conn) data(b []byte) {
-	if !n.gone {
+	if !n.closed {
 		n.handler.Data(b)
 	}
 }
 
-func (n *conn) lost(err error) {
-	if n.gone {
+func (n *conn) onClosed(err error) {
+	if n.closed {
 		return
 	}
-	n.gone = true
+	n.closed = true
 	if n.handler != nil {
 		n.handler.Closed(err)
 	}
@@ -577,7 +577,7 @@
 }
 
 func (n *conn) Write(b []byte) {
-	if n.gone || !n.open {
+	if n.closed || !n.open {
 		return
 	}
 	n.queued.Add(int64(len(b)))
@@ -623,7 +623,7 @@
 func (n *conn) Finish() {
 	n.Ignore()
 	n.finishing.Store(true)
-	if n.open && !n.gone && n.Unwritten() == 0 {
+	if n.open && !n.closed && n.Unwritten() == 0 {
 		n.shutdown(syscall.SHUT_WR)
 	}
 }
@@ -638,10 +638,10 @@
 	n.nb.Unlock()
 }
 
-// leave ends the connection, at once for the other side too, and has the poller close the descriptor when it hears of that. Closed by
-// anybody else the number may be another connection's before the poller comes to what epoll had told it of this one: nbio (v1.6.8,
-// poller_epoll.go:256) looks up by number whom an event is for, and would end the newcomer. A close that met the poller's epoll_wait was
-// no end either: the system (seen on Linux 6.18) released the socket only when that call returned.
+// leave ends the connection, at once for the other side too, and has the poller close the descriptor when it hears of that.
+// Closed by anybody else the number may be another connection's before the poller comes to what epoll had told it of this one:
+// nbio (v1.6.8, poller_epoll.go:256) looks up by number whom an event is for, and would end the newcomer. A close that met the
+// poller's epoll_wait was no end either: the system (seen on Linux 6.18) released the socket only when that call returned.
 func (n *conn) leave() {
 	n.Ignore()
 	n.shutdown(syscall.SHUT_RDWR)
@@ -649,8 +649,8 @@
 
 // Close implements transport.Conn.
 func (n *conn) Close() {
-	if !n.gone {
-		n.gone = true
+	if !n.closed {
+		n.closed = true
 		if n.cancel != nil {
 			n.cancel()
 		}
--- a/balancer/transport/nbionet/nbionet_test.go
+++ b/balancer/transport/nbionet/nbionet_test.go
@@ -101,7 +101,7 @@
 	<-n.closed
 }
 
-func TestAFailedDialIsToldOnce(t *testing.T) {
+func TestAFailedDialIsReportedOnce(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -131,8 +131,8 @@
 	l.owner.Post(f)
 }
 
-// A dial that comes up while its engine closes is handed to nobody: its far end sees it closed, and the engine's end does not wait for
-// it. What nbio tells of the connection before holds up the engine's end until then.
+// A dial that comes up while its engine closes is handed to nobody: its far end sees it closed, and the engine's end does not
+// wait for it. What nbio tells of the connection before holds up the engine's end until then.
 func TestADialThatComesUpWhileItsEngineClosesIsClosed(t *testing.T) {
 	far, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -495,10 +495,10 @@
 		t.Fatal(err)
 	}
 	held, adopted := <-accepted, newEnd()
-	o.on(func() { near.net.(transport.Carrier).Carry([]byte("with it"), held.net).Drop() })
+	o.on(func() { near.net.(transport.ConnSender).SendConn([]byte("with it"), held.net).Drop() })
 	text := <-far.data
 	o.on(func() {
-		err = e.Adopt(far.net.(transport.Carrier).Given(), nil, func(c transport.Conn) transport.Handler {
+		err = e.Adopt(far.net.(transport.ConnSender).Given(), nil, func(c transport.Conn) transport.Handler {
 			adopted.net = c
 			c.Write([]byte("answer"))
 			return adopted
@@ -531,9 +531,9 @@
 	e.end.Data(b)
 }
 
-// What epoll told of a connection before that was closed must not end another that has its number by then. The poller has both events, of
-// bytes and of two ends, from one call; while it hands over the bytes, the two connections are closed or written to, and a third is
-// dialled, which gets the numbers of both: one while it is made, and one to stay.
+// What epoll told of a connection before that was closed must not end another that has its number by then. The poller has both
+// events, of bytes and of two ends, from one call; while it hands over the bytes, the two connections are closed or written to,
+// and a third is dialled, which gets the numbers of both: one while it is made, and one to stay.
 func TestANewcomerOutlivesWhoHadItsNumber(t *testing.T) {
 	for how, leave := range map[string]func(c transport.Conn){
 		"closed":  func(c transport.Conn) { c.Close() },
@@ -622,8 +622,8 @@
 	t.Fatal("what was sent is not read")
 }
 
-// A close over unread bytes destroys what the system still holds back of small writes, so it must hold back none: on connections that were
-// accepted, on an own or an inherited listener, dialled, and given by another process.
+// A close over unread bytes destroys what the system still holds back of small writes, so it must hold back none: on
+// connections that were accepted, on an own or an inherited listener, dialled, and given by another process.
 func TestSmallWritesAreNotHeldBack(t *testing.T) {
 	e, o, accepted, near, far, _ := linked(t)
 	check := func(which string, c transport.Conn) {
@@ -662,12 +662,12 @@
 		o.on(func() {
 			check("dialled", dialled.net)
 			check(which, held.net)
-			near.net.(transport.Carrier).Carry([]byte("with it"), held.net).Drop()
+			near.net.(transport.ConnSender).SendConn([]byte("with it"), held.net).Drop()
 		})
 		<-far.data
 		adopted := newEnd()
 		o.on(func() {
-			err = e.Adopt(far.net.(transport.Carrier).Given(), nil, func(c transport.Conn) transport.Handler {
+			err = e.Adopt(far.net.(transport.ConnSender).Given(), nil, func(c transport.Conn) transport.Handler {
 				check("given", c)
 				adopted.net = c
 				return adopted
--- a/balancer/transport/nbionet/unix.go
+++ b/balancer/transport/nbionet/unix.go
@@ -24,15 +24,15 @@
 	gate *Gate
 
 	handler transport.Handler // the owner's, like gone
-	gone    bool
+	closed  bool
 
 	given []int // descriptors that came, the owner's
 
-	mu     sync.Mutex
-	more   sync.Cond
-	queue  []parcel
-	queued int
-	ended  bool
+	mu      sync.Mutex
+	more    sync.Cond
+	queue   []parcel
+	queued  int
+	closing bool
 }
 
 // parcel is what is written, with a descriptor or without (0).
@@ -44,11 +44,11 @@
 // serveLocal takes a connection over; begin is called in the first turn, and returns its handler.
 func (e *Engine) serveLocal(l *local, std net.Conn, begin func() transport.Handler) {
 	e.loop.Post(func() {
-		if l.std = std; l.gone {
+		if l.std = std; l.closed {
 			l.release()
 			return
 		}
-		if l.handler = begin(); l.gone {
+		if l.handler = begin(); l.closed {
 			return
 		}
 		go l.write()
@@ -72,7 +72,7 @@
 		}
 		given := descriptors(rights[:m])
 		if n > 0 && l.loop.Begin() {
-			if !l.gone {
+			if !l.closed {
 				l.given, given = append(l.given, given...), nil
 				l.handler.Data(buf[:n])
 			}
@@ -81,7 +81,7 @@
 		closeAll(given)
 		if err != nil {
 			l.loop.Post(func() {
-				if !l.gone {
+				if !l.closed {
 					l.release()
 					l.handler.Closed(err)
 				}
@@ -95,10 +95,10 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for {
-		for len(l.queue) == 0 && !l.ended {
+		for len(l.queue) == 0 && !l.closing {
 			l.more.Wait()
 		}
-		if l.ended {
+		if l.closing {
 			return
 		}
 		all := l.queue
@@ -167,10 +167,10 @@
 	}
 }
 
-// Carry implements transport.Carrier.
-func (l *local) Carry(b []byte, c transport.Conn) transport.Given {
+// SendConn implements transport.ConnSender.
+func (l *local) SendConn(b []byte, c transport.Conn) transport.Given {
 	n, ok := c.(*conn)
-	if !ok || l.gone {
+	if !ok || l.closed {
 		return nil
 	}
 	fd, err := n.detach()
@@ -186,7 +186,7 @@
 	return given(kept)
 }
 
-// Given implements transport.Carrier.
+// Given implements transport.ConnSender.
 func (l *local) Given() transport.Given {
 	if len(l.given) == 0 {
 		return nil
@@ -224,11 +224,11 @@
 		gate.admit()
 	}
 	if err := e.add(c); err != nil {
-		n.gone = true
+		n.closed = true
 		n.release()
 		return fmt.Errorf("a connection that was given: %w", err)
 	}
-	if n.handler = accept(n); n.gone {
+	if n.handler = accept(n); n.closed {
 		n.handler.Closed(net.ErrClosed)
 	}
 	return nil
@@ -241,8 +241,8 @@
 // which it does only once no process has the connection: until then events of it would reach whoever gets the number
 // next, and end an innocent connection. So it is taken out first, by the poller's own descriptor, which nbio does not show.
 func (n *conn) detach() (int, error) {
-	if n.gone || !n.open || n.Unwritten() > 0 {
-		return 0, errNotWhole
+	if n.closed || !n.open || n.Unwritten() > 0 {
+		return 0, errIncomplete
 	}
 	poller := reflect.ValueOf(n.nb).Elem().FieldByName("p")
 	if !poller.IsValid() || poller.Kind() != reflect.Pointer || poller.IsNil() {
@@ -260,7 +260,7 @@
 	}
 	n.nb.Unlock()
 	if err == nil {
-		n.gone = true
+		n.closed = true
 		closeIt := func() { _ = n.nb.Close() }
 		if n.e.Echo(closeIt) != nil { // the poller may have an event of it still: see leave
 			closeIt()
@@ -284,8 +284,8 @@
 }
 
 var (
-	errNotWhole = errors.New("something is still to be written")
-	errNoPoller = errors.New("nbio's poller is not known")
+	errIncomplete = errors.New("something is still to be written")
+	errNoPoller   = errors.New("nbio's poller is not known")
 )
 
 // maxQueued is how many bytes may wait for the other process. One that does not read is as good as gone.
@@ -294,7 +294,7 @@
 var errBehind = errors.New("the other process does not read")
 
 func (l *local) Write(b []byte) {
-	if l.gone {
+	if l.closed {
 		return
 	}
 	l.enqueue(parcel{b: append([]byte(nil), b...)})
@@ -325,18 +325,18 @@
 
 // Close ends the connection; the handler hears no more.
 func (l *local) Close() {
-	if !l.gone {
+	if !l.closed {
 		l.release()
 	}
 }
 
 // release gives back what it holds, in the owner's turn.
 func (l *local) release() {
-	l.gone = true
+	l.closed = true
 	closeAll(l.given)
 	l.given = nil
 	l.mu.Lock()
-	l.ended = true
+	l.closing = true
 	for _, p := range l.queue {
 		p.close()
 	}
--- a/balancer/transport/transport.go
+++ b/balancer/transport/transport.go
@@ -26,13 +26,13 @@
 	Dial(addr string, h Handler) Conn
 }
 
-// Carrier is a Conn to another process of this machine, by which connections can be given away.
-type Carrier interface {
+// ConnSender is a Conn to another process of this machine, by which connections can be given away.
+type ConnSender interface {
 	Conn
-	// Carry writes b, and gives a connection away with it: this process hears nothing of that any more. What it returns is
+	// SendConn writes b, and gives a connection away with it: this process hears nothing of that any more. What it returns is
 	// that connection too, to be dropped once the other process has it, or to be taken back. Nil: it can't be given, and
 	// nothing has changed.
-	Carry(b []byte, c Conn) Given
+	SendConn(b []byte, c Conn) Given
 	// Given is the next connection that came, in the order of what they were written with: by the time that the last byte
 	// of that has come it is there. Nil if there is none.
 	Given() Given
--- a/test/emulator/node.go
+++ b/test/emulator/node.go
@@ -26,12 +26,12 @@
 
 // Rules are what holds for all nodes of a fleet.
 type Rules struct {
-	ColdFrom     float64       // a fresh node starts at this part of its capacity,
-	ColdFor      time.Duration // and has all of it after so long
-	FallMultiple float64       // it falls when sent more than this multiple of what it can do
-	FallSpan     time.Duration // within so long
-	DownFor      time.Duration // a node that fell is gone for so long
-	StopsRunning bool          // a cancel stops work that runs
+	SlowStartFrom    float64       // a fresh node starts at this part of its capacity,
+	SlowStartFor     time.Duration // and has all of it after so long
+	OverloadMultiple float64       // it falls when sent more than this multiple of what it can do
+	OverloadSpan     time.Duration // within so long
+	DownFor          time.Duration // a node that fell is gone for so long
+	StopsRunning     bool          // a cancel stops work that runs
 }
 
 // Job is what a node is asked to run.
@@ -41,24 +41,24 @@
 	Slots float64
 }
 
-// NoteKind says what a node tells of a job.
-type NoteKind uint8
+// NoticeKind says what a node tells of a job.
+type NoticeKind uint8
 
 // What a node tells.
 const (
-	Started NoteKind = iota
+	Started NoticeKind = iota
 	Done
-	TurnedAway // unseen
-	Lost       // the node fell, or was restarted
+	Rejected // unseen
+	Lost     // the node fell, or was restarted
 )
 
-// Note is one word of a node on a job.
-type Note struct {
-	Kind NoteKind
+// Notice is one word of a node on a job.
+type Notice struct {
+	Kind NoticeKind
 	ID   string
 }
 
-type held struct {
+type reserved struct {
 	Job
 	left float64 // seconds of work
 }
@@ -75,8 +75,8 @@
 	born    time.Duration // of its latest start; warm for ever if below 0
 	now     time.Duration
 	downTil time.Duration
-	running []held
-	waiting []held
+	running []reserved
+	waiting []reserved
 	slots   float64
 	recent  []sent // of the last FallSpan, while cold
 	worst   float64
@@ -91,16 +91,16 @@
 }
 
 // Restart has the node begin anew, cold. What it held is lost.
-func (n *Node) Restart(now time.Duration) []Note {
+func (n *Node) Restart(now time.Duration) []Notice {
 	n.advance(now)
 	n.born, n.recent = now, nil
 	return n.lose()
 }
 
-func (n *Node) lose() (notes []Note) {
-	for _, list := range [][]held{n.running, n.waiting} {
+func (n *Node) lose() (notes []Notice) {
+	for _, list := range [][]reserved{n.running, n.waiting} {
 		for _, h := range list {
-			notes = append(notes, Note{Lost, h.ID})
+			notes = append(notes, Notice{Lost, h.ID})
 		}
 	}
 	n.running, n.waiting, n.slots = nil, nil, 0
@@ -109,10 +109,10 @@
 
 // Warmth is the part of its capacity that the node has at a time.
 func (n *Node) Warmth(at time.Duration) float64 {
-	if n.born < 0 || n.rules.ColdFor <= 0 || at-n.born >= n.rules.ColdFor {
+	if n.born < 0 || n.rules.SlowStartFor <= 0 || at-n.born >= n.rules.SlowStartFor {
 		return 1
 	}
-	return n.rules.ColdFrom + (1-n.rules.ColdFrom)*max(0, float64(at-n.born)/float64(n.rules.ColdFor))
+	return n.rules.SlowStartFrom + (1-n.rules.SlowStartFrom)*max(0, float64(at-n.born)/float64(n.rules.SlowStartFor))
 }
 
 // Down says whether the node has fallen and not come back.
@@ -138,10 +138,10 @@
 	if n.born < 0 {
 		return (to - from).Seconds()
 	}
-	warm := n.born + n.rules.ColdFor
-	cold := min(to, warm) - min(from, warm)
+	warm := n.born + n.rules.SlowStartFor
+	warming := min(to, warm) - min(from, warm)
 	mean := (n.Warmth(min(from, warm-1)) + n.Warmth(min(to, warm-1))) / 2
-	return cold.Seconds()*mean + (max(to, warm) - max(from, warm)).Seconds()
+	return warming.Seconds()*mean + (max(to, warm) - max(from, warm)).Seconds()
 }
 
 // advance does the work up to now; nothing may finish in between, which Next sees to.
@@ -157,30 +157,30 @@
 }
 
 // Offer hands the node a job.
-func (n *Node) Offer(now time.Duration, j Job) (notes []Note) {
+func (n *Node) Offer(now time.Duration, j Job) (notes []Notice) {
 	notes = n.Pass(now)
 	if n.Down(now) {
-		return append(notes, Note{Lost, j.ID})
+		return append(notes, Notice{Lost, j.ID})
 	}
 	j.Slots = min(max(j.Slots, 1), n.kind.Slots)
 	if notes = append(notes, n.feed(j)...); n.Down(now) {
-		return append(notes, Note{Lost, j.ID})
+		return append(notes, Notice{Lost, j.ID})
 	}
 	if len(n.waiting) >= n.kind.Queue && n.slots+j.Slots > n.kind.Slots {
-		return append(notes, Note{TurnedAway, j.ID})
+		return append(notes, Notice{Rejected, j.ID})
 	}
-	n.waiting = append(n.waiting, held{j, j.Work.Seconds()})
+	n.waiting = append(n.waiting, reserved{j, j.Work.Seconds()})
 	return append(notes, n.fill()...)
 }
 
 // feed counts work sent to a cold node. The rule allows, in any window of FallSpan, FallMultiple times what the node can
 // do at present; a single job right after the start may be more than that alone, which no scheduler can avoid, so the
 // first job of a window is allowed for.
-func (n *Node) feed(j Job) (notes []Note) {
-	if n.Warmth(n.now) >= 1 || n.rules.FallSpan <= 0 {
+func (n *Node) feed(j Job) (notes []Notice) {
+	if n.Warmth(n.now) >= 1 || n.rules.OverloadSpan <= 0 {
 		return nil
 	}
-	for len(n.recent) > 0 && n.recent[0].at <= n.now-n.rules.FallSpan {
+	for len(n.recent) > 0 && n.recent[0].at <= n.now-n.rules.OverloadSpan {
 		n.recent = n.recent[1:]
 	}
 	n.recent = append(n.recent, sent{n.now, j.Work.Seconds()})
@@ -188,7 +188,7 @@
 	for _, s := range n.recent {
 		sum += s.work
 	}
-	may := n.rules.FallMultiple * n.kind.Capacity() * n.Warmth(n.now) * n.rules.FallSpan.Seconds()
+	may := n.rules.OverloadMultiple * n.kind.Capacity() * n.Warmth(n.now) * n.rules.OverloadSpan.Seconds()
 	may = max(may, n.recent[0].work)
 	if n.worst = max(n.worst, sum/may); sum <= may || !n.fallsOn {
 		return nil
@@ -200,22 +200,22 @@
 }
 
 // fill starts what waits, in order, while the first of it fits.
-func (n *Node) fill() (notes []Note) {
+func (n *Node) fill() (notes []Notice) {
 	for len(n.waiting) > 0 && n.slots+n.waiting[0].Slots <= n.kind.Slots {
 		h := n.waiting[0]
 		n.waiting = n.waiting[1:]
 		n.slots += h.Slots
 		n.running = append(n.running, h)
-		notes = append(notes, Note{Started, h.ID})
+		notes = append(notes, Notice{Started, h.ID})
 	}
 	return notes
 }
 
 // Cancel gives a job up: one that waits is dropped, one that runs is stopped where Rules say so. It returns whether the
 // node held it, and what starts in its place.
-func (n *Node) Cancel(now time.Duration, id string) (was bool, notes []Note) {
+func (n *Node) Cancel(now time.Duration, id string) (was bool, notes []Notice) {
 	notes = n.Pass(now)
-	named := func(h held) bool { return h.ID == id }
+	named := func(h reserved) bool { return h.ID == id }
 	if i := slices.IndexFunc(n.waiting, named); i >= 0 {
 		n.waiting = slices.Delete(n.waiting, i, i+1)
 		return true, append(notes, n.fill()...)
@@ -235,7 +235,7 @@
 const tiny = 1e-7
 
 // Pass lets time pass and tells what finished, and what started in its place, in order.
-func (n *Node) Pass(now time.Duration) (notes []Note) {
+func (n *Node) Pass(now time.Duration) (notes []Notice) {
 	for {
 		at, any := n.Next()
 		if !any || at > now {
@@ -247,7 +247,7 @@
 			if h := n.running[i]; h.left <= tiny {
 				n.slots -= h.Slots
 				n.running = slices.Delete(n.running, i, i+1)
-				notes = append(notes, Note{Done, h.ID})
+				notes = append(notes, Notice{Done, h.ID})
 				continue
 			}
 			i++
@@ -266,11 +266,11 @@
 		least = min(least, n.running[i].left)
 	}
 	need := max(least, 0) / n.rate() // seconds at full warmth
-	if warm := n.born + n.rules.ColdFor; n.born >= 0 && n.now < warm {
+	if warm := n.born + n.rules.SlowStartFor; n.born >= 0 && n.now < warm {
 		in := n.warmTime(n.now, warm)
 		if need <= in {
 			// Over a time t the warmth rises evenly from w by slope: need = w t + slope t^2 / 2.
-			w, slope := n.Warmth(n.now), (1-n.rules.ColdFrom)/n.rules.ColdFor.Seconds()
+			w, slope := n.Warmth(n.now), (1-n.rules.SlowStartFrom)/n.rules.SlowStartFor.Seconds()
 			t := need / w
 			if slope > 0 {
 				t = (math.Sqrt(w*w+2*slope*need) - w) / slope
--- a/test/emulator/node_test.go
+++ b/test/emulator/node_test.go
@@ -13,7 +13,7 @@
 
 const ms = time.Millisecond
 
-var rules = Rules{ColdFrom: 0.1, ColdFor: 10 * time.Second, FallMultiple: 3, FallSpan: 2 * time.Second, DownFor: 5 * time.Second}
+var rules = Rules{SlowStartFrom: 0.1, SlowStartFor: 10 * time.Second, OverloadMultiple: 3, OverloadSpan: 2 * time.Second, DownFor: 5 * time.Second}
 
 // played writes what a node told, with the milliseconds at which it became known.
 type played struct {
@@ -21,7 +21,7 @@
 	log []string
 }
 
-func (p *played) note(now time.Duration, notes []Note) {
+func (p *played) note(now time.Duration, notes []Notice) {
 	for _, n := range notes {
 		word := [...]string{"started", "done", "full", "lost"}[n.Kind]
 		p.log = append(p.log, fmt.Sprintf("%d %s %s", now/ms, n.ID, word))
@@ -96,7 +96,7 @@
 }
 
 // A cold node may be sent three times what it can do in two seconds; it counts how near that came, and falls beyond it.
-func TestAnOverfedColdNodeFalls(t *testing.T) {
+func TestAnOverloadedNodeInSlowStartFails(t *testing.T) {
 	for _, falls := range []bool{false, true} {
 		n := New(Kind{Speed: 1, Cores: 2, Slots: 2, Queue: 100}, rules, falls)
 		n.Restart(time.Second)
@@ -130,9 +130,9 @@
 		if rapid.Bool().Draw(t, "cold") {
 			n.Restart(0)
 		}
-		now, work, state := time.Duration(0), 0.0, make(map[string]NoteKind)
+		now, work, state := time.Duration(0), 0.0, make(map[string]NoticeKind)
 		running := 0
-		take := func(notes []Note) {
+		take := func(notes []Notice) {
 			for _, note := range notes {
 				was, known := state[note.ID]
 				if note.Kind == Done && !(known && was == Started) || note.Kind != Done && known {
@@ -154,7 +154,7 @@
 			j := Job{fmt.Sprint(i), time.Duration(rapid.IntRange(1, 500).Draw(t, "work")) * ms, float64(rapid.IntRange(1, 3).Draw(t, "wants"))}
 			notes := n.Offer(now, j)
 			take(notes)
-			if state[j.ID] != TurnedAway || len(notes) == 0 || notes[len(notes)-1].ID != j.ID {
+			if state[j.ID] != Rejected || len(notes) == 0 || notes[len(notes)-1].ID != j.ID {
 				work += j.Work.Seconds()
 			}
 		}
