--- a/balancer/audit/clocks.go
+++ b/balancer/audit/clocks.go
@@ -130,8 +130,8 @@
 		var last Stamp
 		for i := range a.records[m].Entries {
 			e := &a.records[m].Entries[i]
-			if e.Entry.At.Compare(last) > 0 {
-				last = e.Entry.At
+			if e.At.Compare(last) > 0 {
+				last = e.At
 			}
 			ordered = append(ordered, stamped{last, e})
 		}
--- a/balancer/audit/read.go
+++ b/balancer/audit/read.go
@@ -4,6 +4,7 @@
 	"bytes"
 	"cmp"
 	"encoding/json"
+	"errors"
 	"fmt"
 	"os"
 	"path/filepath"
@@ -40,7 +41,7 @@
 	Text     string      `json:"text"`
 }
 
-// String is the finding as a line.
+// String names the member, the kind and the place, and says what is wrong there.
 func (f Finding) String() string {
 	return fmt.Sprintf("%s: %s: %s: %s", f.Member, f.Kind, f.Position, f.Text)
 }
@@ -141,7 +142,7 @@
 			}
 		}
 		e, hash, err := readLine(prev, line)
-		if err == errForm || !complete {
+		if errors.Is(err, errForm) || !complete {
 			if last && i == len(lines)-1 && !complete {
 				r.find(Torn, position, "the last line is cut short")
 				return
--- a/control/core/node.go
+++ b/control/core/node.go
@@ -256,18 +256,18 @@
 
 // finish ends each step: it delivers what the node sent to itself, and gives the changes to the disk.
 func (n *node) finish(now time.Duration) {
-	n.drain(now)
+	n.drain()
 	for len(n.inbox) > 0 {
 		letter := n.inbox[0]
 		n.inbox = n.inbox[1:]
 		n.dispatch(now, letter.from, letter.message)
-		n.drain(now)
+		n.drain()
 	}
 	n.flush(now)
 }
 
 // drain turns the chain's actions into the node's.
-func (n *node) drain(now time.Duration) {
+func (n *node) drain() {
 	for {
 		actions := n.chain.Take()
 		if actions.Install == nil && len(actions.Writes)+len(actions.Commits)+len(actions.Sends) == 0 {
@@ -280,7 +280,7 @@
 			n.log(&record{Write: &actions.Writes[i]})
 		}
 		for i := range actions.Commits {
-			n.apply(now, &actions.Commits[i])
+			n.apply(&actions.Commits[i])
 		}
 		for _, send := range actions.Sends {
 			n.send(send.To, send.Message.(msgp.Marshaler))
@@ -305,7 +305,7 @@
 	}
 }
 
-func (n *node) apply(now time.Duration, entry *chain.Entry) {
+func (n *node) apply(entry *chain.Entry) {
 	for _, pending := range n.pending {
 		if pending.epoch != 0 && pending.epoch < entry.Epoch {
 			pending.epoch = 0 // what was ordered in that epoch has been applied, and this was not in it
@@ -349,7 +349,7 @@
 	n.view = *next
 	n.log(&record{View: next})
 	n.follow(now, false)
-	n.drain(now)
+	n.drain()
 	if n.chain.Position() < 0 && n.holder.Valid(now) {
 		n.drop(lossChain)
 	}
--- a/store/queue/apply.go
+++ b/store/queue/apply.go
@@ -103,7 +103,7 @@
 		e.finishedAt = c.seconds()
 		e.noBody = e.state == wire.StateDead && (r.NoBody || r.Kind == RecordFinish)
 	}
-	p.table.insert(e)
+	p.insert(e)
 	c.messageCount++
 	c.setLocation(e, at)
 	return e
