--- a/balancer/audit/read.go
+++ b/balancer/audit/read.go
@@ -129,17 +129,7 @@
 		complete := line[len(line)-1] == '\n'
 		line = bytes.TrimSuffix(line, []byte("\n"))
 		if i == 0 {
-			if chained := peekPrev(line); chained != prev {
-				switch {
-				case first && f.number > 1:
-					r.find(Folded, position, "what was before has gone, to keep within the bound")
-				case first:
-					r.find(Missing, position, "what was before is not there")
-				case !r.hashes[Head{r.head.Incarnation, 0, chained}]:
-					r.find(Missing, position, "the end of the file before, or files between, are not there")
-				}
-				prev = chained
-			}
+			prev = r.begin(f, prev, peekPrev(line), first, position)
 		}
 		e, hash, err := readLine(prev, line)
 		if errors.Is(err, errForm) || !complete {
@@ -151,18 +141,7 @@
 			prev = string(line[:min(len(line), 2*hashSize)]) // as the line after may still say
 			continue
 		}
-		next := seq + 1
-		if e.Kind == Segment || e.Kind == Fold {
-			next = e.Seq
-		}
-		switch {
-		case e.Seq > next:
-			r.find(Missing, position, "entries %d to %d are not there", next, e.Seq-1)
-		case e.Seq < next:
-			r.find(Reordered, position, "entry %d stands after %d", e.Seq, seq)
-		case err != nil:
-			r.find(Altered, position, "entry %d, or the line before it, is not what was written", e.Seq)
-		}
+		r.follow(e, seq, err, position)
 		prev = hash
 		r.hashes[Head{f.incarnation, e.Seq, hash}] = err == nil
 		r.hashes[Head{f.incarnation, 0, hash}] = true
@@ -182,6 +161,36 @@
 	}
 }
 
+// begin returns what a file's first line is chained to, by itself, and tells if that is not the end of what was read before.
+func (r *Record) begin(f memberFile, prev, chained string, first bool, position string) string {
+	switch {
+	case chained == prev:
+	case first && f.number > 1:
+		r.find(Folded, position, "what was before has gone, to keep within the bound")
+	case first:
+		r.find(Missing, position, "what was before is not there")
+	case !r.hashes[Head{r.head.Incarnation, 0, chained}]:
+		r.find(Missing, position, "the end of the file before, or files between, are not there")
+	}
+	return chained
+}
+
+// follow tells if an entry is not the next after one of number seq, or did not hold together with it.
+func (r *Record) follow(e *Entry, seq uint64, err error, position string) {
+	next := seq + 1
+	if e.Kind == Segment || e.Kind == Fold {
+		next = e.Seq
+	}
+	switch {
+	case e.Seq > next:
+		r.find(Missing, position, "entries %d to %d are not there", next, e.Seq-1)
+	case e.Seq < next:
+		r.find(Reordered, position, "entry %d stands after %d", e.Seq, seq)
+	case err != nil:
+		r.find(Altered, position, "entry %d, or the line before it, is not what was written", e.Seq)
+	}
+}
+
 // keep keeps an entry, and tells what it says itself of what is missing.
 func (r *Record) keep(f memberFile, e *Entry, position string) {
 	known := []string{Start, Stop, Proposed, Accepted, InForce, Adopted, Refused, Standing, Member, Command, List, Span, Gap, Witness,
--- a/balancer/config/config.go
+++ b/balancer/config/config.go
@@ -175,22 +175,12 @@
 	return next, ignored, nil
 }
 
+// config checks what the file says, in the order of its keys; the error is the first thing that is wrong.
 func (f *file) config() (*Config, error) {
 	c := &Config{Name: f.Name, Listen: f.Listen, Discovery: f.Discovery, Management: f.Management, Known: f.Known,
 		MemoryMB: int(f.Limits.MemoryMB), Sockets: f.Limits.Sockets, Cores: 1}
-	if c.Name == "" {
-		return nil, fmt.Errorf("name is missing")
-	}
-	if _, _, err := net.SplitHostPort(c.Listen); err != nil {
-		return nil, fmt.Errorf("listen: %w", err)
-	}
-	if _, _, err := net.SplitHostPort(c.Discovery); err != nil {
-		return nil, fmt.Errorf("discovery: %w", err)
-	}
-	if c.Management != "" {
-		if _, _, err := net.SplitHostPort(c.Management); err != nil {
-			return nil, fmt.Errorf("management: %w", err)
-		}
+	if err := c.checkAddresses(); err != nil {
+		return nil, err
 	}
 	var err error
 	if f.Seed != "" {
@@ -210,37 +200,72 @@
 	if len(f.Settings) == 0 {
 		return nil, fmt.Errorf("settings is missing")
 	}
-	var pairs map[string]string
-	if c.Settings, c.Names, pairs, err = wire.Nested(f.Settings); err != nil {
+	if err := c.readSettings(f.Settings); err != nil {
 		return nil, err
 	}
+	return c, nil
+}
+
+func (c *Config) checkAddresses() error {
+	if c.Name == "" {
+		return fmt.Errorf("name is missing")
+	}
+	if _, _, err := net.SplitHostPort(c.Listen); err != nil {
+		return fmt.Errorf("listen: %w", err)
+	}
+	if _, _, err := net.SplitHostPort(c.Discovery); err != nil {
+		return fmt.Errorf("discovery: %w", err)
+	}
+	if c.Management != "" {
+		if _, _, err := net.SplitHostPort(c.Management); err != nil {
+			return fmt.Errorf("management: %w", err)
+		}
+	}
+	return nil
+}
+
+// readSettings reads the settings, those of the decision module and two of the platform's connections.
+func (c *Config) readSettings(text []byte) (err error) {
+	var pairs map[string]string
+	if c.Settings, c.Names, pairs, err = wire.Nested(text); err != nil {
+		return err
+	}
 	c.Settings.WrittenCount = true // "an attempt counts when its last byte has come"
 	if err := c.Settings.Validate(); err != nil {
-		return nil, fmt.Errorf("settings: %w", err)
+		return fmt.Errorf("settings: %w", err)
 	}
-	for i, class := range c.Settings.Classes {
-		if class.Deadline <= 0 {
-			return nil, fmt.Errorf("settings.request-classes.%d.give-up-us: %q has no time to be answered in", i, class.Name)
-		}
-		if class.Kind < -1 || class.Kind >= len(c.Names.Kinds) {
-			return nil, fmt.Errorf("settings.specifics.class-kind: class %q runs on kind %d of %d", class.Name, class.Kind, len(c.Names.Kinds))
-		}
-		if class.Effect == ravendale.Keyed && class.Window < class.Deadline {
-			c.Warnings = append(c.Warnings, fmt.Sprintf("settings.request-classes.%d.window-us: %q waits for %v, and a repeat is dropped for %v only",
-				i, class.Name, class.Deadline, class.Window))
-		}
-		if class.Name == "" || slices.Index(c.Names.Classes, class.Name) != i {
-			return nil, fmt.Errorf("settings.request-classes.%d.name: %q is empty or there twice", i, class.Name)
+	for i := range c.Settings.Classes {
+		if err := c.checkClass(i); err != nil {
+			return err
 		}
 	}
 	if how := pairs["discovery"]; how != "" && how != "ask" && how != "push" {
-		return nil, fmt.Errorf("settings.discovery: %q is neither ask nor push", how)
+		return fmt.Errorf("settings.discovery: %q is neither ask nor push", how)
 	}
 	if c.ConnectTimeout, err = micros(pairs, "ceilings.connect-timeout-us", 250*time.Millisecond); err != nil {
-		return nil, err
+		return err
 	}
 	c.IdleClose, err = micros(pairs, "ceilings.idle-close-us", 5*time.Second)
-	return c, err
+	return err
+}
+
+// checkClass checks a class, and warns of what is legal and poor.
+func (c *Config) checkClass(i int) error {
+	class := &c.Settings.Classes[i]
+	if class.Deadline <= 0 {
+		return fmt.Errorf("settings.request-classes.%d.give-up-us: %q has no time to be answered in", i, class.Name)
+	}
+	if class.Kind < -1 || class.Kind >= len(c.Names.Kinds) {
+		return fmt.Errorf("settings.specifics.class-kind: class %q runs on kind %d of %d", class.Name, class.Kind, len(c.Names.Kinds))
+	}
+	if class.Effect == ravendale.Keyed && class.Window < class.Deadline {
+		c.Warnings = append(c.Warnings, fmt.Sprintf("settings.request-classes.%d.window-us: %q waits for %v, and a repeat is dropped for %v only",
+			i, class.Name, class.Deadline, class.Window))
+	}
+	if class.Name == "" || slices.Index(c.Names.Classes, class.Name) != i {
+		return fmt.Errorf("settings.request-classes.%d.name: %q is empty or there twice", i, class.Name)
+	}
+	return nil
 }
 
 func micros(pairs map[string]string, name string, otherwise time.Duration) (time.Duration, error) {
--- a/balancer/platform/node/node.go
+++ b/balancer/platform/node/node.go
@@ -129,19 +129,7 @@
 		Pushed: !cfg.Settings.MustAsk, Zones: cfg.Names.Zones, Kinds: cfg.Names.Kinds, Listed: listed, Log: log})
 	back := backend.Options{Loop: loop, Network: network, Address: n.table.Address, ConnectTimeout: cfg.ConnectTimeout,
 		IdleClose: cfg.IdleClose, Conns: conns, Stray: n.stray, Log: log}
-	front := frontend.Options{Loop: loop, Log: log, Limits: limits, Accept: n.core.Accept, Ready: n.table.Known,
-		Refused:  func(class int, why scheduler.Unsent) { n.core.CountUnsent(class, why) },
-		Class:    func(name string) int { return slices.Index(n.shown.Load().Names.Classes, name) },
-		Tenant:   func(name string) int { return slices.Index(n.shown.Load().Names.Tenants, name) },
-		Deadline: func(class int) time.Duration { return n.shown.Load().Settings.Classes[class].Deadline },
-		Keyed:    func(class int) bool { return n.shown.Load().Settings.Classes[class].Effect == ravendale.Keyed },
-		ComeBack: func() time.Duration {
-			s := &n.shown.Load().Settings
-			if !s.RetryAfter {
-				return 0
-			}
-			return min(busyFor, s.MaxRetryAfter)
-		}}
+	front := n.frontendOptions(loop, limits)
 	if n.many == nil {
 		b := backend.New(back)
 		front.Callback = func(body []byte) frontend.Heard {
@@ -169,6 +157,24 @@
 	return n, nil
 }
 
+// frontendOptions are those of a frontend on the decider's loop. Settings are looked up as they are shown now: a reload may change
+// them while it serves.
+func (n *Node) frontendOptions(loop *scheduler.Loop, limits *frontend.ConnLimits) frontend.Options {
+	return frontend.Options{Loop: loop, Log: n.log, Limits: limits, Accept: n.core.Accept, Ready: n.table.Known,
+		Refused:  func(class int, why scheduler.Unsent) { n.core.CountUnsent(class, why) },
+		Class:    func(name string) int { return slices.Index(n.shown.Load().Names.Classes, name) },
+		Tenant:   func(name string) int { return slices.Index(n.shown.Load().Names.Tenants, name) },
+		Deadline: func(class int) time.Duration { return n.shown.Load().Settings.Classes[class].Deadline },
+		Keyed:    func(class int) bool { return n.shown.Load().Settings.Classes[class].Effect == ravendale.Keyed },
+		ComeBack: func() time.Duration {
+			s := &n.shown.Load().Settings
+			if !s.RetryAfter {
+				return 0
+			}
+			return min(busyFor, s.MaxRetryAfter)
+		}}
+}
+
 // onCore puts the two sides of one core together, which have a loop of their own.
 func (n *Node) onCore(c *core, front frontend.Options, back backend.Options) *core {
 	m := n.many
--- a/balancer/platform/node/upgrade.go
+++ b/balancer/platform/node/upgrade.go
@@ -122,24 +122,26 @@
 		n.sendState(l)
 		return
 	}
-	if !slices.Contains(n.twins, l) {
-		return
+	if slices.Contains(n.twins, l) && !n.heardAlone(l, m) {
+		n.applyShared(m)
+		n.twins.But(l).Send(m)
 	}
+}
+
+// heardAlone takes what is for this process alone, and returns false for the rest.
+func (n *Node) heardAlone(l *handover.Link, m handover.Message) bool {
 	switch {
 	case m.Job != nil:
 		n.adopt(l, m.Job)
-		return
 	case m.Has != "":
 		if x, is := n.lent[m.Has]; is {
 			delete(n.lent, m.Has)
 			x.client.Drop()
 		}
-		return
 	case m.Terms != nil && !m.Serving:
 		if n.successor == l {
 			n.successorTerms = m.Terms
 		}
-		return
 	case m.Serving:
 		n.successor, n.successorTerms = l, m.Terms
 		n.log.Info("a new process takes clients", "owed", n.core.Owed())
@@ -147,7 +149,6 @@
 		n.ports.Pause(true)
 		n.clients.Retire(true)
 		n.leaveOnceDone()
-		return
 	case m.Callback != nil:
 		n.servers.PassCallback(m.Callback, func() {
 			n.twins.But(l).Send(m)
@@ -155,7 +156,15 @@
 				l.Send(m) // it crossed a request that was given away, and comes after that now
 			}
 		})
-		return
+	default:
+		return false
+	}
+	return true
+}
+
+// applyShared takes what all processes of this scheduler must know.
+func (n *Node) applyShared(m handover.Message) {
+	switch {
 	case m.Took != "":
 		n.core.TookElsewhere(m.Took)
 	case m.Sent != "":
@@ -171,7 +180,6 @@
 	case m.Discovery != "":
 		n.table.Follow(m.Discovery)
 	}
-	n.twins.But(l).Send(m)
 }
 
 // sendState gives the state to a new process, and joins it.
--- a/internal/wire/reader.go
+++ b/internal/wire/reader.go
@@ -293,49 +293,8 @@
 	*e = ravendale.Event{Kind: kind, Class: -1, Tenant: -1}
 	named := false
 	for f.next() {
-		switch string(f.key) {
-		case "ticket":
-			e.Job = ravendale.JobID(f.uint(32))
-			named = true
-		case "class":
-			e.Class = index(r.current.classes, f.val)
-		case "project":
-			e.Tenant = index(r.current.tenants, f.val)
-		case "subject":
-			e.Key = f.hex()
-		case "remaining-us":
-			e.Left = f.micros()
-		case "weight-hint-us":
-			e.Work = f.micros()
-		case "cores-needed":
-			e.Slots = f.float()
-		case "mem":
-			e.Memory = f.float()
-		case "repeat":
-			e.Retry = string(f.val) == "1"
-		case "trial":
-			e.Attempt = f.int()
-		case "worker":
-			e.Worker = r.intern(f.val)
-		case "rc":
-			e.Outcome = f.outcome()
-		case "duration-us":
-			e.Took = f.micros()
-		case "settled":
-			e.Closed = string(f.val) == "1"
-		case "what":
-			if f.int() == 1 {
-				e.Kind = ravendale.JobStarted
-			}
-		case "level":
-			e.Done = f.float()
-		case "server-stats":
-			e.Load = r.current.load(f)
-		case "origin-peer":
-			e.From = f.int()
-		case "blob":
-			e.Data = f.base64()
-		}
+		named = named || string(f.key) == "ticket"
+		r.parseField(f, e)
 	}
 	if f.err == nil && !named && needsJob(kind) {
 		return fmt.Errorf("%s names no ticket", keyword)
@@ -346,6 +305,52 @@
 	return f.err
 }
 
+// parseField reads one value of an event.
+func (r *Reader) parseField(f *fields, e *ravendale.Event) {
+	switch string(f.key) {
+	case "ticket":
+		e.Job = ravendale.JobID(f.uint(32))
+	case "class":
+		e.Class = index(r.current.classes, f.val)
+	case "project":
+		e.Tenant = index(r.current.tenants, f.val)
+	case "subject":
+		e.Key = f.hex()
+	case "remaining-us":
+		e.Left = f.micros()
+	case "weight-hint-us":
+		e.Work = f.micros()
+	case "cores-needed":
+		e.Slots = f.float()
+	case "mem":
+		e.Memory = f.float()
+	case "repeat":
+		e.Retry = string(f.val) == "1"
+	case "trial":
+		e.Attempt = f.int()
+	case "worker":
+		e.Worker = r.intern(f.val)
+	case "rc":
+		e.Outcome = f.outcome()
+	case "duration-us":
+		e.Took = f.micros()
+	case "settled":
+		e.Closed = string(f.val) == "1"
+	case "what":
+		if f.int() == 1 {
+			e.Kind = ravendale.JobStarted
+		}
+	case "level":
+		e.Done = f.float()
+	case "server-stats":
+		e.Load = r.current.load(f)
+	case "origin-peer":
+		e.From = f.int()
+	case "blob":
+		e.Data = f.base64()
+	}
+}
+
 func needsJob(kind ravendale.EventKind) bool {
 	switch kind {
 	case ravendale.TimerFired, ravendale.ProbeAnswered, ravendale.PeerMessage:
