--- a/balancer/cores/board.go
+++ b/balancer/cores/board.go
@@ -1,6 +1,3 @@
-// Package cores holds what a scheduler on several cores must settle: which core serves which backend server, whether a send
-// that was decided may still begin, and how connections of clients are dealt out. It is pure but for atomics; package
-// balancer/platform/node carries it out. docs/cores.md has the reasons.
 package cores
 
 import (
--- a/balancer/deadline/deadline.go
+++ b/balancer/deadline/deadline.go
@@ -1,4 +1,3 @@
-// Package deadline keeps every deadline of a program in one sorted structure, which its owner sweeps.
 package deadline
 
 import "time"
--- a/balancer/handover/handover.go
+++ b/balancer/handover/handover.go
@@ -1,5 +1,3 @@
-// Package handover joins two processes that are one scheduler for a time: the one that runs and the new version that
-// takes its place. It carries messages between them and knows nothing of what they say.
 package handover
 
 import (
--- a/balancer/knowledge/codec/codec.go
+++ b/balancer/knowledge/codec/codec.go
@@ -1,4 +1,3 @@
-// Package codec is the form of what schedulers know on the wire and on disk. It does no I/O.
 package codec
 
 import (
--- a/balancer/knowledge/snapshot/snapshot.go
+++ b/balancer/knowledge/snapshot/snapshot.go
@@ -1,5 +1,3 @@
-// Package snapshot keeps what a scheduler saw in a file, for the process that starts in its place: one more donor, of the
-// file's age. A file is whole or refused.
 package snapshot
 
 import (
--- a/balancer/platform/backend/backend.go
+++ b/balancer/platform/backend/backend.go
@@ -1,5 +1,3 @@
-// Package backend is the server side of the platform's protocol: it carries dispatches to backend servers and
-// hears from them, by their responses and by their call-backs, what became of each.
 package backend
 
 import (
--- a/balancer/platform/frontend/frontend.go
+++ b/balancer/platform/frontend/frontend.go
@@ -1,5 +1,3 @@
-// Package frontend is the client side of the platform's protocol: it turns requests into exchanges
-// and answers into responses, each exactly once.
 package frontend
 
 import (
--- a/balancer/platform/management/management.go
+++ b/balancer/platform/management/management.go
@@ -1,5 +1,3 @@
-// Package management is the admin endpoint: one HTTP/1.1 call per connection, on a listener of its own, so that
-// no crowd of clients keeps them out.
 package management
 
 import (
--- a/balancer/platform/node/node.go
+++ b/balancer/platform/node/node.go
@@ -1,4 +1,3 @@
-// Package node puts one scheduler together from its parts, and runs it until it is told to stop.
 package node
 
 import (
--- a/balancer/platform/platform.go
+++ b/balancer/platform/platform.go
@@ -1,5 +1,3 @@
-// Package platform holds the words of the user's protocol that its client side and its server side share.
-// The core knows none of them.
 package platform
 
 // Header fields and paths of the protocol.
--- a/balancer/scheduler/scheduler.go
+++ b/balancer/scheduler/scheduler.go
@@ -1,6 +1,3 @@
-// Package scheduler runs the decision module among real events. It knows sessions (a client's request),
-// dispatches (one attempt at a backend server) and time, but no protocol: frontends and backends of
-// any kind meet in an Exchange.
 package scheduler
 
 import (
--- a/balancer/transport/transport.go
+++ b/balancer/transport/transport.go
@@ -1,5 +1,3 @@
-// Package transport is what the protocol packages see of the network. Everything in it is called by
-// the loop's goroutine alone; the package nbio below it serves it on real sockets.
 package transport
 
 // Conn is one side of a stream.
