--- a/balancer/fleet/agent/agent.go
+++ b/balancer/fleet/agent/agent.go
@@ -77,7 +77,7 @@
 	disk, err := loadState(path)
 	if err != nil {
 		renamed := fmt.Sprintf("%s.%d.bad", path, a.o.Wall())
-		o.Log.Error("state set aside", "err", err, "file", path, "as", renamed)
+		o.Log.Error("damaged state renamed", "err", err, "file", path, "as", renamed)
 		if err := os.Rename(path, renamed); err != nil {
 			return nil, fmt.Errorf("fleet: %w", err)
 		}
--- a/balancer/platform/backend/link.go
+++ b/balancer/platform/backend/link.go
@@ -128,7 +128,7 @@
 
 func (l *link) Data(data []byte) {
 	if !l.busy { // a server that speaks unasked is of no use
-		l.b.o.Log.Info("a backend server spoke unasked", "addr", l.addr, "after", l.b.o.Loop.Now()-l.readAt)
+		l.b.o.Log.Info("unexpected bytes from a backend server", "addr", l.addr, "after", l.b.o.Loop.Now()-l.readAt)
 		l.close()
 		return
 	}
--- a/balancer/platform/node/node.go
+++ b/balancer/platform/node/node.go
@@ -235,7 +235,7 @@
 func (n *Node) setDetached(worker string, detached bool) bool {
 	known := n.core.SetDetached(worker, detached)
 	n.record(fmt.Sprintf("hand %s out=%v known=%v", worker, detached, known))
-	n.log.Info("by hand", "server", worker, "out", detached, "known", known)
+	n.log.Info("server set by an operator", "server", worker, "detached", detached, "known", known)
 	switch {
 	case !known:
 	case detached:
--- a/balancer/platform/node/upgrade.go
+++ b/balancer/platform/node/upgrade.go
@@ -58,7 +58,7 @@
 	}
 	previous := handover.Dial(n.ports, cfg.Handover, func(l *handover.Link) { l.Send(handover.Message{Hello: true}) }, n.heard, n.parted)
 	n.awaited = n.loop.After(stateWithin, func() {
-		n.log.Warn("no word from the process before this one", "at", cfg.Handover)
+		n.log.Warn("no answer from the previous process", "at", cfg.Handover)
 		previous.Close()
 		n.begin(nil)
 	})
@@ -211,7 +211,7 @@
 	if !slices.Contains(n.twins, l) {
 		return
 	}
-	n.log.Info("the other process is gone", "err", err)
+	n.log.Info("the other process has ended", "err", err)
 	n.twins = n.twins.But(l)
 	n.core.Join(n.twins)
 	n.setLimits()
@@ -264,7 +264,7 @@
 		})
 	})
 	if n.given += given; given > 0 {
-		n.log.Info("given away", "requests", given, "owed", n.core.Owed())
+		n.log.Info("requests transferred", "requests", given, "owed", n.core.Owed())
 	}
 }
 
@@ -274,7 +274,7 @@
 		n.goOn(g, j)
 		l.Send(handover.Message{Has: j.ID})
 	} else {
-		n.log.Warn("a request came without its client", "id", j.ID)
+		n.log.Warn("request without its client connection", "id", j.ID)
 	}
 }
 
@@ -282,7 +282,7 @@
 func (n *Node) goOn(g transport.Given, j *handover.Job) {
 	ex := &scheduler.Exchange{ID: j.ID, Message: &j.Request}
 	if err := n.clients.Adopt(g, ex, j.Closes, n.ports.Adopt); err != nil {
-		n.log.Warn("a client was lost between two processes", "id", j.ID, "err", err)
+		n.log.Warn("client connection not adopted", "id", j.ID, "err", err)
 		return
 	}
 	n.core.Adopt(j.TransferredRequest, ex)
@@ -299,7 +299,7 @@
 func (n *Node) takeBack(from *handover.Link) {
 	for _, id := range slices.Sorted(maps.Keys(n.lent)) {
 		if x := n.lent[id]; x.to == from {
-			n.log.Info("taken back", "id", id)
+			n.log.Info("request taken back from its successor", "id", id)
 			delete(n.lent, id)
 			n.goOn(x.client, x.job)
 		}
