--- a/control/core/core_test.go
+++ b/control/core/core_test.go
@@ -62,7 +62,7 @@
 	list     *list
 	server   *rpc.Server
 	cancel   context.CancelFunc
-	ended    chan struct{}
+	exited   chan struct{}
 	leads    chan *core.Lease
 }
 
@@ -84,7 +84,7 @@
 		processes = append(processes, &process{settings: settings.Settings{
 			Node: fmt.Sprint("node-", i), IP: fmt.Sprintf("127.0.0.%d", i+10), Zone: fmt.Sprint("zone-", i),
 			PortRange: []int{port, port + 3}, Seeds: seeds, Bootstrap: true, DataDir: filepath.Join(diskfolder.New(t), "data"),
-			LostNodes: 1, Bounds: settings.Bounds{CatchupS: 5},
+			ToleratedNodes: 1, Bounds: settings.Bounds{CatchupS: 5},
 		}})
 	}
 	return processes
@@ -92,7 +92,7 @@
 
 func (p *process) start(t *testing.T) {
 	mux := rpc.NewMux()
-	p.list, p.leads, p.ended = &list{}, make(chan *core.Lease, 8), make(chan struct{})
+	p.list, p.leads, p.exited = &list{}, make(chan *core.Lease, 8), make(chan struct{})
 	settings := p.settings
 	machine := p.machine
 	if machine == nil {
@@ -113,7 +113,7 @@
 	require.NoError(t, err)
 	var ctx context.Context
 	ctx, p.cancel = context.WithCancel(context.Background())
-	go func() { opened.Run(ctx); close(p.ended) }()
+	go func() { opened.Run(ctx); close(p.exited) }()
 	require.Eventually(t, opened.Running, 10*time.Second, time.Millisecond)
 	t.Cleanup(p.stop)
 }
@@ -124,7 +124,7 @@
 	}
 	p.server.Close()
 	p.cancel()
-	<-p.ended
+	<-p.exited
 	p.cancel = nil
 }
 
@@ -146,7 +146,7 @@
 	}
 }
 
-func TestAWholeCoreOnSockets(t *testing.T) {
+func TestAFullCoreOnSockets(t *testing.T) {
 	processes := plan(t, 3)
 	seeds, diskless := processes[:3], processes[3]
 	diskless.settings.DataDir = ""
@@ -310,8 +310,8 @@
 	return slices.DeleteFunc(slices.Clone(processes), func(p *process) bool { return p == than })
 }
 
-// TestADamagedDiskIsSetAside has a member's newest slot rot while it is down: it joins anew, as another, and what is left stays.
-func TestADamagedDiskIsSetAside(t *testing.T) {
+// TestADamagedDiskIsQuarantined has a member's newest slot rot while it is down: it joins anew, as another, and what is left stays.
+func TestADamagedDiskIsQuarantined(t *testing.T) {
 	processes := plan(t, 3)[:3]
 	for _, p := range processes {
 		p.start(t)
--- a/control/plane/plane_test.go
+++ b/control/plane/plane_test.go
@@ -27,18 +27,18 @@
 // site is control processes, of which the first three are the seeds, and planes beside stores.
 type site struct {
 	*testing.T
-	port     int
-	lost     int // machines that may be lost at once
-	seeds    []string
-	controls []*Plane
-	stores   []*Plane
+	port      int
+	tolerated int // machines that may be lost at once
+	seeds     []string
+	controls  []*Plane
+	stores    []*Plane
 }
 
 func newSite(t *testing.T) *site {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer func() { _ = listener.Close() }()
-	s := &site{T: t, port: listener.Addr().(*net.TCPAddr).Port, lost: 1}
+	s := &site{T: t, port: listener.Addr().(*net.TCPAddr).Port, tolerated: 1}
 	for i := range 3 {
 		s.seeds = append(s.seeds, controlIP(i)+":1")
 	}
@@ -54,17 +54,17 @@
 	opened, err := Open(Config{
 		Settings: &settings.Settings{
 			Node: "node-" + ip, IP: ip, Zone: "zone-" + ip, Zones: map[string]string{"zone-" + ip: "r"}, PortRange: []int{s.port, s.port + 3},
-			Seeds: s.seeds, Bootstrap: true, LostNodes: s.lost, HeartbeatMs: 1000, Bounds: settings.Bounds{CatchupS: 5, DrainMs: 3000}, ProviderRate: 1,
+			Seeds: s.seeds, Bootstrap: true, ToleratedNodes: s.tolerated, HeartbeatMs: 1000, Bounds: settings.Bounds{CatchupS: 5, DrainMs: 3000}, ProviderRate: 1,
 		},
 		DataDir: dataDir, Storage: storage, Log: slog.New(slog.DiscardHandler),
 	})
 	require.NoError(s, err)
 	ctx, cancel := context.WithCancel(context.Background())
-	ended := make(chan error, 1)
-	go func() { ended <- opened.Run(ctx) }()
+	stopped := make(chan error, 1)
+	go func() { stopped <- opened.Run(ctx) }()
 	s.Cleanup(func() {
 		cancel()
-		assert.NoError(s, <-ended)
+		assert.NoError(s, <-stopped)
 	})
 	return opened
 }
@@ -141,7 +141,7 @@
 	require.Nil(t, ask(3), "three bear the loss of one")
 	s.openStores(3)
 	require.Eventually(t, func() bool { return s.submit(s.stores[0]) == nil }, soon, often)
-	require.Eventually(t, func() bool { return !s.controls[0].Core.WantsStores() }, soon, often)
+	require.Eventually(t, func() bool { return !s.controls[0].Core.BootstrapsOnStores() }, soon, often)
 	require.Nil(t, ask(3), "it is founded: now the leader asks")
 
 	leading := newHosting(s.leader().config.Settings, s.leader().Core, slog.New(slog.DiscardHandler))
@@ -152,7 +152,7 @@
 // TestTheLeaderAsksOneStoreBesideFourControlProcesses has a core of three voters and a learner, which is to bear two losses.
 func TestTheLeaderAsksOneStoreBesideFourControlProcesses(t *testing.T) {
 	s := newSite(t)
-	s.lost = 2
+	s.tolerated = 2
 	for i := range 4 {
 		s.controls = append(s.controls, s.open(controlIP(i), diskfolder.New(s), false))
 	}
@@ -166,7 +166,7 @@
 		return leading != nil
 	}, soon, often)
 	status := leading.Core.Status()
-	require.Equal(t, []int{3, 1, 5}, []int{len(status.Voters), len(status.Learners), status.Wanted})
+	require.Equal(t, []int{3, 1, 5}, []int{len(status.Voters), len(status.Learners), status.RequiredVoters})
 	leader := newHosting(leading.config.Settings, leading.Core, slog.New(slog.DiscardHandler))
 	ask := func(i int) *wire.HostCore {
 		address := net.JoinHostPort(storeIP(i), fmt.Sprint(s.port+2))
--- a/control/state/image.go
+++ b/control/state/image.go
@@ -23,8 +23,8 @@
 	checksumSize = 8
 )
 
-// MaxSnapshot bounds an encoded snapshot, in bytes.
-const MaxSnapshot = 256 << 20
+// maxSnapshot bounds an encoded snapshot, in bytes.
+const maxSnapshot = 256 << 20
 
 // Errors of Restore. After any error the machine is as it was.
 var (
@@ -41,10 +41,10 @@
 	Term      uint64
 	Leader    string
 	Edges     []wire.Edge
-	Taken     []entry // oldest first
+	History   []entry // oldest first
 }
 
-// Snapshot encodes the whole state.
+// Snapshot returns the complete state, encoded, with a checksum.
 func (m *Machine) Snapshot() []byte {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -57,19 +57,19 @@
 		Term:      now.Term,
 		Leader:    now.Leader,
 		Edges:     now.Edges,
-		Taken:     m.taken.inOrder(),
+		History:   m.history.inOrder(),
 	}
-	out := make([]byte, 0, headSize+content.Msgsize()+checksumSize)
-	out = append(out, magic...)
-	out = binary.BigEndian.AppendUint16(out, formatNumber)
-	out, err := content.MarshalMsg(out)
+	buffer := make([]byte, 0, headSize+content.Msgsize()+checksumSize)
+	buffer = append(buffer, magic...)
+	buffer = binary.BigEndian.AppendUint16(buffer, formatNumber)
+	buffer, err := content.MarshalMsg(buffer)
 	if err != nil {
 		return nil // can't be: an image has nothing that could fail
 	}
-	return binary.BigEndian.AppendUint64(out, xxhash.Sum64(out))
+	return binary.BigEndian.AppendUint64(buffer, xxhash.Sum64(buffer))
 }
 
-// Restore replaces the whole state by that of a snapshot, or leaves it as it is and returns ErrDamaged or ErrFormat.
+// Restore replaces the complete state by that of a snapshot. Errors: ErrDamaged and ErrFormat, after which the state is as it was.
 func (m *Machine) Restore(snapshot []byte) error {
 	content, err := decodeImage(snapshot)
 	if err != nil {
@@ -78,9 +78,9 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.parsed = nil
-	m.taken = history{entries: content.Taken, limit: m.taken.limit}
-	if m.faults.dropsHistory {
-		m.taken.entries = nil
+	m.history = history{entries: content.History, limit: m.history.limit}
+	if m.mutations.dropsHistory {
+		m.history.entries = nil
 	}
 	m.current.Store(&Snapshot{
 		Document:  content.Document,
@@ -95,7 +95,7 @@
 }
 
 func decodeImage(snapshot []byte) (*image, error) {
-	if len(snapshot) < headSize+checksumSize || len(snapshot) > MaxSnapshot {
+	if len(snapshot) < headSize+checksumSize || len(snapshot) > maxSnapshot {
 		return nil, fmt.Errorf("%w: %d bytes", ErrDamaged, len(snapshot))
 	}
 	body, sum := snapshot[:len(snapshot)-checksumSize], snapshot[len(snapshot)-checksumSize:]
@@ -113,7 +113,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrDamaged, msgp.Cause(err))
 	}
-	if len(rest) > 0 || len(content.Taken) > historyLength {
+	if len(rest) > 0 || len(content.History) > historyLength {
 		return nil, fmt.Errorf("%w: it holds more than it may", ErrDamaged)
 	}
 	if len(content.Document) == 0 {
--- a/control/state/result.go
+++ b/control/state/result.go
@@ -6,28 +6,28 @@
 
 //msgp:tuple Result Finding
 
-// Outcome says what became of a command.
+// Outcome is what a command came to.
 type Outcome uint8
 
 // The outcomes.
 const (
-	OutcomeTaken          Outcome = 1 + iota // done; of a Barrier and a Show: answered
-	OutcomeRepeated                          // this very order was taken before
+	OutcomeApplied        Outcome = 1 + iota // done; of a Barrier and a Show: answered
+	OutcomeDuplicate                         // this very order was applied before
 	OutcomeRefusedVersion                    // another version of the configuration is in place
 	OutcomeInvalid                           // see Findings
 	OutcomeStaleTerm                         // there is a newer leader
 	OutcomeStaleEpoch                        // the placement is not that of the next epoch
 	OutcomeMalformed                         // not a command that this machine knows
-	OutcomeUnsure                            // too old an order to tell whether it was taken: it changes nothing now
+	OutcomeUnsure                            // too old an order to tell whether it was applied: it changes nothing now
 )
 
-// String names the outcome for logs.
+// String returns the outcome's text in logs and in the operator's answers.
 func (o Outcome) String() string {
 	switch o {
-	case OutcomeTaken:
-		return "taken"
-	case OutcomeRepeated:
-		return "taken before"
+	case OutcomeApplied:
+		return "applied"
+	case OutcomeDuplicate:
+		return "duplicate"
 	case OutcomeRefusedVersion:
 		return "another version is in place"
 	case OutcomeInvalid:
@@ -39,12 +39,12 @@
 	case OutcomeMalformed:
 		return "malformed"
 	case OutcomeUnsure:
-		return "too old to tell whether it was taken"
+		return "too old to tell whether it was applied"
 	}
 	return "unknown"
 }
 
-// Finding is one thing that is wrong with a configuration; see catalog.Finding.
+// Finding is one error in a configuration; see catalog.Finding.
 type Finding struct {
 	Place  string
 	Reason string
@@ -53,7 +53,7 @@
 // Result answers a command. All numbers are those after it was applied.
 type Result struct {
 	Outcome  Outcome
-	Version  uint64 // of the configuration; of an order that was repeated, the one that it made
+	Version  uint64 // of the configuration; of a duplicate, the one that the order made
 	Sequence uint64 // of the configuration
 	Term     uint64
 	Epoch    uint64    // of the placement
@@ -61,7 +61,7 @@
 	Document []byte    `msg:"Document,zerocopy"` // of a Show; empty if there is no configuration yet
 }
 
-// DecodeResult reads what Machine.Apply returned. The document is a part of encoded.
+// DecodeResult returns the Result that Machine.Apply has encoded. Errors: ErrTrailing, and those of msgp. The document is a part of encoded.
 func DecodeResult(encoded []byte) (*Result, error) {
 	result := &Result{}
 	rest, err := result.UnmarshalMsg(encoded)
@@ -74,12 +74,12 @@
 	return result, nil
 }
 
-// Taken says whether the order is in force, or was.
-func (r *Result) Taken() bool {
-	return r.Outcome == OutcomeTaken || r.Outcome == OutcomeRepeated
+// Applied reports whether the order is in force, or was.
+func (r *Result) Applied() bool {
+	return r.Outcome == OutcomeApplied || r.Outcome == OutcomeDuplicate
 }
 
-// CatalogFindings are the findings as the catalog has them.
+// CatalogFindings returns the findings in the catalog's type.
 func (r *Result) CatalogFindings() catalog.Findings {
 	findings := make(catalog.Findings, len(r.Findings))
 	for i, finding := range r.Findings {
--- a/test/lab/hollow/leader.go
+++ b/test/lab/hollow/leader.go
@@ -79,7 +79,7 @@
 func hollowSettings(ip, seed string, heartbeat time.Duration) *settings.Settings {
 	return &settings.Settings{
 		IP: ip, PortRange: []int{firstPort, firstPort + ports - 1}, Seeds: []string{seed},
-		HeartbeatMs: int(heartbeat / time.Millisecond), LostNodes: 1, ProviderRate: 50,
+		HeartbeatMs: int(heartbeat / time.Millisecond), ToleratedNodes: 1, ProviderRate: 50,
 		Bounds: settings.Bounds{DrainMs: 3000},
 	}
 }
@@ -120,7 +120,7 @@
 	if err != nil {
 		return 0, err
 	}
-	if !result.Taken() {
+	if !result.Applied() {
 		return 0, fmt.Errorf("%w: %s %v", ErrRefused, result.Outcome, result.Findings)
 	}
 	sequence := l.machine.Current().Sequence
