--- a/cmd/ravendale/fleet.go
+++ b/cmd/ravendale/fleet.go
@@ -173,7 +173,7 @@
 }
 
 func showStatus(to io.Writer, all map[string]*agent.Status) error {
-	w := tabwriter.NewWriter(to, 0, 0, 2, ' ', 0)
+	w := tabwriter.NewWriter(to, 0, 0, 2, ' ', 0) // Flush tells of what it met before
 	_, _ = fmt.Fprintln(w, "MEMBER\tINCARNATION\tBUILD\tACTS UNDER\tIN FORCE\tSTANDING\tPEERS ALIVE\tLAG\tRECORD\tNOTES")
 	for _, name := range slices.Sorted(maps.Keys(all)) {
 		s := all[name]
--- a/test/emulator/node_test.go
+++ b/test/emulator/node_test.go
@@ -135,7 +135,7 @@
 		take := func(notes []Note) {
 			for _, note := range notes {
 				was, known := state[note.ID]
-				if note.Kind == Done && !(known && was == Started) || note.Kind != Done && known {
+				if note.Kind == Done && (!known || was != Started) || note.Kind != Done && known {
 					t.Fatalf("%v after %v", note, was)
 				}
 				switch state[note.ID] = note.Kind; note.Kind {
--- a/test/fleettest/bench.go
+++ b/test/fleettest/bench.go
@@ -88,7 +88,6 @@
 	cmd    *exec.Cmd
 	exited chan struct{}
 	side   *side
-	log    *os.File
 	starts int
 	stuck  bool  // stopped by SIGSTOP
 	before []run // processes that were there when the next one was started
--- a/test/fleettest/fleet_test.go
+++ b/test/fleettest/fleet_test.go
@@ -369,7 +369,7 @@
 		t.Errorf("epoch %d was never in force: %+v", want.adopted, a.Epochs)
 	}
 	for _, x := range asked {
-		if x.Wrong || x.Status != 200 && x.Status != 503 && !(x.Status == 0 && slices.Contains(want.restarted, x.Member)) {
+		if x.Wrong || x.Status != 200 && x.Status != 503 && (x.Status != 0 || !slices.Contains(want.restarted, x.Member)) {
 			t.Errorf("a request of %s, sent %v after the begin, got %+v", x.Member, x.Sent.Sub(b.began).Round(time.Millisecond), x)
 			break
 		}
--- a/test/fleettest/proxy.go
+++ b/test/fleettest/proxy.go
@@ -1,6 +1,7 @@
 package fleettest
 
 import (
+	"errors"
 	"fmt"
 	"io"
 	"net"
@@ -118,7 +119,7 @@
 			}
 		}
 		if err != nil {
-			if err != io.EOF {
+			if !errors.Is(err, io.EOF) {
 				reset(to) // a reset on one side is one on the other
 			}
 			break
--- a/test/fleettest/world.go
+++ b/test/fleettest/world.go
@@ -28,14 +28,14 @@
 	s := &side{scheduler: scheduler, ran: make(map[string]int)}
 	list := http.NewServeMux()
 	list.HandleFunc("GET /v1/endpoints", func(w http.ResponseWriter, r *http.Request) {
-		fmt.Fprintf(w, `{"seq":1,"whole":true,"hosts":[{"host":"s-1","dial":%q,"site":"here","class":"toy","block":0,`+
+		_, _ = fmt.Fprintf(w, `{"seq":1,"whole":true,"hosts":[{"host":"s-1","dial":%q,"site":"here","class":"toy","block":0,`+
 			`"health":"in_service","share":1.0,"born_ms":0}]}`+"\n", server)
 		for r.URL.Query().Get("stream") == "1" && http.NewResponseController(w).Flush() == nil {
 			select {
 			case <-r.Context().Done():
 				return
 			case <-time.After(time.Second):
-				fmt.Fprintln(w)
+				_, _ = fmt.Fprintln(w)
 			}
 		}
 	})
--- a/test/lab/fleetplays.go
+++ b/test/lab/fleetplays.go
@@ -107,11 +107,7 @@
 		results = append(results, *got)
 	}
 	for _, play := range x.Faults {
-		got, err := r.faults(&play, x.Seed)
-		if err != nil {
-			return results, err
-		}
-		results = append(results, *got)
+		results = append(results, *r.faults(&play, x.Seed))
 	}
 	for _, play := range x.Pairs {
 		got, err := r.pair(&play)
@@ -128,7 +124,7 @@
 	if o.Dir, err = os.MkdirTemp("", "ravendale-fleet"); err != nil {
 		return err
 	}
-	defer os.RemoveAll(o.Dir)
+	defer func() { _ = os.RemoveAll(o.Dir) }()
 	o.Binary = r.Binary
 	b, err := fleettest.New(o)
 	if err != nil {
@@ -195,7 +191,7 @@
 }
 
 // faults plays seeds side by side, and holds what the audit finds against what was injected.
-func (r *Runner) faults(play *Faults, first uint64) (*Result, error) {
+func (r *Runner) faults(play *Faults, first uint64) *Result {
 	seeds := play.Seeds
 	if r.Short {
 		seeds = play.Short
@@ -235,7 +231,7 @@
 	r.Say("faults     %d members, %d seeds: %.0f failed; stopped across a date %.0f, found %.0f, missed %.0f, invented %.0f; below the floor %.0f; requests %.0f, unanswered %.0f; records tampered with %.0f, missed %.0f, invented %.0f",
 		play.Members, seeds, f["seeds_failed"], f["stopped_across"], f["straggled"], f["straggled_missed"], f["straggled_invented"], f["below_floor"], f["asked"], f["unanswered"],
 		f["tampered"], f["tamper_missed"], f["tamper_invented"])
-	return &Result{Variant: fmt.Sprint(play.Members, " members"), Phase: "faults", Figures: f}, nil
+	return &Result{Variant: fmt.Sprint(play.Members, " members"), Phase: "faults", Figures: f}
 }
 
 func (r *Runner) faultPlay(play *Faults, seed uint64) (map[string]float64, error) {
--- a/test/lab/judge.go
+++ b/test/lab/judge.go
@@ -10,6 +10,7 @@
 	Aim   bool
 }
 
+// String says in a line what was expected, what was found, and whether it held.
 func (v Verdict) String() string {
 	word := "held"
 	switch {
--- a/test/lab/run.go
+++ b/test/lab/run.go
@@ -146,7 +146,7 @@
 	if err != nil {
 		return nil, err
 	}
-	defer os.RemoveAll(dir)
+	defer func() { _ = os.RemoveAll(dir) }()
 
 	clock := scheduler.SystemClock()
 	loop := scheduler.NewLoop(clock)
@@ -217,7 +217,7 @@
 	if err != nil {
 		return nil, err
 	}
-	defer held.Close()
+	defer func() { _ = held.Close() }()
 	site := &site{r: r, dir: dir, v: v, door: base + ".0.3:98", held: held}
 	defer func() {
 		for _, s := range site.all {
@@ -378,7 +378,7 @@
 	if err != nil {
 		return err
 	}
-	defer listener.Close()
+	defer func() { _ = listener.Close() }()
 	c := &child{cmd: exec.Command(binary, args...), log: &bytes.Buffer{}}
 	c.cmd.ExtraFiles = []*os.File{listener} // descriptor 3
 	c.cmd.Env = []string{"PROXY_CONFIG=" + filepath.Join(s.dir, "config.json"), "PROXY_FD=3", "TMPDIR=" + s.dir,
@@ -406,7 +406,7 @@
 	if err != nil {
 		return err
 	}
-	defer resp.Body.Close()
+	defer func() { _ = resp.Body.Close() }()
 	if resp.StatusCode/100 != 2 {
 		return fmt.Errorf("%s: %s", path, resp.Status)
 	}
--- a/test/lab/trace.go
+++ b/test/lab/trace.go
@@ -85,7 +85,7 @@
 			lines = append(lines, l)
 		}
 		err = in.Err()
-		f.Close()
+		_ = f.Close()
 		if err != nil {
 			return nil, 0, fmt.Errorf("%s: %w", name, err)
 		}
@@ -199,11 +199,11 @@
 
 // WriteTrace writes the spans as a table.
 func WriteTrace(to io.Writer, spans []*Span, span time.Duration) error {
-	w := tabwriter.NewWriter(to, 0, 0, 2, ' ', tabwriter.AlignRight)
-	fmt.Fprintln(w, "from\tjobs/s\topen\tsends/job\tdials/job\tserved\trefused\tfailed\tcancelled\tfull\tno conn\terrors\tto cold\tmost/2 s\tlist calls\tfailed\tafter told\tlatest\tleft waiting\tsent on\tunsent by why\t")
+	w := tabwriter.NewWriter(to, 0, 0, 2, ' ', tabwriter.AlignRight) // Flush tells of what it met before
+	_, _ = fmt.Fprintln(w, "from\tjobs/s\topen\tsends/job\tdials/job\tserved\trefused\tfailed\tcancelled\tfull\tno conn\terrors\tto cold\tmost/2 s\tlist calls\tfailed\tafter told\tlatest\tleft waiting\tsent on\tunsent by why\t")
 	for _, s := range spans {
 		jobs := max(float64(s.Jobs), 1)
-		fmt.Fprintf(w, "%v\t%.0f\t%.1f\t%.2f\t%.2f\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%v\t%d\t%d\t%s\t\n", s.From, float64(s.Jobs)/span.Seconds(), s.Open,
+		_, _ = fmt.Fprintf(w, "%v\t%.0f\t%.1f\t%.2f\t%.2f\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%v\t%d\t%d\t%s\t\n", s.From, float64(s.Jobs)/span.Seconds(), s.Open,
 			float64(s.Sends)/jobs, float64(s.Dials)/jobs, s.Served, s.Refused, s.Failed, s.Outcomes[ravendale.Cancelled], s.Outcomes[ravendale.FullUp],
 			s.Outcomes[ravendale.ConnectFailed], s.Outcomes[ravendale.Error]+s.Outcomes[ravendale.Reset], s.ToCold, s.MostToOneCold,
 			s.ListCalls, s.ListCallsFailed, s.LateSends, s.LatestSend.Round(time.Millisecond), s.LeftWaiting, s.SentAfterLeft, whys(s.Unsent))
--- a/test/lab/whole_test.go
+++ b/test/lab/whole_test.go
@@ -35,7 +35,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer ln.Close()
+	defer func() { _ = ln.Close() }()
 	return ln.Addr().String()
 }
 
@@ -154,7 +154,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer taken.Close()
+	defer func() { _ = taken.Close() }()
 	spec := FleetSpec{Rules: x.Rules.model(), Nodes: specs, Schedulers: []string{free(t)}}
 	_, err = ServeFleet(spec, slog.New(slog.NewTextHandler(io.Discard, nil)), func() { t.Error("it says that it is ready") }, nil)
 	if err == nil || !strings.Contains(err.Error(), last) {
--- a/test/simulation/edge_test.go
+++ b/test/simulation/edge_test.go
@@ -149,12 +149,11 @@
 
 // delivery is a call of a worker. It implements dispatch.Call.
 type delivery struct {
-	life      *life
-	done      func(worker.Result)
-	name      string
-	began     time.Duration
-	over      bool
-	cancelled bool
+	life  *life
+	done  func(worker.Result)
+	name  string
+	began time.Duration
+	over  bool
 }
 
 // Start implements dispatch.Workers.
--- a/test/simulation/machine_test.go
+++ b/test/simulation/machine_test.go
@@ -114,9 +114,6 @@
 	}
 }
 
-// runs says whether a process runs, frozen or not.
-func (m *machine) runs() bool { return m.life != nil }
-
 // life is one process. It implements host.Host.
 type life struct {
 	machine  *machine
--- a/test/simulation/operator_test.go
+++ b/test/simulation/operator_test.go
@@ -1,6 +1,7 @@
 package simulation
 
 import (
+	"errors"
 	"fmt"
 	"time"
 
@@ -73,8 +74,8 @@
 	o.busy = true
 	w.ask(targets[w.random.IntN(len(targets))], command, func(op *operation) {
 		w.history.heard(op)
-		switch {
-		case op.answer == unsure || op.answer == unavailable:
+		switch op.answer {
+		case unsure, unavailable:
 			if tries < operatorTries {
 				if tries > 0 && op.answer == unsure {
 					w.counts["an order repeated"]++
@@ -82,7 +83,7 @@
 				w.after(w.upTo(operatorPauses), func() { o.send(command, tries+1) })
 				return
 			}
-		case op.answer == taken || op.answer == refusedVersion:
+		case taken, refusedVersion:
 			o.known = max(o.known, op.version)
 		}
 		o.busy = false
@@ -144,9 +145,9 @@
 		return
 	}
 	c.order(l, encoded, answerWithin, func(end core.Ended) {
-		switch end.Err {
-		case nil:
-		case core.ErrUnavailable:
+		switch {
+		case end.Err == nil:
+		case errors.Is(end.Err, core.ErrUnavailable):
 			reply(unavailable, 0, nil, -1)
 			return
 		default:
--- a/test/simulation/task_test.go
+++ b/test/simulation/task_test.go
@@ -14,7 +14,6 @@
 	next  func() (struct{}, bool)
 	stop  func()
 	yield func(struct{}) bool
-	woken bool // a resumption is on its way
 	turn  uint64
 	done  bool
 }
@@ -23,7 +22,7 @@
 type killed struct{}
 
 // begin starts a task of a process.
-func (l *life) begin(run func()) *task {
+func (l *life) begin(run func()) {
 	t := &task{life: l}
 	t.next, t.stop = iter.Pull(func(yield func(struct{}) bool) {
 		defer func() {
@@ -39,7 +38,6 @@
 	})
 	l.tasks = append(l.tasks, t)
 	t.wake(0)
-	return t
 }
 
 // wake has a waiting task go on, after a while.
--- a/test/simulation/world_test.go
+++ b/test/simulation/world_test.go
@@ -136,7 +136,7 @@
 func (w *world) note(format string, arguments ...any) {
 	w.trace = (w.trace^uint64(w.now))*1099511628211 + uint64(len(format))
 	if debug != nil {
-		fmt.Fprintf(debug, "%12v "+format+"\n", append([]any{w.now}, arguments...)...)
+		_, _ = fmt.Fprintf(debug, "%12v "+format+"\n", append([]any{w.now}, arguments...)...)
 	}
 }
 
--- a/test/standin/check/check.go
+++ b/test/standin/check/check.go
@@ -38,6 +38,7 @@
 	Reason  string
 }
 
+// String gives the rule, the subject and the reason.
 func (f Finding) String() string { return fmt.Sprintf("%s %s: %s", f.Rule, f.Subject, f.Reason) }
 
 // Bounds of the rules.
--- a/test/standin/check/summary.go
+++ b/test/standin/check/summary.go
@@ -24,6 +24,7 @@
 	StartP99   time.Duration
 }
 
+// String gives the counts and quantiles in one line.
 func (s Summary) String() string {
 	return fmt.Sprintf("sent %d, accepted %d, promised %d, unanswered %d, other %d, ended %d, repeats %d, 202 p50 %v p99 %v, start p50 %v p99 %v",
 		s.Sent, s.Accepted, s.Promised, s.Unanswered, s.Other, s.Ended, s.Repeats,
--- a/test/standin/workers/worker.go
+++ b/test/standin/workers/worker.go
@@ -288,7 +288,7 @@
 		defer close(watched)
 		_, err := c.reader.Peek(1)
 		var timeout net.Error
-		if err != nil && !(errors.As(err, &timeout) && timeout.Timeout()) {
+		if err != nil && (!errors.As(err, &timeout) || !timeout.Timeout()) {
 			cancel()
 		}
 	}()
--- a/test/systemtest/control_test.go
+++ b/test/systemtest/control_test.go
@@ -119,7 +119,7 @@
 	controls := r.system.Controls
 	require.NoError(t, controls[0].Kill())
 	for i := range manyChanges {
-		r.patch(protocol.Patch{Upsert: protocol.Upsert{Routes: []protocol.Route{extraRoute(r, 500+i)}}})
+		r.patch(protocol.Patch{Upsert: protocol.Upsert{Routes: []protocol.Route{extraRoute(500 + i)}}})
 	}
 	require.NoError(t, controls[0].Start(false))
 	shown, err := operatorAt(r, 0).Show(r.within(startBound))
@@ -127,7 +127,7 @@
 	require.Equal(t, r.config.Version, shown.Version, "the process that was away hands out the newest configuration")
 	require.NoError(t, controls[0].Kill()) // while it catches up
 	require.NoError(t, controls[0].Start(false))
-	r.patch(protocol.Patch{Upsert: protocol.Upsert{Routes: []protocol.Route{extraRoute(r, 900)}}})
+	r.patch(protocol.Patch{Upsert: protocol.Upsert{Routes: []protocol.Route{extraRoute(900)}}})
 
 	for _, gone := range controls[1:] { // whoever leads is one of them, or it was the one that was away
 		require.NoError(t, gone.Kill())
--- a/test/systemtest/diskless_test.go
+++ b/test/systemtest/diskless_test.go
@@ -34,10 +34,10 @@
 		assert.True(t, hostsCore(store), store.Name())
 	}
 	wait := r.load(3 * time.Second)
-	r.patch(protocol.Patch{Upsert: protocol.Upsert{Routes: []protocol.Route{extraRoute(r, 700)}}})
+	r.patch(protocol.Patch{Upsert: protocol.Upsert{Routes: []protocol.Route{extraRoute(700)}}})
 	r.crash(r.system.Processes(), 500*time.Millisecond, nil) // right after an acknowledgement
 	r.showIsNewest()
-	r.patch(protocol.Patch{Upsert: protocol.Upsert{Routes: []protocol.Route{extraRoute(r, 800)}}})
+	r.patch(protocol.Patch{Upsert: protocol.Upsert{Routes: []protocol.Route{extraRoute(800)}}})
 	wait()
 	r.awaitReady(len(r.system.Edges))
 	over := r.world.Record.Now()
@@ -50,7 +50,7 @@
 	r := startWith(t, diskless)
 	wait := r.load(10 * time.Second)
 	for i, store := range r.system.Stores { // the leader is one of them
-		r.patch(protocol.Patch{Upsert: protocol.Upsert{Routes: []protocol.Route{extraRoute(r, 500+i)}}})
+		r.patch(protocol.Patch{Upsert: protocol.Upsert{Routes: []protocol.Route{extraRoute(500 + i)}}})
 		r.crash([]*cluster.Process{store}, 300*time.Millisecond, (*cluster.Process).Wipe)
 		r.showIsNewest()
 		r.awaitWhole(store)
@@ -111,7 +111,7 @@
 	}
 	assert.Equal(t, 3, hosts, "another store has taken its place")
 	require.NoError(t, voter.Kill())
-	r.patch(protocol.Patch{Upsert: protocol.Upsert{Routes: []protocol.Route{extraRoute(r, 700)}}})
+	r.patch(protocol.Patch{Upsert: protocol.Upsert{Routes: []protocol.Route{extraRoute(700)}}})
 	wait()
 	r.verify()
 }
--- a/test/systemtest/scenarios_test.go
+++ b/test/systemtest/scenarios_test.go
@@ -63,7 +63,7 @@
 	wait := r.load(9 * time.Second)
 	for i := range r.system.Controls { // the leader is one of them
 		r.crash(r.system.Controls[i:i+1], 500*time.Millisecond, nil)
-		r.patch(protocol.Patch{Upsert: protocol.Upsert{Routes: []protocol.Route{extraRoute(r, 500+i)}}})
+		r.patch(protocol.Patch{Upsert: protocol.Upsert{Routes: []protocol.Route{extraRoute(500 + i)}}})
 		time.Sleep(500 * time.Millisecond)
 	}
 	wait()
@@ -75,10 +75,10 @@
 	r := start(t)
 	wait := r.load(7 * time.Second)
 	time.Sleep(time.Second)
-	r.patch(protocol.Patch{Upsert: protocol.Upsert{Routes: []protocol.Route{extraRoute(r, 700)}}})
+	r.patch(protocol.Patch{Upsert: protocol.Upsert{Routes: []protocol.Route{extraRoute(700)}}})
 	r.crash(r.system.Controls, 500*time.Millisecond, nil) // right after an acknowledgement
 	r.showIsNewest()
-	r.patch(protocol.Patch{Upsert: protocol.Upsert{Routes: []protocol.Route{extraRoute(r, 800)}}})
+	r.patch(protocol.Patch{Upsert: protocol.Upsert{Routes: []protocol.Route{extraRoute(800)}}})
 	wait()
 	assert.GreaterOrEqual(t, r.acceptedSince(0), served, "traffic does not wait for the control plane")
 	r.verify()
@@ -140,7 +140,7 @@
 }
 
 // extraRoute is a route to the plain service with a time-out of its own.
-func extraRoute(r *rig, timeout int) protocol.Route {
+func extraRoute(timeout int) protocol.Route {
 	extra := route("extra", false)
 	extra.Type, extra.Service, extra.TimeoutMs = protocol.TypeDeferred, "plain", float64(timeout)
 	return extra
@@ -155,7 +155,7 @@
 			Traffic: []client.Traffic{{Route: "extra", Host: host, Target: "/extra/a", BodyBytes: 100}},
 		})
 	}
-	r.patch(protocol.Patch{Upsert: protocol.Upsert{Routes: []protocol.Route{extraRoute(r, 900)}}})
+	r.patch(protocol.Patch{Upsert: protocol.Upsert{Routes: []protocol.Route{extraRoute(900)}}})
 	extra(convergeBound + time.Second)
 	added := r.world.Record.Now()
 	r.patch(protocol.Patch{Delete: protocol.Delete{Routes: []string{"extra"}}})
--- a/test/systemtest/tolerance_test.go
+++ b/test/systemtest/tolerance_test.go
@@ -51,7 +51,7 @@
 // ordersAreTaken changes the configuration, and reads it back from each control process but one.
 func ordersAreTaken(r *rig, timeoutMs int, but *cluster.Process) {
 	r.t.Helper()
-	r.patch(protocol.Patch{Upsert: protocol.Upsert{Routes: []protocol.Route{extraRoute(r, timeoutMs)}}})
+	r.patch(protocol.Patch{Upsert: protocol.Upsert{Routes: []protocol.Route{extraRoute(timeoutMs)}}})
 	for i, control := range r.system.Controls {
 		if control == but {
 			continue
