--- a/store/queue/find.go
+++ b/store/queue/find.go
@@ -40,7 +40,7 @@
 	}
 	answer := &wire.FindReply{Found: true, State: e.state}
 	hasBody := e.pending() || e.state == wire.StateDead
-	if e.state != wire.StateDone && !(m.Body && hasBody) {
+	if e.state != wire.StateDone && (!m.Body || !hasBody) {
 		return answer, nil
 	}
 	r, err := c.messageRecord(p, e)
--- a/store/queue/op.go
+++ b/store/queue/op.go
@@ -113,7 +113,7 @@
 		w.reply.Send(&wire.ReportReply{Code: wire.PutKept, Epoch: c.epoch()})
 		return
 	}
-	w.reply.Send(c.putReply(o.p, o.e, w.edge))
+	w.reply.Send(c.putReply(o.e, w.edge))
 }
 
 func (p *partition) removeOp(o *op) {
--- a/store/queue/put.go
+++ b/store/queue/put.go
@@ -93,7 +93,7 @@
 		c.replicateAgain(p, e, putWaiter(reply, from))
 		return
 	}
-	reply.Send(c.putReply(p, e, from))
+	reply.Send(c.putReply(e, from))
 }
 
 // isFullyReplicated says whether all that a primary has is at enough members. What an earlier primary left incomplete may not be.
@@ -127,7 +127,7 @@
 }
 
 // putReply answers a Put of a message that is on disk at all members.
-func (c *Core) putReply(p *partition, e *entry, from *edge) *wire.PutReply {
+func (c *Core) putReply(e *entry, from *edge) *wire.PutReply {
 	granted := e.delivery != nil && e.delivery.granted && e.delivery.leaseholder == from && from != nil
 	return &wire.PutReply{Code: wire.PutKept, Epoch: c.epoch(), Granted: granted}
 }
