--- a/cmd/ravendale-capacity/backlog.go
+++ b/cmd/ravendale-capacity/backlog.go
@@ -4,10 +4,10 @@
 	"context"
 	"fmt"
 	"os"
+	"strings"
 	"time"
 
 	"ravendale/test/lab/backlog"
-	"ravendale/test/lab/hollow"
 )
 
 type backlogCmd struct {
@@ -22,13 +22,13 @@
 		return err
 	}
 	defer func() { _ = os.RemoveAll(dir) }()
-	before := hollow.Load()
+	before := machineLoad()
 	r, err := backlog.Run(context.Background(), backlog.Config{Dir: dir, Messages: c.Messages, Body: c.Body})
 	if err != nil {
 		return err
 	}
 	count := float64(r.Messages)
-	fmt.Printf("messages %d, body %d bytes, load of the machine %s before, %s after\n", r.Messages, r.Body, before, hollow.Load())
+	fmt.Printf("messages %d, body %d bytes, load of the machine %s before, %s after\n", r.Messages, r.Body, before, machineLoad())
 	fmt.Printf("memory %.0f B a message, %.0f B after the restart\n", float64(r.Heap)/count, float64(r.RecoveredHeap)/count)
 	fmt.Printf("disk %.0f B a message\n", float64(r.Disk)/count)
 	fmt.Printf("fill %v, %.1f us of processor time a message (store and sender)\n", r.Filled.Round(time.Millisecond), perMessage(r.FilledCPU, count))
@@ -39,3 +39,13 @@
 func perMessage(total time.Duration, count float64) float64 {
 	return float64(total) / float64(time.Microsecond) / count
 }
+
+// machineLoad is the machine's load over the last minute, as text; empty if it can't be read.
+func machineLoad() string {
+	content, err := os.ReadFile("/proc/loadavg")
+	if err != nil {
+		return ""
+	}
+	minute, _, _ := strings.Cut(string(content), " ")
+	return minute
+}
--- a/cmd/ravendale-capacity/main.go
+++ b/cmd/ravendale-capacity/main.go
@@ -6,8 +6,6 @@
 )
 
 type commands struct {
-	Hollow  hollowCmd  `cmd:"" help:"Play hollow schedulers under one leader, and tell what the control plane costs."`
-	Leader  leaderCmd  `cmd:"" hidden:"" help:"Be the leader of hollow schedulers; orders come on standard input."`
 	Backlog backlogCmd `cmd:"" help:"Fill one store with messages that wait, restart it, and tell what they cost."`
 }
 
--- a/test/lab/hollow/document.go
+++ b/test/slopes/document_test.go
@@ -1,8 +1,13 @@
-package hollow
+package slopes
 
 import (
 	"encoding/json"
 	"fmt"
+	"testing"
+
+	"github.com/stretchr/testify/require"
+
+	"ravendale/cluster/catalog"
 )
 
 const (
@@ -57,3 +62,19 @@
 	}
 	return encoded
 }
+
+func TestDocumentsAreValidAndChangeOneRoute(t *testing.T) {
+	config, err := catalog.Parse(document(1, 40, 5))
+	require.NoError(t, err)
+	require.Len(t, config.Routes, 40)
+	require.Len(t, config.Services, 5)
+	next, err := config.Apply(change(2, 40, 5))
+	require.NoError(t, err)
+	differ := 0
+	for i := range next.Routes {
+		if next.Routes[i] != config.Routes[i] {
+			differ++
+		}
+	}
+	require.Equal(t, 1, differ)
+}
