--- a/Makefile
+++ b/Makefile
@@ -9,6 +9,7 @@
 
 lint:
 	test -z "$$(gofmt -l .)"
+	go mod tidy -diff
 	go vet ./...
 	go tool -modfile=tools/golangci-lint/go.mod golangci-lint run ./...
 
