--- /dev/null
+++ b/test/fleettest/await.go
@@ -0,0 +1,123 @@
+package fleettest
+
+import (
+	"fmt"
+	"path/filepath"
+	"strconv"
+	"strings"
+	"time"
+
+	"ravendale/balancer/audit"
+	"ravendale/balancer/fleet"
+)
+
+// Patience is how long an awaited event may take: far above what it takes, for machines that are busy.
+const Patience = 30 * time.Second
+
+// until waits for an event, and says what was there instead.
+func (b *Bench) until(holds func() (bool, string)) error {
+	last := ""
+	for end := time.Now().Add(Patience); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
+		ok, seen := holds()
+		if ok {
+			return nil
+		}
+		last = seen
+	}
+	return fmt.Errorf("it never came; last: %s", last)
+}
+
+func (b *Bench) await(words []string) error {
+	if len(words) < 2 {
+		return errWords
+	}
+	if len(words) == 4 && words[1] == "sees" {
+		others, err := b.pick(words[3])
+		if err != nil {
+			return err
+		}
+		return b.until(func() (bool, string) {
+			s, err := b.Status(words[0])
+			if err != nil {
+				return false, err.Error()
+			}
+			for _, o := range others {
+				if got := s.Peers[o.name]; string(got.State) != words[2] {
+					return false, fmt.Sprintf("%s is %+v", o.name, got)
+				}
+			}
+			return true, ""
+		})
+	}
+	if len(words) == 3 && words[0] == "told" {
+		return b.awaitTold(words[1], words[2])
+	}
+	some, err := b.pick(words[len(words)-1])
+	if err != nil {
+		return err
+	}
+	number := uint64(0)
+	if words[0] == "epoch" {
+		if number, err = strconv.ParseUint(words[1], 10, 64); err != nil {
+			return err
+		}
+	}
+	for _, p := range some {
+		err := b.until(func() (bool, string) {
+			if words[0] == "dead" {
+				return !p.running(), "it runs"
+			}
+			s, err := b.Status(p.name)
+			if err != nil {
+				return false, err.Error()
+			}
+			seen := fmt.Sprintf("%+v, acting under %v, in force %v, %+v", s.Standing, s.Acting, s.Force, s.Peers)
+			switch words[0] {
+			case "acts":
+				return s.Standing == fleet.Standing{Acts: true} && s.Votes, seen
+			case "marked":
+				return s.Standing.Marked, seen
+			case "shut":
+				return !s.Standing.Acts, seen
+			case "epoch":
+				return s.Acting.Number == number, seen
+			}
+			return false, "there is no such event"
+		})
+		if err != nil {
+			return fmt.Errorf("%s: %w", p.name, err)
+		}
+	}
+	return nil
+}
+
+// awaitLaterSecond waits until an empty disk begins with an incarnation above those of a record: it is the second of its start.
+func (b *Bench) awaitLaterSecond(record string) error {
+	files, err := filepath.Glob(filepath.Join(record, "*.audit"))
+	if err != nil {
+		return err
+	}
+	newest := int64(0)
+	for _, file := range files {
+		words := strings.Split(filepath.Base(file), ".") // member, incarnation, number
+		if incarnation, err := strconv.ParseInt(words[1], 10, 64); err == nil {
+			newest = max(newest, incarnation)
+		}
+	}
+	return b.until(func() (bool, string) { return time.Now().Unix() > newest, fmt.Sprintf("it is %d still", newest) })
+}
+
+// awaitTold waits until another member's record says that a member's record is as far as its adoption of an epoch.
+func (b *Bench) awaitTold(member, number string) error {
+	epoch, err := strconv.ParseUint(number, 10, 64)
+	if err != nil {
+		return err
+	}
+	return b.until(func() (bool, string) {
+		records, err := audit.Read(b.Records()...)
+		if err != nil {
+			return false, err.Error()
+		}
+		return records.AdoptionWitnessed(member, epoch), "no record says so"
+	})
+}
--- a/test/lab/experiment.go
+++ b/test/lab/experiment.go
@@ -77,18 +77,18 @@
 
 // Class is a class of jobs, as clients ask for it and as the scheduler is told.
 type Class struct {
-	Name    string        `xml:"name,attr" required:"true"`
-	Effect  string        `xml:"effect,attr" required:"true"` // idempotent, keyed or once
-	Share   float64       `xml:"share,attr" required:"true"`
-	Work    time.Duration `xml:"work,attr" required:"true"`
-	Slots   float64       `xml:"slots,attr"`
-	GiveUp  time.Duration `xml:"give-up,attr" required:"true"`
-	Aim     time.Duration `xml:"aim,attr" required:"true"`
-	Stretch float64       `xml:"stretch,attr"`
-	Worth   float64       `xml:"worth,attr"`
-	Kind    string        `xml:"kind,attr"`   // the only kind of node that runs it, any if not given
-	Window  time.Duration `xml:"window,attr"` // how long nodes drop a repeat of a keyed job, 7.5s if not given
-	Late    float64       `xml:"late,attr"`   // the part of its worth that a late answer earns
+	Name          string        `xml:"name,attr" required:"true"`
+	Effect        string        `xml:"effect,attr" required:"true"` // idempotent, keyed or once
+	Share         float64       `xml:"share,attr" required:"true"`
+	Work          time.Duration `xml:"work,attr" required:"true"`
+	Slots         float64       `xml:"slots,attr"`
+	GiveUp        time.Duration `xml:"give-up,attr" required:"true"`
+	LatencyTarget time.Duration `xml:"aim,attr" required:"true"`
+	Stretch       float64       `xml:"stretch,attr"`
+	Value         float64       `xml:"worth,attr"`
+	Kind          string        `xml:"kind,attr"`   // the only kind of node that runs it, any if not given
+	Window        time.Duration `xml:"window,attr"` // how long nodes drop a repeat of a keyed job, 7.5s if not given
+	Late          float64       `xml:"late,attr"`   // the part of its value that a late answer earns
 }
 
 // Check implements xmlfile.Checker.
@@ -227,8 +227,8 @@
 	var stretch []float64
 	for _, c := range x.Classes {
 		effect := map[string]string{"idempotent": "idempotent", "keyed": "deduplicated", "once": "at_most_once"}[c.Effect]
-		class := map[string]any{"name": c.Name, "effect": effect, "aim-us": c.Aim.Microseconds(), "give-up-us": c.GiveUp.Microseconds(),
-			"importance": max(c.Worth, 1), "late-worth": c.Late}
+		class := map[string]any{"name": c.Name, "effect": effect, "aim-us": c.LatencyTarget.Microseconds(), "give-up-us": c.GiveUp.Microseconds(),
+			"importance": max(c.Value, 1), "late-worth": c.Late}
 		if c.Effect == "keyed" {
 			class["window-us"], class["group"] = cmp.Or(c.Window, 7500*time.Millisecond).Microseconds(), "zone"
 		}
@@ -271,11 +271,11 @@
 	return names
 }
 
-// asked are the classes as clients ask for them.
-func (x *Experiment) asked() (classes []ClassSpec) {
+// requestClasses are the classes as clients ask for them.
+func (x *Experiment) requestClasses() (classes []ClassSpec) {
 	for _, c := range x.Classes {
 		classes = append(classes, ClassSpec{Name: c.Name, Share: c.Share, Work: c.Work, Slots: c.Slots, GiveUp: c.GiveUp,
-			Aim: c.Aim + time.Duration(c.Stretch*float64(c.Work)), Keyed: c.Effect == "keyed"})
+			LatencyTarget: c.LatencyTarget + time.Duration(c.Stretch*float64(c.Work)), Keyed: c.Effect == "keyed"})
 	}
 	return classes
 }
--- a/test/lab/fleet.go
+++ b/test/lab/fleet.go
@@ -172,7 +172,7 @@
 	now := n.f.loop.Now()
 	n.f.report.Late = max(n.f.report.Late, now-at)
 	n.f.report.Restarted = append(n.f.report.Restarted, RestartReport{n.name, now, n.last})
-	n.tell(n.model.Restart(now))
+	n.report(n.model.Restart(now))
 	for _, s := range n.servers {
 		s.reset()
 	}
@@ -191,7 +191,7 @@
 			delete(n.jobs, id)
 		}
 		c.reply(200, nil, nil)
-		n.tell(notes)
+		n.report(notes)
 		return
 	}
 	id := req.Header.Get(platform.HeaderID)
@@ -208,7 +208,7 @@
 	if last := len(notes) - 1; last >= 0 && notes[last] == (emulator.Note{Kind: emulator.TurnedAway, ID: id}) {
 		delete(n.jobs, id)
 		c.reply(503, http1.Header{{Name: platform.HeaderNotRun, Value: "1"}}, nil)
-		n.tell(notes[:last])
+		n.report(notes[:last])
 		return
 	}
 	if accept := n.f.spec.Accept; accept > 0 {
@@ -216,11 +216,11 @@
 	} else {
 		c.reply(202, nil, nil)
 	}
-	n.tell(notes)
+	n.report(notes)
 }
 
-// tell calls back with what became of jobs, and has the node looked at again when the next one ends.
-func (n *node) tell(notes []emulator.Note) {
+// report calls back with what became of jobs, and has the node looked at again when the next one ends.
+func (n *node) report(notes []emulator.Note) {
 	for _, note := range notes {
 		t := n.jobs[note.ID]
 		if t == nil {
@@ -256,29 +256,29 @@
 		n.next = at
 		n.timer = n.f.loop.Deadlines.Add(at, func() {
 			n.timer = nil
-			n.tell(n.model.Pass(n.f.loop.Now()))
+			n.report(n.model.Pass(n.f.loop.Now()))
 		})
 	}
 }
 
-// triesMost is how often a call is made until it is answered, and tryAgain how long after the one before.
+// maxAttempts is how often a call is made until it is answered, and retryPause how long after the one before.
 const (
-	triesMost = 10
-	tryAgain  = 100 * time.Millisecond
+	maxAttempts = 10
+	retryPause  = 100 * time.Millisecond
 )
 
 func (n *node) call(t *task, body string) {
 	p := n.calls[t.by]
 	request := http1.AppendRequest(nil, "POST", platform.PathCallback, p.addr, nil, []byte(body))
-	var try func(left int)
-	try = func(left int) {
+	var attempt func(left int)
+	attempt = func(left int) {
 		p.ask(request, func(_ *http1.Response, err error) {
 			if err != nil && left > 1 {
-				n.f.loop.After(tryAgain, func() { try(left - 1) })
+				n.f.loop.After(retryPause, func() { attempt(left - 1) })
 			}
 		})
 	}
-	try(triesMost)
+	attempt(maxAttempts)
 }
 
 // appendWork writes what a job is, as the lab's nodes read it from its body.
@@ -289,18 +289,18 @@
 }
 
 func parseWork(b []byte) (class string, work time.Duration, slots float64, err error) {
-	words := strings.Fields(string(b))
-	if len(words) != 3 {
-		return "", 0, 0, fmt.Errorf("%d words", len(words))
+	fields := strings.Fields(string(b))
+	if len(fields) != 3 {
+		return "", 0, 0, fmt.Errorf("%d fields", len(fields))
 	}
-	us, err := strconv.ParseInt(words[1], 10, 40)
+	us, err := strconv.ParseInt(fields[1], 10, 40)
 	if err != nil || us < 0 {
-		return "", 0, 0, fmt.Errorf("work %q", words[1])
+		return "", 0, 0, fmt.Errorf("work %q", fields[1])
 	}
-	if slots, err = strconv.ParseFloat(words[2], 64); err != nil || !(slots > 0) {
-		return "", 0, 0, fmt.Errorf("slots %q", words[2])
+	if slots, err = strconv.ParseFloat(fields[2], 64); err != nil || !(slots > 0) {
+		return "", 0, 0, fmt.Errorf("slots %q", fields[2])
 	}
-	return words[0], time.Duration(us) * time.Microsecond, slots, nil
+	return fields[0], time.Duration(us) * time.Microsecond, slots, nil
 }
 
 // listed is one node in discovery's form.
@@ -317,16 +317,16 @@
 
 // Discovery lists nodes to one scheduler, whole at first and then by changes.
 type Discovery struct {
-	loop    *scheduler.Loop
-	seq     int64
-	hosts   []listed
-	watches map[*served]int64 // how far each is told
-	told    map[string]time.Duration
+	loop     *scheduler.Loop
+	seq      int64
+	hosts    []listed
+	watches  map[*served]int64        // the sequence up to which each has been sent
+	listedAt map[string]time.Duration // by node and state, when that was last sent
 }
 
 func newDiscovery(loop *scheduler.Loop, hosts []listed) *Discovery {
-	d := &Discovery{loop: loop, seq: 1, hosts: hosts, watches: make(map[*served]int64), told: make(map[string]time.Duration)}
-	d.beat()
+	d := &Discovery{loop: loop, seq: 1, hosts: hosts, watches: make(map[*served]int64), listedAt: make(map[string]time.Duration)}
+	d.heartbeat()
 	return d
 }
 
@@ -346,12 +346,12 @@
 	d.write(c, d.object(true, d.hosts))
 }
 
-func (d *Discovery) object(whole bool, hosts []listed) []byte {
+func (d *Discovery) object(full bool, hosts []listed) []byte {
 	text, err := json.Marshal(struct {
 		Seq   int64    `json:"seq"`
-		Whole bool     `json:"whole"`
+		Full  bool     `json:"whole"`
 		Hosts []listed `json:"hosts"`
-	}{d.seq, whole, hosts})
+	}{d.seq, full, hosts})
 	if err != nil {
 		panic(err) // of plain values: it can't fail
 	}
@@ -362,12 +362,12 @@
 	c.net.Write(append(append([]byte(strconv.FormatInt(int64(len(b)), 16)+"\r\n"), b...), "\r\n"...))
 }
 
-func (d *Discovery) beat() {
+func (d *Discovery) heartbeat() {
 	d.loop.After(2*time.Second, func() {
 		for c := range d.watches {
 			d.write(c, []byte("\n"))
 		}
-		d.beat()
+		d.heartbeat()
 	})
 }
 
@@ -380,7 +380,7 @@
 			if born > 0 {
 				h.BornMs = int64(born / time.Millisecond)
 			}
-			d.told[host+" "+health] = d.loop.Now()
+			d.listedAt[host+" "+health] = d.loop.Now()
 			for c := range d.watches {
 				d.write(c, d.object(false, []listed{*h}))
 			}
--- a/test/lab/load.go
+++ b/test/lab/load.go
@@ -9,6 +9,7 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
+	"ravendale/balancer/deadline"
 	"ravendale/balancer/http1"
 	"ravendale/balancer/platform"
 	"ravendale/balancer/scheduler"
@@ -30,13 +31,13 @@
 
 // ClassSpec is one class of jobs as clients ask for them.
 type ClassSpec struct {
-	Name   string
-	Share  float64
-	Work   time.Duration // mean, on a core of speed 1; half to one and a half times as much is asked for
-	Slots  float64
-	GiveUp time.Duration
-	Aim    time.Duration // answered later it is not in time
-	Keyed  bool
+	Name          string
+	Share         float64
+	Work          time.Duration // mean, on a core of speed 1; half to one and a half times as much is asked for
+	Slots         float64
+	GiveUp        time.Duration
+	LatencyTarget time.Duration // answered later it is not in time
+	Keyed         bool
 }
 
 // LoadReport is what the clients saw of what they asked for while it was measured.
@@ -85,7 +86,7 @@
 	lastID   uint32
 	prefix   uint32
 	open     int
-	ended    bool
+	finished bool
 	done     func()
 	report   LoadReport
 	latency  *hdrhistogram.Histogram
@@ -177,100 +178,137 @@
 // comeBack is how long a caller waits whose request was refused or lost before it asks for the next.
 const comeBack = 5 * time.Millisecond
 
+// request is one request of a client.
+type request struct {
+	l          *load
+	id         string
+	class      int           // index in the spec's classes
+	due        time.Duration // when it was to be sent
+	measured   bool          // it counts
+	connection *clientConn
+	deadline   *deadline.Deadline // after which nothing is waited for
+	next       func()             // called once it has ended
+}
+
+// ask sends a request of a class that is drawn by its share.
 func (l *load) ask(due time.Duration, next func()) {
+	l.lastID++
+	r := &request{l: l, id: fmt.Sprintf("%08x%08x", l.prefix, l.lastID), class: l.drawClass(), due: due,
+		measured: due >= l.spec.Measure && due < l.spec.Till, next: next}
+	p := l.pools[l.turn%len(l.pools)]
+	l.turn++
+	text := r.encode(p.addr)
+	r.second().Asked++
+	r.count(&l.report.Asked, &l.report.Classes[r.class].Asked)
+	l.open++
+	r.deadline = l.loop.Deadlines.Add(due+r.spec().GiveUp+time.Second, r.timeOut)
+	r.connection = p.ask(text, r.answered)
+	// The closing of a kept connection may cross a request that was not read: clients send it once more, on a new one.
+	r.connection.again = func() {
+		l.report.Again++
+		r.connection = p.askAnew(text, r.answered)
+	}
+	r.connection.extra = func() { l.report.Extra++ }
+}
+
+// drawClass draws a class by its share.
+func (l *load) drawClass() int {
 	i, at := 0, l.random.Float64()*l.shareSum
 	for i < len(l.spec.Classes)-1 && at >= l.spec.Classes[i].Share {
 		at -= l.spec.Classes[i].Share
 		i++
 	}
-	class := &l.spec.Classes[i]
-	l.lastID++
-	id := fmt.Sprintf("%08x%08x", l.prefix, l.lastID)
+	return i
+}
+
+func (r *request) spec() *ClassSpec { return &r.l.spec.Classes[r.class] }
+
+// secondIndex is the second of the run in which the request was due.
+func (r *request) secondIndex() int { return max(int((r.due-r.l.spec.From)/time.Second), 0) }
+
+func (r *request) second() *SecondReport { return &r.l.report.Seconds[r.secondIndex()] }
+
+// count adds one to each if the request counts.
+func (r *request) count(counters ...*int) {
+	for _, n := range counters {
+		if r.measured {
+			*n++
+		}
+	}
+}
+
+// encode writes the request as the platform's clients send it.
+func (r *request) encode(addr string) []byte {
+	l, class := r.l, r.spec()
 	work := time.Duration((0.5 + l.random.Float64()) * float64(class.Work))
-	h := http1.Header{{Name: platform.HeaderID, Value: id}, {Name: platform.HeaderClass, Value: class.Name},
+	h := http1.Header{{Name: platform.HeaderID, Value: r.id}, {Name: platform.HeaderClass, Value: class.Name},
 		{Name: platform.HeaderLeft, Value: strconv.FormatInt(int64(class.GiveUp/time.Millisecond), 10)}}
 	if class.Slots > 1 {
 		h = append(h, http1.Field{Name: platform.HeaderLabels, Value: "slots=" + strconv.FormatFloat(class.Slots, 'g', -1, 64)})
 	}
 	if class.Keyed {
-		h = append(h, http1.Field{Name: platform.HeaderKey, Value: id + id})
+		h = append(h, http1.Field{Name: platform.HeaderKey, Value: r.id + r.id})
 	}
 	l.buf = appendWork(l.buf[:0], class.Name, work, max(class.Slots, 1))
-	p := l.pools[l.turn%len(l.pools)]
-	l.turn++
-	request := http1.AppendRequest(nil, "POST", "/api?user="+id, p.addr, h, l.buf)
-	measured := due >= l.spec.Measure && due < l.spec.Till
-	cr, sr := &l.report.Classes[i], &l.report.Seconds[max(int((due-l.spec.From)/time.Second), 0)]
-	if sr.Asked++; measured {
-		l.report.Asked++
-		cr.Asked++
+	return http1.AppendRequest(nil, "POST", "/api?user="+r.id, addr, h, l.buf)
+}
+
+// timeOut gives the request up: no answer came by then.
+func (r *request) timeOut() {
+	r.connection.close()
+	r.l.open--
+	r.count(&r.l.report.Unanswered)
+	r.next()
+	r.l.checkEnd()
+}
+
+// answered takes the answer, or why there is none.
+func (r *request) answered(resp *http1.Response, err error) {
+	l := r.l
+	l.loop.Deadlines.Drop(r.deadline)
+	l.open--
+	class := &l.report.Classes[r.class]
+	switch {
+	case err != nil:
+		r.count(&l.report.Broken, &class.Broken)
+	case resp.Status == 200 && string(resp.Body) != r.id:
+		r.count(&l.report.Wrong)
+	case resp.Status == 200:
+		r.served(l.loop.Now() - r.due)
+	case resp.Status == 429 || resp.Status == 503:
+		r.count(&l.report.Refused, &class.Refused)
+	default:
+		r.count(&l.report.Failed, &class.Failed)
 	}
-	l.open++
-	var c *asked
-	overdue := l.loop.Deadlines.Add(due+class.GiveUp+time.Second, func() {
-		c.close()
-		if l.open--; measured {
-			l.report.Unanswered++
-		}
-		next()
-		l.checkEnd()
-	})
-	answered := func(resp *http1.Response, err error) {
-		l.loop.Deadlines.Drop(overdue)
-		l.open--
-		took := l.loop.Now() - due
-		count := func(n *int) {
-			if measured {
-				*n++
-			}
-		}
-		switch {
-		case err != nil:
-			count(&l.report.Broken)
-			count(&cr.Broken)
-		case resp.Status == 200 && string(resp.Body) != id:
-			count(&l.report.Wrong)
-		case resp.Status == 200:
-			sr.Served++
-			count(&l.report.Served)
-			count(&cr.Served)
-			_ = l.seconds[int((due-l.spec.From)/time.Second)].RecordValue(int64(took / time.Microsecond))
-			if measured {
-				_ = l.latency.RecordValue(int64(took / time.Microsecond))
-				_ = l.classes[i].RecordValue(int64(took / time.Microsecond))
-			}
-			if class.Aim <= 0 || took <= class.Aim {
-				sr.InTime++
-				count(&l.report.InTime)
-				count(&cr.InTime)
-			}
-		case resp.Status == 429 || resp.Status == 503:
-			count(&l.report.Refused)
-			count(&cr.Refused)
-		default:
-			count(&l.report.Failed)
-			count(&cr.Failed)
-		}
-		if err != nil || resp.Status != 200 {
-			l.loop.After(comeBack, next)
-		} else {
-			next()
-		}
-		l.checkEnd()
+	if err != nil || resp.Status != 200 {
+		l.loop.After(comeBack, r.next)
+	} else {
+		r.next()
 	}
-	c = p.ask(request, answered)
-	// The closing of a kept connection may cross a request that was not read: clients send it once more, on a new one.
-	c.again = func() {
-		l.report.Again++
-		c = p.askAnew(request, answered)
+	l.checkEnd()
+}
+
+// served counts a right answer, which took so long from when the request was due.
+func (r *request) served(took time.Duration) {
+	l, class := r.l, &r.l.report.Classes[r.class]
+	r.second().Served++
+	r.count(&l.report.Served, &class.Served)
+	us := int64(took / time.Microsecond)
+	_ = l.seconds[r.secondIndex()].RecordValue(us) // beyond the histogram's range it is not shown
+	if r.measured {
+		_ = l.latency.RecordValue(us)
+		_ = l.classes[r.class].RecordValue(us)
+	}
+	if target := r.spec().LatencyTarget; target <= 0 || took <= target {
+		r.second().InTime++
+		r.count(&l.report.InTime, &class.InTime)
 	}
-	c.extra = func() { l.report.Extra++ }
 }
 
 // checkEnd ends the run once its time is over and nothing is open.
 func (l *load) checkEnd() {
-	if !l.ended && l.loop.Now() >= l.spec.Till && l.open == 0 {
-		l.ended = true
+	if !l.finished && l.loop.Now() >= l.spec.Till && l.open == 0 {
+		l.finished = true
 		l.done()
 	}
 }
--- a/test/lab/peer.go
+++ b/test/lab/peer.go
@@ -25,14 +25,14 @@
 
 // served is one accepted connection.
 type served struct {
-	s     *server
-	net   transport.Conn
-	in    http1.Requests
-	first time.Duration // of the request that comes in
-	busy  bool
-	gone  bool
-	out   []byte
-	left  func() // called when the other side goes while a request is in hand
+	s      *server
+	net    transport.Conn
+	in     http1.Requests
+	first  time.Duration // of the request that comes in
+	busy   bool
+	closed bool
+	buf    []byte
+	left   func() // called when the other side goes while a request is in hand
 }
 
 func newServer(loop *scheduler.Loop, serve func(*served, *http1.Request, time.Duration)) *server {
@@ -63,7 +63,7 @@
 }
 
 func (c *served) pump() {
-	for !c.busy && !c.gone {
+	for !c.busy && !c.closed {
 		req, err := c.in.Next()
 		if err != nil {
 			c.drop()
@@ -79,11 +79,11 @@
 
 // reply answers the request in hand.
 func (c *served) reply(status int, h http1.Header, content []byte) {
-	if c.gone {
+	if c.closed {
 		return
 	}
-	c.out = http1.AppendResponse(c.out[:0], status, h, content)
-	c.net.Write(c.out)
+	c.buf = http1.AppendResponse(c.buf[:0], status, h, content)
+	c.net.Write(c.buf)
 	c.busy, c.left = false, nil
 	if c.in.Partial() {
 		c.pump()
@@ -91,34 +91,34 @@
 }
 
 func (c *served) drop() {
-	if !c.gone {
-		c.gone = true
+	if !c.closed {
+		c.closed = true
 		delete(c.s.conns, c)
 		c.net.Close()
 	}
 }
 
 func (c *served) Closed(error) {
-	c.gone = true
+	c.closed = true
 	delete(c.s.conns, c)
 	if c.left != nil {
 		c.left()
 	}
 }
 
-var errGone = errors.New("the connection ended")
+var errClosed = errors.New("the connection ended")
 
 // pool keeps connections to one address, and has one request on each at a time.
 type pool struct {
 	loop *scheduler.Loop
 	net  transport.Network
 	addr string
-	idle []*asked
+	idle []*clientConn
 	open int
 }
 
-// asked is one dialled connection.
-type asked struct {
+// clientConn is one dialled connection.
+type clientConn struct {
 	p       *pool
 	net     transport.Conn
 	in      http1.Responses
@@ -136,7 +136,7 @@
 
 // ask sends a request on an idle connection or a new one, and hands its answer, or why there is none, to done. It returns
 // the connection, which may be closed to leave.
-func (p *pool) ask(request []byte, done func(*http1.Response, error)) *asked {
+func (p *pool) ask(request []byte, done func(*http1.Response, error)) *clientConn {
 	n := len(p.idle)
 	if n == 0 {
 		return p.askAnew(request, done)
@@ -149,30 +149,30 @@
 }
 
 // askAnew is ask on a new connection.
-func (p *pool) askAnew(request []byte, done func(*http1.Response, error)) *asked {
-	c := &asked{p: p, request: request, done: done}
+func (p *pool) askAnew(request []byte, done func(*http1.Response, error)) *clientConn {
+	c := &clientConn{p: p, request: request, done: done}
 	p.open++
 	c.net = p.net.Dial(p.addr, c)
 	return c
 }
 
-func (c *asked) send() {
+func (c *clientConn) send() {
 	c.uses++
 	c.net.Write(c.request)
 }
 
-func (c *asked) Connected() {
+func (c *clientConn) Connected() {
 	if c.done != nil {
 		c.send()
 	}
 }
 
-func (c *asked) Data(b []byte) {
+func (c *clientConn) Data(b []byte) {
 	if c.done == nil {
 		if c.extra != nil {
 			c.extra()
 		}
-		c.end(errGone)
+		c.end(errClosed)
 		return
 	}
 	c.in.Feed(b)
@@ -199,7 +199,7 @@
 }
 
 // close ends the connection; its request, if it has one, is not heard of.
-func (c *asked) close() {
+func (c *clientConn) close() {
 	if c.p == nil {
 		return
 	}
@@ -210,7 +210,7 @@
 	c.net.Close()
 }
 
-func (p *pool) forget(c *asked) {
+func (p *pool) forget(c *clientConn) {
 	for i, other := range p.idle {
 		if other == c {
 			p.idle = append(p.idle[:i], p.idle[i+1:]...)
@@ -219,7 +219,7 @@
 	}
 }
 
-func (c *asked) end(err error) {
+func (c *clientConn) end(err error) {
 	done, again := c.done, c.again
 	if c.uses < 2 || c.began {
 		again = nil
@@ -233,7 +233,7 @@
 	}
 }
 
-func (c *asked) Closed(err error) {
+func (c *clientConn) Closed(err error) {
 	if err == nil {
 		err = net.ErrClosed
 	}
--- a/test/lab/trace.go
+++ b/test/lab/trace.go
@@ -46,7 +46,7 @@
 	Time    time.Time            `json:"time"`
 	Msg     string               `json:"msg"`
 	Job     int                  `json:"job"`
-	Try     int                  `json:"try"`
+	Attempt int                  `json:"try"`
 	Server  string               `json:"server"`
 	Cold    bool                 `json:"cold"`
 	Open    int                  `json:"open"`
@@ -93,108 +93,138 @@
 	return tally(lines, span), skipped, nil
 }
 
-func tally(lines []traced, span time.Duration) (spans []*Span) {
+// jobKey is a job of one scheduler.
+type jobKey struct {
+	from string
+	job  int
+}
+
+// serverKey is a server as one scheduler knows it.
+type serverKey struct{ from, server string }
+
+// tallier counts the lines of all schedulers, in the order of their times.
+type tallier struct {
+	length   time.Duration // of a span
+	spans    []*Span
+	drainsAt map[serverKey]time.Time    // when a scheduler heard that a server drains
+	recent   map[string][]time.Duration // sends to each cold server within ColdSpan
+	sent     map[jobKey]bool
+	left     map[jobKey]time.Time // when the client of a job left that was not sent yet
+}
+
+func tally(lines []traced, span time.Duration) []*Span {
 	slices.SortStableFunc(lines, func(a, b traced) int { return a.Time.Compare(b.Time) })
-	told := make(map[[2]string]time.Time) // to a scheduler, that a server drains
-	recent := make(map[string][]time.Duration)
-	type request struct {
-		from string
-		job  int
-	}
-	sent, left := make(map[request]bool), make(map[request]time.Time)
+	t := &tallier{length: span, drainsAt: make(map[serverKey]time.Time), recent: make(map[string][]time.Duration),
+		sent: make(map[jobKey]bool), left: make(map[jobKey]time.Time)}
 	for i := range lines {
-		l := &lines[i]
-		after := l.Time.Sub(lines[0].Time)
-		for time.Duration(len(spans))*span <= after {
-			spans = append(spans, &Span{From: time.Duration(len(spans)) * span, Outcomes: make(map[ravendale.Outcome]int),
-				Unsent: make(map[string]int)})
+		t.add(&lines[i], lines[i].Time.Sub(lines[0].Time))
+	}
+	for _, s := range t.spans {
+		s.Open /= max(float64(s.Jobs), 1)
+	}
+	return t.spans
+}
+
+// spanAt is the span that a time falls into.
+func (t *tallier) spanAt(after time.Duration) *Span {
+	for time.Duration(len(t.spans))*t.length <= after {
+		t.spans = append(t.spans, &Span{From: time.Duration(len(t.spans)) * t.length, Outcomes: make(map[ravendale.Outcome]int),
+			Unsent: make(map[string]int)})
+	}
+	return t.spans[len(t.spans)-1]
+}
+
+// add counts a line that was written so long after the first.
+func (t *tallier) add(l *traced, after time.Duration) {
+	s := t.spanAt(after)
+	switch l.Msg {
+	case "send":
+		t.addSend(s, l, after)
+	case "sent":
+		r := jobKey{l.from, l.Job}
+		if at, has := t.left[r]; has && l.Time.Sub(at) > LeftSlack {
+			s.SentAfterLeft++
 		}
-		s := spans[len(spans)-1]
-		switch l.Msg {
-		case "send":
-			s.Sends++
-			if l.Try == 0 {
-				s.Jobs++
-				s.Open += float64(l.Open)
-			}
-			if l.Cold {
-				s.ToCold++
-				at := append(recent[l.Server], after)
-				for after-at[0] > ColdSpan {
-					at = at[1:]
-				}
-				recent[l.Server] = at
-				s.MostToOneCold = max(s.MostToOneCold, len(at))
-			}
-			if at, was := told[[2]string{l.from, l.Server}]; was {
-				s.LateSends++
-				s.LatestSend = max(s.LatestSend, l.Time.Sub(at))
-			}
-		case "sent":
-			r := request{l.from, l.Job}
-			if at, has := left[r]; has && l.Time.Sub(at) > LeftSlack {
-				s.SentAfterLeft++
-			}
-			sent[r] = true
-		case "left":
-			if r := (request{l.from, l.Job}); !sent[r] {
-				s.LeftWaiting++
-				left[r] = l.Time
-			}
-		case "end":
-			s.Outcomes[l.Outcome]++
-		case "refused": // by a frontend, before the module saw it
-			s.Refused++
-			s.Unsent[l.Why]++
-		case "answer":
-			if l.Why != "" {
-				s.Unsent[l.Why]++
-			}
-			switch l.Kind {
-			case scheduler.Served:
-				s.Served++
-			case scheduler.Refused:
-				s.Refused++
-			case scheduler.Failed:
-				s.Failed++
-			}
-		case "dial":
-			s.Dials++
-		case "watch asked":
-			s.ListCalls++
-		case "watch ended":
-			s.ListCallsFailed++
-		case "leaves":
-			told[[2]string{l.from, l.Server}] = l.Time
-		case "joins": // again, under the same name
-			delete(told, [2]string{l.from, l.Server})
-		case "serving": // started again: it has no list from before
-			for key := range told {
-				if key[0] == l.from {
-					delete(told, key)
-				}
-			}
-			of := func(r request) bool { return r.from == l.from } // its jobs are numbered anew
-			maps.DeleteFunc(sent, func(r request, _ bool) bool { return of(r) })
-			maps.DeleteFunc(left, func(r request, _ time.Time) bool { return of(r) })
+		t.sent[r] = true
+	case "left":
+		if r := (jobKey{l.from, l.Job}); !t.sent[r] {
+			s.LeftWaiting++
+			t.left[r] = l.Time
 		}
+	case "end":
+		s.Outcomes[l.Outcome]++
+	case "refused": // by a frontend, before the module saw it
+		s.Refused++
+		s.Unsent[l.Why]++
+	case "answer":
+		s.addAnswer(l)
+	case "dial":
+		s.Dials++
+	case "watch asked":
+		s.ListCalls++
+	case "watch ended":
+		s.ListCallsFailed++
+	case "leaves":
+		t.drainsAt[serverKey{l.from, l.Server}] = l.Time
+	case "joins": // again, under the same name
+		delete(t.drainsAt, serverKey{l.from, l.Server})
+	case "serving":
+		t.forget(l.from)
 	}
-	for _, s := range spans {
-		s.Open /= max(float64(s.Jobs), 1)
+}
+
+func (t *tallier) addSend(s *Span, l *traced, after time.Duration) {
+	s.Sends++
+	if l.Attempt == 0 {
+		s.Jobs++
+		s.Open += float64(l.Open)
 	}
-	return spans
+	if l.Cold {
+		s.ToCold++
+		at := append(t.recent[l.Server], after)
+		for after-at[0] > ColdSpan {
+			at = at[1:]
+		}
+		t.recent[l.Server] = at
+		s.MostToOneCold = max(s.MostToOneCold, len(at))
+	}
+	if at, drains := t.drainsAt[serverKey{l.from, l.Server}]; drains {
+		s.LateSends++
+		s.LatestSend = max(s.LatestSend, l.Time.Sub(at))
+	}
+}
+
+func (s *Span) addAnswer(l *traced) {
+	if l.Why != "" {
+		s.Unsent[l.Why]++
+	}
+	switch l.Kind {
+	case scheduler.Served:
+		s.Served++
+	case scheduler.Refused:
+		s.Refused++
+	case scheduler.Failed:
+		s.Failed++
+	}
+}
+
+// forget drops what is known of a scheduler that has started again: it has no list from before, and numbers its jobs anew.
+func (t *tallier) forget(from string) {
+	maps.DeleteFunc(t.drainsAt, func(k serverKey, _ time.Time) bool { return k.from == from })
+	maps.DeleteFunc(t.sent, func(k jobKey, _ bool) bool { return k.from == from })
+	maps.DeleteFunc(t.left, func(k jobKey, _ time.Time) bool { return k.from == from })
 }
 
 // whys is a count by reason in one field: "no_start=3,no_time=9", or "-".
 func whys(counts map[string]int) string {
-	var parts []string
+	var pairs []string
 	for _, why := range slices.Sorted(maps.Keys(counts)) {
-		parts = append(parts, fmt.Sprintf("%s=%d", why, counts[why]))
+		pairs = append(pairs, fmt.Sprintf("%s=%d", why, counts[why]))
 	}
-	if parts == nil {
+	if pairs == nil {
 		return "-"
 	}
-	return strings.Join(parts, ",")
+	return strings.Join(pairs, ",")
 }
 
 // WriteTrace writes the spans as a table.
--- a/test/lab/whole_test.go
+++ b/test/lab/whole_test.go
@@ -123,7 +123,7 @@
 		t.Fatal(err)
 	}
 
-	load, err := Drive(LoadSpec{Seed: 1, Schedulers: []string{sched}, Classes: x.asked(), Callers: 24, From: from, Measure: from,
+	load, err := Drive(LoadSpec{Seed: 1, Schedulers: []string{sched}, Classes: x.requestClasses(), Callers: 24, From: from, Measure: from,
 		Till: from + time.Second}, log)
 	if err != nil {
 		t.Fatal(err)
--- /dev/null
+++ b/test/standin/workers/connection.go
@@ -0,0 +1,202 @@
+package workers
+
+import (
+	"bufio"
+	"context"
+	"errors"
+	"io"
+	"math/rand/v2"
+	"net"
+	"net/http"
+	"strconv"
+	"strings"
+	"time"
+
+	"github.com/cespare/xxhash/v2"
+
+	"ravendale/test/standin/history"
+	"ravendale/test/standin/protocol"
+)
+
+// conn is one connection, which handles one request at a time.
+type conn struct {
+	worker *Worker
+	net    net.Conn
+	reader *bufio.Reader
+	used   bool // it has carried a message
+}
+
+func (c *conn) reset() {
+	if tcp, ok := c.net.(*net.TCPConn); ok {
+		_ = tcp.SetLinger(0)
+	}
+	_ = c.net.Close()
+}
+
+func (c *conn) serve() {
+	defer c.worker.forget(c)
+	defer func() { _ = c.net.Close() }()
+	for {
+		_ = c.net.SetReadDeadline(time.Now().Add(c.worker.service.KeepAlive))
+		if _, err := c.reader.Peek(1); err != nil {
+			return
+		}
+		_ = c.net.SetReadDeadline(time.Time{})
+		if c.worker.troubles.Load().Dark {
+			c.silence()
+			return
+		}
+		request, err := http.ReadRequest(c.reader)
+		if err != nil {
+			return
+		}
+		body, err := io.ReadAll(io.LimitReader(request.Body, maxBody))
+		if err != nil || !c.handle(request, body) {
+			return
+		}
+	}
+}
+
+// silence reads whatever comes until the other end gives up.
+func (c *conn) silence() { _, _ = io.Copy(io.Discard, c.reader) }
+
+// handle answers a request, and says whether the connection goes on.
+func (c *conn) handle(request *http.Request, body []byte) bool {
+	ctx, stop := c.watch()
+	defer stop()
+	if request.Method == http.MethodGet && request.URL.Path == c.worker.service.HealthPath {
+		return c.write("", c.worker.health(ctx))
+	}
+	return c.deliver(ctx, request, body)
+}
+
+// watch makes a context that ends with the worker, or when the other end closes the connection. stop ends the watching.
+func (c *conn) watch() (ctx context.Context, stop func()) {
+	ctx, cancel := context.WithCancel(c.worker.life)
+	watched := make(chan struct{})
+	go func() {
+		defer close(watched)
+		_, err := c.reader.Peek(1)
+		var timeout net.Error
+		if err != nil && (!errors.As(err, &timeout) || !timeout.Timeout()) {
+			cancel()
+		}
+	}()
+	return ctx, func() {
+		_ = c.net.SetReadDeadline(time.Unix(1, 0))
+		<-watched
+		cancel()
+	}
+}
+
+func (c *conn) deliver(ctx context.Context, request *http.Request, body []byte) bool {
+	worker := c.worker
+	id := request.Header.Get(protocol.HeaderRequestID)
+	record := worker.fleet.record
+	arrival := record.Arrive(history.Arrival{
+		RequestID: id,
+		Service:   worker.service.Name,
+		Worker:    worker.id,
+		Listed:    worker.listed,
+		Method:    request.Method,
+		Host:      request.Host,
+		Target:    request.RequestURI,
+		Key:       request.Header.Get(protocol.HeaderOrderKey),
+		Body:      xxhash.Sum64(body),
+		Arrived:   record.Now(),
+		Reused:    c.used,
+	})
+	c.used = true
+	reply, given := worker.answerTo(ctx, request, arrival)
+	record.Change(arrival, func(a *history.Arrival) { a.Status = reply.status })
+	if !given {
+		return false
+	}
+	if reply.signature != "" {
+		return c.writeSuccess(ctx, reply, arrival, request.Header.Get(protocol.HeaderDeadline))
+	}
+	return c.write(id, reply)
+}
+
+// writeSuccess sends a success with the worker's troubles.
+func (c *conn) writeSuccess(ctx context.Context, reply answer, arrival *history.Arrival, deadline string) bool {
+	record := c.worker.fleet.record
+	id := arrival.RequestID
+	encoded := c.encode(id, reply)
+	before := c.worker.swap(id, reply)
+	spoilt := c.worker.troubles.Load().draw()
+	if spoilt == SpoiltForeign && (before.id == "" || before.id == id) {
+		spoilt = "" // there is no other message's answer
+	}
+	record.Change(arrival, func(a *history.Arrival) { a.Spoilt = spoilt })
+	switch spoilt {
+	case SpoiltLost:
+		<-ctx.Done()
+		return false
+	case SpoiltCut:
+		_, _ = c.net.Write(encoded[:rand.IntN(len(encoded))])
+		return false
+	case SpoiltReset:
+		c.reset()
+		return false
+	case SpoiltForeign:
+		return c.write(before.id, before.reply)
+	case SpoiltLate:
+		c.awaitDeadline(arrival.Arrived, deadline)
+	}
+	if _, err := c.net.Write(encoded); err != nil {
+		return false
+	}
+	record.Change(arrival, func(a *history.Arrival) {
+		a.Answered = true
+		a.Written = record.Now()
+	})
+	if spoilt == SpoiltRepeat {
+		time.Sleep(repeatAfter)
+		_, err := c.net.Write(encoded)
+		return err == nil
+	}
+	return true
+}
+
+// awaitDeadline waits until about the deadline of a request. The end of its connection does not end the wait, that of the worker does.
+func (c *conn) awaitDeadline(arrived time.Duration, header string) {
+	millis, err := strconv.ParseFloat(header, 64)
+	if err != nil || millis <= 0 {
+		return
+	}
+	allowed := millis * float64(time.Millisecond)
+	until := arrived + time.Duration(allowed*(1-lateSpread+2*lateSpread*rand.Float64()))
+	timer := time.NewTimer(until - c.worker.fleet.record.Now())
+	defer timer.Stop()
+	select {
+	case <-timer.C:
+	case <-c.worker.life.Done():
+	}
+}
+
+func (c *conn) write(id string, reply answer) bool {
+	_, err := c.net.Write(c.encode(id, reply))
+	return err == nil
+}
+
+func (c *conn) encode(id string, reply answer) []byte {
+	var out strings.Builder
+	out.WriteString("HTTP/1.1 " + strconv.Itoa(reply.status) + " " + http.StatusText(reply.status) + "\r\n")
+	header := func(name, value string) {
+		if value != "" {
+			out.WriteString(name + ": " + value + "\r\n")
+		}
+	}
+	header(protocol.HeaderInstance, c.worker.id)
+	header(protocol.HeaderRequestID, id)
+	header(protocol.HeaderSignature, reply.signature)
+	if reply.notRun {
+		header(protocol.HeaderNotExecuted, "true")
+	}
+	header("Keep-Alive", "timeout="+strconv.Itoa(int(c.worker.service.KeepAlive/time.Second)))
+	header("Content-Length", strconv.Itoa(len(reply.body)))
+	out.WriteString("\r\n")
+	out.Write(reply.body)
+	return []byte(out.String())
+}
--- /dev/null
+++ b/test/standin/workers/delivery.go
@@ -0,0 +1,141 @@
+package workers
+
+import (
+	"context"
+	"errors"
+	"math/rand/v2"
+	"net/http"
+	"strconv"
+	"time"
+
+	"ravendale/test/standin/history"
+	"ravendale/test/standin/protocol"
+)
+
+// answer to a request.
+type answer struct {
+	status    int
+	signature string
+	body      []byte
+	notRun    bool
+}
+
+// answerTo works on a message. Not given: the connection is gone.
+func (w *Worker) answerTo(ctx context.Context, request *http.Request, arrival *history.Arrival) (reply answer, given bool) {
+	id := arrival.RequestID
+	if id == "" {
+		return answer{status: http.StatusBadRequest, notRun: true}, true
+	}
+	if expected := request.Header.Get(protocol.HeaderExpectInstance); expected != "" && expected != w.id {
+		return answer{status: http.StatusMisdirectedRequest, notRun: true}, true
+	}
+	if w.service.limiter != nil && !w.service.limiter.Allow() {
+		return answer{status: http.StatusTooManyRequests, notRun: true}, true
+	}
+	ctx, cancel := withDeadline(ctx, request.Header.Get(protocol.HeaderDeadline))
+	defer cancel()
+	if w.service.Idempotent {
+		return w.answerOnce(ctx, arrival)
+	}
+	return w.run(ctx, arrival)
+}
+
+// withDeadline ends a context at the Deadline-Ms that a worker is handed.
+func withDeadline(ctx context.Context, header string) (context.Context, context.CancelFunc) {
+	millis, err := strconv.ParseFloat(header, 64)
+	if err != nil || millis <= 0 {
+		return context.WithCancel(ctx)
+	}
+	return context.WithTimeout(ctx, time.Duration(millis*float64(time.Millisecond)))
+}
+
+func (w *Worker) answerOnce(ctx context.Context, arrival *history.Arrival) (answer, bool) {
+	id := arrival.RequestID
+	known, running, began := w.service.table.begin(id)
+	if running {
+		return answer{status: http.StatusConflict, notRun: true}, true
+	}
+	if !began {
+		return answer{status: http.StatusOK, signature: known.signature, body: known.body}, true
+	}
+	reply, given := w.run(ctx, arrival)
+	w.service.table.end(id, success{signature: reply.signature, body: reply.body})
+	return reply, given
+}
+
+// run works on a message in a slot.
+func (w *Worker) run(ctx context.Context, arrival *history.Arrival) (answer, bool) {
+	if err := w.slot(ctx, true); err != nil {
+		return answer{status: http.StatusServiceUnavailable, notRun: true}, !errors.Is(err, context.Canceled)
+	}
+	defer w.release()
+	record := w.fleet.record
+	record.Change(arrival, func(a *history.Arrival) {
+		a.Start = record.Now()
+		a.Outcome = history.OutcomeRunning
+	})
+	reply, outcome := w.work(ctx, arrival.RequestID)
+	record.Change(arrival, func(a *history.Arrival) {
+		a.End = record.Now()
+		a.Outcome = outcome
+		a.Signature = reply.signature
+	})
+	return reply, outcome != history.OutcomeDropped
+}
+
+// work takes the time that a run takes, and decides how it ends.
+func (w *Worker) work(ctx context.Context, id string) (answer, history.Outcome) {
+	troubles := w.troubles.Load()
+	took := w.service.work()
+	if troubles.Slow > 0 {
+		took = time.Duration(float64(took) * troubles.Slow)
+	}
+	if err := w.sleep(ctx, took); errors.Is(err, context.DeadlineExceeded) {
+		return answer{status: http.StatusGatewayTimeout}, history.OutcomeStopped
+	} else if err != nil {
+		return answer{}, history.OutcomeDropped
+	}
+	switch {
+	case w.service.Refuses(id):
+		return answer{status: http.StatusUnprocessableEntity}, history.OutcomeRefused
+	case troubles.Failing || w.service.Poison(id) || rand.Float64() < w.service.FailShare:
+		return answer{status: http.StatusInternalServerError}, history.OutcomeFailed
+	}
+	signature := w.fleet.signature()
+	return answer{status: http.StatusOK, signature: signature, body: []byte("done " + id)}, history.OutcomeDone
+}
+
+// sleep waits for the work's time. A worker that keeps working heeds only its own end and the deadline.
+func (w *Worker) sleep(ctx context.Context, took time.Duration) error {
+	timer := time.NewTimer(took)
+	defer timer.Stop()
+	if !w.service.KeepsWorking {
+		select {
+		case <-timer.C:
+			return nil
+		case <-ctx.Done():
+			return ctx.Err()
+		}
+	}
+	select {
+	case <-timer.C:
+		return nil
+	case <-w.life.Done():
+		return w.life.Err()
+	}
+}
+
+// foreign is an answer as it may be sent to another message.
+type foreign struct {
+	id    string
+	reply answer
+}
+
+// swap keeps a success, and returns the one before it.
+func (w *Worker) swap(id string, reply answer) foreign {
+	w.mutex.Lock()
+	defer w.mutex.Unlock()
+	before := w.previous
+	w.previous = foreign{id: id, reply: reply}
+	return before
+}
