--- a/test/emulator/node.go
+++ b/test/emulator/node.go
@@ -58,7 +58,7 @@
 	ID   string
 }
 
-type held struct {
+type queuedJob struct {
 	Job
 	left float64 // seconds of work
 }
@@ -75,8 +75,8 @@
 	born    time.Duration // of its latest start; warm for ever if below 0
 	now     time.Duration
 	downTil time.Duration
-	running []held
-	waiting []held
+	running []queuedJob
+	waiting []queuedJob
 	slots   float64
 	recent  []sent // of the last FallSpan, while cold
 	worst   float64
@@ -98,7 +98,7 @@
 }
 
 func (n *Node) lose() (notes []Note) {
-	for _, list := range [][]held{n.running, n.waiting} {
+	for _, list := range [][]queuedJob{n.running, n.waiting} {
 		for _, h := range list {
 			notes = append(notes, Note{Lost, h.ID})
 		}
@@ -169,7 +169,7 @@
 	if len(n.waiting) >= n.kind.Queue && n.slots+j.Slots > n.kind.Slots {
 		return append(notes, Note{TurnedAway, j.ID})
 	}
-	n.waiting = append(n.waiting, held{j, j.Work.Seconds()})
+	n.waiting = append(n.waiting, queuedJob{j, j.Work.Seconds()})
 	return append(notes, n.fill()...)
 }
 
@@ -215,7 +215,7 @@
 // node held it, and what starts in its place.
 func (n *Node) Cancel(now time.Duration, id string) (was bool, notes []Note) {
 	notes = n.Pass(now)
-	named := func(h held) bool { return h.ID == id }
+	named := func(h queuedJob) bool { return h.ID == id }
 	if i := slices.IndexFunc(n.waiting, named); i >= 0 {
 		n.waiting = slices.Delete(n.waiting, i, i+1)
 		return true, append(notes, n.fill()...)
--- a/test/fleettest/await.go
+++ b/test/fleettest/await.go
@@ -27,44 +27,44 @@
 	return fmt.Errorf("it never came; last: %s", last)
 }
 
-func (b *Bench) await(words []string) error {
-	if len(words) < 2 {
-		return errWords
+func (b *Bench) await(args []string) error {
+	if len(args) < 2 {
+		return errUsage
 	}
-	if len(words) == 4 && words[1] == "sees" {
-		others, err := b.pick(words[3])
+	if len(args) == 4 && args[1] == "sees" {
+		others, err := b.pick(args[3])
 		if err != nil {
 			return err
 		}
 		return b.until(func() (bool, string) {
-			s, err := b.Status(words[0])
+			s, err := b.Status(args[0])
 			if err != nil {
 				return false, err.Error()
 			}
 			for _, o := range others {
-				if got := s.Peers[o.name]; string(got.State) != words[2] {
+				if got := s.Peers[o.name]; string(got.State) != args[2] {
 					return false, fmt.Sprintf("%s is %+v", o.name, got)
 				}
 			}
 			return true, ""
 		})
 	}
-	if len(words) == 3 && words[0] == "told" {
-		return b.awaitTold(words[1], words[2])
+	if len(args) == 3 && args[0] == "told" {
+		return b.awaitWitnessed(args[1], args[2])
 	}
-	some, err := b.pick(words[len(words)-1])
+	some, err := b.pick(args[len(args)-1])
 	if err != nil {
 		return err
 	}
 	number := uint64(0)
-	if words[0] == "epoch" {
-		if number, err = strconv.ParseUint(words[1], 10, 64); err != nil {
+	if args[0] == "epoch" {
+		if number, err = strconv.ParseUint(args[1], 10, 64); err != nil {
 			return err
 		}
 	}
 	for _, p := range some {
 		err := b.until(func() (bool, string) {
-			if words[0] == "dead" {
+			if args[0] == "dead" {
 				return !p.running(), "it runs"
 			}
 			s, err := b.Status(p.name)
@@ -72,7 +72,7 @@
 				return false, err.Error()
 			}
 			seen := fmt.Sprintf("%+v, acting under %v, in force %v, %+v", s.Standing, s.Acting, s.Force, s.Peers)
-			switch words[0] {
+			switch args[0] {
 			case "acts":
 				return s.Standing == fleet.Standing{Acts: true} && s.Votes, seen
 			case "marked":
@@ -99,16 +99,16 @@
 	}
 	newest := int64(0)
 	for _, file := range files {
-		words := strings.Split(filepath.Base(file), ".") // member, incarnation, number
-		if incarnation, err := strconv.ParseInt(words[1], 10, 64); err == nil {
+		args := strings.Split(filepath.Base(file), ".") // member, incarnation, number
+		if incarnation, err := strconv.ParseInt(args[1], 10, 64); err == nil {
 			newest = max(newest, incarnation)
 		}
 	}
 	return b.until(func() (bool, string) { return time.Now().Unix() > newest, fmt.Sprintf("it is %d still", newest) })
 }
 
-// awaitTold waits until another member's record says that a member's record is as far as its adoption of an epoch.
-func (b *Bench) awaitTold(member, number string) error {
+// awaitWitnessed waits until another member's record says that a member's record is as far as its adoption of an epoch.
+func (b *Bench) awaitWitnessed(member, number string) error {
 	epoch, err := strconv.ParseUint(number, 10, 64)
 	if err != nil {
 		return err
--- a/test/fleettest/bench.go
+++ b/test/fleettest/bench.go
@@ -28,41 +28,41 @@
 
 // Options say what a bench plays with.
 type Options struct {
-	Binary  string // the program
-	Dir     string // for files, the bench's own
-	Members int
-	Alone   string        // mark or stop
-	ShutOut string        // wait or exit
-	Beat    time.Duration // 50 ms if 0
-	Trust   time.Duration // 600 ms if 0
-	Record  int64         // bytes, the program's own if 0
-	Seed    uint64
-	Every   time.Duration // between two requests of a client, 10 ms if 0
-	Off     bool          // no fleet: for comparisons
-	Direct  bool          // no proxies on the links: for many members
-	Log     func(format string, args ...any)
+	Binary    string // the program
+	Dir       string // for files, the bench's own
+	Members   int
+	Alone     string        // mark or stop
+	ShutOut   string        // wait or exit
+	Heartbeat time.Duration // 50 ms if 0
+	Trust     time.Duration // 600 ms if 0
+	Record    int64         // bytes, the program's own if 0
+	Seed      uint64
+	Every     time.Duration // between two requests of a client, 10 ms if 0
+	Off       bool          // no fleet: for comparisons
+	Direct    bool          // no proxies on the links: for many members
+	Log       func(format string, args ...any)
 }
 
 // Bench is one play.
 type Bench struct {
-	o      Options
-	net    string // its part of the loopback addresses
-	keys   frames.Keys
-	all    []*process
-	links  map[[2]string]*proxy // from, to
-	dirty  []*expect            // faults whose effect is still to be seen
-	mu     sync.Mutex
-	asked  []Asked
-	stop   context.CancelFunc
-	asking sync.WaitGroup
-	began  time.Time
-	Events []Event
+	o        Options
+	net      string // its part of the loopback addresses
+	keys     frames.Keys
+	all      []*process
+	links    map[[2]string]*proxy // from, to
+	dirty    []*expect            // faults whose effect is still to be seen
+	mu       sync.Mutex
+	requests []Request
+	stop     context.CancelFunc
+	clients  sync.WaitGroup
+	began    time.Time
+	Events   []Event
 }
 
 // New lays a bench out; Close ends it.
 func New(o Options) (*Bench, error) {
-	if o.Beat == 0 {
-		o.Beat = 50 * time.Millisecond
+	if o.Heartbeat == 0 {
+		o.Heartbeat = 50 * time.Millisecond
 	}
 	if o.Trust == 0 {
 		o.Trust = 600 * time.Millisecond
@@ -118,7 +118,7 @@
 func (b *Bench) Close() {
 	if b.stop != nil {
 		b.stop()
-		b.asking.Wait()
+		b.clients.Wait()
 		b.stop = nil
 	}
 	for _, p := range b.all {
@@ -166,17 +166,17 @@
 			return errors.New("it is off")
 		}
 		b.stop()
-		b.asking.Wait()
+		b.clients.Wait()
 		b.stop = nil
 		return nil
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	b.stop = cancel
 	for i, p := range b.all {
-		b.asking.Go(func() {
-			client(ctx, i, p.name, fmt.Sprintf("%s.%d:9000", b.net, 1+i), b.o.Every, func(a Asked) {
+		b.clients.Go(func() {
+			client(ctx, i, p.name, fmt.Sprintf("%s.%d:9000", b.net, 1+i), b.o.Every, func(a Request) {
 				b.mu.Lock()
-				b.asked = append(b.asked, a)
+				b.requests = append(b.requests, a)
 				b.mu.Unlock()
 			})
 		})
@@ -186,13 +186,13 @@
 
 // Finish ends the members as planned, and returns what their records and the clients say. A script whose last faults were not
 // healed has them judged here.
-func (b *Bench) Finish() (*audit.Audit, []Asked, error) {
+func (b *Bench) Finish() (*audit.Audit, []Request, error) {
 	err := b.heal()
 	if b.stop != nil {
 		err = errors.Join(err, b.load(false))
 	}
 	for _, p := range b.all {
-		if p.stuck && p.running() {
+		if p.stopped && p.running() {
 			_ = p.cmd.Process.Signal(syscall.SIGCONT)
 		}
 		for _, r := range append(p.before, run{p.cmd, p.exited}) {
@@ -213,7 +213,7 @@
 	a, readErr := audit.Read(b.Records()...)
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return a, b.asked, errors.Join(err, readErr)
+	return a, b.requests, errors.Join(err, readErr)
 }
 
 // Keep copies the bench's files, logs and records among them, to a folder.
@@ -269,9 +269,9 @@
 	return nil
 }
 
-// Asked is the clients' history so far.
-func (b *Bench) Asked() []Asked {
+// Requests is the clients' history so far.
+func (b *Bench) Requests() []Request {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return slices.Clone(b.asked)
+	return slices.Clone(b.requests)
 }
--- a/test/fleettest/files.go
+++ b/test/fleettest/files.go
@@ -21,7 +21,7 @@
 		return err
 	}
 	text := fmt.Sprintf(`<ravendale><log format="json"/><fleet name=%q listen=%q dir=%q keys=%q beat="%dms" trust="%dms" span="200ms"`, p.name, b.address(i),
-		filepath.Join(b.dir(p.name), "record"), filepath.Join(b.o.Dir, "keys"), b.o.Beat.Milliseconds(), b.o.Trust.Milliseconds())
+		filepath.Join(b.dir(p.name), "record"), filepath.Join(b.o.Dir, "keys"), b.o.Heartbeat.Milliseconds(), b.o.Trust.Milliseconds())
 	for name, value := range map[string]string{"alone": b.o.Alone, "shut-out": b.o.ShutOut} {
 		if value != "" {
 			text += fmt.Sprintf(" %s=%q", name, value)
--- a/test/fleettest/links.go
+++ b/test/fleettest/links.go
@@ -16,23 +16,23 @@
 }
 
 // fault puts one on links: "a,b>c" is the direction from a and b to c, "a,b|c" both.
-func (b *Bench) fault(words []string) error {
-	if len(words) < 2 {
-		return errWords
+func (b *Bench) fault(args []string) error {
+	if len(args) < 2 {
+		return errUsage
 	}
-	both := strings.Contains(words[1], "|")
-	left, right, found := strings.Cut(strings.Replace(words[1], "|", ">", 1), ">")
+	both := strings.Contains(args[1], "|")
+	left, right, found := strings.Cut(strings.Replace(args[1], "|", ">", 1), ">")
 	from, err := b.pick(left)
 	to, err2 := b.pick(right)
 	if err = errors.Join(err, err2); err != nil || !found {
-		return errors.Join(errWords, err)
+		return errors.Join(errUsage, err)
 	}
-	f := fault{Cut: words[0] == "cut", Corrupt: words[0] == "corrupt", Duplicate: words[0] == "duplicate", Reset: words[0] == "reset"}
-	if words[0] == "delay" {
-		if len(words) < 3 {
-			return errWords
+	f := fault{Blackhole: args[0] == "cut", Corrupt: args[0] == "corrupt", Duplicate: args[0] == "duplicate", Reset: args[0] == "reset"}
+	if args[0] == "delay" {
+		if len(args) < 3 {
+			return errUsage
 		}
-		if f.Delay, err = time.ParseDuration(words[2]); err != nil {
+		if f.Delay, err = time.ParseDuration(args[2]); err != nil {
 			return err
 		}
 	}
@@ -40,10 +40,10 @@
 		for _, at := range []struct {
 			p   *proxy
 			way int
-		}{{b.links[[2]string{x, y}], out}, {b.links[[2]string{y, x}], back}} {
+		}{{b.links[[2]string{x, y}], forward}, {b.links[[2]string{y, x}], backward}} {
 			if at.p != nil {
 				at.p.set(at.way, f)
-				b.dirty = append(b.dirty, &expect{at.p, at.way, at.p.hits[at.way].Load(), strings.Join(words, " ")})
+				b.dirty = append(b.dirty, &expect{at.p, at.way, at.p.hits[at.way].Load(), strings.Join(args, " ")})
 			}
 		}
 	}
@@ -69,8 +69,8 @@
 	}
 	b.dirty = nil
 	for _, p := range b.links {
-		p.set(out, fault{})
-		p.set(back, fault{})
+		p.set(forward, fault{})
+		p.set(backward, fault{})
 	}
 	for line, did := range took {
 		if !did {
--- a/test/fleettest/process.go
+++ b/test/fleettest/process.go
@@ -9,13 +9,13 @@
 
 // process is one member, over its restarts.
 type process struct {
-	name   string
-	cmd    *exec.Cmd
-	exited chan struct{}
-	side   *side
-	starts int
-	stuck  bool  // stopped by SIGSTOP
-	before []run // processes that were there when the next one was started
+	name    string
+	cmd     *exec.Cmd
+	exited  chan struct{}
+	side    *side
+	starts  int
+	stopped bool  // stopped by SIGSTOP
+	before  []run // processes that were there when the next one was started
 }
 
 // run is one process.
@@ -49,7 +49,7 @@
 	if p.running() {
 		p.before = append(p.before, run{p.cmd, p.exited})
 	}
-	p.cmd, p.exited, p.stuck = cmd, exited, false
+	p.cmd, p.exited, p.stopped = cmd, exited, false
 	return nil
 }
 
--- a/test/fleettest/proxy.go
+++ b/test/fleettest/proxy.go
@@ -12,7 +12,7 @@
 
 // fault is what happens to the bytes of one direction of a link.
 type fault struct {
-	Cut       bool          // they are kept back, and nobody is told: a machine that vanished, a switch that drops
+	Blackhole bool          // they are kept back, and nobody is told: a machine that vanished, a switch that drops
 	Delay     time.Duration // each chunk comes so much later, in its order
 	Corrupt   bool          // one bit of the next chunk is flipped
 	Duplicate bool          // the next chunk comes twice
@@ -33,8 +33,8 @@
 }
 
 const (
-	out  = 0
-	back = 1
+	forward  = 0
+	backward = 1
 )
 
 func newProxy(listen, to string) (*proxy, error) {
@@ -73,8 +73,8 @@
 	}
 	p.conns[c], p.conns[d] = true, true
 	p.mu.Unlock()
-	go p.pump(c, d, back)
-	p.pump(d, c, out)
+	go p.pump(c, d, backward)
+	p.pump(d, c, forward)
 }
 
 func reset(c net.Conn) {
@@ -137,7 +137,7 @@
 func (p *proxy) wait(way int, any bool) (fault, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for p.faults[way].Cut && !p.closed {
+	for p.faults[way].Blackhole && !p.closed {
 		if any {
 			p.hits[way].Add(1)
 			any = false
--- a/test/fleettest/random.go
+++ b/test/fleettest/random.go
@@ -10,7 +10,7 @@
 
 // Random is a script of faults drawn from a seed: rounds of one or two faults that leave a majority, a roll-out while they last,
 // and their end. Stopped are the members that are stopped across a floor's date, by the number of the epoch: they and no others
-// are below it then, for a cut shuts out before.
+// are below it then, for a partition shuts out before.
 func Random(seed uint64, members int, trust time.Duration) (script string, stopped map[uint64][]string, killed []string) {
 	r := rand.New(rand.NewPCG(seed, 0))
 	stopped = make(map[uint64][]string)
@@ -26,19 +26,19 @@
 	for number := uint64(1); number <= 3; number++ {
 		r.Shuffle(members, func(i, j int) { names[i], names[j] = names[j], names[i] })
 		hurt := 1 + r.IntN((members-1)/2)
-		bad, well := slices.Clone(names[:hurt]), slices.Clone(names[hurt:])
-		badList, wellList := strings.Join(bad, ","), strings.Join(well, ",")
+		bad, healthy := slices.Clone(names[:hurt]), slices.Clone(names[hurt:])
+		badList, healthyList := strings.Join(bad, ","), strings.Join(healthy, ",")
 		after := ""
 		fault := r.IntN(7)
 		switch fault {
 		case 0:
-			add("cut %s|%s", badList, wellList)
+			add("cut %s|%s", badList, healthyList)
 			after = "heal"
 		case 1:
-			add("cut %s>%s", badList, wellList)
+			add("cut %s>%s", badList, healthyList)
 			after = "heal"
 		case 2:
-			add("cut %s>%s", wellList, badList)
+			add("cut %s>%s", healthyList, badList)
 			after = "heal"
 		case 3:
 			add("stop %s", badList)
@@ -49,13 +49,13 @@
 			killed = append(killed, bad...)
 			after = "start " + badList
 		case 5:
-			add("delay %s|%s %dms", badList, wellList, 5+r.IntN(30))
+			add("delay %s|%s %dms", badList, healthyList, 5+r.IntN(30))
 			after = "heal"
 		case 6:
 			add("clock %s %d", bad[0], r.IntN(20000)-10000)
 		}
-		add("roll-out %d floor=%d via %s", number, number-uint64(r.IntN(2)), well[r.IntN(len(well))])
-		add("await epoch %d %s", number, wellList)
+		add("roll-out %d floor=%d via %s", number, number-uint64(r.IntN(2)), healthy[r.IntN(len(healthy))])
+		add("await epoch %d %s", number, healthyList)
 		if fault <= 3 {
 			add("pass %dms", (2*trust+trust/2).Milliseconds()+400) // beyond the date, and what clocks may be off
 		}
--- a/test/fleettest/script.go
+++ b/test/fleettest/script.go
@@ -45,35 +45,35 @@
 func (b *Bench) Run(script string) error {
 	for i, line := range strings.Split(script, "\n") {
 		line, _, _ = strings.Cut(line, "#")
-		words := strings.Fields(line)
-		if len(words) == 0 {
+		args := strings.Fields(line)
+		if len(args) == 0 {
 			continue
 		}
-		b.Events = append(b.Events, Event{time.Now(), strings.Join(words, " ")})
-		b.o.Log("%6.2f s  %s", time.Since(b.began).Seconds(), strings.Join(words, " "))
-		if err := b.line(words); err != nil {
+		b.Events = append(b.Events, Event{time.Now(), strings.Join(args, " ")})
+		b.o.Log("%6.2f s  %s", time.Since(b.began).Seconds(), strings.Join(args, " "))
+		if err := b.line(args); err != nil {
 			return fmt.Errorf("line %d, %q: %w", i+1, strings.TrimSpace(line), err)
 		}
 	}
 	return nil
 }
 
-var errWords = errors.New("too few words, or one that is none")
+var errUsage = errors.New("too few words, or one that is none")
 
-func (b *Bench) line(words []string) error {
+func (b *Bench) line(args []string) error {
 	arg := func(i int) string {
-		if i < len(words) {
-			return words[i]
+		if i < len(args) {
+			return args[i]
 		}
 		return ""
 	}
-	switch words[0] {
+	switch args[0] {
 	case "await":
-		return b.await(words[1:])
+		return b.await(args[1:])
 	case "roll-out":
-		return b.rollOut(words[1:])
+		return b.rollOut(args[1:])
 	case "cut", "delay", "corrupt", "duplicate", "reset":
-		return b.fault(words)
+		return b.fault(args)
 	case "heal":
 		return b.heal()
 	case "pass":
@@ -90,7 +90,7 @@
 		return err
 	}
 	for _, p := range some {
-		if err := b.act(words[0], p, arg(2)); err != nil {
+		if err := b.act(args[0], p, arg(2)); err != nil {
 			return fmt.Errorf("%s: %w", p.name, err)
 		}
 	}
@@ -143,14 +143,14 @@
 		if !p.running() {
 			return errors.New("its process has ended already")
 		}
-		p.stuck = verb == "stop"
+		p.stopped = verb == "stop"
 		if err := p.cmd.Process.Signal(sig); err != nil || verb != "kill" {
 			return err
 		}
 		<-p.exited
 		return nil
 	}
-	return fmt.Errorf("%w: %s", errWords, verb)
+	return fmt.Errorf("%w: %s", errUsage, verb)
 }
 
 // copyLive copies a folder whose files may be replaced meanwhile.
@@ -169,18 +169,18 @@
 	return err
 }
 
-func (b *Bench) rollOut(words []string) error {
-	if len(words) < 2 {
-		return errWords
+func (b *Bench) rollOut(args []string) error {
+	if len(args) < 2 {
+		return errUsage
 	}
 	e := fleet.Epoch{Within: b.o.Trust}
 	var via string
 	refused := false
 	var err error
-	if e.Number, err = strconv.ParseUint(words[0], 10, 64); err != nil {
+	if e.Number, err = strconv.ParseUint(args[0], 10, 64); err != nil {
 		return err
 	}
-	for i, word := range words {
+	for i, word := range args {
 		name, value, _ := strings.Cut(word, "=")
 		var bad error
 		switch name {
@@ -193,7 +193,7 @@
 		case "settings":
 			e.Settings = json.RawMessage(value)
 		case "via":
-			via = words[i+1]
+			via = args[i+1]
 		case "refused":
 			refused = true
 		}
--- a/test/fleettest/world.go
+++ b/test/fleettest/world.go
@@ -81,8 +81,8 @@
 	_ = s.server.Close()
 }
 
-// Asked is one request of a client, for the checker.
-type Asked struct {
+// Request is one request of a client, for the checker.
+type Request struct {
 	Member         string
 	Sent, Answered time.Time
 	Status         int // 0: the connection ended, or was never made
@@ -91,7 +91,7 @@
 }
 
 // client asks one scheduler for as long as ctx lasts, a request every so often.
-func client(ctx context.Context, number int, member, scheduler string, every time.Duration, keep func(Asked)) {
+func client(ctx context.Context, number int, member, scheduler string, every time.Duration, keep func(Request)) {
 	c := &http.Client{Timeout: 20 * time.Second, Transport: &http.Transport{MaxIdleConnsPerHost: 100}}
 	defer c.CloseIdleConnections()
 	var all sync.WaitGroup
@@ -110,7 +110,7 @@
 			req.Header.Set("X-Txn", id)
 			req.Header.Set("X-Lane", "saldo")
 			req.Header.Set("X-Remaining-Ms", "5000")
-			a := Asked{Member: member, Sent: time.Now()}
+			a := Request{Member: member, Sent: time.Now()}
 			resp, err := c.Do(req)
 			if err != nil {
 				a.Err = err.Error()
--- a/test/lab/experiment.go
+++ b/test/lab/experiment.go
@@ -75,7 +75,7 @@
 	}
 }
 
-// Class is a class of jobs, as clients ask for it and as the scheduler is told.
+// Class is a class of jobs, as clients ask for it and as the scheduler is configured.
 type Class struct {
 	Name          string        `xml:"name,attr" required:"true"`
 	Effect        string        `xml:"effect,attr" required:"true"` // idempotent, keyed or once
@@ -87,7 +87,7 @@
 	Stretch       float64       `xml:"stretch,attr"`
 	Value         float64       `xml:"worth,attr"`
 	Kind          string        `xml:"kind,attr"`   // the only kind of node that runs it, any if not given
-	Window        time.Duration `xml:"window,attr"` // how long nodes drop a repeat of a keyed job, 7.5s if not given
+	Window        time.Duration `xml:"window,attr"` // how long nodes drop a duplicate of a keyed job, 7.5s if not given
 	Late          float64       `xml:"late,attr"`   // the part of its value that a late answer earns
 }
 
@@ -127,7 +127,7 @@
 	Every int           `xml:"every,attr" required:"true"` // 4: every fourth node
 	At    time.Duration `xml:"at,attr" required:"true"`    // of the first drain, from the begin of what is measured
 	Step  time.Duration `xml:"step,attr" required:"true"`
-	Drain time.Duration `xml:"drain,attr" required:"true"` // from the drain told to the restart
+	Drain time.Duration `xml:"drain,attr" required:"true"` // from the drain to the restart
 }
 
 // StallXML has the scheduler's process stand still (SIGSTOP, SIGCONT) for a while.
@@ -175,7 +175,7 @@
 	Of      string  `xml:"of,attr"`      // as a ratio to that variant's
 	Most    float64 `xml:"most,attr"`
 	Least   float64 `xml:"least,attr"`
-	Aim     bool    `xml:"aim,attr"` // is told, and fails nothing
+	Aim     bool    `xml:"aim,attr"` // is reported, and fails nothing
 	atMost  bool
 }
 
@@ -220,7 +220,7 @@
 	return x, nil
 }
 
-// settings are what the scheduler is told of the experiment, in the platform's form.
+// settings are what the scheduler is given of the experiment, in the platform's form.
 func (x *Experiment) settings(sites, kinds []string) map[string]any {
 	var classes []map[string]any
 	var kindOf []int
--- a/test/lab/fleet.go
+++ b/test/lab/fleet.go
@@ -315,7 +315,7 @@
 	BornMs int64   `json:"born_ms"`
 }
 
-// Discovery lists nodes to one scheduler, whole at first and then by changes.
+// Discovery lists nodes to one scheduler, the full list first and then changes.
 type Discovery struct {
 	loop     *scheduler.Loop
 	seq      int64
--- a/test/lab/fleetplays.go
+++ b/test/lab/fleetplays.go
@@ -139,7 +139,7 @@
 
 func (r *Runner) rollOuts(play *RollOuts) (*Result, error) {
 	f := map[string]float64{"members": float64(play.Members)}
-	o := fleettest.Options{Members: play.Members, Alone: "stop", Beat: play.Beat, Trust: play.Trust, Direct: play.Members > 30}
+	o := fleettest.Options{Members: play.Members, Alone: "stop", Heartbeat: play.Beat, Trust: play.Trust, Direct: play.Members > 30}
 	err := r.bench(o, func(b *fleettest.Bench) error {
 		if err := b.Run("start all\nawait acts all"); err != nil {
 			return err
@@ -149,7 +149,7 @@
 		rest := b.Usage()
 		seconds := time.Since(at).Seconds() * float64(play.Members)
 		f["cpu_percent_a_member"] = 100 * (rest.CPU - began.CPU).Seconds() / seconds
-		f["bytes_a_member_s"] = float64(rest.Told-began.Told) / seconds
+		f["bytes_a_member_s"] = float64(rest.SentBytes-began.SentBytes) / seconds
 		f["rss_mb_a_member"] = float64(rest.RSS) / (1 << 20) / float64(play.Members)
 		for n := 1; n <= play.Count; n++ {
 			if err := b.Run(fmt.Sprintf("roll-out %d floor=%d within=%dms via %s\nawait epoch %d all", n, n, 4*play.Trust.Milliseconds(), "a", n)); err != nil {
@@ -236,7 +236,7 @@
 
 func (r *Runner) faultPlay(play *Faults, seed uint64) (map[string]float64, error) {
 	f := make(map[string]float64)
-	o := fleettest.Options{Members: play.Members, Alone: "stop", Seed: seed, Beat: 100 * time.Millisecond, Trust: time.Second, Every: 20 * time.Millisecond}
+	o := fleettest.Options{Members: play.Members, Alone: "stop", Seed: seed, Heartbeat: 100 * time.Millisecond, Trust: time.Second, Every: 20 * time.Millisecond}
 	script, stopped, killed := fleettest.Random(seed, play.Members, o.Trust)
 	err := r.bench(o, func(b *fleettest.Bench) error {
 		if err := b.Run(script); err != nil {
@@ -361,7 +361,7 @@
 	}
 	for round := range 2 * rounds {
 		off := round % 2
-		o := fleettest.Options{Members: play.Members, Off: off == 1, Beat: 500 * time.Millisecond, Trust: 5 * time.Second, Every: time.Duration(float64(time.Second) / play.Rate)}
+		o := fleettest.Options{Members: play.Members, Off: off == 1, Heartbeat: 500 * time.Millisecond, Trust: 5 * time.Second, Every: time.Duration(float64(time.Second) / play.Rate)}
 		err := r.bench(o, func(b *fleettest.Bench) error {
 			if err := b.Run("start all"); err != nil {
 				return err
@@ -386,7 +386,7 @@
 				return err
 			}
 			var took []float64
-			for _, x := range b.Asked() {
+			for _, x := range b.Requests() {
 				if x.Sent.After(from) && x.Sent.Before(to) && x.Status == 200 {
 					took = append(took, x.Answered.Sub(x.Sent).Seconds()*1e3)
 				}
--- a/test/lab/site.go
+++ b/test/lab/site.go
@@ -78,7 +78,7 @@
 	return nil
 }
 
-// act does one thing; out is told of a node once it is out by hand.
+// act does one thing; out is called with a node once it is out by hand.
 func (s *site) act(a *ActXML, node string, out func(node string)) error {
 	switch a.Do {
 	case "reload":
--- a/test/lab/trace.go
+++ b/test/lab/trace.go
@@ -29,8 +29,8 @@
 	Outcomes                   map[ravendale.Outcome]int // of attempts
 	MostToOneCold, ColdServers int                       // the most sends to one cold server within ColdSpan, and how many were sent to
 	Unsent                     map[string]int            // answered as refused or failed without a send, by why
-	LateSends                  int                       // to a server told as draining or gone
-	LatestSend                 time.Duration             // after that was told to its sender
+	LateSends                  int                       // to a server listed as draining or removed
+	LatestSend                 time.Duration             // after its sender had that list
 	LeftWaiting                int                       // clients that left before their request was sent to any server
 	SentAfterLeft              int                       // of those requests, that were sent more than LeftSlack later all the same
 }
--- a/test/lab/trace_test.go
+++ b/test/lab/trace_test.go
@@ -13,7 +13,7 @@
 )
 
 // What only the sum over schedulers shows: sends to one cold server, also across two spans, and sends to a server that leaves, after
-// that was told to the very scheduler that sends, unless it came back.
+// that was listed to the very scheduler that sends, unless it came back.
 func TestTraceCountsAcrossSchedulers(t *testing.T) {
 	dir := t.TempDir()
 	for name, lines := range map[string][]string{
--- a/test/simulation/control_test.go
+++ b/test/simulation/control_test.go
@@ -35,7 +35,7 @@
 	wiped    bool
 	leastLog int
 
-	// Of one life.
+	// Of one incarnation.
 	store   *slots.Store
 	node    *core.Node
 	state   *recorder
@@ -68,7 +68,7 @@
 func (c *control) mux() *rpc.Mux { return c.box }
 
 // start implements program.
-func (c *control) start(l *life) {
+func (c *control) start(l *incarnation) {
 	store, snapshot, records, err := slots.OpenFolder(c.folder)
 	if err != nil {
 		c.world.fail("%s: %v", c.name, err)
@@ -99,7 +99,7 @@
 		Leader: func() (string, bool) { address := c.node.Leader(c.clock()); return address, address != "" },
 		Core:   func() []string { return c.node.Addresses() }, Read: c.world.readWorkers,
 	})
-	c.carryOut(l)
+	c.execute(l)
 	c.tick(l, l.now())
 }
 
@@ -119,39 +119,39 @@
 }
 
 // tick calls the node when it wants.
-func (c *control) tick(l *life, at time.Duration) {
+func (c *control) tick(l *incarnation, at time.Duration) {
 	l.after(l.real(at-l.now())+c.world.upTo(2*time.Millisecond), func() {
 		next := c.node.Tick(l.now())
-		c.carryOut(l)
+		c.execute(l)
 		c.tick(l, next)
 	})
 }
 
 // step has the node do something, and does what it wants.
-func (c *control) step(l *life, do func(now time.Duration)) {
+func (c *control) step(l *incarnation, do func(now time.Duration)) {
 	do(l.now())
-	c.carryOut(l)
+	c.execute(l)
 }
 
-func (c *control) carryOut(l *life) {
-	out := c.node.Take()
-	for _, write := range out.Writes {
+func (c *control) execute(l *incarnation) {
+	actions := c.node.Take()
+	for _, write := range actions.Writes {
 		c.writes = append(c.writes, write)
 		if c.world.mutant == unsyncedAck { // the disk says so before it has done it
 			l.after(0, func() { c.step(l, func(now time.Duration) { c.node.OnDisk(now, write.Batch) }) })
 		}
 	}
-	for _, post := range out.Posts {
+	for _, post := range actions.Posts {
 		c.post(l, post)
 	}
-	for _, end := range out.Ended {
+	for _, end := range actions.Ended {
 		if done := c.calls[end.Number]; done != nil {
 			delete(c.calls, end.Number)
 			done(end)
 		}
 	}
 	c.write(l)
-	if out.Applied {
+	if actions.Applied {
 		c.service.Changed()
 	}
 	c.follow(l)
@@ -159,19 +159,19 @@
 }
 
 // follow starts and ends leading as the node gets and loses the lease.
-func (c *control) follow(l *life) {
-	held := c.holds() || c.leadsOn()
+func (c *control) follow(l *incarnation) {
+	pending := c.holds() || c.leadsOn()
 	switch {
-	case held && c.lead == nil && !c.leading:
+	case pending && c.lead == nil && !c.leading:
 		ctx, cancel := context.WithCancel(context.Background())
 		c.lead, c.leading = cancel, true
-		c.world.note("%s holds the lease", c.name)
+		c.world.log("%s holds the lease", c.name)
 		l.begin(func() {
 			c.service.Lead(ctx, c.mayLead)
 			c.leading = false
 		})
-	case !held && c.lead != nil:
-		c.world.note("%s lost the lease", c.name)
+	case !pending && c.lead != nil:
+		c.world.log("%s lost the lease", c.name)
 		c.lead()
 		c.lead = nil
 		l.wakeSleepers()
@@ -179,7 +179,7 @@
 }
 
 func (c *control) holds() bool {
-	return c.life != nil && c.node != nil && c.clock() < c.node.LeaseUntil()
+	return c.incarnation != nil && c.node != nil && c.clock() < c.node.LeaseUntil()
 }
 
 // mayLead is what the leader asks before each act.
@@ -194,7 +194,7 @@
 	return leader == "" || leader == c.address
 }
 
-func (c *control) write(l *life) {
+func (c *control) write(l *incarnation) {
 	if c.writing || len(c.writes) == 0 {
 		return
 	}
@@ -210,7 +210,7 @@
 	l.after(wait, func() { c.written(l) })
 }
 
-func (c *control) written(l *life) {
+func (c *control) written(l *incarnation) {
 	if c.stalled {
 		c.world.took("disk_stall: a write waited")
 		l.after(50*time.Millisecond, func() { c.written(l) })
@@ -246,13 +246,13 @@
 }
 
 // post carries a message to another member of the core.
-func (c *control) post(l *life, p core.Post) {
+func (c *control) post(l *incarnation, p core.Post) {
 	w, n := c.world, c.world.network
 	to := w.byHost[p.To]
 	if to == nil || to.dark || !n.passes(c.machine, to) || n.lossy > 0 && w.random.IntN(100) < n.lossy {
 		return
 	}
-	if to.life == nil {
+	if to.incarnation == nil {
 		l.after(2*time.Millisecond, func() {
 			if n.passes(to, c.machine) {
 				c.step(l, func(now time.Duration) { c.node.Refused(now, p.To) })
@@ -270,7 +270,7 @@
 	if n.lossy > 0 && w.random.IntN(20) == 0 {
 		way += w.upTo(400 * time.Millisecond)
 	}
-	receiver := to.life
+	receiver := to.incarnation
 	w.after(way, receiver.guard(func() {
 		if n.passes(c.machine, to) {
 			target.step(receiver, func(now time.Duration) { target.node.Receive(now, from, message) })
@@ -279,10 +279,10 @@
 }
 
 // order submits a command, and tells its end. After so long nobody waits for it any more.
-func (c *control) order(l *life, command []byte, within time.Duration, done func(core.Ended)) {
+func (c *control) order(l *incarnation, command []byte, within time.Duration, done func(core.Ended)) {
 	number := c.node.Submit(l.now(), command)
 	c.calls[number] = done
-	c.carryOut(l)
+	c.execute(l)
 	l.after(l.real(within), func() {
 		if c.calls[number] == nil {
 			return
@@ -300,7 +300,7 @@
 func (c *control) submit(_ context.Context, command []byte) ([]byte, error) {
 	t := c.world.running
 	var end *core.Ended
-	c.order(t.life, command, submitWithin, func(e core.Ended) {
+	c.order(t.incarnation, command, submitWithin, func(e core.Ended) {
 		end = &e
 		t.wake(0)
 	})
@@ -327,7 +327,7 @@
 	}
 	for i, id := range slices.Sorted(maps.Keys(w.servers)) {
 		s := w.servers[id]
-		list.Entries = append(list.Entries, wire.Worker{ID: id, Service: s.service, Address: id + ":1", Zone: w.zone(i), Capacity: uint32(s.room)})
+		list.Entries = append(list.Entries, wire.Worker{ID: id, Service: s.service, Address: id + ":1", Zone: w.zone(i), Capacity: uint32(s.capacity)})
 	}
 	return discovery.Sort(list.Entries), 1, nil
 }
@@ -350,8 +350,8 @@
 	return result
 }
 
-// placeSize is the length of the place in front of a snapshot.
-const placeSize = 8
+// sequenceSize is the length of the place in front of a snapshot.
+const sequenceSize = 8
 
 // Snapshot implements core.Machine.
 func (r *recorder) Snapshot() []byte {
@@ -360,9 +360,9 @@
 
 // Restore implements core.Machine.
 func (r *recorder) Restore(snapshot []byte) error {
-	if len(snapshot) < placeSize {
+	if len(snapshot) < sequenceSize {
 		return errors.New("simulation: snapshot without a place")
 	}
 	r.count = int(binary.BigEndian.Uint64(snapshot))
-	return r.machine.Restore(snapshot[placeSize:])
+	return r.machine.Restore(snapshot[sequenceSize:])
 }
--- a/test/simulation/edge_test.go
+++ b/test/simulation/edge_test.go
@@ -12,13 +12,13 @@
 )
 
 // startEdge makes the queue's client and the dispatch plane of an edge, as cmd/ravendale-edge does.
-func (p *process) startEdge(l *life, id string) {
+func (p *process) startEdge(l *incarnation, id string) {
 	config := dispatch.Config{
 		Topology: dispatch.Topology{Edge: id, Zone: p.zone, Zones: p.world.zones()},
-		Window:   ceilingWindow, Overshoot: ceilingOvershoot, Converge: converge, MaxBodies: 1 << 24,
+		Window:   rateWindow, Overshoot: rateOvershoot, Converge: converge, MaxBodies: 1 << 24,
 	}
 	p.taken = [wire.TopicCount]wire.Version{}
-	p.plane = dispatch.NewManagerOn(l, config, &deliveries{process: p, life: l})
+	p.plane = dispatch.NewManagerOn(l, config, &deliveries{process: p, incarnation: l})
 	plane, ends := p.plane, make(map[string]wire.ReportKind)
 	p.client = queueclient.New(queueclient.Config{
 		Edge: id, Zone: p.zone, Log: l.log(), Host: l, Unknown: plane.Unknown, Owned: plane.MessageIDs,
@@ -28,7 +28,7 @@
 		},
 		Granted: func(g *wire.Grant) {
 			if g.HasMessage {
-				p.world.note("%s is granted %s (%s) whole in epoch %d, sent at %v", p.name, g.Message.RequestID, g.ID, g.Epoch, p.world.messages.byName[g.Message.RequestID].sentAt)
+				p.world.log("%s is granted %s (%s) whole in epoch %d, sent at %v", p.name, g.Message.RequestID, g.ID, g.Epoch, p.world.messages.byName[g.Message.RequestID].sentAt)
 				p.world.messages.given(g.Message.RequestID, l)
 			}
 			plane.Grant(g)
@@ -81,7 +81,7 @@
 
 // usable says whether an edge takes messages.
 func (p *process) usable() bool {
-	return p.edge && p.life != nil && !p.frozen && p.agent.Current() && p.client.Usable() && p.plane.Index() != nil
+	return p.edge && p.incarnation != nil && !p.frozen && p.agent.Current() && p.client.Usable() && p.plane.Index() != nil
 }
 
 // Services of the simulated workers.
@@ -91,9 +91,9 @@
 	limitedRate    = 20
 	orderedPath    = "/ordered/"
 
-	ceilingWindow    = 5 * time.Second
-	ceilingOvershoot = 1.1
-	attempts         = 8 // of each route
+	rateWindow    = 5 * time.Second
+	rateOvershoot = 1.1
+	attempts      = 8 // of each route
 )
 
 // submitMessages has a client send one message after the other.
@@ -130,7 +130,7 @@
 		m.Route, m.Target, m.Key, m.Ordered = "ordered", orderedPath+r.name, r.key, true
 	}
 	client, plane, service := p.client, p.plane, r.service
-	p.life.begin(func() {
+	p.incarnation.begin(func() {
 		limits := queueclient.Limits{Attempt: time.Second, Answer: time.Second, LateAnswer: 2 * time.Second}
 		if client.PutWithin(m, plane.Accepts(service, len(m.Body)), limits) == queueclient.Accepted {
 			w.messages.kept(r, m.ID)
@@ -140,8 +140,8 @@
 
 // deliveries carries out what an edge sends to workers. It implements dispatch.Workers.
 type deliveries struct {
-	process *process
-	life    *life
+	process     *process
+	incarnation *incarnation
 }
 
 // Limit implements dispatch.Workers.
@@ -149,19 +149,19 @@
 
 // delivery is a call of a worker. It implements dispatch.Call.
 type delivery struct {
-	life  *life
-	done  func(worker.Result)
-	name  string
-	began time.Duration
-	over  bool
+	incarnation *incarnation
+	done        func(worker.Result)
+	name        string
+	began       time.Duration
+	over        bool
 }
 
 // Start implements dispatch.Workers.
-func (d *deliveries) Start(wanted *worker.Delivery, done func(worker.Result)) dispatch.Call {
+func (d *deliveries) Start(delivered *worker.Delivery, done func(worker.Result)) dispatch.Call {
 	w := d.process.world
-	call := &delivery{life: d.life, done: done, name: wanted.RequestID, began: d.life.now()}
-	server := w.servers[wanted.Worker]
-	name, limit := wanted.RequestID, wanted.Limit
+	call := &delivery{incarnation: d.incarnation, done: done, name: delivered.RequestID, began: d.incarnation.now()}
+	server := w.servers[delivered.Worker]
+	name, limit := delivered.RequestID, delivered.Limit
 	if server == nil || server.dark {
 		call.end(w.between(200*time.Millisecond, 300*time.Millisecond), worker.Unreachable)
 		return call
@@ -175,31 +175,31 @@
 
 // end tells the edge, after a while.
 func (c *delivery) end(after time.Duration, outcome worker.Outcome) {
-	c.life.after(after, func() {
+	c.incarnation.after(after, func() {
 		if !c.over {
 			c.over = true
-			c.life.machine.world.note("%s: outcome %d at %s", c.name, outcome, c.life.machine.name)
-			c.done(worker.Result{Outcome: outcome, Signature: "signed", Took: c.life.now() - c.began})
+			c.incarnation.machine.world.log("%s: outcome %d at %s", c.name, outcome, c.incarnation.machine.name)
+			c.done(worker.Result{Outcome: outcome, Signature: "signed", Took: c.incarnation.now() - c.began})
 		}
 	})
 }
 
 // server is a worker. It runs messages, and goes on with those whose edge has ended.
 type server struct {
-	world   *world
-	name    string
-	service string
-	room    int
-	dark    bool
-	lives   int
-	running map[string]bool
-	lossy   int // of answers, in hundredths
-	garbles int // the same
-	slow    bool
+	world        *world
+	name         string
+	service      string
+	capacity     int
+	dark         bool
+	incarnations int
+	running      map[string]bool
+	lossy        int // of answers, in hundredths
+	garbles      int // the same
+	slow         bool
 }
 
 func (w *world) newServer(name, service string) {
-	w.servers[name] = &server{world: w, name: name, service: service, room: 8, running: make(map[string]bool)}
+	w.servers[name] = &server{world: w, name: name, service: service, capacity: 8, running: make(map[string]bool)}
 }
 
 // run runs a message for an edge, unless it can't.
@@ -213,13 +213,13 @@
 	case s.running[name]:
 		call.end(back(), worker.Duplicate)
 		return
-	case len(s.running) >= s.room:
+	case len(s.running) >= s.capacity:
 		call.end(back(), worker.AtCapacity)
 		return
 	}
 	s.running[name] = true
-	run := w.messages.begins(name, s, call.life)
-	takes, life := w.between(5*time.Millisecond, 60*time.Millisecond), s.lives
+	run := w.messages.begins(name, s, call.incarnation)
+	takes, incarnation := w.between(5*time.Millisecond, 60*time.Millisecond), s.incarnations
 	if s.slow {
 		takes *= 5
 	}
@@ -227,7 +227,7 @@
 		call.end(limit, worker.TimedOut)
 	}
 	w.after(takes, func() {
-		if s.lives != life {
+		if s.incarnations != incarnation {
 			call.end(limit, worker.TimedOut) // it crashed meanwhile
 			return
 		}
--- a/test/simulation/faults_test.go
+++ b/test/simulation/faults_test.go
@@ -38,17 +38,17 @@
 	{"after_ack_wipe", (*world).afterAckWipe},
 	{"replace_core", func(w *world, name string) { w.replace(name, false) }},
 	{"replace_core planned", func(w *world, name string) { w.replace(name, true) }},
-	{"core_cut", func(w *world, name string) { w.cutCore(name, false, false) }},
-	{"core_cut one_way", func(w *world, name string) { w.cutCore(name, true, false) }},
-	{"core_cut all", func(w *world, name string) { w.cutCore(name, false, true) }},
-	{"core_cut near", (*world).cutNear},
-	{"core_cut leader", (*world).cutLeader},
-	{"core_cut leader", (*world).cutLeader}, // the day that users meet most
+	{"core_cut", func(w *world, name string) { w.partitionCore(name, false, false) }},
+	{"core_cut one_way", func(w *world, name string) { w.partitionCore(name, true, false) }},
+	{"core_cut all", func(w *world, name string) { w.partitionCore(name, false, true) }},
+	{"core_cut near", (*world).partitionNear},
+	{"core_cut leader", (*world).partitionLeader},
+	{"core_cut leader", (*world).partitionLeader}, // the day that users meet most
 	{"core_cut lure", (*world).lure},
-	{"core_cut seeds", (*world).cutSeeds},
-	{"core_cut both", (*world).cutBoth},
-	{"node_cut", func(w *world, name string) { w.cutNode(name, false) }},
-	{"node_cut all", func(w *world, name string) { w.cutNode(name, true) }},
+	{"core_cut seeds", (*world).partitionSeeds},
+	{"core_cut both", (*world).partitionBoth},
+	{"node_cut", func(w *world, name string) { w.partitionNode(name, false) }},
+	{"node_cut all", func(w *world, name string) { w.partitionNode(name, true) }},
 	{"seed_turnover", (*world).turnSeeds},
 	{"reset_conns", (*world).resetAll},
 	{"disk_slow", (*world).slowDisk},
@@ -88,8 +88,8 @@
 	return w.between(50*time.Millisecond, 4*time.Second)
 }
 
-// cutSpan is how long a cut lasts: often so long that another leader has long led, and what it told is old.
-func (w *world) cutSpan() time.Duration {
+// partitionSpan is how long a partition lasts: often so long that another leader has long led, and what it sent is old.
+func (w *world) partitionSpan() time.Duration {
 	if w.random.IntN(2) == 0 {
 		return w.between(6*time.Second, 20*time.Second)
 	}
@@ -153,7 +153,7 @@
 }
 
 func (w *world) kill(name string, m *machine, power bool) {
-	if m.life == nil || !w.mayLose(m) {
+	if m.incarnation == nil || !w.mayLose(m) {
 		return
 	}
 	m.end(power)
@@ -164,9 +164,9 @@
 func (w *world) freeze(name string, m *machine) {
 	if w.mayLose(m) && m.freeze() {
 		w.took(name)
-		l := m.life
+		l := m.incarnation
 		w.later(w.span(), func() {
-			if m.life == l {
+			if m.incarnation == l {
 				m.thaw()
 			}
 		})
@@ -189,14 +189,14 @@
 
 // stop ends a control process in order.
 func (c *control) stop(name string, away time.Duration, back bool) {
-	l := c.life
+	l := c.incarnation
 	if l == nil || c.frozen {
 		return
 	}
 	c.harm()
 	c.world.took(name)
 	c.step(l, func(now time.Duration) { c.node.Release(now) })
-	c.world.later(20*time.Millisecond, func() { c.endLife(l) })
+	c.world.later(20*time.Millisecond, func() { c.endIncarnation(l) })
 	if back {
 		c.world.later(20*time.Millisecond+away, c.machine.start)
 	}
@@ -210,7 +210,7 @@
 		}
 		at += w.upTo(time.Second)
 		w.later(at, func() {
-			if p.life == nil || p.frozen || p.removed {
+			if p.incarnation == nil || p.frozen || p.removed {
 				return
 			}
 			w.took(name)
@@ -259,11 +259,11 @@
 
 // afterAckWipe has as many machines as may be lost lose their disks, and others of the core power.
 func (w *world) afterAckWipe(name string) {
-	if !w.whole() {
+	if !w.complete() {
 		return
 	}
 	w.afterAck(func() {
-		if !w.whole() {
+		if !w.complete() {
 			return
 		}
 		controls := w.controls()
@@ -285,16 +285,16 @@
 
 // losing notes that a disk of the core is lost, so that no other one is before the system has caught up.
 func (w *world) losing() {
-	if w.now-w.lostAt >= lossEvery {
-		w.lostDisks = 0
+	if w.now-w.diskLostAt >= lossEvery {
+		w.disksLost = 0
 	}
-	w.lostAt = w.now
-	w.lostDisks++
+	w.diskLostAt = w.now
+	w.disksLost++
 }
 
 // replace has a control machine go for good, and an empty one come at another address.
 func (w *world) replace(name string, planned bool) {
-	if !w.whole() || w.replaced >= 2 {
+	if !w.complete() || w.replaced >= 2 {
 		return
 	}
 	w.replaced++
@@ -314,7 +314,7 @@
 
 // retire stops a control machine for good, once another may be lost.
 func (w *world) retire(name string, old *control) {
-	if old.life == nil || w.spare() == 0 {
+	if old.incarnation == nil || w.spare() == 0 {
 		w.later(200*time.Millisecond, func() { w.retire(name, old) })
 		return
 	}
@@ -326,7 +326,7 @@
 // remove takes a control machine away for good.
 func (w *world) remove(c *control) {
 	w.losing()
-	if c.life != nil {
+	if c.incarnation != nil {
 		c.end(true)
 	}
 	c.removed = true
@@ -350,15 +350,15 @@
 	return seeds
 }
 
-// cutFor holds a cut for a while.
-func (w *world) cutFor(name string, side, others []*machine, oneWay bool) time.Duration {
+// partitionFor holds a partition for a while.
+func (w *world) partitionFor(name string, side, others []*machine, oneWay bool) time.Duration {
 	if len(side) == 0 || len(others) == 0 {
 		return 0
 	}
 	w.took(name)
-	span := w.cutSpan()
-	w.network.part(side, others, oneWay, 1)
-	w.later(span, func() { w.network.part(side, others, oneWay, -1) })
+	span := w.partitionSpan()
+	w.network.partition(side, others, oneWay, 1)
+	w.later(span, func() { w.network.partition(side, others, oneWay, -1) })
 	return span
 }
 
@@ -383,7 +383,7 @@
 	return rest
 }
 
-func (w *world) cutCore(name string, oneWay, all bool) {
+func (w *world) partitionCore(name string, oneWay, all bool) {
 	side := w.minority()
 	others := without(w.coreMachines(), side)
 	if all {
@@ -392,11 +392,11 @@
 	if oneWay && w.random.IntN(2) == 0 {
 		side, others = others, side
 	}
-	w.cutFor(name, side, others, oneWay)
+	w.partitionFor(name, side, others, oneWay)
 }
 
-// cutNear cuts some off from the rest of the core and from all machines of other zones.
-func (w *world) cutNear(name string) {
+// partitionNear cuts some off from the rest of the core and from all machines of other zones.
+func (w *world) partitionNear(name string) {
 	side := w.minority()
 	if len(side) == 0 {
 		return
@@ -408,26 +408,26 @@
 			others = append(others, m)
 		}
 	}
-	w.cutFor(name, side, others, false)
+	w.partitionFor(name, side, others, false)
 }
 
-// cutLeader cuts the leader off from the core, and leaves it all others.
-func (w *world) cutLeader(name string) {
+// partitionLeader cuts the leader off from the core, and leaves it all others.
+func (w *world) partitionLeader(name string) {
 	if leader := w.leader(); leader != nil && w.spare() > 0 {
 		side := []*machine{leader.machine}
-		w.cutFor(name, side, without(w.coreMachines(), side), w.random.IntN(4) == 0)
+		w.partitionFor(name, side, without(w.coreMachines(), side), w.random.IntN(4) == 0)
 	}
 }
 
-// lure has some members start anew with seeds that are cut off.
+// lure has some members start anew with seeds that are partitioned.
 func (w *world) lure(name string) {
 	side := w.minority()
-	if w.cutFor(name, side, without(w.coreMachines(), side), false) == 0 {
+	if w.partitionFor(name, side, without(w.coreMachines(), side), false) == 0 {
 		return
 	}
 	w.seed(side)
 	for _, p := range w.processes() {
-		if w.random.IntN(3) == 0 && p.life != nil {
+		if w.random.IntN(3) == 0 && p.incarnation != nil {
 			p.end(false)
 			w.later(w.upTo(500*time.Millisecond), p.machine.start)
 		}
@@ -447,31 +447,31 @@
 	}
 	for _, p := range w.processes() {
 		p.settings.Seeds = seeds
-		if p.life != nil && !p.frozen {
+		if p.incarnation != nil && !p.frozen {
 			p.agent.SetSettings(&p.settings)
 		}
 	}
 }
 
-func (w *world) cutSeeds(name string) {
+func (w *world) partitionSeeds(name string) {
 	side := w.minority()
-	if w.cutFor(name, side, without(w.coreMachines(), side), false) == 0 {
+	if w.partitionFor(name, side, without(w.coreMachines(), side), false) == 0 {
 		return
 	}
 	w.seed(side)
 	for _, p := range w.processes() {
-		if w.random.IntN(2) == 0 && p.life != nil {
+		if w.random.IntN(2) == 0 && p.incarnation != nil {
 			p.end(false)
 			w.later(w.upTo(time.Second), p.machine.start)
 		}
 	}
 }
 
-// cutBoth restarts those that are cut off, and then the others of the core.
-func (w *world) cutBoth(name string) {
+// partitionBoth restarts those that are partitioned, and then the others of the core.
+func (w *world) partitionBoth(name string) {
 	side := w.minority()
 	others := without(w.coreMachines(), side)
-	if w.cutFor(name, side, others, false) == 0 {
+	if w.partitionFor(name, side, others, false) == 0 {
 		return
 	}
 	for _, m := range side {
@@ -486,13 +486,13 @@
 	})
 }
 
-func (w *world) cutNode(name string, all bool) {
+func (w *world) partitionNode(name string, all bool) {
 	side := []*machine{w.anyProcess(w.random.IntN(3) > 0)}
 	others := w.coreMachines()
 	if all {
 		others = w.others(side)
 	}
-	w.cutFor(name, side, others, w.random.IntN(4) == 0)
+	w.partitionFor(name, side, others, w.random.IntN(4) == 0)
 }
 
 func (w *world) turnSeeds(name string) {
@@ -568,14 +568,14 @@
 	return machines
 }
 
-// wipeStore has a store lose its disk, if all partitions are whole without it.
+// wipeStore has a store lose its disk, if all partitions are complete without it.
 func (w *world) wipeStore(name string) {
 	p := w.anyProcess(false).program.(*process)
-	if p.life == nil || p.frozen || w.unplaced(-1) != "" || w.now-w.wipedAt < lossEvery {
+	if p.incarnation == nil || p.frozen || w.unplaced(-1) != "" || w.now-w.wipedAt < lossEvery {
 		return
 	}
 	for _, other := range w.processes() {
-		if !other.edge && (other.life == nil || other.frozen || other.stalled) {
+		if !other.edge && (other.incarnation == nil || other.frozen || other.stalled) {
 			return
 		}
 	}
@@ -623,7 +623,7 @@
 	}
 	w.took(name)
 	s.dark = true
-	s.lives++
+	s.incarnations++
 	s.running = make(map[string]bool)
 	w.after(w.span(), func() { s.dark = false })
 }
@@ -636,7 +636,7 @@
 	w.newServer(fmt.Sprint(old.service, "-new-", w.races), old.service)
 	w.after(w.between(4*time.Second, 8*time.Second), func() {
 		old.dark = true
-		old.lives++
+		old.incarnations++
 		delete(w.servers, old.name)
 	})
 }
@@ -653,7 +653,7 @@
 func (w *world) calm() {
 	w.period++
 	n := w.network
-	n.cut, n.slow, n.lossy, w.ackLoss = make(map[[2]*machine]int), make(map[*machine]int), 0, 0
+	n.partitioned, n.slow, n.lossy, w.ackLoss = make(map[[2]*machine]int), make(map[*machine]int), 0, 0
 	w.coreHarmed = w.now
 	for _, s := range w.servers {
 		s.dark, s.lossy, s.garbles = false, 0, 0
--- a/test/simulation/history_test.go
+++ b/test/simulation/history_test.go
@@ -12,7 +12,7 @@
 
 const endless = time.Duration(math.MaxInt64)
 
-// history is what is checked: the commands in the order in which they were applied, and what operators were told.
+// history is what is checked: the commands in the order in which they were applied, and what operators were answered.
 type history struct {
 	world      *world
 	order      [][]byte        // commands, as the first to apply each saw it
@@ -32,7 +32,7 @@
 	sequence uint64
 }
 
-// answer is what an operator may be told.
+// answer is what an operator may be answered.
 type answer int
 
 // The answers.
@@ -50,7 +50,7 @@
 	from, to time.Duration
 	answer   answer
 	version  uint64
-	place    int // in the order of commands; negative: it was answered without
+	position int // in the order of commands; negative: it was answered without
 	result   []byte
 }
 
@@ -81,7 +81,7 @@
 		change = result.Sequence
 		h.sequences[string(command)] = change
 	}
-	h.world.note("command %d %s: %v", len(h.order), nameOf(command), result.Outcome)
+	h.world.log("command %d %s: %v", len(h.order), nameOf(command), result.Outcome)
 	h.order, h.results = append(h.order, command), append(h.results, encoded)
 	h.firstAt, h.changes = append(h.firstAt, h.world.now), append(h.changes, change)
 }
@@ -102,14 +102,14 @@
 }
 
 func (h *history) began(command []byte) *operation {
-	o := &operation{command: command, from: h.world.now, to: endless, place: -1}
+	o := &operation{command: command, from: h.world.now, to: endless, position: -1}
 	h.operations = append(h.operations, o)
 	return o
 }
 
 func (h *history) answered(o *operation) {
 	o.to = h.world.now
-	h.world.note("answer %d version %d to %x", o.answer, o.version, o.command)
+	h.world.log("answer %d version %d to %x", o.answer, o.version, o.command)
 }
 
 // heard tells that an answer reached the operator.
@@ -123,7 +123,7 @@
 	}
 }
 
-// checkServing sees whether no edge goes back within a life, and none that is in touch serves an older configuration than it may.
+// checkServing sees whether no edge goes back within an incarnation, and none that is in touch serves an older configuration than it may.
 func (h *history) checkServing() {
 	w := h.world
 	needed := uint64(0)
@@ -162,21 +162,21 @@
 	h.checkResults()
 	h.checkTimes()
 	h.checkCounts()
-	h.checkRepeats()
+	h.checkDuplicates()
 }
 
 // checkResults sees whether the order explains each answer.
 func (h *history) checkResults() {
 	for _, o := range h.operations {
-		if o.place < 0 {
+		if o.position < 0 {
 			continue
 		}
-		if o.place >= len(h.order) || !bytes.Equal(h.order[o.place], o.command) {
-			h.world.fail("%s was answered from place %d, where another command is", nameOf(o.command), o.place)
+		if o.position >= len(h.order) || !bytes.Equal(h.order[o.position], o.command) {
+			h.world.fail("%s was answered from place %d, where another command is", nameOf(o.command), o.position)
 			return
 		}
-		if !bytes.Equal(o.result, h.results[o.place]) {
-			h.world.fail("%s was answered %x and not %x", nameOf(o.command), o.result, h.results[o.place])
+		if !bytes.Equal(o.result, h.results[o.position]) {
+			h.world.fail("%s was answered %x and not %x", nameOf(o.command), o.result, h.results[o.position])
 		}
 	}
 }
@@ -189,16 +189,16 @@
 		earliest[i] = endless
 	}
 	for _, o := range h.operations {
-		if o.place >= 0 {
-			from[o.place] = o.from
-			earliest[o.place] = min(earliest[o.place], o.to)
+		if o.position >= 0 {
+			from[o.position] = o.from
+			earliest[o.position] = min(earliest[o.position], o.to)
 		}
 	}
-	for place := len(h.order) - 1; place >= 0; place-- {
-		if from[place] > earliest[place+1] {
-			h.world.fail("%s, command %d, was sent after a later one was answered", nameOf(h.order[place]), place)
+	for position := len(h.order) - 1; position >= 0; position-- {
+		if from[position] > earliest[position+1] {
+			h.world.fail("%s, command %d, was sent after a later one was answered", nameOf(h.order[position]), position)
 		}
-		earliest[place] = min(earliest[place], earliest[place+1])
+		earliest[position] = min(earliest[position], earliest[position+1])
 	}
 }
 
@@ -206,28 +206,28 @@
 func (h *history) checkCounts() {
 	sent := make(map[string]int)
 	for _, o := range h.operations {
-		if o.answer != unavailable || o.place >= 0 {
+		if o.answer != unavailable || o.position >= 0 {
 			sent[string(o.command)]++
 		}
 	}
-	for place, command := range h.order {
+	for position, command := range h.order {
 		if kind := state.Kind(command[0]); kind != state.KindSet && kind != state.KindPatch && kind != state.KindShow {
 			continue // of a leader
 		}
 		if sent[string(command)]--; sent[string(command)] < 0 {
-			h.world.fail("%s, command %d, was applied more often than it was sent and may have been", nameOf(command), place)
+			h.world.fail("%s, command %d, was applied more often than it was sent and may have been", nameOf(command), position)
 			return
 		}
 	}
 }
 
-// checkRepeats sees whether one number names one order, and whether an order that was taken is never refused later.
-func (h *history) checkRepeats() {
+// checkDuplicates sees whether one number names one order, and whether an order that was taken is never refused later.
+func (h *history) checkDuplicates() {
 	orders := make(map[uint64]string)
 	takenAt := make(map[string]time.Duration)
-	for place, command := range h.order {
-		if _, known := takenAt[string(command)]; !known && h.changes[place] > 0 {
-			takenAt[string(command)] = h.firstAt[place]
+	for position, command := range h.order {
+		if _, known := takenAt[string(command)]; !known && h.changes[position] > 0 {
+			takenAt[string(command)] = h.firstAt[position]
 		}
 	}
 	for _, o := range h.operations {
--- a/test/simulation/machine_test.go
+++ b/test/simulation/machine_test.go
@@ -12,27 +12,27 @@
 	"ravendale/cluster/rpc"
 )
 
-// machine runs one process, in one life after another.
+// machine runs one process, in one incarnation after another.
 type machine struct {
-	world   *world
-	name    string
-	zone    string
-	address string // of its process
-	rate    float64
-	offset  time.Duration // of its steady clock
-	life    *life         // nil while no process runs
-	dark    bool          // it has no power: nobody answers for it
-	frozen  bool
-	removed bool // for good
-	program program
-	harmed  time.Duration // when something was last done to it
-	lives   int
+	world        *world
+	name         string
+	zone         string
+	address      string // of its process
+	rate         float64
+	offset       time.Duration // of its steady clock
+	incarnation  *incarnation  // nil while no process runs
+	dark         bool          // it has no power: nobody answers for it
+	frozen       bool
+	removed      bool // for good
+	program      program
+	harmed       time.Duration // when something was last done to it
+	incarnations int
 }
 
 // program is what runs on a machine.
 type program interface {
-	// start makes the process of a new life.
-	start(l *life)
+	// start makes the process of a new incarnation.
+	start(l *incarnation)
 	// ended tells that the process has ended, of a loss of power or a kill.
 	ended(powerLoss bool)
 }
@@ -53,38 +53,38 @@
 }
 
 func (m *machine) start() {
-	if m.life != nil || m.removed {
+	if m.incarnation != nil || m.removed {
 		return
 	}
-	m.lives++
+	m.incarnations++
 	m.dark, m.frozen = false, false
 	m.harm()
-	l := &life{
-		machine: m, number: m.lives, random: rand.New(rand.NewPCG(m.world.random.Uint64(), 5)), sleeping: make(map[*task]bool),
+	l := &incarnation{
+		machine: m, number: m.incarnations, random: rand.New(rand.NewPCG(m.world.random.Uint64(), 5)), sleeping: make(map[*task]bool),
 	}
-	m.life = l
-	m.world.note("%s starts", m.name)
+	m.incarnation = l
+	m.world.log("%s starts", m.name)
 	m.program.start(l)
 }
 
 // end ends the process; with a loss of power nobody answers for the machine from then on.
 func (m *machine) end(powerLoss bool) {
-	l := m.life
+	l := m.incarnation
 	m.harm()
 	m.dark = m.dark || powerLoss
 	if l == nil {
 		return
 	}
-	m.world.note("%s ends, power lost: %v", m.name, powerLoss)
-	m.life, m.frozen = nil, false
+	m.world.log("%s ends, power lost: %v", m.name, powerLoss)
+	m.incarnation, m.frozen = nil, false
 	l.dead, l.thawed = true, nil
 	m.program.ended(powerLoss)
 	l.endTasks()
-	m.world.network.ended(l)
+	m.world.network.incarnationEnded(l)
 }
 
 func (m *machine) freeze() bool {
-	if m.life == nil || m.frozen {
+	if m.incarnation == nil || m.frozen {
 		return false
 	}
 	m.frozen = true
@@ -98,10 +98,10 @@
 	}
 	m.frozen = false
 	m.harm()
-	l := m.life
-	held := l.thawed
+	l := m.incarnation
+	pending := l.thawed
 	l.thawed = nil
-	for _, run := range held {
+	for _, run := range pending {
 		run()
 	}
 }
@@ -114,8 +114,8 @@
 	}
 }
 
-// life is one process. It implements host.Host.
-type life struct {
+// incarnation is one process. It implements host.Host.
+type incarnation struct {
 	machine  *machine
 	number   int
 	dead     bool
@@ -127,7 +127,7 @@
 }
 
 // guard runs something unless the process has ended; while it is frozen that waits.
-func (l *life) guard(run func()) func() {
+func (l *incarnation) guard(run func()) func() {
 	var guarded func()
 	guarded = func() {
 		switch {
@@ -142,53 +142,57 @@
 }
 
 // after has the process do something after a while of the world's time.
-func (l *life) after(wait time.Duration, run func()) { l.machine.world.after(wait, l.guard(run)) }
+func (l *incarnation) after(wait time.Duration, run func()) {
+	l.machine.world.after(wait, l.guard(run))
+}
 
-func (l *life) now() time.Duration { return l.machine.clock() }
+func (l *incarnation) now() time.Duration { return l.machine.clock() }
 
 // real is the world's time for a span of the process's clock.
-func (l *life) real(span time.Duration) time.Duration {
+func (l *incarnation) real(span time.Duration) time.Duration {
 	return max(0, time.Duration(float64(span)/l.machine.rate)) + time.Microsecond
 }
 
 // Now implements host.Host.
-func (l *life) Now() time.Duration { return l.now() }
+func (l *incarnation) Now() time.Duration { return l.now() }
 
 // Uint64 implements host.Host.
-func (l *life) Uint64() uint64 { return l.random.Uint64() }
+func (l *incarnation) Uint64() uint64 { return l.random.Uint64() }
 
 // Sleep implements host.Host.
-func (l *life) Sleep(ctx context.Context, pause time.Duration) error { return l.sleep(ctx, pause) }
+func (l *incarnation) Sleep(ctx context.Context, pause time.Duration) error {
+	return l.sleep(ctx, pause)
+}
 
 // Serve implements host.Host.
-func (l *life) Serve(ctx context.Context, box *mailbox.Mailbox, tick func() time.Duration) {
+func (l *incarnation) Serve(ctx context.Context, box *mailbox.Mailbox, tick func() time.Duration) {
 	l.serve(ctx, box, tick)
 }
 
 // Tasks implements host.Host.
-func (l *life) Tasks() host.Tasks { return &tasks{life: l} }
+func (l *incarnation) Tasks() host.Tasks { return &tasks{incarnation: l} }
 
 // Connect implements host.Host.
-func (l *life) Connect(address string, options rpc.Options, up func(*rpc.Conn), down func(error)) host.Link {
+func (l *incarnation) Connect(address string, options rpc.Options, up func(*rpc.Conn), down func(error)) host.Link {
 	return l.machine.world.network.connect(l, address, options, up, down)
 }
 
 // AfterFunc implements host.Host.
-func (l *life) AfterFunc(pause time.Duration, run func()) host.Timer {
-	t := &timer{life: l, run: run}
+func (l *incarnation) AfterFunc(pause time.Duration, run func()) host.Timer {
+	t := &timer{incarnation: l, run: run}
 	t.Reset(pause)
 	return t
 }
 
 // Signal implements host.Host.
-func (l *life) Signal() host.Signal { return &signal{life: l} }
+func (l *incarnation) Signal() host.Signal { return &signal{incarnation: l} }
 
 // timer implements host.Timer.
 type timer struct {
-	life *life
-	run  func()
-	turn int
-	set  bool
+	incarnation *incarnation
+	run         func()
+	turn        int
+	set         bool
 }
 
 // Reset implements host.Timer.
@@ -196,7 +200,7 @@
 	was := t.Stop()
 	t.set = true
 	turn := t.turn
-	t.life.after(t.life.real(pause), func() {
+	t.incarnation.after(t.incarnation.real(pause), func() {
 		if t.turn == turn && t.set {
 			t.set = false
 			t.run()
@@ -215,9 +219,9 @@
 
 // signal implements host.Signal.
 type signal struct {
-	life   *life
-	given  bool
-	waiter *task
+	incarnation *incarnation
+	given       bool
+	waiter      *task
 }
 
 // Give implements host.Signal.
@@ -230,10 +234,10 @@
 
 // Wait implements host.Signal.
 func (s *signal) Wait(most time.Duration) bool {
-	until := s.life.now() + most
-	for !s.given && s.life.now() < until {
-		s.waiter = s.life.machine.world.running
-		s.waiter.wake(s.life.real(until - s.life.now()))
+	until := s.incarnation.now() + most
+	for !s.given && s.incarnation.now() < until {
+		s.waiter = s.incarnation.machine.world.running
+		s.waiter.wake(s.incarnation.real(until - s.incarnation.now()))
 		s.waiter.pause()
 		s.waiter = nil
 	}
@@ -245,10 +249,12 @@
 // logger passes what a process logs to the trace.
 type logger struct {
 	slog.Handler
-	life *life
+	incarnation *incarnation
 }
 
-func (l *life) log() *slog.Logger { return slog.New(&logger{Handler: slog.DiscardHandler, life: l}) }
+func (l *incarnation) log() *slog.Logger {
+	return slog.New(&logger{Handler: slog.DiscardHandler, incarnation: l})
+}
 
 // Enabled implements slog.Handler.
 func (h *logger) Enabled(context.Context, slog.Level) bool { return debug != nil }
@@ -261,7 +267,7 @@
 		return true
 	})
 	if debug != nil {
-		_, _ = debug.Write([]byte(h.life.machine.world.now.String() + " " + h.life.machine.name + " " + text + "\n"))
+		_, _ = debug.Write([]byte(h.incarnation.machine.world.now.String() + " " + h.incarnation.machine.name + " " + text + "\n"))
 	}
 	return nil
 }
--- a/test/simulation/member_test.go
+++ b/test/simulation/member_test.go
@@ -28,7 +28,7 @@
 	slowBy   time.Duration // of its disk
 	stalled  bool
 
-	// Of one life.
+	// Of one incarnation.
 	agent     *member.Agent
 	box       *rpc.Mux
 	startedAt time.Duration
@@ -69,11 +69,11 @@
 func (p *process) mux() *rpc.Mux { return p.box }
 
 // start implements program.
-func (p *process) start(l *life) {
+func (p *process) start(l *incarnation) {
 	p.box, p.served, p.currentAt = rpc.NewMux(), [wire.TopicCount]wire.Version{}, -1
 	p.startedAt = p.clock()
 	self := wire.Member{
-		ID: fmt.Sprintf("%s-%d-%d", p.name, p.lives, l.random.Uint32()), Node: p.name, Address: p.address, Zone: p.zone,
+		ID: fmt.Sprintf("%s-%d-%d", p.name, p.incarnations, l.random.Uint32()), Node: p.name, Address: p.address, Zone: p.zone,
 		Edge: p.edge, Storage: !p.edge,
 	}
 	config := member.Config{Settings: &p.settings, Mux: p.box, Self: self, Log: l.log(), Host: l}
@@ -95,7 +95,7 @@
 func (p *process) ended(powerLoss bool) { p.records.stop(powerLoss) }
 
 // awaitCurrent takes the state that the leader named first, should the word that it is the newest come after it.
-func (p *process) awaitCurrent(l *life) {
+func (p *process) awaitCurrent(l *incarnation) {
 	if !p.agent.Current() {
 		l.after(currentLook, func() { p.awaitCurrent(l) })
 		return
@@ -103,7 +103,7 @@
 	p.take(l)
 }
 
-func (p *process) take(l *life) {
+func (p *process) take(l *incarnation) {
 	if p.edge {
 		p.takeEdge(p.agent.Snapshot())
 		return
@@ -118,8 +118,8 @@
 }
 
 // changed hears of each newer version of a topic.
-func (p *process) changed(l *life, topic wire.Topic, s *member.Snapshot) {
-	p.world.note("%s has topic %d at %v", p.name, topic, s.Versions[topic])
+func (p *process) changed(l *incarnation, topic wire.Topic, s *member.Snapshot) {
+	p.world.log("%s has topic %d at %v", p.name, topic, s.Versions[topic])
 	if p.agent.Current() {
 		p.take(l)
 	}
@@ -127,7 +127,7 @@
 
 // serves says whether the process serves now, and by which versions.
 func (p *process) serves() (versions [wire.TopicCount]wire.Version, ok bool) {
-	if p.life == nil || p.frozen || p.agent == nil {
+	if p.incarnation == nil || p.frozen || p.agent == nil {
 		return versions, false
 	}
 	snapshot := p.agent.Snapshot()
@@ -136,20 +136,20 @@
 
 // leave stops the process in order.
 func (p *process) leave() {
-	if p.life == nil || p.frozen {
+	if p.incarnation == nil || p.frozen {
 		return
 	}
-	l := p.life
+	l := p.incarnation
 	p.harm()
 	ended, end := context.WithCancel(context.Background())
 	end()
 	p.agent.Leave(ended)
-	l.after(p.world.between(50*time.Millisecond, 400*time.Millisecond), func() { p.world.after(0, func() { p.endLife(l) }) })
+	l.after(p.world.between(50*time.Millisecond, 400*time.Millisecond), func() { p.world.after(0, func() { p.endIncarnation(l) }) })
 }
 
-// endLife ends a process unless that has ended already.
-func (m *machine) endLife(l *life) {
-	if m.life == l {
+// endIncarnation ends a process unless that has ended already.
+func (m *machine) endIncarnation(l *incarnation) {
+	if m.incarnation == l {
 		m.end(false)
 	}
 }
--- a/test/simulation/messages_test.go
+++ b/test/simulation/messages_test.go
@@ -14,7 +14,7 @@
 	byName map[string]*sent
 	byID   map[string]*sent
 	byKey  map[string][]*sent
-	starts []time.Duration // of runs at the service with a ceiling
+	starts []time.Duration // of runs at the service with a rate limit
 }
 
 // sent is one message.
@@ -24,21 +24,21 @@
 	key     string
 	id      string
 	sentAt  time.Duration
-	keptAt  time.Duration // negative: the client was not told that it is kept
+	keptAt  time.Duration // negative: the put was not acknowledged
 	overAt  time.Duration // negative: no edge has heard that its end is on record
 	calm    bool          // nothing was in the way when it was sent, nor since
 	done    bool          // it ran with success
 	dead    bool          // it was reported as dead
 	failed  int
 	runs    []*run
-	holders map[*life]time.Duration // when each edge was first given it
+	holders map[*incarnation]time.Duration // when each edge was first given it
 }
 
 // run is one run of a message at a worker.
 type run struct {
-	message *sent
-	from    time.Duration
-	ended   bool
+	message  *sent
+	from     time.Duration
+	finished bool
 }
 
 func newMessages(w *world) *messages {
@@ -48,7 +48,7 @@
 func (m *messages) make() *sent {
 	s := &sent{
 		name: fmt.Sprint("message-", len(m.all)), service: plainService, sentAt: m.world.now, keptAt: -1, overAt: -1, calm: m.world.undisturbed(),
-		holders: make(map[*life]time.Duration),
+		holders: make(map[*incarnation]time.Duration),
 	}
 	m.all = append(m.all, s)
 	m.byName[s.name] = s
@@ -61,13 +61,13 @@
 	if s.key != "" {
 		m.byKey[s.key] = append(m.byKey[s.key], s)
 	}
-	m.world.note("%s of %s %s is kept as %s", s.name, s.service, s.key, id)
+	m.world.log("%s of %s %s is kept as %s", s.name, s.service, s.key, id)
 }
 
 // begins notes that a message begins to run.
-func (m *messages) begins(name string, at *server, by *life) *run {
+func (m *messages) begins(name string, at *server, by *incarnation) *run {
 	w, s := m.world, m.byName[name]
-	w.note("%s runs at %s for %s", name, at.name, by.machine.name)
+	w.log("%s runs at %s for %s", name, at.name, by.machine.name)
 	if given, ok := s.holders[by]; s.overAt >= 0 && (!ok || given > s.overAt) {
 		w.fail("%s runs for %s, which was given it at %v, and its end was on record at %v", name, by.machine.name, given, s.overAt)
 	}
@@ -80,27 +80,27 @@
 		}
 	}
 	if at.service == limitedService {
-		m.checkCeiling()
+		m.checkRateLimit()
 	}
 	r := &run{message: s, from: w.now}
 	s.runs = append(s.runs, r)
 	return r
 }
 
-// checkCeiling counts the runs of the last window, this one included.
-func (m *messages) checkCeiling() {
+// checkRateLimit counts the runs of the last window, this one included.
+func (m *messages) checkRateLimit() {
 	w := m.world
 	m.starts = append(m.starts, w.now)
-	for m.starts[0] < w.now-ceilingWindow {
+	for m.starts[0] < w.now-rateWindow {
 		m.starts = m.starts[1:]
 	}
-	if most := limitedRate * ceilingWindow.Seconds() * ceilingOvershoot; float64(len(m.starts)) > most {
-		w.fail("%d runs within %v at a service that takes %v", len(m.starts), ceilingWindow, most)
+	if most := limitedRate * rateWindow.Seconds() * rateOvershoot; float64(len(m.starts)) > most {
+		w.fail("%d runs within %v at a service that takes %v", len(m.starts), rateWindow, most)
 	}
 }
 
 func (m *messages) ends(r *run, success bool) {
-	r.ended = true
+	r.finished = true
 	if success {
 		r.message.done = true
 		return
@@ -112,7 +112,7 @@
 }
 
 // given notes that an edge has a message to deliver from now on.
-func (m *messages) given(name string, to *life) {
+func (m *messages) given(name string, to *incarnation) {
 	if s := m.byName[name]; s != nil {
 		if _, known := s.holders[to]; !known {
 			s.holders[to] = m.world.now
@@ -126,7 +126,7 @@
 	if s == nil {
 		return // it never was a client's
 	}
-	m.world.note("%s: report %d is acknowledged", s.name, kind)
+	m.world.log("%s: report %d is acknowledged", s.name, kind)
 	if over := kind == wire.ReportDead || kind == wire.ReportDone; over && s.overAt < 0 {
 		s.overAt = m.world.now
 	}
--- a/test/simulation/network_test.go
+++ b/test/simulation/network_test.go
@@ -12,7 +12,7 @@
 const (
 	leastWay   = 300 * time.Microsecond
 	mostWay    = 4 * time.Millisecond
-	resendWait = 40 * time.Millisecond // of what a cut holds up
+	resendWait = 40 * time.Millisecond // of what a partition holds up
 	firstRetry = 30 * time.Millisecond // of a link, as rpc has it
 	lastRetry  = 150 * time.Millisecond
 )
@@ -24,14 +24,14 @@
 
 // network says which machines reach which.
 type network struct {
-	world *world
-	cut   map[[2]*machine]int // from, to: how many cuts hold
-	slow  map[*machine]int    // how many slow-downs hold
-	lossy int                 // of messages among control processes, in hundredths
+	world       *world
+	partitioned map[[2]*machine]int // from, to: how many cuts hold
+	slow        map[*machine]int    // how many slow-downs hold
+	lossy       int                 // of messages among control processes, in hundredths
 }
 
 // passes says whether a packet gets from one machine to the other.
-func (n *network) passes(from, to *machine) bool { return n.cut[[2]*machine{from, to}] == 0 }
+func (n *network) passes(from, to *machine) bool { return n.partitioned[[2]*machine{from, to}] == 0 }
 
 // way is how long a packet takes.
 func (n *network) way(from, to *machine) time.Duration {
@@ -42,16 +42,16 @@
 	return way
 }
 
-// part cuts the way from each of one side to each of the other, and back unless it is one way only. The cut must be mended by join.
-func (n *network) part(side, others []*machine, oneWay bool, change int) {
+// partition cuts the way from each of one side to each of the other, and back unless it is one way only. The cut must be mended by join.
+func (n *network) partition(side, others []*machine, oneWay bool, change int) {
 	for _, a := range side {
 		for _, b := range others {
 			if a == b {
 				continue
 			}
-			n.cut[[2]*machine{a, b}] += change
+			n.partitioned[[2]*machine{a, b}] += change
 			if !oneWay {
-				n.cut[[2]*machine{b, a}] += change
+				n.partitioned[[2]*machine{b, a}] += change
 			}
 		}
 	}
@@ -78,17 +78,17 @@
 
 // end is one end of a connection. It implements rpc.Carrier.
 type end struct {
-	network *network
-	life    *life
-	peer    *end
-	conn    *rpc.Conn
-	link    *link // of the end that connected
-	sent    []packet
-	pumping bool
-	arrives time.Duration // of the packet sent last
-	heard   time.Duration
-	silent  time.Duration // after which it gives the peer up
-	closed  bool
+	network        *network
+	incarnation    *incarnation
+	peer           *end
+	conn           *rpc.Conn
+	link           *link // of the end that connected
+	sent           []packet
+	pumping        bool
+	arrives        time.Duration // of the packet sent last
+	heard          time.Duration
+	failureTimeout time.Duration // after which it gives the peer up
+	closed         bool
 }
 
 type packet struct {
@@ -116,7 +116,7 @@
 
 func (e *end) send(p packet) {
 	n := e.network
-	p.at = max(e.arrives, n.world.now+n.way(e.life.machine, e.peer.life.machine))
+	p.at = max(e.arrives, n.world.now+n.way(e.incarnation.machine, e.peer.incarnation.machine))
 	e.arrives = p.at
 	e.sent = append(e.sent, p)
 	e.pump()
@@ -133,7 +133,7 @@
 
 func (e *end) arrive() {
 	e.pumping = false
-	n, from, to := e.network, e.life.machine, e.peer.life.machine
+	n, from, to := e.network, e.incarnation.machine, e.peer.incarnation.machine
 	if e.peer.closed {
 		e.sent = nil
 	}
@@ -144,7 +144,7 @@
 	if !n.passes(from, to) || to.dark || from.dark {
 		e.sent[0].at = n.world.now + resendWait
 		e.arrives = max(e.arrives, e.sent[0].at)
-		if from.dark && e.life.dead {
+		if from.dark && e.incarnation.dead {
 			e.sent = nil // it has forgotten
 			return
 		}
@@ -154,7 +154,7 @@
 	p := e.sent[0]
 	e.sent = e.sent[1:]
 	peer := e.peer
-	deliver := peer.life.guard(func() {
+	deliver := peer.incarnation.guard(func() {
 		if p.frame == nil {
 			peer.conn.Fail(p.cause)
 			return
@@ -167,28 +167,28 @@
 
 // watch gives up a peer that is silent.
 func (e *end) watch() {
-	if e.closed || e.life.dead {
+	if e.closed || e.incarnation.dead {
 		return
 	}
-	n, peer := e.network, e.peer.life.machine
-	if !e.peer.life.dead && !peer.frozen && n.passes(peer, e.life.machine) {
+	n, peer := e.network, e.peer.incarnation.machine
+	if !e.peer.incarnation.dead && !peer.frozen && n.passes(peer, e.incarnation.machine) {
 		e.heard = n.world.now
 	}
-	if e.peer.life.dead && !peer.dark && n.passes(peer, e.life.machine) && n.passes(e.life.machine, peer) {
+	if e.peer.incarnation.dead && !peer.dark && n.passes(peer, e.incarnation.machine) && n.passes(e.incarnation.machine, peer) {
 		e.conn.Fail(errReset)
 		return
 	}
-	if n.world.now-e.heard >= e.silent {
+	if n.world.now-e.heard >= e.failureTimeout {
 		e.conn.Fail(rpc.ErrSilent)
 		return
 	}
-	e.life.after(watchEvery, e.watch)
+	e.incarnation.after(watchEvery, e.watch)
 }
 
 const watchEvery = 100 * time.Millisecond
 
-// ended closes the connections of a process that has ended: its system says so to others, unless it has no power.
-func (n *network) ended(l *life) {
+// incarnationEnded closes the connections of a process that has ended: its system says so to others, unless it has no power.
+func (n *network) incarnationEnded(l *incarnation) {
 	for _, e := range l.ends {
 		if e.closed {
 			continue
@@ -203,26 +203,26 @@
 
 // link implements host.Link.
 type link struct {
-	network *network
-	life    *life
-	address string
-	options rpc.Options
-	up      func(*rpc.Conn)
-	down    func(error)
-	end     *end
-	retry   time.Duration
-	turn    int // counts attempts: an earlier one is given up
-	closed  bool
+	network     *network
+	incarnation *incarnation
+	address     string
+	options     rpc.Options
+	up          func(*rpc.Conn)
+	down        func(error)
+	end         *end
+	retry       time.Duration
+	turn        int // counts attempts: an earlier one is given up
+	closed      bool
 }
 
-func (n *network) connect(l *life, address string, options rpc.Options, up func(*rpc.Conn), down func(error)) host.Link {
+func (n *network) connect(l *incarnation, address string, options rpc.Options, up func(*rpc.Conn), down func(error)) host.Link {
 	if options.ConnectTimeout <= 0 {
 		options.ConnectTimeout = rpc.DefaultConnectTimeout
 	}
 	if options.SilentAfter <= 0 {
 		options.SilentAfter = rpc.DefaultSilentAfter
 	}
-	k := &link{network: n, life: l, address: address, options: options, up: up, down: down, retry: firstRetry}
+	k := &link{network: n, incarnation: l, address: address, options: options, up: up, down: down, retry: firstRetry}
 	l.after(0, func() { k.dialAt(0) })
 	return k
 }
@@ -244,7 +244,7 @@
 		k.retry = firstRetry
 		k.turn++
 		turn := k.turn
-		k.life.after(0, func() { k.dialAt(turn) })
+		k.incarnation.after(0, func() { k.dialAt(turn) })
 	}
 }
 
@@ -260,15 +260,15 @@
 	if k.closed || k.turn != turn || k.end != nil {
 		return
 	}
-	n, from, to := k.network, k.life.machine, k.network.world.byHost[k.address]
+	n, from, to := k.network, k.incarnation.machine, k.network.world.byHost[k.address]
 	if to == nil || to.dark || !n.passes(from, to) || !n.passes(to, from) {
-		k.life.after(k.options.ConnectTimeout, func() { k.failed(turn, errTimeout) })
+		k.incarnation.after(k.options.ConnectTimeout, func() { k.failed(turn, errTimeout) })
 		return
 	}
-	k.life.after(n.way(from, to)+n.way(to, from), func() {
+	k.incarnation.after(n.way(from, to)+n.way(to, from), func() {
 		switch {
 		case k.turn != turn:
-		case to.life == nil:
+		case to.incarnation == nil:
 			k.failed(turn, errRefused)
 		default:
 			k.connected(to)
@@ -292,7 +292,7 @@
 	}
 	k.turn++
 	turn := k.turn
-	k.life.after(k.retry/2+k.network.world.upTo(k.retry), func() { k.dialAt(turn) })
+	k.incarnation.after(k.retry/2+k.network.world.upTo(k.retry), func() { k.dialAt(turn) })
 	k.retry = min(2*k.retry, lastRetry)
 }
 
@@ -302,18 +302,18 @@
 	}
 	k.retry = firstRetry
 	n, now := k.network, k.network.world.now
-	near := &end{network: n, life: k.life, link: k, heard: now, silent: k.options.SilentAfter}
-	far := &end{network: n, life: to.life, heard: now, silent: rpc.DefaultSilentAfter, peer: near}
+	near := &end{network: n, incarnation: k.incarnation, link: k, heard: now, failureTimeout: k.options.SilentAfter}
+	far := &end{network: n, incarnation: to.incarnation, heard: now, failureTimeout: rpc.DefaultSilentAfter, peer: near}
 	near.peer = far
 	near.conn = rpc.NewCarried(k.options, near)
 	far.conn = rpc.NewCarried(rpc.Options{Mux: to.program.(listener).mux()}, far)
-	k.life.ends, to.life.ends = append(k.life.ends, near), append(to.life.ends, far)
+	k.incarnation.ends, to.incarnation.ends = append(k.incarnation.ends, near), append(to.incarnation.ends, far)
 	k.end = near
 	if program, ok := to.program.(*process); ok {
-		program.accepted(to.life, far.conn)
+		program.accepted(to.incarnation, far.conn)
 	}
-	near.life.after(watchEvery, near.watch)
-	far.life.after(watchEvery, far.watch)
+	near.incarnation.after(watchEvery, near.watch)
+	far.incarnation.after(watchEvery, far.watch)
 	if k.up != nil {
 		k.up(near.conn)
 	}
@@ -328,7 +328,7 @@
 	if k.closed {
 		return
 	}
-	k.life.after(0, func() {
+	k.incarnation.after(0, func() {
 		if !k.closed {
 			if k.down != nil {
 				k.down(errReset)
@@ -343,10 +343,10 @@
 
 // reset breaks some of the connections of a machine.
 func (n *network) reset(m *machine, share float64) (count int) {
-	if m.life == nil {
+	if m.incarnation == nil {
 		return 0
 	}
-	for _, e := range append([]*end(nil), m.life.ends...) {
+	for _, e := range append([]*end(nil), m.incarnation.ends...) {
 		if e.closed || n.world.random.Float64() >= share {
 			continue
 		}
@@ -354,7 +354,7 @@
 		e.sent, e.peer.sent = nil, nil
 		ends := []*end{e, e.peer}
 		for _, one := range ends {
-			one.life.after(0, func() { one.conn.Fail(errReset) })
+			one.incarnation.after(0, func() { one.conn.Fail(errReset) })
 		}
 	}
 	if count > 0 {
@@ -364,7 +364,7 @@
 }
 
 // tidy forgets connections that have ended.
-func (l *life) tidy() {
+func (l *incarnation) tidy() {
 	kept := l.ends[:0]
 	for _, e := range l.ends {
 		if !e.closed {
--- a/test/simulation/operator_test.go
+++ b/test/simulation/operator_test.go
@@ -12,10 +12,10 @@
 
 // Times of operators.
 const (
-	answerWithin   = 850 * time.Millisecond // of a control process
-	operatorWaits  = 1200 * time.Millisecond
-	operatorTries  = 8
-	operatorPauses = 400 * time.Millisecond
+	answerWithin     = 850 * time.Millisecond // of a control process
+	operatorWaits    = 1200 * time.Millisecond
+	operatorAttempts = 8
+	operatorPauses   = 400 * time.Millisecond
 )
 
 // operator sends orders, and repeats those whose outcome it doesn't know.
@@ -30,7 +30,7 @@
 // work sends one order after the other.
 func (o *operator) work() {
 	w := o.world
-	if !w.ended && !o.busy {
+	if !w.ordersDone && !o.busy {
 		o.send(o.choose(), 0)
 	}
 	w.after(20*time.Millisecond+w.upTo(operatorPauses), o.work)
@@ -68,7 +68,7 @@
 }
 
 // send has an order decided by some control process, and sends it again while its outcome is not known.
-func (o *operator) send(command state.Command, tries int) {
+func (o *operator) send(command state.Command, attempts int) {
 	w := o.world
 	targets := w.controls()
 	o.busy = true
@@ -76,11 +76,11 @@
 		w.history.heard(op)
 		switch op.answer {
 		case unsure, unavailable:
-			if tries < operatorTries {
-				if tries > 0 && op.answer == unsure {
+			if attempts < operatorAttempts {
+				if attempts > 0 && op.answer == unsure {
 					w.counts["an order repeated"]++
 				}
-				w.after(w.upTo(operatorPauses), func() { o.send(command, tries+1) })
+				w.after(w.upTo(operatorPauses), func() { o.send(command, attempts+1) })
 				return
 			}
 		case taken, refusedVersion:
@@ -110,21 +110,21 @@
 	w.after(operatorWaits, finish)
 	w.after(w.between(leastWay, mostWay), func() {
 		switch {
-		case c.life == nil && c.dark:
-		case c.life == nil:
+		case c.incarnation == nil && c.dark:
+		case c.incarnation == nil:
 			op.answer = unavailable
 			finish()
 		default:
-			l := c.life
+			l := c.incarnation
 			l.after(0, func() {
-				c.operate(l, command, encoded, func(a answer, version uint64, end []byte, place int) {
+				c.operate(l, command, encoded, func(a answer, version uint64, end []byte, position int) {
 					if w.ackLoss > 0 && w.random.IntN(100) < w.ackLoss {
 						w.took("ack_lost")
 						return
 					}
 					w.after(w.between(leastWay, mostWay), func() {
 						if !finished {
-							op.answer, op.version, op.result, op.place = a, version, end, place
+							op.answer, op.version, op.result, op.position = a, version, end, position
 							finish()
 						}
 					})
@@ -135,7 +135,7 @@
 }
 
 // operate answers an order as package api does.
-func (c *control) operate(l *life, command state.Command, encoded []byte, reply func(a answer, version uint64, result []byte, place int)) {
+func (c *control) operate(l *incarnation, command state.Command, encoded []byte, reply func(a answer, version uint64, result []byte, position int)) {
 	if err := checkAlone(command); err != nil {
 		reply(refusedInvalid, 0, nil, -1)
 		return
@@ -213,7 +213,7 @@
 		w.ask(target, command, func(answered *operation) {
 			w.history.heard(answered)
 			if w.random.IntN(2) == 0 || answered.answer == unsure {
-				op.send(command, operatorTries-3)
+				op.send(command, operatorAttempts-3)
 			}
 		})
 	}
--- a/test/simulation/queue_test.go
+++ b/test/simulation/queue_test.go
@@ -19,12 +19,12 @@
 
 // records is a store's journal on a disk that keeps what was synced.
 type records struct {
-	process *process
-	life    *life
-	kept    [][]byte
-	first   int // of those that were not removed
-	durable int
-	syncing bool
+	process     *process
+	incarnation *incarnation
+	kept        [][]byte
+	first       int // of those that were not removed
+	durable     int
+	syncing     bool
 }
 
 // Append implements queue.Journal.
@@ -40,7 +40,7 @@
 		return
 	}
 	r.syncing = true
-	w, l := r.process.world, r.life
+	w, l := r.process.world, r.incarnation
 	takes := w.between(200*time.Microsecond, 2*time.Millisecond)
 	if w.slowDisks {
 		takes += w.upTo(20 * time.Millisecond)
@@ -53,7 +53,7 @@
 	l.after(takes, func() { r.synced(l, upTo) })
 }
 
-func (r *records) synced(l *life, upTo int) {
+func (r *records) synced(l *incarnation, upTo int) {
 	if r.process.stalled {
 		r.process.world.took("disk_stall store: a write waited")
 		l.after(50*time.Millisecond, func() { r.synced(l, upTo) })
@@ -89,7 +89,7 @@
 // Used implements queue.Journal.
 func (r *records) Used() int64 { return int64(len(r.kept)-r.first) * 100 }
 
-// stop ends the life of who uses the disk. Without power part of what was not synced is lost.
+// stop ends the incarnation of who uses the disk. Without power part of what was not synced is lost.
 func (r *records) stop(powerLoss bool) {
 	if powerLoss {
 		r.kept = r.kept[:r.durable+r.process.world.random.IntN(len(r.kept)-r.durable+1)]
@@ -103,9 +103,9 @@
 }
 
 // startStore makes the queue of a store from its disk.
-func (p *process) startStore(l *life) {
+func (p *process) startStore(l *incarnation) {
 	p.startedAt = p.clock()
-	p.records.life = l
+	p.records.incarnation = l
 	p.peers = make(map[string]host.Link)
 	p.queue = queue.New(queue.Config{
 		Disk: p.disk, Zone: p.zone, Copies: p.world.settings.lost + 1, FinishedRetention: time.Minute, DiskBytes: 1 << 20, Log: l.log(),
@@ -123,8 +123,8 @@
 
 // queueHost is what the queue sees of its process.
 type queueHost struct {
-	process *process
-	life    *life
+	process     *process
+	incarnation *incarnation
 }
 
 // WakeAt implements queue.Host.
@@ -132,7 +132,7 @@
 	p := h.process
 	p.wakes++
 	number := p.wakes
-	h.life.after(h.life.real(steady-p.time().Steady), func() {
+	h.incarnation.after(h.incarnation.real(steady-p.time().Steady), func() {
 		if number == p.wakes { // else it wanted another time since
 			p.queue.Tick(p.time())
 		}
@@ -140,7 +140,7 @@
 }
 
 // StatusChanged implements queue.Host.
-func (h queueHost) StatusChanged() { h.life.after(0, h.process.agent.RenewNow) }
+func (h queueHost) StatusChanged() { h.incarnation.after(0, h.process.agent.RenewNow) }
 
 // Fail implements queue.Host.
 func (h queueHost) Fail(err error) { h.process.world.fail("%s: %v", h.process.name, err) }
@@ -175,7 +175,7 @@
 }
 
 // accepted hears of a connection that another process opened.
-func (p *process) accepted(l *life, c *rpc.Conn) {
+func (p *process) accepted(l *incarnation, c *rpc.Conn) {
 	if p.edge {
 		return
 	}
@@ -183,7 +183,7 @@
 }
 
 // takeStore has a store act under what it knows now.
-func (p *process) takeStore(l *life) {
+func (p *process) takeStore(l *incarnation) {
 	s := p.agent.Snapshot()
 	if s.Members != nil {
 		p.queue.SetEdges(p.time(), s.Members.Edges)
@@ -210,7 +210,7 @@
 }
 
 // linkTo connects to another store, and makes sure that it has the disk that is meant.
-func (p *process) linkTo(l *life, other wire.Store) host.Link {
+func (p *process) linkTo(l *incarnation, other wire.Store) host.Link {
 	mux := rpc.NewMux()
 	notice(p, mux, queue.MethodAcked, (*queue.Core).Acked)
 	notice(p, mux, queue.MethodDiffer, (*queue.Core).Differ)
--- a/test/simulation/secondloss_test.go
+++ b/test/simulation/secondloss_test.go
@@ -10,7 +10,7 @@
 
 // loseTwo has a control machine go for good and an empty one come at another address, and another be lost when the first counts as lost no more.
 // It says how long after that no order was acknowledged.
-func loseTwo(t *testing.T, seed uint64, controls int, planned bool, m mutant) (silence time.Duration, described string) {
+func loseTwo(t *testing.T, seed uint64, controls int, planned bool, m mutant) (outage time.Duration, described string) {
 	w := newWorld(seed, worldSettings{controls: controls, edges: 2, stores: 2, zones: 1, lost: 1, heartbeatMs: 600}, m)
 	w.found()
 	w.play(5 * time.Second)
@@ -30,8 +30,8 @@
 		for _, planned := range []bool{false, true} {
 			for seed := range uint64(10) {
 				t.Run(fmt.Sprintf("%d, planned: %v, seed %d", controls, planned, seed+1), func(t *testing.T) {
-					silence, described := loseTwo(t, seed+1, controls, planned, sound)
-					require.Less(t, silence, contact, described)
+					outage, described := loseTwo(t, seed+1, controls, planned, sound)
+					require.Less(t, outage, contact, described)
 				})
 			}
 		}
@@ -40,6 +40,6 @@
 
 // TestAVoteThatIsKeptTooLongIsCaught shows that the test above sees a machine that has gone count as a voter beside the one in its place.
 func TestAVoteThatIsKeptTooLongIsCaught(t *testing.T) {
-	silence, _ := loseTwo(t, 1, 3, false, keepsVotes)
-	require.GreaterOrEqual(t, silence, 2*contact)
+	outage, _ := loseTwo(t, 1, 3, false, keepsVotes)
+	require.GreaterOrEqual(t, outage, 2*contact)
 }
--- a/test/simulation/simulation_test.go
+++ b/test/simulation/simulation_test.go
@@ -100,11 +100,11 @@
 
 // close ends what still runs.
 func (w *world) close() {
-	w.ended = true
+	w.ordersDone = true
 	for _, m := range w.machines {
-		if m.life != nil {
-			m.life.dead = true
-			m.life.endTasks()
+		if m.incarnation != nil {
+			m.incarnation.dead = true
+			m.incarnation.endTasks()
 		}
 	}
 }
--- a/test/simulation/system_test.go
+++ b/test/simulation/system_test.go
@@ -37,7 +37,7 @@
 	converge  = 3 * time.Second
 	catchup   = 5 * time.Second         // from then on a lost machine counts no more
 	lossEvery = catchup + 2*time.Second // from the loss of a disk of the core to the next: two until another is there
-	recovery  = 8 * time.Second         // from the end of all troubles to service by all
+	recovery  = 8 * time.Second         // from the end of all faults to service by all
 )
 
 const (
@@ -110,8 +110,8 @@
 func (w *world) look() {
 	w.history.checkServing()
 	for _, m := range w.machines {
-		if m.life != nil {
-			m.life.tidy()
+		if m.incarnation != nil {
+			m.incarnation.tidy()
 		}
 	}
 	w.after(lookEvery, w.look)
@@ -119,7 +119,7 @@
 
 // changeWorkers has the platform's list change now and then.
 func (w *world) changeWorkers() {
-	if !w.ended {
+	if !w.ordersDone {
 		w.races++
 		w.workers = append(w.workers, fmt.Sprint("worker-", len(w.workers), "-", w.races))
 		if len(w.workers) > 6 {
@@ -157,7 +157,7 @@
 func (w *world) reachesMajority(c *control, core []*control) bool {
 	count := 0
 	for _, other := range core {
-		if other.life != nil && !other.frozen && w.linked(c.machine, other.machine) {
+		if other.incarnation != nil && !other.frozen && w.linked(c.machine, other.machine) {
 			count++
 		}
 	}
@@ -169,7 +169,7 @@
 	core := w.controls()
 	any := false
 	for _, c := range core {
-		if c.life == nil || c.frozen || !w.reachesMajority(c, core) {
+		if c.incarnation == nil || c.frozen || !w.reachesMajority(c, core) {
 			continue
 		}
 		any = true
@@ -186,33 +186,33 @@
 		return false
 	}
 	core := w.controls()
-	whole := false
+	complete := false
 	for _, c := range core {
 		if w.network.slow[c.machine] > 0 || c.slowBy > 0 || c.stalled {
 			return false
 		}
-		whole = whole || c.life != nil && !c.frozen && w.reachesMajority(c, core)
+		complete = complete || c.incarnation != nil && !c.frozen && w.reachesMajority(c, core)
 	}
-	return whole
+	return complete
 }
 
 // spare is how many more control machines may be lost now: the bench has what would lose more wait its turn. A machine whose disk was
 // lost counts as lost until the system has had the time to catch up.
 func (w *world) spare() int {
 	spare := w.settings.lost
-	if w.lostAt > 0 && w.now-w.lostAt < lossEvery {
-		spare -= w.lostDisks
+	if w.diskLostAt > 0 && w.now-w.diskLostAt < lossEvery {
+		spare -= w.disksLost
 	}
 	core := w.controls()
 	for _, c := range core {
-		if c.life == nil || c.frozen || c.stalled || !c.node.Attached() || !w.reachesAll(c, core) {
+		if c.incarnation == nil || c.frozen || c.stalled || !c.node.Attached() || !w.reachesAll(c, core) {
 			spare--
 		}
 	}
 	return max(0, spare)
 }
 
-// reachesAll says whether a control machine is cut off from none of the core, but for those that many are cut off from.
+// reachesAll says whether a control machine is partitioned from none of the core, but for those that many are partitioned from.
 func (w *world) reachesAll(c *control, core []*control) bool {
 	if !w.reachesMajority(c, core) {
 		return false
@@ -225,20 +225,20 @@
 	return true
 }
 
-// whole says whether nothing of the core is lost.
-func (w *world) whole() bool { return w.spare() == w.settings.lost }
+// complete says whether nothing of the core is lost.
+func (w *world) complete() bool { return w.spare() == w.settings.lost }
 
 // describe tells how the system stands.
 func (w *world) describe() string {
 	var text strings.Builder
 	for _, c := range w.controls() {
 		if c.node != nil {
-			fmt.Fprintf(&text, "%s runs %v frozen %v holds %v leader %q %s\n", c.name, c.life != nil, c.frozen, c.holds(), c.node.Leader(c.clock()), c.node.Describe())
+			fmt.Fprintf(&text, "%s runs %v frozen %v holds %v leader %q %s\n", c.name, c.incarnation != nil, c.frozen, c.holds(), c.node.Leader(c.clock()), c.node.Describe())
 		}
 	}
 	for _, p := range w.processes() {
 		versions, serves := p.serves()
-		fmt.Fprintf(&text, "%s runs %v frozen %v serves %v %v\n", p.name, p.life != nil, p.frozen, serves, versions)
+		fmt.Fprintf(&text, "%s runs %v frozen %v serves %v %v\n", p.name, p.incarnation != nil, p.frozen, serves, versions)
 	}
 	return text.String()
 }
--- a/test/simulation/task_test.go
+++ b/test/simulation/task_test.go
@@ -10,20 +10,20 @@
 
 // task is code that may wait, run as a coroutine: one runs at a time, and gives way only where it waits.
 type task struct {
-	life  *life
-	next  func() (struct{}, bool)
-	stop  func()
-	yield func(struct{}) bool
-	turn  uint64
-	done  bool
+	incarnation *incarnation
+	next        func() (struct{}, bool)
+	stop        func()
+	yield       func(struct{}) bool
+	turn        uint64
+	done        bool
 }
 
 // killed is what a task ends with whose process has ended.
 type killed struct{}
 
 // begin starts a task of a process.
-func (l *life) begin(run func()) {
-	t := &task{life: l}
+func (l *incarnation) begin(run func()) {
+	t := &task{incarnation: l}
 	t.next, t.stop = iter.Pull(func(yield func(struct{}) bool) {
 		defer func() {
 			t.done = true
@@ -43,7 +43,7 @@
 // wake has a waiting task go on, after a while.
 func (t *task) wake(after time.Duration) {
 	turn := t.turn
-	t.life.after(after, func() { t.resume(turn) })
+	t.incarnation.after(after, func() { t.resume(turn) })
 }
 
 // resume goes on unless the task has done so since.
@@ -52,7 +52,7 @@
 		return
 	}
 	t.turn++
-	world := t.life.machine.world
+	world := t.incarnation.machine.world
 	before := world.running
 	world.running = t
 	t.next()
@@ -67,7 +67,7 @@
 }
 
 // end ends all tasks of a process.
-func (l *life) endTasks() {
+func (l *incarnation) endTasks() {
 	for _, t := range l.tasks {
 		t.done = true
 		t.stop()
@@ -77,15 +77,15 @@
 
 // tasks implements host.Tasks.
 type tasks struct {
-	life    *life
-	running int
-	waiting []*task
+	incarnation *incarnation
+	running     int
+	waiting     []*task
 }
 
 // Go implements host.Tasks.
 func (g *tasks) Go(run func()) {
 	g.running++
-	g.life.begin(func() {
+	g.incarnation.begin(func() {
 		run()
 		g.running--
 		for _, waiter := range g.waiting {
@@ -98,14 +98,14 @@
 // Wait implements host.Tasks.
 func (g *tasks) Wait() {
 	for g.running > 0 {
-		t := g.life.machine.world.running
+		t := g.incarnation.machine.world.running
 		g.waiting = append(g.waiting, t)
 		t.pause()
 	}
 }
 
 // sleep implements host.Host.Sleep. Those who end a context wake all that sleep.
-func (l *life) sleep(ctx context.Context, pause time.Duration) error {
+func (l *incarnation) sleep(ctx context.Context, pause time.Duration) error {
 	t := l.machine.world.running
 	until := l.now() + pause
 	for ctx.Err() == nil && l.now() < until {
@@ -118,7 +118,7 @@
 }
 
 // wakeSleepers has all that wait look at their contexts.
-func (l *life) wakeSleepers() {
+func (l *incarnation) wakeSleepers() {
 	for _, t := range l.tasks {
 		if l.sleeping[t] {
 			t.wake(0)
@@ -127,7 +127,7 @@
 }
 
 // serve implements host.Host.Serve.
-func (l *life) serve(ctx context.Context, box *mailbox.Mailbox, tick func() time.Duration) {
+func (l *incarnation) serve(ctx context.Context, box *mailbox.Mailbox, tick func() time.Duration) {
 	t := l.machine.world.running
 	waiting, woken := false, false
 	box.OnPost(func() {
--- a/test/simulation/world_test.go
+++ b/test/simulation/world_test.go
@@ -31,11 +31,11 @@
 	operators  []*operator
 	races      int
 	ackLoss    int           // of answers to operators, in hundredths
-	ended      bool          // operators send no more
+	ordersDone bool          // operators send no more
 	period     int           // counts up when calm comes
 	wipedAt    time.Duration // when a store lost its disk last
-	lostAt     time.Duration // when a disk of the core was lost last
-	lostDisks  int           // with it
+	diskLostAt time.Duration // when a disk of the core was lost last
+	disksLost  int           // with it
 	slowDisks  bool          // all of them, always
 	replaced   int           // control machines that were replaced
 	coreHarmed time.Duration // when something was last done to the core
@@ -53,7 +53,7 @@
 		random: rand.New(rand.NewPCG(seed, 11)), mutant: m, settings: settings, counts: make(map[string]int), byHost: make(map[string]*machine),
 		numbers: make(map[int]int),
 	}
-	w.network = &network{world: w, cut: make(map[[2]*machine]int), slow: make(map[*machine]int)}
+	w.network = &network{world: w, partitioned: make(map[[2]*machine]int), slow: make(map[*machine]int)}
 	w.history, w.messages, w.servers, w.calmAt = newHistory(w), newMessages(w), make(map[string]*server), -1
 	w.slowDisks = w.random.IntN(4) == 0
 	return w
@@ -132,8 +132,8 @@
 	}
 }
 
-// note adds something that happened, and when, to the trace.
-func (w *world) note(format string, arguments ...any) {
+// log adds something that happened, and when, to the trace.
+func (w *world) log(format string, arguments ...any) {
 	w.trace = (w.trace^uint64(w.now))*1099511628211 + uint64(len(format))
 	if debug != nil {
 		_, _ = fmt.Fprintf(debug, "%12v "+format+"\n", append([]any{w.now}, arguments...)...)
@@ -143,7 +143,7 @@
 // took counts a fault that took effect.
 func (w *world) took(fault string) {
 	w.counts[fault]++
-	w.note("fault %s", fault)
+	w.log("fault %s", fault)
 }
 
 // upTo draws a span.
--- a/test/standin/check/check.go
+++ b/test/standin/check/check.go
@@ -20,7 +20,7 @@
 	RuleLost        Rule = "LOST"
 	RuleOrder       Rule = "ORDER"
 	RuleTwice       Rule = "TWICE"
-	RuleCeiling     Rule = "CEILING"
+	RuleRateLimit   Rule = "CEILING"
 	RuleMixed       Rule = "MIXED"
 	RuleRefused     Rule = "REFUSED"
 	RuleUnasked     Rule = "UNASKED"
@@ -43,30 +43,30 @@
 
 // Bounds of the rules.
 type Bounds struct {
-	Drain           time.Duration // from when the list shows a worker as leaving
-	Failover        time.Duration // more, while no machine is in touch: a process was in trouble or stopped within Contact
-	Converge        time.Duration // from the acknowledgement of a configuration
-	Contact         time.Duration // a trouble counts so long
-	CeilingWindow   time.Duration
-	CeilingFactor   float64       // originOvershoot
-	Earliest        time.Duration // a run may begin so long before its delay is over
-	LossSlack       time.Duration // a connection may close so long after a request without an answer
-	SuccessMargin   time.Duration // a success counts if it was whole so long before the time-out
-	CeilingArrivals int           // allowed beyond rate x window x factor
+	Drain         time.Duration // from when the list shows a worker as leaving
+	Failover      time.Duration // more, while no machine is in touch: a process was faulty or stopped within Contact
+	Converge      time.Duration // from the acknowledgement of a configuration
+	Contact       time.Duration // a fault counts so long
+	RateWindow    time.Duration
+	RateOvershoot float64       // originOvershoot
+	Earliest      time.Duration // a run may begin so long before its delay is over
+	LossSlack     time.Duration // a connection may close so long after a request without an answer
+	SuccessMargin time.Duration // a success counts if it was complete so long before the time-out
+	RateSlack     int           // allowed beyond rate x window x factor
 }
 
 // DefaultBounds are the figures of the protocol's example.
 func DefaultBounds() Bounds {
 	return Bounds{
-		Drain:           3 * time.Second,
-		Converge:        3 * time.Second,
-		Contact:         4 * time.Second,
-		CeilingWindow:   5 * time.Second,
-		CeilingFactor:   1.1,
-		Earliest:        100 * time.Millisecond,
-		LossSlack:       200 * time.Millisecond,
-		SuccessMargin:   50 * time.Millisecond,
-		CeilingArrivals: 5,
+		Drain:         3 * time.Second,
+		Converge:      3 * time.Second,
+		Contact:       4 * time.Second,
+		RateWindow:    5 * time.Second,
+		RateOvershoot: 1.1,
+		Earliest:      100 * time.Millisecond,
+		LossSlack:     200 * time.Millisecond,
+		SuccessMargin: 50 * time.Millisecond,
+		RateSlack:     5,
 	}
 }
 
@@ -75,10 +75,10 @@
 	v := newView(h)
 	var found []Finding
 	found = append(found, v.lost()...)
-	found = append(found, v.cutOff(bounds)...)
+	found = append(found, v.truncated(bounds)...)
 	found = append(found, v.order()...)
 	found = append(found, v.twice(bounds)...)
-	found = append(found, v.ceiling(bounds)...)
+	found = append(found, v.rateLimits(bounds)...)
 	found = append(found, v.mixed()...)
 	found = append(found, v.refused()...)
 	found = append(found, v.unasked()...)
@@ -92,17 +92,17 @@
 // Lost finds accepted messages that have not ended and can't be read back, or are told to have ended.
 func Lost(h *history.History) []Finding { return newView(h).lost() }
 
-// CutOff finds requests that got no answer although no unplanned trouble was near: they ran, or their connection closed late.
-func CutOff(h *history.History, bounds Bounds) []Finding { return newView(h).cutOff(bounds) }
+// Truncated finds requests that got no answer although no unplanned fault was near: they ran, or their connection closed late.
+func Truncated(h *history.History, bounds Bounds) []Finding { return newView(h).truncated(bounds) }
 
 // Order finds runs on ordered routes that started before one accepted earlier had ended.
 func Order(h *history.History) []Finding { return newView(h).order() }
 
-// Twice finds runs after a whole success, with no trouble near.
+// Twice finds runs after a complete success, with no fault near.
 func Twice(h *history.History, bounds Bounds) []Finding { return newView(h).twice(bounds) }
 
-// Ceiling finds services that got more arrivals in a window than their rate allows.
-func Ceiling(h *history.History, bounds Bounds) []Finding { return newView(h).ceiling(bounds) }
+// RateLimits finds services that got more arrivals in a window than their rate allows.
+func RateLimits(h *history.History, bounds Bounds) []Finding { return newView(h).rateLimits(bounds) }
 
 // Mixed finds states and bodies that are another's, or that nobody gave.
 func Mixed(h *history.History) []Finding { return newView(h).mixed() }
@@ -170,14 +170,14 @@
 	return v
 }
 
-// ended is when a message ended, or never. Where versions differ, the earliest end counts.
-func (v *view) ended(send history.Send) time.Duration {
-	ended := v.expired(send)
+// endOf is when a message ended, or never. Where versions differ, the earliest end counts.
+func (v *view) endOf(send history.Send) time.Duration {
+	finished := v.expired(send)
 	var failures []time.Duration
 	for _, arrival := range v.arrivals[send.RequestID] {
 		switch arrival.Outcome {
 		case history.OutcomeDone, history.OutcomeRefused:
-			ended = min(ended, arrival.End)
+			finished = min(finished, arrival.End)
 		case history.OutcomeFailed:
 			failures = append(failures, arrival.End)
 		}
@@ -185,9 +185,9 @@
 	retries := v.retries(send.Route)
 	sort.Slice(failures, func(i, j int) bool { return failures[i] < failures[j] })
 	if retries > 0 && len(failures) >= retries {
-		ended = min(ended, failures[retries-1])
+		finished = min(finished, failures[retries-1])
 	}
-	return ended
+	return finished
 }
 
 // expired is when a message's retention is over, or its route is dropped.
@@ -241,9 +241,9 @@
 	return false
 }
 
-// unplanned says whether an unplanned trouble lies in a span.
+// unplanned says whether an unplanned fault lies in a span.
 func (v *view) unplanned(from, until time.Duration) bool {
-	for _, trouble := range v.Troubles {
+	for _, trouble := range v.Faults {
 		if !trouble.Planned && trouble.At <= until && trouble.Until >= from {
 			return true
 		}
@@ -251,9 +251,9 @@
 	return false
 }
 
-// disturbed says whether any trouble, planned or not, lies in a span.
+// disturbed says whether any fault, planned or not, lies in a span.
 func (v *view) disturbed(from, until time.Duration) bool {
-	for _, trouble := range v.Troubles {
+	for _, trouble := range v.Faults {
 		if trouble.At <= until && trouble.Until >= from {
 			return true
 		}
--- a/test/standin/check/check_test.go
+++ b/test/standin/check/check_test.go
@@ -99,7 +99,7 @@
 			again := done("p1", "plain", "", 6)
 			h.Arrivals = append(h.Arrivals, again)
 		}},
-		{"a service gets more than its rate", check.RuleCeiling, func(h *history.History) {
+		{"a service gets more than its rate", check.RuleRateLimit, func(h *history.History) {
 			for range 20 {
 				over := done("p1", "plain", "", 5.01)
 				over.Outcome, over.Status = history.OutcomeNotRun, http.StatusTooManyRequests
@@ -165,15 +165,15 @@
 	assert.Empty(t, check.Lost(h))
 }
 
-func TestSuccessNearTroubleOrItsTimeoutMayBeRepeated(t *testing.T) {
+func TestSuccessNearAFaultOrItsTimeoutMayBeRepeated(t *testing.T) {
 	again := done("p1", "plain", "", 9)
 
 	h := kept()
 	h.Arrivals = append(h.Arrivals, again)
-	h.Troubles = []history.Trouble{{What: "kill", At: at(5.2), Until: at(6)}}
+	h.Faults = []history.Fault{{What: "kill", At: at(5.2), Until: at(6)}}
 	assert.Empty(t, check.Twice(h, check.DefaultBounds()))
 
-	h.Troubles[0].Planned = true
+	h.Faults[0].Planned = true
 	assert.Len(t, check.Twice(h, check.DefaultBounds()), 1)
 
 	h = kept()
@@ -185,7 +185,7 @@
 	h.Arrivals[0].Answered = false
 	h.Arrivals = append(h.Arrivals, again)
 	assert.Empty(t, check.Twice(h, check.DefaultBounds()))
-	assert.Equal(t, 1, check.Summarize(h).Repeats)
+	assert.Equal(t, 1, check.Summarize(h).Duplicates)
 }
 
 func TestOrderBindsOnlyWhatWasAcceptedBefore(t *testing.T) {
@@ -264,25 +264,25 @@
 	})
 }
 
-func TestCutOffRequests(t *testing.T) {
+func TestTruncatedRequests(t *testing.T) {
 	h := kept()
 	cut := sent("cut", "plain", "", 9)
 	cut.Status, cut.Answered = 0, at(9.1)
 	h.Sends = append(h.Sends, cut)
-	assert.Empty(t, check.CutOff(h, check.DefaultBounds()), "a connection may close under a request that was not read")
+	assert.Empty(t, check.Truncated(h, check.DefaultBounds()), "a connection may close under a request that was not read")
 
 	h.Arrivals = append(h.Arrivals, done("cut", "plain", "", 9.05))
-	assert.Len(t, check.CutOff(h, check.DefaultBounds()), 1, "but not under one that runs")
+	assert.Len(t, check.Truncated(h, check.DefaultBounds()), 1, "but not under one that runs")
 
 	h.Arrivals = h.Arrivals[:3]
 	h.Sends[3].Answered = at(9.3)
-	assert.Len(t, check.CutOff(h, check.DefaultBounds()), 1, "nor late")
+	assert.Len(t, check.Truncated(h, check.DefaultBounds()), 1, "nor late")
 
-	h.Troubles = []history.Trouble{{What: "stop", At: at(8), Until: at(10), Planned: true}}
-	assert.Len(t, check.CutOff(h, check.DefaultBounds()), 1, "round planned work either")
+	h.Faults = []history.Fault{{What: "stop", At: at(8), Until: at(10), Planned: true}}
+	assert.Len(t, check.Truncated(h, check.DefaultBounds()), 1, "round planned work either")
 
-	h.Troubles[0].Planned = false
-	assert.Empty(t, check.CutOff(h, check.DefaultBounds()))
+	h.Faults[0].Planned = false
+	assert.Empty(t, check.Truncated(h, check.DefaultBounds()))
 }
 
 func TestRouteOfARun(t *testing.T) {
@@ -293,15 +293,15 @@
 	assert.Equal(t, "p1", found[0].Subject)
 }
 
-func TestCeilingCountsInSlidingWindows(t *testing.T) {
+func TestRateLimitsCountInSlidingWindows(t *testing.T) {
 	h := kept()
 	h.Arrivals = nil
 	for i := range 9 { // astride two windows that begin at whole multiples
 		h.Arrivals = append(h.Arrivals, done("p1", "plain", "", 4+float64(i)*0.1), done("p1", "plain", "", 5.1+float64(i)*0.1))
 	}
-	assert.Len(t, check.Ceiling(h, check.DefaultBounds()), 1)
+	assert.Len(t, check.RateLimits(h, check.DefaultBounds()), 1)
 	h.Arrivals = h.Arrivals[:16]
-	assert.Empty(t, check.Ceiling(h, check.DefaultBounds()))
+	assert.Empty(t, check.RateLimits(h, check.DefaultBounds()))
 }
 
 func TestDrainAllowsHealthAndWrongInstance(t *testing.T) {
@@ -317,7 +317,7 @@
 
 func TestTimelineIsInOrder(t *testing.T) {
 	h := kept()
-	h.Troubles = []history.Trouble{{What: "kill", Machine: "m", At: at(5.02), Until: at(6)}}
+	h.Faults = []history.Fault{{What: "kill", Machine: "m", At: at(5.02), Until: at(6)}}
 	lines := check.Timeline(h, "p1")
 	require.Len(t, lines, 7)
 	assert.Contains(t, lines[0], "5s sent")
@@ -336,14 +336,14 @@
 	summary := check.Summarize(h)
 	assert.Equal(t, 5, summary.Sent)
 	assert.Equal(t, 3, summary.Accepted)
-	assert.Equal(t, 3, summary.Ended)
+	assert.Equal(t, 3, summary.Finished)
 	assert.Equal(t, 1, summary.Promised)
 	assert.Equal(t, 1, summary.Unanswered)
 	assert.Equal(t, 50*time.Millisecond, summary.AcceptP50.Round(time.Millisecond))
 	assert.Equal(t, 100*time.Millisecond, summary.StartP99.Round(time.Millisecond))
 }
 
-func TestDrainBoundIsLongerOnlyBesideATrouble(t *testing.T) {
+func TestDrainBoundIsLongerOnlyBesideAFault(t *testing.T) {
 	bounds := check.DefaultBounds()
 	bounds.Failover = 2 * time.Second
 	h := kept()
@@ -351,11 +351,11 @@
 	h.Arrivals = h.Arrivals[:1]
 	h.Arrivals[0].Arrived = at(5)
 	assert.Len(t, check.Drain(h, bounds), 1)
-	h.Troubles = []history.Trouble{{Machine: "m", At: at(0.5), Until: at(0.9)}}
+	h.Faults = []history.Fault{{Machine: "m", At: at(0.5), Until: at(0.9)}}
 	assert.Len(t, check.Drain(h, bounds), 1, "longer ago than a trouble counts")
-	h.Troubles[0].Until = at(1.1)
+	h.Faults[0].Until = at(1.1)
 	assert.Empty(t, check.Drain(h, bounds))
 	h.Arrivals[0].Arrived = at(6.1)
-	h.Troubles[0].Until = at(6)
+	h.Faults[0].Until = at(6)
 	assert.Len(t, check.Drain(h, bounds), 1, "past the longer bound")
 }
--- a/test/standin/check/rules.go
+++ b/test/standin/check/rules.go
@@ -25,7 +25,7 @@
 	var found []Finding
 	readings := v.readings()
 	for _, send := range v.Sends {
-		if !send.Accepted() || v.ended(send) != never {
+		if !send.Accepted() || v.endOf(send) != never {
 			continue
 		}
 		reading, read := readings[send.RequestID]
@@ -41,7 +41,7 @@
 	return found
 }
 
-func (v *view) cutOff(bounds Bounds) []Finding {
+func (v *view) truncated(bounds Bounds) []Finding {
 	var found []Finding
 	for _, send := range v.Sends {
 		if send.Status != 0 || v.unplanned(send.Sent-bounds.Contact, send.Answered) {
@@ -59,7 +59,7 @@
 func (v *view) undelivered() []Finding {
 	var found []Finding
 	for _, send := range v.Sends {
-		if send.Accepted() && v.ended(send) == never {
+		if send.Accepted() && v.endOf(send) == never {
 			reason := fmt.Sprintf("route %s key %q, accepted at %v with delay %v as %s, arrived %d times", send.Route, send.Key, send.Answered, send.Delay, send.MessageID, len(v.arrivals[send.RequestID]))
 			found = append(found, Finding{RuleUndelivered, send.RequestID, reason})
 		}
@@ -67,10 +67,10 @@
 	return found
 }
 
-// endedBefore is, of messages with a key in the order of their acceptance, when the last of all up to each ended.
-type endedBefore struct {
+// finishedBefore is, of messages with a key in the order of their acceptance, when the last of all up to each ended.
+type finishedBefore struct {
 	accepted time.Duration
-	ended    time.Duration
+	finished time.Duration
 	id       string
 }
 
@@ -85,8 +85,8 @@
 			}
 			last := earlier[i-1]
 			for _, arrival := range v.arrivals[send.RequestID] {
-				if arrival.Started() && arrival.Start < last.ended {
-					reason := fmt.Sprintf("key %s: started at %v before %s had ended (%s)", key, arrival.Start, last.id, timeOf(last.ended))
+				if arrival.Started() && arrival.Start < last.finished {
+					reason := fmt.Sprintf("key %s: started at %v before %s had ended (%s)", key, arrival.Start, last.id, timeOf(last.finished))
 					found = append(found, Finding{RuleOrder, send.RequestID, reason})
 				}
 			}
@@ -95,11 +95,11 @@
 	return found
 }
 
-func timeOf(ended time.Duration) string {
-	if ended == never {
+func timeOf(finished time.Duration) string {
+	if finished == never {
 		return "never"
 	}
-	return ended.String()
+	return finished.String()
 }
 
 // byKey groups the messages of ordered routes.
@@ -119,17 +119,17 @@
 	return grouped
 }
 
-func (v *view) endings(sends []history.Send) []endedBefore {
-	var endings []endedBefore
+func (v *view) endings(sends []history.Send) []finishedBefore {
+	var endings []finishedBefore
 	for _, send := range sends {
 		if send.Accepted() {
-			endings = append(endings, endedBefore{accepted: send.Answered, ended: v.ended(send), id: send.RequestID})
+			endings = append(endings, finishedBefore{accepted: send.Answered, finished: v.endOf(send), id: send.RequestID})
 		}
 	}
 	sort.Slice(endings, func(i, j int) bool { return endings[i].accepted < endings[j].accepted })
 	for i := 1; i < len(endings); i++ {
-		if endings[i-1].ended > endings[i].ended {
-			endings[i].ended = endings[i-1].ended
+		if endings[i-1].finished > endings[i].finished {
+			endings[i].finished = endings[i-1].finished
 			endings[i].id = endings[i-1].id
 		}
 	}
@@ -155,7 +155,7 @@
 	return found
 }
 
-// inTime says whether a success was whole well before its time-out.
+// inTime says whether a success was complete well before its time-out.
 func (v *view) inTime(id string, done history.Arrival, bounds Bounds) bool {
 	for _, order := range v.orders {
 		route, found := order.Config.Route(v.sends[id].Route)
@@ -167,7 +167,7 @@
 	return true
 }
 
-func (v *view) ceiling(bounds Bounds) []Finding {
+func (v *view) rateLimits(bounds Bounds) []Finding {
 	rates := v.rates()
 	arrived := make(map[string][]time.Duration)
 	for _, arrival := range v.Arrivals {
@@ -177,9 +177,9 @@
 	}
 	var found []Finding
 	for service, times := range arrived {
-		allowed := int(rates[service]*bounds.CeilingWindow.Seconds()*bounds.CeilingFactor) + bounds.CeilingArrivals
-		if most, at := mostInWindow(times, bounds.CeilingWindow); most > allowed {
-			found = append(found, Finding{RuleCeiling, service, fmt.Sprintf("%d arrivals in the window from %v, allowed are %d", most, at, allowed)})
+		allowed := int(rates[service]*bounds.RateWindow.Seconds()*bounds.RateOvershoot) + bounds.RateSlack
+		if most, at := mostInWindow(times, bounds.RateWindow); most > allowed {
+			found = append(found, Finding{RuleRateLimit, service, fmt.Sprintf("%d arrivals in the window from %v, allowed are %d", most, at, allowed)})
 		}
 	}
 	return found
@@ -232,7 +232,7 @@
 			return fmt.Sprintf("is told to be done with the signature %q, which no run of it gave", reading.Signature)
 		}
 	case protocol.StateDead:
-		if v.ended(send) > reading.At {
+		if v.endOf(send) > reading.At {
 			return "is told to be a dead letter, and has not ended"
 		}
 	case protocol.StatePending:
--- a/test/standin/check/summary.go
+++ b/test/standin/check/summary.go
@@ -16,8 +16,8 @@
 	Promised   int // not taken, by promise
 	Unanswered int
 	Other      int // other answers
-	Ended      int // of Accepted
-	Repeats    int // runs after a success
+	Finished   int // of Accepted
+	Duplicates int // runs after a success
 	AcceptP50  time.Duration
 	AcceptP99  time.Duration
 	StartP50   time.Duration // of the first run, after sending and delay
@@ -27,7 +27,7 @@
 // String gives the counts and quantiles in one line.
 func (s Summary) String() string {
 	return fmt.Sprintf("sent %d, accepted %d, promised %d, unanswered %d, other %d, ended %d, repeats %d, 202 p50 %v p99 %v, start p50 %v p99 %v",
-		s.Sent, s.Accepted, s.Promised, s.Unanswered, s.Other, s.Ended, s.Repeats,
+		s.Sent, s.Accepted, s.Promised, s.Unanswered, s.Other, s.Finished, s.Duplicates,
 		round(s.AcceptP50), round(s.AcceptP99), round(s.StartP50), round(s.StartP99))
 }
 
@@ -44,14 +44,14 @@
 			continue
 		}
 		accepts = append(accepts, send.Answered-send.Sent)
-		if v.ended(send) != never {
-			summary.Ended++
+		if v.endOf(send) != never {
+			summary.Finished++
 		}
 		if start, started := v.firstStart(send); started {
 			starts = append(starts, start)
 		}
 	}
-	summary.Repeats = v.repeats()
+	summary.Duplicates = v.duplicates()
 	summary.AcceptP50, summary.AcceptP99 = Quantile(accepts, 0.5), Quantile(accepts, 0.99)
 	summary.StartP50, summary.StartP99 = Quantile(starts, 0.5), Quantile(starts, 0.99)
 	return summary
@@ -81,28 +81,28 @@
 	return 0, false
 }
 
-// repeats counts the runs that began after a success of the same message.
-func (v *view) repeats() int {
-	repeats := 0
+// duplicates counts the runs that began after a success of the same message.
+func (v *view) duplicates() int {
+	duplicates := 0
 	for _, arrivals := range v.arrivals {
 		done := never
 		for _, arrival := range arrivals {
 			if arrival.Started() && arrival.Start > done {
-				repeats++
+				duplicates++
 			}
 			if arrival.Outcome == history.OutcomeDone {
 				done = min(done, arrival.End)
 			}
 		}
 	}
-	return repeats
+	return duplicates
 }
 
 // Quantile of some durations, in the given part from the smallest. It sorts them.
-func Quantile(durations []time.Duration, part float64) time.Duration {
+func Quantile(durations []time.Duration, quantile float64) time.Duration {
 	if len(durations) == 0 {
 		return 0
 	}
 	sort.Slice(durations, func(i, j int) bool { return durations[i] < durations[j] })
-	return durations[min(int(part*float64(len(durations))), len(durations)-1)]
+	return durations[min(int(quantile*float64(len(durations))), len(durations)-1)]
 }
--- a/test/standin/check/timeline.go
+++ b/test/standin/check/timeline.go
@@ -8,7 +8,7 @@
 	"ravendale/test/standin/history"
 )
 
-// Timeline tells all that was seen of a message, and the troubles and orders near it, in the order of time.
+// Timeline tells all that was seen of a message, and the faults and orders near it, in the order of time.
 func Timeline(h *history.History, requestID string) []string {
 	v := newView(h)
 	var line timeline
@@ -32,7 +32,7 @@
 		}
 	}
 	from, until := line.span()
-	for _, trouble := range h.Troubles {
+	for _, trouble := range h.Faults {
 		if trouble.At <= until && trouble.Until >= from {
 			line.add(trouble.At, "%s of %s, until %v", trouble.What, trouble.Machine, trouble.Until)
 		}
--- a/test/standin/client/client.go
+++ b/test/standin/client/client.go
@@ -38,13 +38,13 @@
 	Duration time.Duration
 	Traffic  []Traffic
 	Clients  int           // each has a connection of its own; 0: defaultClients
-	Tries    int           // of a message, while they are promised not to have run; 0: defaultTries
+	Attempts int           // of a message, while they are promised not to have run; 0: defaultTries
 	Patience time.Duration // for an answer; 0: defaultPatience
 }
 
 const (
 	defaultClients  = 24
-	defaultTries    = 4
+	defaultAttempts = 4
 	defaultPatience = 3 * time.Second
 	maxRetryAfter   = time.Second
 )
@@ -53,8 +53,8 @@
 	if l.Clients == 0 {
 		l.Clients = defaultClients
 	}
-	if l.Tries == 0 {
-		l.Tries = defaultTries
+	if l.Attempts == 0 {
+		l.Attempts = defaultAttempts
 	}
 	if l.Patience == 0 {
 		l.Patience = defaultPatience
@@ -91,7 +91,7 @@
 		time.Sleep(time.Until(next))
 		transport := transports[rand.IntN(len(transports))]
 		traffic := pick(load.Traffic)
-		group.Go(func() { c.hand(ctx, transport, traffic, load) })
+		group.Go(func() { c.submit(ctx, transport, traffic, load) })
 		next = next.Add(time.Duration(rand.ExpFloat64() / load.RatePerS * float64(time.Second)))
 	}
 }
@@ -124,8 +124,8 @@
 	}
 }
 
-// hand hands in one message, with more tries while it is promised not to have been taken.
-func (c *Clients) hand(ctx context.Context, transport *http.Transport, traffic Traffic, load Load) {
+// submit hands in one message, with more tries while it is promised not to have been taken.
+func (c *Clients) submit(ctx context.Context, transport *http.Transport, traffic Traffic, load Load) {
 	body := make([]byte, rand.IntN(traffic.BodyBytes+1))
 	for i := range body {
 		body[i] = byte(rand.Uint32())
@@ -145,7 +145,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, load.Patience)
 	defer cancel()
-	for try := 0; try < load.Tries && ctx.Err() == nil; try++ {
+	for attempt := 0; attempt < load.Attempts && ctx.Err() == nil; attempt++ {
 		tried, retryAfter := c.Send(ctx, transport, send, body)
 		if !tried.Promised() {
 			return
--- a/test/standin/client/poller.go
+++ b/test/standin/client/poller.go
@@ -49,8 +49,8 @@
 	var before *history.Reading
 	for {
 		reading := c.Read(ctx, transport, send)
-		settled := reading.StateStatus == http.StatusOK && (reading.State == protocol.StateDone || reading.BodyStatus == http.StatusOK)
-		if settled {
+		finished := reading.StateStatus == http.StatusOK && (reading.State == protocol.StateDone || reading.BodyStatus == http.StatusOK)
+		if finished {
 			c.record.Read(reading)
 			return
 		}
--- a/test/standin/cluster/cluster.go
+++ b/test/standin/cluster/cluster.go
@@ -68,16 +68,16 @@
 // ReplaceControl puts a new machine with an empty disk, another name and another address in the place of a control process's, which
 // must not run any more. The new process isn't started.
 func (c *Cluster) ReplaceControl(i int) error {
-	gone := c.Controls[i]
-	if err := gone.Wipe(); err != nil {
+	removed := c.Controls[i]
+	if err := removed.Wipe(); err != nil {
 		return err
 	}
 	if len(c.replaced) == maxSpares {
 		return fmt.Errorf("cluster: no more than %d machines can be replaced", maxSpares)
 	}
 	machine := spares(len(c.machines))[len(c.replaced)]
-	machine.name, machine.class, machine.zone = gone.machine.name+"-new", gone.machine.class, gone.machine.zone
-	c.replaced = append(c.replaced, gone)
+	machine.name, machine.class, machine.zone = removed.machine.name+"-new", removed.machine.class, removed.machine.zone
+	c.replaced = append(c.replaced, removed)
 	c.Controls[i] = c.process(machine, ProgramControl)
 	return nil
 }
--- a/test/standin/cluster/process.go
+++ b/test/standin/cluster/process.go
@@ -16,7 +16,7 @@
 // ErrNotRunning is wrapped by errors of signals to a process that does not run.
 var ErrNotRunning = errors.New("it does not run")
 
-// Process is one program on one machine, over all its lives.
+// Process is one program on one machine, over all its incarnations.
 type Process struct {
 	cluster  *Cluster
 	machine  machine
@@ -27,9 +27,9 @@
 	programs string // folder that the program is started from
 	mutex    sync.Mutex
 	command  *exec.Cmd
-	ended    chan struct{} // closed when the life is over
+	exited   chan struct{} // closed when the incarnation is over
 	exit     error
-	expected bool // the life was ended by a fault or a stop
+	expected bool // the incarnation was ended by a fault or a stop
 	surprise []string
 }
 
@@ -65,7 +65,7 @@
 	return p.command.Process.Pid
 }
 
-// Start begins a life with the settings that are current. Bootstrap is for the first start of the whole cluster.
+// Start begins an incarnation with the settings that are current. Bootstrap is for the first start of the whole cluster.
 func (p *Process) Start(bootstrap bool) error {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -90,12 +90,12 @@
 	if err := command.Start(); err != nil {
 		return fmt.Errorf("cluster: %s: %w", p.Name(), err)
 	}
-	p.command, p.ended, p.expected = command, make(chan struct{}), false
-	go p.wait(command, p.ended)
+	p.command, p.exited, p.expected = command, make(chan struct{}), false
+	go p.wait(command, p.exited)
 	return nil
 }
 
-func (p *Process) wait(command *exec.Cmd, ended chan struct{}) {
+func (p *Process) wait(command *exec.Cmd, exited chan struct{}) {
 	err := command.Wait()
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -103,11 +103,11 @@
 	if !p.expected {
 		p.surprise = append(p.surprise, fmt.Sprintf("%s ended by itself: %v", p.Name(), command.ProcessState))
 	}
-	close(ended)
+	close(exited)
 }
 
-// signal sends a signal to the life under way, and returns what is closed at its end.
-func (p *Process) signal(signal syscall.Signal, ends bool) (ended chan struct{}, err error) {
+// signal sends a signal to the incarnation under way, and returns what is closed at its end.
+func (p *Process) signal(signal syscall.Signal, ends bool) (exited chan struct{}, err error) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	if p.command == nil {
@@ -116,16 +116,16 @@
 	if ends {
 		p.expected = true
 	}
-	return p.ended, p.command.Process.Signal(signal)
+	return p.exited, p.command.Process.Signal(signal)
 }
 
 // Kill ends the process by SIGKILL.
 func (p *Process) Kill() error {
-	ended, err := p.signal(syscall.SIGKILL, true)
+	exited, err := p.signal(syscall.SIGKILL, true)
 	if err != nil {
 		return err
 	}
-	<-ended
+	<-exited
 	return nil
 }
 
@@ -156,12 +156,12 @@
 // Stop asks the process to end by SIGTERM. One that has not ended within the grace is killed, which is an error, as is an exit that
 // tells of one.
 func (p *Process) Stop(grace time.Duration) error {
-	ended, err := p.signal(syscall.SIGTERM, true)
+	exited, err := p.signal(syscall.SIGTERM, true)
 	if err != nil {
 		return err
 	}
 	select {
-	case <-ended:
+	case <-exited:
 	case <-time.After(grace):
 		_ = p.Kill()
 		return fmt.Errorf("cluster: %s did not end within %v", p.Name(), grace)
@@ -185,7 +185,7 @@
 	return nil
 }
 
-// Surprises tells which lives ended by themselves.
+// Surprises tells which incarnations ended by themselves.
 func (p *Process) Surprises() []string {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
--- a/test/standin/history/history.go
+++ b/test/standin/history/history.go
@@ -1,5 +1,5 @@
 // Package history records what the stand-ins saw on their sockets: what clients sent and were answered, what workers were handed and
-// ran, what the operator ordered, and what troubles were made. The checkers judge nothing else.
+// ran, what the operator ordered, and what faults were injected. The checkers judge nothing else.
 //
 // All times are on the steady clock, counted from the start of the Recorder.
 package history
@@ -58,25 +58,25 @@
 
 // Arrival is a request that reached a worker.
 type Arrival struct {
-	RequestID string
-	Service   string
-	Worker    string // id of the incarnation
-	Listed    bool   // the worker is on the platform's list
-	Method    string
-	Host      string
-	Target    string
-	Key       string
-	Body      uint64
-	Arrived   time.Duration
-	Start     time.Duration // of the run
-	End       time.Duration // of the run, before its answer is written
-	Status    int           // as answered; 0: no answer
-	Outcome   Outcome
-	Signature string
-	Reused    bool          // its connection had carried another request before
-	Spoilt    string        // what the worker did to its success; empty: nothing
-	Answered  bool          // the whole answer was written to a connection that stood
-	Written   time.Duration // when it had been written
+	RequestID   string
+	Service     string
+	Worker      string // id of the incarnation
+	Listed      bool   // the worker is on the platform's list
+	Method      string
+	Host        string
+	Target      string
+	Key         string
+	Body        uint64
+	Arrived     time.Duration
+	Start       time.Duration // of the run
+	End         time.Duration // of the run, before its answer is written
+	Status      int           // as answered; 0: no answer
+	Outcome     Outcome
+	Signature   string
+	Reused      bool          // its connection had carried another request before
+	AnswerFault string        // what the worker did to its success; empty: nothing
+	Answered    bool          // the whole answer was written to a connection that stood
+	Written     time.Duration // when it had been written
 }
 
 // Started says whether the worker ran the request.
@@ -115,8 +115,8 @@
 	Body        uint64
 }
 
-// Trouble is a fault that was made, or planned work.
-type Trouble struct {
+// Fault is a fault that was made, or planned work.
+type Fault struct {
 	Machine string
 	What    string
 	At      time.Duration
@@ -131,7 +131,7 @@
 	Orders   []Order
 	Drains   []Drain
 	Readings []Reading
-	Troubles []Trouble
+	Faults   []Fault
 }
 
 // Recorder collects a History. It is safe for concurrent use.
@@ -141,7 +141,7 @@
 	mutex    sync.Mutex
 	history  History
 	arrivals []*Arrival
-	troubles []*Trouble
+	troubles []*Fault
 }
 
 // NewRecorder starts a history.
@@ -194,11 +194,11 @@
 	r.history.Readings = append(r.history.Readings, reading)
 }
 
-// Trouble records that a trouble begins, and returns what ends it.
+// Trouble records that a fault begins, and returns what ends it.
 func (r *Recorder) Trouble(machine, what string, planned bool) (end func()) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	trouble := &Trouble{Machine: machine, What: what, At: r.Now(), Planned: planned}
+	trouble := &Fault{Machine: machine, What: what, At: r.Now(), Planned: planned}
 	r.troubles = append(r.troubles, trouble)
 	return func() {
 		r.mutex.Lock()
@@ -207,7 +207,7 @@
 	}
 }
 
-// History is a copy of what was recorded so far. Troubles that have not ended last until now.
+// History is a copy of what was recorded so far. Faults that have not ended last until now.
 func (r *Recorder) History() *History {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -225,7 +225,7 @@
 		if ended.Until == 0 {
 			ended.Until = r.Now()
 		}
-		copied.Troubles = append(copied.Troubles, ended)
+		copied.Faults = append(copied.Faults, ended)
 	}
 	return copied
 }
--- a/test/standin/workers/connection.go
+++ b/test/standin/workers/connection.go
@@ -42,8 +42,8 @@
 			return
 		}
 		_ = c.net.SetReadDeadline(time.Time{})
-		if c.worker.troubles.Load().Dark {
-			c.silence()
+		if c.worker.faults.Load().Dark {
+			c.discard()
 			return
 		}
 		request, err := http.ReadRequest(c.reader)
@@ -57,8 +57,8 @@
 	}
 }
 
-// silence reads whatever comes until the other end gives up.
-func (c *conn) silence() { _, _ = io.Copy(io.Discard, c.reader) }
+// discard reads whatever comes until the other end gives up.
+func (c *conn) discard() { _, _ = io.Copy(io.Discard, c.reader) }
 
 // handle answers a request, and says whether the connection goes on.
 func (c *conn) handle(request *http.Request, body []byte) bool {
@@ -72,7 +72,7 @@
 
 // watch makes a context that ends with the worker, or when the other end closes the connection. stop ends the watching.
 func (c *conn) watch() (ctx context.Context, stop func()) {
-	ctx, cancel := context.WithCancel(c.worker.life)
+	ctx, cancel := context.WithCancel(c.worker.lifetime)
 	watched := make(chan struct{})
 	go func() {
 		defer close(watched)
@@ -118,30 +118,30 @@
 	return c.write(id, reply)
 }
 
-// writeSuccess sends a success with the worker's troubles.
+// writeSuccess sends a success with the worker's faults.
 func (c *conn) writeSuccess(ctx context.Context, reply answer, arrival *history.Arrival, deadline string) bool {
 	record := c.worker.fleet.record
 	id := arrival.RequestID
 	encoded := c.encode(id, reply)
 	before := c.worker.swap(id, reply)
-	spoilt := c.worker.troubles.Load().draw()
-	if spoilt == SpoiltForeign && (before.id == "" || before.id == id) {
-		spoilt = "" // there is no other message's answer
+	answerFault := c.worker.faults.Load().draw()
+	if answerFault == AnswerForeign && (before.id == "" || before.id == id) {
+		answerFault = "" // there is no other message's answer
 	}
-	record.Change(arrival, func(a *history.Arrival) { a.Spoilt = spoilt })
-	switch spoilt {
-	case SpoiltLost:
+	record.Change(arrival, func(a *history.Arrival) { a.AnswerFault = answerFault })
+	switch answerFault {
+	case AnswerNeverSent:
 		<-ctx.Done()
 		return false
-	case SpoiltCut:
+	case AnswerTruncated:
 		_, _ = c.net.Write(encoded[:rand.IntN(len(encoded))])
 		return false
-	case SpoiltReset:
+	case AnswerReset:
 		c.reset()
 		return false
-	case SpoiltForeign:
+	case AnswerForeign:
 		return c.write(before.id, before.reply)
-	case SpoiltLate:
+	case AnswerLate:
 		c.awaitDeadline(arrival.Arrived, deadline)
 	}
 	if _, err := c.net.Write(encoded); err != nil {
@@ -151,8 +151,8 @@
 		a.Answered = true
 		a.Written = record.Now()
 	})
-	if spoilt == SpoiltRepeat {
-		time.Sleep(repeatAfter)
+	if answerFault == AnswerDuplicated {
+		time.Sleep(duplicateAfter)
 		_, err := c.net.Write(encoded)
 		return err == nil
 	}
@@ -171,7 +171,7 @@
 	defer timer.Stop()
 	select {
 	case <-timer.C:
-	case <-c.worker.life.Done():
+	case <-c.worker.lifetime.Done():
 	}
 }
 
--- a/test/standin/workers/delivery.go
+++ b/test/standin/workers/delivery.go
@@ -85,10 +85,10 @@
 
 // work takes the time that a run takes, and decides how it ends.
 func (w *Worker) work(ctx context.Context, id string) (answer, history.Outcome) {
-	troubles := w.troubles.Load()
+	faults := w.faults.Load()
 	took := w.service.work()
-	if troubles.Slow > 0 {
-		took = time.Duration(float64(took) * troubles.Slow)
+	if faults.Slow > 0 {
+		took = time.Duration(float64(took) * faults.Slow)
 	}
 	if err := w.sleep(ctx, took); errors.Is(err, context.DeadlineExceeded) {
 		return answer{status: http.StatusGatewayTimeout}, history.OutcomeStopped
@@ -98,7 +98,7 @@
 	switch {
 	case w.service.Refuses(id):
 		return answer{status: http.StatusUnprocessableEntity}, history.OutcomeRefused
-	case troubles.Failing || w.service.Poison(id) || rand.Float64() < w.service.FailShare:
+	case faults.Failing || w.service.Poison(id) || rand.Float64() < w.service.FailShare:
 		return answer{status: http.StatusInternalServerError}, history.OutcomeFailed
 	}
 	signature := w.fleet.signature()
@@ -120,8 +120,8 @@
 	select {
 	case <-timer.C:
 		return nil
-	case <-w.life.Done():
-		return w.life.Err()
+	case <-w.lifetime.Done():
+		return w.lifetime.Err()
 	}
 }
 
--- a/test/standin/workers/faults.go
+++ b/test/standin/workers/faults.go
@@ -4,43 +4,43 @@
 	"math/rand/v2"
 )
 
-// Troubles of a worker.
-type Troubles struct {
+// Faults of a worker.
+type Faults struct {
 	Dark    bool    // it accepts connections and says nothing
 	Failing bool    // it answers health checks 503, and each run 500
 	Slow    float64 // runs take so many times as long; 0: as usual
-	Spoilt
+	AnswerFaults
 }
 
-// Spoilt is how the answers to runs that were a success are spoilt, by share. An answer is spoilt in one way at most.
-type Spoilt struct {
-	LoseShare    float64 // never sent
-	CutShare     float64 // end early
-	ResetShare   float64 // the connection is reset in place of an answer
-	ForeignShare float64 // another message's answer, its id and signature, in place of the own one
-	LateShare    float64 // sent about the deadline that the request names, before it or after it
-	RepeatShare  float64 // sent a second time, later
+// AnswerFaults is how the answers to runs that were a success are made faulty, by share. An answer has one fault at most.
+type AnswerFaults struct {
+	NeverSentShare  float64 // never sent
+	TruncatedShare  float64 // end early
+	ResetShare      float64 // the connection is reset in place of an answer
+	ForeignShare    float64 // another message's answer, its id and signature, in place of the own one
+	LateShare       float64 // sent about the deadline that the request names, before it or after it
+	DuplicatedShare float64 // sent a second time, later
 }
 
-// Names of the ways in which answers are spoilt, as history.Arrival has them.
+// Names of the faults of answers, as history.Arrival has them.
 const (
-	SpoiltLost    = "lost"
-	SpoiltCut     = "cut"
-	SpoiltReset   = "reset"
-	SpoiltForeign = "foreign"
-	SpoiltLate    = "late"
-	SpoiltRepeat  = "repeated"
+	AnswerNeverSent  = "lost"
+	AnswerTruncated  = "cut"
+	AnswerReset      = "reset"
+	AnswerForeign    = "foreign"
+	AnswerLate       = "late"
+	AnswerDuplicated = "repeated"
 )
 
 // draw chooses what becomes of an answer; empty: it is sent as it is.
-func (s Spoilt) draw() string {
+func (s AnswerFaults) draw() string {
 	drawn := rand.Float64()
 	for _, way := range []struct {
 		name  string
 		share float64
 	}{
-		{SpoiltLost, s.LoseShare}, {SpoiltCut, s.CutShare}, {SpoiltReset, s.ResetShare},
-		{SpoiltForeign, s.ForeignShare}, {SpoiltLate, s.LateShare}, {SpoiltRepeat, s.RepeatShare},
+		{AnswerNeverSent, s.NeverSentShare}, {AnswerTruncated, s.TruncatedShare}, {AnswerReset, s.ResetShare},
+		{AnswerForeign, s.ForeignShare}, {AnswerLate, s.LateShare}, {AnswerDuplicated, s.DuplicatedShare},
 	} {
 		if drawn < way.share {
 			return way.name
--- a/test/standin/workers/fleet.go
+++ b/test/standin/workers/fleet.go
@@ -72,7 +72,7 @@
 	defer f.mutex.Unlock()
 	var running []*Worker
 	for _, worker := range f.workers {
-		if worker.service.Name == service && !worker.ended() {
+		if worker.service.Name == service && !worker.hasEnded() {
 			running = append(running, worker)
 		}
 	}
--- a/test/standin/workers/service.go
+++ b/test/standin/workers/service.go
@@ -1,5 +1,5 @@
 // Package workers stands in for the workers of many services, all in one process with a listener each. They keep to the protocol,
-// and get into the troubles that they are told to. All that they are handed and run is recorded.
+// and have the faults that they are given. All that they are handed and run is recorded.
 package workers
 
 import (
@@ -20,7 +20,7 @@
 	Capacity     int           // messages that a worker works on at once
 	Queue        int           // messages that wait at a worker for a slot
 	MaxConns     int           // connections that a worker takes
-	RatePerS     float64       // 0: no ceiling
+	RatePerS     float64       // 0: no limit
 	Idempotent   bool          // the workers share a table of ids
 	WorkMin      time.Duration // shortest run
 	WorkMean     time.Duration // mean of what a run takes beyond that, exponentially distributed
@@ -83,8 +83,8 @@
 	return took
 }
 
-// ceilingSlack is what a service takes beyond its rate before it answers 429.
-const ceilingSlack = 1.25
+// rateSlack is what a service takes beyond its rate before it answers 429.
+const rateSlack = 1.25
 
 // serviceState is what all workers of a service share.
 type serviceState struct {
@@ -96,7 +96,7 @@
 func newServiceState(service Service) *serviceState {
 	state := &serviceState{Service: service.withDefaults()}
 	if service.RatePerS > 0 {
-		limit := service.RatePerS * ceilingSlack
+		limit := service.RatePerS * rateSlack
 		state.limiter = rate.NewLimiter(rate.Limit(limit), int(limit)+5)
 	}
 	return state
--- a/test/standin/workers/worker.go
+++ b/test/standin/workers/worker.go
@@ -13,10 +13,10 @@
 
 // Sizes and times of a worker's connections.
 const (
-	maxBody     = 16 << 20
-	readerSize  = 4096
-	repeatAfter = 30 * time.Millisecond // until a second answer
-	lateSpread  = 0.25                  // a late answer comes within this part of the time allowed before its end, or after it
+	maxBody        = 16 << 20
+	readerSize     = 4096
+	duplicateAfter = 30 * time.Millisecond // until a second answer
+	lateSpread     = 0.25                  // a late answer comes within this part of the time allowed before its end, or after it
 )
 
 // Worker is one incarnation of a worker.
@@ -30,9 +30,9 @@
 	slots    chan struct{}
 	waiting  atomic.Int64
 	draining atomic.Bool
-	troubles atomic.Pointer[Troubles]
-	life     context.Context
-	endLife  context.CancelFunc
+	faults   atomic.Pointer[Faults]
+	lifetime context.Context
+	end      context.CancelFunc
 
 	mutex    sync.Mutex
 	conns    map[*conn]bool
@@ -40,7 +40,7 @@
 }
 
 func newWorker(fleet *Fleet, service *serviceState, listen Listen, listener net.Listener) *Worker {
-	life, end := context.WithCancel(context.Background())
+	lifetime, end := context.WithCancel(context.Background())
 	worker := &Worker{
 		fleet:    fleet,
 		service:  service,
@@ -49,11 +49,11 @@
 		listed:   !listen.Unlisted,
 		listener: listener,
 		slots:    make(chan struct{}, service.Capacity),
-		life:     life,
-		endLife:  end,
+		lifetime: lifetime,
+		end:      end,
 		conns:    make(map[*conn]bool),
 	}
-	worker.troubles.Store(&Troubles{})
+	worker.faults.Store(&Faults{})
 	return worker
 }
 
@@ -63,15 +63,15 @@
 // Address where the worker listens.
 func (w *Worker) Address() string { return w.listener.Addr().String() }
 
-// SetTroubles replaces the worker's troubles.
-func (w *Worker) SetTroubles(troubles Troubles) { w.troubles.Store(&troubles) }
+// SetFaults replaces the worker's faults.
+func (w *Worker) SetFaults(faults Faults) { w.faults.Store(&faults) }
 
 // Drain makes the worker answer health checks 503. It goes on serving.
 func (w *Worker) Drain() { w.draining.Store(true) }
 
 // Crash ends the worker at once, its runs and connections with it.
 func (w *Worker) Crash() {
-	w.endLife()
+	w.end()
 	_ = w.listener.Close()
 	for _, c := range w.open() {
 		c.reset()
@@ -81,7 +81,7 @@
 // Connections is how many the worker has.
 func (w *Worker) Connections() int { return len(w.open()) }
 
-func (w *Worker) ended() bool { return w.life.Err() != nil }
+func (w *Worker) hasEnded() bool { return w.lifetime.Err() != nil }
 
 func (w *Worker) open() []*conn {
 	w.mutex.Lock()
@@ -111,7 +111,7 @@
 func (w *Worker) admit(c *conn) bool {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	if w.ended() || len(w.conns) >= w.service.MaxConns {
+	if w.hasEnded() || len(w.conns) >= w.service.MaxConns {
 		return false
 	}
 	w.conns[c] = true
@@ -151,7 +151,7 @@
 func (w *Worker) release() { <-w.slots }
 
 func (w *Worker) health(ctx context.Context) answer {
-	if w.draining.Load() || w.troubles.Load().Failing {
+	if w.draining.Load() || w.faults.Load().Failing {
 		return answer{status: http.StatusServiceUnavailable}
 	}
 	if err := w.slot(ctx, false); err != nil {
--- a/test/standin/workers/workers_test.go
+++ b/test/standin/workers/workers_test.go
@@ -227,7 +227,7 @@
 	}
 	t.Run("dark", func(t *testing.T) {
 		f := start(t, workers.Service{})
-		f.worker.SetTroubles(workers.Troubles{Dark: true})
+		f.worker.SetFaults(workers.Faults{Dark: true})
 		c := dial(t, f.worker)
 		require.NoError(t, c.send("r1"))
 		silent(t, c)
@@ -235,7 +235,7 @@
 	})
 	t.Run("lost answers", func(t *testing.T) {
 		f := start(t, workers.Service{})
-		f.worker.SetTroubles(workers.Troubles{Spoilt: workers.Spoilt{LoseShare: 1}})
+		f.worker.SetFaults(workers.Faults{AnswerFaults: workers.AnswerFaults{NeverSentShare: 1}})
 		c := dial(t, f.worker)
 		require.NoError(t, c.send("r1"))
 		f.arrivals(t, func(a []history.Arrival) bool { return len(a) == 1 && a[0].Outcome == history.OutcomeDone })
@@ -244,7 +244,7 @@
 	})
 	t.Run("cut answers", func(t *testing.T) {
 		f := start(t, workers.Service{})
-		f.worker.SetTroubles(workers.Troubles{Spoilt: workers.Spoilt{CutShare: 1}})
+		f.worker.SetFaults(workers.Faults{AnswerFaults: workers.AnswerFaults{TruncatedShare: 1}})
 		c := dial(t, f.worker)
 		require.NoError(t, c.send("r1"))
 		_, err := c.receive()
@@ -253,7 +253,7 @@
 	})
 	t.Run("second answers", func(t *testing.T) {
 		f := start(t, workers.Service{})
-		f.worker.SetTroubles(workers.Troubles{Spoilt: workers.Spoilt{RepeatShare: 1}})
+		f.worker.SetFaults(workers.Faults{AnswerFaults: workers.AnswerFaults{DuplicatedShare: 1}})
 		c := dial(t, f.worker)
 		first := c.ask(t, "r1")
 		second, err := c.receive()
@@ -262,7 +262,7 @@
 	})
 	t.Run("reset in place of an answer", func(t *testing.T) {
 		f := start(t, workers.Service{})
-		f.worker.SetTroubles(workers.Troubles{Spoilt: workers.Spoilt{ResetShare: 1}})
+		f.worker.SetFaults(workers.Faults{AnswerFaults: workers.AnswerFaults{ResetShare: 1}})
 		c := dial(t, f.worker)
 		require.NoError(t, c.send("r1"))
 		_, err := c.receive()
@@ -270,13 +270,13 @@
 		run := f.record.History().Arrivals[0]
 		assert.Equal(t, history.OutcomeDone, run.Outcome)
 		assert.False(t, run.Answered)
-		assert.Equal(t, workers.SpoiltReset, run.Spoilt)
+		assert.Equal(t, workers.AnswerReset, run.AnswerFault)
 	})
 	t.Run("foreign answers", func(t *testing.T) {
 		f := start(t, workers.Service{})
 		c := dial(t, f.worker)
 		first := c.ask(t, "r1")
-		f.worker.SetTroubles(workers.Troubles{Spoilt: workers.Spoilt{ForeignShare: 1}})
+		f.worker.SetFaults(workers.Faults{AnswerFaults: workers.AnswerFaults{ForeignShare: 1}})
 		second := c.ask(t, "r2")
 		assert.Equal(t, first.Header, second.Header)
 		runs := f.record.History().Arrivals
@@ -285,7 +285,7 @@
 	})
 	t.Run("late answers", func(t *testing.T) {
 		f := start(t, workers.Service{})
-		f.worker.SetTroubles(workers.Troubles{Spoilt: workers.Spoilt{LateShare: 1}})
+		f.worker.SetFaults(workers.Faults{AnswerFaults: workers.AnswerFaults{LateShare: 1}})
 		response := dial(t, f.worker).ask(t, "r1", "Deadline-Ms: 200")
 		assert.Equal(t, http.StatusOK, response.StatusCode)
 		run := f.arrivals(t, func(a []history.Arrival) bool { return a[0].Answered })[0]
@@ -293,12 +293,12 @@
 	})
 	t.Run("failing", func(t *testing.T) {
 		f := start(t, workers.Service{})
-		f.worker.SetTroubles(workers.Troubles{Failing: true})
+		f.worker.SetFaults(workers.Faults{Failing: true})
 		assert.Equal(t, http.StatusInternalServerError, dial(t, f.worker).ask(t, "r1").StatusCode)
 	})
 	t.Run("slow", func(t *testing.T) {
 		f := start(t, workers.Service{WorkMin: 20 * time.Millisecond})
-		f.worker.SetTroubles(workers.Troubles{Slow: 5})
+		f.worker.SetFaults(workers.Faults{Slow: 5})
 		dial(t, f.worker).ask(t, "r1")
 		run := f.record.History().Arrivals[0]
 		assert.GreaterOrEqual(t, run.End-run.Start, 100*time.Millisecond)
--- a/test/systemtest/answers_test.go
+++ b/test/systemtest/answers_test.go
@@ -11,12 +11,12 @@
 	"ravendale/test/standin/workers"
 )
 
-// spoilShare of all successes are spoilt in each way.
-const spoilShare = 0.06
+// faultShare of all successes are faulty in each way.
+const faultShare = 0.06
 
-// Workers spoil a third of their answers: no message is told to be done with another's signature, none runs again after a success
-// that came whole, and the order by key holds.
-func TestSpoiltAnswersOnRealProcesses(t *testing.T) {
+// A third of the answers of workers are faulty: no message is reported done with another's signature, none runs again after a success
+// that came complete, and the order by key holds.
+func TestFaultyAnswersOnRealProcesses(t *testing.T) {
 	r := start(t)
 	wait := r.load(8 * time.Second)
 	var spoiling []*workers.Worker
@@ -24,22 +24,22 @@
 		spoiling = append(spoiling, r.world.Fleet.Workers(service.Name)...)
 	}
 	for _, worker := range spoiling {
-		worker.SetTroubles(workers.Troubles{Spoilt: workers.Spoilt{
-			LoseShare: spoilShare, CutShare: spoilShare, ResetShare: spoilShare,
-			ForeignShare: spoilShare, LateShare: spoilShare, RepeatShare: spoilShare,
+		worker.SetFaults(workers.Faults{AnswerFaults: workers.AnswerFaults{
+			NeverSentShare: faultShare, TruncatedShare: faultShare, ResetShare: faultShare,
+			ForeignShare: faultShare, LateShare: faultShare, DuplicatedShare: faultShare,
 		}})
 	}
 	wait()
 	for _, worker := range spoiling {
-		worker.SetTroubles(workers.Troubles{})
+		worker.SetFaults(workers.Faults{})
 	}
 	r.verify()
 
 	h := r.world.Record.History()
-	spoilt, reused := spoiltRuns(h)
+	spoilt, reused := faultyAnswers(h)
 	t.Logf("spoilt %v, of these on connections used before %v", spoilt, reused)
 	for _, way := range []string{
-		workers.SpoiltLost, workers.SpoiltCut, workers.SpoiltReset, workers.SpoiltForeign, workers.SpoiltLate, workers.SpoiltRepeat,
+		workers.AnswerNeverSent, workers.AnswerTruncated, workers.AnswerReset, workers.AnswerForeign, workers.AnswerLate, workers.AnswerDuplicated,
 	} {
 		assert.NotZero(t, spoilt[way], "no answer was %s", way)
 		assert.NotZero(t, reused[way], "no answer on a used connection was %s", way)
@@ -49,16 +49,16 @@
 	}
 }
 
-// spoiltRuns counts the answers that were spoilt in each way, and of these those on connections that had been used before.
-func spoiltRuns(h *history.History) (spoilt, reused map[string]int) {
+// faultyAnswers counts the faulty answers by fault, and of these those on connections that had been used before.
+func faultyAnswers(h *history.History) (spoilt, reused map[string]int) {
 	spoilt, reused = make(map[string]int), make(map[string]int)
 	for _, arrival := range h.Arrivals {
-		if arrival.Spoilt == "" {
+		if arrival.AnswerFault == "" {
 			continue
 		}
-		spoilt[arrival.Spoilt]++
+		spoilt[arrival.AnswerFault]++
 		if arrival.Reused {
-			reused[arrival.Spoilt]++
+			reused[arrival.AnswerFault]++
 		}
 	}
 	return spoilt, reused
--- a/test/systemtest/diskless_test.go
+++ b/test/systemtest/diskless_test.go
@@ -17,7 +17,7 @@
 	"ravendale/test/standin/protocol"
 )
 
-const wholeBound = 30 * time.Second // for a store to be filled, or emptied
+const completeBound = 30 * time.Second // for a store to be filled, or emptied
 
 // diskless is a cluster whose control processes have no disk, so that stores hold the core.
 func diskless(spec *cluster.Spec) { spec.DisklessControl = true }
@@ -53,15 +53,15 @@
 		r.patch(protocol.Patch{Upsert: protocol.Upsert{Routes: []protocol.Route{extraRoute(500 + i)}}})
 		r.crash([]*cluster.Process{store}, 300*time.Millisecond, (*cluster.Process).Wipe)
 		r.showIsNewest()
-		r.awaitWhole(store)
+		r.awaitFilled(store)
 	}
 	wait()
 	r.verify()
 }
 
-// awaitWhole waits until a store that lost its disk is in the core's chain and holds its part of the queue. The next change is
+// awaitFilled waits until a store that lost its disk is in the core's chain and holds its part of the queue. The next change is
 // acknowledged only once it holds all of the core.
-func (r *rig) awaitWhole(store *cluster.Process) {
+func (r *rig) awaitFilled(store *cluster.Process) {
 	r.t.Helper()
 	require.Eventually(r.t, func() bool {
 		answer := r.staff.Call(r.within(ackBound), http.MethodGet, "/v1/status", nil, nil)
@@ -70,7 +70,7 @@
 			return false
 		}
 		return inChain(&seen.Core, r.system.ControlRPC(store)) && filled(seen.Placement)
-	}, wholeBound, 50*time.Millisecond, "%s is not whole", store.Name())
+	}, completeBound, 50*time.Millisecond, "%s is not whole", store.Name())
 }
 
 func inChain(core *status.Core, address string) bool {
@@ -101,7 +101,7 @@
 	require.Eventually(t, func() bool {
 		state, err := r.staff.RetireState(r.within(ackBound), voter.Node())
 		return err == nil && state == "done"
-	}, wholeBound, 50*time.Millisecond, "it is not emptied")
+	}, completeBound, 50*time.Millisecond, "it is not emptied")
 	require.Eventually(t, func() bool { return !hostsCore(voter) }, startBound, 20*time.Millisecond, "it kept its part of the core")
 	hosts := 0
 	for _, store := range r.system.Stores {
--- a/test/systemtest/loss_test.go
+++ b/test/systemtest/loss_test.go
@@ -147,8 +147,8 @@
 	}
 }
 
-// keepLetters has messages refused for good, whose bodies are kept until the end of the scenario.
-func keepLetters(r *rig) {
+// keepDeadMessages has messages refused for good, whose bodies are kept until the end of the scenario.
+func keepDeadMessages(r *rig) {
 	r.clients.Run(r.t.Context(), client.Load{
 		RatePerS: 2 * rate, Duration: 2 * time.Second,
 		Traffic: []client.Traffic{{Route: "refusing", Host: host, Target: "/refusing/a", BodyBytes: 4096}},
@@ -200,7 +200,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := start(t)
-			keepLetters(r)
+			keepDeadMessages(r)
 			wait := r.load(8 * time.Second)
 			leaving, receiver := r.system.Stores[0], r.system.Stores[1]
 			over := r.world.Record.Trouble(receiver.Node(), "kill", false)
--- a/test/systemtest/rig_test.go
+++ b/test/systemtest/rig_test.go
@@ -61,7 +61,7 @@
 	convergeBound = 2 * time.Second
 	grace         = 5 * time.Second
 	ackBound      = 5 * time.Second
-	settleBound   = 8 * time.Second // after the load, until all accepted messages have ended
+	finishBound   = 8 * time.Second // after the load, until all accepted messages have ended
 	startBound    = 10 * time.Second
 	readBound     = 5 * time.Second
 	rate          = 150.0 // messages a second
@@ -104,7 +104,7 @@
 }
 
 // services of all scenarios: a plain one, one that fails now and then, one for messages with an order, one that refuses all, and one
-// with a ceiling.
+// with a rate limit.
 func services() []standin.Service {
 	work := workers.Service{Capacity: 8, Queue: 8, WorkMin: 2 * time.Millisecond, WorkMean: 10 * time.Millisecond, WorkMax: 300 * time.Millisecond}
 	plain, flaky, ordered, limited, refusing := work, work, work, work, work
@@ -268,7 +268,7 @@
 func (r *rig) verify() check.Summary {
 	r.t.Helper()
 	record := r.world.Record
-	deadline := time.Now().Add(settleBound)
+	deadline := time.Now().Add(finishBound)
 	for len(check.Undelivered(record.History())) > 0 && time.Now().Before(deadline) {
 		time.Sleep(100 * time.Millisecond)
 	}
--- a/test/systemtest/scenarios_test.go
+++ b/test/systemtest/scenarios_test.go
@@ -22,7 +22,7 @@
 	r.load(5 * time.Second)()
 	summary := r.verify()
 	assert.Equal(t, summary.Sent, summary.Accepted, "with no trouble each message is accepted at its first try")
-	assert.Zero(t, summary.Repeats)
+	assert.Zero(t, summary.Duplicates)
 	assert.Less(t, summary.AcceptP99, 500*time.Millisecond)
 }
 
@@ -104,7 +104,7 @@
 	}
 	wait()
 	summary := r.verify()
-	assert.Zero(t, summary.Repeats, "nothing runs twice round a stop in order")
+	assert.Zero(t, summary.Duplicates, "nothing runs twice round a stop in order")
 }
 
 func TestRollOverAllStores(t *testing.T) {
@@ -187,19 +187,19 @@
 	wait := r.load(7 * time.Second)
 	ordered, flaky, plain := r.world.Fleet.Workers("ordered"), r.world.Fleet.Workers("flaky"), r.world.Fleet.Workers("plain")
 	time.Sleep(500 * time.Millisecond)
-	flaky[0].SetTroubles(workers.Troubles{Spoilt: workers.Spoilt{RepeatShare: 0.3}})
-	plain[0].SetTroubles(workers.Troubles{Spoilt: workers.Spoilt{CutShare: 0.3, LoseShare: 0.1}})
-	ordered[0].SetTroubles(workers.Troubles{Slow: 5})
+	flaky[0].SetFaults(workers.Faults{AnswerFaults: workers.AnswerFaults{DuplicatedShare: 0.3}})
+	plain[0].SetFaults(workers.Faults{AnswerFaults: workers.AnswerFaults{TruncatedShare: 0.3, NeverSentShare: 0.1}})
+	ordered[0].SetFaults(workers.Faults{Slow: 5})
 	_, err := r.world.Replace(ordered[1], drainBound+500*time.Millisecond)
 	require.NoError(t, err)
 	_, err = r.world.Replace(flaky[1], drainBound+500*time.Millisecond)
 	require.NoError(t, err)
 	time.Sleep(2 * time.Second)
-	plain[1].SetTroubles(workers.Troubles{Dark: true})
+	plain[1].SetFaults(workers.Faults{Dark: true})
 	r.world.Crash(flaky[2], time.Second)
 	time.Sleep(2 * time.Second)
 	for _, worker := range []*workers.Worker{flaky[0], plain[0], plain[1], ordered[0]} {
-		worker.SetTroubles(workers.Troubles{})
+		worker.SetFaults(workers.Faults{})
 	}
 	wait()
 	assert.GreaterOrEqual(t, r.acceptedSince(0), served, "acceptance does not wait for workers")
--- a/test/systemtest/soak_test.go
+++ b/test/systemtest/soak_test.go
@@ -31,7 +31,7 @@
 	soakAccepted = 0.5                    // of the messages, however much is away
 )
 
-// Signals, restarts, lost disks, changes and troubles of workers come in series, and those series overlap, while clients keep sending on
+// Signals, restarts, lost disks, changes and faults of workers come in series, and those series overlap, while clients keep sending on
 // connections that they have: each rule is kept, and all that was accepted ends.
 func TestSoak(t *testing.T) {
 	for i := range *soakSeeds {
@@ -102,7 +102,7 @@
 	case laneChanges:
 		return s.change(step.act)
 	case laneWorkers:
-		return s.trouble(step)
+		return s.injectFault(step)
 	}
 	process := s.target(lane, step.target)
 	if err := s.disturb(process, step); err != nil {
@@ -141,7 +141,7 @@
 		}
 		time.Sleep(step.length)
 		return process.Thaw()
-	case actCutShort:
+	case actKillWhileStopping:
 		if err := process.Terminate(); err != nil {
 			return err
 		}
@@ -165,7 +165,7 @@
 	defer cancel()
 	for ctx.Err() == nil {
 		for i := range s.system.Controls {
-			if seen, ok := statusAt(ctx, s.rig, i); ok && seen.Core.Leading && seen.isWhole(len(s.system.Controls)) {
+			if seen, ok := statusAt(ctx, s.rig, i); ok && seen.Core.Leading && seen.isComplete(len(s.system.Controls)) {
 				return nil
 			}
 		}
@@ -174,8 +174,8 @@
 	return errors.New("the copies are not made up for")
 }
 
-// isWhole says whether the core's chain and the queue lack no copy.
-func (s coreStatus) isWhole(controls int) bool {
+// isComplete says whether the core's chain and the queue lack no copy.
+func (s coreStatus) isComplete(controls int) bool {
 	return len(s.Core.Chain) >= controls && s.Placement != nil && s.Placement.UnderStrength == 0
 }
 
@@ -250,11 +250,11 @@
 	}
 }
 
-// soakServices are those whose workers get into trouble.
+// soakServices are those whose workers get faults.
 var soakServices = []string{"plain", "flaky", "ordered"}
 
-// trouble gets a worker into trouble.
-func (s *soak) trouble(step soakStep) error {
+// injectFault makes a worker faulty.
+func (s *soak) injectFault(step soakStep) error {
 	service := soakServices[step.target%len(soakServices)]
 	all := s.world.Fleet.Workers(service)
 	worker := all[step.target/len(soakServices)%len(all)]
@@ -267,9 +267,9 @@
 		_, err := s.world.Add(service, worker.Instance().Zone)
 		return err
 	}
-	worker.SetTroubles(workers.Troubles{Dark: true})
+	worker.SetFaults(workers.Faults{Dark: true})
 	time.Sleep(step.length)
-	worker.SetTroubles(workers.Troubles{})
+	worker.SetFaults(workers.Faults{})
 	return nil
 }
 
--- a/test/systemtest/soakplan_test.go
+++ b/test/systemtest/soakplan_test.go
@@ -13,16 +13,16 @@
 type soakAct uint8
 
 const (
-	actRoll          soakAct = iota // SIGTERM, and a start once the process has ended
-	actHangup                       // SIGHUP, also to processes that stop or start
-	actChange                       // a change of the configuration, which must be taken
-	actInvalid                      // ... and one that must be refused
-	actRace                         // two operators order on the same version
-	actReplaceWorker                // another starts, and it drains
-	actKill                         // SIGKILL, and a start after a time
-	actWipe                         // the same, with an empty disk
-	actCutShort                     // SIGTERM, and SIGKILL while the process stops
-	actFreeze                       // SIGSTOP, and SIGCONT after a time
+	actRoll              soakAct = iota // SIGTERM, and a start once the process has ended
+	actHangup                           // SIGHUP, also to processes that stop or start
+	actChange                           // a change of the configuration, which must be taken
+	actInvalid                          // ... and one that must be refused
+	actRace                             // two operators order on the same version
+	actReplaceWorker                    // another starts, and it drains
+	actKill                             // SIGKILL, and a start after a time
+	actWipe                             // the same, with an empty disk
+	actKillWhileStopping                // SIGTERM, and SIGKILL while the process stops
+	actFreeze                           // SIGSTOP, and SIGCONT after a time
 	actCrashWorker
 	actDarkWorker // it accepts connections and says nothing for a time
 )
@@ -82,8 +82,8 @@
 
 // soakActs lists what may be done in each lane.
 var soakActs = [soakLanes][]soakAct{
-	laneDisks:   {actRoll, actKill, actWipe, actCutShort, actFreeze},
-	laneEdges:   {actRoll, actKill, actCutShort, actFreeze},
+	laneDisks:   {actRoll, actKill, actWipe, actKillWhileStopping, actFreeze},
+	laneEdges:   {actRoll, actKill, actKillWhileStopping, actFreeze},
 	laneOthers:  {actRoll, actKill, actFreeze},
 	laneHangups: {actHangup},
 	laneChanges: {actChange, actChange, actInvalid, actRace},
--- a/test/systemtest/upgrade_test.go
+++ b/test/systemtest/upgrade_test.go
@@ -96,7 +96,7 @@
 	require.Eventually(r.t, func() bool {
 		for i := range r.system.Controls {
 			if seen, ok := statusAt(ctx, r, i); ok && seen.Core.Leading {
-				return seen.isWhole(len(r.system.Controls))
+				return seen.isComplete(len(r.system.Controls))
 			}
 		}
 		return false
