--- a/cluster/rpc/conn.go
+++ b/cluster/rpc/conn.go
@@ -4,7 +4,6 @@
 	"bufio"
 	"context"
 	"encoding/binary"
-	"errors"
 	"io"
 	"net"
 	"sync"
@@ -18,81 +17,13 @@
 
 // Bounds of a connection.
 const (
-	MaxFrame  = 32 << 20 // bytes of one frame; a longer one ends the connection
 	MaxQueued = 48 << 20 // bytes that wait to be written; more ends the connection
 
-	headerSize   = 4 + 1 + 2 + 4 // length of the rest, kind, method, call
-	keptBuffer   = 64 << 10      // larger buffers are given back after use
+	keptBuffer   = 64 << 10 // larger buffers are given back after use
 	readBuffer   = 4 << 10
 	writeTimeout = 10 * time.Second
 )
 
-// Errors of a connection.
-var (
-	ErrClosed       = errors.New("rpc: connection closed")
-	ErrUnresponsive = errors.New("rpc: peer is unresponsive")
-	ErrOverflow     = errors.New("rpc: peer does not read")
-	ErrTooLong      = errors.New("rpc: frame too long")
-	ErrMethod       = errors.New("rpc: unknown method")
-)
-
-// RemoteError is what the other end answered in place of a reply.
-type RemoteError struct{ Text string }
-
-// Error gives the other end's text.
-func (e *RemoteError) Error() string { return "rpc: peer answered: " + e.Text }
-
-type frameKind uint8
-
-const (
-	frameRequest frameKind = iota
-	frameNotice
-	frameReply
-	frameError
-	framePing
-	framePong
-)
-
-// Options of a connection.
-type Options struct {
-	Mux *Mux // what the other end may call; nil: nothing
-	// A peer that says nothing for PingAfter gets a ping; after FailureTimeout the connection is closed. Zero for
-	// the defaults.
-	PingAfter, FailureTimeout time.Duration
-	ConnectTimeout            time.Duration
-	// DialContext makes the connection under a Conn; nil: TCP.
-	DialContext func(ctx context.Context, address string) (net.Conn, error)
-}
-
-// Defaults of Options.
-const (
-	DefaultPingAfter      = 400 * time.Millisecond
-	DefaultFailureTimeout = 1200 * time.Millisecond
-	DefaultConnectTimeout = 500 * time.Millisecond
-)
-
-func (o Options) withDefaults() Options {
-	if o.PingAfter <= 0 {
-		o.PingAfter = DefaultPingAfter
-	}
-	if o.FailureTimeout <= 0 {
-		o.FailureTimeout = DefaultFailureTimeout
-	}
-	if o.ConnectTimeout <= 0 {
-		o.ConnectTimeout = DefaultConnectTimeout
-	}
-	if o.Mux == nil {
-		o.Mux = NewMux()
-	}
-	if o.DialContext == nil {
-		dialer := net.Dialer{Timeout: o.ConnectTimeout, KeepAlive: -1}
-		o.DialContext = func(ctx context.Context, address string) (net.Conn, error) {
-			return dialer.DialContext(ctx, "tcp4", address)
-		}
-	}
-	return o
-}
-
 // Conn is a connection to a peer. Its methods may be called by any goroutine.
 type Conn struct {
 	options      Options
@@ -297,25 +228,6 @@
 	return nil
 }
 
-func appendFrame(buffer []byte, kind frameKind, method wire.Method, call uint32, message msgp.Marshaler) ([]byte, error) {
-	at := len(buffer)
-	buffer = append(buffer, 0, 0, 0, 0, byte(kind))
-	buffer = binary.BigEndian.AppendUint16(buffer, uint16(method))
-	buffer = binary.BigEndian.AppendUint32(buffer, call)
-	if message != nil {
-		var err error
-		if buffer, err = message.MarshalMsg(buffer); err != nil {
-			return buffer, err
-		}
-	}
-	size := len(buffer) - at - 4
-	if size > MaxFrame {
-		return buffer, ErrTooLong
-	}
-	binary.BigEndian.PutUint32(buffer[at:], uint32(size))
-	return buffer, nil
-}
-
 func (c *Conn) write() {
 	var spare []byte
 	for {
