--- a/cluster/wire/compat_test.go
+++ b/cluster/wire/compat_test.go
@@ -89,7 +89,7 @@
 	}
 	require.Equal(t, []Topic{0, 1, 2, 3, 4}, []Topic{TopicConfig, TopicWorkers, TopicStores, TopicMembers, TopicCount})
 	require.Equal(t, []State{0, 1, 2, 3}, []State{StatePending, StateDone, StateDead, StateDropped})
-	require.Equal(t, []PutCode{0, 1, 2, 3, 4}, []PutCode{PutKept, PutStale, PutNotPrimary, PutRefused, PutUnknown})
+	require.Equal(t, []PutCode{0, 1, 2, 3, 4}, []PutCode{PutAccepted, PutStale, PutNotPrimary, PutRejected, PutUnknown})
 	require.Equal(t, []ReportKind{0, 1, 2, 3, 4, 5},
 		[]ReportKind{ReportDone, ReportFailed, ReportDead, ReportDropped, ReportReleased, ReportExpired})
 }
--- a/cluster/wire/queue.go
+++ b/cluster/wire/queue.go
@@ -46,13 +46,13 @@
 // PutCode says what became of a Put.
 type PutCode uint8
 
-// The answers to a Put. Only PutKept accepts a message; after PutStale, PutNotPrimary and PutRefused nothing was kept and
+// The answers to a Put. Only PutAccepted accepts a message; after PutStale, PutNotPrimary and PutRejected nothing was accepted and
 // nothing will be. PutUnknown promises neither.
 const (
-	PutKept       PutCode = iota
+	PutAccepted   PutCode = iota
 	PutStale              // the store acts under another epoch: see PutReply.Epoch
 	PutNotPrimary         // the partition's primary is another store
-	PutRefused            // too few stores, or too full
+	PutRejected           // too few stores, or too full
 	PutUnknown
 )
 
@@ -104,8 +104,8 @@
 	Signature string
 }
 
-// ReportReply is sent once the report is on disk at all replicas. Code is as for a Put: PutKept, PutStale, PutNotPrimary or
-// PutUnknown. A report of an unknown message is PutKept.
+// ReportReply is sent once the report is on disk at all replicas. Code is as for a Put: PutAccepted, PutStale, PutNotPrimary or
+// PutUnknown. A report of an unknown message is PutAccepted.
 type ReportReply struct {
 	Code  PutCode
 	Epoch uint64
--- a/edge/queueclient/attempt.go
+++ b/edge/queueclient/attempt.go
@@ -132,7 +132,7 @@
 	switch {
 	case err != nil || reply.Code == wire.PutUnknown:
 		t.resolve(attemptUnknown)
-	case reply.Code == wire.PutKept:
+	case reply.Code == wire.PutAccepted:
 		t.resolveAccepted(reply.Granted)
 	default:
 		t.resolve(attemptRejected)
--- a/edge/queueclient/outage_test.go
+++ b/edge/queueclient/outage_test.go
@@ -39,7 +39,7 @@
 				close(arrived)
 				<-release
 			}
-			return &wire.PutReply{Code: wire.PutKept}
+			return &wire.PutReply{Code: wire.PutAccepted}
 		}
 		c, _ := newClient(t)
 		c.SetView(placement(1, []*fakeStore{one}, []uint16{0}))
@@ -66,7 +66,7 @@
 			if number > 1 {
 				time.Sleep(minAttemptTimeout * 2 / 3)
 			}
-			return &wire.PutReply{Code: wire.PutKept}
+			return &wire.PutReply{Code: wire.PutAccepted}
 		}
 		c, _ := newClient(t)
 		c.SetView(placement(1, []*fakeStore{one}, []uint16{0}))
--- a/edge/queueclient/queueclient_test.go
+++ b/edge/queueclient/queueclient_test.go
@@ -50,7 +50,7 @@
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		s.claims = append(s.claims, *m)
-		answer := &wire.ClaimReply{Code: wire.PutKept}
+		answer := &wire.ClaimReply{Code: wire.PutAccepted}
 		if s.claim != nil {
 			answer = s.claim(m)
 		}
@@ -60,7 +60,7 @@
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		s.puts = append(s.puts, *m)
-		answer := &wire.PutReply{Code: wire.PutKept}
+		answer := &wire.PutReply{Code: wire.PutAccepted}
 		if s.put != nil {
 			answer = s.put(m, len(s.puts))
 		}
@@ -70,7 +70,7 @@
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		s.reports = append(s.reports, *m)
-		code := wire.PutKept
+		code := wire.PutAccepted
 		if s.report != nil {
 			code = s.report(m, len(s.reports))
 		}
@@ -240,7 +240,7 @@
 func TestRefusedPutGoesElsewhereUnderAnotherName(t *testing.T) {
 	onFakeTime(t, func(t *testing.T) {
 		one, two := newFakeStore(t), newFakeStore(t)
-		one.put = func(*wire.Put, int) *wire.PutReply { return &wire.PutReply{Code: wire.PutRefused} }
+		one.put = func(*wire.Put, int) *wire.PutReply { return &wire.PutReply{Code: wire.PutRejected} }
 		c, h := newClient(t)
 		c.SetView(placement(1, []*fakeStore{one, two}, []uint16{0}, []uint16{1}))
 		connected(t, c)
@@ -255,7 +255,7 @@
 
 func TestPutThatAllRefuseIsRefused(t *testing.T) {
 	onFakeTime(t, func(t *testing.T) {
-		for _, code := range []wire.PutCode{wire.PutStale, wire.PutNotPrimary, wire.PutRefused} {
+		for _, code := range []wire.PutCode{wire.PutStale, wire.PutNotPrimary, wire.PutRejected} {
 			one := newFakeStore(t)
 			one.put = func(*wire.Put, int) *wire.PutReply { return &wire.PutReply{Code: code} }
 			c, _ := newClient(t)
@@ -287,7 +287,7 @@
 			if number == 1 {
 				return &wire.PutReply{Code: wire.PutUnknown}
 			}
-			return &wire.PutReply{Code: wire.PutRefused}
+			return &wire.PutReply{Code: wire.PutRejected}
 		},
 	}
 	for name, answer := range answers {
@@ -334,7 +334,7 @@
 			if p.Partition == 0 {
 				return nil
 			}
-			return &wire.PutReply{Code: wire.PutKept}
+			return &wire.PutReply{Code: wire.PutAccepted}
 		}
 		c, _ := newClient(t)
 		c.SetView(placement(1, []*fakeStore{one, two, three}, []uint16{0, 1}, []uint16{2}))
@@ -353,7 +353,7 @@
 			for _, s := range []*fakeStore{one, two} {
 				s.put = func(*wire.Put, int) *wire.PutReply {
 					time.Sleep(2 * minAttemptTimeout)
-					return &wire.PutReply{Code: wire.PutKept}
+					return &wire.PutReply{Code: wire.PutAccepted}
 				}
 			}
 			c, h := newClient(t)
@@ -394,7 +394,7 @@
 		dropped := make(chan wire.Report, 1)
 		rpc.Handle(mux, wire.MethodReport, func(_ *rpc.Conn, m *wire.Report, reply rpc.Reply) {
 			dropped <- *m
-			reply.Send(&wire.ReportReply{Code: wire.PutKept})
+			reply.Send(&wire.ReportReply{Code: wire.PutAccepted})
 		})
 		slow := rpc.Serve(memory.listen(), rpc.Options{Mux: mux}, nil)
 		defer slow.Close()
@@ -406,7 +406,7 @@
 		m := plain()
 		require.Equal(t, Accepted, c.Put(m, true, time.Second))
 		first := <-arrived
-		late.Send(&wire.PutReply{Code: wire.PutKept})
+		late.Send(&wire.PutReply{Code: wire.PutAccepted})
 		report := <-dropped
 		assert.Equal(t, first.Message.ID, report.ID)
 		assert.Equal(t, wire.ReportDropped, report.Kind)
@@ -418,7 +418,7 @@
 	onFakeTime(t, func(t *testing.T) {
 		one, two := newFakeStore(t), newFakeStore(t)
 		one.put = func(*wire.Put, int) *wire.PutReply { return &wire.PutReply{Code: wire.PutNotPrimary} }
-		two.put = func(*wire.Put, int) *wire.PutReply { return &wire.PutReply{Code: wire.PutKept, Granted: true} }
+		two.put = func(*wire.Put, int) *wire.PutReply { return &wire.PutReply{Code: wire.PutAccepted, Granted: true} }
 		c, h := newClient(t)
 		stores := []*fakeStore{one, two}
 		c.SetView(placement(1, stores, []uint16{0, 1}))
@@ -448,7 +448,7 @@
 		c, h := newClient(t)
 		one.put = func(p *wire.Put, _ int) *wire.PutReply {
 			_ = one.conns[len(one.conns)-1].Notify(wire.MethodGrant, &wire.Grant{ID: p.Message.ID})
-			return &wire.PutReply{Code: wire.PutKept}
+			return &wire.PutReply{Code: wire.PutAccepted}
 		}
 		c.SetView(placement(1, []*fakeStore{one}, []uint16{0}))
 		connected(t, c)
@@ -483,7 +483,7 @@
 func TestReportIsRepeatedUntilAcknowledged(t *testing.T) {
 	onFakeTime(t, func(t *testing.T) {
 		one := newFakeStore(t)
-		codes := []wire.PutCode{wire.PutStale, wire.PutUnknown, wire.PutNotPrimary, wire.PutKept}
+		codes := []wire.PutCode{wire.PutStale, wire.PutUnknown, wire.PutNotPrimary, wire.PutAccepted}
 		one.report = func(_ *wire.Report, number int) wire.PutCode { return codes[number-1] }
 		c, h := newClient(t)
 		c.SetView(placement(1, []*fakeStore{one}, []uint16{0}))
@@ -526,7 +526,7 @@
 			if number == 1 {
 				return wire.PutUnknown
 			}
-			return wire.PutKept
+			return wire.PutAccepted
 		}
 		c, h := newClient(t)
 		c.SetView(placement(1, []*fakeStore{one}, []uint16{0}))
@@ -556,7 +556,7 @@
 			if number == 1 {
 				one.conns[0].Close()
 			}
-			return wire.PutKept
+			return wire.PutAccepted
 		}
 		c, _ := newClient(t)
 		c.SetView(placement(1, []*fakeStore{one}, []uint16{0}))
--- a/edge/queueclient/races_test.go
+++ b/edge/queueclient/races_test.go
@@ -19,7 +19,7 @@
 		answer, kept := make(chan struct{}), make(chan string, 1)
 		one.put = func(*wire.Put, int) *wire.PutReply {
 			<-answer
-			return &wire.PutReply{Code: wire.PutKept}
+			return &wire.PutReply{Code: wire.PutAccepted}
 		}
 		c, _ := newClient(t)
 		c.SetView(placement(1, []*fakeStore{one}, []uint16{0}))
@@ -107,14 +107,14 @@
 		c.Report(wire.Report{ID: "0.1", Kind: wire.ReportReleased})
 		c.reports.resend()
 		require.Eventually(t, func() bool { return s.count() == 2 }, soon, time.Millisecond)
-		s.replies[0].Send(&wire.ReportReply{Code: wire.PutKept})
+		s.replies[0].Send(&wire.ReportReply{Code: wire.PutAccepted})
 		grant := &wire.Grant{ID: "0.1", HasMessage: true}
 		require.NoError(t, s.conn.Notify(wire.MethodGrant, grant))
 		require.Eventually(t, func() bool { return s.count() == 3 }, soon, time.Millisecond, "it is given back once more")
 		assert.Equal(t, wire.ReportReleased, s.reports[2].Kind)
 		h.with(func() { assert.Empty(t, h.granted) })
-		s.replies[1].Send(&wire.ReportReply{Code: wire.PutKept})
-		s.replies[2].Send(&wire.ReportReply{Code: wire.PutKept})
+		s.replies[1].Send(&wire.ReportReply{Code: wire.PutAccepted})
+		s.replies[2].Send(&wire.ReportReply{Code: wire.PutAccepted})
 		require.NoError(t, s.conn.Notify(wire.MethodGrant, grant))
 		require.Eventually(t, func() bool { h.mu.Lock(); defer h.mu.Unlock(); return len(h.granted) == 1 }, soon, time.Millisecond)
 		assert.Zero(t, c.Pending())
@@ -223,7 +223,7 @@
 		}
 		stores := []*fakeStore{one, two}
 		c, h := newClient(t)
-		two.claim = func(m *wire.Claim) *wire.ClaimReply { return &wire.ClaimReply{Code: wire.PutKept, Unknown: m.IDs} }
+		two.claim = func(m *wire.Claim) *wire.ClaimReply { return &wire.ClaimReply{Code: wire.PutAccepted, Unknown: m.IDs} }
 		c.SetView(placement(1, stores, []uint16{0, 1}))
 		connected(t, c)
 		c.Report(wire.Report{ID: "0.done", Kind: wire.ReportDone})
--- a/edge/queueclient/report.go
+++ b/edge/queueclient/report.go
@@ -118,7 +118,7 @@
 			_, err = reply.UnmarshalMsg(payload)
 		}
 		r.countRelease(w, &report, -1)
-		r.handleReply(id, number, sent, err == nil && reply.Code == wire.PutKept)
+		r.handleReply(id, number, sent, err == nil && reply.Code == wire.PutAccepted)
 	})
 }
 
--- a/edge/queueclient/store.go
+++ b/edge/queueclient/store.go
@@ -85,7 +85,7 @@
 }
 
 func (s *store) handleClaimReply(conn *rpc.Conn, v *view, owned map[string]bool, reply *wire.ClaimReply) {
-	if reply.Code != wire.PutKept {
+	if reply.Code != wire.PutAccepted {
 		s.client.host.AfterFunc(claimRetryPause, func() {
 			if conn.Err() == nil && s.client.view.Load() == v { // else there is another claim
 				s.claimOn(conn)
--- a/store/queue/claim.go
+++ b/store/queue/claim.go
@@ -11,7 +11,7 @@
 		reply.Send(&wire.ClaimReply{Code: wire.PutStale, Epoch: c.newestEpoch})
 		return
 	}
-	answer := &wire.ClaimReply{Code: wire.PutKept, Epoch: c.epoch()}
+	answer := &wire.ClaimReply{Code: wire.PutAccepted, Epoch: c.epoch()}
 	claimed := make(map[string]struct{}, len(m.IDs))
 	for _, id := range m.IDs {
 		if c.claimMessage(e, id) {
--- a/store/queue/core_test.go
+++ b/store/queue/core_test.go
@@ -171,15 +171,15 @@
 	r.ack(b)
 	assert.Nil(t, first.message, "it is not on the own disk")
 	r.sync()
-	assert.Equal(t, wire.PutKept, code(t, first))
-	assert.Equal(t, wire.PutKept, code(t, again))
+	assert.Equal(t, wire.PutAccepted, code(t, first))
+	assert.Equal(t, wire.PutAccepted, code(t, again))
 
 	second := r.put(plain("0.y"), e)
 	r.sync()
 	assert.Nil(t, second.message, "it is not on the other disk")
 	r.ack(b)
-	assert.Equal(t, wire.PutKept, code(t, second))
-	assert.Equal(t, wire.PutKept, code(t, r.put(plain("0.x"), e)), "a repeat later")
+	assert.Equal(t, wire.PutAccepted, code(t, second))
+	assert.Equal(t, wire.PutAccepted, code(t, r.put(plain("0.x"), e)), "a repeat later")
 }
 
 func TestPutIsRefused(t *testing.T) {
@@ -194,7 +194,7 @@
 	assert.ErrorContains(t, a.err, "1.x")
 	r.view(2, []uint16{0}, nil)
 	before := len(r.records)
-	assert.Equal(t, wire.PutRefused, code(t, r.put(plain("0.x"), e)), "too few members")
+	assert.Equal(t, wire.PutRejected, code(t, r.put(plain("0.x"), e)), "too few members")
 	assert.Len(t, r.records, before)
 	r.core.Replicate(r.now, &heard{}, &Replicate{Epoch: 9, Number: 1}) // another knows a newer epoch
 	assert.Equal(t, wire.PutStale, code(t, r.put(plain("0.x"), e)))
@@ -210,7 +210,7 @@
 	assert.Nil(t, put.message)
 	r.core.PeerUp(r.now, "c", c)
 	r.ack(c)
-	assert.Equal(t, wire.PutKept, code(t, put))
+	assert.Equal(t, wire.PutAccepted, code(t, put))
 
 	put = r.put(plain("0.y"), e)
 	r.view(3, []uint16{1, 0}, nil)
@@ -229,7 +229,7 @@
 	r.sync()
 	assert.Nil(t, last[wire.Grant](e), "the end is not on the other disk")
 	r.ack(b)
-	assert.Equal(t, wire.PutKept, code(t, done))
+	assert.Equal(t, wire.PutAccepted, code(t, done))
 	require.NotNil(t, last[wire.Grant](e))
 	assert.Equal(t, "0.2", last[wire.Grant](e).ID)
 	assert.False(t, last[wire.Grant](e).HasMessage)
@@ -243,7 +243,7 @@
 	later := r.report(wire.Report{ID: "0.1", Kind: wire.ReportDead}, e)
 	assert.Nil(t, later.message, "it waits for the first")
 	r.syncAndAck(b)
-	assert.Equal(t, wire.PutKept, code(t, later))
+	assert.Equal(t, wire.PutAccepted, code(t, later))
 	find := &answer{}
 	r.core.FindMessage(r.now, &wire.Find{ID: "0.1", Body: true}, find)
 	assert.Equal(t, &wire.FindReply{Found: true, State: wire.StateDone, Signature: "s"}, find.message)
@@ -420,7 +420,7 @@
 	assert.Equal(t, "0.2", last[wire.Grant](e).ID)
 	entry, _ := r.core.partition(0).find("0.3")
 	require.NotNil(t, entry)
-	assert.Equal(t, wire.PutKept, code(t, r.report(wire.Report{ID: "0.1", Kind: wire.ReportDone}, e)))
+	assert.Equal(t, wire.PutAccepted, code(t, r.report(wire.Report{ID: "0.1", Kind: wire.ReportDone}, e)))
 }
 
 func TestMemberRefusesOlderEpochsAndAcksAfterItsSync(t *testing.T) {
@@ -585,10 +585,10 @@
 	more := r.put(plain("0.1"), e)
 	assert.Nil(t, again.message, "the other replica may not have it")
 	r.ack(b)
-	assert.Equal(t, wire.PutKept, code(t, again))
-	assert.Equal(t, wire.PutKept, code(t, more))
+	assert.Equal(t, wire.PutAccepted, code(t, again))
+	assert.Equal(t, wire.PutAccepted, code(t, more))
 	r.same(b)
-	assert.Equal(t, wire.PutKept, code(t, r.put(plain("0.1"), e)), "all is compared")
+	assert.Equal(t, wire.PutAccepted, code(t, r.put(plain("0.1"), e)), "all is compared")
 }
 
 // Members that are lost while a message is being kept don't count: it is accepted once it is on enough disks again.
@@ -603,5 +603,5 @@
 	assert.Nil(t, waits.message)
 	r.core.PeerUp(r.now, "c", c)
 	r.ack(c)
-	assert.Equal(t, wire.PutKept, code(t, waits))
+	assert.Equal(t, wire.PutAccepted, code(t, waits))
 }
--- a/store/queue/exploreedge_test.go
+++ b/store/queue/exploreedge_test.go
@@ -72,7 +72,7 @@
 			return
 		}
 		delivery.requested = false
-		if decode[wire.ReportReply](p.payload).Code == wire.PutKept {
+		if decode[wire.ReportReply](p.payload).Code == wire.PutAccepted {
 			w.messages[fields[1]].reported = true
 			delete(e.deliveries, fields[1])
 		}
@@ -97,7 +97,7 @@
 	if epoch != fmt.Sprint(e.epoch) {
 		return
 	}
-	if reply.Code != wire.PutKept {
+	if reply.Code != wire.PutAccepted {
 		if s := w.store(l.to); s.core.epoch() >= e.epoch { // else it is claimed when the store has the view
 			w.claim(e, s)
 		}
@@ -115,7 +115,7 @@
 	if delivery != nil {
 		delivery.requested = false
 	}
-	if reply.Code != wire.PutKept {
+	if reply.Code != wire.PutAccepted {
 		return
 	}
 	w.messages[id].accepted = true
--- a/store/queue/explorestore_test.go
+++ b/store/queue/explorestore_test.go
@@ -47,7 +47,7 @@
 }
 
 func (r *modelReply) Send(message msgp.Marshaler) {
-	if reply, ok := message.(*wire.PutReply); ok && reply.Code == wire.PutKept {
+	if reply, ok := message.(*wire.PutReply); ok && reply.Code == wire.PutAccepted {
 		r.end.world.checkCopies(strings.TrimPrefix(r.call, "put "))
 	}
 	payload, _ := message.MarshalMsg(nil)
--- a/store/queue/op.go
+++ b/store/queue/op.go
@@ -110,7 +110,7 @@
 // replyTo answers a request whose operation is complete.
 func (c *Core) replyTo(o *op, w waiter) {
 	if !w.put {
-		w.reply.Send(&wire.ReportReply{Code: wire.PutKept, Epoch: c.epoch()})
+		w.reply.Send(&wire.ReportReply{Code: wire.PutAccepted, Epoch: c.epoch()})
 		return
 	}
 	w.reply.Send(c.putReply(o.p, o.e, w.edge))
--- a/store/queue/put.go
+++ b/store/queue/put.go
@@ -15,7 +15,7 @@
 	if p == nil || !p.primary {
 		return nil, wire.PutNotPrimary
 	}
-	return p, wire.PutKept
+	return p, wire.PutAccepted
 }
 
 // PutMessage accepts a message: the reply is sent once it is on the disks of all members of its partition. A repeated put of the same message
@@ -28,7 +28,7 @@
 		return
 	}
 	p, code := c.admit(m.Partition, m.Epoch)
-	if code != wire.PutKept {
+	if code != wire.PutAccepted {
 		reply.Send(&wire.PutReply{Code: code, Epoch: c.newestEpoch})
 		return
 	}
@@ -38,7 +38,7 @@
 	case e != nil:
 		c.acceptRepeat(p, e, m, sender, reply)
 	case m.Dispatch && sender == nil || collides || len(p.members)+1 < c.requiredCopies() || c.refusesPuts():
-		reply.Send(&wire.PutReply{Code: wire.PutRefused, Epoch: c.epoch()})
+		reply.Send(&wire.PutReply{Code: wire.PutRejected, Epoch: c.epoch()})
 	default:
 		c.acceptNew(p, m, sender, reply)
 	}
@@ -129,5 +129,5 @@
 // putReply answers a Put of a message that is on disk at all members.
 func (c *Core) putReply(p *partition, e *entry, from *edge) *wire.PutReply {
 	granted := e.delivery != nil && e.delivery.granted && e.delivery.leaseholder == from && from != nil
-	return &wire.PutReply{Code: wire.PutKept, Epoch: c.epoch(), Granted: granted}
+	return &wire.PutReply{Code: wire.PutAccepted, Epoch: c.epoch(), Granted: granted}
 }
--- a/store/queue/report.go
+++ b/store/queue/report.go
@@ -10,7 +10,7 @@
 func (c *Core) ReportDelivery(now Time, from Remote, m *wire.Report, reply Replier) {
 	c.now = now
 	p, code := c.admit(m.Partition, m.Epoch)
-	if code != wire.PutKept {
+	if code != wire.PutAccepted {
 		reply.Send(&wire.ReportReply{Code: code, Epoch: c.newestEpoch})
 		return
 	}
@@ -19,7 +19,7 @@
 	case e == nil && p.isMergePending(): // another store may know the message
 		reply.Send(&wire.ReportReply{Code: wire.PutUnknown, Epoch: c.epoch()})
 	case e == nil:
-		reply.Send(&wire.ReportReply{Code: wire.PutKept, Epoch: c.epoch()})
+		reply.Send(&wire.ReportReply{Code: wire.PutAccepted, Epoch: c.epoch()})
 	case !e.pending():
 		c.replyAfterLastChange(e, reply)
 	default:
@@ -35,7 +35,7 @@
 		e.delivery.lastChange.waiters = append(e.delivery.lastChange.waiters, waiter{reply: reply})
 		return
 	}
-	reply.Send(&wire.ReportReply{Code: wire.PutKept, Epoch: c.epoch()})
+	reply.Send(&wire.ReportReply{Code: wire.PutAccepted, Epoch: c.epoch()})
 }
 
 func (c *Core) applyReport(p *partition, e *entry, from Remote, m *wire.Report, reply Replier) {
@@ -53,7 +53,7 @@
 			e.delivery.released = true
 			c.requeueMessage(p, e)
 		}
-		reply.Send(&wire.ReportReply{Code: wire.PutKept, Epoch: c.epoch()})
+		reply.Send(&wire.ReportReply{Code: wire.PutAccepted, Epoch: c.epoch()})
 	default:
 		reply.Fail(fmt.Errorf("queue: report of unknown kind %d for message %q", m.Kind, m.ID))
 	}
--- a/store/queue/simedge_test.go
+++ b/store/queue/simedge_test.go
@@ -160,7 +160,7 @@
 		if !e.up || e.incarnation != incarnation || claim.Epoch != e.view.Epoch {
 			return
 		}
-		if reply.Code != wire.PutKept {
+		if reply.Code != wire.PutAccepted {
 			e.sim.after(50*ms, func() {
 				if e.up && e.incarnation == incarnation && c.open && claim.Epoch == e.view.Epoch {
 					e.claim(i)
@@ -244,7 +244,7 @@
 			e.giveBack(c, id, reply)
 			return
 		}
-		if reply.Code != wire.PutKept {
+		if reply.Code != wire.PutAccepted {
 			again()
 			return
 		}
@@ -270,7 +270,7 @@
 
 // giveBack has the store hand a message to another edge that was kept after this one had given it up.
 func (e *simEdge) giveBack(c *simConn, id string, reply *wire.PutReply) {
-	if reply.Code != wire.PutKept || e.deliveries[id] != nil {
+	if reply.Code != wire.PutAccepted || e.deliveries[id] != nil {
 		return
 	}
 	number, _ := wire.PartitionOf(id)
@@ -366,7 +366,7 @@
 	incarnation := e.incarnation
 	c.ends[0].request(wire.MethodReport, &report, func(payload []byte) {
 		reply := decode[wire.ReportReply](payload)
-		if !e.up || e.incarnation != incarnation || reply.Code != wire.PutKept || e.deliveries[id] != delivery || delivery.report == nil {
+		if !e.up || e.incarnation != incarnation || reply.Code != wire.PutAccepted || e.deliveries[id] != delivery || delivery.report == nil {
 			return
 		}
 		if report.Kind == wire.ReportFailed {
--- a/store/queue/stall_test.go
+++ b/store/queue/stall_test.go
@@ -21,14 +21,14 @@
 	assert.True(t, r.core.Status().Stalled)
 	assert.Nil(t, waits.message, "whether it is kept is not known")
 	records := len(r.records)
-	assert.Equal(t, wire.PutRefused, code(t, r.put(plain("0.2"), e)))
+	assert.Equal(t, wire.PutRejected, code(t, r.put(plain("0.2"), e)))
 	assert.Len(t, r.records, records, "nothing of what is refused is kept")
 	r.sync()
 	assert.False(t, r.core.Status().Stalled)
-	assert.Equal(t, wire.PutKept, code(t, waits))
+	assert.Equal(t, wire.PutAccepted, code(t, waits))
 	kept := r.put(plain("0.2"), e)
 	r.syncAndAck(b)
-	assert.Equal(t, wire.PutKept, code(t, kept))
+	assert.Equal(t, wire.PutAccepted, code(t, kept))
 }
 
 func TestAFullDiskIsReportedAtOnce(t *testing.T) {
@@ -40,10 +40,10 @@
 	r.ack(b)
 	r.core.DiskFull(r.now)
 	assert.True(t, r.core.Status().Stalled)
-	assert.Equal(t, wire.PutRefused, code(t, r.put(plain("0.2"), e)))
+	assert.Equal(t, wire.PutRejected, code(t, r.put(plain("0.2"), e)))
 	r.sync()
 	assert.False(t, r.core.Status().Stalled)
-	assert.Equal(t, wire.PutKept, code(t, waits))
+	assert.Equal(t, wire.PutAccepted, code(t, waits))
 }
 
 // A disk that is slow and takes one after another is not stalled.
--- a/store/queue/takeover_test.go
+++ b/store/queue/takeover_test.go
@@ -40,11 +40,11 @@
 	r.fetched(b, &Record{ID: "0.1", Sequence: 1, Message: plain("")})
 	again := r.report(done, e)
 	r.syncAndAck(b)
-	assert.Equal(t, wire.PutKept, code(t, again))
+	assert.Equal(t, wire.PutAccepted, code(t, again))
 	assert.Equal(t, wire.StateDone, r.find("0.1", false).State)
 	r.pass(10 * time.Second)
 	require.Nil(t, last[wire.Grant](e))
-	assert.Equal(t, wire.PutKept, code(t, r.report(wire.Report{ID: "0.2", Kind: wire.ReportDone}, e)), "nobody knows it")
+	assert.Equal(t, wire.PutAccepted, code(t, r.report(wire.Report{ID: "0.2", Kind: wire.ReportDone}, e)), "nobody knows it")
 }
 
 func TestGrantsHaveTheEpoch(t *testing.T) {
@@ -83,7 +83,7 @@
 	assert.Empty(t, f.notices)
 
 	released := r.report(wire.Report{ID: "0.1", Kind: wire.ReportReleased}, e)
-	assert.Equal(t, wire.PutKept, code(t, released))
+	assert.Equal(t, wire.PutAccepted, code(t, released))
 	assert.Empty(t, f.notices, "whose it is now is not on all disks")
 	r.syncAndAck(b)
 	require.NotNil(t, last[wire.Grant](f), "its owner has given it back")
@@ -214,9 +214,9 @@
 	r, _, e := primary(t)
 	again := &heard{}
 	r.attach("e", again)
-	assert.Equal(t, wire.PutRefused, code(t, r.put(plain("0.1"), e)))
+	assert.Equal(t, wire.PutRejected, code(t, r.put(plain("0.1"), e)))
 	r.core.EdgeDown(r.now, again)
-	assert.Equal(t, wire.PutRefused, code(t, r.put(plain("0.1"), again)))
+	assert.Equal(t, wire.PutRejected, code(t, r.put(plain("0.1"), again)))
 	assert.Empty(t, r.core.partition(0).entries)
 }
 
--- a/store/server/store_test.go
+++ b/store/server/store_test.go
@@ -90,7 +90,7 @@
 	require.NoError(t, e.conn.Call(t.Context(), wire.MethodAttach, &wire.Attach{Edge: id, Zone: "z"}, &wire.AttachReply{}))
 	reply := &wire.ClaimReply{}
 	require.NoError(t, e.conn.Call(t.Context(), wire.MethodClaim, &wire.Claim{Epoch: epoch}, reply))
-	require.Equal(t, wire.PutKept, reply.Code)
+	require.Equal(t, wire.PutAccepted, reply.Code)
 	return e
 }
 
@@ -129,17 +129,17 @@
 	}
 	e := attach(t, nodes[0], "e", 1)
 	put := e.put(t, 1, "0.1")
-	assert.Equal(t, wire.PutKept, put.Code)
+	assert.Equal(t, wire.PutAccepted, put.Code)
 	if !put.Granted { // the stores had not met yet
 		assert.Equal(t, "0.1", e.await(t).ID)
 	}
 	put = e.put(t, 1, "0.2")
-	assert.Equal(t, wire.PutKept, put.Code)
+	assert.Equal(t, wire.PutAccepted, put.Code)
 	assert.False(t, put.Granted)
 	report := &wire.ReportReply{}
 	done := &wire.Report{Epoch: 1, ID: "0.1", Kind: wire.ReportDone, Signature: "s"}
 	require.NoError(t, e.conn.Call(t.Context(), wire.MethodReport, done, report))
-	assert.Equal(t, wire.PutKept, report.Code)
+	assert.Equal(t, wire.PutAccepted, report.Code)
 	assert.Equal(t, "0.2", e.await(t).ID)
 
 	nodes[0].stop(t) // the primary goes; the other takes over, and a third joins
--- a/test/lab/backlog/backlog.go
+++ b/test/lab/backlog/backlog.go
@@ -177,7 +177,7 @@
 		if err == nil {
 			_, err = reply.UnmarshalMsg(payload)
 		}
-		if err == nil && reply.Code != wire.PutKept {
+		if err == nil && reply.Code != wire.PutAccepted {
 			err = fmt.Errorf("%w: code %d", ErrRefused, reply.Code)
 		}
 		answers <- err
