--- a/control/core/kinds.go
+++ b/control/core/kinds.go
@@ -18,7 +18,7 @@
 }
 
 var kinds = []kind{
-	{methodBeat, func() msgp.Unmarshaler { return new(beat) }},
+	{methodHeartbeat, func() msgp.Unmarshaler { return new(heartbeat) }},
 	{methodPrepare, func() msgp.Unmarshaler { return new(view.Prepare) }},
 	{methodPromise, func() msgp.Unmarshaler { return new(view.Promise) }},
 	{methodAccept, func() msgp.Unmarshaler { return new(view.Accept) }},
@@ -36,11 +36,11 @@
 	{methodLeaving, func() msgp.Unmarshaler { return new(leaving) }},
 }
 
-// methodOf tells the method of a message.
+// methodOf is the method of a message.
 func methodOf(message msgp.Marshaler) wire.Method {
 	switch message.(type) {
-	case *beat:
-		return methodBeat
+	case *heartbeat:
+		return methodHeartbeat
 	case *view.Prepare:
 		return methodPrepare
 	case *view.Promise:
--- a/control/core/model_checks_test.go
+++ b/control/core/model_checks_test.go
@@ -33,14 +33,14 @@
 // checkAnswer sees whether an order that is answered lies on as many disks as losses could take, and one more, and has one outcome.
 func (m *model) checkAnswer(number int) {
 	_, command, _ := strings.Cut(m.scope.orders[number], " ")
-	place := slices.Index(m.order, command)
-	if place < 0 {
+	index := slices.Index(m.order, command)
+	if index < 0 {
 		m.fail("order %d was answered %q and never applied", number, m.answers[number])
 		return
 	}
 	machine := &orderLog{}
 	var result []byte
-	for _, applied := range m.order[:place+1] {
+	for _, applied := range m.order[:index+1] {
 		result = machine.Apply([]byte(applied))
 	}
 	if m.answers[number] != string(result) {
@@ -52,7 +52,7 @@
 			disks++
 		}
 	}
-	if disks <= m.scope.lost && (disks == 0 || !m.exceeded) {
+	if disks <= m.scope.tolerated && (disks == 0 || !m.exceeded) {
 		m.fail("order %d was answered with %d disks that hold it", number, disks)
 	}
 }
@@ -82,7 +82,7 @@
 func (m *model) checkLease() {
 	holders := 0
 	for at, member := range m.members {
-		if member.node == nil || !member.node.holder.Valid(m.clock(at)) {
+		if member.node == nil || !member.node.lease.holder.Valid(m.clock(at)) {
 			continue
 		}
 		holders++
@@ -105,7 +105,7 @@
 		if _, voter := v.Voter(member.node.self.ID); !voter {
 			continue
 		}
-		if granted, quiet := member.node.voter.Holder(m.clock(at)); !quiet && granted != holder {
+		if granted, quiet := member.node.lease.voter.Holder(m.clock(at)); !quiet && granted != holder {
 			free++
 		}
 	}
@@ -123,8 +123,8 @@
 	return newest
 }
 
-// checkWhole sees whether those that are whole in the latest view hold all that was answered.
-func (m *model) checkWhole() {
+// checkComplete sees whether those that are whole in the latest view hold all that was answered.
+func (m *model) checkComplete() {
 	latest := uint64(0)
 	for epoch := range m.views {
 		latest = max(latest, epoch)
@@ -148,31 +148,31 @@
 }
 
 func (member *modelMember) up() bool {
-	return member.node != nil && !member.frozen && !member.cut && !member.deaf
+	return member.node != nil && !member.frozen && !member.partitioned && !member.deaf
 }
 
-// lostSlots counts the machines that count as lost: those that have come, but for one whose successor counts in its place.
-func (m *model) lostSlots() int {
-	lost := 0
+// unavailableSlots counts the machines that count as lost: those that have come, but for one whose successor counts in its place.
+func (m *model) unavailableSlots() int {
+	unavailable := 0
 	for at, member := range m.members {
-		if member.life == 0 || m.replaced && at == 0 {
+		if member.incarnation == 0 || m.replaced && at == 0 {
 			continue
 		}
 		if !member.up() || m.elapsed < member.soundAt {
-			lost++
+			unavailable++
 		}
 	}
-	return lost
+	return unavailable
 }
 
 // checkMargin sees whether a majority and a whole member are up while no more are lost than may be.
 func (m *model) checkMargin() {
-	m.exceeded = m.exceeded || m.lostSlots() > m.scope.lost
+	m.exceeded = m.exceeded || m.unavailableSlots() > m.scope.tolerated
 	if m.exceeded {
 		return
 	}
 	v := m.newest()
-	voters, whole := 0, 0
+	voters, complete := 0, 0
 	for _, member := range m.members {
 		if !member.up() {
 			continue
@@ -182,13 +182,13 @@
 			voters++
 		}
 		if at := v.Position(id); at >= 0 && (at < v.Complete || member.node.view.Epoch == v.Epoch && member.node.chain.Complete()) {
-			whole++
+			complete++
 		}
 	}
 	if voters < v.Majority() {
 		m.fail("%d of %d voters are up, though no more are lost than may be", voters, len(v.Voters))
 	}
-	if whole == 0 {
+	if complete == 0 {
 		m.fail("no whole member is up, though no more are lost than may be")
 	}
 }
--- a/control/leader/placer.go
+++ b/control/leader/placer.go
@@ -184,7 +184,7 @@
 	if err != nil {
 		return fmt.Errorf("%w: %w", ErrUndecided, err)
 	}
-	if !result.Taken() {
+	if !result.Applied() {
 		p.service.log.Warn("a placement was refused", "epoch", view.Epoch, "outcome", result.Outcome.String())
 		return fmt.Errorf("%w: %s", errStale, result.Outcome)
 	}
--- a/control/plane/status.go
+++ b/control/plane/status.go
@@ -4,6 +4,7 @@
 	"context"
 	"encoding/json"
 	"errors"
+	"time"
 
 	"ravendale/cluster/rpc"
 	"ravendale/cluster/wire"
@@ -13,6 +14,9 @@
 //go:generate go run github.com/tinylib/msgp -file status.go -o status_gen.go -tests=false -unexported
 //msgp:tuple statusRequest statusReply
 
+// statusTimeout bounds the answer to another process's statusRequest.
+const statusTimeout = 3 * time.Second
+
 var errNoLeader = errors.New("plane: no leader is known")
 
 // statusRequest asks the process that leads how it sees the system.
@@ -23,7 +27,8 @@
 	Status []byte
 }
 
-// Status is how this process sees the system. One that has no disk knows nothing by itself: it tells what the leader says.
+// Status is how this process sees the system. One that has no disk knows nothing by itself: it asks the leader,
+// and answers with the little that it has if that can't be reached.
 func (p *Plane) Status(ctx context.Context) status.Status {
 	if p.config.DataDir == "" {
 		if seen, err := p.askStatus(ctx); err == nil {
@@ -49,13 +54,14 @@
 	return seen
 }
 
-func (p *Plane) serveStatus(_ *rpc.Conn, _ *statusRequest, reply rpc.Reply) {
+// serveStatus answers another process, in a goroutine of its own, which Run waits for.
+func (p *Plane) serveStatus(ctx context.Context, reply rpc.Reply) {
 	if !p.Core.Leads() {
 		reply.Send(&statusReply{})
 		return
 	}
-	go func() {
-		ctx, cancel := context.WithTimeout(context.Background(), answerWithin)
+	p.answers.Go(func() {
+		ctx, cancel := context.WithTimeout(ctx, statusTimeout)
 		defer cancel()
 		content, err := json.Marshal(p.status(ctx))
 		if err != nil {
@@ -63,7 +69,7 @@
 			return
 		}
 		reply.Send(&statusReply{Status: content})
-	}()
+	})
 }
 
 func (p *Plane) askStatus(ctx context.Context) (seen status.Status, err error) {
--- a/test/simulation/operator_test.go
+++ b/test/simulation/operator_test.go
@@ -143,7 +143,7 @@
 		reply(refusedVersion, c.state.machine.Current().Version, nil, -1)
 		return
 	}
-	c.order(l, encoded, answerWithin, func(end core.Ended) {
+	c.order(l, encoded, answerWithin, func(end core.Completion) {
 		switch end.Err {
 		case nil:
 		case core.ErrUnavailable:
@@ -192,7 +192,7 @@
 
 func answerOf(result *state.Result) answer {
 	switch result.Outcome {
-	case state.OutcomeTaken, state.OutcomeRepeated:
+	case state.OutcomeApplied, state.OutcomeDuplicate:
 		return taken
 	case state.OutcomeRefusedVersion:
 		return refusedVersion
