--- a/cluster/relay/children.go
+++ b/cluster/relay/children.go
@@ -3,7 +3,7 @@
 import "ravendale/cluster/wire"
 
 // MaxChildren is how many children a process takes: more than the tree gives it, since those whose parent fails come too.
-const MaxChildren = 8 * FanOut
+const MaxChildren = 8 * fanOut
 
 // Send is an update for one child.
 type Send[C comparable] struct {
--- a/cluster/relay/node.go
+++ b/cluster/relay/node.go
@@ -13,8 +13,8 @@
 	"ravendale/cluster/wire"
 )
 
-// HeartbeatInterval is how often a parent tells its children that it lives.
-const HeartbeatInterval = 500 * time.Millisecond
+// heartbeatInterval is how often a parent tells its children that it lives.
+const heartbeatInterval = 500 * time.Millisecond
 
 // Heartbeats say that a parent lives, and the uplink gives it up: pings are hardly needed.
 const (
@@ -217,7 +217,7 @@
 	if now < n.heartbeatDue || len(n.children.List()) == 0 {
 		return
 	}
-	n.heartbeatDue = now + HeartbeatInterval
+	n.heartbeatDue = now + heartbeatInterval
 	versions := n.topics.Versions()
 	heartbeat := wire.Heartbeat{Heads: versions.List()}
 	for _, child := range slices.Clone(n.children.List()) {
--- a/cluster/relay/tree.go
+++ b/cluster/relay/tree.go
@@ -2,8 +2,8 @@
 
 import "ravendale/cluster/wire"
 
-// FanOut is how many children a process is given in the tree.
-const FanOut = 8
+// fanOut is how many children a process is given in the tree.
+const fanOut = 8
 
 // Parents lists the addresses that a process may hang on, the best first; the leader's is the last. The leader feeds the first
 // scheduler of each zone, or if there are many zones a heap of them; within a zone the schedulers form a heap. A store hangs on
@@ -14,7 +14,7 @@
 		zones := byZone(members.Edges)
 		if self.Edge {
 			parents = edgeParents(self, zones)
-		} else if stores > FanOut {
+		} else if stores > fanOut {
 			parents = zoneHead(self, zones)
 		}
 	}
@@ -76,7 +76,7 @@
 func withinZone(edges []wire.Edge, position int) []string {
 	var parents []string
 	for position > 0 {
-		position = (position - 1) / FanOut
+		position = (position - 1) / fanOut
 		parents = append(parents, edges[position].Address)
 	}
 	return parents
@@ -84,8 +84,8 @@
 
 func amongHeads(zones []zone, z int) []string {
 	var parents []string
-	for z >= FanOut {
-		z = z/FanOut - 1
+	for z >= fanOut {
+		z = z/fanOut - 1
 		parents = append(parents, zones[z].edges[0].Address)
 	}
 	return parents
--- a/cluster/relay/tree_test.go
+++ b/cluster/relay/tree_test.go
@@ -58,8 +58,8 @@
 func TestStoresHangOnTheLeaderUnlessTheyAreMany(t *testing.T) {
 	members := edgesIn(2)
 	store := wire.Member{ID: "s", Address: "s:1", Zone: "z00", Storage: true}
-	require.Equal(t, []string{leader}, Parents(store, members, FanOut, leader))
-	require.Equal(t, []string{"z00-00:1", leader}, Parents(store, members, FanOut+1, leader))
+	require.Equal(t, []string{leader}, Parents(store, members, fanOut, leader))
+	require.Equal(t, []string{"z00-00:1", leader}, Parents(store, members, fanOut+1, leader))
 }
 
 func TestTheTreeHasBoundedFanOutAndNoCycle(t *testing.T) {
@@ -75,7 +75,7 @@
 			children[parents[0]]++
 		}
 		for address, count := range children {
-			require.LessOrEqual(t, count, 2*FanOut, address)
+			require.LessOrEqual(t, count, 2*fanOut, address)
 		}
 		for _, edge := range members.Edges {
 			at, hops := edge.Address, 0
--- a/cluster/rpc/conn.go
+++ b/cluster/rpc/conn.go
@@ -17,7 +17,7 @@
 
 // Bounds of a connection.
 const (
-	MaxQueued = 48 << 20 // bytes that wait to be written; more ends the connection
+	maxQueued = 48 << 20 // bytes that wait to be written; more ends the connection
 
 	keptBuffer   = 64 << 10 // larger buffers are given back after use
 	readBuffer   = 4 << 10
@@ -215,7 +215,7 @@
 		return nil
 	}
 	c.outbound = outbound
-	over := len(c.outbound) > MaxQueued
+	over := len(c.outbound) > maxQueued
 	c.mu.Unlock()
 	if over {
 		c.fail(ErrOverflow)
--- a/cluster/settings/settings.go
+++ b/cluster/settings/settings.go
@@ -132,15 +132,6 @@
 	return time.Duration(figure * float64(time.Millisecond))
 }
 
-// FromEnvironment loads the file that PathVariable names.
-func FromEnvironment() (*Settings, error) {
-	path := os.Getenv(PathVariable)
-	if path == "" {
-		return nil, fmt.Errorf("%s names no settings file", PathVariable)
-	}
-	return Load(path)
-}
-
 // Load reads and checks a settings file. The error names all fields that make no sense.
 func Load(path string) (*Settings, error) {
 	data, err := os.ReadFile(path)
--- a/control/placement/placement.go
+++ b/control/placement/placement.go
@@ -44,8 +44,8 @@
 	Synced  []uint16 // partitions that it is joining and holds completely, as of Epoch
 }
 
-// CanBootstrap says whether the stores that live suffice for a first view.
-func CanBootstrap(live []Store, config Config) bool {
+// canBootstrap says whether the stores that live suffice for a first view.
+func canBootstrap(live []Store, config Config) bool {
 	p := newPlan(nil, live, config)
 	domains := make(map[string]bool)
 	eligible := 0
@@ -87,7 +87,7 @@
 }
 
 func bootstrap(live []Store, config Config) (*wire.StoreView, bool) {
-	if !CanBootstrap(live, config) {
+	if !canBootstrap(live, config) {
 		return nil, false
 	}
 	p := newPlan(nil, live, config)
@@ -147,7 +147,7 @@
 			rest = append(rest, s)
 		}
 	}
-	return CanBootstrap(rest, config)
+	return canBootstrap(rest, config)
 }
 
 // Retirement says how far the emptying of a node's store is.
