--- a/store/queue/core_test.go
+++ b/store/queue/core_test.go
@@ -42,7 +42,7 @@
 	assert.ErrorContains(t, a.err, "1.x")
 	r.view(2, []uint16{0}, nil)
 	before := len(r.records)
-	assert.Equal(t, wire.PutRefused, code(t, r.put(plain("0.x"), e)), "too few members")
+	assert.Equal(t, wire.PutRejected, code(t, r.put(plain("0.x"), e)), "too few members")
 	assert.Len(t, r.records, before)
 	r.core.Replicate(r.now, &heard{}, &Replicate{Epoch: 9, Number: 1}) // another knows a newer epoch
 	assert.Equal(t, wire.PutStale, code(t, r.put(plain("0.x"), e)))
--- a/store/queue/takeover_test.go
+++ b/store/queue/takeover_test.go
@@ -214,9 +214,9 @@
 	r, _, e := primary(t)
 	again := &heard{}
 	r.attach("e", again)
-	assert.Equal(t, wire.PutRefused, code(t, r.put(plain("0.1"), e)))
+	assert.Equal(t, wire.PutRejected, code(t, r.put(plain("0.1"), e)))
 	r.core.EdgeDown(r.now, again)
-	assert.Equal(t, wire.PutRefused, code(t, r.put(plain("0.1"), again)))
+	assert.Equal(t, wire.PutRejected, code(t, r.put(plain("0.1"), again)))
 	assert.Empty(t, r.core.partition(0).entries)
 }
 
