--- a/store/server/compat_test.go
+++ b/store/server/compat_test.go
@@ -9,6 +9,7 @@
 	"github.com/stretchr/testify/require"
 
 	"ravendale/cluster/rpc"
+	"ravendale/cluster/settings"
 	"ravendale/cluster/wire"
 	"ravendale/store/journal"
 	"ravendale/store/queue"
@@ -96,7 +97,9 @@
 func TestStoreGoesOnWithTheDiskOfTheFirstVersion(t *testing.T) {
 	dir := t.TempDir()
 	require.NoError(t, os.CopyFS(dir, os.DirFS(compatFolder)))
-	n := startNode(t, dir, "127.0.0.1:0")
+	config := &settings.Settings{DataDir: dir, DiskMb: 64, MemoryMb: 64, LostNodes: 1, Zone: "z"}
+	config.Bounds.StatusS = 600 // what is finished must not be removed while the test runs
+	n := startNodeWith(t, "127.0.0.1:0", config)
 	defer n.stop(t)
 	assert.Equal(t, compatIdentity, n.disk)
 	n.store.SetView(&wire.StoreView{
--- a/store/server/store_test.go
+++ b/store/server/store_test.go
@@ -41,13 +41,18 @@
 }
 
 func startNode(t *testing.T, dir, address string) *node {
+	t.Helper()
+	return startNodeWith(t, address, &settings.Settings{DataDir: dir, DiskMb: 64, MemoryMb: 64, LostNodes: 1, Zone: "z"})
+}
+
+// startNodeWith starts a store with other settings.
+func startNodeWith(t *testing.T, address string, s *settings.Settings) *node {
 	t.Helper()
 	n := &node{}
 	var err error
-	n.disk, err = Identity(dir)
+	n.disk, err = Identity(s.DataDir)
 	require.NoError(t, err)
 	mux := rpc.NewMux()
-	s := &settings.Settings{DataDir: dir, DiskMb: 64, MemoryMb: 64, LostNodes: 1, Zone: "z"}
 	n.store, err = Open(Config{
 		Settings: s, Disk: n.disk, Mux: mux, Failed: func(err error) { t.Error(err) },
 	})
