--- a/balancer/fleet/agent/agent.go
+++ b/balancer/fleet/agent/agent.go
@@ -1,5 +1,3 @@
-// Package agent is the shell of a fleet's member: it executes the actions of package fleet on links and disk, and keeps the
-// record of what the scheduler acted on. All of it runs on one loop, the scheduler's; the disk has goroutines of its own.
 package agent
 
 import (
@@ -78,9 +76,9 @@
 	path := filepath.Join(o.Dir, o.Member.Me+".state")
 	disk, err := loadState(path)
 	if err != nil {
-		aside := fmt.Sprintf("%s.%d.bad", path, a.o.Wall())
-		o.Log.Error("state set aside", "err", err, "file", path, "as", aside)
-		if err := os.Rename(path, aside); err != nil {
+		renamed := fmt.Sprintf("%s.%d.bad", path, a.o.Wall())
+		o.Log.Error("damaged state renamed", "err", err, "file", path, "as", renamed)
+		if err := os.Rename(path, renamed); err != nil {
 			return nil, fmt.Errorf("fleet: %w", err)
 		}
 	}
@@ -121,7 +119,7 @@
 		a.reconnect(a.links[name], now)
 	}
 	for l, heard := range a.accepted {
-		if now-heard > 4*silenceHeartbeats*a.o.Member.Heartbeat {
+		if now-heard > 4*reconnectHeartbeats*a.o.Member.Heartbeat {
 			delete(a.accepted, l)
 			l.Close()
 		}
--- a/control/core/core.go
+++ b/control/core/core.go
@@ -191,7 +191,7 @@
 // DurabilityOf is what the chain must have by the losses that the settings name.
 func DurabilityOf(s *settings.Settings) view.Durability {
 	return view.Durability{
-		Copies: s.Copies(), ToleratedZones: s.LostZones, ToleratedRegions: s.LostRegions,
+		Copies: s.Copies(), ToleratedZones: s.ToleratedZones, ToleratedRegions: s.ToleratedRegions,
 		RegionOf: func(zone string) string { return s.Zones[zone] },
 	}
 }
--- a/edge/dispatch/waitqueue_test.go
+++ b/edge/dispatch/waitqueue_test.go
@@ -57,8 +57,8 @@
 	})
 }
 
-// fullWorld has one worker, which a first message found full: one that comes then waits.
-func fullWorld(t *testing.T) (w *world, running Deliver) {
+// busyWorld has one worker, which rejects a first message: one that comes then waits.
+func busyWorld(t *testing.T) (w *world, running Deliver) {
 	w = newWorld(t)
 	w.workers.Entries = w.workers.Entries[:1]
 	w.listWorkers()
@@ -72,7 +72,7 @@
 }
 
 func TestOneMessageWaitsWithTheModuleAndTheOthersBehindIt(t *testing.T) {
-	w, running := fullWorld(t)
+	w, running := busyWorld(t)
 	for i := range 5 {
 		w.accept("/p/", fmt.Sprint(i))
 	}
@@ -86,7 +86,7 @@
 }
 
 func TestMessagesThatWaitGoOnceTheirWorkersAreListed(t *testing.T) {
-	w, running := fullWorld(t)
+	w, running := busyWorld(t)
 	w.accept("/p/", "waits")
 	w.workers.Entries = nil
 	w.listWorkers()
@@ -104,7 +104,7 @@
 }
 
 func TestMessagesThatWaitEndWithTheirRoute(t *testing.T) {
-	w, _ := fullWorld(t)
+	w, _ := busyWorld(t)
 	w.accept("/p/", "waits")
 	w.config.Routes = w.config.Routes[1:]
 	w.configure()
@@ -118,19 +118,19 @@
 }
 
 func TestMessagesThatWaitExpire(t *testing.T) {
-	w, _ := fullWorld(t)
+	w, _ := busyWorld(t)
 	w.accept("/p/", "waits")
-	m := w.core.messages["0.waits"]
-	w.core.services["s"].waitingJobs = 10 // the module finds no room
+	m := w.core.messages.byID["0.waits"]
+	w.core.services["s"].waitingJobs = 10 // the module finds no capacity
 	m.expiresAt = w.now + time.Second
-	w.core.scheduleAt(m, phaseQueued, m.expiresAt)
+	w.core.messages.schedule(m, phaseQueued, m.expiresAt)
 	w.pass(1100 * ms)
 	assert.Equal(t, phaseReported, m.phase)
 	assert.Zero(t, w.core.services["s"].queue.len())
 }
 
 func TestMessagesThatWaitTakeTokensOnceTheirServiceHasARateLimit(t *testing.T) {
-	w, running := fullWorld(t)
+	w, running := busyWorld(t)
 	w.accept("/p/", "waits")
 	w.config.Services[0].RatePerS = 4
 	w.configure()
@@ -142,8 +142,8 @@
 	assert.Less(t, len(w.deliveries), 10)
 }
 
-func TestMessagesThatWaitAreGivenBackAtAStop(t *testing.T) {
-	w, _ := fullWorld(t)
+func TestMessagesThatWaitAreReleasedAtAStop(t *testing.T) {
+	w, _ := busyWorld(t)
 	w.accept("/p/", "waits")
 	w.apply(w.core.Stop(w.now))
 	var released []string
@@ -157,9 +157,9 @@
 }
 
 func TestNoCopyGoesWhileMessagesWait(t *testing.T) {
-	w, running := fullWorld(t)
+	w, running := busyWorld(t)
 	w.accept("/p/", "waits")
-	j := w.core.jobs[running.Job]
+	j := w.core.jobs.byID[running.Job]
 	w.deliveries = nil
 	w.core.begin(w.now)
 	w.core.send(j, "s-0") // as the module's copy of a job that is under way
@@ -170,15 +170,15 @@
 	assert.True(t, j.isInFlight(), "the first attempt goes on")
 }
 
-// Workers that have no room make no message sleep: it goes as soon as one has.
-func TestAMessageThatFoundAllWorkersFullIsNotPaused(t *testing.T) {
+// Workers without capacity have no message back off: it goes as soon as one has capacity.
+func TestAMessageThatFoundAllWorkersAtCapacityDoesNotBackOff(t *testing.T) {
 	for _, outcome := range []worker.Outcome{worker.AtCapacity, worker.NoConnection} {
 		w := newWorld(t)
 		w.accept("/p/", "m")
 		for range attemptsPerJob {
 			w.end(w.sent(), outcome)
 		}
-		m := w.core.messages["0.m"]
+		m := w.core.messages.byID["0.m"]
 		assert.Equal(t, phaseSubmitted, m.phase, "the module has it again")
 		assert.Zero(t, m.backoffs)
 	}
@@ -210,7 +210,7 @@
 }
 
 func TestMessagesThatWaitLookForTheirRouteWhenTheirServiceGoes(t *testing.T) {
-	w, _ := fullWorld(t)
+	w, _ := busyWorld(t)
 	w.accept("/p/", "waits")
 	w.config.Routes[0].Service = "safe"
 	w.config.Services = w.config.Services[1:]
@@ -227,11 +227,11 @@
 	assert.Empty(t, w.core.backlogged)
 }
 
-// A service has no room, or no workers at all, and the operator has its route lead to another: what waits goes there.
+// A service has no capacity, or no workers at all, and the operator has its route lead to another: what waits goes there.
 func TestMessagesThatWaitFollowTheirRoute(t *testing.T) {
 	for name, workers := range map[string]int{"full": 1, "without workers": 0} {
 		t.Run(name, func(t *testing.T) {
-			w, running := fullWorld(t)
+			w, running := busyWorld(t)
 			for i := range 5 {
 				w.accept("/p/", fmt.Sprint(i))
 			}
@@ -250,7 +250,7 @@
 				sent = append(sent, d.Delivery.RequestID)
 			}
 			assert.ElementsMatch(t, []string{"turned away", "0", "1", "2", "3", "4"}, sent)
-			assert.True(t, w.core.jobs[running.Job].isInFlight(), "what is under way stays")
+			assert.True(t, w.core.jobs.byID[running.Job].isInFlight(), "what is under way stays")
 		})
 	}
 }
--- a/store/server/compat_test.go
+++ b/store/server/compat_test.go
@@ -97,7 +97,7 @@
 func TestStoreGoesOnWithTheDiskOfTheFirstVersion(t *testing.T) {
 	dir := t.TempDir()
 	require.NoError(t, os.CopyFS(dir, os.DirFS(compatFolder)))
-	config := &settings.Settings{DataDir: dir, DiskMb: 64, MemoryMb: 64, LostNodes: 1, Zone: "z"}
+	config := &settings.Settings{DataDir: dir, DiskMb: 64, MemoryMb: 64, ToleratedNodes: 1, Zone: "z"}
 	config.Bounds.StatusS = 600 // what is finished must not be removed while the test runs
 	n := startNodeWith(t, "127.0.0.1:0", config)
 	defer n.stop(t)
--- a/store/server/store_test.go
+++ b/store/server/store_test.go
@@ -42,7 +42,7 @@
 
 func startNode(t *testing.T, dir, address string) *node {
 	t.Helper()
-	return startNodeWith(t, address, &settings.Settings{DataDir: dir, DiskMb: 64, MemoryMb: 64, LostNodes: 1, Zone: "z"})
+	return startNodeWith(t, address, &settings.Settings{DataDir: dir, DiskMb: 64, MemoryMb: 64, ToleratedNodes: 1, Zone: "z"})
 }
 
 // startNodeWith starts a store with other settings.
@@ -236,7 +236,7 @@
 	require.NoError(t, err)
 	require.NoError(t, file.Close())
 
-	config := Config{Settings: &settings.Settings{DataDir: dir, DiskMb: 8, MemoryMb: 64, LostNodes: 0}, Failed: func(err error) { t.Error(err) }}
+	config := Config{Settings: &settings.Settings{DataDir: dir, DiskMb: 8, MemoryMb: 64, ToleratedNodes: 0}, Failed: func(err error) { t.Error(err) }}
 	var disks []string
 	for range 2 {
 		config.Mux = rpc.NewMux()
--- a/test/lab/fleetplays.go
+++ b/test/lab/fleetplays.go
@@ -107,11 +107,7 @@
 		results = append(results, *got)
 	}
 	for _, play := range x.Faults {
-		got, err := r.faults(&play, x.Seed)
-		if err != nil {
-			return results, err
-		}
-		results = append(results, *got)
+		results = append(results, *r.faults(&play, x.Seed))
 	}
 	for _, play := range x.Pairs {
 		got, err := r.pair(&play)
@@ -128,7 +124,7 @@
 	if o.Dir, err = os.MkdirTemp("", "ravendale-fleet"); err != nil {
 		return err
 	}
-	defer os.RemoveAll(o.Dir)
+	defer func() { _ = os.RemoveAll(o.Dir) }()
 	o.Binary = r.Binary
 	b, err := fleettest.New(o)
 	if err != nil {
@@ -143,7 +139,7 @@
 
 func (r *Runner) rollOuts(play *RollOuts) (*Result, error) {
 	f := map[string]float64{"members": float64(play.Members)}
-	o := fleettest.Options{Members: play.Members, Alone: "stop", Beat: play.Beat, Trust: play.Trust, Direct: play.Members > 30}
+	o := fleettest.Options{Members: play.Members, Alone: "stop", Heartbeat: play.Beat, Trust: play.Trust, Direct: play.Members > 30}
 	err := r.bench(o, func(b *fleettest.Bench) error {
 		if err := b.Run("start all\nawait acts all"); err != nil {
 			return err
@@ -153,7 +149,7 @@
 		rest := b.Usage()
 		seconds := time.Since(at).Seconds() * float64(play.Members)
 		f["cpu_percent_a_member"] = 100 * (rest.CPU - began.CPU).Seconds() / seconds
-		f["bytes_a_member_s"] = float64(rest.Told-began.Told) / seconds
+		f["bytes_a_member_s"] = float64(rest.SentBytes-began.SentBytes) / seconds
 		f["rss_mb_a_member"] = float64(rest.RSS) / (1 << 20) / float64(play.Members)
 		for n := 1; n <= play.Count; n++ {
 			if err := b.Run(fmt.Sprintf("roll-out %d floor=%d within=%dms via %s\nawait epoch %d all", n, n, 4*play.Trust.Milliseconds(), "a", n)); err != nil {
@@ -195,7 +191,7 @@
 }
 
 // faults plays seeds side by side, and holds what the audit finds against what was injected.
-func (r *Runner) faults(play *Faults, first uint64) (*Result, error) {
+func (r *Runner) faults(play *Faults, first uint64) *Result {
 	seeds := play.Seeds
 	if r.Short {
 		seeds = play.Short
@@ -235,12 +231,12 @@
 	r.Say("faults     %d members, %d seeds: %.0f failed; stopped across a date %.0f, found %.0f, missed %.0f, invented %.0f; below the floor %.0f; requests %.0f, unanswered %.0f; records tampered with %.0f, missed %.0f, invented %.0f",
 		play.Members, seeds, f["seeds_failed"], f["stopped_across"], f["straggled"], f["straggled_missed"], f["straggled_invented"], f["below_floor"], f["asked"], f["unanswered"],
 		f["tampered"], f["tamper_missed"], f["tamper_invented"])
-	return &Result{Variant: fmt.Sprint(play.Members, " members"), Phase: "faults", Figures: f}, nil
+	return &Result{Variant: fmt.Sprint(play.Members, " members"), Phase: "faults", Figures: f}
 }
 
 func (r *Runner) faultPlay(play *Faults, seed uint64) (map[string]float64, error) {
 	f := make(map[string]float64)
-	o := fleettest.Options{Members: play.Members, Alone: "stop", Seed: seed, Beat: 100 * time.Millisecond, Trust: time.Second, Every: 20 * time.Millisecond}
+	o := fleettest.Options{Members: play.Members, Alone: "stop", Seed: seed, Heartbeat: 100 * time.Millisecond, Trust: time.Second, Every: 20 * time.Millisecond}
 	script, stopped, killed := fleettest.Random(seed, play.Members, o.Trust)
 	err := r.bench(o, func(b *fleettest.Bench) error {
 		if err := b.Run(script); err != nil {
@@ -365,7 +361,7 @@
 	}
 	for round := range 2 * rounds {
 		off := round % 2
-		o := fleettest.Options{Members: play.Members, Off: off == 1, Beat: 500 * time.Millisecond, Trust: 5 * time.Second, Every: time.Duration(float64(time.Second) / play.Rate)}
+		o := fleettest.Options{Members: play.Members, Off: off == 1, Heartbeat: 500 * time.Millisecond, Trust: 5 * time.Second, Every: time.Duration(float64(time.Second) / play.Rate)}
 		err := r.bench(o, func(b *fleettest.Bench) error {
 			if err := b.Run("start all"); err != nil {
 				return err
@@ -390,7 +386,7 @@
 				return err
 			}
 			var took []float64
-			for _, x := range b.Asked() {
+			for _, x := range b.Requests() {
 				if x.Sent.After(from) && x.Sent.Before(to) && x.Status == 200 {
 					took = append(took, x.Answered.Sub(x.Sent).Seconds()*1e3)
 				}
