--- a/balancer/audit/entry.go
+++ b/balancer/audit/entry.go
@@ -56,14 +56,14 @@
 	Accepted = "accepted" // this member votes for an epoch
 	InForce  = "in-force" // it knows that a majority did, or that a peer adopted it
 	Adopted  = "adopted"  // it acts under an epoch from here on; From is who brought it
-	Refused  = "refused"  // an epoch, or a peer's word
+	Refused  = "refused"  // an epoch, or a peer's message
 	Standing = "standing" // whether it may act, and why not
 	Member   = "member"   // a peer as seen
 	Command  = "command"  // an operator's: detach, attach, lame duck, settings read again
 	List     = "list"     // the list of servers that it acts on
 	Span     = "span"     // what it did since the last span, under one epoch
 	Gap      = "gap"      // entries that could not be written
-	Witness  = "witness"  // how far the records of peers were, as they told, and how far their clocks are off
+	Witness  = "witness"  // how far the records of peers were, as they reported, and how far their clocks are off
 	Fold     = "fold"     // spans of a segment as sums
 	Segment  = "segment"  // the first line of a file
 	Amnesiac = "amnesiac" // the disk is older than what peers remember of this member: it does not vote
@@ -117,7 +117,7 @@
 	Why    string `json:"why,omitempty"`
 	Acts   *bool  `json:"acts,omitempty"`
 
-	Trust    int64             `json:"trust,omitempty"` // for so many milliseconds after words with a majority a member is trusted
+	Trust    int64             `json:"trust,omitempty"` // for so many milliseconds after messages with a majority a member is trusted
 	Build    string            `json:"build,omitempty"`
 	File     string            `json:"file,omitempty"`     // digest of the operator's file
 	Settings string            `json:"settings,omitempty"` // digest of the platform's settings
--- a/balancer/audit/log.go
+++ b/balancer/audit/log.go
@@ -46,7 +46,7 @@
 	o       Options
 	mu      sync.Mutex
 	queue   []Entry
-	lost    uint64 // not told yet
+	lost    uint64 // not recorded yet
 	figures Figures
 	head    Head
 	closing bool
--- a/balancer/audit/read.go
+++ b/balancer/audit/read.go
@@ -113,7 +113,7 @@
 	r.found = append(r.found, Finding{kind, r.Member, position, fmt.Sprintf(text, args...)})
 }
 
-// read takes one file. What does not hold together is told, and reading goes on from what the line says of itself.
+// read takes one file. What does not hold together is a finding, and reading goes on from what the line says of itself.
 func (r *Record) read(f memberFile, text []byte, first, last bool) {
 	name := filepath.Base(f.path)
 	prev, seq := r.head.Hash, uint64(0)
--- a/balancer/audit/timeline.go
+++ b/balancer/audit/timeline.go
@@ -47,10 +47,6 @@
 // judge holds what was done against the roll-outs' rules.
 func (a *Audit) judge() {
 	histories, loose := make(map[ID]*EpochHistory), make(map[*EpochHistory]bool)
-	trust := int64(0)
-	for _, e := range a.Timeline {
-		trust = max(trust, e.Trust)
-	}
 	for _, e := range a.Timeline {
 		if e.Epoch == nil || e.Kind != InForce && e.Kind != Adopted && e.Kind != Proposed {
 			continue
@@ -72,6 +68,20 @@
 			l.Adopted[e.Member] = e.When
 		}
 	}
+	a.date(histories)
+	for _, l := range a.Epochs {
+		if l.InForce > 0 && l.Floor > 0 {
+			a.floor(&l)
+		}
+	}
+}
+
+// date sets from when each epoch's floor holds, finds numbers under which two contents were in force, and sorts the epochs.
+func (a *Audit) date(histories map[ID]*EpochHistory) {
+	trust := int64(0)
+	for _, e := range a.Timeline {
+		trust = max(trust, e.Trust)
+	}
 	byNumber := make(map[uint64]int)
 	for _, l := range histories {
 		if l.InForce > 0 {
@@ -90,11 +100,6 @@
 		l.Conflict = byNumber[id.Number] > 1
 		a.Epochs = append(a.Epochs, *l)
 	}
-	for _, l := range a.Epochs {
-		if l.InForce > 0 && l.Floor > 0 {
-			a.floor(&l)
-		}
-	}
 }
 
 // floor looks for members that were below a floor at its date, and what they did then.
--- a/balancer/audit/witnesses.go
+++ b/balancer/audit/witnesses.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// witnesses holds each record against what its peers were told of it: a record that was rewritten whole, cut off at its end or
+// witnesses holds each record against what its peers heard of it: a record that was rewritten whole, cut off at its end or
 // put back to an older state holds together by itself.
 func (a *Audit) witnesses() {
 	type witnessed struct {
--- a/balancer/config/config.go
+++ b/balancer/config/config.go
@@ -14,7 +14,7 @@
 	"ravendale/internal/wire"
 )
 
-// Config is all that a scheduler is told.
+// Config is all that a scheduler is given.
 type Config struct {
 	Name, Listen, Discovery string
 	Management              string // where operators call, "" for no such place
@@ -36,7 +36,7 @@
 	shape  *shape // of the start's file
 }
 
-// Names are the words that stand for the indices in Settings.
+// Names are the names that stand for the indices in Settings.
 type Names = wire.Names
 
 // file is the form of the JSON file.
--- a/balancer/fleet/agent/agent.go
+++ b/balancer/fleet/agent/agent.go
@@ -35,7 +35,7 @@
 	// Check says whether an epoch could be acted under, and Apply has it acted under, between two turns.
 	Check func(*fleet.Epoch) error
 	Apply func(*fleet.Epoch)
-	// StandingChanged is told when the member may take requests, or not any more.
+	// StandingChanged is called when the member may take requests, or not any more.
 	StandingChanged func(fleet.Standing)
 	// Done counts what was done since the start: attempts sent, and requests by class.
 	Done func() (sent int, classes map[string]audit.Count)
@@ -174,8 +174,8 @@
 // MayTake says whether a request may be taken now. After a stop of the process it is the first to know.
 func (a *Agent) MayTake() bool { return a.core.StandingAt(a.o.Loop.Now()).Acts }
 
-// Stop ends the member: its peers are told, and the record is closed with what was done. The disk is waited for in a goroutine,
-// not here: done is called once nothing more is written, by that goroutine.
+// Stop ends the member: its peers are notified, and the record is closed with what was done. The disk is waited for in a
+// goroutine, not here: done is called once nothing more is written, by that goroutine.
 func (a *Agent) Stop(why string, done func()) {
 	if a.stopped {
 		return
--- a/balancer/fleet/agent/status.go
+++ b/balancer/fleet/agent/status.go
@@ -44,7 +44,7 @@
 	AnsweredMs int64           `json:"answered_ms"`
 	Link       string          `json:"link"`    // "up", or why not
 	SkewMs     int64           `json:"skew_ms"` // of its wall clock
-	Bytes      int64           `json:"bytes"`   // of words to it
+	Bytes      int64           `json:"bytes"`   // of messages to it
 	Dropped    int             `json:"dropped"`
 }
 
--- a/balancer/fleet/disk.go
+++ b/balancer/fleet/disk.go
@@ -38,7 +38,7 @@
 	Contents    [][]byte              `json:"contents,omitempty"` // of Accepted and Adopted
 }
 
-// PeerMemory is what a member remembers of a peer: a process that comes back with an older disk is told.
+// PeerMemory is what a member remembers of a peer: a process that comes back with an older disk is notified.
 type PeerMemory struct {
 	Inc  uint64 `json:"inc"`
 	Vote uint64 `json:"vote,omitempty"`
--- a/balancer/fleet/heartbeat.go
+++ b/balancer/fleet/heartbeat.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// Fixed proportions of Beat: a word lost or late says nothing yet, three in a row do.
+// Fixed proportions of Heartbeat: a message lost or late says nothing yet, three in a row do.
 const (
 	suspectHeartbeats = 3        // without an answer, until a peer is suspect
 	fetchHeartbeats   = 2        // until another holder is asked for a content
@@ -65,7 +65,7 @@
 	}
 }
 
-// allAnswered says whether every other member has: then whoever saw a vote that was forgotten here has told of it.
+// allAnswered says whether every other member has: then whoever saw a vote that was forgotten here has reported it.
 func (c *Core) allAnswered() bool {
 	for _, p := range c.peers.byName {
 		if p.Answered == never {
--- a/balancer/fleet/link/link.go
+++ b/balancer/fleet/link/link.go
@@ -18,7 +18,7 @@
 	Reply
 )
 
-// MostUnwritten bounds what waits to be written to a peer that does not read, in bytes: words beyond that are dropped.
+// MostUnwritten bounds what waits to be written to a peer that does not read, in bytes: messages beyond that are dropped.
 const MostUnwritten = 1 << 20
 
 // purpose names what the frames are of, so that none of learning's is taken here.
@@ -41,7 +41,7 @@
 type Link struct {
 	Peer    string // as it calls itself; "" until Up
 	Dialled bool
-	Dropped int // words, for want of room
+	Dropped int // messages, for want of buffer
 
 	me     string
 	net    transport.Conn
--- a/balancer/fleet/standing.go
+++ b/balancer/fleet/standing.go
@@ -6,7 +6,7 @@
 	"ravendale/balancer/audit"
 )
 
-// standing is whether this member may act, as it was last told.
+// standing is whether this member may act, as it was last reported.
 type standing struct {
 	last       Standing
 	known      bool
@@ -36,7 +36,7 @@
 	return !c.disk.state.Amnesiac && !c.disk.failed && c.standing.wasTrusted && c.now >= c.standing.voteFrom && !c.standing.replaced
 }
 
-// LastStanding is the standing that was last told.
+// LastStanding is the standing that was last reported.
 func (c *Core) LastStanding() (standing Standing) { return c.standing.last }
 
 // StandingAt is whether this member may take a request at a time, which may be after a long stop of the process.
--- a/balancer/frames/frames.go
+++ b/balancer/frames/frames.go
@@ -38,7 +38,7 @@
 // Kind is what a frame says: a number of its user's, from 1 on.
 type Kind uint8
 
-// Key is one shared key. ID is told in each frame, so that keys can be changed without a gap.
+// Key is one shared key. ID is in each frame, so that keys can be changed without a gap.
 type Key struct {
 	ID     uint32
 	Secret []byte
--- a/balancer/knowledge/knowledge.go
+++ b/balancer/knowledge/knowledge.go
@@ -34,7 +34,7 @@
 func (k Kind) isRatio() bool { return k <= StartLatency }
 
 const (
-	// oldest is what an age is cut to, so that what is reckoned with it does not overflow: nothing of such a word is left.
+	// oldest is what an age is cut to, so that what is reckoned with it does not overflow: nothing of such an item is left.
 	oldest = time.Duration(math.MaxInt64 / 2)
 	// ownMost is how many own observations of an item leave a prior no weight.
 	ownMost = 50
@@ -184,7 +184,7 @@
 	return math.Exp2(-float64(max(age, 0)) / float64(halfLife[k]))
 }
 
-// Prior is what is to be believed of a subject at a time, from others alone, and how many observations that is worth. Weight 0:
+// Prior is what is to be believed of a subject at a time, from others alone, and how many observations that counts as. Weight 0:
 // nothing. It falls with age and distrust, and as own observations come; after ownMost of those it is nothing.
 type Prior struct {
 	Value, Weight float64
--- a/balancer/platform/backend/callback.go
+++ b/balancer/platform/backend/callback.go
@@ -60,7 +60,7 @@
 	return raw
 }
 
-// resolve ends an attempt by the server's word. Its connection may still wait for the 202.
+// resolve ends an attempt by the server's report. Its connection may still wait for the 202.
 func (b *Backend) resolve(a *attempt, outcome ravendale.Outcome, result []byte) {
 	if a.link != nil {
 		a.link.expect(responseWithin)
--- a/balancer/platform/backend/link.go
+++ b/balancer/platform/backend/link.go
@@ -88,7 +88,7 @@
 
 // hold is how long a break takes to show: a round trip, and so no longer than the server's fastest answer. On a connection that
 // was answered on just now it is for as long as a second answer may come to the request before. Nothing tells that from the
-// answer to this one, once this is whole: taken for 'turned away', it had what ran sent again.
+// answer to this one, once this is whole: taken for a rejection, it had what ran sent again.
 func (l *link) hold() time.Duration {
 	hold := min(max(l.b.habit(l.addr).latency, holdLeast), holdMost)
 	if l.readAt > 0 {
@@ -157,9 +157,16 @@
 	switch {
 	case replied != nil:
 		replied()
-	case a != nil && a.stage == lastByteDue: // answered before the request was whole
+	case a != nil && a.stage == lastByteDue: // answered before the request was complete
 		l.b.end(a, ravendale.ConnectFailed, nil)
-	case a == nil || a.stage != written:
+	case a != nil && a.stage == written:
+		l.answered(a, resp)
+	}
+}
+
+// answered takes the response to a request that was written.
+func (l *link) answered(a *attempt, resp *http1.Response) {
+	switch {
 	case resp.Status == 202:
 		a.stage, a.link = accepted, nil
 		if took, h := l.b.o.Loop.Now()-l.wroteAt, l.b.habit(l.addr); l.uses > 1 && (h.latency == 0 || took < h.latency) {
--- a/balancer/platform/frontend/request.go
+++ b/balancer/platform/frontend/request.go
@@ -91,7 +91,7 @@
 	c.hold(ex)
 }
 
-// facts reads what the decision module is told, or names what can't be read. Guards against serving what no usual
+// facts reads what the decision module gets, or names what can't be read. Guards against serving what no usual
 // client sends, and against passing it on: an id of another form, seen by a server, voids a day.
 func (f *Frontend) facts(req *http1.Request, query string) (facts scheduler.Facts, problem string) {
 	h := req.Header
--- a/balancer/platform/node/cores.go
+++ b/balancer/platform/node/cores.go
@@ -252,7 +252,7 @@
 	})
 }
 
-// mostQueued is how much may wait for a core before calls for it are turned away: they are answered where they come, and so
+// mostQueued is how much may wait for a core before calls for it are rejected: they are answered where they come, and so
 // nothing else would bound what waits for a core that stands still. Requests are bounded by the room for them.
 const mostQueued = 1 << 14
 
--- a/balancer/platform/node/endpoints.go
+++ b/balancer/platform/node/endpoints.go
@@ -118,7 +118,7 @@
 }
 
 // oneBackend is the server side on one core. After the process stood still, clients' requests and connections that were
-// made may be taken before discovery's word, by then too old to be broken: so after a gap nothing begins until all that had
+// made may be taken before discovery's update, by then too old to be broken: so after a gap nothing begins until all that had
 // come is taken.
 type oneBackend struct {
 	*backend.Backend
--- a/balancer/platform/node/fleet.go
+++ b/balancer/platform/node/fleet.go
@@ -37,10 +37,10 @@
 	lock   *os.File
 	stop   func()         // of the listener
 	patch  []byte         // the settings of the epoch that is acted under
-	stand  fleet.Standing // as last told
+	stand  fleet.Standing // as last reported
 	away   bool           // clients are sent away by an operator, whatever the fleet says
 	left   chan struct{}  // closed once the place was let go of; nil until then
-	ending bool           // the file's word for one that is shut out
+	ending bool           // the file's rule for one that is shut out
 	waits  time.Duration  // since when the state is another process's
 }
 
--- a/balancer/platform/node/node.go
+++ b/balancer/platform/node/node.go
@@ -130,19 +130,7 @@
 		IdleClose: cfg.IdleClose, Conns: conns, Stray: n.stray, Log: log}
 	front := n.frontendOptions(loop, limits)
 	if n.many == nil {
-		b := backend.New(back)
-		front.Callback = func(body []byte) frontend.Heard {
-			if b.Callback(body) {
-				return frontend.Taken
-			}
-			return frontend.Unreadable
-		}
-		one := &oneBackend{Backend: b, conns: conns}
-		one.mayBeginFunc = one.mayBegin
-		n.clients, n.servers = oneFrontend{frontend.New(front), limits}, one
-		loop.GapOver, loop.Gap = cores.PulseTimeout, func() {
-			one.gap(loop, network.Echo, func(err error) { log.Warn("can't tell what came while nothing was read", "err", err) })
-		}
+		n.onOneLoop(front, back)
 	} else {
 		for i, l := range loops {
 			n.many.all = append(n.many.all, n.onCore(&core{number: i, loop: l, network: network.Core(i)}, front, back))
@@ -174,6 +162,23 @@
 		}}
 }
 
+// onOneLoop puts the two sides together on the one loop that there is.
+func (n *Node) onOneLoop(front frontend.Options, back backend.Options) {
+	b := backend.New(back)
+	front.Callback = func(body []byte) frontend.Heard {
+		if b.Callback(body) {
+			return frontend.Taken
+		}
+		return frontend.Unreadable
+	}
+	one := &oneBackend{Backend: b, conns: back.Conns}
+	one.mayBeginFunc = one.mayBegin
+	n.clients, n.servers = oneFrontend{frontend.New(front), front.Limits}, one
+	n.loop.GapOver, n.loop.Gap = cores.PulseTimeout, func() {
+		one.gap(n.loop, n.ports.Echo, func(err error) { n.log.Warn("can't tell what came while nothing was read", "err", err) })
+	}
+}
+
 // onCore puts the two sides of one core together, which have a loop of their own.
 func (n *Node) onCore(c *core, front frontend.Options, back backend.Options) *core {
 	m := n.many
--- a/balancer/platform/servertable/servertable.go
+++ b/balancer/platform/servertable/servertable.go
@@ -25,12 +25,12 @@
 	// answerWithin bounds a call: discovery takes calls in turn, and one that waits too long fails there too.
 	answerWithin = 4 * time.Second
 	// watchTimeout is how long a watch may give no sign of life: an empty line comes every 2 s while nothing changes, and is
-	// missed by a second. What a silent watch misses counts as told 6 s after it fell silent. By then the next has to be there:
+	// missed by a second. What a silent watch misses counts as delivered 6 s after it fell silent. By then the next has to be there:
 	// the module's pause (up to 1.5 s), and a call that may have to wait its turn.
 	watchTimeout = 3 * time.Second
 
 	// Where lists are pushed the other side is an agent on this machine, which answers at once and at no cost: a call
-	// that gives nothing is made anew soon, since whatever the agent has counts as told. A line is missed by half a second.
+	// that gives nothing is made anew soon, since whatever the agent has counts as delivered. A line is missed by half a second.
 	agentAnswers      = time.Second
 	agentWatchTimeout = 2500 * time.Millisecond
 	// A call to an agent that failed is followed by the next after renewLeast, doubled up to renewMost: an agent is
@@ -133,6 +133,15 @@
 	if kind != ravendale.Delta {
 		t.known.Store(true)
 	}
+	entries := t.update(&l, l.Full && !cached)
+	t.logList(kind, entries)
+	t.o.Listed(kind, entries)
+	return nil
+}
+
+// update brings the table up to a list, and returns what the module is to hear. Of a complete list, unless it is the one that was last
+// held, a server that it lacks was removed, which whoever holds a dispatch to it must hear.
+func (t *Table) update(l *list, removes bool) []ravendale.Entry {
 	entries := make([]ravendale.Entry, 0, len(l.Hosts))
 	listed := make(map[string]bool, len(l.Hosts))
 	for i := range l.Hosts {
@@ -147,8 +156,7 @@
 		}
 		entries = append(entries, e)
 	}
-	if l.Full && !cached {
-		// A server that a whole list lacks has gone, which whoever holds a dispatch to it must hear.
+	if removes {
 		for name := range t.servers {
 			if !listed[name] {
 				delete(t.servers, name)
@@ -156,18 +164,21 @@
 			}
 		}
 	}
-	if t.o.Log.Enabled(context.Background(), slog.LevelDebug) {
-		t.o.Log.Debug("list", "change", kind, "entries", len(entries))
-		for i := range entries {
-			word := "joins"
-			if entries[i].State != ravendale.Ready {
-				word = "leaves"
-			}
-			t.o.Log.Debug(word, "server", entries[i].Worker)
+	return entries
+}
+
+func (t *Table) logList(kind ravendale.ListKind, entries []ravendale.Entry) {
+	if !t.o.Log.Enabled(context.Background(), slog.LevelDebug) {
+		return
+	}
+	t.o.Log.Debug("list", "change", kind, "entries", len(entries))
+	for i := range entries {
+		change := "joins"
+		if entries[i].State != ravendale.Ready {
+			change = "leaves"
 		}
+		t.o.Log.Debug(change, "server", entries[i].Worker)
 	}
-	t.o.Listed(kind, entries)
-	return nil
 }
 
 func (t *Table) entry(h *host) ravendale.Entry {
@@ -255,7 +266,7 @@
 func (t *Table) Move(discovery string) { t.o.Discovery = discovery }
 
 // Follow has the list come from another address from now on. The watch on the old one is not waited for, and its end
-// is no failure: a pause before the new call could outlast the time after which news counts as told.
+// is no failure: a pause before the new call could outlast the time after which an update counts as delivered.
 // The list held stands until the new service speaks. It is asked for the whole list, since versions are one
 // service's own count.
 func (t *Table) Follow(discovery string) {
--- a/balancer/scheduler/dispatch.go
+++ b/balancer/scheduler/dispatch.go
@@ -62,7 +62,7 @@
 // Started tells that the job runs.
 func (d *Dispatch) Started() { d.report(ravendale.JobStarted, 0) }
 
-// Unresponsive tells that the backend server has not said a word on it, long after it should have.
+// Unresponsive tells that the backend server has not answered it, long after it should have.
 func (d *Dispatch) Unresponsive() { d.report(ravendale.AttemptUnresponsive, 0) }
 
 // Progressed tells which part of the job is done.
--- a/balancer/scheduler/exchange.go
+++ b/balancer/scheduler/exchange.go
@@ -19,7 +19,7 @@
 	RetryAfter time.Duration
 }
 
-// Facts are what the decision module is told of a request.
+// Facts are what the decision module gets of a request.
 type Facts struct {
 	Class  int // index in the settings, -1 if unknown
 	Tenant int
--- a/balancer/scheduler/ids.go
+++ b/balancer/scheduler/ids.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// lateCallback is how long after the end of a request some word of a backend server on it may still come: a server tries
+// lateCallback is how long after the end of a request some report of a backend server on it may still come: a server tries
 // every call until it is answered, ten times at most, and may have stood still before.
 const lateCallback = 5 * time.Second
 
-// idKept is how long an id is not taken again after its request was answered: a word that comes late would count for the
+// idKept is how long an id is not taken again after its request was answered: a report that comes late would count for the
 // newcomer. An attempt that was given up may run on for as long as the longest job does.
 func (s *Scheduler) idKept() time.Duration { return s.longest + lateCallback }
 
--- a/balancer/scheduler/scheduler.go
+++ b/balancer/scheduler/scheduler.go
@@ -56,7 +56,7 @@
 	busy    bool
 }
 
-// New returns a scheduler, or the module's word on a setting that makes no sense.
+// New returns a scheduler, or the module's error for a setting that makes no sense.
 func New(loop *Loop, settings ravendale.Settings, seed uint64, log *slog.Logger) (*Scheduler, error) {
 	module, err := ravendale.New(settings, seed)
 	if err != nil {
--- a/balancer/xmlfile/xmlfile.go
+++ b/balancer/xmlfile/xmlfile.go
@@ -118,21 +118,11 @@
 		}
 		switch t := token.(type) {
 		case xml.StartElement:
-			e := &element{name: t.Name.Local, line: line, attrs: t.Attr}
-			if t.Name.Space != "" {
-				r.bad(line, e.name, "names of another space are not known here")
-			}
-			switch {
-			case len(open) == maxDepth:
-				r.bad(line, e.name, "elements are more than %d deep", maxDepth)
-				return nil
-			case len(open) > 0:
-				in := open[len(open)-1]
-				in.children = append(in.children, e)
-			case top != nil:
-				r.bad(line, e.name, "the file has a second element at its top")
+			e := r.start(t, line, open, top != nil)
+			if e == nil {
 				return nil
-			default:
+			}
+			if top == nil {
 				top = e
 			}
 			open = append(open, e)
@@ -149,6 +139,26 @@
 	}
 }
 
+// start makes an element and puts it into the innermost open one; nil where it may not stand there.
+func (r *reader) start(t xml.StartElement, line int, open []*element, hasTop bool) *element {
+	e := &element{name: t.Name.Local, line: line, attrs: t.Attr}
+	if t.Name.Space != "" {
+		r.bad(line, e.name, "names of another space are not known here")
+	}
+	switch {
+	case len(open) == maxDepth:
+		r.bad(line, e.name, "elements are more than %d deep", maxDepth)
+		return nil
+	case len(open) > 0:
+		in := open[len(open)-1]
+		in.children = append(in.children, e)
+	case hasTop:
+		r.bad(line, e.name, "the file has a second element at its top")
+		return nil
+	}
+	return e
+}
+
 // place is a field of a struct by its tag.
 type place struct {
 	name           string
@@ -176,6 +186,24 @@
 	if e.text {
 		r.bad(e.line, e.name, "text has no place here")
 	}
+	r.fillAttrs(e, ps, given)
+	r.fillChildren(e, ps, given)
+	for _, p := range ps {
+		switch {
+		case !p.required:
+		case p.attr && !given["@"+p.name]:
+			r.bad(e.line, e.name, "the attribute %s is missing", p.name)
+		case !p.attr && !given[p.name]:
+			r.bad(e.line, e.name, "the element <%s> is missing", p.name)
+		}
+	}
+	if c, ok := v.Addr().Interface().(Checker); ok && len(r.problems) == before {
+		c.Check(func(reason string) { r.bad(e.line, e.name, "%s", reason) })
+	}
+}
+
+// fillAttrs sets the fields of an element's attributes, and notes in given which there were.
+func (r *reader) fillAttrs(e *element, ps []place, given map[string]bool) {
 	for _, a := range e.attrs {
 		if a.Name.Space != "" || a.Name.Local == "xmlns" {
 			// xsi:noNamespaceSchemaLocation and the like are for other readers.
@@ -194,6 +222,10 @@
 			r.bad(e.line, e.name, "%s: %v", a.Name.Local, err)
 		}
 	}
+}
+
+// fillChildren fills the fields of the elements in an element, and notes in given which there were.
+func (r *reader) fillChildren(e *element, ps []place, given map[string]bool) {
 	for _, c := range e.children {
 		i := slices.IndexFunc(ps, func(p place) bool { return !p.attr && p.name == c.name })
 		if i < 0 {
@@ -223,18 +255,6 @@
 		}
 		given[c.name] = true
 	}
-	for _, p := range ps {
-		switch {
-		case !p.required:
-		case p.attr && !given["@"+p.name]:
-			r.bad(e.line, e.name, "the attribute %s is missing", p.name)
-		case !p.attr && !given[p.name]:
-			r.bad(e.line, e.name, "the element <%s> is missing", p.name)
-		}
-	}
-	if c, ok := v.Addr().Interface().(Checker); ok && len(r.problems) == before {
-		c.Check(func(reason string) { r.bad(e.line, e.name, "%s", reason) })
-	}
 }
 
 // set reads the text of an attribute.
--- a/internal/wire/nested.go
+++ b/internal/wire/nested.go
@@ -9,7 +9,7 @@
 	"ravendale"
 )
 
-// Names are the words that the settings give to what the decision module counts by index.
+// Names are the names that the settings give to what the decision module counts by index.
 type Names struct{ Classes, Tenants, Zones, Kinds []string }
 
 // Nested reads settings that come as nested JSON instead of a line of pairs. Both have the same names,
--- a/members.go
+++ b/members.go
@@ -67,7 +67,7 @@
 			return
 		}
 		w = new(d.newWorker(e.Worker, 0))
-		if e.Slots > 0 { // all who hear of it would come at once: it is as if it had held our share and rejected one more
+		if e.Slots > 0 { // all who learn of it would come at once: it is as if it had held our share and rejected one more
 			w.limit, w.rejectedAt = max(1, float64(e.Slots)/float64(d.settings.Dispatchers)), d.now
 		}
 		d.byName[e.Worker] = w
@@ -76,7 +76,7 @@
 	at := e.StartedAt
 	switch {
 	case at == w.listedStart:
-		at = w.StartedAt // no news: what it was taken to be stands
+		at = w.StartedAt // not new: what it was taken to be stands
 	case at > w.StartedAt:
 		*w = d.newWorker(e.Worker, w.slots)
 	}
--- a/settings.go
+++ b/settings.go
@@ -53,7 +53,7 @@
 	CrossZone, Waste, Connection, Handshake, Probe, Peer, LateFail float64
 }
 
-// Settings is all that a dispatcher is told at its start.
+// Settings is all that a dispatcher is given at its start.
 type Settings struct {
 	Dispatchers int // how many there are; Me is this one's number
 	Me          int
