--- a/balancer/platform/node/node.go
+++ b/balancer/platform/node/node.go
@@ -12,7 +12,6 @@
 	"ravendale"
 	"ravendale/balancer/config"
 	"ravendale/balancer/cores"
-	"ravendale/balancer/deadline"
 	"ravendale/balancer/handover"
 	"ravendale/balancer/platform/backend"
 	"ravendale/balancer/platform/frontend"
@@ -45,29 +44,24 @@
 	// Paired, if set, hears how many processes are this scheduler, to share the memory among them.
 	Paired func(processes int)
 
-	read           *config.Config                // as last taken, Reload's own
-	cfg            *config.Config                // the loop's
-	shown          atomic.Pointer[config.Config] // the same, for the frontends' loops
-	log            *slog.Logger
-	loop           *scheduler.Loop
-	core           *scheduler.Scheduler
-	clients        clientSide
-	servers        serverSide
-	many           *many // nil on one core
-	table          *servertable.Table
-	admin          *management.Endpoint
-	ports          ports
-	serving        bool               // clients are taken
-	twins          handover.Links     // to the other processes of this scheduler
-	successor      *handover.Link     // the one of them that takes clients in this one's place,
-	successorTerms *scheduler.Terms   // and under what
-	given          int                // requests that were given to it
-	lent           map[string]lent    // by id
-	awaited        *deadline.Deadline // the other process's state is
-	fleet          *member            // nil where it is alone
-	reading        sync.Mutex         // of read, and of the configuration's files
-	err            error              // why it could not start
-	stopped        chan struct{}
+	read    *config.Config                // as last taken, Reload's own
+	cfg     *config.Config                // the loop's
+	shown   atomic.Pointer[config.Config] // the same, for the frontends' loops
+	log     *slog.Logger
+	loop    *scheduler.Loop
+	core    *scheduler.Scheduler
+	clients clientSide
+	servers serverSide
+	many    *many // nil on one core
+	table   *servertable.Table
+	admin   *management.Endpoint
+	ports   ports
+	serving bool // clients are taken
+	upgrade upgrade
+	fleet   *member    // nil where it is alone
+	reading sync.Mutex // of read, and of the configuration's files
+	err     error      // why it could not start
+	stopped chan struct{}
 }
 
 // New puts a scheduler together on real sockets. It does not listen yet.
@@ -104,7 +98,7 @@
 	for _, text := range cfg.Warnings {
 		log.Warn("configuration", "text", text)
 	}
-	n := &Node{read: cfg, cfg: cfg, log: log, loop: loop, ports: network, lent: make(map[string]lent), stopped: make(chan struct{})}
+	n := &Node{read: cfg, cfg: cfg, log: log, loop: loop, ports: network, upgrade: upgrade{lent: make(map[string]lent)}, stopped: make(chan struct{})}
 	n.shown.Store(cfg)
 	var err error
 	if n.core, err = scheduler.New(loop, cfg.Settings, cfg.Seed, log); err != nil {
@@ -244,9 +238,9 @@
 	switch {
 	case !known:
 	case detached:
-		n.twins.Send(handover.Message{Detached: worker})
+		n.upgrade.twins.Send(handover.Message{Detached: worker})
 	default:
-		n.twins.Send(handover.Message{Attached: worker})
+		n.upgrade.twins.Send(handover.Message{Attached: worker})
 	}
 	return known
 }
@@ -256,7 +250,7 @@
 	n.log.Info("clients sent away", "away", away)
 	n.record(fmt.Sprintf("away=%v", away))
 	n.operatorsAway(away)
-	n.twins.Send(handover.Message{Away: &away})
+	n.upgrade.twins.Send(handover.Message{Away: &away})
 }
 
 // operatorsAway is sendAway for this process alone.
@@ -309,9 +303,9 @@
 			n.fleet.agent.Settings(n.settingsDigest())
 		}
 		n.core.CountConfig(true)
-		n.twins.Send(handover.Message{Terms: n.core.Terms()})
+		n.upgrade.twins.Send(handover.Message{Terms: n.core.Terms()})
 		if next.Discovery != n.table.Discovery() {
-			n.twins.Send(handover.Message{Discovery: next.Discovery})
+			n.upgrade.twins.Send(handover.Message{Discovery: next.Discovery})
 		}
 		n.table.Follow(next.Discovery)
 	})
@@ -343,7 +337,7 @@
 			switch {
 			case n.core.Owed() > 0:
 				n.core.WhenQuiet(n.endOnceQuiet)
-			case finishing && n.loop.Now() < latest || len(n.lent) > 0:
+			case finishing && n.loop.Now() < latest || len(n.upgrade.lent) > 0:
 				n.endOnceFlushed(latest)
 			default:
 				n.end("nothing is owed")
--- a/balancer/platform/node/upgrade.go
+++ b/balancer/platform/node/upgrade.go
@@ -5,6 +5,7 @@
 	"slices"
 	"time"
 
+	"ravendale/balancer/deadline"
 	"ravendale/balancer/handover"
 	"ravendale/balancer/platform"
 	"ravendale/balancer/scheduler"
@@ -21,26 +22,14 @@
 	leaveCheck = 100 * time.Millisecond
 )
 
-// ports is where a node is reached; everything in it is called by the loop's goroutine.
-type ports interface {
-	transport.Network
-	// Operators, Successors and Clients begin to accept, each by the function given. Successors are new processes of
-	// this scheduler, whose place may still be taken by a file that a dead process left.
-	Operators(addr string, room int, accept func(transport.Conn) transport.Handler) error
-	Successors(path string, accept func(transport.Conn) transport.Handler) error
-	// Peers begins to accept links of a fleet's members; the function returned ends that, and the connections stay.
-	Peers(addr string, room int, accept func(transport.Conn) transport.Handler) (func(), error)
-	// Clients deals what it accepts out to several places, as choose says in a goroutine of its own.
-	Clients(addr string, descriptor, room int, to []accept, choose func() int) error
-	// Core is the network of a core that has a loop of its own.
-	Core(number int) transport.Network
-	// Echo calls f once all that had arrived for the node's own loop by now has been handed over.
-	Echo(f func()) error
-	SetLimit(clients int)
-	Pause(paused bool) // of clients
-	// Adopt serves a client's connection that came from another process, on a core or, below 0, on the node's own loop. It
-	// is called in a turn of that loop, and calls accept at once.
-	Adopt(core int, g transport.Given, accept accept) error
+// upgrade is this process among those that are one scheduler with it.
+type upgrade struct {
+	twins          handover.Links     // to the other processes
+	successor      *handover.Link     // the one of them that takes clients in this one's place,
+	successorTerms *scheduler.Terms   // and under what
+	given          int                // requests that were transferred to it
+	lent           map[string]lent    // by id
+	awaited        *deadline.Deadline // the other process's state is, until then
 }
 
 // start opens the operators' endpoint, and asks the process before this one, if there is one.
@@ -57,7 +46,7 @@
 		return
 	}
 	previous := handover.Dial(n.ports, cfg.Handover, func(l *handover.Link) { l.Send(handover.Message{Hello: true}) }, n.heard, n.parted)
-	n.awaited = n.loop.After(stateWithin, func() {
+	n.upgrade.awaited = n.loop.After(stateWithin, func() {
 		n.log.Warn("no answer from the previous process", "at", cfg.Handover)
 		previous.Close()
 		n.begin(nil)
@@ -67,8 +56,8 @@
 // begin takes clients, with the state of the process before this one or without.
 func (n *Node) begin(state *handover.State) {
 	cfg, list := n.cfg, n.cfg.Known
-	n.loop.Deadlines.Drop(n.awaited)
-	n.awaited = nil
+	n.loop.Deadlines.Drop(n.upgrade.awaited)
+	n.upgrade.awaited = nil
 	if n.many != nil {
 		n.many.board.Heard(n.loop.Now())
 		n.many.pulse(n.ports.Echo, n.fail)
@@ -97,7 +86,7 @@
 	n.serving = true
 	n.enter()
 	n.log.Info("serving", "name", cfg.Name, "listen", cfg.Listen, "takes over", state != nil)
-	n.twins.Send(handover.Message{Serving: true, Terms: n.core.Terms()})
+	n.upgrade.twins.Send(handover.Message{Serving: true, Terms: n.core.Terms()})
 	if cfg.Handover != "" {
 		if err := n.ports.Successors(cfg.Handover, n.acceptSuccessor); err != nil {
 			n.log.Warn("a new version can't take over", "err", err)
@@ -113,7 +102,7 @@
 // heard takes what another process tells, and passes on to the third, if there is one, what is for all: a new version may
 // come before the last but one has ended.
 func (n *Node) heard(l *handover.Link, m handover.Message) {
-	if m.State != nil && n.awaited != nil {
+	if m.State != nil && n.upgrade.awaited != nil {
 		n.join(l)
 		n.begin(m.State)
 		return
@@ -122,9 +111,9 @@
 		n.sendState(l)
 		return
 	}
-	if slices.Contains(n.twins, l) && !n.heardAlone(l, m) {
+	if slices.Contains(n.upgrade.twins, l) && !n.heardAlone(l, m) {
 		n.applyShared(m)
-		n.twins.But(l).Send(m)
+		n.upgrade.twins.But(l).Send(m)
 	}
 }
 
@@ -134,16 +123,16 @@
 	case m.Job != nil:
 		n.adopt(l, m.Job)
 	case m.Has != "":
-		if x, is := n.lent[m.Has]; is {
-			delete(n.lent, m.Has)
+		if x, is := n.upgrade.lent[m.Has]; is {
+			delete(n.upgrade.lent, m.Has)
 			x.client.Drop()
 		}
 	case m.Terms != nil && !m.Serving:
-		if n.successor == l {
-			n.successorTerms = m.Terms
+		if n.upgrade.successor == l {
+			n.upgrade.successorTerms = m.Terms
 		}
 	case m.Serving:
-		n.successor, n.successorTerms = l, m.Terms
+		n.upgrade.successor, n.upgrade.successorTerms = l, m.Terms
 		n.log.Info("a new process takes clients", "owed", n.core.Owed())
 		n.leaveFleet("handed over")
 		n.ports.Pause(true)
@@ -151,8 +140,8 @@
 		n.leaveOnceDone()
 	case m.Callback != nil:
 		n.servers.PassCallback(m.Callback, func() {
-			n.twins.But(l).Send(m)
-			if n.successor == l && n.given > 0 {
+			n.upgrade.twins.But(l).Send(m)
+			if n.upgrade.successor == l && n.upgrade.given > 0 {
 				l.Send(m) // it crossed a request that was given away, and comes after that now
 			}
 		})
@@ -197,26 +186,26 @@
 
 // join has the processes keep to their parts of the limits, and tell each other what all must know.
 func (n *Node) join(l *handover.Link) {
-	n.twins = append(n.twins, l)
-	n.core.Join(n.twins)
+	n.upgrade.twins = append(n.upgrade.twins, l)
+	n.core.Join(n.upgrade.twins)
 	n.setLimits()
 }
 
 // parted has a process go on without another. If that was to take its place it accepts again.
 func (n *Node) parted(l *handover.Link, err error) {
-	if n.awaited != nil {
+	if n.upgrade.awaited != nil {
 		n.begin(nil) // there is no process before this one
 		return
 	}
-	if !slices.Contains(n.twins, l) {
+	if !slices.Contains(n.upgrade.twins, l) {
 		return
 	}
 	n.log.Info("the other process has ended", "err", err)
-	n.twins = n.twins.But(l)
-	n.core.Join(n.twins)
+	n.upgrade.twins = n.upgrade.twins.But(l)
+	n.core.Join(n.upgrade.twins)
 	n.setLimits()
-	if n.successor == l {
-		n.successor = nil
+	if n.upgrade.successor == l {
+		n.upgrade.successor = nil
 		n.enter()
 		n.ports.Pause(false)
 		n.clients.Retire(false)
@@ -227,7 +216,7 @@
 // limits are this process's part of the descriptors.
 func (n *Node) limits() (accepted, dialled int) {
 	accepted, dialled = splitDescriptors(n.cfg, n.fleetLinks())
-	return accepted / (1 + len(n.twins)), dialled / (1 + len(n.twins))
+	return accepted / (1 + len(n.upgrade.twins)), dialled / (1 + len(n.upgrade.twins))
 }
 
 func (n *Node) setLimits() {
@@ -236,7 +225,7 @@
 	n.clients.Limit(accepted)
 	n.servers.Limit(dialled)
 	if n.Paired != nil {
-		n.Paired(1 + len(n.twins))
+		n.Paired(1 + len(n.upgrade.twins))
 	}
 }
 
@@ -249,21 +238,21 @@
 // can't be given is answered here in time as at any stop.
 func (n *Node) giveAway() {
 	n.loop.After(giveEvery, n.giveAway)
-	if n.successor == nil || n.successorTerms == nil {
+	if n.upgrade.successor == nil || n.upgrade.successorTerms == nil {
 		return
 	}
-	given := n.core.Transfer(n.successorTerms, func(c scheduler.TransferredRequest, ex *scheduler.Exchange) bool {
+	given := n.core.Transfer(n.upgrade.successorTerms, func(c scheduler.TransferredRequest, ex *scheduler.Exchange) bool {
 		message, ok := ex.Message.(*platform.Message)
 		return ok && n.clients.Give(ex, func(client transport.Conn, closes bool) bool {
 			job := &handover.Job{TransferredRequest: c, Request: *message, Closes: closes}
-			kept := n.successor.SendConn(handover.Message{Job: job}, client)
+			kept := n.upgrade.successor.SendConn(handover.Message{Job: job}, client)
 			if kept != nil {
-				n.lent[c.ID] = lent{job, kept, n.successor}
+				n.upgrade.lent[c.ID] = lent{job, kept, n.upgrade.successor}
 			}
 			return kept != nil
 		})
 	})
-	if n.given += given; given > 0 {
+	if n.upgrade.given += given; given > 0 {
 		n.log.Info("requests transferred", "requests", given, "owed", n.core.Owed())
 	}
 }
@@ -297,10 +286,10 @@
 
 // takeBack goes on with what another process was given and did not live to take.
 func (n *Node) takeBack(from *handover.Link) {
-	for _, id := range slices.Sorted(maps.Keys(n.lent)) {
-		if x := n.lent[id]; x.to == from {
+	for _, id := range slices.Sorted(maps.Keys(n.upgrade.lent)) {
+		if x := n.upgrade.lent[id]; x.to == from {
 			n.log.Info("request taken back from its successor", "id", id)
-			delete(n.lent, id)
+			delete(n.upgrade.lent, id)
 			n.goOn(x.client, x.job)
 		}
 	}
@@ -311,8 +300,8 @@
 	n.loop.After(leaveCheck, func() {
 		n.clients.Clients(func(clients int) {
 			switch {
-			case n.successor == nil: // the new process is gone
-			case n.core.Owed()+len(n.lent)+clients == 0:
+			case n.upgrade.successor == nil: // the new process is gone
+			case n.core.Owed()+len(n.upgrade.lent)+clients == 0:
 				n.end("a new process has taken its place")
 			default:
 				n.leaveOnceDone()
@@ -323,5 +312,5 @@
 
 // stray passes on a call that is not for this process.
 func (n *Node) stray(body []byte) {
-	n.twins.Send(handover.Message{Callback: body})
+	n.upgrade.twins.Send(handover.Message{Callback: body})
 }
