--- a/control/core/core.go
+++ b/control/core/core.go
@@ -1,5 +1,3 @@
-// Package core is the replicated core of the control plane: it orders commands for a state machine so that none that was acknowledged
-// is lost, and grants one process at a time the leader lease. The node does all thinking, without clock, sockets or disk; Core runs it.
 package core
 
 import (
@@ -22,7 +20,7 @@
 	"ravendale/control/view"
 )
 
-// Errors of Submit.
+// Errors of Submit, by what is known of the command: a caller may submit it again only after ErrUnavailable.
 var (
 	ErrUnavailable = errors.New("core: unavailable, the command was not and will not be applied")
 	ErrUnknown     = errors.New("core: the command may or may not be applied")
@@ -32,37 +30,38 @@
 // MaxCommand bounds a command, in bytes.
 const MaxCommand = 5 << 20
 
-// mostEntries bounds the commands in one message of the chain: those that waited when the last snapshot was taken, the log after it, and
+// maxMessageEntries bounds the commands in one message of the chain: those that waited when the last snapshot was taken, the log after it, and
 // what came with its last write. A Fill with a snapshot has only those that wait.
-const mostEntries = 2*(chain.MaxUncommitted+MaxCommand) + mostLog
+const maxMessageEntries = 2*(chain.MaxUncommitted+MaxCommand) + maxLogBytes
 
-const _ = uint(rpc.MaxFrame - mostEntries - 1<<20) // they fit a frame, with room for what is around them
-// How long a voter may be silent.
+const _ = uint(rpc.MaxFrame - maxMessageEntries - 1<<20) // they fit a frame, with room for what is around them
+
+// How long a member may be unresponsive before it counts as gone.
 const (
-	downShare      = 0.7                     // of the time that a new machine has to catch up: by then the one that it replaces has no vote
-	mostDownAfter  = 1500 * time.Millisecond // by then a lease that it held has ended, so that the next holder need not wait for the new voters
-	leastGoneAfter = 10 * time.Second
+	downFraction     = 0.7                     // of the time that a new machine has to catch up: by then the one that it replaces has no vote
+	maxDownAfter     = 1500 * time.Millisecond // by then a lease that it held has ended, so that the next holder need not wait for the new voters
+	minLearnerExpiry = 10 * time.Second
 )
 
-// An orderly end waits for the others to go on without this process.
+// An orderly stop waits for the others to go on without this process.
 const (
-	leaveWithin  = 1500 * time.Millisecond // at most
-	leaveShare   = 0.25                    // and of the time that the process has for its end
-	releasePause = 20 * time.Millisecond   // at least, in which word of the lease that is given back may leave
+	stopTimeout      = 1500 * time.Millisecond // at most
+	stopFraction     = 0.25                    // and of the time that the process has to stop
+	stopPollInterval = 20 * time.Millisecond   // between looks, and the time in which the release of the lease may be sent
 )
 
-// Machine is the state that is kept alike at all members. Its methods are called one at a time, on goroutines of the core's, and must depend on
+// Machine is the replicated state machine. Its methods are called one at a time, on goroutines of the core's, and must depend on
 // nothing but what they are given; they must not call the Core.
 type Machine interface {
 	// Apply executes a committed command. The result goes to whoever submitted it.
 	Apply(command []byte) (result []byte)
-	// Snapshot is the whole state.
+	// Snapshot is the complete state.
 	Snapshot() []byte
-	// Restore replaces the whole state by that of a snapshot.
+	// Restore replaces the complete state by that of a snapshot.
 	Restore(snapshot []byte) error
 }
 
-// Config of a core process.
+// Config is what Open needs.
 type Config struct {
 	Settings *settings.Settings
 	Machine  Machine
@@ -81,34 +80,34 @@
 
 // Status is what an operator may want to know of the core.
 type Status struct {
-	ID        view.ID // of this process's disk; zero if it has none
-	Epoch     uint64
-	Voters    []view.Member
-	Learners  []view.Member
-	Wanted    int // voters that bear the losses which the settings name
-	Chain     []view.ID
-	Attached  bool // this process follows the chain
-	Durable   bool // the chain has enough disks to commit
-	Last      uint64
-	Committed uint64
-	Leader    string // rpc address, empty if unknown
-	DiskFault string // why this process stands aside, empty if it does not
+	ID             view.ID // of this process's disk; zero if it has none
+	Epoch          uint64
+	Voters         []view.Member
+	Learners       []view.Member
+	RequiredVoters int // voters that bear the losses which the settings name
+	Chain          []view.ID
+	Attached       bool // this process follows the chain
+	Durable        bool // the chain has enough disks to commit
+	Last           uint64
+	Committed      uint64
+	Leader         string // rpc address, empty if unknown
+	DiskFault      string // why this process is degraded, empty if it is not
 }
 
-// Core is this process's part of the core.
+// Core is this process's part of the core: it drives a node on sockets and files. Its methods may be called by any goroutine.
 type Core struct {
 	config  Config
 	address string
 	started time.Time
 
-	mu      sync.Mutex
-	node    *node
-	running bool
-	waiting map[uint64]chan ended
-	timer   *time.Timer
-	due     time.Duration // when the timer fires
-	leading leading
-	links   links
+	mu          sync.Mutex
+	node        *node
+	running     bool
+	waiting     map[uint64]chan completion
+	timer       *time.Timer
+	due         time.Duration // when the timer fires
+	leaseRunner leaseRunner
+	links       links
 
 	store *slots.Store
 	disk  diskQueue
@@ -121,7 +120,7 @@
 	}
 	c := &Core{
 		config: config, address: config.Settings.ControlAddress(config.Settings.IP), started: time.Now(),
-		waiting: make(map[uint64]chan ended), disk: diskQueue{wake: make(chan struct{}, 1)},
+		waiting: make(map[uint64]chan completion), disk: diskQueue{wake: make(chan struct{}, 1)},
 	}
 	c.links.init(c)
 	if err := c.load(); err != nil {
@@ -136,7 +135,7 @@
 	config := nodeConfig{
 		Address: c.address, Zone: settings.Zone, Seeds: settings.SeedAddresses(), Bootstrap: settings.Bootstrap,
 		Disk: settings.DataDir != "", Candidate: c.config.Lead != nil, Storage: c.config.Storage, Durability: DurabilityOf(settings),
-		DownAfter: DownAfter(durationOf(settings.Bounds.CatchupS)), GoneAfter: GoneAfter(durationOf(settings.Bounds.CatchupS)), Terms: lease.DefaultTiming, LeastLog: leastLog, MostRecords: mostRecords,
+		DownAfter: DownAfter(durationOf(settings.Bounds.CatchupS)), LearnerExpiry: LearnerExpiry(durationOf(settings.Bounds.CatchupS)), Terms: lease.DefaultTiming, MinLogBytes: minLogBytes, MaxLogRecords: maxLogRecords,
 		Machine: c.config.Machine, Random: c.random,
 	}
 	var snapshot []byte
@@ -147,7 +146,7 @@
 		if errors.Is(err, slots.ErrDamaged) {
 			c.config.Log.Error("the core's disk is damaged: what is left is set aside, and this process joins anew", "folder", settings.DataDir, "error", err)
 			config.Bootstrap = false
-			c.store, snapshot, records, err = c.slotsAnew()
+			c.store, snapshot, records, err = c.resetSlots()
 		}
 		if err != nil {
 			return fmt.Errorf("core: %w", err)
@@ -181,8 +180,8 @@
 	return slots.OSFolder(c.config.Settings.DataDir)
 }
 
-// slotsAnew sets a damaged disk's files aside.
-func (c *Core) slotsAnew() (*slots.Store, []byte, [][]byte, error) {
+// resetSlots quarantines a damaged disk's files, and opens an empty store.
+func (c *Core) resetSlots() (*slots.Store, []byte, [][]byte, error) {
 	if err := slots.SetAside(c.folder()); err != nil {
 		return nil, nil, nil, err
 	}
@@ -192,19 +191,19 @@
 // DurabilityOf is what the chain must have by the losses that the settings name.
 func DurabilityOf(s *settings.Settings) view.Durability {
 	return view.Durability{
-		Copies: s.Copies(), ToleratedZones: s.LostZones, ToleratedRegions: s.LostRegions,
+		Copies: s.Copies(), ToleratedZones: s.ToleratedZones, ToleratedRegions: s.ToleratedRegions,
 		RegionOf: func(zone string) string { return s.Zones[zone] },
 	}
 }
 
-// DownAfter is when a silent voter may lose its vote to another: before its successor counts as reliable, or it would be missed in two
-// places.
+// DownAfter is after how long an unresponsive voter may lose its vote to another, by the time that a new machine has to catch up: before its successor
+// counts as reliable, or it would be missed in two places.
 func DownAfter(catchup time.Duration) time.Duration {
-	return min(mostDownAfter, time.Duration(downShare*float64(catchup)))
+	return min(maxDownAfter, time.Duration(downFraction*float64(catchup)))
 }
 
-// GoneAfter is when a silent learner is forgotten.
-func GoneAfter(catchup time.Duration) time.Duration { return max(leastGoneAfter, 2*catchup) }
+// LearnerExpiry is after how long an unresponsive learner is removed, by the time that a new machine has to catch up.
+func LearnerExpiry(catchup time.Duration) time.Duration { return max(minLearnerExpiry, 2*catchup) }
 
 func durationOf(seconds float64) time.Duration { return settings.Seconds(seconds) }
 
@@ -215,7 +214,7 @@
 
 func (c *Core) now() time.Duration { return time.Since(c.started) }
 
-// Run takes part in the core until ctx ends. While the disk fails or stalls this process stands aside: it only forwards what is submitted.
+// Run takes part in the core until ctx ends. While the disk fails or stalls this process is degraded: it only forwards what is submitted.
 func (c *Core) Run(ctx context.Context) {
 	diskDone := make(chan struct{})
 	go func() {
@@ -228,25 +227,25 @@
 	c.timer = time.AfterFunc(0, c.tick)
 	c.mu.Unlock()
 	<-ctx.Done()
-	c.leave()
+	c.stopGracefully()
 	c.stop()
 	select {
 	case <-diskDone:
-	case <-time.After(diskPause):
+	case <-time.After(diskCloseTimeout):
 	}
 }
 
 const (
-	diskPause = time.Second // for the disk to end what it does
+	diskCloseTimeout = time.Second // for the disk to end what it does
 )
 
-// leave has the others go on without this process, as far as they can in time.
-func (c *Core) leave() {
-	deadline := c.now() + min(leaveWithin, durationOf(leaveShare*c.config.Settings.Bounds.GraceS))
-	c.step(func(now time.Duration) { c.node.Release(now) })
+// stopGracefully has the others go on without this process, as far as they can in time.
+func (c *Core) stopGracefully() {
+	deadline := c.now() + min(stopTimeout, durationOf(stopFraction*c.config.Settings.Bounds.GraceS))
+	c.step(func(now time.Duration) { c.node.BeginStop(now) })
 	for left := false; !left && c.now() < deadline; {
-		time.Sleep(releasePause)
-		c.step(func(now time.Duration) { left = c.node.Left(now) })
+		time.Sleep(stopPollInterval)
+		c.step(func(now time.Duration) { left = c.node.StopComplete(now) })
 	}
 }
 
@@ -254,9 +253,9 @@
 	c.mu.Lock()
 	c.running = false
 	c.timer.Stop()
-	c.leading.end()
+	c.leaseRunner.end()
 	for number, done := range c.waiting {
-		done <- ended{Err: ErrUnknown}
+		done <- completion{Err: ErrUnknown}
 		delete(c.waiting, number)
 	}
 	c.mu.Unlock()
@@ -267,7 +266,7 @@
 	c.step(func(now time.Duration) { c.node.Tick(now) })
 }
 
-// step has the node do something, and does what it wants done.
+// step has the node do something, and executes its output.
 func (c *Core) step(do func(now time.Duration)) {
 	c.mu.Lock()
 	if !c.running {
@@ -276,28 +275,28 @@
 	}
 	now := c.now()
 	do(now)
-	out := c.node.Take()
-	c.disk.add(out.Writes)
-	c.links.post(out.Posts)
-	for _, end := range out.Ended {
+	output := c.node.Take()
+	c.disk.add(output.Writes)
+	c.links.send(output.Messages)
+	for _, end := range output.Completions {
 		if done := c.waiting[end.Number]; done != nil {
 			done <- end
 			delete(c.waiting, end.Number)
 		}
 	}
-	for i := range out.Changes {
-		out.Changes[i].log(c.config.Log)
+	for i := range output.ChainChanges {
+		output.ChainChanges[i].log(c.config.Log)
 	}
-	for i := range out.Disk {
-		out.Disk[i].log(c.config.Log)
+	for i := range output.DiskChanges {
+		output.DiskChanges[i].log(c.config.Log)
 	}
-	for i := range out.Quorum {
-		out.Quorum[i].log(c.config.Log)
+	for i := range output.QuorumChanges {
+		output.QuorumChanges[i].log(c.config.Log)
 	}
-	c.leading.follow(c, now)
+	c.leaseRunner.follow(c, now)
 	c.schedule(now)
 	c.mu.Unlock()
-	if out.Applied && c.config.Applied != nil {
+	if output.Applied && c.config.Applied != nil {
 		c.config.Applied()
 	}
 }
@@ -342,11 +341,11 @@
 	return c.node.Addresses()
 }
 
-// WantsStores says whether this process is to have stores take part in a core that is not founded yet, since no seed has a disk.
-func (c *Core) WantsStores() bool {
+// BootstrapsOnStores says whether this process is to have stores take part in a core that is not bootstrapped yet, since no seed has a disk.
+func (c *Core) BootstrapsOnStores() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.running && c.node.foundsOnStores(c.now())
+	return c.running && c.node.bootstrapsOnStores(c.now())
 }
 
 // Abdicate gives the leader lease, if this process has it, to another, and leaves it to others for a while.
@@ -359,11 +358,11 @@
 	c.step(func(now time.Duration) { c.node.Leave(now) })
 }
 
-// LeftOut says whether the others have let this process go after Leave: it may end, and its disk holds nothing that they lack.
-func (c *Core) LeftOut() bool {
+// Removed says whether the others have removed this process after Leave: it may stop, and its disk holds nothing that they lack.
+func (c *Core) Removed() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.node.LeftOut()
+	return c.node.Removed()
 }
 
 // Status tells how this process sees the core.
@@ -373,8 +372,8 @@
 	n := c.node
 	return Status{
 		ID: n.self.ID, Epoch: n.view.Epoch, Voters: slices.Clone(n.view.Voters), Learners: slices.Clone(n.view.Learners),
-		Wanted: n.config.Durability.Voters(),
-		Chain:  slices.Clone(n.view.Chain), Attached: n.chain.Attached(), Durable: n.config.Durability.Met(&n.view),
-		Last: n.chain.Last(), Committed: n.chain.Committed(), Leader: n.leaderAddress(c.now()), DiskFault: n.aside.from,
+		RequiredVoters: n.config.Durability.Voters(),
+		Chain:          slices.Clone(n.view.Chain), Attached: n.chain.Attached(), Durable: n.config.Durability.Met(&n.view),
+		Last: n.chain.Last(), Committed: n.chain.Committed(), Leader: n.leaderAddress(c.now()), DiskFault: n.durability.degradation.fault,
 	}
 }
--- a/control/core/model.go
+++ b/control/core/driver.go
@@ -9,7 +9,7 @@
 	"ravendale/control/view"
 )
 
-// The logic of a member, without clock, sockets or disk: a simulation of the whole system runs many in virtual time, as Core runs one.
+// The logic of a member, without clock, sockets or disk: a simulation of the system drives many in virtual time, as Core drives one.
 type (
 	// Node is a member of the core.
 	Node = node
@@ -19,10 +19,10 @@
 	Output = output
 	// DiskWrite is a change on disk that it wants.
 	DiskWrite = diskWrite
-	// Post is a message that it sends.
-	Post = post
-	// Ended is the end of a command that was submitted to it.
-	Ended = ended
+	// OutboundMessage is a message that it sends.
+	OutboundMessage = outboundMessage
+	// Completion is the outcome of a command that was submitted to it.
+	Completion = completion
 )
 
 // NewNode makes a node from what is on its disk, nil if nothing is.
@@ -43,10 +43,10 @@
 func (n *node) Describe() string {
 	return fmt.Sprintf("id %v epoch %d chain %v voters %d position %d whole %v attached %v sealed %v last %d committed %d missing %v",
 		n.self.ID, n.view.Epoch, n.view.Chain, len(n.view.Voters), n.chain.Position(), n.chain.Complete(), n.chain.Attached(),
-		n.vote.Sealed(n.view.Epoch), n.chain.Last(), n.chain.Committed(), n.missing)
+		n.vote.Sealed(n.view.Epoch), n.chain.Last(), n.chain.Committed(), n.peers.unresponsive)
 }
 
-// CopyMessage encodes and decodes a message of a Post, as a connection does.
+// CopyMessage encodes and decodes an outbound message, as a connection does.
 func CopyMessage(message msgp.Marshaler) (any, error) {
 	data, err := message.MarshalMsg(nil)
 	if err != nil {
--- a/control/leader/leader.go
+++ b/control/leader/leader.go
@@ -1,5 +1,3 @@
-// Package leader is what the holder of the leader lease does: it grants leases of membership, reads the platform's list, places the
-// queue, and feeds the relay tree. Of each process there is one Service, which leads in one term after another.
 package leader
 
 import (
@@ -126,7 +124,7 @@
 		}
 		address := s.settings.Load().ControlAddress(s.settings.Load().IP)
 		result, err := s.submit(ctx, &state.TakeTerm{Candidate: address})
-		if err == nil && result.Taken() {
+		if err == nil && result.Applied() {
 			return result.Term, s.applied(ctx, func(now *state.Snapshot) bool { return now.Term >= result.Term })
 		}
 		if err := s.host.Sleep(ctx, retryPause); err != nil {
@@ -168,10 +166,10 @@
 // placementConfig follows from what may be lost.
 func placementConfig(s *settings.Settings) placement.Config {
 	return placement.Config{
-		Copies:     1 + max(s.LostNodes, s.LostZones, s.LostRegions),
+		Copies:     1 + max(s.ToleratedNodes, s.ToleratedZones, s.ToleratedRegions),
 		Partitions: placement.DefaultPartitions,
-		Zones:      s.LostZones > 0,
-		Regions:    s.LostRegions > 0,
+		Zones:      s.ToleratedZones > 0,
+		Regions:    s.ToleratedRegions > 0,
 	}
 }
 
--- a/control/operatorclient/orders.go
+++ b/control/operatorclient/orders.go
@@ -40,7 +40,7 @@
 	return document, err
 }
 
-// Set puts a whole configuration in the place of version base, and returns its version.
+// Set replaces the configuration of version base, and returns the new version.
 func (c *Client) Set(ctx context.Context, base uint64, document []byte) (uint64, error) {
 	return c.change(ctx, "/v1/config/set", base, document)
 }
@@ -72,7 +72,7 @@
 	}
 	return c.do(ctx, &call{
 		method: http.MethodPost, path: "/v1/retire/" + url.PathEscape(node) + "/start", body: body,
-		within: min(c.options.Within, RetireWithin),
+		within: min(c.options.Within, retireWithin),
 		accept: func([]byte) error { return nil },
 	})
 }
@@ -83,24 +83,24 @@
 	RetireDone    = "done"
 )
 
-// RetireState tells how far a machine is.
+// RetireState returns how far a machine is: RetireRunning or RetireDone.
 func (c *Client) RetireState(ctx context.Context, node string) (string, error) {
-	var told struct {
+	var answered struct {
 		State string `json:"state"`
 	}
 	err := c.do(ctx, c.get("/v1/retire/"+url.PathEscape(node)+"/show", func(body []byte) error {
-		if err := json.Unmarshal(body, &told); err != nil {
+		if err := json.Unmarshal(body, &answered); err != nil {
 			return err
 		}
-		if told.State != RetireRunning && told.State != RetireDone {
-			return fmt.Errorf("operatorclient: state %q", told.State)
+		if answered.State != RetireRunning && answered.State != RetireDone {
+			return fmt.Errorf("operatorclient: state %q", answered.State)
 		}
 		return nil
 	}))
-	return told.State, err
+	return answered.State, err
 }
 
-// Status tells how the system is, as the leader sees it if it can be reached, else as another control process does.
+// Status returns how the leader sees the system, or another control process if the leader can't be reached.
 func (c *Client) Status(ctx context.Context) (*status.Status, error) {
 	seen, err := c.status(ctx)
 	if err != nil || seen.Core.Leading || seen.Core.LeaderAdmin == "" {
--- a/test/simulation/network_test.go
+++ b/test/simulation/network_test.go
@@ -76,7 +76,7 @@
 	}
 }
 
-// end is one end of a connection. It implements rpc.Carrier.
+// end is one end of a connection. It implements rpc.Transport.
 type end struct {
 	network        *network
 	incarnation    *incarnation
@@ -97,12 +97,12 @@
 	cause error
 }
 
-// Carry implements rpc.Carrier.
-func (e *end) Carry(frame []byte) {
+// WriteFrame implements rpc.Transport.
+func (e *end) WriteFrame(frame []byte) {
 	e.send(packet{frame: append([]byte(nil), frame...)})
 }
 
-// Close implements rpc.Carrier.
+// Close implements rpc.Transport.
 func (e *end) Close() {
 	if e.closed {
 		return
@@ -179,7 +179,7 @@
 		return
 	}
 	if n.world.now-e.heard >= e.failureTimeout {
-		e.conn.Fail(rpc.ErrSilent)
+		e.conn.Fail(rpc.ErrUnresponsive)
 		return
 	}
 	e.incarnation.after(watchEvery, e.watch)
@@ -219,8 +219,8 @@
 	if options.ConnectTimeout <= 0 {
 		options.ConnectTimeout = rpc.DefaultConnectTimeout
 	}
-	if options.SilentAfter <= 0 {
-		options.SilentAfter = rpc.DefaultSilentAfter
+	if options.FailureTimeout <= 0 {
+		options.FailureTimeout = rpc.DefaultFailureTimeout
 	}
 	k := &link{network: n, incarnation: l, address: address, options: options, up: up, down: down, retry: firstRetry}
 	l.after(0, func() { k.dialAt(0) })
@@ -302,11 +302,11 @@
 	}
 	k.retry = firstRetry
 	n, now := k.network, k.network.world.now
-	near := &end{network: n, incarnation: k.incarnation, link: k, heard: now, failureTimeout: k.options.SilentAfter}
-	far := &end{network: n, incarnation: to.incarnation, heard: now, failureTimeout: rpc.DefaultSilentAfter, peer: near}
+	near := &end{network: n, incarnation: k.incarnation, link: k, heard: now, failureTimeout: k.options.FailureTimeout}
+	far := &end{network: n, incarnation: to.incarnation, heard: now, failureTimeout: rpc.DefaultFailureTimeout, peer: near}
 	near.peer = far
-	near.conn = rpc.NewCarried(k.options, near)
-	far.conn = rpc.NewCarried(rpc.Options{Mux: to.program.(listener).mux()}, far)
+	near.conn = rpc.NewWithTransport(k.options, near)
+	far.conn = rpc.NewWithTransport(rpc.Options{Mux: to.program.(listener).mux()}, far)
 	k.incarnation.ends, to.incarnation.ends = append(k.incarnation.ends, near), append(to.incarnation.ends, far)
 	k.end = near
 	if program, ok := to.program.(*process); ok {
--- a/test/simulation/operator_test.go
+++ b/test/simulation/operator_test.go
@@ -144,7 +144,7 @@
 		reply(refusedVersion, c.state.machine.Current().Version, nil, -1)
 		return
 	}
-	c.order(l, encoded, answerWithin, func(end core.Ended) {
+	c.order(l, encoded, answerWithin, func(end core.Completion) {
 		switch {
 		case end.Err == nil:
 		case errors.Is(end.Err, core.ErrUnavailable):
@@ -193,7 +193,7 @@
 
 func answerOf(result *state.Result) answer {
 	switch result.Outcome {
-	case state.OutcomeTaken, state.OutcomeRepeated:
+	case state.OutcomeApplied, state.OutcomeDuplicate:
 		return taken
 	case state.OutcomeRefusedVersion:
 		return refusedVersion
