--- a/balancer/fleet/agent/agent.go
+++ b/balancer/fleet/agent/agent.go
@@ -1,5 +1,3 @@
-// Package agent is the shell of a fleet's member: it executes the actions of package fleet on links and disk, and keeps the
-// record of what the scheduler acted on. All of it runs on one loop, the scheduler's; the disk has goroutines of its own.
 package agent
 
 import (
@@ -37,7 +35,7 @@
 	// Check says whether an epoch could be acted under, and Apply has it acted under, between two turns.
 	Check func(*fleet.Epoch) error
 	Apply func(*fleet.Epoch)
-	// StandingChanged is told when the member may take requests, or not any more.
+	// StandingChanged is called when the member may take requests, or not any more.
 	StandingChanged func(fleet.Standing)
 	// Done counts what was done since the start: attempts sent, and requests by class.
 	Done func() (sent int, classes map[string]audit.Count)
@@ -78,9 +76,9 @@
 	path := filepath.Join(o.Dir, o.Member.Me+".state")
 	disk, err := loadState(path)
 	if err != nil {
-		aside := fmt.Sprintf("%s.%d.bad", path, a.o.Wall())
-		o.Log.Error("state set aside", "err", err, "file", path, "as", aside)
-		if err := os.Rename(path, aside); err != nil {
+		renamed := fmt.Sprintf("%s.%d.bad", path, a.o.Wall())
+		o.Log.Error("damaged state renamed", "err", err, "file", path, "as", renamed)
+		if err := os.Rename(path, renamed); err != nil {
 			return nil, fmt.Errorf("fleet: %w", err)
 		}
 	}
@@ -121,7 +119,7 @@
 		a.reconnect(a.links[name], now)
 	}
 	for l, heard := range a.accepted {
-		if now-heard > 4*silenceHeartbeats*a.o.Member.Heartbeat {
+		if now-heard > 4*reconnectHeartbeats*a.o.Member.Heartbeat {
 			delete(a.accepted, l)
 			l.Close()
 		}
@@ -176,8 +174,8 @@
 // MayTake says whether a request may be taken now. After a stop of the process it is the first to know.
 func (a *Agent) MayTake() bool { return a.core.StandingAt(a.o.Loop.Now()).Acts }
 
-// Stop ends the member: its peers are told, and the record is closed with what was done. The disk is waited for in a goroutine,
-// not here: done is called once nothing more is written, by that goroutine.
+// Stop ends the member: its peers are notified, and the record is closed with what was done. The disk is waited for in a
+// goroutine, not here: done is called once nothing more is written, by that goroutine.
 func (a *Agent) Stop(why string, done func()) {
 	if a.stopped {
 		return
--- a/balancer/fleet/agent/status.go
+++ b/balancer/fleet/agent/status.go
@@ -44,11 +44,11 @@
 	AnsweredMs int64           `json:"answered_ms"`
 	Link       string          `json:"link"`    // "up", or why not
 	SkewMs     int64           `json:"skew_ms"` // of its wall clock
-	Bytes      int64           `json:"bytes"`   // of words to it
+	Bytes      int64           `json:"bytes"`   // of messages to it
 	Dropped    int             `json:"dropped"`
 }
 
-// command carries out a tool's call.
+// command executes a tool's call.
 func (a *Agent) command(content []byte) []byte {
 	var r request
 	dec := json.NewDecoder(bytes.NewReader(content))
--- a/cmd/ravendale/fleet.go
+++ b/cmd/ravendale/fleet.go
@@ -173,7 +173,7 @@
 }
 
 func showStatus(to io.Writer, all map[string]*agent.Status) error {
-	w := tabwriter.NewWriter(to, 0, 0, 2, ' ', 0)
+	w := tabwriter.NewWriter(to, 0, 0, 2, ' ', 0) // Flush tells of what it met before
 	_, _ = fmt.Fprintln(w, "MEMBER\tINCARNATION\tBUILD\tACTS UNDER\tIN FORCE\tSTANDING\tPEERS ALIVE\tLAG\tRECORD\tNOTES")
 	for _, name := range slices.Sorted(maps.Keys(all)) {
 		s := all[name]
@@ -384,7 +384,7 @@
 	}
 	for _, b := range a.Below {
 		_, _ = fmt.Fprintf(to, "BROKEN: %s took %d requests below floor %d in the span that ended %s, %d ms after the date (%s)\n", b.Member, b.Taken, b.Floor,
-			clock(b.When), b.When-b.Date, b.Place)
+			clock(b.When), b.When-b.Date, b.Position)
 	}
 	for _, f := range a.Findings {
 		_, _ = fmt.Fprintln(to, "found:", f)
--- a/control/api/answers.go
+++ b/control/api/answers.go
@@ -9,11 +9,11 @@
 	"ravendale/control/core"
 )
 
-// retryAfter is what callers that are to come again are told, in seconds.
-const retryAfter = "1"
+// retryAfterSeconds is the Retry-After header of answers that ask for a retry, in seconds.
+const retryAfterSeconds = "1"
 
-// takenAnswer acknowledges an order.
-type takenAnswer struct {
+// versionAnswer acknowledges an order.
+type versionAnswer struct {
 	Version uint64 `json:"version"`
 }
 
@@ -24,7 +24,7 @@
 	Findings catalog.Findings `json:"findings,omitempty"`
 }
 
-// stateAnswer tells how far a machine has been emptied.
+// stateAnswer is how far the retirement of a machine is.
 type stateAnswer struct {
 	State string `json:"state"`
 }
@@ -36,7 +36,7 @@
 // answerFailure answers what could not be decided here. Only 503 promises that nothing was done.
 func answerFailure(c *fiber.Ctx, err error) error {
 	if errors.Is(err, core.ErrUnavailable) {
-		c.Set(fiber.HeaderRetryAfter, retryAfter)
+		c.Set(fiber.HeaderRetryAfter, retryAfterSeconds)
 		return answer(c, fiber.StatusServiceUnavailable, "unavailable: nothing was changed")
 	}
 	return answerUndecided(c)
--- a/edge/dispatch/configure.go
+++ b/edge/dispatch/configure.go
@@ -29,7 +29,7 @@
 
 // followRoutes drops messages whose route was removed, and withdraws those that wait for a service which their route leads away from.
 func (c *Core) followRoutes() {
-	for _, m := range c.messages {
+	for _, m := range c.messages.byID {
 		if m.phase == phaseReported || m.phase == phaseSubmitted && m.job.isInFlight() {
 			continue
 		}
@@ -39,7 +39,7 @@
 			c.finish(m, wire.Report{Kind: wire.ReportDropped})
 		case m.service != nil && m.service != s:
 			c.withdraw(m)
-			c.scheduleAt(m, phaseDeferred, c.now)
+			c.messages.schedule(m, phaseDeferred, c.now)
 		}
 	}
 }
@@ -63,6 +63,7 @@
 	c.applyRateLimit(s, config)
 }
 
+// sameSettings compares what of a module's settings may change.
 func sameSettings(a, b *ravendale.Settings) bool {
 	return a.Dispatchers == b.Dispatchers && a.Me == b.Me && a.MaxAttempts == b.MaxAttempts && a.Classes[0] == b.Classes[0]
 }
@@ -101,13 +102,13 @@
 
 // retryNow has a service's messages that back off attempted at once.
 func (c *Core) retryNow(s *service) {
-	for _, m := range c.messages {
+	for _, m := range c.messages.byID {
 		if m.phase != phaseDeferred || m.backoffs == 0 {
 			continue
 		}
 		if _, found, _ := c.route(m); found == s {
 			m.backoffs = 0
-			c.scheduleAt(m, phaseDeferred, max(c.now, m.notBefore))
+			c.messages.schedule(m, phaseDeferred, max(c.now, m.notBefore))
 		}
 	}
 }
@@ -123,8 +124,8 @@
 	c.reroute(s.queue.messages)
 	s.queue.messages = nil
 	c.pruneBacklogged()
-	rateLimit := RateLimit{RatePerS: config.RatePerS, Window: c.config.Window, Overshoot: c.config.Overshoot}
-	share := rateLimit.Divide(s.name, c.config.Topology.Edge, c.config.Topology.Edges)
+	limit := rateLimit{RatePerS: config.RatePerS, Window: c.config.Window, Overshoot: c.config.Overshoot}
+	share := limit.divide(s.name, c.config.Topology.Edge, c.config.Topology.Edges)
 	s.maxOpenJobs = c.connectionCapacity(s, config)
 	if s.tokens == nil || s.tokens.share != share {
 		s.tokens = newBucket(share, c.now)
@@ -164,6 +165,7 @@
 	return c.end()
 }
 
+// configureServices updates all services of the configuration in force.
 func (c *Core) configureServices() {
 	if c.index == nil {
 		return
--- a/edge/dispatch/job.go
+++ b/edge/dispatch/job.go
@@ -22,11 +22,35 @@
 	tokenTakenAt time.Duration
 }
 
+// jobTable has the open jobs: those that a message waits for, or that have attempts in flight.
+type jobTable struct {
+	byID map[JobID]*job
+	last JobID
+}
+
+// add names a job, and adds it.
+func (t *jobTable) add(j *job) {
+	t.last++
+	j.id = t.last
+	t.byID[j.id] = j
+}
+
+// inFlight counts the attempts in flight.
+func (t *jobTable) inFlight() int {
+	count := 0
+	for _, j := range t.byID {
+		count += j.inFlight
+	}
+	return count
+}
+
+// attempt is one request of a job to a worker.
 type attempt struct {
 	worker              string
 	inFlight, cancelled bool
 }
 
+// isInFlight reports whether an attempt is under way that was not cancelled.
 func (j *job) isInFlight() bool {
 	return slices.ContainsFunc(j.attempts, func(a attempt) bool { return a.inFlight && !a.cancelled })
 }
@@ -43,18 +67,19 @@
 	j.isWaiting = waiting
 }
 
+// submit hands a message to its service's module as a new job.
 func (c *Core) submit(m *message, s *service, token bool) {
-	c.lastJob++
-	j := &job{id: c.lastJob, service: s, message: m, active: true, hasToken: token, tokenTakenAt: c.now}
-	c.jobs[j.id] = j
+	j := &job{service: s, message: m, active: true, hasToken: token, tokenTakenAt: c.now}
+	c.jobs.add(j)
 	s.openJobs++
 	m.job, m.service = j, s
 	j.updateCount()
-	c.scheduleAt(m, phaseSubmitted, c.now+moduleTimeout)
+	c.messages.schedule(m, phaseSubmitted, c.now+moduleTimeout)
 	c.queueEvent(s, ravendale.Event{Kind: ravendale.JobArrived, Job: ravendale.JobID(j.id), Class: 0, Tenant: -1, Left: jobDeadline, Retry: m.submitted})
 	m.submitted = true
 }
 
+// withdrawJob takes a message back from its module.
 func (c *Core) withdrawJob(j *job) {
 	if !j.active {
 		return
@@ -64,10 +89,11 @@
 	c.removeIdleJob(j)
 }
 
+// removeIdleJob forgets a job that no message waits for and that has no attempt in flight.
 func (c *Core) removeIdleJob(j *job) {
 	j.updateCount()
-	if !j.active && j.inFlight == 0 && c.jobs[j.id] == j {
-		delete(c.jobs, j.id)
+	if !j.active && j.inFlight == 0 && c.jobs.byID[j.id] == j {
+		delete(c.jobs.byID, j.id)
 		j.service.openJobs--
 	}
 }
@@ -82,7 +108,7 @@
 	default:
 		return
 	}
-	j := c.jobs[JobID(a.Job)]
+	j := c.jobs.byID[JobID(a.Job)]
 	if j == nil {
 		return
 	}
@@ -96,6 +122,7 @@
 	}
 }
 
+// cancelAttempt has an attempt's connection closed. The attempt stays in flight until its outcome comes.
 func (c *Core) cancelAttempt(j *job, number int) {
 	if a := &j.attempts[number]; a.inFlight && !a.cancelled {
 		a.cancelled = true
@@ -134,7 +161,7 @@
 
 // send makes an attempt, if the newest configuration still allows it.
 func (c *Core) send(j *job, name string) {
-	number, copies := len(j.attempts), j.isInFlight()
+	number, hedge := len(j.attempts), j.isInFlight()
 	j.attempts = append(j.attempts, attempt{worker: name, inFlight: true})
 	j.inFlight++
 	j.updateCount()
@@ -144,7 +171,7 @@
 	switch {
 	case !j.active || address == "":
 		c.endAttempt(j, number, worker.Result{Outcome: worker.NotRun})
-	case copies && s.queue.len() > 0: // N, the open messages, counts those that wait
+	case hedge && s.queue.len() > 0: // N, the open messages, counts those that wait
 		c.endAttempt(j, number, worker.Result{Outcome: worker.NoConnection})
 	case c.stopping:
 		c.abortAttempt(j, number)
--- a/edge/dispatch/message.go
+++ b/edge/dispatch/message.go
@@ -7,6 +7,7 @@
 	"ravendale/cluster/wire"
 )
 
+// phase is where a message stands. What it waits for in a phase is due at message.dueAt.
 type phase uint8
 
 const (
@@ -19,7 +20,7 @@
 	phaseReported                 // its terminal report is sent, and not yet acknowledged
 )
 
-// message is one that the edge owns.
+// message is one that is leased to the edge.
 type message struct {
 	wire.Message
 	phase           phase
@@ -35,15 +36,17 @@
 	released        bool // the last report releases it
 	submitted       bool
 	size            int
-	heapIndex       int // in Core.due; -1: not there
+	heapIndex       int // in messageTable.due; -1: not there
 
 	service *service // while rate limited, queued or submitted
 	job     *job     // while submitted
 }
 
+// path returns the target without its query, as routes match it.
 func (m *message) path() string {
 	path, _, _ := strings.Cut(m.Target, "?")
 	return path
 }
 
-func (m *message) isGranted() bool { return !m.Ordered || m.granted }
+// isNextInOrder reports whether no other message of the key order has to be completed first.
+func (m *message) isNextInOrder() bool { return !m.Ordered || m.granted }
--- a/internal/wire/nested.go
+++ b/internal/wire/nested.go
@@ -9,7 +9,7 @@
 	"ravendale"
 )
 
-// Names are the words that the settings give to what the decision module counts by index.
+// Names are the names that the settings give to what the decision module counts by index.
 type Names struct{ Classes, Tenants, Zones, Kinds []string }
 
 // Nested reads settings that come as nested JSON instead of a line of pairs. Both have the same names,
@@ -46,11 +46,11 @@
 			return
 		}
 		if _, nested := v[0].(map[string]any); !nested {
-			words := make([]string, len(v))
+			values := make([]string, len(v))
 			for i := range v {
-				words[i] = word(v[i])
+				values[i] = scalar(v[i])
 			}
-			pairs[path] = strings.Join(words, ",")
+			pairs[path] = strings.Join(values, ",")
 			return
 		}
 		pairs[path+".count"] = strconv.Itoa(len(v))
@@ -58,11 +58,11 @@
 			flatten(pairs, fmt.Sprintf("%s.%d", path, i), v[i])
 		}
 	default:
-		pairs[path] = word(v)
+		pairs[path] = scalar(v)
 	}
 }
 
-// word writes a scalar as a line does: spaces and commas become underscores.
-func word(v any) string {
+// scalar writes a scalar as a line does: spaces and commas become underscores.
+func scalar(v any) string {
 	return strings.NewReplacer(" ", "_", ",", "_").Replace(fmt.Sprint(v))
 }
--- a/test/lab/backlog/backlog.go
+++ b/test/lab/backlog/backlog.go
@@ -29,7 +29,7 @@
 	manyMb      = 1 << 20 // no limit of memory or disk is met
 )
 
-// ErrRefused is returned if the store does not take a message.
+// ErrRefused is returned if the store does not accept a message.
 var ErrRefused = errors.New("backlog: the store refuses a message")
 
 // Config of a run.
@@ -87,19 +87,19 @@
 
 // node is a store that listens on loopback.
 type node struct {
-	store  *store.Store
+	store  *server.Store
 	server *rpc.Server
 	failed chan error
 }
 
 func open(dir string) (*node, error) {
-	disk, err := store.Identity(dir)
+	disk, err := server.Identity(dir)
 	if err != nil {
 		return nil, err
 	}
 	n := &node{failed: make(chan error, 1)}
 	mux := rpc.NewMux()
-	n.store, err = store.Open(store.Config{
+	n.store, err = server.Open(server.Config{
 		Settings: &settings.Settings{DataDir: dir, DiskMb: manyMb, MemoryMb: manyMb, Zone: "zone"}, Disk: disk, Mux: mux,
 		Failed: func(err error) {
 			select {
@@ -112,7 +112,7 @@
 		return nil, err
 	}
 	if n.server, err = rpc.Listen(listenAt, rpc.Options{Mux: mux}, func(c *rpc.Conn) {
-		c.OnClose(func(error) { go n.store.Closed(c) })
+		c.OnClose(func(error) { n.store.Closed(c) })
 	}); err != nil {
 		return nil, err
 	}
@@ -177,7 +177,7 @@
 		if err == nil {
 			_, err = reply.UnmarshalMsg(payload)
 		}
-		if err == nil && reply.Code != wire.PutKept {
+		if err == nil && reply.Code != wire.PutAccepted {
 			err = fmt.Errorf("%w: code %d", ErrRefused, reply.Code)
 		}
 		answers <- err
--- a/test/lab/experiment.go
+++ b/test/lab/experiment.go
@@ -53,7 +53,7 @@
 }
 
 func (r *RulesXML) model() emulator.Rules {
-	return emulator.Rules{ColdFrom: r.ColdFrom, ColdFor: r.ColdFor, FallMultiple: r.FallMultiple, FallSpan: r.FallSpan,
+	return emulator.Rules{SlowStartFrom: r.ColdFrom, SlowStartFor: r.ColdFor, OverloadMultiple: r.FallMultiple, OverloadSpan: r.FallSpan,
 		DownFor: r.DownFor, StopsRunning: r.StopsRunning}
 }
 
@@ -75,20 +75,20 @@
 	}
 }
 
-// Class is a class of jobs, as clients ask for it and as the scheduler is told.
+// Class is a class of jobs, as clients ask for it and as the scheduler is configured.
 type Class struct {
-	Name    string        `xml:"name,attr" required:"true"`
-	Effect  string        `xml:"effect,attr" required:"true"` // idempotent, keyed or once
-	Share   float64       `xml:"share,attr" required:"true"`
-	Work    time.Duration `xml:"work,attr" required:"true"`
-	Slots   float64       `xml:"slots,attr"`
-	GiveUp  time.Duration `xml:"give-up,attr" required:"true"`
-	Aim     time.Duration `xml:"aim,attr" required:"true"`
-	Stretch float64       `xml:"stretch,attr"`
-	Worth   float64       `xml:"worth,attr"`
-	Kind    string        `xml:"kind,attr"`   // the only kind of node that runs it, any if not given
-	Window  time.Duration `xml:"window,attr"` // how long nodes drop a repeat of a keyed job, 7.5s if not given
-	Late    float64       `xml:"late,attr"`   // the part of its worth that a late answer earns
+	Name          string        `xml:"name,attr" required:"true"`
+	Effect        string        `xml:"effect,attr" required:"true"` // idempotent, keyed or once
+	Share         float64       `xml:"share,attr" required:"true"`
+	Work          time.Duration `xml:"work,attr" required:"true"`
+	Slots         float64       `xml:"slots,attr"`
+	GiveUp        time.Duration `xml:"give-up,attr" required:"true"`
+	LatencyTarget time.Duration `xml:"aim,attr" required:"true"`
+	Stretch       float64       `xml:"stretch,attr"`
+	Value         float64       `xml:"worth,attr"`
+	Kind          string        `xml:"kind,attr"`   // the only kind of node that runs it, any if not given
+	Window        time.Duration `xml:"window,attr"` // how long nodes drop a duplicate of a keyed job, 7.5s if not given
+	Late          float64       `xml:"late,attr"`   // the part of its value that a late answer earns
 }
 
 // Check implements xmlfile.Checker.
@@ -127,7 +127,7 @@
 	Every int           `xml:"every,attr" required:"true"` // 4: every fourth node
 	At    time.Duration `xml:"at,attr" required:"true"`    // of the first drain, from the begin of what is measured
 	Step  time.Duration `xml:"step,attr" required:"true"`
-	Drain time.Duration `xml:"drain,attr" required:"true"` // from the drain told to the restart
+	Drain time.Duration `xml:"drain,attr" required:"true"` // from the drain to the restart
 }
 
 // StallXML has the scheduler's process stand still (SIGSTOP, SIGCONT) for a while.
@@ -175,7 +175,7 @@
 	Of      string  `xml:"of,attr"`      // as a ratio to that variant's
 	Most    float64 `xml:"most,attr"`
 	Least   float64 `xml:"least,attr"`
-	Aim     bool    `xml:"aim,attr"` // is told, and fails nothing
+	Aim     bool    `xml:"aim,attr"` // is reported, and fails nothing
 	atMost  bool
 }
 
@@ -220,15 +220,15 @@
 	return x, nil
 }
 
-// settings are what the scheduler is told of the experiment, in the platform's form.
+// settings are what the scheduler is given of the experiment, in the platform's form.
 func (x *Experiment) settings(sites, kinds []string) map[string]any {
 	var classes []map[string]any
 	var kindOf []int
 	var stretch []float64
 	for _, c := range x.Classes {
 		effect := map[string]string{"idempotent": "idempotent", "keyed": "deduplicated", "once": "at_most_once"}[c.Effect]
-		class := map[string]any{"name": c.Name, "effect": effect, "aim-us": c.Aim.Microseconds(), "give-up-us": c.GiveUp.Microseconds(),
-			"importance": max(c.Worth, 1), "late-worth": c.Late}
+		class := map[string]any{"name": c.Name, "effect": effect, "aim-us": c.LatencyTarget.Microseconds(), "give-up-us": c.GiveUp.Microseconds(),
+			"importance": max(c.Value, 1), "late-worth": c.Late}
 		if c.Effect == "keyed" {
 			class["window-us"], class["group"] = cmp.Or(c.Window, 7500*time.Millisecond).Microseconds(), "zone"
 		}
@@ -271,11 +271,11 @@
 	return names
 }
 
-// asked are the classes as clients ask for them.
-func (x *Experiment) asked() (classes []ClassSpec) {
+// requestClasses are the classes as clients ask for them.
+func (x *Experiment) requestClasses() (classes []ClassSpec) {
 	for _, c := range x.Classes {
 		classes = append(classes, ClassSpec{Name: c.Name, Share: c.Share, Work: c.Work, Slots: c.Slots, GiveUp: c.GiveUp,
-			Aim: c.Aim + time.Duration(c.Stretch*float64(c.Work)), Keyed: c.Effect == "keyed"})
+			LatencyTarget: c.LatencyTarget + time.Duration(c.Stretch*float64(c.Work)), Keyed: c.Effect == "keyed"})
 	}
 	return classes
 }
