--- a/control/core/bootstrapstores_test.go
+++ b/control/core/bootstrapstores_test.go
@@ -10,7 +10,7 @@
 	"ravendale/control/view"
 )
 
-// amnesiacSeed has a seed vote on the founding again after a restart.
+// amnesiacSeed has a seed votes on the bootstrap again after a restart.
 const amnesiacSeed mutant = 101
 
 // storeSimulation is a core whose members are stores, and whose seeds are processes without a disk.
@@ -41,7 +41,7 @@
 	s.after(2*time.Millisecond, func() { s.watchBootstrap(first) })
 }
 
-// bounce ends a process for a while. Its next life is not the first one of the system.
+// bounce ends a process for a while. Its next incarnation is not the first one of the system.
 func (s *simulation) bounce(process *simulated, down time.Duration) {
 	process.running = false
 	if process.folder != nil && s.random.IntN(2) == 0 {
@@ -51,7 +51,7 @@
 	s.after(down, process.start)
 }
 
-// playBootstrap has processes die and the network fail while the core is being founded.
+// playBootstrap has processes die and the network fail while the core is being bootstrapped.
 func playBootstrap(seed uint64, m mutant) (broken string, founded bool) {
 	s := storeSimulation(seed, 3, 3+int(seed%3), 1, m)
 	s.watchBootstrap(make(map[string]bool))
@@ -153,7 +153,7 @@
 	}
 }
 
-// TestACoreOfStoresServes plays whole histories: founding, troubles, calm, final faults.
+// TestACoreOfStoresServes plays whole histories: bootstrap, faults, calm, final faults.
 func TestACoreOfStoresServes(t *testing.T) {
 	for seed := range uint64(60) {
 		s := storeSimulation(seed, 1+int(seed%4), 3+int(seed%3), 1, sound)
--- a/control/core/bounds_test.go
+++ b/control/core/bounds_test.go
@@ -134,7 +134,7 @@
 		l.tick()
 	}
 	n := l.node
-	require.Fail(l.t, "not answered", "attached %v, last %d, synced %d, committed %d, unapplied %d, pending %v, aside %q, now %v, machine at %d",
+	require.Fail(l.t, "not answered", "attached %v, last %d, synced %d, committed %d, unapplied %d, pending %v, fault %q, now %v, machine at %d",
 		n.chain.Attached(), n.chain.Last(), n.chain.Synced(), n.chain.Committed(), n.chain.Unapplied(), len(n.commands.pending), n.durability.degradation.fault, l.now, l.machine.Current().Version)
 	return nil
 }
--- a/control/core/core_test.go
+++ b/control/core/core_test.go
@@ -131,7 +131,7 @@
 // soon bounds waits for what has to come, on a machine however busy: no verdict depends on how long it takes.
 const soon = 30 * time.Second
 
-// submit has a command applied. One that surely was not is submitted again: the process may not run yet, or the core not be founded.
+// submit has a command applied. One that surely was not is submitted again: the process may not run yet, or the core not be bootstrapped.
 func (p *process) submit(t *testing.T, command string) string {
 	ctx, cancel := context.WithTimeout(t.Context(), soon)
 	defer cancel()
--- a/control/core/degraded_test.go
+++ b/control/core/degraded_test.go
@@ -102,7 +102,7 @@
 	return count
 }
 
-// TestAMemberStartsOnAFullDisk starts a member again, or with an empty disk, while it takes nothing: it stays aside until there is room.
+// TestAMemberStartsOnAFullDisk starts a member again, or with an empty disk, while it takes nothing: it stays degraded until there is room.
 func TestAMemberStartsOnAFullDisk(t *testing.T) {
 	for seed := range uint64(16) {
 		size := sizes[seed%uint64(len(sizes))]
--- a/control/core/history_test.go
+++ b/control/core/history_test.go
@@ -73,7 +73,7 @@
 	return false
 }
 
-// steadyCore returns a core that has been founded and serves.
+// steadyCore returns a core that is bootstrapped and serves.
 func steadyCore(t *testing.T, seed uint64, members, tolerated int) *simulation {
 	s := newSimulation(seed, members, tolerated, sound)
 	s.run(1500 * time.Millisecond)
--- a/control/core/model_checks_test.go
+++ b/control/core/model_checks_test.go
@@ -123,7 +123,7 @@
 	return newest
 }
 
-// checkComplete sees whether those that are whole in the latest view hold all that was answered.
+// checkComplete sees whether those that are complete in the latest view hold all that was answered.
 func (m *model) checkComplete() {
 	latest := uint64(0)
 	for epoch := range m.views {
@@ -165,7 +165,7 @@
 	return unavailable
 }
 
-// checkMargin sees whether a majority and a whole member are up while no more are lost than may be.
+// checkMargin sees whether a majority and a complete member are up while no more are lost than may be.
 func (m *model) checkMargin() {
 	m.exceeded = m.exceeded || m.unavailableSlots() > m.scope.tolerated
 	if m.exceeded {
--- a/control/core/model_network_test.go
+++ b/control/core/model_network_test.go
@@ -19,7 +19,7 @@
 	late     bool // it does not hold up time
 }
 
-// send puts a message on its way; beats arrive at once, and anything to where nobody is does not.
+// send puts a message on its way; heartbeats arrive at once, and anything to where nobody is does not.
 func (m *model) send(at int, p outboundMessage) {
 	to := slices.IndexFunc(m.members, func(other *modelMember) bool { return other.address == p.To })
 	if to < 0 || !m.reaches(at, to) {
--- a/control/core/model_test.go
+++ b/control/core/model_test.go
@@ -13,14 +13,14 @@
 
 // modelScope is what may happen in a model of the core. The counts bound how often.
 type modelScope struct {
-	members   int      // the first three found the core, the others join
-	tolerated int      // losses that are borne
+	members   int      // the first three bootstrap the core, the others join
+	tolerated int      // losses that are tolerated
 	orders    []string // "AT BASE NAME": each may be given once, at member AT, at any time
 	steps     int      // of time
 	fine      bool     // steps are half as long
 	orderAt   []int    // steps in which orders are given; nil: all
 	faultAt   []int    // steps in which faults strike; nil: all
-	backAt    []int    // steps in which troubles end; nil: all
+	backAt    []int    // steps in which faults end; nil: all
 	rates     []int    // of the members' clocks, in thousandths; nil: all alike
 	crashes   int      // kills and losses of power, after which a member returns with its disk
 	wipes     int      // losses of power after which it returns with an empty one
@@ -88,7 +88,7 @@
 
 	order    []string          // of commands, as first applied
 	answers  []string          // to orders, by their place in the scope
-	numbers  map[[3]int]int    // member, life and number: which order
+	numbers  map[[3]int]int    // member, incarnation and number: which order
 	views    map[uint64]string // decided, by epoch
 	replaced bool              // the last member counts in the place of the first
 	exceeded bool              // more were lost at once than may be
@@ -108,7 +108,7 @@
 	return m
 }
 
-// stabilize founds the core, and has it run until all is calm: that is where the search starts.
+// stabilize bootstraps the core, and has it run until all is calm: that is where the search starts.
 func (m *model) stabilize() {
 	for i := range min(3, len(m.members)) {
 		m.start(i)
@@ -208,7 +208,7 @@
 		Address: member.address, Zone: member.address, Seeds: seeds, Bootstrap: m.views[1] == "" && disks == 0, Disk: true, Candidate: true,
 		Durability: view.Durability{Copies: m.scope.tolerated + 1}, DownAfter: m.downAfter(),
 		LearnerExpiry: LearnerExpiry(modelCatchup), Terms: m.terms(), MinLogBytes: 1 << 20, Machine: member.machine,
-		Random: func() uint64 { // the first draw is the life, the second the disk
+		Random: func() uint64 { // the first draw is the incarnation, the second the disk
 			drawn++
 			switch drawn {
 			case 1:
--- a/control/core/partition_test.go
+++ b/control/core/partition_test.go
@@ -64,7 +64,7 @@
 	}
 }
 
-// playPartition plays one cut of a member of the core, and returns what was broken.
+// playPartition plays one partition of a member of the core, and returns what was broken.
 func playPartition(seed uint64, role string, way partitionMode, m mutant, restarted bool) (broken string, served time.Duration) {
 	size := sizes[seed%uint64(len(sizes))]
 	s := newSimulation(seed, size.members, size.tolerated, m)
@@ -147,7 +147,7 @@
 	return s.now - from
 }
 
-// expectSide makes sure that the others are whole at the end of the cut, and the one that was cut off is not among them.
+// expectSide makes sure that the others serve at the end of the partition, and the one that was cut off is not among them.
 func (s *simulation) expectSide(victim *simulated) {
 	if s.broken != "" {
 		return
--- a/control/core/replacement_test.go
+++ b/control/core/replacement_test.go
@@ -113,7 +113,7 @@
 	s.unavailableUntil = r.now + r.catchup
 }
 
-// watch runs until a time, and sees at every step whether what may still be lost would leave a majority and a whole member.
+// watch runs until a time, and sees at every step whether what may still be lost would leave a majority and a complete member.
 func (r *replacements) watch(until time.Duration) {
 	const step = 20 * time.Millisecond
 	for r.now < until && r.broken == "" {
--- a/control/core/simulation_checks_test.go
+++ b/control/core/simulation_checks_test.go
@@ -84,7 +84,7 @@
 		if n == nil {
 			continue
 		}
-		fmt.Fprintf(&text, "%s id %v running %v epoch %d chain %v voters %d learners %d position %d whole %v attached %v sealed %v aside %q idle %v last %d synced %d committed %d missing %v wanted %v proposer %v leader %q\n",
+		fmt.Fprintf(&text, "%s id %v running %v epoch %d chain %v voters %d learners %d position %d complete %v attached %v sealed %v fault %q idle %v last %d synced %d committed %d missing %v wanted %v proposer %v leader %q\n",
 			member.address, n.self.ID, member.running, n.view.Epoch, n.view.Chain, len(n.view.Voters), len(n.view.Learners), n.chain.Position(), n.chain.Complete(), n.chain.Attached(),
 			n.vote.Sealed(n.view.Epoch), n.durability.degradation.fault, n.cannotOrder, n.chain.Last(), n.chain.Synced(), n.chain.Committed(), n.peers.unresponsive, n.viewChange.pendingSince, n.viewChange.proposer != nil, n.leaderAddress(member.clock()))
 	}
--- a/control/core/simulation_machine_test.go
+++ b/control/core/simulation_machine_test.go
@@ -7,7 +7,7 @@
 )
 
 // register is a machine that holds one number and changes it by compare-and-set. It counts what it applies, and shows that to the
-// simulation: all registers, in all lives, must apply the same commands in the same places.
+// simulation: all registers, in all incarnations, must apply the same commands in the same places.
 type register struct {
 	s     *simulation
 	value int
--- a/control/core/simulation_member_test.go
+++ b/control/core/simulation_member_test.go
@@ -201,10 +201,10 @@
 	}
 	switch p.Message.(type) {
 	case *view.Prepare, *view.Promise, *view.Accept, *view.AcceptReply, *lease.Request, *propose, *decided:
-		m.s.fail("%s is aside and sent %T to %s: answered", m.address, p.Message, p.To)
+		m.s.fail("%s is degraded and sent %T to %s: answered", m.address, p.Message, p.To)
 	}
 	if m.node.lease.holder.Valid(m.clock()) {
-		m.s.fail("%s holds the leader lease while it is aside", m.address)
+		m.s.fail("%s holds the leader lease while it is degraded", m.address)
 	}
 }
 
--- a/control/core/simulation_play_test.go
+++ b/control/core/simulation_play_test.go
@@ -86,7 +86,7 @@
 	}
 }
 
-// calm ends all troubles.
+// calm ends all faults.
 func (s *simulation) calm() {
 	s.partitioned, s.lossy = make(map[[2]string]bool), false
 	for _, member := range s.members {
@@ -120,7 +120,7 @@
 	}
 }
 
-// play is one whole history: founding, troubles, calm, the disaster, calm. It returns what was broken.
+// play is one whole history: bootstrap, faults, calm, the disaster, calm. It returns what was broken.
 func play(seed uint64, members, tolerated int, m mutant) string {
 	s := newSimulation(seed, members, tolerated, m)
 	s.run(1500 * time.Millisecond)
--- a/control/core/simulation_test.go
+++ b/control/core/simulation_test.go
@@ -27,7 +27,7 @@
 	lateDown      // a voter that is down keeps its vote as long as one that is gone
 	stayingVote   // a member that is told to stop keeps its vote
 	eagerVote     // a newcomer gets a vote at once
-	unfilledChain // a newcomer counts as whole before it is filled
+	unfilledChain // a newcomer counts as complete before it is filled
 )
 
 // simulation is a whole core in simulated time.
--- a/control/core/submittargets_test.go
+++ b/control/core/submittargets_test.go
@@ -10,7 +10,7 @@
 	"ravendale/control/view"
 )
 
-// diskless is a node without a disk that has heard beats at given times.
+// diskless is a node without a disk that has heard heartbeats at given times.
 func diskless(t *testing.T, heartbeats map[time.Duration][]heartbeat) *node {
 	n, err := newNode(0, nodeConfig{
 		Address: "self", Seeds: []string{"cut", "head", "tail", "new"}, Terms: lease.DefaultTiming, Machine: &register{},
