--- a/control/core/simulation_test.go
+++ b/control/core/simulation_test.go
@@ -43,7 +43,7 @@
 	partitioned   map[[2]string]bool // from, to
 	loss          float64
 	lossy         bool
-	tolerated     int // LostNodes
+	tolerated     int // settings.ToleratedNodes
 	slowDisks     bool
 	minLogBytes   int           // bytes of log before a snapshot
 	maxLogRecords int           // in the log before a snapshot; zero: as many as fit with leastLog
--- a/test/systemtest/diskless_test.go
+++ b/test/systemtest/diskless_test.go
@@ -17,7 +17,7 @@
 	"ravendale/test/standin/protocol"
 )
 
-const wholeBound = 30 * time.Second // for a store to be filled, or emptied
+const completeBound = 30 * time.Second // for a store to be filled, or emptied
 
 // diskless is a cluster whose control processes have no disk, so that stores hold the core.
 func diskless(spec *cluster.Spec) { spec.DisklessControl = true }
@@ -34,10 +34,10 @@
 		assert.True(t, hostsCore(store), store.Name())
 	}
 	wait := r.load(3 * time.Second)
-	r.patch(protocol.Patch{Upsert: protocol.Upsert{Routes: []protocol.Route{extraRoute(r, 700)}}})
+	r.patch(protocol.Patch{Upsert: protocol.Upsert{Routes: []protocol.Route{extraRoute(700)}}})
 	r.crash(r.system.Processes(), 500*time.Millisecond, nil) // right after an acknowledgement
 	r.showIsNewest()
-	r.patch(protocol.Patch{Upsert: protocol.Upsert{Routes: []protocol.Route{extraRoute(r, 800)}}})
+	r.patch(protocol.Patch{Upsert: protocol.Upsert{Routes: []protocol.Route{extraRoute(800)}}})
 	wait()
 	r.awaitReady(len(r.system.Edges))
 	over := r.world.Record.Now()
@@ -50,18 +50,18 @@
 	r := startWith(t, diskless)
 	wait := r.load(10 * time.Second)
 	for i, store := range r.system.Stores { // the leader is one of them
-		r.patch(protocol.Patch{Upsert: protocol.Upsert{Routes: []protocol.Route{extraRoute(r, 500+i)}}})
+		r.patch(protocol.Patch{Upsert: protocol.Upsert{Routes: []protocol.Route{extraRoute(500 + i)}}})
 		r.crash([]*cluster.Process{store}, 300*time.Millisecond, (*cluster.Process).Wipe)
 		r.showIsNewest()
-		r.awaitWhole(store)
+		r.awaitFilled(store)
 	}
 	wait()
 	r.verify()
 }
 
-// awaitWhole waits until a store that lost its disk is in the core's chain and holds its part of the queue. The next change is
+// awaitFilled waits until a store that lost its disk is in the core's chain and holds its part of the queue. The next change is
 // acknowledged only once it holds all of the core.
-func (r *rig) awaitWhole(store *cluster.Process) {
+func (r *rig) awaitFilled(store *cluster.Process) {
 	r.t.Helper()
 	require.Eventually(r.t, func() bool {
 		answer := r.staff.Call(r.within(ackBound), http.MethodGet, "/v1/status", nil, nil)
@@ -70,7 +70,7 @@
 			return false
 		}
 		return inChain(&seen.Core, r.system.ControlRPC(store)) && filled(seen.Placement)
-	}, wholeBound, 50*time.Millisecond, "%s is not whole", store.Name())
+	}, completeBound, 50*time.Millisecond, "%s is not whole", store.Name())
 }
 
 func inChain(core *status.Core, address string) bool {
@@ -101,7 +101,7 @@
 	require.Eventually(t, func() bool {
 		state, err := r.staff.RetireState(r.within(ackBound), voter.Node())
 		return err == nil && state == "done"
-	}, wholeBound, 50*time.Millisecond, "it is not emptied")
+	}, completeBound, 50*time.Millisecond, "it is not emptied")
 	require.Eventually(t, func() bool { return !hostsCore(voter) }, startBound, 20*time.Millisecond, "it kept its part of the core")
 	hosts := 0
 	for _, store := range r.system.Stores {
@@ -111,7 +111,7 @@
 	}
 	assert.Equal(t, 3, hosts, "another store has taken its place")
 	require.NoError(t, voter.Kill())
-	r.patch(protocol.Patch{Upsert: protocol.Upsert{Routes: []protocol.Route{extraRoute(r, 700)}}})
+	r.patch(protocol.Patch{Upsert: protocol.Upsert{Routes: []protocol.Route{extraRoute(700)}}})
 	wait()
 	r.verify()
 }
