--- a/cluster/catalog/catalog.go
+++ b/cluster/catalog/catalog.go
@@ -53,7 +53,7 @@
 	IdleTimeoutMs   float64 `json:"idleTimeoutMs" validate:"gte=0"`
 }
 
-// Parse reads and checks a whole configuration. The error is of type Findings and names all that is wrong.
+// Parse reads and checks a complete configuration. The error is of type Findings and names all that is wrong.
 func Parse(document []byte) (*Config, error) {
 	text, findings := readable(document)
 	if findings != nil {
--- a/cluster/catalog/check.go
+++ b/cluster/catalog/check.go
@@ -55,7 +55,7 @@
 	prefix string
 }
 
-// crossCheck reports what is wrong between the items of a whole configuration.
+// crossCheck reports what is wrong between the items of a complete configuration.
 func (r *reader) crossCheck(c *Config) {
 	services := make(map[string]int, len(c.Services))
 	for i := range c.Services {
--- a/cluster/catalog/patch.go
+++ b/cluster/catalog/patch.go
@@ -25,7 +25,7 @@
 }
 
 // Apply makes the configuration that a patch turns c into. Items are added at the end of their list, or replace the one of their
-// name in its place; names to delete need not be there. The result is checked whole; the error is of type Findings.
+// name in its place; names to delete need not be there. The complete result is checked; the error is of type Findings.
 func (c *Config) Apply(patch []byte) (*Config, error) {
 	p, err := readPatch(patch)
 	if err != nil {
--- a/cluster/member/agent.go
+++ b/cluster/member/agent.go
@@ -18,8 +18,8 @@
 // Times of the connection to a control process. Renewals show soon enough when it is unresponsive, so that pings
 // are hardly needed.
 const (
-	connectWithin  = 200 * time.Millisecond
-	pingAfter      = 2 * time.Second
+	connectTimeout = 200 * time.Millisecond
+	pingInterval   = 2 * time.Second
 	failureTimeout = 5 * time.Second
 )
 
@@ -152,7 +152,7 @@
 	if target == "" {
 		return
 	}
-	options := rpc.Options{Mux: a.config.Mux, ConnectTimeout: connectWithin, PingAfter: pingAfter, FailureTimeout: failureTimeout}
+	options := rpc.Options{Mux: a.config.Mux, ConnectTimeout: connectTimeout, PingAfter: pingInterval, FailureTimeout: failureTimeout}
 	up := func(c *rpc.Conn) { a.box.Post(func() { a.connected(c, target) }) }
 	down := func(error) { a.box.Post(func() { a.disconnected(target) }) }
 	a.link = a.host.Connect(target, options, up, down)
--- a/cluster/member/session.go
+++ b/cluster/member/session.go
@@ -10,9 +10,9 @@
 
 // Times of a session.
 const (
-	answerWithin     = 350 * time.Millisecond // connect included
+	replyTimeout     = 350 * time.Millisecond // connect included
 	retryPause       = 130 * time.Millisecond // around which to wait after a failure
-	hopsAllowed      = 3                      // from one control process to the next before a pause
+	maxHops          = 3                      // from one control process to the next before a pause
 	renewalsPerLease = 3                      // renewals within a lease
 	startPause       = 75 * time.Millisecond  // around which to wait at first, until the newest versions are known
 	maxStartAttempts = 16                     // so often
@@ -113,7 +113,7 @@
 		s.failed(now, s.target)
 	}
 	if !s.waiting && now >= s.due {
-		s.waiting, s.sent, s.due = true, false, now+answerWithin
+		s.waiting, s.sent, s.due = true, false, now+replyTimeout
 		if s.target == "" {
 			s.target = s.candidate()
 		}
@@ -188,13 +188,13 @@
 	}
 	s.hops++
 	s.target = reply.Leader
-	s.sent, s.due = false, now+answerWithin
+	s.sent, s.due = false, now+replyTimeout
 }
 
 // follows says whether the leader that a control process names is to be tried. One that failed before may be partitioned, and named by who
 // has not noticed: it is tried again at once, but not time after time.
 func (s *session) follows(from, leader string) bool {
-	return leader != "" && leader != from && s.hops < hopsAllowed && s.failures[leader] <= s.failures[from]+1
+	return leader != "" && leader != from && s.hops < maxHops && s.failures[leader] <= s.failures[from]+1
 }
 
 func leaseOf(reply *wire.RenewReply) time.Duration {
--- a/cluster/member/session_test.go
+++ b/cluster/member/session_test.go
@@ -57,7 +57,7 @@
 	s := testSession("a", "b")
 	now := time.Duration(0)
 	for hop := 0; s.tick(now, true); hop++ {
-		require.LessOrEqual(t, hop, hopsAllowed)
+		require.LessOrEqual(t, hop, maxHops)
 		from := s.target
 		other := map[string]string{"a": "b", "b": "a"}[from]
 		s.replied(now, now, from, &wire.RenewReply{Leader: other})
@@ -80,18 +80,18 @@
 	s := testSession("a", "b")
 	first := s.target
 	require.True(t, s.tick(0, true))
-	require.False(t, s.tick(answerWithin-1, true))
+	require.False(t, s.tick(replyTimeout-1, true))
 	require.Equal(t, first, s.target)
-	s.tick(answerWithin, true)
+	s.tick(replyTimeout, true)
 	require.NotEqual(t, first, s.target)
-	require.LessOrEqual(t, s.next(), answerWithin+2*retryPause)
+	require.LessOrEqual(t, s.next(), replyTimeout+2*retryPause)
 }
 
 func TestAConnectThatHangsIsLeft(t *testing.T) {
 	s := testSession("a", "b")
 	first := s.target
 	s.tick(0, false)
-	s.tick(answerWithin, false)
+	s.tick(replyTimeout, false)
 	require.NotEqual(t, first, s.target)
 }
 
@@ -120,7 +120,7 @@
 	s := testSession("a", "b")
 	first := s.target
 	s.tick(0, true)
-	s.tick(answerWithin, true) // given up
+	s.tick(replyTimeout, true) // given up
 	s.replied(400*ms, 0, first, grant(600*ms))
 	require.True(t, s.leased(500*ms))
 	require.False(t, s.leased(600*ms))
--- a/cluster/relay/compress.go
+++ b/cluster/relay/compress.go
@@ -12,8 +12,8 @@
 
 // Sizes in bytes.
 const (
-	compressFrom = 16 << 10 // shorter payloads of full topics are sent as they are
-	maxPayload   = 32 << 20 // of a payload once it is decompressed
+	minCompressedSize = 16 << 10 // shorter payloads of full topics are sent as they are
+	maxPayload        = 32 << 20 // of a payload once it is decompressed
 )
 
 // ErrTooLong is returned for a payload that is longer than any topic may be.
--- a/cluster/relay/node.go
+++ b/cluster/relay/node.go
@@ -18,8 +18,8 @@
 
 // Heartbeats say that a parent lives, and the uplink gives it up: pings are hardly needed.
 const (
-	pingAfter   = 2 * time.Second
-	closedAfter = 5 * time.Second
+	pingInterval      = 2 * time.Second
+	connectionTimeout = 5 * time.Second
 )
 
 // NodeConfig says what a Node is and whom it tells.
@@ -240,7 +240,7 @@
 	if target == "" || n.stopped {
 		return
 	}
-	options := rpc.Options{Mux: n.parentMux(target), ConnectTimeout: joinWithin, PingAfter: pingAfter, FailureTimeout: closedAfter}
+	options := rpc.Options{Mux: n.parentMux(target), ConnectTimeout: joinTimeout, PingAfter: pingInterval, FailureTimeout: connectionTimeout}
 	up := func(c *rpc.Conn) { n.box.Post(func() { n.join(c, target) }) }
 	down := func(error) { n.box.Post(func() { n.uplink.Failed(n.now(), target) }) }
 	n.link = n.host.Connect(target, options, up, down)
--- a/cluster/relay/pace.go
+++ b/cluster/relay/pace.go
@@ -4,9 +4,9 @@
 
 // Bounds of what full topics may take of a link: heartbeats and leases use the same one, and must not wait behind them.
 const (
-	pacedFrom    = 4 << 10 // bytes; shorter updates pass at once
+	minPacedSize = 4 << 10 // bytes; shorter updates pass at once
 	linkFraction = 0.4     // of the link
-	longestLag   = 100 * time.Millisecond
+	maxLag       = 100 * time.Millisecond
 )
 
 // pace spreads long updates over time, so that they leave room on the link. The zero pace lets all pass.
@@ -21,10 +21,10 @@
 
 // take says whether an update may be sent now, and counts it if so.
 func (p *pace) take(now time.Duration, size int) bool {
-	if p.bytesPerSecond == 0 || size < pacedFrom {
+	if p.bytesPerSecond == 0 || size < minPacedSize {
 		return true
 	}
-	if p.busyUntil > now+longestLag {
+	if p.busyUntil > now+maxLag {
 		return false
 	}
 	p.busyUntil = max(p.busyUntil, now) + time.Duration(float64(size)/p.bytesPerSecond*float64(time.Second))
@@ -32,4 +32,4 @@
 }
 
 // next is when a deferred update may be sent.
-func (p *pace) next() time.Duration { return p.busyUntil - longestLag }
+func (p *pace) next() time.Duration { return p.busyUntil - maxLag }
--- a/cluster/relay/pace_test.go
+++ b/cluster/relay/pace_test.go
@@ -83,7 +83,7 @@
 				require.Zero(t, now, "short updates don't wait")
 			}
 		}
-		require.LessOrEqual(t, float64(sent), linkFraction*link*(now+longestLag).Seconds()+float64(size)+1)
+		require.LessOrEqual(t, float64(sent), linkFraction*link*(now+maxLag).Seconds()+float64(size)+1)
 	}
 	require.Len(t, got, count, "all get theirs")
 	require.Greater(t, now, time.Duration(float64((count-2)*size)/link*float64(time.Second)))
--- a/cluster/relay/topics.go
+++ b/cluster/relay/topics.go
@@ -10,10 +10,10 @@
 
 // Limits of what Topics keeps beside the newest versions.
 const (
-	keptDeltas  = 8 // of a topic
-	repairAfter = 300 * time.Millisecond
-	repairAgain = 400 * time.Millisecond // doubled with each further fetch of the same topic
-	mostDoubled = 3
+	maxDeltas      = 8 // of a topic
+	repairDelay    = 300 * time.Millisecond
+	repairInterval = 400 * time.Millisecond // doubled with each further fetch of the same topic
+	maxDoublings   = 3
 )
 
 // ErrGap is returned for a delta from a version that is not at hand.
@@ -81,7 +81,7 @@
 
 // update brings the full topic.
 func (t *topic) update(which wire.Topic) wire.Update {
-	if !t.compressed && len(t.payload) >= compressFrom {
+	if !t.compressed && len(t.payload) >= minCompressedSize {
 		t.compressedPayload = compress(t.payload)
 	}
 	t.compressed = true
@@ -108,7 +108,7 @@
 	size := 0
 	for i := len(t.deltas) - 1; i >= 0; i-- {
 		size += len(t.deltas[i].Payload)
-		if size > fullSize || len(t.deltas)-i > keptDeltas {
+		if size > fullSize || len(t.deltas)-i > maxDeltas {
 			t.deltas = append([]wire.Update(nil), t.deltas[i+1:]...)
 			return
 		}
@@ -183,7 +183,7 @@
 			continue
 		}
 		if !topic.version.Less(topic.head) { // nothing was missing so far
-			topic.attempts, topic.next = 0, now+repairAfter
+			topic.attempts, topic.next = 0, now+repairDelay
 		}
 		topic.head = head
 	}
@@ -211,7 +211,7 @@
 			repair.Have = topic.version
 		}
 		repairs = append(repairs, repair)
-		topic.next = now + repairAgain<<min(topic.attempts, mostDoubled)
+		topic.next = now + repairInterval<<min(topic.attempts, maxDoublings)
 		topic.attempts++
 	}
 	return repairs
--- a/cluster/relay/topics_test.go
+++ b/cluster/relay/topics_test.go
@@ -75,7 +75,7 @@
 	_, err := child.Apply(&update)
 	require.Error(t, err)
 	child.Named(0, headOf(&update))
-	repairs := child.Repairs(repairAfter)
+	repairs := child.Repairs(repairDelay)
 	require.Equal(t, []Repair{{Topic: wire.TopicWorkers, Head: version(2)}}, repairs, "asked for whole")
 	answer := parent.Answer(&wire.Fetch{Topic: wire.TopicWorkers, Have: repairs[0].Have})
 	newer, err := child.Apply(&answer)
@@ -94,13 +94,13 @@
 	topics.Named(200*ms, heads.List())
 	at, due := topics.Next()
 	require.True(t, due)
-	require.Equal(t, 100*ms+repairAfter, at)
+	require.Equal(t, 100*ms+repairDelay, at)
 	require.Empty(t, topics.Repairs(at-1))
 	require.Equal(t, []Repair{{Topic: wire.TopicWorkers, Have: version(1), Head: version(2)}}, topics.Repairs(at))
 	require.Empty(t, topics.Repairs(at+1))
-	require.Equal(t, 1, topics.Repairs(at + repairAgain)[0].Attempts)
+	require.Equal(t, 1, topics.Repairs(at + repairInterval)[0].Attempts)
 	publish(&topics, 2)
-	require.Empty(t, topics.Repairs(at+10*repairAgain))
+	require.Empty(t, topics.Repairs(at+10*repairInterval))
 	_, due = topics.Next()
 	require.False(t, due)
 }
@@ -132,10 +132,10 @@
 	var topics Topics
 	for sequence := range uint64(100) {
 		publish(&topics, sequence+1)
-		require.LessOrEqual(t, len(topics.topics[wire.TopicWorkers].deltas), keptDeltas)
+		require.LessOrEqual(t, len(topics.topics[wire.TopicWorkers].deltas), maxDeltas)
 	}
-	updates := topics.UpdatesFor(wire.TopicWorkers, version(100-keptDeltas))
-	require.Len(t, updates, keptDeltas)
+	updates := topics.UpdatesFor(wire.TopicWorkers, version(100-maxDeltas))
+	require.Len(t, updates, maxDeltas)
 }
 
 func TestChildrenAreSentEachVersionOnce(t *testing.T) {
@@ -180,7 +180,7 @@
 			last = got
 		}
 		child.Named(now, parent.Versions().List())
-		for _, repair := range child.Repairs(now + repairAfter) {
+		for _, repair := range child.Repairs(now + repairDelay) {
 			answer := parent.Answer(&wire.Fetch{Topic: repair.Topic, Have: repair.Have})
 			_, err := child.Apply(&answer)
 			require.NoError(t, err)
--- a/cluster/relay/uplink.go
+++ b/cluster/relay/uplink.go
@@ -7,11 +7,11 @@
 
 // Times of an Uplink.
 const (
-	joinWithin     = 400 * time.Millisecond // connect and subscribe
-	failureTimeout = 1200 * time.Millisecond
-	switchDelay    = 500 * time.Millisecond // before a parent that serves is left for a better one
-	retryPause     = 150 * time.Millisecond // after all parents failed
-	betterAfter    = 10 * time.Second       // a better parent that failed is tried again
+	joinTimeout       = 400 * time.Millisecond // connect and subscribe
+	failureTimeout    = 1200 * time.Millisecond
+	switchDelay       = 500 * time.Millisecond // before a parent that serves is left for a better one
+	retryPause        = 150 * time.Millisecond // after all parents failed
+	betterParentRetry = 10 * time.Second       // a better parent that failed is tried again
 )
 
 // Uplink decides which parent a process hangs on. It is pure: time and events go in, Target comes out.
@@ -84,7 +84,7 @@
 		return
 	}
 	u.target, u.at = u.parents[at], at
-	u.due = now + joinWithin
+	u.due = now + joinTimeout
 }
 
 // Accepted tells that the target took this process as its child.
@@ -94,7 +94,7 @@
 	}
 	u.joined, u.heard, u.due = true, now, 0
 	if u.at > 0 {
-		u.due = now + u.spread(betterAfter)
+		u.due = now + u.spread(betterParentRetry)
 	}
 }
 
--- a/cluster/relay/uplink_test.go
+++ b/cluster/relay/uplink_test.go
@@ -17,7 +17,7 @@
 	require.Equal(t, "a", u.Target())
 	u.Failed(10*ms, "a")
 	require.Equal(t, "b", u.Target())
-	u.Tick(10*ms + joinWithin)
+	u.Tick(10*ms + joinTimeout)
 	require.Equal(t, leader, u.Target(), "b said nothing")
 	u.Accepted(450*ms, leader)
 	require.True(t, u.Joined())
--- a/cluster/rpc/conn.go
+++ b/cluster/rpc/conn.go
@@ -19,9 +19,9 @@
 const (
 	maxQueued = 48 << 20 // bytes that wait to be written; more ends the connection
 
-	keptBuffer   = 64 << 10 // larger buffers are given back after use
-	readBuffer   = 4 << 10
-	writeTimeout = 10 * time.Second
+	maxKeptBuffer = 64 << 10 // larger buffers are given back after use
+	readBuffer    = 4 << 10
+	writeTimeout  = 10 * time.Second
 )
 
 // Conn is a connection to a peer. Its methods may be called by any goroutine.
@@ -250,7 +250,7 @@
 			return
 		}
 		spare = nil
-		if cap(buffer) <= keptBuffer {
+		if cap(buffer) <= maxKeptBuffer {
 			spare = buffer
 		}
 	}
@@ -287,7 +287,7 @@
 			c.fail(ErrTooLong)
 			return
 		}
-		if cap(buffer) < size || cap(buffer) > keptBuffer && size <= keptBuffer {
+		if cap(buffer) < size || cap(buffer) > maxKeptBuffer && size <= maxKeptBuffer {
 			buffer = make([]byte, size)
 		}
 		payload := buffer[:size]
--- a/cluster/rpc/link.go
+++ b/cluster/rpc/link.go
@@ -9,8 +9,8 @@
 
 // Pauses between attempts to connect: the first, and the longest as it doubles.
 const (
-	firstRetry   = 30 * time.Millisecond
-	longestRetry = 150 * time.Millisecond // a process that is back serves nobody until they are connected
+	minRetryPause = 30 * time.Millisecond
+	maxRetryPause = 150 * time.Millisecond // a process that is back serves nobody until they are connected
 )
 
 // Link keeps a connection to one address: it connects again whenever that is lost, until it is closed.
@@ -85,11 +85,11 @@
 }
 
 func (l *Link) run(ctx context.Context) {
-	pause := firstRetry
+	pause := minRetryPause
 	for ctx.Err() == nil {
 		conn, err := l.dial(ctx)
 		if err == nil {
-			pause = firstRetry
+			pause = minRetryPause
 			err = l.hold(ctx, conn)
 		}
 		if l.onDown != nil && ctx.Err() == nil {
@@ -97,9 +97,9 @@
 		}
 		select {
 		case <-time.After(pause/2 + rand.N(pause)):
-			pause = min(2*pause, longestRetry)
+			pause = min(2*pause, maxRetryPause)
 		case <-l.hurried:
-			pause = firstRetry
+			pause = minRetryPause
 		case <-ctx.Done():
 		}
 	}
--- a/control/discovery/discovery_test.go
+++ b/control/discovery/discovery_test.go
@@ -77,7 +77,7 @@
 	require.Equal(t, 40*time.Millisecond, p.Gap())
 	require.Equal(t, time.Second, p.Done(0, listOf(1, 0), 1))
 	require.Equal(t, 4*time.Second, p.Done(0, listOf(1, 0), 100), "many pages take their time")
-	require.Equal(t, longestInterval, NewPace(time.Minute, 50).Done(0, listOf(1, 0), 1))
+	require.Equal(t, maxInterval, NewPace(time.Minute, 50).Done(0, listOf(1, 0), 1))
 	require.Equal(t, 2*time.Second, NewPace(3*time.Second, 1).Done(0, listOf(1, 0), 1))
 }
 
@@ -87,7 +87,7 @@
 	second := p.Failed(0)
 	require.Greater(t, second, first)
 	for range 20 {
-		require.LessOrEqual(t, p.Failed(0), longestRetry)
+		require.LessOrEqual(t, p.Failed(0), maxRetryPause)
 	}
 	p.Done(0, listOf(1, 0), 1)
 	require.Equal(t, first, p.Failed(0))
--- a/control/discovery/outage.go
+++ b/control/discovery/outage.go
@@ -8,7 +8,7 @@
 
 const (
 	outageInterval = 200 * time.Millisecond // between the starts of reads while a service lacks most of its workers
-	outageWatched  = 30 * time.Second       // ... for so long: what is gone for longer is taken for gone
+	outageTimeout  = 30 * time.Second       // ... for so long: workers that are missing for longer are taken for removed
 )
 
 // outages are the services that lists have shown, by name, and whether they have lost most of their workers.
@@ -17,7 +17,7 @@
 // outage is what is known of one service.
 type outage struct {
 	usual int           // ready workers, but while it waits for them to come back
-	since time.Duration // when most of them were found gone; 0: it does not wait
+	since time.Duration // when most of them were found missing; 0: it does not wait
 }
 
 // saw takes a list that was read at a time, and says whether a service had lost most of its workers a short while ago: their
@@ -43,12 +43,12 @@
 	return waits
 }
 
-// saw begins to wait when most workers have gone between two reads, and ends when as many are back, or after a time.
+// saw begins to wait when most workers have left between two reads, and ends when as many are back, or after a time.
 func (s *outage) saw(ready int, at time.Duration) {
 	switch {
 	case s.since == 0 && 2*ready < s.usual:
 		s.since = max(at, 1)
-	case s.since == 0 || ready >= s.usual || at >= s.since+outageWatched:
+	case s.since == 0 || ready >= s.usual || at >= s.since+outageTimeout:
 		s.usual, s.since = ready, 0
 	}
 }
--- a/control/discovery/outage_test.go
+++ b/control/discovery/outage_test.go
@@ -32,19 +32,19 @@
 	var o outages
 	o.saw(listOf(6, 0), 0)
 	require.True(t, o.saw(listOf(1, 0), time.Second))
-	require.True(t, o.saw(listOf(1, 0), outageWatched))
-	require.False(t, o.saw(listOf(1, 0), time.Second+outageWatched))
+	require.True(t, o.saw(listOf(1, 0), outageTimeout))
+	require.False(t, o.saw(listOf(1, 0), time.Second+outageTimeout))
 	require.True(t, o.saw(listOf(0, 0), 40*time.Second), "the one that was left is gone too")
-	require.False(t, o.saw(listOf(0, 0), 40*time.Second+outageWatched))
+	require.False(t, o.saw(listOf(0, 0), 40*time.Second+outageTimeout))
 	require.NotContains(t, o, "s", "nothing is kept of a service that has ended")
 }
 
 func TestPaceIsQuickInAnOutage(t *testing.T) {
 	p := NewPace(4*time.Second, 50)
-	require.Equal(t, longestInterval, p.Done(0, listOf(6, 0), 2))
+	require.Equal(t, maxInterval, p.Done(0, listOf(6, 0), 2))
 	require.Equal(t, time.Second+outageInterval, p.Done(time.Second, listOf(0, 0), 2))
 	require.Equal(t, 2*time.Second+400*time.Millisecond, p.Done(2*time.Second, listOf(3, 0), 10), "the platform's rate binds all the same")
-	require.Equal(t, 3*time.Second+longestInterval, p.Done(3*time.Second, listOf(6, 0), 2))
+	require.Equal(t, 3*time.Second+maxInterval, p.Done(3*time.Second, listOf(6, 0), 2))
 }
 
 func TestReplacementOfAllWorkersIsNoOutage(t *testing.T) {
--- a/control/discovery/pace.go
+++ b/control/discovery/pace.go
@@ -7,11 +7,11 @@
 )
 
 const (
-	longestInterval    = 1200 * time.Millisecond
+	maxInterval        = 1200 * time.Millisecond
 	readsPerDrainBound = 3 // of the drain bound passes between two reads
 	rateDivisor        = 2 // one part in so many of the platform's rate is used
-	firstRetry         = 250 * time.Millisecond
-	longestRetry       = 2 * time.Second
+	minRetryPause      = 250 * time.Millisecond
+	maxRetryPause      = 2 * time.Second
 )
 
 // Pace decides when the list is read. It is pure.
@@ -24,7 +24,7 @@
 
 // NewPace follows from the bound on drains, and from how many calls a second the platform allows.
 func NewPace(drain time.Duration, ratePerSecond float64) *Pace {
-	p := &Pace{interval: min(longestInterval, drain/readsPerDrainBound)}
+	p := &Pace{interval: min(maxInterval, drain/readsPerDrainBound)}
 	if ratePerSecond > 0 {
 		p.gap = time.Duration(float64(rateDivisor*time.Second) / ratePerSecond)
 	}
@@ -46,7 +46,7 @@
 
 // Failed says when to try again after a read that failed at a time.
 func (p *Pace) Failed(now time.Duration) time.Duration {
-	pause := min(firstRetry<<min(p.failures, 8), longestRetry)
+	pause := min(minRetryPause<<min(p.failures, 8), maxRetryPause)
 	p.failures++
 	return now + max(pause, p.gap)
 }
--- a/control/discovery/reader.go
+++ b/control/discovery/reader.go
@@ -43,7 +43,7 @@
 // Close ends the kept connection.
 func (r *Reader) Close() { r.client.CloseIdleConnections() }
 
-// Read returns the whole list, sorted, and how many pages it had. Gap is the time between the starts of two calls.
+// Read returns the complete list, sorted, and how many pages it had. Gap is the time between the starts of two calls.
 func (r *Reader) Read(ctx context.Context, gap time.Duration) (*wire.Workers, int, error) {
 	var entries []wire.Worker
 	token := ""
--- a/control/leader/hosting.go
+++ b/control/leader/hosting.go
@@ -7,7 +7,7 @@
 
 // Hosting decides which stores take part in the core, where the control processes are too few for it. Its methods may be called by any goroutine.
 type Hosting interface {
-	// Order is what a store that has just renewed is to be told, nil if nothing. The placement is the newest that this process has; it is nil, too,
+	// Order is the order for a store that has just renewed, nil if there is none. The placement is the newest that this process has; it is nil, too,
 	// in a process that does not lead.
 	Order(store *wire.Member, placement *wire.StoreView) *wire.HostCore
 	// Hosts says whether the store that listens at an address has a vote in the core.
--- a/control/leader/leader.go
+++ b/control/leader/leader.go
@@ -41,13 +41,13 @@
 	Leader   func() (address string, ok bool)
 	Core     func() []string // rpc addresses of the control processes
 	Log      *slog.Logger    // nil: the default
-	Hosting  Hosting         // nil: no store is asked to take part in the core
+	Hosting  Hosting         // nil: no store takes part in the core
 	// Read reads the platform's list; nil: from the address in the settings.
 	Read func(ctx context.Context, gap time.Duration) (*wire.Workers, int, error)
 	Host host.Host // nil: host.System
 }
 
-// Service answers members, and leads when it is told to. Its methods may be called by any goroutine.
+// Service answers members, and leads while Lead runs. Its methods may be called by any goroutine.
 type Service struct {
 	config   Config
 	log      *slog.Logger
@@ -163,7 +163,7 @@
 	}
 }
 
-// placementConfig follows from what may be lost.
+// placementConfig follows from the failures that the settings tolerate.
 func placementConfig(s *settings.Settings) placement.Config {
 	return placement.Config{
 		Copies:     1 + max(s.ToleratedNodes, s.ToleratedZones, s.ToleratedRegions),
--- a/control/leader/retire.go
+++ b/control/leader/retire.go
@@ -110,7 +110,7 @@
 	return reply
 }
 
-// RetireState says whether a node's store that was asked to retire is empty, as the leader knows it. It goes by a placement that is no older
+// RetireState says whether a node's store that is to retire is empty, as the leader knows it. It goes by a placement that is no older
 // than the question: at the word that a store is empty its disk is thrown away, and an old placement may speak of an earlier store of the same
 // name. A store that has a vote in the core is not empty either.
 func (s *Service) RetireState(ctx context.Context, node string) (done bool, err error) {
@@ -171,7 +171,7 @@
 	return reply.Done, nil
 }
 
-// newestPlacement is one that was in force when it was asked for, or later.
+// newestPlacement is one that was in force at the call, or later.
 func (s *Service) newestPlacement(ctx context.Context) (*wire.StoreView, error) {
 	result, err := s.submit(ctx, &state.Barrier{})
 	if err != nil {
--- a/control/registry/registry.go
+++ b/control/registry/registry.go
@@ -9,10 +9,10 @@
 )
 
 const (
-	// lateness of a call beyond what Next asked for that means the leader itself stood still. Others are not blamed for it.
-	lateness = 200 * time.Millisecond
-	// replacedKept bounds how many replaced processes are remembered.
-	replacedKept = 512
+	// maxLateness of a call beyond the time that Next named that means the leader itself stood still. Others don't expire for it.
+	maxLateness = 200 * time.Millisecond
+	// maxReplaced bounds how many replaced processes are remembered.
+	maxReplaced = 512
 )
 
 // Config has the times after which members expire. All are counted from the last renewal.
@@ -24,14 +24,14 @@
 
 // Leases that the leader grants: a store is suspected before its clients' patience ends, an edge after two heartbeats.
 const (
-	storeLease    = 700 * time.Millisecond
-	reconnectTime = 150 * time.Millisecond
-	heartbeats    = 2
+	storeLease         = 700 * time.Millisecond
+	reconnectTimeout   = 150 * time.Millisecond
+	heartbeatsPerLease = 2
 )
 
 // DefaultConfig follows from the heartbeat in the settings.
 func DefaultConfig(heartbeat time.Duration) Config {
-	return Config{EdgeLease: heartbeats * heartbeat, StoreLease: storeLease, Reconnect: reconnectTime}
+	return Config{EdgeLease: heartbeatsPerLease * heartbeat, StoreLease: storeLease, Reconnect: reconnectTimeout}
 }
 
 // Suspicion is the longest time after which a member expires.
@@ -141,7 +141,7 @@
 			continue
 		}
 		changes.add(r.drop(id))
-		if len(r.replaced) >= replacedKept {
+		if len(r.replaced) >= maxReplaced {
 			clear(r.replaced)
 		}
 		r.replaced[id] = true
@@ -209,7 +209,7 @@
 
 // shiftDeadlines gives all the time back during which the leader itself stood still: renewals may lie unread.
 func (r *Registry) shiftDeadlines(now time.Duration) {
-	if len(r.entries) == 0 || now <= r.next+lateness {
+	if len(r.entries) == 0 || now <= r.next+maxLateness {
 		return
 	}
 	late := now - r.next
