--- a/control/leader/members.go
+++ b/control/leader/members.go
@@ -138,6 +138,6 @@
 		return
 	}
 	if _, err := m.service.submit(ctx, &state.PutMembers{Term: m.number, Edges: edges}); err != nil {
-		m.service.log.Debug("the schedulers were not kept", "error", err)
+		m.service.log.Debug("schedulers not saved", "error", err)
 	}
 }
