--- a/cluster/catalog/read.go
+++ b/cluster/catalog/read.go
@@ -42,6 +42,7 @@
 	return p.String() + "." + name
 }
 
+// String is the path as findings have it.
 func (p path) String() string {
 	if p.index < 0 {
 		return p.list
--- a/cluster/rpc/mux.go
+++ b/cluster/rpc/mux.go
@@ -59,4 +59,5 @@
 
 type rawText string
 
+// MarshalMsg implements msgp.Marshaler: the text stands in the frame as it is.
 func (t rawText) MarshalMsg(b []byte) ([]byte, error) { return append(b, t...), nil }
