--- a/store/queue/comparison.go
+++ b/store/queue/comparison.go
@@ -25,16 +25,16 @@
 	if to.remote == nil {
 		return
 	}
-	p.comparisons = slices.DeleteFunc(p.comparisons, func(f *comparison) bool { return f.to == to })
+	p.comparisons = slices.DeleteFunc(p.comparisons, func(cmp *comparison) bool { return cmp.to == to })
 	if !c.isComparing(to) {
 		to.stats = comparisonStats{since: c.now.Steady}
 	}
 	c.lastID++
-	f := &comparison{p: p, to: to, id: c.lastID, merge: slices.Contains(p.unmerged, to)}
-	p.comparisons = append(p.comparisons, f)
+	cmp := &comparison{p: p, to: to, id: c.lastID, merge: slices.Contains(p.unmerged, to)}
+	p.comparisons = append(p.comparisons, cmp)
 	to.flush(c.epoch())
 	_ = to.remote.Notify(MethodCompare, &Compare{
-		Epoch: c.epoch(), Partition: p.number, ComparisonID: f.id, Horizon: p.horizon, Sums: p.sums[:],
+		Epoch: c.epoch(), Partition: p.number, ComparisonID: cmp.id, Horizon: p.horizon, Sums: p.sums[:],
 	})
 }
 
@@ -43,9 +43,9 @@
 	if p == nil || !p.primary {
 		return nil
 	}
-	for _, f := range p.comparisons {
-		if f.id == id && f.to.remote == from {
-			return f
+	for _, cmp := range p.comparisons {
+		if cmp.id == id && cmp.to.remote == from {
+			return cmp
 		}
 	}
 	return nil
@@ -54,27 +54,27 @@
 // Differ takes a member's list of one bucket.
 func (c *Core) Differ(now Time, from Remote, m *Differ) {
 	c.now = now
-	f := c.findComparison(m.Partition, from, m.ComparisonID)
-	if f == nil {
+	cmp := c.findComparison(m.Partition, from, m.ComparisonID)
+	if cmp == nil {
 		return
 	}
 	if m.Bucket < bucketCount {
-		c.compareBucket(f, m)
+		c.compareBucket(cmp, m)
 	}
 	if m.Last {
-		f.listed = true
-		f.buckets = nil
+		cmp.listed = true
+		cmp.buckets = nil
 	}
-	c.advanceComparison(f)
+	c.advanceComparison(cmp)
 	c.assignDue()
 	c.flushPeers()
 }
 
 // compareBucket decides what to do about each message of a bucket.
-func (c *Core) compareBucket(f *comparison, m *Differ) {
-	f.to.stats.listed += len(m.Entries)
-	if f.buckets == nil {
-		f.buckets = f.p.buckets(func(int) bool { return true })
+func (c *Core) compareBucket(cmp *comparison, m *Differ) {
+	cmp.to.stats.listed += len(m.Entries)
+	if cmp.buckets == nil {
+		cmp.buckets = cmp.p.buckets(func(int) bool { return true })
 	}
 	theirs := make(map[string]*Digest, len(m.Entries))
 	for i := range m.Entries {
@@ -84,35 +84,35 @@
 	decide := func(e *entry, digest *Digest) {
 		switch {
 		case digest != nil && digest.Sum == e.sum(hashOf(e.id)):
-		case digest != nil && (digest.suppliesBody(e) || f.merge && digest.ahead(e)):
+		case digest != nil && (digest.suppliesBody(e) || cmp.merge && digest.ahead(e)):
 			fetch = append(fetch, e.id)
 		default:
-			f.toSend = append(f.toSend, e)
+			cmp.toSend = append(cmp.toSend, e)
 		}
 	}
-	for _, e := range f.buckets[m.Bucket] {
-		if current, _ := f.p.find(e.id); current != e {
+	for _, e := range cmp.buckets[m.Bucket] {
+		if current, _ := cmp.p.find(e.id); current != e {
 			continue // it was replaced or removed since
 		}
 		decide(e, theirs[e.id])
 		delete(theirs, e.id)
 	}
 	for id, digest := range theirs {
-		e, _ := f.p.find(id)
+		e, _ := cmp.p.find(id)
 		switch {
 		case e != nil:
 			decide(e, digest)
-		case f.merge:
+		case cmp.merge:
 			fetch = append(fetch, id)
 		default:
-			f.toDrop = append(f.toDrop, id)
+			cmp.toDrop = append(cmp.toDrop, id)
 		}
 	}
 	sort.Strings(fetch)
-	sort.Strings(f.toDrop)
+	sort.Strings(cmp.toDrop)
 	for part := range slices.Chunk(fetch, fetchBatch) {
-		f.fetches++
-		_ = f.to.remote.Notify(MethodFetch, &Fetch{Epoch: c.epoch(), Partition: f.p.number, ComparisonID: f.id, IDs: part})
+		cmp.fetches++
+		_ = cmp.to.remote.Notify(MethodFetch, &Fetch{Epoch: c.epoch(), Partition: cmp.p.number, ComparisonID: cmp.id, IDs: part})
 	}
 }
 
@@ -132,8 +132,8 @@
 // Fetched adopts what only a member knew.
 func (c *Core) Fetched(now Time, from Remote, m *Fetched) {
 	c.now = now
-	f := c.findComparison(m.Partition, from, m.ComparisonID)
-	if f == nil {
+	cmp := c.findComparison(m.Partition, from, m.ComparisonID)
+	if cmp == nil {
 		return
 	}
 	for _, payload := range m.Records {
@@ -142,14 +142,14 @@
 			c.config.Log.Error("undecodable record from a member", "error", err)
 			return
 		}
-		f.to.stats.fetched++
-		f.to.stats.bytes += len(payload)
-		c.adoptRecord(f.p, r)
+		cmp.to.stats.fetched++
+		cmp.to.stats.bytes += len(payload)
+		c.adoptRecord(cmp.p, r)
 	}
 	if m.Last {
-		f.fetches--
+		cmp.fetches--
 	}
-	c.advanceComparison(f)
+	c.advanceComparison(cmp)
 	c.assignDue()
 	c.flushPeers()
 }
@@ -187,32 +187,32 @@
 }
 
 // advanceComparison sends a member what it lacks, a batch at a time, and ends the comparison once it has all on disk.
-func (c *Core) advanceComparison(f *comparison) {
-	if f.to.unackedBatch == f {
+func (c *Core) advanceComparison(cmp *comparison) {
+	if cmp.to.unackedBatch == cmp {
 		return
 	}
-	if len(f.toSend) == 0 && len(f.toDrop) == 0 {
-		if f.listed && f.fetches == 0 {
-			c.finishComparison(f)
+	if len(cmp.toSend) == 0 && len(cmp.toDrop) == 0 {
+		if cmp.listed && cmp.fetches == 0 {
+			c.finishComparison(cmp)
 		}
 		return
 	}
-	if !slices.Contains(f.to.comparisons, f) {
-		f.to.enqueueComparison(f)
+	if !slices.Contains(cmp.to.comparisons, cmp) {
+		cmp.to.enqueueComparison(cmp)
 	}
-	c.sendNextBatch(f.to)
+	c.sendNextBatch(cmp.to)
 }
 
 // enqueueComparison queues a comparison that has something to send. Those that a takeover waits for come first.
-func (to *peer) enqueueComparison(f *comparison) {
+func (to *peer) enqueueComparison(cmp *comparison) {
 	i := len(to.comparisons)
-	if f.merge {
+	if cmp.merge {
 		i = slices.IndexFunc(to.comparisons, func(other *comparison) bool { return !other.merge })
 		if i < 0 {
 			i = len(to.comparisons)
 		}
 	}
-	to.comparisons = slices.Insert(to.comparisons, i, f)
+	to.comparisons = slices.Insert(to.comparisons, i, cmp)
 }
 
 // cancelComparisons drops all comparisons with a peer.
@@ -223,64 +223,64 @@
 // sendNextBatch sends the next batch to a peer that has acknowledged the one before.
 func (c *Core) sendNextBatch(to *peer) {
 	for to.unackedBatch == nil && len(to.comparisons) > 0 {
-		f := to.comparisons[0]
+		cmp := to.comparisons[0]
 		to.comparisons = to.comparisons[1:]
-		c.sendBatch(f)
+		c.sendBatch(cmp)
 	}
 }
 
-func (c *Core) sendBatch(f *comparison) {
-	f.to.flush(c.epoch())
+func (c *Core) sendBatch(cmp *comparison) {
+	cmp.to.flush(c.epoch())
 	var number uint64
 	size := 0
-	for size < batchBytes && len(f.toDrop) > 0 {
-		payload := (&Record{Kind: RecordDrop, Partition: f.p.number, ID: f.toDrop[0]}).encode()
-		f.toDrop = f.toDrop[1:]
-		number = c.enqueueRecord(f.to, payload, true)
+	for size < batchBytes && len(cmp.toDrop) > 0 {
+		payload := (&Record{Kind: RecordDrop, Partition: cmp.p.number, ID: cmp.toDrop[0]}).encode()
+		cmp.toDrop = cmp.toDrop[1:]
+		number = c.enqueueRecord(cmp.to, payload, true)
 		size += len(payload)
 	}
-	for size < batchBytes && len(f.toSend) > 0 {
-		e := f.toSend[0]
-		f.toSend = f.toSend[1:]
-		if current, _ := f.p.find(e.id); current != e {
+	for size < batchBytes && len(cmp.toSend) > 0 {
+		e := cmp.toSend[0]
+		cmp.toSend = cmp.toSend[1:]
+		if current, _ := cmp.p.find(e.id); current != e {
 			continue
 		}
-		payload := c.messagePayload(f.p, e)
+		payload := c.messagePayload(cmp.p, e)
 		if payload == nil {
 			return
 		}
-		number = c.enqueueRecord(f.to, payload, true)
+		number = c.enqueueRecord(cmp.to, payload, true)
 		size += len(payload)
-		f.to.stats.sent++
+		cmp.to.stats.sent++
 	}
-	f.to.stats.bytes += size
+	cmp.to.stats.bytes += size
 	if number == 0 { // all of it was removed meanwhile
-		c.advanceComparison(f)
+		c.advanceComparison(cmp)
 		return
 	}
-	f.to.unackedBatch = f
-	f.to.awaitingAck = append(f.to.awaitingAck, peerWait{number: number, comparison: f})
+	cmp.to.unackedBatch = cmp
+	cmp.to.awaitingAck = append(cmp.to.awaitingAck, peerWait{number: number, comparison: cmp})
 }
 
 // finishComparison ends a comparison: the member has what the primary has.
-func (c *Core) finishComparison(f *comparison) {
-	p := f.p
-	p.comparisons = slices.DeleteFunc(p.comparisons, func(other *comparison) bool { return other == f })
-	c.countComparison(f.to)
-	if slices.Contains(p.joiners, f.to) {
-		f.to.flush(c.epoch())
-		_ = f.to.remote.Notify(MethodFilled, &Filled{Epoch: c.epoch(), Partition: p.number})
+func (c *Core) finishComparison(cmp *comparison) {
+	p := cmp.p
+	p.comparisons = slices.DeleteFunc(p.comparisons, func(other *comparison) bool { return other == cmp })
+	c.countComparison(cmp.to)
+	if slices.Contains(p.joiners, cmp.to) {
+		cmp.to.flush(c.epoch())
+		_ = cmp.to.remote.Notify(MethodFilled, &Filled{Epoch: c.epoch(), Partition: p.number})
 	}
 	before := len(p.unmerged)
-	p.unmerged = slices.DeleteFunc(p.unmerged, func(other *peer) bool { return other == f.to })
+	p.unmerged = slices.DeleteFunc(p.unmerged, func(other *peer) bool { return other == cmp.to })
 	if before > 0 && len(p.unmerged) == 0 {
 		c.openPartition(p)
 	}
 }
 
 func (p *partition) isComparing(to *peer) bool {
-	for _, f := range p.comparisons {
-		if f.to == to {
+	for _, cmp := range p.comparisons {
+		if cmp.to == to {
 			return true
 		}
 	}
--- a/store/queue/peer.go
+++ b/store/queue/peer.go
@@ -117,7 +117,7 @@
 	to.outbox = to.outbox[:0]
 	for _, p := range c.partitions {
 		if p != nil {
-			p.comparisons = slices.DeleteFunc(p.comparisons, func(f *comparison) bool { return f.to == to })
+			p.comparisons = slices.DeleteFunc(p.comparisons, func(cmp *comparison) bool { return cmp.to == to })
 		}
 	}
 }
--- a/store/queue/placement.go
+++ b/store/queue/placement.go
@@ -121,7 +121,7 @@
 	return slices.DeleteFunc(slices.Clone(p.joiners), func(to *peer) bool { return !slices.Contains(former, to) })
 }
 
-// lead makes the store the primary of a partition, or goes on with it under a new epoch. Tellers are the members that may know more than
+// lead makes the store the primary of a partition, or goes on with it under a new epoch. Sources are the members that may know more than
 // this store: all replicas, if it has not led until now, and former members that join an unsure primary.
 func (c *Core) lead(p *partition, wasPrimary bool, sources, oldMembers []*peer) {
 	if wasPrimary {
