--- a/store/queue/put.go
+++ b/store/queue/put.go
@@ -38,7 +38,7 @@
 	case e != nil:
 		c.acceptRepeat(p, e, m, sender, reply)
 	case m.Dispatch && sender == nil || collides || len(p.members)+1 < c.requiredCopies() || c.refusesPuts():
-		reply.Send(&wire.PutReply{Code: wire.PutRefused, Epoch: c.epoch()})
+		reply.Send(&wire.PutReply{Code: wire.PutRejected, Epoch: c.epoch()})
 	default:
 		c.acceptNew(p, m, sender, reply)
 	}
