--- a/balancer/platform/node/endpoints.go
+++ b/balancer/platform/node/endpoints.go
@@ -26,9 +26,9 @@
 	SendAway(bool)
 	Away() bool
 	Limit(accepted int)
-	// Clients and Finishing ask every frontend, and tell once all have answered.
-	Clients(tell func(connections int))
-	Finishing(tell func(bool))
+	// Clients and Finishing ask every frontend, and reply once all have answered.
+	Clients(reply func(connections int))
+	Finishing(reply func(bool))
 	// Give has the connection of a request given away by a function, and forgets it if that returns true. It returns false
 	// where the connection is not to be given.
 	Give(ex *scheduler.Exchange, give func(client transport.Conn, closes bool) bool) bool
--- a/balancer/platform/node/ports.go
+++ b/balancer/platform/node/ports.go
@@ -7,12 +7,12 @@
 	transport.Network
 	// Operators, Successors and Clients begin to accept, each by the function given. Successors are new processes of
 	// this scheduler, whose place may still be taken by a file that a dead process left.
-	Operators(addr string, room int, accept func(transport.Conn) transport.Handler) error
+	Operators(addr string, limit int, accept func(transport.Conn) transport.Handler) error
 	Successors(path string, accept func(transport.Conn) transport.Handler) error
 	// Peers begins to accept links of a fleet's members; the function returned ends that, and the connections stay.
-	Peers(addr string, room int, accept func(transport.Conn) transport.Handler) (func(), error)
+	Peers(addr string, limit int, accept func(transport.Conn) transport.Handler) (func(), error)
 	// Clients deals what it accepts out to several places, as choose says in a goroutine of its own.
-	Clients(addr string, descriptor, room int, to []accept, choose func() int) error
+	Clients(addr string, descriptor, limit int, to []accept, choose func() int) error
 	// Core is the network of a core that has a loop of its own.
 	Core(number int) transport.Network
 	// Echo calls f once all that had arrived for the node's own loop by now has been handed over.
--- a/balancer/xmlfile/xmlfile.go
+++ b/balancer/xmlfile/xmlfile.go
@@ -159,29 +159,29 @@
 	return e
 }
 
-// place is a field of a struct by its tag.
-type place struct {
+// tagged is a field of a struct by its tag.
+type tagged struct {
 	name           string
 	attr, required bool
 	value          reflect.Value
 }
 
-func places(v reflect.Value) (ps []place) {
+func taggedFields(v reflect.Value) (ps []tagged) {
 	for i := range v.NumField() {
 		tags := v.Type().Field(i).Tag
 		tag, given := tags.Lookup("xml")
 		if !given || tag == "-" {
 			continue
 		}
-		words := strings.Split(tag, ",")
-		ps = append(ps, place{words[0], slices.Contains(words[1:], "attr"), tags.Get("required") == "true", v.Field(i)})
+		options := strings.Split(tag, ",")
+		ps = append(ps, tagged{options[0], slices.Contains(options[1:], "attr"), tags.Get("required") == "true", v.Field(i)})
 	}
 	return ps
 }
 
 func (r *reader) fill(e *element, v reflect.Value) {
 	before := len(r.problems)
-	ps := places(v)
+	ps := taggedFields(v)
 	given := make(map[string]bool)
 	if e.text {
 		r.bad(e.line, e.name, "text has no place here")
@@ -203,7 +203,7 @@
 }
 
 // fillAttrs sets the fields of an element's attributes, and notes in given which there were.
-func (r *reader) fillAttrs(e *element, ps []place, given map[string]bool) {
+func (r *reader) fillAttrs(e *element, ps []tagged, given map[string]bool) {
 	for _, a := range e.attrs {
 		if a.Name.Space != "" || a.Name.Local == "xmlns" {
 			// xsi:noNamespaceSchemaLocation and the like are for other readers.
@@ -212,7 +212,7 @@
 			}
 			continue
 		}
-		i := slices.IndexFunc(ps, func(p place) bool { return p.attr && p.name == a.Name.Local })
+		i := slices.IndexFunc(ps, func(p tagged) bool { return p.attr && p.name == a.Name.Local })
 		if i < 0 {
 			r.bad(e.line, e.name, "there is no attribute %s", a.Name.Local)
 			continue
@@ -225,9 +225,9 @@
 }
 
 // fillChildren fills the fields of the elements in an element, and notes in given which there were.
-func (r *reader) fillChildren(e *element, ps []place, given map[string]bool) {
+func (r *reader) fillChildren(e *element, ps []tagged, given map[string]bool) {
 	for _, c := range e.children {
-		i := slices.IndexFunc(ps, func(p place) bool { return !p.attr && p.name == c.name })
+		i := slices.IndexFunc(ps, func(p tagged) bool { return !p.attr && p.name == c.name })
 		if i < 0 {
 			r.bad(c.line, c.name, "there is no such element in <%s>", e.name)
 			continue
