--- a/balancer/platform/node/scenario_test.go
+++ b/balancer/platform/node/scenario_test.go
@@ -1428,7 +1428,7 @@
 			c3 expect 503 close; end
 			op5 call GET /_vars
 			op5 expect 200 ` + figures("answered.pay:1 errored.pay:1 deferred.keyed:1 unsent.leaving:1", "sends:2 current:0 cluster_unhealthy:1 conf_invalid:1") + ` close; end`},
-		"a server out by hand gets nothing, whatever is listed, until it is back": {two, 1024, `
+		"a detached server gets nothing, whatever is listed, until it is attached": {two, 1024, `
 			wait 30ms
 			disc/1 accept
 			disc/1 send HTTP/1.1 200 OK\nTransfer-Encoding: chunked\n\n
