--- a/cluster/wire/queue.go
+++ b/cluster/wire/queue.go
@@ -46,13 +46,13 @@
 // PutCode says what became of a Put.
 type PutCode uint8
 
-// The answers to a Put. Only PutAccepted accepts a message; after PutStale, PutNotPrimary and PutRefused nothing was accepted and
+// The answers to a Put. Only PutAccepted accepts a message; after PutStale, PutNotPrimary and PutRejected nothing was accepted and
 // nothing will be. PutUnknown leaves it open.
 const (
 	PutAccepted   PutCode = iota
 	PutStale              // the store acts under another epoch: see PutReply.Epoch
 	PutNotPrimary         // the partition's primary is another store
-	PutRefused            // too few stores, or too full
+	PutRejected           // too few stores, or too full
 	PutUnknown
 )
 
--- a/edge/queueclient/put_test.go
+++ b/edge/queueclient/put_test.go
@@ -52,7 +52,7 @@
 func TestRejectedPutGoesElsewhereUnderAnotherID(t *testing.T) {
 	onFakeTime(t, func(t *testing.T) {
 		one, two := newFakeStore(t), newFakeStore(t)
-		one.put = func(*wire.Put, int) *wire.PutReply { return &wire.PutReply{Code: wire.PutRefused} }
+		one.put = func(*wire.Put, int) *wire.PutReply { return &wire.PutReply{Code: wire.PutRejected} }
 		c, h := newClient(t)
 		c.SetView(placement(1, []*fakeStore{one, two}, []uint16{0}, []uint16{1}))
 		connected(t, c)
@@ -67,7 +67,7 @@
 
 func TestPutThatAllRejectIsRejected(t *testing.T) {
 	onFakeTime(t, func(t *testing.T) {
-		for _, code := range []wire.PutCode{wire.PutStale, wire.PutNotPrimary, wire.PutRefused} {
+		for _, code := range []wire.PutCode{wire.PutStale, wire.PutNotPrimary, wire.PutRejected} {
 			one := newFakeStore(t)
 			one.put = func(*wire.Put, int) *wire.PutReply { return &wire.PutReply{Code: code} }
 			c, _ := newClient(t)
@@ -99,7 +99,7 @@
 			if number == 1 {
 				return &wire.PutReply{Code: wire.PutUnknown}
 			}
-			return &wire.PutReply{Code: wire.PutRefused}
+			return &wire.PutReply{Code: wire.PutRejected}
 		},
 	}
 	for name, answer := range answers {
