--- a/deploy/build_test.go
+++ b/deploy/build_test.go
@@ -1,4 +1,3 @@
-// Package deploy has no code; its test looks at what the deploy file's recipe builds.
 package deploy
 
 import (
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -64,40 +64,56 @@
 	case "on_probe":
 		s.ReportsIn = ravendale.ReportsInProbes
 	}
-	kinds := get.list("specifics.class-kind")
-	stretches := get.list("specifics.class-stretch")
-	priorities := get.list("specifics.class-priority")
-	for i := range get.count("request-classes.count") {
+	s.Classes = get.classes()
+	for i := range s.Classes {
+		names.classes = append(names.classes, s.Classes[i].Name)
+	}
+	s.Tenants = get.tenants()
+	for i := range s.Tenants {
+		names.tenants = append(names.tenants, s.Tenants[i].Name)
+	}
+	return s, names, get.err
+}
+
+// classes are the classes of jobs.
+func (g *getter) classes() (classes []ravendale.Class) {
+	kinds := g.list("specifics.class-kind")
+	stretches := g.list("specifics.class-stretch")
+	priorities := g.list("specifics.class-priority")
+	for i := range g.count("request-classes.count") {
 		at := fmt.Sprintf("request-classes.%d.", i)
-		stretch := get.item(stretches, i, "specifics.class-stretch", 0)
-		if _, own := c[at+"aim-stretch"]; own {
-			stretch = get.float(at + "aim-stretch")
+		stretch := g.item(stretches, i, "specifics.class-stretch", 0)
+		if _, own := g.config[at+"aim-stretch"]; own {
+			stretch = g.float(at + "aim-stretch")
 		}
 		class := ravendale.Class{
-			Name:          c[at+"name"],
-			LatencyTarget: get.time(at + "aim-us"),
+			Name:          g.config[at+"name"],
+			LatencyTarget: g.time(at + "aim-us"),
 			Stretch:       stretch,
-			Deadline:      get.time(at + "give-up-us"),
-			Window:        get.time(at + "window-us"),
-			Value:         get.float(at + "importance"),
-			LateValue:     get.float(at + "late-worth"),
-			Kind:          int(get.item(kinds, i, "specifics.class-kind", -1)),
-			Priority:      int(get.item(priorities, i, "specifics.class-priority", 0)),
+			Deadline:      g.time(at + "give-up-us"),
+			Window:        g.time(at + "window-us"),
+			Value:         g.float(at + "importance"),
+			LateValue:     g.float(at + "late-worth"),
+			Kind:          int(g.item(kinds, i, "specifics.class-kind", -1)),
+			Priority:      int(g.item(priorities, i, "specifics.class-priority", 0)),
 		}
-		class.Effect, class.Group = get.effect(at)
-		s.Classes = append(s.Classes, class)
-		names.classes = append(names.classes, class.Name)
+		class.Effect, class.Group = g.effect(at)
+		classes = append(classes, class)
 	}
-	for i := range get.count("projects.count") {
+	return classes
+}
+
+// tenants are the projects that share the workers.
+func (g *getter) tenants() (tenants []ravendale.Tenant) {
+	for i := range g.count("projects.count") {
 		at := fmt.Sprintf("projects.%d.", i)
-		s.Tenants = append(s.Tenants, ravendale.Tenant{
-			Name:  c[at+"name"],
-			Share: get.float(at + "share"),
-			Quota: get.float(at + "quota-per-s"),
+		tenants = append(tenants, ravendale.Tenant{
+			Name:  g.config[at+"name"],
+			Share: g.float(at + "share"),
+			Quota: g.float(at + "quota-per-s"),
 		})
-		names.tenants = append(names.tenants, c[at+"name"])
 	}
-	return s, names, get.err
+	return tenants
 }
 
 // getter reads values of a config and keeps the first error. An absent value is zero.
--- a/test/diskfolder/diskfolder.go
+++ b/test/diskfolder/diskfolder.go
@@ -1,4 +1,3 @@
-// Package diskfolder gives tests of real time a folder for the disks of their processes that does not stall.
 package diskfolder
 
 import (
--- a/test/emulator/node.go
+++ b/test/emulator/node.go
@@ -1,9 +1,3 @@
-// Package emulator models the systems that a scheduler serves. It is pure: time and an event in, what comes of it out; no
-// clock, goroutine or socket. A shell (package lab) plays it on sockets, or a test on a clock of its own.
-//
-// The model is this project's own, after the figures that the operators gave of their points nodes: three speeds, slots
-// that share cores, a first-in-first-out queue whose head waits until it fits, a start at a part of the capacity that
-// rises evenly, and a fall under more work than a cold node can do.
 package emulator
 
 import (
@@ -26,12 +20,12 @@
 
 // Rules are what holds for all nodes of a fleet.
 type Rules struct {
-	ColdFrom     float64       // a fresh node starts at this part of its capacity,
-	ColdFor      time.Duration // and has all of it after so long
-	FallMultiple float64       // it falls when sent more than this multiple of what it can do
-	FallSpan     time.Duration // within so long
-	DownFor      time.Duration // a node that fell is gone for so long
-	StopsRunning bool          // a cancel stops work that runs
+	SlowStartFrom float64       // a fresh node starts at this part of its capacity,
+	SlowStartFor  time.Duration // and has all of it after so long
+	FallMultiple  float64       // it falls when sent more than this multiple of what it can do
+	FallSpan      time.Duration // within so long
+	DownFor       time.Duration // a node that fell is gone for so long
+	StopsRunning  bool          // a cancel stops work that runs
 }
 
 // Job is what a node is asked to run.
@@ -41,20 +35,20 @@
 	Slots float64
 }
 
-// NoteKind says what a node tells of a job.
-type NoteKind uint8
+// NoticeKind says what a node tells of a job.
+type NoticeKind uint8
 
 // What a node tells.
 const (
-	Started NoteKind = iota
+	Started NoticeKind = iota
 	Done
-	TurnedAway // unseen
-	Lost       // the node fell, or was restarted
+	Rejected // unseen
+	Aborted  // the node fell, or was restarted
 )
 
-// Note is one word of a node on a job.
-type Note struct {
-	Kind NoteKind
+// Notice is one word of a node on a job.
+type Notice struct {
+	Kind NoticeKind
 	ID   string
 }
 
@@ -91,28 +85,28 @@
 }
 
 // Restart has the node begin anew, cold. What it held is lost.
-func (n *Node) Restart(now time.Duration) []Note {
+func (n *Node) Restart(now time.Duration) []Notice {
 	n.advance(now)
 	n.born, n.recent = now, nil
 	return n.lose()
 }
 
-func (n *Node) lose() (notes []Note) {
+func (n *Node) lose() (notices []Notice) {
 	for _, list := range [][]queuedJob{n.running, n.waiting} {
 		for _, h := range list {
-			notes = append(notes, Note{Lost, h.ID})
+			notices = append(notices, Notice{Aborted, h.ID})
 		}
 	}
 	n.running, n.waiting, n.slots = nil, nil, 0
-	return notes
+	return notices
 }
 
 // Warmth is the part of its capacity that the node has at a time.
 func (n *Node) Warmth(at time.Duration) float64 {
-	if n.born < 0 || n.rules.ColdFor <= 0 || at-n.born >= n.rules.ColdFor {
+	if n.born < 0 || n.rules.SlowStartFor <= 0 || at-n.born >= n.rules.SlowStartFor {
 		return 1
 	}
-	return n.rules.ColdFrom + (1-n.rules.ColdFrom)*max(0, float64(at-n.born)/float64(n.rules.ColdFor))
+	return n.rules.SlowStartFrom + (1-n.rules.SlowStartFrom)*max(0, float64(at-n.born)/float64(n.rules.SlowStartFor))
 }
 
 // Down says whether the node has fallen and not come back.
@@ -138,10 +132,10 @@
 	if n.born < 0 {
 		return (to - from).Seconds()
 	}
-	warm := n.born + n.rules.ColdFor
-	cold := min(to, warm) - min(from, warm)
+	warm := n.born + n.rules.SlowStartFor
+	slow := min(to, warm) - min(from, warm)
 	mean := (n.Warmth(min(from, warm-1)) + n.Warmth(min(to, warm-1))) / 2
-	return cold.Seconds()*mean + (max(to, warm) - max(from, warm)).Seconds()
+	return slow.Seconds()*mean + (max(to, warm) - max(from, warm)).Seconds()
 }
 
 // advance does the work up to now; nothing may finish in between, which Next sees to.
@@ -157,26 +151,26 @@
 }
 
 // Offer hands the node a job.
-func (n *Node) Offer(now time.Duration, j Job) (notes []Note) {
-	notes = n.Pass(now)
+func (n *Node) Offer(now time.Duration, j Job) (notices []Notice) {
+	notices = n.Pass(now)
 	if n.Down(now) {
-		return append(notes, Note{Lost, j.ID})
+		return append(notices, Notice{Aborted, j.ID})
 	}
 	j.Slots = min(max(j.Slots, 1), n.kind.Slots)
-	if notes = append(notes, n.feed(j)...); n.Down(now) {
-		return append(notes, Note{Lost, j.ID})
+	if notices = append(notices, n.feed(j)...); n.Down(now) {
+		return append(notices, Notice{Aborted, j.ID})
 	}
 	if len(n.waiting) >= n.kind.Queue && n.slots+j.Slots > n.kind.Slots {
-		return append(notes, Note{TurnedAway, j.ID})
+		return append(notices, Notice{Rejected, j.ID})
 	}
 	n.waiting = append(n.waiting, queuedJob{j, j.Work.Seconds()})
-	return append(notes, n.fill()...)
+	return append(notices, n.fill()...)
 }
 
 // feed counts work sent to a cold node. The rule allows, in any window of FallSpan, FallMultiple times what the node can
 // do at present; a single job right after the start may be more than that alone, which no scheduler can avoid, so the
 // first job of a window is allowed for.
-func (n *Node) feed(j Job) (notes []Note) {
+func (n *Node) feed(j Job) (notices []Notice) {
 	if n.Warmth(n.now) >= 1 || n.rules.FallSpan <= 0 {
 		return nil
 	}
@@ -200,59 +194,59 @@
 }
 
 // fill starts what waits, in order, while the first of it fits.
-func (n *Node) fill() (notes []Note) {
+func (n *Node) fill() (notices []Notice) {
 	for len(n.waiting) > 0 && n.slots+n.waiting[0].Slots <= n.kind.Slots {
 		h := n.waiting[0]
 		n.waiting = n.waiting[1:]
 		n.slots += h.Slots
 		n.running = append(n.running, h)
-		notes = append(notes, Note{Started, h.ID})
+		notices = append(notices, Notice{Started, h.ID})
 	}
-	return notes
+	return notices
 }
 
 // Cancel gives a job up: one that waits is dropped, one that runs is stopped where Rules say so. It returns whether the
 // node held it, and what starts in its place.
-func (n *Node) Cancel(now time.Duration, id string) (was bool, notes []Note) {
-	notes = n.Pass(now)
+func (n *Node) Cancel(now time.Duration, id string) (was bool, notices []Notice) {
+	notices = n.Pass(now)
 	named := func(h queuedJob) bool { return h.ID == id }
 	if i := slices.IndexFunc(n.waiting, named); i >= 0 {
 		n.waiting = slices.Delete(n.waiting, i, i+1)
-		return true, append(notes, n.fill()...)
+		return true, append(notices, n.fill()...)
 	}
 	if i := slices.IndexFunc(n.running, named); i >= 0 {
 		if !n.rules.StopsRunning {
-			return true, notes
+			return true, notices
 		}
 		n.slots -= n.running[i].Slots
 		n.running = slices.Delete(n.running, i, i+1)
-		return true, append(notes, n.fill()...)
+		return true, append(notices, n.fill()...)
 	}
-	return false, notes
+	return false, notices
 }
 
 // tiny is less work than any clock here tells apart.
 const tiny = 1e-7
 
 // Pass lets time pass and tells what finished, and what started in its place, in order.
-func (n *Node) Pass(now time.Duration) (notes []Note) {
+func (n *Node) Pass(now time.Duration) (notices []Notice) {
 	for {
 		at, any := n.Next()
 		if !any || at > now {
 			n.advance(now)
-			return notes
+			return notices
 		}
 		n.advance(at)
 		for i := 0; i < len(n.running); {
 			if h := n.running[i]; h.left <= tiny {
 				n.slots -= h.Slots
 				n.running = slices.Delete(n.running, i, i+1)
-				notes = append(notes, Note{Done, h.ID})
+				notices = append(notices, Notice{Done, h.ID})
 				continue
 			}
 			i++
 		}
-		notes = append(notes, n.fill()...)
+		notices = append(notices, n.fill()...)
 	}
 }
 
@@ -266,11 +260,11 @@
 		least = min(least, n.running[i].left)
 	}
 	need := max(least, 0) / n.rate() // seconds at full warmth
-	if warm := n.born + n.rules.ColdFor; n.born >= 0 && n.now < warm {
+	if warm := n.born + n.rules.SlowStartFor; n.born >= 0 && n.now < warm {
 		in := n.warmTime(n.now, warm)
 		if need <= in {
 			// Over a time t the warmth rises evenly from w by slope: need = w t + slope t^2 / 2.
-			w, slope := n.Warmth(n.now), (1-n.rules.ColdFrom)/n.rules.ColdFor.Seconds()
+			w, slope := n.Warmth(n.now), (1-n.rules.SlowStartFrom)/n.rules.SlowStartFor.Seconds()
 			t := need / w
 			if slope > 0 {
 				t = (math.Sqrt(w*w+2*slope*need) - w) / slope
--- a/test/emulator/node_test.go
+++ b/test/emulator/node_test.go
@@ -13,7 +13,7 @@
 
 const ms = time.Millisecond
 
-var rules = Rules{ColdFrom: 0.1, ColdFor: 10 * time.Second, FallMultiple: 3, FallSpan: 2 * time.Second, DownFor: 5 * time.Second}
+var rules = Rules{SlowStartFrom: 0.1, SlowStartFor: 10 * time.Second, FallMultiple: 3, FallSpan: 2 * time.Second, DownFor: 5 * time.Second}
 
 // played writes what a node told, with the milliseconds at which it became known.
 type played struct {
@@ -21,10 +21,10 @@
 	log []string
 }
 
-func (p *played) note(now time.Duration, notes []Note) {
-	for _, n := range notes {
-		word := [...]string{"started", "done", "full", "lost"}[n.Kind]
-		p.log = append(p.log, fmt.Sprintf("%d %s %s", now/ms, n.ID, word))
+func (p *played) add(now time.Duration, notices []Notice) {
+	for _, n := range notices {
+		state := [...]string{"started", "done", "full", "lost"}[n.Kind]
+		p.log = append(p.log, fmt.Sprintf("%d %s %s", now/ms, n.ID, state))
 	}
 }
 
@@ -33,16 +33,16 @@
 	for {
 		at, any := p.n.Next()
 		if !any || at > now {
-			p.note(now, p.n.Pass(now))
+			p.add(now, p.n.Pass(now))
 			return
 		}
-		p.note(at, p.n.Pass(at))
+		p.add(at, p.n.Pass(at))
 	}
 }
 
 func (p *played) offer(now time.Duration, id string, work time.Duration, slots float64) {
 	p.until(now)
-	p.note(now, p.n.Offer(now, Job{id, work, slots}))
+	p.add(now, p.n.Offer(now, Job{id, work, slots}))
 }
 
 func TestANode(t *testing.T) {
@@ -73,14 +73,14 @@
 		"a cancel drops what waits, and lets running work go on": {func(p *played) {
 			p.offer(0, "a", 100*ms, 2)
 			p.offer(0, "b", 100*ms, 1)
-			_, notes := p.n.Cancel(10*ms, "b")
-			p.note(10*ms, notes)
-			_, notes = p.n.Cancel(10*ms, "a")
-			p.note(10*ms, notes)
+			_, notices := p.n.Cancel(10*ms, "b")
+			p.add(10*ms, notices)
+			_, notices = p.n.Cancel(10*ms, "a")
+			p.add(10*ms, notices)
 		}, "0 a started, 50 a done"},
 		"a restart loses all and begins cold": {func(p *played) {
 			p.offer(0, "a", 100*ms, 1)
-			p.note(10*ms, p.n.Restart(10*ms))
+			p.add(10*ms, p.n.Restart(10*ms))
 			p.offer(10*ms, "b", 10*ms, 1)
 		}, "0 a started, 10 a lost, 10 b started, 58 b done"},
 	} {
@@ -130,15 +130,15 @@
 		if rapid.Bool().Draw(t, "cold") {
 			n.Restart(0)
 		}
-		now, work, state := time.Duration(0), 0.0, make(map[string]NoteKind)
+		now, work, state := time.Duration(0), 0.0, make(map[string]NoticeKind)
 		running := 0
-		take := func(notes []Note) {
-			for _, note := range notes {
-				was, known := state[note.ID]
-				if note.Kind == Done && (!known || was != Started) || note.Kind != Done && known {
-					t.Fatalf("%v after %v", note, was)
+		take := func(notices []Notice) {
+			for _, notice := range notices {
+				was, known := state[notice.ID]
+				if notice.Kind == Done && (!known || was != Started) || notice.Kind != Done && known {
+					t.Fatalf("%v after %v", notice, was)
 				}
-				switch state[note.ID] = note.Kind; note.Kind {
+				switch state[notice.ID] = notice.Kind; notice.Kind {
 				case Started:
 					running++
 				case Done:
@@ -152,9 +152,9 @@
 		for i := range rapid.IntRange(1, 40).Draw(t, "jobs") {
 			now += time.Duration(rapid.IntRange(0, 300).Draw(t, "wait")) * ms
 			j := Job{fmt.Sprint(i), time.Duration(rapid.IntRange(1, 500).Draw(t, "work")) * ms, float64(rapid.IntRange(1, 3).Draw(t, "wants"))}
-			notes := n.Offer(now, j)
-			take(notes)
-			if state[j.ID] != TurnedAway || len(notes) == 0 || notes[len(notes)-1].ID != j.ID {
+			notices := n.Offer(now, j)
+			take(notices)
+			if state[j.ID] != Rejected || len(notices) == 0 || notices[len(notices)-1].ID != j.ID {
 				work += j.Work.Seconds()
 			}
 		}
--- a/test/fleettest/await.go
+++ b/test/fleettest/await.go
@@ -32,22 +32,7 @@
 		return errUsage
 	}
 	if len(args) == 4 && args[1] == "sees" {
-		others, err := b.pick(args[3])
-		if err != nil {
-			return err
-		}
-		return b.until(func() (bool, string) {
-			s, err := b.Status(args[0])
-			if err != nil {
-				return false, err.Error()
-			}
-			for _, o := range others {
-				if got := s.Peers[o.name]; string(got.State) != args[2] {
-					return false, fmt.Sprintf("%s is %+v", o.name, got)
-				}
-			}
-			return true, ""
-		})
+		return b.awaitSeen(args[0], args[2], args[3])
 	}
 	if len(args) == 3 && args[0] == "told" {
 		return b.awaitWitnessed(args[1], args[2])
@@ -63,34 +48,56 @@
 		}
 	}
 	for _, p := range some {
-		err := b.until(func() (bool, string) {
-			if args[0] == "dead" {
-				return !p.running(), "it runs"
-			}
-			s, err := b.Status(p.name)
-			if err != nil {
-				return false, err.Error()
-			}
-			seen := fmt.Sprintf("%+v, acting under %v, in force %v, %+v", s.Standing, s.Acting, s.Force, s.Peers)
-			switch args[0] {
-			case "acts":
-				return s.Standing == fleet.Standing{Acts: true} && s.Votes, seen
-			case "marked":
-				return s.Standing.Marked, seen
-			case "shut":
-				return !s.Standing.Acts, seen
-			case "epoch":
-				return s.Acting.Number == number, seen
-			}
-			return false, "there is no such event"
-		})
-		if err != nil {
+		if err := b.until(func() (bool, string) { return b.holds(args[0], p, number) }); err != nil {
 			return fmt.Errorf("%s: %w", p.name, err)
 		}
 	}
 	return nil
 }
 
+// holds says whether an event has come at a member, and what is there instead.
+func (b *Bench) holds(event string, p *process, number uint64) (bool, string) {
+	if event == "dead" {
+		return !p.running(), "it runs"
+	}
+	s, err := b.Status(p.name)
+	if err != nil {
+		return false, err.Error()
+	}
+	seen := fmt.Sprintf("%+v, acting under %v, in force %v, %+v", s.Standing, s.Acting, s.Force, s.Peers)
+	switch event {
+	case "acts":
+		return s.Standing == fleet.Standing{Acts: true} && s.Votes, seen
+	case "marked":
+		return s.Standing.Marked, seen
+	case "shut":
+		return !s.Standing.Acts, seen
+	case "epoch":
+		return s.Acting.Number == number, seen
+	}
+	return false, "there is no such event"
+}
+
+// awaitSeen waits until a member sees others in a state.
+func (b *Bench) awaitSeen(member, state, list string) error {
+	others, err := b.pick(list)
+	if err != nil {
+		return err
+	}
+	return b.until(func() (bool, string) {
+		s, err := b.Status(member)
+		if err != nil {
+			return false, err.Error()
+		}
+		for _, o := range others {
+			if got := s.Peers[o.name]; string(got.State) != state {
+				return false, fmt.Sprintf("%s is %+v", o.name, got)
+			}
+		}
+		return true, ""
+	})
+}
+
 // awaitLaterSecond waits until an empty disk begins with an incarnation above those of a record: it is the second of its start.
 func (b *Bench) awaitLaterSecond(record string) error {
 	files, err := filepath.Glob(filepath.Join(record, "*.audit"))
--- a/test/lab/experiment.go
+++ b/test/lab/experiment.go
@@ -53,7 +53,7 @@
 }
 
 func (r *RulesXML) model() emulator.Rules {
-	return emulator.Rules{ColdFrom: r.ColdFrom, ColdFor: r.ColdFor, FallMultiple: r.FallMultiple, FallSpan: r.FallSpan,
+	return emulator.Rules{SlowStartFrom: r.ColdFrom, SlowStartFor: r.ColdFor, FallMultiple: r.FallMultiple, FallSpan: r.FallSpan,
 		DownFor: r.DownFor, StopsRunning: r.StopsRunning}
 }
 
--- a/test/lab/fleet.go
+++ b/test/lab/fleet.go
@@ -205,7 +205,7 @@
 	n.last = max(n.last, first)
 	n.jobs[id] = &task{by: by, class: class, unsafe: n.f.unsafe[class]}
 	notes := n.model.Offer(now, emulator.Job{ID: id, Work: work, Slots: slots})
-	if last := len(notes) - 1; last >= 0 && notes[last] == (emulator.Note{Kind: emulator.TurnedAway, ID: id}) {
+	if last := len(notes) - 1; last >= 0 && notes[last] == (emulator.Notice{Kind: emulator.Rejected, ID: id}) {
 		delete(n.jobs, id)
 		c.reply(503, http1.Header{{Name: platform.HeaderNotRun, Value: "1"}}, nil)
 		n.report(notes[:last])
@@ -220,7 +220,7 @@
 }
 
 // report calls back with what became of jobs, and has the node looked at again when the next one ends.
-func (n *node) report(notes []emulator.Note) {
+func (n *node) report(notes []emulator.Notice) {
 	for _, note := range notes {
 		t := n.jobs[note.ID]
 		if t == nil {
--- a/test/lab/fleetplays.go
+++ b/test/lab/fleetplays.go
@@ -32,10 +32,10 @@
 
 // RollOuts are some, one after the other, on a fleet that is well.
 type RollOuts struct {
-	Members int           `xml:"members,attr" required:"true"`
-	Count   int           `xml:"count,attr" required:"true"`
-	Beat    time.Duration `xml:"beat,attr" required:"true"`
-	Trust   time.Duration `xml:"trust,attr" required:"true"`
+	Members   int           `xml:"members,attr" required:"true"`
+	Count     int           `xml:"count,attr" required:"true"`
+	Heartbeat time.Duration `xml:"beat,attr" required:"true"`
+	Trust     time.Duration `xml:"trust,attr" required:"true"`
 }
 
 // Faults are plays of fleettest.Random, a seed each, some side by side.
@@ -58,7 +58,7 @@
 // Check implements xmlfile.Checker.
 func (f *FleetExperiment) Check(bad func(string)) {
 	for _, r := range f.RollOuts {
-		if r.Members < 1 || r.Members > 250 || r.Count < 1 || r.Beat < 10*time.Millisecond || r.Trust < 4*r.Beat {
+		if r.Members < 1 || r.Members > 250 || r.Count < 1 || r.Heartbeat < 10*time.Millisecond || r.Trust < 4*r.Heartbeat {
 			bad("roll-outs: 1 to 250 members, a count, a beat from 10ms on and a trust of four beats are wanted")
 		}
 	}
@@ -139,7 +139,7 @@
 
 func (r *Runner) rollOuts(play *RollOuts) (*Result, error) {
 	f := map[string]float64{"members": float64(play.Members)}
-	o := fleettest.Options{Members: play.Members, Alone: "stop", Heartbeat: play.Beat, Trust: play.Trust, Direct: play.Members > 30}
+	o := fleettest.Options{Members: play.Members, Alone: "stop", Heartbeat: play.Heartbeat, Trust: play.Trust, Direct: play.Members > 30}
 	err := r.bench(o, func(b *fleettest.Bench) error {
 		if err := b.Run("start all\nawait acts all"); err != nil {
 			return err
@@ -234,6 +234,7 @@
 	return &Result{Variant: fmt.Sprint(play.Members, " members"), Phase: "faults", Figures: f}
 }
 
+// faultPlay plays one seed's script of faults, and counts what the audit says of the records against what was injected.
 func (r *Runner) faultPlay(play *Faults, seed uint64) (map[string]float64, error) {
 	f := make(map[string]float64)
 	o := fleettest.Options{Members: play.Members, Alone: "stop", Seed: seed, Heartbeat: 100 * time.Millisecond, Trust: time.Second, Every: 20 * time.Millisecond}
@@ -242,63 +243,20 @@
 		if err := b.Run(script); err != nil {
 			return err
 		}
-		a, asked, err := b.Finish()
+		a, requests, err := b.Finish()
 		if err != nil {
 			return err
 		}
-		want := make(map[string]bool)
-		for number, names := range stopped {
-			for _, name := range names {
-				// One that is below an older floor already counts there too.
-				want[fmt.Sprint(number, name)] = true
-			}
-		}
-		f["stopped_across"] = float64(len(want))
-		floors := make(map[uint64]uint64)
-		for _, l := range a.Epochs {
-			floors[l.ID.Number] = l.Floor
-		}
-		for key := range want { // who was under the epoch before is at the floor where the floor is that one
-			number, _ := strconv.ParseUint(key[:1], 10, 64)
-			if floors[number] < number {
-				delete(want, key)
-			}
-		}
-		f["stopped_across"] = float64(len(want))
-		for _, s := range a.Straggled {
-			f["straggled"]++
-			f["end_ms_worst"] = max(f["end_ms_worst"], float64(s.AfterMs))
-			key := fmt.Sprint(s.Epoch.Number, s.Member)
-			if !want[key] {
-				f["straggled_invented"]++
-			}
-			delete(want, key)
-		}
-		f["straggled_missed"] = float64(len(want))
+		countStragglers(f, a, stopped)
 		f["below_floor"] = float64(len(a.Below))
-		for _, l := range a.Epochs {
-			if l.Conflict {
-				f["conflicts"]++
-			}
-		}
 		for _, x := range a.Findings {
 			if x.Kind.Fault() {
 				f["record_faults"]++
 				r.Say("seed %d: %v", seed, x)
 			}
 		}
-		for _, x := range asked {
-			f["asked"]++
-			switch {
-			case x.Status == 200 && !x.Wrong:
-				f["served"]++
-			case x.Status == 503:
-				f["refused"]++
-			case !slices.Contains(killed, x.Member):
-				if f["unanswered"]++; f["unanswered"] == 1 {
-					r.Say("seed %d: %+v", seed, x)
-				}
-			}
+		if first := countRequests(f, requests, killed); first != nil {
+			r.Say("seed %d: %+v", seed, *first)
 		}
 		if err := tamper(f, b, seed, play.Tamper); err != nil {
 			return err
@@ -311,6 +269,59 @@
 	return f, err
 }
 
+// countStragglers holds the stragglers that an audit found against the members that were stopped across an epoch's date.
+func countStragglers(f map[string]float64, a *audit.Audit, stopped map[uint64][]string) {
+	want := make(map[string]bool)
+	for number, names := range stopped {
+		for _, name := range names {
+			// One that is below an older floor already counts there too.
+			want[fmt.Sprint(number, name)] = true
+		}
+	}
+	floors := make(map[uint64]uint64)
+	for _, l := range a.Epochs {
+		floors[l.ID.Number] = l.Floor
+		if l.Conflict {
+			f["conflicts"]++
+		}
+	}
+	for key := range want { // who was under the epoch before is at the floor where the floor is that one
+		number, _ := strconv.ParseUint(key[:1], 10, 64)
+		if floors[number] < number {
+			delete(want, key)
+		}
+	}
+	f["stopped_across"] = float64(len(want))
+	for _, s := range a.Straggled {
+		f["straggled"]++
+		f["end_ms_worst"] = max(f["end_ms_worst"], float64(s.AfterMs))
+		key := fmt.Sprint(s.Epoch.Number, s.Member)
+		if !want[key] {
+			f["straggled_invented"]++
+		}
+		delete(want, key)
+	}
+	f["straggled_missed"] = float64(len(want))
+}
+
+// countRequests counts what became of the clients' requests, and returns the first that went unanswered at a member that was not killed.
+func countRequests(f map[string]float64, requests []fleettest.Request, killed []string) (first *fleettest.Request) {
+	for i, x := range requests {
+		f["asked"]++
+		switch {
+		case x.Status == 200 && !x.Wrong:
+			f["served"]++
+		case x.Status == 503:
+			f["refused"]++
+		case !slices.Contains(killed, x.Member):
+			if f["unanswered"]++; f["unanswered"] == 1 {
+				first = &requests[i]
+			}
+		}
+	}
+	return first
+}
+
 // tamper changes some members' records, and holds what the audit says of each against that.
 func tamper(f map[string]float64, b *fleettest.Bench, seed uint64, members int) error {
 	if members == 0 {
@@ -355,55 +366,20 @@
 func (r *Runner) pair(play *Pair) (*Result, error) {
 	f := map[string]float64{"members": float64(play.Members)}
 	var p50, p99, cpu [2][]float64
-	rounds := play.Rounds
+	runs := play.Rounds
 	if r.Short {
-		rounds = 1
+		runs = 1
 	}
-	for round := range 2 * rounds {
-		off := round % 2
-		o := fleettest.Options{Members: play.Members, Off: off == 1, Heartbeat: 500 * time.Millisecond, Trust: 5 * time.Second, Every: time.Duration(float64(time.Second) / play.Rate)}
-		err := r.bench(o, func(b *fleettest.Bench) error {
-			if err := b.Run("start all"); err != nil {
-				return err
-			}
-			if off == 0 {
-				if err := b.Run("await acts all"); err != nil {
-					return err
-				}
-			}
-			ctx, cancel := context.WithTimeout(context.Background(), fleettest.Patience)
-			defer cancel()
-			if err := b.Ready(ctx); err != nil {
-				return err
-			}
-			if err := b.Run("load on\npass 1s"); err != nil { // connections and code are warm
-				return err
-			}
-			began, from := b.Usage(), time.Now()
-			time.Sleep(play.For)
-			ended, to := b.Usage(), time.Now()
-			if err := b.Run("load off"); err != nil {
-				return err
-			}
-			var took []float64
-			for _, x := range b.Requests() {
-				if x.Sent.After(from) && x.Sent.Before(to) && x.Status == 200 {
-					took = append(took, x.Answered.Sub(x.Sent).Seconds()*1e3)
-				}
-			}
-			if len(took) == 0 {
-				return errors.New("nothing was served")
-			}
-			slices.Sort(took)
-			p50[off] = append(p50[off], took[len(took)/2])
-			p99[off] = append(p99[off], took[len(took)*99/100])
-			cpu[off] = append(cpu[off], float64((ended.CPU-began.CPU).Microseconds())/float64(len(took)))
-			f["served"] += float64(len(took))
-			return nil
-		})
+	for i := range 2 * runs {
+		off := i % 2
+		took, used, err := r.pairRun(play, off == 1)
 		if err != nil {
 			return nil, err
 		}
+		p50[off] = append(p50[off], took[len(took)/2])
+		p99[off] = append(p99[off], took[len(took)*99/100])
+		cpu[off] = append(cpu[off], float64(used.Microseconds())/float64(len(took)))
+		f["served"] += float64(len(took))
 	}
 	for i, name := range []string{"on", "off"} {
 		f["p50_"+name+"_ms"], f["p99_"+name+"_ms"], f["cpu_"+name+"_us_a_job"] = middle(p50[i]), middle(p99[i]), middle(cpu[i])
@@ -414,6 +390,47 @@
 	return &Result{Variant: fmt.Sprint(play.Members, " members"), Phase: "pair", Figures: f}, nil
 }
 
+// pairRun plays the load once, and returns the latencies of what was served, in milliseconds and sorted, and the processor time that was used.
+func (r *Runner) pairRun(play *Pair, off bool) (took []float64, used time.Duration, err error) {
+	o := fleettest.Options{Members: play.Members, Off: off, Heartbeat: 500 * time.Millisecond, Trust: 5 * time.Second, Every: time.Duration(float64(time.Second) / play.Rate)}
+	err = r.bench(o, func(b *fleettest.Bench) error {
+		if err := b.Run("start all"); err != nil {
+			return err
+		}
+		if !off {
+			if err := b.Run("await acts all"); err != nil {
+				return err
+			}
+		}
+		ctx, cancel := context.WithTimeout(context.Background(), fleettest.Patience)
+		defer cancel()
+		if err := b.Ready(ctx); err != nil {
+			return err
+		}
+		if err := b.Run("load on\npass 1s"); err != nil { // connections and code are warm
+			return err
+		}
+		before, from := b.Usage(), time.Now()
+		time.Sleep(play.For)
+		after, to := b.Usage(), time.Now()
+		if err := b.Run("load off"); err != nil {
+			return err
+		}
+		for _, x := range b.Requests() {
+			if x.Sent.After(from) && x.Sent.Before(to) && x.Status == 200 {
+				took = append(took, x.Answered.Sub(x.Sent).Seconds()*1e3)
+			}
+		}
+		if len(took) == 0 {
+			return errors.New("nothing was served")
+		}
+		slices.Sort(took)
+		used = after.CPU - before.CPU
+		return nil
+	})
+	return took, used, err
+}
+
 func middle(all []float64) float64 {
 	slices.Sort(all)
 	return all[len(all)/2]
--- a/test/lab/whole_test.go
+++ b/test/lab/whole_test.go
@@ -72,9 +72,9 @@
 	}
 	engine.Serve(ln, 8, newServer(loop, listing.serve).opened)
 	stop := make(chan struct{})
-	ended := make(chan struct{})
-	go func() { loop.Run(stop); close(ended) }()
-	defer func() { close(stop); <-ended }()
+	finished := make(chan struct{})
+	go func() { loop.Run(stop); close(finished) }()
+	defer func() { close(stop); <-finished }()
 
 	// Nodes.
 	spec := FleetSpec{Rules: x.Rules.model(), Nodes: specs, Schedulers: []string{sched}, Unsafe: x.unsafe()}
--- a/test/simulation/control_test.go
+++ b/test/simulation/control_test.go
@@ -57,7 +57,7 @@
 		folder: slotstest.New(), fresh: fresh, leastLog: 500 << w.random.IntN(7),
 		settings: settings.Settings{
 			Node: "control-" + ip, IP: ip, PortRange: []int{firstPort, firstPort + 2}, Zone: zone, Seeds: seeds, Bootstrap: fresh,
-			HeartbeatMs: w.settings.heartbeatMs, ToleratedNodes: w.settings.lost, ProviderRate: 10,
+			HeartbeatMs: w.settings.heartbeatMs, ToleratedNodes: w.settings.faultTolerance, ProviderRate: 10,
 			Bounds: settings.Bounds{DrainMs: 3000},
 		},
 	}
@@ -87,7 +87,7 @@
 	}
 	config := core.NodeConfig{
 		Address: c.address, Zone: c.zone, Seeds: c.settings.SeedAddresses(), Bootstrap: c.fresh && snapshot == nil, Disk: true, Candidate: true,
-		Durability: view.Durability{Copies: c.world.settings.lost + 1}, DownAfter: down, LearnerExpiry: core.LearnerExpiry(catchup), Terms: terms, MinLogBytes: c.leastLog, MaxLogRecords: c.leastLog / 4,
+		Durability: view.Durability{Copies: c.world.settings.faultTolerance + 1}, DownAfter: down, LearnerExpiry: core.LearnerExpiry(catchup), Terms: terms, MinLogBytes: c.leastLog, MaxLogRecords: c.leastLog / 4,
 		Machine: c.state, Random: l.Uint64,
 	}
 	if c.node, err = core.NewNode(l.now(), config, snapshot, records); err != nil {
@@ -103,8 +103,8 @@
 	c.tick(l, l.now())
 }
 
-// ended implements program. The disk may be caught in the middle of a write.
-func (c *control) ended(powerLoss bool) {
+// stopped implements program. The disk may be caught in the middle of a write.
+func (c *control) stopped(powerLoss bool) {
 	if c.lead != nil {
 		c.lead()
 	}
@@ -142,7 +142,7 @@
 		}
 	}
 	for _, post := range actions.Messages {
-		c.post(l, post)
+		c.send(l, post)
 	}
 	for _, end := range actions.Completions {
 		if done := c.calls[end.Number]; done != nil {
@@ -245,8 +245,8 @@
 	return last, nil
 }
 
-// post carries a message to another member of the core.
-func (c *control) post(l *incarnation, p core.OutboundMessage) {
+// send carries a message to another member of the core.
+func (c *control) send(l *incarnation, p core.OutboundMessage) {
 	w, n := c.world, c.world.network
 	to := w.byHost[p.To]
 	if to == nil || to.dark || !n.passes(c.machine, to) || n.lossy > 0 && w.random.IntN(100) < n.lossy {
--- a/test/simulation/faults_test.go
+++ b/test/simulation/faults_test.go
@@ -269,7 +269,7 @@
 		controls := w.controls()
 		w.random.Shuffle(len(controls), func(i, j int) { controls[i], controls[j] = controls[j], controls[i] })
 		for i, c := range controls {
-			if i < w.settings.lost {
+			if i < w.settings.faultTolerance {
 				w.losing()
 				c.end(true)
 				c.wipe()
--- a/test/simulation/machine_test.go
+++ b/test/simulation/machine_test.go
@@ -33,8 +33,8 @@
 type program interface {
 	// start makes the process of a new incarnation.
 	start(l *incarnation)
-	// ended tells that the process has ended, of a loss of power or a kill.
-	ended(powerLoss bool)
+	// stopped tells that the process has ended, of a loss of power or a kill.
+	stopped(powerLoss bool)
 }
 
 func (w *world) newMachine(name, zone, address string, program program) *machine {
@@ -78,9 +78,9 @@
 	m.world.log("%s ends, power lost: %v", m.name, powerLoss)
 	m.incarnation, m.frozen = nil, false
 	l.dead, l.thawed = true, nil
-	m.program.ended(powerLoss)
+	m.program.stopped(powerLoss)
 	l.endTasks()
-	m.world.network.incarnationEnded(l)
+	m.world.network.stopped(l)
 }
 
 func (m *machine) freeze() bool {
--- a/test/simulation/member_test.go
+++ b/test/simulation/member_test.go
@@ -91,8 +91,8 @@
 	p.awaitCurrent(l)
 }
 
-// ended implements program.
-func (p *process) ended(powerLoss bool) { p.records.stop(powerLoss) }
+// stopped implements program.
+func (p *process) stopped(powerLoss bool) { p.records.stop(powerLoss) }
 
 // awaitCurrent takes the state that the leader named first, should the word that it is the newest come after it.
 func (p *process) awaitCurrent(l *incarnation) {
--- a/test/simulation/network_test.go
+++ b/test/simulation/network_test.go
@@ -187,8 +187,8 @@
 
 const watchEvery = 100 * time.Millisecond
 
-// incarnationEnded closes the connections of a process that has ended: its system says so to others, unless it has no power.
-func (n *network) incarnationEnded(l *incarnation) {
+// stopped closes the connections of a process that has ended: its system says so to others, unless it has no power.
+func (n *network) stopped(l *incarnation) {
 	for _, e := range l.ends {
 		if e.closed {
 			continue
--- a/test/simulation/queue_test.go
+++ b/test/simulation/queue_test.go
@@ -108,7 +108,7 @@
 	p.records.incarnation = l
 	p.peers = make(map[string]host.Link)
 	p.queue = queue.New(queue.Config{
-		Disk: p.disk, Zone: p.zone, Copies: p.world.settings.lost + 1, FinishedRetention: time.Minute, DiskBytes: 1 << 20, Log: l.log(),
+		Disk: p.disk, Zone: p.zone, Copies: p.world.settings.faultTolerance + 1, FinishedRetention: time.Minute, DiskBytes: 1 << 20, Log: l.log(),
 	}, queueHost{p, l})
 	for i := p.records.first; i < len(p.records.kept); i++ {
 		at := journal.Location{Segment: uint32(i/segmentRecords) + 1, Offset: uint32(i % segmentRecords)}
--- a/test/simulation/secondloss_test.go
+++ b/test/simulation/secondloss_test.go
@@ -11,7 +11,7 @@
 // loseTwo has a control machine go for good and an empty one come at another address, and another be lost when the first counts as lost no more.
 // It says how long after that no order was acknowledged.
 func loseTwo(t *testing.T, seed uint64, controls int, planned bool, m mutant) (outage time.Duration, described string) {
-	w := newWorld(seed, worldSettings{controls: controls, edges: 2, stores: 2, zones: 1, lost: 1, heartbeatMs: 600}, m)
+	w := newWorld(seed, worldSettings{controls: controls, edges: 2, stores: 2, zones: 1, faultTolerance: 1, heartbeatMs: 600}, m)
 	w.found()
 	w.play(5 * time.Second)
 	w.replace("replaced", planned)
--- a/test/simulation/simulation_test.go
+++ b/test/simulation/simulation_test.go
@@ -28,13 +28,13 @@
 func settingsOf(seed uint64) worldSettings {
 	draw := func(salt, most uint64) int { return int((seed*2654435761 + salt*40503) >> 7 % most) }
 	s := worldSettings{
-		controls: 3 + draw(1, 3), edges: 2 + draw(2, 5), stores: 2 + draw(3, 2), zones: 1 + draw(4, 3), lost: 1, heartbeatMs: 600,
+		controls: 3 + draw(1, 3), edges: 2 + draw(2, 5), stores: 2 + draw(3, 2), zones: 1 + draw(4, 3), faultTolerance: 1, heartbeatMs: 600,
 	}
 	if draw(5, 8) == 0 { // a tree of more than one level in a zone
 		s.edges, s.zones = 12, 1
 	}
 	if s.controls == 5 && draw(6, 2) == 0 {
-		s.lost = 2
+		s.faultTolerance = 2
 		s.stores = 4
 	}
 	if draw(7, 3) == 0 {
@@ -211,7 +211,7 @@
 func TestEqualSeedsHaveEqualHistories(t *testing.T) {
 	for seed := range uint64(12) {
 		settings := settingsOf(seed + 1)
-		settings.silent = true
+		settings.noTraffic = true
 		first, second := playIn(seed+1, settings, sound), playIn(seed+1, settings, sound)
 		require.Equal(t, first.trace, second.trace, "seed %d", seed+1)
 	}
--- a/test/simulation/system_test.go
+++ b/test/simulation/system_test.go
@@ -8,14 +8,14 @@
 
 // worldSettings is what a world is made of.
 type worldSettings struct {
-	controls    int
-	edges       int
-	stores      int
-	zones       int
-	lost        int // machines that may be lost at once
-	heartbeatMs int
-	silent      bool   // clients send nothing
-	only        string // the name of the disruption that comes again and again; empty: all kinds
+	controls       int
+	edges          int
+	stores         int
+	zones          int
+	faultTolerance int // machines that may be lost at once
+	heartbeatMs    int
+	noTraffic      bool   // clients send nothing
+	only           string // the name of the disruption that comes again and again; empty: all kinds
 }
 
 // mutant is a guard taken out, which the simulation must notice.
@@ -90,7 +90,7 @@
 	for i := range 2 {
 		w.newServer(fmt.Sprint("limited-", i), limitedService)
 	}
-	if !w.settings.silent {
+	if !w.settings.noTraffic {
 		w.after(2*time.Second, w.submitMessages)
 	}
 	for i := range 2 {
@@ -199,7 +199,7 @@
 // spare is how many more control machines may be lost now: the bench has what would lose more wait its turn. A machine whose disk was
 // lost counts as lost until the system has had the time to catch up.
 func (w *world) spare() int {
-	spare := w.settings.lost
+	spare := w.settings.faultTolerance
 	if w.diskLostAt > 0 && w.now-w.diskLostAt < lossEvery {
 		spare -= w.disksLost
 	}
@@ -226,7 +226,7 @@
 }
 
 // complete says whether nothing of the core is lost.
-func (w *world) complete() bool { return w.spare() == w.settings.lost }
+func (w *world) complete() bool { return w.spare() == w.settings.faultTolerance }
 
 // describe tells how the system stands.
 func (w *world) describe() string {
