--- a/balancer/http1/http1.go
+++ b/balancer/http1/http1.go
@@ -1,5 +1,3 @@
-// Package http1 parses HTTP/1.1 messages from bytes as they come, in whatever pieces, and writes them.
-// It does no I/O.
 package http1
 
 import (
@@ -27,53 +25,6 @@
 
 func bad(reason string) *Error { return &Error{Status: 400, Reason: reason} }
 
-// Field is one header field.
-type Field struct{ Name, Value string }
-
-// Header holds fields in the order in which they came.
-type Header []Field
-
-// isNamed says whether a field's name, a token and so ASCII, is the one asked for.
-func isNamed(field, name string) bool {
-	return len(field) == len(name) && strings.EqualFold(field, name)
-}
-
-// Get returns the first value of a name, in whatever case.
-func (h Header) Get(name string) string {
-	for i := range h {
-		if isNamed(h[i].Name, name) {
-			return h[i].Value
-		}
-	}
-	return ""
-}
-
-// Count is how many fields of a name there are.
-func (h Header) Count(name string) int {
-	n := 0
-	for i := range h {
-		if isNamed(h[i].Name, name) {
-			n++
-		}
-	}
-	return n
-}
-
-// has says whether a comma-separated field names a token.
-func (h Header) has(name, token string) bool {
-	for i := range h {
-		if !isNamed(h[i].Name, name) {
-			continue
-		}
-		for part := range strings.SplitSeq(h[i].Value, ",") {
-			if strings.EqualFold(strings.TrimSpace(part), token) {
-				return true
-			}
-		}
-	}
-	return false
-}
-
 // Request is a whole request.
 type Request struct {
 	Method, Target string
@@ -139,206 +90,6 @@
 	return head, nil
 }
 
-// fields reads the lines after the first of a head.
-func fields(lines string) (Header, error) {
-	h := make(Header, 0, usualFields)
-	for lines != "" {
-		line := lines
-		if end := strings.Index(lines, "\r\n"); end >= 0 {
-			line, lines = lines[:end], lines[end+2:]
-		} else {
-			lines = ""
-		}
-		if line == "" {
-			continue
-		}
-		colon := strings.IndexByte(line, ':')
-		if colon < 0 || !isToken(line[:colon]) {
-			return nil, bad("a header field has no proper name")
-		}
-		value := strings.Trim(line[colon+1:], " \t")
-		if hasControl(value) {
-			return nil, bad("a header field holds control characters")
-		}
-		h = append(h, Field{line[:colon], value})
-	}
-	return h, nil
-}
-
-// usualFields is how many fields a head has room for at once.
-const usualFields = 10
-
-// hasControl guards against bytes that another parser may take for an end or a break.
-func hasControl(s string) bool {
-	for i := range len(s) {
-		if c := s[i]; c < ' ' && c != '\t' || c == 0x7f {
-			return true
-		}
-	}
-	return false
-}
-
-// isTarget says whether s may stand in a request line: visible ASCII only.
-func isTarget(s string) bool {
-	for i := range len(s) {
-		if s[i] <= ' ' || s[i] >= 0x7f {
-			return false
-		}
-	}
-	return s != ""
-}
-
-func isToken(s string) bool {
-	for i := range len(s) {
-		if !tokenByte[s[i]] {
-			return false
-		}
-	}
-	return s != ""
-}
-
-// tokenByte says which bytes a token may hold (RFC 9110, section 5.6.2).
-var tokenByte = func() (may [256]bool) {
-	for c := byte('!'); c < 0x7f; c++ {
-		may[c] = strings.IndexByte(`"(),/:;<=>?@[\]{}`, c) < 0
-	}
-	return may
-}()
-
-func wantsClose(version string, h Header) bool {
-	return h.has("Connection", "close") || version == "HTTP/1.0" && !h.has("Connection", "keep-alive")
-}
-
-// body reads the body of one message.
-type body struct {
-	state bodyState
-	left  int // bytes of the body, or of the present chunk
-	limit int // 0 for none
-	total int
-}
-
-type bodyState uint8
-
-const (
-	none bodyState = iota
-	counted
-	chunkSize
-	chunkData
-	chunkEnd
-	trailer
-	untilClose
-)
-
-// begin chooses the framing by a head. Two framings at once are how requests are smuggled: refused, however empty or
-// repeated either is, for another parser may go by any of the fields.
-func (b *body) begin(h Header, limit int) error {
-	*b = body{limit: limit}
-	coding, codings, length, given := h.Get("Transfer-Encoding"), h.Count("Transfer-Encoding"), "", false
-	for i := range h {
-		if isNamed(h[i].Name, "Content-Length") {
-			if given && length != h[i].Value {
-				return bad("two lengths differ")
-			}
-			length, given = h[i].Value, true
-		}
-	}
-	switch {
-	case codings > 0 && given:
-		return bad("a length and a transfer coding")
-	case codings > 1 || codings == 1 && !strings.EqualFold(coding, "chunked"):
-		return bad("the transfer coding is not known")
-	case codings == 1:
-		b.state = chunkSize
-	case given:
-		n, err := strconv.ParseUint(length, 10, 31)
-		if err != nil {
-			return bad("the length is no number")
-		}
-		if limit > 0 && int(n) > limit {
-			return &Error{Status: 413, Reason: "the body is too long"}
-		}
-		if b.left = int(n); n > 0 {
-			b.state = counted
-		}
-	}
-	return nil
-}
-
-// read appends to out what p has of the body, and says whether the body is whole.
-func (b *body) read(p *parser, out []byte) ([]byte, bool, error) {
-	for {
-		switch b.state {
-		case none:
-			return out, true, nil
-		case untilClose:
-			out = append(out, p.buf...)
-			p.take(len(p.buf))
-			return out, false, nil
-		case counted, chunkData:
-			n := min(b.left, len(p.buf))
-			if b.total += n; b.limit > 0 && b.total > b.limit {
-				return out, false, &Error{Status: 413, Reason: "the body is too long"}
-			}
-			out = append(out, p.buf[:n]...)
-			p.take(n)
-			if b.left -= n; b.left > 0 {
-				return out, false, nil
-			}
-			if b.state == counted {
-				b.state = none
-			} else {
-				b.state = chunkEnd
-			}
-		default:
-			line, whole, err := p.line()
-			if err != nil || !whole {
-				return out, false, err
-			}
-			if err := b.line(line); err != nil {
-				return out, false, err
-			}
-		}
-	}
-}
-
-// line takes a line between chunks.
-func (b *body) line(line string) error {
-	switch {
-	case b.state == trailer && line == "":
-		b.state = none
-	case b.state == chunkEnd && line != "":
-		return bad("a chunk is longer than it said")
-	case b.state == chunkEnd:
-		b.state = chunkSize
-	case b.state == chunkSize:
-		size, _, _ := strings.Cut(line, ";")
-		n, err := strconv.ParseUint(strings.TrimSpace(size), 16, 31)
-		if err != nil {
-			return bad("a chunk's size is no number")
-		}
-		if b.left, b.state = int(n), chunkData; n == 0 {
-			b.state = trailer
-		}
-		if b.limit > 0 && b.total+b.left > b.limit {
-			return &Error{Status: 413, Reason: "the body is too long"}
-		}
-	}
-	return nil
-}
-
-func (p *parser) line() (line string, whole bool, err error) {
-	end := bytes.Index(p.buf, []byte("\r\n"))
-	if end < 0 && len(p.buf) > maxLine || end > maxLine {
-		return "", false, bad("a chunk's size line is too long")
-	}
-	if end < 0 {
-		return "", false, nil
-	}
-	line = string(p.buf[:end])
-	p.take(end + 2)
-	return line, true, nil
-}
-
 // Requests parses the requests of one connection. After an error it is of no more use.
 type Requests struct {
 	parser
@@ -373,9 +124,9 @@
 		}
 		p.req = &Request{Method: method, Target: target, Header: h, Close: wantsClose(version, h)}
 	}
-	var whole bool
+	var complete bool
 	var err error
-	if p.req.Body, whole, err = p.body.read(&p.parser, p.req.Body); err != nil || !whole {
+	if p.req.Body, complete, err = p.body.read(&p.parser, p.req.Body); err != nil || !complete {
 		return nil, err
 	}
 	req := p.req
@@ -440,7 +191,7 @@
 }
 
 // Read returns what has come of the body after Head, and whether that was the rest of it.
-func (p *Responses) Read() (part []byte, whole bool, err error) {
+func (p *Responses) Read() (chunk []byte, complete bool, err error) {
 	return p.body.read(&p.parser, nil)
 }
 
@@ -456,51 +207,14 @@
 			return nil, &Error{Status: 413, Reason: "the body is too long"}
 		}
 	}
-	part, whole, err := p.Read()
+	chunk, complete, err := p.Read()
 	if err != nil {
 		return nil, err
 	}
-	if p.resp.Body = append(p.resp.Body, part...); !whole {
+	if p.resp.Body = append(p.resp.Body, chunk...); !complete {
 		return nil, nil
 	}
 	resp := p.resp
 	p.resp = nil
 	return resp, nil
 }
-
-// AppendRequest writes a request with a counted body.
-func AppendRequest(b []byte, method, target, host string, h Header, content []byte) []byte {
-	b = append(b, method...)
-	b = append(b, ' ')
-	b = append(b, target...)
-	b = append(b, " HTTP/1.1\r\nHost: "...)
-	b = append(b, host...)
-	b = append(b, "\r\n"...)
-	return appendRest(b, h, content, len(content) > 0 || method == "POST")
-}
-
-// AppendResponse writes a response with a counted body.
-func AppendResponse(b []byte, status int, h Header, content []byte) []byte {
-	b = append(b, "HTTP/1.1 "...)
-	b = strconv.AppendInt(b, int64(status), 10)
-	b = append(b, ' ')
-	b = append(b, reasons[status]...)
-	b = append(b, "\r\n"...)
-	return appendRest(b, h, content, status != 204)
-}
-
-func appendRest(b []byte, h Header, content []byte, counted bool) []byte {
-	for i := range h {
-		b = append(b, h[i].Name...)
-		b = append(b, ": "...)
-		b = append(b, h[i].Value...)
-		b = append(b, "\r\n"...)
-	}
-	if counted {
-		b = append(b, "Content-Length: "...)
-		b = strconv.AppendInt(b, int64(len(content)), 10)
-		b = append(b, "\r\n"...)
-	}
-	b = append(b, "\r\n"...)
-	return append(b, content...)
-}
--- a/balancer/platform/servertable/servertable.go
+++ b/balancer/platform/servertable/servertable.go
@@ -1,4 +1,3 @@
-// Package servertable keeps the server table, discovery's list of backend servers, by a watch on its changes.
 package servertable
 
 import (
@@ -25,15 +24,15 @@
 const (
 	// answerWithin bounds a call: discovery takes calls in turn, and one that waits too long fails there too.
 	answerWithin = 4 * time.Second
-	// silentFor is how long a watch may give no sign of life: an empty line comes every 2 s while nothing changes, and is missed by a
-	// second. What a silent watch misses counts as told 6 s after it fell silent. By then the next has to be there: the module's pause
-	// (up to 1.5 s), and a call that may have to wait its turn.
-	silentFor = 3 * time.Second
+	// watchTimeout is how long a watch may give no sign of life: an empty line comes every 2 s while nothing changes, and is
+	// missed by a second. What a silent watch misses counts as delivered 6 s after it fell silent. By then the next has to be there:
+	// the module's pause (up to 1.5 s), and a call that may have to wait its turn.
+	watchTimeout = 3 * time.Second
 
 	// Where lists are pushed the other side is an agent on this machine, which answers at once and at no cost: a call
-	// that gives nothing is made anew soon, since whatever the agent has counts as told. A line is missed by half a second.
-	agentAnswers = time.Second
-	agentSilent  = 2500 * time.Millisecond
+	// that gives nothing is made anew soon, since whatever the agent has counts as delivered. A line is missed by half a second.
+	agentAnswers      = time.Second
+	agentWatchTimeout = 2500 * time.Millisecond
 	// A call to an agent that failed is followed by the next after renewLeast, doubled up to renewMost: an agent is
 	// silent while discovery is down, and may be away itself.
 	renewLeast, renewMost = 50 * time.Millisecond, 400 * time.Millisecond
@@ -77,7 +76,7 @@
 
 // List returns the whole list as it stands, in discovery's form, for Recall.
 func (t *Table) List() ([]byte, error) {
-	l := list{Seq: t.seq, Whole: true, Hosts: slices.Collect(maps.Values(t.servers))}
+	l := list{Seq: t.seq, Full: true, Hosts: slices.Collect(maps.Values(t.servers))}
 	slices.SortFunc(l.Hosts, func(a, b host) int { return strings.Compare(a.Host, b.Host) })
 	return json.Marshal(l)
 }
@@ -85,7 +84,7 @@
 // list is discovery's form of a list.
 type list struct {
 	Seq   int64  `json:"seq"`
-	Whole bool   `json:"whole"`
+	Full  bool   `json:"whole"`
 	Hosts []host `json:"hosts"`
 }
 
@@ -127,13 +126,22 @@
 	switch {
 	case cached:
 		kind = ravendale.Cached
-	case l.Whole:
+	case l.Full:
 		kind = ravendale.Full
 	}
 	t.seq = l.Seq
 	if kind != ravendale.Delta {
 		t.known.Store(true)
 	}
+	entries := t.update(&l, l.Full && !cached)
+	t.logList(kind, entries)
+	t.o.Listed(kind, entries)
+	return nil
+}
+
+// update brings the table up to a list, and returns what the module is to hear. Of a complete list, unless it is the one that was last
+// held, a server that it lacks was removed, which whoever holds a dispatch to it must hear.
+func (t *Table) update(l *list, removes bool) []ravendale.Entry {
 	entries := make([]ravendale.Entry, 0, len(l.Hosts))
 	listed := make(map[string]bool, len(l.Hosts))
 	for i := range l.Hosts {
@@ -148,8 +156,7 @@
 		}
 		entries = append(entries, e)
 	}
-	if l.Whole && !cached {
-		// A server that a whole list lacks has gone, which whoever holds a dispatch to it must hear.
+	if removes {
 		for name := range t.servers {
 			if !listed[name] {
 				delete(t.servers, name)
@@ -157,18 +164,21 @@
 			}
 		}
 	}
-	if t.o.Log.Enabled(context.Background(), slog.LevelDebug) {
-		t.o.Log.Debug("list", "change", kind, "entries", len(entries))
-		for i := range entries {
-			word := "joins"
-			if entries[i].State != ravendale.Ready {
-				word = "leaves"
-			}
-			t.o.Log.Debug(word, "server", entries[i].Worker)
+	return entries
+}
+
+func (t *Table) logList(kind ravendale.ListKind, entries []ravendale.Entry) {
+	if !t.o.Log.Enabled(context.Background(), slog.LevelDebug) {
+		return
+	}
+	t.o.Log.Debug("list", "change", kind, "entries", len(entries))
+	for i := range entries {
+		change := "joins"
+		if entries[i].State != ravendale.Ready {
+			change = "leaves"
 		}
+		t.o.Log.Debug(change, "server", entries[i].Worker)
 	}
-	t.o.Listed(kind, entries)
-	return nil
 }
 
 func (t *Table) entry(h *host) ravendale.Entry {
@@ -239,11 +249,11 @@
 }
 
 // within is one of two times: where lists are asked for, and where they are pushed.
-func (t *Table) within(asked, pushed time.Duration) time.Duration {
+func (t *Table) within(requested, pushed time.Duration) time.Duration {
 	if t.o.Pushed {
 		return pushed
 	}
-	return asked
+	return requested
 }
 
 // Seq is the version of the list that is held, 0 for none.
@@ -256,7 +266,7 @@
 func (t *Table) Move(discovery string) { t.o.Discovery = discovery }
 
 // Follow has the list come from another address from now on. The watch on the old one is not waited for, and its end
-// is no failure: a pause before the new call could outlast the time after which news counts as told.
+// is no failure: a pause before the new call could outlast the time after which an update counts as delivered.
 // The list held stands until the new service speaks. It is asked for the whole list, since versions are one
 // service's own count.
 func (t *Table) Follow(discovery string) {
@@ -299,16 +309,16 @@
 			return
 		}
 		w.begun = true
-		w.expect(w.t.within(silentFor, agentSilent))
+		w.expect(w.t.within(watchTimeout, agentWatchTimeout))
 	}
-	part, whole, err := w.in.Read()
+	chunk, complete, err := w.in.Read()
 	if err != nil {
 		w.fail(err.Error())
 		return
 	}
-	w.list.feed(part)
+	w.list.feed(chunk)
 	w.take()
-	if whole && w.t.watch == w {
+	if complete && w.t.watch == w {
 		w.fail("ended")
 	}
 }
@@ -332,7 +342,7 @@
 			w.t.o.Listed(ravendale.Delta, nil) // nothing has changed: that is an answer too
 		}
 		w.heard, w.t.failing, w.t.again = true, false, renewLeast
-		w.expect(w.t.within(silentFor, agentSilent))
+		w.expect(w.t.within(watchTimeout, agentWatchTimeout))
 	}
 }
 
--- a/edge/ingress/ingress_test.go
+++ b/edge/ingress/ingress_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"bufio"
+	"context"
 	"fmt"
 	"io"
 	"net"
@@ -31,7 +32,7 @@
 	find     func(id string, body bool) (*wire.FindReply, error)
 }
 
-func (q *fakeQueue) PutWithin(m *wire.Message, dispatch bool, limits queueclient.Limits) queueclient.Result {
+func (q *fakeQueue) Put(m *wire.Message, dispatch bool, limits queueclient.Limits) queueclient.Result {
 	if q.blocked != nil {
 		<-q.blocked
 	}
@@ -80,9 +81,9 @@
 	s.server.SetLimits(catalog.Limits{MaxHeaderBytes: 8192, MaxBodyBytes: 1000, HeaderTimeoutMs: 300, IdleTimeoutMs: 400})
 	require.NoError(t, s.server.Listen("127.0.0.1:0"))
 	t.Cleanup(func() {
-		done := make(chan struct{})
-		time.AfterFunc(time.Second, func() { close(done) })
-		s.server.Close(done)
+		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
+		defer cancel()
+		s.server.Shutdown(ctx)
 	})
 	return s
 }
@@ -136,7 +137,7 @@
 
 const head = "POST /p/x HTTP/1.1\r\nHost: a.example\r\nRequest-Id: r1\r\n"
 
-func TestMessageIsTaken(t *testing.T) {
+func TestMessageIsAccepted(t *testing.T) {
 	s := newSite(t)
 	got := s.ask(t, "POST /p/q/a%2Fb/../c//d?x=%20&y HTTP/1.1\r\nHost: a.example:80\r\nRequest-Id: r1\r\nOrder-Key: k\r\n"+
 		"Content-Type: text/x\r\nDelay-Ms: 1500\r\nContent-Length: 5\r\n\r\nhello")
@@ -153,7 +154,7 @@
 	assert.True(t, s.queue.dispatch[0])
 }
 
-// UNASKED: the key is kept as it came, byte by byte, whether or not its route keeps an order.
+// UNASKED: the key is kept as it was sent, byte by byte, whether or not its route keeps an order.
 func TestOrderKeyIsKeptAsItWasSent(t *testing.T) {
 	const key = "K \xe9\xff,\t\"=;:%20/ k"
 	s := newSite(t)
@@ -215,7 +216,7 @@
 }
 
 // Whatever two readers may take for different requests is refused, and the connection ends: what follows is not a request.
-func TestSmugglingIsRefused(t *testing.T) {
+func TestSmugglingIsRejected(t *testing.T) {
 	const hidden = "POST /p/hidden HTTP/1.1\r\nHost: a.example\r\nRequest-Id: hidden\r\nContent-Length: 0\r\n\r\n"
 	cases := map[string]string{
 		"length and chunks":        head + "Content-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
@@ -320,7 +321,7 @@
 	}
 }
 
-func TestWhatWasNotKeptIsRefused(t *testing.T) {
+func TestRejectedPutIsUnavailable(t *testing.T) {
 	s := newSite(t)
 	s.queue.result = queueclient.Rejected
 	c := s.dial(t).send(head + "Content-Length: 0\r\n\r\n")
@@ -330,7 +331,7 @@
 	assert.Empty(t, got.header.Get("Msg-Id"))
 }
 
-func TestWhatMayBeKeptGetsNoAnswer(t *testing.T) {
+func TestUnknownPutGetsNoAnswer(t *testing.T) {
 	s := newSite(t)
 	s.queue.result = queueclient.Unknown
 	c := s.dial(t).send(head + "Content-Length: 0\r\n\r\n")
@@ -402,7 +403,7 @@
 	assert.Equal(t, http.StatusServiceUnavailable, ask("/v1/message-body/0.lost").status)
 }
 
-func TestCloseAnswersWhatIsInFlight(t *testing.T) {
+func TestShutdownAnswersWhatIsInFlight(t *testing.T) {
 	s := newSite(t)
 	s.queue.blocked = make(chan struct{})
 	idle, busy := s.dial(t), s.dial(t)
@@ -410,7 +411,7 @@
 	time.Sleep(30 * time.Millisecond)
 	closed := make(chan struct{})
 	go func() {
-		s.server.Close(make(chan struct{}))
+		s.server.Shutdown(context.Background())
 		close(closed)
 	}()
 	assert.True(t, idle.closed())
@@ -432,15 +433,15 @@
 	assert.True(t, got.last)
 }
 
-func TestCloseEndsWhenItMust(t *testing.T) {
+func TestShutdownEndsWithItsContext(t *testing.T) {
 	s := newSite(t)
 	s.queue.blocked = make(chan struct{})
 	defer close(s.queue.blocked)
 	s.dial(t).send(head + "Content-Length: 0\r\n\r\n")
 	time.Sleep(30 * time.Millisecond)
-	done := make(chan struct{})
-	close(done)
-	s.server.Close(done)
+	ctx, cancel := context.WithCancel(context.Background())
+	cancel()
+	s.server.Shutdown(ctx)
 }
 
 func TestReadiness(t *testing.T) {
--- a/internal/wire/fields.go
+++ b/internal/wire/fields.go
@@ -3,6 +3,7 @@
 import (
 	"encoding/base64"
 	"fmt"
+	"math"
 	"strconv"
 	"time"
 
@@ -16,10 +17,10 @@
 	err      error
 }
 
-// word takes the first part of the line.
-func (f *fields) word() (word []byte) {
-	word, f.rest = cut(f.rest, ' ')
-	return word
+// keyword takes the first part of the line.
+func (f *fields) keyword() (first []byte) {
+	first, f.rest = splitAt(f.rest, ' ')
+	return first
 }
 
 func (f *fields) next() bool {
@@ -27,7 +28,7 @@
 		return false
 	}
 	var pair []byte
-	pair, f.rest = cut(f.rest, ' ')
+	pair, f.rest = splitAt(f.rest, ' ')
 	for i, c := range pair {
 		if c == '=' {
 			f.key, f.val = pair[:i], pair[i+1:]
@@ -38,7 +39,7 @@
 	return false
 }
 
-func cut(b []byte, sep byte) (head, tail []byte) {
+func splitAt(b []byte, sep byte) (head, tail []byte) {
 	for i, c := range b {
 		if c == sep {
 			return b[:i], b[i+1:]
@@ -128,3 +129,21 @@
 	f.bad("outcome", f.val)
 	return ravendale.Error
 }
+
+// micros reads a time; what would overflow is no time.
+func micros(text string) (time.Duration, bool) {
+	v, err := strconv.ParseInt(text, 10, 64)
+	if err != nil || v > math.MaxInt64/1000 || v < math.MinInt64/1000 {
+		return 0, false
+	}
+	return time.Duration(v) * time.Microsecond, true
+}
+
+// number reads a finite number.
+func number(text string) (float64, bool) {
+	v, err := strconv.ParseFloat(text, 64)
+	if err != nil || math.IsNaN(v) || math.IsInf(v, 0) {
+		return 0, false
+	}
+	return v, true
+}
--- a/store/server/store.go
+++ b/store/server/store.go
@@ -1,5 +1,4 @@
-// Package store runs a queue.Core as a process: journal, clock, connections to edges and to other stores.
-package store
+package server
 
 import (
 	"errors"
@@ -20,22 +19,22 @@
 // Figures of a store.
 const (
 	journalFolder   = "journal"
-	bytesPerMessage = 500 // of memory, with all that goes along with a message
-	memoryPart      = 2   // messages in memory may take one in so many bytes of the process's limit
-	leastSegment    = 1 << 20
-	segmentsOfDisk  = 45
-	remembered      = 5 * time.Second // beyond the bound of the rules
-	connectWithin   = 300 * time.Millisecond
+	bytesPerMessage = 500 // of memory, with all that belongs to a message
+	memoryShare     = 2   // messages may take one in so many bytes of the process's memory
+	minSegmentBytes = 1 << 20
+	segmentsPerDisk = 45
+	retentionMargin = 5 * time.Second // finished messages are known for so much longer than statusS
+	connectTimeout  = 300 * time.Millisecond
 )
 
 // Config of a Store.
 type Config struct {
 	Settings      *settings.Settings
-	Disk          string // from Identity
-	Mux           *rpc.Mux
-	StatusChanged func()      // the control plane should be told Status soon
-	Failed        func(error) // the disk can't be trusted: the process must end
-	Log           *slog.Logger
+	Disk          string       // from Identity; OpenDisk sets it
+	Mux           *rpc.Mux     // gets the store's handlers
+	StatusChanged func()       // Status has changed in a way that the control plane waits for; may be nil
+	Failed        func(error)  // the disk can't be trusted: the process must end
+	Log           *slog.Logger // slog.Default if nil
 }
 
 // Store is the queue of one storage machine. Its methods may be called by any goroutine.
@@ -44,16 +43,19 @@
 	started time.Time
 	journal *journal.Journal
 
-	mu       sync.Mutex // guards the core and all below
-	core     *queue.Core
-	timer    *time.Timer
-	links    map[string]*rpc.Link // by disk
-	notified bool                 // StatusChanged is to be called once the lock is free
-	failure  error
-	closed   bool
+	mu            sync.Mutex // guards the core and all below
+	core          *queue.Core
+	timer         *time.Timer
+	links         map[string]*rpc.Link // by disk
+	statusChanged bool                 // StatusChanged is to be called once the lock is free
+	failure       error
+	closed        bool
+
+	tasks tasks
 }
 
-// Open reads the store's journal and registers its handlers. The store takes part in nothing before SetView.
+// Open reads the store's journal and registers its handlers. The store takes part in nothing before SetView. It fails with
+// journal.ErrDamaged for a damaged journal.
 func Open(config Config) (*Store, error) {
 	config.Log = logger(&config)
 	s := &Store{config: config, started: time.Now(), links: make(map[string]*rpc.Link)}
@@ -81,17 +83,17 @@
 	s := config.Settings
 	return queue.Config{
 		Disk: config.Disk, Zone: s.Zone, Copies: s.Copies(),
-		FinishedRetention: settings.Seconds(s.Bounds.StatusS) + remembered,
-		DiskBytes:         max(int64(s.DiskMb)<<20-asideBytes(s.DataDir), 0),
-		MaxMessages:       s.MemoryMb << 20 / memoryPart / bytesPerMessage,
+		FinishedRetention: settings.Seconds(s.Bounds.StatusS) + retentionMargin,
+		DiskBytes:         max(int64(s.DiskMb)<<20-quarantinedBytes(s.DataDir), 0),
+		MaxMessages:       s.MemoryMb << 20 / memoryShare / bytesPerMessage,
 		Log:               config.Log,
 	}
 }
 
 func (s *Store) recover() error {
-	options := journal.Options{OnSync: s.synced, OnError: s.fail, OnFull: s.full}
+	options := journal.Options{OnSync: s.onSync, OnError: s.fail, OnFull: s.onDiskFull}
 	if s.config.Settings.DiskMb > 0 {
-		options.SegmentBytes = min(max(s.config.Settings.DiskMb<<20/segmentsOfDisk, leastSegment), journal.DefaultSegmentBytes)
+		options.SegmentBytes = min(max(s.config.Settings.DiskMb<<20/segmentsPerDisk, minSegmentBytes), journal.DefaultSegmentBytes)
 	}
 	dir := filepath.Join(s.config.Settings.DataDir, journalFolder)
 	j, err := journal.Open(dir, options, func(at journal.Location, payload []byte) error {
@@ -111,31 +113,32 @@
 	return queue.Time{Steady: time.Since(s.started), UnixMs: time.Now().UnixMilli()}
 }
 
-// do runs f with the lock held.
-func (s *Store) do(f func(now queue.Time)) {
+// handle has the core handle an event, with the lock held, and calls back what it asked for once the lock is free.
+func (s *Store) handle(f func(now queue.Time)) {
 	s.mu.Lock()
 	if s.closed || s.failure != nil {
 		s.mu.Unlock()
 		return
 	}
 	f(s.now())
-	notified, failure := s.notified, s.failure
-	s.notified = false
+	statusChanged, failure := s.statusChanged, s.failure
+	s.statusChanged = false
 	s.mu.Unlock()
 	if failure != nil {
 		s.config.Failed(failure)
 	}
-	if notified && s.config.StatusChanged != nil {
+	if statusChanged && s.config.StatusChanged != nil {
 		s.config.StatusChanged()
 	}
 }
 
-func (s *Store) synced(position uint64) {
-	s.do(func(now queue.Time) { s.core.JournalSynced(now, position) })
+func (s *Store) onSync(position uint64) {
+	s.handle(func(now queue.Time) { s.core.JournalSynced(now, position) })
 }
 
-func (s *Store) full() { s.do(s.core.DiskFull) }
+func (s *Store) onDiskFull() { s.handle(s.core.DiskFull) }
 
+// fail ends the store's work as its disk has failed.
 func (s *Store) fail(err error) {
 	s.mu.Lock()
 	first := s.failure == nil && !s.closed
@@ -146,9 +149,9 @@
 	}
 }
 
-func (s *Store) tick() { s.do(s.core.Tick) }
+func (s *Store) tick() { s.handle(s.core.Tick) }
 
-// Status is what the control plane is told.
+// Status is what the store reports to the control plane.
 func (s *Store) Status() wire.StoreStatus {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -167,16 +170,16 @@
 	if view == nil {
 		return
 	}
-	s.do(func(now queue.Time) {
+	s.handle(func(now queue.Time) {
 		s.core.SetView(now, view)
 		s.updateLinks()
 	})
-	s.hurryLinks()
+	s.reconnectLinks()
 }
 
-// hurryLinks has links that are down connect at once: a store that is back takes part in a placement before its peers would
-// try again by themselves, and what they take meanwhile waits for it.
-func (s *Store) hurryLinks() {
+// reconnectLinks has links that are down connect at once: a store that has restarted is a member again before its peers would retry by themselves,
+// and what they accept meanwhile waits for it.
+func (s *Store) reconnectLinks() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, link := range s.links {
@@ -184,15 +187,16 @@
 	}
 }
 
-// SetEdges tells which schedulers there are.
+// SetEdges takes the members that the control plane names: a new primary waits until all edges have claimed.
 func (s *Store) SetEdges(members *wire.Members) {
 	if members == nil {
 		return
 	}
-	s.do(func(now queue.Time) { s.core.SetEdges(now, members.Edges) })
+	s.handle(func(now queue.Time) { s.core.SetEdges(now, members.Edges) })
 }
 
-// Close writes and syncs all that is queued.
+// Close closes the links, writes and syncs all that is queued, and waits for the store's goroutines. It fails if the journal does. Handlers
+// that are called afterwards do nothing.
 func (s *Store) Close() error {
 	s.mu.Lock()
 	s.timer.Stop()
@@ -206,6 +210,7 @@
 	s.mu.Lock()
 	s.closed = true
 	s.mu.Unlock()
+	s.tasks.wait()
 	return err
 }
 
@@ -214,14 +219,14 @@
 	if s.links == nil {
 		return
 	}
-	wanted := s.core.Peers()
+	peers := s.core.Peers()
 	for disk, link := range s.links {
-		if !slices.ContainsFunc(wanted, func(w wire.Store) bool { return w.Disk == disk && w.Address == link.Address() }) {
-			go link.Close()
+		if !slices.ContainsFunc(peers, func(w wire.Store) bool { return w.Disk == disk && w.Address == link.Address() }) {
+			s.tasks.start(link.Close)
 			delete(s.links, disk)
 		}
 	}
-	for _, other := range wanted {
+	for _, other := range peers {
 		if s.links[other.Disk] == nil {
 			s.links[other.Disk] = s.link(other.Disk, other.Address)
 		}
@@ -229,23 +234,25 @@
 }
 
 func (s *Store) link(disk, address string) *rpc.Link {
-	options := rpc.Options{Mux: s.answers(), ConnectTimeout: connectWithin}
-	return rpc.NewLink(address, options, func(c *rpc.Conn) { s.greet(c, disk) }, nil)
+	options := rpc.Options{Mux: s.memberAnswers(), ConnectTimeout: connectTimeout}
+	return rpc.NewLink(address, options, func(c *rpc.Conn) { s.handshake(c, disk) }, nil)
 }
 
-// greet makes sure that the other end has the disk that is meant.
-func (s *Store) greet(c *rpc.Conn, disk string) {
-	c.OnClose(func(error) { go s.do(func(now queue.Time) { s.core.PeerDown(now, c) }) })
+// handshake makes sure that the other end has the disk that is meant.
+func (s *Store) handshake(c *rpc.Conn, disk string) {
+	c.OnClose(func(error) {
+		s.tasks.start(func() { s.handle(func(now queue.Time) { s.core.PeerDown(now, c) }) })
+	})
 	c.Start(queue.MethodHello, &queue.Hello{From: s.config.Disk, To: disk}, func(payload []byte, err error) {
 		reply := new(queue.HelloReply)
 		if err == nil {
 			_, err = reply.UnmarshalMsg(payload)
 		}
 		if err != nil || !reply.Accepted {
-			go c.Close()
+			s.tasks.start(c.Close)
 			return
 		}
-		s.do(func(now queue.Time) {
+		s.handle(func(now queue.Time) {
 			if c.Err() == nil {
 				s.core.PeerUp(now, disk, c)
 			}
@@ -260,6 +267,6 @@
 	h.store.timer.Reset(max(steady-time.Since(h.store.started), 0))
 }
 
-func (h host) StatusChanged() { h.store.notified = true }
+func (h host) StatusChanged() { h.store.statusChanged = true }
 
 func (h host) Fail(err error) { h.store.failure = errors.Join(h.store.failure, err) }
--- a/test/emulator/doc.go
+++ b/test/emulator/doc.go
@@ -3,5 +3,5 @@
 //
 // The model is this project's own, after the figures that the operators gave of their points nodes: three speeds, slots
 // that share cores, a first-in-first-out queue whose head waits until it fits, a start at a part of the capacity that
-// rises evenly, and a fall under more work than a cold node can do.
+// rises evenly, and a failure under more work than a node in its slow start can do.
 package emulator
--- a/test/emulator/node.go
+++ b/test/emulator/node.go
@@ -20,12 +20,12 @@
 
 // Rules are what holds for all nodes of a fleet.
 type Rules struct {
-	SlowStartFrom float64       // a fresh node starts at this part of its capacity,
-	SlowStartFor  time.Duration // and has all of it after so long
-	FallMultiple  float64       // it falls when sent more than this multiple of what it can do
-	FallSpan      time.Duration // within so long
-	DownFor       time.Duration // a node that fell is gone for so long
-	StopsRunning  bool          // a cancel stops work that runs
+	SlowStartFrom    float64       // a fresh node starts at this part of its capacity,
+	SlowStartFor     time.Duration // and has all of it after so long
+	OverloadMultiple float64       // it falls when sent more than this multiple of what it can do
+	OverloadSpan     time.Duration // within so long
+	DownFor          time.Duration // a node that fell is gone for so long
+	StopsRunning     bool          // a cancel stops work that runs
 }
 
 // Job is what a node is asked to run.
@@ -43,7 +43,7 @@
 	Started NoticeKind = iota
 	Done
 	Rejected // unseen
-	Aborted  // the node fell, or was restarted
+	Lost     // the node fell, or was restarted
 )
 
 // Notice is one word of a node on a job.
@@ -52,7 +52,7 @@
 	ID   string
 }
 
-type queuedJob struct {
+type reserved struct {
 	Job
 	left float64 // seconds of work
 }
@@ -69,8 +69,8 @@
 	born    time.Duration // of its latest start; warm for ever if below 0
 	now     time.Duration
 	downTil time.Duration
-	running []queuedJob
-	waiting []queuedJob
+	running []reserved
+	waiting []reserved
 	slots   float64
 	recent  []sent // of the last FallSpan, while cold
 	worst   float64
@@ -91,14 +91,14 @@
 	return n.lose()
 }
 
-func (n *Node) lose() (notices []Notice) {
-	for _, list := range [][]queuedJob{n.running, n.waiting} {
+func (n *Node) lose() (notes []Notice) {
+	for _, list := range [][]reserved{n.running, n.waiting} {
 		for _, h := range list {
-			notices = append(notices, Notice{Aborted, h.ID})
+			notes = append(notes, Notice{Lost, h.ID})
 		}
 	}
 	n.running, n.waiting, n.slots = nil, nil, 0
-	return notices
+	return notes
 }
 
 // Warmth is the part of its capacity that the node has at a time.
@@ -133,9 +133,9 @@
 		return (to - from).Seconds()
 	}
 	warm := n.born + n.rules.SlowStartFor
-	slow := min(to, warm) - min(from, warm)
+	warming := min(to, warm) - min(from, warm)
 	mean := (n.Warmth(min(from, warm-1)) + n.Warmth(min(to, warm-1))) / 2
-	return slow.Seconds()*mean + (max(to, warm) - max(from, warm)).Seconds()
+	return warming.Seconds()*mean + (max(to, warm) - max(from, warm)).Seconds()
 }
 
 // advance does the work up to now; nothing may finish in between, which Next sees to.
@@ -151,30 +151,30 @@
 }
 
 // Offer hands the node a job.
-func (n *Node) Offer(now time.Duration, j Job) (notices []Notice) {
-	notices = n.Pass(now)
+func (n *Node) Offer(now time.Duration, j Job) (notes []Notice) {
+	notes = n.Pass(now)
 	if n.Down(now) {
-		return append(notices, Notice{Aborted, j.ID})
+		return append(notes, Notice{Lost, j.ID})
 	}
 	j.Slots = min(max(j.Slots, 1), n.kind.Slots)
-	if notices = append(notices, n.feed(j)...); n.Down(now) {
-		return append(notices, Notice{Aborted, j.ID})
+	if notes = append(notes, n.feed(j)...); n.Down(now) {
+		return append(notes, Notice{Lost, j.ID})
 	}
 	if len(n.waiting) >= n.kind.Queue && n.slots+j.Slots > n.kind.Slots {
-		return append(notices, Notice{Rejected, j.ID})
+		return append(notes, Notice{Rejected, j.ID})
 	}
-	n.waiting = append(n.waiting, queuedJob{j, j.Work.Seconds()})
-	return append(notices, n.fill()...)
+	n.waiting = append(n.waiting, reserved{j, j.Work.Seconds()})
+	return append(notes, n.fill()...)
 }
 
 // feed counts work sent to a cold node. The rule allows, in any window of FallSpan, FallMultiple times what the node can
 // do at present; a single job right after the start may be more than that alone, which no scheduler can avoid, so the
 // first job of a window is allowed for.
-func (n *Node) feed(j Job) (notices []Notice) {
-	if n.Warmth(n.now) >= 1 || n.rules.FallSpan <= 0 {
+func (n *Node) feed(j Job) (notes []Notice) {
+	if n.Warmth(n.now) >= 1 || n.rules.OverloadSpan <= 0 {
 		return nil
 	}
-	for len(n.recent) > 0 && n.recent[0].at <= n.now-n.rules.FallSpan {
+	for len(n.recent) > 0 && n.recent[0].at <= n.now-n.rules.OverloadSpan {
 		n.recent = n.recent[1:]
 	}
 	n.recent = append(n.recent, sent{n.now, j.Work.Seconds()})
@@ -182,7 +182,7 @@
 	for _, s := range n.recent {
 		sum += s.work
 	}
-	may := n.rules.FallMultiple * n.kind.Capacity() * n.Warmth(n.now) * n.rules.FallSpan.Seconds()
+	may := n.rules.OverloadMultiple * n.kind.Capacity() * n.Warmth(n.now) * n.rules.OverloadSpan.Seconds()
 	may = max(may, n.recent[0].work)
 	if n.worst = max(n.worst, sum/may); sum <= may || !n.fallsOn {
 		return nil
@@ -194,59 +194,59 @@
 }
 
 // fill starts what waits, in order, while the first of it fits.
-func (n *Node) fill() (notices []Notice) {
+func (n *Node) fill() (notes []Notice) {
 	for len(n.waiting) > 0 && n.slots+n.waiting[0].Slots <= n.kind.Slots {
 		h := n.waiting[0]
 		n.waiting = n.waiting[1:]
 		n.slots += h.Slots
 		n.running = append(n.running, h)
-		notices = append(notices, Notice{Started, h.ID})
+		notes = append(notes, Notice{Started, h.ID})
 	}
-	return notices
+	return notes
 }
 
 // Cancel gives a job up: one that waits is dropped, one that runs is stopped where Rules say so. It returns whether the
 // node held it, and what starts in its place.
-func (n *Node) Cancel(now time.Duration, id string) (was bool, notices []Notice) {
-	notices = n.Pass(now)
-	named := func(h queuedJob) bool { return h.ID == id }
+func (n *Node) Cancel(now time.Duration, id string) (was bool, notes []Notice) {
+	notes = n.Pass(now)
+	named := func(h reserved) bool { return h.ID == id }
 	if i := slices.IndexFunc(n.waiting, named); i >= 0 {
 		n.waiting = slices.Delete(n.waiting, i, i+1)
-		return true, append(notices, n.fill()...)
+		return true, append(notes, n.fill()...)
 	}
 	if i := slices.IndexFunc(n.running, named); i >= 0 {
 		if !n.rules.StopsRunning {
-			return true, notices
+			return true, notes
 		}
 		n.slots -= n.running[i].Slots
 		n.running = slices.Delete(n.running, i, i+1)
-		return true, append(notices, n.fill()...)
+		return true, append(notes, n.fill()...)
 	}
-	return false, notices
+	return false, notes
 }
 
 // tiny is less work than any clock here tells apart.
 const tiny = 1e-7
 
 // Pass lets time pass and tells what finished, and what started in its place, in order.
-func (n *Node) Pass(now time.Duration) (notices []Notice) {
+func (n *Node) Pass(now time.Duration) (notes []Notice) {
 	for {
 		at, any := n.Next()
 		if !any || at > now {
 			n.advance(now)
-			return notices
+			return notes
 		}
 		n.advance(at)
 		for i := 0; i < len(n.running); {
 			if h := n.running[i]; h.left <= tiny {
 				n.slots -= h.Slots
 				n.running = slices.Delete(n.running, i, i+1)
-				notices = append(notices, Notice{Done, h.ID})
+				notes = append(notes, Notice{Done, h.ID})
 				continue
 			}
 			i++
 		}
-		notices = append(notices, n.fill()...)
+		notes = append(notes, n.fill()...)
 	}
 }
 
