--- a/edge/ingress/compat_test.go
+++ b/edge/ingress/compat_test.go
@@ -110,17 +110,19 @@
 	require.NoError(t, err)
 	assert.Len(t, files, len(cases)+len(readinessCases), "each file has its case")
 	for name, c := range cases {
-		t.Run(name, func(t *testing.T) {
-			t.Parallel()
-			s := newSite(t)
-			s.queue.find = compatFind
-			if c.prepare != nil {
-				c.prepare(s)
-			}
-			got := atOneTime(allBytes(t, s.server.Address(), c.request))
-			assert.Equal(t, golden(t, name+".http"), got)
-		})
+		t.Run(name, func(t *testing.T) { keepsItsBytes(t, name, c.request, c.prepare) })
+	}
+}
+
+// keepsItsBytes compares the answers to a request, at a site that was prepared for it, with the golden file of a name.
+func keepsItsBytes(t *testing.T, name, request string, prepare func(s *site)) {
+	t.Parallel()
+	s := newSite(t)
+	s.queue.find = compatFind
+	if prepare != nil {
+		prepare(s)
 	}
+	assert.Equal(t, golden(t, name+".http"), atOneTime(allBytes(t, s.server.Address(), request)))
 }
 
 var readinessCases = map[string]struct {
--- a/edge/queueclient/fakestore_test.go
+++ b/edge/queueclient/fakestore_test.go
@@ -75,24 +75,26 @@
 		}
 		reply.Send(&wire.ReportReply{Code: code})
 	})
-	rpc.Handle(mux, wire.MethodFind, func(_ *rpc.Conn, m *wire.Find, reply rpc.Reply) {
-		s.mu.Lock()
-		defer s.mu.Unlock()
-		answer := &wire.FindReply{}
-		if s.find != nil {
-			answer = s.find(m)
-		}
-		if s.unsure {
-			reply.Fail(errors.New("not under this placement"))
-		} else if answer != nil {
-			reply.Send(answer)
-		}
-	})
+	rpc.Handle(mux, wire.MethodFind, s.handleFind)
 	s.server = rpc.Serve(memory.listen(), rpc.Options{Mux: mux}, nil)
 	t.Cleanup(s.server.Close)
 	return s
 }
 
+func (s *fakeStore) handleFind(_ *rpc.Conn, m *wire.Find, reply rpc.Reply) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	answer := &wire.FindReply{}
+	if s.find != nil {
+		answer = s.find(m)
+	}
+	if s.unsure {
+		reply.Fail(errors.New("not under this placement"))
+	} else if answer != nil {
+		reply.Send(answer)
+	}
+}
+
 func send[T any, P interface {
 	*T
 	msgp.Marshaler
--- a/edge/worker/client_test.go
+++ b/edge/worker/client_test.go
@@ -83,11 +83,13 @@
 	return <-result
 }
 
+// Ends of answers to the request id-1.
+const (
+	complete = "Request-Id: id-1\r\nContent-Length: 2\r\n\r\nok"
+	mine     = "Request-Id: id-1\r\n"
+)
+
 func TestOutcomes(t *testing.T) {
-	const (
-		complete = "Request-Id: id-1\r\nContent-Length: 2\r\n\r\nok"
-		mine     = "Request-Id: id-1\r\n"
-	)
 	cases := map[string]struct {
 		answer string
 		want   Outcome
