--- a/cmd/ravendalectl/internal/document/diff.go
+++ b/cmd/ravendalectl/internal/document/diff.go
@@ -124,9 +124,9 @@
 }
 
 func compact(value json.RawMessage) string {
-	var out bytes.Buffer
-	if json.Compact(&out, value) != nil {
+	var compacted bytes.Buffer
+	if json.Compact(&compacted, value) != nil {
 		return string(value)
 	}
-	return out.String()
+	return compacted.String()
 }
--- a/cmd/ravendalectl/internal/document/document_test.go
+++ b/cmd/ravendalectl/internal/document/document_test.go
@@ -84,7 +84,7 @@
 	require.Empty(t, same)
 }
 
-func TestWhatHasNoNamesIsComparedWhole(t *testing.T) {
+func TestWhatHasNoNamesIsComparedAsOneValue(t *testing.T) {
 	changes, err := Diff([]byte(`{"routes":[{"name":"a"},{"name":"a"}]}`), []byte(`{"routes":null}`))
 	require.NoError(t, err)
 	require.Equal(t, []Change{{"routes", `[{"name":"a"},{"name":"a"}]`, "null"}}, changes)
--- a/cmd/ravendalectl/main_test.go
+++ b/cmd/ravendalectl/main_test.go
@@ -91,7 +91,7 @@
 		Core: status.Core{Epoch: 2, Voters: []status.Voter{{Disk: "1f", Address: "10.0.0.1:7000", Zone: "z"}}, Chain: []string{"1f"}, RequiredVoters: 3},
 	}
 	if c.leads {
-		s.Members = status.MembersOf([]wire.Edge{{Zone: "z", Ready: true}}, []status.Lease{{Zone: "z", Epoch: 3, Pending: 12}}, 4)
+		s.Members = status.MembersOf([]wire.Edge{{Zone: "z", Ready: true}}, []status.StoreLease{{Zone: "z", Epoch: 3, Pending: 12}}, 4)
 	}
 	return s
 }
--- a/control/leader/status.go
+++ b/control/leader/status.go
@@ -29,9 +29,9 @@
 
 func (t *term) count() *status.Members {
 	stores := t.leases.registry.Stores()
-	leases := make([]status.Lease, len(stores))
+	leases := make([]status.StoreLease, len(stores))
 	for i := range stores {
-		leases[i] = status.Lease{
+		leases[i] = status.StoreLease{
 			Zone: stores[i].Member.Zone, Leaving: stores[i].Member.Leaving,
 			Epoch: stores[i].Status.Epoch, Pending: stores[i].Status.Pending,
 		}
--- a/control/status/status.go
+++ b/control/status/status.go
@@ -92,8 +92,8 @@
 	Pending uint64 `json:"pending"` // messages that have not ended, each copy counted
 }
 
-// Lease is a store that holds a lease, as the leader knows it.
-type Lease struct {
+// StoreLease is a store that holds a lease, as the leader knows it.
+type StoreLease struct {
 	Zone    string
 	Leaving bool
 	Epoch   uint64
@@ -156,7 +156,7 @@
 }
 
 // MembersOf counts members by zone. Epoch is that of the placement.
-func MembersOf(edges []wire.Edge, stores []Lease, epoch uint64) *Members {
+func MembersOf(edges []wire.Edge, stores []StoreLease, epoch uint64) *Members {
 	return &Members{Edges: countEdges(edges), Stores: countStores(stores, epoch)}
 }
 
@@ -173,7 +173,7 @@
 	return inOrder(zones, func(name string, count *Edges) { count.Zone = name })
 }
 
-func countStores(stores []Lease, epoch uint64) []Stores {
+func countStores(stores []StoreLease, epoch uint64) []Stores {
 	zones := make(map[string]*Stores)
 	for _, store := range stores {
 		zone := at(zones, store.Zone)
--- a/control/status/status_test.go
+++ b/control/status/status_test.go
@@ -48,7 +48,7 @@
 
 func TestMembersAreCountedByZone(t *testing.T) {
 	edges := []wire.Edge{{Zone: "b", Ready: true}, {Zone: "a"}, {Zone: "b", Ready: true}, {Zone: "b"}}
-	stores := []Lease{{Zone: "a", Epoch: 4, Pending: 3}, {Zone: "a", Epoch: 3, Pending: 2}, {Zone: "a", Epoch: 4, Leaving: true}}
+	stores := []StoreLease{{Zone: "a", Epoch: 4, Pending: 3}, {Zone: "a", Epoch: 3, Pending: 2}, {Zone: "a", Epoch: 4, Leaving: true}}
 	require.Equal(t, &Members{
 		Edges:  []Edges{{Zone: "a", NotReady: 1}, {Zone: "b", Ready: 2, NotReady: 1}},
 		Stores: []Stores{{Zone: "a", Live: 3, Leaving: 1, Behind: 1, Pending: 5}},
