--- a/control/placement/former.go
+++ b/control/placement/former.go
@@ -12,21 +12,21 @@
 	}
 }
 
-func (p *assignment) dropWiped() {
+func (a *assignment) dropWiped() {
 	wiped := func(s *store) bool { return s.wiped }
-	p.covered = p.covered && !slices.ContainsFunc(p.former, wiped)
-	p.replicas = without(p.replicas, wiped)
-	p.joining = without(p.joining, wiped)
-	p.former = without(p.former, wiped)
+	a.covered = a.covered && !slices.ContainsFunc(a.former, wiped)
+	a.replicas = without(a.replicas, wiped)
+	a.joining = without(a.joining, wiped)
+	a.former = without(a.former, wiped)
 }
 
 // mayRebuild says whether a partition must do without its complete replicas. Former members that will come back are waited for.
-func (p *assignment) mayRebuild() bool {
+func (a *assignment) mayRebuild() bool {
 	live := func(s *store) bool { return s.live }
-	if len(p.former) > 0 && len(without(slices.Concat(p.former, p.joining), live)) > 0 {
+	if len(a.former) > 0 && len(without(slices.Concat(a.former, a.joining), live)) > 0 {
 		return false
 	}
-	return len(p.replicas) == 0 || p.covered && p.unavailable()
+	return len(a.replicas) == 0 || a.covered && a.unavailable()
 }
 
 // sparesStalled says whether enough stores can write to do without those that can't. Else they are waited for: what fewer than Copies
@@ -38,23 +38,23 @@
 
 // dropDead takes out the members that don't live, and with spares those that can't write, as long as another complete one can. What they
 // have counts until enough others are complete.
-func (p *assignment) dropDead(spares bool) {
+func (a *assignment) dropDead(spares bool) {
 	works := func(s *store) bool { return s.live && !s.stalled }
-	spares = spares && slices.ContainsFunc(p.replicas, works)
-	dead := func(s *store) bool { return !s.live || s.stalled && (spares || slices.Contains(p.joining, s)) }
-	for _, s := range p.replicas {
+	spares = spares && slices.ContainsFunc(a.replicas, works)
+	dead := func(s *store) bool { return !s.live || s.stalled && (spares || slices.Contains(a.joining, s)) }
+	for _, s := range a.replicas {
 		if dead(s) {
-			p.covered = true
-			p.addFormer(s)
+			a.covered = true
+			a.addFormer(s)
 		}
 	}
-	for _, s := range p.joining {
+	for _, s := range a.joining {
 		if dead(s) {
-			p.addFormer(s)
+			a.addFormer(s)
 		}
 	}
-	p.replicas = without(p.replicas, dead)
-	p.joining = without(p.joining, dead)
+	a.replicas = without(a.replicas, dead)
+	a.joining = without(a.joining, dead)
 }
 
 // rebuild is for a partition all complete replicas of which have lost their disks: what former members have and joining ones got is all
@@ -83,9 +83,9 @@
 	partition.unsure = len(partition.former) > 0
 }
 
-func (p *assignment) addFormer(s *store) {
-	if !slices.Contains(p.former, s) {
-		p.former = append(p.former, s)
+func (a *assignment) addFormer(s *store) {
+	if !slices.Contains(a.former, s) {
+		a.former = append(a.former, s)
 	}
 }
 
@@ -106,10 +106,10 @@
 }
 
 // clearRejoined notes the former members that are complete now: each has given an unsure primary what it has.
-func (p *assignment) clearRejoined() {
-	p.former = without(p.former, func(s *store) bool { return slices.Contains(p.replicas, s) })
-	p.unsure = p.unsure && len(p.former) > 0
-	p.covered = p.covered && len(p.former) > 0
+func (a *assignment) clearRejoined() {
+	a.former = without(a.former, func(s *store) bool { return slices.Contains(a.replicas, s) })
+	a.unsure = a.unsure && len(a.former) > 0
+	a.covered = a.covered && len(a.former) > 0
 }
 
 // forgetFormer forgets the former members of partitions of which enough stores that stay are complete. An unsure primary needs all of them.
--- a/control/placement/plan.go
+++ b/control/placement/plan.go
@@ -28,6 +28,7 @@
 	return s.eligible() && !s.assumed || p.config.mutant.countUncertain && s.live && !s.Retiring
 }
 
+// assignment is the stores of one partition while the plan is made.
 type assignment struct {
 	replicas        []*store
 	joining         []*store
@@ -37,15 +38,15 @@
 	preferredRegion string   // the region where all copies should lie; empty where it does not matter
 }
 
-func (p *assignment) members() []*store { return slices.Concat(p.replicas, p.joining) }
+func (a *assignment) members() []*store { return slices.Concat(a.replicas, a.joining) }
 
-func (p *assignment) has(s *store) bool {
-	return slices.Contains(p.replicas, s) || slices.Contains(p.joining, s)
+func (a *assignment) has(s *store) bool {
+	return slices.Contains(a.replicas, s) || slices.Contains(a.joining, s)
 }
 
 // unavailable says that no complete replica lives: there is nothing to be done but wait.
-func (p *assignment) unavailable() bool {
-	return !slices.ContainsFunc(p.replicas, func(s *store) bool { return s.live })
+func (a *assignment) unavailable() bool {
+	return !slices.ContainsFunc(a.replicas, func(s *store) bool { return s.live })
 }
 
 // plan is a view being changed.
--- a/control/placement/regions.go
+++ b/control/placement/regions.go
@@ -6,8 +6,8 @@
 )
 
 // foreign says whether a store lies outside the region where all copies of the partition should lie.
-func (p *assignment) foreign(s *store) bool {
-	return p.preferredRegion != "" && s.Region != p.preferredRegion
+func (a *assignment) foreign(s *store) bool {
+	return a.preferredRegion != "" && s.Region != a.preferredRegion
 }
 
 // assignPreferredRegions gives each partition a preferred region, in proportion to the stores of each region, so that its copies need not wait for a
