--- a/balancer/fleet/agent/state.go
+++ b/balancer/fleet/agent/state.go
@@ -20,8 +20,8 @@
 // maxState bounds a state file, in bytes.
 const maxState = 4 << 20
 
-// ErrState is a state file that is torn, was changed, or is of another version.
-var ErrState = errors.New("no state of a fleet's member, or not whole")
+// errState is a state file that is torn, was changed, or is of another version.
+var errState = errors.New("no state of a fleet's member, or not whole")
 
 // saveState puts a state in the place of the one before, whole or not at all, and has it on the disk when it returns.
 func saveState(path string, s *fleet.State) (err error) {
@@ -79,10 +79,10 @@
 	head, text, found := bytes.Cut(b, []byte("\n"))
 	sum := sha256.Sum256(text)
 	if !found || len(b) > maxState || string(head) != stateMagic+" "+hex.EncodeToString(sum[:]) {
-		return s, ErrState
+		return s, errState
 	}
 	if err := json.Unmarshal(text, &s); err != nil {
-		return fleet.State{}, fmt.Errorf("%w: %w", ErrState, err)
+		return fleet.State{}, fmt.Errorf("%w: %w", errState, err)
 	}
 	return s, nil
 }
--- a/balancer/fleet/agent/state_test.go
+++ b/balancer/fleet/agent/state_test.go
@@ -33,10 +33,10 @@
 	for i := range text {
 		flipped := append([]byte(nil), text...)
 		flipped[i] ^= 1
-		if _, err := parseState(flipped); !errors.Is(err, ErrState) {
+		if _, err := parseState(flipped); !errors.Is(err, errState) {
 			t.Errorf("byte %d flipped: %v", i, err)
 		}
-		if _, err := parseState(text[:i]); !errors.Is(err, ErrState) {
+		if _, err := parseState(text[:i]); !errors.Is(err, errState) {
 			t.Errorf("cut at %d: %v", i, err)
 		}
 	}
--- a/balancer/fleet/link/link.go
+++ b/balancer/fleet/link/link.go
@@ -18,8 +18,8 @@
 	Reply
 )
 
-// MostUnwritten bounds what waits to be written to a peer that does not read, in bytes: messages beyond that are dropped.
-const MostUnwritten = 1 << 20
+// maxUnwritten bounds what waits to be written to a peer that does not read, in bytes: messages beyond that are dropped.
+const maxUnwritten = 1 << 20
 
 // purpose names what the frames are of, so that none of learning's is taken here.
 const purpose = "fleet"
@@ -92,7 +92,7 @@
 	if !l.up || l.closed {
 		return false
 	}
-	if l.net.Unwritten() > MostUnwritten {
+	if l.net.Unwritten() > maxUnwritten {
 		l.Dropped++
 		return false
 	}
--- a/balancer/fleet/link/link_test.go
+++ b/balancer/fleet/link/link_test.go
@@ -137,7 +137,7 @@
 // A peer that does not read costs a bounded buffer, not the process.
 func TestAPeerThatDoesNotReadIsNotWaitedFor(t *testing.T) {
 	a, _ := pair(keys, keys)
-	a.stuck = MostUnwritten + 1
+	a.stuck = maxUnwritten + 1
 	if a.l.Send(Message, []byte("x")) || a.l.Dropped != 1 || a.closed {
 		t.Errorf("dropped %d, ended %v", a.l.Dropped, a.closed)
 	}
--- a/balancer/knowledge/codec/codec.go
+++ b/balancer/knowledge/codec/codec.go
@@ -41,7 +41,7 @@
 func Read(b []byte) ([]knowledge.Item, error) {
 	c := cursor{b: b}
 	n := c.uvarint()
-	if n > uint64(len(b))/minItem || n > knowledge.MostItems {
+	if n > uint64(len(b))/minItem || n > knowledge.MaxItems {
 		return nil, ErrContent // guards against a count that asks for more memory than the frame has bytes
 	}
 	all := make([]knowledge.Item, 0, n)
--- a/balancer/knowledge/knowledge.go
+++ b/balancer/knowledge/knowledge.go
@@ -48,8 +48,8 @@
 	doubtAt = 0.1
 	// Unsure is how much older than it says an item may be: what it took to come, and clocks that count a little apart.
 	unsure = 50 * time.Millisecond
-	// MostItems bounds what is kept of one donor.
-	MostItems = 20_000
+	// MaxItems bounds what is kept of one donor.
+	MaxItems = 20_000
 )
 
 // Subject is what an item is about: a class or a zone by its name, or a server by its name and start.
@@ -112,7 +112,7 @@
 	}
 	for i := range items {
 		w := &items[i]
-		if !w.Sane() || len(d.claims) >= MostItems && d.claims[w.Subject] == nil {
+		if !w.Sane() || len(d.claims) >= MaxItems && d.claims[w.Subject] == nil {
 			refused++
 			d.doubt()
 			continue
--- a/balancer/knowledge/knowledge_test.go
+++ b/balancer/knowledge/knowledge_test.go
@@ -179,11 +179,11 @@
 
 func TestWhatIsKeptOfADonorIsBounded(t *testing.T) {
 	b := NewBase()
-	words := make([]Item, MostItems+5)
+	words := make([]Item, MaxItems+5)
 	for i := range words {
 		words[i] = Item{Subject{Kind: Run, Name: fmt.Sprint(i)}, 1, 1, 0}
 	}
-	if refused := b.Hear("a", 0, words); refused != 5 || len(b.Subjects()) != MostItems {
+	if refused := b.Hear("a", 0, words); refused != 5 || len(b.Subjects()) != MaxItems {
 		t.Errorf("%d refused, %d kept", refused, len(b.Subjects()))
 	}
 }
--- a/test/emulator/node.go
+++ b/test/emulator/node.go
@@ -12,7 +12,7 @@
 	Speed float64 // of a core, 1 for the reference
 	Cores float64
 	Slots float64 // jobs run in so many slots; with more slots than cores they share the cores
-	Queue int     // jobs that may wait; more are turned away
+	Queue int     // jobs that may wait; more are rejected
 }
 
 // Capacity is how many seconds of work a warm machine of that kind does in a second.
@@ -22,9 +22,9 @@
 type Rules struct {
 	SlowStartFrom    float64       // a fresh node starts at this part of its capacity,
 	SlowStartFor     time.Duration // and has all of it after so long
-	OverloadMultiple float64       // it falls when sent more than this multiple of what it can do
+	OverloadMultiple float64       // it fails when sent more than this multiple of what it can do
 	OverloadSpan     time.Duration // within so long
-	DownFor          time.Duration // a node that fell is gone for so long
+	DownFor          time.Duration // a node that failed is down for so long
 	StopsRunning     bool          // a cancel stops work that runs
 }
 
@@ -35,18 +35,18 @@
 	Slots float64
 }
 
-// NoticeKind says what a node tells of a job.
+// NoticeKind says what a node reports of a job.
 type NoticeKind uint8
 
-// What a node tells.
+// What a node reports.
 const (
 	Started NoticeKind = iota
 	Done
 	Rejected // unseen
-	Lost     // the node fell, or was restarted
+	Lost     // the node failed, or was restarted
 )
 
-// Notice is one word of a node on a job.
+// Notice is one report of a node on a job.
 type Notice struct {
 	Kind NoticeKind
 	ID   string
@@ -101,8 +101,8 @@
 	return notes
 }
 
-// Warmth is the part of its capacity that the node has at a time.
-func (n *Node) Warmth(at time.Duration) float64 {
+// warmUp is the part of its capacity that the node has at a time.
+func (n *Node) warmUp(at time.Duration) float64 {
 	if n.born < 0 || n.rules.SlowStartFor <= 0 || at-n.born >= n.rules.SlowStartFor {
 		return 1
 	}
@@ -127,14 +127,14 @@
 	return n.kind.Speed * min(1, n.kind.Cores/float64(len(n.running)))
 }
 
-// warmTime is the integral of the warmth from one time to another, in seconds.
+// warmTime is the integral of the warm-up from one time to another, in seconds.
 func (n *Node) warmTime(from, to time.Duration) float64 {
 	if n.born < 0 {
 		return (to - from).Seconds()
 	}
 	warm := n.born + n.rules.SlowStartFor
 	warming := min(to, warm) - min(from, warm)
-	mean := (n.Warmth(min(from, warm-1)) + n.Warmth(min(to, warm-1))) / 2
+	mean := (n.warmUp(min(from, warm-1)) + n.warmUp(min(to, warm-1))) / 2
 	return warming.Seconds()*mean + (max(to, warm) - max(from, warm)).Seconds()
 }
 
@@ -171,7 +171,7 @@
 // do at present; a single job right after the start may be more than that alone, which no scheduler can avoid, so the
 // first job of a window is allowed for.
 func (n *Node) feed(j Job) (notes []Notice) {
-	if n.Warmth(n.now) >= 1 || n.rules.OverloadSpan <= 0 {
+	if n.warmUp(n.now) >= 1 || n.rules.OverloadSpan <= 0 {
 		return nil
 	}
 	for len(n.recent) > 0 && n.recent[0].at <= n.now-n.rules.OverloadSpan {
@@ -182,7 +182,7 @@
 	for _, s := range n.recent {
 		sum += s.work
 	}
-	may := n.rules.OverloadMultiple * n.kind.Capacity() * n.Warmth(n.now) * n.rules.OverloadSpan.Seconds()
+	may := n.rules.OverloadMultiple * n.kind.Capacity() * n.warmUp(n.now) * n.rules.OverloadSpan.Seconds()
 	may = max(may, n.recent[0].work)
 	if n.worst = max(n.worst, sum/may); sum <= may || !n.fallsOn {
 		return nil
@@ -263,8 +263,8 @@
 	if warm := n.born + n.rules.SlowStartFor; n.born >= 0 && n.now < warm {
 		in := n.warmTime(n.now, warm)
 		if need <= in {
-			// Over a time t the warmth rises evenly from w by slope: need = w t + slope t^2 / 2.
-			w, slope := n.Warmth(n.now), (1-n.rules.SlowStartFrom)/n.rules.SlowStartFor.Seconds()
+			// Over a time t the warm-up rises evenly from w by slope: need = w t + slope t^2 / 2.
+			w, slope := n.warmUp(n.now), (1-n.rules.SlowStartFrom)/n.rules.SlowStartFor.Seconds()
 			t := need / w
 			if slope > 0 {
 				t = (math.Sqrt(w*w+2*slope*need) - w) / slope
--- a/test/emulator/node_test.go
+++ b/test/emulator/node_test.go
@@ -113,8 +113,8 @@
 		if n.Worst() <= 1 || n.Down(4*time.Second) != falls || (n.Falls() == 1) != falls {
 			t.Errorf("worst %v, down %v, falls %d", n.Worst(), n.Down(4*time.Second), n.Falls())
 		}
-		if falls && n.Warmth(9*time.Second) > 0.2 {
-			t.Errorf("it is back with %v of its capacity", n.Warmth(9*time.Second))
+		if falls && n.warmUp(9*time.Second) > 0.2 {
+			t.Errorf("it is back with %v of its capacity", n.warmUp(9*time.Second))
 		}
 	}
 }
