--- a/test/lab/experiment.go
+++ b/test/lab/experiment.go
@@ -30,16 +30,16 @@
 
 // RulesXML are emulator.Rules in a file, and the scheduler's grace on drains.
 type RulesXML struct {
-	ColdFrom     float64       `xml:"cold-from,attr"`
-	ColdFor      time.Duration `xml:"cold-for,attr"`
-	FallMultiple float64       `xml:"fall-multiple,attr"`
-	FallSpan     time.Duration `xml:"fall-span,attr"`
-	DownFor      time.Duration `xml:"down-for,attr"`
-	Drain        time.Duration `xml:"drain-within,attr"`
-	StopsRunning bool          `xml:"cancel-stops,attr"`
-	Falls        bool          `xml:"falls,attr"`     // an overfed cold node goes down; else it is only counted
-	Discovery    string        `xml:"discovery,attr"` // how lists come: "ask" (the default) or "push"
-	Attempts     int           `xml:"attempts,attr"`  // the most for a job, 6 if not given
+	SlowStartFrom float64       `xml:"cold-from,attr"`
+	SlowStartFor  time.Duration `xml:"cold-for,attr"`
+	FallMultiple  float64       `xml:"fall-multiple,attr"`
+	FallSpan      time.Duration `xml:"fall-span,attr"`
+	DownFor       time.Duration `xml:"down-for,attr"`
+	Drain         time.Duration `xml:"drain-within,attr"`
+	StopsRunning  bool          `xml:"cancel-stops,attr"`
+	Falls         bool          `xml:"falls,attr"`     // an overfed cold node goes down; else it is only counted
+	Discovery     string        `xml:"discovery,attr"` // how lists come: "ask" (the default) or "push"
+	Attempts      int           `xml:"attempts,attr"`  // the most for a job, 6 if not given
 }
 
 // Check implements xmlfile.Checker.
@@ -53,7 +53,7 @@
 }
 
 func (r *RulesXML) model() emulator.Rules {
-	return emulator.Rules{SlowStartFrom: r.ColdFrom, SlowStartFor: r.ColdFor, OverloadMultiple: r.FallMultiple, OverloadSpan: r.FallSpan,
+	return emulator.Rules{SlowStartFrom: r.SlowStartFrom, SlowStartFor: r.SlowStartFor, OverloadMultiple: r.FallMultiple, OverloadSpan: r.FallSpan,
 		DownFor: r.DownFor, StopsRunning: r.StopsRunning}
 }
 
@@ -211,7 +211,7 @@
 
 // ParseExperiment reads an experiment file.
 func ParseExperiment(file string, text []byte) (*Experiment, error) {
-	x := &Experiment{Seed: 1, Drivers: 1, Fleets: 1, Rules: RulesXML{ColdFrom: 0.13, ColdFor: 24 * time.Second, FallMultiple: 3,
+	x := &Experiment{Seed: 1, Drivers: 1, Fleets: 1, Rules: RulesXML{SlowStartFrom: 0.13, SlowStartFor: 24 * time.Second, FallMultiple: 3,
 		FallSpan: 2 * time.Second, DownFor: 5 * time.Second, Drain: 750 * time.Millisecond}}
 	if err := xmlfile.Read(file, text, "experiment", x); err != nil {
 		return nil, err
@@ -239,7 +239,7 @@
 		"balancers": 1, "me": 0, "dcs": sites, "locality": sites[0], "host-types": kinds, "discovery": cmp.Or(x.Rules.Discovery, "ask"),
 		"ceilings": map[string]any{"attempts-cap": cmp.Or(x.Rules.Attempts, 6), "connect-timeout-us": 250000, "idle-close-us": 5000000, "may-cancel": true,
 			"may-duplicate": true, "retry-after": true, "max-retry-after-us": 2000000},
-		"rules": map[string]any{"ask-every-us": 10000000, "cold-from": r.ColdFrom, "cold-us": r.ColdFor.Microseconds(),
+		"rules": map[string]any{"ask-every-us": 10000000, "cold-from": r.SlowStartFrom, "cold-us": r.SlowStartFor.Microseconds(),
 			"fall-multiple": r.FallMultiple, "fall-us": r.FallSpan.Microseconds(), "grace-to-answer-us": 8000,
 			"stop-sending-within-us": r.Drain.Microseconds()},
 		"specifics": map[string]any{"class-kind": kindOf, "class-stretch": stretch, "tells-start": true, "progress-us": 1000000},
--- a/test/lab/figures.go
+++ b/test/lab/figures.go
@@ -42,7 +42,7 @@
 	for i := range r.Fleet {
 		fl := &r.Fleet[i]
 		runs += fl.Runs
-		f["repeats"] += float64(fl.Repeats)
+		f["repeats"] += float64(fl.Duplicates)
 		f["unknown"] += float64(fl.Unknown)
 		for _, n := range fl.Nodes {
 			f["cold_worst"] = max(f["cold_worst"], n.Worst)
--- a/test/lab/fleet.go
+++ b/test/lab/fleet.go
@@ -43,12 +43,12 @@
 
 // FleetReport is what the nodes saw.
 type FleetReport struct {
-	Runs      int // jobs that began
-	Repeats   int // runs of an unsafe job beyond its first
-	Unknown   int // requests that make no sense
-	Late      time.Duration
-	Nodes     []NodeReport
-	Restarted []RestartReport
+	Runs       int // jobs that began
+	Duplicates int `json:"Repeats"` // runs of an unsafe job beyond its first
+	Unknown    int // requests that make no sense
+	Late       time.Duration
+	Nodes      []NodeReport
+	Restarted  []RestartReport
 }
 
 // NodeReport is what one node saw.
@@ -231,7 +231,7 @@
 			n.f.report.Runs++
 			if t.unsafe {
 				if n.f.ran[note.ID]++; n.f.ran[note.ID] > 1 {
-					n.f.report.Repeats++
+					n.f.report.Duplicates++
 				}
 			}
 			n.call(t, `{"id":"`+note.ID+`","from":"`+n.name+`","state":"started"}`)
--- a/test/lab/judge.go
+++ b/test/lab/judge.go
@@ -12,15 +12,15 @@
 
 // String says in a line what was expected, what was found, and whether it held.
 func (v Verdict) String() string {
-	word := "held"
+	verdict := "held"
 	switch {
 	case v.Held:
 	case v.Aim:
-		word = "MISSED (an aim)"
+		verdict = "MISSED (an aim)"
 	default:
-		word = "MISSED"
+		verdict = "MISSED"
 	}
-	return fmt.Sprintf("%-16s %s: %.4g", word, v.Text, v.Found)
+	return fmt.Sprintf("%-16s %s: %.4g", verdict, v.Text, v.Found)
 }
 
 // Judge compares what is expected with what was seen. What an experiment expects of a run that was not played is missed.
--- a/test/lab/run.go
+++ b/test/lab/run.go
@@ -54,13 +54,13 @@
 	return results, nil
 }
 
-func with(list []string, word string) []string {
+func with(list []string, name string) []string {
 	for _, w := range list {
-		if w == word {
+		if w == name {
 			return list
 		}
 	}
-	return append(list, word)
+	return append(list, name)
 }
 
 // config is a scheduler's file, in the platform's form.
--- a/test/lab/site.go
+++ b/test/lab/site.go
@@ -79,7 +79,7 @@
 }
 
 // act does one thing; out is called with a node once it is out by hand.
-func (s *site) act(a *ActXML, node string, out func(node string)) error {
+func (s *site) act(a *ActXML, node string, removed func(node string)) error {
 	switch a.Do {
 	case "reload":
 		return s.all[len(s.all)-1].cmd.Process.Signal(syscall.SIGHUP)
@@ -93,7 +93,7 @@
 		if err := s.call("POST", "/_workers/detach/"+node); err != nil {
 			return err
 		}
-		out(node)
+		removed(node)
 		time.Sleep(a.For + 50*time.Millisecond)
 		return s.call("POST", "/_workers/attach/"+node)
 	}
--- a/test/lab/whole_test.go
+++ b/test/lab/whole_test.go
@@ -41,13 +41,13 @@
 
 // A whole scheduler on several cores, on real sockets among nodes of which two are drained and begun anew: each request has
 // one answer, its own; nothing unrepeatable runs twice; and the race detector, when it looks on, sees nothing.
-func TestAWholeSchedulerOnSeveralCores(t *testing.T) {
+func TestACompleteSchedulerOnSeveralCores(t *testing.T) {
 	for _, cores := range []int{1, 3} {
-		t.Run(fmt.Sprint(cores), func(t *testing.T) { wholeScheduler(t, cores) })
+		t.Run(fmt.Sprint(cores), func(t *testing.T) { schedulerProcess(t, cores) })
 	}
 }
 
-func wholeScheduler(t *testing.T, cores int) {
+func schedulerProcess(t *testing.T, cores int) {
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
 	x, err := ParseExperiment("small", []byte(small))
 	if err != nil {
@@ -116,8 +116,8 @@
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	gone := make(chan error, 1)
-	go func() { gone <- n.Run(ctx) }()
+	removed := make(chan error, 1)
+	go func() { removed <- n.Run(ctx) }()
 	r := &Runner{}
 	if err := r.awaitReady(loop, engine, sched); err != nil {
 		t.Fatal(err)
@@ -129,12 +129,12 @@
 		t.Fatal(err)
 	}
 	cancel()
-	if err := <-gone; err != nil {
+	if err := <-removed; err != nil {
 		t.Error(err)
 	}
 	close(fleetStop)
 	fleet := <-fleetReport
-	if load.Served == 0 || load.Wrong+load.Extra+load.Unanswered+load.Broken > 0 || fleet.Repeats+fleet.Unknown > 0 || len(fleet.Restarted) != 2 {
+	if load.Served == 0 || load.Wrong+load.Extra+load.Unanswered+load.Broken > 0 || fleet.Duplicates+fleet.Unknown > 0 || len(fleet.Restarted) != 2 {
 		t.Errorf("clients saw %+v; nodes saw %+v", load, fleet)
 	}
 	if got := load.Served + load.Refused + load.Failed; got != load.Asked {
--- a/test/simulation/faults_test.go
+++ b/test/simulation/faults_test.go
@@ -66,8 +66,8 @@
 	{"clock_step", (*world).stepClocks},
 	{"srv_crash", (*world).crashServers},
 	{"release", (*world).release},
-	{"garble", func(w *world, _ string) { w.spoil(func(s *server, share int) { s.garbles = share }) }},
-	{"answer_lost", func(w *world, _ string) { w.spoil(func(s *server, share int) { s.lossy = share }) }},
+	{"garble", func(w *world, _ string) { w.breakServers(func(s *server, share int) { s.garbles = share }) }},
+	{"answer_lost", func(w *world, _ string) { w.breakServers(func(s *server, share int) { s.lossy = share }) }},
 }
 
 // later does something after a while, unless calm comes first: then it is not wanted any more.
@@ -88,14 +88,6 @@
 	return w.between(50*time.Millisecond, 4*time.Second)
 }
 
-// partitionSpan is how long a partition lasts: often so long that another leader has long led, and what it sent is old.
-func (w *world) partitionSpan() time.Duration {
-	if w.random.IntN(2) == 0 {
-		return w.between(6*time.Second, 20*time.Second)
-	}
-	return w.span()
-}
-
 func (w *world) anyControl() *machine {
 	controls := w.controls()
 	return controls[w.random.IntN(len(controls))].machine
@@ -257,298 +249,12 @@
 	})
 }
 
-// afterAckWipe has as many machines as may be lost lose their disks, and others of the core power.
-func (w *world) afterAckWipe(name string) {
-	if !w.complete() {
-		return
-	}
-	w.afterAck(func() {
-		if !w.complete() {
-			return
-		}
-		controls := w.controls()
-		w.random.Shuffle(len(controls), func(i, j int) { controls[i], controls[j] = controls[j], controls[i] })
-		for i, c := range controls {
-			if i < w.settings.faultTolerance {
-				w.losing()
-				c.end(true)
-				c.wipe()
-				w.took(name)
-				w.later(w.upTo(2*time.Second), c.machine.start)
-			} else if w.random.IntN(3) == 0 {
-				c.end(true)
-				w.later(w.upTo(time.Second), c.machine.start)
-			}
-		}
-	})
-}
-
-// losing notes that a disk of the core is lost, so that no other one is before the system has caught up.
-func (w *world) losing() {
-	if w.now-w.diskLostAt >= lossEvery {
-		w.disksLost = 0
-	}
-	w.diskLostAt = w.now
-	w.disksLost++
-}
-
-// replace has a control machine go for good, and an empty one come at another address.
-func (w *world) replace(name string, planned bool) {
-	if !w.complete() || w.replaced >= 2 {
-		return
-	}
-	w.replaced++
-	old := w.anyControl().program.(*control)
-	fresh := w.newControl(w.number(controlNet), old.zone, w.seedsNow(), false)
-	come := func() { fresh.machine.start() }
-	if planned {
-		come()
-		w.later(w.between(500*time.Millisecond, 3*time.Second), func() { w.retire(name, old) })
-		return
-	}
-	old.end(true)
-	w.remove(old)
-	w.took(name)
-	w.later(time.Second+w.upTo(time.Second), come)
-}
-
-// retire stops a control machine for good, once another may be lost.
-func (w *world) retire(name string, old *control) {
-	if old.incarnation == nil || w.spare() == 0 {
-		w.later(200*time.Millisecond, func() { w.retire(name, old) })
-		return
-	}
-	old.stop(name, 0, false)
-	old.removed = true
-	w.later(50*time.Millisecond, func() { w.remove(old) })
-}
-
-// remove takes a control machine away for good.
-func (w *world) remove(c *control) {
-	w.losing()
-	if c.incarnation != nil {
-		c.end(true)
-	}
-	c.removed = true
-	seeds := w.seedsNow()
-	for _, other := range w.controls() {
-		other.settings.Seeds = seeds
-	}
-	for _, p := range w.processes() {
-		p.settings.Seeds = seeds
-	}
-}
-
-// seedsNow are addresses of control machines that are there.
-func (w *world) seedsNow() []string {
-	var seeds []string
-	for _, c := range w.controls() {
-		if len(seeds) < 3 {
-			seeds = append(seeds, fmt.Sprintf("%s:%d", c.settings.IP, firstPort))
-		}
-	}
-	return seeds
-}
-
-// partitionFor holds a partition for a while.
-func (w *world) partitionFor(name string, side, others []*machine, oneWay bool) time.Duration {
-	if len(side) == 0 || len(others) == 0 {
-		return 0
-	}
-	w.took(name)
-	span := w.partitionSpan()
-	w.network.partition(side, others, oneWay, 1)
-	w.later(span, func() { w.network.partition(side, others, oneWay, -1) })
-	return span
-}
-
-// minority draws control machines, no more than may be lost now.
-func (w *world) minority() []*machine {
-	core := w.coreMachines()
-	most := min(w.spare(), (len(core)-1)/2)
-	if most == 0 {
-		return nil
-	}
-	w.random.Shuffle(len(core), func(i, j int) { core[i], core[j] = core[j], core[i] })
-	return core[:1+w.random.IntN(most)]
-}
-
-func without(all, some []*machine) []*machine {
-	var rest []*machine
-	for _, m := range all {
-		if !slices.Contains(some, m) {
-			rest = append(rest, m)
-		}
-	}
-	return rest
-}
-
-func (w *world) partitionCore(name string, oneWay, all bool) {
-	side := w.minority()
-	others := without(w.coreMachines(), side)
-	if all {
-		others = w.others(side)
-	}
-	if oneWay && w.random.IntN(2) == 0 {
-		side, others = others, side
-	}
-	w.partitionFor(name, side, others, oneWay)
-}
-
-// partitionNear cuts some off from the rest of the core and from all machines of other zones.
-func (w *world) partitionNear(name string) {
-	side := w.minority()
-	if len(side) == 0 {
-		return
-	}
-	var others []*machine
-	for _, m := range w.others(side) {
-		_, core := m.program.(*control)
-		if core || m.zone != side[0].zone {
-			others = append(others, m)
-		}
-	}
-	w.partitionFor(name, side, others, false)
-}
-
-// partitionLeader cuts the leader off from the core, and leaves it all others.
-func (w *world) partitionLeader(name string) {
-	if leader := w.leader(); leader != nil && w.spare() > 0 {
-		side := []*machine{leader.machine}
-		w.partitionFor(name, side, without(w.coreMachines(), side), w.random.IntN(4) == 0)
-	}
-}
-
-// lure has some members start anew with seeds that are partitioned.
-func (w *world) lure(name string) {
-	side := w.minority()
-	if w.partitionFor(name, side, without(w.coreMachines(), side), false) == 0 {
-		return
-	}
-	w.seed(side)
-	for _, p := range w.processes() {
-		if w.random.IntN(3) == 0 && p.incarnation != nil {
-			p.end(false)
-			w.later(w.upTo(500*time.Millisecond), p.machine.start)
-		}
-	}
-}
-
-// seed gives members the seeds of some control machines first.
-func (w *world) seed(first []*machine) {
-	var seeds []string
-	for _, m := range first {
-		seeds = append(seeds, fmt.Sprintf("%s:%d", m.program.(*control).settings.IP, firstPort))
-	}
-	for _, seed := range w.seedsNow() {
-		if !slices.Contains(seeds, seed) {
-			seeds = append(seeds, seed)
-		}
-	}
-	for _, p := range w.processes() {
-		p.settings.Seeds = seeds
-		if p.incarnation != nil && !p.frozen {
-			p.agent.SetSettings(&p.settings)
-		}
-	}
-}
-
-func (w *world) partitionSeeds(name string) {
-	side := w.minority()
-	if w.partitionFor(name, side, without(w.coreMachines(), side), false) == 0 {
-		return
-	}
-	w.seed(side)
-	for _, p := range w.processes() {
-		if w.random.IntN(2) == 0 && p.incarnation != nil {
-			p.end(false)
-			w.later(w.upTo(time.Second), p.machine.start)
-		}
-	}
-}
-
-// partitionBoth restarts those that are partitioned, and then the others of the core.
-func (w *world) partitionBoth(name string) {
-	side := w.minority()
-	others := without(w.coreMachines(), side)
-	if w.partitionFor(name, side, others, false) == 0 {
-		return
-	}
-	for _, m := range side {
-		m.end(false)
-		w.later(w.upTo(500*time.Millisecond), m.start)
-	}
-	w.later(time.Second, func() {
-		for _, m := range others {
-			m.end(false)
-			w.later(w.upTo(500*time.Millisecond), m.start)
-		}
-	})
-}
-
-func (w *world) partitionNode(name string, all bool) {
-	side := []*machine{w.anyProcess(w.random.IntN(3) > 0)}
-	others := w.coreMachines()
-	if all {
-		others = w.others(side)
-	}
-	w.partitionFor(name, side, others, w.random.IntN(4) == 0)
-}
-
-func (w *world) turnSeeds(name string) {
-	w.took(name)
-	w.seed([]*machine{w.anyControl()})
-}
-
-func (w *world) resetAll(name string) {
-	count := 0
-	for _, m := range slices.Clone(w.machines) {
-		if w.random.IntN(3) == 0 {
-			count += w.network.reset(m, 0.5)
-		}
-	}
-	if count > 0 {
-		w.took(name)
-	}
-}
-
-func (w *world) slowDisk(string) {
-	c := w.anyControl().program.(*control)
-	if !w.mayLose(c.machine) {
-		return
-	}
-	c.slowBy = w.between(20*time.Millisecond, 300*time.Millisecond)
-	c.harm()
-	w.later(w.span(), func() { c.slowBy = 0; c.harm() })
-}
-
-func (w *world) stallDisk(string) {
-	c := w.anyControl().program.(*control)
-	if !w.mayLose(c.machine) {
-		return
-	}
-	c.stalled = true
-	c.harm()
-	w.later(w.span(), func() { c.stalled = false; c.harm() })
-}
-
-func (w *world) loseAcks(string) {
-	w.ackLoss = 70
-	w.later(w.span(), func() { w.ackLoss = 0 })
-}
-
 func (w *world) raceThrice(string) {
 	for i := range 3 {
 		w.later(time.Duration(i)*w.upTo(time.Second), w.race)
 	}
 }
 
-func (w *world) lose(name string) {
-	w.took(name)
-	w.network.lossy = 1 + w.random.IntN(10)
-	w.later(w.upTo(2*time.Second), func() { w.network.lossy = 0; w.coreHarmed = w.now })
-}
-
 func (w *world) addEdge(name string) {
 	if len(w.machines) > 30 {
 		return
@@ -558,46 +264,6 @@
 	w.newProcess(number, w.zone(number), w.seedsNow(), true).machine.start()
 }
 
-func (w *world) storeMachines() []*machine {
-	var machines []*machine
-	for _, p := range w.processes() {
-		if !p.edge {
-			machines = append(machines, p.machine)
-		}
-	}
-	return machines
-}
-
-// wipeStore has a store lose its disk, if all partitions are complete without it.
-func (w *world) wipeStore(name string) {
-	p := w.anyProcess(false).program.(*process)
-	if p.incarnation == nil || p.frozen || w.unplaced(-1) != "" || w.now-w.wipedAt < lossEvery {
-		return
-	}
-	for _, other := range w.processes() {
-		if !other.edge && (other.incarnation == nil || other.frozen || other.stalled) {
-			return
-		}
-	}
-	w.took(name)
-	w.wipedAt = w.now
-	p.end(true)
-	p.wipe()
-	w.later(w.upTo(2*time.Second), p.machine.start)
-}
-
-func (w *world) slowStore(string) {
-	p := w.anyProcess(false).program.(*process)
-	p.slowBy = w.between(20*time.Millisecond, 300*time.Millisecond)
-	w.later(w.span(), func() { p.slowBy = 0 })
-}
-
-func (w *world) stallStore(string) {
-	p := w.anyProcess(false).program.(*process)
-	p.stalled = true
-	w.later(w.span(), func() { p.stalled = false })
-}
-
 // stepClocks has the time of day jump on some machines, and back.
 func (w *world) stepClocks(name string) {
 	step := w.random.Int64N(4000) - 2000
@@ -641,7 +307,7 @@
 	})
 }
 
-func (w *world) spoil(set func(s *server, share int)) {
+func (w *world) breakServers(set func(s *server, share int)) {
 	for range 2 {
 		s := w.anyServer()
 		set(s, 5+w.random.IntN(20))
--- a/test/standin/workers/connection.go
+++ b/test/standin/workers/connection.go
@@ -181,11 +181,11 @@
 }
 
 func (c *conn) encode(id string, reply answer) []byte {
-	var out strings.Builder
-	out.WriteString("HTTP/1.1 " + strconv.Itoa(reply.status) + " " + http.StatusText(reply.status) + "\r\n")
+	var text strings.Builder
+	text.WriteString("HTTP/1.1 " + strconv.Itoa(reply.status) + " " + http.StatusText(reply.status) + "\r\n")
 	header := func(name, value string) {
 		if value != "" {
-			out.WriteString(name + ": " + value + "\r\n")
+			text.WriteString(name + ": " + value + "\r\n")
 		}
 	}
 	header(protocol.HeaderInstance, c.worker.id)
@@ -196,7 +196,7 @@
 	}
 	header("Keep-Alive", "timeout="+strconv.Itoa(int(c.worker.service.KeepAlive/time.Second)))
 	header("Content-Length", strconv.Itoa(len(reply.body)))
-	out.WriteString("\r\n")
-	out.Write(reply.body)
-	return []byte(out.String())
+	text.WriteString("\r\n")
+	text.Write(reply.body)
+	return []byte(text.String())
 }
