--- a/control/core/core_test.go
+++ b/control/core/core_test.go
@@ -234,7 +234,9 @@
 	full atomic.Bool
 }
 
-func newSmallDisk(t *testing.T) *smallDisk { return &smallDisk{OSFolder: slots.OSFolder(diskfolder.New(t))} }
+func newSmallDisk(t *testing.T) *smallDisk {
+	return &smallDisk{OSFolder: slots.OSFolder(diskfolder.New(t))}
+}
 
 // Open implements slots.Folder.
 func (d *smallDisk) Open(name string, size int64) (slots.File, error) {
