--- a/control/core/core_test.go
+++ b/control/core/core_test.go
@@ -131,7 +131,7 @@
 // soon bounds waits for what has to come, on a machine however busy: no verdict depends on how long it takes.
 const soon = 30 * time.Second
 
-// submit has a command applied. One that surely was not is submitted again: the process may not run yet, or the core not be founded.
+// submit has a command applied. One that surely was not is submitted again: the process may not run yet, or the core not be bootstrapped.
 func (p *process) submit(t *testing.T, command string) string {
 	ctx, cancel := context.WithTimeout(t.Context(), soon)
 	defer cancel()
@@ -234,7 +234,9 @@
 	full atomic.Bool
 }
 
-func newSmallDisk(t *testing.T) *smallDisk { return &smallDisk{OSFolder: slots.OSFolder(diskfolder.New(t))} }
+func newSmallDisk(t *testing.T) *smallDisk {
+	return &smallDisk{OSFolder: slots.OSFolder(diskfolder.New(t))}
+}
 
 // Open implements slots.Folder.
 func (d *smallDisk) Open(name string, size int64) (slots.File, error) {
