--- a/cmd/ravendale-control/control.go
+++ b/cmd/ravendale-control/control.go
@@ -47,12 +47,14 @@
 	var group sync.WaitGroup
 	group.Go(func() { _ = c.api.Serve(admin) }) // it fails only as its listener is closed
 	group.Go(func() { c.env.WatchSettings(running, c.plane.SetSettings) })
-	err = c.plane.Run(ctx)
+	if err := c.plane.Run(ctx); err != nil {
+		c.env.Log.Error("not listening for other processes", "error", err) // and the process ends with 0: docs/ROADMAP.md
+	}
 	stop()
 	shutdown, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 	defer cancel()
 	_ = c.api.Shutdown(shutdown) // what is under way at the end of its time is cut off
 	_ = admin.Close()            // Shutdown has closed it, unless Serve had not begun
 	group.Wait()
-	return err
+	return nil
 }
