--- a/edge/dispatch/action.go
+++ b/edge/dispatch/action.go
@@ -5,20 +5,20 @@
 	"ravendale/edge/worker"
 )
 
-// JobID names a message's stay with a decision module. Each submission to the module makes a new one.
+// JobID identifies one submission of a message to a decision module. Each submission gets a new ID.
 type JobID uint32
 
-// Action is one thing that the owner of a Core is to do.
+// Action is an action that the owner of a Core must execute.
 type Action interface{ action() }
 
-// Deliver requests an attempt. Its outcome is to be passed to Core.FinishAttempt.
+// Deliver requests a delivery attempt. Its outcome must be passed to Core.FinishAttempt.
 type Deliver struct {
 	Job      JobID
 	Attempt  int
 	Delivery worker.Delivery
 }
 
-// Cancel requests that an attempt's connection be closed. Its outcome is passed to Core.FinishAttempt all the same.
+// Cancel requests that an attempt's connection be closed. The outcome must still be passed to Core.FinishAttempt.
 type Cancel struct {
 	Job     JobID
 	Attempt int
--- a/edge/dispatch/admission.go
+++ b/edge/dispatch/admission.go
@@ -7,7 +7,8 @@
 	"ravendale/cluster/wire"
 )
 
-// route finds a message's route and service in the newest configuration. Dropped reports that the message has no route any more.
+// route returns a message's route and service in the current configuration. dropped reports that the message has no
+// route and is to be dropped.
 func (c *Core) route(m *message) (route *catalog.Route, s *service, dropped bool) {
 	if c.index == nil {
 		return nil, nil, false
@@ -19,7 +20,9 @@
 	return route, c.services[route.Service], false
 }
 
-// admit submits a message that is due to its service's module, or has it wait for what is missing: workers, capacity or a token.
+// admit passes a message that is due to its service. It adds the message to the service's queue or, under a rate limit,
+// submits it to the service's module if there is a token, and else makes it wait for one. A message backs off if its
+// service has no workers, and is released if this edge has no share of the rate limit.
 func (c *Core) admit(m *message) {
 	if c.now >= m.expiresAt {
 		c.finish(m, wire.Report{Kind: wire.ReportExpired})
@@ -46,7 +49,7 @@
 	}
 }
 
-// withdraw takes a message back from its module, its service's queue or the wait for a token.
+// withdraw removes a message from its module, from its service's queue or from the messages that wait for a token.
 func (c *Core) withdraw(m *message) {
 	switch {
 	case m.phase == phaseRateLimited:
@@ -59,8 +62,8 @@
 	m.job, m.service = nil, nil
 }
 
-// sendRateLimited submits rate-limited messages while there are tokens.
-func (c *Core) sendRateLimited(s *service) {
+// submitRateLimited submits the messages that wait for a token, in their order, while there are tokens.
+func (c *Core) submitRateLimited(s *service) {
 	for len(s.rateLimited) > 0 && s.tokens != nil && s.openJobs < s.maxOpenJobs && s.tokens.take(c.now) {
 		m := s.rateLimited[0]
 		s.rateLimited = slices.Delete(s.rateLimited, 0, 1)
--- a/edge/dispatch/backlog.go
+++ b/edge/dispatch/backlog.go
@@ -6,26 +6,26 @@
 	"time"
 )
 
-// Backlog reports the state of one service's messages that are due and not completed. Each is counted once.
+// Backlog counts one service's messages that are due and not completed, by what they wait for. Each is counted once.
 type Backlog struct {
 	Service string
-	Oldest  time.Duration // since the oldest of them became due
+	Oldest  time.Duration // time since the oldest of them became due
 
-	KeyOrder    int // behind another message of their key order
-	BackingOff  int // between two attempts
+	KeyOrder    int // waiting for the preceding messages of their key order
+	BackingOff  int // waiting for the end of a pause: between attempts, or before a release
 	RateLimited int // waiting for a token of the service's rate limit
-	Queued      int // until the decision module has a worker for them
-	InFlight    int // an attempt is under way
+	Queued      int // waiting until the decision module has a worker for them
+	InFlight    int // an attempt is in flight
 
-	Workers    int // that may be sent to
-	Unhealthy  int // of these: unresponsive, or failed too often
-	AtCapacity int // of these: rejected a message within fullWindow
+	Workers    int // workers that may be sent to
+	Unhealthy  int // of the workers: unresponsive, or failed too often
+	AtCapacity int // of the workers: rejected a message within atCapacityWindow
 }
 
-// Backlogs returns, sorted by name, the services of which a message has been due for at least a time.
-func (c *Core) Backlogs(now time.Duration, due time.Duration) []Backlog {
+// Backlogs returns the services with a message that has been due for at least minAge, sorted by name.
+func (c *Core) Backlogs(now time.Duration, minAge time.Duration) []Backlog {
 	c.now = max(now, c.now)
-	found := make(map[*service]*Backlog)
+	byService := make(map[*service]*Backlog)
 	for _, m := range c.messages.byID {
 		if m.phase == phaseReported || m.notBefore > c.now {
 			continue
@@ -34,15 +34,15 @@
 		if s == nil {
 			continue
 		}
-		if found[s] == nil {
-			found[s] = &Backlog{Service: s.name}
+		if byService[s] == nil {
+			byService[s] = &Backlog{Service: s.name}
 		}
-		found[s].count(m, c.now)
+		byService[s].addMessage(m, c.now)
 	}
 	var overdue []Backlog
-	for s, b := range found {
-		if b.Oldest >= due {
-			s.describe(b, c.now)
+	for s, b := range byService {
+		if b.Oldest >= minAge {
+			s.countWorkers(b, c.now)
 			overdue = append(overdue, *b)
 		}
 	}
@@ -50,7 +50,7 @@
 	return overdue
 }
 
-func (b *Backlog) count(m *message, now time.Duration) {
+func (b *Backlog) addMessage(m *message, now time.Duration) {
 	b.Oldest = max(b.Oldest, now-m.notBefore)
 	switch {
 	case m.phase == phaseKeyOrder:
@@ -66,18 +66,18 @@
 	}
 }
 
-// describe adds what the service's module knows of its workers.
-func (s *service) describe(b *Backlog, now time.Duration) {
+// countWorkers fills in the counts of workers, from the state of the service's module.
+func (s *service) countWorkers(b *Backlog, now time.Duration) {
 	b.Workers = s.readyWorkers
 	for _, w := range s.module.Snapshot().Workers {
 		if w.UnhealthyUntil > now {
 			b.Unhealthy++
 		}
-		if w.Rejections > 0 && now-w.RejectedAt < fullWindow {
+		if w.Rejections > 0 && now-w.RejectedAt < atCapacityWindow {
 			b.AtCapacity++
 		}
 	}
 }
 
-// fullWindow is how long a worker counts as at capacity in a Backlog after it rejected a message.
-const fullWindow = 10 * time.Second
+// atCapacityWindow is how long a worker counts as at capacity in a Backlog after it rejected a message.
+const atCapacityWindow = 10 * time.Second
--- a/edge/dispatch/backlog_test.go
+++ b/edge/dispatch/backlog_test.go
@@ -9,43 +9,43 @@
 	"ravendale/edge/worker"
 )
 
-func TestBacklogsShowWhereMessagesStand(t *testing.T) {
-	w := newWorld(t)
-	w.accept("/s/", "running")
+func TestBacklogsCountMessagesByState(t *testing.T) {
+	h := newHarness(t)
+	h.accept("/s/", "running")
 	ordered := messageTo("/s/", "ordered")
 	ordered.Ordered = true
-	w.apply(w.core.Accept(w.now, ordered, false))
+	h.record(h.core.Accept(h.now, ordered, false))
 	broken := messageTo("/p/", "broken")
-	w.apply(w.core.Accept(w.now, broken, false))
-	for range 2 { // once more at once, then a pause
-		d := w.deliveries[len(w.deliveries)-1]
-		w.end(d, worker.Broken)
+	h.record(h.core.Accept(h.now, broken, false))
+	for range 2 { // the first retry is immediate, the second follows a pause
+		d := h.deliveries[len(h.deliveries)-1]
+		h.finishAttempt(d, worker.Broken)
 	}
 
-	assert.Empty(t, w.core.Backlogs(w.now, time.Millisecond), "nothing is due for so long")
-	w.now += 20 * ms
+	assert.Empty(t, h.core.Backlogs(h.now, time.Millisecond), "no message has been due for that long")
+	h.now += 20 * ms
 	assert.Equal(t, []Backlog{
 		{Service: "s", Oldest: 20 * ms, BackingOff: 1, Workers: 3},
 		{Service: "safe", Oldest: 20 * ms, InFlight: 1, KeyOrder: 1, Workers: 3},
-	}, w.core.Backlogs(w.now, 20*ms))
+	}, h.core.Backlogs(h.now, 20*ms))
 }
 
 func TestBacklogsCountWorkersAtCapacity(t *testing.T) {
-	w := newWorld(t)
-	w.accept("/s/", "m")
-	w.end(w.sent(), worker.AtCapacity)
-	w.end(w.sent(), worker.Unreachable)
-	w.now += ms
-	backlogs := w.core.Backlogs(w.now, ms)
+	h := newHarness(t)
+	h.accept("/s/", "m")
+	h.finishAttempt(h.takeDelivery(), worker.AtCapacity)
+	h.finishAttempt(h.takeDelivery(), worker.Unreachable)
+	h.now += ms
+	backlogs := h.core.Backlogs(h.now, ms)
 	assert.Len(t, backlogs, 1)
 	assert.Equal(t, 1, backlogs[0].AtCapacity)
 	assert.Equal(t, 1, backlogs[0].Unhealthy)
 }
 
-func TestDelayedMessagesAreNoBacklog(t *testing.T) {
-	w := newWorld(t)
+func TestBacklogsExcludeDelayedMessages(t *testing.T) {
+	h := newHarness(t)
 	m := messageTo("/s/", "m")
 	m.DelayMs = 5000
-	w.apply(w.core.Accept(w.now, m, false))
-	assert.Empty(t, w.core.Backlogs(w.now+4*time.Second, 0))
+	h.record(h.core.Accept(h.now, m, false))
+	assert.Empty(t, h.core.Backlogs(h.now+4*time.Second, 0))
 }
--- a/edge/dispatch/bucket.go
+++ b/edge/dispatch/bucket.go
@@ -4,22 +4,22 @@
 	"time"
 )
 
-// bucket is an edge's token bucket for a service. It starts empty, and again after each change of the share.
+// bucket is an edge's token bucket for a service. It starts empty, and a changed share gets a new bucket.
 type bucket struct {
 	share  rateShare
 	tokens float64
-	filled time.Duration
+	asOf   time.Duration // when tokens was last updated
 }
 
-func newBucket(share rateShare, now time.Duration) *bucket { return &bucket{share: share, filled: now} }
+func newBucket(share rateShare, now time.Duration) *bucket { return &bucket{share: share, asOf: now} }
 
-// fill adds the tokens that came since the last call.
+// fill adds the tokens that have accrued since the last call.
 func (b *bucket) fill(now time.Duration) {
-	b.tokens = min(b.share.Burst, b.tokens+b.share.Rate*(now-b.filled).Seconds())
-	b.filled = now
+	b.tokens = min(b.share.Burst, b.tokens+b.share.Rate*(now-b.asOf).Seconds())
+	b.asOf = now
 }
 
-// oneToken is how much of a token suffices: sums of fractions may miss one by a little.
+// oneToken is the amount that counts as a whole token: rounding may leave a sum of fractions slightly below 1.
 const oneToken = 1 - 1e-9
 
 // take takes a token, and reports whether there was one.
@@ -32,8 +32,8 @@
 	return true
 }
 
-// next returns when there is a token.
-func (b *bucket) next(now time.Duration) time.Duration {
+// nextToken returns when a token will be available.
+func (b *bucket) nextToken(now time.Duration) time.Duration {
 	b.fill(now)
 	if b.tokens >= oneToken {
 		return now
--- a/edge/dispatch/completions.go
+++ b/edge/dispatch/completions.go
@@ -6,13 +6,15 @@
 	"ravendale/cluster/wire"
 )
 
-// Completions are remembered up to a number, and for a time: long past that in which a store may grant again what was completed here.
+// Limits of the completions that are kept. completionTTL is far longer than the time in which a store may still grant a
+// message that was completed here.
 const (
 	maxCompletions = 4096
 	completionTTL  = time.Minute
 )
 
-// completions remembers the terminal reports of messages, so that none is run again if a store grants it again before it knows.
+// completions holds the terminal reports of messages that were completed here, so that a message is not run again if
+// its store grants it again before it has received the report.
 type completions struct {
 	reports map[string]wire.Report
 	order   []completion // oldest first
@@ -23,30 +25,30 @@
 	expiresAt time.Duration
 }
 
-// add remembers a message's terminal report; of several the first counts.
-func (e *completions) add(now time.Duration, report wire.Report) {
-	if _, known := e.reports[report.ID]; known {
+// add adds a message's terminal report. If there already is one, it is kept instead.
+func (c *completions) add(now time.Duration, report wire.Report) {
+	if _, known := c.reports[report.ID]; known {
 		return
 	}
-	if e.reports == nil {
-		e.reports = make(map[string]wire.Report)
+	if c.reports == nil {
+		c.reports = make(map[string]wire.Report)
 	}
-	e.reports[report.ID] = report
-	e.order = append(e.order, completion{report.ID, now + completionTTL})
-	e.expire(now)
+	c.reports[report.ID] = report
+	c.order = append(c.order, completion{report.ID, now + completionTTL})
+	c.expire(now)
 }
 
-func (e *completions) expire(now time.Duration) {
-	for len(e.order) > maxCompletions || len(e.order) > 0 && e.order[0].expiresAt <= now {
-		delete(e.reports, e.order[0].id)
-		e.order[0] = completion{}
-		e.order = e.order[1:]
+func (c *completions) expire(now time.Duration) {
+	for len(c.order) > maxCompletions || len(c.order) > 0 && c.order[0].expiresAt <= now {
+		delete(c.reports, c.order[0].id)
+		c.order[0] = completion{}
+		c.order = c.order[1:]
 	}
 }
 
-// find returns a message's terminal report, if it is remembered.
-func (e *completions) find(now time.Duration, id string) (wire.Report, bool) {
-	e.expire(now)
-	report, known := e.reports[id]
+// find returns a message's terminal report, and whether there is one.
+func (c *completions) find(now time.Duration, id string) (wire.Report, bool) {
+	c.expire(now)
+	report, known := c.reports[id]
 	return report, known
 }
--- a/edge/dispatch/config.go
+++ b/edge/dispatch/config.go
@@ -10,41 +10,41 @@
 // Config holds the options of a Core.
 type Config struct {
 	Topology        Topology
-	Window          time.Duration // of rate limits: see RateLimit
-	Overshoot       float64       // of rate limits: see RateLimit
-	ConvergenceTime time.Duration // a route that is missing here may be new: a granted message waits so long for it
-	MaxBodyBytes    int           // bytes of messages in memory; 0: no bound. A granted message beyond it is released
+	Window          time.Duration // of rate limits: see rateLimit
+	Overshoot       float64       // of rate limits: see rateLimit
+	ConvergenceTime time.Duration // how long a granted message waits for a missing route, which may be new and not known here yet
+	MaxBodyBytes    int           // limit on Core.MessageBytes; 0: no limit. A granted message in excess of it is released
 	Seed            uint64
 }
 
-// Topology is the edge's place among the edges of the system.
+// Topology describes this edge, its zone and the other edges of the system.
 type Topology struct {
-	Edge  string      // Member.ID of this edge
-	Zone  string      // of this edge
-	Zones []string    // all, in the same order everywhere
-	Edges []wire.Edge // all, this one included once it is known
+	Edge  string      // wire.Member.ID of this edge
+	Zone  string      // zone of this edge
+	Zones []string    // all zones, in the same order at all edges
+	Edges []wire.Edge // all edges, including this one once it is listed
 }
 
 // Delays and time-outs of the Core.
 const (
-	moduleTimeout     = 1500 * time.Millisecond // a module that has found no worker by then gives the message back
-	minBackoff        = 40 * time.Millisecond   // before a message that was not run is attempted again, doubling
+	moduleTimeout     = 1500 * time.Millisecond // a message is withdrawn from a module that has found no worker by then
+	minBackoff        = 40 * time.Millisecond   // before a message that was not run is attempted again; doubles each time
 	maxBackoff        = time.Second
-	minFailureBackoff = 150 * time.Millisecond // after the second failed attempt, doubling
+	minFailureBackoff = 150 * time.Millisecond // after the second failed attempt; doubles with each further one
 	maxFailureBackoff = 2 * time.Second
 	releaseDelay      = 15 * time.Millisecond  // before a message is released that may be granted again at once
-	tokenTTL          = 20 * time.Millisecond  // a token is spent by then, or discarded
-	maxTokenWait      = 300 * time.Millisecond // for a token: while it is longer, new messages are left to other edges
-	duplicateDelay    = 120 * time.Millisecond // while another attempt of the message is running
-	expiryMargin      = 500 * time.Millisecond // clocks of day differ, and no message may expire early
+	tokenTTL          = 20 * time.Millisecond  // a token that was not used by then is discarded
+	maxTokenWait      = 300 * time.Millisecond // while the wait for a token is longer, new messages are left to other edges
+	duplicateDelay    = 120 * time.Millisecond // before a retry, while another attempt of the message is running
+	expiryMargin      = 500 * time.Millisecond // wall clocks differ, and no message may expire early
 	forever           = 1000 * time.Hour
 )
 
-// messageOverhead is the memory that a message takes besides its body, in bytes.
+// messageOverhead is the memory that a message uses in addition to its body, in bytes.
 const messageOverhead = 700
 
-// deliverable reports whether a route's messages may be delivered under a configuration.
+// deliverable reports whether a route was found and its requests are messages.
 func deliverable(route *catalog.Route) bool { return route != nil && route.Type == DeferredType }
 
-// DeferredType is the type of the routes whose requests are messages, as the configuration names it.
+// DeferredType is the type, as written in the configuration, of routes whose requests are messages.
 const DeferredType = "deferred"
--- a/edge/dispatch/configure.go
+++ b/edge/dispatch/configure.go
@@ -12,9 +12,9 @@
 	"ravendale/cluster/wire"
 )
 
-// ApplyConfig puts a configuration in force. Messages whose route it lacks are dropped.
+// ApplyConfig puts a configuration in force. Messages that have no route in it are dropped.
 func (c *Core) ApplyConfig(now time.Duration, index *catalog.Index) []Action {
-	c.begin(now)
+	c.beginEvent(now)
 	c.index = index
 	services := index.Config().Services
 	named := make(map[string]bool, len(services))
@@ -24,23 +24,24 @@
 		c.configureService(&services[i])
 	}
 	c.removeServices(named)
-	c.followRoutes()
-	return c.end()
+	c.applyRoutes()
+	return c.endEvent()
 }
 
-// removeServices forgets the services that a configuration does not name.
+// removeServices removes the services that a configuration does not name.
 func (c *Core) removeServices(named map[string]bool) {
 	removed := func(s *service) bool { return !named[s.name] }
-	before := len(c.services)
+	previous := len(c.services)
 	maps.DeleteFunc(c.services, func(_ string, s *service) bool { return removed(s) })
-	if len(c.services) != before {
+	if len(c.services) != previous {
 		c.connectionsChanged = true
 		c.timed = slices.DeleteFunc(c.timed, removed)
 	}
 }
 
-// followRoutes drops messages whose route was removed, and withdraws those that wait for a service which their route leads away from.
-func (c *Core) followRoutes() {
+// applyRoutes drops messages whose route was removed, and reschedules those that wait for another service than that of
+// their current route. A message with an attempt in flight follows its route after the attempt.
+func (c *Core) applyRoutes() {
 	for _, m := range c.messages.byID {
 		if m.phase == phaseReported || m.phase == phaseSubmitted && m.job.isInFlight() {
 			continue
@@ -56,7 +57,7 @@
 	}
 }
 
-// configureService updates a service's state to the configuration.
+// configureService updates the state of a service to its configuration. A new service is added.
 func (c *Core) configureService(config *catalog.Service) {
 	s := c.services[config.Name]
 	switch {
@@ -78,7 +79,8 @@
 	c.applyRateLimit(s)
 }
 
-// newService makes the state of a service without workers; nil if its module can't be made, which no valid configuration brings about.
+// newService returns a service without workers, or nil if its module can't be created. No valid configuration causes
+// that.
 func (c *Core) newService(config *catalog.Service) *service {
 	settings := moduleSettings(config, &c.config.Topology, &c.edges)
 	module, err := ravendale.New(settings, c.config.Seed^xxhash.Sum64String(config.Name))
@@ -88,37 +90,38 @@
 	return &service{name: config.Name, module: module, settings: settings, edgesVersion: c.edges.version, timerAt: forever}
 }
 
-// updateSettings gives a service's module its settings, if they have changed.
+// updateSettings updates the settings of a service's module, if they have changed.
 func (c *Core) updateSettings(s *service) {
 	settings := moduleSettings(&s.config, &c.config.Topology, &c.edges)
 	if !sameSettings(&s.settings, &settings) {
-		_ = s.module.Retune(settings) // rejected, the old ones stay in force
+		_ = s.module.Retune(settings) // if the module rejects them, its old settings stay in force
 	}
 	s.settings, s.edgesVersion = settings, c.edges.version
 }
 
-// sameSettings compares what of a module's settings may change.
+// sameSettings compares the settings of a module that may change.
 func sameSettings(a, b *ravendale.Settings) bool {
 	return a.Dispatchers == b.Dispatchers && a.Me == b.Me && a.MaxAttempts == b.MaxAttempts && a.Classes[0] == b.Classes[0]
 }
 
-// updateWorkers notifies a module of its workers, and retries what waited for the first of them.
+// updateWorkers passes a service's workers to its module. If there were none to send to before, messages that back off
+// are retried.
 func (c *Core) updateWorkers(s *service) {
 	t := &c.config.Topology
 	workers := c.workersOf[s.name]
-	list, addresses := entries(&s.config, workers, &c.replaced, t)
+	list, addresses := moduleEntries(&s.config, workers, &c.replaced, t)
 	zone := slices.Index(t.Zones, t.Zone)
 	capacity := zoneCapacityOf(list, zone)
 	if s.endpoint == "" && capacity.sufficesForZone(&c.edges, t.Zone) {
-		capacity.isLocal = true
+		capacity.prefersLocal = true
 		preferLocalZone(list, zone)
 	}
 	s.capacity = capacity
 	if slices.Equal(list, s.entries) && sameAddresses(s.addresses, addresses) {
 		return
 	}
-	before := s.readyWorkers
-	s.capacities = capacities(workers, addresses)
+	previouslyReady := s.readyWorkers
+	s.capacities = workerCapacities(workers, addresses)
 	s.entries, s.addresses, s.readyWorkers = list, addresses, 0
 	for i := range list {
 		if list[i].State == ravendale.Ready {
@@ -127,7 +130,7 @@
 	}
 	c.connectionsChanged = true
 	c.queueEvent(s, ravendale.Event{Kind: ravendale.WorkersListed, List: ravendale.Full, Entries: list})
-	if before == 0 && s.readyWorkers > 0 {
+	if previouslyReady == 0 && s.readyWorkers > 0 {
 		c.retryNow(s)
 	}
 }
@@ -144,7 +147,7 @@
 	return true
 }
 
-// retryNow has a service's messages that back off attempted at once.
+// retryNow schedules the messages of a service that back off for an immediate attempt.
 func (c *Core) retryNow(s *service) {
 	for _, m := range c.messages.byID {
 		if m.phase != phaseDeferred || m.backoffs == 0 {
@@ -157,7 +160,7 @@
 	}
 }
 
-// applyRateLimit puts a service's rate limit in force, or lifts it.
+// applyRateLimit puts a service's rate limit in force, or removes it.
 func (c *Core) applyRateLimit(s *service) {
 	if s.config.RatePerS <= 0 {
 		s.tokens = nil
@@ -170,12 +173,13 @@
 		s.queue.messages = nil
 		c.pruneBacklogged()
 		s.senders = newSenderOrder(s.name, c.config.Topology.Edge)
-		s.senders.update(c.edges.all())
+		s.senders.update(c.edges.additions())
 	}
 	c.updateRateShare(s)
 }
 
-// updateRateShare sets a service's share of its rate limit. The bucket of a new share is empty.
+// updateRateShare updates this edge's share of a service's rate limit. A changed share gets a new bucket, which is empty.
+// Without a share, the messages that wait for a token are released.
 func (c *Core) updateRateShare(s *service) {
 	s.maxOpenJobs = s.connectionCapacity()
 	share := c.rateShare(s)
@@ -189,25 +193,26 @@
 	}
 }
 
-// rateShare returns this edge's share of a service's rate limit. An edge that is not listed has none.
+// rateShare returns this edge's share of a service's rate limit. An edge that is not listed has no share.
 func (c *Core) rateShare(s *service) rateShare {
-	if c.edges.own < 0 {
+	if c.edges.ownIndex < 0 {
 		return rateShare{}
 	}
 	limit := rateLimit{RatePerS: s.config.RatePerS, Window: c.config.Window, Overshoot: c.config.Overshoot}
 	return limit.share(s.senders.position(&c.edges), len(c.edges.edges), c.edges.populatedZones())
 }
 
-// SetWorkers takes the platform's list of workers.
+// SetWorkers sets the workers, as listed by the platform.
 func (c *Core) SetWorkers(now time.Duration, workers *wire.Workers) []Action {
-	c.begin(now)
+	c.beginEvent(now)
 	c.workersOf = workersByService(workers)
 	c.replaced.retain(workers)
 	c.updateAllWorkers()
-	return c.end()
+	return c.endEvent()
 }
 
-// updateAllWorkers notifies the modules of services with workers on the platform's list. An endpoint is on none.
+// updateAllWorkers updates the workers of all services, and the limits that depend on them. An endpoint is not on the
+// platform's list.
 func (c *Core) updateAllWorkers() {
 	for _, s := range c.configured {
 		c.updateConnections(s)
@@ -220,7 +225,8 @@
 	}
 }
 
-// excludeReplaced excludes a worker whose address another has, whatever the list says: a worker that starts again has another name.
+// excludeReplaced excludes a worker at whose address another one was found, even though it is listed: a worker that
+// restarts gets a new name.
 func (c *Core) excludeReplaced(s *service, name string) {
 	if c.services[s.name] != s || s.endpoint != "" || c.replaced.has(name) {
 		return
@@ -229,21 +235,22 @@
 	c.updateWorkers(s)
 }
 
-// SetEdges takes the edges that share the work.
+// SetEdges sets the edges that share the work.
 func (c *Core) SetEdges(now time.Duration, edges []wire.Edge) []Action {
-	c.begin(now)
+	c.beginEvent(now)
 	changes := c.edges.set(edges, c.config.Topology.Edge)
 	c.edgePeak.add(c.now, len(edges))
 	for _, s := range c.configured {
-		c.followEdges(s, changes)
+		c.applyEdgeChanges(s, changes)
 	}
-	return c.end()
+	return c.endEvent()
 }
 
-// followEdges updates what of a service depends on the edges. Its module learns of them before its next event: see queueEvent.
-func (c *Core) followEdges(s *service, changes []edgeChange) {
+// applyEdgeChanges updates the state of a service that depends on the edges. The settings of its module are updated
+// before the module's next event: see queueEvent.
+func (c *Core) applyEdgeChanges(s *service, changes []edgeChange) {
 	c.updateConnections(s)
-	if s.endpoint == "" && s.capacity.isLocal != s.capacity.sufficesForZone(&c.edges, c.config.Topology.Zone) {
+	if s.endpoint == "" && s.capacity.prefersLocal != s.capacity.sufficesForZone(&c.edges, c.config.Topology.Zone) {
 		c.updateWorkers(s)
 	}
 	if s.tokens != nil {
--- a/edge/dispatch/configure_test.go
+++ b/edge/dispatch/configure_test.go
@@ -12,114 +12,114 @@
 	"ravendale/edge/worker"
 )
 
-func TestRemovedRouteDropsItsMessages(t *testing.T) {
-	w := newWorld(t)
+func TestRemovedRouteDropsMessages(t *testing.T) {
+	h := newHarness(t)
 	delayed := messageTo("/p/", "1")
 	delayed.DelayMs = 5000
-	w.apply(w.core.Accept(w.now, delayed, false))
-	w.accept("/p/", "2")
-	running := w.sent()
-	w.config.Routes = w.config.Routes[1:]
-	w.configure()
-	assert.Equal(t, wire.Report{ID: "0.1", Kind: wire.ReportDropped}, w.reported())
-	w.end(running, worker.Broken)
-	assert.Equal(t, wire.Report{ID: "0.2", Kind: wire.ReportDropped}, w.reported())
-	w.pass(10 * time.Second)
-	w.sentNothing()
+	h.record(h.core.Accept(h.now, delayed, false))
+	h.accept("/p/", "2")
+	attempt := h.takeDelivery()
+	h.config.Routes = h.config.Routes[1:]
+	h.configure()
+	assert.Equal(t, wire.Report{ID: "0.1", Kind: wire.ReportDropped}, h.takeReport())
+	h.finishAttempt(attempt, worker.Broken)
+	assert.Equal(t, wire.Report{ID: "0.2", Kind: wire.ReportDropped}, h.takeReport())
+	h.advance(10 * time.Second)
+	h.requireNoDelivery()
 }
 
-func TestRunThatSucceedsAfterItsRouteWasRemovedIsDone(t *testing.T) {
-	w := newWorld(t)
-	w.accept("/p/", "2")
-	running := w.sent()
-	w.config.Routes = w.config.Routes[1:]
-	w.configure()
-	w.end(running, worker.Done)
-	assert.Equal(t, wire.ReportDone, w.reported().Kind)
+func TestSuccessAfterRouteWasRemoved(t *testing.T) {
+	h := newHarness(t)
+	h.accept("/p/", "2")
+	attempt := h.takeDelivery()
+	h.config.Routes = h.config.Routes[1:]
+	h.configure()
+	h.finishAttempt(attempt, worker.Done)
+	assert.Equal(t, wire.ReportDone, h.takeReport().Kind)
 }
 
-func TestGrantedMessageWaitsForARouteThatMayBeNew(t *testing.T) {
-	w := newWorld(t)
+func TestGrantedMessageWaitsForNewRoute(t *testing.T) {
+	h := newHarness(t)
 	grant := func(id string) {
-		w.apply(w.core.Grant(w.now, &wire.Grant{ID: "0." + id, HasMessage: true, Message: *messageTo("/new/", id)}))
+		h.record(h.core.Grant(h.now, &wire.Grant{ID: "0." + id, HasMessage: true, Message: *messageTo("/new/", id)}))
 	}
 	grant("1")
-	w.pass(2 * time.Second)
-	assert.Empty(t, w.reports)
-	w.config.Routes = append(w.config.Routes, catalog.Route{
+	h.advance(2 * time.Second)
+	assert.Empty(t, h.reports)
+	h.config.Routes = append(h.config.Routes, catalog.Route{
 		Name: "new", Host: "a.example", PathPrefix: "/new/", Type: DeferredType, Service: "s", TimeoutMs: 600, Retries: 3, RetentionS: 90,
 	})
-	w.configure()
-	w.pass(time.Second)
-	w.end(w.sent(), worker.Done)
-	w.reported()
-	w.config.Routes = w.config.Routes[:3]
-	w.configure()
+	h.configure()
+	h.advance(time.Second)
+	h.finishAttempt(h.takeDelivery(), worker.Done)
+	h.takeReport()
+	h.config.Routes = h.config.Routes[:3]
+	h.configure()
 	grant("2")
-	w.pass(5 * time.Second)
-	assert.Equal(t, wire.ReportDropped, w.reported().Kind)
+	h.advance(5 * time.Second)
+	assert.Equal(t, wire.ReportDropped, h.takeReport().Kind)
 }
 
-func TestNewestServiceAndTimeoutAreUsed(t *testing.T) {
-	w := newWorld(t)
-	w.accept("/p/", "1")
-	first := w.sent()
-	w.config.Routes[0].Service, w.config.Routes[0].TimeoutMs = "safe", 900
-	w.configure()
-	w.end(first, worker.Broken)
-	second := w.sent().Delivery
+func TestRetryUsesCurrentServiceAndTimeout(t *testing.T) {
+	h := newHarness(t)
+	h.accept("/p/", "1")
+	first := h.takeDelivery()
+	h.config.Routes[0].Service, h.config.Routes[0].TimeoutMs = "safe", 900
+	h.configure()
+	h.finishAttempt(first, worker.Broken)
+	second := h.takeDelivery().Delivery
 	assert.Contains(t, second.Worker, "safe-")
 	assert.Equal(t, 900*ms, second.Limit)
 }
 
-// The module must not send a waiting job to the service of before.
-func TestJobThatWaitsForCapacityFollowsItsRoute(t *testing.T) {
-	w := newWorld(t)
-	w.accept("/p/", "1")
-	for range 3 { // rejected everywhere: the module keeps it, or it comes back
-		if len(w.deliveries) == 0 {
-			w.pass(10 * ms)
+// A job that waits with its module must not be sent to the old service once its route leads to another.
+func TestWaitingJobFollowsRoute(t *testing.T) {
+	h := newHarness(t)
+	h.accept("/p/", "1")
+	for range 3 { // rejected by all workers: the job waits with the module, or the message is queued again
+		if len(h.deliveries) == 0 {
+			h.advance(10 * ms)
 			continue
 		}
-		d := w.deliveries[0]
-		w.deliveries = nil
-		w.end(d, worker.AtCapacity)
+		d := h.deliveries[0]
+		h.deliveries = nil
+		h.finishAttempt(d, worker.AtCapacity)
 	}
-	w.deliveries = nil
-	w.config.Routes[0].Service = "safe"
-	w.configure()
-	w.pass(3 * time.Second)
-	for _, d := range w.deliveries {
+	h.deliveries = nil
+	h.config.Routes[0].Service = "safe"
+	h.configure()
+	h.advance(3 * time.Second)
+	for _, d := range h.deliveries {
 		assert.Contains(t, d.Delivery.Worker, "safe-")
 	}
-	assert.NotEmpty(t, w.deliveries)
+	assert.NotEmpty(t, h.deliveries)
 }
 
-func TestDrainingAndRemovedWorkersGetNothing(t *testing.T) {
-	w := newWorld(t)
-	w.workers.Entries[0].Draining = true
-	w.workers.Entries = append(w.workers.Entries[:1], w.workers.Entries[2:]...) // s-0 drains, s-1 is removed
-	w.listWorkers()
+func TestNoDeliveryToDrainingOrRemovedWorkers(t *testing.T) {
+	h := newHarness(t)
+	h.workers.Entries[0].Draining = true
+	h.workers.Entries = append(h.workers.Entries[:1], h.workers.Entries[2:]...) // s-0 is draining, s-1 is removed
+	h.listWorkers()
 	for i := range 30 {
-		w.accept("/p/", fmt.Sprint(i))
-		w.pass(20 * ms)
+		h.accept("/p/", fmt.Sprint(i))
+		h.advance(20 * ms)
 	}
-	for _, d := range w.deliveries {
+	for _, d := range h.deliveries {
 		assert.Equal(t, "s-2", d.Delivery.Worker)
 	}
-	assert.NotEmpty(t, w.deliveries)
+	assert.NotEmpty(t, h.deliveries)
 }
 
-func TestWorkersThatReturnAreUsedAtOnce(t *testing.T) {
-	w := newWorld(t)
-	all := w.workers.Entries
-	w.workers.Entries = nil
-	w.listWorkers()
-	w.accept("/p/", "1")
-	w.pass(20 * time.Second)
-	w.sentNothing()
-	w.workers.Entries = all
-	w.listWorkers()
-	w.apply(w.core.Tick(w.now))
-	w.sent()
+func TestReturningWorkersAreUsedAtOnce(t *testing.T) {
+	h := newHarness(t)
+	all := h.workers.Entries
+	h.workers.Entries = nil
+	h.listWorkers()
+	h.accept("/p/", "1")
+	h.advance(20 * time.Second)
+	h.requireNoDelivery()
+	h.workers.Entries = all
+	h.listWorkers()
+	h.record(h.core.Tick(h.now))
+	h.takeDelivery()
 }
--- a/edge/dispatch/connections.go
+++ b/edge/dispatch/connections.go
@@ -7,15 +7,16 @@
 	"ravendale/edge/worker"
 )
 
-// The shares of a worker's connections that edges may have.
+// Parameters of an edge's share of the connections to a worker.
 const (
-	connectionFraction = 0.8              // of all edges together: those of processes that have just stopped may still be open
-	connectionSlack    = 2                // of one edge, above what the worker runs at once
-	edgePeakWindow     = 10 * time.Second // the number of edges counts as the highest of this window
+	connectionFraction = 0.8              // part used by all edges together: processes that just stopped may still hold the rest
+	connectionSlack    = 2                // connections of one edge in excess of the worker's capacity
+	edgePeakWindow     = 10 * time.Second // the highest number of edges within this window is used
 	minConnections     = 1
 )
 
-// connectionShare returns how many connections one of a number of edges may have to a worker that takes maxConns; 0: no bound.
+// connectionShare returns how many connections each of a number of edges may have to a worker that accepts maxConns. 0
+// means no limit.
 func connectionShare(maxConns, edges int) int {
 	if maxConns <= 0 {
 		return 0
@@ -23,15 +24,15 @@
 	return max(minConnections, int(connectionFraction*float64(maxConns)/float64(max(edges, 1))))
 }
 
-// isScarce reports whether a worker takes fewer connections than there are edges. Each may still have one.
+// isScarce reports whether a worker accepts fewer connections than there are edges. Each edge may still have one.
 func isScarce(maxConns, edges int) bool {
 	return maxConns > 0 && connectionFraction*float64(maxConns) < minConnections*float64(edges)
 }
 
-// edgeCount returns how many edges share connections: the highest number of late.
+// edgeCount returns how many edges share connections: the highest number within edgePeakWindow.
 func (c *Core) edgeCount() int { return max(c.edgePeak.highest(c.now), len(c.edges.edges)) }
 
-// updateConnections computes a service's share of each worker's connections.
+// updateConnections computes this edge's share of the connections to each worker of a service.
 func (c *Core) updateConnections(s *service) {
 	edges := c.edgeCount()
 	share := worker.Share{Max: connectionShare(s.config.MaxConns, edges), Scarce: isScarce(s.config.MaxConns, edges)}
@@ -41,7 +42,7 @@
 	}
 }
 
-// connectionLimit returns how many connections this edge may have to a worker of a service; 0: no bound.
+// connectionLimit returns how many connections this edge may have to a worker of a service. 0 means no limit.
 func (s *service) connectionLimit(name string) int {
 	if s.endpoint != "" || s.connections.Max == 0 {
 		return s.connections.Max
@@ -52,7 +53,7 @@
 // connectionCapacity returns how many connections this edge may have to all workers of a service together.
 func (s *service) connectionCapacity() int {
 	if s.config.MaxConns <= 0 {
-		return math.MaxInt // no bound is given
+		return math.MaxInt // no limit is configured
 	}
 	capacity := 0
 	for name := range s.addresses {
@@ -61,7 +62,7 @@
 	return capacity
 }
 
-// Connections returns this edge's share of each worker's connections, by the worker's name.
+// Connections returns this edge's share of the connections to each worker, by the worker's name.
 func (c *Core) Connections() map[string]worker.Share {
 	c.connectionsChanged = false
 	shares := make(map[string]worker.Share)
@@ -73,12 +74,12 @@
 	return shares
 }
 
-// ConnectionsChanged reports whether Connections would return something else than it did last.
+// ConnectionsChanged reports whether the result of Connections may have changed since its last call.
 func (c *Core) ConnectionsChanged() bool { return c.connectionsChanged }
 
-// peak tracks the highest count within edgePeakWindow.
-type peak struct {
-	counts []sample // with falling counts
+// slidingMax tracks the highest count within edgePeakWindow.
+type slidingMax struct {
+	samples []sample // in order of time, with decreasing counts
 }
 
 type sample struct {
@@ -86,20 +87,20 @@
 	count int
 }
 
-func (p *peak) add(now time.Duration, count int) {
-	for len(p.counts) > 0 && p.counts[len(p.counts)-1].count <= count {
-		p.counts = p.counts[:len(p.counts)-1]
+func (p *slidingMax) add(now time.Duration, count int) {
+	for len(p.samples) > 0 && p.samples[len(p.samples)-1].count <= count {
+		p.samples = p.samples[:len(p.samples)-1]
 	}
-	p.counts = append(p.counts, sample{now, count})
+	p.samples = append(p.samples, sample{now, count})
 }
 
-// highest returns the highest count that held at some time within the window.
-func (p *peak) highest(now time.Duration) int {
-	for len(p.counts) > 1 && p.counts[1].at <= now-edgePeakWindow {
-		p.counts = p.counts[1:]
+// highest returns the highest count that was in force at any time within the window.
+func (p *slidingMax) highest(now time.Duration) int {
+	for len(p.samples) > 1 && p.samples[1].at <= now-edgePeakWindow {
+		p.samples = p.samples[1:]
 	}
-	if len(p.counts) == 0 {
+	if len(p.samples) == 0 {
 		return 0
 	}
-	return p.counts[0].count
+	return p.samples[0].count
 }
--- a/edge/dispatch/due.go
+++ b/edge/dispatch/due.go
@@ -6,7 +6,7 @@
 	"ravendale/cluster/wire"
 )
 
-// deferUntil has a message admitted at a time: now if that has come.
+// deferUntil schedules the admission of a message at a time. If the time has come, the message is admitted immediately.
 func (c *Core) deferUntil(m *message, until time.Duration) {
 	c.messages.schedule(m, phaseDeferred, until)
 	if until <= c.now {
@@ -14,14 +14,14 @@
 	}
 }
 
-// backOff defers a message that was not run, for intervals that double.
+// backOff defers a message that was not run, for an interval that doubles with each call.
 func (c *Core) backOff(m *message) {
-	pause := min(minBackoff<<min(m.backoffs, 10), maxBackoff)
+	interval := min(minBackoff<<min(m.backoffs, 10), maxBackoff)
 	m.backoffs++
-	c.deferUntil(m, c.now+pause)
+	c.deferUntil(m, c.now+interval)
 }
 
-// processDue does what is due for a message, and schedules what follows.
+// processDue performs the step that is due for a message in its phase, and schedules the next one.
 func (c *Core) processDue(m *message) {
 	switch {
 	case m.phase == phaseDeferred:
@@ -34,7 +34,7 @@
 		s := m.service
 		c.withdraw(m)
 		c.requeue(m, s)
-	default: // nothing but its expiry is due
+	default: // in the other phases, only the expiry is scheduled
 		c.finish(m, wire.Report{Kind: wire.ReportExpired})
 	}
 }
--- a/edge/dispatch/intake.go
+++ b/edge/dispatch/intake.go
@@ -6,48 +6,50 @@
 	"ravendale/cluster/wire"
 )
 
-// Accept takes a message that was put by this edge and accepted by its store. It may have been granted, and completed, before that.
+// Accept adds a message that a client put at this edge and that its store accepted. The message may have been granted,
+// and even completed, before.
 func (c *Core) Accept(now time.Duration, m *wire.Message, granted bool) []Action {
-	c.begin(now)
+	c.beginEvent(now)
 	if c.messages.byID[m.ID] == nil && !c.resendReport(m.ID) {
 		c.add(m, arrival{granted: granted})
 	}
-	return c.end()
+	return c.endEvent()
 }
 
-// Grant takes a store's grant. A grant with its message (HasMessage) is due: the store, whose steady clock has counted since it was sent,
-// keeps its delay, and its end too. The time of day says nothing reliable of either. What was completed here is not run again: the
-// store that grants it has not heard of that, as when it has just become the primary.
+// Grant handles a store's grant. A message that comes with its grant (HasMessage) is due: the store measures the delay
+// and the retention on a monotonic clock from when the message was sent, while wall-clock times are not reliable for
+// either. A message that was completed here is not run again: the store that grants it has not received the report, for
+// example because it has just become the primary.
 func (c *Core) Grant(now time.Duration, g *wire.Grant) []Action {
-	c.begin(now)
+	c.beginEvent(now)
 	m := c.messages.byID[g.ID]
 	switch {
 	case m != nil && m.phase != phaseReported:
 		c.setGranted(m, g.Failed)
-	case m != nil && !m.released: // its report is repeated until it is acknowledged
+	case m != nil && !m.released: // the queue repeats its report until it is acknowledged
 	case c.resendReport(g.ID):
 	case g.HasMessage:
 		c.addGranted(g)
 	case m == nil:
 		c.report(wire.Report{ID: g.ID, Kind: wire.ReportReleased, Failed: g.Failed})
 	}
-	return c.end()
+	return c.endEvent()
 }
 
-// addGranted takes a message that a store assigned to this edge.
+// addGranted adds a message that a store assigned to this edge.
 func (c *Core) addGranted(g *wire.Grant) {
 	message := g.Message
 	message.ID = g.ID
 	message.DelayMs = 0
-	from := arrival{granted: true, failedAttempts: g.Failed, routeTimeout: c.config.ConvergenceTime}
-	from.overLimit = c.config.MaxBodyBytes > 0 && c.messages.bytes+len(message.Body) > c.config.MaxBodyBytes
-	if from.overLimit {
+	arrived := arrival{granted: true, failedAttempts: g.Failed, routeTimeout: c.config.ConvergenceTime}
+	arrived.overLimit = c.config.MaxBodyBytes > 0 && c.messages.bytes+len(message.Body) > c.config.MaxBodyBytes
+	if arrived.overLimit {
 		message.Body = nil
 	}
-	c.add(&message, from)
+	c.add(&message, arrived)
 }
 
-// setGranted records that a message may be delivered now, and the failures that its store counted.
+// setGranted records that a message may be delivered now, and the failed attempts counted by its store.
 func (c *Core) setGranted(m *message, failed uint16) {
 	m.failedAttempts = max(m.failedAttempts, failed)
 	if m.granted {
@@ -59,17 +61,18 @@
 	}
 }
 
-// arrival describes how a message came.
+// arrival describes how a message arrived at this edge.
 type arrival struct {
 	granted        bool
 	failedAttempts uint16
-	routeTimeout   time.Duration // for a route that is not known here yet
-	overLimit      bool          // its body does not fit into memory
+	routeTimeout   time.Duration // how long a message without a route is kept: the route may not be known here yet
+	overLimit      bool          // its body exceeds the memory that Config.MaxBodyBytes leaves
 }
 
-// add takes a message, and schedules what is first: its release, its delay or the end of its wait in its key order.
-func (c *Core) add(source *wire.Message, from arrival) {
-	m := &message{Message: *source, granted: from.granted, failedAttempts: from.failedAttempts, dropAfter: c.now + from.routeTimeout}
+// add adds a message and schedules its first step: its release, the end of its delay, or its expiry if it waits in its
+// key order.
+func (c *Core) add(source *wire.Message, arrived arrival) {
+	m := &message{Message: *source, granted: arrived.granted, failedAttempts: arrived.failedAttempts, dropAfter: c.now + arrived.routeTimeout}
 	m.notBefore = c.now + time.Duration(m.DelayMs)*time.Millisecond
 	m.expiresAt = c.now + forever
 	if m.RetentionMs > 0 {
@@ -79,7 +82,7 @@
 	switch {
 	case c.stopping:
 		c.release(m)
-	case from.overLimit:
+	case arrived.overLimit:
 		c.messages.schedule(m, phaseReleasing, c.now+releaseDelay)
 	case m.isNextInOrder():
 		c.deferUntil(m, max(m.notBefore, c.now))
--- a/edge/dispatch/intake_test.go
+++ b/edge/dispatch/intake_test.go
@@ -10,101 +10,101 @@
 	"ravendale/edge/worker"
 )
 
-func TestDelayIsKept(t *testing.T) {
-	w := newWorld(t)
+func TestMessageWaitsForDelay(t *testing.T) {
+	h := newHarness(t)
 	m := messageTo("/p/", "1")
 	m.DelayMs = 1500
-	w.apply(w.core.Accept(w.now, m, false))
-	w.pass(1499 * ms)
-	w.sentNothing()
-	w.pass(1 * ms)
-	w.sent()
+	h.record(h.core.Accept(h.now, m, false))
+	h.advance(1499 * ms)
+	h.requireNoDelivery()
+	h.advance(1 * ms)
+	h.takeDelivery()
 }
 
-// The store has kept the delay, and it keeps the end: the time of day, which may be off by any amount, moves neither.
-func TestGrantWithItsMessageIsDue(t *testing.T) {
+// The store measures the delay and the retention. Wall clocks, which may differ by any amount, affect neither.
+func TestGrantWithMessageIsDue(t *testing.T) {
 	for _, sent := range []int64{0, time.Now().UnixMilli(), time.Now().Add(time.Hour).UnixMilli()} {
-		w := newWorld(t)
+		h := newHarness(t)
 		m := messageTo("/p/", "1")
 		m.DelayMs, m.SentUnixMs = 1500, sent
-		w.apply(w.core.Grant(w.now, &wire.Grant{ID: m.ID, HasMessage: true, Message: *m}))
-		w.end(w.sent(), worker.Done)
-		assert.Equal(t, wire.ReportDone, w.reported().Kind)
+		h.record(h.core.Grant(h.now, &wire.Grant{ID: m.ID, HasMessage: true, Message: *m}))
+		h.finishAttempt(h.takeDelivery(), worker.Done)
+		assert.Equal(t, wire.ReportDone, h.takeReport().Kind)
 	}
 }
 
-func TestOrderedMessageWaitsForItsGrant(t *testing.T) {
-	w := newWorld(t)
+func TestOrderedMessageWaitsForGrant(t *testing.T) {
+	h := newHarness(t)
 	m := messageTo("/p/", "1")
 	m.Ordered, m.Key = true, "k"
-	w.apply(w.core.Accept(w.now, m, false))
-	w.pass(10 * time.Second)
-	w.sentNothing()
+	h.record(h.core.Accept(h.now, m, false))
+	h.advance(10 * time.Second)
+	h.requireNoDelivery()
 	grant := &wire.Grant{ID: m.ID}
-	w.apply(w.core.Grant(w.now, grant))
-	d := w.sent()
-	w.apply(w.core.Grant(w.now, grant)) // repeated
-	w.sentNothing()
-	w.end(d, worker.Done)
-	w.reported()
-	w.apply(w.core.Grant(w.now, grant)) // and after its end
-	w.sentNothing()
-	assert.Empty(t, w.reports)
+	h.record(h.core.Grant(h.now, grant))
+	d := h.takeDelivery()
+	h.record(h.core.Grant(h.now, grant)) // repeated
+	h.requireNoDelivery()
+	h.finishAttempt(d, worker.Done)
+	h.takeReport()
+	h.record(h.core.Grant(h.now, grant)) // and after its completion
+	h.requireNoDelivery()
+	assert.Empty(t, h.reports)
 }
 
-func TestGrantBeforeTheDelayIsOver(t *testing.T) {
-	w := newWorld(t)
+func TestGrantedMessageWaitsForDelay(t *testing.T) {
+	h := newHarness(t)
 	m := messageTo("/p/", "1")
 	m.Ordered, m.Key, m.DelayMs = true, "k", 1000
-	w.apply(w.core.Accept(w.now, m, true))
-	w.pass(999 * ms)
-	w.sentNothing()
-	w.pass(1 * ms)
-	w.sent()
+	h.record(h.core.Accept(h.now, m, true))
+	h.advance(999 * ms)
+	h.requireNoDelivery()
+	h.advance(1 * ms)
+	h.takeDelivery()
 }
 
-func TestGrantOfALeasedMessageChangesNothing(t *testing.T) {
-	w := newWorld(t)
-	w.accept("/p/", "1")
-	d := w.sent()
-	w.apply(w.core.Grant(w.now, &wire.Grant{ID: "0.1", HasMessage: true, Message: *messageTo("/p/", "1")}))
-	w.sentNothing()
-	w.end(d, worker.Done)
-	assert.Equal(t, wire.ReportDone, w.reported().Kind)
+func TestGrantOfLeasedMessageIsIgnored(t *testing.T) {
+	h := newHarness(t)
+	h.accept("/p/", "1")
+	d := h.takeDelivery()
+	h.record(h.core.Grant(h.now, &wire.Grant{ID: "0.1", HasMessage: true, Message: *messageTo("/p/", "1")}))
+	h.requireNoDelivery()
+	h.finishAttempt(d, worker.Done)
+	assert.Equal(t, wire.ReportDone, h.takeReport().Kind)
 }
 
-func TestGrantOfAnUnknownMessageIsReleased(t *testing.T) {
-	w := newWorld(t)
-	w.apply(w.core.Grant(w.now, &wire.Grant{ID: "0.7"}))
-	assert.Equal(t, wire.Report{ID: "0.7", Kind: wire.ReportReleased}, w.reported())
+func TestGrantOfUnknownMessageIsReleased(t *testing.T) {
+	h := newHarness(t)
+	h.record(h.core.Grant(h.now, &wire.Grant{ID: "0.7"}))
+	assert.Equal(t, wire.Report{ID: "0.7", Kind: wire.ReportReleased}, h.takeReport())
 }
 
 func TestReleasedMessageMayBeGrantedAgain(t *testing.T) {
-	w := newWorld(t)
-	w.config.Services[2].RatePerS = 4
-	w.apply(w.core.SetEdges(w.now, edgesOf("other"))) // this edge has no share of any rate limit
-	w.accept("/l/", "1")
-	assert.Empty(t, w.reports, "it may come again at once: not too fast")
-	w.pass(releaseDelay)
-	assert.Equal(t, wire.ReportReleased, w.reported().Kind)
-	w.apply(w.core.SetEdges(w.now, edgesOf("e1")))
-	w.apply(w.core.Grant(w.now, &wire.Grant{ID: "0.1", HasMessage: true, Message: *messageTo("/l/", "1")}))
-	w.apply(w.core.Acknowledged(w.now, "0.1")) // of the release: too late to matter
-	w.pass(2 * time.Second)
-	w.sent()
+	h := newHarness(t)
+	h.config.Services[2].RatePerS = 4
+	h.record(h.core.SetEdges(h.now, edgesOf("other"))) // this edge has no share of any rate limit
+	h.accept("/l/", "1")
+	assert.Empty(t, h.reports, "a message that may be granted again at once is released after releaseDelay")
+	h.advance(releaseDelay)
+	assert.Equal(t, wire.ReportReleased, h.takeReport().Kind)
+	h.record(h.core.SetEdges(h.now, edgesOf("e1")))
+	h.record(h.core.Grant(h.now, &wire.Grant{ID: "0.1", HasMessage: true, Message: *messageTo("/l/", "1")}))
+	h.record(h.core.Acknowledged(h.now, "0.1")) // the acknowledgement of the release must not remove the message
+	h.advance(2 * time.Second)
+	h.takeDelivery()
 }
 
-func TestLeasedBodiesAreBounded(t *testing.T) {
-	w := newWorld(t)
-	w.core.config.MaxBodyBytes = 2000
+func TestMaxBodyBytes(t *testing.T) {
+	h := newHarness(t)
+	h.core.config.MaxBodyBytes = 2000
 	m := messageTo("/p/", "1")
 	m.Body = make([]byte, 1500)
-	w.apply(w.core.Accept(w.now, m, false))
-	w.sent()
+	h.record(h.core.Accept(h.now, m, false))
+	h.takeDelivery()
 	other := messageTo("/p/", "2")
 	other.Body = make([]byte, 1500)
-	w.apply(w.core.Grant(w.now, &wire.Grant{ID: other.ID, HasMessage: true, Message: *other}))
-	w.pass(releaseDelay)
-	assert.Equal(t, wire.ReportReleased, w.reported().Kind)
-	w.sentNothing()
+	h.record(h.core.Grant(h.now, &wire.Grant{ID: other.ID, HasMessage: true, Message: *other}))
+	h.advance(releaseDelay)
+	assert.Equal(t, wire.ReportReleased, h.takeReport().Kind)
+	h.requireNoDelivery()
 }
--- a/edge/dispatch/job.go
+++ b/edge/dispatch/job.go
@@ -8,34 +8,34 @@
 	"ravendale/edge/worker"
 )
 
-// job is a message's stay with a module, until the last of its attempts has finished.
+// job is one submission of a message to a decision module. It is open until its last attempt has finished.
 type job struct {
 	id           JobID
 	service      *service
 	message      *message
-	active       bool // the message waits for this job
-	isWaiting    bool // active, without an attempt under way: the service counts it
-	noCapacity   bool // no worker had capacity for its last attempt
+	active       bool // its message is submitted as this job; false once the job was withdrawn, refused or ended
+	isWaiting    bool // active, without an attempt in flight; counted in service.waitingJobs
+	noCapacity   bool // its last attempt found no capacity, or no free connection
 	attempts     []attempt
 	inFlight     int
-	hasToken     bool // it took one
+	hasToken     bool // it holds a token of the rate limit, taken at tokenTakenAt
 	tokenTakenAt time.Duration
 }
 
-// jobTable has the open jobs: those that a message waits for, or that have attempts in flight.
+// jobTable holds the open jobs: those that are active or have attempts in flight.
 type jobTable struct {
-	byID map[JobID]*job
-	last JobID
+	byID   map[JobID]*job
+	lastID JobID
 }
 
-// add names a job, and adds it.
+// add adds a job under a new ID.
 func (t *jobTable) add(j *job) {
-	t.last++
-	j.id = t.last
+	t.lastID++
+	j.id = t.lastID
 	t.byID[j.id] = j
 }
 
-// inFlight counts the attempts in flight.
+// inFlight returns the number of attempts in flight.
 func (t *jobTable) inFlight() int {
 	count := 0
 	for _, j := range t.byID {
@@ -50,13 +50,13 @@
 	inFlight, cancelled bool
 }
 
-// isInFlight reports whether an attempt is under way that was not cancelled.
+// isInFlight reports whether the job has an attempt in flight that was not cancelled.
 func (j *job) isInFlight() bool {
 	return slices.ContainsFunc(j.attempts, func(a attempt) bool { return a.inFlight && !a.cancelled })
 }
 
-// updateCount keeps the service's count of jobs that wait with the module.
-func (j *job) updateCount() {
+// updateWaiting updates isWaiting, and the service's count of waiting jobs.
+func (j *job) updateWaiting() {
 	waiting := j.active && !j.isInFlight()
 	switch {
 	case waiting && !j.isWaiting:
@@ -67,19 +67,19 @@
 	j.isWaiting = waiting
 }
 
-// submit hands a message to its service's module as a new job.
-func (c *Core) submit(m *message, s *service, token bool) {
-	j := &job{service: s, message: m, active: true, hasToken: token, tokenTakenAt: c.now}
+// submit submits a message to its service's module as a new job.
+func (c *Core) submit(m *message, s *service, hasToken bool) {
+	j := &job{service: s, message: m, active: true, hasToken: hasToken, tokenTakenAt: c.now}
 	c.jobs.add(j)
 	s.openJobs++
 	m.job, m.service = j, s
-	j.updateCount()
+	j.updateWaiting()
 	c.messages.schedule(m, phaseSubmitted, c.now+moduleTimeout)
-	c.queueEvent(s, ravendale.Event{Kind: ravendale.JobArrived, Job: ravendale.JobID(j.id), Class: 0, Tenant: -1, Left: jobDeadline, Retry: m.submitted})
-	m.submitted = true
+	c.queueEvent(s, ravendale.Event{Kind: ravendale.JobArrived, Job: ravendale.JobID(j.id), Class: 0, Tenant: -1, Left: jobDeadline, Retry: m.wasSubmitted})
+	m.wasSubmitted = true
 }
 
-// withdrawJob takes a message back from its module.
+// withdrawJob withdraws a job from its module: its message does not wait for it any more.
 func (c *Core) withdrawJob(j *job) {
 	if !j.active {
 		return
@@ -89,16 +89,16 @@
 	c.removeIdleJob(j)
 }
 
-// removeIdleJob forgets a job that no message waits for and that has no attempt in flight.
+// removeIdleJob removes a job that is neither active nor has an attempt in flight.
 func (c *Core) removeIdleJob(j *job) {
-	j.updateCount()
+	j.updateWaiting()
 	if !j.active && j.inFlight == 0 && c.jobs.byID[j.id] == j {
 		delete(c.jobs.byID, j.id)
 		j.service.openJobs--
 	}
 }
 
-// execute does what a module asks for.
+// execute executes an action of a service's module.
 func (c *Core) execute(s *service, a ravendale.Action) {
 	switch a.Kind {
 	case ravendale.SetTimer:
@@ -119,11 +119,11 @@
 	case ravendale.Cancel:
 		c.cancelAttempt(j, a.Attempt)
 	default:
-		c.moduleGaveUp(j)
+		c.handleRefusal(j)
 	}
 }
 
-// cancelAttempt has an attempt's connection closed. The attempt stays in flight until its outcome comes.
+// cancelAttempt requests that an attempt's connection be closed. The attempt stays in flight until its outcome arrives.
 func (c *Core) cancelAttempt(j *job, number int) {
 	if a := &j.attempts[number]; a.inFlight && !a.cancelled {
 		a.cancelled = true
@@ -131,8 +131,8 @@
 	}
 }
 
-// moduleGaveUp takes a message back that its module has no more use for.
-func (c *Core) moduleGaveUp(j *job) {
+// handleRefusal handles a job that its module refused or failed: the message is released, queued again or backed off.
+func (c *Core) handleRefusal(j *job) {
 	if !j.active {
 		return
 	}
@@ -151,7 +151,8 @@
 	c.backOff(m)
 }
 
-// requeue has a message wait until a worker has capacity. Under a rate limit it would spend tokens on asking.
+// requeue makes a message wait until a worker has capacity. Under a rate limit it backs off instead, since each attempt
+// to find capacity would spend a token.
 func (c *Core) requeue(m *message, s *service) {
 	if s.tokens != nil {
 		c.backOff(m)
@@ -160,19 +161,20 @@
 	c.deferUntil(m, c.now)
 }
 
-// send makes an attempt, if the newest configuration still allows it.
-func (c *Core) send(j *job, name string) {
+// send requests an attempt from a worker. If the current state or configuration does not allow it, the attempt ends at
+// once.
+func (c *Core) send(j *job, workerName string) {
 	number, hedge := len(j.attempts), j.isInFlight()
-	j.attempts = append(j.attempts, attempt{worker: name, inFlight: true})
+	j.attempts = append(j.attempts, attempt{worker: workerName, inFlight: true})
 	j.inFlight++
-	j.updateCount()
+	j.updateWaiting()
 	m := j.message
 	route, s, dropped := c.route(m)
-	address := j.service.addresses[name]
+	address := j.service.addresses[workerName]
 	switch {
 	case !j.active || address == "":
 		c.endAttempt(j, number, worker.Result{Outcome: worker.NotRun})
-	case hedge && s.queue.len() > 0: // N, the open messages, counts those that wait
+	case hedge && s.queue.len() > 0: // the module hedges only while few jobs are open, and does not count queued messages
 		c.endAttempt(j, number, worker.Result{Outcome: worker.NoConnection})
 	case c.stopping:
 		c.abortAttempt(j, number)
@@ -181,23 +183,23 @@
 		c.abortAttempt(j, number)
 		c.deferUntil(m, c.now)
 	default:
-		instance := name
+		instance := workerName
 		if s.endpoint != "" {
 			instance = ""
 		}
 		c.emit(Deliver{Job: j.id, Attempt: number, Delivery: worker.Delivery{
-			Worker: name, Address: address, Instance: instance,
+			Worker: workerName, Address: address, Instance: instance,
 			Method: m.Method, Host: m.Host, Target: m.Target, RequestID: m.RequestID, OrderKey: m.Key,
 			ContentType: m.ContentType, Body: m.Body, Limit: milliseconds(route.TimeoutMs),
 		}})
 	}
 }
 
-func milliseconds(figure float64) time.Duration {
-	return time.Duration(figure * float64(time.Millisecond))
+func milliseconds(value float64) time.Duration {
+	return time.Duration(value * float64(time.Millisecond))
 }
 
-// abortAttempt finishes an attempt that was not made, and its job.
+// abortAttempt finishes an attempt that was not sent, and its job.
 func (c *Core) abortAttempt(j *job, number int) {
 	j.attempts[number].inFlight = false
 	j.inFlight--
@@ -208,8 +210,9 @@
 	c.removeIdleJob(j)
 }
 
-// lacksToken reports whether an attempt has to wait for a token: the one that the job had was returned, or waited with the module, and
-// there is no other. Tokens that wait somewhere would all be spent at once on top of those that came to the bucket meanwhile.
+// lacksToken reports whether an attempt has to wait for a token. If the job's token was refunded, or is older than
+// tokenTTL because the job waited with the module, lacksToken tries to take another. Old tokens are discarded, as the
+// jobs that hold them could spend all of them at once, in addition to the tokens that the bucket received meanwhile.
 func (j *job) lacksToken(now time.Duration) bool {
 	if j.service.tokens == nil {
 		return false
@@ -220,7 +223,7 @@
 	return !j.hasToken
 }
 
-// refund returns a token whose attempt never came to the worker.
+// refund returns a job's token to the bucket, after an attempt that did not reach the worker.
 func (c *Core) refund(j *job) {
 	if j.hasToken && j.service.tokens != nil {
 		j.hasToken = false
--- a/edge/dispatch/localzone.go
+++ b/edge/dispatch/localzone.go
@@ -4,20 +4,21 @@
 	"ravendale"
 )
 
-// localZoneWeight is how much heavier a worker of the edge's own zone weighs where that has its share of the capacity: bodies that cross
-// zones are priced, and the module draws among workers with equally few slots by weight.
+// Workers of the edge's own zone get a higher weight if the zone has its share of the capacity: sending bodies across
+// zones has a price, and the module chooses at random, by weight, among workers with equally few of this edge's
+// attempts in flight.
 const (
-	localZoneWeight   = 4
-	localZoneFraction = 0.75 // of the zone's edges' share, that its capacity must be at least
+	localZoneWeight   = 4    // factor on the weights of workers in the own zone
+	localZoneFraction = 0.75 // the zone's capacity must be at least this part of its edges' share of all capacity
 )
 
-// zoneCapacity is how much workers that may be sent to can run, by their weights.
+// zoneCapacity is the capacity of the workers that may be sent to, as the sum of their weights.
 type zoneCapacity struct {
-	all, local float64 // of all workers, and of those of the edge's own zone
-	isLocal    bool    // workers of the own zone weigh more
+	all, local   float64 // of all workers, and of those of the edge's own zone
+	prefersLocal bool    // the weights of workers in the own zone are raised
 }
 
-// zoneCapacityOf adds up the weights of workers, which must be as listed.
+// zoneCapacityOf sums the weights of workers. They must be the listed ones, not raised by preferLocalZone.
 func zoneCapacityOf(list []ravendale.Entry, zone int) zoneCapacity {
 	var sum zoneCapacity
 	for i := range list {
@@ -32,10 +33,10 @@
 	return sum
 }
 
-// sufficesForZone reports whether the workers of the own zone are enough for its edges.
+// sufficesForZone reports whether the workers of the own zone have enough capacity for its edges.
 func (c *zoneCapacity) sufficesForZone(edges *edgeList, zone string) bool {
 	count := float64(len(edges.edges))
-	return count > 0 && c.local*count >= localZoneFraction*c.all*float64(edges.inZone(zone))
+	return count > 0 && c.local*count >= localZoneFraction*c.all*float64(edges.edgesInZone(zone))
 }
 
 // preferLocalZone raises the weights of workers in the own zone.
--- a/edge/dispatch/localzone_test.go
+++ b/edge/dispatch/localzone_test.go
@@ -10,58 +10,58 @@
 	"ravendale/edge/worker"
 )
 
-// inZones has service s run by workers of two zones, with a capacity of 4 each.
-func inZones(t *testing.T, local, away int) *world {
-	w := newWorld(t)
-	w.workers.Entries = nil
-	for i := range local + away {
+// newZonedHarness returns a harness whose service s has workers in two zones, with a capacity of 4 each.
+func newZonedHarness(t *testing.T, local, remote int) *harness {
+	h := newHarness(t)
+	h.workers.Entries = nil
+	for i := range local + remote {
 		zone := "z1"
 		if i >= local {
 			zone = "z2"
 		}
-		w.workers.Entries = append(w.workers.Entries, wire.Worker{
+		h.workers.Entries = append(h.workers.Entries, wire.Worker{
 			ID: fmt.Sprint(zone, "-", i), Service: "s", Address: fmt.Sprintf("10.0.0.%d:80", i), Zone: zone, Capacity: 4,
 		})
 	}
-	w.apply(w.core.SetEdges(w.now, []wire.Edge{{ID: "e1", Zone: "z1"}, {ID: "e2", Zone: "z2"}}))
-	w.listWorkers()
-	return w
+	h.record(h.core.SetEdges(h.now, []wire.Edge{{ID: "e1", Zone: "z1"}, {ID: "e2", Zone: "z2"}}))
+	h.listWorkers()
+	return h
 }
 
-// runs has messages run one after the other, and counts those that stayed in the edge's zone.
-func runs(w *world, count int) (local int) {
+// runMessages delivers messages one after the other, and returns how many went to workers of the edge's zone.
+func runMessages(h *harness, count int) (local int) {
 	for i := range count {
 		id := fmt.Sprint("run", i)
-		w.accept("/p/", id)
-		d := w.sent()
+		h.accept("/p/", id)
+		d := h.takeDelivery()
 		if d.Delivery.Worker[:2] == "z1" {
 			local++
 		}
-		w.end(d, worker.Done)
-		w.apply(w.core.Acknowledged(w.now, "0."+id))
+		h.finishAttempt(d, worker.Done)
+		h.record(h.core.Acknowledged(h.now, "0."+id))
 	}
 	return local
 }
 
-func TestWorkersOfTheOwnZoneArePreferred(t *testing.T) {
-	w := inZones(t, 5, 5)
-	assert.Greater(t, runs(w, 200), 150)
+func TestLocalZoneIsPreferred(t *testing.T) {
+	h := newZonedHarness(t, 5, 5)
+	assert.Greater(t, runMessages(h, 200), 150)
 	for i := range 5 {
-		w.accept("/p/", fmt.Sprint(i))
+		h.accept("/p/", fmt.Sprint(i))
 	}
 	used := make(map[string]bool)
-	for _, d := range w.deliveries {
+	for _, d := range h.deliveries {
 		used[d.Delivery.Worker] = true
 	}
-	assert.Len(t, used, 5, "but not one twice while another has nothing")
-	assert.Equal(t, 4+connectionSlack, w.core.Connections()["z1-0"].Max)
+	assert.Len(t, used, 5, "no worker gets a second message while another has none")
+	assert.Equal(t, 4+connectionSlack, h.core.Connections()["z1-0"].Max)
 }
 
-// A zone with less than its part must not be overrun: there the module's own choice is all there is.
-func TestFewWorkersOfTheOwnZoneAreNotPreferred(t *testing.T) {
+// A zone with less than its share of the capacity must not be overloaded: the weights stay as listed.
+func TestSmallLocalZoneIsNotPreferred(t *testing.T) {
 	for local, weight := range map[int]float64{2: 4, 4: 4 * localZoneWeight} {
-		w := inZones(t, local, 10-local)
-		for _, entry := range w.core.services["s"].entries {
+		h := newZonedHarness(t, local, 10-local)
+		for _, entry := range h.core.services["s"].entries {
 			if entry.Zone == 0 {
 				assert.Equal(t, weight, entry.Weight)
 			} else {
--- a/edge/dispatch/manager.go
+++ b/edge/dispatch/manager.go
@@ -12,31 +12,31 @@
 	"ravendale/edge/worker"
 )
 
-// Queue takes reports, and repeats each until it is acknowledged.
+// Queue sends reports to the stores, and repeats each until it is acknowledged.
 type Queue interface {
 	Report(report wire.Report)
-	Pending() int // counts reports without an acknowledgement
+	Pending() int // number of reports without an acknowledgement
 }
 
-// Manager drives a Core: it gives it the clock, the workers' connections and the queue. Its methods may be called by any goroutine
-// and do not wait, but for AwaitDrained.
+// Manager drives a Core: it passes events to it with the time, and executes its actions through the workers and the
+// queue. Its methods are safe for concurrent use and, except for AwaitDrained, do not block.
 type Manager struct {
-	workers Workers
-	queue   Queue
-	host    host.Host
-	started time.Duration
-	index   atomic.Pointer[catalog.Index]
-	changed chan struct{} // capacity 1: an event was handled
+	workers   Workers
+	queue     Queue
+	host      host.Host
+	startedAt time.Duration // on the host's clock: the time 0 of the core
+	index     atomic.Pointer[catalog.Index]
+	changed   chan struct{} // capacity 1: signals that an event was handled
 
 	mu     sync.Mutex
 	core   *Core
-	calls  map[attemptKey]Call
+	calls  map[attemptKey]Call // deliveries in flight
 	timer  host.Timer
-	wakeAt time.Duration
-	closed bool
+	wakeAt time.Duration // when the timer fires; -1: it has fired
+	closed bool          // events are ignored
 }
 
-// attemptKey names an attempt of a job.
+// attemptKey identifies an attempt of a job.
 type attemptKey struct {
 	job     JobID
 	attempt int
@@ -44,16 +44,16 @@
 
 // Workers executes deliveries.
 type Workers interface {
-	// Start begins a delivery. Done is called once, not before Start has returned.
+	// Start starts a delivery. It calls done exactly once, after Start has returned.
 	Start(delivery *worker.Delivery, done func(worker.Result)) Call
-	// SetLimits sets this edge's share of the connections to each worker, by name.
+	// SetLimits sets this edge's share of the connections to each worker, by the worker's name.
 	SetLimits(shares map[string]worker.Share)
 }
 
-// Call is a delivery under way. Cancel closes its connection.
+// Call is a delivery in flight. Cancel closes its connection.
 type Call interface{ Cancel() }
 
-// httpWorkers are the workers that a worker.Client reaches.
+// httpWorkers implements Workers with a worker.Client.
 type httpWorkers struct{ *worker.Client }
 
 // Start implements Workers.
@@ -61,198 +61,199 @@
 	return w.Client.Start(delivery, done)
 }
 
-// NewManager returns a manager without messages. Start must be called before anything else is.
+// NewManager returns a manager without messages. Start must be called before any other method.
 func NewManager(config Config, client *worker.Client) *Manager {
 	return NewManagerOn(host.System, config, httpWorkers{client})
 }
 
-// NewManagerOn is NewManager with a host and workers of the caller's.
+// NewManagerOn is like NewManager, with the host and the workers given by the caller.
 func NewManagerOn(machine host.Host, config Config, workers Workers) *Manager {
 	if config.Seed == 0 {
 		config.Seed = machine.Uint64()
 	}
 	return &Manager{
-		workers: workers, host: machine, started: machine.Now(), changed: make(chan struct{}, 1),
+		workers: workers, host: machine, startedAt: machine.Now(), changed: make(chan struct{}, 1),
 		core: NewCore(config), calls: make(map[attemptKey]Call),
 	}
 }
 
-// Start gives the manager its queue.
-func (d *Manager) Start(queue Queue) { d.queue = queue }
+// Start sets the queue that reports are sent to.
+func (mgr *Manager) Start(queue Queue) { mgr.queue = queue }
 
-func (d *Manager) now() time.Duration { return d.host.Now() - d.started }
+func (mgr *Manager) now() time.Duration { return mgr.host.Now() - mgr.startedAt }
 
-// handle has the core handle an event, and executes what it asks for.
-func (d *Manager) handle(event func(core *Core, now time.Duration) []Action) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if d.closed {
+// handle passes an event to the core and executes the actions that it returns.
+func (mgr *Manager) handle(event func(core *Core, now time.Duration) []Action) {
+	mgr.mu.Lock()
+	defer mgr.mu.Unlock()
+	if mgr.closed {
 		return
 	}
-	for _, action := range event(d.core, d.now()) {
-		d.execute(action)
+	for _, action := range event(mgr.core, mgr.now()) {
+		mgr.execute(action)
 	}
-	d.arm()
+	mgr.arm()
 	select {
-	case d.changed <- struct{}{}:
+	case mgr.changed <- struct{}{}:
 	default:
 	}
 }
 
-// execute carries out one action of the core.
-func (d *Manager) execute(action Action) {
+// execute executes an action of the core.
+func (mgr *Manager) execute(action Action) {
 	switch a := action.(type) {
 	case Deliver:
 		key := attemptKey{a.Job, a.Attempt}
-		d.calls[key] = d.workers.Start(&a.Delivery, func(result worker.Result) { d.finishAttempt(key, result) })
+		mgr.calls[key] = mgr.workers.Start(&a.Delivery, func(result worker.Result) { mgr.finishAttempt(key, result) })
 	case Cancel:
-		if running := d.calls[attemptKey{a.Job, a.Attempt}]; running != nil {
-			running.Cancel()
+		if call := mgr.calls[attemptKey{a.Job, a.Attempt}]; call != nil {
+			call.Cancel()
 		}
 	case Report:
-		d.queue.Report(a.Report)
+		mgr.queue.Report(a.Report)
 	}
 }
 
-func (d *Manager) finishAttempt(key attemptKey, result worker.Result) {
-	d.handle(func(core *Core, now time.Duration) []Action {
-		delete(d.calls, key)
+func (mgr *Manager) finishAttempt(key attemptKey, result worker.Result) {
+	mgr.handle(func(core *Core, now time.Duration) []Action {
+		delete(mgr.calls, key)
 		return core.FinishAttempt(now, key.job, key.attempt, result)
 	})
 }
 
-// arm sets the timer to what is due next.
-func (d *Manager) arm() {
-	next := d.core.Next()
-	if d.timer != nil && next == d.wakeAt {
+// arm sets the timer to when the core must be ticked next.
+func (mgr *Manager) arm() {
+	next := mgr.core.Next()
+	if mgr.timer != nil && next == mgr.wakeAt {
 		return
 	}
-	d.wakeAt = next
-	wait := max(next-d.now(), 0)
-	if d.timer == nil {
-		d.timer = d.host.AfterFunc(wait, d.tick)
+	mgr.wakeAt = next
+	wait := max(next-mgr.now(), 0)
+	if mgr.timer == nil {
+		mgr.timer = mgr.host.AfterFunc(wait, mgr.tick)
 		return
 	}
-	d.timer.Reset(wait)
+	mgr.timer.Reset(wait)
 }
 
-func (d *Manager) tick() {
-	d.handle(func(core *Core, now time.Duration) []Action {
-		d.wakeAt = -1
+func (mgr *Manager) tick() {
+	mgr.handle(func(core *Core, now time.Duration) []Action {
+		mgr.wakeAt = -1
 		return core.Tick(now)
 	})
 }
 
-// Accept takes a message that was put by this edge and accepted by its store.
-func (d *Manager) Accept(m *wire.Message, granted bool) {
-	d.handle(func(core *Core, now time.Duration) []Action { return core.Accept(now, m, granted) })
+// Accept adds a message that a client put at this edge and that its store accepted.
+func (mgr *Manager) Accept(m *wire.Message, granted bool) {
+	mgr.handle(func(core *Core, now time.Duration) []Action { return core.Accept(now, m, granted) })
 }
 
-// Grant takes a store's grant.
-func (d *Manager) Grant(g *wire.Grant) {
-	d.handle(func(core *Core, now time.Duration) []Action { return core.Grant(now, g) })
+// Grant handles a store's grant.
+func (mgr *Manager) Grant(g *wire.Grant) {
+	mgr.handle(func(core *Core, now time.Duration) []Action { return core.Grant(now, g) })
 }
 
 // Acknowledged is called when the queue has acknowledged a message's last report.
-func (d *Manager) Acknowledged(id string) {
-	d.handle(func(core *Core, now time.Duration) []Action { return core.Acknowledged(now, id) })
+func (mgr *Manager) Acknowledged(id string) {
+	mgr.handle(func(core *Core, now time.Duration) []Action { return core.Acknowledged(now, id) })
 }
 
-// Unknown is called when the queue does not know a message as pending.
-func (d *Manager) Unknown(id string) {
-	d.handle(func(core *Core, now time.Duration) []Action { return core.Unknown(now, id) })
+// Unknown is called when the queue reports that a message is not pending.
+func (mgr *Manager) Unknown(id string) {
+	mgr.handle(func(core *Core, now time.Duration) []Action { return core.Unknown(now, id) })
 }
 
 // ApplyConfig puts a configuration in force.
-func (d *Manager) ApplyConfig(index *catalog.Index) {
-	d.handle(func(core *Core, now time.Duration) []Action {
+func (mgr *Manager) ApplyConfig(index *catalog.Index) {
+	mgr.handle(func(core *Core, now time.Duration) []Action {
 		actions := core.ApplyConfig(now, index)
-		d.updateConnections(core)
+		mgr.updateConnections(core)
 		return actions
 	})
-	d.index.Store(index)
+	mgr.index.Store(index)
 }
 
-// updateConnections sets the shares of workers' connections, if they have changed.
-func (d *Manager) updateConnections(core *Core) {
+// updateConnections sets the limits of the connections to workers, if they have changed.
+func (mgr *Manager) updateConnections(core *Core) {
 	if core.ConnectionsChanged() {
-		d.workers.SetLimits(core.Connections())
+		mgr.workers.SetLimits(core.Connections())
 	}
 }
 
-// SetWorkers takes the platform's list of workers.
-func (d *Manager) SetWorkers(workers *wire.Workers) {
-	d.handle(func(core *Core, now time.Duration) []Action {
+// SetWorkers sets the workers, as listed by the platform.
+func (mgr *Manager) SetWorkers(workers *wire.Workers) {
+	mgr.handle(func(core *Core, now time.Duration) []Action {
 		actions := core.SetWorkers(now, workers)
-		d.updateConnections(core)
+		mgr.updateConnections(core)
 		return actions
 	})
 }
 
-// SetEdges takes the edges that share the work.
-func (d *Manager) SetEdges(edges []wire.Edge) {
-	d.handle(func(core *Core, now time.Duration) []Action {
+// SetEdges sets the edges that share the work.
+func (mgr *Manager) SetEdges(edges []wire.Edge) {
+	mgr.handle(func(core *Core, now time.Duration) []Action {
 		actions := core.SetEdges(now, edges)
-		d.updateConnections(core)
+		mgr.updateConnections(core)
 		return actions
 	})
 }
 
 // Index returns the configuration in force, nil until there is one.
-func (d *Manager) Index() *catalog.Index { return d.index.Load() }
+func (mgr *Manager) Index() *catalog.Index { return mgr.index.Load() }
 
-// Accepts reports whether this edge should deliver a new message of a service, with a body of a size in bytes.
-func (d *Manager) Accepts(service string, size int) bool {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	return !d.closed && d.core.Accepts(d.now(), service, size)
+// Accepts reports whether this edge should deliver a new message of a service, with a body of size bytes.
+func (mgr *Manager) Accepts(service string, size int) bool {
+	mgr.mu.Lock()
+	defer mgr.mu.Unlock()
+	return !mgr.closed && mgr.core.Accepts(mgr.now(), service, size)
 }
 
-// MessageIDs returns the IDs of the messages that are leased to this edge, in no order.
-func (d *Manager) MessageIDs() []string {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	return d.core.MessageIDs()
+// MessageIDs returns the IDs of the messages that are leased to this edge, in no particular order.
+func (mgr *Manager) MessageIDs() []string {
+	mgr.mu.Lock()
+	defer mgr.mu.Unlock()
+	return mgr.core.MessageIDs()
 }
 
-// Backlogs returns the services of which a message has been due for at least a time.
-func (d *Manager) Backlogs(due time.Duration) []Backlog {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	return d.core.Backlogs(d.now(), due)
+// Backlogs returns the services with a message that has been due for at least minAge, sorted by name.
+func (mgr *Manager) Backlogs(minAge time.Duration) []Backlog {
+	mgr.mu.Lock()
+	defer mgr.mu.Unlock()
+	return mgr.core.Backlogs(mgr.now(), minAge)
 }
 
-// Stop releases all that is not in flight, at once.
-func (d *Manager) Stop() {
-	d.handle(func(core *Core, now time.Duration) []Action { return core.Stop(now) })
+// Stop releases all messages without an attempt in flight, and later those whose attempts end without completing them.
+func (mgr *Manager) Stop() {
+	mgr.handle(func(core *Core, now time.Duration) []Action { return core.Stop(now) })
 }
 
-// AwaitDrained waits until nothing is in flight and all reports are acknowledged, or the context ends. It reports whether all was done.
-func (d *Manager) AwaitDrained(ctx context.Context) bool {
+// AwaitDrained waits until no attempts are in flight, no messages are left and all reports are acknowledged, or until the
+// context ends. It returns whether the manager is drained.
+func (mgr *Manager) AwaitDrained(ctx context.Context) bool {
 	for {
-		if d.isIdle() {
+		if mgr.isDrained() {
 			return true
 		}
 		select {
-		case <-d.changed:
+		case <-mgr.changed:
 		case <-ctx.Done():
 			return false
 		}
 	}
 }
 
-func (d *Manager) isIdle() bool {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	return d.core.InFlight() == 0 && d.core.Idle() && d.queue.Pending() == 0
+func (mgr *Manager) isDrained() bool {
+	mgr.mu.Lock()
+	defer mgr.mu.Unlock()
+	return mgr.core.InFlight() == 0 && mgr.core.Idle() && mgr.queue.Pending() == 0
 }
 
-// Close ends the manager; events after it are ignored.
-func (d *Manager) Close() {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.closed = true
-	if d.timer != nil {
-		d.timer.Stop()
+// Close stops the manager. Later events are ignored.
+func (mgr *Manager) Close() {
+	mgr.mu.Lock()
+	defer mgr.mu.Unlock()
+	mgr.closed = true
+	if mgr.timer != nil {
+		mgr.timer.Stop()
 	}
 }
--- a/edge/dispatch/message.go
+++ b/edge/dispatch/message.go
@@ -7,46 +7,46 @@
 	"ravendale/cluster/wire"
 )
 
-// phase is where a message stands. What it waits for in a phase is due at message.dueAt.
+// phase is the state of a message in the Core. In each phase, Core.processDue is called for it at message.dueAt.
 type phase uint8
 
 const (
-	phaseKeyOrder    phase = iota // behind another message of its key order
-	phaseDeferred                 // until due
+	phaseKeyOrder    phase = iota // waiting for the preceding messages of its key order
+	phaseDeferred                 // waiting for its delay, or for a pause between attempts, to end
 	phaseRateLimited              // waiting for a token of its service's rate limit
-	phaseQueued                   // until its service's module can be given another
-	phaseSubmitted                // its service's module has it
-	phaseReleasing                // released when it is due, for another edge to deliver
-	phaseReported                 // its terminal report is sent, and not yet acknowledged
+	phaseQueued                   // in its service's waitQueue, until its module can take another message
+	phaseSubmitted                // submitted to its service's module as a job
+	phaseReleasing                // to be released when it is due, for another edge to deliver
+	phaseReported                 // its last report is sent, and not yet acknowledged
 )
 
-// message is one that is leased to the edge.
+// message is a message leased to this edge, and the state of its delivery.
 type message struct {
 	wire.Message
 	phase           phase
-	dueAt           time.Duration // when processDue is called for it
-	notBefore       time.Duration // it may not run earlier
-	startTarget     time.Duration // when it should run at the latest: notBefore and its route's startTargetMs
-	dropAfter       time.Duration // it is not dropped earlier for want of a route
-	expiresAt       time.Duration // the end of its retention
-	failedAttempts  uint16        // as counted by all edges
-	backoffs        int           // attempts in a row that ran nothing
-	unknownOutcomes int           // attempts with an unknown outcome that were retried at once
-	granted         bool
-	released        bool // the last report releases it
-	submitted       bool
-	size            int
-	heapIndex       int // in messageTable.due; -1: not there
+	dueAt           time.Duration // when Core.processDue is called for it
+	notBefore       time.Duration // the end of its delay: it must not run earlier
+	startTarget     time.Duration // when it should start to run at the latest: notBefore plus its route's startTargetMs
+	dropAfter       time.Duration // without a route, it is kept until then: the route may be new and not known here yet
+	expiresAt       time.Duration // the end of its retention, plus expiryMargin
+	failedAttempts  uint16        // on all edges together
+	backoffs        int           // calls of backOff for it since the last retryNow
+	unknownOutcomes int           // attempts with an unknown outcome that were retried immediately
+	granted         bool          // its store allows its delivery now: see isNextInOrder
+	released        bool          // its last report releases it
+	wasSubmitted    bool          // it was submitted to a module before
+	size            int           // its part of messageTable.bytes
+	heapIndex       int           // in messageTable.due; -1: not scheduled
 
 	service *service // while rate limited, queued or submitted
 	job     *job     // while submitted
 }
 
-// path returns the target without its query, as routes match it.
+// path returns the target without its query: routes are matched against it.
 func (m *message) path() string {
 	path, _, _ := strings.Cut(m.Target, "?")
 	return path
 }
 
-// isNextInOrder reports whether no other message of the key order has to be completed first.
+// isNextInOrder reports whether the message does not have to wait for another message of its key order.
 func (m *message) isNextInOrder() bool { return !m.Ordered || m.granted }
--- a/edge/dispatch/messagetable.go
+++ b/edge/dispatch/messagetable.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// messageTable has the leased messages, and when each is due.
+// messageTable holds the leased messages, and orders them by when they are due.
 type messageTable struct {
 	byID  map[string]*message
 	due   dueHeap
-	bytes int // of memory that they take
+	bytes int // of memory used by the messages
 }
 
-// add adds a message, without a time.
+// add adds a message without scheduling it.
 func (t *messageTable) add(m *message) {
 	m.heapIndex = -1
 	m.size = len(m.Body) + messageOverhead
@@ -20,7 +20,7 @@
 	t.byID[m.ID] = m
 }
 
-// dropBody frees a message's body, and counts it as taking no memory.
+// dropBody frees a message's body, and counts the message as using no memory.
 func (t *messageTable) dropBody(m *message) {
 	t.bytes -= m.size
 	m.size = 0
@@ -34,7 +34,7 @@
 	delete(t.byID, m.ID)
 }
 
-// schedule puts a message into a phase, and has Core.processDue called for it at a time.
+// schedule puts a message into a phase, and schedules the call of Core.processDue for it.
 func (t *messageTable) schedule(m *message, p phase, due time.Duration) {
 	m.phase, m.dueAt = p, due
 	if m.heapIndex < 0 {
@@ -44,22 +44,22 @@
 	}
 }
 
-// unschedule has Core.processDue not called for a message any more.
+// unschedule cancels the call of Core.processDue for a message.
 func (t *messageTable) unschedule(m *message) {
 	if m.heapIndex >= 0 {
 		heap.Remove(&t.due, m.heapIndex)
 	}
 }
 
-// first returns the message that is due first; nil: none is scheduled.
-func (t *messageTable) first() *message {
+// nextDue returns the message that is due first, or nil if none is scheduled.
+func (t *messageTable) nextDue() *message {
 	if len(t.due) == 0 {
 		return nil
 	}
 	return t.due[0]
 }
 
-// dueHeap orders messages by when they are due.
+// dueHeap is a heap of messages, ordered by when they are due.
 type dueHeap []*message
 
 func (h dueHeap) Len() int { return len(h) }
--- a/edge/dispatch/outcome.go
+++ b/edge/dispatch/outcome.go
@@ -8,6 +8,7 @@
 	"ravendale/edge/worker"
 )
 
+// moduleOutcomes maps the outcomes of attempts to those of the decision module.
 var moduleOutcomes = map[worker.Outcome]ravendale.Outcome{
 	worker.Done:         ravendale.OK,
 	worker.Failed:       ravendale.Error,
@@ -23,17 +24,17 @@
 	worker.Cancelled:    ravendale.Cancelled,
 }
 
-// FinishAttempt takes the outcome of an attempt.
+// FinishAttempt handles the outcome of an attempt.
 func (c *Core) FinishAttempt(now time.Duration, id JobID, number int, result worker.Result) []Action {
-	c.begin(now)
+	c.beginEvent(now)
 	if j := c.jobs.byID[id]; j != nil && number < len(j.attempts) && j.attempts[number].inFlight {
 		c.endAttempt(j, number, result)
-		c.sendRateLimited(j.service)
+		c.submitRateLimited(j.service)
 	}
-	return c.end()
+	return c.endEvent()
 }
 
-// endAttempt takes an attempt's outcome, tells the module of it, and draws the consequences for the message.
+// endAttempt handles an attempt's outcome: it notifies the module and updates the message.
 func (c *Core) endAttempt(j *job, number int, result worker.Result) {
 	if c.mutations.resetCountsAsNotRun && result.Outcome.MayHaveRun() {
 		result.Outcome = worker.Unreachable
@@ -41,7 +42,7 @@
 	j.attempts[number].inFlight = false
 	j.inFlight--
 	j.noCapacity = result.Outcome == worker.AtCapacity || result.Outcome == worker.NoConnection
-	j.updateCount()
+	j.updateWaiting()
 	if result.Outcome == worker.NoConnection || result.Outcome == worker.Unreachable {
 		c.refund(j)
 	}
@@ -67,8 +68,8 @@
 	}
 }
 
-// endsJob reports whether an outcome ends the job: the module goes on by itself only with what surely did not run, and while
-// another attempt is under way.
+// endsJob reports whether an outcome ends the job. Otherwise the job stays with its module, which may make another
+// attempt: only while another attempt is in flight, or if this one certainly did not run.
 func (c *Core) endsJob(j *job, outcome worker.Outcome) bool {
 	switch {
 	case !j.active:
@@ -87,7 +88,7 @@
 	return true
 }
 
-// applyOutcome draws the consequences of an outcome that is no success for its message.
+// applyOutcome updates a message after an outcome other than success.
 func (c *Core) applyOutcome(m *message, result worker.Result, closed bool) {
 	switch result.Outcome {
 	case worker.Rejected:
@@ -108,7 +109,8 @@
 	c.retry(m, result.Outcome)
 }
 
-// countFailure counts a failed attempt, and reports whether it was the last.
+// countFailure counts a failed attempt and reports it to the queue. It returns whether the attempt was the last one
+// allowed.
 func (c *Core) countFailure(m *message) bool {
 	m.failedAttempts++
 	retries := int(m.Retries)
@@ -123,7 +125,8 @@
 	return false
 }
 
-// retry has a message attempted once more: after a failure or an unknown outcome at once the first time.
+// retry schedules the next attempt of a message: immediately after its first failure and its first unknown outcome, else
+// after a delay.
 func (c *Core) retry(m *message, outcome worker.Outcome) {
 	switch {
 	case outcome == worker.Duplicate:
--- a/edge/dispatch/outcome_test.go
+++ b/edge/dispatch/outcome_test.go
@@ -12,27 +12,28 @@
 	"ravendale/edge/worker"
 )
 
-// follow says what follows on an outcome.
-type follow uint8
+// consequence is what an outcome leads to.
+type consequence uint8
 
 const (
-	ends     follow = iota // nothing: the message has ended
-	soon                   // another attempt, with the first pause at most
-	atOnce                 // another attempt in the same event
-	countsOn               // the same, and the failure is reported to the queue
+	endsMessage         consequence = iota // no further attempt: the message is completed
+	retriedSoon                            // another attempt, immediately or after a pause of at most the first backoff
+	retriedAtOnce                          // another attempt in the same event
+	retriedAfterFailure                    // another attempt in the same event, and the failure is reported to the queue
 )
 
-// after is what each outcome leads to, for a message's first attempt. No class of messages makes a difference: whether a message may be
-// out twice at the same time does (copies), and whether an attempt needs a token.
-var after = map[worker.Outcome]follow{
-	worker.Done: ends, worker.Rejected: ends,
-	worker.Failed: countsOn,
-	worker.Broken: atOnce, worker.TimedOut: atOnce, worker.Cancelled: atOnce,
-	worker.AtCapacity: soon, worker.NotRun: soon, worker.WrongWorker: soon, worker.Duplicate: soon, worker.Unreachable: soon, worker.NoConnection: soon,
+// consequences holds what each outcome of a message's first attempt leads to. The class of a message makes no difference
+// by itself: only whether two attempts of it may be in flight at once, and whether an attempt needs a token.
+var consequences = map[worker.Outcome]consequence{
+	worker.Done: endsMessage, worker.Rejected: endsMessage,
+	worker.Failed: retriedAfterFailure,
+	worker.Broken: retriedAtOnce, worker.TimedOut: retriedAtOnce, worker.Cancelled: retriedAtOnce,
+	worker.AtCapacity: retriedSoon, worker.NotRun: retriedSoon, worker.WrongWorker: retriedSoon, worker.Duplicate: retriedSoon,
+	worker.Unreachable: retriedSoon, worker.NoConnection: retriedSoon,
 }
 
-// classes are messages that differ in what may be done about them.
-func classes() map[string]*wire.Message {
+// messageClasses returns one message of each class that may be handled differently.
+func messageClasses() map[string]*wire.Message {
 	ordered := messageTo("/p/", "1")
 	ordered.Ordered, ordered.Key = true, "k"
 	return map[string]*wire.Message{
@@ -40,119 +41,123 @@
 	}
 }
 
-func TestWhatFollowsOnAnOutcome(t *testing.T) {
-	for outcome, want := range after {
-		for class, m := range classes() {
+func TestOutcomeConsequences(t *testing.T) {
+	for outcome, want := range consequences {
+		for class, m := range messageClasses() {
 			t.Run(fmt.Sprintf("%d %s", outcome, class), func(t *testing.T) {
-				w := newWorld(t)
-				w.apply(w.core.Accept(w.now, m, true))
-				w.pass(2 * time.Second) // for a token
-				first := w.sent()
-				w.end(first, outcome)
-				if want == ends {
-					assert.NotEqual(t, wire.ReportFailed, w.reported().Kind)
-					w.pass(time.Minute)
-					w.sentNothing()
+				h := newHarness(t)
+				h.record(h.core.Accept(h.now, m, true))
+				h.advance(2 * time.Second) // until there is a token
+				first := h.takeDelivery()
+				h.finishAttempt(first, outcome)
+				if want == endsMessage {
+					assert.NotEqual(t, wire.ReportFailed, h.takeReport().Kind)
+					h.advance(time.Minute)
+					h.requireNoDelivery()
 					return
 				}
-				if want == countsOn {
-					assert.Equal(t, wire.Report{ID: m.ID, Kind: wire.ReportFailed, Failed: 1}, w.reported())
+				if want == retriedAfterFailure {
+					assert.Equal(t, wire.Report{ID: m.ID, Kind: wire.ReportFailed, Failed: 1}, h.takeReport())
 				}
-				if want != soon && class != "with a rate limit" {
-					require.NotEmpty(t, w.deliveries, "at once")
+				if want != retriedSoon && class != "with a rate limit" {
+					require.NotEmpty(t, h.deliveries, "the next attempt is sent in the same event")
 				}
-				w.pass(3 * time.Second)
-				require.NotEmpty(t, w.deliveries)
-				assert.Equal(t, first.Delivery.RequestID, w.deliveries[0].Delivery.RequestID)
-				assert.Empty(t, w.reports, "neither ended nor given back")
+				h.advance(3 * time.Second)
+				require.NotEmpty(t, h.deliveries)
+				assert.Equal(t, first.Delivery.RequestID, h.deliveries[0].Delivery.RequestID)
+				assert.Empty(t, h.reports, "the message is neither completed nor released")
 			})
 		}
 	}
-	assert.Len(t, after, int(worker.Cancelled)+1, "each outcome has its line")
+	assert.Len(t, consequences, int(worker.Cancelled)+1, "each outcome is tested")
 }
 
-// One attempt of a message is in flight at a time, whatever its service: the module hedges only on capacity that workers report free, and
-// they do not. What follows an unknown outcome is sent once the connection of the attempt before is closed.
-func TestNoMessageIsInFlightTwice(t *testing.T) {
-	for class, m := range classes() {
-		w := newWorld(t)
-		w.apply(w.core.Accept(w.now, m, true))
+// At most one attempt of a message is in flight, whatever its service: the module hedges only if workers report free
+// capacity, and these do not. The attempt after an unknown outcome is sent once the connection of the previous attempt
+// is closed.
+func TestOneAttemptInFlightPerMessage(t *testing.T) {
+	for class, m := range messageClasses() {
+		h := newHarness(t)
+		h.record(h.core.Accept(h.now, m, true))
 		for range 30 {
-			w.pass(2 * time.Second)
-			w.end(w.sent(), worker.TimedOut)
-			w.pass(50 * ms)
-			if len(w.deliveries) > 0 { // the next, at once
-				w.end(w.sent(), worker.Broken)
+			h.advance(2 * time.Second)
+			h.finishAttempt(h.takeDelivery(), worker.TimedOut)
+			h.advance(50 * ms)
+			if len(h.deliveries) > 0 { // the next attempt was sent immediately
+				h.finishAttempt(h.takeDelivery(), worker.Broken)
 			}
 		}
-		w.pass(2 * time.Second)
-		w.sent()
-		assert.Empty(t, w.cancels, class)
+		h.advance(2 * time.Second)
+		h.takeDelivery()
+		assert.Empty(t, h.cancels, class)
 	}
 }
 
-// resets counts the attempts of a message, each of which ends in a reset at once, before any pause.
-func resets(t *testing.T, m mutations) (attempts int) {
-	w := newWorld(t)
-	w.core.mutations = m
-	w.accept("/p/", "1")
-	for len(w.deliveries) > 0 && attempts < 100 {
-		d := w.deliveries[0]
-		w.deliveries = w.deliveries[1:]
+// attemptsUntilPause returns how many attempts of a message follow each other without a pause if each ends with a reset.
+func attemptsUntilPause(t *testing.T, m mutations) (attempts int) {
+	h := newHarness(t)
+	h.core.mutations = m
+	h.accept("/p/", "1")
+	for len(h.deliveries) > 0 && attempts < 100 {
+		d := h.deliveries[0]
+		h.deliveries = h.deliveries[1:]
 		attempts++
-		w.end(d, worker.Broken)
+		h.finishAttempt(d, worker.Broken)
 	}
 	return attempts
 }
 
-// What may have run is sent again at once a single time. The module, which goes on by itself with what did not run, has no part in it.
-func TestResetIsFollowedAtOnceASingleTime(t *testing.T) {
-	assert.Equal(t, 2, resets(t, mutations{}))
+// A message that may have run is sent again immediately only once. The module must not retry it by itself, as it does
+// after attempts that did not run.
+func TestResetIsRetriedAtOnceOnlyOnce(t *testing.T) {
+	assert.Equal(t, 2, attemptsUntilPause(t, mutations{}))
 }
 
-func TestMutationThatTakesAResetForNotSentIsCaught(t *testing.T) {
-	assert.Greater(t, resets(t, mutations{resetCountsAsNotRun: true}), 2)
+func TestMutationResetCountsAsNotRunIsDetected(t *testing.T) {
+	assert.Greater(t, attemptsUntilPause(t, mutations{resetCountsAsNotRun: true}), 2)
 }
 
-// A reset leaves open whether the message ran; its success, known here, does not.
-func runsAfterItsEnd(t *testing.T, m mutations) int {
-	w := newWorld(t)
-	w.core.mutations = m
-	w.accept("/p/", "1")
-	w.end(w.sent(), worker.Broken)
-	w.end(w.sent(), worker.Done)
-	w.reported()
-	w.apply(w.core.Acknowledged(w.now, "0.1"))
-	w.apply(w.core.Grant(w.now, grantWithMessage("1")))
-	return len(w.deliveries)
+// deliveriesAfterSuccess returns how often a message is sent if its store grants it again after its success. The first
+// attempt ends with a reset, which leaves open whether the message ran.
+func deliveriesAfterSuccess(t *testing.T, m mutations) int {
+	h := newHarness(t)
+	h.core.mutations = m
+	h.accept("/p/", "1")
+	h.finishAttempt(h.takeDelivery(), worker.Broken)
+	h.finishAttempt(h.takeDelivery(), worker.Done)
+	h.takeReport()
+	h.record(h.core.Acknowledged(h.now, "0.1"))
+	h.record(h.core.Grant(h.now, grantWithMessage("1")))
+	return len(h.deliveries)
 }
 
-func TestMessageIsNotSentAgainAfterASuccess(t *testing.T) {
-	assert.Zero(t, runsAfterItsEnd(t, mutations{}))
+func TestMessageIsNotSentAfterSuccess(t *testing.T) {
+	assert.Zero(t, deliveriesAfterSuccess(t, mutations{}))
 }
 
-func TestMutationThatForgetsCompletionsIsCaught(t *testing.T) {
-	assert.Equal(t, 1, runsAfterItsEnd(t, mutations{forgetsCompleted: true}))
+func TestMutationIgnoresCompletionsIsDetected(t *testing.T) {
+	assert.Equal(t, 1, deliveriesAfterSuccess(t, mutations{ignoresCompletions: true}))
 }
 
-// BUDGET: a message that fails at each run is not sent once more than its route says, whoever counted the failures before.
-func TestFailuresEndAMessageInTime(t *testing.T) {
-	for class, m := range classes() {
+// The retry budget: a message that fails at each run is not sent more often than its route's retries allow, and
+// failures that another edge counted are included.
+func TestFailuresOfAllEdgesAreLimited(t *testing.T) {
+	for class, m := range messageClasses() {
 		for before := range 3 {
-			w := newWorld(t)
-			w.apply(w.core.Grant(w.now, &wire.Grant{ID: m.ID, HasMessage: true, Failed: uint16(before), Message: *m}))
+			h := newHarness(t)
+			h.record(h.core.Grant(h.now, &wire.Grant{ID: m.ID, HasMessage: true, Failed: uint16(before), Message: *m}))
 			runs := 0
 			for range 20 {
-				w.pass(3 * time.Second)
-				for len(w.deliveries) > 0 {
-					d := w.deliveries[0]
-					w.deliveries = w.deliveries[1:]
+				h.advance(3 * time.Second)
+				for len(h.deliveries) > 0 {
+					d := h.deliveries[0]
+					h.deliveries = h.deliveries[1:]
 					runs++
-					w.end(d, worker.Failed)
+					h.finishAttempt(d, worker.Failed)
 				}
 			}
 			assert.Equal(t, 3-before, runs, class)
-			assert.Equal(t, wire.ReportDead, w.reports[len(w.reports)-1].Kind)
+			assert.Equal(t, wire.ReportDead, h.reports[len(h.reports)-1].Kind)
 		}
 	}
 }
--- a/edge/dispatch/ratelimit.go
+++ b/edge/dispatch/ratelimit.go
@@ -5,56 +5,58 @@
 	"time"
 )
 
-// The shares of a rate limit. A bound on what comes in any window allows so many arrivals besides the rate.
+// Parameters of a rate limit. The limit bounds the arrivals at a service in any window: by the rate, plus budgetSlack.
 const (
-	budgetSlack       = 5    // arrivals that the bound allows in a window besides the rate
-	reservedArrivals  = 2    // of them kept for sends that are delayed and arrive together
-	rateFraction      = 0.93 // of the rest, for clocks and links that are not even
-	burstFraction     = 0.5  // of the window's budget that bursts may take
-	largeBurst        = 2    // where edges are few
-	minSenders        = 2
-	minSenderRate     = 4 // tokens a second: no more edges send than can have so many each
-	largeBurstDivisor = 8 // edges are few while their large bursts are under this fraction of the budget
+	budgetSlack       = 5    // arrivals that the limit allows in a window in addition to the rate
+	reservedArrivals  = 2    // arrivals of the budget reserved for sends that are delayed and arrive together
+	rateFraction      = 0.93 // part of the remaining budget that is used, as clocks and network delays vary
+	burstFraction     = 0.5  // part of a window's budget that bursts may use
+	largeBurst        = 2    // tokens in the burst of each sender, if there are few senders
+	minSenders        = 2    // if there are that many edges, and the budget allows it
+	minSenderRate     = 4    // approximate tokens a second of each sender, where more than minSenders and one for each zone send
+	largeBurstDivisor = 8    // senders are few if their large bursts sum to at most one part in so many of the budget
 )
 
-// rateLimit bounds what all edges together send to a service in any window (ratePerS of a service).
+// rateLimit bounds how many attempts all edges together send to a service in any window (ratePerS of a service).
 type rateLimit struct {
 	RatePerS  float64
 	Window    time.Duration
 	Overshoot float64 // factor on rate x window
 }
 
-// rateShare is one edge's share of a rate limit: a token bucket. A zero Share sends nothing.
+// rateShare is one edge's share of a rate limit: the parameters of its token bucket. An edge with a zero rateShare sends
+// nothing.
 type rateShare struct {
 	Rate  float64 // tokens a second
-	Burst float64
+	Burst float64 // tokens that the bucket holds at most
 }
 
-// budget returns how many arrivals the bound allows in a window.
-func (c rateLimit) budget() float64 {
-	return c.RatePerS*c.Window.Seconds()*c.Overshoot + budgetSlack
+// budget returns how many arrivals the limit allows in a window.
+func (l rateLimit) budget() float64 {
+	return l.RatePerS*l.Window.Seconds()*l.Overshoot + budgetSlack
 }
 
-// senders returns how many of a number of edges may send. Few with a quick supply of tokens keep messages waiting less than many
-// with a slow one each, but no zone should be without, and one that leaves should not be the only one.
-func (c rateLimit) senders(edges, zones int) int {
-	maxSenders := int((c.budget() - reservedArrivals) * burstFraction)
-	target := max(int(math.Ceil(c.RatePerS*c.Overshoot/minSenderRate)), zones, minSenders)
+// senderCount returns how many of a number of edges may send. Messages wait less at a few edges with a high token rate
+// than at many edges with a low one. But each zone should have a sender, and a sender that leaves should not be the
+// only one.
+func (l rateLimit) senderCount(edges, zones int) int {
+	maxSenders := int((l.budget() - reservedArrivals) * burstFraction)
+	target := max(int(math.Ceil(l.RatePerS*l.Overshoot/minSenderRate)), zones, minSenders)
 	return max(1, min(edges, target, maxSenders))
 }
 
-// share returns the share of the edge at a position in the order of senders (see senderOrder) of a number of edges in so many zones.
-// Edges that list the same others get shares that sum up to less than the bound.
-func (c rateLimit) share(position, edges, zones int) rateShare {
-	count := c.senders(edges, zones)
-	if position >= count {
+// share returns the share of the edge at a position in the order of senders (see senderOrder), for a number of edges and
+// zones. The shares of edges that have the same edge list sum to less than the limit.
+func (l rateLimit) share(position, edges, zones int) rateShare {
+	senders := l.senderCount(edges, zones)
+	if position >= senders {
 		return rateShare{}
 	}
 	burst := 1.0
-	if largeBurst*float64(count) <= c.budget()/largeBurstDivisor {
+	if largeBurst*float64(senders) <= l.budget()/largeBurstDivisor {
 		burst = largeBurst
 	}
-	spare := c.budget() - float64(count)*burst - reservedArrivals
-	rate := rateFraction * spare / (c.Window.Seconds() * float64(count))
-	return rateShare{Rate: max(0, min(rate, c.RatePerS)), Burst: burst}
+	refillBudget := l.budget() - float64(senders)*burst - reservedArrivals
+	rate := rateFraction * refillBudget / (l.Window.Seconds() * float64(senders))
+	return rateShare{Rate: max(0, min(rate, l.RatePerS)), Burst: burst}
 }
--- a/edge/dispatch/ratelimit_test.go
+++ b/edge/dispatch/ratelimit_test.go
@@ -14,7 +14,7 @@
 	"ravendale/edge/worker"
 )
 
-// edgesIn lists edges, spread over zones.
+// edgesIn returns edges, distributed evenly over zones.
 func edgesIn(zones, count int) []wire.Edge {
 	edges := make([]wire.Edge, count)
 	for i := range edges {
@@ -23,18 +23,18 @@
 	return edges
 }
 
-// divide returns an edge's share of a limit among edges.
-func (c rateLimit) divide(name, edge string, edges []wire.Edge) rateShare {
-	core := NewCore(Config{Topology: Topology{Edge: edge, Edges: edges}, Window: c.Window, Overshoot: c.Overshoot})
+// shareOf returns an edge's share of a limit that a list of edges divides.
+func (limit rateLimit) shareOf(name, edge string, edges []wire.Edge) rateShare {
+	core := NewCore(Config{Topology: Topology{Edge: edge, Edges: edges}, Window: limit.Window, Overshoot: limit.Overshoot})
 	order := newSenderOrder(name, edge)
-	order.update(core.edges.all())
-	return core.rateShare(&service{config: catalog.Service{RatePerS: c.RatePerS}, senders: order})
+	order.update(core.edges.additions())
+	return core.rateShare(&service{config: catalog.Service{RatePerS: limit.RatePerS}, senders: order})
 }
 
-// Whatever the edges are sent and whenever, no window sees more than the bound.
+// In any window, all edges together send no more than the limit allows, whatever the times of their messages.
 func TestRateLimitHoldsInEachWindow(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		c := rateLimit{
+		limit := rateLimit{
 			RatePerS:  rapid.Float64Range(0.5, 200).Draw(t, "rate"),
 			Window:    time.Duration(rapid.Float64Range(1, 10).Draw(t, "window") * float64(time.Second)),
 			Overshoot: rapid.Float64Range(1, 1.5).Draw(t, "overshoot"),
@@ -42,35 +42,35 @@
 		edges := edgesIn(rapid.IntRange(1, 5).Draw(t, "zones"), rapid.IntRange(1, 60).Draw(t, "edges"))
 		var sends []time.Duration
 		for _, edge := range edges {
-			sends = append(sends, greedy(t, c, edge.ID, edges)...)
+			sends = append(sends, sendGreedily(t, limit, edge.ID, edges)...)
 		}
 		sort.Slice(sends, func(i, j int) bool { return sends[i] < sends[j] })
-		first := 0
+		start := 0
 		for i, at := range sends {
-			for sends[first] <= at-c.Window {
-				first++
+			for sends[start] <= at-limit.Window {
+				start++
 			}
-			if count := i - first + 1; float64(count) > c.budget() {
-				t.Fatalf("%d sends in the window that ends at %v, of %.1f", count, at, c.budget())
+			if count := i - start + 1; float64(count) > limit.budget() {
+				t.Fatalf("%d sends in the window that ends at %v, limit %.1f", count, at, limit.budget())
 			}
 		}
 	})
 }
 
-// greedy sends whenever there is a token, from a drawn time on, with pauses.
-func greedy(t *rapid.T, c rateLimit, edge string, edges []wire.Edge) (sends []time.Duration) {
-	share := c.divide("s", edge, edges)
+// sendGreedily sends whenever there is a token, from a random time on, and returns the times of the sends.
+func sendGreedily(t *rapid.T, limit rateLimit, edge string, edges []wire.Edge) (sends []time.Duration) {
+	share := limit.shareOf("s", edge, edges)
 	if share.Burst == 0 {
 		return nil
 	}
 	b := newBucket(share, 0)
 	now := time.Duration(rapid.IntRange(0, 5000).Draw(t, "start")) * ms
-	for end := now + 3*c.Window; now < end; {
+	for end := now + 3*limit.Window; now < end; {
 		if b.take(now) {
 			sends = append(sends, now)
 			continue
 		}
-		if next := b.next(now); next > now {
+		if next := b.nextToken(now); next > now {
 			now = next
 		} else {
 			now += ms
@@ -79,65 +79,65 @@
 	return sends
 }
 
-func TestRateLimitIsUsed(t *testing.T) {
-	c := rateLimit{RatePerS: 39, Window: 5 * time.Second, Overshoot: 1.1}
+func TestRateSharesUseMostOfLimit(t *testing.T) {
+	limit := rateLimit{RatePerS: 39, Window: 5 * time.Second, Overshoot: 1.1}
 	for _, count := range []int{1, 4, 12, 58} {
 		edges := edgesIn(4, count)
 		sum := 0.0
 		for _, edge := range edges {
-			sum += c.divide("s", edge.ID, edges).Rate
+			sum += limit.shareOf("s", edge.ID, edges).Rate
 		}
-		assert.Greater(t, sum, 0.7*c.RatePerS, "%d edges", count)
+		assert.Greater(t, sum, 0.7*limit.RatePerS, "%d edges", count)
 	}
 }
 
-func TestSmallRateLimitGoesToAFewEdges(t *testing.T) {
-	c := rateLimit{RatePerS: 1, Window: 5 * time.Second, Overshoot: 1.1}
+func TestSmallRateLimitHasFewSenders(t *testing.T) {
+	limit := rateLimit{RatePerS: 1, Window: 5 * time.Second, Overshoot: 1.1}
 	edges := edgesIn(3, 50)
 	senders := 0
 	for _, edge := range edges {
-		if c.divide("s", edge.ID, edges).Burst > 0 {
+		if limit.shareOf("s", edge.ID, edges).Burst > 0 {
 			senders++
 		}
 	}
-	assert.Equal(t, c.senders(50, 3), senders)
+	assert.Equal(t, limit.senderCount(50, 3), senders)
 	assert.Less(t, senders, 8)
-	assert.Zero(t, c.divide("s", "stranger", edges))
+	assert.Zero(t, limit.shareOf("s", "unlisted", edges))
 }
 
-func TestBucketBeginsEmptyAfterAChange(t *testing.T) {
-	w := newWorld(t)
-	w.pass(10 * time.Second)
-	w.apply(w.core.SetEdges(w.now, edgesOf("e1", "e2")))
-	w.accept("/l/", "1")
-	w.sentNothing()
-	w.pass(2 * time.Second)
-	w.sent()
+func TestBucketStartsEmptyAfterChange(t *testing.T) {
+	h := newHarness(t)
+	h.advance(10 * time.Second)
+	h.record(h.core.SetEdges(h.now, edgesOf("e1", "e2")))
+	h.accept("/l/", "1")
+	h.requireNoDelivery()
+	h.advance(2 * time.Second)
+	h.takeDelivery()
 }
 
-// Through the core: each attempt takes a token, those that follow one that was rejected or broken as well.
+// In a Core, each attempt takes a token, also the retries after an attempt that was rejected or broken.
 func TestEachAttemptTakesAToken(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
-		w := newWorld(t)
+		h := newHarness(t)
 		limit := rateLimit{RatePerS: 4, Window: 5 * time.Second, Overshoot: 1.1}
 		var sends []time.Duration
 		next := 0
 		outcomes := []worker.Outcome{worker.Done, worker.AtCapacity, worker.Broken, worker.Failed, worker.TimedOut, worker.Duplicate, worker.Unreachable, worker.NoConnection}
-		for end := w.now + 15*time.Second; w.now < end; {
+		for end := h.now + 15*time.Second; h.now < end; {
 			for range rapid.IntRange(0, 4).Draw(r, "arrivals") {
 				next++
-				w.accept("/l/", fmt.Sprint(next))
+				h.accept("/l/", fmt.Sprint(next))
 			}
-			for len(w.deliveries) > 0 {
-				d := w.deliveries[0]
-				w.deliveries = w.deliveries[1:]
+			for len(h.deliveries) > 0 {
+				d := h.deliveries[0]
+				h.deliveries = h.deliveries[1:]
 				outcome := rapid.SampledFrom(outcomes).Draw(r, "outcome")
-				if outcome != worker.Unreachable && outcome != worker.NoConnection { // those never came to the worker
-					sends = append(sends, w.now)
+				if outcome != worker.Unreachable && outcome != worker.NoConnection { // these attempts did not reach the worker
+					sends = append(sends, h.now)
 				}
-				w.end(d, outcome)
+				h.finishAttempt(d, outcome)
 			}
-			w.pass(time.Duration(rapid.IntRange(1, 400).Draw(r, "pause")) * ms)
+			h.advance(time.Duration(rapid.IntRange(1, 400).Draw(r, "pause")) * ms)
 		}
 		for i, at := range sends {
 			count := 0
@@ -147,97 +147,98 @@
 				}
 			}
 			if float64(count) > limit.budget() {
-				r.Fatalf("%d sends in a window, of %.1f", count, limit.budget())
+				r.Fatalf("%d sends in a window, limit %.1f", count, limit.budget())
 			}
 		}
 		assert.NotEmpty(t, sends)
 	})
 }
 
-// The module retries a worker that can't be reached once by itself: that takes a token of its own.
-func TestWhatFollowsAFailedConnectTakesAToken(t *testing.T) {
-	w := newWorld(t)
-	w.pass(10 * time.Second)
-	w.accept("/l/", "1")
-	first := w.sent()
-	bucket := w.core.services["limited"].tokens
-	bucket.tokens, bucket.filled = -1, w.now // the one that is refunded is the last for now
-	w.end(first, worker.Unreachable)
-	w.pass(ms)
-	assert.Empty(t, w.deliveries)
-	w.pass(2 * time.Second)
-	w.sent()
+// The module by itself retries a worker that is unreachable, once. The retry needs a token of its own.
+func TestRetryAfterFailedConnectTakesAToken(t *testing.T) {
+	h := newHarness(t)
+	h.advance(10 * time.Second)
+	h.accept("/l/", "1")
+	first := h.takeDelivery()
+	bucket := h.core.services["limited"].tokens
+	bucket.tokens, bucket.asOf = -1, h.now // with the refunded token the bucket is empty
+	h.finishAttempt(first, worker.Unreachable)
+	h.advance(ms)
+	assert.Empty(t, h.deliveries)
+	h.advance(2 * time.Second)
+	h.takeDelivery()
 }
 
-// Jobs whose attempts find no connection wait with the module: their tokens must not pile up there beside those that come.
-func TestTokensThatWaitAreNotSpentTogether(t *testing.T) {
-	w := newWorld(t)
-	w.pass(10 * time.Second)
+// Jobs whose attempts find no free connection wait with the module. Their tokens must expire, or the jobs would spend
+// them in addition to the tokens that the bucket receives meanwhile.
+func TestWaitingTokensExpire(t *testing.T) {
+	h := newHarness(t)
+	h.advance(10 * time.Second)
 	limit := rateLimit{RatePerS: 4, Window: 5 * time.Second, Overshoot: 1.1}
 	for i := range 200 {
-		w.accept("/l/", fmt.Sprint(i))
+		h.accept("/l/", fmt.Sprint(i))
 	}
-	for end := w.now + 8*time.Second; w.now < end; w.pass(20 * ms) {
-		for len(w.deliveries) > 0 {
-			d := w.deliveries[0]
-			w.deliveries = w.deliveries[1:]
-			w.end(d, worker.NoConnection)
+	for end := h.now + 8*time.Second; h.now < end; h.advance(20 * ms) {
+		for len(h.deliveries) > 0 {
+			d := h.deliveries[0]
+			h.deliveries = h.deliveries[1:]
+			h.finishAttempt(d, worker.NoConnection)
 		}
 	}
 	sent := 0
-	for end := w.now + limit.Window; w.now < end; w.pass(20 * ms) {
-		for len(w.deliveries) > 0 {
-			d := w.deliveries[0]
-			w.deliveries = w.deliveries[1:]
+	for end := h.now + limit.Window; h.now < end; h.advance(20 * ms) {
+		for len(h.deliveries) > 0 {
+			d := h.deliveries[0]
+			h.deliveries = h.deliveries[1:]
 			sent++
-			w.end(d, worker.Done)
+			h.finishAttempt(d, worker.Done)
 		}
 	}
 	assert.LessOrEqual(t, float64(sent), limit.budget())
 	assert.Greater(t, float64(sent), limit.budget()/2)
 }
 
-func TestTokenIsKeptWhereNothingWasSent(t *testing.T) {
-	w := newWorld(t)
-	w.pass(10 * time.Second)
-	w.accept("/l/", "1")
-	d := w.sent()
-	s := w.core.services["limited"]
+func TestTokenIsRefundedIfNothingWasSent(t *testing.T) {
+	h := newHarness(t)
+	h.advance(10 * time.Second)
+	h.accept("/l/", "1")
+	d := h.takeDelivery()
+	s := h.core.services["limited"]
 	before := s.tokens.tokens
-	w.end(d, worker.NoConnection)
+	h.finishAttempt(d, worker.NoConnection)
 	assert.Greater(t, s.tokens.tokens, before)
 }
 
-func TestMessagesWaitInOrderForTokens(t *testing.T) {
-	w := newWorld(t)
+func TestRateLimitedMessagesKeepOrder(t *testing.T) {
+	h := newHarness(t)
 	for i := range 6 {
-		w.accept("/l/", fmt.Sprint(i))
+		h.accept("/l/", fmt.Sprint(i))
 	}
-	w.pass(4 * time.Second)
-	for i, d := range w.deliveries {
+	h.advance(4 * time.Second)
+	for i, d := range h.deliveries {
 		assert.Equal(t, fmt.Sprint(i), d.Delivery.RequestID)
 	}
-	assert.NotEmpty(t, w.deliveries)
+	assert.NotEmpty(t, h.deliveries)
 }
 
-func TestRateLimitThatIsLiftedLetsAllGo(t *testing.T) {
-	w := newWorld(t)
+func TestRemovedRateLimitSendsWaitingMessages(t *testing.T) {
+	h := newHarness(t)
 	for i := range 6 {
-		w.accept("/l/", fmt.Sprint(i))
+		h.accept("/l/", fmt.Sprint(i))
 	}
-	w.config.Services[2].RatePerS = 0
-	w.configure()
-	w.pass(100 * ms)
-	assert.Len(t, w.deliveries, 6)
+	h.config.Services[2].RatePerS = 0
+	h.configure()
+	h.advance(100 * ms)
+	assert.Len(t, h.deliveries, 6)
 }
 
 func TestEachZoneHasASender(t *testing.T) {
 	for _, rate := range []float64{3, 39} {
-		c := rateLimit{RatePerS: rate, Window: 5 * time.Second, Overshoot: 1.1}
+		limit := rateLimit{RatePerS: rate, Window: 5 * time.Second, Overshoot: 1.1}
 		edges := edgesIn(4, 58)
 		zones := make(map[string]int)
 		for _, edge := range edges {
-			if share := c.divide("s", edge.ID, edges); share.Burst > 0 {
+			if share := limit.shareOf("s", edge.ID, edges); share.Burst > 0 {
 				zones[edge.Zone]++
 			}
 		}
@@ -245,47 +246,48 @@
 	}
 }
 
-// Where many edges could have a trickle each, fewer have a supply that keeps nobody waiting for long.
-func TestSendersHaveAQuickSupply(t *testing.T) {
-	c := rateLimit{RatePerS: 39, Window: 5 * time.Second, Overshoot: 1.1}
+// The limit is divided among fewer edges than there are, so that each sender has a token rate that keeps waits short.
+func TestSendersHaveHighTokenRate(t *testing.T) {
+	limit := rateLimit{RatePerS: 39, Window: 5 * time.Second, Overshoot: 1.1}
 	edges := edgesIn(4, 58)
 	for _, edge := range edges {
-		if share := c.divide("s", edge.ID, edges); share.Burst > 0 {
+		if share := limit.shareOf("s", edge.ID, edges); share.Burst > 0 {
 			assert.Greater(t, share.Rate, 3.0)
 		}
 	}
 }
 
-func TestLongTokenWaitsSendNewMessagesToOthers(t *testing.T) {
-	w := newWorld(t)
-	w.pass(10 * time.Second)
-	assert.True(t, w.core.Accepts(w.now, "limited", 10))
+func TestAcceptsDependsOnTokenWait(t *testing.T) {
+	h := newHarness(t)
+	h.advance(10 * time.Second)
+	assert.True(t, h.core.Accepts(h.now, "limited", 10))
 	for i := range 6 {
-		w.accept("/l/", fmt.Sprint(i))
+		h.accept("/l/", fmt.Sprint(i))
 	}
-	assert.False(t, w.core.Accepts(w.now, "limited", 10))
-	assert.True(t, w.core.Accepts(w.now, "s", 10))
-	w.pass(10 * time.Second)
-	assert.True(t, w.core.Accepts(w.now, "limited", 10))
-	w.apply(w.core.SetEdges(w.now, edgesOf("other")))
-	assert.False(t, w.core.Accepts(w.now, "limited", 10), "not a sender")
-	w.apply(w.core.Stop(w.now))
-	assert.False(t, w.core.Accepts(w.now, "s", 10))
+	assert.False(t, h.core.Accepts(h.now, "limited", 10))
+	assert.True(t, h.core.Accepts(h.now, "s", 10))
+	h.advance(10 * time.Second)
+	assert.True(t, h.core.Accepts(h.now, "limited", 10))
+	h.record(h.core.SetEdges(h.now, edgesOf("other")))
+	assert.False(t, h.core.Accepts(h.now, "limited", 10), "the edge is not a sender")
+	h.record(h.core.Stop(h.now))
+	assert.False(t, h.core.Accepts(h.now, "s", 10))
 }
 
-// An endpoint that refused one message was left alone by the edge for as long as all edges together took 150 ms each: ten seconds with 69.
-func TestAnEndpointThatWasBusyIsSentToAgainSoon(t *testing.T) {
-	w := newWorld(t)
-	var edges []string
+// After an endpoint rejected one message for want of capacity, the edge sent nothing to it for 150 ms times the number
+// of edges: for ten seconds with 69 edges.
+func TestEndpointAtCapacityIsRetriedSoon(t *testing.T) {
+	h := newHarness(t)
+	var ids []string
 	for i := range 69 {
-		edges = append(edges, fmt.Sprintf("e%d", i))
+		ids = append(ids, fmt.Sprintf("e%d", i))
 	}
-	w.config.Services[2].RatePerS = 300 // all edges may send
-	w.configure()
-	w.apply(w.core.SetEdges(w.now, edgesOf(edges...)))
-	w.pass(5 * time.Second)
-	w.accept("/l/", "1")
-	w.end(w.sent(), worker.AtCapacity)
-	w.pass(3 * time.Second)
-	assert.NotEmpty(t, w.deliveries)
+	h.config.Services[2].RatePerS = 300 // all edges may send
+	h.configure()
+	h.record(h.core.SetEdges(h.now, edgesOf(ids...)))
+	h.advance(5 * time.Second)
+	h.accept("/l/", "1")
+	h.finishAttempt(h.takeDelivery(), worker.AtCapacity)
+	h.advance(3 * time.Second)
+	assert.NotEmpty(t, h.deliveries)
 }
--- a/edge/dispatch/replaced.go
+++ b/edge/dispatch/replaced.go
@@ -6,26 +6,27 @@
 	"ravendale/cluster/wire"
 )
 
-// replacedFor is how long a worker whose address another has is excluded, though it is listed. It is longer than the list lags behind.
-const replacedFor = 5 * time.Second
+// replacedTTL is how long a worker is excluded, although it is listed, after another worker was found at its address. It
+// exceeds the delay of the worker list.
+const replacedTTL = 5 * time.Second
 
-// replacedWorkers are listed workers whose address another has by now.
+// replacedWorkers holds the listed workers at whose address another worker was found.
 type replacedWorkers struct {
-	until map[string]time.Duration // by name
-	next  time.Duration            // when the first of them may be tried again; 0: there is none
+	until      map[string]time.Duration // by name: when the worker may be tried again
+	nextExpiry time.Duration            // when the first of them may be tried again; 0: none is excluded
 }
 
 func (r *replacedWorkers) has(name string) bool {
-	_, is := r.until[name]
-	return is
+	_, found := r.until[name]
+	return found
 }
 
 func (r *replacedWorkers) add(now time.Duration, name string) {
-	r.until[name] = now + replacedFor
-	r.updateNext()
+	r.until[name] = now + replacedTTL
+	r.updateNextExpiry()
 }
 
-// retain forgets all that are not listed any more.
+// retain removes the workers that are no longer listed.
 func (r *replacedWorkers) retain(workers *wire.Workers) {
 	if len(r.until) == 0 {
 		return
@@ -39,12 +40,12 @@
 			delete(r.until, name)
 		}
 	}
-	r.updateNext()
+	r.updateNextExpiry()
 }
 
-// expire forgets those whose time is over, and reports whether there were any.
+// expire removes the workers that may be tried again, and reports whether there were any.
 func (r *replacedWorkers) expire(now time.Duration) bool {
-	if r.next == 0 || r.next > now {
+	if r.nextExpiry == 0 || r.nextExpiry > now {
 		return false
 	}
 	for name, until := range r.until {
@@ -52,16 +53,16 @@
 			delete(r.until, name)
 		}
 	}
-	r.updateNext()
+	r.updateNextExpiry()
 	return true
 }
 
-// updateNext recomputes next.
-func (r *replacedWorkers) updateNext() {
-	r.next = 0
+// updateNextExpiry recomputes nextExpiry.
+func (r *replacedWorkers) updateNextExpiry() {
+	r.nextExpiry = 0
 	for _, until := range r.until {
-		if r.next == 0 || until < r.next {
-			r.next = until
+		if r.nextExpiry == 0 || until < r.nextExpiry {
+			r.nextExpiry = until
 		}
 	}
 }
--- a/edge/dispatch/replaced_test.go
+++ b/edge/dispatch/replaced_test.go
@@ -9,57 +9,57 @@
 	"ravendale/edge/worker"
 )
 
-// The worker's machine is back, with another instance at its address; the list still names the one before.
-func TestWorkerThatAnotherReplacedGetsNothingMore(t *testing.T) {
-	w := newWorld(t)
-	w.workers.Entries = w.workers.Entries[:1]
-	w.listWorkers()
-	w.accept("/p/", "1")
-	w.end(w.sent(), worker.WrongWorker)
-	w.accept("/p/", "2")
-	w.pass(replacedFor / 2)
-	w.sentNothing()
-	assert.NotContains(t, w.core.Connections(), "s-0")
-	w.listWorkers() // as it was
-	w.pass(replacedFor/2 - ms)
-	w.sentNothing()
-	w.workers.Entries[0].ID = "s-9"
-	w.listWorkers()
-	assert.Empty(t, w.core.replaced.until)
-	w.pass(0)
-	assert.Len(t, w.deliveries, 2, "both at once")
-	for _, d := range w.deliveries {
+// Another worker runs at the address of a worker whose machine restarted. The list still names the old one.
+func TestReplacedWorkerIsExcluded(t *testing.T) {
+	h := newHarness(t)
+	h.workers.Entries = h.workers.Entries[:1]
+	h.listWorkers()
+	h.accept("/p/", "1")
+	h.finishAttempt(h.takeDelivery(), worker.WrongWorker)
+	h.accept("/p/", "2")
+	h.advance(replacedTTL / 2)
+	h.requireNoDelivery()
+	assert.NotContains(t, h.core.Connections(), "s-0")
+	h.listWorkers() // unchanged
+	h.advance(replacedTTL/2 - ms)
+	h.requireNoDelivery()
+	h.workers.Entries[0].ID = "s-9"
+	h.listWorkers()
+	assert.Empty(t, h.core.replaced.until)
+	h.advance(0)
+	assert.Len(t, h.deliveries, 2, "both messages are sent immediately")
+	for _, d := range h.deliveries {
 		assert.Equal(t, "s-9", d.Delivery.Instance)
 	}
 }
 
-func TestOthersGoOnWhenAWorkerWasReplaced(t *testing.T) {
-	w := newWorld(t)
-	w.accept("/p/", "1")
-	first := w.sent()
-	w.end(first, worker.WrongWorker)
-	second := w.sent()
+func TestOtherWorkersAreUsedAfterReplacement(t *testing.T) {
+	h := newHarness(t)
+	h.accept("/p/", "1")
+	first := h.takeDelivery()
+	h.finishAttempt(first, worker.WrongWorker)
+	second := h.takeDelivery()
 	assert.NotEqual(t, first.Delivery.Instance, second.Delivery.Instance)
 	for range 20 {
-		w.accept("/p/", "2")
-		for _, d := range w.deliveries {
+		h.accept("/p/", "2")
+		for _, d := range h.deliveries {
 			assert.NotEqual(t, first.Delivery.Instance, d.Delivery.Instance)
-			w.end(d, worker.Failed)
+			h.finishAttempt(d, worker.Failed)
 		}
-		w.deliveries = nil
+		h.deliveries = nil
 	}
 }
 
-// Should it have been the worker after all, it is not lost for good.
-func TestWorkerThatSeemedReplacedIsTriedAgain(t *testing.T) {
-	w := newWorld(t)
-	w.workers.Entries = w.workers.Entries[:1]
-	w.listWorkers()
-	w.accept("/p/", "1")
-	w.end(w.sent(), worker.WrongWorker)
-	w.pass(replacedFor)
-	w.pass(0)
-	w.end(w.sent(), worker.Done)
-	w.pass(time.Second)
-	assert.Zero(t, w.core.replaced.next)
+// A worker that still is at its address after all is used again after replacedTTL.
+func TestReplacedWorkerIsRetriedAfterTTL(t *testing.T) {
+	h := newHarness(t)
+	h.workers.Entries = h.workers.Entries[:1]
+	h.listWorkers()
+	h.accept("/p/", "1")
+	h.finishAttempt(h.takeDelivery(), worker.WrongWorker)
+	h.advance(replacedTTL)
+	h.advance(0)
+	h.finishAttempt(h.takeDelivery(), worker.Done)
+	h.advance(time.Second)
+	assert.Zero(t, h.core.replaced.nextExpiry)
 }
--- a/edge/dispatch/report.go
+++ b/edge/dispatch/report.go
@@ -6,7 +6,8 @@
 	"ravendale/cluster/wire"
 )
 
-// finish completes a message here. It stays, without its body, until the queue has acknowledged the report.
+// finish ends the delivery of a message with its last report. The message is kept, without its body, until the queue has
+// acknowledged the report.
 func (c *Core) finish(m *message, report wire.Report) {
 	c.withdraw(m)
 	c.messages.unschedule(m)
@@ -16,7 +17,8 @@
 	c.report(report)
 }
 
-// succeed completes a message that a worker has run, whether or not it is still leased to this edge: the present leaseholder must not run it again.
+// succeed reports the success of a message that a worker has run, whether or not the message is still leased to this
+// edge: the current leaseholder must not run it again.
 func (c *Core) succeed(m *message, signature string) {
 	done := wire.Report{ID: m.ID, Kind: wire.ReportDone, Failed: m.failedAttempts, Signature: signature}
 	if current := c.messages.byID[m.ID]; current != nil && current.phase != phaseReported {
@@ -28,13 +30,13 @@
 	}
 }
 
-// release gives a message back for another edge to deliver.
+// release returns a message to its store, for another edge to deliver.
 func (c *Core) release(m *message) {
 	m.released = true
 	c.finish(m, wire.Report{Kind: wire.ReportReleased})
 }
 
-// report notifies the queue of an outcome, and remembers those that complete a message.
+// report notifies the queue of an outcome. A report that completes the message is added to c.completed.
 func (c *Core) report(r wire.Report) {
 	r.Partition, _ = wire.PartitionOf(r.ID)
 	if r.Kind != wire.ReportFailed && r.Kind != wire.ReportReleased {
@@ -43,10 +45,10 @@
 	c.emit(Report{r})
 }
 
-// resendReport repeats the terminal report of a message that was completed here, and reports whether there was one.
+// resendReport sends the terminal report of a message that was completed here again, and returns whether there was one.
 func (c *Core) resendReport(id string) bool {
 	report, known := c.completed.find(c.now, id)
-	known = known && !c.mutations.forgetsCompleted
+	known = known && !c.mutations.ignoresCompletions
 	if known {
 		c.emit(Report{report})
 	}
@@ -55,19 +57,19 @@
 
 // Acknowledged is called when the queue has acknowledged a message's last report.
 func (c *Core) Acknowledged(now time.Duration, id string) []Action {
-	c.begin(now)
+	c.beginEvent(now)
 	if m := c.messages.byID[id]; m != nil && m.phase == phaseReported {
 		c.messages.remove(m)
 	}
-	return c.end()
+	return c.endEvent()
 }
 
-// Unknown is called when the queue does not know a message as pending: it was completed.
+// Unknown is called when the queue reports that a message is not pending, as it was completed.
 func (c *Core) Unknown(now time.Duration, id string) []Action {
-	c.begin(now)
+	c.beginEvent(now)
 	if m := c.messages.byID[id]; m != nil && m.phase != phaseReported {
 		c.withdraw(m)
 		c.messages.remove(m)
 	}
-	return c.end()
+	return c.endEvent()
 }
--- a/edge/dispatch/senderorder.go
+++ b/edge/dispatch/senderorder.go
@@ -4,21 +4,23 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// senderOrder is the place of one edge in the order in which edges become senders of a rate-limited service. The first of each zone by
-// hash of service and edge come first, by that hash; then the second ones, and so on: the order is the same for all who have the same
-// list, and older programs compute it too. It is kept by counts, so that a change of the list costs one hash for each edge that changed.
+// senderOrder computes the position of one edge in the order in which edges become senders of a rate-limited service.
+// Each edge has a rank within its zone, by the hash of service and edge. Edges are ordered by rank, and edges of equal
+// rank by the hash: the first edges of all zones precede the second ones, and so on. All edges with the same edge list
+// compute the same order, also those that run an older version. The position is computed from counts, so that a change
+// of the list costs one hash for each edge that was added or removed.
 type senderOrder struct {
-	service string
-	edge    string
-	hash    uint64 // of the service and the edge
-	before  []int  // by index of edgeList.zones: the edges of the zone with a lower hash
+	service     string
+	edge        string
+	hash        uint64 // of the service and the edge
+	edgesBefore []int  // by index of edgeList.zones: the number of edges of the zone with a lower hash
 }
 
 func newSenderOrder(service, edge string) senderOrder {
 	return senderOrder{service: service, edge: edge, hash: senderHash(service, edge)}
 }
 
-// senderHash is the hash of a service and an edge.
+// senderHash returns the hash of a service and an edge.
 func senderHash(service, edge string) uint64 {
 	var digest xxhash.Digest
 	digest.Reset()
@@ -28,25 +30,25 @@
 	return digest.Sum64()
 }
 
-// update follows changes of the list.
+// update applies changes of the edge list.
 func (o *senderOrder) update(changes []edgeChange) {
 	for _, change := range changes {
-		for len(o.before) <= change.zone {
-			o.before = append(o.before, 0)
+		for len(o.edgesBefore) <= change.zone {
+			o.edgesBefore = append(o.edgesBefore, 0)
 		}
 		if hash := senderHash(o.service, change.id); hash < o.hash || hash == o.hash && change.id < o.edge {
-			o.before[change.zone] += change.count
+			o.edgesBefore[change.zone] += change.delta
 		}
 	}
 }
 
-// position returns how many of the listed edges come before this one, which must be listed.
+// position returns how many of the listed edges precede this one, which must be listed.
 func (o *senderOrder) position(list *edgeList) int {
-	rank := o.before[list.ownZone()]
+	rank := o.edgesBefore[list.ownZoneIndex()]
 	position := 0
 	for i := range list.zones {
 		position += min(list.zones[i].edges, rank)
-		if i < len(o.before) && o.before[i] > rank { // the one of this zone with the same rank has a lower hash
+		if i < len(o.edgesBefore) && o.edgesBefore[i] > rank { // the zone's edge of the same rank has a lower hash
 			position++
 		}
 	}
--- a/edge/dispatch/senderorder_test.go
+++ b/edge/dispatch/senderorder_test.go
@@ -15,26 +15,27 @@
 	"ravendale/cluster/wire"
 )
 
-// ranked is an edge with what sortedSenders orders by.
-type ranked struct {
+// rankedEdge is an edge with the values that sortedSenders sorts by.
+type rankedEdge struct {
 	id, zone string
 	hash     uint64
 	rank     int // among the edges of its zone
 }
 
-// sortedSenders returns the IDs of all edges in the order in which they become senders, by sorting, as programs did before senderOrder.
+// sortedSenders returns the IDs of all edges in the order in which they become senders. It sorts the edges, as older
+// versions of the program do, which have no senderOrder.
 func sortedSenders(service string, edges []wire.Edge) []string {
-	list := make([]ranked, len(edges))
+	list := make([]rankedEdge, len(edges))
 	for i := range edges {
-		list[i] = ranked{id: edges[i].ID, zone: edges[i].Zone, hash: xxhash.Sum64String(service + "\x00" + edges[i].ID)}
+		list[i] = rankedEdge{id: edges[i].ID, zone: edges[i].Zone, hash: xxhash.Sum64String(service + "\x00" + edges[i].ID)}
 	}
-	slices.SortFunc(list, func(a, b ranked) int { return cmp.Or(cmp.Compare(a.hash, b.hash), cmp.Compare(a.id, b.id)) })
+	slices.SortFunc(list, func(a, b rankedEdge) int { return cmp.Or(cmp.Compare(a.hash, b.hash), cmp.Compare(a.id, b.id)) })
 	counts := make(map[string]int)
 	for i := range list {
 		list[i].rank = counts[list[i].zone]
 		counts[list[i].zone]++
 	}
-	slices.SortStableFunc(list, func(a, b ranked) int { return cmp.Compare(a.rank, b.rank) })
+	slices.SortStableFunc(list, func(a, b rankedEdge) int { return cmp.Compare(a.rank, b.rank) })
 	var ids []string
 	for i := range list {
 		ids = append(ids, list[i].id)
@@ -42,8 +43,9 @@
 	return ids
 }
 
-// Through any changes of the list an edge has the place that sorting gives it: programs before this one sort, and in a roll both divide.
-func TestSenderOrderIsThatOfSorting(t *testing.T) {
+// After any changes of the list, an edge has the position that sorting yields. Older versions of the program sort, and
+// during a rolling upgrade both versions divide the same rate limits.
+func TestSenderOrderEqualsSorting(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const own = "edge-7"
 		service := rapid.SampledFrom([]string{"s", "partner-17", "a-service-with-a-longer-name-than-most"}).Draw(t, "service")
@@ -58,35 +60,35 @@
 				}
 			}
 			order.update(list.set(edges, own))
-			at := slices.Index(sortedSenders(service, edges), own)
-			if at < 0 {
-				assert.Equal(t, -1, list.own)
+			position := slices.Index(sortedSenders(service, edges), own)
+			if position < 0 {
+				assert.Equal(t, -1, list.ownIndex)
 				continue
 			}
-			assert.Equal(t, at, order.position(&list))
+			assert.Equal(t, position, order.position(&list))
 		}
 	})
 }
 
-// An edge that moves to another zone under its ID, or is ready or not, is where the list says.
-func TestEdgeListFollowsZones(t *testing.T) {
+// An edge that moves to another zone under the same ID is counted there. A change of Ready alone is no change.
+func TestEdgeListZoneChanges(t *testing.T) {
 	var list edgeList
 	list.set([]wire.Edge{{ID: "a", Zone: "z1"}, {ID: "b", Zone: "z1"}}, "a")
 	version := list.version
 	assert.Empty(t, list.set([]wire.Edge{{ID: "a", Zone: "z1", Ready: true}, {ID: "b", Zone: "z1"}}, "a"))
 	assert.Equal(t, version, list.version)
 	assert.Len(t, list.set([]wire.Edge{{ID: "a", Zone: "z1"}, {ID: "b", Zone: "z2"}}, "a"), 2)
-	assert.Equal(t, 1, list.inZone("z1"))
-	assert.Equal(t, 1, list.inZone("z2"))
+	assert.Equal(t, 1, list.edgesInZone("z1"))
+	assert.Equal(t, 1, list.edgesInZone("z2"))
 	assert.Equal(t, 2, list.populatedZones())
 	list.set([]wire.Edge{{ID: "b", Zone: "z2"}}, "a")
 	assert.Equal(t, 1, list.populatedZones())
-	assert.Equal(t, -1, list.own)
+	assert.Equal(t, -1, list.ownIndex)
 }
 
-// Edges that follow the same changes, and edges that come later and see only the last list, agree on who sends: the shares sum up to
-// no more than the limit.
-func TestSharesAgreeWhateverWasSeenBefore(t *testing.T) {
+// Edges that received different earlier lists agree on the senders once they have the same list: the shares sum to no
+// more than the limit.
+func TestSharesDoNotDependOnEarlierLists(t *testing.T) {
 	limit := rateLimit{RatePerS: 75, Window: 5 * time.Second, Overshoot: 1.1}
 	edges := edgesIn(6, 60)
 	sum := 0.0
@@ -94,20 +96,21 @@
 		core := NewCore(Config{Topology: Topology{Edge: edge.ID, Zone: edge.Zone}, Window: limit.Window, Overshoot: limit.Overshoot})
 		config := catalog.Config{Services: []catalog.Service{{Name: "partner", RatePerS: limit.RatePerS, Endpoint: "10.0.0.1:80", MaxConns: 34}}}
 		core.ApplyConfig(0, catalog.NewIndex(&config))
-		for j := i % 7; j < len(edges); j += 7 { // some have seen many lists
+		for j := i % 7; j < len(edges); j += 7 { // the edges receive different earlier lists, some of them many
 			core.SetEdges(0, edges[:j])
 		}
 		core.SetEdges(0, edges)
 		share := core.services["partner"].tokens.share
-		assert.Equal(t, limit.divide("partner", edge.ID, edges), share)
+		assert.Equal(t, limit.shareOf("partner", edge.ID, edges), share)
 		sum += share.Rate
 	}
 	assert.Greater(t, sum, 0.7*limit.RatePerS)
 	assert.LessOrEqual(t, sum, limit.RatePerS*limit.Overshoot)
 }
 
-// A change of the members costs a service what changed, not what there is: nothing is told to a service whose share stays.
-func TestAChangeOfMembersTouchesFewServices(t *testing.T) {
+// The cost of a change of the edge list grows with the edges that changed, not with all edges. A service whose share
+// stays the same is not updated.
+func TestEdgeChangeUpdatesFewServices(t *testing.T) {
 	core := NewCore(Config{Topology: Topology{Edge: "edge-0", Zone: "z0", Zones: []string{"z0", "z1"}}, Window: 5 * time.Second, Overshoot: 1.1})
 	var config catalog.Config
 	for i := range 300 {
@@ -124,7 +127,7 @@
 		before[name] = s.tokens
 	}
 	allocations := testing.AllocsPerRun(1, func() { core.SetEdges(0, edges) })
-	assert.Less(t, allocations, 60.0, "of 300 services")
+	assert.Less(t, allocations, 60.0, "allocations for 300 services")
 	changed := 0
 	for name, s := range core.services {
 		if s.tokens != before[name] {
--- a/edge/dispatch/waitqueue.go
+++ b/edge/dispatch/waitqueue.go
@@ -6,8 +6,9 @@
 	"time"
 )
 
-// waitQueue has a service's messages that may run and were not submitted to its decision module yet, sorted by when they should start. A
-// module is given a message at a time, once all that it has are in flight: so the one that is best sent next is, however many wait.
+// waitQueue holds a service's messages that may run and are not yet submitted to its decision module, sorted by start
+// target. A module is given one message at a time, once all its jobs are in flight: so the message to send next is
+// chosen as late as possible, however many wait.
 type waitQueue struct{ messages []*message }
 
 func (q *waitQueue) len() int { return len(q.messages) }
@@ -18,7 +19,7 @@
 }
 
 func (q *waitQueue) remove(m *message) {
-	for i := q.from(m.startTarget); i < len(q.messages); i++ {
+	for i := q.search(m.startTarget); i < len(q.messages); i++ {
 		if q.messages[i] == m {
 			q.messages = slices.Delete(q.messages, i, i+1)
 			return
@@ -26,22 +27,23 @@
 	}
 }
 
-// from returns the index of the first message that should start at a time or later.
-func (q *waitQueue) from(at time.Duration) int {
+// search returns the index of the first message whose start target is at a time or later.
+func (q *waitQueue) search(at time.Duration) int {
 	return sort.Search(len(q.messages), func(i int) bool { return at <= q.messages[i].startTarget })
 }
 
-// first returns the message that goes next; nil: there is none. The oldest of those that can still start within their target is first.
-// Then comes the newest: whatever goes first, the same number misses its target, but a key whose messages have all run has the next one
-// in time again, and with the oldest first all keys would be late until the last of the backlog has run.
-func (q *waitQueue) first(now time.Duration) *message {
+// next returns the message to submit next, or nil if the queue is empty. Of the messages that can still meet their
+// start target, it is the oldest. If there are none, it is the newest: in any order the same number of messages miss
+// their target, but a key whose messages have all run has its next message in time again. With the oldest first, all
+// keys would be late until the whole backlog has run.
+func (q *waitQueue) next(now time.Duration) *message {
 	if len(q.messages) == 0 {
 		return nil
 	}
-	return q.messages[min(q.from(now), len(q.messages)-1)]
+	return q.messages[min(q.search(now), len(q.messages)-1)]
 }
 
-// enqueue has a message wait until it can be submitted to its service's module.
+// enqueue adds a message to its service's queue, until it can be submitted to the service's module.
 func (c *Core) enqueue(m *message, s *service) {
 	m.service = s
 	if s.queue.len() == 0 {
@@ -51,18 +53,18 @@
 	c.messages.schedule(m, phaseQueued, m.expiresAt)
 }
 
-// dequeue takes a message out of its service's queue.
+// dequeue removes a message from its service's queue.
 func (c *Core) dequeue(m *message) {
 	m.service.queue.remove(m)
 	c.pruneBacklogged()
 }
 
-// pruneBacklogged removes services with empty queues from the list.
+// pruneBacklogged removes services with empty queues from c.backlogged.
 func (c *Core) pruneBacklogged() {
 	c.backlogged = slices.DeleteFunc(c.backlogged, func(s *service) bool { return s.queue.len() == 0 })
 }
 
-// reroute has messages that waited for a service admitted anew, under their present route.
+// reroute schedules the admission of messages that waited for a service, so that each follows its current route.
 func (c *Core) reroute(messages []*message) {
 	for _, m := range messages {
 		m.service = nil
@@ -70,13 +72,14 @@
 	}
 }
 
-// submitQueued submits the first message of a queue whose module has all its jobs in flight, and reports whether there was one.
+// submitQueued submits the next message of the first backlogged service whose module has all its jobs in flight. It
+// reports whether there was one.
 func (c *Core) submitQueued() bool {
 	for _, s := range c.backlogged {
 		if s.waitingJobs > 0 {
 			continue
 		}
-		m := s.queue.first(c.now)
+		m := s.queue.next(c.now)
 		c.dequeue(m)
 		c.submit(m, s, false)
 		return true
--- a/edge/dispatch/world_test.go
+++ b/edge/dispatch/world_test.go
@@ -14,8 +14,8 @@
 
 const ms = time.Millisecond
 
-// world drives a Core by a clock of its own.
-type world struct {
+// harness drives a Core with a simulated clock, and collects its actions.
+type harness struct {
 	t       *testing.T
 	core    *Core
 	now     time.Duration
@@ -27,7 +27,7 @@
 	reports    []wire.Report
 }
 
-// edgesOf lists edges of zone z1.
+// edgesOf returns edges of zone z1.
 func edgesOf(ids ...string) (edges []wire.Edge) {
 	for _, id := range ids {
 		edges = append(edges, wire.Edge{ID: id, Zone: "z1"})
@@ -35,13 +35,13 @@
 	return edges
 }
 
-func newWorld(t *testing.T) *world {
-	w := &world{t: t, now: time.Second}
-	w.core = NewCore(Config{
+func newHarness(t *testing.T) *harness {
+	h := &harness{t: t, now: time.Second}
+	h.core = NewCore(Config{
 		Topology: Topology{Edge: "e1", Zone: "z1", Zones: []string{"z1", "z2"}, Edges: edgesOf("e1")},
 		Window:   5 * time.Second, Overshoot: 1.1, ConvergenceTime: 3 * time.Second, Seed: 1,
 	})
-	w.config = catalog.Config{
+	h.config = catalog.Config{
 		Version: 1,
 		Routes: []catalog.Route{
 			{Name: "plain", Host: "a.example", PathPrefix: "/p/", Type: DeferredType, Service: "s", TimeoutMs: 600, Retries: 3, RetentionS: 90},
@@ -55,49 +55,49 @@
 	}
 	for _, service := range []string{"s", "safe"} {
 		for i := range 3 {
-			w.workers.Entries = append(w.workers.Entries, wire.Worker{
+			h.workers.Entries = append(h.workers.Entries, wire.Worker{
 				ID: fmt.Sprintf("%s-%d", service, i), Service: service, Address: fmt.Sprintf("10.0.0.%d:80", i), Zone: "z1", Capacity: 4,
 			})
 		}
 	}
-	w.configure()
-	w.listWorkers()
-	return w
+	h.configure()
+	h.listWorkers()
+	return h
 }
 
-func (w *world) configure() {
-	config := w.config
+func (h *harness) configure() {
+	config := h.config
 	config.Routes = append([]catalog.Route(nil), config.Routes...)
 	config.Services = append([]catalog.Service(nil), config.Services...)
-	w.apply(w.core.ApplyConfig(w.now, catalog.NewIndex(&config)))
+	h.record(h.core.ApplyConfig(h.now, catalog.NewIndex(&config)))
 }
 
-func (w *world) listWorkers() {
-	workers := wire.Workers{Entries: append([]wire.Worker(nil), w.workers.Entries...)}
-	w.apply(w.core.SetWorkers(w.now, &workers))
+func (h *harness) listWorkers() {
+	workers := wire.Workers{Entries: append([]wire.Worker(nil), h.workers.Entries...)}
+	h.record(h.core.SetWorkers(h.now, &workers))
 }
 
-func (w *world) apply(actions []Action) {
+func (h *harness) record(actions []Action) {
 	for _, action := range actions {
 		switch a := action.(type) {
 		case Deliver:
-			w.deliveries = append(w.deliveries, a)
+			h.deliveries = append(h.deliveries, a)
 		case Cancel:
-			w.cancels = append(w.cancels, a)
+			h.cancels = append(h.cancels, a)
 		case Report:
-			w.reports = append(w.reports, a.Report)
+			h.reports = append(h.reports, a.Report)
 		}
 	}
 }
 
-// pass lets time go by, ticking when the core wants to be.
-func (w *world) pass(span time.Duration) {
-	until := w.now + span
-	for w.core.Next() <= until {
-		w.now = max(w.now, w.core.Next())
-		w.apply(w.core.Tick(w.now))
+// advance advances the clock by a span, and ticks the core whenever it is due.
+func (h *harness) advance(span time.Duration) {
+	until := h.now + span
+	for h.core.Next() <= until {
+		h.now = max(h.now, h.core.Next())
+		h.record(h.core.Tick(h.now))
 	}
-	w.now = until
+	h.now = until
 }
 
 func messageTo(path, id string) *wire.Message {
@@ -107,34 +107,35 @@
 	}
 }
 
-func (w *world) accept(path, id string) { w.apply(w.core.Accept(w.now, messageTo(path, id), false)) }
+func (h *harness) accept(path, id string) { h.record(h.core.Accept(h.now, messageTo(path, id), false)) }
 
-// sent returns the only delivery since the last look.
-func (w *world) sent() Deliver {
-	w.t.Helper()
-	require.Len(w.t, w.deliveries, 1)
-	d := w.deliveries[0]
-	w.deliveries = nil
+// takeDelivery returns the delivery requested since the last call, and requires that there is exactly one.
+func (h *harness) takeDelivery() Deliver {
+	h.t.Helper()
+	require.Len(h.t, h.deliveries, 1)
+	d := h.deliveries[0]
+	h.deliveries = nil
 	return d
 }
 
-func (w *world) sentNothing() {
-	w.t.Helper()
-	require.Empty(w.t, w.deliveries)
+func (h *harness) requireNoDelivery() {
+	h.t.Helper()
+	require.Empty(h.t, h.deliveries)
 }
 
-func (w *world) end(d Deliver, outcome worker.Outcome) {
+func (h *harness) finishAttempt(d Deliver, outcome worker.Outcome) {
 	result := worker.Result{Outcome: outcome, Took: 10 * ms}
 	if outcome == worker.Done {
 		result.Signature = "sig"
 	}
-	w.apply(w.core.FinishAttempt(w.now, d.Job, d.Attempt, result))
+	h.record(h.core.FinishAttempt(h.now, d.Job, d.Attempt, result))
 }
 
-func (w *world) reported() wire.Report {
-	w.t.Helper()
-	require.Len(w.t, w.reports, 1)
-	r := w.reports[0]
-	w.reports = nil
+// takeReport returns the report sent since the last call, and requires that there is exactly one.
+func (h *harness) takeReport() wire.Report {
+	h.t.Helper()
+	require.Len(h.t, h.reports, 1)
+	r := h.reports[0]
+	h.reports = nil
 	return r
 }
