--- a/deploy/knownred_test.go
+++ b/deploy/knownred_test.go
@@ -8,28 +8,32 @@
 	"testing"
 )
 
-// The tests of KNOWN-RED.txt are passed over by exact name and told; a list that is not as it should be fails the run.
+// Tests listed in KNOWN-RED.txt are skipped by their exact names and printed; a malformed list fails the run.
 func TestKnownRed(t *testing.T) {
 	script, err := filepath.Abs("../.ci/known-red")
 	if err != nil {
 		t.Fatal(err)
 	}
-	const a, b, c = "TestA | sends twice | 34\n", "TestB | never ends | 34\n", "TestC | leaks | 12\n"
+	const a, b, c = "TestA | go test . -seed 7 | sends twice | 34\n", "TestB | go test . | never ends | 34\n", "TestC | go test . | leaks | 12\n"
 	for name, tc := range map[string]struct{ list, skip, told string }{
 		"absent":       {"-", "", ""},
 		"empty":        {"", "", ""},
-		"one":          {a, "^TestA$", "KNOWN RED, passed over: TestA | sends twice | 34\n"},
-		"no end":       {strings.TrimSpace(a), "^TestA$", "KNOWN RED, passed over: TestA | sends twice | 34\n"},
+		"one":          {a, "^TestA$", "KNOWN RED, passed over: " + a},
+		"no end":       {strings.TrimSpace(a), "^TestA$", "KNOWN RED, passed over: " + a},
 		"three":        {a + b + c, "^TestA$|^TestB$|^TestC$", "KNOWN RED, passed over: TestC"},
 		"four":         {a + b + c + a, "", "KNOWN-RED.txt: line 4: three tests at most"},
-		"no issue":     {b + "TestA | sends twice\n", "", "line 2: not of the form"},
-		"no cause":     {"TestA |  | 34\n", "", "line 1: not of the form"},
-		"a pattern":    {"Test.* | all of them | 34\n", "", "line 1: not of the form"},
+		"no issue":     {b + "TestA | go test . | sends twice\n", "", "line 2: not of the form"},
+		"empty issue":  {"TestA | go test . | sends twice | \n", "", "line 1: not of the form"},
+		"no cause":     {"TestA | go test . |  | 34\n", "", "line 1: not of the form"},
+		"no command":   {"TestA |  | sends twice | 34\n", "", "line 1: not of the form"},
+		"old form":     {"TestA | sends twice | 34\n", "", "line 1: not of the form"},
+		"five fields":  {"TestA | go test . | sends twice | 34 | 35\n", "", "line 1: not of the form"},
+		"a pattern":    {"Test.* | go test . | all of them | 34\n", "", "line 1: not of the form"},
 		"blank":        {"\n" + a, "", "line 1: not of the form"},
-		"nobody's":     {"TestD | is gone | 34\n", "", "line 1: TestD is the name of 0 tests"},
-		"half a name":  {"Test | is the start of one | 34\n", "", "line 1: Test is the name of 0 tests"},
-		"two bear it":  {"TestTwice | in two packages | 34\n", "", "line 1: TestTwice is the name of 2 tests"},
-		"a help's one": {"TestHelp | is no test file's | 34\n", "", "line 1: TestHelp is the name of 0 tests"},
+		"nobody's":     {"TestD | go test . | is gone | 34\n", "", "line 1: TestD is the name of 0 tests"},
+		"half a name":  {"Test | go test . | is the start of one | 34\n", "", "line 1: Test is the name of 0 tests"},
+		"two bear it":  {"TestTwice | go test . | in two packages | 34\n", "", "line 1: TestTwice is the name of 2 tests"},
+		"a help's one": {"TestHelp | go test . | is no test file's | 34\n", "", "line 1: TestHelp is the name of 0 tests"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			dir := t.TempDir()
@@ -56,7 +60,7 @@
 	}
 }
 
-// README's command passes the list on to every go test there is.
+// The test command in README passes the list to each go test that it runs.
 func TestTheTestCommandReadsKnownRed(t *testing.T) {
 	text, err := os.ReadFile("../README.md")
 	if err != nil {
