--- a/control/placement/balance.go
+++ b/control/placement/balance.go
@@ -4,7 +4,7 @@
 	"slices"
 )
 
-// trim drops the replicas that are too many.
+// trim drops the replicas that a partition does not need.
 func (p *plan) trim() {
 	for i := range p.partitions {
 		partition := &p.partitions[i]
@@ -12,7 +12,7 @@
 			continue
 		}
 		for {
-			s := p.excess(partition)
+			s := p.excessReplica(partition)
 			if s == nil {
 				break
 			}
@@ -22,12 +22,13 @@
 	}
 }
 
-// excess is the complete replica that a partition can do without, if there is one. Fewer than Copies that may be counted on must never be
-// left: a store that is to be emptied stays until then, also if another one of those that would be left is about to stop.
-func (p *plan) excess(partition *assignment) *store {
+// excessReplica returns the complete replica that the partition should drop next, or nil if it must keep all. At least
+// Copies usable replicas must remain, so a retiring store keeps its replica as long as other replicas are missing or
+// their stores are about to stop.
+func (p *plan) excessReplica(partition *assignment) *store {
 	var worst *store
 	for _, s := range partition.replicas {
-		if worst == nil || p.worse(partition, s, worst) {
+		if worst == nil || p.worseReplica(partition, s, worst) {
 			worst = s
 		}
 	}
@@ -35,21 +36,21 @@
 		return nil
 	}
 	rest := without(partition.replicas, func(s *store) bool { return s == worst })
-	if p.enough(rest) || p.config.mutant.emptyAtFirst && len(rest) > 0 {
+	if p.hasEnoughCopies(rest) || p.config.mutant.dropWithOneCopy && len(rest) > 0 {
 		return worst
 	}
 	return nil
 }
 
-// worse says whether a should be dropped rather than b.
-func (p *plan) worse(partition *assignment, a, b *store) bool {
+// worseReplica reports whether the replica on store a should be dropped rather than the one on store b.
+func (p *plan) worseReplica(partition *assignment, a, b *store) bool {
 	if a.Retiring != b.Retiring {
 		return a.Retiring
 	}
 	if a.leaving != b.leaving {
 		return a.leaving
 	}
-	if sa, sb := p.shared(partition.replicas, a), p.shared(partition.replicas, b); sa != sb && !partition.gathers() {
+	if sa, sb := p.sharesDomain(partition.replicas, a), p.sharesDomain(partition.replicas, b); sa != sb && !partition.colocated() {
 		return sa
 	}
 	if da, db := partition.distance(a), partition.distance(b); da != db {
@@ -58,37 +59,39 @@
 	if a.load != b.load {
 		return a.load > b.load
 	}
-	return b == partition.replicas[0] // leave the primary where it is
+	return b == partition.replicas[0] // otherwise equal: keep the primary
 }
 
-// shared says whether another of the replicas is in a store's domain.
-func (p *plan) shared(replicas []*store, s *store) bool {
-	return slices.ContainsFunc(replicas, func(other *store) bool { return other != s && p.domain(other) == p.domain(s) })
+// sharesDomain reports whether another of the replicas is in the same failure domain as the store.
+func (p *plan) sharesDomain(replicas []*store, s *store) bool {
+	return slices.ContainsFunc(replicas, func(other *store) bool { return other != s && p.failureDomain(other) == p.failureDomain(s) })
 }
 
-// balance moves replicas from the stores that have the most to those that have the least.
+// balance moves replicas to their preferred region or zone, and from the most loaded stores to the least loaded ones.
+// It starts only as many moves as maxConcurrentMoves allows.
 func (p *plan) balance() {
 	moves := 0
 	for i := range p.partitions {
 		moves += len(p.partitions[i].joining)
 	}
-	moves += p.moveToPreferred(movesAtOnce - moves)
+	moves += p.moveToPreferred(maxConcurrentMoves - moves)
 	p.projectLoads()
-	for ; moves < movesAtOnce; moves++ {
-		if !p.move() {
+	for ; moves < maxConcurrentMoves; moves++ {
+		if !p.startMove() {
 			break
 		}
 	}
 }
 
-// projectLoads reckons the loads as they will be once all that are joining hold all, and the replicas too many are dropped.
+// projectLoads computes the loads as they will be once all joining stores are complete and the replicas that are then
+// not needed are dropped.
 func (p *plan) projectLoads() {
 	for i := range p.partitions {
 		partition := &p.partitions[i]
 		members := partition.members()
 		for range max(0, len(members)-p.config.Copies) {
 			projected := assignment{replicas: members, preferredRegion: partition.preferredRegion, preferredZone: partition.preferredZone}
-			if s := p.excess(&projected); s != nil {
+			if s := p.excessReplica(&projected); s != nil {
 				s.load--
 				members = without(members, func(m *store) bool { return m == s })
 			}
@@ -96,10 +99,11 @@
 	}
 }
 
-// move starts the one move that evens the loads most.
-func (p *plan) move() bool {
+// startMove starts the move of one replica between the two stores whose loads differ most, and by at least two. It
+// reports whether there was one.
+func (p *plan) startMove() bool {
 	var from, to *store
-	var where *assignment
+	var best *assignment
 	for i := range p.partitions {
 		partition := &p.partitions[i]
 		if partition.unavailable() || len(partition.joining) > 0 || len(partition.replicas) != p.config.Copies {
@@ -110,43 +114,44 @@
 			if target == nil || source.load-target.load < 2 {
 				continue
 			}
-			if where == nil || source.load-target.load > from.load-to.load {
-				from, to, where = source, target, partition
+			if best == nil || source.load-target.load > from.load-to.load {
+				from, to, best = source, target, partition
 			}
 		}
 	}
-	if where == nil {
+	if best == nil {
 		return false
 	}
-	where.joining = append(where.joining, to)
+	best.joining = append(best.joining, to)
 	from.load--
 	to.load++
 	return true
 }
 
-// moveTarget is the store with the least load that could take a replica's place, without bringing the others closer together unless they are to
-// lie together.
+// moveTarget returns the best store to take over the replica on source, or nil if there is none. The replicas must not
+// be in fewer failure domains afterwards, unless the partition's copies should all be in one zone.
 func (p *plan) moveTarget(partition *assignment, source *store) *store {
 	rest := without(partition.replicas, func(s *store) bool { return s == source })
-	before := p.domains(partition.replicas)
+	domainsBefore := p.countDomains(partition.replicas)
 	var best *store
 	for _, s := range p.stores {
-		if !p.certain(s) || partition.has(s) || partition.distance(s) > partition.distance(source) {
+		if !p.usable(s) || partition.hasMember(s) || partition.distance(s) > partition.distance(source) {
 			continue
 		}
-		if best != nil && !partition.nearer(s, best) {
+		if best != nil && !partition.betterMoveTarget(s, best) {
 			continue
 		}
-		if partition.gathers() || p.domains(append(slices.Clone(rest), s)) >= before {
+		if partition.colocated() || p.countDomains(append(slices.Clone(rest), s)) >= domainsBefore {
 			best = s
 		}
 	}
 	return best
 }
 
-// nearer says whether a replica should rather move to one store than to another: in the preferred zone first, then to the one with the least load.
-func (a *assignment) nearer(s, other *store) bool {
-	if a.gathers() && a.distance(s) != a.distance(other) {
+// betterMoveTarget reports whether a replica should move to s rather than to other: to the closer store if all copies
+// should be in one zone, else to the one with less load.
+func (a *assignment) betterMoveTarget(s, other *store) bool {
+	if a.colocated() && a.distance(s) != a.distance(other) {
 		return a.distance(s) < a.distance(other)
 	}
 	return s.load < other.load
--- a/control/placement/compat_test.go
+++ b/control/placement/compat_test.go
@@ -12,22 +12,22 @@
 	"ravendale/cluster/wire"
 )
 
-// sequence draws the same numbers on every version of Go.
-type sequence uint64
+// lcg is a linear congruential random number generator, which returns the same numbers on every version of Go.
+type lcg uint64
 
-func (s *sequence) below(n int) int {
+func (s *lcg) below(n int) int {
 	*s = *s*6364136223846793005 + 1442695040888963407
 	return int(uint64(*s)>>33) % n
 }
 
-// machines are the stores of a played system.
-type machines [9]struct {
+// simulatedMachines are the machines of a simulated system, with one store each.
+type simulatedMachines [9]struct {
 	disk                   int
 	down, leaving, stalled bool
 }
 
-// disturb has something happen to a machine, or all of them come back.
-func (m *machines) disturb(random *sequence) {
+// applyRandomEvent applies a random event to one machine, lets all of them recover, or does nothing.
+func (m *simulatedMachines) applyRandomEvent(random *lcg) {
 	switch at := &m[random.below(len(m))]; random.below(8) {
 	case 0:
 		at.down = true
@@ -46,8 +46,9 @@
 	}
 }
 
-// live lists the stores that are up. Most of those that are joining a partition say that they hold it completely.
-func (m *machines) live(view *wire.StoreView, random *sequence) []Store {
+// live returns the stores that are up. For two of three partitions that it is joining, a store reports that it holds
+// them completely.
+func (m *simulatedMachines) live(view *wire.StoreView, random *lcg) []Store {
 	var live []Store
 	for i, machine := range m {
 		if machine.down {
@@ -66,7 +67,7 @@
 	return live
 }
 
-func syncedIn(view *wire.StoreView, disk string, random *sequence) []uint16 {
+func syncedIn(view *wire.StoreView, disk string, random *lcg) []uint16 {
 	var synced []uint16
 	for i, p := range view.Partitions {
 		for _, joining := range p.Joining {
@@ -78,16 +79,16 @@
 	return synced
 }
 
-// plannedViews plays a long series of losses, returns, lost disks and retirements, and lists each view that was planned: its epoch, its size
-// and the hash of its bytes.
+// plannedViews simulates a long series of failures, recoveries, lost disks and retirements, and returns one line for
+// each planned view: its epoch, its size and the hash of its bytes.
 func plannedViews(t *testing.T, config Config, seed uint64) []byte {
 	t.Helper()
-	random := sequence(seed)
+	random := lcg(seed)
 	var log bytes.Buffer
 	var view *wire.StoreView
-	var system machines
+	var system simulatedMachines
 	for step := range 400 {
-		system.disturb(&random)
+		system.applyRandomEvent(&random)
 		live := system.live(view, &random)
 		node := fmt.Sprintf("node-%d", random.below(len(system)))
 		if next, known, enough := Retire(view, live, config, node); random.below(25) == 0 {
@@ -107,10 +108,11 @@
 	return log.Bytes()
 }
 
-// TestPlacementsAreAsBefore holds the planned views to those of the version before: a control process of either may lead while a system is
-// rolled, and must not undo what the other has placed. They were recorded when a joining store whose disk was lost still counted as covering its
-// partition, and are played with that fault.
-func TestPlacementsAreAsBefore(t *testing.T) {
+// TestPlannedViewsMatchEarlierVersion compares the planned views with those of an earlier version. During a rolling
+// upgrade a control process of either version may lead, and must not undo the placement of the other. The earlier
+// version had a fault: a joining store whose disk was lost still counted as covering its partition. The test enables
+// that fault to get the same views.
+func TestPlannedViewsMatchEarlierVersion(t *testing.T) {
 	for name, config := range map[string]Config{
 		"views-nodes":   {Copies: 2, Partitions: 32},
 		"views-zones":   {Copies: 3, Partitions: 32, Zones: true},
--- a/control/placement/doc.go
+++ b/control/placement/doc.go
@@ -1,8 +1,10 @@
-// Package placement decides on which stores the partitions of the queue lie. It is pure: the agreed view and the stores that live go in, the
-// next view comes out.
+// Package placement decides which stores hold which partition of the queue. It is pure: it computes the next view from
+// the agreed view and the stores that are live, without I/O or clock.
 //
-// A partition has complete replicas, of which the first is the primary; joining stores, which get all new writes and are filled with the old
-// ones; and former members, which may have what others lack. Plan removes stores that are down, promotes joining ones that are complete, makes
-// up for what is missing, spreads the replicas over failure domains or gathers them in one zone, balances them, and chooses primaries. A complete replica that lives is
-// dropped only once enough others may be counted on (docs/control-safety.md, S4).
+// A partition has complete replicas, the first of which is the primary; joining stores, which receive all new writes
+// and are being filled with the older ones; and former members, which may hold writes that the current members lack.
+// Plan removes stores that are down, promotes joining stores that have become complete, adds joining stores where
+// replicas are missing, spreads the replicas over failure domains or colocates them in one zone, balances them over the
+// stores, and chooses the primaries. A live complete replica is dropped only if at least Copies usable replicas remain
+// (docs/control-safety.md, S4).
 package placement
--- a/control/placement/former.go
+++ b/control/placement/former.go
@@ -2,10 +2,10 @@
 
 import "slices"
 
-// The functions of this file keep count of what lies where while a partition has too few complete replicas: stores that were dropped then are
-// its former members.
+// The functions of this file keep track of which stores may hold accepted writes while a partition has too few complete
+// replicas. Stores that are dropped in that time become its former members.
 
-// dropWiped takes out the stores whose disks are lost.
+// dropWiped removes stores whose disks were wiped from all partitions.
 func (p *plan) dropWiped() {
 	for i := range p.partitions {
 		partition := &p.partitions[i]
@@ -25,8 +25,10 @@
 	a.former = without(a.former, wiped)
 }
 
-// mayRebuild says whether a partition must do without its complete replicas. Former members that will come back are waited for.
-func (a *assignment) mayRebuild() bool {
+// needsRebuild reports whether a partition must be rebuilt without its complete replicas: they were all wiped, or none
+// is live but the former members and joining stores hold all accepted writes. If there are former members, the
+// partition waits until all of them and all joining stores are live.
+func (a *assignment) needsRebuild() bool {
 	live := func(s *store) bool { return s.live }
 	if len(a.former) > 0 && len(without(slices.Concat(a.former, a.joining), live)) > 0 {
 		return false
@@ -34,36 +36,38 @@
 	return len(a.replicas) == 0 || a.covered && a.unavailable()
 }
 
-// sparesStalled says whether enough stores can write to do without those that can't. Else they are waited for: what fewer than Copies
-// members change lies on too few disks.
-func (p *plan) sparesStalled() bool {
-	writable := without(p.stores, func(s *store) bool { return !p.certain(s) })
-	return len(writable) >= p.config.Copies && (!p.strict() || p.domains(writable) >= p.config.Copies)
+// canDropStalled reports whether enough stores are usable to drop those whose disks accept no writes. If not, the plan
+// waits for the stalled stores: writes accepted by fewer than Copies members would be on too few disks.
+func (p *plan) canDropStalled() bool {
+	writable := without(p.stores, func(s *store) bool { return !p.usable(s) })
+	return len(writable) >= p.config.Copies && (!p.mustSpread() || p.countDomains(writable) >= p.config.Copies)
 }
 
-// dropDead takes out the members that don't live, and with spares those that can't write, as long as another complete one can. What they
-// have counts until enough others are complete.
-func (a *assignment) dropDead(spares bool) {
-	works := func(s *store) bool { return s.live && !s.stalled }
-	spares = spares && slices.ContainsFunc(a.replicas, works)
-	dead := func(s *store) bool { return !s.live || s.stalled && (spares || slices.Contains(a.joining, s)) }
+// dropFailed removes the members that are not live. It also removes stalled members: joining ones always, complete ones
+// only if dropStalled is set and another complete replica is live and accepts writes. Removed members become former
+// members until enough others are complete.
+func (a *assignment) dropFailed(dropStalled bool) {
+	working := func(s *store) bool { return s.live && !s.stalled }
+	dropStalled = dropStalled && slices.ContainsFunc(a.replicas, working)
+	failed := func(s *store) bool { return !s.live || s.stalled && (dropStalled || slices.Contains(a.joining, s)) }
 	for _, s := range a.replicas {
-		if dead(s) {
+		if failed(s) {
 			a.covered = true
 			a.addFormer(s)
 		}
 	}
 	for _, s := range a.joining {
-		if dead(s) {
+		if failed(s) {
 			a.addFormer(s)
 		}
 	}
-	a.replicas = without(a.replicas, dead)
-	a.joining = without(a.joining, dead)
+	a.replicas = without(a.replicas, failed)
+	a.joining = without(a.joining, failed)
 }
 
-// rebuild is for a partition all complete replicas of which have lost their disks: what former members have and joining ones got is all
-// there is. One of them becomes the primary, and the others give it what it lacks.
+// rebuild chooses a new primary for a partition without a complete replica (see needsRebuild). Only the former members
+// and the joining stores still hold writes of it: one of them becomes the primary, and the others send it the writes
+// that it lacks. If none of them is live, the partition starts empty on another store.
 func (p *plan) rebuild(partition *assignment) {
 	partition.covered = false
 	for _, s := range partition.joining {
@@ -94,7 +98,8 @@
 	}
 }
 
-// rejoin has former members that live give an unsure primary what it lacks.
+// rejoin makes live former members of a partition with an unsure primary joining stores, so that they send the primary
+// the writes it lacks.
 func (p *plan) rejoin() {
 	for i := range p.partitions {
 		partition := &p.partitions[i]
@@ -102,7 +107,7 @@
 			continue
 		}
 		for _, s := range partition.former {
-			if s.live && !s.stalled && !partition.has(s) {
+			if s.live && !s.stalled && !partition.hasMember(s) {
 				partition.joining = append(partition.joining, s)
 				s.load++
 			}
@@ -110,35 +115,37 @@
 	}
 }
 
-// clearRejoined notes the former members that are complete now: each has given an unsure primary what it has.
+// clearRejoined removes the former members that are complete replicas now: each of them has sent its writes to the
+// unsure primary.
 func (a *assignment) clearRejoined() {
 	a.former = without(a.former, func(s *store) bool { return slices.Contains(a.replicas, s) })
 	a.unsure = a.unsure && len(a.former) > 0
 	a.covered = a.covered && len(a.former) > 0
 }
 
-// forgetFormer forgets the former members of partitions of which enough stores that stay are complete. An unsure primary needs all of them.
+// forgetFormer clears the former members of partitions that have enough usable complete replicas. An unsure primary
+// needs all of them, so a partition with one keeps them.
 func (p *plan) forgetFormer() {
 	for i := range p.partitions {
 		partition := &p.partitions[i]
 		if partition.unavailable() {
 			continue
 		}
-		if !partition.unsure && p.enough(partition.replicas) || p.config.mutant.forgetFormer {
+		if !partition.unsure && p.hasEnoughCopies(partition.replicas) || p.config.mutant.forgetFormer {
 			partition.former = nil
 		}
 		partition.clearRejoined()
 	}
 }
 
-// enough says whether the replicas that may be counted on suffice: those that have been heard of and are neither to be emptied nor
-// about to stop.
-func (p *plan) enough(replicas []*store) bool {
-	return len(without(replicas, func(s *store) bool { return !p.certain(s) })) >= p.config.Copies
+// hasEnoughCopies reports whether at least Copies of the replicas are on usable stores.
+func (p *plan) hasEnoughCopies(replicas []*store) bool {
+	return len(without(replicas, func(s *store) bool { return !p.usable(s) })) >= p.config.Copies
 }
 
-// uncover notes the partitions that go on with too few members: what they change lies on these alone.
-func (p *plan) uncover() {
+// clearCovered clears the covered flag of partitions with fewer than Copies members: the former members will lack the
+// writes that these accept.
+func (p *plan) clearCovered() {
 	for i := range p.partitions {
 		partition := &p.partitions[i]
 		if !partition.unavailable() {
--- a/control/placement/guards_test.go
+++ b/control/placement/guards_test.go
@@ -11,16 +11,16 @@
 	"ravendale/cluster/wire"
 )
 
-// step is one step of a plan, as the checks of this file see it.
-type step struct {
+// planStep is the input and the result of one call of Plan, which the checks of this file compare.
+type planStep struct {
 	config     Config
 	view, next *wire.StoreView
-	live       map[string]Store // by disk
-	machines   map[string]string
+	live       map[string]Store  // by disk
+	machines   map[string]string // current disk by node
 }
 
-func newStep(config Config, view, next *wire.StoreView, live []Store) *step {
-	s := &step{config: config, view: view, next: next, live: make(map[string]Store), machines: make(map[string]string)}
+func newPlanStep(config Config, view, next *wire.StoreView, live []Store) *planStep {
+	s := &planStep{config: config, view: view, next: next, live: make(map[string]Store), machines: make(map[string]string)}
 	for _, store := range live {
 		s.live[store.Disk] = store
 		s.machines[store.Node] = store.Disk
@@ -28,22 +28,24 @@
 	return s
 }
 
-// certain says whether a disk may be counted on: its store lives, was heard of, and neither is to be emptied nor about to stop.
-func (s *step) certain(disk string) bool {
+// usable reports whether a disk's replicas count towards Copies: its store is live, has renewed its lease with the
+// current leader, and is neither retiring nor about to stop.
+func (s *planStep) usable(disk string) bool {
 	store, alive := s.live[disk]
 	at := slices.IndexFunc(s.next.Stores, func(other wire.Store) bool { return other.Disk == disk })
 	return alive && !store.Leaving && !store.Assumed && at >= 0 && !s.next.Stores[at].Retiring
 }
 
-// wiped says whether a disk's machine has another one now.
-func (s *step) wiped(disk string) bool {
+// wiped reports whether a disk's machine has another disk now.
+func (s *planStep) wiped(disk string) bool {
 	at := slices.IndexFunc(s.view.Stores, func(other wire.Store) bool { return other.Disk == disk })
 	now, known := s.machines[s.view.Stores[at].Node]
 	return known && now != disk
 }
 
-// covered says whether a complete replica is one that does not live, and all that it had is known to be at stores that do.
-func (s *step) covered(p int, disk string) bool {
+// covered reports whether a disk is a complete replica that is not live, and live stores are known to hold all accepted
+// writes.
+func (s *planStep) covered(p int, disk string) bool {
 	alive := make(map[string]bool)
 	for name := range s.live {
 		alive[name] = true
@@ -51,13 +53,13 @@
 	return !alive[disk] && slices.Contains(disks(s.view, s.view.Partitions[p].Replicas), disk) && coveredBy(s.view, p, alive)
 }
 
-func (s *step) enough(replicas []string) bool {
-	certain := slices.DeleteFunc(slices.Clone(replicas), func(disk string) bool { return !s.certain(disk) })
+func (s *planStep) hasEnoughCopies(replicas []string) bool {
+	certain := slices.DeleteFunc(slices.Clone(replicas), func(disk string) bool { return !s.usable(disk) })
 	return len(certain) >= s.config.Copies
 }
 
-// check returns what a step does that it must not, if anything.
-func (s *step) check() string {
+// check returns a description of the first violation that it finds in the step, or "".
+func (s *planStep) check() string {
 	for p := range s.view.Partitions {
 		if fault := s.checkPartition(p); fault != "" {
 			return fmt.Sprintf("epoch %d, partition %d: %s: %+v became %+v", s.next.Epoch, p, fault, s.view.Partitions[p], s.next.Partitions[p])
@@ -73,7 +75,7 @@
 	return ""
 }
 
-func (s *step) checkPartition(p int) string {
+func (s *planStep) checkPartition(p int) string {
 	before, after := s.view.Partitions[p], s.next.Partitions[p]
 	complete, replicas := disks(s.view, before.Replicas), disks(s.next, after.Replicas)
 	former, wasFormer := disks(s.next, after.Former), disks(s.view, before.Former)
@@ -83,40 +85,41 @@
 			return alive && reported.Epoch == s.view.Epoch && slices.Contains(reported.Synced, uint16(p))
 		})
 	for _, disk := range complete {
-		if _, alive := s.live[disk]; alive && !slices.Contains(replicas, disk) && !s.enough(replicas) {
-			return disk + " is complete, lives and is dropped though too few others may be counted on"
+		if _, alive := s.live[disk]; alive && !slices.Contains(replicas, disk) && !s.hasEnoughCopies(replicas) {
+			return disk + " is a live complete replica and is dropped although fewer than Copies usable replicas remain"
 		}
 	}
 	for _, disk := range slices.Concat(complete, disks(s.view, before.Joining), wasFormer) {
 		kept := slices.Contains(replicas, disk) || slices.Contains(former, disk) || slices.Contains(disks(s.next, after.Joining), disk)
-		if !kept && !s.wiped(disk) && !s.enough(replicas) && !s.covered(p, disk) {
-			return "what " + disk + " has is forgotten"
+		if !kept && !s.wiped(disk) && !s.hasEnoughCopies(replicas) && !s.covered(p, disk) {
+			return "the writes on " + disk + " may be needed, but it is no longer a member or former member"
 		}
 	}
 	for _, disk := range disks(s.next, after.Joining) {
 		isNew := !slices.Contains(disks(s.view, before.Joining), disk)
-		if isNew && !s.certain(disk) && (!after.Unsure || !slices.Contains(wasFormer, disk)) {
-			return disk + " is given a replica though it may not be counted on"
+		if isNew && !s.usable(disk) && (!after.Unsure || !slices.Contains(wasFormer, disk)) {
+			return disk + " becomes a joining store although it is not usable"
 		}
 	}
-	if !available && !slices.Equal(complete, replicas) && len(former) > 0 && !after.Unsure && len(replicas) > 0 && !s.enough(replicas) &&
+	if !available && !slices.Equal(complete, replicas) && len(former) > 0 && !after.Unsure && len(replicas) > 0 && !s.hasEnoughCopies(replicas) &&
 		!slices.ContainsFunc(complete, func(disk string) bool { return slices.Contains(replicas, disk) }) {
-		return "all complete replicas are lost, and those that have some of it are not queried"
+		return "all complete replicas are lost, and the partition is not unsure, so its former members are not queried"
 	}
 	return ""
 }
 
-// checkEmptied makes sure that nothing lies on a store alone that is called empty.
-func (s *step) checkEmptied(index uint16) string {
+// checkEmptied verifies that a store whose retirement is done is not a member or former member of any partition.
+func (s *planStep) checkEmptied(index uint16) string {
 	for p, placed := range s.next.Partitions {
 		if slices.Contains(slices.Concat(placed.Replicas, placed.Joining, placed.Former), index) {
-			return fmt.Sprintf("%s is called empty, and has partition %d", s.next.Stores[index].Disk, p)
+			return fmt.Sprintf("the retirement of %s is done, but it is still listed for partition %d", s.next.Stores[index].Disk, p)
 		}
 	}
 	return ""
 }
 
-// randomSteps plays losses, returns, empty disks, planned stops, changes of the leader, retirements and fillings.
+// randomSteps simulates failures, recoveries, replaced disks, planned stops, changes of the leader, retirements and
+// completed joins, and checks each step. It returns a description of the first violation, or "".
 func randomSteps(seed uint64, broken mutant) string {
 	random := rand.New(rand.NewPCG(seed, 3))
 	all := storesIn(2, 2, 1)
@@ -128,7 +131,7 @@
 	up := []bool{true, true, true, true, true}
 	for range 60 {
 		i := random.IntN(len(all))
-		reported := living(all, up)
+		reported := liveStores(all, up)
 		switch random.IntN(7) {
 		case 0:
 			up[i] = false
@@ -149,12 +152,12 @@
 		case 6:
 			all[i].Assumed = false
 		}
-		reported = living(all, up)
+		reported = liveStores(all, up)
 		if random.IntN(2) == 0 {
-			reported = synced(view, reported)
+			reported = allSynced(view, reported)
 		}
 		next, _ := Plan(view, reported, config)
-		if fault := newStep(config, view, next, reported).check(); fault != "" {
+		if fault := newPlanStep(config, view, next, reported).check(); fault != "" {
 			return fmt.Sprintf("seed %d: %s", seed, fault)
 		}
 		view = next
@@ -164,17 +167,17 @@
 
 const guardSeeds = 400
 
-func TestNoReplicaIsGivenUpThatIsNeeded(t *testing.T) {
+func TestRequiredReplicasAreNotDropped(t *testing.T) {
 	for seed := range uint64(guardSeeds) {
 		require.Empty(t, randomSteps(seed, mutant{}))
 	}
 }
 
-func TestMutantsOfThePlanAreCaught(t *testing.T) {
+func TestChecksDetectPlanFaults(t *testing.T) {
 	for name, broken := range map[string]mutant{
-		"uncertain stores are counted on": {countUncertain: true},
-		"emptied at the first copy":       {emptyAtFirst: true},
-		"former members are forgotten":    {forgetFormer: true},
+		"unusable stores count":            {countUnusable: true},
+		"dropped with one other copy left": {dropWithOneCopy: true},
+		"former members are forgotten":     {forgetFormer: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			for seed := range uint64(guardSeeds) {
@@ -183,14 +186,15 @@
 					return
 				}
 			}
-			require.Fail(t, "no seed shows it")
+			require.Fail(t, "fault not detected by any seed")
 		})
 	}
 }
 
-// A store that the leader dropped though it ran on, as after a reset of its connections, has what the last complete replica had until then.
-// Should that one lose its disk, it is asked.
-func TestAFormerMemberIsQueriedWhenTheLastCompleteReplicaFails(t *testing.T) {
+// A store that the leader dropped while it kept running, as after a reset of its connections, holds what the last
+// complete replica held up to that time. If the last complete replica then loses its disk, the former member must be
+// used to restore the partition.
+func TestFormerMemberIsQueriedWhenLastCompleteReplicaIsWiped(t *testing.T) {
 	live := storesIn(1, 1, 1)
 	c := config(2)
 	view, _ := Plan(nil, live, c)
@@ -200,8 +204,8 @@
 	dropped := slices.DeleteFunc(slices.Clone(live), func(s Store) bool { return s.Disk == diskB })
 	next, _ := Plan(view, dropped, c)
 	require.Contains(t, disks(next, next.Partitions[0].Former), diskB)
-	next, _ = Plan(next, live, c) // it is back before the other one is filled
-	require.Contains(t, disks(next, next.Partitions[0].Former), diskB, "it is not complete yet")
+	next, _ = Plan(next, live, c) // the dropped store is back before the joining one is complete
+	require.Contains(t, disks(next, next.Partitions[0].Former), diskB, "the returned store is not complete yet")
 	wiped := slices.Clone(live)
 	for i := range wiped {
 		if wiped[i].Disk == view.Stores[a].Disk {
@@ -213,7 +217,7 @@
 	require.True(t, placed.Unsure)
 	require.Contains(t, disks(last, slices.Concat(placed.Replicas, placed.Joining)), diskB)
 	require.Len(t, placed.Replicas, 1)
-	require.NotEmpty(t, placed.Former, "the joining one is asked for what came after")
+	require.NotEmpty(t, placed.Former, "the joining store is queried for the later writes")
 	converged := converge(t, last, wiped, c)
 	requireComplete(t, converged, 2)
 	for _, placed := range converged.Partitions {
@@ -222,10 +226,11 @@
 	}
 }
 
-// What a partition accepted while it had one complete replica lies on that one and on those that were joining. If the disk of a joining one is lost,
-// the complete one is waited for, though a former member is there: it lacks what came after it was dropped.
-func TestACompleteReplicaIsWaitedForWhenAJoiningDiskIsLost(t *testing.T) {
-	for name, broken := range map[string]mutant{"mended": {}, "not mended": {ignoreWipedJoining: true}} {
+// Writes that a partition accepted while it had one complete replica are on that replica and on the joining stores. If
+// the disk of a joining store is lost, the plan must wait for the complete replica although a former member is live:
+// the former member lacks the writes accepted since it was dropped.
+func TestPlanWaitsForCompleteReplicaWhenJoiningDiskIsWiped(t *testing.T) {
+	for name, broken := range map[string]mutant{"without the fault": {}, "with the fault": {ignoreWipedJoining: true}} {
 		t.Run(name, func(t *testing.T) {
 			live := storesIn(1, 1, 1)
 			c := config(2)
@@ -250,8 +255,9 @@
 	}
 }
 
-// The order to empty a store waits while one of those that would be left is about to stop, or was not heard of by a new leader.
-func TestAStoreIsNotEmptiedOntoUncertainOnes(t *testing.T) {
+// A retiring store keeps its replicas while the remaining stores are about to stop, or have not renewed their lease
+// with a new leader yet.
+func TestRetiringStoreWaitsForUsableReplicas(t *testing.T) {
 	for name, doubt := range map[string]func(*Store){
 		"leaving": func(s *Store) { s.Leaving = true },
 		"assumed": func(s *Store) { s.Assumed = true },
@@ -262,7 +268,7 @@
 			view, _ := Plan(nil, live, c)
 			view, _, _ = Retire(view, live, c, live[0].Node)
 			view, _ = Plan(view, live, c)
-			reported := synced(view, live)
+			reported := allSynced(view, live)
 			doubt(&reported[1])
 			doubt(&reported[2])
 			doubt(&reported[3])
@@ -276,7 +282,7 @@
 	}
 }
 
-func TestAnOrderIsNotRefusedForAStoreThatIsAboutToStop(t *testing.T) {
+func TestRetireCountsLeavingAndStalledStores(t *testing.T) {
 	live := storesIn(1, 1, 1)
 	view, _ := Plan(nil, live, config(2))
 	live[1].Leaving, live[2].Stalled = true, true
@@ -286,8 +292,9 @@
 	require.False(t, enough)
 }
 
-// A store whose disk takes nothing is taken out where another one holds all, keeps what it alone holds, and is filled again later.
-func TestAStalledStoreIsRemovedUntilItsDiskTakesWrites(t *testing.T) {
+// A store whose disk accepts no writes is removed from partitions that have another complete replica, stays where it is
+// the only one, and gets replicas again once its disk accepts writes.
+func TestStalledStoreIsRemovedUntilItAcceptsWrites(t *testing.T) {
 	live := storesIn(1, 1, 1)
 	c := config(2)
 	view, _ := Plan(nil, live, c)
@@ -312,8 +319,9 @@
 	requireEven(t, counts, live, 1)
 }
 
-// A former member whose disk takes nothing is no member yet: it would stand in for one that is filled.
-func TestAStalledFormerMemberDoesNotRejoin(t *testing.T) {
+// A former member whose disk accepts no writes must not become a joining store yet: it would take the place of one that
+// can be filled.
+func TestStalledFormerMemberDoesNotRejoin(t *testing.T) {
 	live := storesIn(1, 1, 1, 1)
 	c := config(2)
 	view, _ := Plan(nil, live, c)
@@ -327,15 +335,16 @@
 	joining := disks(next, next.Partitions[0].Joining)
 	require.Len(t, joining, 1)
 	require.NotContains(t, joining, view.Stores[other].Disk)
-	require.True(t, next.Partitions[0].Unsure, "it has yet to tell")
+	require.True(t, next.Partitions[0].Unsure, "the former member has not sent its writes yet")
 	require.Equal(t, []string{primary}, disks(next, next.Partitions[0].Replicas))
 	next, _ = Plan(next, live, c)
 	require.Contains(t, disks(next, next.Partitions[0].Joining), view.Stores[other].Disk)
 	requireComplete(t, converge(t, next, live, c), 2)
 }
 
-// One that has just handed over all leaves the primary sure, also if the primary's own disk stalls at that moment.
-func TestAPrimaryThatGotAllIsSureBeforeItIsDropped(t *testing.T) {
+// When a former member has become complete, the partition is no longer unsure, even if the primary's own disk stalls at
+// the same time.
+func TestUnsureIsClearedBeforeStalledPrimaryIsDropped(t *testing.T) {
 	live := storesIn(1, 1, 1)
 	c := config(2)
 	view, _ := Plan(nil, live, c)
@@ -343,7 +352,7 @@
 	primary, other := placed.Replicas[0], placed.Replicas[1]
 	placed.Replicas = []uint16{primary}
 	placed.Joining, placed.Former, placed.Unsure = []uint16{other}, []uint16{other}, true
-	reported := synced(view, live)
+	reported := allSynced(view, live)
 	reported[slices.IndexFunc(live, func(s Store) bool { return s.Disk == view.Stores[primary].Disk })].Stalled = true
 	next, _ := Plan(view, reported, c)
 	require.Equal(t, []string{view.Stores[other].Disk}, disks(next, next.Partitions[0].Replicas))
@@ -351,7 +360,7 @@
 	require.False(t, next.Partitions[0].Unsure)
 }
 
-func TestStalledStoresStayIfTooFewOthersCanWrite(t *testing.T) {
+func TestStalledStoresRemainIfTooFewOthersAcceptWrites(t *testing.T) {
 	live := storesIn(1, 1, 1)
 	c := config(2)
 	view, _ := Plan(nil, live, c)
@@ -362,7 +371,7 @@
 	}
 }
 
-func TestAStalledStoreThatAloneHoldsAllStays(t *testing.T) {
+func TestStalledStoreWithOnlyCompleteReplicaRemains(t *testing.T) {
 	live := storesIn(1, 1)
 	c := config(2)
 	view, _ := Plan(nil, live, c)
--- a/control/placement/placement.go
+++ b/control/placement/placement.go
@@ -7,48 +7,51 @@
 	"ravendale/cluster/wire"
 )
 
-// DefaultPartitions is how many partitions a system is bootstrapped with. The number never changes afterwards.
+// DefaultPartitions is the number of partitions that a system is bootstrapped with. The number never changes afterwards.
 const DefaultPartitions = 64
 
-// movesAtOnce bounds the partitions that are moved for balance alone at a time. Lost copies are made up for without a bound.
-const movesAtOnce = 8
+// maxConcurrentMoves bounds how many partitions are moved at a time only to balance the load or to reach their
+// preferred zone or region. Replacing lost replicas has no such bound.
+const maxConcurrentMoves = 8
 
-// Config says how copies must be spread.
+// Config configures how many copies a partition has and how they are spread.
 type Config struct {
 	Copies     int  // complete replicas of each partition
-	Partitions int  // of a new system
-	Zones      bool // zones may be lost: two copies in one zone count as one
-	Regions    bool // the same of regions
-	// GatherZones puts all copies of a partition into one zone where that has enough stores. It has no effect where zones or regions may be lost.
+	Partitions int  // number of partitions of a new system
+	Zones      bool // the loss of a zone must be tolerated: two copies in one zone count as one
+	Regions    bool // the loss of a region must be tolerated: two copies in one region count as one
+	// GatherZones puts all copies of a partition into one zone if that zone has enough stores. It has no effect if
+	// Zones or Regions is set.
 	GatherZones bool
 
 	mutant mutant
 }
 
-// mutant takes guards out. Only tests of this package can.
+// mutant disables safety checks of the plan. Only tests of this package set it, to verify that they detect the
+// resulting faults.
 type mutant struct {
-	countUncertain bool // stores that are about to stop, or were not heard of, are counted on and given replicas
-	emptyAtFirst   bool // a store is emptied once one other holds all
-	forgetFormer   bool // what dropped members have is not asked for
+	countUnusable   bool // stores that are about to stop, or have not renewed their lease yet, count as usable
+	dropWithOneCopy bool // a replica may be dropped as soon as one other complete replica remains
+	forgetFormer    bool // former members are forgotten while their writes may still be needed
 
-	ignoreWipedJoining bool // a joining store whose disk was lost still counts as covering its partition
+	ignoreWipedJoining bool // a joining store whose disk was wiped still counts as covering its partition
 }
 
-// Store is a store that lives.
+// Store is a live store.
 type Store struct {
 	Disk    string
 	Node    string
 	Address string
 	Zone    string
 	Region  string
-	Leaving bool // it is being stopped in order, and will come back
-	Stalled bool // its disk takes nothing
-	Assumed bool // it has not been heard of since the leader began
+	Leaving bool // it is shutting down as planned, and will come back
+	Stalled bool // its disk accepts no writes
+	Assumed bool // it has not renewed its lease with the current leader yet, and is presumed to be live
 	Epoch   uint64
-	Synced  []uint16 // partitions that it is joining and holds completely, as of Epoch
+	Synced  []uint16 // indices of the partitions that it is joining and holds completely, as of Epoch
 }
 
-// canBootstrap says whether the stores that live suffice for a first view.
+// canBootstrap reports whether the live stores suffice for a first view.
 func canBootstrap(live []Store, config Config) bool {
 	p := newPlan(nil, live, config)
 	domains := make(map[string]bool)
@@ -56,15 +59,16 @@
 	for _, s := range p.stores {
 		if s.eligible() {
 			eligible++
-			domains[p.domain(s)] = true
+			domains[p.failureDomain(s)] = true
 		}
 	}
-	enough := config.Copies
-	return eligible >= enough && (!p.strict() || len(domains) >= enough)
+	required := config.Copies
+	return eligible >= required && (!p.mustSpread() || len(domains) >= required)
 }
 
-// Plan returns the view that should follow the current one, and whether it differs. Without a current view it founds one, which
-// takes enough stores: see Founding. The current view is not changed.
+// Plan returns the view that should follow the current one, and whether it differs. If there is no current view, it
+// bootstraps the first one, or returns nil if there are too few live stores: see canBootstrap. The current view is not
+// modified.
 func Plan(current *wire.StoreView, live []Store, config Config) (*wire.StoreView, bool) {
 	if current == nil || len(current.Partitions) == 0 {
 		return bootstrap(live, config)
@@ -72,18 +76,18 @@
 	p := newPlan(current, live, config)
 	p.dropWiped()
 	p.promote(current.Epoch)
-	p.dropDead()
+	p.dropFailed()
 	p.forgetFormer()
 	p.rejoin()
 	p.refill()
 	p.spread()
-	p.uncover()
+	p.clearCovered()
 	p.trim()
 	p.balance()
 	p.choosePrimaries()
 	next := p.view()
 	next.Epoch = current.Epoch
-	if same(current, next) {
+	if equalViews(current, next) {
 		return current, false
 	}
 	next.Epoch++
@@ -100,7 +104,7 @@
 	p.assignPreferredZones()
 	for i := range p.partitions {
 		for range config.Copies {
-			if s := p.candidate(&p.partitions[i], p.strict()); s != nil {
+			if s := p.candidate(&p.partitions[i], p.mustSpread()); s != nil {
 				p.partitions[i].replicas = append(p.partitions[i].replicas, s)
 				s.load++
 			}
@@ -112,17 +116,18 @@
 	return view, true
 }
 
-// Retire marks a node's store as one to be emptied. It says whether there is such a store, and whether enough others would
-// remain; without both the view is not changed, and nil is returned.
-func Retire(current *wire.StoreView, live []Store, config Config, node string) (next *wire.StoreView, known, enough bool) {
-	at := indexOfNode(current, node)
-	if at < 0 {
+// Retire returns a copy of the view in which a node's store is marked as retiring, so that Plan moves all its replicas
+// away. It also returns whether the view lists a store of this node, and whether enough other stores would remain. If
+// either is false, it returns a nil view.
+func Retire(current *wire.StoreView, live []Store, config Config, node string) (next *wire.StoreView, found, enough bool) {
+	index := indexOfNode(current, node)
+	if index < 0 {
 		return nil, false, false
 	}
 	marked := *current
 	marked.Stores = slices.Clone(current.Stores)
-	marked.Stores[at].Retiring = true
-	if !remain(&marked, live, config) {
+	marked.Stores[index].Retiring = true
+	if !enoughWouldRemain(&marked, live, config) {
 		return nil, true, false
 	}
 	marked.Epoch++
@@ -136,9 +141,10 @@
 	return slices.IndexFunc(view.Stores, func(s wire.Store) bool { return s.Node == node })
 }
 
-// remain says whether the stores that live and are not to be emptied can hold all copies. Those that are about to stop, or whose disks
-// take nothing, will be back: until then nothing is given up for them.
-func remain(view *wire.StoreView, live []Store, config Config) bool {
+// enoughWouldRemain reports whether the live stores that are not retiring can hold all copies. Stores that are about to
+// stop or whose disks accept no writes count as well, because they are expected to recover: until then, no replica is
+// dropped in reliance on them.
+func enoughWouldRemain(view *wire.StoreView, live []Store, config Config) bool {
 	retiring := make(map[string]bool)
 	for _, s := range view.Stores {
 		if s.Retiring {
@@ -155,16 +161,18 @@
 	return canBootstrap(rest, config)
 }
 
-// Retirement says how far the emptying of a node's store is.
-func Retirement(view *wire.StoreView, node string) (known, retiring, done bool) {
-	at := indexOfNode(view, node)
-	if at < 0 {
+// Retirement reports the progress of retiring a node's store: whether the view lists such a store, whether it is
+// retiring, and whether no partition has it as a member or former member any more.
+func Retirement(view *wire.StoreView, node string) (found, retiring, done bool) {
+	index := indexOfNode(view, node)
+	if index < 0 {
 		return false, false, false
 	}
-	return true, view.Stores[at].Retiring, view.Stores[at].Retiring && !Holds(view, at) && !former(view, at)
+	return true, view.Stores[index].Retiring, view.Stores[index].Retiring && !Holds(view, index) && !isFormer(view, index)
 }
 
-// Holds says whether a store of the view, by its index, is a member of any partition.
+// Holds reports whether any partition of the view has the store with this index as a complete replica or as a joining
+// store.
 func Holds(view *wire.StoreView, store int) bool {
 	index := uint16(store)
 	for _, p := range view.Partitions {
@@ -175,12 +183,13 @@
 	return false
 }
 
-// former says whether a store of the view, by its index, has what others may lack.
-func former(view *wire.StoreView, store int) bool {
+// isFormer reports whether the store with this index is a former member of any partition, and so may hold writes that
+// its members lack.
+func isFormer(view *wire.StoreView, store int) bool {
 	return slices.ContainsFunc(view.Partitions, func(p wire.Placement) bool { return slices.Contains(p.Former, uint16(store)) })
 }
 
-func same(a, b *wire.StoreView) bool {
+func equalViews(a, b *wire.StoreView) bool {
 	samePlacement := func(a, b wire.Placement) bool {
 		return slices.Equal(a.Replicas, b.Replicas) && slices.Equal(a.Joining, b.Joining) && slices.Equal(a.Former, b.Former) &&
 			a.Covered == b.Covered && a.Unsure == b.Unsure
@@ -188,7 +197,8 @@
 	return a.Copies == b.Copies && slices.Equal(a.Stores, b.Stores) && slices.EqualFunc(a.Partitions, b.Partitions, samePlacement)
 }
 
-// byZoneAndNode orders stores that nothing else tells apart.
+// byZoneAndNode orders stores by zone, node and disk, so that the plan does not depend on the order in which they are
+// passed.
 func byZoneAndNode(a, b Store) int {
 	return cmp.Or(cmp.Compare(a.Zone, b.Zone), cmp.Compare(a.Node, b.Node), cmp.Compare(a.Disk, b.Disk))
 }
--- a/control/placement/placement_test.go
+++ b/control/placement/placement_test.go
@@ -25,21 +25,21 @@
 
 func config(copies int) Config { return Config{Copies: copies, Partitions: DefaultPartitions} }
 
-// converge lets all joining stores fill up, until the plan stays as it is.
+// converge repeats planning with all joining stores reported as complete, until the view no longer changes.
 func converge(t require.TestingT, view *wire.StoreView, live []Store, c Config) *wire.StoreView {
 	for range 200 {
-		next, changed := Plan(view, synced(view, live), c)
+		next, changed := Plan(view, allSynced(view, live), c)
 		if !changed {
 			return view
 		}
 		view = next
 	}
-	require.Fail(t, "the plan does not come to rest")
+	require.Fail(t, "the plan does not converge")
 	return nil
 }
 
-// synced has each store say that it holds all that it is joining.
-func synced(view *wire.StoreView, live []Store) []Store {
+// allSynced returns the stores with reports that each is complete in all partitions that it is joining.
+func allSynced(view *wire.StoreView, live []Store) []Store {
 	reported := slices.Clone(live)
 	for i := range reported {
 		reported[i].Epoch, reported[i].Synced = view.Epoch, nil
@@ -93,7 +93,7 @@
 	}
 }
 
-func TestBootstrapTakesEnoughStores(t *testing.T) {
+func TestBootstrapRequiresEnoughStores(t *testing.T) {
 	view, changed := Plan(nil, storesIn(1), config(2))
 	require.False(t, changed)
 	require.Nil(t, view)
@@ -109,7 +109,7 @@
 	requireZones(t, view, 2)
 }
 
-func TestABootstrappedViewIsEvenAndAtRest(t *testing.T) {
+func TestBootstrappedViewIsBalancedAndStable(t *testing.T) {
 	live := storesIn(1, 1, 1, 1)
 	view, _ := Plan(nil, live, config(2))
 	counts, primaries := loads(view)
@@ -120,7 +120,7 @@
 	require.False(t, changed)
 }
 
-func TestAFailedStoreIsRemovedAndSurvivorsKeepTheirOrder(t *testing.T) {
+func TestFailedStoreIsRemoved(t *testing.T) {
 	live := storesIn(1, 1, 1)
 	view, _ := Plan(nil, live, config(3))
 	failed := live[0].Disk
@@ -133,31 +133,31 @@
 	}
 }
 
-func TestTheFirstSurvivorBecomesPrimaryWherePrimariesAreEven(t *testing.T) {
+func TestFailedStoreIsReplacedByJoiningStore(t *testing.T) {
 	live := storesIn(1, 1, 1)
 	view, _ := Plan(nil, live, config(2))
 	next, _ := Plan(view, live[1:], config(2))
 	for p, placed := range next.Partitions {
 		before := disks(view, view.Partitions[p].Replicas)
 		survivors := slices.DeleteFunc(before, func(name string) bool { return name == live[0].Disk })
-		require.ElementsMatch(t, survivors, disks(next, placed.Replicas), "no one is complete that was not")
+		require.ElementsMatch(t, survivors, disks(next, placed.Replicas), "no store becomes complete that was not before")
 		if len(survivors) < 2 {
-			require.Len(t, placed.Joining, 1, "partition %d gets a store that makes up the number", p)
+			require.Len(t, placed.Joining, 1, "partition %d gets a joining store as replacement", p)
 		}
 	}
 }
 
-func TestAJoiningStoreBecomesAReplicaOnceItHoldsAllInThisEpoch(t *testing.T) {
+func TestSyncedJoiningStoreBecomesReplica(t *testing.T) {
 	live := storesIn(1, 1, 1)
 	view, _ := Plan(nil, live, config(2))
 	view, _ = Plan(view, live[1:], config(2))
-	old := synced(view, live[1:])
+	old := allSynced(view, live[1:])
 	for i := range old {
 		old[i].Epoch--
 	}
 	_, changed := Plan(view, old, config(2))
-	require.False(t, changed, "what was said of an older epoch does not count")
-	next, changed := Plan(view, synced(view, live[1:]), config(2))
+	require.False(t, changed, "reports for an older epoch do not count")
+	next, changed := Plan(view, allSynced(view, live[1:]), config(2))
 	require.True(t, changed)
 	for _, placed := range next.Partitions {
 		require.Len(t, placed.Replicas, 2)
@@ -165,7 +165,7 @@
 	}
 }
 
-func TestAStoreThatReturnsGetsItsReplicasBackAndPrimariesAreEvenAgain(t *testing.T) {
+func TestReturningStoreIsRebalanced(t *testing.T) {
 	live := storesIn(1, 1, 1)
 	view, _ := Plan(nil, live, config(2))
 	view = converge(t, view, live[1:], config(2))
@@ -175,7 +175,7 @@
 	requireEven(t, primaries, live, 1)
 }
 
-func TestTheLastCompleteReplicaIsWaitedFor(t *testing.T) {
+func TestPlanWaitsForLastCompleteReplica(t *testing.T) {
 	live := storesIn(1, 1)
 	view, _ := Plan(nil, live, config(2))
 	none, changed := Plan(view, nil, config(2))
@@ -183,7 +183,7 @@
 	require.Same(t, view, none)
 	alone, _ := Plan(view, live[:1], config(2))
 	waits, changed := Plan(alone, live[1:], config(2))
-	require.False(t, changed, "the other one missed writes: %v", waits)
+	require.False(t, changed, "the other store missed writes: %v", waits)
 	back, changed := Plan(alone, live, config(2))
 	require.True(t, changed)
 	for _, placed := range back.Partitions {
@@ -192,13 +192,13 @@
 	}
 }
 
-func TestAMachineWithAnotherDiskIsAnotherStore(t *testing.T) {
+func TestMachineWithNewDiskIsNewStore(t *testing.T) {
 	live := storesIn(1, 1, 1)
 	view, _ := Plan(nil, live, config(2))
 	live[0].Disk = "fresh"
 	next, changed := Plan(view, live, config(2))
 	require.True(t, changed)
-	require.Len(t, next.Stores, 3, "the old identity is dropped")
+	require.Len(t, next.Stores, 3, "the old disk is dropped from the view")
 	for _, placed := range next.Partitions {
 		require.NotContains(t, disks(next, placed.Replicas), "fresh")
 		require.Len(t, append(placed.Replicas, placed.Joining...), 2)
@@ -208,7 +208,7 @@
 	requireEven(t, counts, live, 1)
 }
 
-func TestAPartitionWhoseDisksAreAllWipedIsRebuilt(t *testing.T) {
+func TestPartitionIsRebuiltWhenAllDisksAreWiped(t *testing.T) {
 	live := storesIn(1, 1)
 	view, _ := Plan(nil, live, config(2))
 	live[0].Disk, live[1].Disk = "fresh-0", "fresh-1"
@@ -227,7 +227,7 @@
 	}
 }
 
-func TestALeavingStoreGivesItsPrimariesAway(t *testing.T) {
+func TestLeavingStoreHasNoPrimaries(t *testing.T) {
 	live := storesIn(1, 1, 1)
 	view, _ := Plan(nil, live, config(2))
 	live[1].Leaving = true
@@ -236,11 +236,11 @@
 	_, primaries := loads(next)
 	require.Zero(t, primaries[live[1].Disk])
 	for p, placed := range next.Partitions {
-		require.ElementsMatch(t, disks(view, view.Partitions[p].Replicas), disks(next, placed.Replicas), "it still holds its copies")
+		require.ElementsMatch(t, disks(view, view.Partitions[p].Replicas), disks(next, placed.Replicas), "the leaving store keeps its replicas")
 	}
 }
 
-func TestReplicasLieInSeveralZonesWhereAZoneMayFail(t *testing.T) {
+func TestReplicasAreInDistinctZonesIfZoneLossIsTolerated(t *testing.T) {
 	live := storesIn(2, 2)
 	strict := config(2)
 	strict.Zones = true
@@ -248,7 +248,7 @@
 	requireZones(t, view, 2)
 	oneZone := converge(t, view, live[:2], strict)
 	for _, placed := range oneZone.Partitions {
-		require.Len(t, placed.Replicas, 1, "a second copy in the same zone counts for nothing")
+		require.Len(t, placed.Replicas, 1, "a second copy in the same zone does not count")
 		require.Empty(t, placed.Joining)
 	}
 	back := converge(t, oneZone, live, strict)
@@ -256,7 +256,7 @@
 	requireZones(t, back, 2)
 }
 
-func TestCopiesGoToOtherZonesAgainOnceTheyCan(t *testing.T) {
+func TestReplicasSpreadAgainWhenZoneReturns(t *testing.T) {
 	live := storesIn(2, 1)
 	c := config(2)
 	view, _ := Plan(nil, live, c)
@@ -276,5 +276,5 @@
 	for _, placed := range next.Partitions {
 		joining += len(placed.Joining)
 	}
-	require.Equal(t, movesAtOnce, joining)
+	require.Equal(t, maxConcurrentMoves, joining)
 }
--- a/control/placement/plan.go
+++ b/control/placement/plan.go
@@ -6,51 +6,52 @@
 	"ravendale/cluster/wire"
 )
 
-// store is one of the view or of those that live, or both.
+// store is a store that the current view lists, a live store, or both.
 type store struct {
 	wire.Store
 	index   int
 	live    bool
-	wiped   bool // its machine came back with another disk: what it had is lost
+	wiped   bool // its machine came back with another disk: the data on the old one is lost
 	leaving bool
-	stalled bool // its disk takes nothing: it counts only where no other holds all
-	assumed bool // it has not been heard of by this leader
+	stalled bool // its disk accepts no writes: its replica is used only if no other complete replica is live
+	assumed bool // it has not renewed its lease with the current leader yet
 	epoch   uint64
 	synced  []uint16
-	load    int // partitions in which it has, or is to have, a replica
+	load    int // number of partitions of which it has, or will have, a replica
 }
 
-// eligible says whether a store is to keep what it has.
+// eligible reports whether a store may be a primary: it is live, accepts writes, and is neither retiring nor about to stop.
 func (s *store) eligible() bool { return s.live && !s.Retiring && !s.leaving && !s.stalled }
 
-// certain says whether a store's copies may be counted on, and new replicas be given to it.
-func (p *plan) certain(s *store) bool {
-	return s.eligible() && !s.assumed || p.config.mutant.countUncertain && s.live && !s.Retiring
+// usable reports whether a store's replicas count towards Copies, and whether it may be given new replicas: it is
+// eligible, and has renewed its lease with the current leader.
+func (p *plan) usable(s *store) bool {
+	return s.eligible() && !s.assumed || p.config.mutant.countUnusable && s.live && !s.Retiring
 }
 
-// assignment is the stores of one partition while the plan is made.
+// assignment holds the stores of one partition while the plan is computed.
 type assignment struct {
 	replicas        []*store
 	joining         []*store
 	former          []*store // see wire.Placement
 	covered         bool     // see wire.Placement
 	unsure          bool     // see wire.Placement
-	preferredRegion string   // the region where all copies should lie; empty where it does not matter
-	preferredZone   string   // the zone of it where all copies should lie; empty where they are to be spread
+	preferredRegion string   // the region that all copies should be in; empty if there is no preference
+	preferredZone   string   // the zone in preferredRegion that all copies should be in; empty if they should be spread over zones
 }
 
 func (a *assignment) members() []*store { return slices.Concat(a.replicas, a.joining) }
 
-func (a *assignment) has(s *store) bool {
+func (a *assignment) hasMember(s *store) bool {
 	return slices.Contains(a.replicas, s) || slices.Contains(a.joining, s)
 }
 
-// unavailable says that no complete replica lives: there is nothing to be done but wait.
+// unavailable reports whether no complete replica is live. The plan then leaves the partition as it is until one returns.
 func (a *assignment) unavailable() bool {
 	return !slices.ContainsFunc(a.replicas, func(s *store) bool { return s.live })
 }
 
-// plan is a view being changed.
+// plan is the working state from which the next view is built.
 type plan struct {
 	config     Config
 	stores     []*store
@@ -66,24 +67,24 @@
 		p.partitions = make([]assignment, len(current.Partitions))
 		for i, placed := range current.Partitions {
 			p.partitions[i] = assignment{
-				replicas: p.pick(placed.Replicas), joining: p.pick(placed.Joining), former: p.pick(placed.Former),
+				replicas: p.storesAt(placed.Replicas), joining: p.storesAt(placed.Joining), former: p.storesAt(placed.Former),
 				covered: placed.Covered, unsure: placed.Unsure,
 			}
 		}
 	}
-	p.count()
+	p.countLoads()
 	sorted := slices.Clone(live)
 	slices.SortStableFunc(sorted, byZoneAndNode)
 	for _, s := range sorted {
 		p.addLive(s)
 	}
-	p.count()
+	p.countLoads()
 	p.assignPreferredRegions()
 	p.assignPreferredZones()
 	return p
 }
 
-func (p *plan) pick(indices []uint16) []*store {
+func (p *plan) storesAt(indices []uint16) []*store {
 	var picked []*store
 	for _, i := range indices {
 		if int(i) < len(p.stores) {
@@ -93,27 +94,28 @@
 	return picked
 }
 
-// addLive takes note of a store that lives.
+// addLive adds a live store to the plan. Stores of the view that are not live and have the same node name or address
+// are marked as wiped; if such a store was retiring and still had replicas, the live one is retiring instead.
 func (p *plan) addLive(s Store) {
-	at := slices.IndexFunc(p.stores, func(known *store) bool { return known.Disk == s.Disk })
-	if at < 0 {
-		at = len(p.stores)
+	index := slices.IndexFunc(p.stores, func(known *store) bool { return known.Disk == s.Disk })
+	if index < 0 {
+		index = len(p.stores)
 		p.stores = append(p.stores, &store{Store: wire.Store{Disk: s.Disk}})
 	}
 	for i, known := range p.stores {
-		if i != at && !known.live && (known.Node == s.Node || known.Address == s.Address) {
+		if i != index && !known.live && (known.Node == s.Node || known.Address == s.Address) {
 			known.wiped = true
-			p.stores[at].Retiring = p.stores[at].Retiring || known.Retiring && known.load > 0
+			p.stores[index].Retiring = p.stores[index].Retiring || known.Retiring && known.load > 0
 		}
 	}
-	known := p.stores[at]
+	known := p.stores[index]
 	known.Node, known.Address, known.Zone, known.Region = s.Node, s.Address, s.Zone, s.Region
 	known.live, known.wiped = true, false
 	known.leaving, known.stalled, known.assumed = s.Leaving, s.Stalled, s.Assumed
 	known.epoch, known.synced = s.Epoch, s.Synced
 }
 
-func (p *plan) count() {
+func (p *plan) countLoads() {
 	for _, s := range p.stores {
 		s.load = 0
 	}
@@ -124,20 +126,20 @@
 	}
 }
 
-func (p *plan) strict() bool { return p.config.Zones || p.config.Regions }
+func (p *plan) mustSpread() bool { return p.config.Zones || p.config.Regions }
 
-// domain names what a store may be lost together with.
-func (p *plan) domain(s *store) string {
+// failureDomain returns the failure domain of a store: its region if the loss of a region must be tolerated, else its zone.
+func (p *plan) failureDomain(s *store) string {
 	if p.config.Regions {
 		return s.Region
 	}
 	return s.Zone
 }
 
-func (p *plan) domains(members []*store) int {
+func (p *plan) countDomains(members []*store) int {
 	seen := make(map[string]bool, len(members))
 	for _, s := range members {
-		seen[p.domain(s)] = true
+		seen[p.failureDomain(s)] = true
 	}
 	return len(seen)
 }
@@ -146,7 +148,7 @@
 	return slices.DeleteFunc(slices.Clone(list), excluded)
 }
 
-// view is the plan in the form that is agreed on. Stores whose disks were wiped are left out.
+// view converts the plan to the form that the control plane agrees on. It omits stores whose disks were wiped.
 func (p *plan) view() *wire.StoreView {
 	view := &wire.StoreView{Copies: uint16(p.config.Copies)}
 	for _, s := range p.stores {
--- a/control/placement/primaries.go
+++ b/control/placement/primaries.go
@@ -2,7 +2,8 @@
 
 import "slices"
 
-// choosePrimaries spreads the primaries evenly, with as few changes as that takes, and off the stores that are to go.
+// choosePrimaries moves primaries off the stores that are not eligible, and spreads them evenly over the others with as
+// few changes as possible.
 func (p *plan) choosePrimaries() {
 	primaries := make(map[*store]int)
 	for i := range p.partitions {
@@ -13,14 +14,15 @@
 		primaries[partition.replicas[0]]++
 	}
 	for i := range p.partitions {
-		p.relieve(&p.partitions[i], primaries)
+		p.replaceIneligiblePrimary(&p.partitions[i], primaries)
 	}
-	for p.even(primaries) {
+	for p.movePrimary(primaries) {
 	}
 }
 
-// relieve takes a partition's primary off a store that is to go, if another one holds all.
-func (p *plan) relieve(partition *assignment, primaries map[*store]int) {
+// replaceIneligiblePrimary replaces a partition's primary if its store is not eligible and the store of another
+// complete replica is.
+func (p *plan) replaceIneligiblePrimary(partition *assignment, primaries map[*store]int) {
 	if partition.unavailable() || partition.replicas[0].eligible() {
 		return
 	}
@@ -42,13 +44,13 @@
 	partition.replicas = slices.Concat([]*store{s}, rest)
 }
 
-// even makes one store the primary of one partition more, and one that has at least two more of one less, by a chain of
-// changes. It says whether it could.
-func (p *plan) even(primaries map[*store]int) bool {
+// movePrimary moves one primary from a store to one that has at least two fewer, directly or through a chain of
+// changes. It reports whether it found such a pair of stores.
+func (p *plan) movePrimary(primaries map[*store]int) bool {
 	sources := without(p.stores, func(s *store) bool { return !s.eligible() })
 	slices.SortStableFunc(sources, func(a, b *store) int { return primaries[b] - primaries[a] })
 	for _, source := range sources {
-		if chain := p.chain(source, primaries); chain != nil {
+		if chain := p.primaryChain(source, primaries); chain != nil {
 			for _, change := range chain {
 				makePrimary(change.partition, change.to, primaries)
 			}
@@ -58,14 +60,15 @@
 	return false
 }
 
-type change struct {
+type primaryChange struct {
 	partition *assignment
 	to        *store
 }
 
-// chain finds the shortest sequence of changes that takes a primary off the source and ends at a store with at least two less.
-func (p *plan) chain(source *store, primaries map[*store]int) []change {
-	reached := map[*store][]change{source: nil}
+// primaryChain returns the shortest sequence of changes that takes one primary off the source and gives one to a store
+// with at least two fewer. The stores in between keep their number of primaries.
+func (p *plan) primaryChain(source *store, primaries map[*store]int) []primaryChange {
+	reached := map[*store][]primaryChange{source: nil}
 	queue := []*store{source}
 	for len(queue) > 0 {
 		from := queue[0]
@@ -79,7 +82,7 @@
 				if _, seen := reached[to]; seen || !to.eligible() {
 					continue
 				}
-				reached[to] = append(slices.Clone(reached[from]), change{partition: partition, to: to})
+				reached[to] = append(slices.Clone(reached[from]), primaryChange{partition: partition, to: to})
 				if primaries[source]-primaries[to] >= 2 {
 					return reached[to]
 				}
--- a/control/placement/properties_test.go
+++ b/control/placement/properties_test.go
@@ -11,8 +11,9 @@
 	"ravendale/cluster/wire"
 )
 
-// TestNoCompleteReplicaIsDroppedFromTheView plays losses, returns, new disks, retirements and fillings in any order.
-func TestNoCompleteReplicaIsDroppedFromTheView(t *testing.T) {
+// TestPlanKeepsCompleteReplicas simulates failures, recoveries, replaced disks, retirements and completed joins in
+// random order, and checks each view and the one that results when all stores are live again.
+func TestPlanKeepsCompleteReplicas(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		all := storesIn(2, 2, 1)
 		c := Config{Copies: rapid.IntRange(1, 3).Draw(t, "copies"), Partitions: 16, Zones: rapid.Bool().Draw(t, "strict")}
@@ -23,8 +24,8 @@
 			up[i] = true
 		}
 		for step := range rapid.IntRange(1, 30).Draw(t, "steps") {
-			c.GatherZones = rapid.Bool().Draw(t, "gather") // leaders of two versions take turns during a roll
-			view = disturb(t, view, all, up, c, step)
+			c.GatherZones = rapid.Bool().Draw(t, "gather") // leaders of two versions may alternate during a rolling upgrade
+			view = applyRandomEvent(t, view, all, up, c, step)
 		}
 		for i := range all {
 			up[i], all[i].Leaving = true, false
@@ -32,24 +33,24 @@
 		view = converge(t, view, all, c)
 		requireComplete(t, view, c.Copies)
 		if c.Copies <= 2 && !c.GatherZones {
-			requireZonesOfKept(t, view, c.Copies)
+			requireDistinctZones(t, view, c.Copies)
 		}
 		requireEvenPrimaries(t, view)
 	})
 }
 
-// disturb has something happen to one of the stores, checks the view that follows, and returns it.
-func disturb(t *rapid.T, view *wire.StoreView, all []Store, up []bool, c Config, step int) *wire.StoreView {
+// applyRandomEvent applies a random event to one of the stores, checks the next view and returns it.
+func applyRandomEvent(t *rapid.T, view *wire.StoreView, all []Store, up []bool, c Config, step int) *wire.StoreView {
 	i := rapid.IntRange(0, len(all)-1).Draw(t, "store")
-	live := living(all, up)
-	switch rapid.SampledFrom([]string{"lose", "return", "leave", "disk", "retire", "fill"}).Draw(t, "event") {
-	case "lose":
+	live := liveStores(all, up)
+	switch rapid.SampledFrom([]string{"fail", "recover", "leave", "replace disk", "retire", "sync"}).Draw(t, "event") {
+	case "fail":
 		up[i] = false
-	case "return":
+	case "recover":
 		up[i], all[i].Leaving = true, false
 	case "leave":
 		all[i].Leaving = true
-	case "disk":
+	case "replace disk":
 		if up[i] {
 			return view
 		}
@@ -58,19 +59,19 @@
 		if marked, _, enough := Retire(view, live, c, all[i].Node); enough {
 			view = marked
 		}
-	case "fill":
-		reported := synced(view, live)
+	case "sync":
+		reported := allSynced(view, live)
 		next, _ := Plan(view, reported, c)
 		requireNext(t, view, next, reported)
 		return next
 	}
-	live = living(all, up)
+	live = liveStores(all, up)
 	next, _ := Plan(view, live, c)
 	requireNext(t, view, next, live)
 	return next
 }
 
-func living(all []Store, up []bool) []Store {
+func liveStores(all []Store, up []bool) []Store {
 	var live []Store
 	for i := range all {
 		if up[i] {
@@ -80,8 +81,8 @@
 	return live
 }
 
-// requireNext checks one step: epochs grow by one, nobody becomes complete who was not or did not say so, and a partition that had a
-// living complete replica has one that lived or said so.
+// requireNext checks one step: the epoch increases by one, only stores that were complete or reported to be so are
+// complete replicas, and a partition that had a live complete replica still has one.
 func requireNext(t require.TestingT, view, next *wire.StoreView, live []Store) {
 	if next == view {
 		return
@@ -100,32 +101,33 @@
 		available := slices.ContainsFunc(before, func(name string) bool { return alive[name] }) ||
 			slices.ContainsFunc(joining, func(name string) bool { return reportsSynced(live, name, view.Epoch, p) })
 		for _, name := range after {
-			require.False(t, available && !alive[name], "partition %d: a dead store stays", p)
+			require.False(t, available && !alive[name], "partition %d: a store that is down is still a replica", p)
 			if available {
 				require.True(t, slices.Contains(before, name) || slices.Contains(joining, name) && reportsSynced(live, name, view.Epoch, p),
-					"partition %d: %s is not whole", p, name)
+					"partition %d: %s is not complete", p, name)
 			}
 		}
 		if available {
-			require.NotEmpty(t, after, "partition %d lost its copies", p)
+			require.NotEmpty(t, after, "partition %d has no complete replica any more", p)
 		}
 		if !available && !coveredBy(view, p, alive) && !allReplaced(view, view.Partitions[p].Replicas, machines) {
 			for i, name := range before {
 				s := view.Stores[view.Partitions[p].Replicas[i]]
 				if now, ok := machines[s.Node]; !ok || now == s.Disk {
-					require.Contains(t, after, name, "partition %d does not wait", p)
+					require.Contains(t, after, name, "partition %d does not wait for its complete replicas", p)
 				}
 			}
 		}
 		seen := make(map[uint16]bool)
 		for _, s := range slices.Concat(next.Partitions[p].Replicas, next.Partitions[p].Joining) {
-			require.False(t, seen[s], "partition %d names a store twice", p)
+			require.False(t, seen[s], "partition %d lists a store twice", p)
 			seen[s] = true
 		}
 	}
 }
 
-// coveredBy says whether stores that live have all that was accepted, though no complete replica lives.
+// coveredBy reports whether the live stores are known to hold all accepted writes of a partition even without a live
+// complete replica.
 func coveredBy(view *wire.StoreView, partition int, alive map[string]bool) bool {
 	placed := view.Partitions[partition]
 	dead := func(name string) bool { return !alive[name] }
@@ -147,8 +149,9 @@
 	return true
 }
 
-// requireZonesOfKept checks zones of two copies, as far as the stores that are not retiring allow.
-func requireZonesOfKept(t require.TestingT, view *wire.StoreView, copies int) {
+// requireDistinctZones requires that the copies of each partition are in distinct zones, or in all zones if there are
+// fewer. Only zones with stores that are not retiring count.
+func requireDistinctZones(t require.TestingT, view *wire.StoreView, copies int) {
 	zones := make(map[string]bool)
 	for _, s := range view.Stores {
 		if !s.Retiring {
--- a/control/placement/regions.go
+++ b/control/placement/regions.go
@@ -5,14 +5,14 @@
 	"slices"
 )
 
-// How far a store lies from where all copies of a partition should lie.
+// Distances of a store from the preferred location of a partition, see assignment.distance.
 const (
 	inPlace = iota
 	inAnotherZone
 	inAnotherRegion
 )
 
-// distance says how far a store lies from where all copies of the partition should lie.
+// distance returns how far a store is from the region and zone that all copies of the partition should be in.
 func (a *assignment) distance(s *store) int {
 	switch {
 	case a.preferredRegion != "" && s.Region != a.preferredRegion:
@@ -24,9 +24,10 @@
 	}
 }
 
-// assignPreferredRegions gives each partition a preferred region, in proportion to the stores of each region, so that its copies need not wait for a
-// region far away. It counts the stores that are down too: a loss alone moves no partition. Where the loss of a region is to be borne,
-// copies must lie in several, and no partition has a preferred region.
+// assignPreferredRegions gives each partition a preferred region, in proportion to the number of stores in each region,
+// so that a write does not wait for copies in a distant region. Stores that are down count too, so that the loss of a
+// store alone moves no partition. If the loss of a region must be tolerated, copies must be in several regions, and no
+// partition has a preferred one.
 func (p *plan) assignPreferredRegions() {
 	if p.config.Regions {
 		return
@@ -40,15 +41,16 @@
 	}
 }
 
-// preferredRegionCandidates lists the stores that are to stay, sorted by region.
+// preferredRegionCandidates returns the stores that are neither wiped nor retiring, sorted by region.
 func (p *plan) preferredRegionCandidates() []*store {
 	stores := without(p.stores, func(s *store) bool { return s.wiped || s.Retiring })
 	slices.SortStableFunc(stores, func(a, b *store) int { return cmp.Compare(a.Region, b.Region) })
 	return stores
 }
 
-// moveToPreferred gives a joining store of the preferred region or zone to at most limit partitions of which a complete replica lies elsewhere, as long
-// as that brings no copies closer together than they may be. It returns how many.
+// moveToPreferred starts moving replicas that are outside their preferred region or zone into it: it adds a joining
+// store there to at most limit partitions. It skips moves that moveTarget does not allow. It returns the number of
+// moves.
 func (p *plan) moveToPreferred(limit int) int {
 	moves := 0
 	for i := range p.partitions {
@@ -68,7 +70,8 @@
 	return moves
 }
 
-// preferredTarget is a store that could take the place of a replica outside the preferred region or zone.
+// preferredTarget returns a store that is closer to the preferred region or zone than one of the partition's replicas
+// and can take over that replica, or nil if there is none.
 func (p *plan) preferredTarget(partition *assignment) *store {
 	for _, source := range partition.replicas {
 		distance := partition.distance(source)
--- a/control/placement/regions_test.go
+++ b/control/placement/regions_test.go
@@ -9,7 +9,7 @@
 	"ravendale/cluster/wire"
 )
 
-// storesOfTwoRegions are two stores in each of two zones a region.
+// storesOfTwoRegions returns two stores in each of two zones in each of two regions.
 func storesOfTwoRegions() []Store {
 	stores := storesIn(2, 2, 2, 2)
 	for i := range stores {
@@ -21,8 +21,8 @@
 	return stores
 }
 
-// crossing counts the partitions whose replicas lie in several regions.
-func crossing(view *wire.StoreView) int {
+// countCrossRegion counts the partitions whose replicas are in several regions.
+func countCrossRegion(view *wire.StoreView) int {
 	count := 0
 	for _, placed := range view.Partitions {
 		for _, r := range placed.Replicas[1:] {
@@ -35,29 +35,29 @@
 	return count
 }
 
-func TestCopiesStayInOneRegionWhereNoRegionIsToBeBorne(t *testing.T) {
+func TestCopiesStayInOneRegionUnlessRegionLossIsTolerated(t *testing.T) {
 	live := storesOfTwoRegions()
 	view, ok := Plan(nil, live, config(2))
 	require.True(t, ok)
-	require.Zero(t, crossing(view), "as bootstrapped")
-	require.Zero(t, crossing(converge(t, view, live, config(2))))
+	require.Zero(t, countCrossRegion(view), "after bootstrap")
+	require.Zero(t, countCrossRegion(converge(t, view, live, config(2))))
 	c := config(2)
 	c.Regions = true
 	view, _ = Plan(nil, live, c)
-	require.Equal(t, DefaultPartitions, crossing(view), "the loss of a region is to be borne")
+	require.Equal(t, DefaultPartitions, countCrossRegion(view), "the loss of a region must be tolerated")
 }
 
-func TestReplicasReturnToTheirPreferredRegionOnceItHasStoresAgain(t *testing.T) {
+func TestReplicasReturnToPreferredRegion(t *testing.T) {
 	live := storesOfTwoRegions()
 	west := slices.DeleteFunc(slices.Clone(live), func(s Store) bool { return s.Region == "east" })
 	for name, left := range map[string][]Store{
-		"one store of a region is left": append(slices.Clone(west), live[0]), "a region is away": west,
+		"region has one live store": append(slices.Clone(west), live[0]), "region is down": west,
 	} {
 		t.Run(name, func(t *testing.T) {
 			view, _ := Plan(nil, live, config(2))
 			view = converge(t, view, left, config(2))
 			view = converge(t, view, live, config(2))
-			require.Zero(t, crossing(view))
+			require.Zero(t, countCrossRegion(view))
 			counts, primaries := loads(view)
 			requireEven(t, counts, live, 2)
 			requireEven(t, primaries, live, 1)
--- a/control/placement/repair.go
+++ b/control/placement/repair.go
@@ -4,25 +4,25 @@
 	"slices"
 )
 
-// dropDead takes out the stores that are lost. A partition of which no complete replica lives waits for them, unless their disks are
-// wiped, or all that they had is known to be elsewhere.
-func (p *plan) dropDead() {
-	spares := p.sparesStalled()
+// dropFailed removes stores that are down from the partitions. A partition without a live complete replica waits for
+// one to return, unless all of them were wiped or live stores are known to hold all accepted writes.
+func (p *plan) dropFailed() {
+	dropStalled := p.canDropStalled()
 	for i := range p.partitions {
 		partition := &p.partitions[i]
-		if partition.mayRebuild() {
+		if partition.needsRebuild() {
 			p.rebuild(partition)
 		}
 		if partition.unavailable() {
 			continue
 		}
-		partition.dropDead(spares)
+		partition.dropFailed(dropStalled)
 	}
-	p.count()
+	p.countLoads()
 }
 
-// promote makes complete replicas of those that are joining and say that they hold all. It comes before those that are lost are made up
-// for: one that has just been filled by a primary that is lost is complete.
+// promote turns joining stores that report that they hold the partition completely into complete replicas. It must run
+// before stores that are down are removed: a joining store that the primary filled just before it failed is complete.
 func (p *plan) promote(epoch uint64) {
 	for i := range p.partitions {
 		partition := &p.partitions[i]
@@ -39,20 +39,20 @@
 	}
 }
 
-// keepers are the members of a partition that are not to be emptied.
-func keepers(partition *assignment) []*store {
+// nonRetiringMembers returns the members of a partition that are not retiring.
+func nonRetiringMembers(partition *assignment) []*store {
 	return without(partition.members(), func(s *store) bool { return s.Retiring })
 }
 
-// refill gives joining stores to the partitions that have too few members.
+// refill adds joining stores to the partitions that have fewer than Copies members, not counting retiring ones.
 func (p *plan) refill() {
 	for i := range p.partitions {
 		partition := &p.partitions[i]
 		if partition.unavailable() {
 			continue
 		}
-		for len(keepers(partition)) < p.config.Copies {
-			s := p.candidate(partition, p.strict())
+		for len(nonRetiringMembers(partition)) < p.config.Copies {
+			s := p.candidate(partition, p.mustSpread())
 			if s == nil {
 				break
 			}
@@ -62,12 +62,13 @@
 	}
 }
 
-// spread gives a joining store to the partitions whose members share a domain though another one could be had.
+// spread adds a joining store to the partitions whose members share a failure domain although a store in another domain
+// is available.
 func (p *plan) spread() {
 	for i := range p.partitions {
 		partition := &p.partitions[i]
-		kept := keepers(partition)
-		if partition.unavailable() || partition.gathers() || len(partition.joining) > 0 || p.domains(kept) >= p.config.Copies {
+		retained := nonRetiringMembers(partition)
+		if partition.unavailable() || partition.colocated() || len(partition.joining) > 0 || p.countDomains(retained) >= p.config.Copies {
 			continue
 		}
 		s := p.candidate(partition, true)
@@ -78,30 +79,32 @@
 	}
 }
 
-// candidate is the eligible store with the least load, of a domain that the partition does not have yet; or if there is none
-// and it need not be, of another.
+// candidate returns the best usable store for a new replica of the partition, or nil if there is none: see
+// betterCandidate. With otherDomain, the store must be in a failure domain that the partition has no members in, not
+// counting retiring ones.
 func (p *plan) candidate(partition *assignment, otherDomain bool) *store {
-	taken := make(map[string]bool)
+	usedDomains := make(map[string]bool)
 	for _, s := range partition.members() {
 		if !s.Retiring {
-			taken[p.domain(s)] = true
+			usedDomains[p.failureDomain(s)] = true
 		}
 	}
 	var best *store
 	for _, s := range p.stores {
-		if !p.certain(s) || partition.has(s) || otherDomain && taken[p.domain(s)] {
+		if !p.usable(s) || partition.hasMember(s) || otherDomain && usedDomains[p.failureDomain(s)] {
 			continue
 		}
-		if best == nil || p.better(partition, s, best, taken) {
+		if best == nil || p.betterCandidate(partition, s, best, usedDomains) {
 			best = s
 		}
 	}
 	return best
 }
 
-// better says whether a should be given a replica of a partition rather than b. A former member has most of it.
-func (p *plan) better(partition *assignment, a, b *store, taken map[string]bool) bool {
-	if ta, tb := taken[p.domain(a)], taken[p.domain(b)]; ta != tb && !partition.gathers() {
+// betterCandidate reports whether a new replica of the partition should be placed on store a rather than on b. Former
+// members are preferred to other stores of an equally suitable domain because they already hold most of the partition.
+func (p *plan) betterCandidate(partition *assignment, a, b *store, usedDomains map[string]bool) bool {
+	if ta, tb := usedDomains[p.failureDomain(a)], usedDomains[p.failureDomain(b)]; ta != tb && !partition.colocated() {
 		return !ta
 	}
 	if fa, fb := slices.Contains(partition.former, a), slices.Contains(partition.former, b); fa != fb {
--- a/control/placement/retire_test.go
+++ b/control/placement/retire_test.go
@@ -6,7 +6,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestARetiringStoreServesUntilOthersHoldAll(t *testing.T) {
+func TestRetiringStoreServesUntilOthersAreComplete(t *testing.T) {
 	live := storesIn(1, 1, 1)
 	c := config(2)
 	view, _ := Plan(nil, live, c)
@@ -16,7 +16,7 @@
 	require.True(t, known && enough)
 	next, _ := Plan(marked, live, c)
 	for p, placed := range next.Partitions {
-		require.ElementsMatch(t, disks(view, view.Partitions[p].Replicas), disks(next, placed.Replicas), "nothing is dropped yet")
+		require.ElementsMatch(t, disks(view, view.Partitions[p].Replicas), disks(next, placed.Replicas), "no replica is dropped yet")
 	}
 	_, retiring, done := Retirement(next, live[0].Node)
 	require.True(t, retiring && !done)
@@ -29,7 +29,7 @@
 	require.False(t, enough, "two stores must remain")
 }
 
-func TestAStoreThatLosesItsDiskWhileItIsEmptiedStillRetires(t *testing.T) {
+func TestRetirementCompletesAfterDiskReplacement(t *testing.T) {
 	live := storesIn(1, 1, 1)
 	c := config(2)
 	view, _ := Plan(nil, live, c)
@@ -41,7 +41,7 @@
 	require.True(t, known && retiring && done)
 }
 
-func TestAMachineThatTakesTheNameOfAnEmptiedOneIsUsed(t *testing.T) {
+func TestRetiredNodeNameCanBeReused(t *testing.T) {
 	live := storesIn(1, 1, 1)
 	c := config(2)
 	view, _ := Plan(nil, live, c)
--- a/control/placement/zones.go
+++ b/control/placement/zones.go
@@ -6,27 +6,30 @@
 	"slices"
 )
 
-// The functions of this file choose the zone in which all copies of a partition should lie. Where no zone has to be borne, copies in one zone
-// lose nothing that the deployment is to keep, and a body whose client's edge is in that zone crosses no zone at all on its way to disk.
+// The functions of this file choose the zone that all copies of a partition should be in. If the loss of a zone need
+// not be tolerated, keeping all copies in one zone gives up no required fault tolerance, and a message body from a
+// client whose edge is in that zone is written to disk without crossing zones.
 
-// location is a zone by its full name: zones of two regions may have the same one.
+// location identifies a zone by region and name, because zones of two regions may have the same name.
 type location struct{ region, zone string }
 
 func (s *store) location() location { return location{region: s.Region, zone: s.Zone} }
 
-// gathers says whether all copies of the partition should lie in one zone.
-func (a *assignment) gathers() bool { return a.preferredZone != "" }
+// colocated reports whether all copies of the partition should be in one zone.
+func (a *assignment) colocated() bool { return a.preferredZone != "" }
 
-// noZone stands for the partitions that have no preferred zone.
+// noZone is the key for partitions that have no preferred zone.
 var noZone = location{}
 
-// assignPreferredZones gives partitions a preferred zone, to each zone in proportion to its stores, so that all stores bear alike. A zone with
-// fewer stores than copies can hold no partition alone: its stores share partitions without a preferred zone, whose copies are spread. As with
-// regions, stores that are down count: a loss alone moves no partition.
+// assignPreferredZones gives partitions a preferred zone, in proportion to the number of stores in each zone, so that
+// all stores have about the same load. A zone with fewer stores than copies cannot hold a partition alone: its stores
+// get replicas of partitions without a preferred zone, whose copies are spread over zones. As with regions, stores that
+// are down count too, so that the loss of a store alone moves no partition.
 //
-// A partition stays in the zone that most of its copies are in while that zone has not too many, so that a store more or less moves few.
+// A partition keeps the zone that most of its copies are in unless that zone's quota is used up, so that adding or
+// removing a store moves few partitions.
 func (p *plan) assignPreferredZones() {
-	if !p.config.GatherZones || p.strict() {
+	if !p.config.GatherZones || p.mustSpread() {
 		return
 	}
 	byRegion := make(map[string][]*assignment)
@@ -39,28 +42,30 @@
 	}
 }
 
-// assignZones gives each partition a zone that has quota left.
+// assignZones gives each partition a zone with remaining quota: the zone of most of its replicas, else that of its
+// primary, else the zone with the largest remaining quota.
 func assignZones(partitions []*assignment, quotas map[location]int) {
-	var rest []*assignment
+	var undecided []*assignment
 	for _, partition := range partitions {
-		zone, gathered := partition.majorityZone()
-		if !gathered || !partition.prefer(zone, quotas) {
-			rest = append(rest, partition)
+		zone, hasMajority := partition.majorityZone()
+		if !hasMajority || !partition.tryPrefer(zone, quotas) {
+			undecided = append(undecided, partition)
 		}
 	}
 	var unplaced []*assignment
-	for _, partition := range rest {
-		if len(partition.replicas) == 0 || !partition.prefer(partition.replicas[0].location(), quotas) {
+	for _, partition := range undecided {
+		if len(partition.replicas) == 0 || !partition.tryPrefer(partition.replicas[0].location(), quotas) {
 			unplaced = append(unplaced, partition)
 		}
 	}
 	for _, partition := range unplaced {
-		partition.prefer(largestQuota(quotas), quotas)
+		partition.tryPrefer(largestQuota(quotas), quotas)
 	}
 }
 
-// prefer makes a zone the preferred one, if it has quota left.
-func (a *assignment) prefer(zone location, quotas map[location]int) bool {
+// tryPrefer makes a zone the preferred one and reduces its quota by one. It reports false, and does neither, if the
+// zone has no quota left.
+func (a *assignment) tryPrefer(zone location, quotas map[location]int) bool {
 	if quotas[zone] <= 0 {
 		return false
 	}
@@ -69,7 +74,7 @@
 	return true
 }
 
-// majorityZone is the zone that more than half of a partition's complete replicas are in, if there is one.
+// majorityZone returns the zone that more than half of a partition's complete replicas are in, and whether there is one.
 func (a *assignment) majorityZone() (location, bool) {
 	counts := make(map[location]int)
 	for _, s := range a.replicas {
@@ -81,33 +86,34 @@
 	return noZone, false
 }
 
-// zoneQuotas divides partitions among the zones of a region, and noZone.
+// zoneQuotas divides a number of partitions among the zones of a region and noZone.
 func (p *plan) zoneQuotas(region string, partitions int) map[location]int {
-	stores := make(map[location]int)
+	storesByZone := make(map[location]int)
 	for _, s := range p.stores {
 		if !s.wiped && !s.Retiring && (region == "" || s.Region == region) {
-			stores[s.location()]++
+			storesByZone[s.location()]++
 		}
 	}
-	total, tooFew := 0, 0
+	total, smallZoneStores := 0, 0
 	weights := make(map[location]int)
-	for zone, count := range stores {
+	for zone, count := range storesByZone {
 		total += count
 		if count < p.config.Copies {
-			tooFew += count
+			smallZoneStores += count
 			continue
 		}
 		weights[zone] = count
 	}
-	if tooFew > 0 {
-		// Each partition without a zone has one copy at most in each zone that is too small: it takes as many partitions as one
-		// store holds replicas, and those take Copies stores' worth of load.
-		weights[noZone] = min(max(tooFew, p.config.Copies), total)
+	if smallZoneStores > 0 {
+		// A partition without a preferred zone has at most one copy in each zone that is too small. Giving a store of
+		// such a zone its share of replicas therefore takes as many of these partitions as a store holds replicas,
+		// which is the load of Copies stores.
+		weights[noZone] = min(max(smallZoneStores, p.config.Copies), total)
 	}
 	return proportional(partitions, weights)
 }
 
-// proportional divides a number of partitions by weight, by the method of largest remainders.
+// proportional divides a number of partitions by weight, using the largest remainder method.
 func proportional(partitions int, weights map[location]int) map[location]int {
 	total := 0
 	for _, weight := range weights {
@@ -118,15 +124,15 @@
 	}
 	quotas := make(map[location]int, len(weights))
 	zones := sortedZones(weights)
-	left := partitions
+	remaining := partitions
 	for _, zone := range zones {
 		quotas[zone] = partitions * weights[zone] / total
-		left -= quotas[zone]
+		remaining -= quotas[zone]
 	}
 	slices.SortStableFunc(zones, func(a, b location) int {
 		return cmp.Compare(partitions*weights[b]%total, partitions*weights[a]%total)
 	})
-	for _, zone := range zones[:left] {
+	for _, zone := range zones[:remaining] {
 		quotas[zone]++
 	}
 	return quotas
@@ -138,7 +144,7 @@
 	})
 }
 
-// largestQuota is the zone that has the most quota left.
+// largestQuota returns the zone with the most remaining quota, noZone if none has any.
 func largestQuota(quotas map[location]int) location {
 	best := noZone
 	for _, zone := range sortedZones(quotas) {
--- a/control/placement/zones_test.go
+++ b/control/placement/zones_test.go
@@ -10,14 +10,14 @@
 	"ravendale/cluster/wire"
 )
 
-func gathering(copies int) Config {
+func colocatedConfig(copies int) Config {
 	c := config(copies)
 	c.GatherZones = true
 	return c
 }
 
-// zonesCrossed counts the partitions whose replicas lie in several zones.
-func zonesCrossed(view *wire.StoreView) int {
+// countCrossZone counts the partitions whose replicas are in several zones.
+func countCrossZone(view *wire.StoreView) int {
 	count := 0
 	for _, placed := range view.Partitions {
 		zone := view.Stores[placed.Replicas[0]].Zone
@@ -28,78 +28,78 @@
 	return count
 }
 
-func TestCopiesLieInOneZoneWhereNoZoneIsToBeBorne(t *testing.T) {
+func TestCopiesAreInOneZoneUnlessZoneLossIsTolerated(t *testing.T) {
 	live := storesIn(7, 6, 6)
-	view, ok := Plan(nil, live, gathering(3))
+	view, ok := Plan(nil, live, colocatedConfig(3))
 	require.True(t, ok)
-	require.Zero(t, zonesCrossed(view))
+	require.Zero(t, countCrossZone(view))
 	counts, primaries := loads(view)
 	requireEven(t, counts, live, 2)
 	requireEven(t, primaries, live, 1)
-	_, changed := Plan(view, live, gathering(3))
-	require.False(t, changed, "it is at rest")
+	_, changed := Plan(view, live, colocatedConfig(3))
+	require.False(t, changed, "the bootstrapped view is stable")
 }
 
-func TestCopiesAreSpreadAsBeforeWhereAZoneIsToBeBorne(t *testing.T) {
-	strict := gathering(2)
+func TestColocationIsIgnoredIfZoneLossIsTolerated(t *testing.T) {
+	strict := colocatedConfig(2)
 	strict.Zones = true
 	view, ok := Plan(nil, storesIn(3, 3), strict)
 	require.True(t, ok)
 	requireZones(t, view, 2)
 }
 
-func TestCopiesAreSpreadAsBeforeWhereNoZoneHasEnoughStores(t *testing.T) {
+func TestColocationIsIgnoredIfNoZoneHasEnoughStores(t *testing.T) {
 	live := storesIn(1, 1, 1, 1)
 	view, _ := Plan(nil, live, config(2))
-	gathered, _ := Plan(nil, live, gathering(2))
+	gathered, _ := Plan(nil, live, colocatedConfig(2))
 	require.Equal(t, view, gathered)
 	view = converge(t, view, live[:3], config(2))
-	gathered = converge(t, gathered, live[:3], gathering(2))
+	gathered = converge(t, gathered, live[:3], colocatedConfig(2))
 	require.Equal(t, view, gathered)
 }
 
-func TestAZoneWithTooFewStoresSharesPartitionsWithOthers(t *testing.T) {
+func TestSmallZoneSharesPartitionsWithOthers(t *testing.T) {
 	live := storesIn(4, 4, 1)
-	view, _ := Plan(nil, live, gathering(2))
+	view, _ := Plan(nil, live, colocatedConfig(2))
 	counts, primaries := loads(view)
 	requireEven(t, counts, live, 3)
 	requireEven(t, primaries, live, 3)
-	require.Equal(t, counts["disk-z2-0"], zonesCrossed(view), "no others cross zones")
+	require.Equal(t, counts["disk-z2-0"], countCrossZone(view), "only partitions with a replica in the small zone cross zones")
 }
 
-func TestSpreadCopiesAreGathered(t *testing.T) {
+func TestSpreadCopiesAreColocated(t *testing.T) {
 	live := storesIn(7, 6, 6)
 	view, _ := Plan(nil, live, config(3))
-	require.NotZero(t, zonesCrossed(view))
-	view = converge(t, view, live, gathering(3))
-	require.Zero(t, zonesCrossed(view))
+	require.NotZero(t, countCrossZone(view))
+	view = converge(t, view, live, colocatedConfig(3))
+	require.Zero(t, countCrossZone(view))
 	requireComplete(t, view, 3)
 	counts, primaries := loads(view)
 	requireEven(t, counts, live, 3)
 	requireEven(t, primaries, live, 2)
 }
 
-func TestALostStoreIsReplacedInItsZone(t *testing.T) {
+func TestLostStoreIsReplacedInSameZone(t *testing.T) {
 	live := storesIn(4, 4)
-	view, _ := Plan(nil, live, gathering(2))
-	view = converge(t, view, live[1:], gathering(2))
+	view, _ := Plan(nil, live, colocatedConfig(2))
+	view = converge(t, view, live[1:], colocatedConfig(2))
 	requireComplete(t, view, 2)
-	require.Zero(t, zonesCrossed(view))
+	require.Zero(t, countCrossZone(view))
 }
 
-func TestAZoneWithTooFewLivingStoresHasCopiesElsewhereUntilTheyReturn(t *testing.T) {
+func TestCopiesReturnToZoneWhenItsStoresReturn(t *testing.T) {
 	live := storesIn(3, 3)
-	view, _ := Plan(nil, live, gathering(3))
-	lost := converge(t, view, live[1:], gathering(3))
+	view, _ := Plan(nil, live, colocatedConfig(3))
+	lost := converge(t, view, live[1:], colocatedConfig(3))
 	requireComplete(t, lost, 3)
-	require.NotZero(t, zonesCrossed(lost))
-	back := converge(t, lost, live, gathering(3))
+	require.NotZero(t, countCrossZone(lost))
+	back := converge(t, lost, live, colocatedConfig(3))
 	requireComplete(t, back, 3)
-	require.Zero(t, zonesCrossed(back))
+	require.Zero(t, countCrossZone(back))
 }
 
-// moved counts the replicas of one view that the other does not have.
-func moved(before, after *wire.StoreView) int {
+// countMoved counts the complete replicas in the view after that the view before does not have.
+func countMoved(before, after *wire.StoreView) int {
 	count := 0
 	for p := range before.Partitions {
 		old := disks(before, before.Partitions[p].Replicas)
@@ -112,33 +112,34 @@
 	return count
 }
 
-func TestAStoreMoreOrLessMovesLittleMoreThanItsPart(t *testing.T) {
+func TestAddingOrRetiringStoreMovesFewReplicas(t *testing.T) {
 	all := storesIn(7, 6, 6)
-	view, _ := Plan(nil, all, gathering(3))
+	view, _ := Plan(nil, all, colocatedConfig(3))
 	part := 3 * DefaultPartitions / len(all)
-	t.Run("more", func(t *testing.T) {
+	t.Run("store added", func(t *testing.T) {
 		more := append(slices.Clone(all), storesIn(0, 0, 7)[6])
-		after := converge(t, view, more, gathering(3))
-		require.Zero(t, zonesCrossed(after))
-		require.LessOrEqual(t, moved(view, after), 3*part)
+		after := converge(t, view, more, colocatedConfig(3))
+		require.Zero(t, countCrossZone(after))
+		require.LessOrEqual(t, countMoved(view, after), 3*part)
 	})
-	t.Run("less", func(t *testing.T) {
-		marked, _, enough := Retire(view, all, gathering(3), all[0].Node)
+	t.Run("store retired", func(t *testing.T) {
+		marked, _, enough := Retire(view, all, colocatedConfig(3), all[0].Node)
 		require.True(t, enough)
-		after := converge(t, marked, all, gathering(3))
-		require.Zero(t, zonesCrossed(after))
-		require.LessOrEqual(t, moved(view, after), 3*part)
+		after := converge(t, marked, all, colocatedConfig(3))
+		require.Zero(t, countCrossZone(after))
+		require.LessOrEqual(t, countMoved(view, after), 3*part)
 	})
 }
 
-// TestGatheringComesToRest plays zones of any size, stores that are lost for good or retired, and a plan of before, in any order.
-func TestGatheringComesToRest(t *testing.T) {
+// TestColocationConverges bootstraps zones of random size with or without colocation, and retires a store and removes
+// it if enough others remain. With colocation on, the plan must converge to complete partitions.
+func TestColocationConverges(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		all := storesIn(rapid.IntRange(0, 5).Draw(t, "a"), rapid.IntRange(1, 5).Draw(t, "b"), rapid.IntRange(2, 5).Draw(t, "c"))
-		c := gathering(rapid.IntRange(1, 3).Draw(t, "copies"))
+		c := colocatedConfig(rapid.IntRange(1, 3).Draw(t, "copies"))
 		c.Partitions = 16
 		started := c
-		started.GatherZones = rapid.Bool().Draw(t, "gathered from the start")
+		started.GatherZones = rapid.Bool().Draw(t, "colocated from the start")
 		view, ok := Plan(nil, all, started)
 		require.True(t, ok)
 		view = converge(t, view, all, started)
--- a/control/registry/deadlines.go
+++ b/control/registry/deadlines.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// deadlines are entries ordered by deadline, the first one first: a renewal costs the logarithm of their number, not all of them.
+// deadlines is a heap of entries with the earliest deadline first, so that a renewal takes logarithmic instead of
+// linear time.
 type deadlines []*entry
 
 // Len implements heap.Interface.
@@ -36,7 +37,7 @@
 	return e
 }
 
-// first returns the entry whose deadline comes first; nil: there is none.
+// first returns the entry with the earliest deadline, or nil if there are no entries.
 func (d deadlines) first() *entry {
 	if len(d) == 0 {
 		return nil
@@ -56,8 +57,9 @@
 // remove removes an entry.
 func (d *deadlines) remove(e *entry) { heap.Remove(d, e.position) }
 
-// shift moves all deadlines back by so much, and none to before a time. Their order stays, but for those that become equal.
-func (d *deadlines) shift(by, earliest time.Duration) {
+// postpone adds a duration to all deadlines, and moves those that are still before earliest to that time. Entries keep
+// their order, except that deadlines may become equal.
+func (d *deadlines) postpone(by, earliest time.Duration) {
 	for _, e := range *d {
 		e.deadline = max(e.deadline+by, earliest)
 	}
--- a/control/registry/doc.go
+++ b/control/registry/doc.go
@@ -1,4 +1,6 @@
-// Package registry is the leader's table of membership leases: who holds one, which stores live, and what the topic of members says.
+// Package registry is the leader's table of membership leases: which schedulers and stores hold a lease, and hence
+// which stores are live and which schedulers are published on the topic of members.
 //
-// It is pure: time and events go in, Changes come out; it starts nothing and reads no clock.
+// It does no I/O, starts no goroutines and reads no clock: callers pass in events with their time, and get back the
+// resulting Changes.
 package registry
--- a/control/registry/model_test.go
+++ b/control/registry/model_test.go
@@ -11,14 +11,14 @@
 	"ravendale/cluster/wire"
 )
 
-// scan is the table without indexes: each event passes over all entries.
-type scan struct {
+// scanModel is a model of Registry without indexes: it handles each event by iterating over all entries.
+type scanModel struct {
 	config   Config
 	entries  map[string]*entry
 	replaced map[string]bool
 }
 
-func (s *scan) next() (next time.Duration, some bool) {
+func (s *scanModel) next() (next time.Duration, some bool) {
 	for _, e := range s.entries {
 		if !some || e.deadline < next {
 			next, some = e.deadline, true
@@ -27,9 +27,9 @@
 	return next, some
 }
 
-func (s *scan) shift(now time.Duration) {
+func (s *scanModel) postponeAfterPause(now time.Duration) {
 	next, some := s.next()
-	if !some || now <= next+maxLateness {
+	if !some || now <= next+maxTickDelay {
 		return
 	}
 	for _, e := range s.entries {
@@ -37,14 +37,14 @@
 	}
 }
 
-func (s *scan) drop(id string) Changes {
+func (s *scanModel) drop(id string) Changes {
 	member := s.entries[id].member
 	delete(s.entries, id)
 	return Changes{Members: member.Edge, Stores: member.Storage, Urgent: member.Storage}
 }
 
-func (s *scan) renew(now time.Duration, link uint64, renew *wire.Renew) (time.Duration, Changes) {
-	s.shift(now)
+func (s *scanModel) renew(now time.Duration, link uint64, renew *wire.Renew) (time.Duration, Changes) {
+	s.postponeAfterPause(now)
 	var changes Changes
 	if s.replaced[renew.Member.ID] {
 		return 0, changes
@@ -63,12 +63,12 @@
 	if known == nil {
 		known = &entry{}
 	}
-	changes.add(difference(known, renew))
-	s.entries[renew.Member.ID] = &entry{member: renew.Member, status: renew.Store, link: link, deadline: now + lease}
+	changes.add(changesBy(known, renew))
+	s.entries[renew.Member.ID] = &entry{member: renew.Member, status: renew.Store, connection: link, deadline: now + lease}
 	return lease, changes
 }
 
-func (s *scan) adopt(now time.Duration, edges []wire.Edge) Changes {
+func (s *scanModel) adopt(now time.Duration, edges []wire.Edge) Changes {
 	var changes Changes
 	for _, edge := range edges {
 		taken := s.entries[edge.ID] != nil || s.replaced[edge.ID]
@@ -85,14 +85,14 @@
 	return changes
 }
 
-func (s *scan) disconnected(now time.Duration, link uint64) Changes {
-	s.shift(now)
+func (s *scanModel) disconnected(now time.Duration, link uint64) Changes {
+	s.postponeAfterPause(now)
 	var changes Changes
 	for id, e := range s.entries {
-		if e.link != link || link == 0 {
+		if e.connection != link || link == 0 {
 			continue
 		}
-		e.link = 0
+		e.connection = 0
 		switch {
 		case e.member.Leaving:
 			changes.add(s.drop(id))
@@ -103,8 +103,8 @@
 	return changes
 }
 
-func (s *scan) tick(now time.Duration) Changes {
-	s.shift(now)
+func (s *scanModel) tick(now time.Duration) Changes {
+	s.postponeAfterPause(now)
 	var changes Changes
 	for id, e := range s.entries {
 		if now >= e.deadline {
@@ -114,7 +114,7 @@
 	return changes
 }
 
-func (s *scan) heard() bool {
+func (s *scanModel) adoptionComplete() bool {
 	for _, e := range s.entries {
 		if e.adopted {
 			return false
@@ -123,12 +123,12 @@
 	return true
 }
 
-// Whatever happens, the table with its indexes says what a scan of all entries would.
-func TestIndexesSayWhatAScanDoes(t *testing.T) {
+// TestRegistryMatchesScanModel compares the results of Registry with those of scanModel for random events.
+func TestRegistryMatchesScanModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		config := DefaultConfig(time.Second)
 		r := New(config)
-		model := &scan{config: config, entries: make(map[string]*entry), replaced: make(map[string]bool)}
+		model := &scanModel{config: config, entries: make(map[string]*entry), replaced: make(map[string]bool)}
 		now := time.Duration(0)
 		number := func(name string, limit int) int { return rapid.IntRange(0, limit).Draw(t, name) }
 		for range number("events", 60) {
@@ -159,15 +159,15 @@
 			gotNext, gotSome := r.Next()
 			require.Equal(t, some, gotSome)
 			require.Equal(t, next, gotNext)
-			require.Equal(t, model.heard(), r.Heard())
-			require.Len(t, r.Edges(), countOf(model, true))
-			require.Len(t, r.Stores(), countOf(model, false))
+			require.Equal(t, model.adoptionComplete(), r.Heard())
+			require.Len(t, r.Edges(), countMembers(model, true))
+			require.Len(t, r.Stores(), countMembers(model, false))
 			require.Len(t, r.deadlines, len(model.entries))
 		}
 	})
 }
 
-func countOf(s *scan, edges bool) int {
+func countMembers(s *scanModel, edges bool) int {
 	count := 0
 	for _, e := range s.entries {
 		if e.member.Edge == edges {
--- a/control/registry/registry.go
+++ b/control/registry/registry.go
@@ -9,32 +9,33 @@
 )
 
 const (
-	// maxLateness of a call beyond the time that Next named that means the leader itself stood still. Others don't expire for it.
-	maxLateness = 200 * time.Millisecond
-	// maxReplaced bounds how many replaced processes are remembered.
+	// maxLateness is how much later than the time that Next returned the registry may be called. If a call is later
+	// than that, the leader itself was paused, and members must not expire because of that.
+	maxTickDelay = 200 * time.Millisecond
+	// maxReplaced is the maximum number of replaced processes that are remembered.
 	maxReplaced = 512
 )
 
-// Config has the times after which members expire. All are counted from the last renewal.
+// Config has the durations after which members expire.
 type Config struct {
-	EdgeLease  time.Duration
-	StoreLease time.Duration
-	Reconnect  time.Duration // of a store whose connection broke, if that is sooner
+	EdgeLease  time.Duration // since the last renewal
+	StoreLease time.Duration // since the last renewal
+	Reconnect  time.Duration // of a store since its connection ended, unless StoreLease ends sooner
 }
 
-// Leases that the leader grants: a store is suspected before its clients' patience ends, an edge after two heartbeats.
+// The leases that the leader grants: a store's lease ends before its clients time out, and an edge's after two heartbeats.
 const (
 	storeLease         = 700 * time.Millisecond
 	reconnectTimeout   = 150 * time.Millisecond
 	heartbeatsPerLease = 2
 )
 
-// DefaultConfig follows from the heartbeat in the settings.
+// DefaultConfig returns the configuration for the heartbeat interval in the settings.
 func DefaultConfig(heartbeat time.Duration) Config {
 	return Config{EdgeLease: heartbeatsPerLease * heartbeat, StoreLease: storeLease, Reconnect: reconnectTimeout}
 }
 
-// Suspicion is the longest time after which a member expires.
+// Suspicion returns the longest lease of any member.
 func (c Config) Suspicion() time.Duration { return max(c.EdgeLease, c.StoreLease) }
 
 // Store is a store that holds a lease.
@@ -44,19 +45,19 @@
 }
 
 type entry struct {
-	member   wire.Member
-	status   wire.StoreStatus
-	link     uint64 // the connection that its last renewal came over; 0: none
-	deadline time.Duration
-	position int  // in Registry.deadlines
-	adopted  bool // known from before this leader, and not heard of since
+	member     wire.Member
+	status     wire.StoreStatus
+	connection uint64 // the connection that its last renewal came over; 0 if that has ended or there was none
+	deadline   time.Duration
+	position   int  // in Registry.deadlines
+	adopted    bool // taken over from an earlier leader, and not renewed since
 }
 
-// Changes says what an event changed.
+// Changes describes what an event changed.
 type Changes struct {
-	Members bool // the topic of members
-	Stores  bool // which stores live, or what they say
-	Urgent  bool // a store expired, is leaving, or has a disk that takes nothing
+	Members bool // the list of schedulers that is published on the topic of members
+	Stores  bool // which stores are live, or what they report
+	Urgent  bool // a store expired or was replaced, is leaving, or its disk accepts no writes any more
 }
 
 func (c *Changes) add(other Changes) {
@@ -65,26 +66,28 @@
 	c.Urgent = c.Urgent || other.Urgent
 }
 
-// Registry is the table. What an event costs follows from the entries that it concerns, not from how many there are.
+// Registry is the table of members. The cost of an event depends on how many entries it affects, not on the size of the
+// table, except that changing a deadline takes logarithmic time.
 type Registry struct {
-	config    Config
-	entries   map[string]*entry   // by member ID
-	byAddress map[string][]*entry // more than one only until the renewal ends that brings the second
-	byLink    map[uint64][]*entry // a connection may carry the renewals of several members
-	deadlines deadlines           // all entries
-	adopted   int                 // entries that are known from before this leader
-	replaced  map[string]bool     // members whose address another one has taken
+	config       Config
+	entries      map[string]*entry   // by member ID
+	byAddress    map[string][]*entry // more than one for an address only while a renewal is handled that brings the second
+	byConnection map[uint64][]*entry // a connection may carry the renewals of several members
+	deadlines    deadlines           // all entries
+	adopted      int                 // number of entries that are marked adopted
+	replaced     map[string]bool     // IDs of members whose address was taken over by another member
 }
 
-// New makes an empty table.
+// New returns an empty table.
 func New(config Config) *Registry {
 	return &Registry{
-		config: config, entries: make(map[string]*entry), byAddress: make(map[string][]*entry), byLink: make(map[uint64][]*entry),
+		config: config, entries: make(map[string]*entry), byAddress: make(map[string][]*entry), byConnection: make(map[uint64][]*entry),
 		replaced: make(map[string]bool),
 	}
 }
 
-// Adopt takes over schedulers that an earlier leader knew. Those who don't renew within a lease expire.
+// Adopt adds the schedulers of an earlier leader's list that the table does not have. They expire unless they renew
+// within the duration of a lease.
 func (r *Registry) Adopt(now time.Duration, members *wire.Members) Changes {
 	var changes Changes
 	for _, edge := range members.Edges {
@@ -116,35 +119,36 @@
 func (r *Registry) remove(e *entry) {
 	delete(r.entries, e.member.ID)
 	removeFrom(r.byAddress, e.member.Address, e)
-	r.setLink(e, 0)
+	r.setConnection(e, 0)
 	r.deadlines.remove(e)
-	r.setHeard(e)
+	r.clearAdopted(e)
 }
 
 // removeFrom removes an entry from an index.
 func removeFrom[K comparable](index map[K][]*entry, key K, e *entry) {
-	left := slices.DeleteFunc(index[key], func(other *entry) bool { return other == e })
-	if len(left) == 0 {
+	remaining := slices.DeleteFunc(index[key], func(other *entry) bool { return other == e })
+	if len(remaining) == 0 {
 		delete(index, key)
 		return
 	}
-	index[key] = left
+	index[key] = remaining
 }
 
-// setLink notes the connection of an entry's last renewal; 0: it has ended.
-func (r *Registry) setLink(e *entry, link uint64) {
-	if e.link == link {
+// setConnection sets the connection of an entry's last renewal; 0 means that it has ended.
+func (r *Registry) setConnection(e *entry, connection uint64) {
+	if e.connection == connection {
 		return
 	}
-	if e.link != 0 {
-		removeFrom(r.byLink, e.link, e)
+	if e.connection != 0 {
+		removeFrom(r.byConnection, e.connection, e)
 	}
-	if e.link = link; link != 0 {
-		r.byLink[link] = append(r.byLink[link], e)
+	if e.connection = connection; connection != 0 {
+		r.byConnection[connection] = append(r.byConnection[connection], e)
 	}
 }
 
-// setAddress notes the address of an entry, which is another after a renewal that says so.
+// setAddress moves an entry to another address in the index, if its address has changed. The caller updates the entry's
+// member itself.
 func (r *Registry) setAddress(e *entry, address string) {
 	if e.member.Address != address {
 		removeFrom(r.byAddress, e.member.Address, e)
@@ -152,101 +156,104 @@
 	}
 }
 
-// setHeard notes that an entry is not only known from before this leader, or not any more.
-func (r *Registry) setHeard(e *entry) {
+// clearAdopted clears the adopted mark of an entry: its member has renewed, or the entry is removed.
+func (r *Registry) clearAdopted(e *entry) {
 	if e.adopted {
 		e.adopted = false
 		r.adopted--
 	}
 }
 
-// Renew takes a renewal that came over a connection, and returns the lease granted; zero if none is.
-func (r *Registry) Renew(now time.Duration, link uint64, renew *wire.Renew) (time.Duration, Changes) {
-	r.shiftDeadlines(now)
+// Renew handles a renewal that was received over a connection. It returns the duration of the granted lease, zero if
+// the lease is refused: the member has no ID, or another one has taken over its address.
+func (r *Registry) Renew(now time.Duration, connection uint64, renew *wire.Renew) (time.Duration, Changes) {
+	r.postponeAfterPause(now)
 	var changes Changes
 	id := renew.Member.ID
 	if id == "" || r.replaced[id] {
 		return 0, changes
 	}
-	changes.add(r.replace(renew.Member))
-	lease := r.lease(renew.Member)
-	known := r.entries[id]
-	if known == nil {
-		changes.add(difference(&entry{}, renew))
-		known = &entry{member: renew.Member, deadline: now + lease}
-		r.add(known)
+	changes.add(r.dropReplaced(renew.Member))
+	lease := r.leaseFor(renew.Member)
+	e := r.entries[id]
+	if e == nil {
+		changes.add(changesBy(&entry{}, renew))
+		e = &entry{member: renew.Member, deadline: now + lease}
+		r.add(e)
 	} else {
-		changes.add(difference(known, renew))
-		r.setAddress(known, renew.Member.Address)
-		r.deadlines.set(known, now+lease)
+		changes.add(changesBy(e, renew))
+		r.setAddress(e, renew.Member.Address)
+		r.deadlines.set(e, now+lease)
 	}
-	known.member, known.status = renew.Member, renew.Store
-	r.setLink(known, link)
-	r.setHeard(known)
+	e.member, e.status = renew.Member, renew.Store
+	r.setConnection(e, connection)
+	r.clearAdopted(e)
 	return lease, changes
 }
 
-func (r *Registry) lease(member wire.Member) time.Duration {
+func (r *Registry) leaseFor(member wire.Member) time.Duration {
 	if member.Storage {
 		return r.config.StoreLease
 	}
 	return r.config.EdgeLease
 }
 
-// replace drops the processes that had a member's address before it.
-func (r *Registry) replace(member wire.Member) Changes {
+// dropReplaced drops other members with a member's address: they are earlier processes at that address. Their later
+// renewals are refused.
+func (r *Registry) dropReplaced(member wire.Member) Changes {
 	var changes Changes
-	for _, known := range slices.Clone(r.byAddress[member.Address]) {
-		if known.member.ID == member.ID {
+	for _, e := range slices.Clone(r.byAddress[member.Address]) {
+		if e.member.ID == member.ID {
 			continue
 		}
-		changes.add(r.drop(known))
+		changes.add(r.drop(e))
 		if len(r.replaced) >= maxReplaced {
 			clear(r.replaced)
 		}
-		r.replaced[known.member.ID] = true
+		r.replaced[e.member.ID] = true
 	}
 	return changes
 }
 
-func difference(known *entry, renew *wire.Renew) Changes {
+func changesBy(e *entry, renew *wire.Renew) Changes {
 	var changes Changes
 	if renew.Member.Edge {
-		changes.Members = edgeOf(known.member) != edgeOf(renew.Member) || !known.member.Edge
+		changes.Members = edgeOf(e.member) != edgeOf(renew.Member) || !e.member.Edge
 	}
 	if renew.Member.Storage {
-		changes.Stores = known.member != renew.Member || !sameStatus(known.status, renew.Store)
-		changes.Urgent = renew.Member.Leaving && !known.member.Leaving || renew.Store.Stalled && !known.status.Stalled
+		changes.Stores = e.member != renew.Member || !sameStatus(e.status, renew.Store)
+		changes.Urgent = renew.Member.Leaving && !e.member.Leaving || renew.Store.Stalled && !e.status.Stalled
 	}
 	return changes
 }
 
-// sameStatus compares what the placement goes by.
+// sameStatus compares the fields that the placement depends on.
 func sameStatus(a, b wire.StoreStatus) bool {
 	return a.Epoch == b.Epoch && a.Stalled == b.Stalled && slices.Equal(a.Synced, b.Synced)
 }
 
-// Disconnected tells that a connection ended. A store whose last renewal came over it must renew soon. A scheduler has its lease, by which
-// it may act, to the end.
-func (r *Registry) Disconnected(now time.Duration, link uint64) Changes {
-	r.shiftDeadlines(now)
+// Disconnected handles the end of a connection. A member that is leaving and last renewed over that connection is
+// dropped. Another store expires unless it renews within Reconnect. A scheduler keeps its lease until it ends, because
+// it may act on it until then.
+func (r *Registry) Disconnected(now time.Duration, connection uint64) Changes {
+	r.postponeAfterPause(now)
 	var changes Changes
-	for _, known := range slices.Clone(r.byLink[link]) {
-		r.setLink(known, 0)
-		if known.member.Leaving {
-			changes.add(r.drop(known))
+	for _, e := range slices.Clone(r.byConnection[connection]) {
+		r.setConnection(e, 0)
+		if e.member.Leaving {
+			changes.add(r.drop(e))
 			continue
 		}
-		if known.member.Storage {
-			r.deadlines.set(known, min(known.deadline, now+r.config.Reconnect))
+		if e.member.Storage {
+			r.deadlines.set(e, min(e.deadline, now+r.config.Reconnect))
 		}
 	}
 	return changes
 }
 
-// Tick drops who did not renew in time.
+// Tick drops the members that did not renew in time.
 func (r *Registry) Tick(now time.Duration) Changes {
-	r.shiftDeadlines(now)
+	r.postponeAfterPause(now)
 	var changes Changes
 	for first := r.deadlines.first(); first != nil && now >= first.deadline; first = r.deadlines.first() {
 		changes.add(r.drop(first))
@@ -254,21 +261,23 @@
 	return changes
 }
 
-func (r *Registry) drop(known *entry) Changes {
-	r.remove(known)
-	member := &known.member
+func (r *Registry) drop(e *entry) Changes {
+	r.remove(e)
+	member := &e.member
 	return Changes{Members: member.Edge, Stores: member.Storage, Urgent: member.Storage}
 }
 
-// shiftDeadlines gives all the time back during which the leader itself stood still: renewals may lie unread.
-func (r *Registry) shiftDeadlines(now time.Duration) {
-	next, some := r.Next()
-	if some && now > next+maxLateness {
-		r.deadlines.shift(now-next, now+r.config.Reconnect)
+// postponeAfterPause postpones all deadlines by the time that the leader itself was paused, because renewals may have
+// arrived that it has not read yet.
+func (r *Registry) postponeAfterPause(now time.Duration) {
+	next, ok := r.Next()
+	if ok && now > next+maxTickDelay {
+		r.deadlines.postpone(now-next, now+r.config.Reconnect)
 	}
 }
 
-// Next is when Tick must be called; false: not before the next event.
+// Next returns the time at which Tick must be called, and false if the table is empty and Tick need not be called
+// before the next event.
 func (r *Registry) Next() (time.Duration, bool) {
 	first := r.deadlines.first()
 	if first == nil {
@@ -277,15 +286,15 @@
 	return first.deadline, true
 }
 
-// Heard says whether all members adopted from an earlier leader have renewed or expired.
+// Heard reports whether all members adopted from an earlier leader have renewed or been dropped.
 func (r *Registry) Heard() bool { return r.adopted == 0 }
 
-// Edges lists the schedulers that hold a lease, by zone and node.
+// Edges returns the schedulers that hold a lease, ordered by zone and node.
 func (r *Registry) Edges() []wire.Edge {
 	var edges []wire.Edge
-	for _, known := range r.entries {
-		if known.member.Edge {
-			edges = append(edges, edgeOf(known.member))
+	for _, e := range r.entries {
+		if e.member.Edge {
+			edges = append(edges, edgeOf(e.member))
 		}
 	}
 	slices.SortFunc(edges, func(a, b wire.Edge) int {
@@ -301,12 +310,12 @@
 	}
 }
 
-// Stores lists the stores that hold a lease, by zone and node.
+// Stores returns the stores that hold a lease, ordered by zone and node.
 func (r *Registry) Stores() []Store {
 	var stores []Store
-	for _, known := range r.entries {
-		if known.member.Storage {
-			stores = append(stores, Store{Member: known.member, Status: known.status})
+	for _, e := range r.entries {
+		if e.member.Storage {
+			stores = append(stores, Store{Member: e.member, Status: e.status})
 		}
 	}
 	slices.SortFunc(stores, func(a, b Store) int {
--- a/control/registry/registry_test.go
+++ b/control/registry/registry_test.go
@@ -14,11 +14,11 @@
 
 func testConfig() Config { return DefaultConfig(1000 * ms) }
 
-func edge(id, node, zone string) *wire.Renew {
+func edgeRenewal(id, node, zone string) *wire.Renew {
 	return &wire.Renew{Member: wire.Member{ID: id, Node: node, Address: node + ":1", Zone: zone, Edge: true, Ready: true}}
 }
 
-func store(id, node string) *wire.Renew {
+func storeRenewal(id, node string) *wire.Renew {
 	return &wire.Renew{
 		Member: wire.Member{ID: id, Node: node, Address: node + ":2", Zone: "z", Storage: true, Disk: "disk-" + node, Ready: true},
 	}
@@ -29,8 +29,8 @@
 	return changes
 }
 
-// run calls Tick whenever Next asks for it, until a time.
-func run(r *Registry, until time.Duration) Changes {
+// tickUntil calls Tick at each time that Next returns, up to and including until, and returns the combined changes.
+func tickUntil(r *Registry, until time.Duration) Changes {
 	var changes Changes
 	for {
 		next, ok := r.Next()
@@ -41,60 +41,60 @@
 	}
 }
 
-func TestMembersChangeOnlyWhenTheirTopicDoes(t *testing.T) {
+func TestRenewReportsMemberChanges(t *testing.T) {
 	r := New(testConfig())
-	require.Equal(t, Changes{Members: true}, renew(r, 0, 1, edge("a", "n2", "z1")))
-	require.Equal(t, Changes{}, renew(r, 800*ms, 1, edge("a", "n2", "z1")))
-	require.Equal(t, Changes{Members: true}, renew(r, 900*ms, 2, edge("b", "n1", "z1")))
-	require.Equal(t, Changes{Members: true}, renew(r, 900*ms, 3, edge("c", "n9", "z0")))
+	require.Equal(t, Changes{Members: true}, renew(r, 0, 1, edgeRenewal("a", "n2", "z1")))
+	require.Equal(t, Changes{}, renew(r, 800*ms, 1, edgeRenewal("a", "n2", "z1")))
+	require.Equal(t, Changes{Members: true}, renew(r, 900*ms, 2, edgeRenewal("b", "n1", "z1")))
+	require.Equal(t, Changes{Members: true}, renew(r, 900*ms, 3, edgeRenewal("c", "n9", "z0")))
 	edges := r.Edges()
-	require.Equal(t, []string{"c", "b", "a"}, []string{edges[0].ID, edges[1].ID, edges[2].ID}, "by zone and node")
-	unready := edge("a", "n2", "z1")
+	require.Equal(t, []string{"c", "b", "a"}, []string{edges[0].ID, edges[1].ID, edges[2].ID}, "ordered by zone and node")
+	unready := edgeRenewal("a", "n2", "z1")
 	unready.Member.Ready = false
 	require.Equal(t, Changes{Members: true}, renew(r, 1000*ms, 1, unready))
 	require.False(t, r.Edges()[2].Ready)
 }
 
-func TestAnEdgeExpiresAfterItsLease(t *testing.T) {
+func TestEdgeExpiresAfterLease(t *testing.T) {
 	r := New(testConfig())
-	renew(r, 0, 1, edge("a", "n", "z"))
-	require.Equal(t, Changes{}, run(r, 1999*ms))
-	require.Equal(t, Changes{Members: true}, run(r, 2000*ms))
+	renew(r, 0, 1, edgeRenewal("a", "n", "z"))
+	require.Equal(t, Changes{}, tickUntil(r, 1999*ms))
+	require.Equal(t, Changes{Members: true}, tickUntil(r, 2000*ms))
 	require.Empty(t, r.Edges())
 }
 
-func TestAStoreExpiresSoonerAndSoonestWhenItsConnectionBroke(t *testing.T) {
+func TestStoreExpiresAfterLeaseOrDisconnect(t *testing.T) {
 	r := New(testConfig())
-	require.Equal(t, Changes{Stores: true}, renew(r, 0, 1, store("a", "n")))
-	require.Equal(t, Changes{}, run(r, 699*ms))
-	require.Equal(t, Changes{Stores: true, Urgent: true}, run(r, 700*ms))
-	renew(r, 1000*ms, 1, store("a", "n"))
+	require.Equal(t, Changes{Stores: true}, renew(r, 0, 1, storeRenewal("a", "n")))
+	require.Equal(t, Changes{}, tickUntil(r, 699*ms))
+	require.Equal(t, Changes{Stores: true, Urgent: true}, tickUntil(r, 700*ms))
+	renew(r, 1000*ms, 1, storeRenewal("a", "n"))
 	require.Equal(t, Changes{}, r.Disconnected(1010*ms, 1))
-	require.Len(t, r.Stores(), 1, "it may connect again")
-	require.Equal(t, Changes{Stores: true, Urgent: true}, run(r, 1160*ms))
+	require.Len(t, r.Stores(), 1, "the store may still reconnect")
+	require.Equal(t, Changes{Stores: true, Urgent: true}, tickUntil(r, 1160*ms))
 }
 
-func TestAnEdgeWhoseConnectionBrokeKeepsItsLease(t *testing.T) {
+func TestDisconnectedEdgeKeepsLease(t *testing.T) {
 	r := New(testConfig())
-	renew(r, 0, 1, edge("a", "n", "z"))
+	renew(r, 0, 1, edgeRenewal("a", "n", "z"))
 	r.Disconnected(10*ms, 1)
-	require.Equal(t, Changes{}, run(r, 1999*ms), "it may act by it")
-	require.Equal(t, Changes{Members: true}, run(r, 2000*ms))
+	require.Equal(t, Changes{}, tickUntil(r, 1999*ms), "an edge may act on its lease until it ends")
+	require.Equal(t, Changes{Members: true}, tickUntil(r, 2000*ms))
 }
 
-func TestABrokenConnectionThatIsMadeAgainMeansNothing(t *testing.T) {
+func TestReconnectedStoreDoesNotExpire(t *testing.T) {
 	r := New(testConfig())
-	renew(r, 0, 1, store("a", "n"))
+	renew(r, 0, 1, storeRenewal("a", "n"))
 	r.Disconnected(10*ms, 1)
-	require.Equal(t, Changes{}, renew(r, 100*ms, 2, store("a", "n")))
+	require.Equal(t, Changes{}, renew(r, 100*ms, 2, storeRenewal("a", "n")))
 	r.Disconnected(110*ms, 1)
-	require.Equal(t, Changes{}, run(r, 799*ms), "the old connection says nothing any more")
+	require.Equal(t, Changes{}, tickUntil(r, 799*ms), "the end of the old connection has no effect after a renewal over a new one")
 }
 
-func TestALeavingStoreStaysUntilItsConnectionEnds(t *testing.T) {
+func TestLeavingStoreIsDroppedOnDisconnect(t *testing.T) {
 	r := New(testConfig())
-	renew(r, 0, 1, store("a", "n"))
-	leaving := store("a", "n")
+	renew(r, 0, 1, storeRenewal("a", "n"))
+	leaving := storeRenewal("a", "n")
 	leaving.Member.Leaving = true
 	require.Equal(t, Changes{Stores: true, Urgent: true}, renew(r, 10*ms, 1, leaving))
 	require.True(t, r.Stores()[0].Member.Leaving)
@@ -102,38 +102,38 @@
 	require.Empty(t, r.Stores())
 }
 
-func TestALeavingEdgeIsNotReady(t *testing.T) {
+func TestLeavingEdgeIsNotReady(t *testing.T) {
 	r := New(testConfig())
-	renew(r, 0, 1, edge("a", "n", "z"))
-	leaving := edge("a", "n", "z")
+	renew(r, 0, 1, edgeRenewal("a", "n", "z"))
+	leaving := edgeRenewal("a", "n", "z")
 	leaving.Member.Leaving = true
 	require.Equal(t, Changes{Members: true}, renew(r, 10*ms, 1, leaving))
 	require.False(t, r.Edges()[0].Ready)
 }
 
-func TestARestartReplacesTheProcessBefore(t *testing.T) {
+func TestRestartReplacesPreviousProcess(t *testing.T) {
 	r := New(testConfig())
-	renew(r, 0, 1, edge("old", "n", "z"))
-	require.Equal(t, Changes{Members: true}, renew(r, 10*ms, 2, edge("new", "n", "z")))
+	renew(r, 0, 1, edgeRenewal("old", "n", "z"))
+	require.Equal(t, Changes{Members: true}, renew(r, 10*ms, 2, edgeRenewal("new", "n", "z")))
 	require.Len(t, r.Edges(), 1)
-	lease, changes := r.Renew(20*ms, 1, edge("old", "n", "z"))
-	require.Zero(t, lease, "a late renewal of the old one is not granted")
+	lease, changes := r.Renew(20*ms, 1, edgeRenewal("old", "n", "z"))
+	require.Zero(t, lease, "a late renewal of the replaced process is refused")
 	require.Equal(t, Changes{}, changes)
 	require.Equal(t, "new", r.Edges()[0].ID)
 }
 
-func TestAnEdgeAndAStoreOfOneMachineAreTwo(t *testing.T) {
+func TestEdgeAndStoreOnOneMachineAreSeparateMembers(t *testing.T) {
 	r := New(testConfig())
-	renew(r, 0, 1, edge("a", "n", "z"))
-	renew(r, 0, 2, store("b", "n"))
+	renew(r, 0, 1, edgeRenewal("a", "n", "z"))
+	renew(r, 0, 2, storeRenewal("b", "n"))
 	require.Len(t, r.Edges(), 1)
 	require.Len(t, r.Stores(), 1)
 }
 
-func TestStoresChangeWithWhatTheySayOfPartitions(t *testing.T) {
+func TestRenewReportsStoreStatusChanges(t *testing.T) {
 	r := New(testConfig())
-	renew(r, 0, 1, store("a", "n"))
-	announced := store("a", "n")
+	renew(r, 0, 1, storeRenewal("a", "n"))
+	announced := storeRenewal("a", "n")
 	announced.Store.Pending, announced.Store.Messages = 5, 9
 	require.Equal(t, Changes{}, renew(r, 10*ms, 1, announced))
 	announced.Store.Synced = []uint16{3}
@@ -141,45 +141,45 @@
 	require.Equal(t, []uint16{3}, r.Stores()[0].Status.Synced)
 }
 
-func TestAdoptedEdgesHaveALeaseToRenew(t *testing.T) {
+func TestAdoptedEdgesExpireUnlessRenewed(t *testing.T) {
 	r := New(testConfig())
 	known := &wire.Members{Edges: []wire.Edge{
 		{ID: "a", Node: "n1", Address: "n1:1", Zone: "z"}, {ID: "b", Node: "n2", Address: "n2:1", Zone: "z"},
 	}}
 	require.Equal(t, Changes{Members: true}, r.Adopt(0, known))
 	require.False(t, r.Heard())
-	renew(r, 500*ms, 1, edge("a", "n1", "z"))
-	require.Equal(t, Changes{Members: true}, run(r, 2100*ms))
+	renew(r, 500*ms, 1, edgeRenewal("a", "n1", "z"))
+	require.Equal(t, Changes{Members: true}, tickUntil(r, 2100*ms))
 	require.Len(t, r.Edges(), 1)
 	require.True(t, r.Heard())
-	require.Equal(t, Changes{}, r.Adopt(2200*ms, &wire.Members{Edges: known.Edges[:1]}), "who renewed is known better")
+	require.Equal(t, Changes{}, r.Adopt(2200*ms, &wire.Members{Edges: known.Edges[:1]}), "an entry that has renewed is not adopted again")
 }
 
-func TestALeaderThatStoodStillBlamesNobody(t *testing.T) {
+func TestLeaderPausePostponesDeadlines(t *testing.T) {
 	r := New(testConfig())
-	renew(r, 0, 1, edge("a", "n1", "z"))
-	renew(r, 0, 2, store("b", "n2"))
-	require.Equal(t, Changes{}, r.Tick(5000*ms), "frozen for five seconds")
+	renew(r, 0, 1, edgeRenewal("a", "n1", "z"))
+	renew(r, 0, 2, storeRenewal("b", "n2"))
+	require.Equal(t, Changes{}, r.Tick(5000*ms), "the leader was paused for five seconds")
 	require.Len(t, r.Edges(), 1)
 	require.Len(t, r.Stores(), 1)
-	require.Equal(t, Changes{Stores: true, Members: true, Urgent: true}, run(r, 10000*ms), "they had their time again")
+	require.Equal(t, Changes{Stores: true, Members: true, Urgent: true}, tickUntil(r, 10000*ms), "members expire after the postponed deadlines")
 }
 
-func TestNamelessMembersGetNothing(t *testing.T) {
-	lease, _ := New(testConfig()).Renew(0, 1, edge("", "n", "z"))
+func TestMemberWithoutIDGetsNoLease(t *testing.T) {
+	lease, _ := New(testConfig()).Renew(0, 1, edgeRenewal("", "n", "z"))
 	require.Zero(t, lease)
 }
 
-// TestWhoRenewsInTimeStays plays renewals and breaks of one member: it is never lost within its lease unless a connection broke.
-func TestWhoRenewsInTimeStays(t *testing.T) {
+// TestTimelyRenewalsPreventExpiry renews a store after random pauses shorter than its lease: it must never expire.
+func TestTimelyRenewalsPreventExpiry(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r := New(testConfig())
 		now := time.Duration(0)
-		renew(r, now, 1, store("a", "n"))
+		renew(r, now, 1, storeRenewal("a", "n"))
 		for range rapid.IntRange(1, 50).Draw(t, "renewals") {
 			now += time.Duration(rapid.IntRange(1, 699).Draw(t, "pause")) * ms
-			require.Equal(t, Changes{}, run(r, now))
-			renew(r, now, 1, store("a", "n"))
+			require.Equal(t, Changes{}, tickUntil(r, now))
+			renew(r, now, 1, storeRenewal("a", "n"))
 			require.Len(t, r.Stores(), 1)
 		}
 	})
--- a/control/state/bench_test.go
+++ b/control/state/bench_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// BenchmarkPatch changes one route of a large configuration after another.
+// BenchmarkPatch repeatedly patches one route of a configuration with 10 and with 1000 routes.
 func BenchmarkPatch(b *testing.B) {
 	for _, routes := range []int{10, 1000} {
 		b.Run(fmt.Sprint(routes), func(b *testing.B) {
--- a/control/state/commands.go
+++ b/control/state/commands.go
@@ -17,7 +17,7 @@
 // Kind is the first byte of an encoded command.
 type Kind uint8
 
-// The kinds of commands. Numbers are kept: logs on disk hold them.
+// The kinds of commands. The numbers must not change, because logs on disk contain them.
 const (
 	KindSet Kind = 1 + iota
 	KindPatch
@@ -49,21 +49,23 @@
 // Show reads the configuration.
 type Show struct{}
 
-// TakeTerm begins the next term, with the candidate as its leader.
+// TakeTerm starts the next term, with the candidate as its leader.
 type TakeTerm struct {
 	Candidate string
 }
 
-// PutPlacement replaces the placement of the queue by that of the next epoch. Term is the leader's.
+// PutPlacement replaces the placement of the queue by that of the next epoch. Term is the term of the leader that
+// submits it.
 type PutPlacement struct {
 	Term uint64
 	View wire.StoreView
 }
 
-// Barrier changes nothing: once it is applied, so is all that came before it.
+// Barrier changes nothing: once it is applied, so are all commands ordered before it.
 type Barrier struct{}
 
-// PutMembers keeps which schedulers there are, for the next leader. Term is the leader's. Their order and whether they are ready are not kept.
+// PutMembers saves the list of schedulers for the next leader. Term is the term of the leader that submits it. Whether
+// a scheduler is ready is not saved, and their order has no meaning.
 type PutMembers struct {
 	Term  uint64
 	Edges []wire.Edge
@@ -77,13 +79,13 @@
 func (*Barrier) kind() Kind      { return KindBarrier }
 func (*PutMembers) kind() Kind   { return KindPutMembers }
 
-// Errors of decoding a command.
+// Errors of Decode and DecodeResult.
 var (
 	ErrUnknownCommand = errors.New("state: unknown command")
-	ErrTrailing       = errors.New("state: bytes after the end")
+	ErrTrailing       = errors.New("state: extra bytes after the encoded command or result")
 )
 
-// Encode returns a command as bytes: its Kind, then its msgpack. They share no memory with it.
+// Encode returns a command as bytes: its Kind, then its msgpack encoding. The bytes share no memory with the command.
 func Encode(command Command) ([]byte, error) {
 	buffer := make([]byte, 1, 1+sizeOf(command))
 	buffer[0] = byte(command.kind())
@@ -97,8 +99,8 @@
 	return 0
 }
 
-// Decode returns the command that Encode wrote. Its bodies are parts of encoded. Errors: ErrUnknownCommand, ErrTrailing, and those of
-// msgp.
+// Decode decodes a command that Encode encoded. The Body fields of the command alias encoded. Errors:
+// ErrUnknownCommand, ErrTrailing, and those of msgp.
 func Decode(encoded []byte) (Command, error) {
 	if len(encoded) == 0 {
 		return nil, fmt.Errorf("%w: empty", ErrUnknownCommand)
--- a/control/state/compat_test.go
+++ b/control/state/compat_test.go
@@ -35,7 +35,8 @@
 	}
 )
 
-// sampleCommands has one of each kind, by the name of its file, in the order in which the compat machine applies them.
+// sampleCommands returns one command of each kind, with the name used in its golden file, in the order in which
+// TestSnapshotAndResultBytesAreStable applies them.
 func sampleCommands() []struct {
 	name    string
 	command Command
@@ -54,7 +55,7 @@
 	}
 }
 
-func TestCommandsKeepTheirBytes(t *testing.T) {
+func TestCommandEncodingIsStable(t *testing.T) {
 	for _, sample := range sampleCommands() {
 		t.Run(sample.name, func(t *testing.T) {
 			stored := golden(t, "command-"+sample.name+".bin")
@@ -68,7 +69,7 @@
 	}
 }
 
-func TestResultsKeepTheirBytes(t *testing.T) {
+func TestResultEncodingIsStable(t *testing.T) {
 	stored := golden(t, "result.bin")
 	result, err := DecodeResult(stored)
 	require.NoError(t, err)
@@ -88,7 +89,7 @@
 	}
 }
 
-func TestHistoryEntriesKeepTheirBytes(t *testing.T) {
+func TestHistoryEntryEncodingIsStable(t *testing.T) {
 	stored := golden(t, "history-entry.bin")
 	var decoded entry
 	rest, err := decoded.UnmarshalMsg(stored)
@@ -104,9 +105,9 @@
 	require.Equal(t, decoded, streamed)
 }
 
-// TestSnapshotsAndResultsOfAMachineKeepTheirBytes applies one command of each kind: the results and the snapshot are the stored ones, and
-// a machine that restores the stored snapshot is the same.
-func TestSnapshotsAndResultsOfAMachineKeepTheirBytes(t *testing.T) {
+// TestSnapshotAndResultBytesAreStable applies one command of each kind, compares the results and the snapshot with the
+// golden files, and restores the stored snapshot into another machine, which must then have the same state.
+func TestSnapshotAndResultBytesAreStable(t *testing.T) {
 	first := NewMachine()
 	require.Equal(t, golden(t, "image-empty.bin"), first.Snapshot())
 	for _, sample := range sampleCommands() {
--- a/control/state/configuration.go
+++ b/control/state/configuration.go
@@ -6,25 +6,27 @@
 	"ravendale/cluster/catalog"
 )
 
-// configure is the compare-and-set of the configuration. The look for a duplicate comes first: an order that was applied is never
-// refused later. One so old that it may have been forgotten is neither acknowledged nor refused.
-func (m *Machine) configure(kind Kind, base uint64, body []byte) *Result {
+// applyChange applies a configuration change as a compare-and-set on the version. It checks for a duplicate first, so
+// that a change that was applied is not refused when it is repeated. If a change on an older version may have been
+// applied so long ago that the history has dropped it, the outcome is OutcomeUnsure: it is neither acknowledged nor
+// refused.
+func (m *Machine) applyChange(kind Kind, base uint64, body []byte) *Result {
 	digest := m.digestOf(kind, base, body)
 	if version, ok := m.history.find(digest); ok {
 		return &Result{Outcome: OutcomeDuplicate, Version: version}
 	}
-	now := m.Current()
-	if base != now.Version {
-		if m.history.mayHaveDropped(base, now.Sequence) && !m.mutations.refusesOld {
+	current := m.Current()
+	if base != current.Version {
+		if m.history.mayHaveDropped(base, current.Sequence) && !m.mutations.refusesDropped {
 			return &Result{Outcome: OutcomeUnsure}
 		}
 		return &Result{Outcome: OutcomeRefusedVersion}
 	}
-	config, err := m.build(kind, now, body)
+	config, err := m.buildConfig(kind, current, body)
 	if err != nil {
-		return failed(OutcomeInvalid, err)
+		return errorResult(OutcomeInvalid, err)
 	}
-	next := *now
+	next := *current
 	next.Document = config.Document()
 	next.Version = config.Version
 	next.Sequence++
@@ -41,34 +43,36 @@
 	return digestOf(kind, base, body)
 }
 
-// MaxDocument bounds a configuration, in bytes, so that the state fits the disks and the messages that carry it.
+// MaxDocument is the maximum size of a configuration in bytes. It keeps the state small enough for the disks and
+// messages that carry it.
 const MaxDocument = 4 << 20
 
-func (m *Machine) build(kind Kind, now *Snapshot, body []byte) (*catalog.Config, error) {
-	config, err := m.read(kind, now, body)
+func (m *Machine) buildConfig(kind Kind, current *Snapshot, body []byte) (*catalog.Config, error) {
+	config, err := m.parseConfig(kind, current, body)
 	if err != nil {
 		return nil, err
 	}
 	if size := len(config.Document()); size > MaxDocument {
 		return nil, catalog.Findings{{Place: "document", Reason: fmt.Sprintf("%d bytes are more than the %d that may be", size, MaxDocument)}}
 	}
-	if config.Version <= now.Version {
-		reason := fmt.Sprintf("%d is not above the current version %d", config.Version, now.Version)
+	if config.Version <= current.Version {
+		reason := fmt.Sprintf("%d is not above the current version %d", config.Version, current.Version)
 		return nil, catalog.Findings{{Place: "version", Reason: reason}}
 	}
 	return config, nil
 }
 
-// read makes the configuration of an order. Most of what a patch of a large one costs is reading what it changes: that is done once.
-func (m *Machine) read(kind Kind, now *Snapshot, body []byte) (*catalog.Config, error) {
+// parseConfig returns the configuration that a change results in. Parsing the current document would be most of the
+// cost of patching a large configuration, so its parsed form is kept between changes.
+func (m *Machine) parseConfig(kind Kind, current *Snapshot, body []byte) (*catalog.Config, error) {
 	if kind == KindSet {
 		return catalog.Parse(body)
 	}
-	if now.Version == 0 {
+	if current.Version == 0 {
 		return nil, catalog.Findings{{Place: "document", Reason: "there is no configuration yet that could be changed"}}
 	}
 	if m.parsed == nil {
-		config, err := catalog.Load(now.Document)
+		config, err := catalog.Load(current.Document)
 		if err != nil {
 			return nil, err
 		}
--- a/control/state/history.go
+++ b/control/state/history.go
@@ -10,14 +10,15 @@
 //msgp:tuple entry
 //msgp:ignore history
 
-// historyLength is how many of the newest orders that were applied are known again when they come again. An older one can't be told
-// from one that never was applied: history.mayHaveDropped.
+// historyLength is the number of most recently applied configuration changes whose duplicates are recognized. A
+// duplicate of an older change cannot be distinguished from a change that was never applied: see
+// history.mayHaveDropped.
 const historyLength = 8192
 
 // digestSize is the length of a digest in bytes.
 const digestSize = 16
 
-// digest names an order by what it holds: two orders with the same digest are the same.
+// digest identifies a configuration change by its content: two changes with the same digest are duplicates.
 type digest [digestSize]byte
 
 func digestOf(kind Kind, base uint64, body []byte) digest {
@@ -31,17 +32,17 @@
 	return digest(hash.Sum(sum[:0])[:digestSize])
 }
 
-// entry is an order that was applied.
+// entry is a configuration change that was applied.
 type entry struct {
 	Digest  digest
-	Version uint64 // that it made
+	Version uint64 // of the configuration that it resulted in
 }
 
-// history holds the newest orders that were applied, oldest first but for the wrap at next.
+// history is a ring buffer of the most recently applied configuration changes.
 type history struct {
 	entries []entry
-	next    int // where the next one goes once all are in use
-	limit   int // most entries kept
+	next    int // index of the oldest entry, which the next one overwrites once there are limit entries
+	limit   int // maximum number of entries
 }
 
 func (h *history) add(d digest, version uint64) {
@@ -54,8 +55,9 @@
 	h.next = (h.next + 1) % h.limit
 }
 
-// mayHaveDropped says whether an order that is not found may have been applied all the same, so long ago that it was dropped. Total is
-// how many ever were. Versions climb, so an order that was dropped builds on a version below the one that the oldest kept entry made.
+// mayHaveDropped reports whether a change based on version base that find did not find may have been applied and its
+// entry overwritten since. Total is the number of changes ever applied. Versions increase, so the base of every dropped
+// change is below the version that the oldest remaining entry resulted in.
 func (h *history) mayHaveDropped(base, total uint64) bool {
 	if total <= uint64(len(h.entries)) {
 		return false
@@ -72,8 +74,8 @@
 	return 0, false
 }
 
-// inOrder lists the orders, oldest first.
-func (h *history) inOrder() []entry {
+// oldestFirst returns the entries, oldest first.
+func (h *history) oldestFirst() []entry {
 	ordered := make([]entry, 0, len(h.entries))
 	ordered = append(ordered, h.entries[h.next:]...)
 	return append(ordered, h.entries[:h.next]...)
--- a/control/state/image.go
+++ b/control/state/image.go
@@ -15,24 +15,25 @@
 
 //msgp:tuple image
 
-// An encoded snapshot: the magic, the format's number, the msgpack of an image, and a checksum of all that.
+// The parts of an encoded snapshot: the magic, the format number, the msgpack encoding of an image, and a checksum of
+// all these.
 const (
 	magic        = "RVCS"
 	formatNumber = 2
-	headSize     = len(magic) + 2
+	headerSize   = len(magic) + 2
 	checksumSize = 8
 )
 
-// maxSnapshot bounds an encoded snapshot, in bytes.
+// maxSnapshot is the maximum size of an encoded snapshot in bytes.
 const maxSnapshot = 256 << 20
 
-// Errors of Restore. After any error the machine is as it was.
+// Errors of Restore. After an error the state of the machine is unchanged.
 var (
 	ErrDamaged = errors.New("state: the snapshot is damaged")
 	ErrFormat  = errors.New("state: the snapshot has a format that is not known here")
 )
 
-// image is what a snapshot holds.
+// image is the content of an encoded snapshot.
 type image struct {
 	Document  []byte
 	Version   uint64
@@ -44,32 +45,33 @@
 	History   []entry // oldest first
 }
 
-// Snapshot returns the complete state, encoded, with a checksum.
+// Snapshot returns the complete state in encoded form, with a checksum.
 func (m *Machine) Snapshot() []byte {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	now := m.Current()
+	current := m.Current()
 	content := image{
-		Document:  now.Document,
-		Version:   now.Version,
-		Sequence:  now.Sequence,
-		Placement: now.Placement,
-		Term:      now.Term,
-		Leader:    now.Leader,
-		Edges:     now.Edges,
-		History:   m.history.inOrder(),
+		Document:  current.Document,
+		Version:   current.Version,
+		Sequence:  current.Sequence,
+		Placement: current.Placement,
+		Term:      current.Term,
+		Leader:    current.Leader,
+		Edges:     current.Edges,
+		History:   m.history.oldestFirst(),
 	}
-	buffer := make([]byte, 0, headSize+content.Msgsize()+checksumSize)
+	buffer := make([]byte, 0, headerSize+content.Msgsize()+checksumSize)
 	buffer = append(buffer, magic...)
 	buffer = binary.BigEndian.AppendUint16(buffer, formatNumber)
 	buffer, err := content.MarshalMsg(buffer)
 	if err != nil {
-		return nil // can't be: an image has nothing that could fail
+		return nil // unreachable: encoding an image can't fail
 	}
 	return binary.BigEndian.AppendUint64(buffer, xxhash.Sum64(buffer))
 }
 
-// Restore replaces the complete state by that of a snapshot. Errors: ErrDamaged and ErrFormat, after which the state is as it was.
+// Restore replaces the complete state by that of an encoded snapshot. Errors: ErrDamaged and ErrFormat, after which the
+// state is unchanged.
 func (m *Machine) Restore(snapshot []byte) error {
 	content, err := decodeImage(snapshot)
 	if err != nil {
@@ -95,7 +97,7 @@
 }
 
 func decodeImage(snapshot []byte) (*image, error) {
-	if len(snapshot) < headSize+checksumSize || len(snapshot) > maxSnapshot {
+	if len(snapshot) < headerSize+checksumSize || len(snapshot) > maxSnapshot {
 		return nil, fmt.Errorf("%w: %d bytes", ErrDamaged, len(snapshot))
 	}
 	body, sum := snapshot[:len(snapshot)-checksumSize], snapshot[len(snapshot)-checksumSize:]
@@ -109,7 +111,7 @@
 		return nil, fmt.Errorf("%w: number %d", ErrFormat, number)
 	}
 	content := &image{}
-	rest, err := content.UnmarshalMsg(body[headSize:])
+	rest, err := content.UnmarshalMsg(body[headerSize:])
 	if err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrDamaged, msgp.Cause(err))
 	}
--- a/control/state/image_test.go
+++ b/control/state/image_test.go
@@ -11,7 +11,7 @@
 	"ravendale/cluster/wire"
 )
 
-func filled(t *testing.T) *Machine {
+func newFilledMachine(t *testing.T) *Machine {
 	m := NewMachine()
 	set(t, m, 0, document(5))
 	patch(t, m, 5, `{"version":7,"upsert":{"routes":[`+route("a")+`]}}`)
@@ -21,8 +21,8 @@
 	return m
 }
 
-func TestASnapshotHoldsAll(t *testing.T) {
-	m := filled(t)
+func TestSnapshotContainsCompleteState(t *testing.T) {
+	m := newFilledMachine(t)
 	restored := NewMachine()
 	require.NoError(t, restored.Restore(m.Snapshot()))
 	require.Equal(t, m.Current(), restored.Current())
@@ -32,15 +32,15 @@
 	require.Equal(t, uint64(2), apply(t, restored, &TakeTerm{}).Term)
 }
 
-func TestAnEmptyMachineHasASnapshot(t *testing.T) {
-	m := filled(t)
+func TestRestoreEmptySnapshot(t *testing.T) {
+	m := newFilledMachine(t)
 	require.NoError(t, m.Restore(NewMachine().Snapshot()))
 	require.Equal(t, NewMachine().Current(), m.Current())
 	require.Equal(t, OutcomeApplied, set(t, m, 0, document(5)).Outcome)
 }
 
-func TestASnapshotKeepsNothingOfTheBuffer(t *testing.T) {
-	m := filled(t)
+func TestRestoredStateDoesNotAliasSnapshot(t *testing.T) {
+	m := newFilledMachine(t)
 	snapshot := m.Snapshot()
 	restored := NewMachine()
 	require.NoError(t, restored.Restore(snapshot))
@@ -48,43 +48,43 @@
 	require.Equal(t, m.Current(), restored.Current())
 }
 
-func TestDamagedSnapshotsChangeNothing(t *testing.T) {
-	snapshot := filled(t).Snapshot()
+func TestDamagedSnapshotsChangeNoState(t *testing.T) {
+	snapshot := newFilledMachine(t).Snapshot()
 	m := NewMachine()
 	set(t, m, 0, document(1))
 	before, history := m.Current(), m.Snapshot()
-	refused := func(damaged []byte, what string, at int) {
+	requireDamaged := func(damaged []byte, what string, at int) {
 		require.ErrorIs(t, m.Restore(damaged), ErrDamaged, "%s at %d", what, at)
 		require.Same(t, before, m.Current())
 	}
 	for i := range snapshot {
-		refused(snapshot[:i], "cut", i)
+		requireDamaged(snapshot[:i], "truncated", i)
 		flipped := append([]byte(nil), snapshot...)
 		flipped[i] ^= 1 << (i % 8)
-		refused(flipped, "flipped", i)
+		requireDamaged(flipped, "bit flipped", i)
 	}
-	refused(append(append([]byte(nil), snapshot...), 0), "longer", len(snapshot))
+	requireDamaged(append(append([]byte(nil), snapshot...), 0), "extra byte", len(snapshot))
 	require.Equal(t, history, m.Snapshot())
 }
 
-func sealed(body []byte) []byte { return binary.BigEndian.AppendUint64(body, xxhash.Sum64(body)) }
+func withChecksum(body []byte) []byte { return binary.BigEndian.AppendUint64(body, xxhash.Sum64(body)) }
 
-func TestSnapshotsOfAnotherFormatAreRefused(t *testing.T) {
-	snapshot := filled(t).Snapshot()
+func TestUnknownSnapshotFormatIsRejected(t *testing.T) {
+	snapshot := newFilledMachine(t).Snapshot()
 	body := snapshot[:len(snapshot)-checksumSize]
 	binary.BigEndian.PutUint16(body[len(magic):], formatNumber+1)
-	require.ErrorIs(t, NewMachine().Restore(sealed(body)), ErrFormat)
+	require.ErrorIs(t, NewMachine().Restore(withChecksum(body)), ErrFormat)
 }
 
-func TestSnapshotsWithARightChecksumAndWrongContentAreRefused(t *testing.T) {
+func TestInvalidSnapshotContentIsRejected(t *testing.T) {
 	head := binary.BigEndian.AppendUint16([]byte(magic), formatNumber)
-	require.ErrorIs(t, NewMachine().Restore(sealed(append(head, 0xc1))), ErrDamaged)
-	snapshot := filled(t).Snapshot()
+	require.ErrorIs(t, NewMachine().Restore(withChecksum(append(head, 0xc1))), ErrDamaged)
+	snapshot := newFilledMachine(t).Snapshot()
 	body := append([]byte(nil), snapshot[:len(snapshot)-checksumSize]...)
-	require.ErrorIs(t, NewMachine().Restore(sealed(append(body, 0))), ErrDamaged)
+	require.ErrorIs(t, NewMachine().Restore(withChecksum(append(body, 0))), ErrDamaged)
 }
 
-func TestTheHistoryKeepsTheNewestOrders(t *testing.T) {
+func TestHistoryKeepsNewestEntries(t *testing.T) {
 	m := NewMachine()
 	add := func(from, to int) {
 		for i := from; i < to; i++ {
@@ -92,7 +92,7 @@
 		}
 	}
 	add(0, historyLength+10)
-	knows := func(m *Machine, from, to int) {
+	requireKnown := func(m *Machine, from, to int) {
 		for _, i := range []int{from, from + 1, to - 1} {
 			version, ok := m.history.find(digestOf(KindSet, uint64(i), nil))
 			require.True(t, ok, i)
@@ -101,17 +101,18 @@
 		_, ok := m.history.find(digestOf(KindSet, uint64(from-1), nil))
 		require.False(t, ok)
 	}
-	knows(m, 10, historyLength+10)
+	requireKnown(m, 10, historyLength+10)
 	restored := NewMachine()
 	require.NoError(t, restored.Restore(m.Snapshot()))
 	require.Equal(t, m.Snapshot(), restored.Snapshot())
 	m = restored
 	add(historyLength+10, historyLength+20)
-	knows(m, 20, historyLength+20)
+	requireKnown(m, 20, historyLength+20)
 	require.GreaterOrEqual(t, historyLength, 4096)
 }
 
-// FuzzApply makes sure that two machines agree whatever they are told, and that a snapshot carries on where its machine is.
+// FuzzApply verifies that two machines return equal results for any input, and that a machine restored from a snapshot
+// continues like the original.
 func FuzzApply(f *testing.F) {
 	for _, command := range []Command{&Set{Body: []byte(document(1))}, &Patch{Base: 1, Body: []byte(`{"version":2}`)}, &TakeTerm{}, &PutPlacement{Term: 1, View: view(1, 0)}, &Show{}} {
 		encoded, err := Encode(command)
@@ -130,8 +131,9 @@
 	})
 }
 
-// duplicateAfterImage has orders taken by one machine, and the newest repeated at another that was filled by an image and at one that was not.
-func duplicateAfterImage(t *testing.T, orders int, dropsHistory bool) (outcomes [2]Outcome) {
+// duplicateOutcomesAfterRestore applies a number of changes to one machine and restores its snapshot into a second one.
+// It returns the outcomes of repeating the newest change on the first and on the second machine.
+func duplicateOutcomesAfterRestore(t *testing.T, orders int, dropsHistory bool) (outcomes [2]Outcome) {
 	t.Helper()
 	first := NewMachine()
 	for base := range orders {
@@ -146,13 +148,13 @@
 	return outcomes
 }
 
-// TestAnOrderIsKnownAgainAfterAnImage has a member answer the repeat of an order that it knows from an image alone.
-func TestAnOrderIsKnownAgainAfterAnImage(t *testing.T) {
+// TestDuplicateIsRecognizedAfterRestore repeats a change on a machine that has it only from a restored snapshot.
+func TestDuplicateIsRecognizedAfterRestore(t *testing.T) {
 	for _, orders := range []int{1, 100, historyLength + 100} {
-		require.Equal(t, [2]Outcome{OutcomeDuplicate, OutcomeDuplicate}, duplicateAfterImage(t, orders, false))
+		require.Equal(t, [2]Outcome{OutcomeDuplicate, OutcomeDuplicate}, duplicateOutcomesAfterRestore(t, orders, false))
 	}
 }
 
-func TestAnImageWithoutItsHistoryIsCaught(t *testing.T) {
-	require.Equal(t, [2]Outcome{OutcomeDuplicate, OutcomeUnsure}, duplicateAfterImage(t, 100, true))
+func TestRestoreWithoutHistoryIsDetected(t *testing.T) {
+	require.Equal(t, [2]Outcome{OutcomeDuplicate, OutcomeUnsure}, duplicateOutcomesAfterRestore(t, 100, true))
 }
--- a/control/state/leader.go
+++ b/control/state/leader.go
@@ -16,28 +16,29 @@
 	return &Result{Outcome: OutcomeApplied}
 }
 
-// putPlacement takes the placement of the next epoch from the current leader, and acknowledges its duplicate.
+// putPlacement applies a placement of the next epoch from the current leader, and acknowledges a duplicate of the
+// current placement.
 func (m *Machine) putPlacement(command *PutPlacement) *Result {
-	now := m.Current()
-	if command.Term != now.Term || now.Term == 0 {
+	current := m.Current()
+	if command.Term != current.Term || current.Term == 0 {
 		return &Result{Outcome: OutcomeStaleTerm}
 	}
-	if now.Placement != nil && sameView(now.Placement, &command.View) {
+	if current.Placement != nil && sameView(current.Placement, &command.View) {
 		return &Result{Outcome: OutcomeDuplicate}
 	}
-	if command.View.Epoch != now.Epoch()+1 {
+	if command.View.Epoch != current.Epoch()+1 {
 		return &Result{Outcome: OutcomeStaleEpoch}
 	}
-	if err := checkView(&command.View); err != nil {
-		return failed(OutcomeInvalid, err)
+	if err := validateView(&command.View); err != nil {
+		return errorResult(OutcomeInvalid, err)
 	}
-	next := *now
+	next := *current
 	next.Placement = &command.View
 	m.current.Store(&next)
 	return &Result{Outcome: OutcomeApplied}
 }
 
-// putMembers takes the schedulers that the current leader knows.
+// putMembers saves the current leader's list of schedulers.
 func (m *Machine) putMembers(command *PutMembers) *Result {
 	next := *m.Current()
 	if command.Term != next.Term || next.Term == 0 {
@@ -63,8 +64,9 @@
 	return err == nil && bytes.Equal(first, second)
 }
 
-// checkView makes sure that a placement names only stores that it lists, each at most once for a partition.
-func checkView(view *wire.StoreView) error {
+// validateView verifies that the partitions of a placement refer only to stores that it lists, and to each at most once
+// as a replica or joining store.
+func validateView(view *wire.StoreView) error {
 	for i, placement := range view.Partitions {
 		seen := make(map[uint16]bool, len(placement.Replicas)+len(placement.Joining))
 		for _, list := range [][]uint16{placement.Replicas, placement.Joining} {
--- a/control/state/machine.go
+++ b/control/state/machine.go
@@ -9,18 +9,18 @@
 	"ravendale/cluster/wire"
 )
 
-// Snapshot is the state at one moment. It is immutable.
+// Snapshot is the state at one point in time. It is immutable.
 type Snapshot struct {
-	Document  []byte          // the configuration; nil: there is none yet
-	Version   uint64          // of the configuration; 0: there is none yet
-	Sequence  uint64          // how often the configuration has changed
-	Placement *wire.StoreView // nil: there is none yet
-	Term      uint64          // of the newest leader; 0: there was none yet
+	Document  []byte          // the configuration; nil if there is none yet
+	Version   uint64          // of the configuration; 0 if there is none yet
+	Sequence  uint64          // number of times the configuration has changed
+	Placement *wire.StoreView // nil if there is none yet
+	Term      uint64          // of the newest leader; 0 if there was none yet
 	Leader    string          // the candidate that took Term
-	Edges     []wire.Edge     // the schedulers that a leader knew last, none of them ready
+	Edges     []wire.Edge     // the schedulers that a leader saved last, none of them marked ready
 }
 
-// Epoch is that of the placement, 0 if there is none yet.
+// Epoch returns the epoch of the placement, 0 if there is none yet.
 func (s *Snapshot) Epoch() uint64 {
 	if s.Placement == nil {
 		return 0
@@ -33,15 +33,15 @@
 	mu        sync.Mutex // held by Apply, Snapshot and Restore
 	current   atomic.Pointer[Snapshot]
 	history   history
-	parsed    *catalog.Config // of the current document, as read last; nil: it was not read since a Restore
+	parsed    *catalog.Config // the parsed current document; nil if there is none or it was not parsed since a Restore
 	mutations mutations
 }
 
-// mutations are mistakes that tests make on purpose, to see that they are caught.
+// mutations are faults that tests inject, to verify that they are detected.
 type mutations struct {
-	digest       func(kind Kind, base uint64, body []byte) digest // by which orders are known again; nil: digestOf
-	dropsHistory bool                                             // a snapshot is restored without the orders that were applied
-	refusesOld   bool                                             // an order older than the history is refused
+	digest         func(kind Kind, base uint64, body []byte) digest // replaces digestOf unless nil
+	dropsHistory   bool                                             // Restore does not restore the history
+	refusesDropped bool                                             // a change that the history may have dropped is refused
 }
 
 // NewMachine returns a machine in its initial state: without configuration, leader and placement.
@@ -54,21 +54,21 @@
 // Current returns the newest state. It is safe for concurrent use.
 func (m *Machine) Current() *Snapshot { return m.current.Load() }
 
-// Apply executes an encoded Command and returns an encoded Result. What can't be decoded changes nothing.
+// Apply executes an encoded Command and returns an encoded Result. A command that can't be decoded changes nothing.
 func (m *Machine) Apply(encoded []byte) []byte {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	result := m.execute(encoded)
-	now := m.Current()
-	result.Sequence = now.Sequence
-	result.Term = now.Term
-	result.Epoch = now.Epoch()
+	current := m.Current()
+	result.Sequence = current.Sequence
+	result.Term = current.Term
+	result.Epoch = current.Epoch()
 	if result.Version == 0 {
-		result.Version = now.Version
+		result.Version = current.Version
 	}
 	encodedResult, err := result.MarshalMsg(make([]byte, 0, result.Msgsize()))
 	if err != nil {
-		return nil // can't be: a Result has nothing that could fail
+		return nil // unreachable: encoding a Result can't fail
 	}
 	return encodedResult
 }
@@ -76,13 +76,13 @@
 func (m *Machine) execute(encoded []byte) *Result {
 	command, err := Decode(encoded)
 	if err != nil {
-		return failed(OutcomeMalformed, err)
+		return errorResult(OutcomeMalformed, err)
 	}
 	switch command := command.(type) {
 	case *Set:
-		return m.configure(KindSet, command.Base, command.Body)
+		return m.applyChange(KindSet, command.Base, command.Body)
 	case *Patch:
-		return m.configure(KindPatch, command.Base, command.Body)
+		return m.applyChange(KindPatch, command.Base, command.Body)
 	case *Show:
 		return &Result{Outcome: OutcomeApplied, Document: m.Current().Document}
 	case *TakeTerm:
@@ -94,10 +94,10 @@
 	case *PutMembers:
 		return m.putMembers(command)
 	}
-	return failed(OutcomeMalformed, ErrUnknownCommand)
+	return errorResult(OutcomeMalformed, ErrUnknownCommand)
 }
 
-func failed(outcome Outcome, err error) *Result {
+func errorResult(outcome Outcome, err error) *Result {
 	result := &Result{Outcome: outcome}
 	var findings catalog.Findings
 	if !errors.As(err, &findings) {
--- a/control/state/machine_test.go
+++ b/control/state/machine_test.go
@@ -40,7 +40,7 @@
 
 func TestSetIsCompareAndSet(t *testing.T) {
 	m := NewMachine()
-	require.Equal(t, OutcomeRefusedVersion, set(t, m, 1, document(5)).Outcome, "the first builds on 0")
+	require.Equal(t, OutcomeRefusedVersion, set(t, m, 1, document(5)).Outcome, "the base of the first change is 0")
 	taken := set(t, m, 0, document(5))
 	require.Equal(t, OutcomeApplied, taken.Outcome)
 	require.Equal(t, uint64(5), taken.Version)
@@ -56,47 +56,47 @@
 	require.Equal(t, uint64(2), m.Current().Sequence)
 }
 
-func TestOfTwoChangesOnTopOfTheSameVersionOneWins(t *testing.T) {
+func TestOnlyOneChangePerBaseIsApplied(t *testing.T) {
 	m := NewMachine()
 	set(t, m, 0, document(1))
 	require.Equal(t, OutcomeApplied, set(t, m, 1, document(2, route("a"))).Outcome)
-	require.Equal(t, OutcomeRefusedVersion, set(t, m, 1, document(2, route("b"))).Outcome, "the same number, another body")
+	require.Equal(t, OutcomeRefusedVersion, set(t, m, 1, document(2, route("b"))).Outcome, "same version, different body")
 	require.Equal(t, document(2, route("a")), string(m.Current().Document))
 }
 
-func TestAnOrderThatWasAppliedIsAcknowledgedAgain(t *testing.T) {
+func TestDuplicateChangeIsAcknowledged(t *testing.T) {
 	m := NewMachine()
 	set(t, m, 0, document(1))
 	change := `{"version":3,"upsert":{"routes":[` + route("a") + `]}}`
 	require.Equal(t, OutcomeApplied, patch(t, m, 1, change).Outcome)
 	again := patch(t, m, 1, change)
-	require.Equal(t, OutcomeDuplicate, again.Outcome, "although its base is not current and its version not above")
+	require.Equal(t, OutcomeDuplicate, again.Outcome, "although its base is not current and its version is not higher")
 	require.Equal(t, uint64(3), again.Version)
 	set(t, m, 3, document(4))
 
 	before := m.Current()
 	require.Equal(t, uint64(1), set(t, m, 0, document(1)).Version)
-	require.Equal(t, OutcomeDuplicate, patch(t, m, 1, change).Outcome, "also after other versions")
-	require.Same(t, before, m.Current(), "nothing comes back into force")
+	require.Equal(t, OutcomeDuplicate, patch(t, m, 1, change).Outcome, "also after later versions")
+	require.Same(t, before, m.Current(), "a duplicate does not change the state")
 
-	require.Equal(t, OutcomeRefusedVersion, patch(t, m, 0, change).Outcome, "another base is another order")
-	require.Equal(t, OutcomeRefusedVersion, set(t, m, 1, change).Outcome, "another kind is another order")
-	require.Equal(t, OutcomeRefusedVersion, patch(t, m, 1, change+" ").Outcome, "bodies count as sent")
+	require.Equal(t, OutcomeRefusedVersion, patch(t, m, 0, change).Outcome, "a different base makes a different change")
+	require.Equal(t, OutcomeRefusedVersion, set(t, m, 1, change).Outcome, "a different kind makes a different change")
+	require.Equal(t, OutcomeRefusedVersion, patch(t, m, 1, change+" ").Outcome, "bodies are compared byte by byte")
 }
 
-func TestARefusedOrderIsNotAcknowledgedLater(t *testing.T) {
+func TestRefusedChangeIsNotADuplicate(t *testing.T) {
 	m := NewMachine()
 	set(t, m, 0, document(1))
 	require.Equal(t, OutcomeInvalid, set(t, m, 1, document(1, route("x"))).Outcome)
 	require.Equal(t, OutcomeInvalid, set(t, m, 1, document(1, route("x"))).Outcome)
 	require.Equal(t, OutcomeRefusedVersion, set(t, m, 2, document(3)).Outcome)
 	set(t, m, 1, document(2))
-	require.Equal(t, OutcomeApplied, set(t, m, 2, document(3)).Outcome, "the same order may be taken once its base is current")
+	require.Equal(t, OutcomeApplied, set(t, m, 2, document(3)).Outcome, "a refused change can be applied once its base is current")
 }
 
-func TestInvalidOrdersChangeNothing(t *testing.T) {
+func TestInvalidChangesAreRejected(t *testing.T) {
 	m := NewMachine()
-	require.Equal(t, OutcomeInvalid, patch(t, m, 0, `{"version":1}`).Outcome, "nothing to be changed")
+	require.Equal(t, OutcomeInvalid, patch(t, m, 0, `{"version":1}`).Outcome, "there is no configuration to patch")
 	set(t, m, 0, document(5))
 	before := m.Current()
 	for _, body := range []string{"", "{", document(5), document(4), document(6) + "x", strings.Replace(document(6, route("r")), `"backend":"s"`, `"backend":"n"`, 1)} {
@@ -111,7 +111,7 @@
 	require.Same(t, before, m.Current())
 }
 
-func TestShowReturnsTheDocument(t *testing.T) {
+func TestShowReturnsDocument(t *testing.T) {
 	m := NewMachine()
 	empty := apply(t, m, &Show{})
 	require.Equal(t, OutcomeApplied, empty.Outcome)
@@ -125,7 +125,7 @@
 	require.Equal(t, uint64(7), shown.Version)
 }
 
-func TestTermsOnlyRise(t *testing.T) {
+func TestTakeTermIncrementsTerm(t *testing.T) {
 	m := NewMachine()
 	require.Equal(t, uint64(1), apply(t, m, &TakeTerm{Candidate: "a"}).Term)
 	require.Equal(t, uint64(2), apply(t, m, &TakeTerm{Candidate: "a"}).Term)
@@ -138,9 +138,9 @@
 	return wire.StoreView{Epoch: epoch, Copies: 2, Stores: []wire.Store{{Disk: "a"}, {Disk: "b"}}, Partitions: []wire.Placement{{Replicas: replicas}}}
 }
 
-func TestOnlyTheNewestLeaderPlacesTheNextEpoch(t *testing.T) {
+func TestPutPlacementRequiresCurrentTermAndNextEpoch(t *testing.T) {
 	m := NewMachine()
-	require.Equal(t, OutcomeStaleTerm, apply(t, m, &PutPlacement{Term: 0, View: view(1)}).Outcome, "nobody leads yet")
+	require.Equal(t, OutcomeStaleTerm, apply(t, m, &PutPlacement{Term: 0, View: view(1)}).Outcome, "there is no leader yet")
 	apply(t, m, &TakeTerm{Candidate: "a"})
 	require.Equal(t, OutcomeStaleEpoch, apply(t, m, &PutPlacement{Term: 1, View: view(2)}).Outcome)
 	require.Equal(t, OutcomeApplied, apply(t, m, &PutPlacement{Term: 1, View: view(1, 0)}).Outcome)
@@ -152,19 +152,19 @@
 	late := apply(t, m, &PutPlacement{Term: 1, View: view(3)})
 	require.Equal(t, OutcomeStaleTerm, late.Outcome)
 	require.Equal(t, uint64(2), late.Term)
-	require.Equal(t, OutcomeStaleTerm, apply(t, m, &PutPlacement{Term: 3, View: view(3)}).Outcome, "a term that nobody took")
+	require.Equal(t, OutcomeStaleTerm, apply(t, m, &PutPlacement{Term: 3, View: view(3)}).Outcome, "a term that was never taken")
 	require.Equal(t, OutcomeApplied, apply(t, m, &PutPlacement{Term: 2, View: view(3, 1)}).Outcome)
 	require.Equal(t, []uint16{1}, m.Current().Placement.Partitions[0].Replicas)
 	require.Equal(t, uint64(3), m.Current().Epoch())
 }
 
-func TestOnlyTheNewestLeaderKeepsMembers(t *testing.T) {
+func TestPutMembersRequiresCurrentTerm(t *testing.T) {
 	m := NewMachine()
 	edges := []wire.Edge{{ID: "a", Ready: true}, {ID: "b"}}
-	require.Equal(t, OutcomeStaleTerm, apply(t, m, &PutMembers{Edges: edges}).Outcome, "nobody leads yet")
+	require.Equal(t, OutcomeStaleTerm, apply(t, m, &PutMembers{Edges: edges}).Outcome, "there is no leader yet")
 	apply(t, m, &TakeTerm{Candidate: "a"})
 	require.Equal(t, OutcomeApplied, apply(t, m, &PutMembers{Term: 1, Edges: edges}).Outcome)
-	require.Equal(t, []wire.Edge{{ID: "a"}, {ID: "b"}}, m.Current().Edges, "none is ready")
+	require.Equal(t, []wire.Edge{{ID: "a"}, {ID: "b"}}, m.Current().Edges, "no scheduler is saved as ready")
 	apply(t, m, &TakeTerm{Candidate: "b"})
 	require.Equal(t, OutcomeStaleTerm, apply(t, m, &PutMembers{Term: 1}).Outcome)
 	require.Len(t, m.Current().Edges, 2)
@@ -172,7 +172,7 @@
 	require.Empty(t, m.Current().Edges)
 }
 
-func TestAPlacementNamesOnlyStoresThatItLists(t *testing.T) {
+func TestPutPlacementRejectsInvalidStoreIndices(t *testing.T) {
 	m := NewMachine()
 	apply(t, m, &TakeTerm{})
 	require.Equal(t, OutcomeInvalid, apply(t, m, &PutPlacement{Term: 1, View: view(1, 2)}).Outcome)
@@ -180,13 +180,13 @@
 	require.Nil(t, m.Current().Placement)
 }
 
-func TestWhatIsNoCommandChangesNothing(t *testing.T) {
+func TestMalformedCommandsChangeNothing(t *testing.T) {
 	m := NewMachine()
 	set(t, m, 0, document(5))
 	before := m.Current()
 	complete, err := Encode(&Set{Base: 5, Body: []byte(document(6))})
 	require.NoError(t, err)
-	for name, encoded := range map[string][]byte{"nothing": nil, "unknown": {200}, "cut": complete[:len(complete)-1], "trailing": append(complete, 0), "zero": make([]byte, 9)} {
+	for name, encoded := range map[string][]byte{"empty": nil, "unknown kind": {200}, "truncated": complete[:len(complete)-1], "extra byte": append(complete, 0), "all zero": make([]byte, 9)} {
 		result, err := DecodeResult(m.Apply(encoded))
 		require.NoError(t, err)
 		require.Equal(t, OutcomeMalformed, result.Outcome, name)
@@ -195,7 +195,7 @@
 	require.Same(t, before, m.Current())
 }
 
-func TestTheStateKeepsNothingOfTheCommandsMemory(t *testing.T) {
+func TestStateDoesNotAliasCommand(t *testing.T) {
 	m := NewMachine()
 	encoded, err := Encode(&Set{Body: []byte(document(5))})
 	require.NoError(t, err)
@@ -203,10 +203,10 @@
 	clear(encoded)
 	require.Equal(t, document(5), string(m.Current().Document))
 	require.Equal(t, OutcomeApplied, patch(t, m, 5, `{"version":6}`).Outcome)
-	require.Equal(t, document(6), string(m.Current().Document), "nor does what was read of it")
+	require.Equal(t, document(6), string(m.Current().Document), "the parsed configuration does not alias the command either")
 }
 
-func TestCurrentMayBeReadWhileCommandsAreApplied(t *testing.T) {
+func TestCurrentIsSafeDuringApply(t *testing.T) {
 	m := NewMachine()
 	var readers sync.WaitGroup
 	done := make(chan struct{})
--- a/control/state/model_test.go
+++ b/control/state/model_test.go
@@ -9,14 +9,14 @@
 	"pgregory.net/rapid"
 )
 
-// model is the configuration as plain values: what each order that was taken made of it.
+// model is a simple model of the configuration: its values after the changes applied so far.
 type model struct {
-	version uint64
-	routes  map[string]int // time-out by name
-	taken   map[string]uint64
+	version         uint64
+	routes          map[string]int // timeout by name
+	versionByChange map[string]uint64
 }
 
-// change is one order of the model's operator.
+// change is one configuration change that the test submits.
 type change struct {
 	patch   bool
 	base    uint64
@@ -29,7 +29,7 @@
 
 func (c change) command(t require.TestingT) Command {
 	routes := []map[string]any{}
-	for _, name := range names {
+	for _, name := range routeNames {
 		if timeout, ok := c.upserts[name]; ok {
 			routes = append(routes, map[string]any{"name": name, "host": name, "pathPrefix": "/", "backend": "s", "timeoutMs": timeout})
 		}
@@ -64,7 +64,7 @@
 }
 
 func (m *model) apply(c change) Outcome {
-	if _, ok := m.taken[c.key()]; ok {
+	if _, ok := m.versionByChange[c.key()]; ok {
 		return OutcomeDuplicate
 	}
 	if c.base != m.version {
@@ -83,14 +83,14 @@
 		delete(m.routes, name)
 	}
 	m.version = c.version
-	m.taken[c.key()] = c.version
+	m.versionByChange[c.key()] = c.version
 	return OutcomeApplied
 }
 
-var names = []string{"a", "b", "c"}
+var routeNames = []string{"a", "b", "c"}
 
 func drawChange(t *rapid.T, current uint64) change {
-	name := rapid.SampledFrom(names)
+	name := rapid.SampledFrom(routeNames)
 	c := change{
 		patch:   rapid.Bool().Draw(t, "patch"),
 		base:    current - min(current, rapid.Uint64Range(0, 1).Draw(t, "behind")),
@@ -106,25 +106,25 @@
 	return c
 }
 
-func TestTheMachineDoesWhatTheModelSays(t *testing.T) {
+func TestMachineMatchesModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		machine := NewMachine()
-		plain := &model{routes: map[string]int{}, taken: map[string]uint64{}}
+		expected := &model{routes: map[string]int{}, versionByChange: map[string]uint64{}}
 		var sent []change
 		for range rapid.IntRange(1, 30).Draw(t, "orders") {
 			var c change
 			if len(sent) > 0 && rapid.IntRange(0, 3).Draw(t, "kind") == 0 {
 				c = rapid.SampledFrom(sent).Draw(t, "again")
 			} else {
-				c = drawChange(t, plain.version)
+				c = drawChange(t, expected.version)
 			}
 			sent = append(sent, c)
 			encoded, err := Encode(c.command(t))
 			require.NoError(t, err)
 			result, err := DecodeResult(machine.Apply(encoded))
 			require.NoError(t, err)
-			require.Equal(t, plain.apply(c), result.Outcome, "%+v: %v", c, result.Findings)
-			compare(t, plain, machine)
+			require.Equal(t, expected.apply(c), result.Outcome, "%+v: %v", c, result.Findings)
+			compare(t, expected, machine)
 			if rapid.IntRange(0, 4).Draw(t, "restart") == 0 {
 				snapshot := machine.Snapshot()
 				machine = NewMachine()
@@ -134,10 +134,10 @@
 	})
 }
 
-func compare(t require.TestingT, plain *model, machine *Machine) {
+func compare(t require.TestingT, expected *model, machine *Machine) {
 	now := machine.Current()
-	require.Equal(t, plain.version, now.Version)
-	require.Equal(t, uint64(len(plain.taken)), now.Sequence)
+	require.Equal(t, expected.version, now.Version)
+	require.Equal(t, uint64(len(expected.versionByChange)), now.Sequence)
 	if now.Version == 0 {
 		require.Nil(t, now.Document)
 		return
@@ -154,6 +154,6 @@
 	for _, route := range content.Routes {
 		routes[route.Name] = route.TimeoutMs
 	}
-	require.Equal(t, plain.version, content.Version)
-	require.Equal(t, plain.routes, routes)
+	require.Equal(t, expected.version, content.Version)
+	require.Equal(t, expected.routes, routes)
 }
--- a/control/state/result.go
+++ b/control/state/result.go
@@ -6,22 +6,22 @@
 
 //msgp:tuple Result Finding
 
-// Outcome is what a command came to.
+// Outcome says whether a command was applied, and if not, why.
 type Outcome uint8
 
 // The outcomes.
 const (
-	OutcomeApplied        Outcome = 1 + iota // done; of a Barrier and a Show: answered
-	OutcomeDuplicate                         // this very order was applied before
-	OutcomeRefusedVersion                    // another version of the configuration is in place
-	OutcomeInvalid                           // see Findings
-	OutcomeStaleTerm                         // there is a newer leader
-	OutcomeStaleEpoch                        // the placement is not that of the next epoch
-	OutcomeMalformed                         // not a command that this machine knows
-	OutcomeUnsure                            // too old an order to tell whether it was applied: it changes nothing now
+	OutcomeApplied        Outcome = 1 + iota // the command was executed
+	OutcomeDuplicate                         // the same configuration change or placement was applied before
+	OutcomeRefusedVersion                    // the base of the change is not the current version of the configuration
+	OutcomeInvalid                           // the configuration or placement is invalid: see Findings
+	OutcomeStaleTerm                         // the term of the command is not the current one
+	OutcomeStaleEpoch                        // the epoch of the placement does not follow the current one
+	OutcomeMalformed                         // the command can't be decoded, or its kind is unknown: see Findings
+	OutcomeUnsure                            // the change may have been applied too long ago to tell; it was not applied now
 )
 
-// String returns the outcome's text in logs and in the operator's answers.
+// String returns the outcome's text for logs and for answers to the operator.
 func (o Outcome) String() string {
 	switch o {
 	case OutcomeApplied:
@@ -44,24 +44,25 @@
 	return "unknown"
 }
 
-// Finding is one error in a configuration; see catalog.Finding.
+// Finding is one error in a command; see catalog.Finding.
 type Finding struct {
 	Place  string
 	Reason string
 }
 
-// Result answers a command. All numbers are those after it was applied.
+// Result is the response to a command. Its numbers describe the state after the command.
 type Result struct {
 	Outcome  Outcome
-	Version  uint64 // of the configuration; of a duplicate, the one that the order made
-	Sequence uint64 // of the configuration
+	Version  uint64 // of the configuration; for a duplicate change, the version that the change resulted in
+	Sequence uint64 // see Snapshot
 	Term     uint64
 	Epoch    uint64    // of the placement
-	Findings []Finding // of OutcomeInvalid and OutcomeMalformed
-	Document []byte    `msg:"Document,zerocopy"` // of a Show; empty if there is no configuration yet
+	Findings []Finding // with OutcomeInvalid and OutcomeMalformed
+	Document []byte    `msg:"Document,zerocopy"` // for a Show; empty if there is no configuration yet
 }
 
-// DecodeResult returns the Result that Machine.Apply has encoded. Errors: ErrTrailing, and those of msgp. The document is a part of encoded.
+// DecodeResult decodes a Result that Machine.Apply returned. Its Document aliases encoded. Errors: ErrTrailing, and
+// those of msgp.
 func DecodeResult(encoded []byte) (*Result, error) {
 	result := &Result{}
 	rest, err := result.UnmarshalMsg(encoded)
@@ -74,7 +75,7 @@
 	return result, nil
 }
 
-// Applied reports whether the order is in force, or was.
+// Applied reports whether the command was applied, now or earlier.
 func (r *Result) Applied() bool {
 	return r.Outcome == OutcomeApplied || r.Outcome == OutcomeDuplicate
 }
