--- a/control/chain/chain.go
+++ b/control/chain/chain.go
@@ -8,15 +8,17 @@
 
 // Intervals after which a message that may have been lost is sent again.
 const (
-	attachRetryInterval = 150 * time.Millisecond // of an Attach that no Fill has answered
-	gapRetryInterval    = 50 * time.Millisecond  // between two Gaps
+	attachRetryInterval = 150 * time.Millisecond // for an Attach that was not answered with a Fill
+	gapRetryInterval    = 50 * time.Millisecond  // minimum between two Gap messages
 )
 
-// AppendRetryInterval is after how long entries are sent again that the successor does not report as synced.
+// AppendRetryInterval is the time after which entries are sent again if the successor has not reported them as
+// synced.
 const AppendRetryInterval = 250 * time.Millisecond
 
-// MaxUncommitted bounds the commands that are ordered and not committed, in bytes, the newest one apart: a head that has more takes no
-// other. So a message among members, which carries them in one piece, stays under the bound of a frame.
+// MaxUncommitted is the size in bytes of ordered but uncommitted commands above which the head refuses further
+// commands. The newest command may exceed it. The limit keeps a message to another member that carries all of these
+// commands below the maximum frame size.
 const MaxUncommitted = 4 << 20
 
 // Send is a message to another member: *Attach, *Fill, *Append, *Ack or *Gap.
@@ -25,22 +27,23 @@
 	Message any
 }
 
-// Actions are what the caller has to do, in the order of the fields. After the writes it takes a LogOffset, and hands that to OnSynced
-// when they are on disk.
+// Actions are what the caller has to do, in the order of the fields. After the writes it calls LogOffset, and passes
+// the result to OnSynced when the writes are on disk.
 type Actions struct {
-	Install *Fill // replace the machine's state by the snapshot; all that is on disk is to be written anew
+	Install *Fill // replace the machine's state by this snapshot, and rewrite everything on disk
 	Writes  []Write
 	Commits []Entry // apply to the machine
 	Sends   []Send
 }
 
-// Machine is the state machine that applies what is committed.
+// Machine is the state machine to which committed entries are applied.
 type Machine interface {
-	// Snapshot returns the complete state, as it is after the last entry that was handed out to be applied.
+	// Snapshot returns the complete state after the last entry that was handed out to be applied.
 	Snapshot() []byte
 }
 
-// Chain is one member's replica: its log, its place in the chain and its links to both neighbours. It is not safe for concurrent use.
+// Chain is one member's replica: its log, its position in the chain, and its connections to the predecessor and the
+// successor. It is not safe for concurrent use.
 type Chain struct {
 	self    view.ID
 	machine Machine
@@ -49,20 +52,20 @@
 	configuration configuration
 	upstream      upstream
 	downstream    downstream
-	proposals     map[uint64]*proposalWindow // of this epoch, by origin; used by the head
+	proposals     map[uint64]*proposalWindow // by origin, in the current epoch; used only at the head
 	actions       Actions                    // since the last Take
 	applyDue      bool                       // see ApplyDue
-	applyBatch    uint64                     // most entries handed out to be applied in one step
-	earlyCommit   bool                       // a mutation of tests: commits are learnt before the member is attached
+	applyBatch    uint64                     // maximum number of entries handed out to be applied in one step
+	earlyCommit   bool                       // fault injected by tests, see MutateEarlyCommit
 }
 
-// configuration is what the view that was adopted last means for the member.
+// configuration is this member's part in the view that was adopted last.
 type configuration struct {
 	epoch    uint64
 	members  []view.ID // the head first
-	position int       // the member's own, -1 if it has none
-	durable  bool      // the chain has disks enough to commit
-	sealed   bool      // a successor of the view was promised: the member's part in the epoch is over
+	position int       // index of this member in members, -1 if it is not part of the chain
+	durable  bool      // the chain has enough disks to commit
+	sealed   bool      // a ballot for the next view is promised, see Seal
 }
 
 func (c *configuration) predecessor() (view.ID, bool) {
@@ -81,7 +84,7 @@
 
 func (c *configuration) isTail() bool { return c.position == len(c.members)-1 }
 
-// New makes a member from the state on its disk. It takes part in the chain from Adopt on.
+// New returns a member with the state that was read from its disk. It takes part in the chain once Adopt is called.
 func New(self view.ID, state State, machine Machine) *Chain {
 	return &Chain{
 		self: self, machine: machine, log: newLog(state), configuration: configuration{position: -1},
@@ -89,39 +92,40 @@
 	}
 }
 
-// State returns what has to be on disk beside the machine's snapshot, and compacts the log: entries that were applied are dropped, since
-// the snapshot covers them.
+// State returns what the caller stores along with the machine's snapshot, and compacts the log: it drops the applied
+// entries, which the snapshot covers.
 func (c *Chain) State() State { return c.log.compact() }
 
-// Last returns the sequence of the last entry.
+// Last returns the sequence number of the last entry.
 func (c *Chain) Last() uint64 { return c.log.last() }
 
-// Synced returns the sequence up to which the log is on disk.
+// Synced returns the sequence number up to which the log is on disk.
 func (c *Chain) Synced() uint64 { return c.log.synced }
 
-// Committed returns the sequence up to which entries are known to be committed.
+// Committed returns the sequence number up to which entries are known to be committed.
 func (c *Chain) Committed() uint64 { return c.log.committed }
 
-// Attached reports whether the member follows the chain of its epoch, on disk: then it may order, pass on and commit.
+// Attached reports whether the member's log on disk follows the chain of its epoch. Only then may the member order,
+// forward and commit entries.
 func (c *Chain) Attached() bool { return c.upstream.attached }
 
-// Complete reports whether the member holds all that was committed before its epoch.
+// Complete reports whether the member holds every entry that was committed before its epoch.
 func (c *Chain) Complete() bool {
 	return c.configuration.position >= 0 && c.log.state.CompleteEpoch == c.configuration.epoch
 }
 
-// Position returns the member's index in the chain, 0 at the head, -1 if it is not part of it.
+// Position returns the member's index in the chain: 0 for the head, -1 if it is not part of the chain.
 func (c *Chain) Position() int { return c.configuration.position }
 
-// Take returns the actions that came up since it was called last.
+// Take returns the actions that were added since the last call of Take.
 func (c *Chain) Take() Actions {
 	actions := c.actions
 	c.actions = Actions{}
 	return actions
 }
 
-// Adopt moves to a decided view. A member that has restarted in its epoch can't know what it ordered before: as the head it stays idle,
-// until the next epoch. Durable says whether the chain has enough disks to commit.
+// Adopt switches to a decided view. A head that has restarted during the epoch doesn't know which entries it ordered
+// before, so it stays idle until the next epoch. Durable is true if the chain has enough disks to commit.
 func (c *Chain) Adopt(now time.Duration, v *view.View, durable, restarted bool) {
 	c.configuration = configuration{epoch: v.Epoch, members: v.Chain, position: v.Position(c.self), durable: durable}
 	c.upstream.aligned, c.upstream.attached, c.downstream.attached = false, false, false
@@ -136,10 +140,12 @@
 	}
 }
 
-// Seal ends the member's part in its epoch: it has promised a ballot for the next view, and orders, takes and passes on nothing more.
+// Seal ends the member's participation in its epoch, since it has promised a ballot for the next view. It no longer
+// orders, accepts or forwards entries.
 func (c *Chain) Seal() { c.configuration.sealed = true }
 
-// Tick makes the next batch of committed entries due, and sends again what may have been lost. While HasUnapplied it is to be called again soon.
+// Tick makes the next batch of committed entries due, and repeats an Attach that may have been lost. While
+// HasUnapplied returns true, the caller should call Tick again soon.
 func (c *Chain) Tick(now time.Duration) {
 	c.applyDue = true
 	if c.configuration.position > 0 && !c.upstream.aligned && !c.configuration.sealed && now-c.upstream.attachSentAt >= attachRetryInterval {
@@ -147,8 +153,10 @@
 	}
 }
 
-// Propose has the head order a command: number of its origin's commands, of which none below low will be proposed again. It returns false
-// if this member can't order it now, and has not. A duplicate of a command that was ordered in this epoch is accepted and not ordered again.
+// Propose appends a command to the log if this member is the head. Number identifies the command among those of its
+// origin, which will not propose any number below low again. If this member can't order the command now, Propose
+// returns false and appends nothing. For a duplicate of a command that was ordered in this epoch it returns true and
+// appends nothing.
 func (c *Chain) Propose(now time.Duration, origin, number, low uint64, command []byte) bool {
 	if c.configuration.position != 0 || !c.upstream.attached || c.configuration.sealed || !c.configuration.durable || c.log.uncommittedBytes() > MaxUncommitted {
 		return false
--- a/control/chain/chain_test.go
+++ b/control/chain/chain_test.go
@@ -11,51 +11,51 @@
 	"ravendale/control/view"
 )
 
-// rig drives members by hand: what they write is on disk at once, what they send is delivered by deliver.
-type rig struct {
-	t       *testing.T
-	members map[view.ID]*chain.Chain
-	applied map[view.ID][]string
-	mail    []envelope
-	drop    func(envelope) bool
-	now     time.Duration
+// testChain connects members directly: what they write counts as synced at once, and deliver delivers what they send.
+type testChain struct {
+	t        *testing.T
+	members  map[view.ID]*chain.Chain
+	applied  map[view.ID][]string
+	inFlight []sentMessage
+	drop     func(sentMessage) bool
+	now      time.Duration
 }
 
-type envelope struct {
+type sentMessage struct {
 	from view.ID
 	chain.Send
 }
 
-// applied is the machine of a member: its snapshot is the number of commands.
-type applied struct {
-	rig *rig
-	id  view.ID
+// recordingMachine is the state machine of a member. Its snapshot is the number of applied commands.
+type recordingMachine struct {
+	chain *testChain
+	id    view.ID
 }
 
-func (a applied) Snapshot() []byte { return fmt.Append(nil, len(a.rig.applied[a.id])) }
+func (m recordingMachine) Snapshot() []byte { return fmt.Append(nil, len(m.chain.applied[m.id])) }
 
-func newRig(t *testing.T) *rig {
-	return &rig{
+func newTestChain(t *testing.T) *testChain {
+	return &testChain{
 		t: t, members: make(map[view.ID]*chain.Chain), applied: make(map[view.ID][]string),
-		drop: func(envelope) bool { return false },
+		drop: func(sentMessage) bool { return false },
 	}
 }
 
-func (r *rig) join(id view.ID, state chain.State) {
-	r.members[id] = chain.New(id, state, applied{r, id})
+func (c *testChain) join(id view.ID, state chain.State) {
+	c.members[id] = chain.New(id, state, recordingMachine{c, id})
 }
 
-func (r *rig) adopt(v *view.View, ids ...view.ID) {
+func (c *testChain) adopt(v *view.View, ids ...view.ID) {
 	for _, id := range ids {
-		r.members[id].Adopt(r.now, v, true, false)
-		r.perform(id)
+		c.members[id].Adopt(c.now, v, true, false)
+		c.perform(id)
 	}
-	r.deliver()
+	c.deliver()
 }
 
-// perform carries out a member's actions.
-func (r *rig) perform(id view.ID) {
-	member := r.members[id]
+// perform carries out a member's actions until there are none left.
+func (c *testChain) perform(id view.ID) {
+	member := c.members[id]
 	for {
 		actions := member.Take()
 		if actions.Install == nil && len(actions.Writes)+len(actions.Commits)+len(actions.Sends) == 0 {
@@ -66,195 +66,195 @@
 			continue
 		}
 		if actions.Install != nil {
-			r.applied[id] = nil
+			c.applied[id] = nil
 		}
 		for _, entry := range actions.Commits {
 			if entry.Origin != 0 {
-				r.applied[id] = append(r.applied[id], string(entry.Command))
+				c.applied[id] = append(c.applied[id], string(entry.Command))
 			}
 		}
 		for _, send := range actions.Sends {
-			r.mail = append(r.mail, envelope{id, send})
+			c.inFlight = append(c.inFlight, sentMessage{id, send})
 		}
 		if actions.Install != nil || len(actions.Writes) > 0 {
-			member.OnSynced(r.now, member.LogOffset())
+			member.OnSynced(c.now, member.LogOffset())
 		}
 	}
 }
 
-func (r *rig) deliver() {
-	for len(r.mail) > 0 {
-		l := r.mail[0]
-		r.mail = r.mail[1:]
-		if r.drop(l) {
+func (c *testChain) deliver() {
+	for len(c.inFlight) > 0 {
+		sent := c.inFlight[0]
+		c.inFlight = c.inFlight[1:]
+		if c.drop(sent) {
 			continue
 		}
-		to := r.members[l.To]
-		switch m := l.Message.(type) {
+		to := c.members[sent.To]
+		switch m := sent.Message.(type) {
 		case *chain.Attach:
-			to.OnAttach(r.now, l.from, m)
+			to.OnAttach(c.now, sent.from, m)
 		case *chain.Fill:
-			to.OnFill(r.now, l.from, m)
+			to.OnFill(c.now, sent.from, m)
 		case *chain.Append:
-			to.OnAppend(r.now, l.from, m)
+			to.OnAppend(c.now, sent.from, m)
 		case *chain.Ack:
 			to.OnAck(m)
 		case *chain.Gap:
-			to.OnGap(r.now, l.from, m)
+			to.OnGap(c.now, sent.from, m)
 		}
-		r.perform(l.To)
+		c.perform(sent.To)
 	}
 }
 
-func (r *rig) propose(head view.ID, number uint64, command string) bool {
-	ordered := r.members[head].Propose(r.now, 7, number, 0, []byte(command))
-	r.perform(head)
-	r.deliver()
+func (c *testChain) propose(head view.ID, number uint64, command string) bool {
+	ordered := c.members[head].Propose(c.now, 7, number, 0, []byte(command))
+	c.perform(head)
+	c.deliver()
 	return ordered
 }
 
-func three(epoch uint64, complete int, chain ...view.ID) *view.View {
+func newView(epoch uint64, complete int, chain ...view.ID) *view.View {
 	return &view.View{Epoch: epoch, Chain: chain, Complete: complete}
 }
 
-func TestCommandsAreAppliedByAllInOrder(t *testing.T) {
-	r := newRig(t)
+func TestAllMembersApplyCommandsInOrder(t *testing.T) {
+	c := newTestChain(t)
 	for id := view.ID(1); id <= 3; id++ {
-		r.join(id, chain.State{})
+		c.join(id, chain.State{})
 	}
-	r.adopt(three(1, 3, 1, 2, 3), 3, 1, 2)
-	require.True(t, r.propose(1, 1, "a"))
-	require.True(t, r.propose(1, 2, "b"))
-	require.True(t, r.propose(1, 1, "a"), "a repeat is ordered already")
-	require.False(t, r.propose(2, 3, "c"), "not the head")
+	c.adopt(newView(1, 3, 1, 2, 3), 3, 1, 2)
+	require.True(t, c.propose(1, 1, "a"))
+	require.True(t, c.propose(1, 2, "b"))
+	require.True(t, c.propose(1, 1, "a"), "a duplicate was ordered already")
+	require.False(t, c.propose(2, 3, "c"), "not the head")
 	for id := view.ID(1); id <= 3; id++ {
-		require.Equal(t, []string{"a", "b"}, r.applied[id])
+		require.Equal(t, []string{"a", "b"}, c.applied[id])
 	}
 }
 
-func TestNothingIsCommittedBeforeTheTailHasIt(t *testing.T) {
-	r := newRig(t)
+func TestNoCommitBeforeTailHasEntry(t *testing.T) {
+	c := newTestChain(t)
 	for id := view.ID(1); id <= 3; id++ {
-		r.join(id, chain.State{})
+		c.join(id, chain.State{})
 	}
-	r.adopt(three(1, 3, 1, 2, 3), 1, 2, 3)
-	r.drop = func(l envelope) bool { _, ok := l.Message.(*chain.Append); return ok && l.To == 3 }
-	r.propose(1, 1, "a")
-	require.Empty(t, r.applied[1])
-	require.Empty(t, r.applied[2])
-	r.drop = func(envelope) bool { return false }
-	r.propose(1, 2, "b") // shows the tail that something is missing
-	require.Equal(t, []string{"a", "b"}, r.applied[1])
-	require.Equal(t, []string{"a", "b"}, r.applied[3])
+	c.adopt(newView(1, 3, 1, 2, 3), 1, 2, 3)
+	c.drop = func(sent sentMessage) bool { _, ok := sent.Message.(*chain.Append); return ok && sent.To == 3 }
+	c.propose(1, 1, "a")
+	require.Empty(t, c.applied[1])
+	require.Empty(t, c.applied[2])
+	c.drop = func(sentMessage) bool { return false }
+	c.propose(1, 2, "b") // the tail detects that the previous entry is missing
+	require.Equal(t, []string{"a", "b"}, c.applied[1])
+	require.Equal(t, []string{"a", "b"}, c.applied[3])
 }
 
-func TestHeartbeatsRepairLossesOfMessages(t *testing.T) {
-	r := newRig(t)
+func TestHeartbeatResendsLostMessages(t *testing.T) {
+	c := newTestChain(t)
 	for id := view.ID(1); id <= 2; id++ {
-		r.join(id, chain.State{})
+		c.join(id, chain.State{})
 	}
-	r.adopt(three(1, 2, 1, 2), 1, 2)
-	r.drop = func(envelope) bool { return true }
-	r.propose(1, 1, "a")
-	r.drop = func(envelope) bool { return false }
+	c.adopt(newView(1, 2, 1, 2), 1, 2)
+	c.drop = func(sentMessage) bool { return true }
+	c.propose(1, 1, "a")
+	c.drop = func(sentMessage) bool { return false }
 	heartbeat := func(from, to view.ID) {
-		m := r.members[from]
-		r.members[to].OnHeartbeat(r.now, from, chain.Heartbeat{Epoch: 1, Attached: m.Attached(), Synced: m.Synced(), Committed: m.Committed()})
-		r.perform(to)
-		r.deliver()
+		m := c.members[from]
+		c.members[to].OnHeartbeat(c.now, from, chain.Heartbeat{Epoch: 1, Attached: m.Attached(), Synced: m.Synced(), Committed: m.Committed()})
+		c.perform(to)
+		c.deliver()
 	}
 	heartbeat(2, 1)
-	r.now += chain.AppendRetryInterval
+	c.now += chain.AppendRetryInterval
 	heartbeat(2, 1)
-	require.Equal(t, []string{"a"}, r.applied[1])
-	require.Equal(t, []string{"a"}, r.applied[2])
+	require.Equal(t, []string{"a"}, c.applied[1])
+	require.Equal(t, []string{"a"}, c.applied[2])
 }
 
-func TestADeposedMembersExtraEntriesAreThrownAway(t *testing.T) {
-	r := newRig(t)
+func TestUncommittedEntriesOfFormerHeadAreTruncated(t *testing.T) {
+	c := newTestChain(t)
 	for id := view.ID(1); id <= 3; id++ {
-		r.join(id, chain.State{})
+		c.join(id, chain.State{})
 	}
-	r.adopt(three(1, 3, 1, 2, 3), 1, 2, 3)
-	r.propose(1, 1, "a")
-	r.drop = func(l envelope) bool { return l.from == 1 }
-	r.propose(1, 2, "lost")
-	r.drop = func(envelope) bool { return false }
-	r.adopt(three(2, 2, 2, 3), 2, 3)
-	r.propose(2, 1, "b")
-	r.adopt(three(3, 2, 2, 3, 1), 2, 3, 1)
-	r.propose(2, 1, "c")
+	c.adopt(newView(1, 3, 1, 2, 3), 1, 2, 3)
+	c.propose(1, 1, "a")
+	c.drop = func(sent sentMessage) bool { return sent.from == 1 }
+	c.propose(1, 2, "lost")
+	c.drop = func(sentMessage) bool { return false }
+	c.adopt(newView(2, 2, 2, 3), 2, 3)
+	c.propose(2, 1, "b")
+	c.adopt(newView(3, 2, 2, 3, 1), 2, 3, 1)
+	c.propose(2, 1, "c")
 	for id := view.ID(1); id <= 3; id++ {
-		require.Equal(t, []string{"a", "b", "c"}, r.applied[id], "%d", id)
+		require.Equal(t, []string{"a", "b", "c"}, c.applied[id], "%d", id)
 	}
-	require.True(t, r.members[1].Complete())
+	require.True(t, c.members[1].Complete())
 }
 
-func TestAJoinerGetsASnapshotWhenTheLogIsCompacted(t *testing.T) {
-	r := newRig(t)
-	r.join(1, chain.State{})
-	r.adopt(three(1, 1, 1), 1)
-	r.propose(1, 1, "a")
-	r.propose(1, 2, "b")
-	require.Empty(t, r.members[1].State().Entries, "covered by the snapshot")
-	r.join(2, chain.State{})
-	v := three(2, 1, 1, 2)
-	r.members[2].Adopt(r.now, v, true, false)
-	require.False(t, r.members[2].Complete())
-	r.perform(2)
-	r.adopt(v, 1)
-	require.True(t, r.members[2].Complete())
-	require.True(t, r.members[2].Attached())
-	r.propose(1, 3, "c")
-	require.Equal(t, []string{"c"}, r.applied[2], "the rest came with the snapshot")
+func TestNewMemberGetsSnapshotIfLogIsCompacted(t *testing.T) {
+	c := newTestChain(t)
+	c.join(1, chain.State{})
+	c.adopt(newView(1, 1, 1), 1)
+	c.propose(1, 1, "a")
+	c.propose(1, 2, "b")
+	require.Empty(t, c.members[1].State().Entries, "covered by the snapshot")
+	c.join(2, chain.State{})
+	v := newView(2, 1, 1, 2)
+	c.members[2].Adopt(c.now, v, true, false)
+	require.False(t, c.members[2].Complete())
+	c.perform(2)
+	c.adopt(v, 1)
+	require.True(t, c.members[2].Complete())
+	require.True(t, c.members[2].Attached())
+	c.propose(1, 3, "c")
+	require.Equal(t, []string{"c"}, c.applied[2], "the snapshot covers the earlier commands")
 }
 
-func TestASealedMemberTakesNothing(t *testing.T) {
-	r := newRig(t)
+func TestSealedMemberAcceptsNoEntries(t *testing.T) {
+	c := newTestChain(t)
 	for id := view.ID(1); id <= 2; id++ {
-		r.join(id, chain.State{})
+		c.join(id, chain.State{})
 	}
-	r.adopt(three(1, 2, 1, 2), 1, 2)
-	last := r.members[2].Last()
-	r.members[2].Seal()
-	r.propose(1, 1, "a")
-	require.Equal(t, last, r.members[2].Last())
-	require.Empty(t, r.applied[1])
-	r.members[1].Seal()
-	require.False(t, r.propose(1, 2, "b"))
+	c.adopt(newView(1, 2, 1, 2), 1, 2)
+	last := c.members[2].Last()
+	c.members[2].Seal()
+	c.propose(1, 1, "a")
+	require.Equal(t, last, c.members[2].Last())
+	require.Empty(t, c.applied[1])
+	c.members[1].Seal()
+	require.False(t, c.propose(1, 2, "b"))
 }
 
-func TestAHeadThatStartedInItsEpochStaysIdle(t *testing.T) {
-	r := newRig(t)
-	r.join(1, chain.State{CompleteEpoch: 1})
-	r.members[1].Adopt(0, three(1, 1, 1), true, true)
-	r.perform(1)
-	require.False(t, r.propose(1, 1, "a"))
-	require.True(t, r.members[1].Complete())
+func TestHeadRestartedInItsEpochStaysIdle(t *testing.T) {
+	c := newTestChain(t)
+	c.join(1, chain.State{CompleteEpoch: 1})
+	c.members[1].Adopt(0, newView(1, 1, 1), true, true)
+	c.perform(1)
+	require.False(t, c.propose(1, 1, "a"))
+	require.True(t, c.members[1].Complete())
 }
 
-func TestAChainOfTooFewDisksCommitsNothing(t *testing.T) {
-	r := newRig(t)
-	r.join(1, chain.State{})
-	r.members[1].Adopt(0, three(1, 1, 1), false, false)
-	r.perform(1)
-	require.True(t, r.members[1].Attached())
-	require.False(t, r.propose(1, 1, "a"))
-	require.Zero(t, r.members[1].Committed())
+func TestChainWithTooFewDisksCommitsNothing(t *testing.T) {
+	c := newTestChain(t)
+	c.join(1, chain.State{})
+	c.members[1].Adopt(0, newView(1, 1, 1), false, false)
+	c.perform(1)
+	require.True(t, c.members[1].Attached())
+	require.False(t, c.propose(1, 1, "a"))
+	require.Zero(t, c.members[1].Committed())
 }
 
-func TestALateDuplicateIsNotOrderedAgain(t *testing.T) {
-	r := newRig(t)
-	r.join(1, chain.State{})
-	r.adopt(three(1, 1, 1), 1)
-	r.members[1].Propose(0, 7, 1, 1, []byte("a"))
-	r.members[1].Propose(0, 7, 2, 2, []byte("b"))
-	r.members[1].Propose(0, 7, 1, 1, []byte("a"))
-	r.perform(1)
-	require.Equal(t, []string{"a", "b"}, r.applied[1])
+func TestLateDuplicateIsNotOrderedAgain(t *testing.T) {
+	c := newTestChain(t)
+	c.join(1, chain.State{})
+	c.adopt(newView(1, 1, 1), 1)
+	c.members[1].Propose(0, 7, 1, 1, []byte("a"))
+	c.members[1].Propose(0, 7, 2, 2, []byte("b"))
+	c.members[1].Propose(0, 7, 1, 1, []byte("a"))
+	c.perform(1)
+	require.Equal(t, []string{"a", "b"}, c.applied[1])
 }
 
-func TestWritesReplayToTheSameState(t *testing.T) {
+func TestReplayOfWritesRestoresState(t *testing.T) {
 	var state chain.State
 	state.Replay(&chain.Write{Entries: []chain.Entry{{Sequence: 1, Epoch: 1}, {Sequence: 2, Epoch: 1}, {Sequence: 3, Epoch: 1}}})
 	state.Replay(&chain.Write{Truncate: true, TruncateAfter: 1, Entries: []chain.Entry{{Sequence: 2, Epoch: 2}}, CompleteEpoch: 2})
--- a/control/chain/commit.go
+++ b/control/chain/commit.go
@@ -5,27 +5,30 @@
 	"time"
 )
 
-// defaultApplyBatch is how many entries are handed out to be applied in one step: between two steps a member that has many of them to
-// apply goes on to speak to the others.
+// defaultApplyBatch is the maximum number of entries handed out to be applied in one step. Between two steps, a
+// member with many entries to apply can process messages of other members.
 const defaultApplyBatch = 4
 
-// MutateUnboundedApply has all entries handed out at once, which only tests of tests may ask for.
+// MutateUnboundedApply makes Apply hand out all committed entries at once. Only tests that check whether other tests
+// detect this fault may call it.
 func (c *Chain) MutateUnboundedApply() { c.applyBatch = math.MaxUint32 }
 
-// MutateEarlyCommit has commits learnt before the log follows the predecessor's, which only tests of tests may ask for.
+// MutateEarlyCommit makes the member accept reported commits before it is attached. Only tests that check whether
+// other tests detect this fault may call it.
 func (c *Chain) MutateEarlyCommit() { c.earlyCommit = true }
 
-// HasUnapplied reports whether committed entries were not handed out yet.
+// HasUnapplied reports whether there are committed entries that were not yet handed out to be applied.
 func (c *Chain) HasUnapplied() bool { return c.log.applied < c.log.committed }
 
-// ApplyDue reports whether Apply is to be called at the end of the step: entries were committed while there was nothing to apply, or it is the
-// next batch's turn by Tick. A member that is behind is not to apply with each message that it gets, or it would answer none in time.
+// ApplyDue reports whether the caller should call Apply at the end of the step: either entries were committed while
+// none were waiting to be applied, or Tick has made the next batch due. A member that lags must not apply a batch for
+// every message it receives, or it would answer none of them in time.
 func (c *Chain) ApplyDue() bool { return c.applyDue && c.HasUnapplied() }
 
-// Unapplied returns how many entries the machine's snapshot does not cover.
+// Unapplied returns the number of entries that the machine's snapshot does not cover.
 func (c *Chain) Unapplied() int { return int(c.log.last() - c.log.applied) }
 
-// LogOffset returns the offset that a write covers which holds all that the log has now.
+// LogOffset returns the offset to pass to OnSynced once everything that is in the log now is on disk.
 func (c *Chain) LogOffset() LogOffset {
 	offset := LogOffset{last: c.log.last(), truncations: c.log.truncations}
 	if c.upstream.aligned {
@@ -34,8 +37,8 @@
 	return offset
 }
 
-// OnSynced handles that all that was written up to an offset is on disk: the member may then be attached, passes on, and as the tail
-// commits. An offset from before a truncation is ignored.
+// OnSynced records that the log is on disk up to an offset. The member may become attached by it, forwards the synced
+// entries, and commits them if it is the tail. OnSynced ignores an offset that was taken before a truncation.
 func (c *Chain) OnSynced(now time.Duration, offset LogOffset) {
 	if offset.truncations != c.log.truncations {
 		return
@@ -47,25 +50,26 @@
 	}
 	c.forward()
 	if c.upstream.attached && c.configuration.isTail() && c.configuration.durable {
-		c.commit(c.log.synced)
+		c.commitTo(c.log.synced)
 	}
 }
 
 // OnAck handles the successor's report of what is committed.
 func (c *Chain) OnAck(message *Ack) {
 	if message.Epoch == c.configuration.epoch {
-		c.learnCommit(message.Committed)
+		c.commitReported(message.Committed)
 	}
 }
 
-// learnCommit takes what another member of the epoch says is committed.
-func (c *Chain) learnCommit(committed uint64) {
+// commitReported advances the commit sequence to what another member of the epoch has reported, as far as it is
+// synced here.
+func (c *Chain) commitReported(committed uint64) {
 	if c.upstream.attached || c.earlyCommit {
-		c.commit(min(committed, c.log.synced))
+		c.commitTo(min(committed, c.log.synced))
 	}
 }
 
-func (c *Chain) commit(to uint64) {
+func (c *Chain) commitTo(to uint64) {
 	if to = min(to, c.log.last()); to <= c.log.committed {
 		return
 	}
@@ -79,8 +83,9 @@
 	}
 }
 
-// Apply hands out the next batch of committed entries to be applied. It is called once the actions of the step that committed them are carried
-// out: the members before this one in the chain hear what is committed, and don't wait until it is applied here.
+// Apply hands out the next batch of committed entries to be applied. The caller calls it after it has carried out the
+// actions of the step that committed them, so that the members before this one learn of the commit without waiting
+// for the entries to be applied here.
 func (c *Chain) Apply() {
 	c.applyDue = false
 	to := min(c.log.committed, c.log.applied+c.applyBatch)
--- a/control/chain/proposals.go
+++ b/control/chain/proposals.go
@@ -1,12 +1,12 @@
 package chain
 
-// proposalWindow is which of an origin's commands were ordered in the epoch.
+// proposalWindow records which of an origin's commands were ordered in the epoch, to detect duplicates.
 type proposalWindow struct {
-	low      uint64 // all below were ordered, or never will be submitted
+	low      uint64 // commands with lower numbers were ordered or will never be submitted
 	admitted map[uint64]bool
 }
 
-// admit says whether a number is new. What an origin says of its low may come out of order.
+// admit reports whether a command's number is new, and records it. The values of low may arrive out of order.
 func (w *proposalWindow) admit(number, low uint64) bool {
 	if low > w.low {
 		w.low = low
--- a/control/chain/upstream.go
+++ b/control/chain/upstream.go
@@ -6,29 +6,31 @@
 	"ravendale/control/view"
 )
 
-// upstream is how far the member follows its predecessor in the epoch. The head, which has none, follows from the start.
+// upstream is the member's progress in following its predecessor in the epoch. The head has no predecessor, and is
+// aligned from the start.
 type upstream struct {
-	aligned      bool // the log follows the predecessor's, in memory
-	attached     bool // and on disk
+	aligned      bool // the log in memory follows the predecessor's
+	attached     bool // the log on disk does, too
 	attachSentAt time.Duration
-	gapSentAt    time.Duration // zero: none was sent yet
+	gapSentAt    time.Duration // zero if none was sent yet
 }
 
 func (c *Chain) sendAttach(now time.Duration) {
 	c.upstream.attachSentAt = now
-	to, _ := c.configuration.predecessor()
-	c.send(to, &Attach{
+	predecessor, _ := c.configuration.predecessor()
+	c.send(predecessor, &Attach{
 		Epoch: c.configuration.epoch, Last: c.log.last(), LastEpoch: c.log.epochAt(c.log.last()), Committed: c.log.committed,
 	})
 }
 
-// fromPredecessor says whether a message is the predecessor's and of the current epoch, which is not sealed.
+// fromPredecessor reports whether a message comes from the predecessor and belongs to the current epoch, and the
+// epoch is not sealed.
 func (c *Chain) fromPredecessor(from view.ID, epoch uint64) bool {
 	predecessor, ok := c.configuration.predecessor()
 	return ok && predecessor == from && epoch == c.configuration.epoch && !c.configuration.sealed
 }
 
-// OnFill handles the predecessor's answer to Attach: the log is made to follow the predecessor's.
+// OnFill handles the predecessor's answer to Attach, and makes the log follow the predecessor's.
 func (c *Chain) OnFill(now time.Duration, from view.ID, message *Fill) {
 	if c.upstream.aligned || !c.fromPredecessor(from, message.Epoch) {
 		return
@@ -41,13 +43,14 @@
 	}
 	c.upstream.aligned = true
 	c.log.state.CompleteEpoch = c.configuration.epoch
-	c.commit(min(message.Committed, c.log.synced)) // of the rest it hears once that is on its own disk, too
+	c.commitTo(min(message.Committed, c.log.synced)) // a later report commits the rest, once it is on this member's disk
 }
 
-// align replaces what follows the entry from which on the predecessor fills.
+// align replaces the entries after message.From by those of the predecessor. It returns false if the message does not
+// fit the log.
 func (c *Chain) align(message *Fill) bool {
 	if message.From < c.log.committed || message.From > c.log.last() || c.log.epochAt(message.From) != message.FromEpoch {
-		return false // an answer to an older Attach
+		return false // the message answers an earlier Attach
 	}
 	write := Write{Entries: message.Entries, CompleteEpoch: c.configuration.epoch}
 	if message.From < c.log.last() {
@@ -64,7 +67,7 @@
 		return
 	}
 	if message.Previous > c.log.last() {
-		c.sendGap(now) // something between was lost
+		c.sendGap(now) // an earlier Append was lost
 		return
 	}
 	if known := c.log.last() - message.Previous; known < uint64(len(message.Entries)) {
@@ -72,7 +75,7 @@
 		c.log.replay(&write)
 		c.write(write)
 	}
-	c.learnCommit(message.Committed)
+	c.commitReported(message.Committed)
 }
 
 func (c *Chain) sendGap(now time.Duration) {
@@ -80,6 +83,6 @@
 		return
 	}
 	c.upstream.gapSentAt = now
-	to, _ := c.configuration.predecessor()
-	c.send(to, &Gap{Epoch: c.configuration.epoch, Last: c.log.last()})
+	predecessor, _ := c.configuration.predecessor()
+	c.send(predecessor, &Gap{Epoch: c.configuration.epoch, Last: c.log.last()})
 }
--- a/control/lease/timing.go
+++ b/control/lease/timing.go
@@ -2,14 +2,14 @@
 
 import "time"
 
-// Timing is how long a lease lasts, and when it is renewed.
+// Timing is the duration of the lease and the interval of its renewal.
 type Timing struct {
-	Duration      time.Duration // for which a voter grants it
-	Margin        time.Duration // by which the holder stops earlier
-	RenewInterval time.Duration // between renewals
+	Duration      time.Duration // how long a voter's grant lasts
+	Margin        time.Duration // how much earlier the holder treats the lease as expired
+	RenewInterval time.Duration // interval between renewals
 }
 
-// DefaultTiming is that of docs/system.md.
+// DefaultTiming is the timing specified in docs/system.md.
 var DefaultTiming = Timing{Duration: defaultDuration, Margin: defaultDuration / 10, RenewInterval: defaultDuration / 4}
 
 // defaultDuration is how long a voter grants the lease by default.
--- a/control/lease/voter.go
+++ b/control/lease/voter.go
@@ -6,33 +6,33 @@
 	"ravendale/control/view"
 )
 
-// Voter is a grantor's memory, of which PreviousGrant is on disk.
+// Voter is the voter's side of the lease. Only PreviousGrant is kept on disk.
 type Voter struct {
 	timing          Timing
-	previous        PreviousGrant // names holder, or whom it granted the lease before it started
+	previousGrant   PreviousGrant // the member granted last, in this process or before its start
 	holder          view.ID
 	incarnation     uint64
 	electionRound   uint64
 	expiresAt       time.Duration
-	restrictedUntil time.Duration // until then it only grants to the holder that previous names
+	restrictedUntil time.Duration // until then only the holder in previousGrant can get a grant
 }
 
-// NewVoter makes a voter from the previous grant on its disk.
+// NewVoter returns a voter with the previous grant that was read from its disk.
 func NewVoter(now time.Duration, timing Timing, previous PreviousGrant) *Voter {
-	v := &Voter{timing: timing, previous: previous}
+	v := &Voter{timing: timing, previousGrant: previous}
 	if previous != (PreviousGrant{}) {
 		v.restrictedUntil = now + timing.Duration
 	}
 	return v
 }
 
-// PreviousGrant returns what has to be on disk before an answer is sent.
-func (v *Voter) PreviousGrant() PreviousGrant { return v.previous }
+// PreviousGrant returns what has to be on disk before a reply is sent.
+func (v *Voter) PreviousGrant() PreviousGrant { return v.previousGrant }
 
-// Grant decides on a request of a candidate. Changed says that PreviousGrant must be written before the answer is sent.
+// Grant decides on a candidate's request. If changed is true, PreviousGrant must be on disk before the reply is sent.
 func (v *Voter) Grant(now time.Duration, candidate view.ID, request *Request) (granted, changed bool) {
 	if now < v.restrictedUntil {
-		if candidate != v.previous.Holder {
+		if candidate != v.previousGrant.Holder {
 			return false, false
 		}
 	} else if now < v.expiresAt && candidate != v.holder {
@@ -40,15 +40,16 @@
 	}
 	v.holder, v.incarnation, v.electionRound, v.expiresAt = candidate, request.Incarnation, request.ElectionRound, now+v.timing.Duration
 	previous := PreviousGrant{Holder: candidate}
-	changed = v.previous != previous
-	v.previous = previous
+	changed = v.previousGrant != previous
+	v.previousGrant = previous
 	return true, changed
 }
 
-// Holder returns whom this voter has granted the lease, zero if nobody. Unknown: it has restarted, and can't know.
+// Holder returns the member to which this voter has granted the lease, zero if there is none. If unknown is true, the
+// voter has restarted and can't tell.
 func (v *Voter) Holder(now time.Duration) (holder view.ID, unknown bool) {
 	if now < v.restrictedUntil {
-		return v.previous.Holder, v.previous.Unknown
+		return v.previousGrant.Holder, v.previousGrant.Unknown
 	}
 	if now < v.expiresAt {
 		return v.holder, false
@@ -56,36 +57,37 @@
 	return 0, false
 }
 
-// PreviousHolder returns the only candidate that may be granted the lease while the voter is restricted after a start; zero if there is
-// none, or no restriction.
+// PreviousHolder returns the only candidate that can get a grant while the voter is restricted after a start; zero if
+// there is no such candidate or no restriction.
 func (v *Voter) PreviousHolder(now time.Duration) view.ID {
 	if now < v.restrictedUntil {
-		return v.previous.Holder
+		return v.previousGrant.Holder
 	}
 	return 0
 }
 
-// Release ends a grant, if it is of the same incarnation and not of a later election round.
+// Release ends the current grant if it belongs to the same incarnation and to no later election round than the
+// release.
 func (v *Voter) Release(candidate view.ID, release *Release) {
 	if v.holder == candidate && v.incarnation == release.Incarnation && v.electionRound <= release.ElectionRound {
 		v.expiresAt = 0
 	}
 }
 
-// Adopt moves to a decided view. PreviousGrant then follows from the view: it need not be written apart from that.
+// Adopt switches to a decided view. PreviousGrant then follows from the view, and need not be written separately.
 func (v *Voter) Adopt(now time.Duration, old, next *view.View) {
 	if !majoritiesMayBeDisjoint(old, next) {
 		return
 	}
-	v.previous = v.previous.Adopt(old, next)
+	v.previousGrant = v.previousGrant.Adopt(old, next)
 	v.restrictedUntil = now
-	if v.previous != (PreviousGrant{}) {
+	if v.previousGrant != (PreviousGrant{}) {
 		v.restrictedUntil += v.timing.Duration
 	}
 }
 
-// Adopt returns the PreviousGrant that follows from a decided view. Where majorities of old and new voters need not meet, the
-// one to reckon with is whoever can hold a lease given by the old ones.
+// Adopt returns the PreviousGrant that follows from a decided view. If majorities of the old and the new voters need
+// not intersect, it is the member that can hold a lease granted by the old voters.
 func (p PreviousGrant) Adopt(old, next *view.View) PreviousGrant {
 	if !majoritiesMayBeDisjoint(old, next) {
 		return p
@@ -96,8 +98,9 @@
 	return PreviousGrant{Holder: next.Holder, Unknown: next.Holder == 0}
 }
 
-// majoritiesMayBeDisjoint reports whether a lease may be valid that was granted by voters of which the new ones know nothing.
+// majoritiesMayBeDisjoint reports whether a lease may be valid that was granted by old voters and that the new ones
+// don't know of.
 func majoritiesMayBeDisjoint(old, next *view.View) bool {
-	founded := old.Epoch == 0 && next.Epoch == 1 // nobody can hold a lease yet that this voter could break
-	return !founded && (next.Epoch != old.Epoch+1 || !next.SameVoters(old))
+	isFirstView := old.Epoch == 0 && next.Epoch == 1 // no member holds a lease yet that this voter could violate
+	return !isFirstView && (next.Epoch != old.Epoch+1 || !next.SameVoters(old))
 }
--- a/control/slots/compat_test.go
+++ b/control/slots/compat_test.go
@@ -12,7 +12,8 @@
 	"ravendale/control/slots"
 )
 
-// compatFolder writes a folder with all that a store may leave: two generations with their logs, of which the newer has records.
+// compatFolder writes a folder with every kind of file that a store leaves: two generations with their logs, of which
+// the newer has records.
 func compatFolder(t *testing.T, folder slots.Folder) {
 	t.Helper()
 	store, snapshot, records, err := slots.OpenFolder(folder)
@@ -29,7 +30,7 @@
 
 var compatFiles = []string{"slot-0", "slot-1", "log-0", "log-1"}
 
-// compatCopy copies golden files to a folder that may change.
+// compatCopy copies golden files to a folder that the test may change.
 func compatCopy(t *testing.T, golden string) string {
 	t.Helper()
 	folder := t.TempDir()
@@ -54,8 +55,8 @@
 	}
 }
 
-// TestAFolderOfAnEarlierVersionIsReadAndWrittenAlike reads what version a08c060 wrote, and writes it again.
-func TestAFolderOfAnEarlierVersionIsReadAndWrittenAlike(t *testing.T) {
+// TestFolderOfEarlierVersionIsReadAndWrittenIdentically reads what version a08c060 wrote, and writes it again.
+func TestFolderOfEarlierVersionIsReadAndWrittenIdentically(t *testing.T) {
 	folder := compatCopy(t, "folder")
 	store, snapshot, records, err := slots.Open(folder)
 	require.NoError(t, err)
@@ -65,13 +66,14 @@
 	require.NoError(t, store.Close())
 	compatRequireSame(t, "folder", folder, compatFiles...)
 
-	again := t.TempDir()
-	compatFolder(t, slots.OSFolder(again))
-	compatRequireSame(t, "folder", again, compatFiles...)
+	rewritten := t.TempDir()
+	compatFolder(t, slots.OSFolder(rewritten))
+	compatRequireSame(t, "folder", rewritten, compatFiles...)
 }
 
-// TestTheHeaderOfARecordIsAsEver reads a golden slot by hand: length, generation and checksum, little end first, and the content.
-func TestTheHeaderOfARecordIsAsEver(t *testing.T) {
+// TestRecordHeaderFormat decodes a golden slot without the package: length, generation and checksum, little-endian,
+// then the content.
+func TestRecordHeaderFormat(t *testing.T) {
 	for generation, name := range map[uint64]string{1: "slot-1", 2: "slot-0"} {
 		data, err := os.ReadFile(filepath.Join("testdata", "compat", "folder", name))
 		require.NoError(t, err)
@@ -83,8 +85,9 @@
 	}
 }
 
-// TestATornLogOfAnEarlierVersionIsReadUpToTheTear reads what a version a08c060 left that lost power in the middle of a record.
-func TestATornLogOfAnEarlierVersionIsReadUpToTheTear(t *testing.T) {
+// TestTornLogOfEarlierVersionIsReadUpToTornRecord reads the folder of a version a08c060 that lost power while it
+// wrote a record.
+func TestTornLogOfEarlierVersionIsReadUpToTornRecord(t *testing.T) {
 	folder := compatCopy(t, "torn")
 	store, snapshot, records, err := slots.Open(folder)
 	require.NoError(t, err)
@@ -95,8 +98,9 @@
 	compatRequireSame(t, "folder", folder, compatFiles...)
 }
 
-// TestADamagedFolderOfAnEarlierVersionIsRecognized reads a folder whose newest slot had rotted, and sets it aside under the same names.
-func TestADamagedFolderOfAnEarlierVersionIsRecognized(t *testing.T) {
+// TestDamagedFolderOfEarlierVersionIsDetected reads a folder whose newest slot is corrupted, and sets it aside under
+// the same names.
+func TestDamagedFolderOfEarlierVersionIsDetected(t *testing.T) {
 	folder := compatCopy(t, "rotten")
 	_, _, _, err := slots.Open(folder)
 	require.ErrorIs(t, err, slots.ErrDamaged)
--- a/control/slots/damaged.go
+++ b/control/slots/damaged.go
@@ -6,15 +6,16 @@
 	"io/fs"
 )
 
-// damagedPrefix begins the names of files that were set aside.
+// damagedPrefix is the name prefix of files that SetAside has renamed.
 const damagedPrefix = "damaged-"
 
-// DamagedName is the name under which SetAside keeps a file.
+// DamagedName returns the name that SetAside gives to a file.
 func DamagedName(name string) string { return damagedPrefix + name }
 
-// SetAside renames a store's files, so that the folder is as if it had never been used and what is left can still be looked at. Files that were
-// set aside earlier are replaced. The slots go first: while any log has its name and its slot has not, the folder counts as damaged, so
-// that a loss of power on the way never leaves an older state that seems intact.
+// SetAside renames a store's files, so that the folder appears unused and the damaged files remain available for
+// inspection. It replaces files that were set aside earlier. The slots are renamed first: as long as a log has its
+// name and its slot doesn't, the folder is reported as damaged, so a power loss in between never makes an older state
+// appear intact.
 func SetAside(folder Folder) error {
 	for _, names := range [][2]string{slotNames, logNames} {
 		for _, name := range names {
@@ -29,7 +30,7 @@
 	return nil
 }
 
-// RemoveDamaged removes what was set aside, so that the disk has capacity again.
+// RemoveDamaged removes the files that were set aside, to free disk space.
 func RemoveDamaged(folder Folder) error {
 	for i := range slotNames {
 		if err := errors.Join(folder.Remove(DamagedName(slotNames[i])), folder.Remove(DamagedName(logNames[i]))); err != nil {
--- a/control/slots/export_test.go
+++ b/control/slots/export_test.go
@@ -1,4 +1,4 @@
 package slots
 
-// Mutations are the mistakes that tests may make.
+// Mutations are the faults that tests can inject.
 var Mutations = &mutations
--- a/control/slots/files.go
+++ b/control/slots/files.go
@@ -9,26 +9,27 @@
 	"golang.org/x/sys/unix"
 )
 
-// File is an open file of a Folder, to which is only appended.
+// File is an open file of a Folder. It is only appended to.
 type File interface {
 	Write(data []byte) (int, error)
-	Sync() error // what was written, and the length, is on disk
+	Sync() error // the written data and the file length are on disk
 	Close() error
 }
 
-// Folder is where a store keeps its files. Names lie directly in it.
+// Folder is the directory of a store's files. Names refer to files directly in it.
 type Folder interface {
-	// Read returns a file's content, with an error that is fs.ErrNotExist if there is none.
+	// Read returns a file's content. If the file does not exist, the error is fs.ErrNotExist.
 	Read(name string) ([]byte, error)
-	// Open opens a file, made if there is none, cuts it to size and appends from there.
+	// Open opens a file, creates it if it does not exist, truncates it to size and appends from there.
 	Open(name string, size int64) (File, error)
 	Remove(name string) error
-	// Rename gives a file another name, with an error that is fs.ErrNotExist if there is none. A file that had that name is gone.
+	// Rename renames a file, and replaces any file of the new name. If the file does not exist, the error is
+	// fs.ErrNotExist.
 	Rename(name, to string) error
-	Sync() error // names made, changed and removed are on disk
+	Sync() error // created, renamed and removed names are on disk
 }
 
-// OSFolder is a folder of the operating system.
+// OSFolder is a directory of the operating system.
 type OSFolder string
 
 const (
@@ -45,7 +46,7 @@
 func (d OSFolder) Open(name string, size int64) (File, error) {
 	path := filepath.Join(string(d), name)
 	file, err := os.OpenFile(path, os.O_RDWR|os.O_CREATE, fileMode)
-	if errors.Is(err, fs.ErrNotExist) { // there was no room for the folder before
+	if errors.Is(err, fs.ErrNotExist) { // the disk was full when the store was opened
 		if err := os.MkdirAll(string(d), folderMode); err != nil {
 			return nil, err
 		}
--- a/control/slots/mutations.go
+++ b/control/slots/mutations.go
@@ -1,8 +1,8 @@
 package slots
 
-// mutations are mistakes that tests make on purpose, to see that they would be caught.
+// mutations are faults that tests inject to check that other tests detect them.
 var mutations struct {
-	TrustTorn   bool // a slot that was torn counts
-	ForgetDoubt bool // the newest slot counts as durable, though it could not be synced
-	KeepGhosts  bool // a slot that is not readable is not cleared
+	TrustTorn   bool // a torn slot is accepted
+	ForgetDoubt bool // the newest slot is treated as durable even if it could not be synced
+	KeepGhosts  bool // an unreadable slot is not truncated
 }
--- a/control/slots/slots.go
+++ b/control/slots/slots.go
@@ -11,13 +11,15 @@
 	"golang.org/x/sys/unix"
 )
 
-// Errors of a store. ErrDamaged is of Open: the disk had more than can be read. ErrFailed is of writes, until Snapshot works.
+// Errors of a store. OpenFolder returns ErrDamaged if synced data can't be read. Writes return ErrFailed from the
+// first failed write until Snapshot succeeds.
 var (
 	ErrDamaged = errors.New("slots: what was synced can't be read any more")
 	ErrFailed  = errors.New("slots: a write failed, and only a whole snapshot can follow")
 )
 
-// A record is its length (4 bytes), its generation (8), the checksum (8) over both and the content, and the content.
+// A record consists of its length (4 bytes), its generation (8), the checksum (8) over both and the content, and the
+// content.
 const (
 	headerBytes    = 4 + 8 + 8
 	maxRecordBytes = 1 << 30
@@ -29,13 +31,14 @@
 	logNames  = [2]string{"log-0", "log-1"}
 )
 
-// Names returns the names of the slot and of the log that generations of a parity use.
+// Names returns the names of the slot and the log that generations of a parity use.
 func Names(parity int) (slot, log string) { return slotNames[parity], logNames[parity] }
 
-// Store is an open store. It is not safe for use by several goroutines at once.
+// Store is an open store. It is not safe for concurrent use.
 //
-// After an error of Append or Snapshot nobody knows what of the write is on disk: all before it is. The store then takes only a whole
-// snapshot, which goes to the other slot and begins another log, so that nothing ever follows a record that may be torn.
+// After an error of Append or Snapshot it is unknown which part of that write is on disk; everything written before
+// is. The store then accepts only a complete snapshot, which goes to the other slot and begins a new log, so that no
+// record ever follows one that may be torn.
 type Store struct {
 	folder         Folder
 	generation     uint64
@@ -44,12 +47,12 @@
 	buffer         []byte
 	err            error
 	closed         bool
-	readableSlots  int    // slots that could be read
-	newestLog      uint64 // newest generation whose log has begun
-	newestUnsynced bool   // the newest slot may not be durable, and the other is
+	readableSlots  int    // number of slots that could be read
+	newestLog      uint64 // newest generation whose log has its first record
+	newestUnsynced bool   // the newest slot may not be durable, but the other one is
 }
 
-// Open opens the store in a folder of the operating system, which is made if there is none.
+// Open opens the store in a directory of the operating system, and creates the directory if it does not exist.
 func Open(folder string) (store *Store, snapshot []byte, records [][]byte, err error) {
 	if err := os.MkdirAll(folder, folderMode); err != nil && !errors.Is(err, unix.ENOSPC) {
 		return nil, nil, nil, fmt.Errorf("slots: %w", err)
@@ -57,9 +60,9 @@
 	return OpenFolder(OSFolder(folder))
 }
 
-// OpenFolder opens the store in a folder, and returns the newest snapshot, nil if there was never any, and the records after it.
-// All that it returns is on disk, unless Err says that it could be read and not be synced: then it may be lost until a Snapshot has worked.
-// The error is ErrDamaged if something that had been synced is lost.
+// OpenFolder opens the store in a folder, and returns the newest snapshot, nil if there was never any, and the
+// records after it. Both are on disk, unless Err reports that they could be read but not synced; they may then be
+// lost until a Snapshot succeeds. The error is ErrDamaged if data that had been synced is lost.
 func OpenFolder(folder Folder) (store *Store, snapshot []byte, records [][]byte, err error) {
 	s := &Store{folder: folder}
 	if snapshot, err = s.readSlots(); err != nil {
@@ -79,12 +82,13 @@
 	return s, snapshot, records, nil
 }
 
-// Err is the failure after which only Snapshot is taken, nil if there is none.
+// Err returns the failure that makes the store accept only Snapshot, nil if there is none.
 func (s *Store) Err() error { return s.err }
 
 func parity(generation uint64) int { return int(generation % 2) }
 
-// readSlots finds the newer good slot. A log that has begun shows that the slot of its generation was synced.
+// readSlots finds the newer intact slot. A log with its first record shows that the slot of its generation was
+// synced.
 func (s *Store) readSlots() (snapshot []byte, err error) {
 	for i := range slotNames {
 		content, generation, err := s.readSlot(slotNames[i])
@@ -124,7 +128,8 @@
 	return content, generation, nil
 }
 
-// logGeneration reads the first record of a log, which is empty and shows that the slot of its generation is on disk.
+// logGeneration returns the generation of a log, 0 if its first record is not intact. That record is empty and shows
+// that the slot of its generation is on disk.
 func (s *Store) logGeneration(name string) (uint64, error) {
 	data, err := s.read(name)
 	if err != nil {
@@ -145,7 +150,7 @@
 	return data, nil
 }
 
-// readLog returns the good records that follow the newest slot, and how many bytes of the log they are.
+// readLog returns the intact records that follow the newest slot, and their size in bytes in the log.
 func (s *Store) readLog() (records [][]byte, size int64, err error) {
 	data, err := s.read(logNames[parity(s.generation)])
 	if err != nil {
@@ -164,8 +169,8 @@
 	}
 }
 
-// makeDurable syncs all that was read: it may have been written by a process that was killed before it synced. Then it truncates
-// the log after what was read, or begins the log.
+// makeDurable syncs the slot and the log that were read, since a process may have written them and been killed before
+// it synced. It also truncates the log after the last intact record, or begins the log.
 func (s *Store) makeDurable(size int64) error {
 	name := slotNames[parity(s.generation)]
 	content, err := s.read(name)
@@ -180,16 +185,17 @@
 		return fmt.Errorf("slots: %w", err)
 	}
 	if s.readableSlots < len(slotNames) && !mutations.KeepGhosts {
-		if err := s.clear(slotNames[1-parity(s.generation)]); err != nil {
+		if err := s.truncateSlot(slotNames[1-parity(s.generation)]); err != nil {
 			return err
 		}
 	}
 	return s.openLog(size)
 }
 
-// clear makes it durable that a slot is not readable. What made it so may not have been synced: a loss of power could bring back a slot of a later
-// generation, with a state older than what will have followed in the log of this one.
-func (s *Store) clear(name string) error {
+// truncateSlot empties an unreadable slot and syncs it. Whatever made the slot unreadable may not have been synced:
+// after a power loss the slot of a later generation could be readable again, with an older state than the records
+// that this generation's log has received meanwhile.
+func (s *Store) truncateSlot(name string) error {
 	content, err := s.read(name)
 	if err != nil || len(content) == 0 {
 		return err
@@ -211,7 +217,7 @@
 	}
 	s.log, s.size = log, size
 	if size == 0 {
-		if err := s.write(appendRecord(nil, s.generation, nil)); err != nil {
+		if err := s.writeLog(appendRecord(nil, s.generation, nil)); err != nil {
 			return err
 		}
 	} else if err := log.Sync(); err != nil {
@@ -223,11 +229,12 @@
 	return nil
 }
 
-// Size is the log's length in bytes: time for a snapshot when it is long.
+// LogSize returns the log's length in bytes. Callers write a snapshot when the log is long.
 func (s *Store) Size() int64 { return s.size }
 
-// Append adds records to the log by one write and one sync. After an error they may or may not be there when the store is opened again,
-// and until Snapshot has worked Append fails with ErrFailed. There must have been a snapshot.
+// Append adds records to the log with one write and one sync. A snapshot must have been written before. After an
+// error the records may or may not be there when the store is opened again, and Append fails with ErrFailed until
+// Snapshot succeeds.
 func (s *Store) Append(records ...[]byte) error {
 	if s.err != nil {
 		return s.err
@@ -239,18 +246,18 @@
 	for _, record := range records {
 		s.buffer = appendRecord(s.buffer, s.generation, record)
 	}
-	if err := s.write(s.buffer); err != nil {
+	if err := s.writeLog(s.buffer); err != nil {
 		return s.fail(err)
 	}
-	if cap(s.buffer) > maxKeptBuffer {
+	if cap(s.buffer) > maxRetainedBuffer {
 		s.buffer = nil
 	}
 	return nil
 }
 
-const maxKeptBuffer = 16 << 10
+const maxRetainedBuffer = 16 << 10
 
-func (s *Store) write(data []byte) error {
+func (s *Store) writeLog(data []byte) error {
 	if _, err := s.log.Write(data); err != nil {
 		return fmt.Errorf("slots: %w", err)
 	}
@@ -261,31 +268,32 @@
 	return nil
 }
 
-// Snapshot replaces all that is kept by a state, and begins a new log. After an error what was kept before may still be what is found, and
-// only Snapshot may be called.
+// Snapshot replaces the stored state and records by a new state, and begins a new log. After an error the previous
+// state and records may still be what is read when the store is opened, and only Snapshot may be called.
 func (s *Store) Snapshot(state []byte) error {
 	if s.closed {
 		return s.err
 	}
-	if err := s.snapshot(state); err != nil {
+	if err := s.writeSnapshot(state); err != nil {
 		return s.fail(err)
 	}
 	s.err = nil
 	return nil
 }
 
-// next is the generation that is written next. It never overwrites the only slot that is known to be durable. That is the newest, if
-// its log has begun, or if the other was being written; but a newest slot that could not be synced when the store was opened may be
-// what a process left behind that was killed before its sync, and is written anew itself.
-func (s *Store) next() uint64 {
+// nextGeneration returns the generation of the next snapshot. The snapshot never overwrites the only slot that is
+// known to be durable. That is the newest slot, if its log has begun or if the other slot was being written. But if
+// the newest slot could not be synced when the store was opened, a process may have left it behind that was killed
+// before its sync; then that slot itself is overwritten.
+func (s *Store) nextGeneration() uint64 {
 	if s.newestUnsynced {
 		return s.generation + 2
 	}
 	return s.generation + 1
 }
 
-func (s *Store) snapshot(state []byte) error {
-	next := s.next()
+func (s *Store) writeSnapshot(state []byte) error {
+	next := s.nextGeneration()
 	slot, err := s.folder.Open(slotNames[parity(next)], 0)
 	if err != nil {
 		return fmt.Errorf("slots: %w", err)
@@ -299,13 +307,13 @@
 	}
 	s.generation, s.newestUnsynced = next, false
 	if s.log != nil {
-		_ = s.log.Close() // the slot replaces it
+		_ = s.log.Close() // the new slot supersedes the log
 		s.log = nil
 	}
 	return s.openLog(0)
 }
 
-// Close gives the files back. All that was written is on disk already.
+// Close closes the log file. Everything written is on disk already.
 func (s *Store) Close() error {
 	s.err, s.closed = errors.Join(s.err, ErrFailed), true
 	if s.log == nil {
@@ -327,7 +335,7 @@
 	return append(buffer, content...)
 }
 
-// cutRecord takes the first record off data, if it is good.
+// cutRecord splits the first record off data. Ok is false if that record is not intact.
 func cutRecord(data []byte) (content []byte, generation uint64, rest []byte, ok bool) {
 	if len(data) < headerBytes {
 		return nil, 0, nil, false
--- a/control/slots/slots_test.go
+++ b/control/slots/slots_test.go
@@ -16,7 +16,7 @@
 	"ravendale/control/slots/slotstest"
 )
 
-func TestAFreshFolderHasNothing(t *testing.T) {
+func TestNewFolderIsEmpty(t *testing.T) {
 	store, snapshot, records, err := slots.Open(filepath.Join(t.TempDir(), "new"))
 	require.NoError(t, err)
 	require.Nil(t, snapshot)
@@ -24,7 +24,7 @@
 	require.Error(t, store.Append([]byte("x")), "records must follow a snapshot")
 }
 
-func TestRecordsFollowTheNewestSnapshotOnARealDisk(t *testing.T) {
+func TestStoreInOSFolder(t *testing.T) {
 	folder := t.TempDir()
 	store, _, _, err := slots.Open(folder)
 	require.NoError(t, err)
@@ -58,9 +58,9 @@
 	require.Empty(t, left)
 }
 
-// TestADamagedFolderStaysDamagedUntilAllIsSetAside loses power, or has the disk fail, at every step of setting aside: an older state is never
-// taken for the newest.
-func TestADamagedFolderStaysDamagedUntilAllIsSetAside(t *testing.T) {
+// TestInterruptedSetAsideLeavesFolderDamaged injects power losses and disk failures at random steps of SetAside: an
+// older state must never be read as the newest.
+func TestInterruptedSetAsideLeavesFolderDamaged(t *testing.T) {
 	for seed := range uint64(2000) {
 		random := rand.New(rand.NewPCG(seed, 2))
 		folder := slotstest.New()
@@ -75,7 +75,7 @@
 		for {
 			_, snapshot, _, err := slots.OpenFolder(folder)
 			if err == nil {
-				require.Nil(t, snapshot, "seed %d: an older state counts", seed)
+				require.Nil(t, snapshot, "seed %d: an older state was read", seed)
 				break
 			}
 			require.ErrorIs(t, err, slots.ErrDamaged)
@@ -92,7 +92,7 @@
 	}
 }
 
-func TestALogOfAnotherGenerationIsNotRead(t *testing.T) {
+func TestLogOfOtherGenerationIsIgnored(t *testing.T) {
 	folder := slotstest.New()
 	store, _, _, err := slots.OpenFolder(folder)
 	require.NoError(t, err)
@@ -109,7 +109,7 @@
 	require.Empty(t, records)
 }
 
-func TestAnUnreadableSlotIsReported(t *testing.T) {
+func TestUnreadableNewestSlotIsDamage(t *testing.T) {
 	folder := slotstest.New()
 	store, _, _, err := slots.OpenFolder(folder)
 	require.NoError(t, err)
@@ -120,19 +120,19 @@
 	require.ErrorIs(t, err, slots.ErrDamaged)
 }
 
-func TestAfterAFailedWriteOnlyASnapshotIsAccepted(t *testing.T) {
-	for operations := range 6 { // of the snapshot that fail too: none, its slot's, its log's
+func TestFailedStoreAcceptsOnlySnapshot(t *testing.T) {
+	for operations := range 6 { // number of operations of the snapshot that succeed
 		folder := slotstest.New()
 		store, _, _, err := slots.OpenFolder(folder)
 		require.NoError(t, err)
 		require.NoError(t, store.Snapshot([]byte("one")))
 		require.NoError(t, store.Append([]byte("a")))
-		folder.Break(1) // the write works, the sync does not
+		folder.Break(1) // the write succeeds, the sync fails
 		require.ErrorIs(t, store.Append([]byte("b")), slots.ErrFailed)
 		folder.Break(operations)
 		require.ErrorIs(t, store.Snapshot([]byte("two")), slots.ErrFailed)
 		folder.Break(-1)
-		require.ErrorIs(t, store.Append([]byte("c")), slots.ErrFailed, "nothing follows what may be torn")
+		require.ErrorIs(t, store.Append([]byte("c")), slots.ErrFailed, "no record may follow one that may be torn")
 		require.ErrorIs(t, store.Err(), slots.ErrFailed)
 		_, snapshot, records, err := slots.OpenFolder(folder)
 		require.NoError(t, err)
@@ -150,9 +150,9 @@
 	}
 }
 
-// TestAFullFolderIsStillRead opens a store that was killed before its log began, or in the middle of a record, while nothing can
-// be written.
-func TestAFullFolderIsStillRead(t *testing.T) {
+// TestOpenOnFullDisk opens a store whose process was killed before its log began, or while it wrote a record, on a
+// disk that takes no writes.
+func TestOpenOnFullDisk(t *testing.T) {
 	folder := slotstest.New()
 	store, _, _, err := slots.OpenFolder(folder)
 	require.NoError(t, err)
@@ -163,7 +163,7 @@
 	store, snapshot, records, err := slots.OpenFolder(folder)
 	require.NoError(t, err)
 	require.Equal(t, []string{"one", "a"}, state(snapshot, records))
-	require.ErrorIs(t, store.Err(), slots.ErrFailed, "what was read may not be lasting")
+	require.ErrorIs(t, store.Err(), slots.ErrFailed, "the records that were read may not be durable")
 	require.ErrorIs(t, store.Append([]byte("b")), slots.ErrFailed)
 	require.ErrorIs(t, store.Snapshot([]byte("two")), slots.ErrFailed)
 	folder.Break(-1)
@@ -174,66 +174,68 @@
 	require.Equal(t, []string{"two", "b"}, state(snapshot, records))
 }
 
-// TestWhatWasAcknowledgedSurvives loses power at every step of random histories, with disks that fill and get room again: what is read back is
-// all that was acknowledged, and at most one of the things that were under way beyond it.
-func TestWhatWasAcknowledgedSurvives(t *testing.T) {
-	healed := 0
+// TestAcknowledgedWritesSurvivePowerLoss runs random histories with power losses, on disks that become full and have
+// space again later. A store must read back everything that was acknowledged, and beyond that at most one of the writes
+// that were in progress.
+func TestAcknowledgedWritesSurvivePowerLoss(t *testing.T) {
+	recovered := 0
 	for seed := range *seeds {
-		broken, times := survive(seed)
-		require.Empty(t, broken, "seed %d", seed)
-		healed += times
+		violation, recoveries := runHistory(seed)
+		require.Empty(t, violation, "seed %d", seed)
+		recovered += recoveries
 	}
-	require.Greater(t, healed, 1000)
+	require.Greater(t, recovered, 1000)
 }
 
-var seeds = flag.Uint64("seeds", 3000, "random histories")
+var seeds = flag.Uint64("seeds", 3000, "number of random histories")
 
-func TestATornSlotTakenAsCompleteIsCaught(t *testing.T) {
-	requireCaught(t, &slots.Mutations.TrustTorn, 0)
+func TestDetectsAcceptedTornSlot(t *testing.T) {
+	requireDetected(t, &slots.Mutations.TrustTorn, 0)
 }
 
-func TestASlotInDoubtTakenAsLastingIsCaught(t *testing.T) {
-	requireCaught(t, &slots.Mutations.ForgetDoubt, 0)
+func TestDetectsUnsyncedSlotTreatedAsDurable(t *testing.T) {
+	requireDetected(t, &slots.Mutations.ForgetDoubt, 0)
 }
 
-func TestASlotThatPowerBringsBackIsCaught(t *testing.T) {
-	requireCaught(t, &slots.Mutations.KeepGhosts, 17000)
+func TestDetectsUnreadableSlotNotTruncated(t *testing.T) {
+	requireDetected(t, &slots.Mutations.KeepGhosts, 17000)
 }
 
-// requireCaught makes a mistake in histories from a seed on, until one breaks.
-func requireCaught(t *testing.T, mistake *bool, first uint64) {
-	const most = 5000
-	*mistake = true
-	defer func() { *mistake = false }()
-	for seed := first; seed < first+most; seed++ {
-		if broken, _ := survive(seed); broken != "" {
-			t.Logf("seed %d: %s", seed, broken)
+// requireDetected injects a fault into random histories, starting with the seed first, until one fails.
+func requireDetected(t *testing.T, fault *bool, first uint64) {
+	const maxHistories = 5000
+	*fault = true
+	defer func() { *fault = false }()
+	for seed := first; seed < first+maxHistories; seed++ {
+		if violation, _ := runHistory(seed); violation != "" {
+			t.Logf("seed %d: %s", seed, violation)
 			return
 		}
 	}
-	require.Fail(t, "not caught", "in %d histories", most)
+	require.Fail(t, "fault not detected", "in %d histories", maxHistories)
 }
 
-// survive plays one history, and returns what was broken, and how often a store went on after a failure.
-func survive(seed uint64) (broken string, healed int) {
+// runHistory runs one random history. It returns a description of the first wrong state that was read, empty if there
+// was none, and how often a store accepted a write again after a failure.
+func runHistory(seed uint64) (violation string, recovered int) {
 	random := rand.New(rand.NewPCG(seed, 1))
 	folder := slotstest.New()
-	var acknowledged []string // snapshot, records
-	var attempts [][]string   // that failed since, or may have
+	var acknowledged []string // the snapshot, then the records
+	var attempts [][]string   // states of writes since then that failed or may have failed
 	for range 6 {
 		store, snapshot, records, err := slots.OpenFolder(folder)
 		if err != nil {
-			return err.Error(), healed
+			return err.Error(), recovered
 		}
 		found := state(snapshot, records)
 		explained := slices.ContainsFunc(attempts, func(attempted []string) bool { return prefixBetween(found, acknowledged, attempted) })
 		if !equal(found, acknowledged) && !explained {
-			return fmt.Sprintf("%v of %v, %v", found, acknowledged, attempts), healed
+			return fmt.Sprintf("%v of %v, %v", found, acknowledged, attempts), recovered
 		}
 		if store.Err() == nil {
 			acknowledged, attempts = found, nil
 		} else {
-			attempts = append(attempts, found) // it may yet be lost
+			attempts = append(attempts, found) // it may still be lost
 		}
 		if random.IntN(4) > 0 || store.Err() == nil {
 			folder.Break(random.IntN(25))
@@ -243,7 +245,7 @@
 			attempted, err := attempt(random, store, acknowledged)
 			if err == nil {
 				if failed {
-					healed++
+					recovered++
 				}
 				acknowledged, attempts = attempted, nil
 				continue
@@ -252,18 +254,18 @@
 			if random.IntN(2) == 0 {
 				break
 			}
-			folder.Break(random.IntN(8)) // there is a little room
+			folder.Break(random.IntN(8)) // the disk has a little space
 		}
 		if random.IntN(3) > 0 {
 			folder.PowerLoss(random)
 		} else if random.IntN(2) == 0 {
-			folder.Break(-1) // killed only
-		} // or killed while the disk is full
+			folder.Break(-1) // the process was killed, and the disk works again
+		} // otherwise the process was killed while the disk is full
 	}
-	return "", healed
+	return "", recovered
 }
 
-// attempt writes something, and returns what is kept if it works.
+// attempt writes a snapshot or records, and returns the state that the store has if the write succeeds.
 func attempt(random *rand.Rand, store *slots.Store, acknowledged []string) ([]string, error) {
 	text := fmt.Sprint(random.Uint32())
 	if len(acknowledged) == 0 || store.Err() != nil || random.IntN(4) == 0 {
@@ -298,7 +300,7 @@
 	f.Fuzz(func(t *testing.T, junk []byte, which uint8, at uint16) { corrupt(t, junk, int(which), int(at)) })
 }
 
-func TestCorruptedFilesNeverInventRecords(t *testing.T) {
+func TestCorruptedFilesYieldOnlyWrittenState(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		corrupt(r, rapid.SliceOf(rapid.Byte()).Draw(r, "junk"), rapid.IntRange(0, 3).Draw(r, "file"), rapid.IntRange(0, 200).Draw(r, "at"))
 	})
--- a/control/slots/slotstest/folder.go
+++ b/control/slots/slotstest/folder.go
@@ -1,4 +1,5 @@
-// Package slotstest has a folder in memory whose unsynced writes may be lost or torn, for tests of what must survive a loss of power.
+// Package slotstest provides a folder in memory whose unsynced writes can be lost or torn, for tests of what must
+// survive a power loss.
 package slotstest
 
 import (
@@ -9,40 +10,42 @@
 	"ravendale/control/slots"
 )
 
-// ErrBroken is what operations fail with after Break.
-var ErrBroken = errors.New("slotstest: disk is broken")
+// ErrBroken is the error of operations that fail because of FailAfter.
+var ErrBroken = errors.New("slotstest: injected disk failure")
 
-// Folder is a slots.Folder in memory. It is not safe for use by several goroutines at once.
+// Folder is a slots.Folder in memory. It is not safe for concurrent use.
 type Folder struct {
-	files     map[string]*content
-	removed   map[string]*content // removed, and not yet synced
-	countdown int                 // operations left until all fail; negative: no end
-	Syncs     int                 // syncs so far
+	files          map[string]*fileContent
+	removed        map[string]*fileContent // removed or renamed since the folder's last sync
+	operationsLeft int                     // number of operations until all fail; negative: none fails
+	Syncs          int                     // number of syncs of files so far
 }
 
-type content struct {
-	data   []byte
-	synced []byte
-	lasts  bool // it has been synced once
-	writes []span
+type fileContent struct {
+	data    []byte
+	synced  []byte
+	durable bool // it has been synced at least once
+	writes  []span
 }
 
+// span is the byte range of a write that was not synced yet.
 type span struct{ from, to int }
 
 // New returns an empty folder.
 func New() *Folder {
-	return &Folder{files: make(map[string]*content), removed: make(map[string]*content), countdown: -1}
+	return &Folder{files: make(map[string]*fileContent), removed: make(map[string]*fileContent), operationsLeft: -1}
 }
 
-// Break makes all operations fail that come after so many more that write or sync; a write that fails leaves half of it. Negative: all work.
-func (d *Folder) Break(after int) { d.countdown = after }
+// FailAfter lets a number of operations that write or sync succeed, and makes all later ones fail; a failing write
+// writes half of its data. With a negative number no operation fails.
+func (d *Folder) Break(after int) { d.operationsLeft = after }
 
-func (d *Folder) count() error {
-	if d.countdown == 0 {
+func (d *Folder) countOperation() error {
+	if d.operationsLeft == 0 {
 		return ErrBroken
 	}
-	if d.countdown > 0 {
-		d.countdown--
+	if d.operationsLeft > 0 {
+		d.operationsLeft--
 	}
 	return nil
 }
@@ -58,21 +61,21 @@
 
 // Open implements slots.Folder.
 func (d *Folder) Open(name string, size int64) (slots.File, error) {
-	if err := d.count(); err != nil {
+	if err := d.countOperation(); err != nil {
 		return nil, err
 	}
 	file, ok := d.files[name]
 	if !ok {
-		file = &content{}
+		file = &fileContent{}
 		d.files[name] = file
 	}
 	file.data = append([]byte(nil), file.data[:min(int(size), len(file.data))]...)
-	return &handle{folder: d, file: file}, nil
+	return &openFile{folder: d, file: file}, nil
 }
 
 // Remove implements slots.Folder.
 func (d *Folder) Remove(name string) error {
-	if err := d.count(); err != nil {
+	if err := d.countOperation(); err != nil {
 		return err
 	}
 	if file, ok := d.files[name]; ok {
@@ -82,9 +85,9 @@
 	return nil
 }
 
-// Rename implements slots.Folder. A loss of power before the next sync of the folder may undo it.
+// Rename implements slots.Folder. A power loss before the next sync of the folder may undo it.
 func (d *Folder) Rename(name, to string) error {
-	if err := d.count(); err != nil {
+	if err := d.countOperation(); err != nil {
 		return err
 	}
 	file, ok := d.files[name]
@@ -99,14 +102,14 @@
 
 // Sync implements slots.Folder.
 func (d *Folder) Sync() error {
-	if err := d.count(); err != nil {
+	if err := d.countOperation(); err != nil {
 		return err
 	}
-	d.removed = make(map[string]*content)
+	d.removed = make(map[string]*fileContent)
 	return nil
 }
 
-// Corrupt lets a test change a file's bytes, synced ones too.
+// Corrupt changes a file's bytes, including synced ones.
 func (d *Folder) Corrupt(name string, change func(data []byte) []byte) {
 	if file, ok := d.files[name]; ok {
 		file.data = change(append([]byte(nil), file.data...))
@@ -114,7 +117,7 @@
 	}
 }
 
-// Names lists the files.
+// Names returns the names of the files.
 func (d *Folder) Names() []string {
 	var names []string
 	for name := range d.files {
@@ -123,9 +126,10 @@
 	return names
 }
 
-// PowerLoss leaves of each file what its last sync covered, and of what was written later some, none or torn parts. It mends a broken disk.
+// PowerLoss reduces each file to what its last sync covered, and possibly some complete or torn later writes. It also
+// ends the failures that FailAfter has started.
 func (d *Folder) PowerLoss(random *rand.Rand) {
-	d.countdown = -1
+	d.operationsLeft = -1
 	for _, name := range sorted(d.removed) {
 		if random.IntN(2) > 0 {
 			continue
@@ -137,28 +141,29 @@
 		}
 		d.files[name] = d.removed[name]
 	}
-	d.removed = make(map[string]*content)
+	d.removed = make(map[string]*fileContent)
 	clean := random.IntN(3) == 0
 	for _, name := range sorted(d.files) {
 		file := d.files[name]
-		if !file.lasts && (clean || random.IntN(2) == 0) {
+		if !file.durable && (clean || random.IntN(2) == 0) {
 			delete(d.files, name)
 			continue
 		}
-		file.lose(random, clean)
+		file.dropUnsynced(random, clean)
 	}
 }
 
-func (c *content) lose(random *rand.Rand, clean bool) {
+func (c *fileContent) dropUnsynced(random *rand.Rand, clean bool) {
 	data := append([]byte(nil), c.synced...)
 	if !clean {
-		data = c.mix(random, data)
+		data = c.applySomeWrites(random, data)
 	}
-	*c = content{data: data, synced: data, lasts: true}
+	*c = fileContent{data: data, synced: data, durable: true}
 }
 
-// mix keeps each unsynced write, drops it or keeps its beginning; a dropped one before a kept one leaves zeros, or what was there.
-func (c *content) mix(random *rand.Rand, data []byte) []byte {
+// applySomeWrites returns the synced data, to which each unsynced write is applied completely, in part or not at all.
+// A write that is not applied, if a later one is, leaves zeros or the earlier bytes.
+func (c *fileContent) applySomeWrites(random *rand.Rand, data []byte) []byte {
 	if random.IntN(2) == 0 && len(c.data) < len(data) {
 		data = data[:len(c.data)]
 	}
@@ -180,7 +185,7 @@
 	return data
 }
 
-func sorted(files map[string]*content) []string {
+func sorted(files map[string]*fileContent) []string {
 	var names []string
 	for name := range files {
 		at := len(names)
@@ -192,13 +197,13 @@
 	return names
 }
 
-type handle struct {
+type openFile struct {
 	folder *Folder
-	file   *content
+	file   *fileContent
 }
 
-func (h *handle) Write(data []byte) (int, error) {
-	err := h.folder.count()
+func (h *openFile) Write(data []byte) (int, error) {
+	err := h.folder.countOperation()
 	if err != nil {
 		data = data[:len(data)/2]
 	}
@@ -208,14 +213,14 @@
 	return len(data), err
 }
 
-func (h *handle) Sync() error {
-	if err := h.folder.count(); err != nil {
+func (h *openFile) Sync() error {
+	if err := h.folder.countOperation(); err != nil {
 		return err
 	}
 	h.folder.Syncs++
 	h.file.synced = append([]byte(nil), h.file.data...)
-	h.file.writes, h.file.lasts = nil, true
+	h.file.writes, h.file.durable = nil, true
 	return nil
 }
 
-func (h *handle) Close() error { return nil }
+func (h *openFile) Close() error { return nil }
--- a/control/view/compat_test.go
+++ b/control/view/compat_test.go
@@ -11,7 +11,7 @@
 	"github.com/tinylib/msgp/msgp"
 )
 
-// message is a message of this package, by pointer.
+// message is implemented by pointers to the messages of this package.
 type message interface {
 	msgp.Marshaler
 	msgp.Unmarshaler
@@ -19,7 +19,7 @@
 	msgp.Decodable
 }
 
-func TestStoredAndSentBytesStayAsTheyWere(t *testing.T) {
+func TestEncodingsMatchGoldenFiles(t *testing.T) {
 	for name, sample := range samples() {
 		t.Run(name, func(t *testing.T) {
 			golden, err := os.ReadFile(filepath.Join("testdata", "compat", name+".msgp"))
@@ -44,13 +44,13 @@
 	}
 }
 
-func TestEveryCompatFileIsRead(t *testing.T) {
+func TestEveryGoldenFileHasSample(t *testing.T) {
 	files, err := filepath.Glob(filepath.Join("testdata", "compat", "*.msgp"))
 	require.NoError(t, err)
 	require.Len(t, files, len(samples()))
 }
 
-// samples has one value of each message, by the name of its file, with no field zero.
+// samples returns one value of each message, with no zero field, by the name of its file.
 func samples() map[string]message {
 	voter := Member{ID: 0xfedcba9876543210, Address: "10.0.0.1:7200", Zone: "a", Storage: true}
 	learner := Member{ID: 0x1234, Address: "10.0.0.2:7200", Zone: "b", Storage: true}
--- a/control/view/explore_test.go
+++ b/control/view/explore_test.go
@@ -13,50 +13,52 @@
 	"ravendale/internal/explore"
 )
 
-// Ticks of the model: a view that is wanted is decided within one, as long as a majority of the voters is up.
+// Durations in ticks of the model. A wanted view is decided within one tick if a majority of the voters is up.
 const (
-	downTicks      = 2  // of silence, then a voter may lose its vote to another
-	joinTicks      = 1  // after a start, until a machine is heard of
-	fillTicks      = 2  // after a machine has come into the chain, until it is complete
-	catchupTicks   = 6  // after a start, until a machine does not count as lost any more
-	removableTicks = 14 // of silence, then a voter may be given up
+	downTicks      = 2  // time without messages after which a voter's vote may be given to another member
+	joinTicks      = 1  // time from the start of a machine until the others know it
+	fillTicks      = 2  // time from joining the chain until a machine is complete
+	catchupTicks   = 6  // time from the start of a machine until its site no longer counts as failed
+	removableTicks = 14 // time without messages after which a voter may be removed
 )
 
-// machine is one of a site of the core: it is up or lost.
+// machine is a machine at a site of the core. It is up or down.
 type machine struct {
-	ID      view.ID
-	Address int
-	Up      bool
-	Stops   bool // it has been told to stop, and waits for its vote to be taken
-	Since   int  // ticks since it has started or was lost, up to removableTicks
-	Filled  int  // ticks in the chain, up to fillTicks
+	ID         view.ID
+	Address    int
+	Up         bool
+	Stopping   bool // it is stopping, and waits until another machine has taken its vote
+	Since      int  // ticks since it started or failed, at most removableTicks
+	ChainTicks int  // ticks in the chain, at most fillTicks
 }
 
-// site is where one member of the core runs. It counts as lost while its machine is down, and until its successor has had its time.
+// site is the place of one member of the core. It counts as failed while its machine is down, and until a machine
+// that has started there has had catchupTicks.
 type site struct {
-	Machine   machine
-	Successor *machine // of a planned replacement: it has come, the old one still runs
-	Waits     int      // ticks until it is not lost any more, zero if it is not
+	Machine       machine
+	Successor     *machine // of a planned replacement: it has started, while the old machine still runs
+	RecoveryTicks int      // ticks until it no longer counts as failed, zero if it does not
 }
 
-// replacing is a model of the membership alone: machines are lost and replaced, and a view is decided whenever another is planned. The rest
-// of the core is assumed as its simulation shows it: silence is noticed, newcomers are heard of and filled within bounds.
-type replacing struct {
-	tolerated int // losses that are borne
-	Sites     []site
-	Replaced  []machine // that were replaced, until they are unreachable for removableTicks
-	View      view.View
-	Next      view.ID
-	Left      int // replacements that may still be begun
-	mistake   func(know *view.Knowledge)
+// replacementModel is a model of the membership only: machines fail and are replaced, and a view is decided whenever
+// the planned one differs. The rest of the core is assumed to behave as its simulation shows: silence is detected,
+// and newcomers become known and complete within time bounds.
+type replacementModel struct {
+	tolerated        int // number of tolerated failures
+	Sites            []site
+	Replaced         []machine // replaced machines, until they have been unreachable for removableTicks
+	View             view.View
+	NextID           view.ID
+	ReplacementsLeft int // number of replacements that may still begin
+	fault            func(knowledge *view.Knowledge)
 }
 
-func newReplacing(sites, tolerated, replacements int) *replacing {
-	r := &replacing{tolerated: tolerated, Left: replacements, Next: view.ID(sites + 1)}
+func newReplacementModel(sites, tolerated, replacements int) *replacementModel {
+	r := &replacementModel{tolerated: tolerated, ReplacementsLeft: replacements, NextID: view.ID(sites + 1)}
 	r.View.Epoch = 1
 	for i := range sites {
 		id := view.ID(i + 1)
-		r.Sites = append(r.Sites, site{Machine: machine{ID: id, Address: i, Up: true, Since: removableTicks, Filled: fillTicks}})
+		r.Sites = append(r.Sites, site{Machine: machine{ID: id, Address: i, Up: true, Since: removableTicks, ChainTicks: fillTicks}})
 		m := view.Member{ID: id, Address: fmt.Sprint(i)}
 		if i < sites-1+sites%2 {
 			r.View.Voters = append(r.View.Voters, m)
@@ -69,8 +71,8 @@
 	return r
 }
 
-// machines lists all that exist, or were there lately.
-func (r *replacing) machines() []*machine {
+// machines returns all machines, including those that were replaced recently.
+func (r *replacementModel) machines() []*machine {
 	var all []*machine
 	for i := range r.Replaced {
 		all = append(all, &r.Replaced[i])
@@ -84,7 +86,7 @@
 	return all
 }
 
-func (r *replacing) find(id view.ID) *machine {
+func (r *replacementModel) find(id view.ID) *machine {
 	for _, m := range r.machines() {
 		if m.ID == id {
 			return m
@@ -93,12 +95,12 @@
 	return nil
 }
 
-func (r *replacing) knowledge() view.Knowledge {
+func (r *replacementModel) knowledge() view.Knowledge {
 	unreachable := func(id view.ID, ticks int) bool {
 		m := r.find(id)
 		return m == nil || !m.Up && m.Since >= ticks
 	}
-	know := view.Knowledge{
+	knowledge := view.Knowledge{
 		Alive: func(id view.ID) bool { return !unreachable(id, 1) },
 		Joinable: func(id view.ID) bool {
 			m := r.find(id)
@@ -107,26 +109,26 @@
 		Connected: func(a, b view.ID) bool { return true },
 		Down:      func(id view.ID) bool { return unreachable(id, downTicks) },
 		Removable: func(id view.ID) bool { return unreachable(id, removableTicks) },
-		Leaving:   func(id view.ID) bool { m := r.find(id); return m != nil && m.Stops },
+		Leaving:   func(id view.ID) bool { m := r.find(id); return m != nil && m.Stopping },
 	}
 	for _, m := range r.machines() {
 		if m.Up {
-			know.Known = append(know.Known, view.Member{ID: m.ID, Address: fmt.Sprint(m.Address)})
+			knowledge.Known = append(knowledge.Known, view.Member{ID: m.ID, Address: fmt.Sprint(m.Address)})
 		}
 	}
-	if r.mistake != nil {
-		r.mistake(&know)
+	if r.fault != nil {
+		r.fault(&knowledge)
 	}
-	return know
+	return knowledge
 }
 
-func (r *replacing) complete(id view.ID) bool {
+func (r *replacementModel) complete(id view.ID) bool {
 	m := r.find(id)
 	at := r.View.Position(id)
-	return m != nil && m.Up && at >= 0 && (at < r.View.Complete || m.Filled >= fillTicks)
+	return m != nil && m.Up && at >= 0 && (at < r.View.Complete || m.ChainTicks >= fillTicks)
 }
 
-func (r *replacing) upVoters() int {
+func (r *replacementModel) upVoters() int {
 	up := 0
 	for _, voter := range r.View.Voters {
 		if m := r.find(voter.ID); m != nil && m.Up {
@@ -136,8 +138,8 @@
 	return up
 }
 
-// decide decides the view that is planned, if there is another one and a majority is up.
-func (r *replacing) decide() {
+// decide adopts the planned view, if it changes anything and a majority of the voters is up.
+func (r *replacementModel) decide() {
 	if r.upVoters() < r.View.Majority() {
 		return
 	}
@@ -145,77 +147,87 @@
 	if !ok || view.Same(&r.View, &next) {
 		return
 	}
-	next.Epoch = 1 // epochs have no bearing here
+	next.Epoch = 1 // the model does not depend on epochs
 	r.View = next
 }
 
-// tick lets time pass: machines age, newcomers are filled, those that have handed over their votes end.
-func (r *replacing) tick() {
+// tick advances the time by one tick: machines in the chain become complete, and stopping machines whose successors
+// have replaced them end.
+func (r *replacementModel) tick() {
 	r.decide()
 	for _, m := range r.machines() {
 		m.Since = min(m.Since+1, removableTicks)
 		if m.Up && r.View.Position(m.ID) >= 0 {
-			m.Filled = min(m.Filled+1, fillTicks)
+			m.ChainTicks = min(m.ChainTicks+1, fillTicks)
 		}
 	}
 	r.Replaced = slices.DeleteFunc(r.Replaced, func(m machine) bool { return m.Since >= removableTicks })
 	r.decide()
 	for i := range r.Sites {
-		p := &r.Sites[i]
-		p.Waits = max(0, p.Waits-1)
-		if p.Machine.Stops {
-			r.end(p.Machine)
-			p.Machine, p.Successor = *p.Successor, nil
+		s := &r.Sites[i]
+		s.RecoveryTicks = max(0, s.RecoveryTicks-1)
+		if s.Machine.Stopping {
+			r.end(s.Machine)
+			s.Machine, s.Successor = *s.Successor, nil
 		}
 	}
 }
 
-// counted says whether a site counts as lost.
-func (p *site) counted() bool {
-	return p.Waits > 0 || !p.Machine.Up || p.Successor != nil && !p.Successor.Up
+// countsAsFailed reports whether a site counts as failed.
+func (s *site) countsAsFailed() bool {
+	return s.RecoveryTicks > 0 || !s.Machine.Up || s.Successor != nil && !s.Successor.Up
 }
 
-func (r *replacing) lostSites() int {
-	counted := 0
+func (r *replacementModel) failedSites() int {
+	failed := 0
 	for i := range r.Sites {
-		if r.Sites[i].counted() {
-			counted++
+		if r.Sites[i].countsAsFailed() {
+			failed++
 		}
 	}
-	return counted
+	return failed
 }
 
-// Enabled implements explore.System: a machine may be lost when that is within the tolerance, or its site counts as lost already.
-func (r *replacing) Enabled() []explore.Action {
+// Enabled implements explore.System. A machine may fail if that is within the tolerated failures, or if its site
+// already counts as failed. The actions other than tick are, for each site:
+//
+//   - lose: its machine fails;
+//   - return: the machine that failed starts again;
+//   - elsewhere: the machine that failed is replaced by a new one at another address;
+//   - empty: the machine that failed is replaced by a new one at the same address, with an empty disk;
+//   - plan: a successor starts at another address, while the old machine still runs;
+//   - lose-new, return-new: the successor fails, or starts again;
+//   - stop: the old machine is told to stop.
+func (r *replacementModel) Enabled() []explore.Action {
 	actions := []explore.Action{{Name: "tick"}}
 	add := func(verb string, at int) {
 		fault := verb == "lose" || verb == "lose-new" || verb == "plan"
 		actions = append(actions, explore.Action{Name: fmt.Sprint(verb, " ", at), Fault: fault})
 	}
-	may := r.lostSites() < r.tolerated
+	mayFail := r.failedSites() < r.tolerated
 	for at := range r.Sites {
-		p := &r.Sites[at]
-		counted := p.counted()
+		s := &r.Sites[at]
+		countsAsFailed := s.countsAsFailed()
 		switch {
-		case !p.Machine.Up:
+		case !s.Machine.Up:
 			add("return", at)
-			if r.Left > 0 {
+			if r.ReplacementsLeft > 0 {
 				add("elsewhere", at)
 				add("empty", at)
 			}
-		case p.Successor != nil && !p.Machine.Stops:
+		case s.Successor != nil && !s.Machine.Stopping:
 			add("stop", at)
-			if counted && p.Successor.Up {
+			if countsAsFailed && s.Successor.Up {
 				add("lose-new", at)
 			}
-			if !p.Successor.Up {
+			if !s.Successor.Up {
 				add("return-new", at)
 			}
-		case p.Successor == nil:
-			if may || counted {
+		case s.Successor == nil:
+			if mayFail || countsAsFailed {
 				add("lose", at)
 			}
-			if (may || counted) && r.Left > 0 {
+			if (mayFail || countsAsFailed) && r.ReplacementsLeft > 0 {
 				add("plan", at)
 			}
 		}
@@ -224,52 +236,52 @@
 }
 
 // Do implements explore.System.
-func (r *replacing) Do(name string) {
+func (r *replacementModel) Do(name string) {
 	var verb string
 	var at int
 	if _, err := fmt.Sscan(name, &verb, &at); err != nil {
 		r.tick()
 		return
 	}
-	p := &r.Sites[at]
+	s := &r.Sites[at]
 	switch verb {
 	case "lose":
-		p.Machine.Up, p.Machine.Since = false, 0
+		s.Machine.Up, s.Machine.Since = false, 0
 	case "lose-new":
-		p.Successor.Up, p.Successor.Since = false, 0
+		s.Successor.Up, s.Successor.Since = false, 0
 	case "return":
-		p.Machine.Up, p.Machine.Since, p.Machine.Filled, p.Waits = true, 0, 0, catchupTicks
+		s.Machine.Up, s.Machine.Since, s.Machine.ChainTicks, s.RecoveryTicks = true, 0, 0, catchupTicks
 	case "return-new":
-		p.Successor.Up, p.Successor.Since, p.Successor.Filled, p.Waits = true, 0, 0, catchupTicks
+		s.Successor.Up, s.Successor.Since, s.Successor.ChainTicks, s.RecoveryTicks = true, 0, 0, catchupTicks
 	case "elsewhere":
-		r.end(p.Machine)
-		p.Machine, p.Waits = r.newcomer(int(r.Next)), catchupTicks
+		r.end(s.Machine)
+		s.Machine, s.RecoveryTicks = r.newcomer(int(r.NextID)), catchupTicks
 	case "empty":
-		r.end(p.Machine)
-		p.Machine, p.Waits = r.newcomer(p.Machine.Address), catchupTicks
+		r.end(s.Machine)
+		s.Machine, s.RecoveryTicks = r.newcomer(s.Machine.Address), catchupTicks
 	case "plan":
-		successor := r.newcomer(int(r.Next))
-		p.Successor, p.Waits = &successor, catchupTicks
+		successor := r.newcomer(int(r.NextID))
+		s.Successor, s.RecoveryTicks = &successor, catchupTicks
 	case "stop":
-		p.Machine.Stops = true
+		s.Machine.Stopping = true
 	}
 }
 
-func (r *replacing) end(m machine) {
+func (r *replacementModel) end(m machine) {
 	if m.Up {
 		m.Up, m.Since = false, 0
 	}
 	r.Replaced = append(r.Replaced, m)
 }
 
-func (r *replacing) newcomer(address int) machine {
-	r.Left--
-	r.Next++
-	return machine{ID: r.Next - 1, Address: address, Up: true}
+func (r *replacementModel) newcomer(address int) machine {
+	r.ReplacementsLeft--
+	r.NextID++
+	return machine{ID: r.NextID - 1, Address: address, Up: true}
 }
 
-// State implements explore.System. Of identities only the order has a bearing, of addresses only which are the same.
-func (r *replacing) State() []byte {
+// State implements explore.System. Of the IDs only the order matters, of the addresses only which ones are equal.
+func (r *replacementModel) State() []byte {
 	var known []view.ID
 	for _, m := range r.machines() {
 		known = append(known, m.ID)
@@ -288,7 +300,7 @@
 	b := encoder.Append(nil, r.Sites)
 	b = encoder.Append(b, r.Replaced)
 	b = encoder.Append(b, r.View)
-	b = encoder.Append(b, r.Left)
+	b = encoder.Append(b, r.ReplacementsLeft)
 	for _, member := range r.View.Members() {
 		for _, m := range r.machines() {
 			b = encoder.Append(b, member.Address == fmt.Sprint(m.Address))
@@ -298,19 +310,20 @@
 }
 
 // Clone implements explore.System.
-func (r *replacing) Clone() explore.System { return explore.Clone(r) }
+func (r *replacementModel) Clone() explore.System { return explore.Clone(r) }
 
-// Check implements explore.System: whatever else may be lost, a majority is left, and a complete member.
-func (r *replacing) Check() error {
+// Check implements explore.System: after any further tolerated failures, a majority of the voters and a complete
+// member must remain.
+func (r *replacementModel) Check() error {
 	voters, complete := 0, 0
 	for i := range r.Sites {
-		p := &r.Sites[i]
-		if p.counted() && p.Successor == nil || !p.Machine.Up {
+		s := &r.Sites[i]
+		if s.countsAsFailed() && s.Successor == nil || !s.Machine.Up {
 			continue
 		}
-		reliable := []*machine{&p.Machine}
-		if p.Successor != nil && !p.counted() {
-			reliable = append(reliable, p.Successor)
+		reliable := []*machine{&s.Machine}
+		if s.Successor != nil && !s.countsAsFailed() {
+			reliable = append(reliable, s.Successor)
 		}
 		for _, m := range reliable {
 			if _, voter := r.View.Voter(m.ID); voter {
@@ -321,47 +334,48 @@
 			}
 		}
 	}
-	more := max(0, r.tolerated-r.lostSites())
+	more := max(0, r.tolerated-r.failedSites())
 	if voters-more < r.View.Majority() {
-		return fmt.Errorf("%d of %d voters can be relied on, and %d more may be lost", voters, len(r.View.Voters), more)
+		return fmt.Errorf("%d of %d voters are reliable, and %d more may fail", voters, len(r.View.Voters), more)
 	}
 	if complete-more < 1 {
-		return fmt.Errorf("%d complete members can be relied on, and %d more may be lost", complete, more)
+		return fmt.Errorf("%d complete members are reliable, and %d more may fail", complete, more)
 	}
 	return nil
 }
 
-var searchLarge = flag.Int("explore", 5000, "states of the search of each kind of core")
+var maxStates = flag.Int("explore", 5000, "maximum number of states per search")
 
-// TestNoOrderOfReplacementsLeavesNoMajority searches from calm cores, as far as a number of states allows.
-func TestNoOrderOfReplacementsLeavesNoMajority(t *testing.T) {
+// TestMajorityRemainsInAnyOrderOfReplacements searches from healthy cores, up to a number of states.
+func TestMajorityRemainsInAnyOrderOfReplacements(t *testing.T) {
 	for _, c := range []struct{ sites, tolerated, replacements, faults int }{{3, 1, 2, 3}, {4, 1, 2, 3}, {5, 1, 2, 3}, {5, 2, 2, 3}} {
-		t.Run(fmt.Sprintf("%d machines, %d lost", c.sites, c.tolerated), func(t *testing.T) {
+		t.Run(fmt.Sprintf("%d machines, %d failures tolerated", c.sites, c.tolerated), func(t *testing.T) {
 			t.Parallel()
-			result := explore.Run(newReplacing(c.sites, c.tolerated, c.replacements), explore.Scope{States: *searchLarge, Faults: c.faults})
+			result := explore.Run(newReplacementModel(c.sites, c.tolerated, c.replacements), explore.Scope{States: *maxStates, Faults: c.faults})
 			t.Log(result)
 			require.Nil(t, result.Violation)
 		})
 	}
 }
 
-// TestVotesThatAreKeptAreFound has voters that are down, or that are told to stop, keep their votes, or newcomers get votes at once.
-func TestVotesThatAreKeptAreFound(t *testing.T) {
-	for name, mistake := range map[string]func(know *view.Knowledge){
-		"down":     func(know *view.Knowledge) { know.Down = know.Removable },
-		"stopping": func(know *view.Knowledge) { know.Leaving = no },
-		"eager":    func(know *view.Knowledge) { know.MutateImmediateVote = true },
+// TestSearchDetectsFaultyPlans injects faults: voters that are down or stopping keep their votes, or newcomers get
+// votes at once.
+func TestSearchDetectsFaultyPlans(t *testing.T) {
+	for name, fault := range map[string]func(knowledge *view.Knowledge){
+		"voter that is down keeps its vote": func(knowledge *view.Knowledge) { knowledge.Down = knowledge.Removable },
+		"stopping voter keeps its vote":     func(knowledge *view.Knowledge) { knowledge.Leaving = never },
+		"newcomer gets a vote at once":      func(knowledge *view.Knowledge) { knowledge.MutateImmediateVote = true },
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			start := newReplacing(3, 1, 2)
-			start.mistake = mistake
+			start := newReplacementModel(3, 1, 2)
+			start.fault = fault
 			result := explore.Run(start, explore.Scope{States: 40000, Faults: 2})
-			require.NotNil(t, result.Violation, "not caught: %v", result)
-			require.ErrorContains(t, result.Violation.Err, "voters can be relied on")
-			again := newReplacing(3, 1, 2)
-			again.mistake = mistake
-			require.Error(t, explore.Replay(again, result.Violation.Trace), "the trace replays")
+			require.NotNil(t, result.Violation, "fault not detected: %v", result)
+			require.ErrorContains(t, result.Violation.Err, "voters are reliable")
+			replayed := newReplacementModel(3, 1, 2)
+			replayed.fault = fault
+			require.Error(t, explore.Replay(replayed, result.Violation.Trace), "the trace leads to the violation again")
 		})
 	}
 }
--- a/control/view/members.go
+++ b/control/view/members.go
@@ -4,9 +4,10 @@
 
 // membership is the voters and learners of the view that is being planned.
 //
-// A newcomer is a learner at first, so that it raises no majority before it can be relied on. It gets a vote in three ways: it takes that
-// of a voter that is down, leaves, or has lost its disk, which leaves the majority as it is; it makes an even number of voters odd, which
-// does so too; or two that are complete become voters together, which raises the majority by one and the losses that are borne by one.
+// A newcomer is a learner at first, so that it doesn't raise the majority before it is reliable. It becomes a voter
+// in one of three ways. It replaces a voter that is down, is leaving or has lost its disk, which leaves the majority
+// unchanged. It makes an even number of voters odd, which leaves the majority unchanged, too. Or two complete
+// learners become voters together, which raises both the majority and the number of tolerated failures by one.
 type membership struct {
 	knowledge Knowledge
 	complete  func(ID) bool
@@ -28,36 +29,37 @@
 	return m.voters, m.learners
 }
 
-// retain takes over the members, except that a new disk replaces the one of its address, vote included, and that those go who wish to and may.
+// retain takes over the members of the current view. A new disk at the address of a member replaces that member,
+// including its vote. Members that want to be removed and can be spared are left out.
 func (m *membership) retain(current *View) {
 	for _, member := range current.Voters {
 		if m.dispensable(member.ID) {
 			continue
 		}
-		if successor, ok := m.successor(member); ok {
+		if successor, ok := m.replacementFor(member); ok {
 			member = successor
 		}
-		if !m.has(member.ID) {
+		if !m.contains(member.ID) {
 			m.voters = append(m.voters, member)
 		}
 	}
 	for _, member := range current.Learners {
-		if _, replaced := m.successor(member); !replaced && !m.has(member.ID) && !m.dispensable(member.ID) {
+		if _, replaced := m.replacementFor(member); !replaced && !m.contains(member.ID) && !m.dispensable(member.ID) {
 			m.learners = append(m.learners, member)
 		}
 	}
 }
 
-// admit makes those learners that were heard of and are no members.
+// admit adds eligible known members that are not part of the view yet as learners.
 func (m *membership) admit() {
 	for _, member := range sortedMembers(m.knowledge.Known) {
-		if !m.has(member.ID) && m.eligible(member) && !m.superseded(member) {
+		if !m.contains(member.ID) && m.eligible(member) && !m.superseded(member) {
 			m.learners = append(m.learners, member)
 		}
 	}
 }
 
-// replace gives the vote of each voter that is down or leaves to a learner, if there is one that can take it.
+// replace gives the vote of each voter that is down or leaving to a learner, as far as there are eligible learners.
 func (m *membership) replace() {
 	for i, member := range m.voters {
 		if !m.unreliable(member) {
@@ -69,7 +71,8 @@
 	}
 }
 
-// grow makes voters of learners as far as that lets more be lost.
+// grow promotes learners to voters: one if the number of voters is even, then complete learners in pairs, each of
+// which raises the number of tolerated failures by one.
 func (m *membership) grow() {
 	if len(m.voters)%2 == 0 {
 		m.promote(m.bestCandidate())
@@ -85,14 +88,15 @@
 	}
 }
 
-func (m *membership) promote(at int) {
-	if at >= 0 {
-		m.voters = append(m.voters, m.learners[at])
-		m.learners = slices.Delete(m.learners, at, at+1)
+func (m *membership) promote(index int) {
+	if index >= 0 {
+		m.voters = append(m.voters, m.learners[index])
+		m.learners = slices.Delete(m.learners, index, index+1)
 	}
 }
 
-// bestCandidate is the index of the learner that had better get a vote, -1 if there is none that can: a complete one, if there is one.
+// bestCandidate returns the index of the learner to promote next: a complete one if possible, else any eligible one,
+// -1 if there is none.
 func (m *membership) bestCandidate() int {
 	if at := m.bestComplete(-1); at >= 0 {
 		return at
@@ -100,9 +104,9 @@
 	return slices.IndexFunc(m.learners, m.eligible)
 }
 
-func (m *membership) bestComplete(but int) int {
+func (m *membership) bestComplete(except int) int {
 	for at, member := range m.learners {
-		if at != but && m.eligible(member) && m.complete(member.ID) {
+		if at != except && m.eligible(member) && m.complete(member.ID) {
 			return at
 		}
 	}
@@ -117,36 +121,39 @@
 	return m.knowledge.Dispensable != nil && m.knowledge.Dispensable(id)
 }
 
-func (m *membership) has(id ID) bool {
-	_, voter := find(m.voters, id)
-	_, learner := find(m.learners, id)
+func (m *membership) contains(id ID) bool {
+	_, voter := findMember(m.voters, id)
+	_, learner := findMember(m.learners, id)
 	return voter || learner
 }
 
-// successor finds the member that has a voter's or learner's address with another disk.
-func (m *membership) successor(of Member) (Member, bool) {
-	if m.knowledge.Alive(of.ID) {
+// replacementFor returns the member that has the address of an unreachable member, but another disk.
+func (m *membership) replacementFor(member Member) (Member, bool) {
+	if m.knowledge.Alive(member.ID) {
 		return Member{}, false
 	}
 	for _, other := range m.knowledge.Known {
-		if other.Address == of.Address && other.ID != of.ID && m.eligible(other) && !m.superseded(other) {
+		if other.Address == member.Address && other.ID != member.ID && m.eligible(other) && !m.superseded(other) {
 			return other, true
 		}
 	}
 	return Member{}, false
 }
 
-// superseded says whether a member that is heard of shares its address with another that is heard of too: the address tells too little.
+// superseded reports whether another known member that may join has the same address and a higher ID. The address
+// alone doesn't show which of both disks is current.
 func (m *membership) superseded(member Member) bool {
 	return slices.ContainsFunc(m.knowledge.Known, func(other Member) bool {
 		return other.Address == member.Address && other.ID > member.ID && m.knowledge.Joinable(other.ID)
 	})
 }
 
-// leastVoters is how many voters are kept: were there fewer, the loss of one for good could leave nobody to decide, though others come back.
-const leastVoters = 3
+// minVoters is the number below which voters are not demoted. With fewer voters, the permanent loss of one could
+// leave no majority to decide a view, even if the others recover.
+const minVoters = 3
 
-// demote drops voters that are down or leave as far as that lets the rest bear more losses. They are learners until they come back.
+// demote turns voters that are down or leaving into learners as far as that raises the number of further failures
+// that the remaining voters tolerate. They can become voters again when they are back.
 func (m *membership) demote() {
 	var unreliable []ID
 	for _, member := range m.voters {
@@ -154,14 +161,14 @@
 			unreliable = append(unreliable, member.ID)
 		}
 	}
-	best, bestMargin := 0, margin(len(m.voters), len(unreliable))
-	for drop := 1; drop <= min(len(unreliable), len(m.voters)-leastVoters); drop++ {
-		if left := margin(len(m.voters)-drop, len(unreliable)-drop); left > bestMargin {
-			best, bestMargin = drop, left
+	bestDrop, bestMargin := 0, failureMargin(len(m.voters), len(unreliable))
+	for drop := 1; drop <= min(len(unreliable), len(m.voters)-minVoters); drop++ {
+		if remaining := failureMargin(len(m.voters)-drop, len(unreliable)-drop); remaining > bestMargin {
+			bestDrop, bestMargin = drop, remaining
 		}
 	}
 	m.voters = slices.DeleteFunc(m.voters, func(member Member) bool {
-		dropped := slices.Contains(unreliable[:best], member.ID)
+		dropped := slices.Contains(unreliable[:bestDrop], member.ID)
 		if dropped {
 			m.learners = append(m.learners, member)
 		}
@@ -169,13 +176,13 @@
 	})
 }
 
-// unreliable says whether a voter is down, or about to be.
+// unreliable reports whether a voter is down or leaving.
 func (m *membership) unreliable(member Member) bool {
 	return m.knowledge.Down(member.ID) || m.knowledge.Leaving(member.ID)
 }
 
-// margin is how many more voters may be lost with a majority left.
-func margin(voters, down int) int { return (voters-1)/2 - down }
+// failureMargin returns the number of further voters that may fail while a majority remains.
+func failureMargin(voters, down int) int { return (voters-1)/2 - down }
 
 func sortedMembers(members []Member) []Member {
 	sorted := slices.Clone(members)
--- a/control/view/members_test.go
+++ b/control/view/members_test.go
@@ -15,9 +15,9 @@
 	return list
 }
 
-func TestANewcomerHasNoVoteAtFirst(t *testing.T) {
-	current := of(7, []view.ID{1, 2, 3}, 1, 2, 3)
-	planned, ok := view.Plan(&current, knowing(yes, 1, 2, 3, 4), yes)
+func TestNewcomerIsLearnerAtFirst(t *testing.T) {
+	current := newView(7, []view.ID{1, 2, 3}, 1, 2, 3)
+	planned, ok := view.Plan(&current, knowledgeOf(always, 1, 2, 3, 4), always)
 	require.True(t, ok)
 	require.Equal(t, []view.ID{1, 2, 3}, ids(planned.Voters))
 	require.Equal(t, []view.ID{4}, ids(planned.Learners))
@@ -25,90 +25,90 @@
 	require.False(t, view.Same(&current, &planned))
 
 	planned.Epoch = 8
-	again, _ := view.Plan(&planned, knowing(yes, 1, 2, 3, 4), yes)
-	require.True(t, view.Same(&planned, &again), "nothing more to do")
+	again, _ := view.Plan(&planned, knowledgeOf(always, 1, 2, 3, 4), always)
+	require.True(t, view.Same(&planned, &again), "a second plan changes nothing")
 }
 
-func TestALearnerTakesTheVoteOfOneThatIsDown(t *testing.T) {
-	current := of(7, []view.ID{1, 2, 3, 4}, 1, 2, 3)
+func TestLearnerReplacesVoterThatIsDown(t *testing.T) {
+	current := newView(7, []view.ID{1, 2, 3, 4}, 1, 2, 3)
 	current.Learners = []view.Member{member(4)}
-	know := knowing(among(1, 2, 4), 1, 2, 3, 4)
-	planned, _ := view.Plan(&current, know, yes)
-	require.Equal(t, []view.ID{1, 2, 3}, ids(planned.Voters), "it has only just fallen silent")
-	know.Down = among(3)
-	planned, _ = view.Plan(&current, know, no123)
-	require.Equal(t, []view.ID{1, 2, 4}, ids(planned.Voters), "even before it is filled")
-	require.Equal(t, []view.ID{3}, ids(planned.Learners), "the other may come back")
-	know.Removable = among(3)
-	planned, _ = view.Plan(&current, know, yes)
+	knowledge := knowledgeOf(oneOf(1, 2, 4), 1, 2, 3, 4)
+	planned, _ := view.Plan(&current, knowledge, always)
+	require.Equal(t, []view.ID{1, 2, 3}, ids(planned.Voters), "3 is unreachable, but not for long enough to be down")
+	knowledge.Down = oneOf(3)
+	planned, _ = view.Plan(&current, knowledge, allBut4)
+	require.Equal(t, []view.ID{1, 2, 4}, ids(planned.Voters), "4 replaces 3 even before it is complete")
+	require.Equal(t, []view.ID{3}, ids(planned.Learners), "3 may come back")
+	knowledge.Removable = oneOf(3)
+	planned, _ = view.Plan(&current, knowledge, always)
 	require.Empty(t, planned.Learners)
 }
 
-// no123 has all but the newcomer complete.
-func no123(id view.ID) bool { return id != 4 }
+// allBut4 reports whether a member is not the newcomer 4.
+func allBut4(id view.ID) bool { return id != 4 }
 
-func TestACompleteLearnerIsPreferred(t *testing.T) {
-	current := of(7, []view.ID{1, 2, 4, 5}, 1, 2, 3)
+func TestCompleteLearnerIsPromotedFirst(t *testing.T) {
+	current := newView(7, []view.ID{1, 2, 4, 5}, 1, 2, 3)
 	current.Learners = []view.Member{member(4), member(5)}
-	know := knowing(among(1, 2, 4, 5), 1, 2, 3, 4, 5)
-	know.Down = among(3)
-	planned, _ := view.Plan(&current, know, among(1, 2, 5))
+	knowledge := knowledgeOf(oneOf(1, 2, 4, 5), 1, 2, 3, 4, 5)
+	knowledge.Down = oneOf(3)
+	planned, _ := view.Plan(&current, knowledge, oneOf(1, 2, 5))
 	require.Equal(t, []view.ID{1, 2, 5}, ids(planned.Voters))
 }
 
-func TestLearnersBecomeVotersInPairs(t *testing.T) {
-	current := of(7, []view.ID{1, 2, 3, 4, 5}, 1, 2, 3)
+func TestLearnersAreAddedAsVotersInPairs(t *testing.T) {
+	current := newView(7, []view.ID{1, 2, 3, 4, 5}, 1, 2, 3)
 	current.Learners = []view.Member{member(4), member(5)}
-	planned, _ := view.Plan(&current, knowing(yes, 1, 2, 3, 4, 5), among(1, 2, 3, 4))
-	require.Equal(t, []view.ID{1, 2, 3}, ids(planned.Voters), "one is not complete")
-	planned, _ = view.Plan(&current, knowing(yes, 1, 2, 3, 4, 5), yes)
+	planned, _ := view.Plan(&current, knowledgeOf(always, 1, 2, 3, 4, 5), oneOf(1, 2, 3, 4))
+	require.Equal(t, []view.ID{1, 2, 3}, ids(planned.Voters), "5 is not complete")
+	planned, _ = view.Plan(&current, knowledgeOf(always, 1, 2, 3, 4, 5), always)
 	require.ElementsMatch(t, []view.ID{1, 2, 3, 4, 5}, ids(planned.Voters))
 	require.Empty(t, planned.Learners)
 }
 
-func TestAnEvenNumberOfVotersTakesOneMore(t *testing.T) {
-	current := of(7, []view.ID{1, 2}, 1, 2)
-	planned, _ := view.Plan(&current, knowing(yes, 1, 2, 3), among(1, 2))
+func TestEvenNumberOfVotersGetsOneMore(t *testing.T) {
+	current := newView(7, []view.ID{1, 2}, 1, 2)
+	planned, _ := view.Plan(&current, knowledgeOf(always, 1, 2, 3), oneOf(1, 2))
 	require.Equal(t, []view.ID{1, 2, 3}, ids(planned.Voters))
 }
 
-func TestOneThatLeavesHandsItsVoteOver(t *testing.T) {
-	current := of(7, []view.ID{1, 2, 3, 4}, 1, 2, 3)
+func TestLearnerReplacesLeavingVoter(t *testing.T) {
+	current := newView(7, []view.ID{1, 2, 3, 4}, 1, 2, 3)
 	current.Learners = []view.Member{member(4)}
-	know := knowing(yes, 1, 2, 3, 4)
-	know.Leaving = among(1)
-	planned, _ := view.Plan(&current, know, yes)
+	knowledge := knowledgeOf(always, 1, 2, 3, 4)
+	knowledge.Leaving = oneOf(1)
+	planned, _ := view.Plan(&current, knowledge, always)
 	require.Equal(t, []view.ID{4, 2, 3}, ids(planned.Voters))
 	require.Equal(t, []view.ID{2, 3, 4}, planned.Chain)
 
-	alone := of(7, []view.ID{1, 2, 3}, 1, 2, 3)
-	planned, _ = view.Plan(&alone, know3(among(1)), yes)
-	require.Equal(t, []view.ID{1, 2, 3}, ids(planned.Voters), "nobody can take its vote")
+	alone := newView(7, []view.ID{1, 2, 3}, 1, 2, 3)
+	planned, _ = view.Plan(&alone, knowledgeOf3(oneOf(1)), always)
+	require.Equal(t, []view.ID{1, 2, 3}, ids(planned.Voters), "no learner can take the vote of 1")
 	require.Equal(t, []view.ID{2, 3}, planned.Chain)
-	planned, ok := view.Plan(&alone, know3(yes), yes)
+	planned, ok := view.Plan(&alone, knowledgeOf3(always), always)
 	require.True(t, ok)
-	require.Equal(t, []view.ID{1, 2, 3}, planned.Chain, "all leave")
-	planned, _ = view.Plan(&alone, know3(among(1)), among(1))
-	require.Equal(t, []view.ID{1, 2, 3}[:1], planned.Chain[:1], "only the one that leaves is complete")
+	require.Equal(t, []view.ID{1, 2, 3}, planned.Chain, "all members are leaving")
+	planned, _ = view.Plan(&alone, knowledgeOf3(oneOf(1)), oneOf(1))
+	require.Equal(t, []view.ID{1, 2, 3}[:1], planned.Chain[:1], "only the leaving member is complete")
 }
 
-func know3(leaving func(view.ID) bool) view.Knowledge {
-	know := knowing(yes, 1, 2, 3)
-	know.Leaving = leaving
-	return know
+func knowledgeOf3(leaving func(view.ID) bool) view.Knowledge {
+	knowledge := knowledgeOf(always, 1, 2, 3)
+	knowledge.Leaving = leaving
+	return knowledge
 }
 
-func TestANewDiskTakesTheVoteOfItsAddress(t *testing.T) {
-	current := of(7, []view.ID{1, 2, 3}, 1, 2, 3)
-	know := knowing(among(2, 3, 9, 4), 2, 3, 4)
-	know.Known = append(know.Known, view.Member{ID: 9, Address: member(1).Address})
-	planned, _ := view.Plan(&current, know, among(2, 3))
+func TestNewDiskReplacesVoterWithSameAddress(t *testing.T) {
+	current := newView(7, []view.ID{1, 2, 3}, 1, 2, 3)
+	knowledge := knowledgeOf(oneOf(2, 3, 9, 4), 2, 3, 4)
+	knowledge.Known = append(knowledge.Known, view.Member{ID: 9, Address: member(1).Address})
+	planned, _ := view.Plan(&current, knowledge, oneOf(2, 3))
 	require.Equal(t, []view.ID{9, 2, 3}, ids(planned.Voters))
 	require.Equal(t, []view.ID{4}, ids(planned.Learners))
 }
 
-func TestLearnersCountInNoMajority(t *testing.T) {
-	current := of(7, []view.ID{1, 2, 3, 4}, 1, 2, 3)
+func TestLearnersDoNotCountTowardsMajority(t *testing.T) {
+	current := newView(7, []view.ID{1, 2, 3, 4}, 1, 2, 3)
 	current.Learners = []view.Member{member(4)}
 	ballot := view.Ballot{Number: 1, Proposer: 1}
 	p := view.NewProposer(0, current, ballot, false)
@@ -117,11 +117,11 @@
 	}
 	promise(1)
 	promise(4)
-	require.False(t, p.Gathered(view.GatherTimeout, no))
+	require.False(t, p.Gathered(view.GatherTimeout, never))
 	promise(2)
-	require.True(t, p.Gathered(view.GatherTimeout, no))
+	require.True(t, p.Gathered(view.GatherTimeout, never))
 	accept := p.Choose(func(complete func(view.ID) bool) (view.View, bool) {
-		require.True(t, complete(4), "that it is complete counts")
+		require.True(t, complete(4), "the learner has reported that it is complete")
 		return current, true
 	})
 	accepted := &view.AcceptReply{Epoch: 7, Ballot: ballot, Granted: true}
--- a/control/view/plan.go
+++ b/control/view/plan.go
@@ -2,22 +2,22 @@
 
 import "slices"
 
-// Knowledge is what a proposer knows of the others when it plans a view.
+// Knowledge is what a proposer knows about the other members when it plans a view.
 type Knowledge struct {
-	Alive               func(ID) bool      // it is heard of
-	Joinable            func(ID) bool      // it is alive, and has been for long enough to be admitted
-	Connected           func(a, b ID) bool // messages pass between both, both ways
-	Down                func(ID) bool      // it has been unreachable for so long that its vote had better be another's, or nobody's
-	Removable           func(ID) bool      // it has been down for so long that it is removed
-	Leaving             func(ID) bool      // it is alive, and is about to stop or wants to be no member any more
-	Dispensable         func(ID) bool      // it wants to be no member any more, and the others can do without it; nil: none is
-	Known               []Member           // members that were heard of, whether or not they are of the view
-	MutateImmediateVote bool               // a mutation of tests: a newcomer gets a vote at once
+	Alive               func(ID) bool      // messages have been received from it recently
+	Joinable            func(ID) bool      // it is alive, and has been so for long enough to be admitted
+	Connected           func(a, b ID) bool // messages pass between both in both directions
+	Down                func(ID) bool      // unreachable for so long that another member should get its vote, or none
+	Removable           func(ID) bool      // it has been unreachable for so long that it is removed from the members
+	Leaving             func(ID) bool      // it is alive, and is about to stop or wants to be removed from the members
+	Dispensable         func(ID) bool      // it wants to be removed, and the others can spare it; nil: no member does
+	Known               []Member           // members that have been heard from, whether or not they are in the view
+	MutateImmediateVote bool               // fault injected by tests: newcomers become voters at once
 }
 
-// Plan makes the successor of a view, epoch and holder apart: members of the chain that are complete stay in their order, then
-// come those that may join. Members that are about to end are left out, unless no other is complete. It refuses a chain without any complete
-// member.
+// Plan returns the successor of a view, except its epoch and lease holder. Complete members of the chain keep their
+// order; members that may join are appended. Members that are leaving are left out, unless no other member is
+// complete. Plan returns false if the chain would have no complete member.
 func Plan(current *View, knowledge Knowledge, complete func(ID) bool) (View, bool) {
 	voters, learners := planMembers(current, knowledge, complete)
 	next := View{Voters: voters, Learners: learners}
@@ -29,35 +29,37 @@
 	if next.Complete == 0 {
 		return View{}, false
 	}
-	for _, id := range joiners(current, &next) {
-		if !slices.Contains(next.Chain, id) && knowledge.Joinable(id) && !knowledge.Leaving(id) && fits(next.Chain, id, knowledge) {
+	for _, id := range joinOrder(current, &next) {
+		if !slices.Contains(next.Chain, id) && knowledge.Joinable(id) && !knowledge.Leaving(id) && connectsToTail(next.Chain, id, knowledge) {
 			next.Chain = append(next.Chain, id)
 		}
 	}
 	return next, true
 }
 
-// retainChain lists those of the chain that are alive and complete, but for those that would leave too many of the others out.
+// retainChain returns the members of the chain that are alive and complete, without those whose missing connections
+// would exclude more of the others.
 func retainChain(current, next *View, knowledge Knowledge, complete func(ID) bool) []ID {
-	var kept []ID
+	var retained []ID
 	for _, id := range current.Chain {
-		if _, member := next.Member(id); member && knowledge.Alive(id) && complete(id) {
-			kept = append(kept, id)
+		if _, isMember := next.Member(id); isMember && knowledge.Alive(id) && complete(id) {
+			retained = append(retained, id)
 		}
 	}
-	return longestConnected(kept, knowledge.Connected)
+	return longestConnected(retained, knowledge.Connected)
 }
 
-// longestConnected is the longest part of a list, in its order, whose neighbours are connected; of several the one that begins first. One that hears nobody,
-// even the head, must not exclude the others: were it lost then, nobody would be complete.
+// longestConnected returns the longest subsequence of a list in which each element is connected to the next. Of
+// several it takes the one that ends first. A member without connections, even if it is the head, must not exclude
+// the others: if it failed later, no complete member would be left.
 func longestConnected(list []ID, connected func(a, b ID) bool) []ID {
-	length, before := make([]int, len(list)), make([]int, len(list))
+	length, previous := make([]int, len(list)), make([]int, len(list))
 	end := -1
 	for i := range list {
-		length[i], before[i] = 1, -1
+		length[i], previous[i] = 1, -1
 		for j := range i {
 			if connected(list[j], list[i]) && length[j]+1 > length[i] {
-				length[i], before[i] = length[j]+1, j
+				length[i], previous[i] = length[j]+1, j
 			}
 		}
 		if end < 0 || length[i] > length[end] {
@@ -65,19 +67,21 @@
 		}
 	}
 	var chain []ID
-	for ; end >= 0; end = before[end] {
+	for ; end >= 0; end = previous[end] {
 		chain = append(chain, list[end])
 	}
 	slices.Reverse(chain)
 	return chain
 }
 
-func fits(chain []ID, id ID, knowledge Knowledge) bool {
+// connectsToTail reports whether a member can be appended to the chain.
+func connectsToTail(chain []ID, id ID, knowledge Knowledge) bool {
 	return len(chain) == 0 || knowledge.Connected(chain[len(chain)-1], id)
 }
 
-// joiners lists the members, those of the current chain first and in its order, so that a plan is the same as long as nothing changes.
-func joiners(current, next *View) []ID {
+// joinOrder returns all members, with those of the current chain first and in its order. That makes a plan stable as
+// long as nothing changes.
+func joinOrder(current, next *View) []ID {
 	order := slices.Clone(current.Chain)
 	for _, member := range next.Members() {
 		if !slices.Contains(order, member.ID) {
@@ -85,12 +89,12 @@
 		}
 	}
 	return slices.DeleteFunc(order, func(id ID) bool {
-		_, member := next.Member(id)
-		return !member
+		_, isMember := next.Member(id)
+		return !isMember
 	})
 }
 
-// Same reports whether a plan would change nothing but to remove learners.
+// Same reports whether a plan changes nothing, apart from the removal of learners.
 func Same(current *View, planned *View) bool {
 	for _, member := range planned.Learners {
 		if _, known := current.Member(member.ID); !known {
@@ -100,10 +104,10 @@
 	return slices.Equal(current.Chain, planned.Chain) && current.SameVoters(planned)
 }
 
-// Durability is what a chain must have to commit.
+// Durability is what a chain needs to commit.
 type Durability struct {
-	Copies           int // disks
-	ToleratedZones   int // zones that may be lost: the chain lies in more of them
+	Copies           int // number of disks
+	ToleratedZones   int // number of zones that may fail: the chain must span more zones than that
 	ToleratedRegions int
 	RegionOf         func(zone string) string
 }
@@ -124,7 +128,8 @@
 	return len(zones) > d.ToleratedZones && (d.ToleratedRegions == 0 || len(regions) > d.ToleratedRegions)
 }
 
-// Voters returns how many voters tolerate the losses, if they lie in as many zones.
+// Voters returns the number of voters that is needed to tolerate the failures, provided that they are spread over as
+// many zones.
 func (d Durability) Voters() int {
-	return max(leastVoters, 2*max(d.Copies-1, d.ToleratedZones, d.ToleratedRegions)+1)
+	return max(minVoters, 2*max(d.Copies-1, d.ToleratedZones, d.ToleratedRegions)+1)
 }
--- a/control/view/proposer.go
+++ b/control/view/proposer.go
@@ -2,30 +2,31 @@
 
 import "time"
 
-// Time limits of a proposal.
+// Time limits of a proposal, from the start of the attempt.
 const (
-	GatherTimeout  = 120 * time.Millisecond // a majority having promised, so long is waited for the others that live
-	AttemptTimeout = 500 * time.Millisecond // then an attempt is given up
+	GatherTimeout  = 120 * time.Millisecond // once a majority has promised, how long to wait for other live members
+	AttemptTimeout = 500 * time.Millisecond // after this time the attempt is abandoned
 )
 
-// Proposer runs one attempt at deciding the successor of a view.
+// Proposer runs one attempt to decide the successor of a view.
 type Proposer struct {
 	view           View
 	ballot         Ballot
-	started        time.Duration
+	startedAt      time.Duration
 	promises       map[ID]*Promise
 	accepts        map[ID]bool
-	value          *View // once the second phase has begun
-	highest        Ballot
+	value          *View // the proposed view; nil during the first phase
+	highestBallot  Ballot
 	mutateMinority bool
 }
 
-// NewProposer starts an attempt. The caller sends Prepare to all members: learners answer whether they are complete, and count in no
-// majority. With mutateMinority, a mutation of tests, a single voter decides.
+// NewProposer starts an attempt. The caller sends the message of Prepare to all members: learners answer whether they
+// are complete, but don't count towards a majority. With mutateMinority, a fault injected by tests, a single voter
+// decides.
 func NewProposer(now time.Duration, current View, ballot Ballot, mutateMinority bool) *Proposer {
 	return &Proposer{
-		view: current, ballot: ballot, started: now,
-		promises: make(map[ID]*Promise), accepts: make(map[ID]bool), highest: ballot,
+		view: current, ballot: ballot, startedAt: now,
+		promises: make(map[ID]*Promise), accepts: make(map[ID]bool), highestBallot: ballot,
 		mutateMinority: mutateMinority,
 	}
 }
@@ -33,21 +34,21 @@
 // Prepare returns the message of the first phase.
 func (p *Proposer) Prepare() *Prepare { return &Prepare{View: p.view, Ballot: p.ballot} }
 
-// gathering reports whether the first phase goes on: promises are waited for.
-func (p *Proposer) gathering() bool { return p.value == nil }
+// preparing reports whether the attempt is in the first phase, in which it waits for promises.
+func (p *Proposer) preparing() bool { return p.value == nil }
 
-// Awaits reports whether a member's promise is waited for.
+// Awaits reports whether the attempt is waiting for a member's promise.
 func (p *Proposer) Awaits(id ID) bool {
-	_, member := p.view.Member(id)
-	return member && p.gathering() && p.promises[id] == nil
+	_, isMember := p.view.Member(id)
+	return isMember && p.preparing() && p.promises[id] == nil
 }
 
-// Epoch returns that of the view whose successor is to be decided.
+// Epoch returns the epoch of the view whose successor is to be decided.
 func (p *Proposer) Epoch() uint64 { return p.view.Epoch }
 
-// Failed reports whether the attempt has failed: another ballot is in the way, or it took longer than AttemptTimeout.
+// Failed reports whether the attempt has failed: a voter has promised a higher ballot, or AttemptTimeout has passed.
 func (p *Proposer) Failed(now time.Duration) bool {
-	return p.ballot.Less(p.highest) || now-p.started >= AttemptTimeout
+	return p.ballot.Less(p.highestBallot) || now-p.startedAt >= AttemptTimeout
 }
 
 func (p *Proposer) quorum() int {
@@ -58,9 +59,9 @@
 }
 
 // Highest returns the highest ballot that the proposer has seen.
-func (p *Proposer) Highest() Ballot { return p.highest }
+func (p *Proposer) Highest() Ballot { return p.highestBallot }
 
-// Promised handles an answer of the first phase.
+// OnPromise handles an answer of the first phase.
 func (p *Proposer) Promised(from ID, promise *Promise) {
 	if promise.Epoch != p.view.Epoch || promise.Ballot != p.ballot {
 		return
@@ -69,25 +70,25 @@
 		return
 	}
 	if !promise.Granted {
-		p.observe(promise.Promised)
+		p.observeBallot(promise.Promised)
 		return
 	}
 	p.promises[from] = promise
 }
 
-func (p *Proposer) observe(ballot Ballot) {
-	if p.highest.Less(ballot) {
-		p.highest = ballot
+func (p *Proposer) observeBallot(ballot Ballot) {
+	if p.highestBallot.Less(ballot) {
+		p.highestBallot = ballot
 	}
 }
 
-// Gathered reports whether the second phase may begin: a majority has promised, and either every member that is alive has, or
-// GatherTimeout is over.
+// Gathered reports whether the second phase may begin: a majority of the voters has promised, and either all members
+// that are alive have promised, or GatherTimeout has passed.
 func (p *Proposer) Gathered(now time.Duration, alive func(ID) bool) bool {
-	if p.value != nil || p.votes() < p.quorum() {
+	if p.value != nil || p.voterPromises() < p.quorum() {
 		return false
 	}
-	if now-p.started >= GatherTimeout {
+	if now-p.startedAt >= GatherTimeout {
 		return true
 	}
 	for _, member := range p.view.Members() {
@@ -98,8 +99,8 @@
 	return true
 }
 
-// votes counts the promises of voters.
-func (p *Proposer) votes() int {
+// voterPromises returns the number of voters that have promised.
+func (p *Proposer) voterPromises() int {
 	votes := 0
 	for _, member := range p.view.Voters {
 		if p.promises[member.ID] != nil {
@@ -109,10 +110,11 @@
 	return votes
 }
 
-// Choose begins the second phase: with the view that a promise has shown to be accepted, else with one that plan makes out of those
-// complete members of the chain that promised. It returns nil if there is none to propose. The caller sends it to all members.
+// Choose begins the second phase. If a promise reports an accepted view, Choose proposes the one accepted at the
+// highest ballot; otherwise it calls plan, and passes it which members of the chain have promised and are complete.
+// It returns nil if there is no view to propose. The caller sends the message to all members.
 func (p *Proposer) Choose(plan func(complete func(ID) bool) (View, bool)) *Accept {
-	value := p.accepted()
+	value := p.acceptedView()
 	if value == nil {
 		planned, ok := plan(p.complete)
 		if !ok {
@@ -126,7 +128,7 @@
 	return &Accept{Epoch: p.view.Epoch, Ballot: p.ballot, View: *value}
 }
 
-func (p *Proposer) accepted() *View {
+func (p *Proposer) acceptedView() *View {
 	var newest *Promise
 	for _, promise := range p.promises {
 		if promise.Accepted.Epoch != 0 && (newest == nil || newest.AcceptedAt.Less(promise.AcceptedAt)) {
@@ -145,8 +147,9 @@
 	return promise != nil && promise.Complete && p.view.Position(id) >= 0
 }
 
-// holder is whom all promises that know of a lease name. Since any holder has leases of a majority, nobody else can be one. It is
-// vacant if all know, and none names anybody: a majority that has promised grants no more in its epoch.
+// holder returns the member that the promises name as the holder of the leader lease. A holder has grants of a
+// majority of the voters, so no other member can be the holder. Vacant is true if all promises are certain about the
+// holder and none names one: a majority that has promised grants no further lease in its epoch.
 func (p *Proposer) holder() (holder ID, vacant bool) {
 	for _, member := range p.view.Voters {
 		promise := p.promises[member.ID]
@@ -163,7 +166,7 @@
 	return holder, holder == 0
 }
 
-// Accepted handles an answer of the second phase. It returns the view once that is decided, and nil before.
+// OnAcceptReply handles an answer of the second phase. It returns the view once that is decided, and nil before.
 func (p *Proposer) Accepted(from ID, reply *AcceptReply) *View {
 	if p.value == nil || reply.Epoch != p.view.Epoch || reply.Ballot != p.ballot {
 		return nil
@@ -172,7 +175,7 @@
 		return nil
 	}
 	if !reply.Granted {
-		p.observe(reply.Promised)
+		p.observeBallot(reply.Promised)
 		return nil
 	}
 	p.accepts[from] = true
--- a/control/view/view.go
+++ b/control/view/view.go
@@ -8,46 +8,46 @@
 //go:generate go run github.com/tinylib/msgp -file view.go -o view_gen.go -tests=false
 //msgp:tuple Member View Ballot Vote Prepare Promise Accept AcceptReply
 
-// ID is the identity of a disk, drawn at random when it is first used. Zero is nobody.
+// ID is the identity of a disk, drawn at random when the disk is first used. Zero means no member.
 type ID uint64
 
-// String returns the identity in hexadecimal.
+// String returns the ID in hexadecimal.
 func (id ID) String() string { return strconv.FormatUint(uint64(id), 16) }
 
-// Member is a process of the core: a disk, and where the process that uses it listens.
+// Member is a process of the core: its disk, and the address where it listens.
 type Member struct {
 	ID      ID
-	Address string // rpc address
+	Address string // RPC address
 	Zone    string
-	Storage bool // the disk is a store's, which makes up the number of members
+	Storage bool // the disk belongs to a store, recruited to reach the required number of members
 }
 
-// View is one configuration of the core. It is never changed once decided.
+// View is one configuration of the core. It is immutable once decided.
 type View struct {
 	Epoch    uint64
-	Voters   []Member // an odd number where there are enough: they decide on the next view, and grant the leader lease
-	Learners []Member // the other members: they may be of the chain, and count in no majority
+	Voters   []Member // they decide on the next view and grant the leader lease; an odd number if there are enough members
+	Learners []Member // the other members: they may be part of the chain, but don't count towards a majority
 	Chain    []ID     // the head first
-	Complete int      // the first so many of Chain hold all that was committed in earlier epochs
-	Holder   ID       // the only one that may hold the leader lease as the view is decided; zero if that is not known
-	Vacant   bool     // nobody can hold the lease as the view is decided
+	Complete int      // number of members at the start of Chain that hold every entry committed in earlier epochs
+	Holder   ID       // the only member that may hold the leader lease when the view is decided; zero if unknown
+	Vacant   bool     // no member can hold the lease when the view is decided
 }
 
-// Voter returns the voter of an identity, if there is one.
-func (v *View) Voter(id ID) (Member, bool) { return find(v.Voters, id) }
+// Voter returns the voter with an ID, and whether there is one.
+func (v *View) Voter(id ID) (Member, bool) { return findMember(v.Voters, id) }
 
-// Member returns the voter or learner of an identity, if there is one.
+// Member returns the voter or learner with an ID, and whether there is one.
 func (v *View) Member(id ID) (Member, bool) {
-	if member, ok := find(v.Voters, id); ok {
+	if member, ok := findMember(v.Voters, id); ok {
 		return member, true
 	}
-	return find(v.Learners, id)
+	return findMember(v.Learners, id)
 }
 
-// Members returns the voters, then the learners.
+// Members returns the voters, followed by the learners.
 func (v *View) Members() []Member { return slices.Concat(v.Voters, v.Learners) }
 
-func find(members []Member, id ID) (Member, bool) {
+func findMember(members []Member, id ID) (Member, bool) {
 	for _, member := range members {
 		if member.ID == id {
 			return member, true
@@ -56,7 +56,7 @@
 	return Member{}, false
 }
 
-// Position returns a member's index in the chain, 0 at the head, -1 if it is not part of it.
+// Position returns a member's index in the chain: 0 for the head, -1 if it is not part of the chain.
 func (v *View) Position(id ID) int { return slices.Index(v.Chain, id) }
 
 // Head returns the first member of the chain, zero if the chain is empty.
@@ -67,7 +67,7 @@
 	return v.Chain[0]
 }
 
-// Majority returns the least number of voters that is more than half of them.
+// Majority returns the smallest number of voters that is a majority.
 func (v *View) Majority() int { return len(v.Voters)/2 + 1 }
 
 // SameVoters reports whether both views have the same voters, in any order.
@@ -83,14 +83,14 @@
 	return true
 }
 
-// Ballot orders the attempts to decide one view.
+// Ballot identifies an attempt to decide one view. Ballots are totally ordered.
 type Ballot struct {
-	Number      uint64 // climbs with each attempt of a proposer
+	Number      uint64 // increases with each attempt of a proposer
 	Proposer    ID
-	Incarnation uint64 // of the proposer: one that has forgotten its ballots in a restart makes others
+	Incarnation uint64 // of the proposer: after a restart it has no record of its earlier ballots, and must not reuse them
 }
 
-// Less reports whether b comes before other.
+// Less reports whether b is lower than other.
 func (b Ballot) Less(other Ballot) bool {
 	if b.Number != other.Number {
 		return b.Number < other.Number
@@ -101,26 +101,27 @@
 	return b.Incarnation < other.Incarnation
 }
 
-// Prepare asks a voter of View to promise a ballot for the view that follows. It carries the view, for voters that have not heard of it.
+// Prepare asks a voter of View to promise a ballot for the next view. It carries the view, for voters that have not
+// received it yet.
 type Prepare struct {
 	View   View
 	Ballot Ballot
 }
 
-// Promise answers a Prepare. If not Granted, Promised is the ballot that stands in the way.
+// Promise answers a Prepare. If Granted is false, Promised is the higher ballot that the voter has promised already.
 type Promise struct {
-	Epoch         uint64 // of the view whose successor is sought
+	Epoch         uint64 // epoch of the view whose successor is to be decided
 	Ballot        Ballot
 	Granted       bool
 	Promised      Ballot
 	AcceptedAt    Ballot
 	Accepted      View // epoch zero: none
-	Complete      bool // the voter is of the chain and holds all that was committed before Epoch, and what it took in it
-	Holder        ID   // whom it has granted the leader lease, zero if nobody
-	HolderUnknown bool // it can't know whom it granted
+	Complete      bool // the sender is in the chain, and holds all entries committed before Epoch and those accepted in it
+	Holder        ID   // the member to which the voter has granted the leader lease, zero if it has granted none
+	HolderUnknown bool // the voter doesn't know to which member it has granted the lease
 }
 
-// Accept asks a voter to accept a successor of the view of Epoch.
+// Accept asks a voter to accept a view as the successor of the view of Epoch.
 type Accept struct {
 	Epoch  uint64
 	Ballot Ballot
@@ -135,8 +136,8 @@
 	Promised Ballot
 }
 
-// Vote is what a voter has promised and accepted for the successor of the view of Epoch. It must be on disk before an answer leaves that
-// follows from it.
+// Vote is what a voter has promised and accepted for the successor of the view of Epoch. A change of it must be on
+// disk before the answer that reports the change is sent.
 type Vote struct {
 	Epoch      uint64
 	Promised   Ballot
@@ -144,12 +145,14 @@
 	Accepted   View // epoch zero: none
 }
 
-// Sealed reports whether the voter has promised anything for the successor of epoch: then it takes no command of that epoch.
+// Sealed reports whether the voter has promised a ballot for the successor of epoch. From then on it accepts no
+// commands of that epoch.
 func (v *Vote) Sealed(epoch uint64) bool { return v.Epoch == epoch && v.Promised != Ballot{} }
 
-// Prepare promises a ballot, unless a later one is promised. Changed says that the vote must be written before the answer is sent.
+// Prepare promises a ballot, unless a higher one was promised. If changed is true, the vote must be on disk before
+// the reply is sent.
 func (v *Vote) Prepare(epoch uint64, ballot Ballot) (reply Promise, changed bool) {
-	v.begin(epoch)
+	v.startEpoch(epoch)
 	reply = Promise{Epoch: epoch, Ballot: ballot}
 	if ballot.Less(v.Promised) {
 		reply.Promised = v.Promised
@@ -162,9 +165,10 @@
 	return reply, changed
 }
 
-// Accept accepts a view, unless a later ballot is promised. Changed says that the vote must be written before the answer is sent.
+// Accept accepts a view, unless a higher ballot was promised. If changed is true, the vote must be on disk before the
+// reply is sent.
 func (v *Vote) Accept(message *Accept) (reply AcceptReply, changed bool) {
-	v.begin(message.Epoch)
+	v.startEpoch(message.Epoch)
 	reply = AcceptReply{Epoch: message.Epoch, Ballot: message.Ballot}
 	if message.Ballot.Less(v.Promised) {
 		reply.Promised = v.Promised
@@ -176,7 +180,8 @@
 	return reply, changed
 }
 
-func (v *Vote) begin(epoch uint64) {
+// startEpoch resets the vote if it belongs to another epoch.
+func (v *Vote) startEpoch(epoch uint64) {
 	if v.Epoch != epoch {
 		*v = Vote{Epoch: epoch}
 	}
--- a/internal/explore/clone.go
+++ b/internal/explore/clone.go
@@ -6,41 +6,41 @@
 	"unsafe"
 )
 
-// Clone copies a value with all that it points to, unexported fields included. Pointers that were equal stay equal to one another.
-// Functions are shared: those that depend on something copied are the caller's to replace. Channels can't be copied.
-// What keep holds is shared, not copied: pointers to what never changes.
+// Clone returns a deep copy of a value, including unexported fields. Pointers that are equal in the original are
+// equal in the copy. Functions are shared: the caller has to replace those that refer to copied data. Channels can't
+// be copied. Pointers in keep, to data that never changes, are shared instead of copied.
 func Clone[T any](value T, keep ...any) T {
-	c := &cloner{copies: make(map[pointer]reflect.Value)}
+	c := &cloner{copies: make(map[pointerKey]reflect.Value)}
 	for _, shared := range keep {
 		original := reflect.ValueOf(shared)
-		c.copies[pointer{original.Type(), original.Pointer()}] = original
+		c.copies[pointerKey{original.Type(), original.Pointer()}] = original
 	}
 	var result T
 	c.copy(reflect.ValueOf(&result).Elem(), reflect.ValueOf(&value).Elem())
 	return result
 }
 
-type pointer struct {
+type pointerKey struct {
 	kind    reflect.Type
 	address uintptr
 }
 
 type cloner struct {
-	copies map[pointer]reflect.Value
+	copies map[pointerKey]reflect.Value
 }
 
-// writable lets an unexported field be read and set.
+// writable returns a field as a value that can be read and set even if the field is unexported.
 func writable(v reflect.Value) reflect.Value {
 	return reflect.NewAt(v.Type(), unsafe.Pointer(v.UnsafeAddr())).Elem()
 }
 
-// copy fills to, which is addressable as from is.
+// copy sets to to a deep copy of from. Both are addressable.
 func (c *cloner) copy(to, from reflect.Value) {
 	switch from.Kind() {
 	case reflect.Pointer:
 		c.pointer(to, from)
 	case reflect.Interface:
-		c.face(to, from)
+		c.interfaceValue(to, from)
 	case reflect.Struct:
 		for i := range from.NumField() {
 			c.copy(writable(to.Field(i)), writable(from.Field(i)))
@@ -52,7 +52,7 @@
 	case reflect.Slice:
 		c.slice(to, from)
 	case reflect.Map:
-		c.table(to, from)
+		c.mapValue(to, from)
 	case reflect.Chan, reflect.UnsafePointer:
 		panic(fmt.Sprintf("explore: %v can't be copied", from.Type()))
 	default:
@@ -64,7 +64,7 @@
 	if from.IsNil() {
 		return
 	}
-	at := pointer{from.Type(), from.Pointer()}
+	at := pointerKey{from.Type(), from.Pointer()}
 	copied, known := c.copies[at]
 	if !known {
 		copied = reflect.New(from.Type().Elem())
@@ -74,14 +74,14 @@
 	to.Set(copied)
 }
 
-func (c *cloner) face(to, from reflect.Value) {
+func (c *cloner) interfaceValue(to, from reflect.Value) {
 	if !from.IsNil() {
-		to.Set(c.copied(from.Elem()))
+		to.Set(c.copyOf(from.Elem()))
 	}
 }
 
-// copied copies a value that is not addressable.
-func (c *cloner) copied(value reflect.Value) reflect.Value {
+// copyOf returns a deep copy of a value that is not addressable.
+func (c *cloner) copyOf(value reflect.Value) reflect.Value {
 	from, to := reflect.New(value.Type()).Elem(), reflect.New(value.Type()).Elem()
 	from.Set(value)
 	c.copy(to, from)
@@ -93,7 +93,7 @@
 		return
 	}
 	to.Set(reflect.MakeSlice(from.Type(), from.Len(), from.Len()))
-	if flat(from.Type().Elem().Kind()) {
+	if isFlat(from.Type().Elem().Kind()) {
 		reflect.Copy(to, from)
 		return
 	}
@@ -102,17 +102,17 @@
 	}
 }
 
-func (c *cloner) table(to, from reflect.Value) {
+func (c *cloner) mapValue(to, from reflect.Value) {
 	if from.IsNil() {
 		return
 	}
 	to.Set(reflect.MakeMapWithSize(from.Type(), from.Len()))
 	for entries := from.MapRange(); entries.Next(); {
-		to.SetMapIndex(c.copied(entries.Key()), c.copied(entries.Value()))
+		to.SetMapIndex(c.copyOf(entries.Key()), c.copyOf(entries.Value()))
 	}
 }
 
-// flat says whether values of a kind hold all of themselves.
-func flat(kind reflect.Kind) bool {
+// isFlat reports whether values of a kind can be copied without following references.
+func isFlat(kind reflect.Kind) bool {
 	return kind >= reflect.Bool && kind <= reflect.Complex128 || kind == reflect.String
 }
--- a/internal/explore/encode.go
+++ b/internal/explore/encode.go
@@ -9,16 +9,19 @@
 	"slices"
 )
 
-// Encoder writes values, with all that they point to and unexported fields included, in one form that does not depend on addresses or the
-// order of maps. Pointers are followed, so what is encoded must not be cyclic. Functions and channels are left out.
+// Encoder encodes values, including unexported fields and everything they point to, in a form that does not depend on
+// addresses or on the order of maps. It follows pointers, so the values must not be cyclic. It skips functions and
+// channels.
 type Encoder struct {
-	// Scalars maps values of a type to what is written instead: a time to its distance from now, an identity to its name in the model.
+	// Scalars maps values of a type to those encoded instead, such as a time to its distance from now, or an ID to
+	// its name in the model.
 	Scalars map[reflect.Type]func(int64) int64
-	// Omit leaves out fields, by the type of the struct and the name: what is constant, or has no bearing on what follows.
+	// Omit lists fields to skip, by struct type and field name: those that are constant or don't influence the
+	// behaviour.
 	Omit map[reflect.Type][]string
 }
 
-// Append writes a value after what buffer holds.
+// Append appends the encoding of a value to buffer.
 func (e *Encoder) Append(buffer []byte, value any) []byte {
 	return e.value(buffer, reflect.ValueOf(value))
 }
@@ -48,13 +51,13 @@
 		}
 		return e.value(append(b, 1), v.Elem())
 	case reflect.Interface:
-		return e.face(b, v)
+		return e.interfaceValue(b, v)
 	case reflect.Struct:
 		return e.fields(b, v)
 	case reflect.Slice, reflect.Array:
 		return e.list(b, v)
 	case reflect.Map:
-		return e.table(b, v)
+		return e.mapValue(b, v)
 	case reflect.Func, reflect.Chan:
 		return b
 	}
@@ -68,7 +71,7 @@
 	return binary.AppendVarint(b, value)
 }
 
-func (e *Encoder) face(b []byte, v reflect.Value) []byte {
+func (e *Encoder) interfaceValue(b []byte, v reflect.Value) []byte {
 	if v.IsNil() {
 		return append(b, 0)
 	}
@@ -97,7 +100,7 @@
 	return b
 }
 
-func (e *Encoder) table(b []byte, v reflect.Value) []byte {
+func (e *Encoder) mapValue(b []byte, v reflect.Value) []byte {
 	entries := make([][]byte, 0, v.Len())
 	for at := v.MapRange(); at.Next(); {
 		entries = append(entries, e.value(e.value(nil, at.Key()), at.Value()))
@@ -105,7 +108,7 @@
 	return AppendSorted(b, entries)
 }
 
-// AppendSorted writes parts whose order is of no meaning, as the messages on a network that may overtake one another.
+// AppendSorted appends parts whose order is irrelevant, such as messages on a network that may reorder them.
 func AppendSorted(buffer []byte, parts [][]byte) []byte {
 	slices.SortFunc(parts, bytes.Compare)
 	buffer = binary.AppendUvarint(buffer, uint64(len(parts)))
@@ -116,11 +119,11 @@
 	return buffer
 }
 
-// Least is the first of several forms of one state, in the order of bytes: the form of all states that differ only in the names of
-// members that are alike. The forms are those under each renaming.
+// Canonical returns the lexically smallest of several forms of one state, given the forms under all renamings of
+// interchangeable members. States that differ only in such names have the same canonical form.
 func Least(forms ...[]byte) []byte { return slices.MinFunc(forms, bytes.Compare) }
 
-// Permutations lists all orders of the numbers below count, the natural one first.
+// Permutations returns all permutations of the numbers below count, the identity first.
 func Permutations(count int) [][]int {
 	if count == 0 {
 		return [][]int{nil}
--- a/internal/explore/explore.go
+++ b/internal/explore/explore.go
@@ -5,82 +5,84 @@
 	"time"
 )
 
-// Action is one thing that may happen in a state.
+// Action is an event that is possible in a state.
 type Action struct {
 	Name  string // unique among the actions enabled in a state
-	Fault bool   // it counts against Scope.Faults
+	Fault bool   // it counts towards Scope.Faults
 }
 
-// System is a model in one state. Its behaviour must depend on nothing but the actions taken: no clock, map order or chance.
+// System is a model in one state. Its behaviour must depend on nothing but the actions taken: neither on a clock nor
+// on map order or chance.
 type System interface {
-	// Enabled lists what may happen now, in an order that depends on the state only.
+	// Enabled returns the possible actions, in an order that depends only on the state.
 	Enabled() []Action
-	// Do takes an action that is enabled.
+	// Do takes an enabled action.
 	Do(name string)
-	// State is the canonical form of the state: systems with equal forms behave alike. What is symmetric should have one form.
+	// State returns the canonical form of the state: systems with equal forms behave identically. Symmetric states
+	// should have the same form.
 	State() []byte
-	// Check returns what is wrong with the state, nil if nothing is.
+	// Check returns an error if the state violates an invariant.
 	Check() error
-	// Clone returns an independent copy. Replayed makes one for systems that can't be copied.
+	// Clone returns an independent copy. Use Replayed for systems that can't be copied.
 	Clone() System
 }
 
-// Scope bounds a search. A bound of zero is no bound, but for Faults: then none is taken.
+// Scope bounds a search. A zero Depth or States is no bound; with zero Faults, no action with Fault is taken.
 type Scope struct {
-	Depth  int // actions from the start
-	States int // distinct states
-	Faults int // actions with Fault on any path
+	Depth  int // maximum number of actions from the start
+	States int // number of distinct states after which no further actions are taken
+	Faults int // maximum number of actions with Fault on any path
 }
 
-// Result is what a search found, and what it did not look at.
+// Result is what a search has found, and what it has skipped.
 type Result struct {
-	States      int // distinct states that were checked
+	States      int // number of distinct states that were checked
 	Transitions int
-	Depth       int // of the deepest state that was checked
+	Depth       int // depth of the deepest state that was checked
 	Elapsed     time.Duration
 	Cut         Cut
-	Violation   *Violation // nil: none
+	Violation   *Violation // nil if no invariant was violated
 }
 
-// Cut counts what the bounds kept the search from.
+// Cut counts what the search has skipped because of its bounds.
 type Cut struct {
-	ByDepth  int // states whose actions were not taken as they lie at the greatest depth
-	ByStates int // states whose actions were not taken as there were too many
-	ByFaults int // faults that were possible but not taken
+	ByDepth  int // states whose actions were not taken because they are at the maximum depth
+	ByStates int // states whose actions were not taken because Scope.States was reached
+	ByFaults int // possible faults that were not taken
 }
 
-// Whole says whether all states were reached that no further fault leads to.
+// Exhaustive reports whether the search has reached all states that are reachable without exceeding Scope.Faults.
 func (c Cut) Whole() bool { return c.ByDepth == 0 && c.ByStates == 0 }
 
-// Violation is a state that breaks an invariant, with a shortest trace that leads to it.
+// Violation is a state that violates an invariant, with a shortest trace that leads to it.
 type Violation struct {
 	Trace []string
 	Err   error
 }
 
-// Run searches all states within a scope, until one breaks an invariant.
+// Run searches all states within a scope, until one violates an invariant.
 func Run(start System, scope Scope) Result {
 	began := time.Now()
-	s := &search{scope: scope, seen: make(map[key]struct{})}
-	s.add(start, 0, -1, "")
+	s := &search{scope: scope, seen: make(map[stateKey]struct{})}
+	s.addState(start, 0, -1, "")
 	for s.result.Violation == nil && len(s.layer) > 0 {
-		s.next()
+		s.expandLayer()
 	}
 	s.result.Elapsed = time.Since(began)
 	return s.result
 }
 
-// key is the hash of a state with the faults that were taken.
-type key [sha256.Size]byte
+// stateKey is the hash of a state and of the number of faults taken.
+type stateKey [sha256.Size]byte
 
-// visit is a state that was reached, by an action from an earlier one.
+// visit is the predecessor of a reached state, and the action that led from it.
 type visit struct {
 	parent int32
 	action string
 }
 
-// open is a state whose actions are still to be taken.
-type open struct {
+// openState is a state whose actions are still to be taken.
+type openState struct {
 	system System
 	visit  int32
 	faults int
@@ -88,15 +90,15 @@
 
 type search struct {
 	scope  Scope
-	seen   map[key]struct{}
+	seen   map[stateKey]struct{}
 	visits []visit
-	layer  []open
+	layer  []openState
 	depth  int
 	result Result
 }
 
-// next takes all actions of all states of a layer.
-func (s *search) next() {
+// expandLayer takes all actions of all states of the current layer.
+func (s *search) expandLayer() {
 	layer := s.layer
 	s.layer = nil
 	if s.scope.Depth > 0 && s.depth >= s.scope.Depth {
@@ -110,13 +112,13 @@
 			return
 		}
 		layer[at].system = nil
-		if s.expand(from); s.result.Violation != nil {
+		if s.expandState(from); s.result.Violation != nil {
 			return
 		}
 	}
 }
 
-func (s *search) expand(from open) {
+func (s *search) expandState(from openState) {
 	actions := from.system.Enabled()
 	for i, action := range actions {
 		faults := from.faults
@@ -133,14 +135,14 @@
 		}
 		system.Do(action.Name)
 		s.result.Transitions++
-		if s.add(system, faults, from.visit, action.Name); s.result.Violation != nil {
+		if s.addState(system, faults, from.visit, action.Name); s.result.Violation != nil {
 			return
 		}
 	}
 }
 
-// add notes a state, if it is new.
-func (s *search) add(system System, faults int, parent int32, action string) {
+// addState checks a state and adds it to the next layer, unless it was reached before.
+func (s *search) addState(system System, faults int, parent int32, action string) {
 	hash := hashOf(system.State(), faults)
 	if _, known := s.seen[hash]; known {
 		return
@@ -154,14 +156,14 @@
 		s.result.Violation = &Violation{Trace: s.trace(self), Err: err}
 		return
 	}
-	s.layer = append(s.layer, open{system, self, faults})
+	s.layer = append(s.layer, openState{system, self, faults})
 }
 
-func hashOf(state []byte, faults int) key {
+func hashOf(state []byte, faults int) stateKey {
 	return sha256.Sum256(append(state, byte(faults)))
 }
 
-// trace lists the actions that lead to a state.
+// trace returns the actions that lead from the start to a state.
 func (s *search) trace(to int32) []string {
 	var trace []string
 	for at := to; s.visits[at].parent >= 0; at = s.visits[at].parent {
--- a/internal/explore/explore_test.go
+++ b/internal/explore/explore_test.go
@@ -13,7 +13,8 @@
 	"ravendale/internal/explore"
 )
 
-// counters are processes that add one to a shared number, in two steps: read and write. With locked they do it in one.
+// counters is a model of processes that add one to a shared number, in two steps, read and write. If locked is true,
+// they do both in one step.
 type counters struct {
 	locked  bool
 	shared  int
@@ -75,12 +76,12 @@
 		}
 	}
 	if done != c.shared {
-		return fmt.Errorf("%d additions made %d", done, c.shared)
+		return fmt.Errorf("%d additions resulted in %d", done, c.shared)
 	}
 	return nil
 }
 
-// State has the workers sorted: they are alike.
+// State sorts the workers, since they are interchangeable.
 func (c *counters) State() []byte {
 	encoder := explore.Encoder{}
 	var parts [][]byte
@@ -92,30 +93,30 @@
 
 func (c *counters) Clone() explore.System { return explore.Clone(c) }
 
-func TestAShortestTraceIsFoundAndReplays(t *testing.T) {
+func TestRunFindsShortestTrace(t *testing.T) {
 	result := explore.Run(newCounters(3, false), explore.Scope{})
 	require.NotNil(t, result.Violation)
 	require.Len(t, result.Violation.Trace, 4, "two workers read, then write")
-	require.ErrorContains(t, explore.Replay(newCounters(3, false), result.Violation.Trace), "2 additions made 1")
+	require.ErrorContains(t, explore.Replay(newCounters(3, false), result.Violation.Trace), "2 additions resulted in 1")
 	require.NoError(t, explore.Replay(newCounters(3, false), result.Violation.Trace[:3]))
-	require.ErrorContains(t, explore.Replay(newCounters(3, false), []string{"write 0"}), "not possible")
+	require.ErrorContains(t, explore.Replay(newCounters(3, false), []string{"write 0"}), "is not enabled")
 	text := result.String()
 	require.Contains(t, text, "trace := []string{\n\t\"read 0\",\n")
 	again := explore.Run(newCounters(3, false), explore.Scope{})
 	again.Elapsed = result.Elapsed
-	require.Equal(t, result, again, "the same search each time")
+	require.Equal(t, result, again, "a second search has the same result")
 }
 
-func TestASoundSystemIsSearchedWhole(t *testing.T) {
+func TestRunSearchesCorrectSystemExhaustively(t *testing.T) {
 	result := explore.Run(newCounters(4, true), explore.Scope{Faults: 4})
 	require.Nil(t, result.Violation)
 	require.True(t, result.Cut.Whole())
 	require.Zero(t, result.Cut.ByFaults)
-	require.Equal(t, 15, result.States, "each number of idle, done and crashed workers once")
+	require.Equal(t, 15, result.States, "each combination of the numbers of idle, done and crashed workers once")
 	require.Equal(t, 4, result.Depth)
 }
 
-func TestWhatTheBoundsCutOffIsCounted(t *testing.T) {
+func TestRunCountsSkippedStates(t *testing.T) {
 	result := explore.Run(newCounters(4, true), explore.Scope{Depth: 2, Faults: 1})
 	require.False(t, result.Cut.Whole())
 	require.Equal(t, 2, result.Depth)
@@ -127,7 +128,7 @@
 	require.NotZero(t, result.Cut.ByStates)
 }
 
-func TestReplayedCopiesAreEqual(t *testing.T) {
+func TestReplayedCopiesBehaveLikeClones(t *testing.T) {
 	fresh := func() explore.Model { return newCounters(3, false) }
 	copied := explore.Run(newCounters(3, false), explore.Scope{})
 	replayed := explore.Run(explore.Replayed(fresh), explore.Scope{})
@@ -145,7 +146,7 @@
 	call  func()
 }
 
-func TestClonesShareNothing(t *testing.T) {
+func TestCloneSharesOnlyKeptPointers(t *testing.T) {
 	leaf := &nested{at: 3, items: []any{1, "two", &nested{at: 4}}}
 	original := &nested{next: leaf, other: leaf, byKey: map[string]*nested{"a": leaf}, err: errors.New("an error"), call: func() {}}
 	copied := explore.Clone(original)
@@ -157,10 +158,10 @@
 	copied.next.items[2].(*nested).at = 5
 	require.Equal(t, time.Duration(4), leaf.items[2].(*nested).at)
 	require.NotEqual(t, encoder.Append(nil, original), encoder.Append(nil, copied))
-	require.Same(t, leaf, explore.Clone(original, leaf).next, "what is kept is shared")
+	require.Same(t, leaf, explore.Clone(original, leaf).next, "a kept pointer is shared")
 }
 
-func TestEncodingsHaveOneForm(t *testing.T) {
+func TestEncodingIsCanonical(t *testing.T) {
 	encoder := explore.Encoder{
 		Scalars: map[reflect.Type]func(int64) int64{reflect.TypeFor[time.Duration](): func(at int64) int64 { return at - 10 }},
 		Omit:    map[reflect.Type][]string{reflect.TypeFor[nested](): {"err"}},
@@ -175,7 +176,7 @@
 	require.Equal(t, "a", string(explore.Least([]byte("b"), []byte("a"))))
 }
 
-func TestStatesAreOfOneKindOnly(t *testing.T) {
+func TestCloneOfChannelPanicsAndViolationPrintsTrace(t *testing.T) {
 	require.Panics(t, func() { explore.Clone(make(chan int)) })
 	require.True(t, strings.HasPrefix((&explore.Violation{Err: errors.New("bad")}).String(), "// 0 actions lead to: bad"))
 }
--- a/internal/explore/replay.go
+++ b/internal/explore/replay.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// String is the violation as Go text: a test hands the trace to Replay.
+// String returns the violation as Go source: a test can pass the trace to Replay.
 func (v *Violation) String() string {
 	var text strings.Builder
 	fmt.Fprintf(&text, "// %d actions lead to: %v\ntrace := []string{\n", len(v.Trace), v.Err)
@@ -18,10 +18,11 @@
 	return text.String()
 }
 
-// String tells states, depth, time and what was cut off, in one line; and the violation, if there is one.
+// String returns the numbers of states and transitions, the depth, the elapsed time and what was skipped in one line,
+// followed by the violation, if there is one.
 func (r Result) String() string {
 	text := fmt.Sprintf("%d states, %d transitions, depth %d, %v", r.States, r.Transitions, r.Depth, r.Elapsed.Round(time.Millisecond))
-	text += fmt.Sprintf("; cut off: %d states by depth, %d by their number, %d faults beyond the bound",
+	text += fmt.Sprintf("; cut off: %d states by depth, %d by the number of states, %d faults beyond the bound",
 		r.Cut.ByDepth, r.Cut.ByStates, r.Cut.ByFaults)
 	if r.Violation != nil {
 		text += "\n" + r.Violation.String()
@@ -29,15 +30,16 @@
 	return text
 }
 
-// Replay takes the actions of a trace in turn, and returns the first violation. An action that is not possible is an error of its own.
+// Replay takes the actions of a trace in order, and returns the first violation. If an action is not enabled, it
+// returns an error that says so.
 func Replay(system System, trace []string) error {
 	if err := system.Check(); err != nil {
-		return fmt.Errorf("at the start: %w", err)
+		return fmt.Errorf("initial state: %w", err)
 	}
 	for step, name := range trace {
 		enabled := system.Enabled()
 		if !slices.ContainsFunc(enabled, func(action Action) bool { return action.Name == name }) {
-			return fmt.Errorf("step %d: %q is not possible, only %q", step+1, name, names(enabled))
+			return fmt.Errorf("step %d: action %q is not enabled, only %q are", step+1, name, actionNames(enabled))
 		}
 		system.Do(name)
 		if err := system.Check(); err != nil {
@@ -47,7 +49,7 @@
 	return nil
 }
 
-func names(actions []Action) []string {
+func actionNames(actions []Action) []string {
 	var list []string
 	for _, action := range actions {
 		list = append(list, action.Name)
@@ -63,7 +65,7 @@
 	Check() error
 }
 
-// Replayed makes a System of a model that can't be copied: each copy takes all actions anew, from a fresh model.
+// Replayed makes a System from a model that can't be copied: Clone makes a new model and repeats all actions.
 func Replayed(fresh func() Model) System { return &replayed{Model: fresh(), fresh: fresh} }
 
 type replayed struct {
