--- a/control/core/applyorder_test.go
+++ b/control/core/applyorder_test.go
@@ -9,61 +9,62 @@
 	"github.com/stretchr/testify/require"
 )
 
-// meeting has the members that apply one command wait for one another.
-type meeting struct {
-	mu      sync.Mutex
-	missing int
-	all     chan struct{} // closed once all have begun to apply it
+// applyBarrier makes the members that apply one command wait for one another.
+type applyBarrier struct {
+	mu         sync.Mutex
+	remaining  int
+	allStarted chan struct{} // closed once all members have begun to apply the command
 }
 
-// enter waits until all members have come, or patience ends.
-func (m *meeting) enter() (met bool) {
+// wait waits until all members have arrived, or until barrierTimeout. It reports whether all have.
+func (m *applyBarrier) wait() (complete bool) {
 	m.mu.Lock()
-	if m.missing--; m.missing == 0 {
-		close(m.all)
+	if m.remaining--; m.remaining == 0 {
+		close(m.allStarted)
 	}
 	m.mu.Unlock()
 	select {
-	case <-m.all:
+	case <-m.allStarted:
 		return true
-	case <-time.After(meetingPatience):
+	case <-time.After(barrierTimeout):
 		return false
 	}
 }
 
 const (
-	meetingPatience = 5 * time.Second // longer than members wait for one another, and no verdict but of a failure
-	slowCommand     = "slow"
+	barrierTimeout = 5 * time.Second // longer than members wait for one another; expires only if the test fails
+	slowCommand    = "slow"
 )
 
-// slowList is a list that takes its time for one command.
+// slowList is a listMachine that waits at a barrier when it applies slowCommand.
 type slowList struct {
-	list
-	meeting *meeting
-	met     chan bool
+	listMachine
+	barrier    *applyBarrier
+	concurrent chan bool
 }
 
 func (l *slowList) Apply(command []byte) []byte {
 	if string(command) == slowCommand {
-		l.met <- l.meeting.enter()
+		l.concurrent <- l.barrier.wait()
 	}
-	return l.list.Apply(command)
+	return l.listMachine.Apply(command)
 }
 
-// The members of the chain apply what is committed at the same time: each passes on that it is committed before it applies it. A large
-// configuration takes tens of milliseconds to apply, which a chain of five would else spend five times before it is acknowledged.
-func TestMembersApplyACommandAtTheSameTime(t *testing.T) {
+// The members of the chain must apply a committed command at the same time: each passes on the commit before it applies
+// the command. A large configuration takes tens of milliseconds to apply, which would otherwise delay the
+// acknowledgement five times in a chain of five.
+func TestMembersApplyConcurrently(t *testing.T) {
 	const members = 3
-	processes := plan(t, members)[:members]
-	gathering := &meeting{missing: members, all: make(chan struct{})}
-	met := make(chan bool, members)
+	processes := newProcesses(t, members)[:members]
+	barrier := &applyBarrier{remaining: members, allStarted: make(chan struct{})}
+	concurrent := make(chan bool, members)
 	for _, p := range processes {
-		p.machine = &slowList{meeting: gathering, met: met}
+		p.machine = &slowList{barrier: barrier, concurrent: concurrent}
 		p.start(t)
 	}
 	processes[0].submit(t, "first")
 	require.NotEmpty(t, processes[0].submit(t, slowCommand))
 	for range members {
-		assert.True(t, <-met, "a member waits for another one to have applied it")
+		assert.True(t, <-concurrent, "a member applies the command only after another has applied it")
 	}
 }
--- a/control/core/behind_test.go
+++ b/control/core/behind_test.go
@@ -7,44 +7,45 @@
 	"github.com/stretchr/testify/require"
 )
 
-// comeBackBehind has one of five away while some hundred commands are committed, each of which takes long to apply, and returns how often
-// the chain has changed since it came back, and how long nothing was answered.
-func comeBackBehind(t *testing.T, seed uint64, m mutant) (views uint64, pause time.Duration) {
+// restartBehind stops one of five members while 400 commands are committed, each of which takes long to apply. It
+// returns the number of view changes after the member's restart, and the longest time without an answer.
+func restartBehind(t *testing.T, seed uint64, m mutant) (views uint64, pause time.Duration) {
 	const missed = 400
 	s := newSimulation(seed, 5, 2, m)
-	s.minLogBytes = 1 << 20 // no image: the member gets the commands
+	s.minLogBytes = 1 << 20 // large enough that the member receives commands and no snapshot
 	s.run(1500 * time.Millisecond)
 	s.load(20 * time.Millisecond)
 	s.run(4 * time.Second)
-	s.expectService("at first", 300*time.Millisecond)
-	require.Empty(t, s.broken, "seed %d", seed)
-	away := s.inChain(-1)
-	away.kill()
+	s.expectService("initially", 300*time.Millisecond)
+	require.Empty(t, s.violation, "seed %d", seed)
+	member := s.inChain(-1)
+	member.kill()
 	known := len(s.order)
 	s.until(time.Minute, func() bool { return len(s.order) >= known+missed })
 	s.applyTime = 10 * time.Millisecond
-	away.start()
-	from, epoch, last := s.now, s.others(away)[0].node.view.Epoch, s.now
+	member.start()
+	from, epoch, last := s.now, s.others(member)[0].node.view.Epoch, s.now
 	s.until(12*time.Second, func() bool {
-		pause, last = max(pause, s.now-max(last, s.newest)), max(last, s.newest)
+		pause, last = max(pause, s.now-max(last, s.lastAnswerAt)), max(last, s.lastAnswerAt)
 		return s.now > from+8*time.Second
 	})
-	require.Empty(t, s.broken, "seed %d", seed)
-	return s.others(away)[0].node.view.Epoch - epoch, pause
+	require.Empty(t, s.violation, "seed %d", seed)
+	return s.others(member)[0].node.view.Epoch - epoch, pause
 }
 
-// TestAMemberThatIsBehindSpeaksWhileItAppliesWhatItMissed would see it taken in, fall silent, left out and taken in again.
-func TestAMemberThatIsBehindSpeaksWhileItAppliesWhatItMissed(t *testing.T) {
+// TestMemberBehindStaysInChain guards against a member that is silent while it applies the commands that it missed: it
+// would be removed from the chain and added again.
+func TestMemberBehindStaysInChain(t *testing.T) {
 	for seed := range uint64(6) {
-		views, pause := comeBackBehind(t, seed, sound)
+		views, pause := restartBehind(t, seed, noMutation)
 		t.Logf("seed %d: %d changes of the chain, no answer for %v", seed, views, pause)
-		require.LessOrEqual(t, views, uint64(2), "seed %d: it is taken in, and stays", seed)
+		require.LessOrEqual(t, views, uint64(2), "seed %d: the member joins the chain once", seed)
 	}
 }
 
-func TestAMemberThatAppliesAllAtOnceIsCaught(t *testing.T) {
+func TestMutationAppliesAllIsDetected(t *testing.T) {
 	for seed := range uint64(6) {
-		if views, pause := comeBackBehind(t, seed, applyAll); views > 2 {
+		if views, pause := restartBehind(t, seed, unboundedApply); views > 2 {
 			t.Logf("seed %d: %d changes of the chain, no answer for %v", seed, views, pause)
 			return
 		}
@@ -52,9 +53,9 @@
 	require.Fail(t, "not caught")
 }
 
-// TestTheLogIsShortHoweverSmallItsRecordsAre has a member commit many small commands: each start applies again what the log holds.
-func TestTheLogIsShortHoweverSmallItsRecordsAre(t *testing.T) {
-	s := newSimulation(3, 3, 1, sound)
+// TestLogRecordsAreBounded commits many small commands: each start applies again what the log holds.
+func TestLogRecordsAreBounded(t *testing.T) {
+	s := newSimulation(3, 3, 1, noMutation)
 	s.minLogBytes, s.maxLogRecords = 1<<20, maxLogRecords
 	s.run(1500 * time.Millisecond)
 	s.load(10 * time.Millisecond)
@@ -65,12 +66,12 @@
 		}
 	}
 	require.Greater(t, len(s.order), 5*maxLogRecords)
-	require.Empty(t, s.broken)
+	require.Empty(t, s.violation)
 }
 
-// restartWithMuchToApply has all of a core killed at once, when a log without bound would hold 250 commands that take 8 ms each to apply.
-// It returns how long it took to a leader and an answer.
-func restartWithMuchToApply(t *testing.T, seed uint64, m mutant, records int) time.Duration {
+// restartWithLongLog kills all members at once when a log without limit would hold 250 commands that take 8 ms each to
+// apply. It returns the time until there is a leader and an answer.
+func restartWithLongLog(t *testing.T, seed uint64, m mutant, records int) time.Duration {
 	s := newSimulation(seed, 5, 2, m)
 	s.minLogBytes, s.maxLogRecords = 1<<20, records
 	s.run(1500 * time.Millisecond)
@@ -81,20 +82,20 @@
 	s.restart(s.members, 50*time.Millisecond)
 	s.run(s.now + 50*time.Millisecond)
 	back := s.now
-	s.until(30*time.Second, func() bool { return s.newest > back && len(s.holders()) == 1 })
-	require.Empty(t, s.broken, "seed %d", seed)
+	s.until(30*time.Second, func() bool { return s.lastAnswerAt > back && len(s.holders()) == 1 })
+	require.Empty(t, s.violation, "seed %d", seed)
 	return s.now - back
 }
 
-// TestARestartedCoreWithMuchToApplyServesSoon is the end of the day scpwlb-grown mix 500943057247.
-func TestARestartedCoreWithMuchToApplyServesSoon(t *testing.T) {
+// TestRestartWithLongLog replays the end of the simulated day scpwlb-grown, mix 500943057247.
+func TestRestartWithLongLog(t *testing.T) {
 	var slowest time.Duration
 	for seed := range uint64(20) {
-		slowest = max(slowest, restartWithMuchToApply(t, seed, sound, maxLogRecords))
+		slowest = max(slowest, restartWithLongLog(t, seed, noMutation, maxLogRecords))
 	}
 	t.Logf("at most %v", slowest)
 	require.Less(t, slowest, 1500*time.Millisecond)
-	long := restartWithMuchToApply(t, 0, applyAll, 1<<20)
-	t.Logf("%v with a log without bound that is applied at once", long)
+	long := restartWithLongLog(t, 0, unboundedApply, 1<<20)
+	t.Logf("%v with an unlimited log that is applied at once", long)
 	require.Greater(t, long, 2*time.Second)
 }
--- a/control/core/bootstrap.go
+++ b/control/core/bootstrap.go
@@ -8,8 +8,9 @@
 	"ravendale/control/view"
 )
 
-// bootstrap proposes the first view, once all seeds are there, at the one with the lowest address. Since only that one ever proposes
-// it, and has it on disk before it sends it, it is decided.
+// bootstrap adopts the first view at the seed with the lowest address, once it has received heartbeats of all seeds,
+// and sends the view to them. No other process ever proposes a first view, and this one writes it to disk before it
+// sends it, so that it needs no vote.
 func (n *node) bootstrap(now time.Duration) {
 	if n.view.Epoch != 0 || len(n.bootstrapMembers) == 0 {
 		return
@@ -20,11 +21,11 @@
 			continue
 		}
 		p := n.peers.byAddress[address]
-		if p == nil || !p.contacted || now-p.heardAt > failureTimeout || p.refused || p.degraded() {
+		if p == nil || !p.seen || now-p.lastHeartbeatAt > failureTimeout || p.refused || p.degraded() {
 			return
 		}
 		if p.member.ID == 0 {
-			continue // without a disk
+			continue // it has no disk
 		}
 		if !p.heartbeat.Bootstrap || p.heartbeat.Epoch != 0 || address < n.self.Address {
 			return
@@ -39,7 +40,7 @@
 	}
 }
 
-// firstView has all members vote and stand in the chain, the first of them as its head.
+// firstView returns a view in which all members vote and are in the chain, the first of them as its head.
 func firstView(members []view.Member) view.View {
 	first := view.View{Epoch: 1, Voters: members, Complete: len(members)}
 	for _, member := range members {
--- a/control/core/bootstrapstores.go
+++ b/control/core/bootstrapstores.go
@@ -12,109 +12,109 @@
 
 // Timing of a bootstrap on stores.
 const (
-	bootstrapQuietTime     = 300 * time.Millisecond  // without another store, once there are enough of them
-	bootstrapMaxWait       = 1500 * time.Millisecond // without another store, while there are fewer than required
-	bootstrapStagger       = 2 * time.Second         // by which each further seed waits longer
+	bootstrapQuietTime     = 300 * time.Millisecond  // without a further store, once there are enough
+	bootstrapMaxWait       = 1500 * time.Millisecond // without a further store, while there are fewer than required
+	bootstrapStagger       = 2 * time.Second         // additional wait per seed with a lower address
 	bootstrapRetryInterval = 200 * time.Millisecond
 )
 
-// storeBootstrap decides the first view of a core whose voters are stores. The seeds, none of which has a disk, are the acceptors of its single-decree
-// Paxos: in memory, and therefore only in their first incarnation.
+// storeBootstrap decides the first view of a core whose voters are stores, by single-decree Paxos. The acceptors are
+// the seeds. Since they have no disk, they keep their votes in memory and vote only in their first incarnation.
 type storeBootstrap struct {
-	seeds           view.View     // of epoch 0: its voters are the seeds
-	heard           []string      // seeds that have said that they have no disk
-	allHeardAt      time.Duration // when all had; negative: not yet
-	seedHasDisk     bool          // a seed has a disk: nothing is to be done here
+	seeds           view.View     // view of epoch 0 whose voters are the seeds
+	seenSeeds       []string      // addresses of the other seeds from which a heartbeat was received
+	allSeenAt       time.Duration // when a heartbeat of the last of them was received; negative: not yet
+	seedHasDisk     bool          // a seed has a disk, so that the core is not bootstrapped on stores
 	vote            view.Vote
 	proposer        *view.Proposer
 	ballotNumber    uint64
 	retryAt         time.Duration
-	storeCount      int           // stores that may be voters
-	storesChangedAt time.Duration // when their number changed last
+	storeCount      int           // number of stores that may become voters
+	storesChangedAt time.Duration // when storeCount last changed
 }
 
-// newStoreBootstrap returns nil for a process that has no say.
+// newStoreBootstrap returns nil for a process that is not an acceptor of the bootstrap.
 func newStoreBootstrap(config *nodeConfig) *storeBootstrap {
 	if config.Disk || !config.Bootstrap && !config.mutations.seedForgetsVote || !slices.Contains(config.Seeds, config.Address) {
 		return nil
 	}
-	f := &storeBootstrap{allHeardAt: -1}
+	b := &storeBootstrap{allSeenAt: -1}
 	for _, address := range config.Seeds {
-		f.seeds.Voters = append(f.seeds.Voters, view.Member{ID: seedID(address), Address: address})
+		b.seeds.Voters = append(b.seeds.Voters, view.Member{ID: seedID(address), Address: address})
 	}
-	slices.SortFunc(f.seeds.Voters, byAddress)
-	f.seeds.Voters = slices.Compact(f.seeds.Voters)
-	return f
+	slices.SortFunc(b.seeds.Voters, byAddress)
+	b.seeds.Voters = slices.Compact(b.seeds.Voters)
+	return b
 }
 
-// seedID stands for a seed in the bootstrap: it has no disk to take an identity from.
+// seedID identifies a seed in the bootstrap by its address, since it has no disk that an identity could be read from.
 func seedID(address string) view.ID { return view.ID(xxhash.Sum64String(address) | 1) }
 
-// bootstrapsOnStores says whether it is on this node to have stores bootstrap the core: no seed has a disk, and the seeds with lower addresses have had
-// their time.
+// bootstrapsOnStores reports whether it is this node's turn to bootstrap the core with stores as members: no seed has a
+// disk, and each seed with a lower address has had bootstrapStagger to do it.
 func (n *node) bootstrapsOnStores(now time.Duration) bool {
-	f := n.storeBootstrap
-	if f == nil || n.view.Epoch != 0 || f.seedHasDisk || f.allHeardAt < 0 {
+	b := n.storeBootstrap
+	if b == nil || n.view.Epoch != 0 || b.seedHasDisk || b.allSeenAt < 0 {
 		return false
 	}
-	turn := slices.IndexFunc(f.seeds.Voters, func(member view.Member) bool { return member.Address == n.self.Address })
-	return now >= f.allHeardAt+time.Duration(turn)*bootstrapStagger
+	turn := slices.IndexFunc(b.seeds.Voters, func(member view.Member) bool { return member.Address == n.self.Address })
+	return now >= b.allSeenAt+time.Duration(turn)*bootstrapStagger
 }
 
-// observeSeeds records which seeds have been heard.
+// observeSeeds records from which seeds a heartbeat was received.
 func (n *node) observeSeeds(now time.Duration) {
-	f := n.storeBootstrap
-	if f.allHeardAt >= 0 {
+	b := n.storeBootstrap
+	if b.allSeenAt >= 0 {
 		return
 	}
-	for _, seed := range f.seeds.Voters {
+	for _, seed := range b.seeds.Voters {
 		p := n.peers.byAddress[seed.Address]
-		if p == nil || !p.contacted || slices.Contains(f.heard, seed.Address) {
+		if p == nil || !p.seen || slices.Contains(b.seenSeeds, seed.Address) {
 			continue
 		}
-		f.heard = append(f.heard, seed.Address)
-		f.seedHasDisk = f.seedHasDisk || p.member.ID != 0
+		b.seenSeeds = append(b.seenSeeds, seed.Address)
+		b.seedHasDisk = b.seedHasDisk || p.member.ID != 0
 	}
-	if len(f.heard) == len(f.seeds.Voters)-1 {
-		f.allHeardAt = now
+	if len(b.seenSeeds) == len(b.seeds.Voters)-1 {
+		b.allSeenAt = now
 	}
 }
 
-// bootstrapOnStores goes on with the bootstrap, at a seed.
+// bootstrapOnStores starts or continues a ballot of the bootstrap at a seed.
 func (n *node) bootstrapOnStores(now time.Duration) {
-	f := n.storeBootstrap
-	if f == nil || n.view.Epoch != 0 {
+	b := n.storeBootstrap
+	if b == nil || n.view.Epoch != 0 {
 		return
 	}
 	n.observeSeeds(now)
 	if !n.bootstrapsOnStores(now) {
 		return
 	}
-	if f.proposer != nil {
+	if b.proposer != nil {
 		n.continueBootstrap(now)
 		return
 	}
-	if now < f.retryAt || n.firstVoters(now) == nil {
+	if now < b.retryAt || n.firstVoters(now) == nil {
 		return
 	}
-	f.ballotNumber = max(f.ballotNumber, f.vote.Promised.Number) + 1
-	ballot := view.Ballot{Number: f.ballotNumber, Proposer: seedID(n.self.Address), Incarnation: n.origin}
-	f.proposer = view.NewProposer(now, f.seeds, ballot, n.config.mutations.minorityDecides)
-	n.sendToSeeds(f.proposer.Prepare())
+	b.ballotNumber = max(b.ballotNumber, b.vote.Promised.Number) + 1
+	ballot := view.Ballot{Number: b.ballotNumber, Proposer: seedID(n.self.Address), Incarnation: n.origin}
+	b.proposer = view.NewProposer(now, b.seeds, ballot, n.config.mutations.minorityDecides)
+	n.sendToSeeds(b.proposer.Prepare())
 }
 
 func (n *node) continueBootstrap(now time.Duration) {
-	f := n.storeBootstrap
-	if f.proposer.Failed(now) {
-		f.ballotNumber = max(f.ballotNumber, f.proposer.Highest().Number)
-		f.proposer = nil
-		f.retryAt = now + bootstrapRetryInterval + time.Duration(n.config.Random()%uint64(bootstrapRetryInterval))
+	b := n.storeBootstrap
+	if b.proposer.Failed(now) {
+		b.ballotNumber = max(b.ballotNumber, b.proposer.Highest().Number)
+		b.proposer = nil
+		b.retryAt = now + bootstrapRetryInterval + time.Duration(n.config.Random()%uint64(bootstrapRetryInterval))
 		return
 	}
-	if !f.proposer.Gathered(now, nobody) {
+	if !b.proposer.Gathered(now, noMember) {
 		return
 	}
-	accept := f.proposer.Choose(func(func(view.ID) bool) (view.View, bool) {
+	accept := b.proposer.Choose(func(func(view.ID) bool) (view.View, bool) {
 		members := n.firstVoters(now)
 		return firstView(members), members != nil
 	})
@@ -129,37 +129,38 @@
 	}
 }
 
-// onBootstrapMessage takes a message of another seed, or of itself.
+// onBootstrapMessage handles a bootstrap message of another seed or of this one.
 func (n *node) onBootstrapMessage(now time.Duration, from view.Member, message any) {
-	f := n.storeBootstrap
-	if f == nil || n.view.Epoch != 0 {
+	b := n.storeBootstrap
+	if b == nil || n.view.Epoch != 0 {
 		return
 	}
 	sender := seedID(from.Address)
 	switch m := message.(type) {
 	case *view.Prepare:
 		if m.View.Epoch == 0 {
-			reply, _ := f.vote.Prepare(0, m.Ballot)
+			reply, _ := b.vote.Prepare(0, m.Ballot)
 			n.deliver(outboundMessage{from.Address, &reply})
 		}
 	case *view.Accept:
 		if m.Epoch == 0 {
-			reply, _ := f.vote.Accept(m)
+			reply, _ := b.vote.Accept(m)
 			n.deliver(outboundMessage{from.Address, &reply})
 		}
 	case *view.Promise:
-		if f.proposer != nil {
-			f.proposer.Promised(sender, m)
+		if b.proposer != nil {
+			b.proposer.Promised(sender, m)
 			n.continueBootstrap(now)
 		}
 	case *view.AcceptReply:
-		if f.proposer != nil {
-			n.announceFirstView(f.proposer.Accepted(sender, m))
+		if b.proposer != nil {
+			n.announceFirstView(b.proposer.Accepted(sender, m))
 		}
 	}
 }
 
-// announceFirstView sends the first view to its voters and to the other seeds. Who misses that hears of it by the next heartbeats.
+// announceFirstView sends the first view to its voters and to the other seeds. A process that misses the message
+// receives the view in answer to its next heartbeats.
 func (n *node) announceFirstView(first *view.View) {
 	if first == nil {
 		return
@@ -174,15 +175,16 @@
 	}
 }
 
-// firstVoters chooses among the stores that were heard of, nil as long as there are too few, or more may come.
+// firstVoters chooses the first voters among the responsive stores. It returns nil while there are too few, or while
+// more may still start.
 func (n *node) firstVoters(now time.Duration) []view.Member {
-	f := n.storeBootstrap
+	b := n.storeBootstrap
 	stores := n.uninitializedMembers(now)
-	if len(stores) != f.storeCount {
-		f.storeCount, f.storesChangedAt = len(stores), now
+	if len(stores) != b.storeCount {
+		b.storeCount, b.storesChangedAt = len(stores), now
 	}
 	required := n.config.Durability.Voters()
-	quiet := now - f.storesChangedAt
+	quiet := now - b.storesChangedAt
 	if len(stores) == 0 || quiet < bootstrapQuietTime || len(stores) < required && quiet < bootstrapMaxWait {
 		return nil
 	}
@@ -193,11 +195,11 @@
 	return chosen
 }
 
-// uninitializedMembers lists the members with a disk that know of no core yet, by address.
+// uninitializedMembers returns the responsive members that have a disk and no view yet, sorted by address.
 func (n *node) uninitializedMembers(now time.Duration) []view.Member {
 	var members []view.Member
 	for _, p := range n.peers.byAddress {
-		if p.contacted && !p.refused && !p.degraded() && now-p.heardAt < failureTimeout && p.member.ID != 0 && p.heartbeat.Epoch == 0 {
+		if p.seen && !p.refused && !p.degraded() && now-p.lastHeartbeatAt < failureTimeout && p.member.ID != 0 && p.heartbeat.Epoch == 0 {
 			members = append(members, p.member)
 		}
 	}
@@ -205,13 +207,13 @@
 	return members
 }
 
-// spreadOver picks so many members, from as many zones as possible.
+// spreadOver picks up to count members, from as many zones as possible.
 func spreadOver(members []view.Member, count int) []view.Member {
 	var picked []view.Member
-	left := slices.Clone(members)
-	for len(picked) < count && len(left) > 0 {
+	remaining := slices.Clone(members)
+	for len(picked) < count && len(remaining) > 0 {
 		zones := make(map[string]bool)
-		left = slices.DeleteFunc(left, func(member view.Member) bool {
+		remaining = slices.DeleteFunc(remaining, func(member view.Member) bool {
 			if len(picked) == count || zones[member.Zone] {
 				return false
 			}
--- a/control/core/bounds_test.go
+++ b/control/core/bounds_test.go
@@ -21,43 +21,43 @@
 	"ravendale/control/view"
 )
 
-// lone is a core of one member on a folder of the operating system, without time and network.
-type lone struct {
-	t       *testing.T
-	folder  string
-	machine *state.Machine
-	node    *node
-	store   *slots.Store
-	now     time.Duration
-	results map[uint64]*state.Result
-	images  int
-	most    int64 // bytes of the folder at their most
+// singleMember drives a core of one member on a folder of the operating system, without real time and network.
+type singleMember struct {
+	t        *testing.T
+	folder   string
+	machine  *state.Machine
+	node     *node
+	store    *slots.Store
+	now      time.Duration
+	results  map[uint64]*state.Result
+	images   int
+	maxBytes int64 // maximum size of the folder in bytes
 }
 
-// quickFolder is a folder of the operating system that is not synced.
-type quickFolder struct{ slots.OSFolder }
+// unsyncedFolder is a folder of the operating system that is not synced.
+type unsyncedFolder struct{ slots.OSFolder }
 
 // Open implements slots.Folder.
-func (f quickFolder) Open(name string, size int64) (slots.File, error) {
+func (f unsyncedFolder) Open(name string, size int64) (slots.File, error) {
 	file, err := f.OSFolder.Open(name, size)
-	return unsynced{file}, err
+	return unsyncedFile{file}, err
 }
 
 // Sync implements slots.Folder.
-func (f quickFolder) Sync() error { return nil }
+func (f unsyncedFolder) Sync() error { return nil }
 
-type unsynced struct{ slots.File }
+type unsyncedFile struct{ slots.File }
 
 // Sync implements slots.File.
-func (unsynced) Sync() error { return nil }
+func (unsyncedFile) Sync() error { return nil }
 
-func newLone(t *testing.T) *lone {
-	return &lone{t: t, folder: t.TempDir(), results: make(map[uint64]*state.Result)}
+func newSingleMember(t *testing.T) *singleMember {
+	return &singleMember{t: t, folder: t.TempDir(), results: make(map[uint64]*state.Result)}
 }
 
-func (l *lone) start() {
+func (l *singleMember) start() {
 	l.t.Helper()
-	store, snapshot, records, err := slots.OpenFolder(quickFolder{slots.OSFolder(l.folder)})
+	store, snapshot, records, err := slots.OpenFolder(unsyncedFolder{slots.OSFolder(l.folder)})
 	require.NoError(l.t, err)
 	const address = "10.0.0.1:1"
 	random := uint64(l.now)
@@ -74,16 +74,16 @@
 			return
 		}
 	}
-	require.Fail(l.t, "it does not take part")
+	require.Fail(l.t, "the node was not attached to the chain")
 }
 
-func (l *lone) tick() {
+func (l *singleMember) tick() {
 	l.now += 20 * time.Millisecond
 	l.node.Tick(l.now)
 	l.execute()
 }
 
-func (l *lone) execute() {
+func (l *singleMember) execute() {
 	for output := l.node.Take(); ; output = l.node.Take() {
 		for _, end := range output.Completions {
 			require.NoError(l.t, end.Err)
@@ -103,14 +103,14 @@
 			} else {
 				require.NoError(l.t, l.store.Append(write.Records...))
 			}
-			l.most = max(l.most, l.size())
+			l.maxBytes = max(l.maxBytes, l.size())
 			l.node.OnDisk(l.now, write.Batch)
 		}
 	}
 }
 
-// size is how many bytes all files of the folder have.
-func (l *lone) size() (size int64) {
+// size returns the total size in bytes of all files in the folder.
+func (l *singleMember) size() (size int64) {
 	require.NoError(l.t, filepath.WalkDir(l.folder, func(_ string, entry fs.DirEntry, err error) error {
 		if err != nil || entry.IsDir() {
 			return err
@@ -122,7 +122,7 @@
 	return size
 }
 
-func (l *lone) submit(command state.Command) *state.Result {
+func (l *singleMember) submit(command state.Command) *state.Result {
 	l.t.Helper()
 	encoded, err := state.Encode(command)
 	require.NoError(l.t, err)
@@ -141,24 +141,24 @@
 	return nil
 }
 
-func (l *lone) set(version uint64, size int) *state.Result {
+func (l *singleMember) set(version uint64, size int) *state.Result {
 	return l.submit(&state.Set{Base: version - 1, Body: bigDocument(version, size)})
 }
 
-// bigDocument is a configuration of about so many bytes.
+// bigDocument returns a configuration of about size bytes.
 func bigDocument(version uint64, size int) []byte {
 	return fmt.Appendf(nil, `{"version":%d,"routes":[],"backends":[{"name":"s","pad":%q}],"limits":{}}`, version, strings.Repeat("x", size))
 }
 
 const smallDiskBytes = 64 << 20
 
-// TestHundredsOfLargeChangesStayWithinASmallDisk has 300 documents of 256 KB taken, with a restart after each hundred: the files and what is held
-// in memory stay bounded, and the newest is there after each start.
-func TestHundredsOfLargeChangesStayWithinASmallDisk(t *testing.T) {
+// TestLargeDocumentsFitSmallDisk applies 300 documents of 256 KB, with a restart after every hundred: the files and the
+// memory in use stay bounded, and the newest document is present after each start.
+func TestLargeDocumentsFitSmallDisk(t *testing.T) {
 	const changes, size = 300, 256 << 10
-	l := newLone(t)
+	l := newSingleMember(t)
 	l.start()
-	var most uint64
+	var maxHeap uint64
 	for version := uint64(1); version <= changes; version++ {
 		require.Equal(t, state.OutcomeApplied, l.set(version, size).Outcome)
 		require.LessOrEqual(t, l.node.chain.Unapplied(), 1)
@@ -167,20 +167,20 @@
 		}
 		var memory runtime.MemStats
 		runtime.ReadMemStats(&memory)
-		most = max(most, memory.HeapInuse)
+		maxHeap = max(maxHeap, memory.HeapInuse)
 		require.NoError(t, l.store.Close())
 		l.start()
-		require.Equal(t, state.OutcomeDuplicate, l.set(version, size).Outcome, "the newest order is known again")
+		require.Equal(t, state.OutcomeDuplicate, l.set(version, size).Outcome, "the newest command is recognized after the restart")
 		require.Equal(t, version, l.machine.Current().Version)
 	}
-	require.Less(t, l.most, int64(12*size), "two slots and two logs")
-	t.Logf("at most %d KB on disk, %d KB of heap in use, %d images", l.most>>10, most>>10, l.images)
+	require.Less(t, l.maxBytes, int64(12*size), "the size of two slots and two logs")
+	t.Logf("at most %d KB on disk, %d KB of heap in use, %d images", l.maxBytes>>10, maxHeap>>10, l.images)
 }
 
-// TestTheLargestDocumentsStayWithinASmallDisk does the same with the largest documents that are taken.
-func TestTheLargestDocumentsStayWithinASmallDisk(t *testing.T) {
+// TestLargestDocumentsFitSmallDisk does the same with the largest documents that are accepted.
+func TestLargestDocumentsFitSmallDisk(t *testing.T) {
 	const changes, size = 20, state.MaxDocument - 200
-	l := newLone(t)
+	l := newSingleMember(t)
 	l.start()
 	for version := uint64(1); version <= changes; version++ {
 		require.Equal(t, state.OutcomeApplied, l.set(version, size).Outcome)
@@ -188,56 +188,57 @@
 	refused := l.set(changes+1, state.MaxDocument)
 	require.Equal(t, state.OutcomeInvalid, refused.Outcome)
 	require.Contains(t, refused.Findings[0].Reason, "more than")
-	require.Less(t, l.most, int64(smallDiskBytes))
-	t.Logf("at most %d KB on disk", l.most>>10)
+	require.Less(t, l.maxBytes, int64(smallDiskBytes))
+	t.Logf("at most %d KB on disk", l.maxBytes>>10)
 }
 
-// TestALogIsBoundedAcrossRestarts has a process restarted after each change: its log is replaced all the same.
-func TestALogIsBoundedAcrossRestarts(t *testing.T) {
+// TestLogIsBoundedAcrossRestarts restarts the process after each change: its log must be replaced by snapshots
+// nevertheless.
+func TestLogIsBoundedAcrossRestarts(t *testing.T) {
 	const changes, size = 400, 2 << 10
-	l := newLone(t)
+	l := newSingleMember(t)
 	for version := uint64(1); version <= changes; version++ {
 		l.start()
-		require.LessOrEqual(t, l.node.chain.Unapplied(), 2*maxLogRecords, "they are all applied again")
+		require.LessOrEqual(t, l.node.chain.Unapplied(), 2*maxLogRecords, "all of them are applied again")
 		require.Equal(t, state.OutcomeApplied, l.set(version, size).Outcome)
 		l.tick()
 		require.NoError(t, l.store.Close())
 	}
-	require.Less(t, l.most, int64(6*minLogBytes), "two logs, and two slots that may hold the commands of one")
+	require.Less(t, l.maxBytes, int64(6*minLogBytes), "two logs, and two slots that may hold the commands of one")
 	require.Greater(t, l.images, 3)
-	t.Logf("at most %d KB on disk, %d images", l.most>>10, l.images)
+	t.Logf("at most %d KB on disk, %d images", l.maxBytes>>10, l.images)
 }
 
-// TestTheHistoryIsBounded has more orders taken than are kept: the newest 8,192 are known again after a restart, older ones are neither
-// acknowledged nor refused, and what is on disk stays small.
-func TestTheHistoryIsBounded(t *testing.T) {
-	const kept, changes = 8192, 10000
-	l := newLone(t)
+// TestHistoryIsBounded applies more commands than the history keeps: the newest 8,192 are recognized after a restart,
+// older ones are neither acknowledged nor refused, and the files stay small.
+func TestHistoryIsBounded(t *testing.T) {
+	const historySize, changes = 8192, 10000
+	l := newSingleMember(t)
 	l.start()
 	for version := uint64(1); version <= changes; version++ {
 		require.Equal(t, state.OutcomeApplied, l.set(version, 10).Outcome)
 	}
 	require.NoError(t, l.store.Close())
 	l.start()
-	require.Equal(t, state.OutcomeUnsure, l.set(changes-kept, 10).Outcome)
-	for _, version := range []uint64{changes - kept + 1, changes - 1, changes} {
+	require.Equal(t, state.OutcomeUnsure, l.set(changes-historySize, 10).Outcome)
+	for _, version := range []uint64{changes - historySize + 1, changes - 1, changes} {
 		repeated := l.set(version, 10)
 		require.Equal(t, state.OutcomeDuplicate, repeated.Outcome)
 		require.Equal(t, version, repeated.Version)
 	}
-	require.Less(t, l.most, int64(4<<20))
-	t.Logf("at most %d KB on disk", l.most>>10)
+	require.Less(t, l.maxBytes, int64(4<<20))
+	t.Logf("at most %d KB on disk", l.maxBytes>>10)
 }
 
-// empty is a machine without state.
-type empty struct{}
+// emptyMachine is a machine without state.
+type emptyMachine struct{}
 
-func (empty) Snapshot() []byte { return nil }
+func (emptyMachine) Snapshot() []byte { return nil }
 
-// TestAHeadBoundsWhatWaits has a head whose successor takes nothing more submit without end.
-func TestAHeadBoundsWhatWaits(t *testing.T) {
+// TestHeadBoundsUncommitted proposes commands at a head whose successor accepts no more.
+func TestHeadBoundsUncommitted(t *testing.T) {
 	const size = 1 << 20
-	c := chain.New(1, chain.State{}, empty{})
+	c := chain.New(1, chain.State{}, emptyMachine{})
 	c.Adopt(0, &view.View{Epoch: 1, Chain: []view.ID{1, 2}}, true, false)
 	c.Take()
 	c.OnSynced(0, c.LogOffset())
@@ -258,14 +259,15 @@
 		require.Less(t, len(encoded), rpc.MaxFrame)
 		sent += len(encoded)
 	}
-	require.Greater(t, sent, chain.MaxUncommitted, "all that waits is passed on")
+	require.Greater(t, sent, chain.MaxUncommitted, "all uncommitted commands are passed on")
 	c.OnAck(&chain.Ack{Epoch: 1, Committed: c.Last()})
-	require.True(t, c.Propose(0, 7, 100, 1, make([]byte, size)), "there is room again")
+	require.True(t, c.Propose(0, 7, 100, 1, make([]byte, size)), "the committed commands count no more")
 }
 
-// TestADamagedFileNeverBringsBackAnOlderState has each byte range of a member's files rot: it refuses the disk, or has all that was taken.
-func TestADamagedFileNeverBringsBackAnOlderState(t *testing.T) {
-	l := newLone(t)
+// TestDamagedFileIsDetected flips a bit at many offsets of a member's files: the store must either report the damage,
+// or return the complete state.
+func TestDamagedFileIsDetected(t *testing.T) {
+	l := newSingleMember(t)
 	l.start()
 	for version := uint64(1); version <= 3; version++ {
 		require.Equal(t, state.OutcomeApplied, l.set(version, 40<<10).Outcome)
@@ -280,9 +282,9 @@
 		}
 		require.NoError(t, err)
 		for at := 0; at < len(intact); at += 1 + len(intact)/50 {
-			rotten := append([]byte(nil), intact...)
-			rotten[at] ^= 1
-			require.NoError(t, os.WriteFile(path, rotten, 0o600))
+			damaged := append([]byte(nil), intact...)
+			damaged[at] ^= 1
+			require.NoError(t, os.WriteFile(path, damaged, 0o600))
 			_, snapshot, records, err := slots.Open(l.folder)
 			if err != nil {
 				require.ErrorIs(t, err, slots.ErrDamaged)
--- a/control/core/chainchange.go
+++ b/control/core/chainchange.go
@@ -7,13 +7,13 @@
 	"ravendale/control/view"
 )
 
-// chainChange is the step from one view to a later one, as it is logged.
+// chainChange describes a change of view for the log.
 type chainChange struct {
-	epoch  uint64
-	chain  []string // rpc addresses
-	voters []string // the same
-	joined []string
-	left   []string // with why, as far as this node knows
+	epoch   uint64
+	chain   []string // rpc addresses of the members
+	voters  []string // rpc addresses of the voters
+	joined  []string
+	removed []string // rpc addresses, each with the probable reason for the removal
 }
 
 func (n *node) chainChange(now time.Duration, next *view.View) chainChange {
@@ -31,13 +31,13 @@
 	for _, id := range n.view.Chain {
 		if next.Position(id) < 0 {
 			member, _ := n.view.Member(id)
-			c.left = append(c.left, member.Address+": "+n.absence(now, member))
+			c.removed = append(c.removed, member.Address+": "+n.absence(now, member))
 		}
 	}
 	return c
 }
 
-// absence says why a member may have been left out.
+// absence returns the probable reason why a member was left out of the chain or is unresponsive.
 func (n *node) absence(now time.Duration, member view.Member) string {
 	p := n.peers.byAddress[member.Address]
 	switch {
@@ -45,28 +45,28 @@
 		return "this process"
 	case p != nil && p.refused:
 		return "its process has ended"
-	case p != nil && p.replaces(member.ID):
-		return "it has another disk"
+	case p != nil && p.hasOtherDisk(member.ID):
+		return "its disk was replaced"
 	case p != nil && p.degraded():
-		return "its disk fails or stalls"
+		return "its disk failed or stalled"
 	case n.isStopping(member.ID):
-		return "it stops"
-	case !n.hears(now, member.ID):
+		return "it is stopping"
+	case !n.isResponsive(now, member.ID):
 		return "it does not respond"
 	case p != nil && len(p.heartbeat.Unresponsive) > 0:
-		return "it does not hear others"
+		return "it receives nothing from some members"
 	}
-	return "it is behind, or does not respond to others"
+	return "it is behind, or unresponsive to other members"
 }
 
 func (c *diskChange) log(log *slog.Logger) {
 	if c.Fault == "" {
-		log.Info("the core's disk takes writes again: this process takes part")
+		log.Info("the core's disk accepts writes again: this process is no longer degraded")
 		return
 	}
-	log.Error("the core's disk fails: this process is degraded", "error", c.Fault)
+	log.Error("the core's disk failed or stalled: this process is degraded", "error", c.Fault)
 }
 
 func (c *chainChange) log(log *slog.Logger) {
-	log.Info("chain changed", "epoch", c.epoch, "chain", c.chain, "voters", c.voters, "joined", c.joined, "left", c.left)
+	log.Info("chain changed", "epoch", c.epoch, "chain", c.chain, "voters", c.voters, "joined", c.joined, "left", c.removed)
 }
--- a/control/core/compat_test.go
+++ b/control/core/compat_test.go
@@ -17,17 +17,18 @@
 	"ravendale/control/view"
 )
 
-// compatCodec is what the generated code gives each message.
+// compatCodec is implemented by the generated code of each message.
 type compatCodec interface {
 	msgp.Marshaler
 	msgp.Unmarshaler
 }
 
-// compatFiller fills values with numbers that climb from field to field, so that fields that changed places are noticed. It knows no names.
+// compatFiller fills values with numbers that increase from field to field, so that swapped fields are noticed. It does
+// not depend on field names.
 type compatFiller struct {
 	next  uint64
 	bools uint64
-	flags func(ordinal uint64) bool // the value of the bool with an ordinal, from 1 on
+	flags func(ordinal uint64) bool // returns the value of the bool with an ordinal, counted from 1
 }
 
 func (f *compatFiller) fill(v reflect.Value) {
@@ -69,7 +70,8 @@
 	}
 }
 
-// compatSamples are a message with all flags set, then three in which each two flags differ at least once, then the zero value.
+// compatSamples returns a message with all flags set, then three in which any two flags differ at least once, then the
+// zero value.
 func compatSamples(empty func() compatCodec) []compatCodec {
 	patterns := []func(uint64) bool{
 		func(uint64) bool { return true },
@@ -86,7 +88,8 @@
 	return append(samples, empty())
 }
 
-// compatMessages are the formats of this package, by the names of their golden files: each holds the samples one after the other.
+// compatMessages maps the names of golden files to the formats of this package. Each file contains the samples one
+// after the other.
 var compatMessages = map[string]func() compatCodec{
 	"heartbeat":     func() compatCodec { return new(heartbeat) },
 	"decided":       func() compatCodec { return new(decided) },
@@ -98,8 +101,8 @@
 	"record":        func() compatCodec { return new(record) },
 }
 
-// TestMessagesAreEncodedAsEver holds each message to the bytes that version a08c060 wrote.
-func TestMessagesAreEncodedAsEver(t *testing.T) {
+// TestMessageEncodingIsStable compares the encoding of each message with the bytes that version a08c060 wrote.
+func TestMessageEncodingIsStable(t *testing.T) {
 	for name, empty := range compatMessages {
 		t.Run(name, func(t *testing.T) {
 			golden, err := os.ReadFile(filepath.Join("testdata", "compat", name+".msgp"))
@@ -111,7 +114,7 @@
 				decoded := empty()
 				rest, err = decoded.UnmarshalMsg(rest)
 				require.NoError(t, err)
-				if i+1 < len(samples) { // decoding makes empty lists of the zero value's nil ones
+				if i+1 < len(samples) { // decoding turns the nil slices of the zero value into empty ones
 					require.Equal(t, sample, decoded)
 				}
 				again, err = decoded.MarshalMsg(again)
@@ -129,23 +132,23 @@
 	}
 }
 
-// TestMethodsAreNumberedAsEver holds each message to its number, and the numbers to the messages that they are read as.
-func TestMethodsAreNumberedAsEver(t *testing.T) {
+// TestMethodNumbersAreStable checks the method number of each message, and the message type of each number.
+func TestMethodNumbersAreStable(t *testing.T) {
 	numbers := map[wire.Method]msgp.Marshaler{
 		128: &heartbeat{}, 129: &view.Prepare{}, 130: &view.Promise{}, 131: &view.Accept{}, 132: &view.AcceptReply{}, 133: &decided{},
 		134: &chain.Attach{}, 135: &chain.Fill{}, 136: &chain.Append{}, 137: &chain.Ack{}, 138: &chain.Gap{}, 139: &propose{},
 		140: &lease.Request{}, 141: &lease.Reply{}, 142: &lease.Release{}, 144: &leaving{},
 	}
-	require.Len(t, kinds, len(numbers))
-	for _, kind := range kinds {
-		require.IsType(t, numbers[kind.method], kind.empty(), "%d", kind.method)
+	require.Len(t, messageKinds, len(numbers))
+	for _, kind := range messageKinds {
+		require.IsType(t, numbers[kind.method], kind.newMessage(), "%d", kind.method)
 		require.Equal(t, kind.method, methodOf(numbers[kind.method]))
 	}
 	require.Equal(t, wire.Method(143), methodForward)
 	require.Equal(t, []outcome{0, 1, 2}, []outcome{outcomeDone, outcomeUnavailable, outcomeUnknown})
 }
 
-// compatDisk writes a disk as a member does: an image, records of each kind, another image, and records again.
+// compatDisk writes files as a member does: an image, a record, another image, and records of each kind.
 func compatDisk(t *testing.T, folder slots.Folder) {
 	t.Helper()
 	store, snapshot, _, err := slots.OpenFolder(folder)
@@ -180,7 +183,7 @@
 	}
 }
 
-// compatImages are two images of one member, the second without entries.
+// compatImages returns two images of one member, the second without entries.
 func compatImages() (first, second *Image) {
 	first = &Image{
 		ID: 0x11, BootstrapMembers: []string{"10.0.0.1:7000", "10.0.0.2:7000"}, View: compatView(1),
@@ -195,7 +198,7 @@
 	return first, second
 }
 
-// compatRecords has one record of each kind.
+// compatRecords returns one record of each kind.
 func compatRecords() []record {
 	next := compatView(3)
 	entries := []chain.Entry{
@@ -214,20 +217,20 @@
 	}
 }
 
-// compatKept is what all of that comes to.
-func compatKept() *Image {
-	_, kept := compatImages()
+// compatFinalImage returns the state that compatDisk results in.
+func compatFinalImage() *Image {
+	_, image := compatImages()
 	records := compatRecords()
-	kept.View, kept.Vote, kept.Lease = *records[2].View, *records[1].Vote, *records[4].Lease
-	kept.Chain.Entries = append(records[0].Write.Entries[:2:2], records[3].Write.Entries...)
-	kept.Chain.CompleteEpoch = 3
-	return kept
+	image.View, image.Vote, image.Lease = *records[2].View, *records[1].Vote, *records[4].Lease
+	image.Chain.Entries = append(records[0].Write.Entries[:2:2], records[3].Write.Entries...)
+	image.Chain.CompleteEpoch = 3
+	return image
 }
 
 var compatFiles = []string{"slot-0", "slot-1", "log-0", "log-1"}
 
-// TestADiskOfAnEarlierVersionIsReadAndWrittenAlike reads the disk that version a08c060 wrote, starts a member from it, and writes it again.
-func TestADiskOfAnEarlierVersionIsReadAndWrittenAlike(t *testing.T) {
+// TestDiskFormatIsStable reads the files that version a08c060 wrote, starts a member from them, and writes them again.
+func TestDiskFormatIsStable(t *testing.T) {
 	golden, again := t.TempDir(), t.TempDir()
 	for _, name := range compatFiles {
 		data, err := os.ReadFile(filepath.Join("testdata", "compat", "disk", name))
@@ -237,22 +240,22 @@
 	store, snapshot, records, err := slots.Open(golden)
 	require.NoError(t, err)
 	require.NoError(t, store.Close())
-	kept, err := ReadImage(snapshot, records)
+	stored, err := ReadImage(snapshot, records)
 	require.NoError(t, err)
-	require.Equal(t, compatKept(), kept)
+	require.Equal(t, compatFinalImage(), stored)
 
 	machine := &compatMachine{}
 	node, err := newNode(time.Second, nodeConfig{
 		Address: "10.0.0.1:7000", Disk: true, Terms: lease.DefaultTiming, Machine: machine, Random: func() uint64 { return 1 },
 	}, snapshot, records)
 	require.NoError(t, err)
-	require.Equal(t, kept.Machine, machine.state)
-	require.Equal(t, kept.ID, node.self.ID)
+	require.Equal(t, stored.Machine, machine.state)
+	require.Equal(t, stored.ID, node.self.ID)
 	var image Image
 	rest, err := image.UnmarshalMsg(node.image())
 	require.NoError(t, err)
 	require.Empty(t, rest)
-	require.Equal(t, kept, &image, "what it would write is what it read")
+	require.Equal(t, stored, &image, "the node would write the image that it has read")
 
 	compatDisk(t, slots.OSFolder(again))
 	for _, name := range compatFiles {
@@ -264,7 +267,7 @@
 	}
 }
 
-// compatMachine keeps the snapshot that it was given.
+// compatMachine stores the snapshot that it was restored from.
 type compatMachine struct{ state []byte }
 
 func (*compatMachine) Apply([]byte) []byte { return nil }
--- a/control/core/core.go
+++ b/control/core/core.go
@@ -21,81 +21,85 @@
 	"ravendale/control/view"
 )
 
-// Errors of Submit, by what is known of the command: a caller may submit it again only after ErrUnavailable.
+// Errors of Submit. A caller may submit the command again only after ErrUnavailable.
 var (
 	ErrUnavailable = errors.New("core: unavailable, the command was not and will not be applied")
 	ErrUnknown     = errors.New("core: the command may or may not be applied")
-	ErrTooLong     = errors.New("core: the command is too long, it was not and will not be applied")
+	ErrTooLong     = errors.New("core: the command exceeds the maximum size, it was not and will not be applied")
 )
 
-// MaxCommand bounds a command, in bytes.
+// MaxCommand is the maximum size of a command in bytes.
 const MaxCommand = 5 << 20
 
-// maxMessageEntries bounds the commands in one message of the chain: those that waited when the last snapshot was taken, the log after it, and
-// what came with its last write. A Fill with a snapshot has only those that wait.
+// maxMessageEntries bounds the size in bytes of the commands in one chain message: those that were uncommitted when the
+// last snapshot was taken, the log since then, and the commands of its last write. A Fill with a snapshot carries
+// uncommitted commands only.
 const maxMessageEntries = 2*(chain.MaxUncommitted+MaxCommand) + maxLogBytes
 
-const _ = uint(rpc.MaxFrame - maxMessageEntries - 1<<20) // they fit a frame, with room for what is around them
+const _ = uint(rpc.MaxFrame - maxMessageEntries - 1<<20) // checks at compile time that these commands fit a frame, with 1 MiB left for the rest of the message
 
-// How long a member may be unresponsive before it counts as gone.
+// How long a member may be unresponsive before it loses its vote or is removed.
 const (
-	downFraction     = 0.7                     // of the time that a new machine has to catch up: by then the one that it replaces has no vote
-	maxDownAfter     = 1500 * time.Millisecond // by then a lease that it held has ended, so that the next holder need not wait for the new voters
+	downFraction     = 0.7                     // fraction of the catch-up time of a new machine: by then the machine that it replaces has no vote
+	maxDownAfter     = 1500 * time.Millisecond // by then a lease that the voter held has expired, so that the next holder need not wait for the new voters
 	minLearnerExpiry = 10 * time.Second
 )
 
-// An orderly stop waits for the others to go on without this process.
+// An orderly stop waits until the other members have decided a view without this process.
 const (
-	stopTimeout      = 1500 * time.Millisecond // at most
-	stopFraction     = 0.25                    // and of the time that the process has to stop
-	stopPollInterval = 20 * time.Millisecond   // between looks, and the time in which the release of the lease may be sent
+	stopTimeout      = 1500 * time.Millisecond // maximum time that the process waits
+	stopFraction     = 0.25                    // maximum fraction of the time that the process has to stop (settings.Bounds.GraceS)
+	stopPollInterval = 20 * time.Millisecond   // interval between checks, in which the release of the lease may also be sent
 )
 
-// Machine is the replicated state machine. Its methods are called one at a time, on goroutines of the core's, and must depend on
-// nothing but what they are given; they must not call the Core.
+// Machine is the replicated state machine. The Core calls its methods one at a time, on its own goroutines. The results
+// must depend on nothing but the arguments and earlier calls. The methods must not call the Core.
 type Machine interface {
-	// Apply executes a committed command. The result goes to whoever submitted it.
+	// Apply executes a committed command. The result is returned to the caller of Submit.
 	Apply(command []byte) (result []byte)
-	// Snapshot is the complete state.
+	// Snapshot returns the complete state.
 	Snapshot() []byte
 	// Restore replaces the complete state by that of a snapshot.
 	Restore(snapshot []byte) error
 }
 
-// Config is what Open needs.
+// Config holds the parameters of Open.
 type Config struct {
 	Settings *settings.Settings
 	Machine  Machine
-	Mux      *rpc.Mux // Open registers the core's handlers here: call rpc.Listen on settings.ControlAddress(settings.IP) after Open
+	Mux      *rpc.Mux // Open registers the core's handlers here; call rpc.Listen on settings.ControlAddress(settings.IP) after Open
 	Log      *slog.Logger
-	// Lead is called on a goroutine of its own when this process gets the leader lease, once an earlier call has returned. Its context
-	// ends when the lease is lost, which may be noticed late: before each act it asks lease.Valid. Nil: the lease is never sought.
+	// Lead is called on a goroutine of its own when this process obtains the leader lease and the previous call has
+	// returned. Its context is cancelled when the lease is lost. That may be noticed late, so Lead must check
+	// lease.Valid before each action. If Lead is nil, the process does not request the lease.
 	Lead func(ctx context.Context, lease *Lease)
-	// Storage says that the disk is that of a store, which serves as a member where too few control processes have a disk.
+	// Storage is true if the disk belongs to a store, which serves as a member where too few control processes have a
+	// disk.
 	Storage bool
-	// Applied is called after commands were applied to the local machine, on the goroutine that did it: it must not wait. May be nil.
+	// Applied is called after commands were applied to the local machine, on the goroutine that applied them, and must
+	// not block. It may be nil.
 	Applied func()
 
-	folder slots.Folder // in place of the data folder, for tests
+	folder slots.Folder // replaces the data folder in tests
 }
 
-// Status is what an operator may want to know of the core.
+// Status describes the core for operators, as this process sees it.
 type Status struct {
-	ID             view.ID // of this process's disk; zero if it has none
+	ID             view.ID // of this process's disk; zero if the process has no disk
 	Epoch          uint64
 	Voters         []view.Member
 	Learners       []view.Member
-	RequiredVoters int // voters that bear the losses which the settings name
+	RequiredVoters int // number of voters needed to tolerate the failures that the settings name
 	Chain          []view.ID
-	Attached       bool // this process follows the chain
+	Attached       bool // this process is attached to the chain
 	Durable        bool // the chain has enough disks to commit
 	Last           uint64
 	Committed      uint64
 	Leader         string // rpc address, empty if unknown
-	DiskFault      string // why this process is degraded, empty if it is not
+	DiskFault      string // why this process is degraded; empty if it is not
 }
 
-// Core is this process's part of the core: it drives a node on sockets and files. Its methods may be called by any goroutine.
+// Core runs this process's node on sockets and files. Its methods may be called by any goroutine.
 type Core struct {
 	config  Config
 	address string
@@ -106,7 +110,7 @@
 	running     bool
 	waiting     map[uint64]chan completion
 	timer       *time.Timer
-	due         time.Duration // when the timer fires
+	due         time.Duration // time at which timer fires
 	leaseRunner leaseRunner
 	links       links
 
@@ -114,7 +118,7 @@
 	disk  diskQueue
 }
 
-// Open reads the disk and restores the machine. A process without a disk only forwards what is submitted.
+// Open reads the disk and restores the machine. A process without a disk only forwards submitted commands to members.
 func Open(config Config) (*Core, error) {
 	if config.Log == nil {
 		config.Log = slog.New(slog.DiscardHandler)
@@ -145,7 +149,7 @@
 	if config.Disk {
 		c.store, snapshot, records, err = c.openSlots()
 		if errors.Is(err, slots.ErrDamaged) {
-			c.config.Log.Error("the core's disk is damaged: what is left is set aside, and this process joins anew", "folder", settings.DataDir, "error", err)
+			c.config.Log.Error("the core's disk is damaged: renaming its files and rejoining with an empty disk", "folder", settings.DataDir, "error", err)
 			config.Bootstrap = false
 			c.store, snapshot, records, err = c.resetSlots()
 		}
@@ -160,7 +164,7 @@
 	if err != nil || !config.Disk {
 		return err
 	}
-	c.config.Log.Info("the core's disk is read",
+	c.config.Log.Info("the core's state was read from disk",
 		"disk", c.node.self.ID, "empty", snapshot == nil, "bootstrap", config.Bootstrap,
 		"epoch", c.node.view.Epoch, "voters", len(c.node.view.Voters), "votes", c.node.isVoter(c.node.self.ID))
 	return nil
@@ -173,7 +177,7 @@
 	return slots.Open(c.config.Settings.DataDir)
 }
 
-// folder is where the store is.
+// folder returns the folder of the store.
 func (c *Core) folder() slots.Folder {
 	if c.config.folder != nil {
 		return c.config.folder
@@ -181,7 +185,7 @@
 	return slots.OSFolder(c.config.Settings.DataDir)
 }
 
-// resetSlots sets a damaged disk's files aside, and opens an empty store.
+// resetSlots renames the files of a damaged disk, so that they are kept, and opens an empty store.
 func (c *Core) resetSlots() (*slots.Store, []byte, [][]byte, error) {
 	if err := slots.SetAside(c.folder()); err != nil {
 		return nil, nil, nil, err
@@ -189,7 +193,7 @@
 	return c.openSlots()
 }
 
-// DurabilityOf is what the chain must have by the losses that the settings name.
+// DurabilityOf returns what the chain needs to tolerate the failures that the settings name.
 func DurabilityOf(s *settings.Settings) view.Durability {
 	return view.Durability{
 		Copies: s.Copies(), ToleratedZones: s.ToleratedZones, ToleratedRegions: s.ToleratedRegions,
@@ -197,25 +201,28 @@
 	}
 }
 
-// DownAfter is after how long an unresponsive voter may lose its vote to another, by the time that a new machine has to catch up: before its successor
-// counts as reliable, or it would be missed in two places.
+// DownAfter returns how long a voter may be unresponsive before its vote may go to another member, given the time that
+// a new machine has to catch up. The vote must have moved by the time the successor counts as reliable: otherwise the
+// core would still lack a voter while another failure is already allowed.
 func DownAfter(catchup time.Duration) time.Duration {
 	return min(maxDownAfter, time.Duration(downFraction*float64(catchup)))
 }
 
-// LearnerExpiry is after how long an unresponsive learner is removed, by the time that a new machine has to catch up.
+// LearnerExpiry returns how long a learner may be unresponsive before it is removed, given the time that a new machine
+// has to catch up.
 func LearnerExpiry(catchup time.Duration) time.Duration { return max(minLearnerExpiry, 2*catchup) }
 
 func durationOf(seconds float64) time.Duration { return settings.Seconds(seconds) }
 
-// random draws numbers that no other process draws, even where sources of chance are alike.
+// random returns a number that differs from those of other processes, even if their random sources have the same seed.
 func (c *Core) random() uint64 {
 	return rand.Uint64() ^ xxhash.Sum64String(fmt.Sprint(c.address, time.Now().UnixNano()))
 }
 
 func (c *Core) now() time.Duration { return time.Since(c.started) }
 
-// Run takes part in the core until ctx ends. While the disk fails or stalls this process is degraded: it only forwards what is submitted.
+// Run runs the member until ctx ends. While the disk fails or stalls, this process is degraded and only forwards
+// submitted commands.
 func (c *Core) Run(ctx context.Context) {
 	diskDone := make(chan struct{})
 	go func() {
@@ -237,16 +244,16 @@
 }
 
 const (
-	diskCloseTimeout = time.Second // for the disk to end what it does
+	diskCloseTimeout = time.Second // how long Run waits for the disk writer to return
 )
 
-// stopGracefully has the others go on without this process, as far as they can in time.
+// stopGracefully asks the other members to go on without this process, and waits for that for a limited time.
 func (c *Core) stopGracefully() {
 	deadline := c.now() + min(stopTimeout, durationOf(stopFraction*c.config.Settings.Bounds.GraceS))
 	c.step(func(now time.Duration) { c.node.BeginStop(now) })
-	for left := false; !left && c.now() < deadline; {
+	for complete := false; !complete && c.now() < deadline; {
 		time.Sleep(stopPollInterval)
-		c.step(func(now time.Duration) { left = c.node.StopComplete(now) })
+		c.step(func(now time.Duration) { complete = c.node.StopComplete(now) })
 	}
 }
 
@@ -267,7 +274,7 @@
 	c.step(func(now time.Duration) { c.node.Tick(now) })
 }
 
-// step has the node do something, executes its output, and then has it apply what is committed.
+// step calls do on the node and executes the node's output, then lets the node apply committed commands.
 func (c *Core) step(do func(now time.Duration)) {
 	c.mu.Lock()
 	if !c.running {
@@ -278,11 +285,11 @@
 	do(now)
 	applied := c.execute(c.node.Take())
 	if c.node.ApplyDue() {
-		runtime.Gosched() // to the connections' writers: on one processor the messages would not go out before this goroutine is done
+		runtime.Gosched() // lets the connections' writers run: on one processor the messages would otherwise not go out before this goroutine has finished
 		c.node.Apply(now)
 		applied = c.execute(c.node.Take()) || applied
 	}
-	c.leaseRunner.follow(c, now)
+	c.leaseRunner.update(c, now)
 	c.schedule(now)
 	c.mu.Unlock()
 	if applied && c.config.Applied != nil {
@@ -290,14 +297,14 @@
 	}
 }
 
-// execute carries out what the node wants, and reports whether commands were applied.
+// execute executes a node's output, and reports whether commands were applied.
 func (c *Core) execute(output output) (applied bool) {
 	c.disk.add(output.Writes)
 	c.links.send(output.Messages)
-	for _, end := range output.Completions {
-		if done := c.waiting[end.Number]; done != nil {
-			done <- end
-			delete(c.waiting, end.Number)
+	for _, completed := range output.Completions {
+		if done := c.waiting[completed.Number]; done != nil {
+			done <- completed
+			delete(c.waiting, completed.Number)
 		}
 	}
 	for i := range output.ChainChanges {
@@ -312,9 +319,10 @@
 	return output.Applied
 }
 
-// schedule sets the timer for when the node has something to do. It is only moved when it would fire too late, or has fired.
+// schedule sets the timer for the node's next Tick. It moves the timer only if it would fire too late or has already
+// fired.
 func (c *Core) schedule(now time.Duration) {
-	next := c.node.next(now)
+	next := c.node.nextTick(now)
 	if c.due > now && c.due <= next {
 		return
 	}
@@ -322,7 +330,7 @@
 	c.timer.Reset(next - now)
 }
 
-// Leader is the rpc address of the process that holds the leader lease, as far as this process knows.
+// Leader returns the rpc address of the process that holds the leader lease, as far as this process knows.
 func (c *Core) Leader() (address string, ok bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -330,7 +338,8 @@
 	return address, address != ""
 }
 
-// LeaderIsStore says whether the process that holds the leader lease runs beside a store, as far as this process knows.
+// LeaderIsStore reports whether the process that holds the leader lease runs beside a store, as far as this process
+// knows.
 func (c *Core) LeaderIsStore() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -338,45 +347,47 @@
 	return slices.ContainsFunc(c.node.view.Members(), func(member view.Member) bool { return member.Storage && member.Address == leader })
 }
 
-// Leads says whether this process holds the leader lease.
+// Leads reports whether this process holds the leader lease.
 func (c *Core) Leads() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.node.leads(c.now())
 }
 
-// Addresses are the rpc addresses of all processes of the core that this one knows.
+// Addresses returns the rpc addresses of all processes of the core that this process knows.
 func (c *Core) Addresses() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.node.Addresses()
 }
 
-// BootstrapsOnStores says whether this process is to have stores take part in a core that is not bootstrapped yet, since no seed has a disk.
+// BootstrapsOnStores reports whether this process is to bootstrap the core with stores as members, since no seed has a
+// disk.
 func (c *Core) BootstrapsOnStores() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.running && c.node.bootstrapsOnStores(c.now())
 }
 
-// Abdicate gives the leader lease, if this process has it, to another, and leaves it to others for a while.
+// Resign gives up the leader lease, if this process holds it, and does not request it again for a while.
 func (c *Core) Abdicate() {
 	c.step(func(now time.Duration) { c.node.Abdicate(now) })
 }
 
-// Leave has the other members take this one out of the voters as soon as they can spare it.
+// Leave asks the other members to remove this one from the voters as soon as the core tolerates that.
 func (c *Core) Leave() {
 	c.step(func(now time.Duration) { c.node.Leave(now) })
 }
 
-// Removed says whether the others have removed this process after Leave: it may stop, and its disk holds nothing that they lack.
+// Removed reports whether the other members have removed this process after Leave. It may then stop: they have all that
+// is on its disk.
 func (c *Core) Removed() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.node.Removed()
 }
 
-// Status tells how this process sees the core.
+// Status returns the state of the core as this process sees it.
 func (c *Core) Status() Status {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/control/core/core_test.go
+++ b/control/core/core_test.go
@@ -25,29 +25,29 @@
 	"ravendale/test/diskfolder"
 )
 
-// list is a machine that keeps all commands in order.
-type list struct {
+// listMachine is a machine that stores all commands in order.
+type listMachine struct {
 	mu   sync.Mutex
 	text string
 }
 
-func (l *list) Apply(command []byte) []byte {
+func (l *listMachine) Apply(command []byte) []byte {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.text += string(command) + ","
 	return []byte(l.text)
 }
 
-func (l *list) Snapshot() []byte { return []byte(l.String()) }
+func (l *listMachine) Snapshot() []byte { return []byte(l.String()) }
 
-func (l *list) Restore(snapshot []byte) error {
+func (l *listMachine) Restore(snapshot []byte) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.text = string(snapshot)
 	return nil
 }
 
-func (l *list) String() string {
+func (l *listMachine) String() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.text
@@ -56,10 +56,10 @@
 // process is one process of a core on loopback addresses.
 type process struct {
 	settings settings.Settings
-	folder   slots.Folder // nil: that of the settings
+	folder   slots.Folder // nil: the data folder of the settings
 	machine  core.Machine // nil: list
 	core     *core.Core
-	list     *list
+	list     *listMachine
 	server   *rpc.Server
 	cancel   context.CancelFunc
 	exited   chan struct{}
@@ -73,14 +73,14 @@
 	return listener.Addr().(*net.TCPAddr).Port
 }
 
-func plan(t *testing.T, count int) []*process {
+func newProcesses(t *testing.T, count int) []*process {
 	port := freePort(t)
 	var seeds []string
 	for i := range count {
 		seeds = append(seeds, fmt.Sprintf("127.0.0.%d:1", i+10))
 	}
 	var processes []*process
-	for i := range count + 1 { // the last is no seed
+	for i := range count + 1 { // the last one is no seed
 		processes = append(processes, &process{settings: settings.Settings{
 			Node: fmt.Sprint("node-", i), IP: fmt.Sprintf("127.0.0.%d", i+10), Zone: fmt.Sprint("zone-", i),
 			PortRange: []int{port, port + 3}, Seeds: seeds, Bootstrap: true, DataDir: filepath.Join(diskfolder.New(t), "data"),
@@ -92,7 +92,7 @@
 
 func (p *process) start(t *testing.T) {
 	mux := rpc.NewMux()
-	p.list, p.leads, p.exited = &list{}, make(chan *core.Lease, 8), make(chan struct{})
+	p.list, p.leads, p.exited = &listMachine{}, make(chan *core.Lease, 8), make(chan struct{})
 	settings := p.settings
 	machine := p.machine
 	if machine == nil {
@@ -128,12 +128,14 @@
 	p.cancel = nil
 }
 
-// soon bounds waits for what has to come, on a machine however busy: no verdict depends on how long it takes.
-const soon = 30 * time.Second
+// waitTimeout limits waits for events that have to happen. It is long enough for a busy machine: no result depends on
+// how long they take.
+const waitTimeout = 30 * time.Second
 
-// submit has a command applied. One that surely was not is submitted again: the process may not run yet, or the core not be bootstrapped.
+// submit submits a command until it is applied. After ErrUnavailable it tries again: the process may not run yet, or
+// the core may not be bootstrapped.
 func (p *process) submit(t *testing.T, command string) string {
-	ctx, cancel := context.WithTimeout(t.Context(), soon)
+	ctx, cancel := context.WithTimeout(t.Context(), waitTimeout)
 	defer cancel()
 	for {
 		result, err := p.core.Submit(ctx, []byte(command))
@@ -146,8 +148,8 @@
 	}
 }
 
-func TestAFullCoreOnSockets(t *testing.T) {
-	processes := plan(t, 3)
+func TestCoreOnSockets(t *testing.T) {
+	processes := newProcesses(t, 3)
 	seeds, diskless := processes[:3], processes[3]
 	diskless.settings.DataDir = ""
 	for _, p := range processes {
@@ -157,13 +159,13 @@
 	require.Equal(t, "a,b,", seeds[2].submit(t, "b"))
 	require.Equal(t, "a,b,c,", diskless.submit(t, "c"))
 	for _, p := range seeds {
-		require.Eventually(t, func() bool { return p.list.String() == "a,b,c," }, soon, 5*time.Millisecond)
+		require.Eventually(t, func() bool { return p.list.String() == "a,b,c," }, waitTimeout, 5*time.Millisecond)
 	}
 	leader := waitLeader(t, seeds)
 	require.Eventually(t, func() bool {
 		address, ok := diskless.core.Leader()
 		return ok && strings.HasPrefix(address, leader.settings.IP+":")
-	}, soon, 10*time.Millisecond)
+	}, waitTimeout, 10*time.Millisecond)
 	require.Len(t, diskless.core.Addresses(), 3)
 	require.False(t, diskless.core.LeaderIsStore())
 
@@ -176,14 +178,14 @@
 		}
 	}
 	require.Equal(t, "a,b,c,d,", others[0].submit(t, "d"))
-	t.Logf("answered %v after the leader's end", time.Since(killed))
+	t.Logf("answered %v after the leader was stopped", time.Since(killed))
 	waitLeader(t, others)
-	t.Logf("another leader %v after", time.Since(killed))
+	t.Logf("another leader %v after that", time.Since(killed))
 
 	leader.settings.Bootstrap = false
-	leader.settings.DataDir = filepath.Join(diskfolder.New(t), "new") // it lost its disk
+	leader.settings.DataDir = filepath.Join(diskfolder.New(t), "new") // with an empty disk
 	leader.start(t)
-	require.Eventually(t, func() bool { return leader.list.String() == "a,b,c,d," }, soon, 10*time.Millisecond)
+	require.Eventually(t, func() bool { return leader.list.String() == "a,b,c,d," }, waitTimeout, 10*time.Millisecond)
 	for _, p := range seeds {
 		p.stop()
 	}
@@ -192,11 +194,11 @@
 	}
 	started := time.Now()
 	require.Equal(t, "a,b,c,d,e,", leader.submit(t, "e"))
-	t.Logf("answered %v after the start of all", time.Since(started))
+	t.Logf("answered %v after all processes were started", time.Since(started))
 }
 
 func waitLeader(t *testing.T, processes []*process) *process {
-	deadline := time.Now().Add(soon)
+	deadline := time.Now().Add(waitTimeout)
 	for time.Now().Before(deadline) {
 		for _, p := range processes {
 			select {
@@ -209,48 +211,48 @@
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
-	require.Fail(t, "nobody leads", "%+v", processes[0].core.Status())
+	require.Fail(t, "no process holds the leader lease", "%+v", processes[0].core.Status())
 	return nil
 }
 
-func TestWithoutAMajorityNothingIsTaken(t *testing.T) {
-	processes := plan(t, 3)
+func TestSubmitWithoutMajority(t *testing.T) {
+	processes := newProcesses(t, 3)
 	processes[0].start(t)
-	require.Eventually(t, func() bool { // a process that does not run yet refuses at once
+	require.Eventually(t, func() bool { // a process that does not run yet returns ErrUnavailable at once
 		started := time.Now()
 		ctx, cancel := context.WithTimeout(t.Context(), 100*time.Millisecond)
 		defer cancel()
 		_, err := processes[0].core.Submit(ctx, []byte("a"))
 		require.ErrorIs(t, err, core.ErrUnavailable)
 		return time.Since(started) >= 100*time.Millisecond
-	}, soon, time.Millisecond)
+	}, waitTimeout, time.Millisecond)
 	_, ok := processes[0].core.Leader()
 	require.False(t, ok)
 }
 
-// smallDisk is a folder on a disk that may be full.
-type smallDisk struct {
+// limitedFolder is a folder on a disk that may be full.
+type limitedFolder struct {
 	slots.OSFolder
 	full atomic.Bool
 }
 
-func newSmallDisk(t *testing.T) *smallDisk {
-	return &smallDisk{OSFolder: slots.OSFolder(diskfolder.New(t))}
+func newLimitedFolder(t *testing.T) *limitedFolder {
+	return &limitedFolder{OSFolder: slots.OSFolder(diskfolder.New(t))}
 }
 
 // Open implements slots.Folder.
-func (d *smallDisk) Open(name string, size int64) (slots.File, error) {
+func (d *limitedFolder) Open(name string, size int64) (slots.File, error) {
 	file, err := d.OSFolder.Open(name, size)
-	return fileOnSmallDisk{file, d}, err
+	return limitedFile{file, d}, err
 }
 
-type fileOnSmallDisk struct {
+type limitedFile struct {
 	slots.File
-	disk *smallDisk
+	disk *limitedFolder
 }
 
 // Write implements slots.File.
-func (f fileOnSmallDisk) Write(data []byte) (int, error) {
+func (f limitedFile) Write(data []byte) (int, error) {
 	if !f.disk.full.Load() {
 		return f.File.Write(data)
 	}
@@ -259,19 +261,20 @@
 }
 
 // Sync implements slots.File.
-func (f fileOnSmallDisk) Sync() error {
+func (f limitedFile) Sync() error {
 	if f.disk.full.Load() {
 		return unix.ENOSPC
 	}
 	return f.File.Sync()
 }
 
-// TestAProcessWithAFullDiskStaysAndForwards has the disk of the leader fill, and that of one that starts.
-func TestAProcessWithAFullDiskStaysAndForwards(t *testing.T) {
-	processes := plan(t, 3)[:3]
-	disks := make(map[*process]*smallDisk)
+// TestFullDisk fills the disk of the leader, and restarts the leader while the disk is full. The process must continue
+// and forward commands.
+func TestFullDisk(t *testing.T) {
+	processes := newProcesses(t, 3)[:3]
+	disks := make(map[*process]*limitedFolder)
 	for _, p := range processes {
-		disks[p] = newSmallDisk(t)
+		disks[p] = newLimitedFolder(t)
 		p.folder = disks[p]
 		p.start(t)
 	}
@@ -284,7 +287,7 @@
 		text += command + ","
 		require.Equal(t, text, leader.submit(t, command))
 	}
-	require.Eventually(t, func() bool { // what meets the fault itself may have an unknown end
+	require.Eventually(t, func() bool { // the outcome of the command that meets the fault may be unknown
 		ctx, cancel := context.WithTimeout(t.Context(), 5*time.Second)
 		defer cancel()
 		_, _ = leader.core.Submit(ctx, []byte("-"))
@@ -294,10 +297,10 @@
 	text = others(processes, leader)[0].submit(t, "b")
 	submit("c")
 	require.Contains(t, leader.core.Status().DiskFault, unix.ENOSPC.Error())
-	require.NoFileExists(t, filepath.Join(string(disks[leader].OSFolder), slots.DamagedName("slot-0")), "it made room")
+	require.NoFileExists(t, filepath.Join(string(disks[leader].OSFolder), slots.DamagedName("slot-0")), "the process removes damaged files to make room")
 
 	leader.stop()
-	leader.start(t) // with the disk still full
+	leader.start(t) // while the disk is still full
 	require.NotEmpty(t, leader.core.Status().DiskFault)
 	submit("d")
 	disks[leader].full.Store(false)
@@ -312,20 +315,21 @@
 	return slices.DeleteFunc(slices.Clone(processes), func(p *process) bool { return p == than })
 }
 
-// TestADamagedDiskIsSetAside has a member's newest slot rot while it is down: it joins anew, as another, and what is left stays.
-func TestADamagedDiskIsSetAside(t *testing.T) {
-	processes := plan(t, 3)[:3]
+// TestDamagedDisk flips a bit in a member's newest slot while it is down: it must rejoin with another identity, and
+// keep the damaged files.
+func TestDamagedDisk(t *testing.T) {
+	processes := newProcesses(t, 3)[:3]
 	for _, p := range processes {
 		p.start(t)
 	}
 	require.Equal(t, "a,", processes[0].submit(t, "a"))
-	rotten := processes[2]
-	require.Eventually(t, func() bool { return rotten.list.String() == "a," }, 10*time.Second, time.Millisecond)
-	before := rotten.core.Status().ID
-	rotten.stop()
+	member := processes[2]
+	require.Eventually(t, func() bool { return member.list.String() == "a," }, 10*time.Second, time.Millisecond)
+	oldID := member.core.Status().ID
+	member.stop()
 	for parity := range 2 {
 		slot, _ := slots.Names(parity)
-		path := filepath.Join(rotten.settings.DataDir, slot)
+		path := filepath.Join(member.settings.DataDir, slot)
 		data, err := os.ReadFile(path)
 		if os.IsNotExist(err) {
 			continue
@@ -334,21 +338,21 @@
 		data[len(data)-1] ^= 1
 		require.NoError(t, os.WriteFile(path, data, 0o600))
 	}
-	rotten.start(t)
-	require.NotEqual(t, before, rotten.core.Status().ID)
-	require.Eventually(t, func() bool { return rotten.core.Status().Attached && rotten.list.String() == "a," }, 10*time.Second, time.Millisecond)
-	kept, err := filepath.Glob(filepath.Join(rotten.settings.DataDir, slots.DamagedName("*")))
+	member.start(t)
+	require.NotEqual(t, oldID, member.core.Status().ID)
+	require.Eventually(t, func() bool { return member.core.Status().Attached && member.list.String() == "a," }, 10*time.Second, time.Millisecond)
+	damaged, err := filepath.Glob(filepath.Join(member.settings.DataDir, slots.DamagedName("*")))
 	require.NoError(t, err)
-	require.NotEmpty(t, kept)
+	require.NotEmpty(t, damaged)
 }
 
-// counter is a machine that only counts what it applies, and holds something large.
-type counter struct {
+// countingMachine is a machine that counts the commands that it applies, and has a large state.
+type countingMachine struct {
 	mu    sync.Mutex
 	count int
 }
 
-func (c *counter) Apply([]byte) []byte {
+func (c *countingMachine) Apply([]byte) []byte {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.count++
@@ -357,42 +361,42 @@
 
 const counterPadding = 4 << 20
 
-func (c *counter) Snapshot() []byte {
+func (c *countingMachine) Snapshot() []byte {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return append(fmt.Append(nil, c.count, " "), make([]byte, counterPadding)...)
 }
 
-func (c *counter) Restore(snapshot []byte) error {
+func (c *countingMachine) Restore(snapshot []byte) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if len(snapshot) < counterPadding {
-		return errors.New("it is cut short")
+		return errors.New("snapshot is shorter than its padding")
 	}
 	_, err := fmt.Sscan(string(snapshot[:len(snapshot)-counterPadding]), &c.count)
 	return err
 }
 
-func (c *counter) value() int {
+func (c *countingMachine) value() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.count
 }
 
-// TestCommandsOfMoreThanAFrameReachAllMembers has more bytes of commands submitted at once than one message among members may have, and a
-// member join that needs the image after them.
-func TestCommandsOfMoreThanAFrameReachAllMembers(t *testing.T) {
+// TestLargeCommandsReachAllMembers submits more bytes of commands at once than fit a message among members, and then
+// adds a member that needs a snapshot of them.
+func TestLargeCommandsReachAllMembers(t *testing.T) {
 	const commands, size = 9, 4 << 20
 	require.Greater(t, commands*size, rpc.MaxFrame)
-	processes := plan(t, 3)[:3]
+	processes := newProcesses(t, 3)[:3]
 	for _, p := range processes {
-		p.machine = &counter{}
+		p.machine = &countingMachine{}
 		p.start(t)
 	}
 	var group sync.WaitGroup
 	for i := range commands {
 		group.Go(func() {
-			for { // until it surely was taken: on a slow disk the chain may refuse for a while
+			for { // until the command was accepted: on a slow disk the chain may refuse commands for a while
 				_, err := processes[i%2].core.Submit(context.Background(), make([]byte, size))
 				if !errors.Is(err, core.ErrUnavailable) {
 					return
@@ -402,17 +406,17 @@
 	}
 	group.Wait()
 	counts := func(p *process, count int) func() bool {
-		return func() bool { return p.machine.(*counter).value() == count }
+		return func() bool { return p.machine.(*countingMachine).value() == count }
 	}
 	for _, p := range processes {
 		require.Eventually(t, counts(p, commands), 30*time.Second, 10*time.Millisecond)
 	}
-	anew := processes[2]
-	anew.stop()
-	anew.settings.Bootstrap, anew.settings.DataDir, anew.machine = false, filepath.Join(diskfolder.New(t), "new"), &counter{}
-	anew.start(t)
-	require.Eventually(t, counts(anew, commands), 30*time.Second, 10*time.Millisecond)
-	require.Eventually(t, func() bool { return anew.core.Status().Attached }, 30*time.Second, 10*time.Millisecond)
-	_, err := anew.core.Submit(t.Context(), make([]byte, core.MaxCommand+1))
+	replacement := processes[2]
+	replacement.stop()
+	replacement.settings.Bootstrap, replacement.settings.DataDir, replacement.machine = false, filepath.Join(diskfolder.New(t), "new"), &countingMachine{}
+	replacement.start(t)
+	require.Eventually(t, counts(replacement, commands), 30*time.Second, 10*time.Millisecond)
+	require.Eventually(t, func() bool { return replacement.core.Status().Attached }, 30*time.Second, 10*time.Millisecond)
+	_, err := replacement.core.Submit(t.Context(), make([]byte, core.MaxCommand+1))
 	require.ErrorIs(t, err, core.ErrTooLong)
 }
--- a/control/core/decommission.go
+++ b/control/core/decommission.go
@@ -7,31 +7,33 @@
 	"ravendale/control/view"
 )
 
-// departure is whether this member is to leave the core, for a while or for good.
+// departure is the state of this member's stop or of its removal from the core.
 type departure struct {
-	stopping         bool          // its process is about to stop, and may be back
-	decommissioning  bool          // it asks to be no voter any more
-	decommissionedAt time.Duration // since when
+	stopping         bool          // its process is about to stop, and may start again
+	decommissioning  bool          // it asks to be removed from the voters
+	decommissionedAt time.Duration // when decommissioning was set
 }
 
-// leaseTransferTimeout is how long a member that is decommissioned is kept while nobody holds the leader lease: a change of the voters that names a holder lets
-// that one go on, while one without a holder has all wait for the end of a lease that may be held.
+// leaseTransferTimeout is how long the removal of a decommissioned voter waits while nobody holds the leader lease. If
+// a change of the voters names a holder, that holder keeps the lease; if it names none, all candidates have to wait
+// until any lease that may be held has expired.
 const leaseTransferTimeout = 2 * time.Second
 
-// leaseAbstention is how long a member that gave the leader lease up does not seek it.
+// leaseAbstention is how long a member that gave up the leader lease does not request it.
 const leaseAbstention = 10 * time.Second
 
-// Abdicate gives the leader lease back and has others take it at once: this member may be about to go.
+// Resign gives up the leader lease, so that another member can obtain it at once, and does not request it for
+// leaseAbstention: this member may be about to stop.
 func (n *node) Abdicate(now time.Duration) {
 	n.lease.abstainUntil = now + leaseAbstention
 	if n.lease.holder.Valid(now) {
 		n.dropLease(lossTransferred)
 	}
 	n.sendHeartbeats(now)
-	n.finish(now)
+	n.finishStep(now)
 }
 
-// Leave has this member ask the others to go on without it.
+// Leave asks the other members to remove this one from the voters.
 func (n *node) Leave(now time.Duration) {
 	if n.departure.decommissioning {
 		return
@@ -41,8 +43,9 @@
 	n.Abdicate(now)
 }
 
-// announceLeaving goes along with each heartbeat of a member that has abdicated or is decommissioned. All members hear it: each may propose a view, and
-// two that plan by different wishes undo one another's views.
+// announceLeaving is called with each heartbeat, and sends a leaving message to all members if this one has resigned or
+// is decommissioned. All members need it because each may propose a view, and two proposers that do not agree on who is
+// leaving would undo one another's views.
 func (n *node) announceLeaving(now time.Duration) {
 	if n.departure.decommissioning || now < n.lease.abstainUntil {
 		n.sendMembers(&leaving{ID: n.self.ID, Vote: n.departure.decommissioning})
@@ -61,10 +64,10 @@
 	if now >= p.removalUntil {
 		p.removalSince = now
 	}
-	p.removalUntil = now + failureTimeout // its next incarnation may stay: a wish holds as long as it is repeated
+	p.removalUntil = now + failureTimeout // not renewed after a restart: the next incarnation may stay
 }
 
-// abstains says whether a member leaves the leader lease to others.
+// abstains reports whether a member does not request the leader lease at present.
 func (n *node) abstains(now time.Duration, id view.ID) bool {
 	if id == n.self.ID {
 		return now < n.lease.abstainUntil
@@ -73,12 +76,13 @@
 	return p != nil && now < p.abstainUntil
 }
 
-// removable says whether a member wishes to leave and may: those that stay are a chain with enough disks, each of them complete and heard by this one.
-func (n *node) removable(now time.Duration, id view.ID) bool {
+// dispensable reports whether a member asks to leave and may be removed: the remaining voters are responsive and
+// complete, all of them are in the chain, and they have enough disks.
+func (n *node) dispensable(now time.Duration, id view.ID) bool {
 	if !n.wantsRemoval(now, id) {
 		return false
 	}
-	if !n.isVoter(id) || n.config.mutations.sparesNobody {
+	if !n.isVoter(id) || n.config.mutations.removesNeededVoter {
 		return true
 	}
 	if !n.leaseTransferred(now, id) {
@@ -89,7 +93,7 @@
 		if member.ID == id || n.wantsRemoval(now, member.ID) {
 			continue
 		}
-		if n.view.Position(member.ID) < 0 || !n.hears(now, member.ID) || !n.seemsComplete(member.ID) {
+		if n.view.Position(member.ID) < 0 || !n.isResponsive(now, member.ID) || !n.seemsComplete(member.ID) {
 			return false
 		}
 		rest.Voters = append(rest.Voters, member)
@@ -98,12 +102,14 @@
 	return len(rest.Voters) > 0 && n.config.Durability.Met(&rest)
 }
 
-// replaceable says whether a member wishes to leave and holds the leader lease no more: its vote may be another's.
+// replaceable reports whether a member asks to leave and does not hold the leader lease, so that its vote may go to
+// another member.
 func (n *node) replaceable(now time.Duration, id view.ID) bool {
 	return n.wantsRemoval(now, id) && (!n.isVoter(id) || n.leaseTransferred(now, id))
 }
 
-// leaseTransferred says whether another than a member that leaves holds the leader lease, or nobody takes it.
+// leaseTransferred reports whether another member than the one that leaves holds the leader lease, or whether nobody
+// has obtained it within leaseTransferTimeout.
 func (n *node) leaseTransferred(now time.Duration, id view.ID) bool {
 	leader := n.leaderAddress(now)
 	if leader != "" {
@@ -117,7 +123,7 @@
 	return now >= since+leaseTransferTimeout
 }
 
-// wantsRemoval says whether a member wishes to be no voter any more.
+// wantsRemoval reports whether a member asks to be removed from the voters.
 func (n *node) wantsRemoval(now time.Duration, id view.ID) bool {
 	if id == n.self.ID {
 		return n.departure.decommissioning
@@ -126,7 +132,7 @@
 	return p != nil && now < p.removalUntil
 }
 
-// Removed says whether this member belongs to a view that others decided without it, after it has asked to leave.
+// Removed reports whether, after Leave, the other members have decided a view in which this one is no voter.
 func (n *node) Removed() bool {
 	return n.departure.decommissioning && n.view.Epoch > 0 && !slices.ContainsFunc(n.view.Voters, func(member view.Member) bool { return member.ID == n.self.ID })
 }
--- a/control/core/degraded.go
+++ b/control/core/degraded.go
@@ -9,23 +9,24 @@
 	"ravendale/control/view"
 )
 
-// faultStalled is the fault of a disk that has not reported one itself.
+// faultStalled is the fault of a disk that has not reported an error itself.
 const faultStalled = "a write takes too long"
 
-// degradation is the state of a member that can't write. It holds no lease, orders and accepts nothing, promises nothing, passes on only what is
-// durable already, and says so in its heartbeats, so that the others go on without it. All that it knows stays in memory: it takes part again once all of
-// that has been written as one image, which does not need whatever became of the writes that failed.
+// degradation is the state of a member that can't write. It holds no lease, does not order, accept or promise anything,
+// passes on only what is already durable, and reports its state in its heartbeats, so that the others proceed without
+// it. Its state remains in memory. It recovers by writing that as one complete image, which does not depend on the
+// outcome of the failed writes.
 type degradation struct {
-	fault       string        // empty: the member takes part
+	fault       string        // empty if the member is not degraded
 	retryAt     time.Duration // when the image is to be written
-	attempt     uint64        // the batch of the image that was attempted last
-	failedBatch uint64        // the newest batch that the disk did not take
+	attempt     uint64        // batch of the last image that was to end the degradation
+	failedBatch uint64        // newest batch that was given to the disk when a write failed
 }
 
-// degraded says whether the member can't write.
+// degraded reports whether the member can't write.
 func (d *durability) degraded() bool { return d.degradation.fault != "" }
 
-// beginRecovery says whether the image may be written now, and records that it is.
+// beginRecovery reports whether the image may be written now, and if so requests it.
 func (d *durability) beginRecovery(now time.Duration) bool {
 	if d.writing() || now < d.degradation.retryAt {
 		return false
@@ -34,7 +35,8 @@
 	return true
 }
 
-// recover says whether a member is degraded no more now that a batch is durable: only the image counts, so a stalled disk has to take one write more.
+// recover reports whether the member ceases to be degraded now that a batch is durable. Only the image counts, so that
+// a stalled disk has to complete one more write.
 func (d *durability) recover(now time.Duration, batch uint64) bool {
 	if d.degradation.attempt == 0 || batch < d.degradation.attempt {
 		d.degradation.retryAt = now
@@ -44,37 +46,37 @@
 	return true
 }
 
-// diskChange tells that the disk fails, or with an empty fault that it works again.
+// diskChange reports that the disk failed, or with an empty fault that it works again.
 type diskChange struct {
 	Fault string
 }
 
-// degraded says whether the sender can't write: it then names itself among those that do not respond.
+// degraded reports whether the sender can't write: it then lists itself among the unresponsive members.
 func (b *heartbeat) degraded() bool {
 	return b.Member.ID != 0 && slices.Contains(b.Unresponsive, b.Member.ID)
 }
 
-// degraded says whether this member can't write.
+// degraded reports whether this member can't write.
 func (n *node) degraded() bool { return n.durability.degraded() }
 
-// checkDiskStall has the member degrade when a write takes too long.
+// checkDiskStall makes the member degraded when a write takes too long.
 func (n *node) checkDiskStall(now time.Duration) {
 	if !n.degraded() && n.durability.writing() && now-n.durability.writingSince >= diskStallTimeout {
 		n.degrade(now, faultStalled)
 	}
 }
 
-// DiskFailed tells that the disk did not take a write. All writes that were given to it and not done are void.
+// DiskFailed reports that a write failed. All writes that were given to the disk and have not completed are discarded.
 func (n *node) DiskFailed(now time.Duration, cause string) {
 	n.durability.degradation.failedBatch = n.durability.lastBatch
-	n.durability.offsets = nil // the offset of the image covers them
+	n.durability.offsets = nil // covered by the offset of the image
 	n.degrade(now, cause)
 	n.durability.requireSnapshot()
 	n.durability.degradation.retryAt = now + diskRetryInterval
-	n.finish(now)
+	n.finishStep(now)
 }
 
-// degrade has the member stop all that needs its disk, and end the commands in flight.
+// degrade makes the member degraded: it gives up the lease and its ballot, and ends the pending commands.
 func (n *node) degrade(now time.Duration, fault string) {
 	d := &n.durability
 	if d.degraded() {
@@ -90,12 +92,12 @@
 		n.dropLease(lossDisk)
 	}
 	for _, pending := range n.commands.pending {
-		n.end(pending, nil, pending.fate())
+		n.complete(pending, nil, pending.abandonError())
 	}
 	n.peers.heartbeatDue = now
 }
 
-// onRecoveryWrite has the member take part again once its image is durable.
+// onRecoveryWrite ends the degradation once the image is durable.
 func (n *node) onRecoveryWrite(now time.Duration, batch uint64) {
 	if n.durability.recover(now, batch) {
 		n.output.DiskChanges = append(n.output.DiskChanges, diskChange{})
@@ -103,7 +105,7 @@
 	}
 }
 
-// tickDegraded is all that a degraded member does on its own.
+// tickDegraded is tickMember for a degraded member.
 func (n *node) tickDegraded(now time.Duration) {
 	n.updateResponsiveness(now)
 	if n.ready() && now >= n.peers.heartbeatDue {
@@ -113,7 +115,7 @@
 	}
 }
 
-// dispatchDegraded is all that a degraded member takes in: nothing that it would have to write before it may answer.
+// dispatchDegraded is dispatch for a degraded member: it ignores messages that could only be answered after a write.
 func (n *node) dispatchDegraded(now time.Duration, from view.Member, message any) {
 	switch m := message.(type) {
 	case *heartbeat:
@@ -131,9 +133,9 @@
 	}
 }
 
-// observeUninitialized lets a process whose first write fails know who leads.
+// observeUninitialized records heartbeats at a process whose first write failed, so that it knows the leader.
 func (n *node) observeUninitialized(now time.Duration, message any) {
 	if m, ok := message.(*heartbeat); ok && n.degraded() {
-		n.observe(now, m)
+		n.recordHeartbeat(now, m)
 	}
 }
--- a/control/core/diskwriter.go
+++ b/control/core/diskwriter.go
@@ -11,7 +11,7 @@
 	"ravendale/control/slots"
 )
 
-// diskQueue holds the writes that wait for the disk, in order.
+// diskQueue holds the writes that are to be executed, in order.
 type diskQueue struct {
 	mu     sync.Mutex
 	writes []diskWrite
@@ -39,7 +39,7 @@
 	return writes
 }
 
-// writeDisk puts what the node gives to the disk there, all that has gathered by one sync, and tells the node.
+// writeDisk executes the node's writes, all that are queued with one sync, and reports the result to the node.
 func (c *Core) writeDisk(ctx context.Context) {
 	if c.store == nil {
 		return
@@ -60,7 +60,7 @@
 				_ = slots.RemoveDamaged(c.folder())
 			}
 			c.step(func(now time.Duration) {
-				c.disk.take() // what follows a write that failed is void
+				c.disk.take() // writes after a failed one are discarded
 				c.node.DiskFailed(now, err.Error())
 			})
 			continue
@@ -77,7 +77,7 @@
 			records = append(records, writes[i].Records...)
 			continue
 		}
-		records = nil // the image has them
+		records = nil // contained in the image
 		if err := c.store.Snapshot(writes[i].Image); err != nil {
 			return err
 		}
--- a/control/core/dispatch.go
+++ b/control/core/dispatch.go
@@ -10,7 +10,7 @@
 	"ravendale/control/view"
 )
 
-// inboundMessage is one that the node has for itself.
+// inboundMessage is a message from the node to itself.
 type inboundMessage struct {
 	from    view.Member
 	message any
@@ -27,7 +27,7 @@
 	}
 }
 
-// deliver sends a message, by way of the inbox if it is for the node itself.
+// deliver sends a message, through the inbox if the node itself is the recipient.
 func (n *node) deliver(m outboundMessage) {
 	if m.To == n.self.Address {
 		n.inbox = append(n.inbox, inboundMessage{n.self, m.Message})
@@ -48,17 +48,17 @@
 	}
 }
 
-// Receive takes a message of another member, or of a process without a disk.
+// Receive handles a message of another member, or of a process without a disk.
 func (n *node) Receive(now time.Duration, from view.Member, message any) {
 	if !n.ready() {
 		n.observeUninitialized(now, message)
 		return
 	}
 	n.dispatch(now, from, message)
-	n.finish(now)
+	n.finishStep(now)
 }
 
-// dispatch handles a message, as far as the node's state lets it.
+// dispatch handles a message according to the node's state.
 func (n *node) dispatch(now time.Duration, from view.Member, message any) {
 	if !n.config.Disk {
 		n.dispatchDiskless(now, from, message)
@@ -104,13 +104,13 @@
 	}
 }
 
-// dispatchDiskless is all that a process without a disk takes in.
+// dispatchDiskless is dispatch for a process without a disk.
 func (n *node) dispatchDiskless(now time.Duration, from view.Member, message any) {
 	switch m := message.(type) {
 	case *heartbeat:
-		n.observe(now, m)
+		n.recordHeartbeat(now, m)
 		if m.Epoch < n.view.Epoch {
-			n.deliver(outboundMessage{m.Member.Address, &decided{View: n.view}}) // to one that has just come, it may be the only way to the core
+			n.deliver(outboundMessage{m.Member.Address, &decided{View: n.view}}) // a process that has just started may reach the core only through this one
 		}
 	case *decided:
 		if m.View.Epoch > n.view.Epoch {
--- a/control/core/driver.go
+++ b/control/core/driver.go
@@ -9,37 +9,38 @@
 	"ravendale/control/view"
 )
 
-// The logic of a member, without clock, sockets or disk: a simulation of the system drives many in virtual time, as Core drives one.
+// The node, without clock, sockets or disk: simulations of the whole system drive many in virtual time, as Core drives
+// one.
 type (
-	// Node is a member of the core.
+	// Node is a member of the core, or a process without a disk.
 	Node = node
-	// NodeConfig is what it must know from the start.
+	// NodeConfig holds the parameters of a Node.
 	NodeConfig = nodeConfig
-	// Output is what it wants done.
+	// Output is what a Node wants its driver to do.
 	Output = output
-	// DiskWrite is a change on disk that it wants.
+	// DiskWrite is a write that a Node requests.
 	DiskWrite = diskWrite
-	// OutboundMessage is a message that it sends.
+	// OutboundMessage is a message that a Node sends.
 	OutboundMessage = outboundMessage
-	// Completion is the outcome of a command that was submitted to it.
+	// Completion is the outcome of a command that was submitted to a Node.
 	Completion = completion
 )
 
-// NewNode makes a node from what is on its disk, nil if nothing is.
+// NewNode returns a node that continues from what is on its disk. A nil snapshot means an empty disk.
 func NewNode(now time.Duration, config NodeConfig, snapshot []byte, records [][]byte) (*Node, error) {
 	return newNode(now, config, snapshot, records)
 }
 
-// Self is how other members know the node.
+// Self returns the node's own entry in a view.
 func (n *node) Self() view.Member { return n.self }
 
-// Leader is the rpc address of the holder of the leader lease, empty if the node knows none.
+// Leader returns the rpc address of the holder of the leader lease, or an empty string if the node knows none.
 func (n *node) Leader(now time.Duration) string { return n.leaderAddress(now) }
 
-// Attached says whether the node follows the chain.
+// Attached reports whether the node is attached to the chain.
 func (n *node) Attached() bool { return n.chain.Attached() }
 
-// Describe is the node's state in one line, for a test that failed.
+// DebugString returns the node's state in one line, for the output of failed tests.
 func (n *node) Describe() string {
 	return fmt.Sprintf("id %v epoch %d chain %v voters %d position %d complete %v attached %v sealed %v last %d committed %d missing %v",
 		n.self.ID, n.view.Epoch, n.view.Chain, len(n.view.Voters), n.chain.Position(), n.chain.Complete(), n.chain.Attached(),
@@ -53,13 +54,13 @@
 		return nil, err
 	}
 	method := methodOf(message)
-	for _, kind := range kinds {
+	for _, kind := range messageKinds {
 		if kind.method != method {
 			continue
 		}
-		read := kind.empty()
+		read := kind.newMessage()
 		_, err = read.UnmarshalMsg(data)
 		return read, err
 	}
-	return nil, fmt.Errorf("core: %T has no method", message)
+	return nil, fmt.Errorf("core: %T is not a message of the core", message)
 }
--- a/control/core/durability.go
+++ b/control/core/durability.go
@@ -11,44 +11,44 @@
 	"ravendale/control/view"
 )
 
-// load decodes what is on disk, and restores the machine. On an empty disk it draws an identity.
+// load decodes what is on disk and restores the machine. On an empty disk it draws an identity.
 func (n *node) load(snapshot []byte, records [][]byte) (*Image, error) {
 	if snapshot == nil {
-		kept := &Image{ID: view.ID(n.config.Random() | 1)}
+		image := &Image{ID: view.ID(n.config.Random() | 1)}
 		if n.config.Bootstrap && slices.Contains(n.config.Seeds, n.config.Address) {
-			kept.BootstrapMembers = n.config.Seeds
+			image.BootstrapMembers = n.config.Seeds
 		}
-		return kept, nil
+		return image, nil
 	}
-	kept, err := ReadImage(snapshot, records)
+	image, err := ReadImage(snapshot, records)
 	if err != nil {
 		return nil, err
 	}
-	n.durability.logRecords = max(len(records), len(kept.Chain.Entries))
-	n.durability.stateBytes = len(kept.Machine)
+	n.durability.logRecords = max(len(records), len(image.Chain.Entries))
+	n.durability.stateBytes = len(image.Machine)
 	for _, data := range records {
 		n.durability.logBytes += len(data)
 	}
-	if len(kept.Machine) > 0 {
-		if err := n.config.Machine.Restore(kept.Machine); err != nil {
-			return nil, fmt.Errorf("core: machine's snapshot on disk: %w", err)
+	if len(image.Machine) > 0 {
+		if err := n.config.Machine.Restore(image.Machine); err != nil {
+			return nil, fmt.Errorf("core: restoring the machine from the snapshot on disk: %w", err)
 		}
 	}
-	return kept, nil
+	return image, nil
 }
 
-// durability is what the member has given to its disk, what it has still to give, and what waits until that is synced. Batches number the writes from
-// one; each write makes all before it durable too.
+// durability tracks the member's writes: which records are to be written next, which writes are under way, and which
+// messages wait for them. Writes are numbered as batches from one; when one is durable, so are all before it.
 type durability struct {
-	uninitialized bool          // its identity is not on disk yet, so that it may not speak
-	lastBatch     uint64        // newest that was given to the disk
-	durableBatch  uint64        // newest that is known to be synced
-	writingSince  time.Duration // since when a write is under way
-	records       [][]byte      // for the next write
-	snapshotDue   bool          // the next write is a whole image, and records are not needed
-	logBytes      int           // since the snapshot
-	logRecords    int           // the same
-	stateBytes    int           // of the machine's newest snapshot
+	uninitialized bool          // the identity is not on disk yet, so that the node must not send anything
+	lastBatch     uint64        // newest batch that was given to the disk
+	durableBatch  uint64        // newest batch that is known to be synced
+	writingSince  time.Duration // when the current write was started, or the previous one ended
+	records       [][]byte      // to be appended by the next write
+	snapshotDue   bool          // the next write is a complete image, so that records need not be appended
+	logBytes      int           // bytes of log since the last snapshot
+	logRecords    int           // records of log since the last snapshot
+	stateBytes    int           // size of the machine's newest snapshot
 	offsets       []writeOffset
 	deferred      []deferredMessage
 	degradation   degradation
@@ -60,53 +60,54 @@
 	offset chain.LogOffset
 }
 
-// deferredMessage waits for a batch to be durable.
+// deferredMessage is a message that is sent once a batch is durable.
 type deferredMessage struct {
 	batch   uint64
 	message outboundMessage
 }
 
-// append has a change of the image written. A snapshot that is due will have it anyway.
+// append adds a record to the next write, unless that is an image, which contains the change anyway.
 func (d *durability) append(change *record) {
 	if d.snapshotDue {
 		return
 	}
 	data, err := change.MarshalMsg(nil)
 	if err != nil {
-		panic(err) // the generated code only fails on types that a record has not
+		panic(err) // the generated code fails only for types that a record does not contain
 	}
 	d.records = append(d.records, data)
 	d.logBytes += len(data)
 	d.logRecords++
 }
 
-// requireSnapshot has the next write be a whole image.
+// requireSnapshot makes the next write a complete image.
 func (d *durability) requireSnapshot() { d.snapshotDue, d.records = true, nil }
 
-// dirty says whether there is something to write.
+// dirty reports whether there is something to write.
 func (d *durability) dirty() bool { return d.snapshotDue || len(d.records) > 0 }
 
-// writing says whether the disk has not answered yet.
+// writing reports whether a write is under way.
 func (d *durability) writing() bool {
 	return d.lastBatch > max(d.durableBatch, d.degradation.failedBatch)
 }
 
-// awaited is the batch with which all is durable that was recorded so far.
-func (d *durability) awaited() uint64 {
+// awaited returns the batch that makes all changes so far durable.
+func (d *durability) requiredBatch() uint64 {
 	if d.dirty() {
 		return d.lastBatch + 1
 	}
 	return d.lastBatch
 }
 
-// logFull says whether the log is so long that a snapshot is due. Its bound follows the state's size and not the image's, in which the entries that
-// are not known to be committed would let it grow from start to start. Entries that an image has to carry, the unapplied, count as records, and for the
-// number of records alone an image is only made when it drops half of them: else each start would carry more.
+// logFull reports whether the log is so long that a snapshot is due. The limit depends on the size of the machine's
+// state and not on that of the image: an image includes the entries that are not known to be committed, so that the
+// limit would grow with each restart. Unapplied entries, which an image has to carry, count as records. The number of
+// records alone causes an image only if that drops at least half of them; otherwise each start would carry more.
 func (d *durability) logFull(config *nodeConfig, unapplied int) bool {
 	return d.logBytes > min(max(config.MinLogBytes, 2*d.stateBytes), maxLogBytes) || d.logRecords > config.MaxLogRecords && 2*unapplied <= d.logRecords
 }
 
-// beginWrite numbers the next write.
+// beginWrite returns the batch number of the next write.
 func (d *durability) beginWrite(now time.Duration) (batch uint64) {
 	if d.lastBatch == d.durableBatch {
 		d.writingSince = now
@@ -115,7 +116,7 @@
 	return d.lastBatch
 }
 
-// flush gives the changes of this step to the disk.
+// flush adds a write with the changes of this step to the output.
 func (n *node) flush(now time.Duration) {
 	d := &n.durability
 	if !d.dirty() || d.degraded() && !d.beginRecovery(now) {
@@ -134,21 +135,21 @@
 	d.offsets = append(d.offsets, writeOffset{write.Batch, n.chain.LogOffset()})
 }
 
-// image is all that the member keeps on disk, encoded.
+// image returns the encoded image of all that the member keeps on disk.
 func (n *node) image() []byte {
-	kept := Image{
+	state := Image{
 		ID: n.self.ID, BootstrapMembers: n.bootstrapMembers, View: n.view, Vote: n.vote,
 		Chain: n.chain.State(), Machine: n.config.Machine.Snapshot(), Lease: n.lease.voter.PreviousGrant(),
 	}
-	n.durability.stateBytes = len(kept.Machine)
-	data, err := kept.MarshalMsg(nil)
+	n.durability.stateBytes = len(state.Machine)
+	data, err := state.MarshalMsg(nil)
 	if err != nil {
-		panic(err) // as for a record
+		panic(err) // as in durability.append
 	}
 	return data
 }
 
-// OnDisk tells that a write, and all before it, is durable.
+// OnDisk reports that a batch and all before it are durable.
 func (n *node) OnDisk(now time.Duration, batch uint64) {
 	d := &n.durability
 	d.durableBatch = max(d.durableBatch, batch)
@@ -159,7 +160,7 @@
 	}
 	for len(d.offsets) > 0 && d.offsets[0].batch <= batch {
 		n.chain.OnSynced(now, d.offsets[0].offset)
-		n.drain()
+		n.drainChain()
 		d.offsets = d.offsets[1:]
 	}
 	if n.config.mutations.commitsAlone {
@@ -170,17 +171,17 @@
 		d.deferred = d.deferred[1:]
 	}
 	n.submitAll(now)
-	n.finish(now)
+	n.finishStep(now)
 }
 
-// sendWhenDurable sends a message once all that was recorded so far is durable. A degraded member does not send it: it is asked again when it has
-// recovered.
+// sendWhenDurable sends a message once all changes so far are durable. A degraded member drops the message: the
+// recipient asks again, and gets an answer once this member has recovered.
 func (n *node) sendWhenDurable(to string, message msgp.Marshaler) {
 	d := &n.durability
 	if d.degraded() {
 		return
 	}
-	awaited := d.awaited()
+	awaited := d.requiredBatch()
 	if awaited == d.durableBatch || n.config.mutations.skipsSync {
 		n.deliver(outboundMessage{to, message})
 		return
--- a/control/core/export_test.go
+++ b/control/core/export_test.go
@@ -2,10 +2,10 @@
 
 import "ravendale/control/slots"
 
-// SetFolder has a process keep its state in a folder of a test's.
+// SetFolder makes a process store its state in the given folder.
 func (c *Config) SetFolder(folder slots.Folder) { c.folder = folder }
 
-// Running says whether Run has begun.
+// Running reports whether Run was called and has not ended.
 func (c *Core) Running() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/control/core/forward_test.go
+++ b/control/core/forward_test.go
@@ -12,8 +12,8 @@
 	"ravendale/cluster/rpc"
 )
 
-// memberThat is the other end of a forwarded command: it does with it what the test says.
-func memberThat(t *testing.T, handles func(c *rpc.Conn, reply rpc.Reply)) *rpc.Conn {
+// forwardTarget returns a connection to a member that handles forwarded commands with the given function.
+func forwardTarget(t *testing.T, handles func(c *rpc.Conn, reply rpc.Reply)) *rpc.Conn {
 	mux := rpc.NewMux()
 	mux.Handle(methodForward, func(c *rpc.Conn, _ []byte, reply rpc.Reply) { handles(c, reply) })
 	server, err := rpc.Listen("127.0.0.1:0", rpc.Options{Mux: mux}, nil)
@@ -25,9 +25,9 @@
 	return conn
 }
 
-// A command is given to another member only if the one that was asked says that it surely was not applied. Silence, a connection that
-// is lost and an answer that can't be read leave it open.
-func TestForwardedCommandIsGivenToAnotherOnlyIfItWasSurelyNotApplied(t *testing.T) {
+// A command is forwarded to another member only if the first one replied that it was certainly not applied. A timeout,
+// a lost connection and an unreadable reply leave the outcome unknown.
+func TestForwardOutcomes(t *testing.T) {
 	says := func(r *forwardReply) func(*rpc.Conn, rpc.Reply) {
 		return func(_ *rpc.Conn, reply rpc.Reply) { reply.Send(r) }
 	}
@@ -36,8 +36,8 @@
 		want    error
 	}{
 		"done":              {says(&forwardReply{Outcome: outcomeDone, Result: []byte("taken")}), nil},
-		"surely not":        {says(&forwardReply{Outcome: outcomeUnavailable}), ErrUnavailable},
-		"not known":         {says(&forwardReply{Outcome: outcomeUnknown}), ErrUnknown},
+		"not applied":       {says(&forwardReply{Outcome: outcomeUnavailable}), ErrUnavailable},
+		"unknown":           {says(&forwardReply{Outcome: outcomeUnknown}), ErrUnknown},
 		"another outcome":   {says(&forwardReply{Outcome: 77}), ErrUnknown},
 		"an error":          {func(_ *rpc.Conn, reply rpc.Reply) { reply.Fail(errors.New("x")) }, ErrUnknown},
 		"a lost connection": {func(c *rpc.Conn, _ rpc.Reply) { c.Close() }, ErrUnknown},
@@ -46,7 +46,7 @@
 		t.Run(name, func(t *testing.T) {
 			ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 			defer cancel()
-			result, err := new(Core).ask(ctx, memberThat(t, c.handles), []byte("command"), false)
+			result, err := new(Core).ask(ctx, forwardTarget(t, c.handles), []byte("command"), false)
 			if c.want == nil {
 				require.NoError(t, err)
 				assert.Equal(t, "taken", string(result))
@@ -58,10 +58,11 @@
 	}
 }
 
-// The answer that comes after the wait is over counts for no later command on the same connection.
-func TestLateAnswerToAForwardedCommandIsNobodys(t *testing.T) {
+// A reply that arrives after the request has timed out must not be taken for the reply to a later command on the same
+// connection.
+func TestForwardIgnoresLateReply(t *testing.T) {
 	requests := make(chan rpc.Reply, 2)
-	conn := memberThat(t, func(_ *rpc.Conn, reply rpc.Reply) { requests <- reply })
+	conn := forwardTarget(t, func(_ *rpc.Conn, reply rpc.Reply) { requests <- reply })
 	ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 	first := make(chan error, 1)
 	go func() {
--- a/control/core/heartbeats.go
+++ b/control/core/heartbeats.go
@@ -7,9 +7,10 @@
 	"ravendale/control/chain"
 )
 
-// onHeartbeat takes a heartbeat. Its sender is told of a later view, and is answered if it was not known.
+// onHeartbeat handles a heartbeat. If its sender has an older view, it is sent this node's; if it was not known, it is
+// sent a heartbeat in return.
 func (n *node) onHeartbeat(now time.Duration, m *heartbeat) {
-	known := n.observe(now, m)
+	known := n.recordHeartbeat(now, m)
 	if m.Epoch < n.view.Epoch {
 		n.sendWhenDurable(m.Member.Address, &decided{View: n.view})
 	}
@@ -22,9 +23,9 @@
 	}
 }
 
-// observe records a heartbeat and who leads by it, and says whether its sender was known.
-func (n *node) observe(now time.Duration, m *heartbeat) (known bool) {
-	known = n.peers.observe(now, m)
+// recordHeartbeat records a heartbeat and the leader that it names, and reports whether its sender was known.
+func (n *node) recordHeartbeat(now time.Duration, m *heartbeat) (known bool) {
+	known = n.peers.recordHeartbeat(now, m)
 	n.lease.observeLeader(now, m, !n.config.Disk)
 	return known
 }
@@ -52,8 +53,8 @@
 	n.announceLeaving(now)
 }
 
-// heartbeatTargets are the rpc addresses that heartbeats go to: all that are known. Processes without a disk, of which there may be many, send one
-// another none, but for the seeds.
+// heartbeatTargets returns the rpc addresses that heartbeats are sent to: all that are known. Processes without a disk,
+// of which there may be many, do not send heartbeats to one another, except to seeds.
 func (n *node) heartbeatTargets() []string {
 	addresses := n.Addresses()
 	if n.config.Disk {
@@ -61,11 +62,12 @@
 	}
 	return slices.DeleteFunc(addresses, func(address string) bool {
 		p := n.peers.byAddress[address]
-		return p != nil && p.contacted && p.member.ID == 0 && !slices.Contains(n.config.Seeds, address)
+		return p != nil && p.seen && p.member.ID == 0 && !slices.Contains(n.config.Seeds, address)
 	})
 }
 
-// Addresses are those of all core processes that are known; the seeds count as long as nobody better is.
+// Addresses returns the rpc addresses of all known processes of the core. The seeds are among them while this node has
+// no view or is not attached to the chain.
 func (n *node) Addresses() []string {
 	var addresses []string
 	add := func(address string) {
@@ -77,7 +79,7 @@
 		add(member.Address)
 	}
 	for _, p := range n.peers.byAddress {
-		if p.contacted {
+		if p.seen {
 			add(p.member.Address)
 		}
 	}
--- a/control/core/image.go
+++ b/control/core/image.go
@@ -11,10 +11,11 @@
 //go:generate go run github.com/tinylib/msgp -file image.go -o image_gen.go -tests=false -unexported
 //msgp:tuple Image record
 
-// Image is all that a member keeps on disk: the content of a slot, with the records of the log done to it.
+// Image is the complete state of a member on disk: the content of a slot, after the records of the log were applied to
+// it.
 type Image struct {
-	ID               view.ID  // of the disk
-	BootstrapMembers []string // rpc addresses of the seeds, if it may bootstrap the core
+	ID               view.ID  // identity of the disk
+	BootstrapMembers []string // rpc addresses of the seeds, if this disk may bootstrap the core
 	View             view.View
 	Vote             view.Vote
 	Chain            chain.State
@@ -22,7 +23,7 @@
 	Lease            lease.PreviousGrant
 }
 
-// record is one change of the image on disk. One of its parts is set.
+// record is one change of the image on disk. Exactly one field is set.
 type record struct {
 	View  *view.View
 	Vote  *view.Vote
@@ -30,10 +31,10 @@
 	Lease *lease.PreviousGrant
 }
 
-// ReadImage decodes what a member's slots.Store has kept: a snapshot, and the records that followed it.
+// ReadImage decodes the content of a member's slots.Store: a snapshot and the records after it.
 func ReadImage(snapshot []byte, records [][]byte) (*Image, error) {
-	kept := &Image{}
-	if _, err := kept.UnmarshalMsg(snapshot); err != nil {
+	image := &Image{}
+	if _, err := image.UnmarshalMsg(snapshot); err != nil {
 		return nil, fmt.Errorf("core: snapshot on disk: %w", err)
 	}
 	for i, data := range records {
@@ -41,12 +42,12 @@
 		if _, err := change.UnmarshalMsg(data); err != nil {
 			return nil, fmt.Errorf("core: record %d on disk: %w", i, err)
 		}
-		kept.replay(&change)
+		image.replay(&change)
 	}
-	return kept, nil
+	return image, nil
 }
 
-// replay does a change to the image.
+// replay applies a record to the image.
 func (i *Image) replay(change *record) {
 	switch {
 	case change.View != nil:
--- a/control/core/kinds.go
+++ b/control/core/kinds.go
@@ -11,13 +11,13 @@
 	"ravendale/control/view"
 )
 
-// kind is one of the notifications among members.
-type kind struct {
-	method wire.Method
-	empty  func() msgp.Unmarshaler
+// messageKind is the type of a notification among members.
+type messageKind struct {
+	method     wire.Method
+	newMessage func() msgp.Unmarshaler
 }
 
-var kinds = []kind{
+var messageKinds = []messageKind{
 	{methodHeartbeat, func() msgp.Unmarshaler { return new(heartbeat) }},
 	{methodPrepare, func() msgp.Unmarshaler { return new(view.Prepare) }},
 	{methodPromise, func() msgp.Unmarshaler { return new(view.Promise) }},
@@ -36,7 +36,7 @@
 	{methodLeaving, func() msgp.Unmarshaler { return new(leaving) }},
 }
 
-// methodOf is the method of a message.
+// methodOf returns the method of a message.
 func methodOf(message msgp.Marshaler) wire.Method {
 	switch message.(type) {
 	case *heartbeat:
--- a/control/core/leaderlease.go
+++ b/control/core/leaderlease.go
@@ -8,53 +8,55 @@
 	"ravendale/control/view"
 )
 
-// Causes of a lost lease, for the log.
+// Causes for the loss of the lease, as logged.
 const (
-	lossExpired     = "no majority renewed it in time"
-	lossStop        = "the process stops"
-	lossChain       = "not in the chain any more"
-	lossTransferred = "it was transferred"
-	lossDisk        = "the disk fails or stalls"
+	lossExpired     = "not renewed by a majority in time"
+	lossStop        = "the process is stopping"
+	lossChain       = "no longer in the chain"
+	lossTransferred = "given up in favour of another process"
+	lossDisk        = "the disk failed or stalled"
 )
 
-// leaderLease is the member's part in the leader lease: as a voter that grants it, as a candidate that seeks or holds it, and what it knows of the
-// holder.
+// leaderLease is this node's state of the leader lease: as a voter that grants it, as a candidate that requests or
+// holds it, and which holder it knows.
 type leaderLease struct {
 	voter           *lease.Voter
-	holder          *lease.Holder // this member as a candidate
-	nextRequestAt   time.Duration // not before, a request that failed was the last
-	grantBatch      uint64        // the write that has whom the voter granted the lease last: no grant is sent before it is durable
+	holder          *lease.Holder // this member as a candidate or holder
+	nextRequestAt   time.Duration // when it may be requested again after a request that failed
+	grantBatch      uint64        // the write with the voter's newest grant: no grant is sent before that is durable
 	leader          string        // rpc address of the holder, empty if unknown
-	leaderUntil     time.Duration // until then leader counts without another heartbeat
-	leaderlessSince time.Duration // since when no holder is known
-	dropCause       string        // why the lease was given back, empty if it was not
-	abstainUntil    time.Duration // until then this member does not seek the lease
+	leaderUntil     time.Duration // when leader ceases to be known unless another heartbeat confirms it
+	leaderlessSince time.Duration // when the last known holder ceased to be known
+	dropCause       string        // why this member gave up the lease; empty if it did not
+	abstainUntil    time.Duration // this member does not request the lease before
 }
 
 func newLeaderLease(now time.Duration, terms lease.Timing, origin uint64, previous lease.PreviousGrant) leaderLease {
 	return leaderLease{voter: lease.NewVoter(now, terms, previous), holder: lease.NewHolder(terms, origin), leaderlessSince: now}
 }
 
-// observeLeader records who leads by a heartbeat. Only a process without a disk goes by hearsay, which is not passed on.
-func (l *leaderLease) observeLeader(now time.Duration, m *heartbeat, hearsay bool) {
+// observeLeader records the leader that a heartbeat names. With acceptIndirect, at a process without a disk, the sender
+// may name another process as the leader. Members only accept the sender itself, so that they do not pass on what they
+// were told.
+func (l *leaderLease) observeLeader(now time.Duration, m *heartbeat, acceptIndirect bool) {
 	switch {
 	case m.Leading:
 		l.leader, l.leaderUntil = m.Member.Address, now+failureTimeout
-	case hearsay && m.Leader != "" && now >= l.leaderUntil:
+	case acceptIndirect && m.Leader != "" && now >= l.leaderUntil:
 		l.leader, l.leaderUntil = m.Leader, now+failureTimeout
 	case m.Member.Address == l.leader:
-		l.leaderUntil = min(l.leaderUntil, now) // it holds the lease no more
+		l.leaderUntil = min(l.leaderUntil, now) // the sender no longer holds the lease
 	}
 }
 
-// expireLeader forgets a holder of whom nothing was heard for too long.
+// expireLeader forgets the holder when it was not confirmed in time.
 func (l *leaderLease) expireLeader(now time.Duration) {
 	if l.leader != "" && now >= l.leaderUntil && !l.holder.Valid(now) {
 		l.leader, l.leaderlessSince = "", now
 	}
 }
 
-// takeDropCause says why this member has lost the lease, once.
+// takeDropCause returns why this member lost the lease, and resets the cause.
 func (l *leaderLease) takeDropCause() string {
 	cause := l.dropCause
 	l.dropCause = ""
@@ -64,7 +66,7 @@
 	return cause
 }
 
-// onLeaseRequest answers as a voter, once whom it granted the lease is durable.
+// onLeaseRequest answers a candidate as a voter, once the newest grant is durable.
 func (n *node) onLeaseRequest(now time.Duration, from view.Member, m *lease.Request) {
 	if m.Epoch != n.view.Epoch || !n.isVoter(n.self.ID) || !n.isMember(from.ID) || n.vote.Sealed(n.view.Epoch) {
 		return
@@ -81,7 +83,7 @@
 	n.sendWhenDurable(from.Address, reply)
 }
 
-// appendGrant has whom the voter granted the lease written.
+// appendGrant adds the voter's newest grant to the next write.
 func (n *node) appendGrant() {
 	grant := n.lease.voter.PreviousGrant()
 	n.durability.append(&record{Lease: &grant})
@@ -89,8 +91,8 @@
 }
 
 func (n *node) onLeaseReply(now time.Duration, from view.Member, m *lease.Reply) {
-	before := n.lease.holder.Valid(now)
-	if n.lease.holder.Granted(&n.view, from.ID, m) && !before {
+	wasLeader := n.lease.holder.Valid(now)
+	if n.lease.holder.Granted(&n.view, from.ID, m) && !wasLeader {
 		n.peers.heartbeatDue = now
 	}
 	if !n.leads(now) && n.lease.holder.Refused(&n.view) {
@@ -100,16 +102,17 @@
 
 func (n *node) leads(now time.Duration) bool { return n.lease.holder.Valid(now) }
 
-// dropLease gives the lease back, for a cause.
+// dropLease gives up the lease.
 func (n *node) dropLease(cause string) {
 	n.lease.dropCause = cause
 	n.sendVoters(n.lease.holder.Drop())
 }
 
-// LeaseUntil is when the lease that this node holds ends.
+// LeaseExpiresAt returns when the lease that this node holds expires.
 func (n *node) LeaseUntil() time.Duration { return n.lease.holder.ExpiresAt() }
 
-// BeginStop begins an orderly stop: it gives the lease back, and has the others go on without this node. StopComplete says when they do.
+// BeginStop begins an orderly stop: the node gives up the lease and asks the other members to proceed without it.
+// StopComplete reports when they do.
 func (n *node) BeginStop(now time.Duration) {
 	n.config.Candidate = false
 	n.departure.stopping = !n.config.mutations.keepsVoteOnStop
@@ -121,11 +124,11 @@
 	}
 	n.sendHeartbeats(now)
 	n.checkViewChange(now)
-	n.finish(now)
+	n.finishStep(now)
 }
 
-// StopComplete says whether nothing is gained by waiting any longer to stop: a majority of the voters has a view that does without this node,
-// as far as that can be.
+// StopComplete reports whether waiting any longer before the stop is of no use: a majority of the voters has a view
+// without this node, or as close to that as is possible.
 func (n *node) StopComplete(now time.Duration) bool {
 	if n.view.Epoch == 0 {
 		return true
@@ -133,10 +136,10 @@
 	return n.viewChange.proposer == nil && !n.needsViewChange(now) && n.majority(func(id view.ID) bool { return n.hasView(now, id) })
 }
 
-// hasView says whether a member is known to have this node's view.
+// hasView reports whether a member is known to have this node's view or a later one.
 func (n *node) hasView(now time.Duration, id view.ID) bool {
 	p := n.peers.byID(id)
-	return id == n.self.ID || p != nil && n.hears(now, id) && p.heartbeat.Epoch >= n.view.Epoch
+	return id == n.self.ID || p != nil && n.isResponsive(now, id) && p.heartbeat.Epoch >= n.view.Epoch
 }
 
 func (n *node) leaderAddress(now time.Duration) string {
@@ -149,20 +152,22 @@
 	return ""
 }
 
-// wantsLease says whether this node may need the lease soon.
+// wantsLease reports whether this node may have to request the lease soon.
 func (n *node) wantsLease(now time.Duration) bool {
 	return n.config.Candidate && now >= n.lease.abstainUntil && n.chain.Attached() && !n.leads(now) && n.leaderAddress(now) == "" && !n.defersToControl(now)
 }
 
-// defersToControl says whether this member is a store's and leaves the leader lease to the control processes: there is one in the chain that may seek it.
+// defersToControl reports whether this member belongs to a store and leaves the leader lease to the control processes:
+// one that may request it is in the chain.
 func (n *node) defersToControl(now time.Duration) bool {
 	return n.self.Storage && slices.ContainsFunc(n.view.Chain, func(id view.ID) bool {
 		member, _ := n.view.Member(id)
-		return !member.Storage && n.hears(now, id) && !n.abstains(now, id)
+		return !member.Storage && n.isResponsive(now, id) && !n.abstains(now, id)
 	})
 }
 
-// checkLease renews the lease, or asks for it when nobody has it: the first of the chain at once, others later.
+// checkLease renews the lease, or requests it when nobody holds it: the first member of the chain requests it at once,
+// others later.
 func (n *node) checkLease(now time.Duration) {
 	requestedAt, granted := n.lease.holder.LastRequest()
 	if n.leads(now) {
@@ -184,15 +189,16 @@
 	}
 }
 
-// backOff gives back what an election round without a majority got, and leaves the next to those before this one.
+// backOff releases the grants of an election round that got no majority, and waits so that candidates of lower rank can
+// request the lease first.
 func (n *node) backOff(now time.Duration) {
 	n.sendVoters(n.lease.holder.Drop())
 	pause := time.Duration(n.config.Random() % uint64(leaseRetryInterval/2))
 	n.lease.nextRequestAt = now + pause + time.Duration(n.candidateRank(now))*candidateStagger
 }
 
-// candidateDelay is how long a candidate leaves the lease to those before it. After a restart of the whole core the previous holder gets it
-// at once.
+// candidateDelay returns how long this candidate waits so that those of lower rank can request the lease first. After a
+// restart of the whole core the previous holder does not wait.
 func (n *node) candidateDelay(now time.Duration) time.Duration {
 	switch previous := n.lease.voter.PreviousHolder(now); {
 	case previous == n.self.ID:
@@ -207,7 +213,8 @@
 	return n.config.Terms.Duration + time.Duration(rank)*candidateStagger
 }
 
-// candidateRank is how many members of the chain come before this one as candidates. Those of stores come after the control processes.
+// candidateRank returns how many candidates in the chain come before this one. For a control process, stores do not
+// count.
 func (n *node) candidateRank(now time.Duration) int {
 	rank := 0
 	for _, id := range n.view.Chain {
@@ -215,7 +222,7 @@
 			return rank
 		}
 		member, _ := n.view.Member(id)
-		if n.hears(now, id) && !n.abstains(now, id) && (n.self.Storage || !member.Storage) {
+		if n.isResponsive(now, id) && !n.abstains(now, id) && (n.self.Storage || !member.Storage) {
 			rank++
 		}
 	}
--- a/control/core/leaserunner.go
+++ b/control/core/leaserunner.go
@@ -6,49 +6,49 @@
 	"time"
 )
 
-// Lease is the leader lease while this process holds it.
+// Lease is the leader lease of this process, as passed to Config.Lead.
 type Lease struct {
-	started time.Time
-	until   atomic.Int64 // steady time since started
+	started   time.Time
+	expiresAt atomic.Int64 // expiry, in steady time since started
 }
 
-// Valid says whether the holder may act now.
-func (l *Lease) Valid() bool { return int64(time.Since(l.started)) < l.until.Load() }
+// Valid reports whether this process still holds the lease, and so may act as leader.
+func (l *Lease) Valid() bool { return int64(time.Since(l.started)) < l.expiresAt.Load() }
 
-// Until is when the lease ends unless it is renewed, as a time left from now; not positive when it has ended.
+// Remaining returns how long the lease is valid unless it is renewed. It is not positive once the lease has expired.
 func (l *Lease) Until() time.Duration {
-	return time.Duration(l.until.Load()) - time.Since(l.started)
+	return time.Duration(l.expiresAt.Load()) - time.Since(l.started)
 }
 
-// leaseRunner is what runs while this process holds the lease.
+// leaseRunner runs Config.Lead while this process holds the lease.
 type leaseRunner struct {
-	lease    *Lease
-	cancel   context.CancelFunc
-	previous chan struct{} // closed when the newest call of Lead has returned
+	lease        *Lease
+	cancel       context.CancelFunc
+	lastCallDone chan struct{} // closed when the newest call of Lead has returned
 }
 
-// follow starts and ends Config.Lead as the node gets and loses the lease.
-func (l *leaseRunner) follow(c *Core, now time.Duration) {
-	until := c.node.LeaseUntil()
+// update starts Config.Lead when the node has obtained the lease, and cancels its context when the node has lost it.
+func (l *leaseRunner) update(c *Core, now time.Duration) {
+	expiresAt := c.node.LeaseUntil()
 	if l.lease != nil {
-		l.lease.until.Store(int64(until))
+		l.lease.expiresAt.Store(int64(expiresAt))
 	}
-	switch holds := now < until; {
+	switch holds := now < expiresAt; {
 	case holds && l.lease == nil:
-		l.begin(c, until)
+		l.begin(c, expiresAt)
 	case !holds && l.lease != nil:
 		c.config.Log.Info("leader lease lost", "epoch", c.node.view.Epoch, "cause", c.node.lease.takeDropCause())
 		l.end()
 	}
 }
 
-func (l *leaseRunner) begin(c *Core, until time.Duration) {
+func (l *leaseRunner) begin(c *Core, expiresAt time.Duration) {
 	c.config.Log.Info("leader lease held", "epoch", c.node.view.Epoch)
 	ctx, cancel := context.WithCancel(context.Background())
 	lease := &Lease{started: c.started}
-	lease.until.Store(int64(until))
-	previous, done := l.previous, make(chan struct{})
-	l.lease, l.cancel, l.previous = lease, cancel, done
+	lease.expiresAt.Store(int64(expiresAt))
+	previous, done := l.lastCallDone, make(chan struct{})
+	l.lease, l.cancel, l.lastCallDone = lease, cancel, done
 	go func() {
 		defer close(done)
 		defer cancel()
@@ -65,7 +65,7 @@
 	if l.lease == nil {
 		return
 	}
-	l.lease.until.Store(0)
+	l.lease.expiresAt.Store(0)
 	l.cancel()
 	l.lease, l.cancel = nil, nil
 }
--- a/control/core/links.go
+++ b/control/core/links.go
@@ -13,15 +13,15 @@
 	"ravendale/control/view"
 )
 
-// Time limits of connections among members, which carry heartbeats all the time.
+// Time limits of connections among members. They carry heartbeats continuously.
 const (
 	pingAfter   = 800 * time.Millisecond
 	peerTimeout = 1600 * time.Millisecond
 	pruneEvery  = 5 * time.Second
 )
 
-// links are the connections to other processes of the core. Between two, the one that the process with the lower address opened is
-// used; another serves while that is not there.
+// links holds the connections to other processes of the core. Of two connections between the same processes, the one
+// that was opened by the process with the lower address is used; the other one serves while that is not established.
 type links struct {
 	core    *Core
 	options rpc.Options
@@ -46,9 +46,9 @@
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for _, p := range messages {
-		if conn := l.conn(p.To); conn != nil {
-			_ = conn.Notify(methodOf(p.Message), p.Message) // what is lost is sent again
+	for _, message := range messages {
+		if conn := l.conn(message.To); conn != nil {
+			_ = conn.Notify(methodOf(message.Message), message.Message) // a lost message is sent again
 		}
 	}
 	if time.Since(l.pruned) >= pruneEvery {
@@ -56,7 +56,7 @@
 	}
 }
 
-// conn finds the connection to an address, and has one opened if there should be.
+// conn returns the connection to an address, and opens one if this process should have one and has none.
 func (l *links) conn(address string) *rpc.Conn {
 	inbound := l.inbound[address]
 	if inbound != nil && inbound.Err() != nil {
@@ -92,7 +92,7 @@
 	return link
 }
 
-// prune closes links to addresses that are of no interest any more.
+// prune closes links to addresses that are not known any more.
 func (l *links) prune() {
 	l.pruned = time.Now()
 	known := l.core.node.Addresses()
@@ -104,7 +104,7 @@
 	}
 }
 
-// registerInbound records a connection whose other end has said who it is, unless this process opened it.
+// registerInbound records a connection that the other process has opened, once its heartbeat names its address.
 func (l *links) registerInbound(address string, conn *rpc.Conn) (inbound bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -124,7 +124,7 @@
 	}
 }
 
-// openConns returns the connections to addresses that are open, in the order of the addresses.
+// openConns returns the open connections to the given addresses, in the same order.
 func (l *links) openConns(addresses []string) []*rpc.Conn {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -137,7 +137,7 @@
 	return conns
 }
 
-// greet tells a peer who is at this end of a connection: nothing else is heeded before.
+// greet sends a heartbeat, which identifies this process: the peer ignores all messages before it.
 func (c *Core) greet(conn *rpc.Conn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -146,13 +146,13 @@
 	}
 }
 
-// register has the core's messages handled.
+// register registers the handlers of the core's messages.
 func (c *Core) register() {
-	for _, kind := range kinds {
+	for _, kind := range messageKinds {
 		c.config.Mux.Handle(kind.method, func(conn *rpc.Conn, payload []byte, _ rpc.Reply) {
-			message := kind.empty()
+			message := kind.newMessage()
 			if _, err := message.UnmarshalMsg(payload); err != nil {
-				c.config.Log.Warn("message that can't be read", "peer", conn.RemoteAddress(), "method", kind.method, "error", err)
+				c.config.Log.Warn("failed to decode a message", "peer", conn.RemoteAddress(), "method", kind.method, "error", err)
 				return
 			}
 			c.receive(conn, message)
--- a/control/core/messages.go
+++ b/control/core/messages.go
@@ -8,7 +8,7 @@
 //go:generate go run github.com/tinylib/msgp -file messages.go -o messages_gen.go -tests=false -unexported
 //msgp:tuple heartbeat decided propose forward forwardReply leaving
 
-// Methods of the core's messages, all of them notifications but methodForward.
+// Methods of the core's messages. All of them are notifications, except for methodForward.
 const (
 	methodHeartbeat wire.Method = wire.MethodCorePrivate + iota
 	methodPrepare
@@ -25,27 +25,28 @@
 	methodLeaseRequest
 	methodLeaseReply
 	methodLeaseRelease
-	methodForward // forward, forwardReply
+	methodForward // request forward, reply forwardReply
 	methodLeaving
 )
 
-// heartbeat is what a process sends all others of the core each heartbeatInterval, and at once when something of it changes.
+// heartbeat is sent by each process of the core to all others every heartbeatInterval, and at once when certain fields
+// change.
 type heartbeat struct {
 	Member       view.Member // its ID is zero if the process has no disk
-	Epoch        uint64      // zero: it knows no view
-	Bootstrap    bool        // it may bootstrap the core together with the other seeds
-	CannotOrder  bool        // it is the head and can't order in this epoch
-	Complete     bool        // its log has all that was committed in earlier epochs
-	Attached     bool        // its log follows its predecessor's
-	Synced       uint64      // sequence up to which its log is durable
-	Committed    uint64      // sequence up to which it knows the log to be committed
-	Unresponsive []view.ID   // members that it does not hear; itself: it is degraded
-	Leading      bool        // it holds the leader lease
-	Leader       string      // rpc address of the holder as it knows, empty if it knows none
-	Stopping     bool        // its process is about to stop
+	Epoch        uint64      // zero if the sender has no view
+	Bootstrap    bool        // the sender may bootstrap the core together with the other seeds
+	CannotOrder  bool        // the sender is the head and can't order commands in this epoch
+	Complete     bool        // the sender's log contains all that was committed in earlier epochs
+	Attached     bool        // the sender's log continues that of its predecessor
+	Synced       uint64      // sequence up to which the sender's log is durable
+	Committed    uint64      // sequence up to which the sender knows the log to be committed
+	Unresponsive []view.ID   // members from which the sender receives no heartbeats; includes the sender itself if it is degraded
+	Leading      bool        // the sender holds the leader lease
+	Leader       string      // rpc address of the holder as known to the sender; empty if unknown
+	Stopping     bool        // the sender's process is about to stop
 }
 
-// decided carries a view that is decided.
+// decided carries a view that was decided.
 type decided struct {
 	View view.View
 }
@@ -55,17 +56,17 @@
 	Epoch   uint64
 	Origin  uint64
 	Number  uint64
-	Low     uint64 // all commands of the origin with lower numbers have ended
+	Low     uint64 // all commands of the origin with lower numbers have completed
 	Command []byte
 }
 
-// forward asks a member to submit a command for a process without a disk.
+// forward is sent by a process without a usable disk and asks a member to submit a command.
 type forward struct {
 	WaitMillis uint32
 	Command    []byte
 }
 
-// outcome is what became of a forwarded command.
+// outcome is the result of a forwarded command.
 type outcome uint8
 
 const (
@@ -74,14 +75,14 @@
 	outcomeUnknown
 )
 
-// forwardReply answers forward.
+// forwardReply is the reply to forward.
 type forwardReply struct {
 	Outcome outcome
 	Result  []byte
 }
 
-// leaving says that a member won't seek the leader lease for a while.
+// leaving says that the sender does not request the leader lease for a while.
 type leaving struct {
 	ID   view.ID
-	Vote bool // it wishes to be no voter any more
+	Vote bool // the sender also asks to be removed from the voters
 }
--- a/control/core/model_actions_test.go
+++ b/control/core/model_actions_test.go
@@ -8,34 +8,35 @@
 	"ravendale/internal/explore"
 )
 
-// Enabled implements explore.System. Time passes once nothing is under way that is not late.
+// Enabled implements explore.System. Time may pass only when no message and no write is pending, except for late
+// messages.
 func (m *model) Enabled() []explore.Action {
 	var actions []explore.Action
 	add := func(fault bool, format string, arguments ...any) {
 		actions = append(actions, explore.Action{Name: fmt.Sprintf(format, arguments...), Fault: fault})
 	}
-	if m.broken != "" {
+	if m.violation != "" {
 		return nil
 	}
-	waiting := m.deliveries(add)
+	waiting := m.messageActions(add)
 	for _, member := range m.members {
 		if member.node != nil && !member.frozen && len(member.writes) > 0 {
 			add(false, "sync %s", member.address)
 			waiting = true
 		}
 	}
-	for number, given := range m.given {
+	for number, given := range m.submitted {
 		at := int(m.scope.orders[number][0] - '0')
 		if !given && m.within(m.scope.orderAt) && m.members[at].node != nil && !m.members[at].frozen {
 			add(false, "order %d", number)
 		}
 	}
 	for at, member := range m.members {
-		if !waiting && m.within(m.scope.backAt) {
-			m.recoveries(at, member, add)
+		if !waiting && m.within(m.scope.recoverAt) {
+			m.recoveryActions(at, member, add)
 		}
 		if m.within(m.scope.faultAt) {
-			m.troubles(at, member, add)
+			m.faultActions(at, member, add)
 		}
 	}
 	if !waiting && m.steps < m.scope.steps {
@@ -44,8 +45,8 @@
 	return actions
 }
 
-// deliveries lists what may become of each message, and says whether one that is not late is under way.
-func (m *model) deliveries(add func(fault bool, format string, arguments ...any)) (waiting bool) {
+// messageActions adds the actions on each message, and reports whether a message is pending that is not late.
+func (m *model) messageActions(add func(fault bool, format string, arguments ...any)) (waiting bool) {
 	for i, at := range m.deliverable() {
 		message := m.mail[at]
 		name := m.name(at)
@@ -66,34 +67,34 @@
 	return waiting
 }
 
-// within says whether this step is among some, nil for all.
+// within reports whether the current step is one of the given ones; nil means all.
 func (m *model) within(steps []int) bool { return steps == nil || slices.Contains(steps, m.steps) }
 
-// recoveries are what ends a member's trouble. They are taken between what else happens in a step.
-func (m *model) recoveries(at int, member *modelMember, add func(bool, string, ...any)) {
+// recoveryActions adds the actions that end a member's fault. They are enabled when nothing else is pending in a step.
+func (m *model) recoveryActions(at int, member *modelMember, add func(bool, string, ...any)) {
 	name := member.address
 	switch {
 	case member.node == nil && (!m.scope.replaces || at != 0):
 		add(false, "start %s", name)
 	case member.frozen:
 		add(false, "thaw %s", name)
-	case member.partitioned || member.deaf:
+	case member.partitioned || member.inboundCut:
 		add(false, "heal %s", name)
 	}
 }
 
-func (m *model) troubles(at int, member *modelMember, add func(bool, string, ...any)) {
+func (m *model) faultActions(at int, member *modelMember, add func(bool, string, ...any)) {
 	name := member.address
 	if member.node == nil {
 		return
 	}
-	if m.scope.only != nil && !slices.Contains(m.scope.only, at) {
+	if m.scope.faultMembers != nil && !slices.Contains(m.scope.faultMembers, at) {
 		return
 	}
 	if m.budget.crashes > 0 {
 		add(true, "kill %s", name)
 		if len(member.writes) > 0 {
-			add(true, "power %s", name) // what waits for the disk is lost; a kill lets it land
+			add(true, "power %s", name) // writes that wait for the disk are lost; after a kill they reach it
 		}
 	}
 	if m.budget.wipes > 0 {
@@ -108,12 +109,13 @@
 	if m.budget.cuts > 0 && !member.partitioned {
 		add(true, "cut %s", name)
 	}
-	if m.budget.deaf > 0 && !member.deaf {
-		add(true, "deafen %s", name)
+	if m.budget.inboundCuts > 0 && !member.inboundCut {
+		add(true, "cut-inbound %s", name)
 	}
 }
 
-// deliverable lists the messages that may arrive next: on a link, the first that is not late, and all late ones.
+// deliverable returns the messages that may arrive next: on each link the first one that is not late, and all late
+// ones.
 func (m *model) deliverable() []int {
 	var list []int
 	first := make(map[[2]int]bool)
@@ -139,7 +141,7 @@
 	return list
 }
 
-// name is a message's among those on their way.
+// name returns a name for a message that is unique among the pending ones.
 func (m *model) name(at int) string {
 	message := &m.mail[at]
 	earlier := 0
@@ -224,28 +226,28 @@
 		m.execute(at)
 	case "freeze":
 		m.budget.freezes--
-		member.frozen = true // what is sent to it waits, in order
+		member.frozen = true // messages to it wait, in order
 	case "thaw":
-		member.frozen, member.soundAt = false, m.elapsed+modelCatchup
+		member.frozen, member.reliableAt = false, m.elapsed+modelCatchup
 	case "cut":
 		m.budget.cuts--
 		member.partitioned = true
 		m.mail = slices.DeleteFunc(m.mail, func(message modelMessage) bool { return message.to == at || message.from == at })
-	case "deafen":
-		m.budget.deaf--
-		member.deaf = true
+	case "cut-inbound":
+		m.budget.inboundCuts--
+		member.inboundCut = true
 		m.mail = slices.DeleteFunc(m.mail, func(message modelMessage) bool { return message.to == at })
 	case "heal":
-		member.partitioned, member.deaf, member.soundAt = false, false, m.elapsed+modelCatchup
+		member.partitioned, member.inboundCut, member.reliableAt = false, false, m.elapsed+modelCatchup
 	}
 }
 
-// end has a member's process end. What it sent may still arrive.
+// end ends a member's process. Messages that it has sent may still arrive.
 func (m *model) end(at int, refusing bool) {
 	member := m.members[at]
 	for key, number := range m.numbers {
 		if key[0] == at && m.answers[number] == "" {
-			m.answers[number] = "unknown" // its caller hears no more
+			m.answers[number] = "unknown" // its caller gets no answer
 		}
 	}
 	member.node, member.machine, member.writes = nil, nil, nil
--- a/control/core/model_checks_test.go
+++ b/control/core/model_checks_test.go
@@ -9,7 +9,7 @@
 	"ravendale/control/view"
 )
 
-// observe compares what a node shows with what others have shown.
+// observe compares a node's view and applied commands with those of the other members.
 func (m *model) observe(at int) {
 	member := m.members[at]
 	n := member.node
@@ -30,7 +30,8 @@
 	}
 }
 
-// checkAnswer sees whether an order that is answered lies on as many disks as losses could take, and one more, and has one outcome.
+// checkAnswer checks that an answered command is on more disks than may be lost, and that its answer follows from the
+// commands before it.
 func (m *model) checkAnswer(number int) {
 	_, command, _ := strings.Cut(m.scope.orders[number], " ")
 	index := slices.Index(m.order, command)
@@ -44,7 +45,7 @@
 		result = machine.Apply([]byte(applied))
 	}
 	if m.answers[number] != string(result) {
-		m.fail("order %d was answered %q, its place says %q", number, m.answers[number], result)
+		m.fail("order %d was answered %q, the commands before it imply %q", number, m.answers[number], result)
 	}
 	disks := 0
 	for _, member := range m.members {
@@ -57,20 +58,20 @@
 	}
 }
 
-// holds says whether a command would be found on the disk after a loss of power.
+// holds reports whether a command would be found on the disk after a loss of power.
 func (d *modelDisk) holds(command string) bool {
 	if d.snapshot == nil {
 		return false
 	}
-	kept, err := ReadImage(d.snapshot, d.records)
+	image, err := ReadImage(d.snapshot, d.records)
 	if err != nil {
 		panic(err)
 	}
 	machine := &orderLog{}
-	if len(kept.Machine) > 0 {
-		_ = machine.Restore(kept.Machine)
+	if len(image.Machine) > 0 {
+		_ = machine.Restore(image.Machine)
 	}
-	for _, entry := range kept.Chain.Entries {
+	for _, entry := range image.Chain.Entries {
 		if string(entry.Command) == command {
 			return true
 		}
@@ -78,7 +79,8 @@
 	return slices.Contains(machine.Applied, command)
 }
 
-// checkLease sees whether more than one holds the leader lease, frozen ones included, and whether voters may forget it too early.
+// checkLease checks that at most one member holds the leader lease, including frozen ones, and that no majority of the
+// voters would grant it to another member meanwhile.
 func (m *model) checkLease() {
 	holders := 0
 	for at, member := range m.members {
@@ -95,7 +97,7 @@
 	}
 }
 
-// free counts the voters that run and know of no grant to a member.
+// free counts the running voters of a view that know of no grant to the given holder.
 func (m *model) free(v *view.View, holder view.ID) int {
 	free := 0
 	for at, member := range m.members {
@@ -112,7 +114,7 @@
 	return free
 }
 
-// newest is the latest view that is known to be decided by a member that runs.
+// newest returns the latest view that is known to be decided by a running member.
 func (m *model) newest() *view.View {
 	newest := &view.View{}
 	for _, member := range m.members {
@@ -123,7 +125,7 @@
 	return newest
 }
 
-// checkComplete sees whether those that are complete in the latest view hold all that was answered.
+// checkComplete checks that members which are complete in the latest view have all answered commands.
 func (m *model) checkComplete() {
 	latest := uint64(0)
 	for epoch := range m.views {
@@ -136,7 +138,7 @@
 		for number, answer := range m.answers {
 			_, command, _ := strings.Cut(m.scope.orders[number], " ")
 			if (answer == "taken" || answer == "refused") && !member.has(command) {
-				m.fail("%s is whole in epoch %d and lacks order %d, which was answered", member.address, latest, number)
+				m.fail("%s is complete in epoch %d and lacks order %d, which was answered", member.address, latest, number)
 			}
 		}
 	}
@@ -148,24 +150,25 @@
 }
 
 func (member *modelMember) up() bool {
-	return member.node != nil && !member.frozen && !member.partitioned && !member.deaf
+	return member.node != nil && !member.frozen && !member.partitioned && !member.inboundCut
 }
 
-// unavailableSlots counts the machines that count as lost: those that have come, but for one whose successor counts in its place.
+// unavailableSlots counts the machines that count as lost: those that were started, except for one that was replaced.
 func (m *model) unavailableSlots() int {
 	unavailable := 0
 	for at, member := range m.members {
 		if member.incarnation == 0 || m.replaced && at == 0 {
 			continue
 		}
-		if !member.up() || m.elapsed < member.soundAt {
+		if !member.up() || m.elapsed < member.reliableAt {
 			unavailable++
 		}
 	}
 	return unavailable
 }
 
-// checkMargin sees whether a majority and a complete member are up while no more are lost than may be.
+// checkMargin checks that a majority of the voters and a complete member are up while no more machines are lost than
+// tolerated.
 func (m *model) checkMargin() {
 	m.exceeded = m.exceeded || m.unavailableSlots() > m.scope.tolerated
 	if m.exceeded {
@@ -186,21 +189,21 @@
 		}
 	}
 	if voters < v.Majority() {
-		m.fail("%d of %d voters are up, though no more are lost than may be", voters, len(v.Voters))
+		m.fail("%d of %d voters are up, though no more machines are lost than tolerated", voters, len(v.Voters))
 	}
 	if complete == 0 {
-		m.fail("no whole member is up, though no more are lost than may be")
+		m.fail("no complete member is up, though no more machines are lost than tolerated")
 	}
 }
 
 // Check implements explore.System.
 func (m *model) Check() error {
-	if m.broken != "" {
-		return brokenModel(m.broken)
+	if m.violation != "" {
+		return modelViolation(m.violation)
 	}
 	return nil
 }
 
-type brokenModel string
+type modelViolation string
 
-func (b brokenModel) Error() string { return string(b) }
+func (b modelViolation) Error() string { return string(b) }
--- a/control/core/model_disk_test.go
+++ b/control/core/model_disk_test.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-// modelDisk is what a member finds again after a loss of power.
+// modelDisk is the content of a member's disk that survives a loss of power.
 type modelDisk struct {
 	snapshot []byte
 	records  [][]byte
@@ -20,7 +20,8 @@
 	d.records = append(slices.Clone(d.records), write.Records...)
 }
 
-// orderLog is a machine that takes an order if its base is the number of those taken before, and keeps what it applied.
+// orderLog is a machine that accepts a command if its base equals the number of commands accepted before. It stores all
+// commands.
 type orderLog struct {
 	Applied []string
 	Taken   int
@@ -54,12 +55,12 @@
 	return err
 }
 
-// sync puts all that waits for a member's disk there.
+// sync completes all pending writes of a member.
 func (m *model) sync(at int) {
 	member := m.own(at)
 	last := m.land(member)
-	if m.scope.hasty {
-		return // it has been told
+	if m.scope.earlySyncReport {
+		return // the node was already notified
 	}
 	member.node.OnDisk(m.clock(at), last)
 	m.execute(at)
--- a/control/core/model_network_test.go
+++ b/control/core/model_network_test.go
@@ -10,16 +10,16 @@
 	"ravendale/control/view"
 )
 
-// modelMessage is on its way. Its content is encoded, as on a connection.
+// modelMessage is a pending message. Its content is encoded, as on a connection.
 type modelMessage struct {
 	from, to int
 	sender   view.Member
 	kind     string
 	data     []byte
-	late     bool // it does not hold up time
+	late     bool // time may pass before it arrives
 }
 
-// send puts a message on its way; heartbeats arrive at once, and anything to where nobody is does not.
+// send adds a message to the pending ones, unless the recipient can't be reached.
 func (m *model) send(at int, p outboundMessage) {
 	to := slices.IndexFunc(m.members, func(other *modelMember) bool { return other.address == p.To })
 	if to < 0 || !m.reaches(at, to) {
@@ -35,7 +35,7 @@
 
 func (m *model) reaches(from, to int) bool {
 	a, b := m.members[from], m.members[to]
-	return b.node != nil && !a.partitioned && !b.partitioned && !b.deaf
+	return b.node != nil && !a.partitioned && !b.partitioned && !b.inboundCut
 }
 
 func (m *model) deliver(at int) {
@@ -48,7 +48,7 @@
 	if !m.reaches(message.from, message.to) {
 		return
 	}
-	content := emptyOf(message.kind)
+	content := newMessageOf(message.kind)
 	if _, err := content.UnmarshalMsg(message.data); err != nil {
 		panic(err)
 	}
@@ -57,16 +57,16 @@
 	m.execute(message.to)
 }
 
-func emptyOf(name string) msgp.Unmarshaler {
-	for _, kind := range kinds {
-		if empty := kind.empty(); strings.TrimPrefix(strings.TrimPrefix(fmt.Sprintf("%T", empty), "*"), "core.") == name {
+func newMessageOf(name string) msgp.Unmarshaler {
+	for _, kind := range messageKinds {
+		if empty := kind.newMessage(); strings.TrimPrefix(strings.TrimPrefix(fmt.Sprintf("%T", empty), "*"), "core.") == name {
 			return empty
 		}
 	}
 	panic(name)
 }
 
-// deliverHeartbeats delivers those on their way, which come without end: they are not taken in other orders.
+// deliverHeartbeats delivers all pending heartbeats. Heartbeats are sent without end, so that the search does not reorder them.
 func (m *model) deliverHeartbeats() {
 	for {
 		at := slices.IndexFunc(m.mail, func(message modelMessage) bool { return message.kind == "heartbeat" && !m.members[message.to].frozen })
--- a/control/core/model_state_test.go
+++ b/control/core/model_state_test.go
@@ -21,7 +21,8 @@
 	}
 )
 
-// State implements explore.System. Times are told by their distance from the member's clock, those long past alike.
+// State implements explore.System. Times are encoded relative to the member's clock, and all times that are long past
+// as the same value.
 func (m *model) State() []byte {
 	var b []byte
 	for at, member := range m.members {
@@ -40,17 +41,17 @@
 	if m.scope.unordered {
 		b = explore.AppendSorted(b, messages)
 	} else {
-		slices.SortStableFunc(messages, func(x, y []byte) int { return bytes.Compare(x[:2], y[:2]) }) // by link
+		slices.SortStableFunc(messages, func(x, y []byte) int { return bytes.Compare(x[:2], y[:2]) }) // ordered by link
 		b = encoder.Append(b, messages)
 	}
 	b = encoder.Append(b, m.order)
 	b = encoder.Append(b, m.answers)
-	b = encoder.Append(b, m.given)
+	b = encoder.Append(b, m.submitted)
 	b = encoder.Append(b, m.numbers)
 	b = encoder.Append(b, m.views)
-	b = encoder.Append(b, []int{m.steps, m.budget.crashes, m.budget.wipes, m.budget.freezes, m.budget.cuts, m.budget.deaf, m.budget.lose, m.budget.duplicate, m.budget.late, m.budget.stops, m.budget.reorder})
+	b = encoder.Append(b, []int{m.steps, m.budget.crashes, m.budget.wipes, m.budget.freezes, m.budget.cuts, m.budget.inboundCuts, m.budget.lose, m.budget.duplicate, m.budget.late, m.budget.stops, m.budget.reorder})
 	b = encoder.Append(b, []bool{m.replaced, m.exceeded})
-	return append(b, m.broken...)
+	return append(b, m.violation...)
 }
 
 func (m *model) encode(at int, member *modelMember) []byte {
@@ -59,7 +60,7 @@
 	encoder := explore.Encoder{Omit: modelOmitted, Scalars: map[reflect.Type]func(int64) int64{
 		durationType: func(value int64) int64 {
 			if value < 0 {
-				return 1 << 50 // none
+				return 1 << 50 // unset
 			}
 			return max(value-now, -int64(horizon))
 		},
--- a/control/core/model_test.go
+++ b/control/core/model_test.go
@@ -11,93 +11,93 @@
 	"ravendale/internal/explore"
 )
 
-// modelScope is what may happen in a model of the core. The counts bound how often.
+// modelScope defines what may happen in a model of the core. The counts limit how often.
 type modelScope struct {
-	members   int      // the first three bootstrap the core, the others join
-	tolerated int      // losses that are tolerated
-	orders    []string // "AT BASE NAME": each may be given once, at member AT, at any time
-	steps     int      // of time
-	fine      bool     // steps are half as long
-	orderAt   []int    // steps in which orders are given; nil: all
-	faultAt   []int    // steps in which faults strike; nil: all
-	backAt    []int    // steps in which faults end; nil: all
-	rates     []int    // of the members' clocks, in thousandths; nil: all alike
-	crashes   int      // kills and losses of power, after which a member returns with its disk
-	wipes     int      // losses of power after which it returns with an empty one
-	freezes   int
-	cuts      int           // of one member from all others
-	deaf      int           // the same, one way: it hears nobody
-	lose      int           // messages lost
-	duplicate int           // messages delivered twice
-	late      int           // messages that arrive after later steps of time
-	stops     int           // orderly ends, after which a member returns
-	only      []int         // members that faults strike; nil: all
-	later     bool          // joiners start during the search
-	reorder   int           // deliveries before others that were sent earlier; negative: no bound
-	unordered bool          // messages of one link overtake one another
-	replaces  bool          // the last member is the first one's successor, if that is down as it starts or stops in order; it does not return
-	slowDisks bool          // what is written is on disk at any time later, within a step; else at once
-	hasty     bool          // a disk says that it has what it has not
-	margin    time.Duration // other than that of the lease, by which its holder stops before the voters forget it
-	lateDown  bool          // a voter that is down keeps its vote as long as one that is gone
-	mutations mutations
+	members         int      // the first three bootstrap the core, the others join
+	tolerated       int      // number of failures that the core tolerates
+	orders          []string // "AT BASE NAME": each may be submitted once, at member AT, at any time
+	steps           int      // number of time steps
+	halfSteps       bool     // time steps have half the length
+	orderAt         []int    // time steps in which commands are submitted; nil: all
+	faultAt         []int    // time steps in which faults occur; nil: all
+	recoverAt       []int    // time steps in which faults end; nil: all
+	rates           []int    // rates of the members' clocks, in thousandths; nil: all equal
+	crashes         int      // kills and losses of power, after which a member restarts with its disk
+	wipes           int      // losses of power, after which a member restarts with an empty disk
+	freezes         int
+	cuts            int           // partitions of one member from all others
+	inboundCuts     int           // partitions in which one member receives no messages
+	lose            int           // messages lost
+	duplicate       int           // messages delivered twice
+	late            int           // messages that may arrive in later time steps
+	stops           int           // orderly stops, after which a member restarts
+	faultMembers    []int         // members at which faults occur; nil: all
+	joinLater       bool          // members that join are started during the search
+	reorder         int           // deliveries ahead of messages that were sent earlier; negative: unlimited
+	unordered       bool          // messages of one link may overtake one another
+	replaces        bool          // the last member replaces the first one, if that is down when the last one starts, or stops in an orderly way; the first one does not restart
+	slowDisks       bool          // a write may become durable at any time within a time step; otherwise it does at once
+	earlySyncReport bool          // mutation: a write is reported as durable before it is
+	margin          time.Duration // replaces the lease's margin, by which the holder stops before the voters forget the lease; zero: unchanged
+	lateDown        bool          // mutation: a voter that is down loses its vote only after LearnerExpiry
+	mutations       mutations
 }
 
-// modelStep is how far a step of time goes. Within one, messages and disks may take as long as they like, but no longer: so the model is
-// coarser than the core's timers, and late messages are faults of their own.
+// modelStep is the length of a time step. Messages and writes take any time within a step, but do not extend beyond it:
+// so the model is coarser than the core's timers, and late messages are a separate fault.
 const modelStep = 200 * time.Millisecond
 
 func (s *modelScope) step() time.Duration {
-	if s.fine {
+	if s.halfSteps {
 		return modelStep / 2
 	}
 	return modelStep
 }
 
-// modelCatchup is the bound of a new machine.
+// modelCatchup is the time that a new machine has to catch up.
 const modelCatchup = 2 * time.Second
 
 // modelMember is a machine. It is copied before it is changed.
 type modelMember struct {
 	address     string
-	node        *node // nil while it is down
+	node        *node // nil while the process is down
 	machine     *orderLog
 	disk        modelDisk
 	writes      []diskWrite
 	incarnation int
-	disks       int // how many it has lost
+	disks       int // number of disks that it has lost
 	frozen      bool
-	partitioned bool // from all others
-	deaf        bool
-	refusing    bool          // killed: others find its address closed
-	soundAt     time.Duration // from then it does not count as lost, unless it is
-	stopBy      time.Duration // by then it ends, having been told to stop; zero if it was not
-	state       []byte        // encoded, nil if that is to be done
+	partitioned bool // from all other members
+	inboundCut  bool
+	refusing    bool          // it was killed, and its address refuses connections
+	reliableAt  time.Duration // from then on it does not count as lost, if it is up
+	stopBy      time.Duration // a stopping member ends at that time at the latest; zero if it is not stopping
+	state       []byte        // encoded state; nil if it has to be encoded again
 }
 
-// model is a core whose every order of events is searched. What it observes belongs to its state.
+// model is a core of which all orders of events are searched. The observations are part of its state.
 type model struct {
-	scope   *modelScope
-	members []*modelMember
-	owned   []bool // members that were copied since the last Clone
-	mail    []modelMessage
-	elapsed time.Duration
-	steps   int
-	given   []bool
-	budget  modelScope // counts that are left
+	scope     *modelScope
+	members   []*modelMember
+	owned     []bool // which members were copied since the last Clone
+	mail      []modelMessage
+	elapsed   time.Duration
+	steps     int
+	submitted []bool
+	budget    modelScope // counts that are left
 
-	order    []string          // of commands, as first applied
-	answers  []string          // to orders, by their place in the scope
-	numbers  map[[3]int]int    // member, incarnation and number: which order
-	views    map[uint64]string // decided, by epoch
-	replaced bool              // the last member counts in the place of the first
-	exceeded bool              // more were lost at once than may be
-	broken   string
+	order     []string          // commands, as first applied
+	answers   []string          // answers to scope.orders, by index
+	numbers   map[[3]int]int    // index in scope.orders, by member, incarnation and command number
+	views     map[uint64]string // decided views, by epoch
+	replaced  bool              // the last member counts in place of the first
+	exceeded  bool              // more machines were lost at once than tolerated
+	violation string
 }
 
 func newModel(scope *modelScope) *model {
 	m := &model{
-		scope: scope, budget: *scope, given: make([]bool, len(scope.orders)), answers: make([]string, len(scope.orders)),
+		scope: scope, budget: *scope, submitted: make([]bool, len(scope.orders)), answers: make([]string, len(scope.orders)),
 		numbers: make(map[[3]int]int), views: make(map[uint64]string), elapsed: time.Hour,
 	}
 	for i := range scope.members {
@@ -108,35 +108,35 @@
 	return m
 }
 
-// stabilize bootstraps the core, and has it run until all is calm: that is where the search starts.
+// stabilize bootstraps the core, and runs it until nothing is pending: the search starts from that state.
 func (m *model) stabilize() {
 	for i := range min(3, len(m.members)) {
 		m.start(i)
 	}
 	for range m.scope.settling() {
-		m.calm()
+		m.drain()
 		m.tick()
 	}
-	if !m.scope.later {
+	if !m.scope.joinLater {
 		for i := 3; i < len(m.members); i++ {
 			m.start(i)
 		}
 		for range m.scope.settling() {
-			m.calm()
+			m.drain()
 			m.tick()
 		}
 	}
-	m.calm()
+	m.drain()
 	m.steps = 0
 	for _, member := range m.members {
-		member.soundAt, member.state = 0, nil
+		member.reliableAt, member.state = 0, nil
 	}
 }
 
 func (s *modelScope) settling() int { return int(2400 * time.Millisecond / s.step()) }
 
-// calm delivers all there is, in order.
-func (m *model) calm() {
+// drain delivers all messages and completes all writes, in order.
+func (m *model) drain() {
 	for {
 		switch {
 		case m.syncing() >= 0:
@@ -153,7 +153,7 @@
 	return slices.IndexFunc(m.members, func(member *modelMember) bool { return len(member.writes) > 0 && member.node != nil && !member.frozen })
 }
 
-// own makes a member this model's own, so that it may be changed.
+// own returns a copy of a member that belongs to this model, so that it may be changed.
 func (m *model) own(at int) *modelMember {
 	if !m.owned[at] {
 		m.owned[at] = true
@@ -180,12 +180,12 @@
 	copied.owned = make([]bool, len(m.members))
 	clear(m.owned)
 	copied.mail = slices.Clone(m.mail)
-	copied.given, copied.answers, copied.order = slices.Clone(m.given), slices.Clone(m.answers), slices.Clone(m.order)
+	copied.submitted, copied.answers, copied.order = slices.Clone(m.submitted), slices.Clone(m.answers), slices.Clone(m.order)
 	copied.numbers, copied.views = explore.Clone(m.numbers), explore.Clone(m.views)
 	return &copied
 }
 
-// clock is a member's steady time.
+// clock returns a member's steady time.
 func (m *model) clock(at int) time.Duration {
 	if m.scope.rates == nil {
 		return m.elapsed
@@ -197,7 +197,7 @@
 	member := m.own(at)
 	member.incarnation++
 	m.replaced = m.replaced || m.scope.replaces && at == len(m.members)-1 && m.members[0].node == nil
-	member.refusing, member.frozen, member.soundAt = false, false, m.elapsed+modelCatchup
+	member.refusing, member.frozen, member.reliableAt = false, false, m.elapsed+modelCatchup
 	member.machine = &orderLog{}
 	var seeds []string
 	for _, seed := range m.members[:min(3, len(m.members))] {
@@ -208,7 +208,7 @@
 		Address: member.address, Zone: member.address, Seeds: seeds, Bootstrap: m.views[1] == "" && disks == 0, Disk: true, Candidate: true,
 		Durability: view.Durability{Copies: m.scope.tolerated + 1}, DownAfter: m.downAfter(),
 		LearnerExpiry: LearnerExpiry(modelCatchup), Terms: m.terms(), MinLogBytes: 1 << 20, Machine: member.machine,
-		Random: func() uint64 { // the first draw is the incarnation, the second the disk
+		Random: func() uint64 { // the first number identifies the incarnation, the second one the disk
 			drawn++
 			switch drawn {
 			case 1:
@@ -225,7 +225,7 @@
 		m.fail("%s: %v", member.address, err)
 		return
 	}
-	node.config.Random = func() uint64 { return 0 } // no state of its own, or copies would share it
+	node.config.Random = func() uint64 { return 0 } // without state, which copies of the model would share
 	member.node = node
 	m.execute(at)
 }
@@ -245,7 +245,7 @@
 	return terms
 }
 
-// execute does what a node wants.
+// execute executes a node's output.
 func (m *model) execute(at int) {
 	member := m.members[at]
 	output := member.node.Take()
@@ -263,18 +263,18 @@
 	}
 	if !m.scope.slowDisks && len(member.writes) > 0 {
 		m.sync(at)
-	} else if m.scope.hasty && len(output.Writes) > 0 {
+	} else if m.scope.earlySyncReport && len(output.Writes) > 0 {
 		member.node.OnDisk(m.clock(at), output.Writes[len(output.Writes)-1].Batch)
 		m.execute(at)
 	}
 }
 
-// tick lets a step of time pass.
+// tick advances the time by one step.
 func (m *model) tick() {
 	m.elapsed += m.scope.step()
 	m.steps++
 	for at := range m.members {
-		m.own(at) // their times are others now
+		m.own(at) // their clocks change
 	}
 	for at, member := range m.members {
 		if member.node == nil || member.frozen {
@@ -292,7 +292,7 @@
 	m.endStopped()
 }
 
-// endStopped ends members that were told to stop and have left, or can't wait any longer.
+// endStopped ends stopping members that the others have removed, or whose time to stop has ended.
 func (m *model) endStopped() {
 	for at, member := range m.members {
 		if member.stopBy != 0 && !member.frozen && (m.elapsed >= member.stopBy || member.node.StopComplete(m.clock(at))) {
@@ -304,7 +304,7 @@
 }
 
 func (m *model) submit(number int) {
-	m.given[number] = true
+	m.submitted[number] = true
 	var at, base int
 	var name string
 	if _, err := fmt.Sscan(m.scope.orders[number], &at, &base, &name); err != nil {
@@ -333,7 +333,7 @@
 }
 
 func (m *model) fail(format string, arguments ...any) {
-	if m.broken == "" {
-		m.broken = fmt.Sprintf(format, arguments...)
+	if m.violation == "" {
+		m.violation = fmt.Sprintf(format, arguments...)
 	}
 }
--- a/control/core/node.go
+++ b/control/core/node.go
@@ -11,21 +11,21 @@
 	"ravendale/control/view"
 )
 
-// node is a member of the core without clock, sockets or disk, as raft's RawNode is: each method takes the steady time, and Take returns what is to be
-// done. It only coordinates: who is heard, what is durable, the change of view, the leader lease and the commands in flight are parts
-// of their own, each in the file of that name.
+// node is a member of the core, or a process without a disk, without clock, sockets or files, like raft's RawNode: each
+// method takes the steady time, and Take returns what is to be done. The node itself only coordinates its parts:
+// failure detection, durability, view changes, the leader lease and pending commands are in files of their own.
 type node struct {
 	config           nodeConfig
 	self             view.Member
 	bootstrapMembers []string // rpc addresses of the seeds, if this disk may bootstrap the core
-	origin           uint64   // of commands submitted in this incarnation, and of its ballots and lease requests
+	origin           uint64   // identifies this incarnation in commands, ballots and lease requests
 	started          time.Duration
 	lastTick         time.Duration
 
-	view        view.View // the newest that is known to be decided
-	vote        view.Vote // as an acceptor of the view that follows
+	view        view.View // newest view that is known to be decided
+	vote        view.Vote // as an acceptor of the next view
 	chain       *chain.Chain
-	cannotOrder bool // it is the head, and was started in this epoch: it may have ordered commands that it does not know
+	cannotOrder bool // this node is the head and was restarted in this epoch: it may have ordered commands that it does not remember
 
 	peers          peerTracker
 	durability     durability
@@ -34,14 +34,14 @@
 	commands       commandTable
 	departure      departure
 	quorum         quorumWatch
-	storeBootstrap *storeBootstrap // at seeds without a disk, in the first incarnation of the system; nil: not here
+	storeBootstrap *storeBootstrap // only at seeds without a disk, in the first incarnation of the system; otherwise nil
 
-	inbox  []inboundMessage // from itself, handled before the step ends
-	output output           // gathered until Take
+	inbox  []inboundMessage // messages to itself, handled before the step ends
+	output output           // collected until Take
 }
 
-// newNode makes a node from what is on its disk, nil if nothing is; then the first output has a write, and the node sends nothing before
-// that is on disk.
+// newNode returns a node that continues from what is on its disk. A nil snapshot means an empty disk: the first output
+// then has a write, and the node sends nothing before that is durable.
 func newNode(now time.Duration, config nodeConfig, snapshot []byte, records [][]byte) (*node, error) {
 	n := &node{
 		config: config, started: now, lastTick: now, origin: config.Random() | 1,
@@ -55,12 +55,12 @@
 		n.storeBootstrap = newStoreBootstrap(&config)
 		return n, nil
 	}
-	kept, err := n.load(snapshot, records)
+	image, err := n.load(snapshot, records)
 	if err != nil {
 		return nil, err
 	}
-	n.self.ID, n.bootstrapMembers, n.view, n.vote = kept.ID, kept.BootstrapMembers, kept.View, kept.Vote
-	n.chain = chain.New(n.self.ID, kept.Chain, config.Machine)
+	n.self.ID, n.bootstrapMembers, n.view, n.vote = image.ID, image.BootstrapMembers, image.View, image.Vote
+	n.chain = chain.New(n.self.ID, image.Chain, config.Machine)
 	if config.mutations.appliesAll {
 		n.chain.MutateUnboundedApply()
 	}
@@ -68,11 +68,11 @@
 		n.chain.MutateEarlyCommit()
 	}
 	if config.mutations.forgetsGrant {
-		kept.Lease = lease.PreviousGrant{}
+		image.Lease = lease.PreviousGrant{}
 	}
-	n.lease = newLeaderLease(now, config.Terms, n.origin, kept.Lease)
+	n.lease = newLeaderLease(now, config.Terms, n.origin, image.Lease)
 	if n.view.Epoch > 0 {
-		n.follow(now, true)
+		n.followView(now, true)
 	}
 	if snapshot == nil {
 		n.durability.snapshotDue, n.durability.uninitialized = true, true
@@ -82,34 +82,35 @@
 		n.degrade(now, config.DiskFault)
 		n.durability.degradation.retryAt = now + diskRetryInterval
 	}
-	n.finish(now)
+	n.finishStep(now)
 	return n, nil
 }
 
-// ready says whether the node's identity is on disk, so that it may speak.
+// ready reports whether the node's identity is on disk, so that it may send messages.
 func (n *node) ready() bool { return !n.durability.uninitialized }
 
-// Take returns what is to be done.
+// Take returns the output that was collected since the last call.
 func (n *node) Take() output {
 	taken := n.output
 	n.output = output{}
 	return taken
 }
 
-// finish ends each step: it delivers what the node sent to itself, and gives the changes to the disk.
-func (n *node) finish(now time.Duration) {
-	n.drain()
+// finishStep ends each step: it handles the node's messages to itself, and adds the changes of the step to the output
+// as a write.
+func (n *node) finishStep(now time.Duration) {
+	n.drainChain()
 	for len(n.inbox) > 0 {
 		message := n.inbox[0]
 		n.inbox = n.inbox[1:]
 		n.dispatch(now, message.from, message.message)
-		n.drain()
+		n.drainChain()
 	}
 	n.flush(now)
 }
 
-// drain turns the chain's actions into the node's.
-func (n *node) drain() {
+// drainChain executes the chain's actions.
+func (n *node) drainChain() {
 	for {
 		actions := n.chain.Take()
 		if actions.Install == nil && len(actions.Writes)+len(actions.Commits)+len(actions.Sends) == 0 {
@@ -130,37 +131,39 @@
 	}
 }
 
-// install replaces the machine's state by another member's. Commands that were sent may be part of it: their outcome is unknown.
+// install replaces the machine's state by another member's. The snapshot may include commands that were sent to the
+// head, so that their outcome is unknown.
 func (n *node) install(fill *chain.Fill) {
 	if n.config.mutations.keepsStaleState {
 		n.durability.requireSnapshot()
 		return
 	}
 	if err := n.config.Machine.Restore(fill.Snapshot); err != nil {
-		panic(fmt.Sprintf("core: snapshot of another member: %v", err)) // its state can't be trusted any more
+		panic(fmt.Sprintf("core: restoring another member's snapshot: %v", err)) // the machine's state is undefined now
 	}
 	n.durability.requireSnapshot()
 	n.output.Applied = true
 	for _, pending := range n.commands.pending {
 		if pending.epoch != 0 {
-			n.end(pending, nil, ErrUnknown)
+			n.complete(pending, nil, ErrUnknown)
 		}
 	}
 }
 
-// ApplyDue says whether Apply is to be called now that the output of the last step is carried out.
+// ApplyDue reports whether the driver is to call Apply after it has executed the output of the last step.
 func (n *node) ApplyDue() bool { return n.chain.ApplyDue() && !n.degraded() }
 
-// Apply applies some of the committed commands. It is a step of its own, after the output of the one that committed them is carried out: the
-// others hear of the commit before this member takes the time to apply it, and the members of a chain apply at the same time and not in turn.
+// Apply applies some of the committed commands. It is a step of its own, after the output of the step that committed
+// them was executed: so the other members receive the commit before this one takes the time to apply it, and the
+// members of a chain apply at the same time instead of one after the other.
 func (n *node) Apply(now time.Duration) {
 	n.chain.Apply()
-	n.finish(now)
+	n.finishStep(now)
 }
 
-// apply applies a committed command, and ends it if it was submitted here.
+// apply applies a committed command, and completes it if it was submitted here.
 func (n *node) apply(entry *chain.Entry) {
-	n.commands.outlive(entry.Epoch)
+	n.commands.markUnordered(entry.Epoch)
 	if entry.Origin == 0 {
 		return
 	}
@@ -170,12 +173,12 @@
 		return
 	}
 	if pending := n.commands.pending[entry.Number]; pending != nil {
-		n.end(pending, result, nil)
+		n.complete(pending, result, nil)
 	}
 }
 
-// follow makes the chain follow the node's view.
-func (n *node) follow(now time.Duration, restarted bool) {
+// followView configures the chain for the node's view.
+func (n *node) followView(now time.Duration, restarted bool) {
 	n.chain.Adopt(now, &n.view, n.config.Durability.Met(&n.view), restarted)
 	n.cannotOrder = restarted && n.chain.Position() == 0
 	if n.vote.Sealed(n.view.Epoch) {
@@ -184,7 +187,7 @@
 	n.viewChange.reset()
 }
 
-// adopt moves to a view that is decided.
+// adopt switches to a later view that was decided.
 func (n *node) adopt(now time.Duration, next *view.View) {
 	if next.Epoch <= n.view.Epoch {
 		return
@@ -193,19 +196,19 @@
 	n.lease.voter.Adopt(now, &n.view, next)
 	n.view = *next
 	n.durability.append(&record{View: next})
-	n.follow(now, false)
-	n.drain()
+	n.followView(now, false)
+	n.drainChain()
 	if n.chain.Position() < 0 && n.lease.holder.Valid(now) {
 		n.dropLease(lossChain)
 	}
 	n.peers.heartbeatDue = now
 }
 
-// Tick does what is due, and returns when to call it again at the latest.
+// Tick does what is due, and returns the latest time for the next call.
 func (n *node) Tick(now time.Duration) time.Duration {
 	if now-n.lastTick > pauseThreshold {
 		n.peers.suspectFrom = now + failureTimeout
-		n.durability.writingSince = now // the process stood still, not the disk
+		n.durability.writingSince = now // the process was paused, not the disk
 	}
 	n.lastTick = now
 	n.checkDiskStall(now)
@@ -215,11 +218,11 @@
 	case n.ready():
 		n.tickMember(now)
 	}
-	n.finish(now)
-	return n.next(now)
+	n.finishStep(now)
+	return n.nextTick(now)
 }
 
-// tickMember is all that a member which is not degraded, or a process without a disk, does on its own.
+// tickMember is the part of Tick for a member that is not degraded, and for a process without a disk.
 func (n *node) tickMember(now time.Duration) {
 	n.updateResponsiveness(now)
 	if now >= n.peers.heartbeatDue {
@@ -232,7 +235,7 @@
 	n.bootstrap(now)
 	n.watchQuorum(now)
 	if n.durability.logRecords > n.config.MaxLogRecords && n.chain.Unapplied() == 0 && !n.durability.writing() {
-		n.durability.snapshotDue = true // what was long is applied: the next start need not do it again
+		n.durability.snapshotDue = true // all of the long log is applied: with a snapshot the next start need not apply it again
 	}
 	n.chain.Tick(now)
 	n.checkViewChange(now)
@@ -240,22 +243,22 @@
 	n.submitAll(now)
 }
 
-// next is when something is due: often while something is under way, else with the next heartbeat.
-func (n *node) next(now time.Duration) time.Duration {
-	const brisk = 20 * time.Millisecond
+// next returns when Tick is due: soon while an operation is in progress, otherwise with the next heartbeat.
+func (n *node) nextTick(now time.Duration) time.Duration {
+	const shortInterval = 20 * time.Millisecond
 	if n.chain.HasUnapplied() && !n.degraded() {
 		return now + time.Millisecond
 	}
-	at := max(n.peers.heartbeatDue, now+brisk)
+	at := max(n.peers.heartbeatDue, now+shortInterval)
 	if n.degraded() {
 		if !n.durability.writing() {
-			at = min(at, max(n.durability.degradation.retryAt, now+brisk))
+			at = min(at, max(n.durability.degradation.retryAt, now+shortInterval))
 		}
 		return at
 	}
-	busy := n.viewChange.proposer != nil || n.viewChange.pendingSince >= 0 || n.wantsLease(now) || n.chain.Position() >= 0 && !n.chain.Attached()
-	if busy {
-		return now + brisk
+	inProgress := n.viewChange.proposer != nil || n.viewChange.pendingSince >= 0 || n.wantsLease(now) || n.chain.Position() >= 0 && !n.chain.Attached()
+	if inProgress {
+		return now + shortInterval
 	}
 	if n.lease.holder.Valid(now) {
 		requestedAt, granted := n.lease.holder.LastRequest()
@@ -263,7 +266,7 @@
 		if granted {
 			wait = n.config.Terms.RenewInterval
 		}
-		at = min(at, max(requestedAt+wait, now+brisk))
+		at = min(at, max(requestedAt+wait, now+shortInterval))
 	}
 	return at
 }
--- a/control/core/partition_test.go
+++ b/control/core/partition_test.go
@@ -9,52 +9,52 @@
 	"github.com/stretchr/testify/require"
 )
 
-// partitionMode is which messages of a member that is cut off are lost.
+// partitionMode determines which messages of a partitioned member are lost.
 type partitionMode int
 
 const (
 	partitionBoth     partitionMode = iota
-	partitionInbound                // it hears nobody
-	partitionOutbound               // nobody hears it
+	partitionInbound                // it receives no messages
+	partitionOutbound               // its messages are lost
 )
 
-var partitionModes = map[string]partitionMode{"both ways": partitionBoth, "deaf": partitionInbound, "mute": partitionOutbound}
+var partitionModes = map[string]partitionMode{"both ways": partitionBoth, "inbound": partitionInbound, "outbound": partitionOutbound}
 
-// Bounds on a member that is cut off, on the others, and once it is healed.
+// Bounds on the behaviour of a partitioned member, of the others, and after the partition.
 const (
 	partitionSeeds = 4
 	partitionTime  = 20 * time.Second
-	leaseBound     = 1200 * time.Millisecond // then a leader that is cut off leads no more
-	serviceBound   = 2500 * time.Millisecond // then the others serve, under a leader of theirs
-	healBound      = 2 * time.Second         // then the member is in the chain again
-	pauseBound     = 1200 * time.Millisecond // no longer do the others answer nothing because it comes back
+	leaseBound     = 1200 * time.Millisecond // after which a partitioned leader no longer holds the lease
+	serviceBound   = 2500 * time.Millisecond // after which the others serve under a leader of their own
+	healBound      = 2 * time.Second         // after which the member is in the chain again
+	pauseBound     = 1200 * time.Millisecond // longest time without an answer when the member returns
 )
 
-// roles are who may be cut off, as found at the time.
-var roles = map[string]func(s *simulation) *simulated{
-	"leader": func(s *simulation) *simulated { return s.holders()[0] },
-	"head":   func(s *simulation) *simulated { return s.inChain(0) },
-	"middle": func(s *simulation) *simulated { return s.inChain(1) },
-	"tail":   func(s *simulation) *simulated { return s.inChain(-1) },
+// roles maps the name of a role to the function that finds the member with it.
+var roles = map[string]func(s *simulation) *simProcess{
+	"leader": func(s *simulation) *simProcess { return s.holders()[0] },
+	"head":   func(s *simulation) *simProcess { return s.inChain(0) },
+	"middle": func(s *simulation) *simProcess { return s.inChain(1) },
+	"tail":   func(s *simulation) *simProcess { return s.inChain(-1) },
 }
 
-// inChain is the member at a place of the chain, counted from the tail if it is below zero.
-func (s *simulation) inChain(position int) *simulated {
+// inChain returns the member at a position of the chain, counted from the tail if negative.
+func (s *simulation) inChain(position int) *simProcess {
 	for _, member := range s.members {
 		if n := member.node; member.running && n.chain.Attached() {
 			position = (position + len(n.view.Chain)) % len(n.view.Chain)
 			if voter, ok := n.view.Member(n.view.Chain[position]); ok {
-				return s.byAddr[voter.Address]
+				return s.byAddress[voter.Address]
 			}
 		}
 	}
 	panic("no member is in the chain")
 }
 
-func (s *simulation) partition(member *simulated, way partitionMode, on bool) {
+func (s *simulation) setPartition(member *simProcess, mode partitionMode, on bool) {
 	for _, other := range s.others(member) {
 		inbound, outbound := [2]string{other.address, member.address}, [2]string{member.address, other.address}
-		for pair, dropped := range map[[2]string]bool{inbound: way != partitionOutbound, outbound: way != partitionInbound} {
+		for pair, dropped := range map[[2]string]bool{inbound: mode != partitionOutbound, outbound: mode != partitionInbound} {
 			if on && dropped {
 				s.partitioned[pair] = true
 			} else {
@@ -64,36 +64,37 @@
 	}
 }
 
-// playPartition plays one partition of a member of the core, and returns what was broken.
-func playPartition(seed uint64, role string, way partitionMode, m mutant, restarted bool) (broken string, served time.Duration) {
+// runPartition partitions a member of the core, and returns the violation and the time until the others served.
+func runPartition(seed uint64, role string, mode partitionMode, m mutant, restarted bool) (violation string, served time.Duration) {
 	size := sizes[seed%uint64(len(sizes))]
 	s := newSimulation(seed, size.members, size.tolerated, m)
 	s.run(1500 * time.Millisecond)
 	s.load(50 * time.Millisecond)
 	s.run(4 * time.Second)
-	if s.expectService("at first", 300*time.Millisecond); s.broken != "" {
-		return s.broken, 0
+	if s.expectService("initially", 300*time.Millisecond); s.violation != "" {
+		return s.violation, 0
 	}
 	victim := roles[role](s)
-	s.partition(victim, way, true)
+	s.setPartition(victim, mode, true)
 	from := s.now
 	if restarted {
 		s.after(2*time.Second, func() { victim.kill(); s.after(300*time.Millisecond, victim.start) })
 	}
 	s.watchPartition(victim, from)
-	served = s.serviceWithout(victim, from)
+	served = s.waitForService(victim, from)
 	s.run(from + partitionTime)
-	s.expectSide(victim)
-	s.partition(victim, way, false)
-	s.healed(victim)
-	if s.broken == "" {
+	s.expectOthersServe(victim)
+	s.setPartition(victim, mode, false)
+	s.expectRejoin(victim)
+	if s.violation == "" {
 		s.checkHistory()
 	}
-	return s.broken, served
+	return s.violation, served
 }
 
-// watchPartition looks at the member that is cut off all the time: its lease ends in time, and nothing that was submitted to it since is answered.
-func (s *simulation) watchPartition(victim *simulated, from time.Duration) {
+// watchPartition checks a partitioned member continuously: its lease must expire in time, and it must not answer
+// commands that were submitted to it during the partition.
+func (s *simulation) watchPartition(victim *simProcess, from time.Duration) {
 	const look, every = 20 * time.Millisecond, 200 * time.Millisecond
 	submitted := make(map[string]bool)
 	var watch func()
@@ -102,7 +103,7 @@
 			return
 		}
 		if victim.running && s.now > from+leaseBound && victim.node.lease.holder.Valid(victim.clock()) {
-			s.fail("%s holds the lease %v after it was cut off", victim.address, s.now-from)
+			s.fail("%s holds the lease %v after it was partitioned", victim.address, s.now-from)
 		}
 		if (s.now-from)%every == 0 {
 			for _, command := range victim.submitNow() {
@@ -111,7 +112,7 @@
 		}
 		for command := range submitted {
 			if output := s.operations[command].output; output != "" && output != "never" {
-				s.fail("%s answered %q with %q while it was cut off", victim.address, command, output)
+				s.fail("%s answered %q with %q while it was partitioned", victim.address, command, output)
 			}
 		}
 		s.after(look, watch)
@@ -119,8 +120,8 @@
 	s.after(0, watch)
 }
 
-// submitNow plays one call at this member, and names the command.
-func (m *simulated) submitNow() []string {
+// submitNow submits a command at this member, and returns it.
+func (m *simProcess) submitNow() []string {
 	known := len(m.s.operations)
 	m.submit()
 	if len(m.s.operations) == known {
@@ -135,38 +136,39 @@
 	return nil
 }
 
-// serviceWithout plays until the others have a leader of theirs, and answer.
-func (s *simulation) serviceWithout(victim *simulated, from time.Duration) time.Duration {
+// waitForService runs the simulation until the others have a leader of their own and answer.
+func (s *simulation) waitForService(victim *simProcess, from time.Duration) time.Duration {
 	s.until(partitionTime/2, func() bool {
 		holders := s.holders()
-		return s.now > from+50*time.Millisecond && s.newest > from+leaseBound && len(holders) == 1 && holders[0] != victim
+		return s.now > from+50*time.Millisecond && s.lastAnswerAt > from+leaseBound && len(holders) == 1 && holders[0] != victim
 	})
 	if took := s.now - from; took > serviceBound {
-		s.fail("the others of %s serve only after %v\n%s", victim.address, took, s.describe())
+		s.fail("the members other than %s serve only after %v\n%s", victim.address, took, s.describe())
 	}
 	return s.now - from
 }
 
-// expectSide makes sure that the others serve at the end of the partition, and the one that was cut off is not among them.
-func (s *simulation) expectSide(victim *simulated) {
-	if s.broken != "" {
+// expectOthersServe checks at the end of the partition that the others serve, and are in the chain.
+func (s *simulation) expectOthersServe(victim *simProcess) {
+	if s.violation != "" {
 		return
 	}
-	if s.now-s.newest > 500*time.Millisecond {
-		s.fail("the others answer nothing for %v\n%s", s.now-s.newest, s.describe())
+	if s.now-s.lastAnswerAt > 500*time.Millisecond {
+		s.fail("the others answer nothing for %v\n%s", s.now-s.lastAnswerAt, s.describe())
 	}
 	for _, member := range s.others(victim) {
 		if !member.node.chain.Attached() {
-			s.fail("%s is not in the chain, though only %s is cut off\n%s", member.address, victim.address, s.describe())
+			s.fail("%s is not in the chain, though only %s is partitioned\n%s", member.address, victim.address, s.describe())
 		}
 	}
 }
 
-// healed has the member come back, and makes sure that this disturbs nobody.
-func (s *simulation) healed(victim *simulated) {
+// expectRejoin runs the simulation until the member is back in the chain, and checks that the service is not
+// interrupted for long.
+func (s *simulation) expectRejoin(victim *simProcess) {
 	from, last, longest := s.now, s.now, time.Duration(0)
 	s.until(healBound+3*time.Second, func() bool {
-		longest, last = max(longest, s.now-max(last, s.newest)), max(last, s.newest)
+		longest, last = max(longest, s.now-max(last, s.lastAnswerAt)), max(last, s.lastAnswerAt)
 		return s.now > from+100*time.Millisecond && victim.node.chain.Attached() && victim.node.view.Position(victim.node.self.ID) >= 0 &&
 			victim.node.view.Epoch == s.others(victim)[0].node.view.Epoch
 	})
@@ -174,50 +176,51 @@
 		s.fail("%s is back in the chain only after %v\n%s", victim.address, took, s.describe())
 	}
 	s.until(2*time.Second, func() bool {
-		longest, last = max(longest, s.now-max(last, s.newest)), max(last, s.newest)
+		longest, last = max(longest, s.now-max(last, s.lastAnswerAt)), max(last, s.lastAnswerAt)
 		return false
 	})
 	if longest > pauseBound {
-		s.fail("nothing was answered for %v as %s came back", longest, victim.address)
+		s.fail("nothing was answered for %v when %s returned", longest, victim.address)
 	}
-	s.expectService("after the cut", 300*time.Millisecond)
+	s.expectService("after the partition", 300*time.Millisecond)
 }
 
-func TestMistakesOfAPartitionedMemberAreCaught(t *testing.T) {
+func TestPartitionMutationsAreDetected(t *testing.T) {
 	for name, c := range map[string]struct {
 		mistake  mutant
 		expected string
 	}{
-		"leads on when nobody renews its lease": {lingeringLeader, "hold the leader lease at once"},
-		"commits what it alone has on its disk": {loneCommit, "while it was cut off"},
+		"holds the lease without renewal":      {negativeMargin, "hold the leader lease at once"},
+		"commits what is on its own disk only": {localCommit, "while it was partitioned"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			for seed := range uint64(partitionSeeds) {
-				broken, _ := playPartition(seed, "head", partitionBoth, c.mistake, false)
-				if strings.Contains(broken, c.expected) {
-					t.Logf("seed %d: %s", seed, broken)
+				violation, _ := runPartition(seed, "head", partitionBoth, c.mistake, false)
+				if strings.Contains(violation, c.expected) {
+					t.Logf("seed %d: %s", seed, violation)
 					return
 				}
 			}
-			require.Fail(t, "not caught")
+			require.Fail(t, "the mutation was not detected")
 		})
 	}
 }
 
-// TestAPartitionOfTwentySeconds has each member by its role cut off, both ways and one way, and asked all the time.
-func TestAPartitionOfTwentySeconds(t *testing.T) {
+// TestPartition partitions each member by its role for twenty seconds, in both directions and in one, and submits
+// commands to it meanwhile.
+func TestPartition(t *testing.T) {
 	for role := range roles {
-		for name, way := range partitionModes {
+		for name, mode := range partitionModes {
 			t.Run(role+" "+name, func(t *testing.T) {
 				t.Parallel()
 				var slowest time.Duration
 				for seed := range uint64(partitionSeeds) {
-					broken, served := playPartition(seed, role, way, sound, seed%3 == 2)
-					require.Empty(t, broken, "seed %d", seed)
+					violation, served := runPartition(seed, role, mode, noMutation, seed%3 == 2)
+					require.Empty(t, violation, "seed %d", seed)
 					slowest = max(slowest, served)
 				}
-				t.Logf("the others served after %v at most", slowest)
+				t.Logf("the other members served after %v at most", slowest)
 			})
 		}
 	}
--- a/control/core/quorum.go
+++ b/control/core/quorum.go
@@ -7,26 +7,27 @@
 	"ravendale/control/view"
 )
 
-// quorumReportDelay is how long too few voters are heard before that is reported: shorter gaps are ordinary failovers.
+// quorumReportDelay is how long too few voters must be responsive before that is reported: shorter gaps are ordinary
+// failovers.
 const quorumReportDelay = time.Second
 
-// quorumChange reports that too few voters are heard for another view to be decided, or that there are enough again.
+// quorumChange reports that too few voters are responsive to decide another view, or that there are enough again.
 type quorumChange struct {
 	Unavailable  bool
 	Voters       int
-	Heard        []string // rpc addresses of voters
-	Unresponsive []string // the same, with the reason as far as this node knows
+	Responsive   []string // rpc addresses of voters
+	Unresponsive []string // rpc addresses of the other voters, each with the probable reason
 }
 
-// quorumWatch notices that no quorum of the voters is available.
+// quorumWatch detects that no majority of the voters is responsive.
 type quorumWatch struct {
-	unavailableSince time.Duration // negative: it is there
+	unavailableSince time.Duration // negative if a majority is responsive
 	reported         bool
 }
 
-// watchQuorum reports when a majority of the voters is not heard for a while, and when it is heard again.
+// watchQuorum reports when no majority of the voters was responsive for quorumReportDelay, and when there is one again.
 func (n *node) watchQuorum(now time.Duration) {
-	if n.view.Epoch == 0 || n.majorityHeard(now) {
+	if n.view.Epoch == 0 || n.isMajorityResponsive(now) {
 		if n.quorum.reported {
 			n.output.QuorumChanges = append(n.output.QuorumChanges, n.quorumChange(now, false))
 		}
@@ -45,8 +46,8 @@
 func (n *node) quorumChange(now time.Duration, unavailable bool) quorumChange {
 	change := quorumChange{Unavailable: unavailable, Voters: len(n.view.Voters)}
 	for _, member := range n.view.Voters {
-		if n.hearsVoter(now, member.ID) {
-			change.Heard = append(change.Heard, member.Address)
+		if n.isVoterResponsive(now, member.ID) {
+			change.Responsive = append(change.Responsive, member.Address)
 			continue
 		}
 		change.Unresponsive = append(change.Unresponsive, member.Address+": "+n.absence(now, member))
@@ -54,15 +55,16 @@
 	return change
 }
 
-// hearsVoter says whether a voter has been heard in this incarnation and still is.
-func (n *node) hearsVoter(now time.Duration, id view.ID) bool {
-	return id == n.self.ID || n.peers.byID(id) != nil && n.hears(now, id)
+// isVoterResponsive reports whether a heartbeat of a voter was received in this incarnation and the voter is still
+// responsive.
+func (n *node) isVoterResponsive(now time.Duration, id view.ID) bool {
+	return id == n.self.ID || n.peers.byID(id) != nil && n.isResponsive(now, id)
 }
 
 func (c *quorumChange) log(log *slog.Logger) {
 	if c.Unavailable {
-		log.Error("no majority of the core's voters is heard: nothing is decided", "voters", c.Voters, "heard", c.Heard, "unresponsive", c.Unresponsive)
+		log.Error("no majority of the core's voters responds: no new view can be decided", "voters", c.Voters, "heard", c.Responsive, "unresponsive", c.Unresponsive)
 		return
 	}
-	log.Info("a majority of the core's voters is heard again", "voters", c.Voters, "heard", c.Heard, "unresponsive", c.Unresponsive)
+	log.Info("a majority of the core's voters responds again", "voters", c.Voters, "heard", c.Responsive, "unresponsive", c.Unresponsive)
 }
--- a/control/core/quorum_test.go
+++ b/control/core/quorum_test.go
@@ -7,26 +7,27 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestAnUnavailableQuorumIsReported has two of three members lost, one with its disk, and reads what the third would log.
-func TestAnUnavailableQuorumIsReported(t *testing.T) {
+// TestQuorumChangesAreReported stops two of three members, wipes the disk of one of them, and checks what the third
+// reports for its log.
+func TestQuorumChangesAreReported(t *testing.T) {
 	s := steadyCore(t, 1, 3, 1)
 	s.run(s.now + time.Second)
-	witness, unheard, wiped := s.members[0], s.members[1], s.members[2]
-	require.Empty(t, witness.quorumChanges, "all is well")
-	unheard.kill()
+	observer, killed, wiped := s.members[0], s.members[1], s.members[2]
+	require.Empty(t, observer.quorumChanges, "no change is reported while all voters are responsive")
+	killed.kill()
 	wiped.wipe()
 	s.run(s.now + 100*time.Millisecond)
 	wiped.start()
 	s.run(s.now + quorumReportDelay/2)
-	require.Empty(t, witness.quorumChanges, "that may be an ordinary failover")
+	require.Empty(t, observer.quorumChanges, "the gap may be an ordinary failover")
 	s.run(s.now + 2*quorumReportDelay)
 	require.Equal(t, []quorumChange{{
-		Unavailable: true, Voters: 3, Heard: []string{witness.address},
-		Unresponsive: []string{unheard.address + ": its process has ended", wiped.address + ": it has another disk"},
-	}}, witness.quorumChanges, "once")
+		Unavailable: true, Voters: 3, Responsive: []string{observer.address},
+		Unresponsive: []string{killed.address + ": its process has ended", wiped.address + ": its disk was replaced"},
+	}}, observer.quorumChanges, "the change is reported once")
 
-	unheard.start()
+	killed.start()
 	s.run(s.now + time.Second)
-	require.Len(t, witness.quorumChanges, 2)
-	require.False(t, witness.quorumChanges[1].Unavailable)
+	require.Len(t, observer.quorumChanges, 2)
+	require.False(t, observer.quorumChanges[1].Unavailable)
 }
