--- a/control/core/replacement_test.go
+++ b/control/core/replacement_test.go
@@ -14,39 +14,39 @@
 	"ravendale/control/view"
 )
 
-var replacementSeeds = flag.Uint64("replacements", 2, "histories of replacements of each size of core, way and bound")
+var replacementSeeds = flag.Uint64("replacements", 2, "number of histories of replacements of each size of core, kind and bound")
 
-// way is how a member of the core is replaced.
-type way int
+// replaceKind is how a member of the core is replaced.
+type replaceKind int
 
 const (
-	replacedElsewhere way = iota // it is gone for good, an empty one comes later at another address
-	wipedSameAddress             // it comes back at its address with an empty disk
-	planned                      // the new one comes first, at another address; then the old one is told to stop
-	ways
+	replacedAtNewAddress replaceKind = iota // the old machine is gone; later a new one starts with an empty disk at another address
+	wipedSameAddress                        // the machine restarts at the same address with an empty disk
+	plannedReplacement                      // the new machine starts first, at another address; then the old one is stopped
+	kindCount
 )
 
-func (w way) String() string {
-	return [...]string{"gone, another address", "wiped, same address", "planned, the new one first"}[w]
+func (w replaceKind) String() string {
+	return [...]string{"new address", "same address, empty disk", "planned"}[w]
 }
 
-// slot is a place in the core that a machine fills, or its successor. It counts as lost while its machine is down, frozen or cut off, and
-// for a while after that has returned; a successor counts as the machine that it replaces.
+// slot is a place in the core, filled by a machine or its successor. It counts as lost while its machine is down,
+// frozen or partitioned, and for a while afterwards. A successor counts as the machine that it replaces.
 type slot struct {
-	machine          *simulated
-	successor        *simulated // started, while machine has still to stop
+	machine          *simProcess
+	successor        *simProcess // already started, while machine is still to be stopped
 	unavailableUntil time.Duration
 }
 
-const notBack = endless // of slot.lostUntil: its machine is lost now
+const unavailableForever = maxDuration // value of slot.unavailableUntil while its machine is lost
 
-// replacements is a simulation whose machines are replaced, one after the other, as fast as the tolerance allows.
+// replacements is a simulation whose machines are replaced one after the other, as fast as the tolerance allows.
 type replacements struct {
 	*simulation
 	t       *testing.T
 	catchup time.Duration
 	slots   []*slot
-	next    int // number of the next machine
+	next    int // number of the next new machine
 }
 
 func newReplacements(t *testing.T, seed uint64, members, tolerated int, catchup time.Duration, m mutant) *replacements {
@@ -60,51 +60,51 @@
 	s.run(1500 * time.Millisecond)
 	s.load(60 * time.Millisecond)
 	s.run(5 * time.Second)
-	s.expectService("at first", 500*time.Millisecond)
+	s.expectService("initially", 500*time.Millisecond)
 	return r
 }
 
-// machine adds a machine that has not started.
-func (r *replacements) machine() *simulated {
+// newMachine adds a machine that was not started.
+func (r *replacements) newMachine() *simProcess {
 	at := r.next
 	r.next++
-	m := &simulated{
+	m := &simProcess{
 		s: r.simulation, address: fmt.Sprintf("10.0.0.%d:1", at), zone: fmt.Sprint("zone-", at%3), folder: slotstest.New(),
 		rate: 0.965 + 0.07*r.random.Float64(), offset: time.Duration(r.random.Int64N(int64(time.Hour))), idSeed: uint64(at) * 1001,
 	}
 	r.members = append(r.members, m)
-	r.byAddr[m.address] = m
+	r.byAddress[m.address] = m
 	return m
 }
 
-func (r *replacements) drop(m *simulated) {
+func (r *replacements) removeMachine(m *simProcess) {
 	m.kill()
-	r.members = slices.DeleteFunc(r.members, func(other *simulated) bool { return other == m })
+	r.members = slices.DeleteFunc(r.members, func(other *simProcess) bool { return other == m })
 }
 
-// replace has the machine of a slot replaced, the new one gap after (or, planned, gap before) the old one's end. It returns once the new
-// one has started.
-func (r *replacements) replace(s *slot, w way, gap time.Duration) {
+// replace replaces the machine of a slot. The new one starts the duration of gap after the old one's end, or in a
+// planned replacement before it. replace returns once the new one was started.
+func (r *replacements) replace(s *slot, kind replaceKind, gap time.Duration) {
 	old := s.machine
-	s.unavailableUntil = notBack
-	switch w {
-	case replacedElsewhere:
+	s.unavailableUntil = unavailableForever
+	switch kind {
+	case replacedAtNewAddress:
 		old.powerLoss()
-		r.drop(old)
-		r.watch(r.now + gap)
-		s.machine = r.machine()
+		r.removeMachine(old)
+		r.runChecked(r.now + gap)
+		s.machine = r.newMachine()
 		s.machine.start()
 	case wipedSameAddress:
 		old.wipe()
-		r.watch(r.now + gap)
+		r.runChecked(r.now + gap)
 		old.start()
-	case planned:
-		s.successor = r.machine()
+	case plannedReplacement:
+		s.successor = r.newMachine()
 		s.successor.start()
 		s.unavailableUntil = r.now + r.catchup
 		r.after(gap, func() {
 			old.terminate(func() {
-				r.drop(old)
+				r.removeMachine(old)
 				s.machine, s.successor = s.successor, nil
 			})
 		})
@@ -113,10 +113,10 @@
 	s.unavailableUntil = r.now + r.catchup
 }
 
-// watch runs until a time, and sees at every step whether what may still be lost would leave a majority and a complete member.
-func (r *replacements) watch(until time.Duration) {
+// runChecked runs the simulation until the given time, and calls checkMargin at every step.
+func (r *replacements) runChecked(until time.Duration) {
 	const step = 20 * time.Millisecond
-	for r.now < until && r.broken == "" {
+	for r.now < until && r.violation == "" {
 		r.run(min(r.now+step, until))
 		r.checkMargin()
 	}
@@ -125,7 +125,7 @@
 	}
 }
 
-// newestView is the latest view that any member has heard is decided.
+// newestView returns the latest view that any member knows to be decided.
 func (r *replacements) newestView() *view.View {
 	var newest *view.View
 	for _, m := range r.members {
@@ -136,36 +136,36 @@
 	return newest
 }
 
-// soundMachines lists the machines that do not count as lost, and tells how many slots do.
-func (r *replacements) soundMachines() (sound []*simulated, unavailable int) {
+// availableMachines returns the machines that do not count as lost, and the number of slots that do.
+func (r *replacements) availableMachines() (available []*simProcess, unavailable int) {
 	for _, s := range r.slots {
 		switch {
 		case s.unavailableUntil <= r.now:
-			sound = append(sound, s.machine)
+			available = append(available, s.machine)
 			if s.successor != nil {
-				sound = append(sound, s.successor)
+				available = append(available, s.successor)
 			}
 		case s.successor != nil:
-			sound = append(sound, s.machine) // the new one counts as lost, the old one runs
+			available = append(available, s.machine) // the new one counts as lost, the old one is running
 			unavailable++
 		default:
 			unavailable++
 		}
 	}
-	return sound, unavailable
+	return available, unavailable
 }
 
-// checkMargin sees whether the losses that the tolerance still allows would leave a majority of the voters, with a member that holds all
-// that was committed.
+// checkMargin checks that the failures which the tolerance still allows would leave a majority of the voters and a
+// complete member.
 func (r *replacements) checkMargin() {
-	if r.broken != "" {
+	if r.violation != "" {
 		return
 	}
 	v := r.newestView()
-	sound, unavailable := r.soundMachines()
-	more := max(0, r.tolerated-unavailable) // losses
+	available, unavailable := r.availableMachines()
+	more := max(0, r.tolerated-unavailable) // failures that are still tolerated
 	voters, complete := 0, 0
-	for _, m := range sound {
+	for _, m := range available {
 		if m.node == nil || !m.running {
 			continue
 		}
@@ -177,59 +177,60 @@
 		}
 	}
 	if voters-more < v.Majority() {
-		r.fail("no majority is left if %d more are lost: %d sound of %d voters\n%s", more, voters, len(v.Voters), r.describe())
+		r.fail("no majority is left if %d more are lost: %d available of %d voters\n%s", more, voters, len(v.Voters), r.describe())
 	}
 	if complete-more < 1 {
-		r.fail("no whole member is left if %d more are lost: %d sound and whole\n%s", more, complete, r.describe())
+		r.fail("no complete member is left if %d more are lost: %d available and complete\n%s", more, complete, r.describe())
 	}
 }
 
-// chainOfReplacements replaces machine after machine, each as soon as the one before it has ceased to count as lost, then loses as many as
-// may be at once after a while, and then, at some seeds, all lose their power.
-func chainOfReplacements(t *testing.T, seed uint64, members, tolerated int, w way, catchup, gap, pause time.Duration, m mutant) string {
+// runReplacements replaces machine after machine, each as soon as the previous one has ceased to count as lost. After a
+// pause it makes as many machines fail at once as are tolerated.
+func runReplacements(t *testing.T, seed uint64, members, tolerated int, kind replaceKind, catchup, gap, pause time.Duration, m mutant) string {
 	r := newReplacements(t, seed, members, tolerated, catchup, m)
 	for round := range 2 * members {
-		if r.broken != "" {
-			return r.broken
+		if r.violation != "" {
+			return r.violation
 		}
-		way := w
-		if way == ways {
-			way = r.drawWay()
+		current := kind
+		if current == kindCount {
+			current = r.randomKind()
 		}
 		s := r.slots[(round+int(seed))%members]
-		r.replace(s, way, gap)
-		r.watch(max(r.now, s.unavailableUntil))
-		if s.successor != nil { // it has had its time before the old one is told to stop
-			r.watchUntil(func() bool { return s.successor == nil }, gap+5*time.Second)
+		r.replace(s, current, gap)
+		r.runChecked(max(r.now, s.unavailableUntil))
+		if s.successor != nil { // it no longer counts as lost when the old one is told to stop
+			r.runCheckedUntil(func() bool { return s.successor == nil }, gap+5*time.Second)
 		}
 	}
-	r.watch(r.now + pause)
-	r.secondLoss()
-	if r.broken == "" {
+	r.runChecked(r.now + pause)
+	r.failTolerated()
+	if r.violation == "" {
 		r.checkHistory()
 	}
-	return r.broken
+	return r.violation
 }
 
-func (r *replacements) drawWay() way { return way(r.random.IntN(int(ways))) }
+func (r *replacements) randomKind() replaceKind { return replaceKind(r.random.IntN(int(kindCount))) }
 
-func (r *replacements) watchUntil(holds func() bool, bound time.Duration) {
-	for deadline := r.now + bound; r.now < deadline && !holds() && r.broken == ""; {
-		r.watch(r.now + 20*time.Millisecond)
+func (r *replacements) runCheckedUntil(holds func() bool, bound time.Duration) {
+	for deadline := r.now + bound; r.now < deadline && !holds() && r.violation == ""; {
+		r.runChecked(r.now + 20*time.Millisecond)
 	}
 	if !holds() {
-		r.fail("a member that was told to stop did not")
+		r.fail("a member did not stop in time")
 	}
 }
 
-// secondLoss loses as many at once as may be, by any cause, and expects service from the others.
-func (r *replacements) secondLoss() {
-	if r.broken != "" {
+// failTolerated makes as many machines fail at once as are tolerated, in random ways, and expects service from the
+// others.
+func (r *replacements) failTolerated() {
+	if r.violation != "" {
 		return
 	}
 	for _, at := range r.random.Perm(len(r.slots))[:r.tolerated] {
 		s := r.slots[at]
-		s.unavailableUntil = notBack
+		s.unavailableUntil = unavailableForever
 		switch r.random.IntN(4) {
 		case 0:
 			s.machine.kill()
@@ -238,64 +239,65 @@
 		case 2:
 			s.machine.frozen = true
 		case 3:
-			r.separate([]*simulated{s.machine}, true)
+			r.setSidePartition([]*simProcess{s.machine}, true)
 		}
 	}
-	struck := r.now
-	r.until(failoverBound, func() bool { return r.newest > struck })
-	if r.newest <= struck {
-		r.fail("nothing was answered for %v after the second loss\n%s", r.now-struck, r.describe())
+	failedAt := r.now
+	r.until(failoverBound, func() bool { return r.lastAnswerAt > failedAt })
+	if r.lastAnswerAt <= failedAt {
+		r.fail("nothing was answered for %v after the second failure\n%s", r.now-failedAt, r.describe())
 	}
 }
 
 const failoverBound = 3500 * time.Millisecond
 
-func TestAMajorityRemainsThroughReplacements(t *testing.T) {
+func TestReplacements(t *testing.T) {
 	cores := []struct{ members, tolerated int }{{3, 1}, {4, 1}, {5, 1}, {5, 2}}
 	for _, size := range cores {
-		for w := range ways + 1 {
-			name := "all ways"
-			if w < ways {
-				name = w.String()
+		for kind := range kindCount + 1 {
+			name := "random kinds"
+			if kind < kindCount {
+				name = kind.String()
 			}
-			t.Run(fmt.Sprintf("%d members, %d lost, %s", size.members, size.tolerated, name), func(t *testing.T) {
+			t.Run(fmt.Sprintf("%d members, %d tolerated, %s", size.members, size.tolerated, name), func(t *testing.T) {
 				t.Parallel()
 				for seed := range *replacementSeeds {
 					catchup := []time.Duration{4400 * time.Millisecond, 2 * time.Second}[seed%2]
 					gap := time.Duration(seed*7%5) * 500 * time.Millisecond
 					pause := time.Duration(seed*11%16) * time.Second
-					broken := chainOfReplacements(t, seed, size.members, size.tolerated, w, catchup, gap, pause, sound)
-					require.Empty(t, broken, "seed %d, catchup %v, gap %v, second loss after %v", seed, catchup, gap, pause)
+					violation := runReplacements(t, seed, size.members, size.tolerated, kind, catchup, gap, pause, noMutation)
+					require.Empty(t, violation, "seed %d, catchup %v, gap %v, second failure after %v", seed, catchup, gap, pause)
 				}
 			})
 		}
 	}
 }
 
-// TestMistakesInReplacementsAreCaught takes out one guard of a second loss each, and has the histories of replacements find it.
-func TestMistakesInReplacementsAreCaught(t *testing.T) {
+// TestReplacementMutationsAreDetected removes one protection against a second failure at a time, and checks that
+// histories of replacements detect that.
+func TestReplacementMutationsAreDetected(t *testing.T) {
 	for _, c := range []struct {
 		name     string
 		mistake  mutant
-		way      way
+		way      replaceKind
 		expected string
 	}{
-		{"a voter that is down keeps its vote for ten seconds", lateDown, replacedElsewhere, "no majority is left"},
-		{"a member that is told to stop keeps its vote", stayingVote, planned, "no majority is left"},
-		{"a newcomer gets a vote at once", eagerVote, replacedElsewhere, "no majority is left"},
+		{"an unresponsive voter keeps its vote for ten seconds", lateDown, replacedAtNewAddress, "no majority is left"},
+		{"a stopping member keeps its vote", keepVoteOnStop, plannedReplacement, "no majority is left"},
+		{"a new member gets a vote at once", immediateVote, replacedAtNewAddress, "no majority is left"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			const most = 20 // seeds until it must have been seen
-			for seed := range uint64(most) {
-				broken := chainOfReplacements(t, seed, 3, 1, c.way, 2*time.Second, time.Second, 0, c.mistake)
-				if strings.Contains(broken, c.expected) {
-					t.Logf("seed %d: %s", seed, broken)
+			const maxSeeds = 20 // seeds within which the mutation must be detected
+			for seed := range uint64(maxSeeds) {
+				violation := runReplacements(t, seed, 3, 1, c.way, 2*time.Second, time.Second, 0, c.mistake)
+				if strings.Contains(violation, c.expected) {
+					t.Logf("seed %d: %s", seed, violation)
 					return
 				}
-				require.Empty(t, broken, "seed %d: another rule", seed)
+				require.Empty(t, violation, "seed %d: another invariant is violated", seed)
 			}
-			require.Fail(t, "not caught", "in %d histories", most)
+			require.Fail(t, "the mutation was not detected", "in %d histories", maxSeeds)
 		})
 	}
 }
--- a/control/core/restart_test.go
+++ b/control/core/restart_test.go
@@ -7,11 +7,11 @@
 	"github.com/stretchr/testify/require"
 )
 
-// forgetfulVoter grants the lease at once to anybody after a start.
-const forgetfulVoter mutant = 100
+// forgetGrant is the mutation that a voter grants the lease to any candidate at once after a start.
+const forgetGrant mutant = 100
 
-// restart has members come back after a while each, of up to a bound.
-func (s *simulation) restart(members []*simulated, bound time.Duration) {
+// restart kills members, or cuts their power, and starts each again within bound.
+func (s *simulation) restart(members []*simProcess, bound time.Duration) {
 	for _, member := range members {
 		if s.random.IntN(2) == 0 {
 			member.kill()
@@ -22,7 +22,7 @@
 	}
 }
 
-func (s *simulation) others(than *simulated) (others []*simulated) {
+func (s *simulation) others(than *simProcess) (others []*simProcess) {
 	for _, member := range s.members {
 		if member != than {
 			others = append(others, member)
@@ -31,8 +31,8 @@
 	return others
 }
 
-// TestARestartedCoreServesAtOnce has all members lose power or be killed, and come back within 300 ms of one another.
-func TestARestartedCoreServesAtOnce(t *testing.T) {
+// TestRestartOfWholeCore makes all members lose power or be killed, and starts them again within 300 ms of one another.
+func TestRestartOfWholeCore(t *testing.T) {
 	const apart, bound = 300 * time.Millisecond, 600 * time.Millisecond
 	var slowest time.Duration
 	for seed := range uint64(40) {
@@ -44,29 +44,29 @@
 		s.run(s.now + apart)
 		back := s.now
 		s.until(5*time.Second, func() bool { return len(s.holders()) == 1 })
-		require.Same(t, leader, s.holders()[0], "seed %d: who led leads again", seed)
-		s.until(5*time.Second, func() bool { return s.newest > back })
-		require.Empty(t, s.broken, "seed %d", seed)
+		require.Same(t, leader, s.holders()[0], "seed %d: another member than before leads", seed)
+		s.until(5*time.Second, func() bool { return s.lastAnswerAt > back })
+		require.Empty(t, s.violation, "seed %d", seed)
 		slowest = max(slowest, s.now-back)
 	}
 	t.Logf("at most %v to a leader and an answer", slowest)
 	require.Less(t, slowest, bound)
 }
 
-// TestAHolderKeepsItsLeaseWhileOthersRestart has all voters but the holder start anew.
-func TestAHolderKeepsItsLeaseWhileOthersRestart(t *testing.T) {
-	for seed := range uint64(60) { // without a new round in each new view it is lost in seed 36
+// TestHolderKeepsLeaseWhileOthersRestart restarts all voters except for the holder.
+func TestHolderKeepsLeaseWhileOthersRestart(t *testing.T) {
+	for seed := range uint64(60) { // without an election round in each new view the lease is lost with seed 36
 		s := steadyCore(t, seed, 4, 1)
 		leader := s.holders()[0]
 		s.restart(s.others(leader), 200*time.Millisecond)
 		s.until(2*time.Second, func() bool { return len(s.holders()) != 1 || s.holders()[0] != leader })
-		require.Empty(t, s.broken, "seed %d", seed)
-		require.Equal(t, []*simulated{leader}, s.holders(), "seed %d", seed)
+		require.Empty(t, s.violation, "seed %d", seed)
+		require.Equal(t, []*simProcess{leader}, s.holders(), "seed %d", seed)
 	}
 }
 
-// restartVoters has the holder cut off, and all others restarted at once: they can't know that it still holds the lease but from
-// their disks. Now and then the holder is frozen, or restarted too.
+// restartVoters partitions the holder and restarts all others at once: they can only know from their disks that it
+// still holds the lease. The holder is sometimes frozen or restarted too.
 func restartVoters(seed uint64, m mutant) string {
 	s := newSimulation(seed, sizes[seed%uint64(len(sizes))].members, sizes[seed%uint64(len(sizes))].tolerated, m)
 	s.run(4 * time.Second)
@@ -76,7 +76,7 @@
 			s.run(s.now + time.Second)
 			continue
 		}
-		s.separate(holders, true)
+		s.setSidePartition(holders, true)
 		holders[0].frozen = s.random.IntN(3) == 0
 		s.restart(s.others(holders[0]), 100*time.Millisecond)
 		if s.random.IntN(3) == 0 {
@@ -84,29 +84,29 @@
 		}
 		s.run(s.now + time.Duration(s.random.Int64N(int64(2*time.Second))))
 		holders[0].thaw()
-		s.separate(holders, false)
+		s.setSidePartition(holders, false)
 		s.run(s.now + 1500*time.Millisecond)
 	}
-	return s.broken
+	return s.violation
 }
 
-func TestRestartedVotersKnowTheHolder(t *testing.T) {
+func TestRestartedVotersRespectLease(t *testing.T) {
 	for seed := range uint64(80) {
-		require.Empty(t, restartVoters(seed, sound), "seed %d", seed)
+		require.Empty(t, restartVoters(seed, noMutation), "seed %d", seed)
 	}
 }
 
-func TestForgetfulVotersAreCaught(t *testing.T) {
+func TestMutationForgetsGrantIsDetected(t *testing.T) {
 	for seed := range uint64(80) {
-		if broken := restartVoters(seed, forgetfulVoter); unsafe(broken) {
-			t.Logf("seed %d: %s", seed, broken)
+		if violation := restartVoters(seed, forgetGrant); isSafetyViolation(violation) {
+			t.Logf("seed %d: %s", seed, violation)
 			return
 		}
 	}
-	require.Fail(t, "not caught")
+	require.Fail(t, "the mutation was not detected")
 }
 
-// TestChainChangesAreReported has a member killed, and reads what the others would log.
+// TestChainChangesAreReported kills a member, and checks what another one reports for its log.
 func TestChainChangesAreReported(t *testing.T) {
 	s := steadyCore(t, 3, 3, 1)
 	s.run(s.now + time.Second)
@@ -124,5 +124,5 @@
 	require.Equal(t, leader.node.view.Epoch, changes[0].epoch)
 	require.NotContains(t, changes[0].chain, killed.address)
 	require.Empty(t, changes[0].joined)
-	require.Equal(t, []string{killed.address + ": its process has ended"}, changes[0].left)
+	require.Equal(t, []string{killed.address + ": its process has ended"}, changes[0].removed)
 }
--- a/control/core/simulation_checks_test.go
+++ b/control/core/simulation_checks_test.go
@@ -7,7 +7,8 @@
 	"time"
 )
 
-// checkHistory sees whether the order in which commands were applied explains all answers: then the history is linearizable.
+// checkHistory checks that the history is linearizable: the order in which commands were applied must explain all
+// answers.
 func (s *simulation) checkHistory() {
 	value := 0
 	seen := make(map[string]bool)
@@ -28,7 +29,7 @@
 		}
 		seen[command] = true
 	}
-	earliest := endless
+	earliest := maxDuration
 	for at := len(s.order) - 1; at >= 0; at-- {
 		operation := s.operations[s.order[at]]
 		if operation.from > earliest {
@@ -43,7 +44,7 @@
 	}
 }
 
-// checkLease looks for two valid holders at once. A frozen one counts: it may be thawed and act.
+// checkLease checks that there is at most one valid holder. A frozen one counts: it may be thawed and act.
 func (s *simulation) checkLease() {
 	var holders []string
 	for _, member := range s.members {
@@ -57,11 +58,11 @@
 }
 
 func (s *simulation) expectService(when string, within time.Duration) {
-	if s.broken != "" {
+	if s.violation != "" {
 		return
 	}
-	if s.now-s.newest > within {
-		s.fail("%s: nothing was answered for %v\n%s", when, s.now-s.newest, s.describe())
+	if s.now-s.lastAnswerAt > within {
+		s.fail("%s: nothing was answered for %v\n%s", when, s.now-s.lastAnswerAt, s.describe())
 	}
 	holders := 0
 	for _, member := range s.members {
--- a/control/core/simulation_machine_test.go
+++ b/control/core/simulation_machine_test.go
@@ -6,16 +6,17 @@
 	"strings"
 )
 
-// register is a machine that holds one number and changes it by compare-and-set. It counts what it applies, and shows that to the
-// simulation: all registers, in all incarnations, must apply the same commands in the same places.
-type register struct {
+// registerMachine is a machine that holds one number and changes it by compare-and-set. It counts the commands that it
+// applies, and reports them to the simulation: all incarnations of all members must apply the same commands in the same
+// order.
+type registerMachine struct {
 	s     *simulation
 	value int
 	count int
 }
 
-// Apply implements Machine. A command is a name of its own, followed by "read", or by "set" and two numbers.
-func (r *register) Apply(command []byte) []byte {
+// Apply implements Machine. A command consists of a unique name and "read", or "set" and two numbers.
+func (r *registerMachine) Apply(command []byte) []byte {
 	r.s.applied(r.count, string(command))
 	r.count++
 	operation, from, to := parseCommand(string(command))
@@ -41,10 +42,10 @@
 }
 
 // Snapshot implements Machine.
-func (r *register) Snapshot() []byte { return []byte(fmt.Sprint(r.value, r.count)) }
+func (r *registerMachine) Snapshot() []byte { return []byte(fmt.Sprint(r.value, r.count)) }
 
 // Restore implements Machine.
-func (r *register) Restore(snapshot []byte) error {
+func (r *registerMachine) Restore(snapshot []byte) error {
 	_, err := fmt.Sscan(string(snapshot), &r.value, &r.count)
 	return err
 }
--- a/control/core/simulation_member_test.go
+++ b/control/core/simulation_member_test.go
@@ -15,41 +15,42 @@
 	"ravendale/control/view"
 )
 
-// simulated is one machine.
-type simulated struct {
-	s             *simulation
-	address       string
-	zone          string
-	storage       bool // its disk is a store's
-	folder        *slotstest.Folder
-	store         *slots.Store
-	node          *node
-	machine       *register
-	incarnation   int
-	running       bool
-	frozen        bool
-	thawed        []func()
-	rate          float64 // of its steady clock
-	offset        time.Duration
-	fresh         bool // bootstrap
-	diskless      bool
-	idSeed        uint64
-	writes        []diskWrite
-	writing       bool
-	calls         map[uint64]string // commands by number
-	chainChanges  []chainChange     // of the chain, as told
-	quorumChanges []quorumChange    // of the voters, as told
-	counted       int               // commands applied, of which the time has been taken
-	stalled       time.Duration     // until then the disk ends nothing
-	diskChanges   []diskChange
+// simProcess is one machine, with a member of the core or a process without a disk.
+type simProcess struct {
+	s              *simulation
+	address        string
+	zone           string
+	storage        bool // its disk belongs to a store
+	folder         *slotstest.Folder
+	store          *slots.Store
+	node           *node
+	machine        *registerMachine
+	incarnation    int
+	running        bool
+	frozen         bool
+	deferredEvents []func()
+	rate           float64 // rate of its steady clock
+	offset         time.Duration
+	firstStart     bool // started with nodeConfig.Bootstrap while its disk is empty
+	diskless       bool
+	idSeed         uint64
+	writes         []diskWrite
+	writing        bool
+	calls          map[uint64]string // commands by number
+	chainChanges   []chainChange     // as reported by the node
+	quorumChanges  []quorumChange    // as reported by the node
+	appliedSeen    int               // applied commands for which applyTime has been spent
+	stalledUntil   time.Duration     // no write ends before
+	diskChanges    []diskChange
 }
 
-func (m *simulated) clock() time.Duration {
+func (m *simProcess) clock() time.Duration {
 	return m.offset + time.Duration(float64(m.s.now)*m.rate)
 }
 
-// guard runs f unless the machine has been started anew since; a frozen machine does it when it thaws.
-func (m *simulated) guard(f func()) func() {
+// whileRunning returns a function that runs f unless the machine was restarted in between or is down. On a frozen
+// machine f runs when it is thawed.
+func (m *simProcess) whileRunning(f func()) func() {
 	incarnation := m.incarnation
 	var guarded func()
 	guarded = func() {
@@ -57,7 +58,7 @@
 			return
 		}
 		if m.frozen {
-			m.thawed = append(m.thawed, guarded)
+			m.deferredEvents = append(m.deferredEvents, guarded)
 			return
 		}
 		f()
@@ -65,7 +66,7 @@
 	return guarded
 }
 
-func (m *simulated) start() {
+func (m *simProcess) start() {
 	if m.running {
 		return
 	}
@@ -84,10 +85,10 @@
 		fault = store.Err().Error()
 	}
 	m.incarnation++
-	m.running, m.frozen, m.thawed = true, false, nil
+	m.running, m.frozen, m.deferredEvents = true, false, nil
 	m.store, m.writes, m.writing = store, nil, false
-	m.machine, m.calls = &register{s: m.s}, make(map[uint64]string)
-	node, err := newNode(m.clock(), m.nodeConfig(m.fresh && snapshot == nil, fault), snapshot, records)
+	m.machine, m.calls = &registerMachine{s: m.s}, make(map[uint64]string)
+	node, err := newNode(m.clock(), m.nodeConfig(m.firstStart && snapshot == nil, fault), snapshot, records)
 	if err != nil {
 		m.s.fail("%s: %v", m.address, err)
 		return
@@ -97,25 +98,25 @@
 	m.schedule(m.clock())
 }
 
-// nodeConfig is what the member's node is started with.
-func (m *simulated) nodeConfig(bootstrap bool, fault string) nodeConfig {
+// nodeConfig returns the parameters of the machine's node.
+func (m *simProcess) nodeConfig(bootstrap bool, fault string) nodeConfig {
 	drawn := 0
 	random := rand.New(rand.NewPCG(m.idSeed, uint64(m.incarnation)))
 	terms := lease.DefaultTiming
 	switch m.s.mutant {
 	case noMargin:
 		terms.Margin = 0
-	case lingeringLeader:
+	case negativeMargin:
 		terms.Margin = -terms.Duration
 	}
 	return nodeConfig{
 		Address: m.address, Zone: m.zone, Seeds: m.s.seeds(), Bootstrap: bootstrap, Disk: !m.diskless, Candidate: true,
-		Storage:    m.storage || len(m.s.fronts) > 0,
+		Storage:    m.storage || len(m.s.diskless) > 0,
 		Durability: view.Durability{Copies: m.s.tolerated + 1}, DownAfter: m.s.downAfter(), LearnerExpiry: LearnerExpiry(m.s.catchup), Terms: terms,
 		MinLogBytes: m.s.minLogBytes, MaxLogRecords: cmp.Or(m.s.maxLogRecords, m.s.minLogBytes/4), Machine: m.machine,
 		Random: func() uint64 {
 			drawn++
-			if drawn == 2 && m.s.mutant == keptIdentity { // the first draw names the incarnation, the second the disk
+			if drawn == 2 && m.s.mutant == keptIdentity { // the first number identifies the incarnation, the second one the disk
 				return m.idSeed*2 + 1
 			}
 			return random.Uint64()
@@ -125,35 +126,35 @@
 	}
 }
 
-func (m *simulated) schedule(at time.Duration) {
+func (m *simProcess) schedule(at time.Duration) {
 	wait := max(0, time.Duration(float64(at-m.clock())/m.rate)) + time.Duration(m.s.random.Int64N(int64(2*time.Millisecond)))
-	m.s.after(wait, m.guard(func() {
+	m.s.after(wait, m.whileRunning(func() {
 		next := m.node.Tick(m.clock())
 		m.execute()
 		m.schedule(next)
 	}))
 }
 
-// execute does what the node wants, and then has it apply some of what is committed.
-func (m *simulated) execute() {
-	m.carryOut(m.node.Take())
+// execute executes the node's output, and then makes it apply some committed commands.
+func (m *simProcess) execute() {
+	m.executeOutput(m.node.Take())
 	if m.node.ApplyDue() {
 		m.node.Apply(m.clock())
-		m.carryOut(m.node.Take())
+		m.executeOutput(m.node.Take())
 	}
 	m.write()
 	m.s.checkLease()
-	m.takeTime()
+	m.pauseForApply()
 }
 
-func (m *simulated) carryOut(output output) {
+func (m *simProcess) executeOutput(output output) {
 	m.chainChanges = append(m.chainChanges, output.ChainChanges...)
 	m.diskChanges = append(m.diskChanges, output.DiskChanges...)
 	m.quorumChanges = append(m.quorumChanges, output.QuorumChanges...)
 	for _, write := range output.Writes {
 		m.writes = append(m.writes, write)
-		if m.s.mutant == unsyncedAck { // the disk says so before it has done it
-			m.s.after(0, m.guard(func() { m.node.OnDisk(m.clock(), write.Batch); m.execute() }))
+		if m.s.mutant == unsyncedAck { // the write is reported as durable before it is
+			m.s.after(0, m.whileRunning(func() { m.node.OnDisk(m.clock(), write.Batch); m.execute() }))
 		}
 	}
 	for _, message := range output.Messages {
@@ -165,10 +166,10 @@
 	}
 }
 
-// takeTime has the member stand still for as long as what it has just applied takes.
-func (m *simulated) takeTime() {
-	applied := m.machine.count - m.counted
-	m.counted = m.machine.count
+// pauseForApply freezes the machine for the time that it takes to apply the newly applied commands.
+func (m *simProcess) pauseForApply() {
+	applied := m.machine.count - m.appliedSeen
+	m.appliedSeen = m.machine.count
 	if m.s.applyTime == 0 || applied <= 0 || m.frozen {
 		return
 	}
@@ -181,7 +182,7 @@
 	})
 }
 
-func (m *simulated) write() {
+func (m *simProcess) write() {
 	if m.writing || len(m.writes) == 0 {
 		return
 	}
@@ -190,19 +191,19 @@
 	if m.s.slowDisks || m.s.random.IntN(100) == 0 {
 		wait += time.Duration(m.s.random.Int64N(int64(40 * time.Millisecond)))
 	}
-	m.s.after(max(wait, m.stalled-m.s.now), m.guard(m.written))
+	m.s.after(max(wait, m.stalledUntil-m.s.now), m.whileRunning(m.onWritten))
 }
 
-// fillDisk has the disk take nothing more until it is given room.
-func (m *simulated) fillDisk() { m.folder.Break(m.s.random.IntN(3)) }
+// fillDisk makes all writes fail until freeDisk.
+func (m *simProcess) fillDisk() { m.folder.Break(m.s.random.IntN(3)) }
 
-func (m *simulated) freeDisk() { m.folder.Break(-1) }
+func (m *simProcess) freeDisk() { m.folder.Break(-1) }
 
-func (m *simulated) stallDisk(d time.Duration) { m.stalled = m.s.now + d }
+func (m *simProcess) stallDisk(d time.Duration) { m.stalledUntil = m.s.now + d }
 
-// checkDegraded makes sure that a member that can't write neither leads, orders nor votes. It may pass on what is on its
-// disk: a write that was slow and ended lets it.
-func (m *simulated) checkDegraded(p outboundMessage) {
+// checkDegraded checks that a degraded member does not lead, order commands or vote. It may pass on what is on its
+// disk, when a slow write has ended.
+func (m *simProcess) checkDegraded(p outboundMessage) {
 	if !m.node.degraded() {
 		return
 	}
@@ -215,8 +216,8 @@
 	}
 }
 
-func (m *simulated) written() {
-	last, err := m.store1()
+func (m *simProcess) onWritten() {
+	last, err := m.storePending()
 	m.writing = false
 	if err != nil {
 		m.writes = nil
@@ -231,15 +232,15 @@
 	m.write()
 }
 
-// store1 puts all that waits on the disk.
-func (m *simulated) store1() (last uint64, err error) {
+// storePending executes all pending writes.
+func (m *simProcess) storePending() (last uint64, err error) {
 	for _, write := range m.writes {
 		if write.Image != nil {
 			err = m.store.Snapshot(write.Image)
 		} else {
 			err = m.store.Append(write.Records...)
 		}
-		if err != nil && m.s.mutant != heedlessDisk {
+		if err != nil && m.s.mutant != ignoredWriteError {
 			return 0, err
 		}
 		last = write.Batch
@@ -248,9 +249,9 @@
 	return last, nil
 }
 
-// send carries a message, encoded and decoded as on a real connection.
-func (m *simulated) send(p outboundMessage) {
-	target, s := m.s.byAddr[p.To], m.s
+// send delivers a message after a delay, encoded and decoded as on a real connection.
+func (m *simProcess) send(p outboundMessage) {
+	target, s := m.s.byAddress[p.To], m.s
 	if target == nil || s.partitioned[[2]string{m.address, p.To}] {
 		return
 	}
@@ -258,7 +259,7 @@
 		return
 	}
 	if !target.running {
-		s.after(2*time.Millisecond, m.guard(func() { m.node.Refused(m.clock(), p.To); m.execute() }))
+		s.after(2*time.Millisecond, m.whileRunning(func() { m.node.Refused(m.clock(), p.To); m.execute() }))
 		return
 	}
 	data, err := p.Message.MarshalMsg(nil)
@@ -266,13 +267,13 @@
 		s.fail("%T: %v", p.Message, err)
 		return
 	}
-	message := emptyLike(p.Message)
+	message := newMessageLike(p.Message)
 	from := m.node.self
 	wait := time.Millisecond + time.Duration(s.random.Int64N(int64(9*time.Millisecond)))
 	if s.lossy && s.random.IntN(20) == 0 {
 		wait += time.Duration(s.random.Int64N(int64(400 * time.Millisecond)))
 	}
-	s.after(wait, target.guard(func() {
+	s.after(wait, target.whileRunning(func() {
 		if s.partitioned[[2]string{m.address, p.To}] {
 			return
 		}
@@ -285,29 +286,29 @@
 	}))
 }
 
-func emptyLike(message msgp.Marshaler) msgp.Unmarshaler {
-	for _, kind := range kinds {
-		if empty := kind.empty(); fmt.Sprintf("%T", empty) == fmt.Sprintf("%T", message) {
+func newMessageLike(message msgp.Marshaler) msgp.Unmarshaler {
+	for _, kind := range messageKinds {
+		if empty := kind.newMessage(); fmt.Sprintf("%T", empty) == fmt.Sprintf("%T", message) {
 			return empty
 		}
 	}
 	panic(fmt.Sprintf("%T has no method", message))
 }
 
-func (m *simulated) kill() {
+func (m *simProcess) kill() {
 	if !m.running {
 		return
 	}
 	m.running = false
 	if len(m.writes) > 0 && m.s.random.IntN(2) == 0 {
 		m.folder.Break(m.s.random.IntN(6))
-		_, _ = m.store1()
+		_, _ = m.storePending()
 		m.folder.Break(-1)
 	}
 }
 
-// terminate tells the process to stop, in order, and calls done when it has.
-func (m *simulated) terminate(done func()) {
+// terminate stops the process in an orderly way, and calls done when it has ended.
+func (m *simProcess) terminate(done func()) {
 	m.node.BeginStop(m.clock())
 	m.execute()
 	deadline := m.s.now + stopTimeout
@@ -323,36 +324,36 @@
 	m.s.after(stopPollInterval, wait)
 }
 
-// powerLoss may catch the disk in the middle of a write.
-func (m *simulated) powerLoss() {
+// powerLoss ends the process, possibly in the middle of a write.
+func (m *simProcess) powerLoss() {
 	m.running = false
 	if len(m.writes) > 0 && m.store != nil {
 		m.folder.Break(m.s.random.IntN(6))
-		_, _ = m.store1()
+		_, _ = m.storePending()
 	}
 	m.folder.PowerLoss(m.s.random)
 }
 
-func (m *simulated) wipe() {
+func (m *simProcess) wipe() {
 	m.powerLoss()
 	m.folder = slotstest.New()
-	m.fresh = false
+	m.firstStart = false
 }
 
-func (m *simulated) thaw() {
+func (m *simProcess) thaw() {
 	if !m.frozen {
 		return
 	}
 	m.frozen = false
-	deferred := m.thawed
-	m.thawed = nil
+	deferred := m.deferredEvents
+	m.deferredEvents = nil
 	for _, f := range deferred {
 		f()
 	}
 }
 
-// submit plays one client's call at this member.
-func (m *simulated) submit() {
+// submit submits a client's command at this member.
+func (m *simProcess) submit() {
 	if !m.running || m.frozen {
 		return
 	}
@@ -362,11 +363,11 @@
 	if s.random.IntN(3) > 0 {
 		command = fmt.Sprintf("%d set %d %d", name, m.machine.value, name)
 	}
-	s.operations[command] = &operation{from: s.now, to: endless}
+	s.operations[command] = &operation{from: s.now, to: maxDuration}
 	number := m.node.Submit(m.clock(), []byte(command))
 	m.calls[number] = command
 	m.execute()
-	s.after(3*time.Second, m.guard(func() {
+	s.after(3*time.Second, m.whileRunning(func() {
 		if m.calls[number] == "" {
 			return
 		}
@@ -376,7 +377,7 @@
 	}))
 }
 
-func (m *simulated) complete(end completion) {
+func (m *simProcess) complete(end completion) {
 	command := m.calls[end.Number]
 	if command == "" {
 		return
@@ -386,7 +387,7 @@
 	switch {
 	case end.Err == nil:
 		m.s.answered++
-		m.s.newest = m.s.now
+		m.s.lastAnswerAt = m.s.now
 		operation.to, operation.output = m.s.now, string(end.Result)
 	case errors.Is(end.Err, ErrUnavailable):
 		operation.to, operation.output = m.s.now, "never"
--- a/control/core/simulation_play_test.go
+++ b/control/core/simulation_play_test.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// injectFault makes one thing go wrong.
+// injectFault injects a random fault.
 func (s *simulation) injectFault() {
 	back := time.Duration(s.random.Int64N(int64(1500 * time.Millisecond)))
-	member := s.pick()
+	member := s.randomMember()
 	switch s.random.IntN(13) {
 	case 10, 11: // the disk is full
 		member.fillDisk()
@@ -27,18 +27,18 @@
 	case 3:
 		member.frozen = member.running
 		s.after(back*2, member.thaw)
-	case 4: // one way
-		other := s.pick()
+	case 4: // in one direction
+		other := s.randomMember()
 		s.partitioned[[2]string{member.address, other.address}] = true
 		s.after(2*back, func() { delete(s.partitioned, [2]string{member.address, other.address}) })
-	case 5: // a side is cut off
+	case 5: // partition of the members into two sides
 		side := s.members[:s.random.IntN(len(s.members))]
-		s.separate(side, true)
-		s.after(2*back, func() { s.separate(side, false) })
+		s.setSidePartition(side, true)
+		s.after(2*back, func() { s.setSidePartition(side, false) })
 	case 6:
 		s.lossy, s.loss = true, 0.1*s.random.Float64()
 		s.after(back, func() { s.lossy = false })
-	case 9: // one alone for long: it comes back with much to learn
+	case 9: // one member for a long time: it misses many commands
 		member.kill()
 		s.after(3*time.Second, member.start)
 	case 7:
@@ -60,17 +60,17 @@
 	}
 }
 
-// partitionHolder cuts the holder of the lease alone off for a while.
+// partitionHolder partitions the holder of the lease from all other members for a while.
 func (s *simulation) partitionHolder(d time.Duration) {
 	for _, member := range s.members {
 		if member.running && member.node.lease.holder.Valid(member.clock()) {
-			s.separate([]*simulated{member}, true)
-			s.after(d, func() { s.separate([]*simulated{member}, false) })
+			s.setSidePartition([]*simProcess{member}, true)
+			s.after(d, func() { s.setSidePartition([]*simProcess{member}, false) })
 		}
 	}
 }
 
-func (s *simulation) separate(side []*simulated, on bool) {
+func (s *simulation) setSidePartition(side []*simProcess, on bool) {
 	for _, a := range side {
 		for _, b := range s.members {
 			if slices.Contains(side, b) {
@@ -86,24 +86,25 @@
 	}
 }
 
-// calm ends all faults.
-func (s *simulation) calm() {
+// endFaults ends all faults.
+func (s *simulation) endFaults() {
 	s.partitioned, s.lossy = make(map[[2]string]bool), false
 	for _, member := range s.members {
 		member.freeDisk()
-		member.stalled = 0
+		member.stalledUntil = 0
 		member.thaw()
 		member.start()
 	}
 }
 
-// load has clients submit for as long as the simulation runs.
+// load submits commands at random members for as long as the simulation runs.
 func (s *simulation) load(every time.Duration) {
-	s.pick().submit()
+	s.randomMember().submit()
 	s.after(time.Duration(s.random.Int64N(int64(2*every))), func() { s.load(every) })
 }
 
-// disaster is the final fault: right after an answer as many machines as may be lost lose their disks, the others power.
+// disaster is the final fault: at most the tolerated number of machines lose their disks, the others are killed or lose
+// power, and all restart.
 func (s *simulation) disaster() {
 	wiped := s.random.Perm(len(s.members))[:s.random.IntN(s.tolerated+1)]
 	for i, member := range s.members {
@@ -120,30 +121,30 @@
 	}
 }
 
-// play is one whole history: bootstrap, faults, calm, the disaster, calm. It returns what was broken.
-func play(seed uint64, members, tolerated int, m mutant) string {
+// runHistory runs a complete history: bootstrap, faults, a time without faults, disasters. It returns the violation.
+func runHistory(seed uint64, members, tolerated int, m mutant) string {
 	s := newSimulation(seed, members, tolerated, m)
 	s.run(1500 * time.Millisecond)
 	s.load(60 * time.Millisecond)
 	for range 2 + s.random.IntN(6) {
 		s.run(s.now + time.Duration(s.random.Int64N(int64(1200*time.Millisecond))))
-		if s.broken != "" {
-			return s.broken
+		if s.violation != "" {
+			return s.violation
 		}
 		s.injectFault()
 	}
 	s.run(s.now + 2*time.Second)
-	s.calm()
+	s.endFaults()
 	s.run(s.now + 6*time.Second)
-	s.expectService("after calm", 500*time.Millisecond)
+	s.expectService("after the faults", 500*time.Millisecond)
 	s.disasters(1 + s.random.IntN(2))
-	if s.broken == "" {
+	if s.violation == "" {
 		s.checkHistory()
 	}
-	return s.broken
+	return s.violation
 }
 
-// disasters plays final faults, one after the other.
+// disasters runs several disasters one after the other, each right after an answer.
 func (s *simulation) disasters(count int) {
 	for range count {
 		s.awaitAnswer()
@@ -154,28 +155,28 @@
 	}
 }
 
-// playDisasters is a history of nothing but final faults.
-func playDisasters(seed uint64, members, tolerated int, m mutant) string {
+// runDisasterHistory runs a history with no faults but disasters. It returns the violation.
+func runDisasterHistory(seed uint64, members, tolerated int, m mutant) string {
 	s := newSimulation(seed, members, tolerated, m)
 	s.run(1500 * time.Millisecond)
 	s.load(60 * time.Millisecond)
 	s.disasters(3)
-	if s.broken == "" {
+	if s.violation == "" {
 		s.checkHistory()
 	}
-	return s.broken
+	return s.violation
 }
 
-// Bounds that the core must keep.
+// Bounds that the core must meet.
 const (
-	restartBound = 4 * time.Second // from the start of the last process of a core to service
-	catchupBound = 5 * time.Second // from there no machine counts as lost
+	restartBound = 4 * time.Second // from the start of the last process of a core until it serves
+	catchupBound = 5 * time.Second // after which no machine counts as lost
 )
 
-// awaitAnswer plays until just after the next answer, so that a fault hits what was acknowledged last.
+// awaitAnswer runs the simulation until just after the next answer, so that a fault meets the newest acknowledgement.
 func (s *simulation) awaitAnswer() {
 	answered, until := s.answered, s.now+time.Second
-	for len(s.queue) > 0 && s.answered == answered && s.now < until && s.broken == "" {
+	for len(s.queue) > 0 && s.answered == answered && s.now < until && s.violation == "" {
 		s.run(s.queue[0].at)
 	}
 }
--- a/control/core/simulation_test.go
+++ b/control/core/simulation_test.go
@@ -9,63 +9,63 @@
 	"ravendale/control/slots/slotstest"
 )
 
-// mutant is a mistake that the simulation must catch.
+// mutant is a mutation that the simulation must detect.
 type mutant int
 
 const (
-	sound mutant = iota
+	noMutation mutant = iota
 	unsyncedAck
 	minorityView
 	noMargin
 	keptIdentity
-	lingeringLeader
-	loneCommit
-	applyAll
-	heedlessDisk
-	staleImage
-	eagerMember
-	lateDown      // a voter that is down keeps its vote as long as one that is gone
-	stayingVote   // a member that is told to stop keeps its vote
-	eagerVote     // a newcomer gets a vote at once
-	unfilledChain // a newcomer counts as complete before it is filled
-	hastyRelease  // a voter that wishes to leave is let go though the others can't spare it
+	negativeMargin
+	localCommit
+	unboundedApply
+	ignoredWriteError
+	staleMachineState
+	commitWhileDetached
+	lateDown          // a voter that is down loses its vote only after LearnerExpiry
+	keepVoteOnStop    // a stopping member keeps its vote
+	immediateVote     // a new member gets a vote at once
+	prematureComplete // a new member counts as complete before it has received the missing log
+	removeNeededVoter // a voter that asks to leave is removed even if the core still needs it
 )
 
-// simulation is a whole core in simulated time.
+// simulation is a complete core in simulated time.
 type simulation struct {
 	random        *rand.Rand
 	mutant        mutant
 	now           time.Duration
-	queue         []event // heap by time, then by order of making
-	made          uint64
-	members       []*simulated
-	fronts        []*simulated // processes without a disk: then they are the seeds, and the members are stores
-	byAddr        map[string]*simulated
-	partitioned   map[[2]string]bool // from, to
+	queue         []event // heap by time, then by order of creation
+	eventCount    uint64
+	members       []*simProcess
+	diskless      []*simProcess // processes without a disk; if there are any, the first three are the seeds, and the members are stores
+	byAddress     map[string]*simProcess
+	partitioned   map[[2]string]bool // by sender and recipient
 	loss          float64
 	lossy         bool
 	tolerated     int // settings.ToleratedNodes
 	slowDisks     bool
-	minLogBytes   int           // bytes of log before a snapshot
-	maxLogRecords int           // in the log before a snapshot; zero: as many as fit with leastLog
-	applyTime     time.Duration // for which a member stands still to apply a command
-	catchup       time.Duration // bound of a new machine
-
-	operations map[string]*operation // by command
-	order      []string              // of commands, as the first to apply each saw it
-	broken     string
-	answered   int
-	newest     time.Duration // when an operation was last answered
+	minLogBytes   int           // nodeConfig.MinLogBytes
+	maxLogRecords int           // nodeConfig.MaxLogRecords; zero: derived from minLogBytes
+	applyTime     time.Duration // time that a member takes to apply a command
+	catchup       time.Duration // time that a new machine has to catch up
+
+	operations   map[string]*operation // by command
+	order        []string              // commands, as applied by the first member to reach each position
+	violation    string
+	answered     int
+	lastAnswerAt time.Duration // when a command was last answered
 }
 
-// operation is one client's call. It may take effect at any time from its start to its end, and with an unknown outcome at any
-// time later, or never.
+// operation is one client's command. It takes effect at some time from its start to its end; if its outcome is unknown,
+// at any later time or never.
 type operation struct {
 	from, to time.Duration
-	output   string // "never" surely has no effect; empty: nobody knows
+	output   string // "never": it certainly has no effect; empty: unknown
 }
 
-const endless = time.Duration(math.MaxInt64)
+const maxDuration = time.Duration(math.MaxInt64)
 
 type event struct {
 	at    time.Duration
@@ -75,19 +75,19 @@
 
 func newSimulation(seed uint64, members, tolerated int, m mutant) *simulation {
 	s := &simulation{
-		random: rand.New(rand.NewPCG(seed, 7)), mutant: m, byAddr: make(map[string]*simulated),
+		random: rand.New(rand.NewPCG(seed, 7)), mutant: m, byAddress: make(map[string]*simProcess),
 		partitioned: make(map[[2]string]bool), tolerated: tolerated, catchup: catchupBound, operations: make(map[string]*operation),
 	}
 	s.slowDisks = s.random.IntN(4) == 0
 	s.minLogBytes = 300 << s.random.IntN(8)
 	for i := range members {
-		member := &simulated{
+		member := &simProcess{
 			s: s, address: fmt.Sprintf("10.0.0.%d:1", i+1), zone: fmt.Sprint("zone-", i%3), folder: slotstest.New(),
-			rate: 0.965 + 0.07*s.random.Float64(), offset: time.Duration(s.random.Int64N(int64(time.Hour))), fresh: true,
+			rate: 0.965 + 0.07*s.random.Float64(), offset: time.Duration(s.random.Int64N(int64(time.Hour))), firstStart: true,
 			idSeed: seed*100 + uint64(i),
 		}
 		s.members = append(s.members, member)
-		s.byAddr[member.address] = member
+		s.byAddress[member.address] = member
 		s.after(time.Duration(s.random.Int64N(int64(300*time.Millisecond))), func() { member.start() })
 	}
 	return s
@@ -96,8 +96,8 @@
 func (s *simulation) seeds() []string {
 	var seeds []string
 	seeding := s.members
-	if len(s.fronts) > 0 {
-		seeding = s.fronts
+	if len(s.diskless) > 0 {
+		seeding = s.diskless
 	}
 	for _, member := range seeding[:min(3, len(seeding))] {
 		seeds = append(seeds, member.address)
@@ -113,8 +113,8 @@
 }
 
 func (s *simulation) after(wait time.Duration, run func()) {
-	s.made++
-	s.queue = append(s.queue, event{s.now + wait, s.made, run})
+	s.eventCount++
+	s.queue = append(s.queue, event{s.now + wait, s.eventCount, run})
 	for i := len(s.queue) - 1; i > 0; {
 		parent := (i - 1) / 2
 		if !s.before(i, parent) {
@@ -152,9 +152,9 @@
 	return first
 }
 
-// run plays until a time, or until a rule is broken.
+// run runs the simulation until the given time, or until a violation.
 func (s *simulation) run(until time.Duration) {
-	for len(s.queue) > 0 && s.queue[0].at <= until && s.broken == "" {
+	for len(s.queue) > 0 && s.queue[0].at <= until && s.violation == "" {
 		event := s.pop()
 		s.now = event.at
 		event.run()
@@ -163,30 +163,30 @@
 }
 
 func (s *simulation) fail(format string, arguments ...any) {
-	if s.broken == "" {
-		s.broken = fmt.Sprintf("at %v: ", s.now) + fmt.Sprintf(format, arguments...)
+	if s.violation == "" {
+		s.violation = fmt.Sprintf("at %v: ", s.now) + fmt.Sprintf(format, arguments...)
 	}
 }
 
-// mutations are those that a mutant makes in the node.
+// mutations returns the node's mutations for a mutant.
 func (m mutant) mutations() mutations {
 	return mutations{
-		minorityDecides: m == minorityView, skipsSync: m == unsyncedAck, forgetsGrant: m == forgetfulVoter,
-		keepsStaleState: m == staleImage, learnsDetached: m == eagerMember, commitsAlone: m == loneCommit, seedForgetsVote: m == amnesiacSeed, appliesAll: m == applyAll,
-		keepsVoteOnStop: m == stayingVote, votesAtOnce: m == eagerVote, countsUnfilled: m == unfilledChain, sparesNobody: m == hastyRelease,
+		minorityDecides: m == minorityView, skipsSync: m == unsyncedAck, forgetsGrant: m == forgetGrant,
+		keepsStaleState: m == staleMachineState, learnsDetached: m == commitWhileDetached, commitsAlone: m == localCommit, seedForgetsVote: m == forgetSeedVote, appliesAll: m == unboundedApply,
+		keepsVoteOnStop: m == keepVoteOnStop, votesAtOnce: m == immediateVote, countsUnfilled: m == prematureComplete, removesNeededVoter: m == removeNeededVoter,
 	}
 }
 
-// applied hears from a register what it applies as its count-th command.
+// applied is called when a member applies a command as number count, and compares it with other members.
 func (s *simulation) applied(count int, command string) {
 	switch {
 	case count == len(s.order):
 		s.order = append(s.order, command)
 	case count > len(s.order):
-		s.fail("command %d is applied before the one in front of it", count)
+		s.fail("command %d is applied before its predecessor", count)
 	case s.order[count] != command:
-		s.fail("command %d is %q here, but was %q elsewhere", count, command, s.order[count])
+		s.fail("command %d is %q at this member, but was %q elsewhere", count, command, s.order[count])
 	}
 }
 
-func (s *simulation) pick() *simulated { return s.members[s.random.IntN(len(s.members))] }
+func (s *simulation) randomMember() *simProcess { return s.members[s.random.IntN(len(s.members))] }
--- a/control/core/submit.go
+++ b/control/core/submit.go
@@ -9,23 +9,24 @@
 	"ravendale/cluster/rpc"
 )
 
-// How long Submit waits at most, whatever its context allows.
+// Time limits of Submit, in addition to the deadline of its context.
 const (
-	unsentWait           = 4 * time.Second  // for a chain that takes the command
-	outcomeWait          = 10 * time.Second // for the outcome
+	acceptTimeout        = 4 * time.Second  // until a chain accepts the command
+	outcomeTimeout       = 10 * time.Second // until the outcome is known
 	forwardRetryInterval = 100 * time.Millisecond
 )
 
-// Submit has a command ordered, committed and applied, and returns what Machine.Apply returned for it. It waits for a
-// chain that is being changed. After ErrUnavailable the command surely was not and never will be applied; after any other error it may be.
-// A process that can't take part in the core, without a disk or with one that fails, has another do it.
+// Submit orders, commits and applies a command, and returns the result of Machine.Apply. While the chain is being
+// changed, it waits. After ErrUnavailable the command was not and never will be applied; after any other error it may
+// be. A process that can't take part in the core, because it has no disk or its disk fails, forwards the command to a
+// member.
 func (c *Core) Submit(ctx context.Context, command []byte) ([]byte, error) {
 	if len(command) > MaxCommand {
 		return nil, ErrTooLong
 	}
-	ctx, cancel := context.WithTimeout(ctx, outcomeWait)
+	ctx, cancel := context.WithTimeout(ctx, outcomeTimeout)
 	defer cancel()
-	deadline := time.Now().Add(unsentWait)
+	deadline := time.Now().Add(acceptTimeout)
 	for {
 		canSubmit := c.canSubmit()
 		submit := c.forward
@@ -36,19 +37,19 @@
 		if !errors.Is(err, ErrUnavailable) || canSubmit && c.canSubmit() {
 			return result, err
 		}
-		left := time.Until(deadline)
-		if left <= 0 {
+		remaining := time.Until(deadline)
+		if remaining <= 0 {
 			return nil, err
 		}
 		select {
 		case <-ctx.Done():
 			return nil, err
-		case <-time.After(min(left, forwardRetryInterval)):
+		case <-time.After(min(remaining, forwardRetryInterval)):
 		}
 	}
 }
 
-// canSubmit says whether this process has a disk that takes writes.
+// canSubmit reports whether this process has a disk that accepts writes.
 func (c *Core) canSubmit() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -63,16 +64,16 @@
 		c.waiting[number] = done
 	})
 	if number == 0 {
-		return nil, ErrUnavailable // it does not run
+		return nil, ErrUnavailable // Run was not called or has ended
 	}
-	unsent := time.NewTimer(unsentWait)
-	defer unsent.Stop()
+	acceptTimer := time.NewTimer(acceptTimeout)
+	defer acceptTimer.Stop()
 	for {
 		select {
-		case end := <-done:
-			return end.Result, end.Err
-		case <-unsent.C:
-			if c.unsent(number) {
+		case completed := <-done:
+			return completed.Result, completed.Err
+		case <-acceptTimer.C:
+			if c.isUnsent(number) {
 				return c.cancel(number, done)
 			}
 		case <-ctx.Done():
@@ -81,7 +82,7 @@
 	}
 }
 
-func (c *Core) unsent(number uint64) bool {
+func (c *Core) isUnsent(number uint64) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	pending := c.node.commands.pending[number]
@@ -90,22 +91,22 @@
 
 func (c *Core) cancel(number uint64, done chan completion) ([]byte, error) {
 	c.mu.Lock()
-	err, already := c.node.Cancel(number)
+	err, ended := c.node.Cancel(number)
 	delete(c.waiting, number)
 	c.mu.Unlock()
-	if already {
+	if ended {
 		end := <-done
 		return end.Result, end.Err
 	}
 	return nil, err
 }
 
-// errNoMember is why nothing can be forwarded as long as no member was ever heard of.
-var errNoMember = fmt.Errorf("%w: no member of the core is known; without a disk on any control machine storage machines hold it", ErrUnavailable)
+// errNoMember is returned while this process knows no member that a command could be forwarded to.
+var errNoMember = fmt.Errorf("%w: no member of the core is known; if no control machine has a disk, storage machines are its members", ErrUnavailable)
 
-// forward has a member submit the command. Only while that surely did not, another is asked.
+// forward asks a member to submit the command. It asks another one only if the command was certainly not applied.
 func (c *Core) forward(ctx context.Context, command []byte) ([]byte, error) {
-	ctx, cancel := context.WithTimeout(ctx, unsentWait)
+	ctx, cancel := context.WithTimeout(ctx, acceptTimeout)
 	defer cancel()
 	c.mu.Lock()
 	targets := c.node.submitTargets(c.now())
@@ -123,16 +124,16 @@
 	return nil, ErrUnavailable
 }
 
-// ask has one member submit the command. If there are others, that one gets half of the time that is left.
+// ask asks one member to submit the command. If there are others to ask, this one gets half of the time left.
 func (c *Core) ask(ctx context.Context, conn *rpc.Conn, command []byte, others bool) ([]byte, error) {
 	deadline, _ := ctx.Deadline()
-	left := time.Until(deadline)
-	if left <= 0 || conn.Err() != nil {
+	remaining := time.Until(deadline)
+	if remaining <= 0 || conn.Err() != nil {
 		return nil, ErrUnavailable
 	}
-	wait := left - left/8 // for the way back
+	wait := remaining - remaining/8 // an eighth is left for the reply
 	if others {
-		wait = left / 2
+		wait = remaining / 2
 	}
 	request := &forward{WaitMillis: uint32(wait / time.Millisecond), Command: command}
 	var reply forwardReply
--- a/control/core/submittargets_test.go
+++ b/control/core/submittargets_test.go
@@ -10,16 +10,16 @@
 	"ravendale/control/view"
 )
 
-// diskless is a node without a disk that has heard heartbeats at given times.
-func diskless(t *testing.T, heartbeats map[time.Duration][]heartbeat) *node {
+// newDiskless returns a node without a disk that has received heartbeats at the given times.
+func newDiskless(t *testing.T, heartbeats map[time.Duration][]heartbeat) *node {
 	n, err := newNode(0, nodeConfig{
-		Address: "self", Seeds: []string{"cut", "head", "tail", "new"}, Terms: lease.DefaultTiming, Machine: &register{},
+		Address: "self", Seeds: []string{"cut", "head", "tail", "new"}, Terms: lease.DefaultTiming, Machine: &registerMachine{},
 		Random: func() uint64 { return 7 },
 	}, nil, nil)
 	require.NoError(t, err)
-	for at, heard := range heartbeats {
-		for i := range heard {
-			n.Receive(at, heard[i].Member, &heard[i])
+	for at, received := range heartbeats {
+		for i := range received {
+			n.Receive(at, received[i].Member, &received[i])
 		}
 	}
 	return n
@@ -29,13 +29,14 @@
 	return heartbeat{Member: view.Member{ID: id, Address: address}, Epoch: epoch, Attached: true, Unresponsive: missing}
 }
 
-// TestCommandsAreNotGivenToAPartitionedMember has a process without a disk reach all, of which one is cut off from the others.
-func TestCommandsAreNotGivenToAPartitionedMember(t *testing.T) {
+// TestSubmitTargets checks that a process without a disk, which reaches all members, prefers those that are not
+// partitioned from the others.
+func TestSubmitTargets(t *testing.T) {
 	const now = 5 * time.Second
-	n := diskless(t, map[time.Duration][]heartbeat{now: {
+	n := newDiskless(t, map[time.Duration][]heartbeat{now: {
 		heartbeatOf(1, "cut", 3, 2, 3, 4), heartbeatOf(2, "head", 4, 1), heartbeatOf(3, "tail", 4, 1), {Member: view.Member{ID: 4, Address: "new"}, Epoch: 4},
 	}})
-	require.Equal(t, []string{"head", "tail", "cut", "new"}, n.submitTargets(now), "the one that is not in the chain comes last")
+	require.Equal(t, []string{"head", "tail", "cut", "new"}, n.submitTargets(now), "the member that is not in the chain comes last")
 
 	leading := heartbeatOf(3, "tail", 4, 1)
 	leading.Leading = true
@@ -45,5 +46,5 @@
 	later := now + failureTimeout
 	again := heartbeatOf(1, "cut", 3, 2, 3, 4)
 	n.Receive(later, again.Member, &again)
-	require.Equal(t, "cut", n.submitTargets(later)[0], "only it is heard now")
+	require.Equal(t, "cut", n.submitTargets(later)[0], "it is the only responsive member")
 }
--- a/control/core/tracker.go
+++ b/control/core/tracker.go
@@ -6,12 +6,12 @@
 	"ravendale/control/view"
 )
 
-// peerTracker holds what the node knows of the other processes of the core, as raft's tracker does.
+// peerTracker holds what the node knows about the other processes of the core, like raft's tracker.
 type peerTracker struct {
 	byAddress    map[string]*peer // by rpc address
-	unresponsive []view.ID        // members of the view that the node does not hear
-	heartbeatDue time.Duration    // when the next heartbeat is to be sent
-	suspectFrom  time.Duration    // until then nobody is taken for failed, since the node has not listened for long enough
+	unresponsive []view.ID        // members of the view from which the node receives no heartbeats
+	heartbeatDue time.Duration    // when the next heartbeats are to be sent
+	suspectFrom  time.Duration    // nobody is taken for failed before, since the node has not run for long enough
 }
 
 func newPeerTracker(now time.Duration) peerTracker {
@@ -20,56 +20,57 @@
 
 // peer is another process of the core.
 type peer struct {
-	member       view.Member
-	heartbeat    heartbeat     // the newest
-	heardAt      time.Duration // when that came
-	healthyAt    time.Duration // heard last while it was not degraded
-	heardSince   time.Duration // heard without a gap since
-	refused      bool          // its address refused a connection since: its process has ended
-	contacted    bool          // was heard at least once
-	removalSince time.Duration // since when it wishes to be no voter any more
-	removalUntil time.Duration // until then it does, without another message that says so
-	abstainUntil time.Duration // until then it does not seek the leader lease
+	member          view.Member
+	heartbeat       heartbeat     // newest heartbeat
+	lastHeartbeatAt time.Duration // when it was received
+	healthyAt       time.Duration // when the last heartbeat was received that did not report a degraded member
+	responsiveSince time.Duration // since when heartbeats have arrived without a gap
+	refused         bool          // a connection was refused after the last heartbeat: the process has ended
+	seen            bool          // at least one heartbeat was received
+	removalSince    time.Duration // since when it asks to be removed from the voters
+	removalUntil    time.Duration // when that request ends unless it is repeated
+	abstainUntil    time.Duration // it does not request the leader lease before
 }
 
-// degraded says whether the peer's disk fails, as it said last.
+// degraded reports whether the peer was degraded as of its last heartbeat.
 func (p *peer) degraded() bool { return p.heartbeat.degraded() }
 
-// replaces says whether another disk than a member's answers at its address.
-func (p *peer) replaces(id view.ID) bool { return p.contacted && p.member.ID != id }
+// hasOtherDisk reports whether the peer has another disk than the member with an identity, whose address it has.
+func (p *peer) hasOtherDisk(id view.ID) bool { return p.seen && p.member.ID != id }
 
-// byID returns the peer with an identity, nil if it was never heard.
+// byID returns the peer with an identity, or nil if no heartbeat of it was received.
 func (t *peerTracker) byID(id view.ID) *peer {
 	for _, p := range t.byAddress {
-		if p.member.ID == id && p.contacted {
+		if p.member.ID == id && p.seen {
 			return p
 		}
 	}
 	return nil
 }
 
-// observe records a heartbeat, and says whether its sender was known.
-func (t *peerTracker) observe(now time.Duration, m *heartbeat) (known bool) {
+// observe records a heartbeat, and reports whether its sender was known.
+func (t *peerTracker) recordHeartbeat(now time.Duration, m *heartbeat) (known bool) {
 	p := t.byAddress[m.Member.Address]
-	known = p != nil && p.contacted && p.member.ID == m.Member.ID
+	known = p != nil && p.seen && p.member.ID == m.Member.ID
 	if !known {
-		p = &peer{heardSince: now, healthyAt: now, contacted: true}
+		p = &peer{responsiveSince: now, healthyAt: now, seen: true}
 		t.byAddress[m.Member.Address] = p
-	} else if now-p.heardAt > failureTimeout || p.refused || p.degraded() {
-		p.heardSince = now
+	} else if now-p.lastHeartbeatAt > failureTimeout || p.refused || p.degraded() {
+		p.responsiveSince = now
 	}
 	if !m.degraded() {
 		p.healthyAt = now
 	}
-	p.member, p.heartbeat, p.heardAt, p.refused = m.Member, *m, now, false
+	p.member, p.heartbeat, p.lastHeartbeatAt, p.refused = m.Member, *m, now, false
 	return known
 }
 
-// refuse records that nobody listens at an address. Shortly after a start that says nothing: the process may not have started yet.
-func (t *peerTracker) refuse(now time.Duration, address string, starting bool) {
+// refuse records that a connection to an address was refused. That is ignored shortly after a start, since the process
+// may not have started yet.
+func (t *peerTracker) recordRefusal(now time.Duration, address string, starting bool) {
 	p := t.byAddress[address]
 	if p == nil {
-		p = &peer{heardAt: now}
+		p = &peer{lastHeartbeatAt: now}
 		t.byAddress[address] = p
 	}
 	p.refused = !starting
--- a/control/core/viewchange.go
+++ b/control/core/viewchange.go
@@ -6,18 +6,18 @@
 	"ravendale/control/view"
 )
 
-// viewChange is this member's attempt to have another view decided, as a Paxos proposer.
+// viewChange is this member's attempt to get another view decided, as a Paxos proposer.
 type viewChange struct {
-	proposer     *view.Proposer // of the current attempt, nil if there is none
-	ballotNumber uint64         // of the newest attempt, the highest that is known
-	pendingSince time.Duration  // since when another view would be better, negative if none would
-	retryAt      time.Duration  // not before, after an attempt that failed
+	proposer     *view.Proposer // of the current attempt; nil if there is none
+	ballotNumber uint64         // highest ballot number that is known, and that of the newest attempt
+	pendingSince time.Duration  // since when another view would be better; negative if none would
+	retryAt      time.Duration  // when the next attempt may start after a failed one
 }
 
-// reset ends an attempt, as another view is decided or this member may not propose one.
+// reset ends the attempt: another view was decided, or this member must not propose one.
 func (c *viewChange) reset() { c.proposer, c.pendingSince = nil, -1 }
 
-// onPrepare answers another proposer as an acceptor, once the promise is durable.
+// onPrepare answers a proposer as an acceptor, once the promise is durable.
 func (n *node) onPrepare(now time.Duration, from view.Member, m *view.Prepare) {
 	n.adopt(now, &m.View)
 	if m.View.Epoch < n.view.Epoch {
@@ -37,7 +37,7 @@
 	n.sendWhenDurable(from.Address, &reply)
 }
 
-// seal has the vote written, and the chain take nothing more in this epoch: a successor of its view is being decided.
+// seal writes the vote to disk and stops accepting entries for this epoch, since the next view is being decided.
 func (n *node) seal() {
 	n.chain.Seal()
 	vote := n.vote
@@ -85,27 +85,27 @@
 	}
 }
 
-// knowledge is what the node knows of others, as view.Plan asks for it.
+// knowledge returns what the node knows about the other processes, as input of view.Plan.
 func (n *node) knowledge(now time.Duration, promised func(view.ID) bool) view.Knowledge {
 	know := view.Knowledge{
 		Alive:               func(id view.ID) bool { return promised(id) || n.alive(now, id) },
 		Joinable:            func(id view.ID) bool { return n.joinable(now, id) },
 		Connected:           func(a, b view.ID) bool { return n.connected(now, a, b) },
-		Down:                func(id view.ID) bool { return n.unheardFor(now, id) >= n.config.DownAfter },
-		Removable:           func(id view.ID) bool { return n.unheardFor(now, id) >= n.config.LearnerExpiry },
+		Down:                func(id view.ID) bool { return n.unresponsiveFor(now, id) >= n.config.DownAfter },
+		Removable:           func(id view.ID) bool { return n.unresponsiveFor(now, id) >= n.config.LearnerExpiry },
 		Leaving:             func(id view.ID) bool { return n.isStopping(id) || n.replaceable(now, id) },
-		Dispensable:         func(id view.ID) bool { return n.removable(now, id) },
+		Dispensable:         func(id view.ID) bool { return n.dispensable(now, id) },
 		MutateImmediateVote: n.config.mutations.votesAtOnce,
 	}
 	for _, p := range n.peers.byAddress {
-		if p.contacted && p.member.ID != 0 {
+		if p.seen && p.member.ID != 0 {
 			know.Known = append(know.Known, p.member)
 		}
 	}
 	return know
 }
 
-// seemsComplete guesses whether a member of the chain is complete, from its last heartbeat.
+// seemsComplete estimates from its last heartbeat whether a member of the chain is complete.
 func (n *node) seemsComplete(id view.ID) bool {
 	if n.view.Position(id) < n.view.Complete || id == n.self.ID && n.chain.Complete() {
 		return true
@@ -114,18 +114,18 @@
 	return p != nil && p.heartbeat.Epoch == n.view.Epoch && p.heartbeat.Complete
 }
 
-func nobody(view.ID) bool { return false }
+func noMember(view.ID) bool { return false }
 
-// needsViewChange says whether another view would be better than this one.
+// needsViewChange reports whether another view would be better than the current one.
 func (n *node) needsViewChange(now time.Duration) bool {
-	planned, ok := view.Plan(&n.view, n.knowledge(now, nobody), n.seemsComplete)
+	planned, ok := view.Plan(&n.view, n.knowledge(now, noMember), n.seemsComplete)
 	if !ok {
 		return false
 	}
 	if n.vote.Sealed(n.view.Epoch) || !view.Same(&n.view, &planned) {
 		return true
 	}
-	return n.headCannotOrder() && (now-n.started >= startupDelay || n.allHeard())
+	return n.headCannotOrder() && (now-n.started >= startupDelay || n.allMembersSeen())
 }
 
 func (n *node) headCannotOrder() bool {
@@ -136,7 +136,7 @@
 	return p != nil && p.heartbeat.Epoch == n.view.Epoch && p.heartbeat.CannotOrder
 }
 
-func (n *node) allHeard() bool {
+func (n *node) allMembersSeen() bool {
 	for _, member := range n.view.Members() {
 		if member.ID != n.self.ID && n.peers.byID(member.ID) == nil {
 			return false
@@ -145,13 +145,13 @@
 	return true
 }
 
-// majorityHeard says whether so many voters were heard of that a view can be decided: else those that come later would miss the
-// question, and wait until the attempt is given up.
-func (n *node) majorityHeard(now time.Duration) bool {
-	return n.majority(func(id view.ID) bool { return n.hearsVoter(now, id) })
+// majorityHeard reports whether enough voters are responsive to decide a view. Without that check, voters that become
+// responsive later would miss the prepare message and wait until the attempt is given up.
+func (n *node) isMajorityResponsive(now time.Duration) bool {
+	return n.majority(func(id view.ID) bool { return n.isVoterResponsive(now, id) })
 }
 
-// majority says whether something holds of a majority of the voters.
+// majority reports whether holds is true for a majority of the voters.
 func (n *node) majority(holds func(view.ID) bool) bool {
 	count := 0
 	for _, member := range n.view.Voters {
@@ -162,29 +162,29 @@
 	return count >= n.view.Majority()
 }
 
-// prepareLate asks a voter that has just been heard for the promise that is being gathered, unless it has given it: it may have started
-// since the question was sent, or have missed it.
+// prepareLate sends the current prepare message to a voter whose heartbeat was received, unless it has promised: the
+// voter may have started after the message was sent, or have missed it.
 func (n *node) prepareLate(member view.Member) {
 	if n.viewChange.proposer != nil && n.viewChange.proposer.Awaits(member.ID) {
 		n.deliver(outboundMessage{member.Address, n.viewChange.proposer.Prepare()})
 	}
 }
 
-// proposerRank is how many members that are heard come before this one as proposers.
+// proposerRank returns how many responsive members precede this one in proposerOrder.
 func (n *node) proposerRank(now time.Duration) int {
 	rank := 0
 	for _, id := range n.proposerOrder() {
 		if id == n.self.ID {
 			return rank
 		}
-		if n.hears(now, id) {
+		if n.isResponsive(now, id) {
 			rank++
 		}
 	}
 	return rank
 }
 
-// proposerOrder lists the members, those of the chain first.
+// proposerOrder returns all members, those of the chain first.
 func (n *node) proposerOrder() []view.ID {
 	order := append([]view.ID(nil), n.view.Chain...)
 	for _, member := range n.view.Members() {
@@ -195,7 +195,7 @@
 	return order
 }
 
-// checkViewChange proposes another view when one has been pending for long enough.
+// checkViewChange proposes another view when one has been needed for long enough.
 func (n *node) checkViewChange(now time.Duration) {
 	if n.view.Epoch == 0 || !n.isMember(n.self.ID) {
 		return
@@ -211,13 +211,13 @@
 	if n.viewChange.pendingSince < 0 {
 		n.viewChange.pendingSince = now
 	}
-	if now < n.viewChange.pendingSince+time.Duration(n.proposerRank(now))*proposerStagger || now < n.viewChange.retryAt || !n.majorityHeard(now) {
+	if now < n.viewChange.pendingSince+time.Duration(n.proposerRank(now))*proposerStagger || now < n.viewChange.retryAt || !n.isMajorityResponsive(now) {
 		return
 	}
 	n.startBallot(now)
 }
 
-// startBallot begins an attempt, with a ballot above all that are known.
+// startBallot starts an attempt with a ballot above all that are known.
 func (n *node) startBallot(now time.Duration) {
 	n.viewChange.ballotNumber = max(n.viewChange.ballotNumber, n.vote.Promised.Number) + 1
 	if n.vote.Epoch != n.view.Epoch {
@@ -227,7 +227,7 @@
 	n.sendMembers(n.viewChange.proposer.Prepare())
 }
 
-// continueBallot goes on with an attempt, or gives it up for a while.
+// continueBallot continues the attempt, or ends a failed one and waits before the next.
 func (n *node) continueBallot(now time.Duration) {
 	p := n.viewChange.proposer
 	if p.Failed(now) {
