--- a/cmd/ravendale-edge/edge.go
+++ b/cmd/ravendale-edge/edge.go
@@ -74,7 +74,7 @@
 		Unknown: e.dispatcher.Unknown, Leased: e.dispatcher.MessageIDs,
 	})
 	e.queue.Handle(e.mux)
-	e.dispatcher.Start(e.queue)
+	e.dispatcher.SetQueue(e.queue)
 	e.agent = member.New(member.Config{
 		Settings: s, Mux: e.mux, Log: env.Log, Ready: e.usable,
 		Self: wire.Member{ID: id, Node: s.Node, Address: s.EdgeAddress(), Zone: s.Zone, Region: s.Region, Edge: true},
--- a/cmd/ravendale-store/corehost.go
+++ b/cmd/ravendale-store/corehost.go
@@ -129,7 +129,7 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.plane != nil {
-		h.plane.Core.Abdicate()
+		h.plane.Core.Resign()
 	}
 }
 
--- a/cmd/ravendalectl/admin.go
+++ b/cmd/ravendalectl/admin.go
@@ -19,7 +19,7 @@
 }
 
 func newClient(env environment, addresses []string, within time.Duration, hint string) (*operatorclient.Client, error) {
-	client, err := operatorclient.New(operatorclient.Options{Addresses: addresses, Within: within, Sleep: env.sleep})
+	client, err := operatorclient.New(operatorclient.Options{Addresses: addresses, Timeout: within, Sleep: env.sleep})
 	if err != nil {
 		return nil, oops.Code(codeUsage).Hint(hint).Wrap(err)
 	}
--- a/cmd/ravendalectl/failures.go
+++ b/cmd/ravendalectl/failures.go
@@ -75,14 +75,14 @@
 var hints = map[operatorclient.Kind]string{
 	operatorclient.KindInvalid:     "mend what is listed and try again; config check tells all of it without a system",
 	operatorclient.KindConflict:    "look at config show, and build on the version that is in place",
-	operatorclient.KindUnknown:     "check the name, and the addresses that you asked",
+	operatorclient.KindNotFound:    "check the name, and the addresses that you asked",
 	operatorclient.KindRefused:     "check the address: something else may listen there",
 	operatorclient.KindUnavailable: "check status and the addresses, then repeat the command",
 	operatorclient.KindUndecided:   "repeat the very same command: an order that was taken is acknowledged again",
 }
 
 var kinds = map[operatorclient.Kind]string{
-	operatorclient.KindInvalid: codeInvalid, operatorclient.KindConflict: codeConflict, operatorclient.KindUnknown: codeUnknown,
+	operatorclient.KindInvalid: codeInvalid, operatorclient.KindConflict: codeConflict, operatorclient.KindNotFound: codeUnknown,
 	operatorclient.KindUnavailable: codeUnavailable, operatorclient.KindUndecided: codeUndecided,
 }
 
--- a/cmd/ravendalectl/internal/disks/core.go
+++ b/cmd/ravendalectl/internal/disks/core.go
@@ -37,7 +37,7 @@
 var pairs = [2]pair{pairOf(0), pairOf(1)}
 
 func pairOf(parity int) pair {
-	slot, log := slots.Names(parity)
+	slot, log := slots.FileNames(parity)
 	return pair{slot, log}
 }
 
--- a/cmd/ravendalectl/status.go
+++ b/cmd/ravendalectl/status.go
@@ -115,7 +115,7 @@
 		return
 	}
 	line("queue\tepoch %d, %d partitions, %d copies, %d under strength, %d without any copy",
-		p.Epoch, p.Partitions, p.Copies, p.UnderStrength, p.Unheld)
+		p.Epoch, p.Partitions, p.Copies, p.UnderReplicated, p.WithoutReplicas)
 	for _, store := range p.Stores {
 		retiring := ""
 		if store.Retiring {
--- a/control/chain/log.go
+++ b/control/chain/log.go
@@ -2,7 +2,8 @@
 
 import "ravendale/control/view"
 
-// replicaLog is the member's entries after State.Base; the machine's snapshot covers those up to it.
+// replicaLog holds the member's entries after State.Base; the machine's snapshot covers the earlier ones. The
+// sequence numbers are ordered:
 //
 //	Base <= applied <= committed <= synced <= last
 type replicaLog struct {
@@ -10,7 +11,7 @@
 	committed   uint64 // known to be committed
 	applied     uint64 // handed out to be applied: the machine's snapshot covers entries up to this one
 	synced      uint64 // on disk
-	truncations uint64 // number of times entries were discarded; a LogOffset taken earlier doesn't apply to the entries after
+	truncations uint64 // number of times entries were discarded, which invalidates earlier LogOffsets
 }
 
 func newLog(state State) replicaLog {
--- a/control/chain/messages.go
+++ b/control/chain/messages.go
@@ -8,7 +8,7 @@
 type Entry struct {
 	Sequence uint64
 	Epoch    uint64 // epoch in which the entry was ordered
-	Origin   uint64 // incarnation of the process that submitted the command; zero for the entry without a command that starts an epoch
+	Origin   uint64 // incarnation of the submitting process; zero: the entry only marks the start of an epoch
 	Number   uint64 // number of the command among those of its origin
 	Command  []byte
 }
--- a/control/core/behind_test.go
+++ b/control/core/behind_test.go
@@ -14,18 +14,18 @@
 	s := newSimulation(seed, 5, 2, m)
 	s.minLogBytes = 1 << 20 // large enough that the member receives commands and no snapshot
 	s.run(1500 * time.Millisecond)
-	s.load(20 * time.Millisecond)
+	s.submitLoad(20 * time.Millisecond)
 	s.run(4 * time.Second)
 	s.expectService("initially", 300*time.Millisecond)
 	require.Empty(t, s.violation, "seed %d", seed)
 	member := s.inChain(-1)
 	member.kill()
-	known := len(s.order)
-	s.until(time.Minute, func() bool { return len(s.order) >= known+missed })
+	known := len(s.appliedCommands)
+	s.runUntil(time.Minute, func() bool { return len(s.appliedCommands) >= known+missed })
 	s.applyTime = 10 * time.Millisecond
 	member.start()
 	from, epoch, last := s.now, s.others(member)[0].node.view.Epoch, s.now
-	s.until(12*time.Second, func() bool {
+	s.runUntil(12*time.Second, func() bool {
 		pause, last = max(pause, s.now-max(last, s.lastAnswerAt)), max(last, s.lastAnswerAt)
 		return s.now > from+8*time.Second
 	})
@@ -58,14 +58,14 @@
 	s := newSimulation(3, 3, 1, noMutation)
 	s.minLogBytes, s.maxLogRecords = 1<<20, maxLogRecords
 	s.run(1500 * time.Millisecond)
-	s.load(10 * time.Millisecond)
+	s.submitLoad(10 * time.Millisecond)
 	for range 100 {
 		s.run(s.now + 100*time.Millisecond)
 		for _, member := range s.members {
 			require.LessOrEqual(t, member.node.durability.logRecords, maxLogRecords)
 		}
 	}
-	require.Greater(t, len(s.order), 5*maxLogRecords)
+	require.Greater(t, len(s.appliedCommands), 5*maxLogRecords)
 	require.Empty(t, s.violation)
 }
 
@@ -75,14 +75,14 @@
 	s := newSimulation(seed, 5, 2, m)
 	s.minLogBytes, s.maxLogRecords = 1<<20, records
 	s.run(1500 * time.Millisecond)
-	s.load(20 * time.Millisecond)
-	s.until(time.Minute, func() bool { return len(s.order) >= 250 })
+	s.submitLoad(20 * time.Millisecond)
+	s.runUntil(time.Minute, func() bool { return len(s.appliedCommands) >= 250 })
 	s.run(s.now + 200*time.Millisecond)
 	s.applyTime = 8 * time.Millisecond
 	s.restart(s.members, 50*time.Millisecond)
 	s.run(s.now + 50*time.Millisecond)
 	back := s.now
-	s.until(30*time.Second, func() bool { return s.lastAnswerAt > back && len(s.holders()) == 1 })
+	s.runUntil(30*time.Second, func() bool { return s.lastAnswerAt > back && len(s.holders()) == 1 })
 	require.Empty(t, s.violation, "seed %d", seed)
 	return s.now - back
 }
--- a/control/core/bootstrapstores.go
+++ b/control/core/bootstrapstores.go
@@ -149,12 +149,12 @@
 		}
 	case *view.Promise:
 		if b.proposer != nil {
-			b.proposer.Promised(sender, m)
+			b.proposer.OnPromise(sender, m)
 			n.continueBootstrap(now)
 		}
 	case *view.AcceptReply:
 		if b.proposer != nil {
-			n.announceFirstView(b.proposer.Accepted(sender, m))
+			n.announceFirstView(b.proposer.OnAcceptReply(sender, m))
 		}
 	}
 }
@@ -183,7 +183,7 @@
 	if len(stores) != b.storeCount {
 		b.storeCount, b.storesChangedAt = len(stores), now
 	}
-	required := n.config.Durability.Voters()
+	required := n.config.Durability.RequiredVoters()
 	quiet := now - b.storesChangedAt
 	if len(stores) == 0 || quiet < bootstrapQuietTime || len(stores) < required && quiet < bootstrapMaxWait {
 		return nil
--- a/control/core/bootstrapstores_test.go
+++ b/control/core/bootstrapstores_test.go
@@ -90,11 +90,11 @@
 	require.Greater(t, bootstrapped, 50)
 }
 
-// reach runs the simulation until holds is true, and fails the test if that takes longer than bound.
-func (s *simulation) reach(t *testing.T, bound time.Duration, holds func() bool) {
+// requireUntil runs the simulation until holds is true, and fails the test if that takes longer than bound.
+func (s *simulation) requireUntil(t *testing.T, bound time.Duration, holds func() bool) {
 	t.Helper()
-	s.until(bound, holds)
-	require.True(t, holds(), "%s\n%s", s.violation, s.describe())
+	s.runUntil(bound, holds)
+	require.True(t, holds(), "%s\n%s", s.violation, s.debugString())
 }
 
 // runLostDecision lets the first seed decide with the vote of the second. That seed is restarted at once, a store
@@ -103,14 +103,14 @@
 func runLostDecision(t *testing.T, m mutant) *simulation {
 	s := newStoreSimulation(1, 3, 4, 1, m)
 	s.watchBootstrap(make(map[string]bool))
-	s.reach(t, 2*time.Second, func() bool { return s.diskless[0].node != nil && s.diskless[0].node.storeBootstrap.allSeenAt >= 0 })
+	s.requireUntil(t, 2*time.Second, func() bool { return s.diskless[0].node != nil && s.diskless[0].node.storeBootstrap.allSeenAt >= 0 })
 	for _, target := range append([]*simProcess{s.diskless[2]}, s.members...) {
 		s.partitioned[[2]string{s.diskless[0].address, target.address}] = true
 	}
-	s.reach(t, 3*time.Second, func() bool { return s.diskless[1].node.storeBootstrap.vote.Accepted.Epoch != 0 })
+	s.requireUntil(t, 3*time.Second, func() bool { return s.diskless[1].node.storeBootstrap.vote.Accepted.Epoch != 0 })
 	s.restartAfter(s.diskless[1], 500*time.Millisecond)
 	s.members[0].running = false
-	s.reach(t, time.Second, func() bool { return s.diskless[0].node.view.Epoch == 1 })
+	s.requireUntil(t, time.Second, func() bool { return s.diskless[0].node.view.Epoch == 1 })
 	s.setSidePartition(s.diskless[:1], true)
 	s.partitioned[[2]string{s.diskless[0].address, s.diskless[1].address}] = true
 	s.partitioned[[2]string{s.diskless[1].address, s.diskless[0].address}] = true
@@ -132,7 +132,7 @@
 	}
 	s.endFaults()
 	s.run(s.now + 3*time.Second)
-	s.load(60 * time.Millisecond)
+	s.submitLoad(60 * time.Millisecond)
 	s.run(s.now + time.Second)
 	s.expectService("after the faults", 500*time.Millisecond)
 	require.Empty(t, s.violation)
@@ -143,12 +143,12 @@
 	for seed := range uint64(10) {
 		s := newStoreSimulation(seed, 3, 3, 1, noMutation)
 		s.watchBootstrap(make(map[string]bool))
-		s.reach(t, 4*time.Second, func() bool {
+		s.requireUntil(t, 4*time.Second, func() bool {
 			return s.diskless[1].node != nil && s.diskless[1].node.storeBootstrap.vote.Accepted.Epoch != 0
 		})
 		s.diskless[0].running = false
 		s.run(s.now + 5*time.Second)
-		s.load(60 * time.Millisecond)
+		s.submitLoad(60 * time.Millisecond)
 		s.run(s.now + time.Second)
 		s.expectService("without the first seed", 500*time.Millisecond)
 		require.Empty(t, s.violation, "seed %d", seed)
@@ -160,7 +160,7 @@
 	for seed := range uint64(60) {
 		s := newStoreSimulation(seed, 1+int(seed%4), 3+int(seed%3), 1, noMutation)
 		s.run(5 * time.Second)
-		s.load(60 * time.Millisecond)
+		s.submitLoad(60 * time.Millisecond)
 		for range 2 + s.random.IntN(5) {
 			s.run(s.now + time.Duration(s.random.Int64N(int64(1200*time.Millisecond))))
 			s.injectFault()
@@ -218,8 +218,8 @@
 		}
 		leaver.node.Leave(leaver.clock())
 		leaver.execute()
-		s.reach(t, 3*time.Second, func() bool { return leaver.node.Removed() })
-		s.reach(t, time.Second, func() bool {
+		s.requireUntil(t, 3*time.Second, func() bool { return leaver.node.Removed() })
+		s.requireUntil(t, time.Second, func() bool {
 			for _, member := range s.members {
 				if _, voter := member.node.view.Voter(leaver.node.self.ID); voter {
 					return false
@@ -227,9 +227,9 @@
 			}
 			return true
 		})
-		s.reach(t, 300*time.Millisecond, func() bool { return len(s.holders()) == 1 && s.holders()[0] != leaver })
+		s.requireUntil(t, 300*time.Millisecond, func() bool { return len(s.holders()) == 1 && s.holders()[0] != leaver })
 		leaver.wipe()
-		s.load(60 * time.Millisecond)
+		s.submitLoad(60 * time.Millisecond)
 		s.run(s.now + 2*time.Second)
 		require.NotZero(t, s.answered, "seed %d", seed)
 		s.checkHistory()
@@ -244,7 +244,7 @@
 		s, leaver := leaveWhileNeeded(seed, noMutation)
 		require.False(t, leaver.node.Removed(), "seed %d", seed)
 		s.members[0].start()
-		s.reach(t, 5*time.Second, func() bool { return leaver.node.Removed() })
+		s.requireUntil(t, 5*time.Second, func() bool { return leaver.node.Removed() })
 		require.Empty(t, s.violation, "seed %d", seed)
 	}
 }
@@ -300,7 +300,7 @@
 		leaver := s.members[seed%4]
 		leaver.node.Leave(leaver.clock())
 		leaver.execute()
-		s.reach(t, 3*time.Second, func() bool { return leaver.node.Removed() })
+		s.requireUntil(t, 3*time.Second, func() bool { return leaver.node.Removed() })
 		leaver.kill()
 		s.run(s.now + 500*time.Millisecond)
 		leaver.start()
@@ -312,7 +312,7 @@
 		}
 		s.run(s.now + 5*time.Second)
 		epoch := s.members[0].node.view.Epoch
-		s.load(60 * time.Millisecond)
+		s.submitLoad(60 * time.Millisecond)
 		s.run(s.now + 3*time.Second)
 		require.Equal(t, epoch, s.members[0].node.view.Epoch, "seed %d: the view keeps changing", seed)
 		require.NotZero(t, s.answered, "seed %d", seed)
--- a/control/core/bounds_test.go
+++ b/control/core/bounds_test.go
@@ -274,7 +274,7 @@
 	}
 	require.NoError(t, l.store.Close())
 	for parity := range 2 {
-		slot, _ := slots.Names(parity)
+		slot, _ := slots.FileNames(parity)
 		path := filepath.Join(l.folder, slot)
 		intact, err := os.ReadFile(path)
 		if os.IsNotExist(err) {
--- a/control/core/chainchange.go
+++ b/control/core/chainchange.go
@@ -31,14 +31,14 @@
 	for _, id := range n.view.Chain {
 		if next.Position(id) < 0 {
 			member, _ := n.view.Member(id)
-			c.removed = append(c.removed, member.Address+": "+n.absence(now, member))
+			c.removed = append(c.removed, member.Address+": "+n.absenceReason(now, member))
 		}
 	}
 	return c
 }
 
-// absence returns the probable reason why a member was left out of the chain or is unresponsive.
-func (n *node) absence(now time.Duration, member view.Member) string {
+// absenceReason returns the probable reason why a member was left out of the chain or is unresponsive.
+func (n *node) absenceReason(now time.Duration, member view.Member) string {
 	p := n.peers.byAddress[member.Address]
 	switch {
 	case member.ID == n.self.ID:
--- a/control/core/config.go
+++ b/control/core/config.go
@@ -12,7 +12,7 @@
 	heartbeatInterval    = 200 * time.Millisecond
 	failureTimeout       = 700 * time.Millisecond // a member is taken for failed when no heartbeat was received for longer
 	joinDelay            = 300 * time.Millisecond // a process joins the chain after it was responsive for that long without a gap
-	startupDelay         = 300 * time.Millisecond // after a start, before the chain is changed because of members from which no heartbeat was received
+	startupDelay         = 300 * time.Millisecond // after a start, in which members may send their first heartbeat before a head is replaced
 	startupWindow        = 500 * time.Millisecond // after a start, in which other processes may not have started yet
 	proposerStagger      = 150 * time.Millisecond // additional wait per proposer of higher rank
 	candidateStagger     = 400 * time.Millisecond // additional wait per candidate of higher rank
--- a/control/core/core.go
+++ b/control/core/core.go
@@ -36,19 +36,19 @@
 // uncommitted commands only.
 const maxMessageEntries = 2*(chain.MaxUncommitted+MaxCommand) + maxLogBytes
 
-const _ = uint(rpc.MaxFrame - maxMessageEntries - 1<<20) // checks at compile time that these commands fit a frame, with 1 MiB left for the rest of the message
+const _ = uint(rpc.MaxFrame - maxMessageEntries - 1<<20) // compile-time check: they fit a frame, with 1 MiB for the rest
 
 // How long a member may be unresponsive before it loses its vote or is removed.
 const (
-	downFraction     = 0.7                     // fraction of the catch-up time of a new machine: by then the machine that it replaces has no vote
-	maxDownAfter     = 1500 * time.Millisecond // by then a lease that the voter held has expired, so that the next holder need not wait for the new voters
+	downFraction     = 0.7                     // of the catch-up time of a new machine: by then the machine it replaces has no vote
+	maxDownAfter     = 1500 * time.Millisecond // by then a lease of the voter has expired: the next holder need not wait for new voters
 	minLearnerExpiry = 10 * time.Second
 )
 
 // An orderly stop waits until the other members have decided a view without this process.
 const (
 	stopTimeout      = 1500 * time.Millisecond // maximum time that the process waits
-	stopFraction     = 0.25                    // maximum fraction of the time that the process has to stop (settings.Bounds.GraceS)
+	stopFraction     = 0.25                    // maximum fraction of settings.Bounds.GraceS, the time to stop
 	stopPollInterval = 20 * time.Millisecond   // interval between checks, in which the release of the lease may also be sent
 )
 
@@ -108,9 +108,9 @@
 	mu          sync.Mutex
 	node        *node
 	running     bool
-	waiting     map[uint64]chan completion
+	waiters     map[uint64]chan completion
 	timer       *time.Timer
-	due         time.Duration // time at which timer fires
+	timerDue    time.Duration // time at which timer fires
 	leaseRunner leaseRunner
 	links       links
 
@@ -125,7 +125,7 @@
 	}
 	c := &Core{
 		config: config, address: config.Settings.ControlAddress(config.Settings.IP), started: time.Now(),
-		waiting: make(map[uint64]chan completion), disk: diskQueue{wake: make(chan struct{}, 1)},
+		waiters: make(map[uint64]chan completion), disk: diskQueue{wake: make(chan struct{}, 1)},
 	}
 	c.links.init(c)
 	if err := c.load(); err != nil {
@@ -231,7 +231,7 @@
 	}()
 	c.mu.Lock()
 	c.running = true
-	c.due = c.now()
+	c.timerDue = c.now()
 	c.timer = time.AfterFunc(0, c.tick)
 	c.mu.Unlock()
 	<-ctx.Done()
@@ -262,9 +262,9 @@
 	c.running = false
 	c.timer.Stop()
 	c.leaseRunner.end()
-	for number, done := range c.waiting {
+	for number, done := range c.waiters {
 		done <- completion{Err: ErrUnknown}
-		delete(c.waiting, number)
+		delete(c.waiters, number)
 	}
 	c.mu.Unlock()
 	c.links.close()
@@ -285,7 +285,9 @@
 	do(now)
 	applied := c.execute(c.node.Take())
 	if c.node.ApplyDue() {
-		runtime.Gosched() // lets the connections' writers run: on one processor the messages would otherwise not go out before this goroutine has finished
+		// Lets the connections' writers run: on one processor the messages would otherwise not go out before this
+		// goroutine has finished.
+		runtime.Gosched()
 		c.node.Apply(now)
 		applied = c.execute(c.node.Take()) || applied
 	}
@@ -302,9 +304,9 @@
 	c.disk.add(output.Writes)
 	c.links.send(output.Messages)
 	for _, completed := range output.Completions {
-		if done := c.waiting[completed.Number]; done != nil {
+		if done := c.waiters[completed.Number]; done != nil {
 			done <- completed
-			delete(c.waiting, completed.Number)
+			delete(c.waiters, completed.Number)
 		}
 	}
 	for i := range output.ChainChanges {
@@ -323,10 +325,10 @@
 // fired.
 func (c *Core) schedule(now time.Duration) {
 	next := c.node.nextTick(now)
-	if c.due > now && c.due <= next {
+	if c.timerDue > now && c.timerDue <= next {
 		return
 	}
-	c.due = next
+	c.timerDue = next
 	c.timer.Reset(next - now)
 }
 
@@ -370,8 +372,8 @@
 }
 
 // Resign gives up the leader lease, if this process holds it, and does not request it again for a while.
-func (c *Core) Abdicate() {
-	c.step(func(now time.Duration) { c.node.Abdicate(now) })
+func (c *Core) Resign() {
+	c.step(func(now time.Duration) { c.node.Resign(now) })
 }
 
 // Leave asks the other members to remove this one from the voters as soon as the core tolerates that.
@@ -394,7 +396,7 @@
 	n := c.node
 	return Status{
 		ID: n.self.ID, Epoch: n.view.Epoch, Voters: slices.Clone(n.view.Voters), Learners: slices.Clone(n.view.Learners),
-		RequiredVoters: n.config.Durability.Voters(),
+		RequiredVoters: n.config.Durability.RequiredVoters(),
 		Chain:          slices.Clone(n.view.Chain), Attached: n.chain.Attached(), Durable: n.config.Durability.Met(&n.view),
 		Last: n.chain.Last(), Committed: n.chain.Committed(), Leader: n.leaderAddress(c.now()), DiskFault: n.durability.degradation.fault,
 	}
--- a/control/core/core_test.go
+++ b/control/core/core_test.go
@@ -328,7 +328,7 @@
 	oldID := member.core.Status().ID
 	member.stop()
 	for parity := range 2 {
-		slot, _ := slots.Names(parity)
+		slot, _ := slots.FileNames(parity)
 		path := filepath.Join(member.settings.DataDir, slot)
 		data, err := os.ReadFile(path)
 		if os.IsNotExist(err) {
--- a/control/core/decommission.go
+++ b/control/core/decommission.go
@@ -24,7 +24,7 @@
 
 // Resign gives up the leader lease, so that another member can obtain it at once, and does not request it for
 // leaseAbstention: this member may be about to stop.
-func (n *node) Abdicate(now time.Duration) {
+func (n *node) Resign(now time.Duration) {
 	n.lease.abstainUntil = now + leaseAbstention
 	if n.lease.holder.Valid(now) {
 		n.dropLease(lossTransferred)
@@ -40,7 +40,7 @@
 	}
 	n.departure.decommissioning, n.departure.decommissionedAt = true, now
 	n.config.Candidate = false
-	n.Abdicate(now)
+	n.Resign(now)
 }
 
 // announceLeaving is called with each heartbeat, and sends a leaving message to all members if this one has resigned or
--- a/control/core/degraded_test.go
+++ b/control/core/degraded_test.go
@@ -30,23 +30,23 @@
 				incarnation := leader.incarnation
 				fault.strike(leader)
 				failedAt := s.now
-				s.until(2*bound, func() bool { return leader.node.degraded() })
+				s.runUntil(2*bound, func() bool { return leader.node.degraded() })
 				require.NotEmpty(t, leader.node.durability.degradation.fault, "seed %d", seed)
 				require.NotContains(t, s.holders(), leader, "seed %d", seed)
 				degradedAt := s.now
-				s.until(2*bound, func() bool {
+				s.runUntil(2*bound, func() bool {
 					holders := s.holders()
 					return s.lastAnswerAt > degradedAt+100*time.Millisecond && len(holders) == 1 && holders[0] != leader
 				})
 				slowest = max(slowest, s.now-failedAt)
 				s.run(s.now + 2*time.Second)
 				require.True(t, leader.running && leader.incarnation == incarnation, "seed %d: the process has ended", seed)
-				require.Negative(t, leader.node.view.Position(leader.node.self.ID), "seed %d: not in the chain\n%s", seed, s.describe())
+				require.Negative(t, leader.node.view.Position(leader.node.self.ID), "seed %d: not in the chain\n%s", seed, s.debugString())
 				require.Len(t, leader.diskChanges, 1, "seed %d", seed)
 
 				fault.mend(leader)
 				repairedAt := s.now
-				s.until(2*returnBound, func() bool { return !leader.node.degraded() && leader.node.chain.Attached() })
+				s.runUntil(2*returnBound, func() bool { return !leader.node.degraded() && leader.node.chain.Attached() })
 				slowestBack = max(slowestBack, s.now-repairedAt)
 				s.run(s.now + time.Second)
 				s.expectService("with the disk repaired", 500*time.Millisecond)
@@ -115,7 +115,7 @@
 		} else {
 			member.kill()
 		}
-		member.folder.Break(0)
+		member.folder.FailAfter(0)
 		member.start()
 		s.run(s.now + 5*time.Second)
 		require.True(t, member.running, "seed %d", seed)
@@ -135,7 +135,7 @@
 	size := sizes[seed%uint64(len(sizes))]
 	s := newSimulation(seed, size.members, size.tolerated, m)
 	s.run(1500 * time.Millisecond)
-	s.load(30 * time.Millisecond)
+	s.submitLoad(30 * time.Millisecond)
 	for range 6 {
 		s.run(s.now + time.Duration(s.random.Int64N(int64(time.Second))))
 		member, back := s.randomMember(), time.Duration(s.random.Int64N(int64(3*time.Second)))
@@ -181,7 +181,7 @@
 func runLongAbsence(seed uint64, m mutant) string {
 	s := newSimulation(seed, 3, 1, m)
 	s.run(1500 * time.Millisecond)
-	s.load(10 * time.Millisecond)
+	s.submitLoad(10 * time.Millisecond)
 	s.run(3 * time.Second)
 	member := s.randomMember()
 	member.kill()
@@ -217,17 +217,17 @@
 	const missed = 10000
 	s := newSimulation(1, 3, 1, noMutation)
 	s.run(1500 * time.Millisecond)
-	s.load(4 * time.Millisecond)
+	s.submitLoad(4 * time.Millisecond)
 	s.run(3 * time.Second)
 	member := s.randomMember()
 	member.kill()
-	from := len(s.order)
-	s.until(10*time.Minute, func() bool { return len(s.order) >= from+missed })
+	from := len(s.appliedCommands)
+	s.runUntil(10*time.Minute, func() bool { return len(s.appliedCommands) >= from+missed })
 	require.Empty(t, s.violation)
 	member.start()
 	started := s.now
-	behind := len(s.order)
-	s.until(10*time.Second, func() bool {
+	behind := len(s.appliedCommands)
+	s.runUntil(10*time.Second, func() bool {
 		if member.node.chain.Attached() {
 			return true
 		}
@@ -250,14 +250,14 @@
 	for seed := range uint64(12) {
 		s := newSimulation(seed, 3, 1, noMutation)
 		s.run(1500 * time.Millisecond)
-		s.load(10 * time.Millisecond)
+		s.submitLoad(10 * time.Millisecond)
 		s.run(3 * time.Second)
 		member := s.randomMember()
 		member.kill()
 		s.run(s.now + 4*time.Second)
 		for range 6 {
 			member.start()
-			s.until(2*time.Second, func() bool {
+			s.runUntil(2*time.Second, func() bool {
 				return slices.ContainsFunc(member.writes, func(w diskWrite) bool { return w.Image != nil })
 			})
 			if len(member.writes) > 0 {
--- a/control/core/diskwriter.go
+++ b/control/core/diskwriter.go
@@ -55,7 +55,7 @@
 		if len(writes) == 0 {
 			continue
 		}
-		if err := c.put(writes); err != nil {
+		if err := c.writeAll(writes); err != nil {
 			if errors.Is(err, unix.ENOSPC) {
 				_ = slots.RemoveDamaged(c.folder())
 			}
@@ -70,7 +70,7 @@
 	}
 }
 
-func (c *Core) put(writes []diskWrite) error {
+func (c *Core) writeAll(writes []diskWrite) error {
 	var records [][]byte
 	for i := range writes {
 		if writes[i].Image == nil {
--- a/control/core/dispatch.go
+++ b/control/core/dispatch.go
@@ -110,7 +110,8 @@
 	case *heartbeat:
 		n.recordHeartbeat(now, m)
 		if m.Epoch < n.view.Epoch {
-			n.deliver(outboundMessage{m.Member.Address, &decided{View: n.view}}) // a process that has just started may reach the core only through this one
+			// A process that has just started may reach the core only through this one.
+			n.deliver(outboundMessage{m.Member.Address, &decided{View: n.view}})
 		}
 	case *decided:
 		if m.View.Epoch > n.view.Epoch {
--- a/control/core/driver.go
+++ b/control/core/driver.go
@@ -41,7 +41,7 @@
 func (n *node) Attached() bool { return n.chain.Attached() }
 
 // DebugString returns the node's state in one line, for the output of failed tests.
-func (n *node) Describe() string {
+func (n *node) DebugString() string {
 	return fmt.Sprintf("id %v epoch %d chain %v voters %d position %d complete %v attached %v sealed %v last %d committed %d missing %v",
 		n.self.ID, n.view.Epoch, n.view.Chain, len(n.view.Voters), n.chain.Position(), n.chain.Complete(), n.chain.Attached(),
 		n.vote.Sealed(n.view.Epoch), n.chain.Last(), n.chain.Committed(), n.peers.unresponsive)
--- a/control/core/durability.go
+++ b/control/core/durability.go
@@ -91,7 +91,7 @@
 	return d.lastBatch > max(d.durableBatch, d.degradation.failedBatch)
 }
 
-// awaited returns the batch that makes all changes so far durable.
+// requiredBatch returns the batch that makes all changes so far durable.
 func (d *durability) requiredBatch() uint64 {
 	if d.dirty() {
 		return d.lastBatch + 1
--- a/control/core/explore_test.go
+++ b/control/core/explore_test.go
@@ -21,36 +21,36 @@
 
 // Commands that expect the same base: at most one of them may be accepted.
 var (
-	twoOrders = []string{"0 0 x", "1 0 y"}
-	oneOrder  = []string{"1 0 x"}
+	twoCommands = []string{"0 0 x", "1 0 y"}
+	oneCommand  = []string{"1 0 x"}
 )
 
 // smallScopes are searched completely, in CI.
 var smallScopes = []coreScope{
-	{"two orders, every order of delivery and of disks", 0, modelScope{
-		members: 3, tolerated: 1, orders: twoOrders, steps: 2, reorder: -1, slowDisks: true,
+	{"two commands, every order of delivery and of disks", 0, modelScope{
+		members: 3, tolerated: 1, commands: twoCommands, steps: 2, reorder: -1, slowDisks: true,
 	}},
-	{"two orders, links without order", 0, modelScope{
-		members: 3, tolerated: 1, orders: twoOrders, steps: 1, reorder: -1, unordered: true,
+	{"two commands, links without order", 0, modelScope{
+		members: 3, tolerated: 1, commands: twoCommands, steps: 1, reorder: -1, unordered: true,
 	}},
-	{"two orders, messages lost, duplicated and late", 2, modelScope{
-		members: 3, tolerated: 1, orders: twoOrders, steps: 4, orderAt: []int{0}, faultAt: []int{0}, lose: 1, duplicate: 1, late: 1,
+	{"two commands, messages lost, duplicated and late", 2, modelScope{
+		members: 3, tolerated: 1, commands: twoCommands, steps: 4, submitAt: []int{0}, faultAt: []int{0}, lose: 1, duplicate: 1, late: 1,
 	}},
-	{"two orders, a crash", 1, modelScope{
-		members: 3, tolerated: 1, orders: twoOrders, steps: 14, orderAt: []int{0}, faultAt: []int{0}, recoverAt: []int{9}, crashes: 1, slowDisks: true, faultMembers: []int{0, 2},
+	{"two commands, a crash", 1, modelScope{
+		members: 3, tolerated: 1, commands: twoCommands, steps: 14, submitAt: []int{0}, faultAt: []int{0}, recoverAt: []int{9}, crashes: 1, slowDisks: true, faultMembers: []int{0, 2},
 	}},
-	{"two orders, a crash and a partition", 2, modelScope{
-		members: 3, tolerated: 1, orders: twoOrders, steps: 9, orderAt: []int{0}, faultAt: []int{0, 1}, recoverAt: []int{7}, crashes: 1, cuts: 1, faultMembers: []int{0, 1},
+	{"two commands, a crash and a partition", 2, modelScope{
+		members: 3, tolerated: 1, commands: twoCommands, steps: 9, submitAt: []int{0}, faultAt: []int{0, 1}, recoverAt: []int{7}, crashes: 1, cuts: 1, faultMembers: []int{0, 1},
 	}},
 	{"a replaced member, then a second failure", 2, modelScope{
-		members: 4, tolerated: 1, orders: oneOrder, steps: 13, orderAt: []int{0}, faultAt: []int{0, 4, 12}, recoverAt: []int{1}, crashes: 2,
+		members: 4, tolerated: 1, commands: oneCommand, steps: 13, submitAt: []int{0}, faultAt: []int{0, 4, 12}, recoverAt: []int{1}, crashes: 2,
 		replaces: true, joinLater: true, faultMembers: []int{0, 2, 3},
 	}},
 	{"a lost disk, then a second failure", 2, modelScope{
-		members: 3, tolerated: 1, orders: oneOrder, steps: 14, orderAt: []int{0}, faultAt: []int{0, 13}, recoverAt: []int{1}, wipes: 1, crashes: 1,
+		members: 3, tolerated: 1, commands: oneCommand, steps: 14, submitAt: []int{0}, faultAt: []int{0, 13}, recoverAt: []int{1}, wipes: 1, crashes: 1,
 	}},
 	{"an orderly stop, then a second failure", 2, modelScope{
-		members: 4, tolerated: 1, orders: oneOrder, steps: 11, orderAt: []int{0}, faultAt: []int{0, 1, 9}, recoverAt: []int{}, stops: 1, crashes: 1,
+		members: 4, tolerated: 1, commands: oneCommand, steps: 11, submitAt: []int{0}, faultAt: []int{0, 1, 9}, recoverAt: []int{}, stops: 1, crashes: 1,
 		replaces: true, faultMembers: []int{0, 1},
 	}},
 	{"the lease, a freeze, clock drift", 1, modelScope{
@@ -63,26 +63,26 @@
 
 // largeScopes are searched with -explore, up to a number of states.
 var largeScopes = []coreScope{
-	{"two orders, every order of delivery and of disks, a crash", 1, modelScope{
-		members: 3, tolerated: 1, orders: twoOrders, steps: 3, reorder: -1, slowDisks: true, crashes: 1,
+	{"two commands, every order of delivery and of disks, a crash", 1, modelScope{
+		members: 3, tolerated: 1, commands: twoCommands, steps: 3, reorder: -1, slowDisks: true, crashes: 1,
 	}},
-	{"two orders, a crash and a partition at any time", 2, modelScope{
-		members: 3, tolerated: 1, orders: twoOrders, steps: 12, orderAt: []int{0, 2, 9}, reorder: 1, recoverAt: []int{4, 8}, crashes: 1, cuts: 1,
+	{"two commands, a crash and a partition at any time", 2, modelScope{
+		members: 3, tolerated: 1, commands: twoCommands, steps: 12, submitAt: []int{0, 2, 9}, reorder: 1, recoverAt: []int{4, 8}, crashes: 1, cuts: 1,
 	}},
-	{"two orders, messages lost, duplicated and late, a crash", 3, modelScope{
-		members: 3, tolerated: 1, orders: twoOrders, steps: 10, orderAt: []int{0}, faultAt: []int{0, 1, 2}, recoverAt: []int{6}, lose: 1, duplicate: 1, late: 1, crashes: 1,
+	{"two commands, messages lost, duplicated and late, a crash", 3, modelScope{
+		members: 3, tolerated: 1, commands: twoCommands, steps: 10, submitAt: []int{0}, faultAt: []int{0, 1, 2}, recoverAt: []int{6}, lose: 1, duplicate: 1, late: 1, crashes: 1,
 	}},
 	{"a replaced member, then a second failure at any time", 2, modelScope{
-		members: 4, tolerated: 1, orders: twoOrders, steps: 24, orderAt: []int{0}, recoverAt: []int{1, 3, 23}, crashes: 1, cuts: 1, freezes: 1, replaces: true, joinLater: true,
+		members: 4, tolerated: 1, commands: twoCommands, steps: 24, submitAt: []int{0}, recoverAt: []int{1, 3, 23}, crashes: 1, cuts: 1, freezes: 1, replaces: true, joinLater: true,
 	}},
 	{"two lost disks and a crash", 3, modelScope{
-		members: 3, tolerated: 1, orders: oneOrder, steps: 26, orderAt: []int{0}, faultAt: []int{0, 3, 4, 5, 13}, recoverAt: []int{1, 14}, wipes: 2, crashes: 1,
+		members: 3, tolerated: 1, commands: oneCommand, steps: 26, submitAt: []int{0}, faultAt: []int{0, 3, 4, 5, 13}, recoverAt: []int{1, 14}, wipes: 2, crashes: 1,
 	}},
 	{"five members, two failures and two more", 4, modelScope{
-		members: 5, tolerated: 2, orders: oneOrder, steps: 14, orderAt: []int{0}, faultAt: []int{0, 11}, recoverAt: []int{1}, crashes: 2, cuts: 2,
+		members: 5, tolerated: 2, commands: oneCommand, steps: 14, submitAt: []int{0}, faultAt: []int{0, 11}, recoverAt: []int{1}, crashes: 2, cuts: 2,
 	}},
 	{"orderly stops, and a crash at any time", 3, modelScope{
-		members: 4, tolerated: 1, orders: oneOrder, steps: 16, orderAt: []int{0}, recoverAt: []int{8, 12}, stops: 2, crashes: 1,
+		members: 4, tolerated: 1, commands: oneCommand, steps: 16, submitAt: []int{0}, recoverAt: []int{8, 12}, stops: 2, crashes: 1,
 	}},
 	{"the lease, a freeze, a partition, a crash at any time, clock drift", 3, modelScope{
 		members: 3, tolerated: 1, steps: 20, halfSteps: true, recoverAt: []int{2, 10, 16}, freezes: 1, cuts: 1, crashes: 1, rates: []int{955, 1000, 1045},
@@ -128,13 +128,13 @@
 // invariant.
 func TestMutationsAreDetectedInSmallScopes(t *testing.T) {
 	for _, c := range []struct {
-		mistake  string
+		mutation string
 		scope    string
 		set      func(scope *modelScope)
 		expected string
 	}{
-		{"a write is reported as durable before it is", "two orders, a crash", func(s *modelScope) { s.earlySyncReport = true }, "order"},
-		{"a single voter decides a view", "two orders, a crash and a partition", func(s *modelScope) { s.mutations.minorityDecides = true }, "two views of epoch"},
+		{"a write is reported as durable before it is", "two commands, a crash", func(s *modelScope) { s.earlySyncReport = true }, "submitted command"},
+		{"a single voter decides a view", "two commands, a crash and a partition", func(s *modelScope) { s.mutations.minorityDecides = true }, "two views of epoch"},
 		{
 			"a partitioned holder keeps the lease too long", "the lease, its holder partitioned, voters restarted, clock drift",
 			func(s *modelScope) { s.margin = -500 * time.Millisecond }, "hold",
@@ -155,7 +155,7 @@
 		{"an unresponsive voter keeps its vote for ten seconds", "a replaced member, then a second failure", func(s *modelScope) { s.lateDown = true }, "voters are up"},
 		{"a stopping member keeps its vote", "an orderly stop, then a second failure", func(s *modelScope) { s.mutations.keepsVoteOnStop = true }, "voters are up"},
 	} {
-		t.Run(c.mistake, func(t *testing.T) {
+		t.Run(c.mutation, func(t *testing.T) {
 			t.Parallel()
 			for _, scope := range smallScopes {
 				if scope.name != c.scope {
--- a/control/core/history_test.go
+++ b/control/core/history_test.go
@@ -77,15 +77,15 @@
 func steadyCore(t *testing.T, seed uint64, members, tolerated int) *simulation {
 	s := newSimulation(seed, members, tolerated, noMutation)
 	s.run(1500 * time.Millisecond)
-	s.load(20 * time.Millisecond)
+	s.submitLoad(20 * time.Millisecond)
 	s.run(4 * time.Second)
 	s.expectService("initially", 300*time.Millisecond)
 	require.Empty(t, s.violation, "seed %d of %d members", seed, members)
 	return s
 }
 
-// until runs the simulation until holds is true or for the duration of bound, and returns how long that took.
-func (s *simulation) until(bound time.Duration, holds func() bool) time.Duration {
+// runUntil runs the simulation until holds is true or for the duration of bound, and returns how long that took.
+func (s *simulation) runUntil(bound time.Duration, holds func() bool) time.Duration {
 	from := s.now
 	for len(s.queue) > 0 && s.now-from < bound && s.violation == "" && !holds() {
 		s.run(s.queue[0].at)
@@ -120,8 +120,8 @@
 				leader := s.holders()[0]
 				inject(s, leader)
 				failedAt := s.now
-				answer := s.until(2*bound, func() bool { return s.lastAnswerAt > failedAt+100*time.Millisecond })
-				s.until(2*bound, func() bool {
+				answer := s.runUntil(2*bound, func() bool { return s.lastAnswerAt > failedAt+100*time.Millisecond })
+				s.runUntil(2*bound, func() bool {
 					holders := s.holders()
 					return len(holders) == 1 && holders[0] != leader
 				})
--- a/control/core/leaderlease.go
+++ b/control/core/leaderlease.go
@@ -92,7 +92,7 @@
 
 func (n *node) onLeaseReply(now time.Duration, from view.Member, m *lease.Reply) {
 	wasLeader := n.lease.holder.Valid(now)
-	if n.lease.holder.Granted(&n.view, from.ID, m) && !wasLeader {
+	if n.lease.holder.OnReply(&n.view, from.ID, m) && !wasLeader {
 		n.peers.heartbeatDue = now
 	}
 	if !n.leads(now) && n.lease.holder.Refused(&n.view) {
@@ -109,7 +109,7 @@
 }
 
 // LeaseExpiresAt returns when the lease that this node holds expires.
-func (n *node) LeaseUntil() time.Duration { return n.lease.holder.ExpiresAt() }
+func (n *node) LeaseExpiresAt() time.Duration { return n.lease.holder.ExpiresAt() }
 
 // BeginStop begins an orderly stop: the node gives up the lease and asks the other members to proceed without it.
 // StopComplete reports when they do.
--- a/control/core/leaserunner.go
+++ b/control/core/leaserunner.go
@@ -16,7 +16,7 @@
 func (l *Lease) Valid() bool { return int64(time.Since(l.started)) < l.expiresAt.Load() }
 
 // Remaining returns how long the lease is valid unless it is renewed. It is not positive once the lease has expired.
-func (l *Lease) Until() time.Duration {
+func (l *Lease) Remaining() time.Duration {
 	return time.Duration(l.expiresAt.Load()) - time.Since(l.started)
 }
 
@@ -29,7 +29,7 @@
 
 // update starts Config.Lead when the node has obtained the lease, and cancels its context when the node has lost it.
 func (l *leaseRunner) update(c *Core, now time.Duration) {
-	expiresAt := c.node.LeaseUntil()
+	expiresAt := c.node.LeaseExpiresAt()
 	if l.lease != nil {
 		l.lease.expiresAt.Store(int64(expiresAt))
 	}
--- a/control/core/links.go
+++ b/control/core/links.go
@@ -23,9 +23,9 @@
 // links holds the connections to other processes of the core. Of two connections between the same processes, the one
 // that was opened by the process with the lower address is used; the other one serves while that is not established.
 type links struct {
-	core    *Core
-	options rpc.Options
-	pruned  time.Time
+	core     *Core
+	options  rpc.Options
+	prunedAt time.Time
 
 	mu       sync.Mutex
 	closed   bool
@@ -37,7 +37,7 @@
 	l.core = c
 	l.options = rpc.Options{Mux: c.config.Mux, PingAfter: pingAfter, FailureTimeout: peerTimeout}
 	l.outbound, l.inbound = make(map[string]*rpc.Link), make(map[string]*rpc.Conn)
-	l.pruned = time.Now()
+	l.prunedAt = time.Now()
 }
 
 func (l *links) send(messages []outboundMessage) {
@@ -51,7 +51,7 @@
 			_ = conn.Notify(methodOf(message.Message), message.Message) // a lost message is sent again
 		}
 	}
-	if time.Since(l.pruned) >= pruneEvery {
+	if time.Since(l.prunedAt) >= pruneEvery {
 		l.prune()
 	}
 }
@@ -83,7 +83,7 @@
 }
 
 func (l *links) open(address string) *rpc.Link {
-	link := rpc.NewLink(address, l.options, l.core.greet, func(err error) {
+	link := rpc.NewLink(address, l.options, l.core.identify, func(err error) {
 		if errors.Is(err, syscall.ECONNREFUSED) {
 			l.core.step(func(now time.Duration) { l.core.node.Refused(now, address) })
 		}
@@ -94,7 +94,7 @@
 
 // prune closes links to addresses that are not known any more.
 func (l *links) prune() {
-	l.pruned = time.Now()
+	l.prunedAt = time.Now()
 	known := l.core.node.Addresses()
 	for address, link := range l.outbound {
 		if !slices.Contains(known, address) {
@@ -137,8 +137,8 @@
 	return conns
 }
 
-// greet sends a heartbeat, which identifies this process: the peer ignores all messages before it.
-func (c *Core) greet(conn *rpc.Conn) {
+// identify sends a heartbeat, which identifies this process: the peer ignores all messages before it.
+func (c *Core) identify(conn *rpc.Conn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.running && c.node.ready() {
@@ -166,7 +166,7 @@
 		if conn.Tag() != received.Member {
 			conn.SetTag(received.Member)
 			if c.links.registerInbound(received.Member.Address, conn) {
-				c.greet(conn)
+				c.identify(conn)
 			}
 		}
 	}
--- a/control/core/mixed_test.go
+++ b/control/core/mixed_test.go
@@ -13,7 +13,7 @@
 	store = s.members[4]
 	store.storage = true
 	s.run(1500 * time.Millisecond)
-	s.load(20 * time.Millisecond)
+	s.submitLoad(20 * time.Millisecond)
 	s.run(5 * time.Second)
 	s.expectService("initially", 300*time.Millisecond)
 	require.Empty(t, s.violation, "seed %d", seed)
@@ -29,7 +29,7 @@
 		s, store := steadyMixedCore(t, seed)
 		for _, control := range s.members[:4] {
 			control.kill()
-			wait := s.until(bound, func() bool { return len(s.holders()) == 1 && s.holders()[0] != store })
+			wait := s.runUntil(bound, func() bool { return len(s.holders()) == 1 && s.holders()[0] != store })
 			require.Less(t, wait, bound, "seed %d: %s", seed, s.violation)
 			control.start()
 			for range 100 {
@@ -46,9 +46,9 @@
 // recoveryBound is the maximum time without an answer after two failures.
 const recoveryBound = 3500 * time.Millisecond
 
-// loseTwo wipes the disk of one member, and at the same moment wipes or permanently freezes another one. It reports
+// failTwo wipes the disk of one member, and at the same moment wipes or permanently freezes another one. It reports
 // whether commands are answered again in time.
-func loseTwo(s *simulation, wiped, other *simProcess, freeze bool) (answers bool) {
+func failTwo(s *simulation, wiped, other *simProcess, freeze bool) (answers bool) {
 	wiped.wipe()
 	if freeze {
 		other.frozen = true
@@ -61,7 +61,7 @@
 		other.start()
 	}
 	back := s.now
-	s.until(recoveryBound, func() bool { return s.lastAnswerAt > back+time.Second })
+	s.runUntil(recoveryBound, func() bool { return s.lastAnswerAt > back+time.Second })
 	s.checkHistory()
 	return s.lastAnswerAt > back+time.Second
 }
@@ -75,8 +75,8 @@
 					continue
 				}
 				s, _ := steadyMixedCore(t, seed)
-				answers := loseTwo(s, s.members[first], s.members[second], seed%2 == 1)
-				require.True(t, answers, "seed %d, %d and %d: %s", seed, first, second, s.describe())
+				answers := failTwo(s, s.members[first], s.members[second], seed%2 == 1)
+				require.True(t, answers, "seed %d, %d and %d: %s", seed, first, second, s.debugString())
 				require.Empty(t, s.violation, "seed %d, %d and %d", seed, first, second)
 			}
 		}
@@ -95,7 +95,7 @@
 			}
 		}
 		require.Len(t, voters, 3)
-		require.False(t, loseTwo(s, voters[0], voters[1], freeze), "frozen: %v", freeze)
+		require.False(t, failTwo(s, voters[0], voters[1], freeze), "frozen: %v", freeze)
 		require.Empty(t, s.violation, "an answered command was lost")
 	}
 }
@@ -114,15 +114,15 @@
 		halves := [2][]*simProcess{{s.members[0], s.members[2]}, {s.members[1], s.members[3]}}
 		partitionHalves(s, halves, true)
 		s.run(s.now + partitionFor)
-		require.LessOrEqual(t, s.newestEpoch()-before, uint64(mostViews), "seed %d: %s", seed, s.describe())
-		require.Less(t, s.now-s.lastAnswerAt, 500*time.Millisecond, "seed %d: %s", seed, s.describe())
+		require.LessOrEqual(t, s.newestEpoch()-before, uint64(mostViews), "seed %d: %s", seed, s.debugString())
+		require.Less(t, s.now-s.lastAnswerAt, 500*time.Millisecond, "seed %d: %s", seed, s.debugString())
 		for _, member := range s.members {
 			if !member.node.chain.Attached() {
 				continue
 			}
 			commands := member.submitNow()
 			s.run(s.now + time.Second)
-			require.True(t, anyAnswered(s, commands), "seed %d: no command of %s is answered: %s", seed, member.address, s.describe())
+			require.True(t, anyAnswered(s, commands), "seed %d: no command of %s is answered: %s", seed, member.address, s.debugString())
 		}
 		require.NotContains(t, s.holders(), store)
 		partitionHalves(s, halves, false)
--- a/control/core/model_actions_test.go
+++ b/control/core/model_actions_test.go
@@ -26,9 +26,9 @@
 		}
 	}
 	for number, given := range m.submitted {
-		at := int(m.scope.orders[number][0] - '0')
-		if !given && m.within(m.scope.orderAt) && m.members[at].node != nil && !m.members[at].frozen {
-			add(false, "order %d", number)
+		at := int(m.scope.commands[number][0] - '0')
+		if !given && m.within(m.scope.submitAt) && m.members[at].node != nil && !m.members[at].frozen {
+			add(false, "submit %d", number)
 		}
 	}
 	for at, member := range m.members {
@@ -48,8 +48,8 @@
 // messageActions adds the actions on each message, and reports whether a message is pending that is not late.
 func (m *model) messageActions(add func(fault bool, format string, arguments ...any)) (waiting bool) {
 	for i, at := range m.deliverable() {
-		message := m.mail[at]
-		name := m.name(at)
+		message := m.inFlight[at]
+		name := m.messageName(at)
 		if i == 0 || m.budget.reorder != 0 || message.late {
 			add(false, "deliver %s", name)
 		}
@@ -120,8 +120,8 @@
 	var list []int
 	first := make(map[[2]int]bool)
 	seen := make(map[string]bool)
-	for at := range m.mail {
-		message := &m.mail[at]
+	for at := range m.inFlight {
+		message := &m.inFlight[at]
 		if m.members[message.to].frozen {
 			continue
 		}
@@ -141,12 +141,12 @@
 	return list
 }
 
-// name returns a name for a message that is unique among the pending ones.
-func (m *model) name(at int) string {
-	message := &m.mail[at]
+// messageName returns a name for a message that is unique among the pending ones.
+func (m *model) messageName(at int) string {
+	message := &m.inFlight[at]
 	earlier := 0
 	for i := range at {
-		other := &m.mail[i]
+		other := &m.inFlight[i]
 		if other.from == message.from && other.to == message.to && other.kind == message.kind {
 			earlier++
 		}
@@ -164,7 +164,7 @@
 	switch verb {
 	case "tick":
 		m.tick()
-	case "order":
+	case "submit":
 		m.submit(int(object[0] - '0'))
 	case "deliver", "lose", "repeat", "delay":
 		m.doMail(verb, object)
@@ -179,29 +179,29 @@
 
 func (m *model) doMail(verb, name string) {
 	at := 0
-	for m.name(at) != name {
+	for m.messageName(at) != name {
 		at++
 	}
 	switch verb {
 	case "deliver":
-		if m.budget.reorder > 0 && at != m.deliverable()[0] && !m.mail[at].late {
+		if m.budget.reorder > 0 && at != m.deliverable()[0] && !m.inFlight[at].late {
 			m.budget.reorder--
 		}
 		m.deliver(at)
 	case "lose":
 		m.budget.lose--
-		m.mail = slices.Delete(m.mail, at, at+1)
+		m.inFlight = slices.Delete(m.inFlight, at, at+1)
 	case "repeat":
 		m.budget.duplicate--
-		m.receive(m.mail[at])
+		m.receive(m.inFlight[at])
 	case "delay":
 		m.budget.late--
-		m.mail[at].late = true
+		m.inFlight[at].late = true
 	}
 }
 
 func (m *model) doMember(verb string, at int) {
-	member := m.own(at)
+	member := m.mutableMember(at)
 	switch verb {
 	case "sync":
 		m.sync(at)
@@ -209,14 +209,14 @@
 		m.start(at)
 	case "kill":
 		m.budget.crashes--
-		m.land(member)
-		m.end(at, true)
+		m.completeWrites(member)
+		m.endProcess(at, true)
 	case "power":
 		m.budget.crashes--
-		m.end(at, false)
+		m.endProcess(at, false)
 	case "wipe":
 		m.budget.wipes--
-		m.end(at, false)
+		m.endProcess(at, false)
 		member.disk = modelDisk{}
 		member.disks++
 	case "stop":
@@ -232,18 +232,18 @@
 	case "cut":
 		m.budget.cuts--
 		member.partitioned = true
-		m.mail = slices.DeleteFunc(m.mail, func(message modelMessage) bool { return message.to == at || message.from == at })
+		m.inFlight = slices.DeleteFunc(m.inFlight, func(message modelMessage) bool { return message.to == at || message.from == at })
 	case "cut-inbound":
 		m.budget.inboundCuts--
 		member.inboundCut = true
-		m.mail = slices.DeleteFunc(m.mail, func(message modelMessage) bool { return message.to == at })
+		m.inFlight = slices.DeleteFunc(m.inFlight, func(message modelMessage) bool { return message.to == at })
 	case "heal":
 		member.partitioned, member.inboundCut, member.reliableAt = false, false, m.elapsed+modelCatchup
 	}
 }
 
-// end ends a member's process. Messages that it has sent may still arrive.
-func (m *model) end(at int, refusing bool) {
+// endProcess ends a member's process. Messages that it has sent may still arrive.
+func (m *model) endProcess(at int, refusing bool) {
 	member := m.members[at]
 	for key, number := range m.numbers {
 		if key[0] == at && m.answers[number] == "" {
@@ -252,5 +252,5 @@
 	}
 	member.node, member.machine, member.writes = nil, nil, nil
 	member.frozen, member.refusing, member.stopBy = false, refusing, 0
-	m.mail = slices.DeleteFunc(m.mail, func(message modelMessage) bool { return message.to == at })
+	m.inFlight = slices.DeleteFunc(m.inFlight, func(message modelMessage) bool { return message.to == at })
 }
--- a/control/core/model_checks_test.go
+++ b/control/core/model_checks_test.go
@@ -22,10 +22,10 @@
 	}
 	for i, command := range member.machine.Applied {
 		switch {
-		case i == len(m.order):
-			m.order = append(m.order, command)
-		case m.order[i] != command:
-			m.fail("%s applied %q as command %d, others %q", member.address, command, i+1, m.order[i])
+		case i == len(m.appliedCommands):
+			m.appliedCommands = append(m.appliedCommands, command)
+		case m.appliedCommands[i] != command:
+			m.fail("%s applied %q as command %d, others %q", member.address, command, i+1, m.appliedCommands[i])
 		}
 	}
 }
@@ -33,19 +33,19 @@
 // checkAnswer checks that an answered command is on more disks than may be lost, and that its answer follows from the
 // commands before it.
 func (m *model) checkAnswer(number int) {
-	_, command, _ := strings.Cut(m.scope.orders[number], " ")
-	index := slices.Index(m.order, command)
+	_, command, _ := strings.Cut(m.scope.commands[number], " ")
+	index := slices.Index(m.appliedCommands, command)
 	if index < 0 {
-		m.fail("order %d was answered %q and never applied", number, m.answers[number])
+		m.fail("submitted command %d was answered %q and never applied", number, m.answers[number])
 		return
 	}
-	machine := &orderLog{}
+	machine := &commandLog{}
 	var result []byte
-	for _, applied := range m.order[:index+1] {
+	for _, applied := range m.appliedCommands[:index+1] {
 		result = machine.Apply([]byte(applied))
 	}
 	if m.answers[number] != string(result) {
-		m.fail("order %d was answered %q, the commands before it imply %q", number, m.answers[number], result)
+		m.fail("submitted command %d was answered %q, the commands before it imply %q", number, m.answers[number], result)
 	}
 	disks := 0
 	for _, member := range m.members {
@@ -54,7 +54,7 @@
 		}
 	}
 	if disks <= m.scope.tolerated && (disks == 0 || !m.exceeded) {
-		m.fail("order %d was answered with %d disks that hold it", number, disks)
+		m.fail("submitted command %d was answered with %d disks that hold it", number, disks)
 	}
 }
 
@@ -67,7 +67,7 @@
 	if err != nil {
 		panic(err)
 	}
-	machine := &orderLog{}
+	machine := &commandLog{}
 	if len(image.Machine) > 0 {
 		_ = machine.Restore(image.Machine)
 	}
@@ -88,7 +88,7 @@
 			continue
 		}
 		holders++
-		if free := m.free(&member.node.view, member.node.self.ID); free >= member.node.view.Majority() {
+		if free := m.votersWithoutGrant(&member.node.view, member.node.self.ID); free >= member.node.view.Majority() {
 			m.fail("%s holds the leader lease, and %d voters of its view would grant it to another", member.address, free)
 		}
 	}
@@ -97,8 +97,8 @@
 	}
 }
 
-// free counts the running voters of a view that know of no grant to the given holder.
-func (m *model) free(v *view.View, holder view.ID) int {
+// votersWithoutGrant counts the running voters of a view that know of no grant to the given holder.
+func (m *model) votersWithoutGrant(v *view.View, holder view.ID) int {
 	free := 0
 	for at, member := range m.members {
 		if member.node == nil || member.node.view.Epoch != v.Epoch {
@@ -136,9 +136,9 @@
 			continue
 		}
 		for number, answer := range m.answers {
-			_, command, _ := strings.Cut(m.scope.orders[number], " ")
+			_, command, _ := strings.Cut(m.scope.commands[number], " ")
 			if (answer == "taken" || answer == "refused") && !member.has(command) {
-				m.fail("%s is complete in epoch %d and lacks order %d, which was answered", member.address, latest, number)
+				m.fail("%s is complete in epoch %d and lacks submitted command %d, which was answered", member.address, latest, number)
 			}
 		}
 	}
--- a/control/core/model_disk_test.go
+++ b/control/core/model_disk_test.go
@@ -20,14 +20,14 @@
 	d.records = append(slices.Clone(d.records), write.Records...)
 }
 
-// orderLog is a machine that accepts a command if its base equals the number of commands accepted before. It stores all
+// commandLog is a machine that accepts a command if its base equals the number of commands accepted before. It stores all
 // commands.
-type orderLog struct {
+type commandLog struct {
 	Applied []string
 	Taken   int
 }
 
-func (l *orderLog) Apply(command []byte) []byte {
+func (l *commandLog) Apply(command []byte) []byte {
 	l.Applied = append(slices.Clone(l.Applied), string(command))
 	var base int
 	var name string
@@ -41,11 +41,11 @@
 	return []byte("taken")
 }
 
-func (l *orderLog) Snapshot() []byte {
+func (l *commandLog) Snapshot() []byte {
 	return []byte(fmt.Sprint(l.Taken) + "\n" + strings.Join(l.Applied, "\n"))
 }
 
-func (l *orderLog) Restore(snapshot []byte) error {
+func (l *commandLog) Restore(snapshot []byte) error {
 	taken, applied, _ := strings.Cut(string(snapshot), "\n")
 	l.Applied = nil
 	if applied != "" {
@@ -57,8 +57,8 @@
 
 // sync completes all pending writes of a member.
 func (m *model) sync(at int) {
-	member := m.own(at)
-	last := m.land(member)
+	member := m.mutableMember(at)
+	last := m.completeWrites(member)
 	if m.scope.earlySyncReport {
 		return // the node was already notified
 	}
@@ -66,7 +66,7 @@
 	m.execute(at)
 }
 
-func (m *model) land(member *modelMember) (last uint64) {
+func (m *model) completeWrites(member *modelMember) (last uint64) {
 	for i := range member.writes {
 		member.disk.put(&member.writes[i])
 		last = member.writes[i].Batch
--- a/control/core/model_network_test.go
+++ b/control/core/model_network_test.go
@@ -30,7 +30,7 @@
 		panic(err)
 	}
 	kind := strings.TrimPrefix(strings.TrimPrefix(fmt.Sprintf("%T", p.Message), "*"), "core.")
-	m.mail = append(m.mail, modelMessage{from: at, to: to, sender: m.members[at].node.self, kind: kind, data: data})
+	m.inFlight = append(m.inFlight, modelMessage{from: at, to: to, sender: m.members[at].node.self, kind: kind, data: data})
 }
 
 func (m *model) reaches(from, to int) bool {
@@ -39,8 +39,8 @@
 }
 
 func (m *model) deliver(at int) {
-	message := m.mail[at]
-	m.mail = slices.Delete(m.mail, at, at+1)
+	message := m.inFlight[at]
+	m.inFlight = slices.Delete(m.inFlight, at, at+1)
 	m.receive(message)
 }
 
@@ -52,7 +52,7 @@
 	if _, err := content.UnmarshalMsg(message.data); err != nil {
 		panic(err)
 	}
-	member := m.own(message.to)
+	member := m.mutableMember(message.to)
 	member.node.Receive(m.clock(message.to), message.sender, content)
 	m.execute(message.to)
 }
@@ -69,7 +69,7 @@
 // deliverHeartbeats delivers all pending heartbeats. Heartbeats are sent without end, so that the search does not reorder them.
 func (m *model) deliverHeartbeats() {
 	for {
-		at := slices.IndexFunc(m.mail, func(message modelMessage) bool { return message.kind == "heartbeat" && !m.members[message.to].frozen })
+		at := slices.IndexFunc(m.inFlight, func(message modelMessage) bool { return message.kind == "heartbeat" && !m.members[message.to].frozen })
 		if at < 0 {
 			return
 		}
--- a/control/core/model_state_test.go
+++ b/control/core/model_state_test.go
@@ -33,8 +33,8 @@
 		b = append(b, '|')
 	}
 	var messages [][]byte
-	for i := range m.mail {
-		message := &m.mail[i]
+	for i := range m.inFlight {
+		message := &m.inFlight[i]
 		messages = append(messages, fmt.Appendf(nil, "%d%d%s%v%v%s", message.from, message.to, message.kind, message.late, message.sender, message.data))
 	}
 	var encoder explore.Encoder
@@ -44,7 +44,7 @@
 		slices.SortStableFunc(messages, func(x, y []byte) int { return bytes.Compare(x[:2], y[:2]) }) // ordered by link
 		b = encoder.Append(b, messages)
 	}
-	b = encoder.Append(b, m.order)
+	b = encoder.Append(b, m.appliedCommands)
 	b = encoder.Append(b, m.answers)
 	b = encoder.Append(b, m.submitted)
 	b = encoder.Append(b, m.numbers)
--- a/control/core/model_test.go
+++ b/control/core/model_test.go
@@ -15,10 +15,10 @@
 type modelScope struct {
 	members         int      // the first three bootstrap the core, the others join
 	tolerated       int      // number of failures that the core tolerates
-	orders          []string // "AT BASE NAME": each may be submitted once, at member AT, at any time
+	commands        []string // "AT BASE NAME": each may be submitted once, at member AT, at any time
 	steps           int      // number of time steps
 	halfSteps       bool     // time steps have half the length
-	orderAt         []int    // time steps in which commands are submitted; nil: all
+	submitAt        []int    // time steps in which commands are submitted; nil: all
 	faultAt         []int    // time steps in which faults occur; nil: all
 	recoverAt       []int    // time steps in which faults end; nil: all
 	rates           []int    // rates of the members' clocks, in thousandths; nil: all equal
@@ -35,10 +35,10 @@
 	joinLater       bool          // members that join are started during the search
 	reorder         int           // deliveries ahead of messages that were sent earlier; negative: unlimited
 	unordered       bool          // messages of one link may overtake one another
-	replaces        bool          // the last member replaces the first one, if that is down when the last one starts, or stops in an orderly way; the first one does not restart
+	replaces        bool          // the first member does not restart; the last one, started while it is down or stopping, replaces it
 	slowDisks       bool          // a write may become durable at any time within a time step; otherwise it does at once
 	earlySyncReport bool          // mutation: a write is reported as durable before it is
-	margin          time.Duration // replaces the lease's margin, by which the holder stops before the voters forget the lease; zero: unchanged
+	margin          time.Duration // replaces lease.Timing.Margin, unless zero
 	lateDown        bool          // mutation: a voter that is down loses its vote only after LearnerExpiry
 	mutations       mutations
 }
@@ -61,7 +61,7 @@
 type modelMember struct {
 	address     string
 	node        *node // nil while the process is down
-	machine     *orderLog
+	machine     *commandLog
 	disk        modelDisk
 	writes      []diskWrite
 	incarnation int
@@ -80,24 +80,24 @@
 	scope     *modelScope
 	members   []*modelMember
 	owned     []bool // which members were copied since the last Clone
-	mail      []modelMessage
+	inFlight  []modelMessage
 	elapsed   time.Duration
 	steps     int
 	submitted []bool
 	budget    modelScope // counts that are left
 
-	order     []string          // commands, as first applied
-	answers   []string          // answers to scope.orders, by index
-	numbers   map[[3]int]int    // index in scope.orders, by member, incarnation and command number
-	views     map[uint64]string // decided views, by epoch
-	replaced  bool              // the last member counts in place of the first
-	exceeded  bool              // more machines were lost at once than tolerated
-	violation string
+	appliedCommands []string          // commands, as first applied
+	answers         []string          // answers to scope.commands, by index
+	numbers         map[[3]int]int    // index in scope.commands, by member, incarnation and command number
+	views           map[uint64]string // decided views, by epoch
+	replaced        bool              // the last member counts in place of the first
+	exceeded        bool              // more machines were lost at once than tolerated
+	violation       string
 }
 
 func newModel(scope *modelScope) *model {
 	m := &model{
-		scope: scope, budget: *scope, submitted: make([]bool, len(scope.orders)), answers: make([]string, len(scope.orders)),
+		scope: scope, budget: *scope, submitted: make([]bool, len(scope.commands)), answers: make([]string, len(scope.commands)),
 		numbers: make(map[[3]int]int), views: make(map[uint64]string), elapsed: time.Hour,
 	}
 	for i := range scope.members {
@@ -113,7 +113,7 @@
 	for i := range min(3, len(m.members)) {
 		m.start(i)
 	}
-	for range m.scope.settling() {
+	for range m.scope.settleSteps() {
 		m.drain()
 		m.tick()
 	}
@@ -121,7 +121,7 @@
 		for i := 3; i < len(m.members); i++ {
 			m.start(i)
 		}
-		for range m.scope.settling() {
+		for range m.scope.settleSteps() {
 			m.drain()
 			m.tick()
 		}
@@ -133,15 +133,15 @@
 	}
 }
 
-func (s *modelScope) settling() int { return int(2400 * time.Millisecond / s.step()) }
+func (s *modelScope) settleSteps() int { return int(2400 * time.Millisecond / s.step()) }
 
 // drain delivers all messages and completes all writes, in order.
 func (m *model) drain() {
 	for {
 		switch {
-		case m.syncing() >= 0:
-			m.sync(m.syncing())
-		case len(m.mail) > 0:
+		case m.pendingSync() >= 0:
+			m.sync(m.pendingSync())
+		case len(m.inFlight) > 0:
 			m.deliver(0)
 		default:
 			return
@@ -149,12 +149,12 @@
 	}
 }
 
-func (m *model) syncing() int {
+func (m *model) pendingSync() int {
 	return slices.IndexFunc(m.members, func(member *modelMember) bool { return len(member.writes) > 0 && member.node != nil && !member.frozen })
 }
 
-// own returns a copy of a member that belongs to this model, so that it may be changed.
-func (m *model) own(at int) *modelMember {
+// mutableMember returns a copy of a member that belongs to this model, so that it may be changed.
+func (m *model) mutableMember(at int) *modelMember {
 	if !m.owned[at] {
 		m.owned[at] = true
 		m.members[at] = m.members[at].clone()
@@ -170,7 +170,7 @@
 		return &copied
 	}
 	copied.node = explore.Clone(member.node)
-	copied.machine = copied.node.config.Machine.(*orderLog)
+	copied.machine = copied.node.config.Machine.(*commandLog)
 	return &copied
 }
 
@@ -179,8 +179,8 @@
 	copied.members = slices.Clone(m.members)
 	copied.owned = make([]bool, len(m.members))
 	clear(m.owned)
-	copied.mail = slices.Clone(m.mail)
-	copied.submitted, copied.answers, copied.order = slices.Clone(m.submitted), slices.Clone(m.answers), slices.Clone(m.order)
+	copied.inFlight = slices.Clone(m.inFlight)
+	copied.submitted, copied.answers, copied.appliedCommands = slices.Clone(m.submitted), slices.Clone(m.answers), slices.Clone(m.appliedCommands)
 	copied.numbers, copied.views = explore.Clone(m.numbers), explore.Clone(m.views)
 	return &copied
 }
@@ -194,11 +194,11 @@
 }
 
 func (m *model) start(at int) {
-	member := m.own(at)
+	member := m.mutableMember(at)
 	member.incarnation++
 	m.replaced = m.replaced || m.scope.replaces && at == len(m.members)-1 && m.members[0].node == nil
 	member.refusing, member.frozen, member.reliableAt = false, false, m.elapsed+modelCatchup
-	member.machine = &orderLog{}
+	member.machine = &commandLog{}
 	var seeds []string
 	for _, seed := range m.members[:min(3, len(m.members))] {
 		seeds = append(seeds, seed.address)
@@ -274,7 +274,7 @@
 	m.elapsed += m.scope.step()
 	m.steps++
 	for at := range m.members {
-		m.own(at) // their clocks change
+		m.mutableMember(at) // their clocks change
 	}
 	for at, member := range m.members {
 		if member.node == nil || member.frozen {
@@ -296,8 +296,8 @@
 func (m *model) endStopped() {
 	for at, member := range m.members {
 		if member.stopBy != 0 && !member.frozen && (m.elapsed >= member.stopBy || member.node.StopComplete(m.clock(at))) {
-			m.land(member)
-			m.end(at, true)
+			m.completeWrites(member)
+			m.endProcess(at, true)
 			m.replaced = m.replaced || m.scope.replaces && at == 0
 		}
 	}
@@ -307,10 +307,10 @@
 	m.submitted[number] = true
 	var at, base int
 	var name string
-	if _, err := fmt.Sscan(m.scope.orders[number], &at, &base, &name); err != nil {
+	if _, err := fmt.Sscan(m.scope.commands[number], &at, &base, &name); err != nil {
 		panic(err)
 	}
-	member := m.own(at)
+	member := m.mutableMember(at)
 	command := member.node.Submit(m.clock(at), fmt.Appendf(nil, "%d %s", base, name))
 	m.numbers[[3]int{at, member.incarnation, int(command)}] = number
 	m.execute(at)
--- a/control/core/node.go
+++ b/control/core/node.go
@@ -25,7 +25,7 @@
 	view        view.View // newest view that is known to be decided
 	vote        view.Vote // as an acceptor of the next view
 	chain       *chain.Chain
-	cannotOrder bool // this node is the head and was restarted in this epoch: it may have ordered commands that it does not remember
+	cannotOrder bool // it is the head and was restarted in this epoch: it may have forgotten commands that it ordered
 
 	peers          peerTracker
 	durability     durability
@@ -243,7 +243,7 @@
 	n.submitAll(now)
 }
 
-// next returns when Tick is due: soon while an operation is in progress, otherwise with the next heartbeat.
+// nextTick returns when Tick is due: soon while an operation is in progress, otherwise with the next heartbeat.
 func (n *node) nextTick(now time.Duration) time.Duration {
 	const shortInterval = 20 * time.Millisecond
 	if n.chain.HasUnapplied() && !n.degraded() {
--- a/control/core/partition_test.go
+++ b/control/core/partition_test.go
@@ -69,7 +69,7 @@
 	size := sizes[seed%uint64(len(sizes))]
 	s := newSimulation(seed, size.members, size.tolerated, m)
 	s.run(1500 * time.Millisecond)
-	s.load(50 * time.Millisecond)
+	s.submitLoad(50 * time.Millisecond)
 	s.run(4 * time.Second)
 	if s.expectService("initially", 300*time.Millisecond); s.violation != "" {
 		return s.violation, 0
@@ -138,12 +138,12 @@
 
 // waitForService runs the simulation until the others have a leader of their own and answer.
 func (s *simulation) waitForService(victim *simProcess, from time.Duration) time.Duration {
-	s.until(partitionTime/2, func() bool {
+	s.runUntil(partitionTime/2, func() bool {
 		holders := s.holders()
 		return s.now > from+50*time.Millisecond && s.lastAnswerAt > from+leaseBound && len(holders) == 1 && holders[0] != victim
 	})
 	if took := s.now - from; took > serviceBound {
-		s.fail("the members other than %s serve only after %v\n%s", victim.address, took, s.describe())
+		s.fail("the members other than %s serve only after %v\n%s", victim.address, took, s.debugString())
 	}
 	return s.now - from
 }
@@ -154,11 +154,11 @@
 		return
 	}
 	if s.now-s.lastAnswerAt > 500*time.Millisecond {
-		s.fail("the others answer nothing for %v\n%s", s.now-s.lastAnswerAt, s.describe())
+		s.fail("the others answer nothing for %v\n%s", s.now-s.lastAnswerAt, s.debugString())
 	}
 	for _, member := range s.others(victim) {
 		if !member.node.chain.Attached() {
-			s.fail("%s is not in the chain, though only %s is partitioned\n%s", member.address, victim.address, s.describe())
+			s.fail("%s is not in the chain, though only %s is partitioned\n%s", member.address, victim.address, s.debugString())
 		}
 	}
 }
@@ -167,15 +167,15 @@
 // interrupted for long.
 func (s *simulation) expectRejoin(victim *simProcess) {
 	from, last, longest := s.now, s.now, time.Duration(0)
-	s.until(healBound+3*time.Second, func() bool {
+	s.runUntil(healBound+3*time.Second, func() bool {
 		longest, last = max(longest, s.now-max(last, s.lastAnswerAt)), max(last, s.lastAnswerAt)
 		return s.now > from+100*time.Millisecond && victim.node.chain.Attached() && victim.node.view.Position(victim.node.self.ID) >= 0 &&
 			victim.node.view.Epoch == s.others(victim)[0].node.view.Epoch
 	})
 	if took := s.now - from; took > healBound {
-		s.fail("%s is back in the chain only after %v\n%s", victim.address, took, s.describe())
+		s.fail("%s is back in the chain only after %v\n%s", victim.address, took, s.debugString())
 	}
-	s.until(2*time.Second, func() bool {
+	s.runUntil(2*time.Second, func() bool {
 		longest, last = max(longest, s.now-max(last, s.lastAnswerAt)), max(last, s.lastAnswerAt)
 		return false
 	})
@@ -187,7 +187,7 @@
 
 func TestPartitionMutationsAreDetected(t *testing.T) {
 	for name, c := range map[string]struct {
-		mistake  mutant
+		mutation mutant
 		expected string
 	}{
 		"holds the lease without renewal":      {negativeMargin, "hold the leader lease at once"},
@@ -196,7 +196,7 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			for seed := range uint64(partitionSeeds) {
-				violation, _ := runPartition(seed, "head", partitionBoth, c.mistake, false)
+				violation, _ := runPartition(seed, "head", partitionBoth, c.mutation, false)
 				if strings.Contains(violation, c.expected) {
 					t.Logf("seed %d: %s", seed, violation)
 					return
--- a/control/core/quorum.go
+++ b/control/core/quorum.go
@@ -50,7 +50,7 @@
 			change.Responsive = append(change.Responsive, member.Address)
 			continue
 		}
-		change.Unresponsive = append(change.Unresponsive, member.Address+": "+n.absence(now, member))
+		change.Unresponsive = append(change.Unresponsive, member.Address+": "+n.absenceReason(now, member))
 	}
 	return change
 }
--- a/control/core/replacement_test.go
+++ b/control/core/replacement_test.go
@@ -20,7 +20,7 @@
 type replaceKind int
 
 const (
-	replacedAtNewAddress replaceKind = iota // the old machine is gone; later a new one starts with an empty disk at another address
+	replacedAtNewAddress replaceKind = iota // a new machine with an empty disk starts later, at another address
 	wipedSameAddress                        // the machine restarts at the same address with an empty disk
 	plannedReplacement                      // the new machine starts first, at another address; then the old one is stopped
 	kindCount
@@ -58,7 +58,7 @@
 		r.slots = append(r.slots, &slot{machine: member})
 	}
 	s.run(1500 * time.Millisecond)
-	s.load(60 * time.Millisecond)
+	s.submitLoad(60 * time.Millisecond)
 	s.run(5 * time.Second)
 	s.expectService("initially", 500*time.Millisecond)
 	return r
@@ -82,8 +82,8 @@
 	r.members = slices.DeleteFunc(r.members, func(other *simProcess) bool { return other == m })
 }
 
-// replace replaces the machine of a slot. The new one starts the duration of gap after the old one's end, or in a
-// planned replacement before it. replace returns once the new one was started.
+// replace replaces the machine of a slot. The duration between the end of the old machine and the start of the new one
+// is gap; in a planned replacement the new one starts first. replace returns once the new one was started.
 func (r *replacements) replace(s *slot, kind replaceKind, gap time.Duration) {
 	old := s.machine
 	s.unavailableUntil = unavailableForever
@@ -177,10 +177,10 @@
 		}
 	}
 	if voters-more < v.Majority() {
-		r.fail("no majority is left if %d more are lost: %d available of %d voters\n%s", more, voters, len(v.Voters), r.describe())
+		r.fail("no majority is left if %d more are lost: %d available of %d voters\n%s", more, voters, len(v.Voters), r.debugString())
 	}
 	if complete-more < 1 {
-		r.fail("no complete member is left if %d more are lost: %d available and complete\n%s", more, complete, r.describe())
+		r.fail("no complete member is left if %d more are lost: %d available and complete\n%s", more, complete, r.debugString())
 	}
 }
 
@@ -243,9 +243,9 @@
 		}
 	}
 	failedAt := r.now
-	r.until(failoverBound, func() bool { return r.lastAnswerAt > failedAt })
+	r.runUntil(failoverBound, func() bool { return r.lastAnswerAt > failedAt })
 	if r.lastAnswerAt <= failedAt {
-		r.fail("nothing was answered for %v after the second failure\n%s", r.now-failedAt, r.describe())
+		r.fail("nothing was answered for %v after the second failure\n%s", r.now-failedAt, r.debugString())
 	}
 }
 
@@ -278,7 +278,7 @@
 func TestReplacementMutationsAreDetected(t *testing.T) {
 	for _, c := range []struct {
 		name     string
-		mistake  mutant
+		mutation mutant
 		way      replaceKind
 		expected string
 	}{
@@ -290,7 +290,7 @@
 			t.Parallel()
 			const maxSeeds = 20 // seeds within which the mutation must be detected
 			for seed := range uint64(maxSeeds) {
-				violation := runReplacements(t, seed, 3, 1, c.way, 2*time.Second, time.Second, 0, c.mistake)
+				violation := runReplacements(t, seed, 3, 1, c.way, 2*time.Second, time.Second, 0, c.mutation)
 				if strings.Contains(violation, c.expected) {
 					t.Logf("seed %d: %s", seed, violation)
 					return
--- a/control/core/restart_test.go
+++ b/control/core/restart_test.go
@@ -43,9 +43,9 @@
 		s.restart(s.members, apart)
 		s.run(s.now + apart)
 		back := s.now
-		s.until(5*time.Second, func() bool { return len(s.holders()) == 1 })
+		s.runUntil(5*time.Second, func() bool { return len(s.holders()) == 1 })
 		require.Same(t, leader, s.holders()[0], "seed %d: another member than before leads", seed)
-		s.until(5*time.Second, func() bool { return s.lastAnswerAt > back })
+		s.runUntil(5*time.Second, func() bool { return s.lastAnswerAt > back })
 		require.Empty(t, s.violation, "seed %d", seed)
 		slowest = max(slowest, s.now-back)
 	}
@@ -59,7 +59,7 @@
 		s := steadyCore(t, seed, 4, 1)
 		leader := s.holders()[0]
 		s.restart(s.others(leader), 200*time.Millisecond)
-		s.until(2*time.Second, func() bool { return len(s.holders()) != 1 || s.holders()[0] != leader })
+		s.runUntil(2*time.Second, func() bool { return len(s.holders()) != 1 || s.holders()[0] != leader })
 		require.Empty(t, s.violation, "seed %d", seed)
 		require.Equal(t, []*simProcess{leader}, s.holders(), "seed %d", seed)
 	}
@@ -115,7 +115,7 @@
 	leader.chainChanges = nil
 	killed.kill()
 	var changes []chainChange
-	s.until(3*time.Second, func() bool {
+	s.runUntil(3*time.Second, func() bool {
 		changes = append(changes, leader.chainChanges...)
 		leader.chainChanges = nil
 		return len(changes) > 0
--- a/control/core/simulation_checks_test.go
+++ b/control/core/simulation_checks_test.go
@@ -12,7 +12,7 @@
 func (s *simulation) checkHistory() {
 	value := 0
 	seen := make(map[string]bool)
-	for at, command := range s.order {
+	for at, command := range s.appliedCommands {
 		name, from, to := parseCommand(command)
 		output := "refused"
 		if name == "read" {
@@ -30,10 +30,10 @@
 		seen[command] = true
 	}
 	earliest := maxDuration
-	for at := len(s.order) - 1; at >= 0; at-- {
-		operation := s.operations[s.order[at]]
+	for at := len(s.appliedCommands) - 1; at >= 0; at-- {
+		operation := s.operations[s.appliedCommands[at]]
 		if operation.from > earliest {
-			s.fail("command %d %q was submitted after a later one was answered", at, s.order[at])
+			s.fail("command %d %q was submitted after a later one was answered", at, s.appliedCommands[at])
 		}
 		earliest = min(earliest, operation.to)
 	}
@@ -62,7 +62,7 @@
 		return
 	}
 	if s.now-s.lastAnswerAt > within {
-		s.fail("%s: nothing was answered for %v\n%s", when, s.now-s.lastAnswerAt, s.describe())
+		s.fail("%s: nothing was answered for %v\n%s", when, s.now-s.lastAnswerAt, s.debugString())
 	}
 	holders := 0
 	for _, member := range s.members {
@@ -70,15 +70,15 @@
 			holders++
 		}
 		if member.running && !member.node.chain.Attached() {
-			s.fail("%s: %s is not in the chain\n%s", when, member.address, s.describe())
+			s.fail("%s: %s is not in the chain\n%s", when, member.address, s.debugString())
 		}
 	}
 	if holders != 1 {
-		s.fail("%s: %d members hold the leader lease\n%s", when, holders, s.describe())
+		s.fail("%s: %d members hold the leader lease\n%s", when, holders, s.debugString())
 	}
 }
 
-func (s *simulation) describe() string {
+func (s *simulation) debugString() string {
 	var text strings.Builder
 	for _, member := range s.members {
 		n := member.node
--- a/control/core/simulation_member_test.go
+++ b/control/core/simulation_member_test.go
@@ -195,9 +195,9 @@
 }
 
 // fillDisk makes all writes fail until freeDisk.
-func (m *simProcess) fillDisk() { m.folder.Break(m.s.random.IntN(3)) }
+func (m *simProcess) fillDisk() { m.folder.FailAfter(m.s.random.IntN(3)) }
 
-func (m *simProcess) freeDisk() { m.folder.Break(-1) }
+func (m *simProcess) freeDisk() { m.folder.FailAfter(-1) }
 
 func (m *simProcess) stallDisk(d time.Duration) { m.stalledUntil = m.s.now + d }
 
@@ -301,9 +301,9 @@
 	}
 	m.running = false
 	if len(m.writes) > 0 && m.s.random.IntN(2) == 0 {
-		m.folder.Break(m.s.random.IntN(6))
+		m.folder.FailAfter(m.s.random.IntN(6))
 		_, _ = m.storePending()
-		m.folder.Break(-1)
+		m.folder.FailAfter(-1)
 	}
 }
 
@@ -328,7 +328,7 @@
 func (m *simProcess) powerLoss() {
 	m.running = false
 	if len(m.writes) > 0 && m.store != nil {
-		m.folder.Break(m.s.random.IntN(6))
+		m.folder.FailAfter(m.s.random.IntN(6))
 		_, _ = m.storePending()
 	}
 	m.folder.PowerLoss(m.s.random)
--- a/control/core/simulation_play_test.go
+++ b/control/core/simulation_play_test.go
@@ -97,10 +97,10 @@
 	}
 }
 
-// load submits commands at random members for as long as the simulation runs.
-func (s *simulation) load(every time.Duration) {
+// submitLoad submits commands at random members for as long as the simulation runs.
+func (s *simulation) submitLoad(every time.Duration) {
 	s.randomMember().submit()
-	s.after(time.Duration(s.random.Int64N(int64(2*every))), func() { s.load(every) })
+	s.after(time.Duration(s.random.Int64N(int64(2*every))), func() { s.submitLoad(every) })
 }
 
 // disaster is the final fault: at most the tolerated number of machines lose their disks, the others are killed or lose
@@ -125,7 +125,7 @@
 func runHistory(seed uint64, members, tolerated int, m mutant) string {
 	s := newSimulation(seed, members, tolerated, m)
 	s.run(1500 * time.Millisecond)
-	s.load(60 * time.Millisecond)
+	s.submitLoad(60 * time.Millisecond)
 	for range 2 + s.random.IntN(6) {
 		s.run(s.now + time.Duration(s.random.Int64N(int64(1200*time.Millisecond))))
 		if s.violation != "" {
@@ -159,7 +159,7 @@
 func runDisasterHistory(seed uint64, members, tolerated int, m mutant) string {
 	s := newSimulation(seed, members, tolerated, m)
 	s.run(1500 * time.Millisecond)
-	s.load(60 * time.Millisecond)
+	s.submitLoad(60 * time.Millisecond)
 	s.disasters(3)
 	if s.violation == "" {
 		s.checkHistory()
--- a/control/core/simulation_test.go
+++ b/control/core/simulation_test.go
@@ -39,7 +39,7 @@
 	queue         []event // heap by time, then by order of creation
 	eventCount    uint64
 	members       []*simProcess
-	diskless      []*simProcess // processes without a disk; if there are any, the first three are the seeds, and the members are stores
+	diskless      []*simProcess // processes without a disk; if any, the seeds are among them, and the members are stores
 	byAddress     map[string]*simProcess
 	partitioned   map[[2]string]bool // by sender and recipient
 	loss          float64
@@ -51,11 +51,11 @@
 	applyTime     time.Duration // time that a member takes to apply a command
 	catchup       time.Duration // time that a new machine has to catch up
 
-	operations   map[string]*operation // by command
-	order        []string              // commands, as applied by the first member to reach each position
-	violation    string
-	answered     int
-	lastAnswerAt time.Duration // when a command was last answered
+	operations      map[string]*operation // by command
+	appliedCommands []string              // commands, as applied by the first member to reach each position
+	violation       string
+	answered        int
+	lastAnswerAt    time.Duration // when a command was last answered
 }
 
 // operation is one client's command. It takes effect at some time from its start to its end; if its outcome is unknown,
@@ -117,7 +117,7 @@
 	s.queue = append(s.queue, event{s.now + wait, s.eventCount, run})
 	for i := len(s.queue) - 1; i > 0; {
 		parent := (i - 1) / 2
-		if !s.before(i, parent) {
+		if !s.less(i, parent) {
 			break
 		}
 		s.queue[i], s.queue[parent] = s.queue[parent], s.queue[i]
@@ -125,7 +125,7 @@
 	}
 }
 
-func (s *simulation) before(i, j int) bool {
+func (s *simulation) less(i, j int) bool {
 	a, b := &s.queue[i], &s.queue[j]
 	return a.at < b.at || a.at == b.at && a.order < b.order
 }
@@ -140,10 +140,10 @@
 		if child >= last {
 			break
 		}
-		if child+1 < last && s.before(child+1, child) {
+		if child+1 < last && s.less(child+1, child) {
 			child++
 		}
-		if !s.before(child, i) {
+		if !s.less(child, i) {
 			break
 		}
 		s.queue[i], s.queue[child] = s.queue[child], s.queue[i]
@@ -180,12 +180,12 @@
 // applied is called when a member applies a command as number count, and compares it with other members.
 func (s *simulation) applied(count int, command string) {
 	switch {
-	case count == len(s.order):
-		s.order = append(s.order, command)
-	case count > len(s.order):
+	case count == len(s.appliedCommands):
+		s.appliedCommands = append(s.appliedCommands, command)
+	case count > len(s.appliedCommands):
 		s.fail("command %d is applied before its predecessor", count)
-	case s.order[count] != command:
-		s.fail("command %d is %q at this member, but was %q elsewhere", count, command, s.order[count])
+	case s.appliedCommands[count] != command:
+		s.fail("command %d is %q at this member, but was %q elsewhere", count, command, s.appliedCommands[count])
 	}
 }
 
--- a/control/core/submit.go
+++ b/control/core/submit.go
@@ -61,7 +61,7 @@
 	var number uint64
 	c.step(func(now time.Duration) {
 		number = c.node.Submit(now, command)
-		c.waiting[number] = done
+		c.waiters[number] = done
 	})
 	if number == 0 {
 		return nil, ErrUnavailable // Run was not called or has ended
@@ -92,7 +92,7 @@
 func (c *Core) cancel(number uint64, done chan completion) ([]byte, error) {
 	c.mu.Lock()
 	err, ended := c.node.Cancel(number)
-	delete(c.waiting, number)
+	delete(c.waiters, number)
 	c.mu.Unlock()
 	if ended {
 		end := <-done
--- a/control/core/submittargets.go
+++ b/control/core/submittargets.go
@@ -18,7 +18,7 @@
 		}
 		unresponsive := now-p.lastHeartbeatAt >= failureTimeout || p.refused || p.degraded()
 		return [5]uint64{
-			bit(unresponsive), bit(address != leader), bit(!p.heartbeat.Attached), uint64(len(p.heartbeat.Unresponsive)), math.MaxUint64 - p.heartbeat.Epoch,
+			rankBit(unresponsive), rankBit(address != leader), rankBit(!p.heartbeat.Attached), uint64(len(p.heartbeat.Unresponsive)), math.MaxUint64 - p.heartbeat.Epoch,
 		}
 	}
 	addresses := n.otherMembers()
@@ -29,7 +29,7 @@
 	return addresses
 }
 
-func bit(condition bool) uint64 {
+func rankBit(condition bool) uint64 {
 	if condition {
 		return 1
 	}
--- a/control/core/tracker.go
+++ b/control/core/tracker.go
@@ -35,7 +35,7 @@
 // degraded reports whether the peer was degraded as of its last heartbeat.
 func (p *peer) degraded() bool { return p.heartbeat.degraded() }
 
-// hasOtherDisk reports whether the peer has another disk than the member with an identity, whose address it has.
+// hasOtherDisk reports whether the process at the peer's address has another disk than the member with an identity.
 func (p *peer) hasOtherDisk(id view.ID) bool { return p.seen && p.member.ID != id }
 
 // byID returns the peer with an identity, or nil if no heartbeat of it was received.
@@ -48,7 +48,7 @@
 	return nil
 }
 
-// observe records a heartbeat, and reports whether its sender was known.
+// recordHeartbeat records a heartbeat, and reports whether its sender was known.
 func (t *peerTracker) recordHeartbeat(now time.Duration, m *heartbeat) (known bool) {
 	p := t.byAddress[m.Member.Address]
 	known = p != nil && p.seen && p.member.ID == m.Member.ID
@@ -65,8 +65,8 @@
 	return known
 }
 
-// refuse records that a connection to an address was refused. That is ignored shortly after a start, since the process
-// may not have started yet.
+// recordRefusal records that a connection to an address was refused. That is ignored shortly after a start, since the
+// process may not have started yet.
 func (t *peerTracker) recordRefusal(now time.Duration, address string, starting bool) {
 	p := t.byAddress[address]
 	if p == nil {
--- a/control/core/viewchange.go
+++ b/control/core/viewchange.go
@@ -63,7 +63,7 @@
 	if n.viewChange.proposer == nil || m.Epoch != n.view.Epoch {
 		return
 	}
-	n.viewChange.proposer.Promised(from.ID, m)
+	n.viewChange.proposer.OnPromise(from.ID, m)
 	n.continueBallot(now)
 }
 
@@ -71,7 +71,7 @@
 	if n.viewChange.proposer == nil || m.Epoch != n.view.Epoch {
 		return
 	}
-	next := n.viewChange.proposer.Accepted(from.ID, m)
+	next := n.viewChange.proposer.OnAcceptReply(from.ID, m)
 	if next == nil {
 		return
 	}
@@ -122,7 +122,7 @@
 	if !ok {
 		return false
 	}
-	if n.vote.Sealed(n.view.Epoch) || !view.Same(&n.view, &planned) {
+	if n.vote.Sealed(n.view.Epoch) || !view.Unchanged(&n.view, &planned) {
 		return true
 	}
 	return n.headCannotOrder() && (now-n.started >= startupDelay || n.allMembersSeen())
@@ -145,8 +145,8 @@
 	return true
 }
 
-// majorityHeard reports whether enough voters are responsive to decide a view. Without that check, voters that become
-// responsive later would miss the prepare message and wait until the attempt is given up.
+// isMajorityResponsive reports whether enough voters are responsive to decide a view. Without that check, voters that
+// become responsive later would miss the prepare message and wait until the attempt is given up.
 func (n *node) isMajorityResponsive(now time.Duration) bool {
 	return n.majority(func(id view.ID) bool { return n.isVoterResponsive(now, id) })
 }
--- a/control/discovery/discovery_test.go
+++ b/control/discovery/discovery_test.go
@@ -44,7 +44,7 @@
 		require.Error(t, err, body)
 	}
 	_, _, err := Parse([]byte(`{"instances":[` + entry + `,{"id":"i-2"}]}`))
-	require.ErrorIs(t, err, ErrEntry)
+	require.ErrorIs(t, err, ErrIncompleteEntry)
 	require.ErrorContains(t, err, `instances[1] (id "i-2")`)
 }
 
@@ -150,7 +150,7 @@
 	})
 	reader := p.reader(t)
 	list, _, err := reader.Read(context.Background(), 0)
-	require.ErrorIs(t, err, ErrRate)
+	require.ErrorIs(t, err, ErrRateLimited)
 	require.Nil(t, list)
 	list, _, err = reader.Read(context.Background(), 0)
 	require.NoError(t, err)
--- a/control/discovery/list.go
+++ b/control/discovery/list.go
@@ -12,8 +12,8 @@
 
 const stateDraining = "draining"
 
-// ErrEntry is wrapped by the errors for entries without an id, a backend or an address.
-var ErrEntry = errors.New("entry has no id, backend or address")
+// ErrIncompleteEntry is wrapped by the errors for entries without an id, a backend or an address.
+var ErrIncompleteEntry = errors.New("entry has no id, backend or address")
 
 type page struct {
 	Instances []instance `json:"instances"`
@@ -43,7 +43,7 @@
 	workers = make([]wire.Worker, 0, len(p.Instances))
 	for i, entry := range p.Instances {
 		if entry.ID == "" || entry.Backend == "" || entry.Address == "" {
-			return nil, "", fmt.Errorf("discovery: instances[%d] (id %q): %w", i, entry.ID, ErrEntry)
+			return nil, "", fmt.Errorf("discovery: instances[%d] (id %q): %w", i, entry.ID, ErrIncompleteEntry)
 		}
 		workers = append(workers, entry.worker())
 	}
--- a/control/discovery/reader.go
+++ b/control/discovery/reader.go
@@ -21,8 +21,8 @@
 	maxPages       = 10_000
 )
 
-// ErrRate is returned when the platform answers with status 429.
-var ErrRate = errors.New("discovery: the platform's rate limit was exceeded")
+// ErrRateLimited is returned when the platform answers with status 429.
+var ErrRateLimited = errors.New("discovery: the platform's rate limit was exceeded")
 
 // Reader reads the list over a persistent connection. It is not safe for concurrent use.
 type Reader struct {
@@ -98,7 +98,7 @@
 	case fasthttp.StatusOK:
 		return Parse(response.Body())
 	case fasthttp.StatusTooManyRequests:
-		return nil, "", ErrRate
+		return nil, "", ErrRateLimited
 	default:
 		return nil, "", fmt.Errorf("discovery: %s answered with status %d", r.address, status)
 	}
--- a/control/leader/hosting.go
+++ b/control/leader/hosting.go
@@ -11,8 +11,8 @@
 	// Order returns the order for a store that has just renewed, or nil if there is none. The placement is the newest
 	// that this process has applied; it is nil if there is none, or if this process does not lead.
 	Order(store *wire.Member, placement *wire.StoreView) *wire.HostCore
-	// Hosts reports whether the store that listens at an address has a vote in the core.
-	Hosts(address string) bool
+	// HasVote reports whether the store that listens at an address has a vote in the core.
+	HasVote(address string) bool
 }
 
 // sendHostOrder notifies a store that it must join or leave the core, if Hosting has an order for it.
@@ -31,7 +31,7 @@
 		return false
 	}
 	for i := range placement.Stores {
-		if placement.Stores[i].Node == node && s.config.Hosting.Hosts(placement.Stores[i].Address) {
+		if placement.Stores[i].Node == node && s.config.Hosting.HasVote(placement.Stores[i].Address) {
 			return true
 		}
 	}
--- a/control/leader/leader.go
+++ b/control/leader/leader.go
@@ -169,12 +169,12 @@
 // placementConfig derives the placement's configuration from the failures that the settings say must be tolerated.
 func placementConfig(s *settings.Settings) placement.Config {
 	return placement.Config{
-		Copies:     1 + max(s.ToleratedNodes, s.ToleratedZones, s.ToleratedRegions),
-		Partitions: placement.DefaultPartitions,
-		Zones:      s.ToleratedZones > 0,
-		Regions:    s.ToleratedRegions > 0,
+		Copies:             1 + max(s.ToleratedNodes, s.ToleratedZones, s.ToleratedRegions),
+		Partitions:         placement.DefaultPartitions,
+		TolerateZoneLoss:   s.ToleratedZones > 0,
+		TolerateRegionLoss: s.ToleratedRegions > 0,
 
-		GatherZones: true,
+		ColocateInZone: true,
 	}
 }
 
--- a/control/leader/members.go
+++ b/control/leader/members.go
@@ -63,7 +63,7 @@
 	case earlier.edgesSaved:
 		return earlier.membersKnownAt + membersFetchTimeout
 	case earlier.membersKnown:
-		return m.leases.config.Suspicion()
+		return m.leases.config.MaxLease()
 	}
 	return max(m.newEdgeAt+membersQuietPeriod, firstMembersDelay)
 }
--- a/control/leader/retirement_test.go
+++ b/control/leader/retirement_test.go
@@ -14,7 +14,7 @@
 // holdsAny reports whether a node has a replica of any partition.
 func holdsAny(view *wire.StoreView, node string) bool {
 	for i, s := range view.Stores {
-		if s.Node == node && placement.Holds(view, i) {
+		if s.Node == node && placement.IsMember(view, i) {
 			return true
 		}
 	}
--- a/control/leader/status_test.go
+++ b/control/leader/status_test.go
@@ -22,7 +22,7 @@
 		return members
 	}
 	f.eventually("all members are counted, and the edges are ready", func() bool {
-		return slices.Equal(count().Edges, []status.Edges{{Zone: "z0", Ready: 2}, {Zone: "z1", Ready: 2}}) && len(count().Stores) == 2
+		return slices.Equal(count().Edges, []status.ZoneEdges{{Zone: "z0", Ready: 2}, {Zone: "z1", Ready: 2}}) && len(count().Stores) == 2
 	})
 
 	_, err := f.controls[1].service.Members(t.Context())
--- a/control/leader/term.go
+++ b/control/leader/term.go
@@ -179,7 +179,7 @@
 	if t.workers.list == nil {
 		t.takeover.fetch(c, wire.TopicWorkers, have[wire.TopicWorkers], t.adoptTopic)
 	}
-	if t.now() < t.leases.config.Suspicion() {
+	if t.now() < t.leases.config.MaxLease() {
 		t.takeover.fetch(c, wire.TopicMembers, have[wire.TopicMembers], t.adoptTopic)
 	}
 }
@@ -193,7 +193,7 @@
 	}
 	if update.Topic == wire.TopicMembers {
 		members := new(wire.Members)
-		if _, err := members.UnmarshalMsg(payload); err == nil && t.now() < t.leases.config.Suspicion() {
+		if _, err := members.UnmarshalMsg(payload); err == nil && t.now() < t.leases.config.MaxLease() {
 			t.takeover.adopted[update.Topic] = update.To
 			t.applyChanges(t.leases.registry.Adopt(t.now(), members))
 		}
--- a/control/lease/holder.go
+++ b/control/lease/holder.go
@@ -33,7 +33,7 @@
 }
 
 // OnReply handles a voter's reply, and reports whether it has extended the lease.
-func (h *Holder) Granted(current *view.View, from view.ID, reply *Reply) bool {
+func (h *Holder) OnReply(current *view.View, from view.ID, reply *Reply) bool {
 	if h.grants == nil || reply.Incarnation != h.incarnation || reply.ElectionRound != h.electionRound || reply.Epoch != h.epoch || current.Epoch != h.epoch || h.granted {
 		return false
 	}
--- a/control/operatorclient/client.go
+++ b/control/operatorclient/client.go
@@ -23,7 +23,7 @@
 // Options configures a Client.
 type Options struct {
 	Addresses []string      // host:port, tried in this order; at least one is required
-	Within    time.Duration // for all attempts of a call; 0: 30 seconds
+	Timeout   time.Duration // for all attempts of a call; 0: 30 seconds
 	// Sleep waits between attempts; nil: by the system's clock.
 	Sleep func(ctx context.Context, pause time.Duration) error
 }
@@ -47,8 +47,8 @@
 			return nil, fmt.Errorf("operatorclient: address %q: %w", address, err)
 		}
 	}
-	if options.Within <= 0 {
-		options.Within = defaultTimeout
+	if options.Timeout <= 0 {
+		options.Timeout = defaultTimeout
 	}
 	if options.Sleep == nil {
 		options.Sleep = sleep
--- a/control/operatorclient/client_test.go
+++ b/control/operatorclient/client_test.go
@@ -246,7 +246,7 @@
 	c := s.start()
 	s.leads = c.address
 	client, pauses := s.client(10, c.address)
-	require.Equal(t, KindUnknown, failureOf(t, client.StartRetire(t.Context(), "store-2", time.Second)).Kind)
+	require.Equal(t, KindNotFound, failureOf(t, client.StartRetire(t.Context(), "store-2", time.Second)).Kind)
 	require.Len(t, *pauses, 2)
 	require.EqualValues(t, 3, c.orders.Load())
 }
@@ -329,7 +329,7 @@
 	require.Equal(t, KindUndecided, failureOf(t, err).Kind)
 	client, _ = newSystem(t).client(5, strings.TrimPrefix(edge.URL, "http://"))
 	_, err = client.Message(t.Context(), "lode17.example", "none")
-	require.Equal(t, KindUnknown, failureOf(t, err).Kind)
+	require.Equal(t, KindNotFound, failureOf(t, err).Kind)
 }
 
 func TestNewChecksAddresses(t *testing.T) {
--- a/control/operatorclient/errors.go
+++ b/control/operatorclient/errors.go
@@ -13,7 +13,7 @@
 const (
 	KindInvalid     Kind = 1 + iota // the order itself is invalid: see Findings
 	KindConflict                    // the order conflicts with the current state: see Version
-	KindUnknown                     // the machine, message or configuration does not exist
+	KindNotFound                    // the machine, message or configuration does not exist
 	KindRefused                     // refused for another reason
 	KindUnavailable                 // no process could accept the order: it was certainly not applied
 	KindUndecided                   // no answer says whether the order was applied
@@ -48,7 +48,7 @@
 		return "invalid"
 	case KindConflict:
 		return "in conflict with what is in place"
-	case KindUnknown:
+	case KindNotFound:
 		return "unknown"
 	case KindRefused:
 		return "refused"
--- a/control/operatorclient/orders.go
+++ b/control/operatorclient/orders.go
@@ -34,7 +34,7 @@
 		return nil
 	}))
 	var failure *Error
-	if errors.As(err, &failure) && failure.Kind == KindUnknown {
+	if errors.As(err, &failure) && failure.Kind == KindNotFound {
 		return document, nil
 	}
 	return document, err
@@ -55,7 +55,7 @@
 		Version uint64 `json:"version"`
 	}
 	err := c.do(ctx, &call{
-		method: http.MethodPost, path: path, body: body, timeout: c.options.Within,
+		method: http.MethodPost, path: path, body: body, timeout: c.options.Timeout,
 		header: map[string]string{baseHeader: strconv.FormatUint(base, 10)},
 		accept: func(body []byte) error { return json.Unmarshal(body, &taken) },
 	})
@@ -72,7 +72,7 @@
 	}
 	return c.do(ctx, &call{
 		method: http.MethodPost, path: "/v1/retire/" + url.PathEscape(node) + "/start", body: body,
-		timeout: min(c.options.Within, retireTimeout),
+		timeout: min(c.options.Timeout, retireTimeout),
 		accept:  func([]byte) error { return nil },
 	})
 }
@@ -108,7 +108,7 @@
 	}
 	leader := *c
 	leader.options.Addresses = []string{seen.Core.LeaderAdmin}
-	leader.options.Within = baseAttemptTimeout
+	leader.options.Timeout = baseAttemptTimeout
 	if better, err := leader.status(ctx); err == nil {
 		return better, nil
 	}
@@ -125,5 +125,5 @@
 }
 
 func (c *Client) get(path string, accept func(body []byte) error) *call {
-	return &call{method: http.MethodGet, path: path, timeout: c.options.Within, accept: accept}
+	return &call{method: http.MethodGet, path: path, timeout: c.options.Timeout, accept: accept}
 }
--- a/control/operatorclient/verdict.go
+++ b/control/operatorclient/verdict.go
@@ -63,7 +63,7 @@
 	case http.StatusConflict, http.StatusPreconditionFailed:
 		return KindConflict
 	case http.StatusNotFound:
-		return KindUnknown
+		return KindNotFound
 	}
 	return KindRefused
 }
--- a/control/placement/compat_test.go
+++ b/control/placement/compat_test.go
@@ -115,8 +115,8 @@
 func TestPlannedViewsMatchEarlierVersion(t *testing.T) {
 	for name, config := range map[string]Config{
 		"views-nodes":   {Copies: 2, Partitions: 32},
-		"views-zones":   {Copies: 3, Partitions: 32, Zones: true},
-		"views-regions": {Copies: 2, Partitions: 32, Regions: true},
+		"views-zones":   {Copies: 3, Partitions: 32, TolerateZoneLoss: true},
+		"views-regions": {Copies: 2, Partitions: 32, TolerateRegionLoss: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			golden, err := os.ReadFile("testdata/compat/" + name + ".txt")
--- a/control/placement/guards_test.go
+++ b/control/placement/guards_test.go
@@ -54,21 +54,21 @@
 }
 
 func (s *planStep) hasEnoughCopies(replicas []string) bool {
-	certain := slices.DeleteFunc(slices.Clone(replicas), func(disk string) bool { return !s.usable(disk) })
-	return len(certain) >= s.config.Copies
+	counted := slices.DeleteFunc(slices.Clone(replicas), func(disk string) bool { return !s.usable(disk) })
+	return len(counted) >= s.config.Copies
 }
 
 // check returns a description of the first violation that it finds in the step, or "".
 func (s *planStep) check() string {
 	for p := range s.view.Partitions {
-		if fault := s.checkPartition(p); fault != "" {
-			return fmt.Sprintf("epoch %d, partition %d: %s: %+v became %+v", s.next.Epoch, p, fault, s.view.Partitions[p], s.next.Partitions[p])
+		if violation := s.checkPartition(p); violation != "" {
+			return fmt.Sprintf("epoch %d, partition %d: %s: %+v became %+v", s.next.Epoch, p, violation, s.view.Partitions[p], s.next.Partitions[p])
 		}
 	}
 	for i, store := range s.next.Stores {
 		if _, _, done := Retirement(s.next, store.Node); done {
-			if fault := s.checkEmptied(uint16(i)); fault != "" {
-				return fault
+			if violation := s.checkEmptied(uint16(i)); violation != "" {
+				return violation
 			}
 		}
 	}
@@ -78,7 +78,7 @@
 func (s *planStep) checkPartition(p int) string {
 	before, after := s.view.Partitions[p], s.next.Partitions[p]
 	complete, replicas := disks(s.view, before.Replicas), disks(s.next, after.Replicas)
-	former, wasFormer := disks(s.next, after.Former), disks(s.view, before.Former)
+	former, formerBefore := disks(s.next, after.Former), disks(s.view, before.Former)
 	available := slices.ContainsFunc(complete, func(disk string) bool { _, alive := s.live[disk]; return alive }) ||
 		slices.ContainsFunc(disks(s.view, before.Joining), func(disk string) bool {
 			reported, alive := s.live[disk]
@@ -89,7 +89,7 @@
 			return disk + " is a live complete replica and is dropped although fewer than Copies usable replicas remain"
 		}
 	}
-	for _, disk := range slices.Concat(complete, disks(s.view, before.Joining), wasFormer) {
+	for _, disk := range slices.Concat(complete, disks(s.view, before.Joining), formerBefore) {
 		kept := slices.Contains(replicas, disk) || slices.Contains(former, disk) || slices.Contains(disks(s.next, after.Joining), disk)
 		if !kept && !s.wiped(disk) && !s.hasEnoughCopies(replicas) && !s.covered(p, disk) {
 			return "the writes on " + disk + " may be needed, but it is no longer a member or former member"
@@ -97,7 +97,7 @@
 	}
 	for _, disk := range disks(s.next, after.Joining) {
 		isNew := !slices.Contains(disks(s.view, before.Joining), disk)
-		if isNew && !s.usable(disk) && (!after.Unsure || !slices.Contains(wasFormer, disk)) {
+		if isNew && !s.usable(disk) && (!after.Unsure || !slices.Contains(formerBefore, disk)) {
 			return disk + " becomes a joining store although it is not usable"
 		}
 	}
@@ -120,10 +120,10 @@
 
 // randomSteps simulates failures, recoveries, replaced disks, planned stops, changes of the leader, retirements and
 // completed joins, and checks each step. It returns a description of the first violation, or "".
-func randomSteps(seed uint64, broken mutant) string {
+func randomSteps(seed uint64, faults mutant) string {
 	random := rand.New(rand.NewPCG(seed, 3))
 	all := storesIn(2, 2, 1)
-	config := Config{Copies: 1 + random.IntN(3), Partitions: 8, Zones: random.IntN(2) == 0, mutant: broken}
+	config := Config{Copies: 1 + random.IntN(3), Partitions: 8, TolerateZoneLoss: random.IntN(2) == 0, mutant: faults}
 	view, bootstrapped := Plan(nil, all, config)
 	if !bootstrapped {
 		return "not bootstrapped"
@@ -174,14 +174,14 @@
 }
 
 func TestChecksDetectPlanFaults(t *testing.T) {
-	for name, broken := range map[string]mutant{
+	for name, faults := range map[string]mutant{
 		"unusable stores count":            {countUnusable: true},
 		"dropped with one other copy left": {dropWithOneCopy: true},
 		"former members are forgotten":     {forgetFormer: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			for seed := range uint64(guardSeeds) {
-				if fault := randomSteps(seed, broken); fault != "" {
+				if fault := randomSteps(seed, faults); fault != "" {
 					t.Log(fault)
 					return
 				}
@@ -230,11 +230,11 @@
 // the disk of a joining store is lost, the plan must wait for the complete replica although a former member is live:
 // the former member lacks the writes accepted since it was dropped.
 func TestPlanWaitsForCompleteReplicaWhenJoiningDiskIsWiped(t *testing.T) {
-	for name, broken := range map[string]mutant{"without the fault": {}, "with the fault": {ignoreWipedJoining: true}} {
+	for name, faults := range map[string]mutant{"without the fault": {}, "with the fault": {ignoreWipedJoining: true}} {
 		t.Run(name, func(t *testing.T) {
 			live := storesIn(1, 1, 1)
 			c := config(2)
-			c.mutant = broken
+			c.mutant = faults
 			view, _ := Plan(nil, live, c)
 			former, complete := view.Stores[view.Partitions[0].Replicas[0]].Disk, view.Stores[view.Partitions[0].Replicas[1]].Disk
 			others := func(disks ...string) []Store {
@@ -250,7 +250,7 @@
 				}
 			}
 			view, _ = Plan(view, wiped, c)
-			require.Equal(t, broken == mutant{}, slices.Contains(disks(view, view.Partitions[0].Replicas), complete))
+			require.Equal(t, faults == mutant{}, slices.Contains(disks(view, view.Partitions[0].Replicas), complete))
 		})
 	}
 }
@@ -258,7 +258,7 @@
 // A retiring store keeps its replicas while the remaining stores are about to stop, or have not renewed their lease
 // with a new leader yet.
 func TestRetiringStoreWaitsForUsableReplicas(t *testing.T) {
-	for name, doubt := range map[string]func(*Store){
+	for name, makeUnusable := range map[string]func(*Store){
 		"leaving": func(s *Store) { s.Leaving = true },
 		"assumed": func(s *Store) { s.Assumed = true },
 	} {
@@ -269,9 +269,9 @@
 			view, _, _ = Retire(view, live, c, live[0].Node)
 			view, _ = Plan(view, live, c)
 			reported := allSynced(view, live)
-			doubt(&reported[1])
-			doubt(&reported[2])
-			doubt(&reported[3])
+			makeUnusable(&reported[1])
+			makeUnusable(&reported[2])
+			makeUnusable(&reported[3])
 			next, _ := Plan(view, reported, c)
 			known, retiring, done := Retirement(next, live[0].Node)
 			require.True(t, known && retiring && !done)
--- a/control/placement/placement.go
+++ b/control/placement/placement.go
@@ -16,13 +16,13 @@
 
 // Config configures how many copies a partition has and how they are spread.
 type Config struct {
-	Copies     int  // complete replicas of each partition
-	Partitions int  // number of partitions of a new system
-	Zones      bool // the loss of a zone must be tolerated: two copies in one zone count as one
-	Regions    bool // the loss of a region must be tolerated: two copies in one region count as one
-	// GatherZones puts all copies of a partition into one zone if that zone has enough stores. It has no effect if
-	// Zones or Regions is set.
-	GatherZones bool
+	Copies             int  // complete replicas of each partition
+	Partitions         int  // number of partitions of a new system
+	TolerateZoneLoss   bool // the loss of a zone must be tolerated: two copies in one zone count as one
+	TolerateRegionLoss bool // the loss of a region must be tolerated: two copies in one region count as one
+	// ColocateInZone puts all copies of a partition into one zone if that zone has enough stores. It has no effect if
+	// TolerateZoneLoss or TolerateRegionLoss is set.
+	ColocateInZone bool
 
 	mutant mutant
 }
@@ -168,12 +168,12 @@
 	if index < 0 {
 		return false, false, false
 	}
-	return true, view.Stores[index].Retiring, view.Stores[index].Retiring && !Holds(view, index) && !isFormer(view, index)
+	return true, view.Stores[index].Retiring, view.Stores[index].Retiring && !IsMember(view, index) && !isFormer(view, index)
 }
 
-// Holds reports whether any partition of the view has the store with this index as a complete replica or as a joining
+// IsMember reports whether any partition of the view has the store with this index as a complete replica or as a joining
 // store.
-func Holds(view *wire.StoreView, store int) bool {
+func IsMember(view *wire.StoreView, store int) bool {
 	index := uint16(store)
 	for _, p := range view.Partitions {
 		if slices.Contains(p.Replicas, index) || slices.Contains(p.Joining, index) {
--- a/control/placement/placement_test.go
+++ b/control/placement/placement_test.go
@@ -98,7 +98,7 @@
 	require.False(t, changed)
 	require.Nil(t, view)
 	strict := config(2)
-	strict.Zones = true
+	strict.TolerateZoneLoss = true
 	_, changed = Plan(nil, storesIn(2), strict)
 	require.False(t, changed, "two stores in one zone are not enough")
 	view, changed = Plan(nil, storesIn(1, 1), strict)
@@ -178,12 +178,12 @@
 func TestPlanWaitsForLastCompleteReplica(t *testing.T) {
 	live := storesIn(1, 1)
 	view, _ := Plan(nil, live, config(2))
-	none, changed := Plan(view, nil, config(2))
+	unchanged, changed := Plan(view, nil, config(2))
 	require.False(t, changed)
-	require.Same(t, view, none)
+	require.Same(t, view, unchanged)
 	alone, _ := Plan(view, live[:1], config(2))
-	waits, changed := Plan(alone, live[1:], config(2))
-	require.False(t, changed, "the other store missed writes: %v", waits)
+	waiting, changed := Plan(alone, live[1:], config(2))
+	require.False(t, changed, "the other store missed writes: %v", waiting)
 	back, changed := Plan(alone, live, config(2))
 	require.True(t, changed)
 	for _, placed := range back.Partitions {
@@ -243,7 +243,7 @@
 func TestReplicasAreInDistinctZonesIfZoneLossIsTolerated(t *testing.T) {
 	live := storesIn(2, 2)
 	strict := config(2)
-	strict.Zones = true
+	strict.TolerateZoneLoss = true
 	view, _ := Plan(nil, live, strict)
 	requireZones(t, view, 2)
 	oneZone := converge(t, view, live[:2], strict)
--- a/control/placement/plan.go
+++ b/control/placement/plan.go
@@ -46,7 +46,8 @@
 	return slices.Contains(a.replicas, s) || slices.Contains(a.joining, s)
 }
 
-// unavailable reports whether no complete replica is live. The plan then leaves the partition as it is until one returns.
+// unavailable reports whether no complete replica is live. Most steps of the plan skip such a partition: it waits for
+// one to return.
 func (a *assignment) unavailable() bool {
 	return !slices.ContainsFunc(a.replicas, func(s *store) bool { return s.live })
 }
@@ -126,11 +127,11 @@
 	}
 }
 
-func (p *plan) mustSpread() bool { return p.config.Zones || p.config.Regions }
+func (p *plan) mustSpread() bool { return p.config.TolerateZoneLoss || p.config.TolerateRegionLoss }
 
 // failureDomain returns the failure domain of a store: its region if the loss of a region must be tolerated, else its zone.
 func (p *plan) failureDomain(s *store) string {
-	if p.config.Regions {
+	if p.config.TolerateRegionLoss {
 		return s.Region
 	}
 	return s.Zone
--- a/control/placement/properties_test.go
+++ b/control/placement/properties_test.go
@@ -16,7 +16,7 @@
 func TestPlanKeepsCompleteReplicas(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		all := storesIn(2, 2, 1)
-		c := Config{Copies: rapid.IntRange(1, 3).Draw(t, "copies"), Partitions: 16, Zones: rapid.Bool().Draw(t, "strict")}
+		c := Config{Copies: rapid.IntRange(1, 3).Draw(t, "copies"), Partitions: 16, TolerateZoneLoss: rapid.Bool().Draw(t, "strict")}
 		view, bootstrapped := Plan(nil, all, c)
 		require.True(t, bootstrapped)
 		up := make([]bool, len(all))
@@ -24,7 +24,7 @@
 			up[i] = true
 		}
 		for step := range rapid.IntRange(1, 30).Draw(t, "steps") {
-			c.GatherZones = rapid.Bool().Draw(t, "gather") // leaders of two versions may alternate during a rolling upgrade
+			c.ColocateInZone = rapid.Bool().Draw(t, "gather") // leaders of two versions may alternate during a rolling upgrade
 			view = applyRandomEvent(t, view, all, up, c, step)
 		}
 		for i := range all {
@@ -32,10 +32,10 @@
 		}
 		view = converge(t, view, all, c)
 		requireComplete(t, view, c.Copies)
-		if c.Copies <= 2 && !c.GatherZones {
+		if c.Copies <= 2 && !c.ColocateInZone {
 			requireDistinctZones(t, view, c.Copies)
 		}
-		requireEvenPrimaries(t, view)
+		requireNoPrimariesOnRetiring(t, view)
 	})
 }
 
@@ -161,7 +161,7 @@
 	requireZones(t, view, min(copies, len(zones)))
 }
 
-func requireEvenPrimaries(t require.TestingT, view *wire.StoreView) {
+func requireNoPrimariesOnRetiring(t require.TestingT, view *wire.StoreView) {
 	_, primaries := loads(view)
 	for _, s := range view.Stores {
 		require.False(t, s.Retiring && primaries[s.Disk] > 0, "%s is retiring", s.Disk)
--- a/control/placement/regions.go
+++ b/control/placement/regions.go
@@ -29,7 +29,7 @@
 // store alone moves no partition. If the loss of a region must be tolerated, copies must be in several regions, and no
 // partition has a preferred one.
 func (p *plan) assignPreferredRegions() {
-	if p.config.Regions {
+	if p.config.TolerateRegionLoss {
 		return
 	}
 	owners := p.preferredRegionCandidates()
--- a/control/placement/regions_test.go
+++ b/control/placement/regions_test.go
@@ -42,7 +42,7 @@
 	require.Zero(t, countCrossRegion(view), "after bootstrap")
 	require.Zero(t, countCrossRegion(converge(t, view, live, config(2))))
 	c := config(2)
-	c.Regions = true
+	c.TolerateRegionLoss = true
 	view, _ = Plan(nil, live, c)
 	require.Equal(t, DefaultPartitions, countCrossRegion(view), "the loss of a region must be tolerated")
 }
@@ -50,12 +50,12 @@
 func TestReplicasReturnToPreferredRegion(t *testing.T) {
 	live := storesOfTwoRegions()
 	west := slices.DeleteFunc(slices.Clone(live), func(s Store) bool { return s.Region == "east" })
-	for name, left := range map[string][]Store{
+	for name, remaining := range map[string][]Store{
 		"region has one live store": append(slices.Clone(west), live[0]), "region is down": west,
 	} {
 		t.Run(name, func(t *testing.T) {
 			view, _ := Plan(nil, live, config(2))
-			view = converge(t, view, left, config(2))
+			view = converge(t, view, remaining, config(2))
 			view = converge(t, view, live, config(2))
 			require.Zero(t, countCrossRegion(view))
 			counts, primaries := loads(view)
--- a/control/placement/zones.go
+++ b/control/placement/zones.go
@@ -29,7 +29,7 @@
 // A partition keeps the zone that most of its copies are in unless that zone's quota is used up, so that adding or
 // removing a store moves few partitions.
 func (p *plan) assignPreferredZones() {
-	if !p.config.GatherZones || p.mustSpread() {
+	if !p.config.ColocateInZone || p.mustSpread() {
 		return
 	}
 	byRegion := make(map[string][]*assignment)
--- a/control/placement/zones_test.go
+++ b/control/placement/zones_test.go
@@ -12,7 +12,7 @@
 
 func colocatedConfig(copies int) Config {
 	c := config(copies)
-	c.GatherZones = true
+	c.ColocateInZone = true
 	return c
 }
 
@@ -42,7 +42,7 @@
 
 func TestColocationIsIgnoredIfZoneLossIsTolerated(t *testing.T) {
 	strict := colocatedConfig(2)
-	strict.Zones = true
+	strict.TolerateZoneLoss = true
 	view, ok := Plan(nil, storesIn(3, 3), strict)
 	require.True(t, ok)
 	requireZones(t, view, 2)
@@ -115,19 +115,19 @@
 func TestAddingOrRetiringStoreMovesFewReplicas(t *testing.T) {
 	all := storesIn(7, 6, 6)
 	view, _ := Plan(nil, all, colocatedConfig(3))
-	part := 3 * DefaultPartitions / len(all)
+	replicasPerStore := 3 * DefaultPartitions / len(all)
 	t.Run("store added", func(t *testing.T) {
-		more := append(slices.Clone(all), storesIn(0, 0, 7)[6])
-		after := converge(t, view, more, colocatedConfig(3))
+		extended := append(slices.Clone(all), storesIn(0, 0, 7)[6])
+		after := converge(t, view, extended, colocatedConfig(3))
 		require.Zero(t, countCrossZone(after))
-		require.LessOrEqual(t, countMoved(view, after), 3*part)
+		require.LessOrEqual(t, countMoved(view, after), 3*replicasPerStore)
 	})
 	t.Run("store retired", func(t *testing.T) {
 		marked, _, enough := Retire(view, all, colocatedConfig(3), all[0].Node)
 		require.True(t, enough)
 		after := converge(t, marked, all, colocatedConfig(3))
 		require.Zero(t, countCrossZone(after))
-		require.LessOrEqual(t, countMoved(view, after), 3*part)
+		require.LessOrEqual(t, countMoved(view, after), 3*replicasPerStore)
 	})
 }
 
@@ -139,7 +139,7 @@
 		c := colocatedConfig(rapid.IntRange(1, 3).Draw(t, "copies"))
 		c.Partitions = 16
 		started := c
-		started.GatherZones = rapid.Bool().Draw(t, "colocated from the start")
+		started.ColocateInZone = rapid.Bool().Draw(t, "colocated from the start")
 		view, ok := Plan(nil, all, started)
 		require.True(t, ok)
 		view = converge(t, view, all, started)
@@ -151,6 +151,6 @@
 		}
 		view = converge(t, view, all, c)
 		requireComplete(t, view, c.Copies)
-		requireEvenPrimaries(t, view)
+		requireNoPrimariesOnRetiring(t, view)
 	})
 }
--- a/control/plane/hosting.go
+++ b/control/plane/hosting.go
@@ -29,7 +29,7 @@
 const stoppingTimeout = 5 * time.Second // after its last report a stopping store counts as a normal voter again
 
 func newHosting(s *settings.Settings, c *core.Core, log *slog.Logger) *hosting {
-	requiredVoters := core.DurabilityOf(s).Voters()
+	requiredVoters := core.DurabilityOf(s).RequiredVoters()
 	return &hosting{
 		settings: s, core: c, log: log, started: time.Now(), recruiter: newRecruiter(requiredVoters), stopping: make(map[string]time.Duration),
 	}
@@ -52,7 +52,7 @@
 	core.stopping = h.recordStopping(now, address, store.Leaving)
 	if address == h.settings.ControlAddress(h.settings.IP) {
 		if core.retiring[address] {
-			h.core.Abdicate() // the next leader replaces this member: a leader does not order its own store to leave
+			h.core.Resign() // the next leader replaces this member: a leader does not order its own store to leave
 		}
 		return nil
 	}
@@ -110,8 +110,8 @@
 	return m
 }
 
-// Hosts implements leader.Hosting.
-func (h *hosting) Hosts(address string) bool {
+// HasVote implements leader.Hosting.
+func (h *hosting) HasVote(address string) bool {
 	coreAddress := controlAddress(h.settings, address)
 	return containsAddress(h.core.Status().Voters, coreAddress)
 }
--- a/control/plane/plane_test.go
+++ b/control/plane/plane_test.go
@@ -145,8 +145,8 @@
 	require.Nil(t, renew(3), "the core is bootstrapped: now the leader invites stores")
 
 	leading := newHosting(s.leader().config.Settings, s.leader().Core, slog.New(slog.DiscardHandler))
-	require.True(t, leading.Hosts(net.JoinHostPort(storeIP(1), "9")))
-	require.False(t, leading.Hosts(net.JoinHostPort(storeIP(3), "9")))
+	require.True(t, leading.HasVote(net.JoinHostPort(storeIP(1), "9")))
+	require.False(t, leading.HasVote(net.JoinHostPort(storeIP(3), "9")))
 }
 
 // TestLeaderInvitesOneStoreForFourControlProcesses has a core of three voters and a learner that must tolerate two
--- a/control/registry/model_test.go
+++ b/control/registry/model_test.go
@@ -18,18 +18,18 @@
 	replaced map[string]bool
 }
 
-func (s *scanModel) next() (next time.Duration, some bool) {
+func (s *scanModel) next() (next time.Duration, ok bool) {
 	for _, e := range s.entries {
-		if !some || e.deadline < next {
-			next, some = e.deadline, true
+		if !ok || e.deadline < next {
+			next, ok = e.deadline, true
 		}
 	}
-	return next, some
+	return next, ok
 }
 
 func (s *scanModel) postponeAfterPause(now time.Duration) {
-	next, some := s.next()
-	if !some || now <= next+maxTickDelay {
+	next, ok := s.next()
+	if !ok || now <= next+maxTickDelay {
 		return
 	}
 	for _, e := range s.entries {
@@ -43,7 +43,7 @@
 	return Changes{Members: member.Edge, Stores: member.Storage, Urgent: member.Storage}
 }
 
-func (s *scanModel) renew(now time.Duration, link uint64, renew *wire.Renew) (time.Duration, Changes) {
+func (s *scanModel) renew(now time.Duration, connection uint64, renew *wire.Renew) (time.Duration, Changes) {
 	s.postponeAfterPause(now)
 	var changes Changes
 	if s.replaced[renew.Member.ID] {
@@ -64,7 +64,7 @@
 		known = &entry{}
 	}
 	changes.add(changesBy(known, renew))
-	s.entries[renew.Member.ID] = &entry{member: renew.Member, status: renew.Store, connection: link, deadline: now + lease}
+	s.entries[renew.Member.ID] = &entry{member: renew.Member, status: renew.Store, connection: connection, deadline: now + lease}
 	return lease, changes
 }
 
@@ -85,11 +85,11 @@
 	return changes
 }
 
-func (s *scanModel) disconnected(now time.Duration, link uint64) Changes {
+func (s *scanModel) disconnected(now time.Duration, connection uint64) Changes {
 	s.postponeAfterPause(now)
 	var changes Changes
 	for id, e := range s.entries {
-		if e.connection != link || link == 0 {
+		if e.connection != connection || connection == 0 {
 			continue
 		}
 		e.connection = 0
@@ -137,8 +137,8 @@
 			case 0:
 				require.Equal(t, model.tick(now), r.Tick(now))
 			case 1:
-				link := uint64(number("link", 4))
-				require.Equal(t, model.disconnected(now, link), r.Disconnected(now, link))
+				connection := uint64(number("connection", 4))
+				require.Equal(t, model.disconnected(now, connection), r.Disconnected(now, connection))
 			case 2:
 				id := number("member", 6)
 				edges := []wire.Edge{{ID: fmt.Sprint(id), Address: fmt.Sprint("a", number("address", 6))}}
@@ -149,17 +149,17 @@
 					ID: fmt.Sprint(id), Address: fmt.Sprint("a", number("address", 6)), Edge: id%2 == 0, Storage: id%2 == 1,
 					Leaving: number("leaving", 4) == 0, Ready: true,
 				}}
-				link := uint64(number("link", 4))
-				lease, changes := model.renew(now, link, renew)
-				got, gotChanges := r.Renew(now, link, renew)
+				connection := uint64(number("connection", 4))
+				lease, changes := model.renew(now, connection, renew)
+				got, gotChanges := r.Renew(now, connection, renew)
 				require.Equal(t, lease, got)
 				require.Equal(t, changes, gotChanges)
 			}
-			next, some := model.next()
-			gotNext, gotSome := r.Next()
-			require.Equal(t, some, gotSome)
+			next, ok := model.next()
+			gotNext, gotOK := r.Next()
+			require.Equal(t, ok, gotOK)
 			require.Equal(t, next, gotNext)
-			require.Equal(t, model.adoptionComplete(), r.Heard())
+			require.Equal(t, model.adoptionComplete(), r.AdoptionComplete())
 			require.Len(t, r.Edges(), countMembers(model, true))
 			require.Len(t, r.Stores(), countMembers(model, false))
 			require.Len(t, r.deadlines, len(model.entries))
--- a/control/registry/registry.go
+++ b/control/registry/registry.go
@@ -9,7 +9,7 @@
 )
 
 const (
-	// maxLateness is how much later than the time that Next returned the registry may be called. If a call is later
+	// maxTickDelay is how much later than the time that Next returned the registry may be called. If a call is later
 	// than that, the leader itself was paused, and members must not expire because of that.
 	maxTickDelay = 200 * time.Millisecond
 	// maxReplaced is the maximum number of replaced processes that are remembered.
@@ -35,8 +35,8 @@
 	return Config{EdgeLease: heartbeatsPerLease * heartbeat, StoreLease: storeLease, Reconnect: reconnectTimeout}
 }
 
-// Suspicion returns the longest lease of any member.
-func (c Config) Suspicion() time.Duration { return max(c.EdgeLease, c.StoreLease) }
+// MaxLease returns the longest lease of any member.
+func (c Config) MaxLease() time.Duration { return max(c.EdgeLease, c.StoreLease) }
 
 // Store is a store that holds a lease.
 type Store struct {
@@ -86,8 +86,8 @@
 	}
 }
 
-// Adopt adds the schedulers of an earlier leader's list that the table does not have. They expire unless they renew
-// within the duration of a lease.
+// Adopt adds the schedulers on an earlier leader's list, except those that are in the table already, have been replaced
+// or share their address with another member. They expire unless they renew within the duration of a lease.
 func (r *Registry) Adopt(now time.Duration, members *wire.Members) Changes {
 	var changes Changes
 	for _, edge := range members.Edges {
@@ -232,9 +232,9 @@
 	return a.Epoch == b.Epoch && a.Stalled == b.Stalled && slices.Equal(a.Synced, b.Synced)
 }
 
-// Disconnected handles the end of a connection. A member that is leaving and last renewed over that connection is
-// dropped. Another store expires unless it renews within Reconnect. A scheduler keeps its lease until it ends, because
-// it may act on it until then.
+// Disconnected handles the end of a connection. Of the members that last renewed over it, those that are leaving are
+// dropped, and other stores expire unless they renew within Reconnect. Other schedulers keep their lease until it ends,
+// because they may act on it until then.
 func (r *Registry) Disconnected(now time.Duration, connection uint64) Changes {
 	r.postponeAfterPause(now)
 	var changes Changes
@@ -286,8 +286,8 @@
 	return first.deadline, true
 }
 
-// Heard reports whether all members adopted from an earlier leader have renewed or been dropped.
-func (r *Registry) Heard() bool { return r.adopted == 0 }
+// AdoptionComplete reports whether all members adopted from an earlier leader have renewed or been dropped.
+func (r *Registry) AdoptionComplete() bool { return r.adopted == 0 }
 
 // Edges returns the schedulers that hold a lease, ordered by zone and node.
 func (r *Registry) Edges() []wire.Edge {
--- a/control/registry/registry_test.go
+++ b/control/registry/registry_test.go
@@ -24,8 +24,8 @@
 	}
 }
 
-func renew(r *Registry, now time.Duration, link uint64, message *wire.Renew) Changes {
-	_, changes := r.Renew(now, link, message)
+func renew(r *Registry, now time.Duration, connection uint64, message *wire.Renew) Changes {
+	_, changes := r.Renew(now, connection, message)
 	return changes
 }
 
@@ -147,11 +147,11 @@
 		{ID: "a", Node: "n1", Address: "n1:1", Zone: "z"}, {ID: "b", Node: "n2", Address: "n2:1", Zone: "z"},
 	}}
 	require.Equal(t, Changes{Members: true}, r.Adopt(0, known))
-	require.False(t, r.Heard())
+	require.False(t, r.AdoptionComplete())
 	renew(r, 500*ms, 1, edgeRenewal("a", "n1", "z"))
 	require.Equal(t, Changes{Members: true}, tickUntil(r, 2100*ms))
 	require.Len(t, r.Edges(), 1)
-	require.True(t, r.Heard())
+	require.True(t, r.AdoptionComplete())
 	require.Equal(t, Changes{}, r.Adopt(2200*ms, &wire.Members{Edges: known.Edges[:1]}), "an entry that has renewed is not adopted again")
 }
 
--- a/control/slots/slots.go
+++ b/control/slots/slots.go
@@ -31,8 +31,8 @@
 	logNames  = [2]string{"log-0", "log-1"}
 )
 
-// Names returns the names of the slot and the log that generations of a parity use.
-func Names(parity int) (slot, log string) { return slotNames[parity], logNames[parity] }
+// FileNames returns the names of the slot and the log that generations of a parity use.
+func FileNames(parity int) (slot, log string) { return slotNames[parity], logNames[parity] }
 
 // Store is an open store. It is not safe for concurrent use.
 //
@@ -77,7 +77,7 @@
 	}
 	if err := s.makeDurable(size); err != nil {
 		_ = s.fail(err)
-		s.newestUnsynced = s.newestLog < s.generation && s.readableSlots == len(slotNames) && !mutations.ForgetDoubt
+		s.newestUnsynced = s.newestLog < s.generation && s.readableSlots == len(slotNames) && !mutations.AssumeNewestDurable
 	}
 	return s, snapshot, records, nil
 }
@@ -119,7 +119,7 @@
 		return nil, 0, err
 	}
 	content, generation, rest, ok := cutRecord(data)
-	if !ok && mutations.TrustTorn && len(data) > headerBytes {
+	if !ok && mutations.AcceptTornSlot && len(data) > headerBytes {
 		return data[headerBytes:], binary.LittleEndian.Uint64(data[4:]), nil
 	}
 	if !ok || len(rest) > 0 {
@@ -184,7 +184,7 @@
 	if err := errors.Join(slot.Sync(), slot.Close()); err != nil {
 		return fmt.Errorf("slots: %w", err)
 	}
-	if s.readableSlots < len(slotNames) && !mutations.KeepGhosts {
+	if s.readableSlots < len(slotNames) && !mutations.KeepUnreadableSlot {
 		if err := s.truncateSlot(slotNames[1-parity(s.generation)]); err != nil {
 			return err
 		}
@@ -230,7 +230,7 @@
 }
 
 // LogSize returns the log's length in bytes. Callers write a snapshot when the log is long.
-func (s *Store) Size() int64 { return s.size }
+func (s *Store) LogSize() int64 { return s.size }
 
 // Append adds records to the log with one write and one sync. A snapshot must have been written before. After an
 // error the records may or may not be there when the store is opened again, and Append fails with ErrFailed until
--- a/control/slots/slots_test.go
+++ b/control/slots/slots_test.go
@@ -33,7 +33,7 @@
 	require.NoError(t, store.Snapshot([]byte("two")))
 	require.NoError(t, store.Append([]byte("c")))
 	require.NoError(t, store.Append([]byte{}))
-	require.Positive(t, store.Size())
+	require.Positive(t, store.LogSize())
 	require.NoError(t, store.Close())
 	for range 2 {
 		store, snapshot, records, err := slots.Open(folder)
@@ -53,9 +53,9 @@
 	require.NoError(t, err)
 	require.Equal(t, before, after)
 	require.NoError(t, slots.RemoveDamaged(slots.OSFolder(folder)))
-	left, err := os.ReadDir(folder)
+	remaining, err := os.ReadDir(folder)
 	require.NoError(t, err)
-	require.Empty(t, left)
+	require.Empty(t, remaining)
 }
 
 // TestInterruptedSetAsideLeavesFolderDamaged injects power losses and disk failures at random steps of SetAside: an
@@ -70,7 +70,7 @@
 			require.NoError(t, store.Snapshot(fmt.Append(nil, generation)))
 			require.NoError(t, store.Append([]byte("a")))
 		}
-		newest, _ := slots.Names(int(seed % 2))
+		newest, _ := slots.FileNames(int(seed % 2))
 		folder.Corrupt(newest, func(data []byte) []byte { data[len(data)-1] ^= 1; return data })
 		for {
 			_, snapshot, _, err := slots.OpenFolder(folder)
@@ -79,16 +79,16 @@
 				break
 			}
 			require.ErrorIs(t, err, slots.ErrDamaged)
-			folder.Break(random.IntN(12))
+			folder.FailAfter(random.IntN(12))
 			_ = slots.SetAside(folder)
-			folder.Break(-1)
+			folder.FailAfter(-1)
 			if random.IntN(2) == 0 {
 				folder.PowerLoss(random)
 			}
 		}
-		kept, err := folder.Read(slots.DamagedName(newest))
+		damaged, err := folder.Read(slots.DamagedName(newest))
 		require.NoError(t, err)
-		require.NotEmpty(t, kept)
+		require.NotEmpty(t, damaged)
 	}
 }
 
@@ -121,17 +121,17 @@
 }
 
 func TestFailedStoreAcceptsOnlySnapshot(t *testing.T) {
-	for operations := range 6 { // number of operations of the snapshot that succeed
+	for operations := range 6 { // number of the snapshot's operations that succeed before those on its slot or its log fail
 		folder := slotstest.New()
 		store, _, _, err := slots.OpenFolder(folder)
 		require.NoError(t, err)
 		require.NoError(t, store.Snapshot([]byte("one")))
 		require.NoError(t, store.Append([]byte("a")))
-		folder.Break(1) // the write succeeds, the sync fails
+		folder.FailAfter(1) // the write succeeds, the sync fails
 		require.ErrorIs(t, store.Append([]byte("b")), slots.ErrFailed)
-		folder.Break(operations)
+		folder.FailAfter(operations)
 		require.ErrorIs(t, store.Snapshot([]byte("two")), slots.ErrFailed)
-		folder.Break(-1)
+		folder.FailAfter(-1)
 		require.ErrorIs(t, store.Append([]byte("c")), slots.ErrFailed, "no record may follow one that may be torn")
 		require.ErrorIs(t, store.Err(), slots.ErrFailed)
 		_, snapshot, records, err := slots.OpenFolder(folder)
@@ -142,8 +142,8 @@
 		require.NoError(t, store.Err())
 		require.NoError(t, store.Append([]byte("d")))
 		require.NoError(t, store.Close())
-		require.ErrorIs(t, store.Append([]byte("e")), slots.ErrFailed, "it is closed")
-		require.ErrorIs(t, store.Snapshot([]byte("e")), slots.ErrFailed, "it is closed")
+		require.ErrorIs(t, store.Append([]byte("e")), slots.ErrFailed, "the store is closed")
+		require.ErrorIs(t, store.Snapshot([]byte("e")), slots.ErrFailed, "the store is closed")
 		_, snapshot, records, err = slots.OpenFolder(folder)
 		require.NoError(t, err)
 		require.Equal(t, []string{"three", "d"}, state(snapshot, records))
@@ -158,7 +158,7 @@
 	require.NoError(t, err)
 	require.NoError(t, store.Snapshot([]byte("one")))
 	require.NoError(t, store.Append([]byte("a")))
-	folder.Break(0)
+	folder.FailAfter(0)
 	require.Error(t, store.Append([]byte("torn")))
 	store, snapshot, records, err := slots.OpenFolder(folder)
 	require.NoError(t, err)
@@ -166,7 +166,7 @@
 	require.ErrorIs(t, store.Err(), slots.ErrFailed, "the records that were read may not be durable")
 	require.ErrorIs(t, store.Append([]byte("b")), slots.ErrFailed)
 	require.ErrorIs(t, store.Snapshot([]byte("two")), slots.ErrFailed)
-	folder.Break(-1)
+	folder.FailAfter(-1)
 	require.NoError(t, store.Snapshot([]byte("two")))
 	require.NoError(t, store.Append([]byte("b")))
 	_, snapshot, records, err = slots.OpenFolder(folder)
@@ -190,15 +190,15 @@
 var seeds = flag.Uint64("seeds", 3000, "number of random histories")
 
 func TestDetectsAcceptedTornSlot(t *testing.T) {
-	requireDetected(t, &slots.Mutations.TrustTorn, 0)
+	requireDetected(t, &slots.Mutations.AcceptTornSlot, 0)
 }
 
 func TestDetectsUnsyncedSlotTreatedAsDurable(t *testing.T) {
-	requireDetected(t, &slots.Mutations.ForgetDoubt, 0)
+	requireDetected(t, &slots.Mutations.AssumeNewestDurable, 0)
 }
 
 func TestDetectsUnreadableSlotNotTruncated(t *testing.T) {
-	requireDetected(t, &slots.Mutations.KeepGhosts, 17000)
+	requireDetected(t, &slots.Mutations.KeepUnreadableSlot, 17000)
 }
 
 // requireDetected injects a fault into random histories, starting with the seed first, until one fails.
@@ -238,7 +238,7 @@
 			attempts = append(attempts, found) // it may still be lost
 		}
 		if random.IntN(4) > 0 || store.Err() == nil {
-			folder.Break(random.IntN(25))
+			folder.FailAfter(random.IntN(25))
 		}
 		for {
 			failed := store.Err() != nil
@@ -254,12 +254,12 @@
 			if random.IntN(2) == 0 {
 				break
 			}
-			folder.Break(random.IntN(8)) // the disk has a little space
+			folder.FailAfter(random.IntN(8)) // the disk has a little space
 		}
 		if random.IntN(3) > 0 {
 			folder.PowerLoss(random)
 		} else if random.IntN(2) == 0 {
-			folder.Break(-1) // the process was killed, and the disk works again
+			folder.FailAfter(-1) // the process was killed, and the disk works again
 		} // otherwise the process was killed while the disk is full
 	}
 	return "", recovered
--- a/control/slots/slotstest/folder.go
+++ b/control/slots/slotstest/folder.go
@@ -1,5 +1,5 @@
-// Package slotstest provides a folder in memory whose unsynced writes can be lost or torn, for tests of what must
-// survive a power loss.
+// Package slotstest provides a folder in memory whose unsynced writes can be lost or torn, for tests that simulate
+// power failures.
 package slotstest
 
 import (
@@ -10,8 +10,8 @@
 	"ravendale/control/slots"
 )
 
-// ErrBroken is the error of operations that fail because of FailAfter.
-var ErrBroken = errors.New("slotstest: injected disk failure")
+// ErrInjected is the error of operations that fail because of FailAfter.
+var ErrInjected = errors.New("slotstest: injected disk failure")
 
 // Folder is a slots.Folder in memory. It is not safe for concurrent use.
 type Folder struct {
@@ -38,11 +38,11 @@
 
 // FailAfter lets a number of operations that write or sync succeed, and makes all later ones fail; a failing write
 // writes half of its data. With a negative number no operation fails.
-func (d *Folder) Break(after int) { d.operationsLeft = after }
+func (d *Folder) FailAfter(operations int) { d.operationsLeft = operations }
 
 func (d *Folder) countOperation() error {
 	if d.operationsLeft == 0 {
-		return ErrBroken
+		return ErrInjected
 	}
 	if d.operationsLeft > 0 {
 		d.operationsLeft--
--- a/control/state/image_test.go
+++ b/control/state/image_test.go
@@ -133,25 +133,25 @@
 
 // duplicateOutcomesAfterRestore applies a number of changes to one machine and restores its snapshot into a second one.
 // It returns the outcomes of repeating the newest change on the first and on the second machine.
-func duplicateOutcomesAfterRestore(t *testing.T, orders int, dropsHistory bool) (outcomes [2]Outcome) {
+func duplicateOutcomesAfterRestore(t *testing.T, changes int, dropsHistory bool) (outcomes [2]Outcome) {
 	t.Helper()
 	first := NewMachine()
-	for base := range orders {
+	for base := range changes {
 		require.Equal(t, OutcomeApplied, set(t, first, uint64(base), document(base+1)).Outcome)
 	}
 	second := NewMachine()
 	second.mutations.dropsHistory = dropsHistory
 	require.NoError(t, second.Restore(first.Snapshot()))
 	for i, machine := range []*Machine{first, second} {
-		outcomes[i] = set(t, machine, uint64(orders-1), document(orders)).Outcome
+		outcomes[i] = set(t, machine, uint64(changes-1), document(changes)).Outcome
 	}
 	return outcomes
 }
 
 // TestDuplicateIsRecognizedAfterRestore repeats a change on a machine that has it only from a restored snapshot.
 func TestDuplicateIsRecognizedAfterRestore(t *testing.T) {
-	for _, orders := range []int{1, 100, historyLength + 100} {
-		require.Equal(t, [2]Outcome{OutcomeDuplicate, OutcomeDuplicate}, duplicateOutcomesAfterRestore(t, orders, false))
+	for _, changes := range []int{1, 100, historyLength + 100} {
+		require.Equal(t, [2]Outcome{OutcomeDuplicate, OutcomeDuplicate}, duplicateOutcomesAfterRestore(t, changes, false))
 	}
 }
 
--- a/control/state/model_test.go
+++ b/control/state/model_test.go
@@ -111,7 +111,7 @@
 		machine := NewMachine()
 		expected := &model{routes: map[string]int{}, versionByChange: map[string]uint64{}}
 		var sent []change
-		for range rapid.IntRange(1, 30).Draw(t, "orders") {
+		for range rapid.IntRange(1, 30).Draw(t, "changes") {
 			var c change
 			if len(sent) > 0 && rapid.IntRange(0, 3).Draw(t, "kind") == 0 {
 				c = rapid.SampledFrom(sent).Draw(t, "again")
--- a/control/state/orders_test.go
+++ b/control/state/orders_test.go
@@ -30,118 +30,118 @@
 
 // simulateChanges submits new and repeated configuration changes to replicas that lag, restart and restore snapshots,
 // all in random order. It returns a description of the first failed check, or "" if there was none.
-func simulateChanges(seed uint64, mistakes mutations) string {
-	w := &changeSimulation{
-		random: rand.New(rand.NewPCG(seed, 11)), faults: mistakes, versionByChange: make(map[string]uint64), versions: []uint64{0},
+func simulateChanges(seed uint64, faults mutations) string {
+	s := &changeSimulation{
+		random: rand.New(rand.NewPCG(seed, 11)), faults: faults, versionByChange: make(map[string]uint64), versions: []uint64{0},
 	}
-	w.limit = 1 + w.random.IntN(6)
+	s.limit = 1 + s.random.IntN(6)
 	for range 3 {
-		w.replicas, w.applied = append(w.replicas, w.newMachine()), append(w.applied, 0)
+		s.replicas, s.applied = append(s.replicas, s.newMachine()), append(s.applied, 0)
 	}
 	for range 60 {
-		w.step()
-		if w.violation != "" {
-			return fmt.Sprintf("seed %d: %s", seed, w.violation)
+		s.step()
+		if s.violation != "" {
+			return fmt.Sprintf("seed %d: %s", seed, s.violation)
 		}
 	}
 	return ""
 }
 
-func (w *changeSimulation) newMachine() *Machine {
+func (s *changeSimulation) newMachine() *Machine {
 	m := NewMachine()
-	m.history.limit, m.mutations = w.limit, w.faults
+	m.history.limit, m.mutations = s.limit, s.faults
 	return m
 }
 
-func (w *changeSimulation) fail(format string, arguments ...any) {
-	if w.violation == "" {
-		w.violation = fmt.Sprintf(format, arguments...)
+func (s *changeSimulation) fail(format string, arguments ...any) {
+	if s.violation == "" {
+		s.violation = fmt.Sprintf(format, arguments...)
 	}
 }
 
-func (w *changeSimulation) step() {
-	replica := w.random.IntN(len(w.replicas))
-	switch w.random.IntN(8) {
+func (s *changeSimulation) step() {
+	replica := s.random.IntN(len(s.replicas))
+	switch s.random.IntN(8) {
 	case 0: // the replica restarts from its own snapshot
-		w.install(replica, replica)
+		s.install(replica, replica)
 	case 1: // the replica restores a snapshot of another one that has applied more
-		if other := w.random.IntN(len(w.replicas)); w.applied[other] > w.applied[replica] {
-			w.install(other, replica)
+		if other := s.random.IntN(len(s.replicas)); s.applied[other] > s.applied[replica] {
+			s.install(other, replica)
 		}
 	case 2: // all replicas restart
-		for i := range w.replicas {
-			w.install(i, i)
+		for i := range s.replicas {
+			s.install(i, i)
 		}
 	case 3: // the replica catches up with the log
-		w.advance(replica, len(w.log))
+		s.advance(replica, len(s.log))
 	default:
-		w.submit(replica)
+		s.submit(replica)
 	}
 }
 
-func (w *changeSimulation) install(from, to int) {
-	snapshot, next := w.replicas[from].Snapshot(), w.newMachine()
+func (s *changeSimulation) install(from, to int) {
+	snapshot, next := s.replicas[from].Snapshot(), s.newMachine()
 	if err := next.Restore(snapshot); err != nil {
-		w.fail("Restore failed: %v", err)
+		s.fail("Restore failed: %v", err)
 		return
 	}
-	w.replicas[to], w.applied[to] = next, w.applied[from]
+	s.replicas[to], s.applied[to] = next, s.applied[from]
 }
 
-func (w *changeSimulation) advance(replica, to int) {
-	for ; w.applied[replica] < to; w.applied[replica]++ {
-		at := w.applied[replica]
-		result := string(w.replicas[replica].Apply(w.log[at]))
-		if at == len(w.results) {
-			w.results = append(w.results, result)
-		} else if w.results[at] != result {
-			w.fail("replicas returned different results for command %d: %q and %q", at, w.results[at], result)
+func (s *changeSimulation) advance(replica, to int) {
+	for ; s.applied[replica] < to; s.applied[replica]++ {
+		at := s.applied[replica]
+		result := string(s.replicas[replica].Apply(s.log[at]))
+		if at == len(s.results) {
+			s.results = append(s.results, result)
+		} else if s.results[at] != result {
+			s.fail("replicas returned different results for command %d: %q and %q", at, s.results[at], result)
 		}
 	}
 }
 
 // submit appends a configuration change to the log, applies it on a replica and checks the outcome.
-func (w *changeSimulation) submit(replica int) {
-	command := w.drawCommand()
-	w.sent = append(w.sent, command)
+func (s *changeSimulation) submit(replica int) {
+	command := s.drawCommand()
+	s.sent = append(s.sent, command)
 	encoded, err := Encode(command)
 	if err != nil {
-		w.fail("%v", err)
+		s.fail("%v", err)
 		return
 	}
-	w.log = append(w.log, encoded)
-	w.advance(replica, len(w.log))
-	if w.violation != "" {
+	s.log = append(s.log, encoded)
+	s.advance(replica, len(s.log))
+	if s.violation != "" {
 		return
 	}
-	result, err := DecodeResult([]byte(w.results[len(w.results)-1]))
+	result, err := DecodeResult([]byte(s.results[len(s.results)-1]))
 	if err != nil {
-		w.fail("%v", err)
+		s.fail("%v", err)
 		return
 	}
-	w.check(command, result)
+	s.check(command, result)
 }
 
 // drawCommand returns a new change based on one of the two newest versions, or repeats an earlier one. Half of the new
 // changes are Patches, with the same bodies as the Sets.
-func (w *changeSimulation) drawCommand() Command {
-	if len(w.sent) > 0 && w.random.IntN(3) == 0 {
-		return w.sent[w.random.IntN(len(w.sent))]
+func (s *changeSimulation) drawCommand() Command {
+	if len(s.sent) > 0 && s.random.IntN(3) == 0 {
+		return s.sent[s.random.IntN(len(s.sent))]
 	}
-	current := w.current()
-	base := w.versions[max(0, len(w.versions)-1-w.random.IntN(2))]
-	version := int(current) + w.random.IntN(4)
+	current := s.current()
+	base := s.versions[max(0, len(s.versions)-1-s.random.IntN(2))]
+	version := int(current) + s.random.IntN(4)
 	body := document(version)
-	if w.random.IntN(2) == 0 {
-		body = document(version, route(string(rune('a'+w.random.IntN(3)))))
+	if s.random.IntN(2) == 0 {
+		body = document(version, route(string(rune('a'+s.random.IntN(3)))))
 	}
-	if w.random.IntN(2) == 0 {
+	if s.random.IntN(2) == 0 {
 		return &Patch{Base: base, Body: []byte(body)}
 	}
 	return &Set{Base: base, Body: []byte(body)}
 }
 
-func (w *changeSimulation) current() uint64 { return w.versions[len(w.versions)-1] }
+func (s *changeSimulation) current() uint64 { return s.versions[len(s.versions)-1] }
 
 // identity returns what identifies a configuration change, its kind, base and body, and a name made of these.
 func identity(command Command) (name string, kind Kind, base uint64, body []byte) {
@@ -154,49 +154,49 @@
 	return fmt.Sprintf("kind %d base %d body %s", kind, base, body), kind, base, body
 }
 
-func (w *changeSimulation) check(command Command, result *Result) {
+func (s *changeSimulation) check(command Command, result *Result) {
 	name, kind, base, body := identity(command)
-	if version, ok := w.versionByChange[name]; ok {
-		w.checkDuplicate(name, version, result)
+	if version, ok := s.versionByChange[name]; ok {
+		s.checkDuplicate(name, version, result)
 		return
 	}
-	current := w.current()
+	current := s.current()
 	if base != current {
-		if result.Outcome != OutcomeRefusedVersion && (result.Outcome != OutcomeUnsure || !w.mayBeDropped(base)) {
-			w.fail("%s on version %d had outcome %v", name, current, result.Outcome)
+		if result.Outcome != OutcomeRefusedVersion && (result.Outcome != OutcomeUnsure || !s.mayBeDropped(base)) {
+			s.fail("%s on version %d had outcome %v", name, current, result.Outcome)
 		}
 		return
 	}
 	version := versionIn(body)
 	if version <= current || kind == KindPatch && current == 0 {
 		if result.Outcome != OutcomeInvalid {
-			w.fail("%s on version %d had outcome %v", name, current, result.Outcome)
+			s.fail("%s on version %d had outcome %v", name, current, result.Outcome)
 		}
 		return
 	}
 	if result.Outcome != OutcomeApplied || result.Version != version {
-		w.fail("%s on version %d had outcome %v", name, current, result.Outcome)
+		s.fail("%s on version %d had outcome %v", name, current, result.Outcome)
 		return
 	}
-	w.versionByChange[name] = version
-	w.versions = append(w.versions, version)
+	s.versionByChange[name] = version
+	s.versions = append(s.versions, version)
 }
 
 // checkDuplicate checks the result of a change that was applied before: it must be acknowledged again, or if it is
 // older than the history, the outcome may be OutcomeUnsure.
-func (w *changeSimulation) checkDuplicate(name string, version uint64, result *Result) {
-	newest := w.versions[max(1, len(w.versions)-w.limit):]
+func (s *changeSimulation) checkDuplicate(name string, version uint64, result *Result) {
+	newest := s.versions[max(1, len(s.versions)-s.limit):]
 	switch {
 	case result.Outcome == OutcomeDuplicate && result.Version == version:
 	case result.Outcome == OutcomeUnsure && !slices.Contains(newest, version):
 	default:
-		w.fail("%s was applied as version %d, but its duplicate had outcome %v", name, version, result.Outcome)
+		s.fail("%s was applied as version %d, but its duplicate had outcome %v", name, version, result.Outcome)
 	}
 }
 
 // mayBeDropped reports whether the history may have dropped a change with this base.
-func (w *changeSimulation) mayBeDropped(base uint64) bool {
-	return len(w.versions)-1 > w.limit && base < w.versions[len(w.versions)-w.limit]
+func (s *changeSimulation) mayBeDropped(base uint64) bool {
+	return len(s.versions)-1 > s.limit && base < s.versions[len(s.versions)-s.limit]
 }
 
 // versionIn returns the version in a body that the test generated.
--- a/control/status/compat_test.go
+++ b/control/status/compat_test.go
@@ -21,12 +21,12 @@
 		},
 		Config: Config{Version: 7, Sequence: 2},
 		Placement: &Placement{
-			Epoch: 5, Copies: 2, Partitions: 3, UnderStrength: 2, Unheld: 1,
+			Epoch: 5, Copies: 2, Partitions: 3, UnderReplicated: 2, WithoutReplicas: 1,
 			Stores: []Store{{Node: "store-1", Zone: "a", Disk: "d0", Retiring: true, Primaries: 11, Replicas: 12, Joining: 13}},
 		},
 		Members: &Members{
-			Edges:  []Edges{{Zone: "a", Ready: 14, NotReady: 15}},
-			Stores: []Stores{{Zone: "b", Live: 16, Leaving: 17, Behind: 18, Pending: 19}},
+			Edges:  []ZoneEdges{{Zone: "a", Ready: 14, NotReady: 15}},
+			Stores: []ZoneStores{{Zone: "b", Live: 16, Leaving: 17, Behind: 18, Pending: 19}},
 		},
 	}
 }
--- a/control/status/status.go
+++ b/control/status/status.go
@@ -51,12 +51,12 @@
 
 // Placement describes how the partitions of the queue are placed on stores.
 type Placement struct {
-	Epoch         uint64  `json:"epoch"`
-	Copies        int     `json:"copies"` // disks that hold a message before it is accepted
-	Partitions    int     `json:"partitions"`
-	UnderStrength int     `json:"underStrength"` // partitions with fewer replicas than copies
-	Unheld        int     `json:"unheld"`        // partitions without any replica
-	Stores        []Store `json:"stores"`
+	Epoch           uint64  `json:"epoch"`
+	Copies          int     `json:"copies"` // disks that hold a message before it is accepted
+	Partitions      int     `json:"partitions"`
+	UnderReplicated int     `json:"underStrength"` // partitions with fewer replicas than copies
+	WithoutReplicas int     `json:"unheld"`        // partitions without any replica
+	Stores          []Store `json:"stores"`
 }
 
 // Store is one store of the placement. The counts are of partitions.
@@ -72,19 +72,19 @@
 
 // Members counts the members that hold a lease, by zone.
 type Members struct {
-	Edges  []Edges  `json:"edges"`
-	Stores []Stores `json:"stores"`
+	Edges  []ZoneEdges  `json:"edges"`
+	Stores []ZoneStores `json:"stores"`
 }
 
-// Edges counts the edges of a zone.
-type Edges struct {
+// ZoneEdges counts the edges of a zone.
+type ZoneEdges struct {
 	Zone     string `json:"zone"`
 	Ready    int    `json:"ready"`
 	NotReady int    `json:"notReady"`
 }
 
-// Stores counts the stores of a zone.
-type Stores struct {
+// ZoneStores counts the stores of a zone.
+type ZoneStores struct {
 	Zone    string `json:"zone"`
 	Live    int    `json:"live"`
 	Leaving int    `json:"leaving"` // live stores that are shutting down
@@ -139,10 +139,10 @@
 
 func (p *Placement) countPartition(partition *wire.Placement) {
 	if len(partition.Replicas) < p.Copies {
-		p.UnderStrength++
+		p.UnderReplicated++
 	}
 	if len(partition.Replicas) == 0 {
-		p.Unheld++
+		p.WithoutReplicas++
 	}
 	for i, store := range partition.Replicas {
 		p.Stores[store].Replicas++
@@ -160,8 +160,8 @@
 	return &Members{Edges: countEdges(edges), Stores: countStores(stores, epoch)}
 }
 
-func countEdges(edges []wire.Edge) []Edges {
-	zones := make(map[string]*Edges)
+func countEdges(edges []wire.Edge) []ZoneEdges {
+	zones := make(map[string]*ZoneEdges)
 	for i := range edges {
 		zone := countOf(zones, edges[i].Zone)
 		if edges[i].Ready {
@@ -170,11 +170,11 @@
 			zone.NotReady++
 		}
 	}
-	return sortedByZone(zones, func(name string, count *Edges) { count.Zone = name })
+	return sortedByZone(zones, func(name string, count *ZoneEdges) { count.Zone = name })
 }
 
-func countStores(stores []StoreLease, epoch uint64) []Stores {
-	zones := make(map[string]*Stores)
+func countStores(stores []StoreLease, epoch uint64) []ZoneStores {
+	zones := make(map[string]*ZoneStores)
 	for _, store := range stores {
 		zone := countOf(zones, store.Zone)
 		zone.Live++
@@ -186,7 +186,7 @@
 			zone.Behind++
 		}
 	}
-	return sortedByZone(zones, func(name string, count *Stores) { count.Zone = name })
+	return sortedByZone(zones, func(name string, count *ZoneStores) { count.Zone = name })
 }
 
 // countOf returns the zone's count, which it creates if there is none yet.
--- a/control/status/status_test.go
+++ b/control/status/status_test.go
@@ -38,7 +38,7 @@
 		},
 	})
 	require.Equal(t, &Placement{
-		Epoch: 5, Copies: 2, Partitions: 3, UnderStrength: 2, Unheld: 1,
+		Epoch: 5, Copies: 2, Partitions: 3, UnderReplicated: 2, WithoutReplicas: 1,
 		Stores: []Store{
 			{Node: "s-0", Zone: "a", Disk: "d0", Primaries: 1, Replicas: 1, Joining: 1},
 			{Node: "s-1", Zone: "b", Disk: "d1", Retiring: true, Primaries: 1, Replicas: 2},
@@ -50,8 +50,8 @@
 	edges := []wire.Edge{{Zone: "b", Ready: true}, {Zone: "a"}, {Zone: "b", Ready: true}, {Zone: "b"}}
 	stores := []StoreLease{{Zone: "a", Epoch: 4, Pending: 3}, {Zone: "a", Epoch: 3, Pending: 2}, {Zone: "a", Epoch: 4, Leaving: true}}
 	require.Equal(t, &Members{
-		Edges:  []Edges{{Zone: "a", NotReady: 1}, {Zone: "b", Ready: 2, NotReady: 1}},
-		Stores: []Stores{{Zone: "a", Live: 3, Leaving: 1, Behind: 1, Pending: 5}},
+		Edges:  []ZoneEdges{{Zone: "a", NotReady: 1}, {Zone: "b", Ready: 2, NotReady: 1}},
+		Stores: []ZoneStores{{Zone: "a", Live: 3, Leaving: 1, Behind: 1, Pending: 5}},
 	}, MembersOf(edges, stores, 4))
-	require.Equal(t, &Members{Edges: []Edges{}, Stores: []Stores{}}, MembersOf(nil, nil, 0))
+	require.Equal(t, &Members{Edges: []ZoneEdges{}, Stores: []ZoneStores{}}, MembersOf(nil, nil, 0))
 }
--- a/control/view/explore_test.go
+++ b/control/view/explore_test.go
@@ -144,7 +144,7 @@
 		return
 	}
 	next, ok := view.Plan(&r.View, r.knowledge(), r.complete)
-	if !ok || view.Same(&r.View, &next) {
+	if !ok || view.Unchanged(&r.View, &next) {
 		return
 	}
 	next.Epoch = 1 // the model does not depend on epochs
--- a/control/view/members_test.go
+++ b/control/view/members_test.go
@@ -22,11 +22,11 @@
 	require.Equal(t, []view.ID{1, 2, 3}, ids(planned.Voters))
 	require.Equal(t, []view.ID{4}, ids(planned.Learners))
 	require.Equal(t, []view.ID{1, 2, 3, 4}, planned.Chain)
-	require.False(t, view.Same(&current, &planned))
+	require.False(t, view.Unchanged(&current, &planned))
 
 	planned.Epoch = 8
 	again, _ := view.Plan(&planned, knowledgeOf(always, 1, 2, 3, 4), always)
-	require.True(t, view.Same(&planned, &again), "a second plan changes nothing")
+	require.True(t, view.Unchanged(&planned, &again), "a second plan changes nothing")
 }
 
 func TestLearnerReplacesVoterThatIsDown(t *testing.T) {
@@ -113,7 +113,7 @@
 	ballot := view.Ballot{Number: 1, Proposer: 1}
 	p := view.NewProposer(0, current, ballot, false)
 	promise := func(id view.ID) {
-		p.Promised(id, &view.Promise{Epoch: 7, Ballot: ballot, Granted: true, Complete: true})
+		p.OnPromise(id, &view.Promise{Epoch: 7, Ballot: ballot, Granted: true, Complete: true})
 	}
 	promise(1)
 	promise(4)
@@ -125,7 +125,7 @@
 		return current, true
 	})
 	accepted := &view.AcceptReply{Epoch: 7, Ballot: ballot, Granted: true}
-	require.Nil(t, p.Accepted(1, accepted))
-	require.Nil(t, p.Accepted(4, accepted))
-	require.Equal(t, &accept.View, p.Accepted(2, accepted))
+	require.Nil(t, p.OnAcceptReply(1, accepted))
+	require.Nil(t, p.OnAcceptReply(4, accepted))
+	require.Equal(t, &accept.View, p.OnAcceptReply(2, accepted))
 }
--- a/control/view/plan.go
+++ b/control/view/plan.go
@@ -2,7 +2,8 @@
 
 import "slices"
 
-// Knowledge is what a proposer knows about the other members when it plans a view.
+// Knowledge is what a proposer knows about the other members when it plans a view. The functions answer for the
+// members with the given IDs.
 type Knowledge struct {
 	Alive               func(ID) bool      // messages have been received from it recently
 	Joinable            func(ID) bool      // it is alive, and has been so for long enough to be admitted
@@ -94,8 +95,8 @@
 	})
 }
 
-// Same reports whether a plan changes nothing, apart from the removal of learners.
-func Same(current *View, planned *View) bool {
+// Unchanged reports whether a planned view changes nothing, apart from the removal of learners.
+func Unchanged(current *View, planned *View) bool {
 	for _, member := range planned.Learners {
 		if _, known := current.Member(member.ID); !known {
 			return false
@@ -128,8 +129,8 @@
 	return len(zones) > d.ToleratedZones && (d.ToleratedRegions == 0 || len(regions) > d.ToleratedRegions)
 }
 
-// Voters returns the number of voters that is needed to tolerate the failures, provided that they are spread over as
-// many zones.
-func (d Durability) Voters() int {
+// RequiredVoters returns the number of voters that is needed to tolerate the failures, provided that they are spread
+// over as many zones.
+func (d Durability) RequiredVoters() int {
 	return max(minVoters, 2*max(d.Copies-1, d.ToleratedZones, d.ToleratedRegions)+1)
 }
--- a/control/view/proposer.go
+++ b/control/view/proposer.go
@@ -62,7 +62,7 @@
 func (p *Proposer) Highest() Ballot { return p.highestBallot }
 
 // OnPromise handles an answer of the first phase.
-func (p *Proposer) Promised(from ID, promise *Promise) {
+func (p *Proposer) OnPromise(from ID, promise *Promise) {
 	if promise.Epoch != p.view.Epoch || promise.Ballot != p.ballot {
 		return
 	}
@@ -167,7 +167,7 @@
 }
 
 // OnAcceptReply handles an answer of the second phase. It returns the view once that is decided, and nil before.
-func (p *Proposer) Accepted(from ID, reply *AcceptReply) *View {
+func (p *Proposer) OnAcceptReply(from ID, reply *AcceptReply) *View {
 	if p.value == nil || reply.Epoch != p.view.Epoch || reply.Ballot != p.ballot {
 		return nil
 	}
--- a/control/view/view_test.go
+++ b/control/view/view_test.go
@@ -108,7 +108,7 @@
 		r.send(func() {
 			promise, _ := vote.Prepare(1, ballot)
 			r.send(func() {
-				p.Promised(voter, &promise)
+				p.OnPromise(voter, &promise)
 				if p.Gathered(view.GatherTimeout, never) {
 					r.accept(p, value)
 				}
@@ -123,7 +123,7 @@
 		r.send(func() {
 			reply, _ := vote.Accept(accept)
 			r.send(func() {
-				if v := p.Accepted(voter, &reply); v != nil {
+				if v := p.OnAcceptReply(voter, &reply); v != nil {
 					r.decided = append(r.decided, *v)
 				}
 			})
@@ -165,7 +165,7 @@
 	current := newView(7, []view.ID{3, 1, 2}, 1, 2, 3)
 	planned, ok := view.Plan(&current, knowledgeOf(always, 1, 2, 3), always)
 	require.True(t, ok)
-	require.True(t, view.Same(&current, &planned))
+	require.True(t, view.Unchanged(&current, &planned))
 }
 
 func TestUnconnectedMembersAreNotNeighbours(t *testing.T) {
@@ -253,7 +253,7 @@
 		p := view.NewProposer(0, current, ballot, false)
 		for i, promise := range c.promises {
 			promise.Epoch, promise.Ballot, promise.Granted = 1, ballot, true
-			p.Promised(view.ID(i+1), &promise)
+			p.OnPromise(view.ID(i+1), &promise)
 		}
 		require.True(t, p.Gathered(view.GatherTimeout, always))
 		require.False(t, p.Failed(view.AttemptTimeout-time.Millisecond))
--- a/edge/dispatch/manager.go
+++ b/edge/dispatch/manager.go
@@ -61,7 +61,7 @@
 	return w.Client.Start(delivery, done)
 }
 
-// NewManager returns a manager without messages. Start must be called before any other method.
+// NewManager returns a manager without messages. SetQueue must be called before any other method.
 func NewManager(config Config, client *worker.Client) *Manager {
 	return NewManagerOn(host.System, config, httpWorkers{client})
 }
@@ -77,8 +77,8 @@
 	}
 }
 
-// Start sets the queue that reports are sent to.
-func (mgr *Manager) Start(queue Queue) { mgr.queue = queue }
+// SetQueue sets the queue that reports are sent to.
+func (mgr *Manager) SetQueue(queue Queue) { mgr.queue = queue }
 
 func (mgr *Manager) now() time.Duration { return mgr.host.Now() - mgr.startedAt }
 
--- a/edge/dispatch/manager_test.go
+++ b/edge/dispatch/manager_test.go
@@ -76,7 +76,7 @@
 	}, client)
 	t.Cleanup(mgr.Close)
 	q := &fakeQueue{manager: mgr}
-	mgr.Start(q)
+	mgr.SetQueue(q)
 	mgr.SetEdges(edgesOf("e1"))
 	mgr.ApplyConfig(catalog.NewIndex(&catalog.Config{
 		Routes:   []catalog.Route{{Name: "r", Host: "a.example", PathPrefix: "/p/", Type: DeferredType, Service: "s", TimeoutMs: 2000, Retries: 3}},
--- a/edge/dispatch/message.go
+++ b/edge/dispatch/message.go
@@ -7,7 +7,7 @@
 	"ravendale/cluster/wire"
 )
 
-// phase is the state of a message in the Core. In each phase, Core.processDue is called for it at message.dueAt.
+// phase is the state of a message in the Core. In each phase but the last, Core.processDue is called at message.dueAt.
 type phase uint8
 
 const (
@@ -30,7 +30,7 @@
 	dropAfter       time.Duration // without a route, it is kept until then: the route may be new and not known here yet
 	expiresAt       time.Duration // the end of its retention, plus expiryMargin
 	failedAttempts  uint16        // on all edges together
-	backoffs        int           // calls of backOff for it since the last retryNow
+	backoffs        int           // calls of backOff for it; Core.retryNow resets it
 	unknownOutcomes int           // attempts with an unknown outcome that were retried immediately
 	granted         bool          // its store allows its delivery now: see isNextInOrder
 	released        bool          // its last report releases it
--- a/edge/dispatch/outcome_test.go
+++ b/edge/dispatch/outcome_test.go
@@ -17,7 +17,7 @@
 
 const (
 	endsMessage         consequence = iota // no further attempt: the message is completed
-	retriedSoon                            // another attempt, immediately or after a pause of at most the first backoff
+	retriedSoon                            // another attempt, immediately or after minBackoff or duplicateDelay
 	retriedAtOnce                          // another attempt in the same event
 	retriedAfterFailure                    // another attempt in the same event, and the failure is reported to the queue
 )
--- a/edge/dispatch/ratelimit.go
+++ b/edge/dispatch/ratelimit.go
@@ -13,7 +13,7 @@
 	burstFraction     = 0.5  // part of a window's budget that bursts may use
 	largeBurst        = 2    // tokens in the burst of each sender, if there are few senders
 	minSenders        = 2    // if there are that many edges, and the budget allows it
-	minSenderRate     = 4    // approximate tokens a second of each sender, where more than minSenders and one for each zone send
+	minSenderRate     = 4    // target of tokens a second for each sender; limits the senders beyond minSenders and one for each zone
 	largeBurstDivisor = 8    // senders are few if their large bursts sum to at most one part in so many of the budget
 )
 
--- a/internal/explore/encode.go
+++ b/internal/explore/encode.go
@@ -121,7 +121,7 @@
 
 // Canonical returns the lexically smallest of several forms of one state, given the forms under all renamings of
 // interchangeable members. States that differ only in such names have the same canonical form.
-func Least(forms ...[]byte) []byte { return slices.MinFunc(forms, bytes.Compare) }
+func Canonical(forms ...[]byte) []byte { return slices.MinFunc(forms, bytes.Compare) }
 
 // Permutations returns all permutations of the numbers below count, the identity first.
 func Permutations(count int) [][]int {
--- a/internal/explore/explore.go
+++ b/internal/explore/explore.go
@@ -52,7 +52,7 @@
 }
 
 // Exhaustive reports whether the search has reached all states that are reachable without exceeding Scope.Faults.
-func (c Cut) Whole() bool { return c.ByDepth == 0 && c.ByStates == 0 }
+func (c Cut) Exhaustive() bool { return c.ByDepth == 0 && c.ByStates == 0 }
 
 // Violation is a state that violates an invariant, with a shortest trace that leads to it.
 type Violation struct {
--- a/internal/explore/explore_test.go
+++ b/internal/explore/explore_test.go
@@ -110,7 +110,7 @@
 func TestRunSearchesCorrectSystemExhaustively(t *testing.T) {
 	result := explore.Run(newCounters(4, true), explore.Scope{Faults: 4})
 	require.Nil(t, result.Violation)
-	require.True(t, result.Cut.Whole())
+	require.True(t, result.Cut.Exhaustive())
 	require.Zero(t, result.Cut.ByFaults)
 	require.Equal(t, 15, result.States, "each combination of the numbers of idle, done and crashed workers once")
 	require.Equal(t, 4, result.Depth)
@@ -118,7 +118,7 @@
 
 func TestRunCountsSkippedStates(t *testing.T) {
 	result := explore.Run(newCounters(4, true), explore.Scope{Depth: 2, Faults: 1})
-	require.False(t, result.Cut.Whole())
+	require.False(t, result.Cut.Exhaustive())
 	require.Equal(t, 2, result.Depth)
 	require.Equal(t, 2, result.Cut.ByDepth, "two done; one done and one crashed")
 	require.Equal(t, 3, result.Cut.ByFaults, "after a crash, three more were possible")
@@ -173,7 +173,7 @@
 	require.NotEqual(t, encoder.Append(nil, a), encoder.Append(nil, b))
 	require.Len(t, explore.Permutations(4), 24)
 	require.Equal(t, []int{0, 1, 2}, explore.Permutations(3)[0])
-	require.Equal(t, "a", string(explore.Least([]byte("b"), []byte("a"))))
+	require.Equal(t, "a", string(explore.Canonical([]byte("b"), []byte("a"))))
 }
 
 func TestCloneOfChannelPanicsAndViolationPrintsTrace(t *testing.T) {
--- a/store/queue/simplan_test.go
+++ b/store/queue/simplan_test.go
@@ -156,7 +156,7 @@
 // early takes a retiring store out once one other replica is complete, as the mutant does.
 func (p *planned) early(view *wire.StoreView, name string) *wire.StoreView {
 	at := slices.IndexFunc(view.Stores, func(s wire.Store) bool { return s.Node == name && s.Retiring })
-	if !p.mutant.retireEarly || at < 0 || !placement.Holds(view, at) {
+	if !p.mutant.retireEarly || at < 0 || !placement.IsMember(view, at) {
 		return view
 	}
 	next := *view
--- a/test/simulation/control_test.go
+++ b/test/simulation/control_test.go
@@ -109,9 +109,9 @@
 		c.lead()
 	}
 	if len(c.writes) > 0 && c.world.random.IntN(2) == 0 {
-		c.folder.Break(c.world.random.IntN(6))
+		c.folder.FailAfter(c.world.random.IntN(6))
 		_, _ = c.put()
-		c.folder.Break(-1)
+		c.folder.FailAfter(-1)
 	}
 	if powerLoss {
 		c.folder.PowerLoss(c.world.random)
@@ -187,7 +187,7 @@
 }
 
 func (c *control) holds() bool {
-	return c.incarnation != nil && c.node != nil && c.clock() < c.node.LeaseUntil()
+	return c.incarnation != nil && c.node != nil && c.clock() < c.node.LeaseExpiresAt()
 }
 
 // mayLead is what the leader asks before each act.
--- a/test/simulation/edge_test.go
+++ b/test/simulation/edge_test.go
@@ -39,7 +39,7 @@
 		},
 	})
 	p.client.Handle(p.box)
-	dispatcher.Start(&reporter{Client: p.client, messages: p.world.messages, ends: ends})
+	dispatcher.SetQueue(&reporter{Client: p.client, messages: p.world.messages, ends: ends})
 }
 
 // reporter notes how an edge says that messages end.
--- a/test/simulation/system_test.go
+++ b/test/simulation/system_test.go
@@ -235,7 +235,7 @@
 	var text strings.Builder
 	for _, c := range w.controls() {
 		if c.node != nil {
-			fmt.Fprintf(&text, "%s runs %v frozen %v holds %v leader %q %s\n", c.name, c.incarnation != nil, c.frozen, c.holds(), c.node.Leader(c.clock()), c.node.Describe())
+			fmt.Fprintf(&text, "%s runs %v frozen %v holds %v leader %q %s\n", c.name, c.incarnation != nil, c.frozen, c.holds(), c.node.Leader(c.clock()), c.node.DebugString())
 		}
 	}
 	for _, p := range w.processes() {
--- a/test/systemtest/diskless_test.go
+++ b/test/systemtest/diskless_test.go
@@ -80,7 +80,7 @@
 }
 
 func filled(placement *status.Placement) bool {
-	return placement.UnderStrength == 0 && !slices.ContainsFunc(placement.Stores, func(s status.Store) bool { return s.Joining > 0 })
+	return placement.UnderReplicated == 0 && !slices.ContainsFunc(placement.Stores, func(s status.Store) bool { return s.Joining > 0 })
 }
 
 func TestControlWithoutDisksRetiresAVoter(t *testing.T) {
