--- a/edge/ingress/answers.go
+++ b/edge/ingress/answers.go
@@ -7,17 +7,17 @@
 	"github.com/valyala/fasthttp"
 )
 
-// answerError answers a request that could not be read.
-func answerError(ctx *fasthttp.RequestCtx, err error) {
-	var small *fasthttp.ErrSmallBuffer
-	var late interface{ Timeout() bool }
+// respondError responds to a request that could not be read.
+func respondError(ctx *fasthttp.RequestCtx, err error) {
+	var tooSmall *fasthttp.ErrSmallBuffer
+	var timeout interface{ Timeout() bool }
 	status := fasthttp.StatusBadRequest
 	switch {
-	case errors.As(err, &small):
+	case errors.As(err, &tooSmall):
 		status = fasthttp.StatusRequestHeaderFieldsTooLarge
 	case errors.Is(err, fasthttp.ErrBodyTooLarge):
 		status = fasthttp.StatusRequestEntityTooLarge
-	case errors.Is(err, fasthttp.ErrTimeout), errors.As(err, &late) && late.Timeout():
+	case errors.Is(err, fasthttp.ErrTimeout), errors.As(err, &timeout) && timeout.Timeout():
 		status = fasthttp.StatusRequestTimeout
 	}
 	ctx.Response.Reset()
@@ -30,10 +30,10 @@
 	ctx.SetConnectionClose()
 }
 
-// unavailable answers that the request was not accepted, and never will be.
+// unavailable responds with 503: the message was not accepted, and will not be.
 func unavailable(ctx *fasthttp.RequestCtx) {
 	ctx.Response.Header.Set("Retry-After", strconv.Itoa(retryAfterS))
 	ctx.SetStatusCode(fasthttp.StatusServiceUnavailable)
 }
 
-const retryAfterS = 1 // the smallest whole number that makes sense
+const retryAfterS = 1 // the smallest useful value, in whole seconds
--- a/edge/ingress/compat_test.go
+++ b/edge/ingress/compat_test.go
@@ -20,7 +20,7 @@
 	"ravendale/edge/queueclient"
 )
 
-// golden returns a file that a version before wrote.
+// golden returns the content of a golden file, which an earlier version wrote.
 func golden(t *testing.T, name string) string {
 	t.Helper()
 	text, err := os.ReadFile(filepath.Join("testdata", "compat", name))
@@ -30,12 +30,12 @@
 
 var dateField = regexp.MustCompile(`(?m)^Date: [A-Z][a-z]{2}, \d{2} [A-Z][a-z]{2} \d{4} \d{2}:\d{2}:\d{2} GMT\r$`)
 
-// atOneTime puts the same time into each Date field, which fasthttp adds where a request could not be read.
-func atOneTime(answer string) string {
+// normalizeDates sets each Date field, which fasthttp adds to responses to unreadable requests, to a fixed time.
+func normalizeDates(answer string) string {
 	return dateField.ReplaceAllString(answer, "Date: Sat, 01 Jan 2000 00:00:00 GMT\r")
 }
 
-// allBytes sends a request and returns all bytes that the server sends until it ends the connection.
+// allBytes sends a request and returns all bytes that the server sends until it closes the connection.
 func allBytes(t *testing.T, address, request string) string {
 	t.Helper()
 	conn, err := net.Dial("tcp4", address)
@@ -53,7 +53,7 @@
 	known := map[string]wire.FindReply{
 		"0.pending": {Found: true, State: wire.StatePending},
 		"0.done":    {Found: true, State: wire.StateDone, Signature: "3e1b.07"},
-		"0.dead":    {Found: true, State: wire.StateDead, Signature: "none is told"},
+		"0.dead":    {Found: true, State: wire.StateDead, Signature: "must not be sent"},
 		"0.dropped": {Found: true, State: wire.StateDropped},
 	}
 	if id == "0.unknown" {
@@ -69,7 +69,7 @@
 	return &answer, nil
 }
 
-func TestAnswersToClientsKeepTheirBytes(t *testing.T) {
+func TestClientResponseBytes(t *testing.T) {
 	const empty = "Content-Length: 0\r\n\r\n"
 	get := func(path string) string { return "GET " + path + " HTTP/1.1\r\nHost: a.example\r\n\r\n" }
 	cases := map[string]struct {
@@ -108,21 +108,21 @@
 	}
 	files, err := filepath.Glob(filepath.Join("testdata", "compat", "*.http"))
 	require.NoError(t, err)
-	assert.Len(t, files, len(cases)+len(readinessCases), "each file has its case")
+	assert.Len(t, files, len(cases)+len(readinessCases), "each golden file needs a case")
 	for name, c := range cases {
-		t.Run(name, func(t *testing.T) { keepsItsBytes(t, name, c.request, c.prepare) })
+		t.Run(name, func(t *testing.T) { checkGolden(t, name, c.request, c.prepare) })
 	}
 }
 
-// keepsItsBytes compares the answers to a request, at a site that was prepared for it, with the golden file of a name.
-func keepsItsBytes(t *testing.T, name, request string, prepare func(s *site)) {
+// checkGolden sends a request to a prepared site and compares the response bytes with a golden file.
+func checkGolden(t *testing.T, name, request string, prepare func(s *site)) {
 	t.Parallel()
 	s := newSite(t)
 	s.queue.find = compatFind
 	if prepare != nil {
 		prepare(s)
 	}
-	assert.Equal(t, golden(t, name+".http"), atOneTime(allBytes(t, s.server.Address(), request)))
+	assert.Equal(t, golden(t, name+".http"), normalizeDates(allBytes(t, s.server.Address(), request)))
 }
 
 var readinessCases = map[string]struct {
@@ -134,7 +134,7 @@
 	"readiness-not-found": {"/other", true},
 }
 
-func TestAnswersToThePlatformKeepTheirBytes(t *testing.T) {
+func TestReadinessResponseBytes(t *testing.T) {
 	for name, c := range readinessCases {
 		t.Run(name, func(t *testing.T) {
 			r, err := ListenReady("127.0.0.1:0", func() bool { return c.ready })
@@ -146,8 +146,8 @@
 	}
 }
 
-func TestStateBodiesKeepTheirBytes(t *testing.T) {
-	cases := map[string]stateAnswer{
+func TestStateBodyBytes(t *testing.T) {
+	cases := map[string]stateResponse{
 		"state-pending.http":     {State: "pending"},
 		"state-done.http":        {State: "done", Signature: "3e1b.07"},
 		"state-dead-letter.http": {State: "dead_letter"},
@@ -157,7 +157,7 @@
 		t.Run(name, func(t *testing.T) {
 			_, body, found := strings.Cut(golden(t, name), "\r\n\r\n")
 			require.True(t, found)
-			var decoded stateAnswer
+			var decoded stateResponse
 			decoder := json.NewDecoder(strings.NewReader(body))
 			decoder.DisallowUnknownFields()
 			require.NoError(t, decoder.Decode(&decoded))
--- a/edge/ingress/configwait.go
+++ b/edge/ingress/configwait.go
@@ -9,39 +9,40 @@
 	"ravendale/cluster/catalog"
 )
 
-// maxConfigWait bounds the wait of a request that comes before there is a configuration.
+// maxConfigWait limits how long a request that arrives before the first configuration waits for it.
 const maxConfigWait = 300 * time.Millisecond
 
-// broadcast wakes all who wait for a change.
+// broadcast wakes all goroutines that wait for a change.
 type broadcast struct {
 	mu   sync.Mutex
 	next chan struct{}
 }
 
 // wait returns a channel that is closed at the next change.
-func (s *broadcast) wait() <-chan struct{} {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if s.next == nil {
-		s.next = make(chan struct{})
+func (b *broadcast) wait() <-chan struct{} {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	if b.next == nil {
+		b.next = make(chan struct{})
 	}
-	return s.next
+	return b.next
 }
 
-func (s *broadcast) raise() {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if s.next != nil {
-		close(s.next)
-		s.next = nil
+func (b *broadcast) notify() {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	if b.next != nil {
+		close(b.next)
+		b.next = nil
 	}
 }
 
-// ConfigChanged is called when Config.Index or Config.Ready may return something new.
-func (s *Server) ConfigChanged() { s.changed.raise() }
+// ConfigChanged notifies the server that Config.Index or Config.Ready may return a new value.
+func (s *Server) ConfigChanged() { s.changed.notify() }
 
-// awaitIndex returns the configuration in force, once this process is ready, or nil if that takes too long; and how long it
-// waited. A request that comes just before is worth a short wait: rejected it would only come again.
+// awaitIndex waits until this process is ready and returns the current configuration and the time waited. It returns a
+// nil index if that takes too long. A short wait is better than a rejection: the client would only send the request
+// again.
 func (s *Server) awaitIndex(header *fasthttp.RequestHeader) (*catalog.Index, time.Duration) {
 	if index := s.readyIndex(); index != nil {
 		return index, 0
--- a/edge/ingress/configwait_test.go
+++ b/edge/ingress/configwait_test.go
@@ -11,8 +11,8 @@
 	"ravendale/cluster/catalog"
 )
 
-// late is a site whose configuration comes after its first request.
-func late(t *testing.T) (s *site, arrive func()) {
+// siteWithoutConfig returns a site that has no configuration until arrive is called.
+func siteWithoutConfig(t *testing.T) (s *site, arrive func()) {
 	s = newSite(t)
 	var ready atomic.Bool
 	index := s.index
@@ -24,24 +24,24 @@
 	}
 }
 
-func TestRequestWaitsForTheConfiguration(t *testing.T) {
-	s, arrive := late(t)
+func TestRequestWaitsForConfiguration(t *testing.T) {
+	s, arrive := siteWithoutConfig(t)
 	time.AfterFunc(100*time.Millisecond, arrive)
 	began := time.Now()
 	assert.Equal(t, http.StatusAccepted, s.ask(t, head+"Deadline-Ms: 10000\r\nContent-Length: 0\r\n\r\n").status)
 	assert.GreaterOrEqual(t, time.Since(began), 100*time.Millisecond)
-	assert.Less(t, time.Since(began), maxConfigWait, "it is woken")
+	assert.Less(t, time.Since(began), maxConfigWait, "the request is woken before its timeout")
 	assert.LessOrEqual(t, s.queue.limits[0], maxDeadlinePutTime)
 	assert.Equal(t, http.StatusAccepted, s.ask(t, head+"Content-Length: 0\r\n\r\n").status)
 }
 
-// What a request waited is taken off the time for its put.
-func TestTheWaitCounts(t *testing.T) {
-	s, arrive := late(t)
+// The time that a request has waited for the configuration is subtracted from the time for its put.
+func TestConfigurationWaitReducesPutTime(t *testing.T) {
+	s, arrive := siteWithoutConfig(t)
 	var polls atomic.Int32
 	ready := s.server.config.Ready
 	s.server.config.Ready = func() bool {
-		if polls.Add(1) == 2 { // the request is there, and its wait is counted
+		if polls.Add(1) == 2 { // the request has arrived and is waiting
 			time.AfterFunc(100*time.Millisecond, arrive)
 		}
 		return ready()
@@ -50,23 +50,23 @@
 	assert.LessOrEqual(t, s.queue.limits[0], 320*time.Millisecond)
 }
 
-func TestRequestIsRejectedWhenTheConfigurationDoesNotCome(t *testing.T) {
-	s, _ := late(t)
-	for deadline, most := range map[string]time.Duration{"100": 42 * time.Millisecond, "10000": maxConfigWait} {
+func TestRequestIsRejectedWithoutConfiguration(t *testing.T) {
+	s, _ := siteWithoutConfig(t)
+	for deadline, maxWait := range map[string]time.Duration{"100": 42 * time.Millisecond, "10000": maxConfigWait} {
 		began := time.Now()
-		s.server.ConfigChanged() // of something else
+		s.server.ConfigChanged() // an unrelated change
 		got := s.ask(t, head+"Deadline-Ms: "+deadline+"\r\nContent-Length: 0\r\n\r\n")
 		assert.Equal(t, http.StatusServiceUnavailable, got.status)
-		assert.GreaterOrEqual(t, time.Since(began), most)
-		assert.Less(t, time.Since(began), most+250*time.Millisecond)
+		assert.GreaterOrEqual(t, time.Since(began), maxWait)
+		assert.Less(t, time.Since(began), maxWait+250*time.Millisecond)
 	}
 	assert.Zero(t, s.queue.count())
 }
 
-// A request whose time for attempts was nearly used up by the wait still has some: an attempt that is given up at once would have its store
-// taken for one that does not answer, and its client cut off.
-func TestAPutHasTimeLeftAfterTheWait(t *testing.T) {
-	s, arrive := late(t)
+// A put has time for attempts left even if the wait for the configuration has used up nearly all of it: giving up an
+// attempt at once would mark its store as suspect and close the client's connection.
+func TestPutHasTimeLeftAfterConfigurationWait(t *testing.T) {
+	s, arrive := siteWithoutConfig(t)
 	var polls atomic.Int32
 	ready := s.server.config.Ready
 	s.server.config.Ready = func() bool {
--- a/edge/ingress/framing.go
+++ b/edge/ingress/framing.go
@@ -6,8 +6,8 @@
 	"github.com/valyala/fasthttp"
 )
 
-// isUnambiguous reports whether all who read the request agree on where it ends and what it names. Requests that two readers may
-// take for different ones are how others are smuggled in.
+// isUnambiguous reports whether every HTTP implementation parses the same target, host and end of the request. Requests
+// that can be parsed in different ways allow request smuggling.
 func isUnambiguous(h *fasthttp.RequestHeader) bool {
 	target := h.RequestURI()
 	if len(target) == 0 || target[0] != '/' || !isVisible(target) {
@@ -19,7 +19,7 @@
 	return validFields(h.RawHeaders())
 }
 
-// isVisible reports whether bytes are visible ASCII, without spaces, or beyond ASCII.
+// isVisible reports whether the text consists of visible ASCII characters and bytes beyond ASCII only, without spaces.
 func isVisible(text []byte) bool {
 	for _, b := range text {
 		if b <= ' ' || b == 0x7f {
@@ -42,7 +42,7 @@
 		}
 		name, value, found := bytes.Cut(line, []byte(":"))
 		if !found || !isToken(name) || bytes.IndexByte(value, '\r') >= 0 {
-			return false // folded lines begin with a space, which is in no token
+			return false // includes folded lines: they begin with a space, which is not a token character
 		}
 		value = bytes.Trim(value, " \t")
 		switch {
@@ -81,8 +81,8 @@
 	return len(name) > 0
 }
 
-// single returns a field's value, and false if it is there more than once.
-func single(h *fasthttp.RequestHeader, name string) (string, bool) {
+// singleValue returns the value of a field, empty if it is absent. It returns false if the field occurs more than once.
+func singleValue(h *fasthttp.RequestHeader, name string) (string, bool) {
 	values := h.PeekAll(name)
 	if len(values) == 0 {
 		return "", true
--- a/edge/ingress/handler.go
+++ b/edge/ingress/handler.go
@@ -9,7 +9,7 @@
 	"ravendale/edge/queueclient"
 )
 
-// Paths of lookups of a message; its ID follows.
+// Paths for lookups of a message, which are followed by its ID.
 const (
 	statePath = "/v1/message/"
 	bodyPath  = "/v1/message-body/"
@@ -45,7 +45,7 @@
 	s.serveRequest(ctx, string(path))
 }
 
-// serveRequest puts a message into the queue.
+// serveRequest puts the request into the queue as a message.
 func (s *Server) serveRequest(ctx *fasthttp.RequestCtx, path string) {
 	index, waited := s.awaitIndex(&ctx.Request.Header)
 	if index == nil {
@@ -74,7 +74,7 @@
 		ctx.SetStatusCode(fasthttp.StatusAccepted)
 	case queueclient.Rejected:
 		unavailable(ctx)
-	default: // a closed connection promises nothing
+	default: // the result is unknown: close the connection, which promises neither acceptance nor rejection
 		_ = ctx.Conn().Close()
 		ctx.SetConnectionClose()
 	}
--- a/edge/ingress/ingress_test.go
+++ b/edge/ingress/ingress_test.go
@@ -28,7 +28,7 @@
 	limits   []time.Duration
 	answers  []queueclient.Limits
 	result   queueclient.Result
-	blocked  chan struct{} // nil: answer at once
+	blocked  chan struct{} // nil: Put returns at once
 	find     func(id string, body bool) (*wire.FindReply, error)
 }
 
@@ -39,9 +39,9 @@
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	m.ID = "0.name"
-	kept := *m
-	kept.Body = append([]byte(nil), m.Body...)
-	q.messages = append(q.messages, kept)
+	stored := *m
+	stored.Body = append([]byte(nil), m.Body...)
+	q.messages = append(q.messages, stored)
 	q.dispatch = append(q.dispatch, dispatch)
 	q.limits = append(q.limits, limits.Attempt)
 	q.answers = append(q.answers, limits)
@@ -109,10 +109,10 @@
 }
 
 type reply struct {
-	status int
-	header http.Header
-	body   string
-	last   bool // Connection: close, which net/http takes out of the header
+	status  int
+	header  http.Header
+	body    string
+	closing bool // Connection: close, which net/http removes from the header
 }
 
 func (c *client) read() reply {
@@ -124,7 +124,7 @@
 	return reply{response.StatusCode, response.Header, string(body), response.Close}
 }
 
-// closed says whether the server ended the connection with nothing more on it.
+// closed reports whether the server has closed the connection without sending anything more.
 func (c *client) closed() bool {
 	_, err := c.reader.ReadByte()
 	return err != nil && !strings.Contains(err.Error(), "timeout")
@@ -154,8 +154,8 @@
 	assert.True(t, s.queue.dispatch[0])
 }
 
-// UNASKED: the key is kept as it was sent, byte by byte, whether or not its route keeps an order.
-func TestOrderKeyIsKeptAsItWasSent(t *testing.T) {
+// Rule UNASKED (test/standin/check): the key is stored byte for byte as it was sent, whether or not its route is ordered.
+func TestOrderKeyIsStoredUnchanged(t *testing.T) {
 	const key = "K \xe9\xff,\t\"=;:%20/ k"
 	s := newSite(t)
 	for _, path := range []string{"/p/q/", "/p/x"} {
@@ -170,18 +170,18 @@
 	}
 }
 
-func TestMessageWithoutAKeyHasNoOrder(t *testing.T) {
+func TestMessageWithoutKeyIsUnordered(t *testing.T) {
 	s := newSite(t)
 	assert.Equal(t, http.StatusAccepted, s.ask(t, "POST /p/q/ HTTP/1.1\r\nHost: a.example\r\nRequest-Id: r1\r\nContent-Length: 0\r\n\r\n").status)
 	assert.False(t, s.queue.messages[0].Ordered)
 }
 
-func TestBodyInChunks(t *testing.T) {
+func TestChunkedBody(t *testing.T) {
 	s := newSite(t)
 	c := s.dial(t).send(head + "Transfer-Encoding: chunked\r\n\r\n3\r\nhel\r\n2;x=y\r\nlo\r\n0\r\n\r\n")
 	assert.Equal(t, http.StatusAccepted, c.read().status)
 	assert.Equal(t, "hello", string(s.queue.messages[0].Body))
-	c.send(head + "Content-Length: 2\r\n\r\nok") // the connection goes on
+	c.send(head + "Content-Length: 2\r\n\r\nok") // the connection stays usable
 	assert.Equal(t, http.StatusAccepted, c.read().status)
 }
 
@@ -203,7 +203,7 @@
 	assert.Zero(t, s.queue.count())
 }
 
-func TestBadFieldsAreBadRequests(t *testing.T) {
+func TestInvalidFieldsAreBadRequests(t *testing.T) {
 	s := newSite(t)
 	const line = "POST /p/x HTTP/1.1\r\nHost: a.example\r\nContent-Length: 0\r\n"
 	for _, fields := range []string{"", "Request-Id: \r\n", "Request-Id: a\tb\r\n", "Request-Id: a\r\nRequest-Id: b\r\n",
@@ -215,42 +215,43 @@
 	assert.Zero(t, s.queue.count())
 }
 
-// Whatever two readers may take for different requests is refused, and the connection ends: what follows is not a request.
+// Requests that can be parsed in different ways are rejected and the connection is closed, so that the bytes that
+// follow are not taken for a request.
 func TestSmugglingIsRejected(t *testing.T) {
 	const hidden = "POST /p/hidden HTTP/1.1\r\nHost: a.example\r\nRequest-Id: hidden\r\nContent-Length: 0\r\n\r\n"
 	cases := map[string]string{
-		"length and chunks":        head + "Content-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
-		"chunks and length":        head + "Transfer-Encoding: chunked\r\nContent-Length: 4\r\n\r\n0\r\n\r\n",
-		"two lengths":              head + "Content-Length: 0\r\nContent-Length: 5\r\n\r\n",
-		"the same length twice":    head + "Content-Length: 0\r\nContent-Length: 0\r\n\r\n",
-		"list of lengths":          head + "Content-Length: 0, 0\r\n\r\n",
-		"signed length":            head + "Content-Length: +0\r\n\r\n",
-		"negative length":          head + "Content-Length: -1\r\n\r\n",
-		"length that is none":      head + "Content-Length: 0x0\r\n\r\n",
-		"length beyond numbers":    head + "Content-Length: 99999999999999999999999\r\n\r\n",
-		"coding that is not known": head + "Transfer-Encoding: gzip, chunked\r\n\r\n0\r\n\r\n",
-		"coding twice":             head + "Transfer-Encoding: chunked\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
-		"coding identity":          head + "Transfer-Encoding: identity\r\nContent-Length: 0\r\n\r\n",
-		"coding disguised":         head + "Transfer-Encoding: xchunked\r\n\r\n0\r\n\r\n",
-		"space before the colon":   head + "Content-Length : 0\r\n\r\n",
-		"coding with a space":      head + "Transfer-Encoding : chunked\r\n\r\n0\r\n\r\n",
-		"folded line":              head + "X: a\r\n Content-Length: 0\r\nContent-Length: 0\r\n\r\n",
-		"bare line feeds":          head + "X: a\nContent-Length: 0\r\n\r\n",
-		"field without a name":     head + ": a\r\nContent-Length: 0\r\n\r\n",
-		"control in a field":       head + "X: a\x00b\r\nContent-Length: 0\r\n\r\n",
-		"two hosts":                head + "Host: b.example\r\nContent-Length: 0\r\n\r\n",
-		"no host":                  "POST /p/x HTTP/1.1\r\nRequest-Id: r1\r\nContent-Length: 0\r\n\r\n",
-		"whole address as target":  "POST http://a.example/p/x HTTP/1.1\r\nHost: a.example\r\nRequest-Id: r1\r\nContent-Length: 0\r\n\r\n",
-		"target without a slash":   "POST p/x HTTP/1.1\r\nHost: a.example\r\nRequest-Id: r1\r\nContent-Length: 0\r\n\r\n",
-		"space in the target":      "POST /p/x y HTTP/1.1\r\nHost: a.example\r\nRequest-Id: r1\r\nContent-Length: 0\r\n\r\n",
-		"older protocol":           "POST /p/x HTTP/1.0\r\nHost: a.example\r\nRequest-Id: r1\r\nContent-Length: 0\r\n\r\n",
-		"no protocol":              "POST /p/x\r\nHost: a.example\r\nRequest-Id: r1\r\nContent-Length: 0\r\n\r\n",
-		"chunk size that is none":  head + "Transfer-Encoding: chunked\r\n\r\nzz\r\nab\r\n0\r\n\r\n",
-		"chunk size with a sign":   head + "Transfer-Encoding: chunked\r\n\r\n+2\r\nab\r\n0\r\n\r\n",
-		"chunk size with a prefix": head + "Transfer-Encoding: chunked\r\n\r\n0x2\r\nab\r\n0\r\n\r\n",
-		"chunk longer than told":   head + "Transfer-Encoding: chunked\r\n\r\n2\r\nabcd\r\n0\r\n\r\n",
-		"chunk with a line feed":   head + "Transfer-Encoding: chunked\r\n\r\n2\nab\r\n0\r\n\r\n",
-		"chunk without its end":    head + "Transfer-Encoding: chunked\r\n\r\n2\r\nab0\r\n\r\n",
+		"length and chunks":            head + "Content-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
+		"chunks and length":            head + "Transfer-Encoding: chunked\r\nContent-Length: 4\r\n\r\n0\r\n\r\n",
+		"two lengths":                  head + "Content-Length: 0\r\nContent-Length: 5\r\n\r\n",
+		"the same length twice":        head + "Content-Length: 0\r\nContent-Length: 0\r\n\r\n",
+		"list of lengths":              head + "Content-Length: 0, 0\r\n\r\n",
+		"signed length":                head + "Content-Length: +0\r\n\r\n",
+		"negative length":              head + "Content-Length: -1\r\n\r\n",
+		"length that is no number":     head + "Content-Length: 0x0\r\n\r\n",
+		"length that overflows":        head + "Content-Length: 99999999999999999999999\r\n\r\n",
+		"unknown coding":               head + "Transfer-Encoding: gzip, chunked\r\n\r\n0\r\n\r\n",
+		"coding twice":                 head + "Transfer-Encoding: chunked\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
+		"coding identity":              head + "Transfer-Encoding: identity\r\nContent-Length: 0\r\n\r\n",
+		"coding disguised":             head + "Transfer-Encoding: xchunked\r\n\r\n0\r\n\r\n",
+		"space before the colon":       head + "Content-Length : 0\r\n\r\n",
+		"coding with a space":          head + "Transfer-Encoding : chunked\r\n\r\n0\r\n\r\n",
+		"folded line":                  head + "X: a\r\n Content-Length: 0\r\nContent-Length: 0\r\n\r\n",
+		"bare line feeds":              head + "X: a\nContent-Length: 0\r\n\r\n",
+		"field without a name":         head + ": a\r\nContent-Length: 0\r\n\r\n",
+		"control in a field":           head + "X: a\x00b\r\nContent-Length: 0\r\n\r\n",
+		"two hosts":                    head + "Host: b.example\r\nContent-Length: 0\r\n\r\n",
+		"no host":                      "POST /p/x HTTP/1.1\r\nRequest-Id: r1\r\nContent-Length: 0\r\n\r\n",
+		"whole address as target":      "POST http://a.example/p/x HTTP/1.1\r\nHost: a.example\r\nRequest-Id: r1\r\nContent-Length: 0\r\n\r\n",
+		"target without a slash":       "POST p/x HTTP/1.1\r\nHost: a.example\r\nRequest-Id: r1\r\nContent-Length: 0\r\n\r\n",
+		"space in the target":          "POST /p/x y HTTP/1.1\r\nHost: a.example\r\nRequest-Id: r1\r\nContent-Length: 0\r\n\r\n",
+		"older protocol":               "POST /p/x HTTP/1.0\r\nHost: a.example\r\nRequest-Id: r1\r\nContent-Length: 0\r\n\r\n",
+		"no protocol":                  "POST /p/x\r\nHost: a.example\r\nRequest-Id: r1\r\nContent-Length: 0\r\n\r\n",
+		"chunk size that is no number": head + "Transfer-Encoding: chunked\r\n\r\nzz\r\nab\r\n0\r\n\r\n",
+		"chunk size with a sign":       head + "Transfer-Encoding: chunked\r\n\r\n+2\r\nab\r\n0\r\n\r\n",
+		"chunk size with a prefix":     head + "Transfer-Encoding: chunked\r\n\r\n0x2\r\nab\r\n0\r\n\r\n",
+		"chunk longer than its size":   head + "Transfer-Encoding: chunked\r\n\r\n2\r\nabcd\r\n0\r\n\r\n",
+		"chunk with a line feed":       head + "Transfer-Encoding: chunked\r\n\r\n2\nab\r\n0\r\n\r\n",
+		"chunk without its end":        head + "Transfer-Encoding: chunked\r\n\r\n2\r\nab0\r\n\r\n",
 	}
 	for name, text := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -279,7 +280,7 @@
 	assert.Equal(t, 2, s.queue.count())
 }
 
-func TestNewLimitsHoldForOpenConnectionsToo(t *testing.T) {
+func TestNewBodyLimitAppliesToOpenConnections(t *testing.T) {
 	s := newSite(t)
 	c := s.dial(t).send(head + "Content-Length: 0\r\n\r\n")
 	require.Equal(t, http.StatusAccepted, c.read().status)
@@ -288,7 +289,7 @@
 	assert.Equal(t, http.StatusRequestEntityTooLarge, c.read().status)
 }
 
-func TestSlowHeadEndsInTime(t *testing.T) {
+func TestSlowHeaderTimesOut(t *testing.T) {
 	s := newSite(t)
 	began := time.Now()
 	c := s.dial(t).send("POST /p/x HTTP/1.1\r\nHost: a.exa")
@@ -297,7 +298,7 @@
 	assert.InDelta(t, 300, time.Since(began).Milliseconds(), 200)
 }
 
-func TestIdleConnectionEndsWithoutAnAnswer(t *testing.T) {
+func TestIdleConnectionIsClosedWithoutResponse(t *testing.T) {
 	s := newSite(t)
 	c := s.dial(t).send(head + "Content-Length: 0\r\n\r\n")
 	require.Equal(t, http.StatusAccepted, c.read().status)
@@ -306,7 +307,7 @@
 	assert.True(t, c.closed())
 }
 
-func TestOneRequestAfterAnother(t *testing.T) {
+func TestPipelinedRequests(t *testing.T) {
 	s := newSite(t)
 	c := s.dial(t)
 	for i := range 5 {
@@ -331,7 +332,7 @@
 	assert.Empty(t, got.header.Get("Msg-Id"))
 }
 
-func TestUnknownPutGetsNoAnswer(t *testing.T) {
+func TestUnknownPutClosesConnection(t *testing.T) {
 	s := newSite(t)
 	s.queue.result = queueclient.Unknown
 	c := s.dial(t).send(head + "Content-Length: 0\r\n\r\n")
@@ -349,7 +350,7 @@
 	assert.Zero(t, s.queue.count())
 }
 
-func TestMessageThatAnotherEdgeDelivers(t *testing.T) {
+func TestMessageNotAcceptedByThisEdgeIsNotDispatched(t *testing.T) {
 	s := newSite(t)
 	s.accepts = false
 	assert.Equal(t, http.StatusAccepted, s.ask(t, head+"Content-Length: 2\r\n\r\nok").status)
@@ -357,7 +358,7 @@
 	assert.Equal(t, "ok", string(s.queue.messages[0].Body))
 }
 
-func TestHowLongAPutMayTake(t *testing.T) {
+func TestPutLimits(t *testing.T) {
 	s := newSite(t)
 	for _, deadline := range []string{"", "Deadline-Ms: 1000\r\n", "Deadline-Ms: 60000\r\n", "Deadline-Ms: x\r\n"} {
 		require.Equal(t, http.StatusAccepted, s.ask(t, head+deadline+"Content-Length: 0\r\n\r\n").status)
@@ -403,7 +404,7 @@
 	assert.Equal(t, http.StatusServiceUnavailable, ask("/v1/message-body/0.lost").status)
 }
 
-func TestShutdownAnswersWhatIsInFlight(t *testing.T) {
+func TestShutdownFinishesRequestsInFlight(t *testing.T) {
 	s := newSite(t)
 	s.queue.blocked = make(chan struct{})
 	idle, busy := s.dial(t), s.dial(t)
@@ -418,7 +419,7 @@
 	close(s.queue.blocked)
 	got := busy.read()
 	assert.Equal(t, http.StatusAccepted, got.status)
-	assert.True(t, got.last)
+	assert.True(t, got.closing)
 	assert.True(t, busy.closed())
 	<-closed
 	_, err := net.Dial("tcp4", s.server.Address())
@@ -430,10 +431,10 @@
 	s.server.Drain()
 	got := s.ask(t, head+"Content-Length: 0\r\n\r\n")
 	assert.Equal(t, http.StatusAccepted, got.status)
-	assert.True(t, got.last)
+	assert.True(t, got.closing)
 }
 
-func TestShutdownEndsWithItsContext(t *testing.T) {
+func TestShutdownReturnsWhenContextIsDone(t *testing.T) {
 	s := newSite(t)
 	s.queue.blocked = make(chan struct{})
 	defer close(s.queue.blocked)
--- a/edge/ingress/lookup.go
+++ b/edge/ingress/lookup.go
@@ -10,7 +10,7 @@
 	"ravendale/edge/queueclient"
 )
 
-type stateAnswer struct {
+type stateResponse struct {
 	State     string `json:"state"`
 	Signature string `json:"signature,omitempty"`
 }
@@ -27,11 +27,11 @@
 	if found == nil {
 		return
 	}
-	answer := stateAnswer{State: stateNames[found.State]}
+	response := stateResponse{State: stateNames[found.State]}
 	if found.State == wire.StateDone {
-		answer.Signature = found.Signature
+		response.Signature = found.Signature
 	}
-	text, err := json.Marshal(answer)
+	text, err := json.Marshal(response)
 	if err != nil {
 		unavailable(ctx)
 		return
@@ -53,7 +53,7 @@
 	ctx.SetBody(found.Body)
 }
 
-// find looks a message up, and answers the client if that fails.
+// find looks up a message. If that fails, it sends the error response and returns nil.
 func (s *Server) find(ctx *fasthttp.RequestCtx, id string, body bool) *wire.FindReply {
 	found, err := s.config.Queue.Find(id, body)
 	switch {
--- a/edge/ingress/message.go
+++ b/edge/ingress/message.go
@@ -13,19 +13,20 @@
 	"ravendale/edge/queueclient"
 )
 
-// parseMessage makes a message of a request, without its body, and returns how long its put may take.
+// parseMessage converts a request to a message without a body, and returns the limits for its put. It returns false for
+// invalid fields.
 func parseMessage(request *fasthttp.Request, route *catalog.Route) (m *wire.Message, limits queueclient.Limits, ok bool) {
 	header := &request.Header
-	id, once := single(header, "Request-Id")
-	if !once || !isRequestID(id) {
+	id, unique := singleValue(header, "Request-Id")
+	if !unique || !isRequestID(id) {
 		return nil, limits, false
 	}
-	key, once := single(header, "Order-Key")
-	if !once {
+	key, unique := singleValue(header, "Order-Key")
+	if !unique {
 		return nil, limits, false
 	}
-	delay, fine := parseNumber(header, "Delay-Ms")
-	if !fine || delay > math.MaxUint32 {
+	delay, valid := parseNumber(header, "Delay-Ms")
+	if !valid || delay > math.MaxUint32 {
 		return nil, limits, false
 	}
 	return &wire.Message{
@@ -41,7 +42,7 @@
 	return uint32(min(route.RetentionS*thousand, math.MaxUint32))
 }
 
-// isRequestID reports whether a text can be a request's id.
+// isRequestID reports whether the text is a valid request ID: not empty and without control characters.
 func isRequestID(text string) bool {
 	for i := range len(text) {
 		if text[i] < ' ' || text[i] == 0x7f {
@@ -51,11 +52,12 @@
 	return text != ""
 }
 
-// parseNumber parses a field that is a number of 0 or more; absent, it is 0.
+// parseNumber parses a field whose value is a non-negative number; it is 0 if the field is absent. It returns false for
+// an invalid value.
 func parseNumber(h *fasthttp.RequestHeader, name string) (float64, bool) {
-	text, once := single(h, name)
-	if text == "" || !once {
-		return 0, once && len(h.PeekAll(name)) == 0
+	text, unique := singleValue(h, name)
+	if text == "" || !unique {
+		return 0, unique && len(h.PeekAll(name)) == 0
 	}
 	value, err := strconv.ParseFloat(text, 64)
 	if err != nil || math.IsNaN(value) || math.IsInf(value, 0) || value < 0 || strings.ContainsAny(text, "xX_pP") {
--- a/edge/ingress/putlimits.go
+++ b/edge/ingress/putlimits.go
@@ -10,24 +10,25 @@
 	"ravendale/edge/queueclient"
 )
 
-// How long a put may take.
+// Limits on the duration of a put.
 const (
-	putTargets         = 5 // times the route's latency target
+	putTargets         = 5 // multiple of the route's latency target
 	minPutTime         = 250 * time.Millisecond
 	maxPutTime         = 600 * time.Millisecond
-	maxDeadlinePutTime = 2 * time.Second // for clients that say that they wait longer
-	putFraction        = 0.42            // of what a client waits: rejected by then, it may go elsewhere
-	answerFraction     = 0.47            // ... and closed by then, if no answer is likely to come
-	lateAnswerFraction = 0.9             // ... or by then: the answer has to reach the client, too
+	maxDeadlinePutTime = 2 * time.Second // for clients with a longer Deadline-Ms
+	putFraction        = 0.42            // of the client's deadline: a client rejected by then has time to try elsewhere
+	answerFraction     = 0.47            // ... after which the connection is closed if no answer is likely to come
+	lateAnswerFraction = 0.9             // ... after which it is closed in any case: the response needs time to reach the client
 	maxAnswerTime      = 2500 * time.Millisecond
-	minAttemptShare    = 4 // one in so many of the time for attempts is left after a wait for the configuration
+	minAttemptShare    = 4 // at least 1/minAttemptShare of the time for attempts remains after the wait for the configuration
 	defaultTarget      = 100 * time.Millisecond
 )
 
-// deadlineOf returns how long the client waits, in milliseconds, 0 if it does not say so: it is only a hint.
+// deadlineOf returns how long the client waits (Deadline-Ms), in milliseconds. The field is only a hint: if it is
+// absent or invalid, deadlineOf returns 0.
 func deadlineOf(header *fasthttp.RequestHeader) float64 {
-	deadline, fine := parseNumber(header, "Deadline-Ms")
-	if !fine {
+	deadline, valid := parseNumber(header, "Deadline-Ms")
+	if !valid {
 		return 0
 	}
 	return deadline
--- a/edge/ingress/readiness.go
+++ b/edge/ingress/readiness.go
@@ -14,13 +14,13 @@
 	maxReadyConns = 16
 )
 
-// Readiness answers the platform whether this edge takes new connections.
+// Readiness is an HTTP server on which the platform probes whether this edge accepts new connections.
 type Readiness struct {
 	server   *fasthttp.Server
 	listener net.Listener
 }
 
-// ListenReady starts to answer the platform.
+// ListenReady starts a Readiness server. The probe fails with 503 while ready returns false.
 func ListenReady(address string, ready func() bool) (*Readiness, error) {
 	listener, err := net.Listen("tcp4", address)
 	if err != nil {
@@ -39,12 +39,12 @@
 		Concurrency: maxReadyConns, ReduceMemoryUsage: true, GetOnly: true, Logger: discardLogger{},
 		NoDefaultServerHeader: true, NoDefaultDate: true, NoDefaultContentType: true,
 	}}
-	go func() { _ = r.server.Serve(listener) }() // it ends when the listener does
+	go func() { _ = r.server.Serve(listener) }() // Serve returns when the listener is closed
 	return r, nil
 }
 
-// Address returns where the platform is answered.
+// Address returns the address that the server listens on.
 func (r *Readiness) Address() string { return r.listener.Addr().String() }
 
-// Close stops answering.
+// Close stops accepting connections.
 func (r *Readiness) Close() { _ = r.listener.Close() }
--- a/edge/ingress/server.go
+++ b/edge/ingress/server.go
@@ -16,7 +16,7 @@
 	"ravendale/edge/queueclient"
 )
 
-// Queue stores messages and knows their state.
+// Queue stores messages and looks up their state.
 type Queue interface {
 	Put(m *wire.Message, dispatch bool, limits queueclient.Limits) queueclient.Result
 	Find(id string, body bool) (*wire.FindReply, error)
@@ -25,14 +25,14 @@
 // Config holds the options of a Server.
 type Config struct {
 	Queue    Queue
-	Index    func() *catalog.Index                    // nil until there is a configuration
-	Ready    func() bool                              // the configuration is current; else requests are rejected
-	Accepts  func(service string, bodyBytes int) bool // this edge will deliver such a message itself
-	MaxConns int                                      // connections open at once
+	Index    func() *catalog.Index                    // returns nil until there is a configuration
+	Ready    func() bool                              // whether the configuration is current; requests are rejected otherwise
+	Accepts  func(service string, bodyBytes int) bool // whether this edge will deliver such a message itself
+	MaxConns int                                      // maximum number of open connections
 	Log      *slog.Logger                             // nil: slog.Default
 }
 
-// Limits in force until a configuration names others, and where it names none.
+// Default limits, for those that the configuration does not set.
 const (
 	defaultHeaderBytes   = 16 << 10
 	defaultBodyBytes     = 1 << 20
@@ -41,13 +41,13 @@
 
 	minHeaderBuffer = 4 << 10
 	writeBuffer     = 512
-	bodyTimeout     = 15 * time.Second // for a complete body
+	bodyTimeout     = 15 * time.Second // for receiving a complete body
 	writeTimeout    = 10 * time.Second
 	sweepInterval   = 100 * time.Millisecond
 	acceptPause     = 20 * time.Millisecond
 )
 
-// Server accepts connections of clients and answers their requests.
+// Server accepts connections from clients and responds to their requests.
 type Server struct {
 	config   Config
 	limits   atomic.Pointer[limits]
@@ -60,13 +60,13 @@
 	conns    map[*clientConn]struct{}
 }
 
-// limits and the server of connections that began under them.
+// limits are limits on requests, and the server for connections that were accepted while they applied.
 type limits struct {
 	catalog.Limits
 	server *fasthttp.Server
 }
 
-// clientConn knows whether a request is being read or answered on it.
+// clientConn is a connection of a client. It is idle while no request is being read or handled on it.
 type clientConn struct {
 	net.Conn
 	idle atomic.Bool
@@ -82,28 +82,29 @@
 	return s
 }
 
-// SetLimits sets what clients may send. It holds for new connections, the size of bodies for all.
+// SetLimits sets the limits on requests. They apply to new connections; the limit on the body size applies to open
+// connections too.
 func (s *Server) SetLimits(next catalog.Limits) {
 	if s.limits.Load().Limits != next {
 		s.limits.Store(s.newLimits(next))
 	}
 }
 
-func orDefault[T int | time.Duration](figure, other T) T {
-	if figure > 0 {
-		return figure
+func orDefault[T int | time.Duration](value, fallback T) T {
+	if value > 0 {
+		return value
 	}
-	return other
+	return fallback
 }
 
-func milliseconds(figure float64) time.Duration {
-	return time.Duration(figure * float64(time.Millisecond))
+func milliseconds(value float64) time.Duration {
+	return time.Duration(value * float64(time.Millisecond))
 }
 
 func (s *Server) newLimits(l catalog.Limits) *limits {
 	return &limits{Limits: l, server: &fasthttp.Server{
 		Handler:                       s.handleRequest,
-		ErrorHandler:                  answerError,
+		ErrorHandler:                  respondError,
 		HeaderReceived:                s.bodyLimits,
 		ConnState:                     trackState,
 		ReadBufferSize:                max(orDefault(l.MaxHeaderBytes, defaultHeaderBytes), minHeaderBuffer),
@@ -124,7 +125,7 @@
 	}}
 }
 
-// discardLogger drops fasthttp's own lines, which report clients' mistakes.
+// discardLogger drops the log lines of fasthttp, which report errors of clients.
 type discardLogger struct{}
 
 func (discardLogger) Printf(string, ...any) {}
@@ -155,7 +156,7 @@
 	return nil
 }
 
-// Address returns where the server listens.
+// Address returns the address that the server listens on.
 func (s *Server) Address() string { return s.listener.Addr().String() }
 
 func (s *Server) accept(listener net.Listener) {
@@ -167,7 +168,7 @@
 			if errors.Is(err, net.ErrClosed) {
 				return
 			}
-			time.Sleep(acceptPause) // as when descriptors have run out
+			time.Sleep(acceptPause) // for example, the process has run out of file descriptors
 			continue
 		}
 		c := &clientConn{Conn: conn}
@@ -180,17 +181,18 @@
 }
 
 func (s *Server) serve(c *clientConn) {
-	_ = s.limits.Load().server.ServeConn(c) // errors were answered
+	_ = s.limits.Load().server.ServeConn(c) // respondError has responded to errors
 	s.mu.Lock()
 	delete(s.conns, c)
 	s.mu.Unlock()
 	<-s.slots
 }
 
-// Drain has each answer close its connection from now on.
+// Drain makes the server close each connection after its next response.
 func (s *Server) Drain() { s.draining.Store(true) }
 
-// Shutdown stops accepting connections, closes idle ones, and waits until what is in flight is answered or the context ends.
+// Shutdown stops accepting connections, closes idle ones, and waits until all requests in flight are finished or the
+// context is done.
 func (s *Server) Shutdown(ctx context.Context) {
 	s.Drain()
 	s.mu.Lock()
@@ -200,7 +202,7 @@
 	s.mu.Unlock()
 	ticker := time.NewTicker(sweepInterval)
 	defer ticker.Stop()
-	for s.endIdle() > 0 {
+	for s.closeIdle() > 0 {
 		select {
 		case <-ticker.C:
 		case <-ctx.Done():
@@ -209,8 +211,8 @@
 	}
 }
 
-// endIdle ends the wait of idle connections for another request, and counts all that are open.
-func (s *Server) endIdle() int {
+// closeIdle makes idle connections close by expiring their read deadline, and returns the number of open connections.
+func (s *Server) closeIdle() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for c := range s.conns {
--- a/edge/queueclient/attempt.go
+++ b/edge/queueclient/attempt.go
@@ -9,22 +9,23 @@
 	"ravendale/cluster/wire"
 )
 
-const attemptsBeforePause = 3 // so many partitions may reject before a pause
+const attemptsBeforePause = 3 // number of rejected attempts after which a put pauses
 
-// The mean latency of answers is taken over so many, and a multiple of it is waited before a put is attempted elsewhere.
+// A put waits latencyFactor times the mean latency for an answer before the next attempt (attemptTimeout). The mean is a
+// moving average over about latencySamples answers.
 const (
 	latencySamples = 8
 	latencyFactor  = 4
 )
 
-// observeLatency records how long a put took to be answered.
+// observeLatency adds the time from a put to its answer to the mean latency.
 func (c *Client) observeLatency(took time.Duration) {
 	mean := time.Duration(c.meanLatency.Load())
 	c.meanLatency.Store(int64(mean + (took-mean)/latencySamples))
 }
 
-// attemptTimeout is how long an answer is waited for before the next attempt. It grows when all stores are slow: to
-// put everything twice would make them slower.
+// attemptTimeout returns how long to wait for an answer before the next attempt. It grows while all stores are slow:
+// sending each message twice would slow them down further.
 func (c *Client) attemptTimeout() time.Duration {
 	return min(max(latencyFactor*time.Duration(c.meanLatency.Load()), minAttemptTimeout), maxAttemptTimeout)
 }
@@ -33,12 +34,12 @@
 
 const (
 	attemptPending  attemptState = iota
-	attemptRejected              // surely not accepted
+	attemptRejected              // certainly not accepted
 	attemptUnknown
 	attemptAccepted
 )
 
-// attempt is one request of a put. Its state is guarded by the put's lock.
+// attempt is one request of a put. The put's lock guards state and granted.
 type attempt struct {
 	put       *put
 	id        string
@@ -46,12 +47,13 @@
 	conn      *rpc.Conn
 	epoch     uint64
 	startedAt time.Duration
-	stores    []*store // of the partition, the primary first
+	stores    []*store // replicas of the partition, the primary first
 	state     attemptState
-	granted   bool // a grant came before the answer
+	granted   bool // a grant was received before the answer
 }
 
-// startAttempt sends the message to the primary of a partition, or returns nil where that can't be.
+// startAttempt sends the message to the primary of a partition. It returns nil if there is no suitable partition, its
+// primary is not connected, or the same request is already pending.
 func (p *put) startAttempt() *attempt {
 	c := p.client
 	v := c.view.Load()
@@ -70,15 +72,15 @@
 	if conn == nil || !v.mayAttempt(partition, c.now()) {
 		return nil
 	}
-	t := p.addAttempt(attempt{put: p, partition: partition, conn: conn, epoch: v.Epoch, startedAt: c.now(), stores: v.replicas(partition)})
-	if t == nil {
+	a := p.addAttempt(attempt{put: p, partition: partition, conn: conn, epoch: v.Epoch, startedAt: c.now(), stores: v.replicas(partition)})
+	if a == nil {
 		return nil
 	}
 	request := &wire.Put{Partition: partition, Epoch: v.Epoch, Message: *p.message, Dispatch: p.dispatch}
-	request.Message.ID = t.id
+	request.Message.ID = a.id
 	primary.unanswered.Add(1)
-	conn.Start(wire.MethodPut, request, t.reply)
-	return t
+	conn.Start(wire.MethodPut, request, a.reply)
+	return a
 }
 
 func (p *put) partition(v *view) (uint16, bool) {
@@ -87,111 +89,114 @@
 	}
 	p.mu.Lock()
 	var attempted []uint16
-	for _, t := range p.attempts {
-		attempted = append(attempted, t.partition)
+	for _, a := range p.attempts {
+		attempted = append(attempted, a.partition)
 	}
 	p.mu.Unlock()
 	return v.choose(p.client.now(), attempted, p.hasPending())
 }
 
-// addAttempt adds an attempt, unless the message was accepted meanwhile, or the very same request waits for its answer.
+// addAttempt adds an attempt and returns it. It returns nil if the message has been accepted meanwhile, or if an
+// identical request still waits for its answer.
 func (p *put) addAttempt(next attempt) *attempt {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.accepted != nil || slices.ContainsFunc(p.attempts, next.duplicates) {
 		return nil
 	}
-	t := &next
-	if p.message.Ordered && len(p.attempts) > 0 && p.attempts[0].partition == t.partition {
-		t.id = p.attempts[0].id
+	a := &next
+	if p.message.Ordered && len(p.attempts) > 0 && p.attempts[0].partition == a.partition {
+		a.id = p.attempts[0].id
 	} else {
-		t.id = p.client.newID(t.partition)
+		a.id = p.client.newID(a.partition)
 	}
-	p.attempts = append(p.attempts, t)
-	p.client.remember(t)
-	return t
+	p.attempts = append(p.attempts, a)
+	p.client.remember(a)
+	return a
 }
 
-// duplicates reports whether another attempt waits for the same store's answer under the same placement.
-func (t *attempt) duplicates(other *attempt) bool {
-	return other.state == attemptPending && other.partition == t.partition && other.conn == t.conn && other.epoch == t.epoch
+// duplicates reports whether the other attempt still waits for an answer from the same store about the same partition
+// and placement.
+func (a *attempt) duplicates(other *attempt) bool {
+	return other.state == attemptPending && other.partition == a.partition && other.conn == a.conn && other.epoch == a.epoch
 }
 
 func (c *Client) newID(partition uint16) string {
 	return wire.MessageID(partition, c.incarnation+"-"+strconv.FormatUint(c.issuedIDs.Add(1), 36))
 }
 
-// reply takes the answer to an attempt, on the goroutine that reads the connection.
-func (t *attempt) reply(payload []byte, err error) {
-	t.stores[0].unanswered.Add(-1)
+// reply handles the answer to an attempt. It runs on the goroutine that reads the connection.
+func (a *attempt) reply(payload []byte, err error) {
+	a.stores[0].unanswered.Add(-1)
 	reply := wire.PutReply{Code: wire.PutUnknown}
 	if err == nil {
-		t.put.client.observeLatency(t.put.client.now() - t.startedAt)
+		a.put.client.observeLatency(a.put.client.now() - a.startedAt)
 		_, err = reply.UnmarshalMsg(payload)
 	}
 	switch {
 	case err != nil || reply.Code == wire.PutUnknown:
-		t.resolve(attemptUnknown)
+		a.resolve(attemptUnknown)
 	case reply.Code == wire.PutAccepted:
-		t.resolveAccepted(reply.Granted)
+		a.resolveAccepted(reply.Granted)
 	default:
-		t.resolve(attemptRejected)
+		a.resolve(attemptRejected)
 	}
 }
 
-func (t *attempt) resolve(state attemptState) {
-	t.put.mu.Lock()
-	t.state = state
-	t.put.mu.Unlock()
-	t.put.wake()
+func (a *attempt) resolve(state attemptState) {
+	a.put.mu.Lock()
+	a.state = state
+	a.put.mu.Unlock()
+	a.put.wake()
 }
 
-// resolveAccepted takes the message as accepted by this attempt, unless it is too late: then the store is to drop it.
-func (t *attempt) resolveAccepted(granted bool) {
-	p := t.put
-	for _, s := range t.stores {
+// resolveAccepted makes this attempt the one that accepted the message. If the put has finished, or another attempt was
+// accepted first, it reports the message as dropped to the store instead.
+func (a *attempt) resolveAccepted(granted bool) {
+	p := a.put
+	for _, s := range a.stores {
 		s.clearSuspect()
 	}
-	t.stores[0].recordAccepted(p.client.now())
+	a.stores[0].recordAccepted(p.client.now())
 	p.mu.Lock()
-	t.state = attemptAccepted
-	duplicate := p.accepted != nil && p.accepted.id == t.id
+	a.state = attemptAccepted
+	duplicate := p.accepted != nil && p.accepted.id == a.id
 	late := p.finished || p.accepted != nil
 	if !late {
-		p.accepted = t
-		p.message.ID = t.id
+		p.accepted = a
+		p.message.ID = a.id
 	}
-	granted = granted || t.granted
+	granted = granted || a.granted
 	p.mu.Unlock()
 	if late {
 		if !duplicate {
-			p.client.Report(wire.Report{Partition: t.partition, ID: t.id, Kind: wire.ReportDropped})
+			p.client.Report(wire.Report{Partition: a.partition, ID: a.id, Kind: wire.ReportDropped})
 		}
 		return
 	}
 	if p.dispatch {
 		p.client.config.Accepted(p.message, granted)
-		p.notifyGrant(t, granted)
+		p.notifyGrant(a, granted)
 	}
-	p.client.forgetAttempt(t.id) // the others are forgotten once they are reported dropped
+	p.client.forgetAttempt(a.id) // forget removes the other attempts, after they have been reported as dropped
 	p.wake()
 }
 
-// notifyGrant passes on a grant that came over another connection while Config.Accepted was being called.
-func (p *put) notifyGrant(t *attempt, granted bool) {
+// notifyGrant calls Config.Granted if a grant was received on another connection while Config.Accepted was running.
+func (p *put) notifyGrant(a *attempt, granted bool) {
 	p.mu.Lock()
 	p.notified = true
-	overtaken := t.granted && !granted
+	overtaken := a.granted && !granted
 	p.mu.Unlock()
 	if overtaken {
-		p.client.config.Granted(&wire.Grant{Partition: t.partition, ID: t.id})
+		p.client.config.Granted(&wire.Grant{Partition: a.partition, ID: a.id})
 	}
 }
 
-func (c *Client) remember(t *attempt) {
+func (c *Client) remember(a *attempt) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.attempts[t.id] = t
+	c.attempts[a.id] = a
 }
 
 func (c *Client) forget(p *put) {
@@ -200,8 +205,8 @@
 	p.mu.Unlock()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, t := range attempts {
-		delete(c.attempts, t.id)
+	for _, a := range attempts {
+		delete(c.attempts, a.id)
 	}
 }
 
@@ -211,26 +216,27 @@
 	delete(c.attempts, id)
 }
 
-// grantAttempt records a grant of a message that Config.Accepted was not called for yet, as one that overtook the answer to its put. It
-// reports whether it was one, with its message or without: until the put has a result, the message may be accepted under another ID too, and
-// whichever is not the one that counts is dropped.
+// grantAttempt records a grant that arrived before the answer to the put, so before Config.Accepted was called for the
+// message. It reports whether the grant belongs to such a put, whether or not the grant contains the message: until the
+// put has a result, the message may be accepted under another ID as well, and all IDs but the one that counts are
+// reported as dropped.
 func (c *Client) grantAttempt(id string) bool {
 	c.mu.Lock()
-	t := c.attempts[id]
+	a := c.attempts[id]
 	c.mu.Unlock()
-	if t == nil {
+	if a == nil {
 		return false
 	}
-	t.put.mu.Lock()
-	defer t.put.mu.Unlock()
-	switch accepted := t.put.accepted; {
+	a.put.mu.Lock()
+	defer a.put.mu.Unlock()
+	switch accepted := a.put.accepted; {
 	case accepted == nil:
 	case accepted.id != id:
-		return true // it is about to be reported dropped
-	case t.put.notified:
+		return true // finish reports this ID as dropped
+	case a.put.notified:
 		return false
 	}
-	for _, other := range t.put.attempts { // a duplicate under the same ID may be the one that is answered
+	for _, other := range a.put.attempts { // another attempt with the same ID may be the one that receives the answer
 		if other.id == id {
 			other.granted = true
 		}
@@ -238,13 +244,13 @@
 	return true
 }
 
-// pendingPuts lists the messages whose puts have no result yet.
+// pendingPuts returns the IDs of all attempts of puts with dispatch that have no result yet, in order.
 func (c *Client) pendingPuts() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	ids := make([]string, 0, len(c.attempts))
-	for id, t := range c.attempts {
-		if t.put.dispatch {
+	for id, a := range c.attempts {
+		if a.put.dispatch {
 			ids = append(ids, id)
 		}
 	}
--- a/edge/queueclient/client.go
+++ b/edge/queueclient/client.go
@@ -14,57 +14,58 @@
 	"ravendale/cluster/wire"
 )
 
-// Time-outs and pauses of the client.
+// Timeouts and pauses of the client.
 const (
-	minAttemptTimeout = 150 * time.Millisecond  // a put without an answer by then is attempted elsewhere
-	maxAttemptTimeout = time.Second             // ... and at most, while all answers are slow
-	lastAnswerTimeout = 2500 * time.Millisecond // for answers that are missing when the time for attempts is over
-	suspectTimeout    = time.Second             // a store that left a put unanswered is avoided for so long
+	minAttemptTimeout = 150 * time.Millisecond  // minimum time without an answer before a put is attempted elsewhere
+	maxAttemptTimeout = time.Second             // maximum of the same time, applied while all answers are slow
+	lastAnswerTimeout = 2500 * time.Millisecond // how long to wait for answers missing at the end of the attempts
+	suspectTimeout    = time.Second             // how long a store that left a put unanswered is avoided
 	rejectedPause     = 25 * time.Millisecond   // before a rejected put is attempted again
 	reportTimeout     = 500 * time.Millisecond  // a report without an answer by then is sent again
 	reportRetryPause  = 50 * time.Millisecond   // before a rejected report is sent again
 	claimRetryPause   = 50 * time.Millisecond   // before a rejected claim is sent again
-	findStageTimeout  = 300 * time.Millisecond  // a question without an answer for so long goes to others, too
-	findTimeout       = 1500 * time.Millisecond // askers wait two seconds
+	findStageTimeout  = 300 * time.Millisecond  // a lookup without an answer by then also goes to the next stage
+	findTimeout       = 1500 * time.Millisecond // clients of a lookup wait 2 s
 )
 
-// Config of a Client. Its functions are called by goroutines that read connections: they must not wait.
+// Config configures a Client. Its functions run on goroutines that read connections: they must not block.
 type Config struct {
 	Edge string // Member.ID
 	Zone string
 
-	Heartbeat time.Duration // of the membership lease; 0: longer than matters
+	Heartbeat time.Duration // interval of the membership heartbeat; 0: too long to affect the standstill limit
 
-	Options rpc.Options // of connections to stores; Mux is filled in
+	Options rpc.Options // of connections to stores; New sets Mux
 
 	// Accepted is called for each message that was put with dispatch and accepted, before any grant of it.
 	Accepted func(m *wire.Message, granted bool)
 	// Granted is called for each grant.
 	Granted func(g *wire.Grant)
-	// Acknowledged is called when a report that completes a message, or releases it, is on disk.
+	// Acknowledged is called when a store has acknowledged that a report which completes, releases or drops a message
+	// is on disk.
 	Acknowledged func(id string)
-	// Unknown is called for a leased message that a store does not know as pending.
+	// Unknown is called for a leased message that is not pending at the primary of its partition.
 	Unknown func(id string)
-	// Leased lists the IDs of the messages that are leased to the edge.
+	// Leased returns the IDs of the messages that are leased to the edge.
 	Leased func() []string
 
-	Log  *slog.Logger // nil: the default
+	Log  *slog.Logger // nil: slog.Default
 	Host host.Host    // nil: host.System
 }
 
-// Client is an edge's client of the queue. Its methods may be called by any goroutine.
+// Client is an edge's client of the queue. It is safe for concurrent use.
 type Client struct {
 	config      Config
 	host        host.Host
 	started     time.Duration
 	view        atomic.Pointer[view]
 	issuedIDs   atomic.Uint64
-	meanLatency atomic.Int64  // time.Duration: mean time of an answer to a put
-	incarnation string        // makes the IDs of this start of the process unlike all others
-	lastTimeout time.Duration // lastAnswerTimeout, but for tests
+	meanLatency atomic.Int64  // time.Duration: mean latency of a put
+	incarnation string        // random part of message IDs, unique to this process instance
+	lastTimeout time.Duration // lastAnswerTimeout; tests shorten it
 
 	mu       sync.Mutex
-	stores   map[string]*store   // by disk
+	stores   map[string]*store   // by disk identity
 	attempts map[string]*attempt // of puts without a result, by message ID
 	draining bool
 	closed   bool
@@ -73,7 +74,7 @@
 	standstill standstill
 }
 
-// New returns a client without a placement.
+// New returns a client without a placement: puts are rejected until SetView is called.
 func New(config Config) *Client {
 	if config.Log == nil {
 		config.Log = slog.Default()
@@ -97,26 +98,27 @@
 }
 
 func (c *Client) handleGrant(conn *rpc.Conn, g *wire.Grant) {
-	c.noteAlive()
+	c.recordRunning()
 	if c.isStale(conn, g) {
 		return
 	}
 	if c.grantAttempt(g.ID) || c.reports.isDropping(g.ID) {
 		return
 	}
-	if g.HasMessage && c.reports.isReleasing(g.ID) { // the store takes the repeat of the release for one of this grant
+	if g.HasMessage && c.reports.isReleasing(g.ID) { // a repeated release may still arrive and undo the grant
 		c.Report(wire.Report{ID: g.ID, Kind: wire.ReportReleased, Failed: g.Failed})
 		return
 	}
 	c.config.Granted(g)
 }
 
-// isStale reports whether a grant came too late to count: it is from a store that is not the partition's primary any more, or from a
-// connection before the present one, or from one that was up while the process stood still. The claims that this edge has made since do not name its message, which may be another's.
+// isStale reports whether a grant must be ignored: its sender is no longer the partition's primary, or it was received
+// on a connection that has been replaced, or on one that was open while the process was paused. The claims that this
+// edge has sent since do not list the message, so it may have been granted to another edge.
 func (c *Client) isStale(conn *rpc.Conn, g *wire.Grant) bool {
 	v := c.view.Load()
 	if v == nil || g.Epoch > v.Epoch {
-		return false // this edge is the one that is behind
+		return false // this edge has the older placement, not the store
 	}
 	primary := v.primary(g.Partition)
 	return primary == nil || primary.conn() != conn || primary.outdated.Load() == conn
@@ -124,7 +126,8 @@
 
 func (c *Client) now() time.Duration { return c.host.Now() - c.started }
 
-// SetView takes a placement, unless a newer one is known.
+// SetView installs a placement, unless the client has the same or a newer one. It closes the links to stores that are
+// no longer in it.
 func (c *Client) SetView(next *wire.StoreView) {
 	c.mu.Lock()
 	if old := c.view.Load(); next == nil || c.closed || old != nil && old.Epoch >= next.Epoch {
@@ -143,14 +146,15 @@
 	for _, disk := range slices.Sorted(maps.Keys(removed)) {
 		removed[disk].link.Close()
 	}
-	c.reports.resend() // first: what is completed needs no claim
+	c.reports.resend() // before the claims: a completed message needs no claim
 	for _, s := range v.stores {
-		s.link.Hurry() // a new placement may mean that it is back
+		s.link.Hurry() // the new placement may mean that the store has restarted
 		s.claim()
 	}
 }
 
-// adopt returns the store of an entry: the known one, taken out of the map, or a new one.
+// adopt returns the store for an entry of the placement and adds it to c.stores. It reuses the store from the map
+// known, and removes it there, if disk and address are unchanged.
 func (c *Client) adopt(entry *wire.Store, known map[string]*store) *store {
 	s := known[entry.Disk]
 	if s != nil && s.address == entry.Address {
@@ -162,7 +166,7 @@
 	return s
 }
 
-// Usable reports whether messages can be put: there is a placement, and a primary of it is connected.
+// Usable reports whether messages can be put: there is a placement, and at least one primary in it is connected.
 func (c *Client) Usable() bool {
 	v := c.view.Load()
 	if v == nil {
@@ -176,25 +180,25 @@
 	return false
 }
 
-// Drain notifies the stores that this edge takes no more grants.
+// Drain notifies the stores that this edge accepts no more grants.
 func (c *Client) Drain() {
 	c.mu.Lock()
 	c.draining = true
-	stores := c.all()
+	stores := c.allStores()
 	c.mu.Unlock()
 	for _, s := range stores {
 		s.attach(s.conn())
 	}
 }
 
-// Pending counts reports that are not yet acknowledged.
+// Pending returns the number of messages with reports that are not yet acknowledged.
 func (c *Client) Pending() int { return c.reports.pending() }
 
-// Close closes all connections.
+// Close stops the retries of reports and closes all connections.
 func (c *Client) Close() {
 	c.mu.Lock()
 	c.closed = true
-	stores := c.all()
+	stores := c.allStores()
 	c.mu.Unlock()
 	c.reports.stop()
 	c.stopWatch()
@@ -203,7 +207,7 @@
 	}
 }
 
-func (c *Client) all() []*store {
+func (c *Client) allStores() []*store {
 	stores := make([]*store, 0, len(c.stores))
 	for _, s := range c.stores {
 		stores = append(stores, s)
--- a/edge/queueclient/client_test.go
+++ b/edge/queueclient/client_test.go
@@ -11,8 +11,9 @@
 	"ravendale/cluster/wire"
 )
 
-// The answer to a put is lost with the connection; the repeat's comes after the grant.
-func TestGrantThatOvertakesTheAnswer(t *testing.T) {
+// A grant is received before the answer to the put, as when the connection breaks before the first answer and the
+// repeated put is answered after the grant. The client must pass the grant to Config.Accepted.
+func TestGrantBeforeAnswer(t *testing.T) {
 	onFakeTime(t, func(t *testing.T) {
 		one := newFakeStore(t)
 		c, h := newClient(t)
@@ -21,17 +22,17 @@
 			return &wire.PutReply{Code: wire.PutAccepted}
 		}
 		c.SetView(placement(1, []*fakeStore{one}, []uint16{0}))
-		connected(t, c)
+		awaitConnected(t, c)
 		m := ordered()
 		require.Equal(t, Accepted, c.putFor(m, true, time.Second))
-		h.with(func() {
+		h.withLock(func() {
 			assert.Equal(t, map[string]bool{m.ID: true}, h.accepted)
 			assert.Empty(t, h.granted)
 		})
 	})
 }
 
-func TestGrantsReachTheEdge(t *testing.T) {
+func TestGrantIsDelivered(t *testing.T) {
 	onFakeTime(t, func(t *testing.T) {
 		one := newFakeStore(t)
 		c, h := newClient(t)
@@ -40,17 +41,17 @@
 			one.mu.Lock()
 			defer one.mu.Unlock()
 			return len(one.conns) == 1
-		}, soon, time.Millisecond)
-		one.with(func() { _ = one.conns[0].Notify(wire.MethodGrant, &wire.Grant{ID: "0.x", HasMessage: true}) })
+		}, testTimeout, time.Millisecond)
+		one.withLock(func() { _ = one.conns[0].Notify(wire.MethodGrant, &wire.Grant{ID: "0.x", HasMessage: true}) })
 		require.Eventually(t, func() bool {
 			h.mu.Lock()
 			defer h.mu.Unlock()
 			return len(h.granted) == 1
-		}, soon, time.Millisecond)
+		}, testTimeout, time.Millisecond)
 	})
 }
 
-func TestClaimsNameWhatThePrimaryShouldKnow(t *testing.T) {
+func TestClaimListsLeasesOfPrimary(t *testing.T) {
 	onFakeTime(t, func(t *testing.T) {
 		one, two := newFakeStore(t), newFakeStore(t)
 		c, h := newClient(t)
@@ -63,14 +64,14 @@
 		}
 		stores := []*fakeStore{one, two}
 		c.SetView(placement(1, stores, []uint16{0, 1}, []uint16{1, 0}))
-		connected(t, c)
-		one.with(func() { assert.Equal(t, []wire.Claim{{Epoch: 1, IDs: []string{"0.a"}}}, distinct(one.claims)) })
-		two.with(func() { assert.Equal(t, []wire.Claim{{Epoch: 1, IDs: []string{"1.b", "1.c"}}}, distinct(two.claims)) })
-		h.with(func() { assert.Equal(t, []string{"1.c"}, slices.Compact(h.unknown)) })
+		awaitConnected(t, c)
+		one.withLock(func() { assert.Equal(t, []wire.Claim{{Epoch: 1, IDs: []string{"0.a"}}}, distinct(one.claims)) })
+		two.withLock(func() { assert.Equal(t, []wire.Claim{{Epoch: 1, IDs: []string{"1.b", "1.c"}}}, distinct(two.claims)) })
+		h.withLock(func() { assert.Equal(t, []string{"1.c"}, slices.Compact(h.unknown)) })
 		claims := one.countClaims()
 		c.SetView(placement(2, stores, []uint16{0, 1}, []uint16{0, 1}))
-		require.Eventually(t, func() bool { return one.countClaims() > claims }, soon, time.Millisecond)
-		one.with(func() {
+		require.Eventually(t, func() bool { return one.countClaims() > claims }, testTimeout, time.Millisecond)
+		one.withLock(func() {
 			last := one.claims[len(one.claims)-1]
 			assert.EqualValues(t, 2, last.Epoch)
 			assert.ElementsMatch(t, []string{"0.a", "1.b", "1.c"}, last.IDs)
@@ -78,7 +79,7 @@
 	})
 }
 
-func TestClaimIsRepeatedToAStoreThatIsBehind(t *testing.T) {
+func TestClaimIsRetriedWhileStoreIsStale(t *testing.T) {
 	onFakeTime(t, func(t *testing.T) {
 		one := newFakeStore(t)
 		calls := 0
@@ -90,11 +91,11 @@
 		}
 		c, _ := newClient(t)
 		c.SetView(placement(4, []*fakeStore{one}, []uint16{0}))
-		require.Eventually(t, func() bool { return one.countClaims() >= 3 }, soon, time.Millisecond)
+		require.Eventually(t, func() bool { return one.countClaims() >= 3 }, testTimeout, time.Millisecond)
 	})
 }
 
-func TestOlderViewsAreNotTaken(t *testing.T) {
+func TestOlderViewIsIgnored(t *testing.T) {
 	onFakeTime(t, func(t *testing.T) {
 		one := newFakeStore(t)
 		c, _ := newClient(t)
@@ -104,33 +105,33 @@
 	})
 }
 
-func TestStoreWithAnotherDiskIsAnother(t *testing.T) {
+func TestChangedDiskReplacesStore(t *testing.T) {
 	onFakeTime(t, func(t *testing.T) {
 		one := newFakeStore(t)
 		c, _ := newClient(t)
 		c.SetView(placement(1, []*fakeStore{one}, []uint16{0}))
-		connected(t, c)
-		before := c.view.Load().stores[0]
+		awaitConnected(t, c)
+		previous := c.view.Load().stores[0]
 		next := placement(2, []*fakeStore{one}, []uint16{0})
 		next.Stores[0].Disk = "other"
 		c.SetView(next)
-		connected(t, c)
-		assert.NotSame(t, before, c.view.Load().stores[0])
-		assert.Equal(t, Accepted, c.putFor(plain(), true, time.Second))
+		awaitConnected(t, c)
+		assert.NotSame(t, previous, c.view.Load().stores[0])
+		assert.Equal(t, Accepted, c.putFor(unordered(), true, time.Second))
 	})
 }
 
-func TestDrainNotifiesTheStores(t *testing.T) {
+func TestDrainNotifiesStores(t *testing.T) {
 	onFakeTime(t, func(t *testing.T) {
 		one := newFakeStore(t)
 		c, _ := newClient(t)
 		c.SetView(placement(1, []*fakeStore{one}, []uint16{0}))
-		connected(t, c)
+		awaitConnected(t, c)
 		c.Drain()
 		require.Eventually(t, func() bool {
 			one.mu.Lock()
 			defer one.mu.Unlock()
 			return len(one.attaches) > 0 && one.attaches[len(one.attaches)-1].Draining
-		}, soon, time.Millisecond)
+		}, testTimeout, time.Millisecond)
 	})
 }
--- a/edge/queueclient/compat_test.go
+++ b/edge/queueclient/compat_test.go
@@ -12,7 +12,7 @@
 	"ravendale/cluster/wire"
 )
 
-func TestMessageIDsKeepTheirForm(t *testing.T) {
+func TestMessageIDFormat(t *testing.T) {
 	text, err := os.ReadFile(filepath.Join("testdata", "compat", "message-names.txt"))
 	require.NoError(t, err)
 	c := &Client{incarnation: "3k9z0"}
--- a/edge/queueclient/fakestore_test.go
+++ b/edge/queueclient/fakestore_test.go
@@ -15,9 +15,9 @@
 	"ravendale/cluster/wire"
 )
 
-const soon = 3 * time.Second // of fake time
+const testTimeout = 3 * time.Second // in fake time
 
-// fakeStore is a store that answers as the test says.
+// fakeStore is a store whose answers the test sets. By default it accepts everything and finds nothing.
 type fakeStore struct {
 	server *rpc.Server
 
@@ -28,11 +28,11 @@
 	reports  []wire.Report
 	conns    []*rpc.Conn
 
-	put    func(p *wire.Put, number int) *wire.PutReply // nil, or a nil answer: none
+	put    func(p *wire.Put, number int) *wire.PutReply // a nil reply: no answer
 	report func(r *wire.Report, number int) wire.PutCode
 	claim  func(c *wire.Claim) *wire.ClaimReply
 	find   func(f *wire.Find) *wire.FindReply
-	unsure bool // it answers that it can't say
+	unsure bool // it answers lookups with an error
 }
 
 func newFakeStore(t *testing.T) *fakeStore {
@@ -104,67 +104,68 @@
 	}
 }
 
-func (s *fakeStore) with(f func()) {
+func (s *fakeStore) withLock(f func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	f()
 }
 
 func (s *fakeStore) countPuts() (count int) {
-	s.with(func() { count = len(s.puts) })
+	s.withLock(func() { count = len(s.puts) })
 	return count
 }
 
 func (s *fakeStore) countReports() (count int) {
-	s.with(func() { count = len(s.reports) })
+	s.withLock(func() { count = len(s.reports) })
 	return count
 }
 
 func (s *fakeStore) countClaims() (count int) {
-	s.with(func() { count = len(s.claims) })
+	s.withLock(func() { count = len(s.claims) })
 	return count
 }
 
-// recorder records what a client notifies its edge of.
+// recorder records the calls of the functions of a client's Config.
 type recorder struct {
 	mu           sync.Mutex
-	accepted     map[string]bool // by message: granted
+	accepted     map[string]bool // by message ID: whether it was granted
 	granted      []string
 	acknowledged []string
 	unknown      []string
 	leased       []string
 }
 
-func (h *recorder) with(f func()) {
+func (h *recorder) withLock(f func()) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	f()
 }
 
-func newClient(t *testing.T) (*Client, *recorder) { return newClientOf(t, func(*Config) {}) }
+func newClient(t *testing.T) (*Client, *recorder) { return newClientWith(t, func(*Config) {}) }
 
-// newClientOf returns a client whose configuration differs from the usual one.
-func newClientOf(t *testing.T, differ func(*Config)) (*Client, *recorder) {
+// newClientWith returns a client with a modified configuration.
+func newClientWith(t *testing.T, modify func(*Config)) (*Client, *recorder) {
 	h := &recorder{accepted: make(map[string]bool)}
 	config := Config{
 		Edge: "edge-1", Zone: "z1", Options: rpc.Options{DialContext: memory.dial},
-		Accepted:     func(m *wire.Message, granted bool) { h.with(func() { h.accepted[m.ID] = granted }) },
-		Granted:      func(g *wire.Grant) { h.with(func() { h.granted = append(h.granted, g.ID) }) },
-		Acknowledged: func(id string) { h.with(func() { h.acknowledged = append(h.acknowledged, id) }) },
-		Unknown:      func(id string) { h.with(func() { h.unknown = append(h.unknown, id) }) },
+		Accepted:     func(m *wire.Message, granted bool) { h.withLock(func() { h.accepted[m.ID] = granted }) },
+		Granted:      func(g *wire.Grant) { h.withLock(func() { h.granted = append(h.granted, g.ID) }) },
+		Acknowledged: func(id string) { h.withLock(func() { h.acknowledged = append(h.acknowledged, id) }) },
+		Unknown:      func(id string) { h.withLock(func() { h.unknown = append(h.unknown, id) }) },
 		Leased: func() (ids []string) {
-			h.with(func() { ids = append(ids, h.leased...) })
+			h.withLock(func() { ids = append(ids, h.leased...) })
 			return ids
 		},
 	}
-	differ(&config)
+	modify(&config)
 	c := New(config)
-	c.started -= time.Hour // no event falls on its start, a time that stands for never
+	c.started -= time.Hour // so that no event has time 0, which stands for never
 	t.Cleanup(c.Close)
 	return c, h
 }
 
-// placement has a partition for each list of stores, the primary first. The first store is in zone z1, the rest in z2.
+// placement returns a placement with one partition for each list of stores, the primary first. The first store is in
+// zone z1, the others in z2.
 func placement(epoch uint64, stores []*fakeStore, partitions ...[]uint16) *wire.StoreView {
 	v := &wire.StoreView{Epoch: epoch, Copies: 1}
 	for i, s := range stores {
@@ -181,9 +182,9 @@
 	return v
 }
 
-// connected waits until the client is connected to all stores and has notified them of all that there was. What it claims may be sent
-// twice then: by the connection that came up, and by the view that was taken.
-func connected(t *testing.T, c *Client) {
+// awaitConnected waits until the client is connected to all stores and has sent all pending messages. Claims may have
+// been sent twice then: by the new connection and by the new view.
+func awaitConnected(t *testing.T, c *Client) {
 	t.Helper()
 	defer synctest.Wait()
 	require.Eventually(t, func() bool {
@@ -193,19 +194,19 @@
 			}
 		}
 		return true
-	}, soon, time.Millisecond)
+	}, testTimeout, time.Millisecond)
 }
 
-// distinct leaves repeats out that follow one another.
+// distinct removes consecutive duplicates.
 func distinct(claims []wire.Claim) []wire.Claim {
 	return slices.CompactFunc(claims, func(a, b wire.Claim) bool { return a.Epoch == b.Epoch && slices.Equal(a.IDs, b.IDs) })
 }
 
-// putFor is Put with a limit for attempts and the client's own time-out for answers.
+// putFor is Put with a limit for attempts and the client's own timeout for answers.
 func (c *Client) putFor(m *wire.Message, dispatch bool, limit time.Duration) Result {
 	return c.Put(m, dispatch, Limits{Attempt: limit, Answer: c.lastTimeout, LateAnswer: c.lastTimeout})
 }
 
-func plain() *wire.Message { return &wire.Message{RequestID: "r", Body: []byte("b")} }
+func unordered() *wire.Message { return &wire.Message{RequestID: "r", Body: []byte("b")} }
 
 func ordered() *wire.Message { return &wire.Message{RequestID: "r", Key: "k", Ordered: true} }
--- a/edge/queueclient/find.go
+++ b/edge/queueclient/find.go
@@ -9,19 +9,20 @@
 
 // Errors of Find.
 var (
-	ErrNotFound = errors.New("queueclient: no store knows the message")
-	ErrNoAnswer = errors.New("queueclient: it could not be found out")
+	ErrNotFound = errors.New("queueclient: message not found on any store")
+	ErrNoAnswer = errors.New("queueclient: state of the message could not be determined")
 )
 
-// Find looks up the state of a message, and with body its bytes: at the primary of its partition, then at the other replicas,
-// and at last at all stores. ErrNotFound needs the answer of each, under one placement.
+// Find looks up the state of a message and, if body is set, its body. It asks the primary of the message's partition,
+// then the other replicas, and finally all other stores. It returns ErrNotFound only if each of them has answered,
+// under the same placement, that it does not have the message, and ErrNoAnswer if that can't be established in time.
 func (c *Client) Find(id string, body bool) (*wire.FindReply, error) {
 	partition, ok := wire.PartitionOf(id)
 	if !ok {
 		return nil, ErrNotFound
 	}
-	expired := time.NewTimer(findTimeout)
-	defer expired.Stop()
+	deadline := time.NewTimer(findTimeout)
+	defer deadline.Stop()
 	for {
 		v := c.view.Load()
 		if v == nil || len(v.Partitions) == 0 {
@@ -31,8 +32,8 @@
 			return nil, ErrNotFound
 		}
 		s := &search{request: &wire.Find{ID: id, Body: body, Epoch: v.Epoch}, answers: make(chan findAnswer, maxStoresAsked)}
-		reply, again, err := s.ask(stages(v, partition), expired)
-		if !again {
+		reply, retry, err := s.ask(stages(v, partition), deadline)
+		if !retry {
 			return reply, err
 		}
 	}
@@ -47,19 +48,19 @@
 
 type findAnswer struct {
 	store *store
-	reply *wire.FindReply // nil: none came
+	reply *wire.FindReply // nil: the request failed
 }
 
-// stages returns the stores to ask, stage by stage.
+// stages returns the stores to ask, in stages: the primary, the other replicas, the remaining stores.
 func stages(v *view, partition uint16) [][]*store {
 	replicas := v.replicas(partition)
-	known := make(map[*store]bool)
+	isReplica := make(map[*store]bool)
 	for _, s := range replicas {
-		known[s] = true
+		isReplica[s] = true
 	}
 	var others []*store
 	for _, s := range v.stores {
-		if !known[s] && len(others) < maxStoresAsked/2 {
+		if !isReplica[s] && len(others) < maxStoresAsked/2 {
 			others = append(others, s)
 		}
 	}
@@ -69,53 +70,55 @@
 	return [][]*store{replicas[:1], replicas[1:], others}
 }
 
-// ask goes through the stages. It asks the stores of the next one when those before have not answered for a while, or do not have it.
-func (s *search) ask(stages [][]*store, expired *time.Timer) (reply *wire.FindReply, again bool, err error) {
+// ask sends the request to the stores of one stage after another. It goes on to the next stage when all stores asked so
+// far do not have the message, or after findStageTimeout. It returns retry if the lookup was inconclusive and there is
+// time for another round.
+func (s *search) ask(stages [][]*store, deadline *time.Timer) (reply *wire.FindReply, retry bool, err error) {
 	absent := make(map[*store]bool)
-	sent, all := 0, 0
+	sent, total := 0, 0
 	for _, stage := range stages {
-		all += len(stage)
+		total += len(stage)
 		for _, store := range stage {
 			sent += s.start(store)
 		}
 		stageTimer := time.NewTimer(findStageTimeout)
 		for waiting := true; waiting && len(absent) < sent; {
 			select {
-			case a := <-s.answers:
-				if a.reply != nil && a.reply.Found {
+			case answer := <-s.answers:
+				if answer.reply != nil && answer.reply.Found {
 					stageTimer.Stop()
-					return a.reply, false, nil
+					return answer.reply, false, nil
 				}
-				if a.reply == nil {
+				if answer.reply == nil {
 					sent--
 				} else {
-					absent[a.store] = true
+					absent[answer.store] = true
 				}
 			case <-stageTimer.C:
 				waiting = false
-			case <-expired.C:
+			case <-deadline.C:
 				stageTimer.Stop()
 				return nil, false, ErrNoAnswer
 			}
 		}
 		stageTimer.Stop()
 	}
-	if len(absent) == all {
+	if len(absent) == total {
 		return nil, false, ErrNotFound
 	}
 	select {
-	case <-expired.C:
+	case <-deadline.C:
 		return nil, false, ErrNoAnswer
-	case a := <-s.answers:
-		if a.reply != nil && a.reply.Found {
-			return a.reply, false, nil
+	case answer := <-s.answers:
+		if answer.reply != nil && answer.reply.Found {
+			return answer.reply, false, nil
 		}
 	case <-time.After(findStageTimeout):
 	}
 	return nil, true, nil
 }
 
-// start sends the request to a store, and returns 1 if it was sent.
+// start sends the request to a store. It returns the number of requests sent: 1, or 0 if the store is not connected.
 func (s *search) start(store *store) int {
 	conn := store.conn()
 	if conn == nil {
@@ -131,7 +134,7 @@
 		}
 		select {
 		case s.answers <- findAnswer{store, reply}:
-		default: // nobody waits any more
+		default: // the channel is full: ask has returned
 		}
 	})
 	return 1
--- a/edge/queueclient/find_test.go
+++ b/edge/queueclient/find_test.go
@@ -10,8 +10,9 @@
 	"ravendale/cluster/wire"
 )
 
-// askersPatience is how long those who ask for a state wait. A quarter of that is for the way, and for a machine that is busy.
-const askersPatience = 2 * time.Second
+// lookupTimeout is how long clients wait for a lookup. Find may take three quarters of it; the rest is for the network
+// and for a busy machine.
+const lookupTimeout = 2 * time.Second
 
 func TestFind(t *testing.T) {
 	onFakeTime(t, func(t *testing.T) {
@@ -20,23 +21,23 @@
 		_, err := c.Find("0.x", false)
 		assert.ErrorIs(t, err, ErrNoAnswer)
 		c.SetView(placement(1, []*fakeStore{one, two, three}, []uint16{0, 1}))
-		connected(t, c)
+		awaitConnected(t, c)
 
 		for _, id := range []string{"x", "", "0.", "zzzz.x", "7.x"} {
 			_, err = c.Find(id, false)
 			assert.ErrorIs(t, err, ErrNotFound, id)
 		}
 		_, err = c.Find("0.x", false)
-		assert.ErrorIs(t, err, ErrNotFound, "all said so")
+		assert.ErrorIs(t, err, ErrNotFound, "all stores answered that they do not have it")
 
 		found := &wire.FindReply{Found: true, State: wire.StateDone, Signature: "s"}
-		three.with(func() { three.find = func(*wire.Find) *wire.FindReply { return found } })
+		three.withLock(func() { three.find = func(*wire.Find) *wire.FindReply { return found } })
 		reply, err := c.Find("0.x", false)
 		require.NoError(t, err)
 		assert.Equal(t, found, reply)
 
-		one.with(func() { one.find = func(*wire.Find) *wire.FindReply { return nil } }) // unresponsive
-		two.with(func() {
+		one.withLock(func() { one.find = func(*wire.Find) *wire.FindReply { return nil } }) // unresponsive
+		two.withLock(func() {
 			two.find = func(f *wire.Find) *wire.FindReply {
 				return &wire.FindReply{Found: true, Body: []byte("b"), State: wire.StatePending}
 			}
@@ -49,32 +50,32 @@
 	})
 }
 
-func TestFindWithoutAnswersOfAllStoresIsNoAnswer(t *testing.T) {
+func TestFindWithUnresponsiveStore(t *testing.T) {
 	onFakeTime(t, func(t *testing.T) {
 		one, two := newFakeStore(t), newFakeStore(t)
 		one.find = func(*wire.Find) *wire.FindReply { return nil }
 		c, _ := newClient(t)
 		c.SetView(placement(1, []*fakeStore{one, two}, []uint16{0, 1}))
-		connected(t, c)
+		awaitConnected(t, c)
 		began := time.Now()
 		_, err := c.Find("0.x", false)
 		assert.ErrorIs(t, err, ErrNoAnswer)
-		assert.LessOrEqual(t, time.Since(began), askersPatience*3/4)
+		assert.LessOrEqual(t, time.Since(began), lookupTimeout*3/4)
 	})
 }
 
-// LOST: only the word of all stores, under the placement by which they are asked, is that there is no such message.
-func TestFindOfWhatAStoreIsNotSureOfIsNoAnswer(t *testing.T) {
+// Rule LOST (test/standin/check): a message is not found only if all stores answer so, under the placement of the lookup.
+func TestFindWithUncertainStore(t *testing.T) {
 	onFakeTime(t, func(t *testing.T) {
 		one, two := newFakeStore(t), newFakeStore(t)
 		two.unsure = true
 		c, _ := newClient(t)
 		c.SetView(&wire.StoreView{Epoch: 6})
 		_, err := c.Find("0.x", false)
-		require.ErrorIs(t, err, ErrNoAnswer, "nothing is placed yet")
+		require.ErrorIs(t, err, ErrNoAnswer, "the placement has no partitions yet")
 		c.SetView(placement(7, []*fakeStore{one, two}, []uint16{0}))
-		connected(t, c)
-		one.with(func() {
+		awaitConnected(t, c)
+		one.withLock(func() {
 			one.find = func(f *wire.Find) *wire.FindReply {
 				assert.EqualValues(t, 7, f.Epoch)
 				return &wire.FindReply{}
@@ -83,15 +84,15 @@
 		began := time.Now()
 		_, err = c.Find("0.x", false)
 		require.ErrorIs(t, err, ErrNoAnswer)
-		assert.LessOrEqual(t, time.Since(began), askersPatience*3/4)
+		assert.LessOrEqual(t, time.Since(began), lookupTimeout*3/4)
 
-		one.with(func() {
+		one.withLock(func() {
 			one.find = func(*wire.Find) *wire.FindReply {
-				two.with(func() { two.unsure = false }) // it hears of the placement meanwhile
+				two.withLock(func() { two.unsure = false }) // it receives the placement meanwhile
 				return &wire.FindReply{}
 			}
 		})
 		_, err = c.Find("0.x", false)
-		assert.ErrorIs(t, err, ErrNotFound, "it is asked again")
+		assert.ErrorIs(t, err, ErrNotFound, "the lookup is repeated")
 	})
 }
--- a/edge/queueclient/network_test.go
+++ b/edge/queueclient/network_test.go
@@ -10,8 +10,9 @@
 	"testing/synctest"
 )
 
-// onFakeTime runs a test whose goroutines see a clock that stands still while any of them has something to do: how busy the machine
-// is makes no difference. Its connections are pipes in memory, as those of sockets are waited for in real time.
+// onFakeTime runs a test in a synctest bubble: its clock advances only while all goroutines are blocked, so the load of
+// the machine does not matter. Connections must be in-memory pipes, because goroutines that wait for sockets do not
+// count as blocked.
 func onFakeTime(t *testing.T, test func(t *testing.T)) {
 	t.Helper()
 	synctest.Test(t, test)
@@ -40,14 +41,14 @@
 	l := n.listeners[address]
 	n.mu.Unlock()
 	if l == nil {
-		return nil, errors.New("nobody listens at " + address)
+		return nil, errors.New("no listener at " + address)
 	}
 	near, far := net.Pipe()
 	select {
 	case l.accepted <- far:
 		return near, nil
 	case <-l.closed:
-		return nil, errors.New("nobody listens any more at " + address)
+		return nil, errors.New("listener closed at " + address)
 	case <-ctx.Done():
 		return nil, ctx.Err()
 	}
--- a/edge/queueclient/outage_test.go
+++ b/edge/queueclient/outage_test.go
@@ -10,27 +10,28 @@
 	"ravendale/cluster/wire"
 )
 
-// No store responds any more. Once that is known a put is not left without an answer, but rejected: its client may try again.
+// No store responds. The first put remains unknown; once the store is suspect, puts are rejected, so that their clients
+// can retry.
 func TestPutsToUnresponsiveStoresAreRejectedInTime(t *testing.T) {
 	onFakeTime(t, func(t *testing.T) {
 		one := newFakeStore(t)
 		one.put = func(*wire.Put, int) *wire.PutReply { return nil }
 		c, _ := newClient(t)
 		c.SetView(placement(1, []*fakeStore{one}, []uint16{0}, []uint16{0}))
-		connected(t, c)
-		limits := Limits{Attempt: 2 * minAttemptTimeout, Answer: 20 * time.Millisecond, LateAnswer: soon}
+		awaitConnected(t, c)
+		limits := Limits{Attempt: 2 * minAttemptTimeout, Answer: 20 * time.Millisecond, LateAnswer: testTimeout}
 		began := time.Now()
-		require.Equal(t, Unknown, c.Put(plain(), true, limits))
-		assert.Less(t, time.Since(began), soon/2, "nothing hints that an answer comes")
-		for _, m := range []*wire.Message{plain(), ordered()} {
+		require.Equal(t, Unknown, c.Put(unordered(), true, limits))
+		assert.Less(t, time.Since(began), testTimeout/2, "an answer is not likely, so LateAnswer is not waited for")
+		for _, m := range []*wire.Message{unordered(), ordered()} {
 			assert.Equal(t, Rejected, c.Put(m, true, limits))
 		}
 		assert.LessOrEqual(t, one.countPuts(), 2)
 	})
 }
 
-// The first answer ends the suspicion, and what waited goes on, sooner than the suspicion would have passed by itself.
-func TestPutsGoOnWhenAStoreAnswersAgain(t *testing.T) {
+// The first answer clears the suspicion: waiting puts continue before suspectTimeout has passed.
+func TestPutResumesWhenStoreAnswersAgain(t *testing.T) {
 	onFakeTime(t, func(t *testing.T) {
 		one := newFakeStore(t)
 		arrived, release := make(chan struct{}), make(chan struct{})
@@ -43,14 +44,14 @@
 		}
 		c, _ := newClient(t)
 		c.SetView(placement(1, []*fakeStore{one}, []uint16{0}))
-		connected(t, c)
-		go c.putFor(plain(), true, soon)
+		awaitConnected(t, c)
+		go c.putFor(unordered(), true, testTimeout)
 		<-arrived
 		primary := c.view.Load().primary(0)
-		require.Eventually(t, func() bool { return primary.isSuspect(c.now()) }, soon, time.Millisecond)
+		require.Eventually(t, func() bool { return primary.isSuspect(c.now()) }, testTimeout, time.Millisecond)
 		suspected := time.Now()
 		second := make(chan Result, 1)
-		go func() { second <- c.Put(plain(), true, Limits{Attempt: soon}) }()
+		go func() { second <- c.Put(unordered(), true, Limits{Attempt: testTimeout}) }()
 		close(release)
 		require.Equal(t, Accepted, <-second)
 		assert.Less(t, time.Since(suspected), suspectTimeout)
@@ -58,8 +59,8 @@
 	})
 }
 
-// A store that accepts other messages is slow, not down: its answer is waited for.
-func TestAnswersOfASlowStoreAreHopedFor(t *testing.T) {
+// A store that accepts other messages is slow, not down: a put waits for its answer.
+func TestLateAnswerOfSlowStoreIsAwaited(t *testing.T) {
 	onFakeTime(t, func(t *testing.T) {
 		one := newFakeStore(t)
 		one.put = func(_ *wire.Put, number int) *wire.PutReply {
@@ -70,8 +71,8 @@
 		}
 		c, _ := newClient(t)
 		c.SetView(placement(1, []*fakeStore{one}, []uint16{0}))
-		connected(t, c)
-		require.Equal(t, Accepted, c.putFor(plain(), true, soon))
-		assert.Equal(t, Accepted, c.Put(plain(), true, Limits{Attempt: 20 * time.Millisecond, Answer: 20 * time.Millisecond, LateAnswer: soon}))
+		awaitConnected(t, c)
+		require.Equal(t, Accepted, c.putFor(unordered(), true, testTimeout))
+		assert.Equal(t, Accepted, c.Put(unordered(), true, Limits{Attempt: 20 * time.Millisecond, Answer: 20 * time.Millisecond, LateAnswer: testTimeout}))
 	})
 }
--- a/edge/queueclient/put.go
+++ b/edge/queueclient/put.go
@@ -14,22 +14,23 @@
 
 // The results of a Put.
 const (
-	Accepted Result = iota // on disk at all replicas
-	Rejected               // surely not accepted, now or later
-	Unknown                // it may have been accepted, or may still be
+	Accepted Result = iota // the message is on disk at all replicas
+	Rejected               // the message was not accepted, and will not be
+	Unknown                // the message may have been accepted, or may still be
 )
 
-// Limits bound the time of a put.
+// Limits bounds the duration of a put.
 type Limits struct {
-	Attempt    time.Duration // for so long attempts are made
-	Answer     time.Duration // then a missing answer is waited for so long,
-	LateAnswer time.Duration // and so long, with more attempts, if the put can still be decided
+	Attempt    time.Duration // how long attempts are made
+	Answer     time.Duration // how long to wait after Attempt for missing answers
+	LateAnswer time.Duration // how long to go on after Attempt, with further attempts, if the put can still be decided
 }
 
-// Put puts a message into the queue. What has no answer when the time for attempts is over is waited for a while longer, for a client
-// that gets no answer does not come again. It sets the message's ID if the result is Accepted. A message with a key order keeps its
-// ID and its partition through all attempts; another gets new ones with each. With dispatch it calls Config.Accepted before it
-// returns; the message, its body included, must then not change any more.
+// Put puts a message into the queue. After the time for attempts it waits for missing answers a while longer, because a
+// client that gets no answer does not retry. It sets the message's ID if the result is Accepted. An ordered message
+// with a key keeps its ID and its partition in all attempts; any other message gets new ones for each attempt. If
+// dispatch is set and the message is accepted, Put calls Config.Accepted before it returns; the message and its body
+// must not be changed from then on.
 func (c *Client) Put(m *wire.Message, dispatch bool, limits Limits) Result {
 	p := &put{client: c, message: m, dispatch: dispatch, answered: c.host.Signal()}
 	began := c.now()
@@ -50,7 +51,7 @@
 	client   *Client
 	message  *wire.Message
 	dispatch bool
-	answered host.Signal // something happened to an attempt
+	answered host.Signal // signalled when the state of an attempt changes
 
 	mu       sync.Mutex
 	attempts []*attempt
@@ -59,56 +60,57 @@
 	finished bool
 }
 
-// attemptUntil makes attempts until one is accepted, or a time.
-func (p *put) attemptUntil(expired time.Duration) {
-	for goesOn := !p.isAccepted(); goesOn; {
+// attemptUntil makes attempts until one is accepted or the deadline has passed.
+func (p *put) attemptUntil(deadline time.Duration) {
+	for retry := !p.isAccepted(); retry; {
 		wait := rejectedPause
-		t := p.startAttempt()
-		if t != nil {
+		a := p.startAttempt()
+		if a != nil {
 			wait = p.client.attemptTimeout()
 		}
-		goesOn = p.await(t, wait, expired)
-		if goesOn && p.needsPause(t) {
-			goesOn = p.await(nil, rejectedPause, expired)
+		retry = p.await(a, wait, deadline)
+		if retry && p.needsPause(a) {
+			retry = p.await(nil, rejectedPause, deadline)
 		}
 	}
 }
 
-// awaitPending waits for attempts that may still be answered, for so long at most.
+// awaitPending waits until an attempt is accepted or all attempts are answered, but no longer than the limit.
 func (p *put) awaitPending(limit time.Duration) {
-	expired := p.client.now() + limit
+	deadline := p.client.now() + limit
 	for !p.isAccepted() && p.hasPending() {
-		left := expired - p.client.now()
-		if left <= 0 {
+		remaining := deadline - p.client.now()
+		if remaining <= 0 {
 			return
 		}
-		p.answered.Wait(left)
+		p.answered.Wait(remaining)
 	}
 }
 
-// isUndecided reports whether the message was not accepted as far as is known, and may have been, or may still be.
+// isUndecided reports whether no attempt is known to be accepted, but at least one may have been or may still be.
 func (p *put) isUndecided() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.accepted == nil && len(p.unresolved()) > 0
 }
 
-// canBeDecided reports whether an undecided put is likely to be accepted if it goes on. It is where no store owes an answer: one could not say
-// what became of the message, as its partition goes to another store, by plan or not, which takes the message anew or as a repeat. It also is
-// where a store that owes an answer has accepted another message a short while ago: it is slow, not down. A silent store is not waited for:
-// its successor comes too late for the client.
+// canBeDecided reports whether an undecided put is likely to be accepted if it goes on. That is the case if no answer
+// is outstanding: a store answered that it does not know whether the message was accepted because its partition moves
+// to another store, planned or not, and that store accepts the message as new or as a repeat. It is also the case if a
+// store with an outstanding answer has accepted another message recently: it is slow, not down. Put does not wait for a
+// store that does not respond: its successor would take over too late for the client.
 func (p *put) canBeDecided() bool {
 	now := p.client.now()
-	patience := p.client.attemptTimeout()
+	recent := p.client.attemptTimeout()
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	pending := false
-	for _, t := range p.attempts {
-		if t.state != attemptPending {
+	for _, a := range p.attempts {
+		if a.state != attemptPending {
 			continue
 		}
 		pending = true
-		if t.stores[0].acceptedSince(now - patience) {
+		if a.stores[0].acceptedSince(now - recent) {
 			return true
 		}
 	}
@@ -119,39 +121,40 @@
 func (p *put) hasPending() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return slices.ContainsFunc(p.attempts, func(t *attempt) bool { return t.state == attemptPending })
+	return slices.ContainsFunc(p.attempts, func(a *attempt) bool { return a.state == attemptPending })
 }
 
-// needsPause reports whether the next attempt would come too soon: after a rejection there is not always another partition to turn to.
-func (p *put) needsPause(t *attempt) bool {
-	if t == nil {
+// needsPause reports whether to pause before the next attempt: after a rejection there may be no other partition to try.
+func (p *put) needsPause(a *attempt) bool {
+	if a == nil {
 		return false
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if t.state == attemptPending {
+	if a.state == attemptPending {
 		return false
 	}
 	return p.message.Ordered || len(p.attempts)%attemptsBeforePause == 0
 }
 
-// await waits until an attempt has an answer, or a time, and reports whether the put goes on.
-func (p *put) await(t *attempt, wait, expired time.Duration) bool {
+// await waits until attempt a is answered, wait has passed or the deadline is reached, and reports whether the put
+// makes further attempts. A nil attempt waits for the times only, and for the put to be accepted.
+func (p *put) await(a *attempt, wait, deadline time.Duration) bool {
 	timeout := p.client.now() + wait
 	for {
 		now := p.client.now()
-		answered := p.answered.Wait(min(timeout, expired) - now)
+		answered := p.answered.Wait(min(timeout, deadline) - now)
 		switch {
 		case answered && p.isAccepted():
 			return false
-		case answered && t != nil && p.hasAnswer(t):
+		case answered && a != nil && p.hasAnswer(a):
 			return true
 		case answered:
-		case now >= expired:
-			p.suspectStores(t)
+		case now >= deadline:
+			p.suspectStores(a)
 			return false
 		case now >= timeout:
-			p.suspectStores(t)
+			p.suspectStores(a)
 			return true
 		}
 	}
@@ -163,24 +166,24 @@
 	return p.accepted != nil
 }
 
-func (p *put) hasAnswer(t *attempt) bool {
+func (p *put) hasAnswer(a *attempt) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return t.state != attemptPending
+	return a.state != attemptPending
 }
 
-// suspectStores marks the stores suspect that left an attempt unanswered: any of a partition's may be the slow one.
-func (p *put) suspectStores(t *attempt) {
-	if t == nil || p.hasAnswer(t) {
+// suspectStores marks all replicas of an unanswered attempt's partition as suspect: any of them may be the slow one.
+func (p *put) suspectStores(a *attempt) {
+	if a == nil || p.hasAnswer(a) {
 		return
 	}
 	now := p.client.now()
-	for _, s := range t.stores {
+	for _, s := range a.stores {
 		s.markSuspect(now)
 	}
 }
 
-// finish ends a put and returns its result.
+// finish ends the put and returns its result.
 func (p *put) finish() Result {
 	p.mu.Lock()
 	p.finished = true
@@ -193,31 +196,33 @@
 		result = Accepted
 	}
 	p.mu.Unlock()
-	p.dropUnresolved(unresolved) // first: a claim that is made meanwhile names them by one list or the other
+	p.dropUnresolved(unresolved) // before forget: a concurrent claim finds the IDs in one list or the other
 	p.client.forget(p)
 	return result
 }
 
-// unresolved returns the attempts that may have been accepted without an answer that says so. A grant says so too.
+// unresolved returns the attempts that were not answered as accepted, but may have been accepted. A rejected attempt
+// whose message was granted is one of them.
 func (p *put) unresolved() (found []*attempt) {
-	for _, t := range p.attempts {
-		if t.state == attemptPending || t.state == attemptUnknown || t.state == attemptRejected && t.granted {
-			found = append(found, t)
+	for _, a := range p.attempts {
+		if a.state == attemptPending || a.state == attemptUnknown || a.state == attemptRejected && a.granted {
+			found = append(found, a)
 		}
 	}
 	return found
 }
 
-// dropUnresolved has stores drop what they may have accepted by other attempts than the one that counts: it would run once more.
+// dropUnresolved reports the messages of unresolved attempts as dropped, except for the accepted ID: otherwise the
+// message would run twice.
 func (p *put) dropUnresolved(unresolved []*attempt) {
 	dropped := make(map[string]bool)
 	if p.accepted != nil {
 		dropped[p.accepted.id] = true
 	}
-	for _, t := range unresolved {
-		if !dropped[t.id] {
-			dropped[t.id] = true
-			p.client.Report(wire.Report{ID: t.id, Kind: wire.ReportDropped})
+	for _, a := range unresolved {
+		if !dropped[a.id] {
+			dropped[a.id] = true
+			p.client.Report(wire.Report{ID: a.id, Kind: wire.ReportDropped})
 		}
 	}
 }
--- a/edge/queueclient/put_test.go
+++ b/edge/queueclient/put_test.go
@@ -11,23 +11,23 @@
 	"ravendale/cluster/wire"
 )
 
-func TestPutGoesToAPartitionOfTheOwnZone(t *testing.T) {
+func TestPutPrefersOwnZone(t *testing.T) {
 	onFakeTime(t, func(t *testing.T) {
 		one, two := newFakeStore(t), newFakeStore(t)
 		c, h := newClient(t)
 		assert.False(t, c.Usable())
 		c.SetView(placement(1, []*fakeStore{one, two}, []uint16{1, 0}, []uint16{0, 1}, []uint16{1, 0}))
-		connected(t, c)
+		awaitConnected(t, c)
 		assert.True(t, c.Usable())
 		for range 10 {
-			m := plain()
+			m := unordered()
 			require.Equal(t, Accepted, c.putFor(m, true, time.Second))
 			partition, ok := wire.PartitionOf(m.ID)
 			assert.True(t, ok)
 			assert.EqualValues(t, 1, partition)
-			h.with(func() { assert.Contains(t, h.accepted, m.ID) })
+			h.withLock(func() { assert.Contains(t, h.accepted, m.ID) })
 		}
-		one.with(func() {
+		one.withLock(func() {
 			assert.Len(t, one.puts, 10)
 			assert.EqualValues(t, 1, one.puts[0].Epoch)
 			assert.True(t, one.puts[0].Dispatch)
@@ -38,44 +38,44 @@
 	})
 }
 
-func TestPutThatIsNotForThisEdgeIsNotNotified(t *testing.T) {
+func TestPutWithoutDispatchDoesNotCallAccepted(t *testing.T) {
 	onFakeTime(t, func(t *testing.T) {
 		one := newFakeStore(t)
 		c, h := newClient(t)
 		c.SetView(placement(1, []*fakeStore{one}, []uint16{0}))
-		connected(t, c)
-		require.Equal(t, Accepted, c.putFor(plain(), false, time.Second))
-		h.with(func() { assert.Empty(t, h.accepted) })
+		awaitConnected(t, c)
+		require.Equal(t, Accepted, c.putFor(unordered(), false, time.Second))
+		h.withLock(func() { assert.Empty(t, h.accepted) })
 	})
 }
 
-func TestRejectedPutGoesElsewhereUnderAnotherID(t *testing.T) {
+func TestRejectedPutIsRetriedElsewhereWithNewID(t *testing.T) {
 	onFakeTime(t, func(t *testing.T) {
 		one, two := newFakeStore(t), newFakeStore(t)
 		one.put = func(*wire.Put, int) *wire.PutReply { return &wire.PutReply{Code: wire.PutRejected} }
 		c, h := newClient(t)
 		c.SetView(placement(1, []*fakeStore{one, two}, []uint16{0}, []uint16{1}))
-		connected(t, c)
-		m := plain()
+		awaitConnected(t, c)
+		m := unordered()
 		require.Equal(t, Accepted, c.putFor(m, true, time.Second))
 		partition, _ := wire.PartitionOf(m.ID)
 		assert.EqualValues(t, 1, partition)
-		h.with(func() { assert.Len(t, h.accepted, 1) })
-		one.with(func() { assert.NotEqual(t, one.puts[0].Message.ID, m.ID) })
+		h.withLock(func() { assert.Len(t, h.accepted, 1) })
+		one.withLock(func() { assert.NotEqual(t, one.puts[0].Message.ID, m.ID) })
 	})
 }
 
-func TestPutThatAllRejectIsRejected(t *testing.T) {
+func TestPutRejectedByAllStores(t *testing.T) {
 	onFakeTime(t, func(t *testing.T) {
 		for _, code := range []wire.PutCode{wire.PutStale, wire.PutNotPrimary, wire.PutRejected} {
 			one := newFakeStore(t)
 			one.put = func(*wire.Put, int) *wire.PutReply { return &wire.PutReply{Code: code} }
 			c, _ := newClient(t)
 			c.SetView(placement(1, []*fakeStore{one}, []uint16{0}))
-			connected(t, c)
-			assert.Equal(t, Rejected, c.putFor(plain(), true, 100*time.Millisecond))
+			awaitConnected(t, c)
+			assert.Equal(t, Rejected, c.putFor(unordered(), true, 100*time.Millisecond))
 			assert.Equal(t, Rejected, c.putFor(ordered(), true, 100*time.Millisecond))
-			assert.Less(t, one.countPuts(), 40, "without a pause")
+			assert.Less(t, one.countPuts(), 40, "puts must pause between attempts")
 		}
 	})
 }
@@ -83,19 +83,19 @@
 func TestPutWithoutStoresIsRejected(t *testing.T) {
 	onFakeTime(t, func(t *testing.T) {
 		c, _ := newClient(t)
-		assert.Equal(t, Rejected, c.putFor(plain(), true, 60*time.Millisecond))
+		assert.Equal(t, Rejected, c.putFor(unordered(), true, 60*time.Millisecond))
 		one := newFakeStore(t)
 		one.server.Close()
 		c.SetView(placement(1, []*fakeStore{one}, []uint16{0}))
-		assert.Equal(t, Rejected, c.putFor(plain(), true, 60*time.Millisecond))
+		assert.Equal(t, Rejected, c.putFor(unordered(), true, 60*time.Millisecond))
 	})
 }
 
-func TestPutWithoutAClearAnswerIsUnknown(t *testing.T) {
+func TestPutWithoutDefiniteAnswerIsUnknown(t *testing.T) {
 	answers := map[string]func(*wire.Put, int) *wire.PutReply{
 		"none":    func(*wire.Put, int) *wire.PutReply { return nil },
 		"unknown": func(*wire.Put, int) *wire.PutReply { return &wire.PutReply{Code: wire.PutUnknown} },
-		"unknown, then refused": func(_ *wire.Put, number int) *wire.PutReply {
+		"unknown, then rejected": func(_ *wire.Put, number int) *wire.PutReply {
 			if number == 1 {
 				return &wire.PutReply{Code: wire.PutUnknown}
 			}
@@ -103,7 +103,7 @@
 		},
 	}
 	for name, answer := range answers {
-		for _, m := range []*wire.Message{plain(), ordered()} {
+		for _, m := range []*wire.Message{unordered(), ordered()} {
 			t.Run(name, func(t *testing.T) {
 				onFakeTime(t, func(t *testing.T) {
 					one := newFakeStore(t)
@@ -111,7 +111,7 @@
 					c, _ := newClient(t)
 					c.lastTimeout = 50 * time.Millisecond
 					c.SetView(placement(1, []*fakeStore{one}, []uint16{0}))
-					connected(t, c)
+					awaitConnected(t, c)
 					assert.Equal(t, Unknown, c.putFor(m, true, 100*time.Millisecond))
 				})
 			})
@@ -119,27 +119,27 @@
 	}
 }
 
-func TestPutLeavesAnUnresponsiveStore(t *testing.T) {
+func TestPutAvoidsUnresponsiveStore(t *testing.T) {
 	onFakeTime(t, func(t *testing.T) {
 		one, two := newFakeStore(t), newFakeStore(t)
 		one.put = func(*wire.Put, int) *wire.PutReply { return nil }
 		c, _ := newClient(t)
 		c.SetView(placement(1, []*fakeStore{one, two}, []uint16{0}, []uint16{1}))
-		connected(t, c)
+		awaitConnected(t, c)
 		began := time.Now()
-		require.Equal(t, Accepted, c.putFor(plain(), true, time.Second))
+		require.Equal(t, Accepted, c.putFor(unordered(), true, time.Second))
 		assert.GreaterOrEqual(t, time.Since(began), minAttemptTimeout)
 		for range 5 {
 			began = time.Now()
-			require.Equal(t, Accepted, c.putFor(plain(), true, time.Second))
-			assert.Less(t, time.Since(began), minAttemptTimeout, "the silent store is passed over")
+			require.Equal(t, Accepted, c.putFor(unordered(), true, time.Second))
+			assert.Less(t, time.Since(began), minAttemptTimeout, "the unresponsive store is skipped")
 		}
 		assert.Equal(t, 1, one.countPuts())
 	})
 }
 
-// A replica that does not sync keeps its primary from answering: the partition's stores are all passed over.
-func TestPutPassesOverTheStoresOfAnUnresponsivePartition(t *testing.T) {
+// A replica that does not sync prevents its primary from answering: all stores of the partition become suspect.
+func TestPutAvoidsStoresOfUnresponsivePartition(t *testing.T) {
 	onFakeTime(t, func(t *testing.T) {
 		one, two, three := newFakeStore(t), newFakeStore(t), newFakeStore(t)
 		one.put = func(p *wire.Put, _ int) *wire.PutReply {
@@ -150,17 +150,17 @@
 		}
 		c, _ := newClient(t)
 		c.SetView(placement(1, []*fakeStore{one, two, three}, []uint16{0, 1}, []uint16{2}))
-		connected(t, c)
-		require.Equal(t, Accepted, c.putFor(plain(), true, time.Second))
+		awaitConnected(t, c)
+		require.Equal(t, Accepted, c.putFor(unordered(), true, time.Second))
 		assert.True(t, c.view.Load().stores[1].isSuspect(c.now()))
 		assert.Equal(t, 1, three.countPuts())
 	})
 }
 
-// All stores are slow: more copies of the same message would only make them slower, and a late answer is better than none.
+// All stores are slow: sending copies of a message would slow them down further, and a late answer is better than none.
 func TestPutWaitsForSlowStores(t *testing.T) {
 	onFakeTime(t, func(t *testing.T) {
-		for _, m := range []*wire.Message{plain(), ordered()} {
+		for _, m := range []*wire.Message{unordered(), ordered()} {
 			one, two := newFakeStore(t), newFakeStore(t)
 			for _, s := range []*fakeStore{one, two} {
 				s.put = func(*wire.Put, int) *wire.PutReply {
@@ -170,15 +170,15 @@
 			}
 			c, h := newClient(t)
 			c.SetView(placement(1, []*fakeStore{one, two}, []uint16{0, 1}, []uint16{1, 0}))
-			connected(t, c)
+			awaitConnected(t, c)
 			assert.Equal(t, Accepted, c.putFor(m, true, minAttemptTimeout/2))
 			assert.Equal(t, 1, one.countPuts()+two.countPuts())
-			h.with(func() { assert.Len(t, h.accepted, 1) })
+			h.withLock(func() { assert.Len(t, h.accepted, 1) })
 		}
 	})
 }
 
-func TestAttemptTimeoutGrowsWithTheLatency(t *testing.T) {
+func TestAttemptTimeoutGrowsWithLatency(t *testing.T) {
 	onFakeTime(t, func(t *testing.T) {
 		c, _ := newClient(t)
 		assert.Equal(t, minAttemptTimeout, c.attemptTimeout())
@@ -214,19 +214,19 @@
 		one.server = slow
 		c, h := newClient(t)
 		c.SetView(placement(1, []*fakeStore{one, two}, []uint16{0}, []uint16{1}))
-		connected(t, c)
-		m := plain()
+		awaitConnected(t, c)
+		m := unordered()
 		require.Equal(t, Accepted, c.putFor(m, true, time.Second))
 		first := <-arrived
 		late.Send(&wire.PutReply{Code: wire.PutAccepted})
 		report := <-dropped
 		assert.Equal(t, first.Message.ID, report.ID)
 		assert.Equal(t, wire.ReportDropped, report.Kind)
-		h.with(func() { assert.Len(t, h.accepted, 1); assert.Contains(t, h.accepted, m.ID) })
+		h.withLock(func() { assert.Len(t, h.accepted, 1); assert.Contains(t, h.accepted, m.ID) })
 	})
 }
 
-func TestOrderedPutKeepsItsIDAndFollowsThePrimary(t *testing.T) {
+func TestOrderedPutKeepsIDAndFollowsPrimary(t *testing.T) {
 	onFakeTime(t, func(t *testing.T) {
 		one, two := newFakeStore(t), newFakeStore(t)
 		one.put = func(*wire.Put, int) *wire.PutReply { return &wire.PutReply{Code: wire.PutNotPrimary} }
@@ -234,21 +234,21 @@
 		c, h := newClient(t)
 		stores := []*fakeStore{one, two}
 		c.SetView(placement(1, stores, []uint16{0, 1}))
-		connected(t, c)
+		awaitConnected(t, c)
 		time.AfterFunc(60*time.Millisecond, func() { c.SetView(placement(2, stores, []uint16{1, 0})) })
 		m := ordered()
 		require.Equal(t, Accepted, c.putFor(m, true, time.Second))
-		one.with(func() {
+		one.withLock(func() {
 			for _, p := range one.puts {
 				assert.Equal(t, m.ID, p.Message.ID)
 			}
 			assert.NotEmpty(t, one.puts)
 		})
-		two.with(func() {
+		two.withLock(func() {
 			require.Len(t, two.puts, 1)
 			assert.Equal(t, m.ID, two.puts[0].Message.ID)
 			assert.EqualValues(t, 2, two.puts[0].Epoch)
 		})
-		h.with(func() { assert.Equal(t, map[string]bool{m.ID: true}, h.accepted) })
+		h.withLock(func() { assert.Equal(t, map[string]bool{m.ID: true}, h.accepted) })
 	})
 }
--- a/edge/queueclient/races_test.go
+++ b/edge/queueclient/races_test.go
@@ -12,57 +12,58 @@
 	"ravendale/cluster/wire"
 )
 
-// The store that accepts a message answers while a claim is being made: the message was in no list of the leased when that was made.
-func TestClaimNamesWhatIsAcceptedWhileItIsMade(t *testing.T) {
+// A put is accepted while a claim is being prepared, after the list of leased messages was read. The claim must still
+// include the message.
+func TestClaimIncludesMessageAcceptedMeanwhile(t *testing.T) {
 	onFakeTime(t, func(t *testing.T) {
 		one := newFakeStore(t)
-		answer, kept := make(chan struct{}), make(chan string, 1)
+		answer, accepted := make(chan struct{}), make(chan string, 1)
 		one.put = func(*wire.Put, int) *wire.PutReply {
 			<-answer
 			return &wire.PutReply{Code: wire.PutAccepted}
 		}
 		c, _ := newClient(t)
 		c.SetView(placement(1, []*fakeStore{one}, []uint16{0}))
-		connected(t, c)
+		awaitConnected(t, c)
 		claims := one.countClaims()
 		go func() {
-			m := plain()
+			m := unordered()
 			c.putFor(m, true, time.Second)
-			kept <- m.ID
+			accepted <- m.ID
 		}()
-		require.Eventually(t, func() bool { return len(c.pendingPuts()) == 1 }, soon, time.Millisecond)
+		require.Eventually(t, func() bool { return len(c.pendingPuts()) == 1 }, testTimeout, time.Millisecond)
 		var id string
 		c.config.Leased = func() []string {
 			close(answer)
-			id = <-kept
-			return nil // as it was before
+			id = <-accepted
+			return nil // the list from before the message was accepted
 		}
 		c.SetView(placement(2, []*fakeStore{one}, []uint16{0}))
-		require.Eventually(t, func() bool { return one.countClaims() == claims+1 }, soon, time.Millisecond)
-		one.with(func() { assert.Equal(t, wire.Claim{Epoch: 2, IDs: []string{id}}, one.claims[claims]) })
+		require.Eventually(t, func() bool { return one.countClaims() == claims+1 }, testTimeout, time.Millisecond)
+		one.withLock(func() { assert.Equal(t, wire.Claim{Epoch: 2, IDs: []string{id}}, one.claims[claims]) })
 	})
 }
 
-// A grant comes over another connection while the edge is being notified that the message is accepted.
-func TestGrantWhileTheEdgeIsNotified(t *testing.T) {
+// A grant is received on another connection while Config.Accepted is running for its message.
+func TestGrantDuringAcceptedCallback(t *testing.T) {
 	onFakeTime(t, func(t *testing.T) {
 		one := newFakeStore(t)
 		c, h := newClient(t)
 		notify := c.config.Accepted
 		c.config.Accepted = func(m *wire.Message, granted bool) {
 			c.handleGrant(c.view.Load().stores[0].conn(), &wire.Grant{ID: m.ID})
-			h.with(func() { assert.Empty(t, h.granted, "before the message is known") })
+			h.withLock(func() { assert.Empty(t, h.granted, "before Config.Accepted has returned") })
 			notify(m, granted)
 		}
 		c.SetView(placement(1, []*fakeStore{one}, []uint16{0}))
-		connected(t, c)
+		awaitConnected(t, c)
 		m := ordered()
 		require.Equal(t, Accepted, c.putFor(m, true, time.Second))
-		h.with(func() { assert.Equal(t, []string{m.ID}, h.granted) })
+		h.withLock(func() { assert.Equal(t, []string{m.ID}, h.granted) })
 	})
 }
 
-// delayedStore is a store that answers reports when the test has it do so.
+// delayedStore is a store that does not answer reports by itself: the test sends the replies.
 type delayedStore struct {
 	mu      sync.Mutex
 	conn    *rpc.Conn
@@ -96,45 +97,47 @@
 	return s, &fakeStore{server: server}
 }
 
-// A release is sent twice. The store takes the first and hands the message back to the same edge; the second is still on its way.
-func TestMessageIsNotTakenWhileItsReleaseIsOnItsWay(t *testing.T) {
+// A release is sent twice. The store processes the first one and grants the message to the same edge again, while the
+// second one is still in flight. The client must not accept the grant: the store would take the second release for a
+// release of that grant.
+func TestGrantWhileReleaseIsInFlightIsReleased(t *testing.T) {
 	onFakeTime(t, func(t *testing.T) {
 		s, store := newDelayedStore(t)
 		c, h := newClient(t)
 		c.SetView(placement(1, []*fakeStore{store}, []uint16{0}))
-		connected(t, c)
-		require.Eventually(t, func() bool { s.mu.Lock(); defer s.mu.Unlock(); return s.conn != nil }, soon, time.Millisecond)
+		awaitConnected(t, c)
+		require.Eventually(t, func() bool { s.mu.Lock(); defer s.mu.Unlock(); return s.conn != nil }, testTimeout, time.Millisecond)
 		c.Report(wire.Report{ID: "0.1", Kind: wire.ReportReleased})
 		c.reports.resend()
-		require.Eventually(t, func() bool { return s.count() == 2 }, soon, time.Millisecond)
+		require.Eventually(t, func() bool { return s.count() == 2 }, testTimeout, time.Millisecond)
 		s.replies[0].Send(&wire.ReportReply{Code: wire.PutAccepted})
 		grant := &wire.Grant{ID: "0.1", HasMessage: true}
 		require.NoError(t, s.conn.Notify(wire.MethodGrant, grant))
-		require.Eventually(t, func() bool { return s.count() == 3 }, soon, time.Millisecond, "it is given back once more")
+		require.Eventually(t, func() bool { return s.count() == 3 }, testTimeout, time.Millisecond, "the grant is released again")
 		assert.Equal(t, wire.ReportReleased, s.reports[2].Kind)
-		h.with(func() { assert.Empty(t, h.granted) })
+		h.withLock(func() { assert.Empty(t, h.granted) })
 		s.replies[1].Send(&wire.ReportReply{Code: wire.PutAccepted})
 		s.replies[2].Send(&wire.ReportReply{Code: wire.PutAccepted})
 		require.NoError(t, s.conn.Notify(wire.MethodGrant, grant))
-		require.Eventually(t, func() bool { h.mu.Lock(); defer h.mu.Unlock(); return len(h.granted) == 1 }, soon, time.Millisecond)
+		require.Eventually(t, func() bool { h.mu.Lock(); defer h.mu.Unlock(); return len(h.granted) == 1 }, testTimeout, time.Millisecond)
 		assert.Zero(t, c.Pending())
 		assert.Empty(t, c.reports.pendingReports)
 	})
 }
 
-// A store that is stopped does not know what became of a put, and the message is accepted elsewhere under another ID. The one that
-// took the store's place may have the first, too, and nobody would hold it.
-func TestWhatMayHaveBeenAcceptedTwiceIsDropped(t *testing.T) {
+// A stopped store answers that the result of a put is unknown, and the message is accepted elsewhere under another ID.
+// The store's successor may have the message under the first ID, too, which no edge would hold: it must be dropped.
+func TestUnknownAttemptsAreDroppedAfterAcceptance(t *testing.T) {
 	onFakeTime(t, func(t *testing.T) {
 		one, two := newFakeStore(t), newFakeStore(t)
 		one.put = func(*wire.Put, int) *wire.PutReply { return &wire.PutReply{Code: wire.PutUnknown} }
 		c, _ := newClient(t)
 		c.SetView(placement(1, []*fakeStore{one, two}, []uint16{0, 1}, []uint16{1, 0}))
-		connected(t, c)
-		m := plain()
-		require.Equal(t, Accepted, c.putFor(m, true, soon))
-		require.Eventually(t, func() bool { return one.countReports() == one.countPuts() }, soon, time.Millisecond)
-		one.with(func() {
+		awaitConnected(t, c)
+		m := unordered()
+		require.Equal(t, Accepted, c.putFor(m, true, testTimeout))
+		require.Eventually(t, func() bool { return one.countReports() == one.countPuts() }, testTimeout, time.Millisecond)
+		one.withLock(func() {
 			require.NotEmpty(t, one.puts)
 			for i, r := range one.reports {
 				assert.Equal(t, wire.ReportDropped, r.Kind)
@@ -146,24 +149,25 @@
 	})
 }
 
-// Nothing was promised to the client: two attempts that may both have been accepted would run the message twice.
-func TestWhatIsUnknownIsDropped(t *testing.T) {
+// The result of a put is unknown, so nothing was promised to the client. All its attempts must be dropped: if several
+// were accepted, the message would run twice.
+func TestAttemptsOfUnknownPutAreDropped(t *testing.T) {
 	onFakeTime(t, func(t *testing.T) {
-		for _, m := range []*wire.Message{plain(), ordered()} {
+		for _, m := range []*wire.Message{unordered(), ordered()} {
 			one := newFakeStore(t)
 			one.put = func(*wire.Put, int) *wire.PutReply { return &wire.PutReply{Code: wire.PutUnknown} }
 			c, _ := newClient(t)
 			c.SetView(placement(1, []*fakeStore{one}, []uint16{0}))
-			connected(t, c)
+			awaitConnected(t, c)
 			require.Equal(t, Unknown, c.putFor(m, true, 60*time.Millisecond))
 			names := make(map[string]bool)
-			one.with(func() {
+			one.withLock(func() {
 				for _, p := range one.puts {
 					names[p.Message.ID] = true
 				}
 			})
-			require.Eventually(t, func() bool { return one.countReports() == len(names) }, soon, time.Millisecond)
-			one.with(func() {
+			require.Eventually(t, func() bool { return one.countReports() == len(names) }, testTimeout, time.Millisecond)
+			one.withLock(func() {
 				for _, r := range one.reports {
 					assert.Equal(t, wire.ReportDropped, r.Kind)
 					assert.True(t, names[r.ID])
@@ -173,49 +177,50 @@
 	})
 }
 
-// A store that was the primary hands a message out while the one that took its place does, too.
-func TestGrantsOfAPrimaryThatWasReplacedDoNotCount(t *testing.T) {
+// A replaced primary grants a message while its successor grants it, too.
+func TestGrantFromReplacedPrimaryIsIgnored(t *testing.T) {
 	onFakeTime(t, func(t *testing.T) {
 		one, two := newFakeStore(t), newFakeStore(t)
 		stores := []*fakeStore{one, two}
 		c, h := newClient(t)
 		c.SetView(placement(5, stores, []uint16{0, 1}))
-		connected(t, c)
+		awaitConnected(t, c)
 		require.NotZero(t, one.countClaims())
 		require.NotZero(t, two.countClaims())
 		c.SetView(placement(6, stores, []uint16{1, 0}))
-		one.with(func() {
+		one.withLock(func() {
 			_ = one.conns[0].Notify(wire.MethodGrant, &wire.Grant{Epoch: 5, ID: "0.old", HasMessage: true})
 			_ = one.conns[0].Notify(wire.MethodGrant, &wire.Grant{Epoch: 7, ID: "0.new", HasMessage: true})
 		})
-		two.with(func() {
+		two.withLock(func() {
 			_ = two.conns[0].Notify(wire.MethodGrant, &wire.Grant{Epoch: 6, ID: "0.right", HasMessage: true})
 		})
-		require.Eventually(t, func() bool { h.mu.Lock(); defer h.mu.Unlock(); return len(h.granted) == 2 }, soon, time.Millisecond)
-		h.with(func() { assert.ElementsMatch(t, []string{"0.new", "0.right"}, h.granted) })
+		require.Eventually(t, func() bool { h.mu.Lock(); defer h.mu.Unlock(); return len(h.granted) == 2 }, testTimeout, time.Millisecond)
+		h.withLock(func() { assert.ElementsMatch(t, []string{"0.new", "0.right"}, h.granted) })
 	})
 }
 
-// What was granted over a connection that has been replaced was not claimed on the new one: the store requeues it.
-func TestGrantsOfAnEarlierConnectionDoNotCount(t *testing.T) {
+// A grant on a connection that has been replaced was not in the claim on the new one: the store has requeued its message.
+func TestGrantOnReplacedConnectionIsIgnored(t *testing.T) {
 	onFakeTime(t, func(t *testing.T) {
 		one := newFakeStore(t)
 		c, h := newClient(t)
 		c.SetView(placement(1, []*fakeStore{one}, []uint16{0}))
-		connected(t, c)
+		awaitConnected(t, c)
 		earlier := c.view.Load().stores[0].conn()
 		earlier.Close()
 		require.Eventually(t, func() bool {
 			conn := c.view.Load().stores[0].conn()
 			return conn != nil && conn != earlier
-		}, soon, time.Millisecond)
+		}, testTimeout, time.Millisecond)
 		c.handleGrant(earlier, &wire.Grant{Epoch: 1, ID: "0.x", HasMessage: true})
-		h.with(func() { assert.Empty(t, h.granted) })
+		h.withLock(func() { assert.Empty(t, h.granted) })
 	})
 }
 
-// The end of a message, or that it is to be dropped, is not on record when another store takes over: it must not grant it.
-func TestClaimNamesWhatIsReported(t *testing.T) {
+// A message is finished or dropped, but another store takes over before the report is on record. The claim must include
+// the message, so that the new primary does not grant it.
+func TestClaimIncludesMessagesWithPendingReports(t *testing.T) {
 	onFakeTime(t, func(t *testing.T) {
 		one, two := newFakeStore(t), newFakeStore(t)
 		for _, s := range []*fakeStore{one, two} {
@@ -225,27 +230,27 @@
 		c, h := newClient(t)
 		two.claim = func(m *wire.Claim) *wire.ClaimReply { return &wire.ClaimReply{Code: wire.PutAccepted, Unknown: m.IDs} }
 		c.SetView(placement(1, stores, []uint16{0, 1}))
-		connected(t, c)
+		awaitConnected(t, c)
 		c.Report(wire.Report{ID: "0.done", Kind: wire.ReportDone})
 		c.Report(wire.Report{ID: "0.drop", Kind: wire.ReportDropped})
-		h.with(func() { h.leased = []string{"0.done"} })
-		require.Eventually(t, func() bool { return one.countReports() >= 2 }, soon, time.Millisecond)
+		h.withLock(func() { h.leased = []string{"0.done"} })
+		require.Eventually(t, func() bool { return one.countReports() >= 2 }, testTimeout, time.Millisecond)
 		claims := two.countClaims()
 		require.NotZero(t, claims)
 		c.SetView(placement(2, stores, []uint16{1, 0}))
-		require.Eventually(t, func() bool { return two.countClaims() == claims+1 }, soon, time.Millisecond)
-		two.with(func() {
+		require.Eventually(t, func() bool { return two.countClaims() == claims+1 }, testTimeout, time.Millisecond)
+		two.withLock(func() {
 			assert.ElementsMatch(t, []string{"0.done", "0.drop"}, two.claims[claims].IDs)
-			assert.GreaterOrEqual(t, len(two.reports), 2, "they are told first")
+			assert.GreaterOrEqual(t, len(two.reports), 2, "reports are sent before the claim")
 		})
-		require.Eventually(t, func() bool { h.mu.Lock(); defer h.mu.Unlock(); return len(h.unknown) == 1 }, soon, time.Millisecond)
-		h.with(func() { assert.Equal(t, []string{"0.done"}, h.unknown) })
+		require.Eventually(t, func() bool { h.mu.Lock(); defer h.mu.Unlock(); return len(h.unknown) == 1 }, testTimeout, time.Millisecond)
+		h.withLock(func() { assert.Equal(t, []string{"0.done"}, h.unknown) })
 	})
 }
 
-// A store takes a message and does not answer; the one that takes its place grants the message to the edge, with its body. Meanwhile the edge
-// has put it elsewhere under another ID: only that one may run.
-func TestAMessageIsNotRunByAGrantWhileItsPutHasNoResult(t *testing.T) {
+// A store accepts a message and does not answer; its successor grants the message to the edge, with its body. Meanwhile
+// the edge has put the message elsewhere under another ID: only the message with that ID may run.
+func TestGrantIsIgnoredWhilePutHasNoResult(t *testing.T) {
 	onFakeTime(t, func(t *testing.T) {
 		one, two := newFakeStore(t), newFakeStore(t)
 		one.put = func(*wire.Put, int) *wire.PutReply { return nil }
@@ -256,13 +261,13 @@
 		}
 		c, h := newClient(t)
 		c.SetView(placement(1, []*fakeStore{one, two}, []uint16{0}, []uint16{1}))
-		connected(t, c)
+		awaitConnected(t, c)
 		done := make(chan Result)
-		m := plain()
-		go func() { done <- c.putFor(m, true, soon) }()
-		require.Eventually(t, func() bool { return one.countPuts() > 0 && len(c.pendingPuts()) == 2 }, soon, time.Millisecond)
+		m := unordered()
+		go func() { done <- c.putFor(m, true, testTimeout) }()
+		require.Eventually(t, func() bool { return one.countPuts() > 0 && len(c.pendingPuts()) == 2 }, testTimeout, time.Millisecond)
 		var unanswered string
-		one.with(func() { unanswered = one.puts[0].Message.ID })
+		one.withLock(func() { unanswered = one.puts[0].Message.ID })
 		grant := &wire.Grant{Epoch: 1, ID: unanswered, HasMessage: true}
 		conn := c.view.Load().stores[0].conn()
 		c.handleGrant(conn, grant)
@@ -270,32 +275,33 @@
 		require.Equal(t, Accepted, <-done)
 		c.handleGrant(conn, grant)
 		require.NotEqual(t, unanswered, m.ID)
-		require.Eventually(t, func() bool { return one.countReports() == 1 }, soon, time.Millisecond)
-		one.with(func() { assert.Equal(t, wire.ReportDropped, one.reports[0].Kind) })
-		h.with(func() { assert.Empty(t, h.granted) })
+		require.Eventually(t, func() bool { return one.countReports() == 1 }, testTimeout, time.Millisecond)
+		one.withLock(func() { assert.Equal(t, wire.ReportDropped, one.reports[0].Kind) })
+		h.withLock(func() { assert.Empty(t, h.granted) })
 	})
 }
 
-// A frozen process goes on: what lies in its sockets was granted before, and may be another edge's by now.
-func TestGrantsFromBeforeAStandstillDoNotCount(t *testing.T) {
+// A paused process resumes. Grants in its socket buffers are from before the pause, and their messages may be granted
+// to another edge by now.
+func TestGrantFromBeforeStandstillIsIgnored(t *testing.T) {
 	onFakeTime(t, func(t *testing.T) {
 		one := newFakeStore(t)
 		c, h := newClient(t)
 		c.SetView(placement(1, []*fakeStore{one}, []uint16{0}))
-		connected(t, c)
+		awaitConnected(t, c)
 		before := c.view.Load().stores[0].conn()
 		claims := one.countClaims()
 		c.standstill.mu.Lock()
-		c.standstill.aliveAt -= c.standstill.limit
+		c.standstill.lastRunAt -= c.standstill.limit
 		c.standstill.mu.Unlock()
 		for _, id := range []string{"0.x", "0.y"} {
 			c.handleGrant(before, &wire.Grant{Epoch: 1, ID: id, HasMessage: true})
 		}
-		h.with(func() { assert.Empty(t, h.granted) })
-		require.Eventually(t, func() bool { return one.countClaims() > claims }, soon, time.Millisecond, "it claims on another connection")
+		h.withLock(func() { assert.Empty(t, h.granted) })
+		require.Eventually(t, func() bool { return one.countClaims() > claims }, testTimeout, time.Millisecond, "the client sends a claim on a new connection")
 		after := c.view.Load().stores[0].conn()
 		require.NotSame(t, before, after)
 		c.handleGrant(after, &wire.Grant{Epoch: 1, ID: "0.z", HasMessage: true})
-		h.with(func() { assert.Equal(t, []string{"0.z"}, h.granted) })
+		h.withLock(func() { assert.Equal(t, []string{"0.z"}, h.granted) })
 	})
 }
--- a/edge/queueclient/report.go
+++ b/edge/queueclient/report.go
@@ -9,37 +9,37 @@
 	"ravendale/cluster/wire"
 )
 
-// reports are those that are not acknowledged. Of one message they are sent one after the other.
+// reports holds the reports that are not acknowledged. Reports of the same message are sent one after another.
 type reports struct {
 	client *Client
 
 	mu             sync.Mutex
 	pendingReports map[string]*pendingReport
 	timer          host.Timer
-	wakeAt         time.Duration // 0: the timer does not run
+	wakeAt         time.Duration // when the timer fires; 0: it is not running
 	stopped        bool
 }
 
-// pendingReport is what is to be reported of one message.
+// pendingReport holds the reports of one message.
 type pendingReport struct {
 	queue  []wire.Report
-	sent   uint64        // number of the newest sending; answers to older ones only count if they acknowledge
-	dueAt  time.Duration // when it is sent again
-	number uint64        // of the report at the head
+	sent   uint64        // number of sends; an answer to an earlier send counts only if it acknowledges
+	dueAt  time.Duration // when the first report is sent again
+	number uint64        // sequence number of the first report in the queue
 
-	releases int // sendings of a release without an answer
+	releases int // releases that were sent and have no answer
 }
 
-// isDone reports whether nothing is to be reported of the message any more, and no release that was sent can still be taken.
-func (w *pendingReport) isDone() bool { return len(w.queue) == 0 && w.releases == 0 }
+// isDone reports whether no report is left to send and no release that was sent can still be processed by the store.
+func (p *pendingReport) isDone() bool { return len(p.queue) == 0 && p.releases == 0 }
 
 func (r *reports) init(c *Client) {
 	r.client = c
 	r.pendingReports = make(map[string]*pendingReport)
 }
 
-// Report notifies the primary of a message's partition of an outcome, repeatedly until it is acknowledged. It fills in Partition and
-// Epoch.
+// Report sends a report to the primary of the message's partition, and repeats it until it is acknowledged. It sets
+// Partition and Epoch.
 func (c *Client) Report(report wire.Report) {
 	partition, ok := wire.PartitionOf(report.ID)
 	if !ok {
@@ -48,13 +48,13 @@
 	report.Partition = partition
 	r := &c.reports
 	r.mu.Lock()
-	w := r.pendingReports[report.ID]
-	if w == nil {
-		w = &pendingReport{}
-		r.pendingReports[report.ID] = w
+	p := r.pendingReports[report.ID]
+	if p == nil {
+		p = &pendingReport{}
+		r.pendingReports[report.ID] = p
 	}
-	w.queue = append(w.queue, report)
-	first := len(w.queue) == 1
+	p.queue = append(p.queue, report)
+	first := len(p.queue) == 1
 	r.mu.Unlock()
 	if first {
 		r.send(report.ID)
@@ -65,45 +65,46 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	count := 0
-	for _, w := range r.pendingReports {
-		if len(w.queue) > 0 {
+	for _, p := range r.pendingReports {
+		if len(p.queue) > 0 {
 			count++
 		}
 	}
 	return count
 }
 
-// isReleasing reports whether the message is being released: a store that has taken that may get a repeat of it.
+// isReleasing reports whether the message is being released: the store may have processed the release and receive a
+// repeat of it.
 func (r *reports) isReleasing(id string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	w := r.pendingReports[id]
-	return w != nil && (w.releases > 0 || slices.ContainsFunc(w.queue, isRelease))
+	p := r.pendingReports[id]
+	return p != nil && (p.releases > 0 || slices.ContainsFunc(p.queue, isRelease))
 }
 
 // isDropping reports whether a message is to be dropped: its put was accepted under another ID, or has failed.
 func (r *reports) isDropping(id string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	w := r.pendingReports[id]
-	return w != nil && slices.ContainsFunc(w.queue, func(report wire.Report) bool { return report.Kind == wire.ReportDropped })
+	p := r.pendingReports[id]
+	return p != nil && slices.ContainsFunc(p.queue, func(report wire.Report) bool { return report.Kind == wire.ReportDropped })
 }
 
 func isRelease(report wire.Report) bool { return report.Kind == wire.ReportReleased }
 
-// send sends the first report in a message's queue.
+// send sends the first report in the message's queue.
 func (r *reports) send(id string) {
 	r.mu.Lock()
-	w := r.pendingReports[id]
-	if w == nil || len(w.queue) == 0 || r.stopped {
+	p := r.pendingReports[id]
+	if p == nil || len(p.queue) == 0 || r.stopped {
 		r.mu.Unlock()
 		return
 	}
-	report := w.queue[0]
-	w.sent++
-	sent, number := w.sent, w.number
-	w.dueAt = r.client.now() + reportTimeout
-	r.wakeBy(w.dueAt)
+	report := p.queue[0]
+	p.sent++
+	sent, number := p.sent, p.number
+	p.dueAt = r.client.now() + reportTimeout
+	r.wakeBy(p.dueAt)
 	r.mu.Unlock()
 
 	v := r.client.view.Load()
@@ -116,53 +117,53 @@
 	}
 	conn := primary.conn()
 	if conn == nil {
-		return // it is sent again once the connection is up, or another store is the primary
+		return // resend runs when the connection is up or the placement changes
 	}
 	report.Epoch = v.Epoch
-	r.countRelease(w, &report, 1)
+	r.countRelease(p, &report, 1)
 	conn.Start(wire.MethodReport, &report, func(payload []byte, err error) {
 		reply := wire.ReportReply{Code: wire.PutUnknown}
 		if err == nil {
 			_, err = reply.UnmarshalMsg(payload)
 		}
-		r.countRelease(w, &report, -1)
+		r.countRelease(p, &report, -1)
 		r.handleReply(id, number, sent, err == nil && reply.Code == wire.PutAccepted)
 	})
 }
 
-// countRelease counts the sendings of a release that have no answer.
-func (r *reports) countRelease(w *pendingReport, report *wire.Report, change int) {
+// countRelease adds change to the number of sent releases without an answer.
+func (r *reports) countRelease(p *pendingReport, report *wire.Report, change int) {
 	if !isRelease(*report) {
 		return
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	w.releases += change
-	if w.isDone() {
+	p.releases += change
+	if p.isDone() {
 		delete(r.pendingReports, report.ID)
 	}
 }
 
 func (r *reports) handleReply(id string, number, sent uint64, accepted bool) {
 	r.mu.Lock()
-	w := r.pendingReports[id]
-	if w == nil || w.number != number {
+	p := r.pendingReports[id]
+	if p == nil || p.number != number {
 		r.mu.Unlock()
 		return
 	}
 	if !accepted {
-		if w.sent == sent {
-			w.dueAt = r.client.now() + reportRetryPause
-			r.wakeBy(w.dueAt)
+		if p.sent == sent {
+			p.dueAt = r.client.now() + reportRetryPause
+			r.wakeBy(p.dueAt)
 		}
 		r.mu.Unlock()
 		return
 	}
-	kind := w.queue[0].Kind
-	w.queue = w.queue[1:]
-	w.number++
-	last := len(w.queue) == 0
-	if w.isDone() {
+	kind := p.queue[0].Kind
+	p.queue = p.queue[1:]
+	p.number++
+	last := len(p.queue) == 0
+	if p.isDone() {
 		delete(r.pendingReports, id)
 	}
 	r.mu.Unlock()
@@ -174,13 +175,13 @@
 	}
 }
 
-// ids lists the messages with reports.
+// ids returns the IDs of the messages with reports to send, in order.
 func (r *reports) ids() []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	ids := make([]string, 0, len(r.pendingReports))
-	for id, w := range r.pendingReports {
-		if len(w.queue) > 0 {
+	for id, p := range r.pendingReports {
+		if len(p.queue) > 0 {
 			ids = append(ids, id)
 		}
 	}
@@ -188,7 +189,7 @@
 	return ids
 }
 
-// resend sends all reports again, as to a new primary.
+// resend sends the first report of each message again at once, for example to a new primary.
 func (r *reports) resend() {
 	for _, id := range r.ids() {
 		r.send(id)
@@ -212,13 +213,13 @@
 	r.wakeAt = 0
 	now, next := r.client.now(), time.Duration(0)
 	var due []string
-	for id, w := range r.pendingReports {
+	for id, p := range r.pendingReports {
 		switch {
-		case len(w.queue) == 0:
-		case w.dueAt <= now:
+		case len(p.queue) == 0:
+		case p.dueAt <= now:
 			due = append(due, id)
-		case next == 0 || w.dueAt < next:
-			next = w.dueAt
+		case next == 0 || p.dueAt < next:
+			next = p.dueAt
 		}
 	}
 	if next > 0 {
--- a/edge/queueclient/report_test.go
+++ b/edge/queueclient/report_test.go
@@ -17,39 +17,39 @@
 		one.report = func(_ *wire.Report, number int) wire.PutCode { return codes[number-1] }
 		c, h := newClient(t)
 		c.SetView(placement(1, []*fakeStore{one}, []uint16{0}))
-		connected(t, c)
+		awaitConnected(t, c)
 		c.Report(wire.Report{ID: "0.x", Kind: wire.ReportDone, Signature: "s"})
 		assert.Equal(t, 1, c.Pending())
-		require.Eventually(t, func() bool { return c.Pending() == 0 }, soon, time.Millisecond)
+		require.Eventually(t, func() bool { return c.Pending() == 0 }, testTimeout, time.Millisecond)
 		assert.Equal(t, 4, one.countReports())
 		require.Eventually(t, func() bool {
 			h.mu.Lock()
 			defer h.mu.Unlock()
 			return len(h.acknowledged) == 1
-		}, soon, time.Millisecond)
+		}, testTimeout, time.Millisecond)
 	})
 }
 
-func TestReportFollowsThePrimary(t *testing.T) {
+func TestReportFollowsPrimary(t *testing.T) {
 	onFakeTime(t, func(t *testing.T) {
 		one, two := newFakeStore(t), newFakeStore(t)
 		one.report = func(*wire.Report, int) wire.PutCode { return wire.PutUnknown }
 		c, _ := newClient(t)
 		stores := []*fakeStore{one, two}
 		c.SetView(placement(1, stores, []uint16{0, 1}))
-		connected(t, c)
+		awaitConnected(t, c)
 		c.Report(wire.Report{ID: "0.x", Kind: wire.ReportDone, Signature: "s"})
-		require.Eventually(t, func() bool { return one.countReports() > 0 }, soon, time.Millisecond)
+		require.Eventually(t, func() bool { return one.countReports() > 0 }, testTimeout, time.Millisecond)
 		c.SetView(placement(2, stores, []uint16{1, 0}))
-		require.Eventually(t, func() bool { return c.Pending() == 0 }, soon, time.Millisecond)
-		two.with(func() {
+		require.Eventually(t, func() bool { return c.Pending() == 0 }, testTimeout, time.Millisecond)
+		two.withLock(func() {
 			assert.EqualValues(t, 2, two.reports[0].Epoch)
 			assert.Equal(t, "s", two.reports[0].Signature)
 		})
 	})
 }
 
-func TestReportsOfAMessageGoInTurn(t *testing.T) {
+func TestReportsOfMessageAreSentInOrder(t *testing.T) {
 	onFakeTime(t, func(t *testing.T) {
 		one := newFakeStore(t)
 		one.report = func(_ *wire.Report, number int) wire.PutCode {
@@ -60,12 +60,12 @@
 		}
 		c, h := newClient(t)
 		c.SetView(placement(1, []*fakeStore{one}, []uint16{0}))
-		connected(t, c)
+		awaitConnected(t, c)
 		c.Report(wire.Report{ID: "0.x", Kind: wire.ReportFailed, Failed: 1})
 		c.Report(wire.Report{ID: "0.x", Kind: wire.ReportDone, Failed: 1, Signature: "s"})
-		require.Eventually(t, func() bool { return c.Pending() == 0 }, soon, time.Millisecond)
+		require.Eventually(t, func() bool { return c.Pending() == 0 }, testTimeout, time.Millisecond)
 		var kinds []wire.ReportKind
-		one.with(func() {
+		one.withLock(func() {
 			for _, r := range one.reports {
 				kinds = append(kinds, r.Kind)
 			}
@@ -75,11 +75,11 @@
 			h.mu.Lock()
 			defer h.mu.Unlock()
 			return len(h.acknowledged) == 1
-		}, soon, time.Millisecond)
+		}, testTimeout, time.Millisecond)
 	})
 }
 
-func TestReportSurvivesADisconnect(t *testing.T) {
+func TestReportIsResentAfterDisconnect(t *testing.T) {
 	onFakeTime(t, func(t *testing.T) {
 		one := newFakeStore(t)
 		one.report = func(_ *wire.Report, number int) wire.PutCode {
@@ -90,10 +90,10 @@
 		}
 		c, _ := newClient(t)
 		c.SetView(placement(1, []*fakeStore{one}, []uint16{0}))
-		connected(t, c)
-		require.Eventually(t, func() bool { return one.countClaims() > 0 }, soon, time.Millisecond)
+		awaitConnected(t, c)
+		require.Eventually(t, func() bool { return one.countClaims() > 0 }, testTimeout, time.Millisecond)
 		c.Report(wire.Report{ID: "0.x", Kind: wire.ReportDone})
-		require.Eventually(t, func() bool { return c.Pending() == 0 }, soon, time.Millisecond)
+		require.Eventually(t, func() bool { return c.Pending() == 0 }, testTimeout, time.Millisecond)
 		assert.GreaterOrEqual(t, one.countReports(), 2)
 	})
 }
--- a/edge/queueclient/standstill.go
+++ b/edge/queueclient/standstill.go
@@ -8,16 +8,17 @@
 	"ravendale/cluster/rpc"
 )
 
-// Bounds by which the client notices that its process stood still. A store takes back what an edge has once the edge's connection has been
-// silent for rpc.DefaultFailureTimeout, or its membership lease of two heartbeats has ended. Half of the shorter one leaves the time to notice.
+// Bounds for detecting that the process was paused (a standstill). A store revokes the leases of an edge once the
+// edge's connection has been silent for rpc.DefaultFailureTimeout, or the edge's membership lease of two heartbeats has
+// expired. The limit is half of the shorter one, which leaves time to detect the pause.
 const (
 	maxStandstillLimit = rpc.DefaultFailureTimeout / 2
-	heartbeatsPerLimit = 1                      // half of an edge's membership lease
-	maxAliveInterval   = 250 * time.Millisecond // between two looks at the clock
-	looksPerLimit      = 2                      // at least, within the time of a standstill
+	heartbeatsPerLimit = 1                      // one heartbeat is half of an edge's membership lease
+	maxCheckInterval   = 250 * time.Millisecond // between two checks of the clock
+	checksPerLimit     = 2                      // minimum number of checks within standstillLimit
 )
 
-// standstillLimit returns how long the process may stand still before what its stores granted it is out of date.
+// standstillLimit returns how long the process may be paused before its grants must be treated as revoked.
 func standstillLimit(heartbeat time.Duration) time.Duration {
 	if heartbeat <= 0 {
 		return maxStandstillLimit
@@ -25,31 +26,32 @@
 	return min(maxStandstillLimit, heartbeatsPerLimit*heartbeat)
 }
 
-// standstill notices by the steady clock that the process did not run for a while, as when it was frozen. What lies in its sockets then is from
-// before: grants that their stores may have taken back and given to others.
+// standstill detects by the monotonic clock that the process was paused, for example by a freeze of its container or
+// VM. The socket buffers then hold messages from before the pause: grants that the stores may have revoked and given to
+// other edges since.
 type standstill struct {
-	limit   time.Duration // see standstillLimit
-	mu      sync.Mutex
-	aliveAt time.Duration // by the host's clock, when the process was seen to run last
-	timer   host.Timer
-	stopped bool
+	limit     time.Duration // see standstillLimit
+	mu        sync.Mutex
+	lastRunAt time.Duration // by the host's clock, when the process was last known to be running
+	timer     host.Timer
+	stopped   bool
 }
 
-// watchStandstill looks at the clock from now on.
+// watchStandstill starts the periodic check of the clock.
 func (c *Client) watchStandstill() {
 	s := &c.standstill
 	s.limit = standstillLimit(c.config.Heartbeat)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.aliveAt = c.host.Now()
-	s.timer = c.host.AfterFunc(s.interval(), c.lookAtClock)
+	s.lastRunAt = c.host.Now()
+	s.timer = c.host.AfterFunc(s.interval(), c.checkClock)
 }
 
-// interval is the time between two looks at the clock.
-func (s *standstill) interval() time.Duration { return min(maxAliveInterval, s.limit/looksPerLimit) }
+// interval returns the time between two checks of the clock.
+func (s *standstill) interval() time.Duration { return min(maxCheckInterval, s.limit/checksPerLimit) }
 
-func (c *Client) lookAtClock() {
-	c.noteAlive()
+func (c *Client) checkClock() {
+	c.recordRunning()
 	s := &c.standstill
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -58,20 +60,21 @@
 	}
 }
 
-// noteAlive records that the process runs. If it stood still before, the connections to all stores are closed, and nothing that still comes over
-// them counts: each store is asked anew what the edge has, by the claim on the next connection.
-func (c *Client) noteAlive() {
+// recordRunning records that the process is running. If it was paused before, recordRunning closes the connections to
+// all stores and marks them as outdated, so that grants still received on them are ignored: the claim on the next
+// connection synchronizes the leases with each store.
+func (c *Client) recordRunning() {
 	s := &c.standstill
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := c.host.Now()
-	stood := now - s.aliveAt
-	s.aliveAt = now
-	if stood < s.limit {
+	paused := now - s.lastRunAt
+	s.lastRunAt = now
+	if paused < s.limit {
 		return
 	}
 	c.mu.Lock()
-	stores := c.all()
+	stores := c.allStores()
 	c.mu.Unlock()
 	for _, store := range stores {
 		if conn := store.conn(); conn != nil {
@@ -79,7 +82,7 @@
 			conn.Close()
 		}
 	}
-	c.config.Log.Warn("the process stood still: connections to stores are made anew", "for", stood)
+	c.config.Log.Warn("process was paused; reconnecting to all stores", "for", paused)
 }
 
 func (c *Client) stopWatch() {
--- a/edge/queueclient/standstill_test.go
+++ b/edge/queueclient/standstill_test.go
@@ -10,8 +10,9 @@
 	"ravendale/cluster/wire"
 )
 
-// A standstill is noticed before the membership lease of the edge, two heartbeats, or its connections end: what the settings say counts.
-func TestStandstillLimitFollowsTheHeartbeat(t *testing.T) {
+// A standstill must be detected before the edge's membership lease (two heartbeats, from the settings) expires or its
+// connections time out.
+func TestStandstillLimit(t *testing.T) {
 	for heartbeat, limit := range map[time.Duration]time.Duration{
 		0:                       rpc.DefaultFailureTimeout / 2,
 		1200 * time.Millisecond: rpc.DefaultFailureTimeout / 2,
@@ -24,18 +25,18 @@
 	}
 }
 
-// With a short heartbeat a grant may be another edge's after a short standstill.
-func TestGrantsFromBeforeAShortStandstillDoNotCountWithAShortHeartbeat(t *testing.T) {
+// With a short heartbeat, a message may be granted to another edge after a short standstill already.
+func TestGrantFromBeforeStandstillIsIgnoredWithShortHeartbeat(t *testing.T) {
 	onFakeTime(t, func(t *testing.T) {
 		one := newFakeStore(t)
-		c, h := newClientOf(t, func(config *Config) { config.Heartbeat = 200 * time.Millisecond })
+		c, h := newClientWith(t, func(config *Config) { config.Heartbeat = 200 * time.Millisecond })
 		c.SetView(placement(1, []*fakeStore{one}, []uint16{0}))
-		connected(t, c)
+		awaitConnected(t, c)
 		before := c.view.Load().stores[0].conn()
 		c.standstill.mu.Lock()
-		c.standstill.aliveAt -= 250 * time.Millisecond
+		c.standstill.lastRunAt -= 250 * time.Millisecond
 		c.standstill.mu.Unlock()
 		c.handleGrant(before, &wire.Grant{Epoch: 1, ID: "0.x", HasMessage: true})
-		h.with(func() { assert.Empty(t, h.granted) })
+		h.withLock(func() { assert.Empty(t, h.granted) })
 	})
 }
--- a/edge/queueclient/store.go
+++ b/edge/queueclient/store.go
@@ -10,32 +10,32 @@
 	"ravendale/cluster/wire"
 )
 
-// store is the connection to a store, and what is known of its health.
+// store holds the link to a store and the client's view of its health.
 type store struct {
 	client       *Client
 	address      string
 	link         host.Link
 	suspectUntil atomic.Int64             // time.Duration by the client's clock
-	unanswered   atomic.Int64             // puts that it owes an answer, as a primary
-	acceptedAt   atomic.Int64             // time.Duration by the client's clock at which it accepted a message last, as a primary
-	outdated     atomic.Pointer[rpc.Conn] // the last connection that was up while the process stood still
+	unanswered   atomic.Int64             // puts sent to it as a primary that have no answer yet
+	acceptedAt   atomic.Int64             // time.Duration by the client's clock: when it last accepted a message as a primary; 0: never
+	outdated     atomic.Pointer[rpc.Conn] // the last connection that was open during a pause of the process
 }
 
 func newStore(c *Client, entry *wire.Store) *store {
 	s := &store{client: c, address: entry.Address}
-	s.link = c.host.Connect(entry.Address, c.config.Options, s.connected, nil)
+	s.link = c.host.Connect(entry.Address, c.config.Options, s.onConnect, nil)
 	return s
 }
 
 func (s *store) conn() *rpc.Conn { return s.link.Conn() }
 
-func (s *store) connected(conn *rpc.Conn) {
+func (s *store) onConnect(conn *rpc.Conn) {
 	s.attach(conn)
 	s.client.reports.resend()
 	s.claimOn(conn)
 }
 
-// attach identifies this edge to the store. What is sent after it on the connection is taken after it.
+// attach identifies this edge to the store. The store handles it before anything that is sent later on the connection.
 func (s *store) attach(conn *rpc.Conn) {
 	if conn == nil {
 		return
@@ -49,14 +49,15 @@
 
 func (s *store) claim() { s.claimOn(s.conn()) }
 
-// claimOn names to the store the messages that are leased to this edge, of the partitions whose primary it is. Those with a report under way
-// are among them: they must not be granted before that is taken.
+// claimOn sends the store a claim: the IDs of the messages that are leased to this edge, in the partitions whose
+// primary the store is. Messages with an unacknowledged report are included: the store must not grant them before it
+// has processed the report.
 func (s *store) claimOn(conn *rpc.Conn) {
 	v := s.client.view.Load()
 	if conn == nil || v == nil {
 		return
 	}
-	pending := s.client.pendingPuts() // in the order in which messages go through the lists: none slips by
+	pending := s.client.pendingPuts() // read in the order in which messages move from list to list, so that none is missed
 	leased := slices.Sorted(slices.Values(s.client.config.Leased()))
 	reporting := s.client.reports.ids()
 	claim := &wire.Claim{Epoch: v.Epoch}
@@ -88,30 +89,30 @@
 func (s *store) handleClaimReply(conn *rpc.Conn, v *view, leased map[string]bool, reply *wire.ClaimReply) {
 	if reply.Code != wire.PutAccepted {
 		s.client.host.AfterFunc(claimRetryPause, func() {
-			if conn.Err() == nil && s.client.view.Load() == v { // else there is another claim
+			if conn.Err() == nil && s.client.view.Load() == v { // otherwise the new connection or placement has sent another claim
 				s.claimOn(conn)
 			}
 		})
 		return
 	}
 	for _, id := range reply.Unknown {
-		if leased[id] { // a put or a report under way resolves itself
+		if leased[id] { // puts and reports in progress are resolved by their own answers
 			s.client.config.Unknown(id)
 		}
 	}
 }
 
-// isSuspect reports whether the store isn't connected, or left a put unanswered.
+// isSuspect reports whether the store is not connected or has recently left a put unanswered.
 func (s *store) isSuspect(now time.Duration) bool {
 	return time.Duration(s.suspectUntil.Load()) > now || s.conn() == nil
 }
 
 func (s *store) recordAccepted(now time.Duration) { s.acceptedAt.Store(int64(now)) }
 
-// acceptedSince reports whether it accepted a message after a time.
+// acceptedSince reports whether the store has accepted a message at or after the given time.
 func (s *store) acceptedSince(at time.Duration) bool {
-	kept := time.Duration(s.acceptedAt.Load())
-	return kept > 0 && kept >= at
+	last := time.Duration(s.acceptedAt.Load())
+	return last > 0 && last >= at
 }
 
 func (s *store) markSuspect(now time.Duration) { s.suspectUntil.Store(int64(now + suspectTimeout)) }
--- a/edge/queueclient/view.go
+++ b/edge/queueclient/view.go
@@ -8,7 +8,7 @@
 	"ravendale/cluster/wire"
 )
 
-// view is a placement with the stores' connections. It is immutable.
+// view is a placement together with the stores in it. It is immutable.
 type view struct {
 	*wire.StoreView
 	stores  []*store // by index in StoreView.Stores
@@ -67,8 +67,9 @@
 	return len(replicas) > 0
 }
 
-// mayAttempt reports whether a put to a partition may be attempted now. While its stores leave puts unanswered one goes there at a time:
-// the rest would promise nothing to their clients either, who do better if they are rejected in time.
+// mayAttempt reports whether a put to the partition may be attempted now. While one of its stores is suspect, only one
+// put at a time is sent there: further puts would probably get no answer either, and their clients are better off with
+// an early rejection.
 func (v *view) mayAttempt(partition uint16, now time.Duration) bool {
 	for _, s := range v.replicas(partition) {
 		if time.Duration(s.suspectUntil.Load()) > now {
@@ -78,9 +79,10 @@
 	return true
 }
 
-// choose draws a partition for a message without an order: in the own zone and with stores that answer, if there is one; else
-// anywhere with such stores; else with a primary that is connected. Those attempted before come last. While another attempt may still be
-// answered, only an available partition without an attempt is worth one more.
+// choose picks a random partition for an unordered message. It prefers an available partition (no replica is suspect)
+// whose primary is in the edge's zone, then any available partition, then any partition whose primary is connected.
+// Partitions that were attempted before come last. While another attempt may still be answered, only available
+// partitions that were not attempted qualify.
 func (v *view) choose(now time.Duration, attempted []uint16, pending bool) (uint16, bool) {
 	everywhere := func(i int) uint16 { return uint16(i) }
 	ownZone := func(i int) uint16 { return v.ownZone[i] }
@@ -104,7 +106,7 @@
 	return 0, false
 }
 
-// pick returns the first suitable one of count partitions, from a random one on.
+// pick returns the first suitable of count partitions, starting at a random one and skipping those for which skip holds.
 func (v *view) pick(count int, at func(int) uint16, skip, suitable func(uint16) bool) (uint16, bool) {
 	if count == 0 {
 		return 0, false
--- a/edge/worker/answer.go
+++ b/edge/worker/answer.go
@@ -12,36 +12,36 @@
 	"github.com/valyala/fasthttp"
 )
 
-var errGarbled = errors.New("worker: garbled answer")
+var errMalformed = errors.New("worker: malformed HTTP response")
 
 const (
-	maxChunkLine  = 128
-	maxInterim    = 8 // 1xx answers before the final one
-	maxTrailers   = 64
-	bareLineBytes = 2 // of an empty line
+	maxChunkLine        = 128
+	maxInterimResponses = 8 // 1xx responses before the final one
+	maxTrailers         = 64
+	crlfBytes           = 2 // CR LF
 )
 
-// answer is what counts of an answer that came whole.
-type answer struct {
+// response holds the relevant parts of a response that was received completely.
+type response struct {
 	status      int
 	requestID   string
 	signature   string
 	notExecuted bool
-	reusable    bool          // the connection may be used again
-	idleTimeout time.Duration // how long the worker keeps it
+	reusable    bool          // the connection may be used for another request
+	idleTimeout time.Duration // how long the connection may stay idle, see keepAlive
 }
 
-// readAnswer reads a whole answer; any error means that it was cut or garbled.
-func readAnswer(reader *bufio.Reader, method string) (answer, error) {
+// readResponse reads a complete response. Any error means that the response is truncated or malformed, or came too late.
+func readResponse(reader *bufio.Reader, method string) (response, error) {
 	header := &fasthttp.ResponseHeader{}
 	if err := readFinalHeader(reader, header); err != nil {
-		return answer{}, err
+		return response{}, err
 	}
 	ids := header.PeekAll("Request-Id")
 	if len(ids) > 1 {
-		return answer{}, errGarbled
+		return response{}, errMalformed
 	}
-	a := answer{
+	a := response{
 		status:      header.StatusCode(),
 		requestID:   string(bytes.Join(ids, nil)),
 		signature:   string(header.Peek("Signature")),
@@ -49,18 +49,18 @@
 		reusable:    !header.ConnectionClose(),
 		idleTimeout: keepAlive(string(header.Peek("Keep-Alive"))),
 	}
-	endless, err := skipBody(reader, header, method)
-	a.reusable = a.reusable && !endless
+	untilClose, err := skipBody(reader, header, method)
+	a.reusable = a.reusable && !untilClose
 	return a, err
 }
 
-// isOfAnother says whether an answer names another request.
-func (a *answer) isOfAnother(requestID string) bool {
+// isForeign reports whether the response contains the ID of another request.
+func (a *response) isForeign(requestID string) bool {
 	return a.requestID != "" && a.requestID != requestID
 }
 
 func readFinalHeader(reader *bufio.Reader, header *fasthttp.ResponseHeader) error {
-	for range maxInterim {
+	for range maxInterimResponses {
 		if err := header.Read(reader); err != nil {
 			return err
 		}
@@ -68,10 +68,11 @@
 			return nil
 		}
 	}
-	return errGarbled
+	return errMalformed
 }
 
-// keepAlive reads the time-out of a Keep-Alive field, and shortens it by the margin.
+// keepAlive returns how long to keep an idle connection: the timeout in a Keep-Alive field, or defaultIdleTimeout if
+// there is none, less idleMargin, which is limited to a quarter of it.
 func keepAlive(field string) time.Duration {
 	idle := defaultIdleTimeout
 	for part := range strings.SplitSeq(field, ",") {
@@ -84,8 +85,9 @@
 	return idle - min(idleMargin, idle/4)
 }
 
-// skipBody reads past the body; endless says that only the connection's end ended it.
-func skipBody(reader *bufio.Reader, header *fasthttp.ResponseHeader, method string) (endless bool, err error) {
+// skipBody reads and discards the body. It returns untilClose for a body that ends only when the worker closes the
+// connection.
+func skipBody(reader *bufio.Reader, header *fasthttp.ResponseHeader, method string) (untilClose bool, err error) {
 	status := header.StatusCode()
 	if method == fasthttp.MethodHead || status == fasthttp.StatusNoContent || status == fasthttp.StatusNotModified {
 		return false, nil
@@ -125,7 +127,7 @@
 			return err
 		}
 		if len(line) > 0 {
-			return errGarbled
+			return errMalformed
 		}
 	}
 }
@@ -140,17 +142,17 @@
 			return nil
 		}
 	}
-	return errGarbled
+	return errMalformed
 }
 
-// readLine reads to CR LF. The line holds until the next read.
+// readLine reads a line and returns it without its CR LF. The line is valid until the next read.
 func readLine(reader *bufio.Reader) ([]byte, error) {
 	line, err := reader.ReadSlice('\n')
 	if err != nil {
 		return nil, err
 	}
-	if len(line) < bareLineBytes || line[len(line)-2] != '\r' {
-		return nil, errGarbled
+	if len(line) < crlfBytes || line[len(line)-2] != '\r' {
+		return nil, errMalformed
 	}
 	return line[:len(line)-2], nil
 }
@@ -158,26 +160,27 @@
 func chunkSize(line []byte) (int, error) {
 	digits, _, _ := bytes.Cut(line, []byte{';'})
 	if len(line) > maxChunkLine {
-		return 0, errGarbled
+		return 0, errMalformed
 	}
 	size, err := strconv.ParseUint(string(bytes.TrimRight(digits, " \t")), 16, 31)
 	if err != nil {
-		return 0, errGarbled
+		return 0, errMalformed
 	}
 	return int(size), nil
 }
 
-// classify says what an answer means for the message whose id was sent. One that names no request can be no other's only if it is the
-// first on its connection, and is believed only that the message did not run.
-func classify(a answer, requestID string, first bool) Outcome {
-	if a.isOfAnother(requestID) || a.requestID == "" && !first {
+// classify returns the outcome that a response stands for, given the ID of the request that was sent. A response
+// without a Request-Id is certain to belong to this request only if it is the first on its connection; even then it is
+// trusted only if it says that the message did not run.
+func classify(a response, requestID string, first bool) Outcome {
+	if a.isForeign(requestID) || a.requestID == "" && !first {
 		return Broken
 	}
 	if a.status == fasthttp.StatusMisdirectedRequest {
 		return WrongWorker
 	}
 	if a.notExecuted && a.status >= fasthttp.StatusBadRequest {
-		return classifyNotRun(a.status)
+		return classifyNotExecuted(a.status)
 	}
 	if a.requestID == "" {
 		return Broken
@@ -195,7 +198,7 @@
 	return Broken
 }
 
-func classifyNotRun(status int) Outcome {
+func classifyNotExecuted(status int) Outcome {
 	switch status {
 	case fasthttp.StatusServiceUnavailable, fasthttp.StatusTooManyRequests:
 		return AtCapacity
--- a/edge/worker/answer_test.go
+++ b/edge/worker/answer_test.go
@@ -14,43 +14,44 @@
 	"github.com/stretchr/testify/require"
 )
 
-// patient is a limit that no answer of these tests comes near.
-const patient = 30 * time.Second
+// longLimit is a limit that no response in these tests comes near.
+const longLimit = 30 * time.Second
 
-// longBody is more than the buffers of a connection take.
+// longBody is the length of a body that exceeds the socket buffers of a connection.
 const longBody = 8 << 20
 
-// answerWithLength writes an answer with a length.
-func answerWithLength(status, requestID, more string) string {
+// responseWithLength returns a response with a Content-Length of 0 and more header fields.
+func responseWithLength(status, requestID, more string) string {
 	return "HTTP/1.1 " + status + "\r\nRequest-Id: " + requestID + "\r\n" + more + "Content-Length: 0\r\n\r\n"
 }
 
 func done(requestID string) string {
-	return answerWithLength("200 OK", requestID, "Signature: "+requestID+"\r\n")
+	return responseWithLength("200 OK", requestID, "Signature: "+requestID+"\r\n")
 }
 
-func failed(requestID string) string { return answerWithLength("500 Failed", requestID, "") }
+func failed(requestID string) string { return responseWithLength("500 Failed", requestID, "") }
 
 func full(requestID string) string {
-	return answerWithLength("503 Full", requestID, "Not-Executed: true\r\n")
+	return responseWithLength("503 Full", requestID, "Not-Executed: true\r\n")
 }
 
-func named(address, requestID string) *Delivery {
+func deliveryWithID(address, requestID string) *Delivery {
 	d := delivery(address)
-	d.RequestID, d.Limit = requestID, patient
+	d.RequestID, d.Limit = requestID, longLimit
 	return d
 }
 
-// scripted plays a worker that answers the requests of each connection by a script: connection, place of the request on it.
-func scripted(t *testing.T, answers map[[2]int]string) (address string, requests *atomic.Int32) {
+// scriptedWorker runs a worker with scripted responses, by the number of the connection and the index of the request on
+// it.
+func scriptedWorker(t *testing.T, responses map[[2]int]string) (address string, requests *atomic.Int32) {
 	requests = new(atomic.Int32)
-	address = script(t, func(number int, conn net.Conn, reader *bufio.Reader) {
+	address = startWorker(t, func(number int, conn net.Conn, reader *bufio.Reader) {
 		for index := 0; ; index++ {
 			if _, _, err := readRequest(reader); err != nil {
 				return
 			}
 			requests.Add(1)
-			if _, err := io.WriteString(conn, answers[[2]int{number, index}]); err != nil {
+			if _, err := io.WriteString(conn, responses[[2]int{number, index}]); err != nil {
 				return
 			}
 		}
@@ -58,7 +59,7 @@
 	return address, requests
 }
 
-// idleConnection is the only one that the client keeps.
+// idleConnection returns the only idle connection of the client.
 func idleConnection(t *testing.T, client *Client) *connection {
 	client.mu.Lock()
 	defer client.mu.Unlock()
@@ -66,78 +67,78 @@
 	return client.pools["i-1"].idle[0]
 }
 
-// lateAnswer has a worker answer an earlier request a second time, just as another has come.
-func lateAnswer(t *testing.T, m mutations) (second Result, requests int32) {
-	address, count := scripted(t, map[[2]int]string{
+// lateResponse runs a worker that responds to an earlier request a second time when it receives the next request.
+func lateResponse(t *testing.T, m mutations) (second Result, requests int32) {
+	address, count := scriptedWorker(t, map[[2]int]string{
 		{0, 0}: done("id-1"),
-		{0, 1}: answerWithLength("422 Never", "id-1", "") + done("id-2"),
+		{0, 1}: responseWithLength("422 Never", "id-1", "") + done("id-2"),
 		{1, 0}: done("id-2"),
 	})
 	client := patientClient()
 	defer client.Close()
 	client.mutations = m
-	require.Equal(t, Done, deliver(client, named(address, "id-1")).Outcome)
-	second = deliver(client, named(address, "id-2"))
-	assert.Zero(t, client.pools["i-1"].open, "a connection with answers that belong to nobody is not kept")
+	require.Equal(t, Done, deliver(client, deliveryWithID(address, "id-1")).Outcome)
+	second = deliver(client, deliveryWithID(address, "id-2"))
+	assert.Zero(t, client.pools["i-1"].open, "a connection with unexpected responses is not kept")
 	return second, count.Load()
 }
 
-func TestLateAnswerIsSkipped(t *testing.T) {
-	result, requests := lateAnswer(t, mutations{})
+func TestLateResponseIsSkipped(t *testing.T) {
+	result, requests := lateResponse(t, mutations{})
 	assert.Equal(t, Done, result.Outcome)
 	assert.Equal(t, "id-2", result.Signature)
 	assert.EqualValues(t, 2, requests, "it is not sent again")
 }
 
-func TestMutationThatAcceptsForeignAnswersIsCaught(t *testing.T) {
-	result, _ := lateAnswer(t, mutations{acceptsForeign: true})
-	assert.Equal(t, Rejected, result.Outcome, "the other message's end")
+func TestMutationAcceptsForeignIsDetected(t *testing.T) {
+	result, _ := lateResponse(t, mutations{acceptsForeign: true})
+	assert.Equal(t, Rejected, result.Outcome, "the outcome of the other message")
 }
 
-// secondAnswer has a worker answer an attempt twice, the second time as the next attempt has come.
-func secondAnswer(t *testing.T, m mutations, first string) (second Result) {
-	address, _ := scripted(t, map[[2]int]string{
+// secondResponse runs a worker that responds to an attempt twice, the second time when it receives the next attempt.
+func secondResponse(t *testing.T, m mutations, first string) (second Result) {
+	address, _ := scriptedWorker(t, map[[2]int]string{
 		{0, 0}: first,
-		{0, 1}: first, // and the run goes on
+		{0, 1}: first, // while the run of the second attempt goes on
 		{1, 0}: done("id-1"),
 	})
 	client := patientClient()
 	defer client.Close()
 	client.mutations = m
-	deliver(client, named(address, "id-1"))
-	return deliver(client, named(address, "id-1"))
+	deliver(client, deliveryWithID(address, "id-1"))
+	return deliver(client, deliveryWithID(address, "id-1"))
 }
 
-// All attempts of a message have the same id: only the connection distinguishes their answers.
-func TestSecondAnswerToAnAttemptIsNotTakenForThatToTheNext(t *testing.T) {
+// All attempts of a message have the same request ID: only the connection distinguishes their responses.
+func TestRetryIgnoresSecondResponseToEarlierAttempt(t *testing.T) {
 	for name, first := range map[string]string{
-		"failed": failed("id-1"), "full": full("id-1"), "repeat": answerWithLength("409 Runs", "id-1", "Not-Executed: true\r\n"),
+		"failed": failed("id-1"), "full": full("id-1"), "repeat": responseWithLength("409 Runs", "id-1", "Not-Executed: true\r\n"),
 	} {
 		t.Run(name, func(t *testing.T) {
-			assert.Equal(t, Done, secondAnswer(t, mutations{}, first).Outcome)
+			assert.Equal(t, Done, secondResponse(t, mutations{}, first).Outcome)
 		})
 	}
 }
 
-func TestMutationThatResendsOnAConnectionIsCaught(t *testing.T) {
-	assert.Equal(t, Failed, secondAnswer(t, mutations{resendsOnConnection: true}, failed("id-1")).Outcome, "counted twice")
+func TestMutationResendsOnConnectionIsDetected(t *testing.T) {
+	assert.Equal(t, Failed, secondResponse(t, mutations{resendsOnConnection: true}, failed("id-1")).Outcome, "counted twice")
 }
 
-// The limit holds though the only connection may not carry the message again.
-func TestConnectionThatMayNotSendAMessageIsReplaced(t *testing.T) {
-	address, _ := scripted(t, map[[2]int]string{{0, 0}: failed("id-1"), {1, 0}: done("id-1"), {1, 1}: done("id-2")})
+// The connection limit holds although a retry must not use the only connection: the connection is replaced.
+func TestConnectionIsReplacedForRetry(t *testing.T) {
+	address, _ := scriptedWorker(t, map[[2]int]string{{0, 0}: failed("id-1"), {1, 0}: done("id-1"), {1, 1}: done("id-2")})
 	client := patientClient()
 	defer client.Close()
 	client.SetLimits(map[string]Share{"i-1": {Max: 1}})
-	assert.Equal(t, Failed, deliver(client, named(address, "id-1")).Outcome)
-	assert.Equal(t, Done, deliver(client, named(address, "id-1")).Outcome)
-	assert.Equal(t, Done, deliver(client, named(address, "id-2")).Outcome, "on the connection that has replaced it")
+	assert.Equal(t, Failed, deliver(client, deliveryWithID(address, "id-1")).Outcome)
+	assert.Equal(t, Done, deliver(client, deliveryWithID(address, "id-1")).Outcome)
+	assert.Equal(t, Done, deliver(client, deliveryWithID(address, "id-2")).Outcome, "on the new connection")
 	assert.Equal(t, 1, client.pools["i-1"].open)
 }
 
-func TestConnectionIsNotKeptWithTooManyMessagesToBeSentAgain(t *testing.T) {
+func TestConnectionWithTooManyUnresolvedMessagesIsClosed(t *testing.T) {
 	var conns atomic.Int32
-	address := script(t, func(_ int, conn net.Conn, reader *bufio.Reader) {
+	address := startWorker(t, func(_ int, conn net.Conn, reader *bufio.Reader) {
 		conns.Add(1)
 		for {
 			request, _, err := readRequest(reader)
@@ -150,117 +151,118 @@
 	client := patientClient()
 	defer client.Close()
 	for i := range 2*maxUnresolved + 2 {
-		require.Equal(t, Failed, deliver(client, named(address, fmt.Sprint(i))).Outcome)
+		require.Equal(t, Failed, deliver(client, deliveryWithID(address, fmt.Sprint(i))).Outcome)
 	}
 	assert.EqualValues(t, 2, conns.Load())
 }
 
-// An answer without an id is this request's on a new connection, and anybody's on one that was used.
-func TestAnswerWithoutAnID(t *testing.T) {
+// A response without a Request-Id certainly belongs to the request on a new connection, but not on one that was used
+// before.
+func TestResponseWithoutRequestID(t *testing.T) {
 	const unnamed = "HTTP/1.1 503 Full\r\nNot-Executed: true\r\nContent-Length: 0\r\n\r\n"
-	address, _ := scripted(t, map[[2]int]string{{0, 0}: unnamed, {0, 1}: unnamed})
+	address, _ := scriptedWorker(t, map[[2]int]string{{0, 0}: unnamed, {0, 1}: unnamed})
 	client := patientClient()
 	defer client.Close()
-	assert.Equal(t, AtCapacity, deliver(client, named(address, "id-1")).Outcome)
-	assert.Equal(t, Broken, deliver(client, named(address, "id-2")).Outcome)
+	assert.Equal(t, AtCapacity, deliver(client, deliveryWithID(address, "id-1")).Outcome)
+	assert.Equal(t, Broken, deliver(client, deliveryWithID(address, "id-2")).Outcome)
 }
 
-func TestAnswerOfTwoRequestsIsNobodys(t *testing.T) {
-	address, _ := scripted(t, map[[2]int]string{{0, 0}: answerWithLength("200 OK", "id-1", "Signature: s\r\nRequest-Id: id-2\r\n")})
+func TestResponseWithTwoRequestIDsIsBroken(t *testing.T) {
+	address, _ := scriptedWorker(t, map[[2]int]string{{0, 0}: responseWithLength("200 OK", "id-1", "Signature: s\r\nRequest-Id: id-2\r\n")})
 	client := patientClient()
 	defer client.Close()
-	assert.Equal(t, Broken, deliver(client, named(address, "id-1")).Outcome)
+	assert.Equal(t, Broken, deliver(client, deliveryWithID(address, "id-1")).Outcome)
 }
 
-// What comes after an answer, or between requests, belongs to no request: the connection is given up.
-func TestConnectionWithSomethingToReadIsNotUsed(t *testing.T) {
+// Bytes received after a response, or between requests, belong to no request: the connection is closed.
+func TestConnectionWithUnreadBytesIsNotReused(t *testing.T) {
 	more := map[string]string{
-		"a second answer": answerWithLength("422 Never", "id-2", ""), "no answer": "x\r\n", "a rest": strings.Repeat("x", 3*readBuffer),
+		"a second response": responseWithLength("422 Never", "id-2", ""), "no response": "x\r\n", "a rest": strings.Repeat("x", 3*readBuffer),
 	}
 	for name, extra := range more {
-		t.Run("at once, "+name, func(t *testing.T) {
-			address, _ := scripted(t, map[[2]int]string{{0, 0}: done("id-1") + extra, {0, 1}: failed("id-2"), {1, 0}: done("id-2")})
+		t.Run("with the response, "+name, func(t *testing.T) {
+			address, _ := scriptedWorker(t, map[[2]int]string{{0, 0}: done("id-1") + extra, {0, 1}: failed("id-2"), {1, 0}: done("id-2")})
 			client := patientClient()
 			defer client.Close()
-			require.Equal(t, Done, deliver(client, named(address, "id-1")).Outcome)
-			assert.Equal(t, Done, deliver(client, named(address, "id-2")).Outcome)
+			require.Equal(t, Done, deliver(client, deliveryWithID(address, "id-1")).Outcome)
+			assert.Equal(t, Done, deliver(client, deliveryWithID(address, "id-2")).Outcome)
 		})
 		t.Run("later, "+name, func(t *testing.T) {
-			kept := make(chan struct{})
-			address := script(t, func(number int, conn net.Conn, reader *bufio.Reader) {
+			returned := make(chan struct{})
+			address := startWorker(t, func(number int, conn net.Conn, reader *bufio.Reader) {
 				request, _, err := readRequest(reader)
 				if err != nil {
 					return
 				}
 				_, _ = io.WriteString(conn, done(request.Header.Get("Request-Id")))
 				if number == 0 {
-					<-kept
+					<-returned
 					_, _ = io.WriteString(conn, extra)
 				}
 				_, _ = io.Copy(io.Discard, reader)
 			})
 			client := patientClient()
 			defer client.Close()
-			require.Equal(t, Done, deliver(client, named(address, "id-1")).Outcome)
-			close(kept)
+			require.Equal(t, Done, deliver(client, deliveryWithID(address, "id-1")).Outcome)
+			close(returned)
 			awaitReadable(t, client)
-			assert.Equal(t, Done, deliver(client, named(address, "id-2")).Outcome)
+			assert.Equal(t, Done, deliver(client, deliveryWithID(address, "id-2")).Outcome)
 		})
 	}
 }
 
-// The deadline of the exchange before says nothing of an idle connection.
-func TestIdleConnectionIsUsedAfterTheDeadlineOfItsLastExchange(t *testing.T) {
-	address, requests := scripted(t, map[[2]int]string{{0, 0}: done("id-1"), {0, 1}: done("id-2")})
+// An expired deadline of the previous exchange does not make an idle connection unusable.
+func TestIdleConnectionIsReusedAfterDeadlineOfLastExchange(t *testing.T) {
+	address, requests := scriptedWorker(t, map[[2]int]string{{0, 0}: done("id-1"), {0, 1}: done("id-2")})
 	client := patientClient()
 	defer client.Close()
-	require.Equal(t, Done, deliver(client, named(address, "id-1")).Outcome)
+	require.Equal(t, Done, deliver(client, deliveryWithID(address, "id-1")).Outcome)
 	require.NoError(t, idleConnection(t, client).socket.SetDeadline(time.Now().Add(-time.Second)))
-	require.Equal(t, Done, deliver(client, named(address, "id-2")).Outcome)
+	require.Equal(t, Done, deliver(client, deliveryWithID(address, "id-2")).Outcome)
 	assert.EqualValues(t, 2, requests.Load())
 }
 
-// early plays a worker that answers as soon as it has a request's head, and then does what is asked.
-func early(t *testing.T, answer string, then func(conn net.Conn)) string {
-	return script(t, func(_ int, conn net.Conn, reader *bufio.Reader) {
+// earlyWorker runs a worker that responds as soon as it has received the header of a request, and then calls a function.
+func earlyWorker(t *testing.T, response string, then func(conn net.Conn)) string {
+	return startWorker(t, func(_ int, conn net.Conn, reader *bufio.Reader) {
 		for line := ""; line != "\r\n"; {
 			var err error
 			if line, err = reader.ReadString('\n'); err != nil {
 				return
 			}
 		}
-		_, _ = io.WriteString(conn, answer)
+		_, _ = io.WriteString(conn, response)
 		then(conn)
 	})
 }
 
-// A worker may turn a long request away before it is in.
-func TestAnswerThatComesBeforeTheRequestIsIn(t *testing.T) {
+// A worker may respond to a long request before it has received all of it.
+func TestResponseBeforeRequestIsComplete(t *testing.T) {
 	ends := map[string]func(conn net.Conn){
 		"it closes":         func(net.Conn) {},
 		"it reads the rest": func(conn net.Conn) { _, _ = io.Copy(io.Discard, conn) },
-		"it ends its side": func(conn net.Conn) {
+		"it closes its side": func(conn net.Conn) {
 			_ = conn.(*net.TCPConn).CloseWrite()
 			_, _ = io.Copy(io.Discard, conn)
 		},
 	}
-	answers := map[string]struct {
-		answer string
-		want   Outcome
+	responses := map[string]struct {
+		response string
+		want     Outcome
 	}{
-		"full": {full("id-1"), AtCapacity}, "failed": {failed("id-1"), Failed}, "refused": {answerWithLength("422 Never", "id-1", ""), Rejected},
+		"full": {full("id-1"), AtCapacity}, "failed": {failed("id-1"), Failed}, "rejected": {responseWithLength("422 Never", "id-1", ""), Rejected},
 		"of another": {done("id-2"), Broken}, "without a length": {"HTTP/1.1 503 Full\r\nRequest-Id: id-1\r\nNot-Executed: 1\r\n\r\n", AtCapacity},
 		"garbled": {"HTTP/1.1 9\r\n\r\n", Broken},
 	}
 	for ending, then := range ends {
-		for name, c := range answers {
-			if name == "without a length" && ending != "it ends its side" {
-				continue // it has no end, or a reset may come before it
+		for name, c := range responses {
+			if name == "without a length" && ending != "it closes its side" {
+				continue // the response has no end, or a reset may precede it
 			}
 			t.Run(name+", "+ending, func(t *testing.T) {
 				client := patientClient()
 				defer client.Close()
-				d := named(early(t, c.answer, then), "id-1")
+				d := deliveryWithID(earlyWorker(t, c.response, then), "id-1")
 				d.Body = make([]byte, longBody)
 				assert.Equal(t, c.want, deliver(client, d).Outcome)
 			})
@@ -268,45 +270,45 @@
 	}
 }
 
-// A worker that reads nothing does not hold its answer up, nor a cancel.
-func TestWorkerThatDoesNotReadIsHeardAndLeft(t *testing.T) {
+// A worker that does not read the request blocks neither its own response nor a cancel.
+func TestWorkerThatDoesNotReadRequest(t *testing.T) {
 	finished := make(chan struct{})
 	defer close(finished)
 	answered := make(chan struct{})
-	address := early(t, full("id-1"), func(net.Conn) {
+	address := earlyWorker(t, full("id-1"), func(net.Conn) {
 		close(answered)
 		<-finished
 	})
 	client := patientClient()
 	defer client.Close()
-	d := named(address, "id-1")
+	d := deliveryWithID(address, "id-1")
 	d.Body = make([]byte, longBody)
 	assert.Equal(t, AtCapacity, deliver(client, d).Outcome)
 	<-answered
-	assert.Zero(t, client.pools["i-1"].open, "the request did not go out whole")
+	assert.Zero(t, client.pools["i-1"].open, "the request was not sent completely")
 
-	heard := make(chan struct{})
-	d.Address = early(t, "", func(net.Conn) {
-		close(heard)
+	started := make(chan struct{})
+	d.Address = earlyWorker(t, "", func(net.Conn) {
+		close(started)
 		<-finished
 	})
 	result := make(chan Result, 1)
 	call := client.Start(d, func(r Result) { result <- r })
-	<-heard
+	<-started
 	call.Cancel()
 	assert.Equal(t, Cancelled, (<-result).Outcome)
 }
 
-// An answer without a length ends with its connection: by a close it is complete, by a reset it is not.
-func TestAnswerWithoutALength(t *testing.T) {
-	const answer = "HTTP/1.1 200 OK\r\nRequest-Id: id-1\r\nSignature: s\r\n\r\nsome"
+// A response without a length ends with its connection: it is complete after a close, but not after a reset.
+func TestResponseWithoutLength(t *testing.T) {
+	const response = "HTTP/1.1 200 OK\r\nRequest-Id: id-1\r\nSignature: s\r\n\r\nsome"
 	for _, reset := range []bool{false, true} {
 		t.Run(fmt.Sprintf("reset %t", reset), func(t *testing.T) {
-			address := script(t, func(_ int, conn net.Conn, reader *bufio.Reader) {
+			address := startWorker(t, func(_ int, conn net.Conn, reader *bufio.Reader) {
 				if _, _, err := readRequest(reader); err != nil {
 					return
 				}
-				_, _ = io.WriteString(conn, answer)
+				_, _ = io.WriteString(conn, response)
 				if reset {
 					_ = conn.(*net.TCPConn).SetLinger(0)
 				}
@@ -317,16 +319,17 @@
 			if reset {
 				want = Broken
 			}
-			assert.Equal(t, want, deliver(client, named(address, "id-1")).Outcome)
+			assert.Equal(t, want, deliver(client, deliveryWithID(address, "id-1")).Outcome)
 			assert.Zero(t, client.pools["i-1"].open)
 		})
 	}
 }
 
-// The end of an answer that comes after the time given to the worker, and the slack, is not waited for, and no later request gets it.
-func TestAnswerThatIsIncompleteAtTheDeadlineIsUnknown(t *testing.T) {
+// A response that is incomplete after the delivery's limit and responseMargin times out, and no later request gets the
+// rest of it.
+func TestIncompleteResponseAtDeadlineTimesOut(t *testing.T) {
 	rest := make(chan struct{})
-	address := script(t, func(number int, conn net.Conn, reader *bufio.Reader) {
+	address := startWorker(t, func(number int, conn net.Conn, reader *bufio.Reader) {
 		if _, _, err := readRequest(reader); err != nil {
 			return
 		}
@@ -341,21 +344,22 @@
 	})
 	client := patientClient()
 	defer client.Close()
-	d := named(address, "id-1")
+	d := deliveryWithID(address, "id-1")
 	d.Limit = time.Millisecond
 	require.Equal(t, TimedOut, deliver(client, d).Outcome)
 	assert.Zero(t, client.pools["i-1"].open)
 	close(rest)
-	assert.Equal(t, Done, deliver(client, named(address, "id-1")).Outcome)
+	assert.Equal(t, Done, deliver(client, deliveryWithID(address, "id-1")).Outcome)
 }
 
-// Where a worker takes fewer connections than there are senders, one that is idle is soon another's to make.
-func TestIdleConnectionIsKeptShortlyWhereTheyAreScarce(t *testing.T) {
-	address, _ := scripted(t, map[[2]int]string{{0, 0}: done("id-1"), {1, 0}: done("id-1")})
+// If a worker accepts fewer connections than there are senders, an idle connection is closed early so that another
+// sender can connect.
+func TestScarceIdleConnectionExpiresEarly(t *testing.T) {
+	address, _ := scriptedWorker(t, map[[2]int]string{{0, 0}: done("id-1"), {1, 0}: done("id-1")})
 	for _, scarce := range []bool{false, true} {
 		client := patientClient()
 		client.SetLimits(map[string]Share{"i-1": {Max: 1, Scarce: scarce}})
-		require.Equal(t, Done, deliver(client, named(address, "id-1")).Outcome)
+		require.Equal(t, Done, deliver(client, deliveryWithID(address, "id-1")).Outcome)
 		client.mu.Lock()
 		for _, conn := range client.pools["i-1"].idle {
 			assert.Equal(t, !scarce, conn.expiresAt-client.now() > scarceIdleTimeout)
--- a/edge/worker/call.go
+++ b/edge/worker/call.go
@@ -5,7 +5,7 @@
 	"sync"
 )
 
-// Call is a delivery under way.
+// Call is a delivery in progress.
 type Call struct {
 	delivery *Delivery
 	done     func(Result)
@@ -16,7 +16,7 @@
 	cancelled bool
 }
 
-// Cancel ends a delivery by closing its connection. Its outcome is Cancelled, unless it had another.
+// Cancel aborts the delivery by closing its connection. The outcome is Cancelled, unless the delivery has ended already.
 func (call *Call) Cancel() {
 	call.mu.Lock()
 	defer call.mu.Unlock()
@@ -27,7 +27,7 @@
 	}
 }
 
-// bind gives the call a connection to close when it is cancelled. It reports false if it was cancelled already.
+// bind sets the connection that Cancel closes. It returns false if the call is already cancelled.
 func (call *Call) bind(conn *connection) bool {
 	call.mu.Lock()
 	defer call.mu.Unlock()
@@ -38,7 +38,7 @@
 	return true
 }
 
-// unbind takes the connection from the call, and reports whether it was cancelled.
+// unbind removes the connection from the call and reports whether the call was cancelled.
 func (call *Call) unbind() bool {
 	call.mu.Lock()
 	defer call.mu.Unlock()
--- a/edge/worker/client.go
+++ b/edge/worker/client.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Client has the connections to all workers. Its methods may be called by any goroutine.
+// Client holds the connections to all workers. It is safe for concurrent use.
 type Client struct {
 	started   time.Time
 	dial      func(ctx context.Context, address string) (*connection, error)
@@ -15,19 +15,19 @@
 	mu       sync.Mutex
 	pools    map[string]*pool
 	sweep    *time.Timer
-	wakeAt   time.Duration // when sweep fires; 0: it does not
+	wakeAt   time.Duration // when sweep fires; 0: it is not running
 	isClosed bool
 }
 
 // NewClient returns a client without connections.
 func NewClient() *Client {
-	return &Client{started: time.Now(), dial: dialWithin(connectTimeout), pools: make(map[string]*pool)}
+	return &Client{started: time.Now(), dial: dialWithTimeout(connectTimeout), pools: make(map[string]*pool)}
 }
 
 func (c *Client) now() time.Duration { return time.Since(c.started) }
 
-// SetLimits sets the shares of workers, by name. Idle connections to workers that it does not name are
-// closed, and those in use after their delivery.
+// SetLimits sets the client's shares of the workers' connections, by worker name. For workers without a share it closes
+// idle connections at once and connections in use after their delivery.
 func (c *Client) SetLimits(shares map[string]Share) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -47,7 +47,7 @@
 	}
 }
 
-// Start begins a delivery. Done is called once, on a goroutine of its own. The body must not change until then.
+// Start starts a delivery. It calls done once, on a goroutine of its own. The body must not be changed before that.
 func (c *Client) Start(d *Delivery, done func(Result)) *Call {
 	ctx, cancel := context.WithCancel(context.Background())
 	call := &Call{delivery: d, done: done, cancel: cancel}
@@ -76,7 +76,7 @@
 	outcome, a := conn.exchange(d)
 	if call.unbind() {
 		c.release(d.Worker, conn, 0)
-		if outcome == Done || outcome == Failed || outcome == Rejected { // the answer had come completely
+		if outcome == Done || outcome == Failed || outcome == Rejected { // the response was complete before the cancel
 			return Result{Outcome: outcome, Signature: a.signature}
 		}
 		return Result{Outcome: Cancelled}
@@ -89,7 +89,7 @@
 	return Result{Outcome: outcome, Signature: a.signature}
 }
 
-// Close closes idle connections, and those in use after their delivery.
+// Close closes idle connections at once and connections in use after their delivery.
 func (c *Client) Close() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/edge/worker/client_test.go
+++ b/edge/worker/client_test.go
@@ -19,8 +19,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// script plays a worker: it gets each connection and its number.
-func script(t *testing.T, play func(number int, conn net.Conn, reader *bufio.Reader)) string {
+// startWorker runs a worker that calls play for each connection, with the connection's number.
+func startWorker(t *testing.T, play func(number int, conn net.Conn, reader *bufio.Reader)) string {
 	t.Helper()
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -49,24 +49,24 @@
 	return request, body, err
 }
 
-// answering plays a worker that gives each request the same answer.
-func answering(t *testing.T, answer string) string {
-	return script(t, func(_ int, conn net.Conn, reader *bufio.Reader) {
+// constantWorker runs a worker that sends the same response to each request.
+func constantWorker(t *testing.T, response string) string {
+	return startWorker(t, func(_ int, conn net.Conn, reader *bufio.Reader) {
 		for {
 			if _, _, err := readRequest(reader); err != nil {
 				return
 			}
-			if _, err := io.WriteString(conn, answer); err != nil {
+			if _, err := io.WriteString(conn, response); err != nil {
 				return
 			}
 		}
 	})
 }
 
-// patientClient waits for connections for as long as they take on a busy machine.
+// patientClient returns a client without a connect timeout, for busy machines.
 func patientClient() *Client {
 	client := NewClient()
-	client.dial = dialWithin(0)
+	client.dial = dialWithTimeout(0)
 	return client
 }
 
@@ -83,7 +83,7 @@
 	return <-result
 }
 
-// Ends of answers to the request id-1.
+// Ends of responses to the request id-1.
 const (
 	complete = "Request-Id: id-1\r\nContent-Length: 2\r\n\r\nok"
 	mine     = "Request-Id: id-1\r\n"
@@ -91,40 +91,40 @@
 
 func TestOutcomes(t *testing.T) {
 	cases := map[string]struct {
-		answer string
-		want   Outcome
+		response string
+		want     Outcome
 	}{
-		"done":                      {"HTTP/1.1 200 OK\r\nSignature: s\r\n" + complete, Done},
-		"done, no content":          {"HTTP/1.1 204 No Content\r\nSignature: s\r\n" + mine + "\r\n", Done},
-		"done, in chunks":           {"HTTP/1.1 200 OK\r\nSignature: s\r\n" + mine + "Transfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n", Done},
-		"done, after an interim":    {"HTTP/1.1 102 Processing\r\n\r\nHTTP/1.1 200 OK\r\nSignature: s\r\n" + complete, Done},
-		"no signature":              {"HTTP/1.1 200 OK\r\n" + complete, Broken},
-		"of another request":        {"HTTP/1.1 200 OK\r\nSignature: s\r\nRequest-Id: id-2\r\nContent-Length: 0\r\n\r\n", Broken},
-		"of no request":             {"HTTP/1.1 200 OK\r\nSignature: s\r\nContent-Length: 0\r\n\r\n", Broken},
-		"failed":                    {"HTTP/1.1 500 Failed\r\n" + complete, Failed},
-		"failed, another request":   {"HTTP/1.1 500 Failed\r\nRequest-Id: id-2\r\nContent-Length: 0\r\n\r\n", Broken},
-		"refused":                   {"HTTP/1.1 422 Never\r\n" + complete, Rejected},
-		"refused, another request":  {"HTTP/1.1 422 Never\r\nRequest-Id: id-2\r\nContent-Length: 0\r\n\r\n", Broken},
-		"full":                      {"HTTP/1.1 503 Full\r\nNot-Executed: 1\r\n" + complete, AtCapacity},
-		"over the ceiling":          {"HTTP/1.1 429 Slow\r\nNot-Executed: 1\r\n" + complete, AtCapacity},
-		"running elsewhere":         {"HTTP/1.1 409 Runs\r\nNot-Executed: 1\r\n" + complete, Duplicate},
-		"not run":                   {"HTTP/1.1 400 Bad\r\nNot-Executed: 1\r\nContent-Length: 0\r\n\r\n", NotRun},
-		"another instance":          {"HTTP/1.1 421 Other\r\nContent-Length: 0\r\n\r\n", WrongWorker},
-		"503 without the promise":   {"HTTP/1.1 503 Full\r\n" + complete, Broken},
-		"stopped at its deadline":   {"HTTP/1.1 504 Late\r\n" + complete, Broken},
-		"200 that says not run":     {"HTTP/1.1 200 OK\r\nNot-Executed: 1\r\nSignature: s\r\n" + complete, Done},
-		"garbled":                   {"HTTP/1.1 2x0 OK\r\n\r\n", Broken},
-		"garbled chunks":            {"HTTP/1.1 200 OK\r\nSignature: s\r\n" + mine + "Transfer-Encoding: chunked\r\n\r\nzz\r\nok\r\n0\r\n\r\n", Broken},
-		"chunk longer than told":    {"HTTP/1.1 200 OK\r\nSignature: s\r\n" + mine + "Transfer-Encoding: chunked\r\n\r\n2\r\nokay\r\n0\r\n\r\n", Broken},
-		"cut within the body":       {"HTTP/1.1 200 OK\r\nSignature: s\r\n" + mine + "Content-Length: 9\r\n\r\nok", TimedOut},
-		"cut before the last chunk": {"HTTP/1.1 200 OK\r\nSignature: s\r\n" + mine + "Transfer-Encoding: chunked\r\n\r\n2\r\nok\r\n", TimedOut},
+		"done":                            {"HTTP/1.1 200 OK\r\nSignature: s\r\n" + complete, Done},
+		"done, no content":                {"HTTP/1.1 204 No Content\r\nSignature: s\r\n" + mine + "\r\n", Done},
+		"done, in chunks":                 {"HTTP/1.1 200 OK\r\nSignature: s\r\n" + mine + "Transfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n", Done},
+		"done, after an interim":          {"HTTP/1.1 102 Processing\r\n\r\nHTTP/1.1 200 OK\r\nSignature: s\r\n" + complete, Done},
+		"no signature":                    {"HTTP/1.1 200 OK\r\n" + complete, Broken},
+		"of another request":              {"HTTP/1.1 200 OK\r\nSignature: s\r\nRequest-Id: id-2\r\nContent-Length: 0\r\n\r\n", Broken},
+		"of no request":                   {"HTTP/1.1 200 OK\r\nSignature: s\r\nContent-Length: 0\r\n\r\n", Broken},
+		"failed":                          {"HTTP/1.1 500 Failed\r\n" + complete, Failed},
+		"failed, another request":         {"HTTP/1.1 500 Failed\r\nRequest-Id: id-2\r\nContent-Length: 0\r\n\r\n", Broken},
+		"rejected":                        {"HTTP/1.1 422 Never\r\n" + complete, Rejected},
+		"rejected, another request":       {"HTTP/1.1 422 Never\r\nRequest-Id: id-2\r\nContent-Length: 0\r\n\r\n", Broken},
+		"full":                            {"HTTP/1.1 503 Full\r\nNot-Executed: 1\r\n" + complete, AtCapacity},
+		"over the rate limit":             {"HTTP/1.1 429 Slow\r\nNot-Executed: 1\r\n" + complete, AtCapacity},
+		"running elsewhere":               {"HTTP/1.1 409 Runs\r\nNot-Executed: 1\r\n" + complete, Duplicate},
+		"not run":                         {"HTTP/1.1 400 Bad\r\nNot-Executed: 1\r\nContent-Length: 0\r\n\r\n", NotRun},
+		"another instance":                {"HTTP/1.1 421 Other\r\nContent-Length: 0\r\n\r\n", WrongWorker},
+		"503 without Not-Executed":        {"HTTP/1.1 503 Full\r\n" + complete, Broken},
+		"stopped at its deadline":         {"HTTP/1.1 504 Late\r\n" + complete, Broken},
+		"200 that says not run":           {"HTTP/1.1 200 OK\r\nNot-Executed: 1\r\nSignature: s\r\n" + complete, Done},
+		"malformed":                       {"HTTP/1.1 2x0 OK\r\n\r\n", Broken},
+		"malformed chunks":                {"HTTP/1.1 200 OK\r\nSignature: s\r\n" + mine + "Transfer-Encoding: chunked\r\n\r\nzz\r\nok\r\n0\r\n\r\n", Broken},
+		"chunk longer than its size":      {"HTTP/1.1 200 OK\r\nSignature: s\r\n" + mine + "Transfer-Encoding: chunked\r\n\r\n2\r\nokay\r\n0\r\n\r\n", Broken},
+		"truncated within the body":       {"HTTP/1.1 200 OK\r\nSignature: s\r\n" + mine + "Content-Length: 9\r\n\r\nok", TimedOut},
+		"truncated before the last chunk": {"HTTP/1.1 200 OK\r\nSignature: s\r\n" + mine + "Transfer-Encoding: chunked\r\n\r\n2\r\nok\r\n", TimedOut},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			client := patientClient()
 			defer client.Close()
-			d := delivery(answering(t, c.answer))
+			d := delivery(constantWorker(t, c.response))
 			if c.want == TimedOut {
 				d.Limit = 100 * time.Millisecond
 			}
@@ -137,15 +137,15 @@
 	}
 }
 
-const doneAnswer = "HTTP/1.1 200 OK\r\nSignature: s\r\nRequest-Id: id-1\r\nContent-Length: 0\r\n"
+const doneResponse = "HTTP/1.1 200 OK\r\nSignature: s\r\nRequest-Id: id-1\r\nContent-Length: 0\r\n"
 
-func TestAnswersThatEndTooSoon(t *testing.T) {
-	for _, part := range []string{"", "HTTP/1.1 200", doneAnswer, "HTTP/1.1 200 OK\r\nSignature: s\r\nRequest-Id: id-1\r\nContent-Length: 5\r\n\r\nhe",
+func TestTruncatedResponse(t *testing.T) {
+	for _, part := range []string{"", "HTTP/1.1 200", doneResponse, "HTTP/1.1 200 OK\r\nSignature: s\r\nRequest-Id: id-1\r\nContent-Length: 5\r\n\r\nhe",
 		"HTTP/1.1 200 OK\r\nSignature: s\r\nRequest-Id: id-1\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n0\r\n"} {
 		t.Run(fmt.Sprintf("%d bytes", len(part)), func(t *testing.T) {
 			client := patientClient()
 			defer client.Close()
-			address := script(t, func(_ int, conn net.Conn, reader *bufio.Reader) {
+			address := startWorker(t, func(_ int, conn net.Conn, reader *bufio.Reader) {
 				_, _, _ = readRequest(reader)
 				_, _ = io.WriteString(conn, part)
 			})
@@ -157,7 +157,7 @@
 
 func TestRequestIsSentUnchanged(t *testing.T) {
 	seen := make(chan string, 1)
-	address := script(t, func(_ int, conn net.Conn, reader *bufio.Reader) {
+	address := startWorker(t, func(_ int, conn net.Conn, reader *bufio.Reader) {
 		head := ""
 		for line := ""; line != "\r\n"; head += line {
 			line, _ = reader.ReadString('\n')
@@ -165,7 +165,7 @@
 		body := make([]byte, 5)
 		_, _ = io.ReadFull(reader, body)
 		seen <- head + string(body)
-		_, _ = io.WriteString(conn, doneAnswer+"\r\n")
+		_, _ = io.WriteString(conn, doneResponse+"\r\n")
 	})
 	client := patientClient()
 	defer client.Close()
@@ -178,10 +178,10 @@
 
 func TestLargeBodyIsSentCompletely(t *testing.T) {
 	size := make(chan int, 1)
-	address := script(t, func(_ int, conn net.Conn, reader *bufio.Reader) {
+	address := startWorker(t, func(_ int, conn net.Conn, reader *bufio.Reader) {
 		_, body, _ := readRequest(reader)
 		size <- len(body)
-		_, _ = io.WriteString(conn, doneAnswer+"\r\n")
+		_, _ = io.WriteString(conn, doneResponse+"\r\n")
 	})
 	client := patientClient()
 	defer client.Close()
@@ -191,15 +191,15 @@
 	assert.Equal(t, 200<<10, <-size)
 }
 
-func TestConnectionIsUsedAgain(t *testing.T) {
+func TestConnectionIsReused(t *testing.T) {
 	var conns atomic.Int32
-	address := script(t, func(_ int, conn net.Conn, reader *bufio.Reader) {
+	address := startWorker(t, func(_ int, conn net.Conn, reader *bufio.Reader) {
 		conns.Add(1)
 		for {
 			if _, _, err := readRequest(reader); err != nil {
 				return
 			}
-			_, _ = io.WriteString(conn, doneAnswer+"\r\n")
+			_, _ = io.WriteString(conn, doneResponse+"\r\n")
 		}
 	})
 	client := patientClient()
@@ -210,7 +210,7 @@
 	assert.EqualValues(t, 1, conns.Load())
 }
 
-// awaitReadable waits until something has come on the connection to a worker that lies idle, its end included.
+// awaitReadable waits until each idle connection to the worker has bytes to read or is closed by the worker.
 func awaitReadable(t *testing.T, client *Client) {
 	t.Helper()
 	client.mu.Lock()
@@ -225,24 +225,24 @@
 	}
 }
 
-// What comes after an answer belongs to no request: the connection is given up, not read on.
-func TestSecondAnswerIsNotTakenForTheNext(t *testing.T) {
+// Bytes after a response belong to no request: the connection is closed without reading them.
+func TestSecondResponseIsNotUsedForNextRequest(t *testing.T) {
 	for _, later := range []bool{false, true} {
 		t.Run(fmt.Sprintf("later %v", later), func(t *testing.T) {
 			var requests atomic.Int32
 			answered := make(chan struct{})
-			address := script(t, func(number int, conn net.Conn, reader *bufio.Reader) {
+			address := startWorker(t, func(number int, conn net.Conn, reader *bufio.Reader) {
 				const stray = "HTTP/1.1 422 Never\r\nRequest-Id: id-1\r\nContent-Length: 0\r\n\r\n"
 				for {
 					if _, _, err := readRequest(reader); err != nil {
 						return
 					}
 					requests.Add(1)
-					answer := doneAnswer + "\r\n"
+					response := doneResponse + "\r\n"
 					if number == 0 && !later {
-						answer += stray
+						response += stray
 					}
-					_, _ = io.WriteString(conn, answer)
+					_, _ = io.WriteString(conn, response)
 					if number == 0 && later {
 						<-answered
 						_, _ = io.WriteString(conn, stray)
@@ -260,10 +260,10 @@
 	}
 }
 
-func TestIdleConnectionThatWasClosedIsNotUsed(t *testing.T) {
-	address := script(t, func(number int, conn net.Conn, reader *bufio.Reader) {
+func TestClosedIdleConnectionIsNotReused(t *testing.T) {
+	address := startWorker(t, func(number int, conn net.Conn, reader *bufio.Reader) {
 		if _, _, err := readRequest(reader); err == nil {
-			_, _ = io.WriteString(conn, doneAnswer+"\r\n")
+			_, _ = io.WriteString(conn, doneResponse+"\r\n")
 		}
 	})
 	client := patientClient()
@@ -274,8 +274,8 @@
 	}
 }
 
-// onFakeTime plays a worker's end of a single connection in memory, on a clock that stands still while anything is being done. Over is
-// closed once that has been played.
+// onFakeTime runs a test in a synctest bubble, with a single connection in memory: play is the worker's side of it. The
+// channel over is closed when play has returned.
 func onFakeTime(t *testing.T, play func(conn net.Conn, reader *bufio.Reader), test func(t *testing.T, client *Client, over <-chan struct{})) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -293,19 +293,19 @@
 	})
 }
 
-func TestIdleConnectionIsClosedBeforeTheWorkerDoes(t *testing.T) {
-	var kept time.Duration
+func TestIdleConnectionIsClosedBeforeWorkerTimeout(t *testing.T) {
+	var idleFor time.Duration
 	onFakeTime(t, func(conn net.Conn, reader *bufio.Reader) {
 		_, _, _ = readRequest(reader)
 		answered := time.Now()
-		_, _ = io.WriteString(conn, doneAnswer+"Keep-Alive: timeout=0.2\r\n\r\n")
+		_, _ = io.WriteString(conn, doneResponse+"Keep-Alive: timeout=0.2\r\n\r\n")
 		_, err := reader.ReadByte()
 		assert.Equal(t, io.EOF, err)
-		kept = time.Since(answered)
+		idleFor = time.Since(answered)
 	}, func(t *testing.T, client *Client, over <-chan struct{}) {
 		require.Equal(t, Done, deliver(client, delivery("")).Outcome)
 		<-over
-		assert.Equal(t, 150*time.Millisecond, kept, "the worker's time less a quarter")
+		assert.Equal(t, 150*time.Millisecond, idleFor, "the worker's timeout less a quarter")
 	})
 }
 
@@ -318,7 +318,7 @@
 	assert.Equal(t, 3*time.Second, keepAlive("timeout=x"))
 }
 
-func TestUnresponsiveWorkerIsWaitedForToTheLimit(t *testing.T) {
+func TestUnresponsiveWorkerTimesOutAtLimit(t *testing.T) {
 	onFakeTime(t, func(_ net.Conn, reader *bufio.Reader) {
 		_, _, _ = readRequest(reader)
 		_, _ = reader.ReadByte()
@@ -327,12 +327,12 @@
 		d.Limit = 150 * time.Millisecond
 		result := deliver(client, d)
 		assert.Equal(t, TimedOut, result.Outcome)
-		assert.Equal(t, d.Limit+answerMargin, result.Took)
+		assert.Equal(t, d.Limit+responseMargin, result.Took)
 	})
 }
 
-func TestResetIsUnknown(t *testing.T) {
-	address := script(t, func(_ int, conn net.Conn, reader *bufio.Reader) {
+func TestResetIsBroken(t *testing.T) {
+	address := startWorker(t, func(_ int, conn net.Conn, reader *bufio.Reader) {
 		_, _, _ = readRequest(reader)
 		_ = conn.(*net.TCPConn).SetLinger(0)
 	})
@@ -341,7 +341,7 @@
 	assert.Equal(t, Broken, deliver(client, delivery(address)).Outcome)
 }
 
-func TestDeadPortIsUnreachable(t *testing.T) {
+func TestClosedPortIsUnreachable(t *testing.T) {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	require.NoError(t, err)
 	address := listener.Addr().String()
@@ -352,9 +352,9 @@
 	assert.Zero(t, client.pools["i-1"].open)
 }
 
-func TestCancelClosesTheConnection(t *testing.T) {
+func TestCancelClosesConnection(t *testing.T) {
 	began, closed := make(chan struct{}), make(chan struct{})
-	address := script(t, func(_ int, conn net.Conn, reader *bufio.Reader) {
+	address := startWorker(t, func(_ int, conn net.Conn, reader *bufio.Reader) {
 		_, _, _ = readRequest(reader)
 		close(began)
 		_, _ = reader.ReadByte()
@@ -371,12 +371,12 @@
 	<-closed
 }
 
-func TestPoolHasNoMoreThanItsLimit(t *testing.T) {
+func TestPoolLimit(t *testing.T) {
 	hold := make(chan struct{})
-	address := script(t, func(_ int, conn net.Conn, reader *bufio.Reader) {
+	address := startWorker(t, func(_ int, conn net.Conn, reader *bufio.Reader) {
 		_, _, _ = readRequest(reader)
 		<-hold
-		_, _ = io.WriteString(conn, doneAnswer+"\r\n")
+		_, _ = io.WriteString(conn, doneResponse+"\r\n")
 	})
 	client := patientClient()
 	defer client.Close()
@@ -394,9 +394,9 @@
 
 func TestConnectionsToRemovedWorkersAreClosed(t *testing.T) {
 	closed := make(chan struct{})
-	address := script(t, func(_ int, conn net.Conn, reader *bufio.Reader) {
+	address := startWorker(t, func(_ int, conn net.Conn, reader *bufio.Reader) {
 		_, _, _ = readRequest(reader)
-		_, _ = io.WriteString(conn, doneAnswer+"\r\n")
+		_, _ = io.WriteString(conn, doneResponse+"\r\n")
 		_, _ = reader.ReadByte()
 		close(closed)
 	})
