--- a/edge/worker/compat_test.go
+++ b/edge/worker/compat_test.go
@@ -16,7 +16,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// golden returns a file that a version before wrote.
+// golden returns the content of a golden file, which an earlier version wrote.
 func golden(t *testing.T, name string) string {
 	t.Helper()
 	text, err := os.ReadFile(filepath.Join("testdata", "compat", name))
@@ -24,11 +24,11 @@
 	return string(text)
 }
 
-// written returns all bytes that one delivery sends to a worker.
+// written returns all bytes that a delivery sends to a worker.
 func written(t *testing.T, d Delivery) string {
 	t.Helper()
 	sent := make(chan string, 1)
-	d.Address = script(t, func(_ int, conn net.Conn, _ *bufio.Reader) {
+	d.Address = startWorker(t, func(_ int, conn net.Conn, _ *bufio.Reader) {
 		var seen bytes.Buffer
 		reader := bufio.NewReader(io.TeeReader(conn, &seen))
 		_, _, err := readRequest(reader)
@@ -45,7 +45,7 @@
 	return <-sent
 }
 
-func TestRequestsToWorkersKeepTheirBytes(t *testing.T) {
+func TestRequestBytes(t *testing.T) {
 	cases := map[string]Delivery{
 		"request-every-field": {
 			Worker: "i-1", Instance: "i-1", Method: "POST", Host: "a.example:80", Target: "/p//q/../r?x=%2f&&y", RequestID: "id-1",
@@ -63,7 +63,7 @@
 	}
 	files, err := filepath.Glob(filepath.Join("testdata", "compat", "request-*.http"))
 	require.NoError(t, err)
-	assert.Len(t, files, len(cases), "each file has its case")
+	assert.Len(t, files, len(cases), "each golden file needs a case")
 	for name, d := range cases {
 		t.Run(name, func(t *testing.T) {
 			got := written(t, d)
@@ -86,7 +86,7 @@
 	}
 }
 
-func TestShortestLimitIsAMillisecond(t *testing.T) {
+func TestMinimumDeadlineIsOneMillisecond(t *testing.T) {
 	head := string(appendHead(nil, &Delivery{Method: "GET", Host: "a.example", Target: "/", RequestID: "id", Limit: time.Microsecond}))
 	assert.Equal(t, "GET / HTTP/1.1\r\nHost: a.example\r\nRequest-Id: id\r\nDeadline-Ms: 1\r\n\r\n", head)
 }
--- a/edge/worker/connection.go
+++ b/edge/worker/connection.go
@@ -14,46 +14,46 @@
 	"golang.org/x/sys/unix"
 )
 
-// Time-outs and margins of a connection.
+// Timeouts and margins of a connection.
 const (
 	connectTimeout     = 300 * time.Millisecond
-	userTimeout        = 600 * time.Millisecond // bytes that nobody acknowledges for so long end the connection
-	answerMargin       = 120 * time.Millisecond // past the limit, for the worker's own answer that it stopped
-	overtakenTimeout   = 5 * time.Millisecond   // for what is left to write of a request that has its answer
-	defaultIdleTimeout = 4 * time.Second        // how long a worker keeps an idle connection if it does not say (Keep-Alive)
-	scarceIdleTimeout  = 100 * time.Millisecond // how long an idle connection is kept that another sender may need
-	idleMargin         = time.Second            // closed so long before the worker would, a quarter of its time at most
+	userTimeout        = 600 * time.Millisecond // TCP_USER_TIMEOUT: how long sent bytes may stay unacknowledged
+	responseMargin     = 120 * time.Millisecond // added to the limit, so that the worker can still respond that it stopped
+	finishWriteTimeout = 5 * time.Millisecond   // for writing the rest of a request whose response has been received
+	defaultIdleTimeout = 4 * time.Second        // assumed idle timeout of a worker that sends no Keep-Alive field
+	scarceIdleTimeout  = 100 * time.Millisecond // how long idle connections are kept that other senders may need (Share.Scarce)
+	idleMargin         = time.Second            // idle connections are closed this much (at most a quarter) before the worker's timeout
 )
 
 const (
-	readBuffer       = 4 << 10  // bounds the head of an answer, too
-	smallBody        = 8 << 10  // copied behind the head, to go in one write
+	readBuffer       = 4 << 10  // also limits the header of a response
+	smallBody        = 8 << 10  // bodies up to this size are sent in the same write as the header
 	maxPooledRequest = 16 << 10 // larger buffers are not pooled
-	maxLateAnswers   = 4        // answers to earlier requests that are skipped
-	maxUnresolved    = 32       // a connection with more unresolved messages is not kept
+	maxLateResponses = 4        // responses to earlier requests that are skipped
+	maxUnresolved    = 32       // a connection with more unresolved messages is closed after its delivery
 )
 
-// connection is a connection to a worker. Whoever acquired it from the pool owns it.
+// connection is a connection to a worker. It is owned by the delivery that acquired it from the pool.
 type connection struct {
 	socket    net.Conn
 	raw       syscall.RawConn
-	expiresAt time.Duration // when it is closed if it is idle, by the client's clock
+	expiresAt time.Duration // when it is closed if it is still idle, by the client's clock
 
-	used       bool     // an answer was read from it
-	unresolved []uint64 // hashes of the ids of messages that were sent on it, and may be sent again
+	used       bool     // a response was read from it
+	unresolved []uint64 // hashes of the request IDs that were sent on it and may be sent again by a retry
 	mutations  mutations
 }
 
-// mutations are deliberate mistakes. Only tests set them, to show that they are caught.
+// mutations are deliberate faults. Only tests set them, to verify that the tests detect such faults.
 type mutations struct {
-	acceptsForeign      bool // an answer is the delivery's whatever request it names
-	resendsOnConnection bool // a message is sent again on a connection on which it was sent before
+	acceptsForeign      bool // a response is accepted even if it contains the ID of another request
+	resendsOnConnection bool // a message may be sent again on the same connection
 }
 
 var readers = sync.Pool{New: func() any { return bufio.NewReaderSize(nil, readBuffer) }}
 
-// dialWithin returns a function that connects to an address within a time, 0 for no bound.
-func dialWithin(limit time.Duration) func(ctx context.Context, address string) (*connection, error) {
+// dialWithTimeout returns a function that connects to an address, with a connect timeout of limit (0: none).
+func dialWithTimeout(limit time.Duration) func(ctx context.Context, address string) (*connection, error) {
 	dialer := net.Dialer{Timeout: limit, KeepAlive: -1, Control: setUserTimeout}
 	return func(ctx context.Context, address string) (*connection, error) {
 		socket, err := dialer.DialContext(ctx, "tcp4", address)
@@ -69,51 +69,52 @@
 }
 
 func setUserTimeout(_, _ string, raw syscall.RawConn) error {
-	return raw.Control(func(fd uintptr) { // where the option is missing, the limit of the delivery is all there is
+	return raw.Control(func(fd uintptr) { // an error is ignored: without the option the delivery's limit still applies
 		_ = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(userTimeout.Milliseconds()))
 	})
 }
 
-// isIdle reports whether an idle connection is still open with nothing to read: what comes between requests belongs to none. It looks
-// without regard to the deadline of the exchange before.
+// isIdle reports whether an idle connection is still open and has nothing to read: bytes received between requests
+// belong to no request. It reads from the descriptor directly, so that the deadline of the previous exchange does not
+// matter.
 func (c *connection) isIdle() bool {
 	if c.raw == nil {
 		return true
 	}
-	quiet := false
+	wouldBlock := false
 	err := c.raw.Control(func(fd uintptr) {
 		var one [1]byte
 		_, err := unix.Read(int(fd), one[:])
-		quiet = errors.Is(err, unix.EAGAIN)
+		wouldBlock = errors.Is(err, unix.EAGAIN)
 	})
-	return err == nil && quiet
+	return err == nil && wouldBlock
 }
 
-// exchange sends a delivery and reads its answer, which may come before the request was written completely.
-func (c *connection) exchange(d *Delivery) (Outcome, answer) {
-	if err := c.socket.SetDeadline(time.Now().Add(d.Limit + answerMargin)); err != nil {
-		return Broken, answer{}
+// exchange sends a delivery and reads its response, which may arrive before the request is written completely.
+func (c *connection) exchange(d *Delivery) (Outcome, response) {
+	if err := c.socket.SetDeadline(time.Now().Add(d.Limit + responseMargin)); err != nil {
+		return Broken, response{}
 	}
 	written := c.write(d)
-	a, err := c.awaitAnswer(d)
+	a, err := c.awaitResponse(d)
 	if !c.isWritten(written) {
 		a.reusable = false
 	}
 	if err != nil {
-		return outcomeOf(err), answer{}
+		return outcomeOf(err), response{}
 	}
 	if c.mutations.acceptsForeign {
 		a.requestID = d.RequestID
 	}
 	outcome := classify(a, d.RequestID, !c.used)
 	c.used = true
-	c.remember(d.RequestID, outcome)
+	c.recordUnresolved(d.RequestID, outcome)
 	return outcome, a
 }
 
-// awaitAnswer reads answers up to the delivery's own. One that names another request is late, of a delivery before: only a connection that
-// was used has such.
-func (c *connection) awaitAnswer(d *Delivery) (answer, error) {
+// awaitResponse reads responses until the delivery's own. On a connection that was used before, a response with the ID
+// of another request is a late one to an earlier delivery and is skipped, up to maxLateResponses times.
+func (c *connection) awaitResponse(d *Delivery) (response, error) {
 	reader := readers.Get().(*bufio.Reader)
 	defer func() {
 		reader.Reset(nil)
@@ -121,11 +122,11 @@
 	}()
 	reader.Reset(c.socket)
 	for late := 0; ; late++ {
-		a, err := readAnswer(reader, d.Method)
+		a, err := readResponse(reader, d.Method)
 		if err != nil {
-			return answer{}, err
+			return response{}, err
 		}
-		if c.used && a.reusable && late < maxLateAnswers && a.isOfAnother(d.RequestID) && !c.mutations.acceptsForeign {
+		if c.used && a.reusable && late < maxLateResponses && a.isForeign(d.RequestID) && !c.mutations.acceptsForeign {
 			continue
 		}
 		a.reusable = a.reusable && late == 0 && reader.Buffered() == 0
@@ -133,22 +134,22 @@
 	}
 }
 
-// remember records a message that the answer leaves to be sent again.
-func (c *connection) remember(requestID string, outcome Outcome) {
+// recordUnresolved records a message that may be sent again after this outcome.
+func (c *connection) recordUnresolved(requestID string, outcome Outcome) {
 	if outcome != Done && outcome != Rejected {
 		c.unresolved = append(c.unresolved, xxhash.Sum64String(requestID))
 	}
 }
 
-// maySend reports whether a message may be sent: a second answer to an earlier attempt, which has the same name, would be taken for that
-// to the new one.
+// maySend reports whether the message may be sent on this connection. It must not be if an earlier attempt was: both
+// have the same request ID, so a second response to the earlier attempt would be taken for the response to the new one.
 func (c *connection) maySend(requestID string) bool {
 	return len(c.unresolved) == 0 || c.mutations.resendsOnConnection || !slices.Contains(c.unresolved, xxhash.Sum64String(requestID))
 }
 
 func outcomeOf(err error) Outcome {
-	var late interface{ Timeout() bool }
-	if errors.As(err, &late) && late.Timeout() {
+	var timeout interface{ Timeout() bool }
+	if errors.As(err, &timeout) && timeout.Timeout() {
 		return TimedOut
 	}
 	return Broken
--- a/edge/worker/delivery.go
+++ b/edge/worker/delivery.go
@@ -4,33 +4,33 @@
 	"time"
 )
 
-// Outcome is what is known of a delivery.
+// Outcome is what is known about the execution of a delivery.
 type Outcome uint8
 
 // The outcomes of a delivery.
 const (
-	Done         Outcome = iota // it ran with success, and the answer came completely
-	Failed                      // it ran and failed: an attempt
-	Rejected                    // it can never be done
+	Done         Outcome = iota // it ran successfully, and the response was complete
+	Failed                      // it ran and failed: counts as an attempt
+	Rejected                    // it can never succeed: no retry
 	AtCapacity                  // it did not run: the worker has no capacity, or the service's rate limit is reached
 	NotRun                      // it did not run, for another reason
 	WrongWorker                 // it did not run: another worker has the address
 	Duplicate                   // it did not run: another attempt of the message is running
-	Unreachable                 // it did not run: no connection came up
-	NoConnection                // it was not sent: all connections that may be open are in use
-	Broken                      // it may have run: the answer was cut, garbled or of another request
-	TimedOut                    // it may have run, or may still: no answer came in time
-	Cancelled                   // it may have run: the sender gave it up
+	Unreachable                 // it did not run: no connection could be established
+	NoConnection                // it was not sent: all connections of the share are in use
+	Broken                      // it may have run: the response was truncated, malformed or belongs to another request
+	TimedOut                    // it may have run, or may still be running: no response in time
+	Cancelled                   // it may have run: the sender cancelled it
 )
 
-// MayHaveRun reports whether a delivery with this outcome leaves open that the message ran.
+// MayHaveRun reports whether the message may have run: the outcome does not say whether it did.
 func (o Outcome) MayHaveRun() bool { return o == Broken || o == TimedOut || o == Cancelled }
 
-// Delivery is one attempt to have a message run.
+// Delivery is one attempt to run a message on a worker.
 type Delivery struct {
-	Worker      string // the name under which connections are pooled
+	Worker      string // key of the connection pool
 	Address     string // host:port
-	Instance    string // the instance that the worker must be (Expect-Instance); empty: any
+	Instance    string // expected instance ID of the worker (Expect-Instance); empty: any
 	Method      string
 	Host        string
 	Target      string // path and query, byte for byte
@@ -38,10 +38,10 @@
 	OrderKey    string
 	ContentType string
 	Body        []byte
-	Limit       time.Duration // given to the worker as Deadline-Ms
+	Limit       time.Duration // sent to the worker as Deadline-Ms
 }
 
-// Result is how a delivery ended.
+// Result is the result of a delivery.
 type Result struct {
 	Outcome   Outcome
 	Signature string // of the run, if the outcome is Done
--- a/edge/worker/pool.go
+++ b/edge/worker/pool.go
@@ -6,18 +6,18 @@
 	"time"
 )
 
-// pool has the connections to one worker.
+// pool holds the connections to one worker.
 type pool struct {
 	share   Share
-	open    int // connections, those that are being made included
+	open    int // open connections, including those being established
 	idle    []*connection
-	retired bool // not named by SetLimits any more: what is open is closed after use
+	retired bool // the last SetLimits did not name the worker: its connections are closed after use
 }
 
 // Share is a sender's share of a worker's connections.
 type Share struct {
-	Max    int  // connections that may be open; 0: no bound
-	Scarce bool // the worker takes fewer than there are senders: an idle one keeps another sender out
+	Max    int  // maximum number of open connections; 0: no limit
+	Scarce bool // the worker accepts fewer connections than there are senders: an idle one blocks another sender
 }
 
 func (c *Client) pool(name string) *pool {
@@ -29,7 +29,8 @@
 	return p
 }
 
-// acquire returns a connection to a worker: an idle one if it is still open, or a new one.
+// acquire returns a connection to the delivery's worker: an idle one that is still open, or else a new one. If there is
+// none, it returns nil and the outcome of the delivery.
 func (c *Client) acquire(ctx context.Context, d *Delivery) (*connection, Outcome) {
 	for {
 		conn, reserved := c.reserve(d.Worker, d.RequestID)
@@ -53,7 +54,8 @@
 	return conn, Done
 }
 
-// reserve takes an idle connection on which the message may be sent, or else reserves a new one.
+// reserve takes an idle connection on which the message may be sent. If there is none, it reserves a place for a new
+// connection in the share, if necessary by closing an idle one, and returns a nil conn.
 func (c *Client) reserve(name, requestID string) (conn *connection, reserved bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -86,7 +88,8 @@
 	}
 }
 
-// release returns a connection to the pool, to be kept for a time, or to be closed where that is 0.
+// release returns a connection to the pool, which keeps it for the given idle time. It closes the connection if that is
+// 0.
 func (c *Client) release(name string, conn *connection, idle time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -116,7 +119,7 @@
 	}
 }
 
-// closeExpired closes idle connections whose time has passed.
+// closeExpired closes idle connections that have expired, in all pools, and schedules the next sweep.
 func (c *Client) closeExpired() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -135,7 +138,7 @@
 	}
 }
 
-// pick takes the idle connection that was used last of those on which a message may be sent; nil: there is none.
+// pick takes the most recently used idle connection on which the message may be sent, or returns nil if there is none.
 func (p *pool) pick(requestID string) *connection {
 	for i := len(p.idle) - 1; i >= 0; i-- {
 		if conn := p.idle[i]; conn.maySend(requestID) {
@@ -160,7 +163,7 @@
 	p.open--
 }
 
-// closeExpired closes idle connections whose time has passed.
+// closeExpired closes idle connections that have expired.
 func (p *pool) closeExpired(now time.Duration) {
 	p.idle = slices.DeleteFunc(p.idle, func(conn *connection) bool {
 		if conn.expiresAt > now {
--- a/edge/worker/request.go
+++ b/edge/worker/request.go
@@ -8,8 +8,9 @@
 
 var requests = sync.Pool{New: func() any { return new([]byte) }}
 
-// write sends a request, the body of a long one while its answer is awaited: then the channel gets the result. It is nil once all is
-// written. A failed write says nothing of the answer, which may have come.
+// write sends a request. It sends a body longer than smallBody in the background, while the response is awaited, and
+// the returned channel receives the result; the channel is nil if the request is already written completely. After a
+// failed write the response may still arrive.
 func (c *connection) write(d *Delivery) (written chan error) {
 	buffer := requests.Get().(*[]byte)
 	defer func() {
@@ -39,13 +40,13 @@
 	return written
 }
 
-// isWritten waits until nothing more of a request is written, and reports whether it was sent completely. What an answer has overtaken
-// has little time left.
+// isWritten waits for the end of the background write and reports whether the request was sent completely. It is called
+// after the response was read, so it allows only finishWriteTimeout for the rest of the request.
 func (c *connection) isWritten(written chan error) bool {
 	if written == nil {
 		return true
 	}
-	_ = c.socket.SetWriteDeadline(time.Now().Add(overtakenTimeout))
+	_ = c.socket.SetWriteDeadline(time.Now().Add(finishWriteTimeout))
 	return <-written == nil
 }
 
--- a/store/journal/compat_test.go
+++ b/store/journal/compat_test.go
@@ -10,7 +10,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// compatFolder is a journal that was opened anew twice, with segments of compatSegmentBytes, and whose oldest segment was removed.
+// compatFolder is a journal with segments of compatSegmentBytes that was reopened twice and whose oldest segment was
+// removed.
 var compatFolder = filepath.Join("testdata", "compat", "journal")
 
 const compatSegmentBytes = 100
@@ -51,8 +52,9 @@
 	return content
 }
 
-// TestJournalKeepsItsForm reads a journal of the first version, and writes the same records to the same bytes.
-func TestJournalKeepsItsForm(t *testing.T) {
+// TestJournalFormat reads a journal of the first version, and verifies that writing the same records produces the same
+// bytes.
+func TestJournalFormat(t *testing.T) {
 	dir := copyFolder(t, compatFolder)
 	before := contentOf(t, dir)
 	require.Len(t, before, 3)
@@ -72,10 +74,10 @@
 		assert.Equal(t, want.payload, payload)
 	}
 	require.NoError(t, j.Close())
-	assert.Equal(t, before, contentOf(t, dir), "reading changes nothing")
+	assert.Equal(t, before, contentOf(t, dir), "reading must not change the files")
 
-	anew := t.TempDir()
-	j, err = Open(anew, Options{SegmentBytes: compatSegmentBytes}, func(Location, []byte) error { return nil })
+	rewritten := t.TempDir()
+	j, err = Open(rewritten, Options{SegmentBytes: compatSegmentBytes}, func(Location, []byte) error { return nil })
 	require.NoError(t, err)
 	j.Append(bytes.Repeat([]byte("first"), 20))
 	for _, want := range compatRecords() {
@@ -84,5 +86,5 @@
 	}
 	j.Remove(1)
 	require.NoError(t, j.Close())
-	assert.Equal(t, before, contentOf(t, anew))
+	assert.Equal(t, before, contentOf(t, rewritten))
 }
--- a/store/journal/journal.go
+++ b/store/journal/journal.go
@@ -8,32 +8,33 @@
 	"sync"
 )
 
-// Journal is an open log. Its methods may be called by any goroutine.
+// Journal is an open log. It is safe for concurrent use.
 type Journal struct {
 	dir     string
 	options Options
 
 	mu       sync.Mutex
-	files    map[uint32]*os.File // synced segments, and the newest
-	sizes    map[uint32]uint32   // their lengths on disk
+	files    map[uint32]*os.File // open segments, by number
+	sizes    map[uint32]uint32   // lengths of the segments on disk, by number
 	oldest   uint32
 	newest   uint32  // the segment that appends go to
-	end      uint32  // its length with what is queued
-	queued   []chunk // waits to be written
-	writing  []chunk // is being written
-	spare    []byte  // a buffer for the next chunk
-	appended uint64  // bytes since Open
-	used     int64   // bytes of all segments, with what is queued
-	err      error   // why the disk failed
+	end      uint32  // length of the newest segment, including queued records
+	queued   []chunk // chunks to write next
+	writing  []chunk // chunks that are being written
+	spare    []byte  // a buffer to reuse for the next chunk
+	appended uint64  // bytes appended since Open
+	used     int64   // bytes in all segments, including queued records
+	err      error   // the error that stopped the journal
 	closing  bool
 
-	wake chan struct{} // has the goroutine of run look at the queue
+	wake chan struct{} // wakes the goroutine of run
 	stop chan struct{} // closed by Close
 	done chan struct{} // closed when run returns
 }
 
-// Open reads a journal, in the order in which it was written, and makes it ready for more; a folder that does not exist is made. Visit gets each
-// record, and may keep the payload only until it returns. Open fails with ErrDamaged, or as the disk or visit does.
+// Open opens the journal in a folder, which it creates if necessary, and calls visit for each record in the order of
+// writing. The payload is valid only until visit returns. Open fails with ErrDamaged, or with an error of the disk or
+// of visit.
 func Open(dir string, options Options, visit func(at Location, payload []byte) error) (*Journal, error) {
 	if options.SegmentBytes <= 0 {
 		options.SegmentBytes = DefaultSegmentBytes
@@ -56,7 +57,8 @@
 	return j, nil
 }
 
-// Append queues a record. It returns the location at which the record lies, and the position that OnSync reports once it is on disk.
+// Append queues a record. It returns the location of the record and its position: the record is on disk once OnSync has
+// reported that position or a higher one.
 func (j *Journal) Append(payload []byte) (Location, uint64) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -67,7 +69,7 @@
 	at := Location{Segment: j.newest, Offset: j.end}
 	c := j.tail()
 	c.data = binary.BigEndian.AppendUint32(c.data, uint32(len(payload)))
-	c.data = binary.BigEndian.AppendUint32(c.data, crc32.Checksum(payload, checksums))
+	c.data = binary.BigEndian.AppendUint32(c.data, crc32.Checksum(payload, castagnoli))
 	c.data = append(c.data, payload...)
 	length := uint32(recordHeader + len(payload))
 	j.end += length
@@ -77,7 +79,7 @@
 	return at, j.appended
 }
 
-// tail is the chunk that the next record goes to.
+// tail returns the chunk to which the next record is appended, a new one if necessary.
 func (j *Journal) tail() *chunk {
 	if n := len(j.queued); n > 0 && j.queued[n-1].segment == j.newest && j.queued[n-1].remove == nil {
 		return &j.queued[n-1]
@@ -87,7 +89,7 @@
 	return &j.queued[len(j.queued)-1]
 }
 
-// signal wakes the journal's goroutine.
+// signal wakes the goroutine of run.
 func (j *Journal) signal() {
 	select {
 	case j.wake <- struct{}{}:
@@ -95,28 +97,29 @@
 	}
 }
 
-// Position is that of all that was appended since Open, in bytes.
+// Position returns the position of the last record: the number of bytes appended since Open.
 func (j *Journal) Position() uint64 {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	return j.appended
 }
 
-// Used is the length of all segments, in bytes.
+// Used returns the total length of all segments in bytes, including queued records.
 func (j *Journal) Used() int64 {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	return j.used
 }
 
-// Segments are the numbers of the oldest segment and of the one that appends go to.
+// Segments returns the numbers of the oldest segment and of the newest, to which records are appended.
 func (j *Journal) Segments() (oldest, newest uint32) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	return j.oldest, j.newest
 }
 
-// Remove queues the removal of the oldest segment, once all that was appended so far is on disk. It must not be the newest.
+// Remove queues the removal of the oldest segment. The segment is removed once all records appended so far are on disk.
+// Remove does nothing if the segment is not the oldest, or is also the newest.
 func (j *Journal) Remove(segment uint32) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -132,13 +135,14 @@
 	j.signal()
 }
 
-// Close writes and syncs what is queued, and closes the files. It fails if the disk has failed, or is full. It may be called again.
+// Close writes and syncs all queued records and closes the files. It returns an error if the disk has failed or is
+// full. It may be called more than once.
 func (j *Journal) Close() error {
 	j.mu.Lock()
-	again := j.closing
+	alreadyClosing := j.closing
 	j.closing = true
 	j.mu.Unlock()
-	if !again {
+	if !alreadyClosing {
 		close(j.stop)
 	}
 	j.signal()
--- a/store/journal/journal_test.go
+++ b/store/journal/journal_test.go
@@ -14,7 +14,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// open opens a journal and returns the records found in it, and a channel of synced positions.
+// open opens a journal and returns the records in it and a channel that receives the synced positions.
 func open(t *testing.T, dir string, segmentBytes int) (*Journal, []string, chan uint64) {
 	t.Helper()
 	synced := make(chan uint64, 10_000)
@@ -41,19 +41,19 @@
 	}
 }
 
-func TestRecordsComeBackInOrder(t *testing.T) {
+func TestRecordsAreReadInOrder(t *testing.T) {
 	dir := t.TempDir()
 	j, found, _ := open(t, dir, 200)
 	assert.Empty(t, found)
 	var want []string
-	var places []Location
+	var locations []Location
 	for i := range 50 {
 		record := fmt.Sprintf("record %d %s", i, strings.Repeat("x", i))
 		want = append(want, record)
 		at, _ := j.Append([]byte(record))
-		places = append(places, at)
+		locations = append(locations, at)
 	}
-	for i, at := range places { // written or not
+	for i, at := range locations { // whether or not they are written yet
 		payload, err := j.Read(at)
 		require.NoError(t, err)
 		assert.Equal(t, want[i], string(payload))
@@ -62,7 +62,7 @@
 
 	j, found, _ = open(t, dir, 200)
 	assert.Equal(t, want, found)
-	for i, at := range places {
+	for i, at := range locations {
 		payload, err := j.Read(at)
 		require.NoError(t, err)
 		assert.Equal(t, want[i], string(payload))
@@ -85,33 +85,34 @@
 	return size
 }
 
-// TestPowerLoss plays losses of power: what was synced is there afterwards, and nothing that was never written.
+// TestPowerLoss simulates power failures: after each, all synced records are in the journal, and no record that was
+// never written.
 func TestPowerLoss(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 2))
 	dir := t.TempDir()
-	kept := 0 // records that must be there
+	durable := 0 // number of records that must be in the journal
 	for round := range 60 {
 		j, found, synced := open(t, dir, 500)
-		require.GreaterOrEqual(t, len(found), kept, "round %d", round)
+		require.GreaterOrEqual(t, len(found), durable, "round %d", round)
 		for i, record := range found {
 			require.True(t, strings.HasPrefix(record, fmt.Sprintf("%d:", i)), "round %d: %q", round, record)
 		}
-		kept = len(found)
+		durable = len(found)
 		var position uint64
 		for range random.IntN(20) {
-			_, position = j.Append(fmt.Appendf(nil, "%d:%s", kept, strings.Repeat("y", random.IntN(100))))
-			kept++
+			_, position = j.Append(fmt.Appendf(nil, "%d:%s", durable, strings.Repeat("y", random.IntN(100))))
+			durable++
 		}
 		if position > 0 {
 			await(t, synced, position)
 		}
 		require.NoError(t, j.Close())
-		tear(t, dir, j.newest, random, kept)
+		tear(t, dir, j.newest, random, durable)
 	}
 }
 
-// tear adds to the newest segment what a write that was never synced may leave: part of a record, zeros, or a good record
-// after a hole.
+// tear appends to the newest segment what an unsynced write may leave there: part of a record, zeros, or a valid record
+// after a hole. Or it adds a further segment with an incomplete header.
 func tear(t *testing.T, dir string, newest uint32, random *rand.Rand, next int) {
 	path := filepath.Join(dir, fmt.Sprintf("%010d%s", newest, suffix))
 	file, err := os.OpenFile(path, os.O_RDWR|os.O_APPEND, 0)
@@ -125,7 +126,7 @@
 		garbage = []byte{0, 0, 0, 9, 1, 2, 3, 4, 'a', 'b'}
 	case 2:
 		garbage = []byte{0xff, 0xff, 0xff, 0xff, 1}
-	case 3: // the next segment was made, and its header lost
+	case 3: // the next segment was created, but its header is incomplete
 		require.NoError(t, os.WriteFile(filepath.Join(dir, fmt.Sprintf("%010d%s", newest+1, suffix)), []byte("rvn"), 0o644))
 	case 4:
 		garbage = append(make([]byte, 20), fmt.Sprintf("%d:no", next)...)
@@ -134,7 +135,7 @@
 	require.NoError(t, err)
 }
 
-func TestDamageInAnOldSegmentIsAnError(t *testing.T) {
+func TestDamageInOldSegmentIsAnError(t *testing.T) {
 	dir := t.TempDir()
 	j, _, _ := open(t, dir, 50)
 	for range 5 {
@@ -151,22 +152,22 @@
 	assert.ErrorContains(t, err, "segment 2")
 }
 
-func TestOldestSegmentsAreRemovedOnceAllBeforeIsOnDisk(t *testing.T) {
+func TestRemoveOldestSegments(t *testing.T) {
 	dir := t.TempDir()
 	j, _, _ := open(t, dir, 50)
-	var places []Location
+	var locations []Location
 	for i := range 5 {
 		at, _ := j.Append(fmt.Appendf(nil, "%d%s", i, strings.Repeat("z", 60)))
-		places = append(places, at)
+		locations = append(locations, at)
 	}
 	oldest, newest := j.Segments()
 	assert.EqualValues(t, 1, oldest)
 	assert.EqualValues(t, 5, newest)
-	j.Remove(2) // not the oldest: nothing happens
+	j.Remove(2) // no effect: not the oldest
 	j.Remove(1)
 	j.Remove(2)
 	at, _ := j.Append([]byte("after"))
-	places = append(places, at)
+	locations = append(locations, at)
 	require.NoError(t, j.Close())
 
 	j, found, _ := open(t, dir, 50)
@@ -174,14 +175,14 @@
 	assert.Equal(t, "after", found[3])
 	oldest, _ = j.Segments()
 	assert.EqualValues(t, 3, oldest)
-	_, err := j.Read(places[0])
+	_, err := j.Read(locations[0])
 	assert.ErrorIs(t, err, ErrNotFound)
 	used := j.Used()
 	require.NoError(t, j.Close())
 	assert.Equal(t, sizeOf(t, dir), used)
 }
 
-func TestDiskErrorIsReportedAndNothingIsSyncedAfterIt(t *testing.T) {
+func TestDiskErrorStopsJournal(t *testing.T) {
 	failed := make(chan error, 1)
 	j, err := Open(t.TempDir(), Options{
 		OnError: func(err error) { failed <- err },
@@ -205,7 +206,7 @@
 	require.NoError(b, j.Close())
 }
 
-// A disk without room is no failure: what was appended waits, is read as before, and is on disk once there is room.
+// A full disk is not a failure: appended records wait, can be read, and are written once there is space.
 func TestRecordsWaitForDiskSpace(t *testing.T) {
 	dir := t.TempDir()
 	var full atomic.Bool
@@ -221,7 +222,7 @@
 			if !full.Load() {
 				return writeAt(file, data, at)
 			}
-			_ = writeAt(file, data[:len(data)/2], at) // as much as there was room for
+			_ = writeAt(file, data[:len(data)/2], at) // a partial write, up to the free space
 			refused <- struct{}{}
 			return &os.PathError{Op: "write", Path: file.Name(), Err: unix.ENOSPC}
 		},
@@ -240,17 +241,17 @@
 	}
 	<-refused
 	<-refused
-	require.Empty(t, synced, "nothing is called synced")
+	require.Empty(t, synced, "nothing must be reported as synced")
 	require.Len(t, reported, 1)
 	full.Store(false)
 	await(t, synced, j.Position())
 	require.NoError(t, j.Close())
-	again, found, _ := open(t, dir, 200)
+	reopened, found, _ := open(t, dir, 200)
 	require.Equal(t, want, found)
-	require.NoError(t, again.Close())
+	require.NoError(t, reopened.Close())
 }
 
-func TestAJournalOnAFullDiskCanBeClosed(t *testing.T) {
+func TestCloseOnFullDisk(t *testing.T) {
 	refused := make(chan struct{}, 100)
 	options := Options{OnError: func(error) {}, write: func(*os.File, []byte, int64) error {
 		refused <- struct{}{}
@@ -263,7 +264,7 @@
 	require.ErrorIs(t, j.Close(), unix.ENOSPC)
 }
 
-func TestClosingTwiceIsClosingOnce(t *testing.T) {
+func TestCloseTwice(t *testing.T) {
 	j, _, _ := open(t, t.TempDir(), 200)
 	j.Append([]byte("record"))
 	require.NoError(t, j.Close())
--- a/store/journal/read.go
+++ b/store/journal/read.go
@@ -10,7 +10,8 @@
 	"slices"
 )
 
-// Read returns a record's payload, synced or not. It fails with ErrNotFound or ErrDamaged, or as the disk does.
+// Read returns the payload of a record, whether or not the record is synced. It fails with ErrNotFound, ErrDamaged or
+// an error of the disk.
 func (j *Journal) Read(at Location) ([]byte, error) {
 	j.mu.Lock()
 	if payload := j.readQueued(at); payload != nil {
@@ -25,7 +26,8 @@
 	return readRecord(file, at)
 }
 
-// readQueued returns the payload of a record that is not on disk yet, nil if there is none.
+// readQueued returns the payload of a record that is not written yet, or nil if the location is in no queued chunk. The
+// caller must hold mu.
 func (j *Journal) readQueued(at Location) []byte {
 	for _, list := range [][]chunk{j.queued, j.writing} {
 		for i := range list {
@@ -41,7 +43,7 @@
 	return nil
 }
 
-// readAhead is read at once: most records are not longer.
+// readAhead is the length of the first read: most records are not longer.
 const readAhead = 2 << 10
 
 func readRecord(file *os.File, at Location) ([]byte, error) {
@@ -65,7 +67,7 @@
 		}
 	}
 	payload = payload[:size]
-	if crc32.Checksum(payload, checksums) != sum {
+	if crc32.Checksum(payload, castagnoli) != sum {
 		return nil, fmt.Errorf("%w: segment %d at byte %d", ErrDamaged, at.Segment, at.Offset)
 	}
 	return payload, nil
--- a/store/journal/recovery.go
+++ b/store/journal/recovery.go
@@ -6,7 +6,7 @@
 	"os"
 )
 
-// recover reads all segments in order.
+// recover reads all segments in order, and creates the first one in an empty folder.
 func (j *Journal) recover(visit func(Location, []byte) error) error {
 	numbers, err := j.segments()
 	if err != nil {
@@ -24,31 +24,31 @@
 	}
 	j.oldest, j.newest = numbers[0], numbers[len(numbers)-1]
 	j.end = j.sizes[j.newest]
-	if j.end == 0 { // its header was lost
+	if j.end == 0 { // the header of the newest segment was not written completely
 		return j.create(j.newest)
 	}
 	return nil
 }
 
-// recoverSegment reads one segment, truncates the newest before its first bad record, and syncs it: what a killed process wrote is in the file,
-// but need not be on disk.
+// recoverSegment reads one segment. It truncates the newest segment at its first invalid record and syncs it: a killed
+// process may have written data that is in the page cache but not on disk.
 func (j *Journal) recoverSegment(number uint32, newest bool, visit func(Location, []byte) error) error {
 	file, err := os.OpenFile(j.path(number), os.O_RDWR, 0)
 	if err != nil {
 		return fmt.Errorf("journal: %w", err)
 	}
 	j.files[number] = file
-	good, err := scan(file, number, visit)
+	validEnd, err := scan(file, number, visit)
 	if errors.Is(err, ErrDamaged) && newest {
-		err = file.Truncate(int64(good))
+		err = file.Truncate(int64(validEnd))
 	}
 	if err == nil && newest {
 		err = file.Sync()
 	}
 	if err != nil {
-		return fmt.Errorf("journal: segment %d at byte %d: %w", number, good, err)
+		return fmt.Errorf("journal: segment %d at byte %d: %w", number, validEnd, err)
 	}
-	j.sizes[number] = good
-	j.used += int64(good)
+	j.sizes[number] = validEnd
+	j.used += int64(validEnd)
 	return nil
 }
--- a/store/journal/scanner.go
+++ b/store/journal/scanner.go
@@ -8,7 +8,7 @@
 
 const scanBuffer = 64 << 10
 
-// scanner reads pieces of a file into a buffer that is used again.
+// scanner reads a file piece by piece into a reused buffer.
 type scanner struct {
 	reader *bufio.Reader
 	buffer []byte
@@ -18,8 +18,9 @@
 	return &scanner{reader: bufio.NewReaderSize(r, scanBuffer)}
 }
 
-// next returns the next size bytes, which are valid until it is called again. At the file's end it fails with io.EOF; in the midst
-// of a piece, with io.ErrUnexpectedEOF. The buffer grows as bytes come, so that a torn length asks for no memory.
+// next returns the next size bytes, which are valid until the next call. It fails with io.EOF at the end of the file,
+// and with io.ErrUnexpectedEOF if the file ends within the size bytes. The buffer grows with the bytes read, so that a
+// corrupt length does not cause a huge allocation.
 func (s *scanner) next(size int) ([]byte, error) {
 	s.buffer = s.buffer[:0]
 	for len(s.buffer) < size {
--- a/store/journal/segment.go
+++ b/store/journal/segment.go
@@ -13,13 +13,13 @@
 
 // Errors of a journal.
 var (
-	// ErrDamaged is returned by Open and Read for a record or a segment whose bytes are not what was written.
+	// ErrDamaged is returned by Open and Read for a record or a segment header that is invalid.
 	ErrDamaged = errors.New("journal: damaged record")
-	// ErrNotFound is returned by Read for a location at which no record is, as its segment was removed.
+	// ErrNotFound is returned by Read for a location without a record, for example because its segment was removed.
 	ErrNotFound = errors.New("journal: no such record")
 )
 
-// maxRecord is the length of the longest payload, in bytes.
+// maxRecord is the maximum length of a payload, in bytes.
 const maxRecord = 48 << 20
 
 const (
@@ -29,68 +29,70 @@
 	suffix        = ".journal"
 )
 
-var checksums = crc32.MakeTable(crc32.Castagnoli)
+var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// Location is where a record starts. The zero Location is none.
+// Location is the start of a record. The zero Location refers to no record.
 type Location struct {
 	Segment uint32
-	Offset  uint32 // in bytes
+	Offset  uint32 // in bytes from the start of the segment
 }
 
-// scan reads a segment's records, and returns the length of what precedes the first bad one.
+// scan reads the records of a segment and calls visit for each. It returns the length of the valid part: up to the
+// first invalid record, or the whole segment.
 func scan(file *os.File, number uint32, visit func(Location, []byte) error) (uint32, error) {
 	reader := io.NewSectionReader(file, 0, 1<<40)
 	buffered := newScanner(reader)
 	header, err := buffered.next(segmentHeader)
-	if err != nil && !isShort(err) {
+	if err != nil && !isEOF(err) {
 		return 0, err
 	}
 	if err != nil || string(header[:8]) != magic || binary.BigEndian.Uint32(header[8:]) != number {
 		return 0, ErrDamaged
 	}
-	good := uint32(segmentHeader)
+	validEnd := uint32(segmentHeader)
 	for {
 		header, err := buffered.next(recordHeader)
 		if errors.Is(err, io.EOF) {
-			return good, nil
+			return validEnd, nil
 		}
 		if err != nil {
-			return good, damage(err)
+			return validEnd, readError(err)
 		}
 		size, sum := binary.BigEndian.Uint32(header), binary.BigEndian.Uint32(header[4:])
 		if size == 0 || size > maxRecord {
-			return good, ErrDamaged
+			return validEnd, ErrDamaged
 		}
 		payload, err := buffered.next(int(size))
 		if err != nil {
-			return good, damage(err)
+			return validEnd, readError(err)
 		}
-		if crc32.Checksum(payload, checksums) != sum {
-			return good, ErrDamaged
+		if crc32.Checksum(payload, castagnoli) != sum {
+			return validEnd, ErrDamaged
 		}
-		if err := visit(Location{Segment: number, Offset: good}, payload); err != nil {
-			return good, err
+		if err := visit(Location{Segment: number, Offset: validEnd}, payload); err != nil {
+			return validEnd, err
 		}
-		good += recordHeader + size
+		validEnd += recordHeader + size
 	}
 }
 
-func isShort(err error) bool { return errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) }
+func isEOF(err error) bool { return errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) }
 
-// damage is the error of a record that can't be read: a file that ends too soon is damaged, any other failure is the disk's.
-func damage(err error) error {
-	if isShort(err) {
+// readError returns the error for a record that can't be read: ErrDamaged if the file is truncated, otherwise the error
+// of the disk.
+func readError(err error) error {
+	if isEOF(err) {
 		return ErrDamaged
 	}
 	return err
 }
 
-// path is the file of a segment.
+// path returns the path of a segment's file.
 func (j *Journal) path(segment uint32) string {
 	return filepath.Join(j.dir, fmt.Sprintf("%010d%s", segment, suffix))
 }
 
-// segments lists the numbers of the segments on disk, in order.
+// segments returns the numbers of the segments on disk, in order.
 func (j *Journal) segments() ([]uint32, error) {
 	entries, err := os.ReadDir(j.dir)
 	if err != nil {
@@ -107,7 +109,7 @@
 	return numbers, nil
 }
 
-// create makes a segment, whose header goes to disk with the first records.
+// create creates a segment. Its header is synced together with the first records.
 func (j *Journal) create(number uint32) error {
 	file, err := os.OpenFile(j.path(number), os.O_RDWR|os.O_CREATE|os.O_TRUNC, 0o644)
 	if err != nil {
@@ -133,7 +135,8 @@
 	return nil
 }
 
-// removeFile removes a segment durably: the folder is synced, so that no older one can come back after a newer one was removed.
+// removeFile removes a segment and syncs the folder. Without the sync, an older segment could reappear after a power
+// failure although a newer one is gone.
 func (j *Journal) removeFile(segment uint32) error {
 	j.mu.Lock()
 	file := j.files[segment]
@@ -150,7 +153,7 @@
 	return SyncFolder(j.dir)
 }
 
-// SyncFolder syncs a folder, so that names that were created, renamed or removed in it survive a loss of power.
+// SyncFolder syncs a folder, so that created, renamed and removed files in it are durable across a power failure.
 func SyncFolder(dir string) error {
 	folder, err := os.Open(dir)
 	if err != nil {
--- a/store/journal/write.go
+++ b/store/journal/write.go
@@ -9,7 +9,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// run writes what is queued until the journal is closed or the disk fails.
+// run writes queued chunks until the journal is closed or the disk fails.
 func (j *Journal) run() {
 	defer close(j.done)
 	for range j.wake {
@@ -19,7 +19,8 @@
 	}
 }
 
-// commit writes and syncs all that is queued, and says whether the journal goes on.
+// commit writes and syncs all queued chunks. It returns false if run must end: the disk has failed, or the journal is
+// closing.
 func (j *Journal) commit() bool {
 	j.mu.Lock()
 	chunks, position, closing := j.queued, j.appended, j.closing
@@ -43,7 +44,7 @@
 	return !closing
 }
 
-// fail reports that the disk has failed.
+// fail records and reports that the disk has failed.
 func (j *Journal) fail(err error) {
 	j.mu.Lock()
 	j.err = err
@@ -53,13 +54,14 @@
 	}
 }
 
-// fullRetryInterval is after how long a write is retried on a full disk.
+// fullRetryInterval is the interval at which a write is retried on a full disk.
 const fullRetryInterval = 100 * time.Millisecond
 
-// maxSpareBuffer is how long a buffer may be to be used again.
+// maxSpareBuffer is the maximum capacity of a buffer that is reused.
 const maxSpareBuffer = 256 << 10
 
-// writeRetryingFull writes a chunk as soon as the disk has space for it. All of the chunk is written anew then: nothing of it has been synced.
+// writeRetryingFull writes a chunk. While the disk is full it retries, each time with the whole chunk: none of it has
+// been synced.
 func (j *Journal) writeRetryingFull(c *chunk) error {
 	for reported := false; ; reported = true {
 		err := j.write(c)
@@ -77,7 +79,7 @@
 	}
 }
 
-// write writes and syncs a chunk, and then removes the segments that waited for that.
+// write writes and syncs a chunk, and then removes the segments in c.remove.
 func (j *Journal) write(c *chunk) error {
 	if len(c.data) > 0 {
 		if err := j.writeData(c); err != nil {
--- a/store/server/compat_test.go
+++ b/store/server/compat_test.go
@@ -51,8 +51,9 @@
 	}
 }
 
-// TestDataFolderKeepsItsForm reads the disk of a store of the first version, and writes its records to the same bytes.
-func TestDataFolderKeepsItsForm(t *testing.T) {
+// TestDataFolderFormat reads the data folder of a store of the first version, and verifies that writing its records
+// produces the same bytes.
+func TestDataFolderFormat(t *testing.T) {
 	dir := t.TempDir()
 	require.NoError(t, os.CopyFS(dir, os.DirFS(compatFolder)))
 	identity, err := Identity(dir)
@@ -75,8 +76,8 @@
 	require.NoError(t, j.Close())
 	assert.Equal(t, compatRecords(), records)
 
-	anew := t.TempDir()
-	j, err = journal.Open(anew, journal.Options{}, func(journal.Location, []byte) error { return nil })
+	rewritten := t.TempDir()
+	j, err = journal.Open(rewritten, journal.Options{}, func(journal.Location, []byte) error { return nil })
 	require.NoError(t, err)
 	for i := range records {
 		payload, err := records[i].MarshalMsg(nil)
@@ -88,17 +89,17 @@
 	const segment = "0000000001.journal"
 	want, err := os.ReadFile(filepath.Join(compatFolder, journalFolder, segment))
 	require.NoError(t, err)
-	got, err := os.ReadFile(filepath.Join(anew, segment))
+	got, err := os.ReadFile(filepath.Join(rewritten, segment))
 	require.NoError(t, err)
 	assert.Equal(t, want, got)
 }
 
-// TestStoreGoesOnWithTheDiskOfTheFirstVersion opens a store on it, and asks for what was there.
-func TestStoreGoesOnWithTheDiskOfTheFirstVersion(t *testing.T) {
+// TestStoreOpensDiskOfFirstVersion opens a store on the same data folder and looks up its messages.
+func TestStoreOpensDiskOfFirstVersion(t *testing.T) {
 	dir := t.TempDir()
 	require.NoError(t, os.CopyFS(dir, os.DirFS(compatFolder)))
 	config := &settings.Settings{DataDir: dir, DiskMb: 64, MemoryMb: 64, ToleratedNodes: 1, Zone: "z"}
-	config.Bounds.StatusS = 600 // what is finished must not be removed while the test runs
+	config.Bounds.StatusS = 600 // finished messages must not be removed while the test runs
 	n := startNodeWith(t, "127.0.0.1:0", config)
 	defer n.stop(t)
 	assert.Equal(t, compatIdentity, n.disk)
--- a/store/server/damage.go
+++ b/store/server/damage.go
@@ -15,14 +15,14 @@
 )
 
 const (
-	fullRetryInterval = 200 * time.Millisecond // after how long a full disk is tried again
-	damagedFolder     = "damaged"              // what is left of a damaged journal
-	damagedShare      = 8                      // the quarantine has one in so many bytes of the disk at most
+	fullRetryInterval = 200 * time.Millisecond // interval at which opening is retried on a full disk
+	damagedFolder     = "damaged"              // folder with the quarantined rest of a damaged journal
+	damagedShare      = 8                      // the quarantine may use at most 1/damagedShare of the disk
 )
 
-// OpenDisk opens the store of a disk, and returns the disk's identity. A damaged journal is quarantined, as far as there is space for it, and the
-// disk taken for an empty one with a new identity, which the other replicas fill. A full disk is waited for until the context ends; other
-// failures are returned.
+// OpenDisk opens the store on a disk and returns the store and the disk's identity. If the journal is damaged, OpenDisk
+// quarantines as much of it as there is space for, and starts with an empty journal and a new identity; the other
+// replicas then fill the store. If the disk is full, it retries until the context is done. It returns all other errors.
 func OpenDisk(ctx context.Context, config Config) (s *Store, disk string, err error) {
 	for reported := false; ; reported = true {
 		s, disk, err = openOrReplace(config)
@@ -30,7 +30,7 @@
 			return s, disk, err
 		}
 		if !reported {
-			logger(&config).Warn("disk full: the store waits for space", "error", err)
+			logger(&config).Warn("disk full; waiting for free space to open the store", "error", err)
 		}
 		select {
 		case <-ctx.Done():
@@ -40,13 +40,14 @@
 	}
 }
 
-// openOrReplace opens the store, on an empty disk if its journal is damaged.
+// openOrReplace opens the store. If the journal is damaged, it quarantines the journal and opens the store on an empty
+// disk.
 func openOrReplace(config Config) (s *Store, disk string, err error) {
 	s, disk, err = openDisk(config)
 	if !errors.Is(err, journal.ErrDamaged) {
 		return s, disk, err
 	}
-	logger(&config).Error("journal damaged: the store starts with an empty disk and a new identity", "previous", disk, "error", err)
+	logger(&config).Error("journal damaged; starting with an empty journal and a new disk identity", "previous", disk, "error", err)
 	if err := quarantine(config.Settings.DataDir, int64(config.Settings.DiskMb)<<20/damagedShare); err != nil {
 		return nil, "", err
 	}
@@ -63,44 +64,46 @@
 	return s, disk, err
 }
 
-// quarantine moves a damaged journal out of the way, trimmed to its newest segments within a limit in bytes. The identity goes first: with it an
-// empty journal would count as all that the disk ever had.
+// quarantine moves a damaged journal to the folder damaged, and keeps only its newest segments within a limit in bytes.
+// It removes the identity first: under the old identity an empty journal would be taken for the complete content of the
+// disk.
 func quarantine(dir string, limit int64) error {
 	from, to := filepath.Join(dir, journalFolder), filepath.Join(dir, damagedFolder)
 	if err := os.Remove(filepath.Join(dir, identityFile)); err != nil && !errors.Is(err, os.ErrNotExist) {
-		return fmt.Errorf("store: identity of a damaged disk: %w", err)
+		return fmt.Errorf("store: removing the identity of the damaged disk: %w", err)
 	}
 	if err := journal.SyncFolder(dir); err != nil {
 		return err
 	}
 	if err := os.RemoveAll(to); err != nil {
-		return fmt.Errorf("store: quarantine of an earlier journal: %w", err)
+		return fmt.Errorf("store: removing the previously quarantined journal: %w", err)
 	}
 	if err := trimFolder(from, limit); err != nil {
 		return err
 	}
 	if err := os.Rename(from, to); err != nil {
-		return fmt.Errorf("store: damaged journal: %w", err)
+		return fmt.Errorf("store: moving the damaged journal to quarantine: %w", err)
 	}
 	return journal.SyncFolder(dir)
 }
 
-// trimFolder removes the files that come first by name, until the rest is within a limit in bytes. Zero: no limit.
+// trimFolder removes files, the first by name first, until the total size of the rest is within a limit in bytes (0: no
+// limit).
 func trimFolder(dir string, limit int64) error {
 	entries, err := os.ReadDir(dir)
 	if err != nil {
 		return fmt.Errorf("store: %w", err)
 	}
-	left := limit
+	remaining := limit
 	for _, entry := range slices.Backward(entries) {
 		info, err := entry.Info()
 		if err != nil {
 			return fmt.Errorf("store: %w", err)
 		}
-		if left -= info.Size(); left >= 0 || limit <= 0 {
+		if remaining -= info.Size(); remaining >= 0 || limit <= 0 {
 			continue
 		}
-		left = 0
+		remaining = 0
 		if err := os.Remove(filepath.Join(dir, entry.Name())); err != nil {
 			return fmt.Errorf("store: %w", err)
 		}
@@ -108,7 +111,7 @@
 	return journal.SyncFolder(dir)
 }
 
-// quarantinedBytes is the size of what was quarantined.
+// quarantinedBytes returns the total size of the quarantined files.
 func quarantinedBytes(dir string) (size int64) {
 	entries, err := os.ReadDir(filepath.Join(dir, damagedFolder))
 	if err != nil {
--- a/store/server/handlers.go
+++ b/store/server/handlers.go
@@ -8,7 +8,7 @@
 	"ravendale/store/queue"
 )
 
-// register names the handlers of all that edges and primaries send.
+// register registers the handlers for requests and notifications from edges and from primaries.
 func (s *Store) register() {
 	mux := s.config.Mux
 	handleRequest(s, mux, wire.MethodPut, (*queue.Core).PutMessage)
@@ -29,8 +29,8 @@
 	})
 }
 
-// memberAnswers are the handlers of what members answer to a primary.
-func (s *Store) memberAnswers() *rpc.Mux {
+// replicaHandlers returns the handlers for notifications that replicas send back to a primary.
+func (s *Store) replicaHandlers() *rpc.Mux {
 	mux := rpc.NewMux()
 	handleNotification(s, mux, queue.MethodAcked, (*queue.Core).Acked)
 	handleNotification(s, mux, queue.MethodDiffer, (*queue.Core).Differ)
@@ -38,7 +38,8 @@
 	return mux
 }
 
-// Closed handles that a connection to the store's listener is closed; who listens calls it from OnClose. It returns at once.
+// Closed notifies the store that a connection which its listener accepted is closed. The owner of the listener must
+// call it from OnClose. It does not block.
 func (s *Store) Closed(c *rpc.Conn) {
 	s.tasks.start(func() {
 		s.handle(func(now queue.Time) { s.core.EdgeDown(now, c) })
--- a/store/server/identity.go
+++ b/store/server/identity.go
@@ -13,8 +13,8 @@
 
 const identityFile = "identity"
 
-// Identity reads the identity of the disk on which a data folder is. At first use one is drawn at random, and is durable before it is returned. It
-// fails if the disk does.
+// Identity returns the identity of the disk that contains a data folder. If there is no valid one yet, it creates a
+// random one, which is durable when Identity returns. It fails if the disk does.
 func Identity(dir string) (string, error) {
 	path := filepath.Join(dir, identityFile)
 	content, err := os.ReadFile(path)
@@ -28,9 +28,10 @@
 	return newIdentity(dir, path)
 }
 
-const identityLength = 26 // of rand.Text
+const identityLength = 26 // length of rand.Text
 
-// validIdentity says whether a file's content is complete: it is not, if the power failed when it was written first.
+// validIdentity reports whether the content of the identity file is complete. It is not if the power failed during the
+// first write.
 func validIdentity(id string) bool { return len(id) == identityLength }
 
 func newIdentity(dir, path string) (string, error) {
@@ -45,7 +46,7 @@
 	_, err = file.WriteString(id + "\n")
 	err = errors.Join(err, file.Sync(), file.Close(), journal.SyncFolder(dir))
 	if err != nil {
-		return "", fmt.Errorf("store: identity of the disk: %w", err)
+		return "", fmt.Errorf("store: writing the identity of the disk: %w", err)
 	}
 	return id, nil
 }
--- a/store/server/store.go
+++ b/store/server/store.go
@@ -16,46 +16,46 @@
 	"ravendale/store/queue"
 )
 
-// Figures of a store.
+// Names, limits and timeouts of a store.
 const (
 	journalFolder   = "journal"
-	bytesPerMessage = 500 // of memory, with all that belongs to a message
-	memoryShare     = 2   // messages may take one in so many bytes of the process's memory
+	bytesPerMessage = 500 // memory per message, including all data structures for it
+	memoryShare     = 2   // messages may use at most 1/memoryShare of the process's memory
 	minSegmentBytes = 1 << 20
 	segmentsPerDisk = 45
-	retentionMargin = 5 * time.Second // finished messages are known for so much longer than statusS
+	retentionMargin = 5 * time.Second // finished messages are kept this much longer than statusS
 	connectTimeout  = 300 * time.Millisecond
 )
 
-// Config of a Store.
+// Config configures a Store.
 type Config struct {
 	Settings      *settings.Settings
 	Disk          string       // from Identity; OpenDisk sets it
-	Mux           *rpc.Mux     // gets the store's handlers
-	StatusChanged func()       // Status has changed in a way that the control plane waits for; may be nil
-	Failed        func(error)  // the disk can't be trusted: the process must end
+	Mux           *rpc.Mux     // Open registers the store's handlers on it
+	StatusChanged func()       // called when Status has changed in a way that the control plane waits for; may be nil
+	Failed        func(error)  // called when the disk has failed: the process must exit
 	Log           *slog.Logger // slog.Default if nil
 }
 
-// Store is the queue of one storage machine. Its methods may be called by any goroutine.
+// Store is the queue on one storage machine. It is safe for concurrent use.
 type Store struct {
 	config  Config
 	started time.Time
 	journal *journal.Journal
 
-	mu            sync.Mutex // guards the core and all below
+	mu            sync.Mutex // guards core and the following fields
 	core          *queue.Core
 	timer         *time.Timer
-	links         map[string]*rpc.Link // by disk
-	statusChanged bool                 // StatusChanged is to be called once the lock is free
+	links         map[string]*rpc.Link // by disk identity
+	statusChanged bool                 // call Config.StatusChanged once the lock is released
 	failure       error
 	closed        bool
 
 	tasks tasks
 }
 
-// Open reads the store's journal and registers its handlers. The store takes part in nothing before SetView. It fails with
-// journal.ErrDamaged for a damaged journal.
+// Open reads the store's journal and registers its handlers. The store is inactive until SetView is called. Open fails
+// with journal.ErrDamaged if the journal is damaged.
 func Open(config Config) (*Store, error) {
 	config.Log = logger(&config)
 	s := &Store{config: config, started: time.Now(), links: make(map[string]*rpc.Link)}
@@ -113,7 +113,8 @@
 	return queue.Time{Steady: time.Since(s.started), UnixMs: time.Now().UnixMilli()}
 }
 
-// handle has the core handle an event, with the lock held, and calls back what it asked for once the lock is free.
+// handle runs f, which passes an event to the core, with the lock held. After it has released the lock it calls the
+// functions of Config that the core has requested. It does nothing if the store is closed or has failed.
 func (s *Store) handle(f func(now queue.Time)) {
 	s.mu.Lock()
 	if s.closed || s.failure != nil {
@@ -138,7 +139,7 @@
 
 func (s *Store) onDiskFull() { s.handle(s.core.DiskFull) }
 
-// fail ends the store's work as its disk has failed.
+// fail stops the store after a failure of its disk.
 func (s *Store) fail(err error) {
 	s.mu.Lock()
 	first := s.failure == nil && !s.closed
@@ -151,21 +152,21 @@
 
 func (s *Store) tick() { s.handle(s.core.Tick) }
 
-// Status is what the store reports to the control plane.
+// Status returns the status that the store reports to the control plane.
 func (s *Store) Status() wire.StoreStatus {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.core.Status()
 }
 
-// Primary says whether the store is the primary of any partition.
+// Primary reports whether the store is the primary of any partition.
 func (s *Store) Primary() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.core.Primary()
 }
 
-// SetView puts a newer placement into force.
+// SetView applies a newer placement.
 func (s *Store) SetView(view *wire.StoreView) {
 	if view == nil {
 		return
@@ -177,8 +178,8 @@
 	s.reconnectLinks()
 }
 
-// reconnectLinks has links that are down connect at once: a store that has restarted is a member again before its peers would retry by themselves,
-// and what they accept meanwhile waits for it.
+// reconnectLinks makes links that are down reconnect at once. A restarted store is a member again before the links would
+// retry by themselves, and messages that its peers accept meanwhile wait for it.
 func (s *Store) reconnectLinks() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -187,7 +188,8 @@
 	}
 }
 
-// SetEdges takes the members that the control plane names: a new primary waits until all edges have claimed.
+// SetEdges sets the edges that the control plane lists as members: a new primary waits until all of them have sent
+// their claims.
 func (s *Store) SetEdges(members *wire.Members) {
 	if members == nil {
 		return
@@ -195,8 +197,8 @@
 	s.handle(func(now queue.Time) { s.core.SetEdges(now, members.Edges) })
 }
 
-// Close closes the links, writes and syncs all that is queued, and waits for the store's goroutines. It fails if the journal does. Handlers
-// that are called afterwards do nothing.
+// Close closes the links, writes and syncs all queued records, and waits for the store's goroutines. It returns the
+// error of closing the journal. Handlers that are called afterwards do nothing.
 func (s *Store) Close() error {
 	s.mu.Lock()
 	s.timer.Stop()
@@ -214,7 +216,7 @@
 	return err
 }
 
-// updateLinks connects to all other stores of the view.
+// updateLinks connects to all other stores of the placement, and closes the links to stores that are no longer in it.
 func (s *Store) updateLinks() {
 	if s.links == nil {
 		return
@@ -234,11 +236,12 @@
 }
 
 func (s *Store) link(disk, address string) *rpc.Link {
-	options := rpc.Options{Mux: s.memberAnswers(), ConnectTimeout: connectTimeout}
+	options := rpc.Options{Mux: s.replicaHandlers(), ConnectTimeout: connectTimeout}
 	return rpc.NewLink(address, options, func(c *rpc.Conn) { s.handshake(c, disk) }, nil)
 }
 
-// handshake makes sure that the other end has the disk that is meant.
+// handshake verifies that the peer has the expected disk. If it has, the core is notified that the peer is up; if not,
+// the connection is closed.
 func (s *Store) handshake(c *rpc.Conn, disk string) {
 	c.OnClose(func(error) {
 		s.tasks.start(func() { s.handle(func(now queue.Time) { s.core.PeerDown(now, c) }) })
@@ -260,7 +263,7 @@
 	})
 }
 
-// host is what the core sees of the store. Its methods are called with the lock held.
+// host implements queue.Host. Its methods are called with the lock held.
 type host struct{ store *Store }
 
 func (h host) WakeAt(steady time.Duration) {
--- a/store/server/store_test.go
+++ b/store/server/store_test.go
@@ -20,7 +20,7 @@
 	"ravendale/test/diskfolder"
 )
 
-func TestIdentityLastsAndATornOneIsDrawnAnew(t *testing.T) {
+func TestIdentityIsDurableAndTornIdentityIsReplaced(t *testing.T) {
 	dir := filepath.Join(diskfolder.New(t), "data")
 	first, err := Identity(dir)
 	require.NoError(t, err)
@@ -46,7 +46,7 @@
 	return startNodeWith(t, address, &settings.Settings{DataDir: dir, DiskMb: 64, MemoryMb: 64, ToleratedNodes: 1, Zone: "z"})
 }
 
-// startNodeWith starts a store with other settings.
+// startNodeWith starts a store with the given settings.
 func startNodeWith(t *testing.T, address string, s *settings.Settings) *node {
 	t.Helper()
 	n := &node{}
@@ -79,7 +79,7 @@
 	return v
 }
 
-// edge is a scheduler's connection that keeps the grants that it gets.
+// edge is an edge's connection to a store, with the grants that it receives.
 type edge struct {
 	conn   *rpc.Conn
 	grants chan *wire.Grant
@@ -132,8 +132,9 @@
 	return found
 }
 
-// TestStoresOnLoopback has two stores accept messages, loses one of them and an edge, and goes on.
-func TestStoresOnLoopback(t *testing.T) {
+// TestReplicationFailoverAndRestart puts messages into two replicas, stops the primary, lets another edge and a third
+// store join, and restarts the stores.
+func TestReplicationFailoverAndRestart(t *testing.T) {
 	dirs := []string{diskfolder.New(t), diskfolder.New(t), diskfolder.New(t)}
 	nodes := make([]*node, 3)
 	for i, dir := range dirs {
@@ -147,7 +148,7 @@
 	e := attach(t, nodes[0], "e", 1)
 	put := e.put(t, 1, "0.1")
 	assert.Equal(t, wire.PutAccepted, put.Code)
-	if !put.Granted { // the stores had not met yet
+	if !put.Granted { // the stores were not connected to each other yet
 		assert.Equal(t, "0.1", e.await(t).ID)
 	}
 	put = e.put(t, 1, "0.2")
@@ -159,7 +160,7 @@
 	assert.Equal(t, wire.PutAccepted, report.Code)
 	assert.Equal(t, "0.2", e.await(t).ID)
 
-	nodes[0].stop(t) // the primary goes; the other takes over, and a third joins
+	nodes[0].stop(t) // the primary stops; the other replica takes over, and a third store joins
 	second := view(2, nodes...)
 	second.Partitions[0] = wire.Placement{Replicas: []uint16{1}, Joining: []uint16{2}}
 	nodes[1].store.SetView(second)
@@ -172,7 +173,7 @@
 	assert.Equal(t, "body", string(grant.Message.Body))
 	assert.Equal(t, &wire.FindReply{Found: true, State: wire.StateDone, Signature: "s"}, find(t, nodes[1], "0.1"))
 
-	address := nodes[1].server.Address() // both restart with their disks
+	address := nodes[1].server.Address() // the new primary restarts with its disk
 	nodes[1].stop(t)
 	nodes[1] = startNode(t, dirs[1], address)
 	assert.EqualValues(t, 2, nodes[1].store.Status().Messages)
@@ -181,7 +182,7 @@
 	nodes[2].stop(t)
 }
 
-// BenchmarkPut has two stores of one process accept messages, over loopback and real syncs.
+// BenchmarkPut puts messages into two stores in this process, over loopback and with real syncs.
 func BenchmarkPut(b *testing.B) {
 	t := &testing.T{}
 	nodes := []*node{startNode(t, b.TempDir(), "127.0.0.1:0"), startNode(t, b.TempDir(), "127.0.0.1:0")}
@@ -213,21 +214,22 @@
 	}
 }
 
-// A disk with damage in an old segment is another, empty one; it opens again as that.
-func TestDamagedDiskBeginsAnew(t *testing.T) {
+// A disk with damage in an old segment is opened as an empty one with a new identity, which it keeps when it is opened
+// again.
+func TestDamagedDiskIsReplacedByEmptyOne(t *testing.T) {
 	dir := diskfolder.New(t)
 	damaged, err := Identity(dir)
 	require.NoError(t, err)
-	kept, err := journal.Open(filepath.Join(dir, journalFolder), journal.Options{SegmentBytes: 500_000},
+	damagedJournal, err := journal.Open(filepath.Join(dir, journalFolder), journal.Options{SegmentBytes: 500_000},
 		func(journal.Location, []byte) error { return nil })
 	require.NoError(t, err)
 	for i := range 12 {
 		record := queue.Record{ID: fmt.Sprintf("0.%d", i), Sequence: uint64(i), Message: wire.Message{Body: make([]byte, 200_000)}}
 		payload, err := record.MarshalMsg(nil)
 		require.NoError(t, err)
-		kept.Append(payload)
+		damagedJournal.Append(payload)
 	}
-	require.NoError(t, kept.Close())
+	require.NoError(t, damagedJournal.Close())
 	segments, err := filepath.Glob(filepath.Join(dir, journalFolder, "*"))
 	require.NoError(t, err)
 	require.Greater(t, len(segments), 1)
@@ -249,18 +251,18 @@
 	}
 	assert.NotEqual(t, damaged, disks[0])
 	assert.Equal(t, disks[0], disks[1])
-	left := quarantinedBytes(dir)
-	assert.Positive(t, left)
-	assert.LessOrEqual(t, left, int64(1<<20))
+	quarantined := quarantinedBytes(dir)
+	assert.Positive(t, quarantined)
+	assert.LessOrEqual(t, quarantined, int64(1<<20))
 }
 
-func TestFolderIsTrimmedToItsNewestFiles(t *testing.T) {
+func TestTrimFolderKeepsNewestFiles(t *testing.T) {
 	dir := diskfolder.New(t)
 	for _, name := range []string{"1", "2", "3"} {
 		require.NoError(t, os.WriteFile(filepath.Join(dir, name), make([]byte, 100), 0o644))
 	}
 	require.NoError(t, trimFolder(dir, 250))
-	left, err := filepath.Glob(filepath.Join(dir, "*"))
+	remaining, err := filepath.Glob(filepath.Join(dir, "*"))
 	require.NoError(t, err)
-	assert.Equal(t, []string{filepath.Join(dir, "2"), filepath.Join(dir, "3")}, left)
+	assert.Equal(t, []string{filepath.Join(dir, "2"), filepath.Join(dir, "3")}, remaining)
 }
--- a/store/server/tasks.go
+++ b/store/server/tasks.go
@@ -2,7 +2,7 @@
 
 import "sync"
 
-// tasks are the goroutines that a store starts for what must not wait for its lock.
+// tasks tracks the goroutines that a store starts for work whose caller must not wait for the store's lock.
 type tasks struct {
 	mu     sync.Mutex
 	closed bool
@@ -18,7 +18,7 @@
 	}
 }
 
-// wait starts no more, and returns once all have returned.
+// wait prevents further starts and waits until all started goroutines have returned.
 func (t *tasks) wait() {
 	t.mu.Lock()
 	t.closed = true
