--- a/cmd/ravendale-edge/edge_test.go
+++ b/cmd/ravendale-edge/edge_test.go
@@ -156,7 +156,7 @@
 	opened, err := server.Open(server.Config{Settings: s, Disk: disk, Mux: mux, Failed: func(error) {}, Log: r.log})
 	require.NoError(r.t, err)
 	server, err := rpc.Listen(address, rpc.Options{Mux: mux}, func(c *rpc.Conn) {
-		c.OnClose(func(error) { opened.Closed(c) })
+		c.OnClose(func(error) { opened.ConnClosed(c) })
 	})
 	require.NoError(r.t, err)
 	started := &rigStore{settings: s, store: opened, server: server, disk: disk}
--- a/cmd/ravendale-store/process.go
+++ b/cmd/ravendale-store/process.go
@@ -131,7 +131,7 @@
 func (p *process) listen(ctx context.Context) (*rpc.Server, error) {
 	options := rpc.Options{Mux: p.mux}
 	onConn := func(c *rpc.Conn) {
-		c.OnClose(func(error) { p.store.Closed(c) })
+		c.OnClose(func(error) { p.store.ConnClosed(c) })
 	}
 	deadline := time.Now().Add(listenTimeout)
 	for {
--- a/store/server/handlers.go
+++ b/store/server/handlers.go
@@ -38,9 +38,9 @@
 	return mux
 }
 
-// Closed notifies the store that a connection which its listener accepted is closed. The owner of the listener must
+// ConnClosed notifies the store that a connection which its listener accepted is closed. The owner of the listener must
 // call it from OnClose. It does not block.
-func (s *Store) Closed(c *rpc.Conn) {
+func (s *Store) ConnClosed(c *rpc.Conn) {
 	s.tasks.start(func() {
 		s.handle(func(now queue.Time) { s.core.EdgeDown(now, c) })
 	})
--- a/store/server/store_test.go
+++ b/store/server/store_test.go
@@ -59,7 +59,7 @@
 	})
 	require.NoError(t, err)
 	n.server, err = rpc.Listen(address, rpc.Options{Mux: mux}, func(c *rpc.Conn) {
-		c.OnClose(func(error) { n.store.Closed(c) })
+		c.OnClose(func(error) { n.store.ConnClosed(c) })
 	})
 	require.NoError(t, err)
 	return n
--- a/test/lab/backlog/backlog.go
+++ b/test/lab/backlog/backlog.go
@@ -110,7 +110,7 @@
 		return nil, err
 	}
 	if n.server, err = rpc.Listen(listenAt, rpc.Options{Mux: mux}, func(c *rpc.Conn) {
-		c.OnClose(func(error) { n.store.Closed(c) })
+		c.OnClose(func(error) { n.store.ConnClosed(c) })
 	}); err != nil {
 		return nil, err
 	}
