--- a/store/queue/apply.go
+++ b/store/queue/apply.go
@@ -7,7 +7,8 @@
 	"ravendale/store/journal"
 )
 
-// Recover applies a record of the journal: each of them, in order, before Start. It fails for a record that can't be decoded.
+// Recover applies one record of the journal. It must be called for each record, in order, before Start. It fails if the
+// record can't be decoded.
 func (c *Core) Recover(now Time, at journal.Location, payload []byte) error {
 	c.now = now
 	r, err := decodeRecord(payload)
@@ -18,8 +19,8 @@
 	return nil
 }
 
-// changes says whether a record from the primary would change anything here.
-func (c *Core) changes(r *Record) bool {
+// wouldChange reports whether a record from the primary would change the state of this store.
+func (c *Core) wouldChange(r *Record) bool {
 	p := c.partition(r.Partition)
 	e, _ := p.find(r.ID)
 	switch r.Kind {
@@ -38,8 +39,8 @@
 	return true
 }
 
-// apply brings the tables up to a record that lies at a location of the journal. Old: the message is not new, so its times are worked out by
-// the time of day.
+// apply applies a record, which is at a location of the journal, to the tables. If old is set, the message was put
+// earlier, and its times are computed from the time of day.
 func (c *Core) apply(r *Record, at journal.Location, old bool) {
 	if r.Kind == RecordEpoch {
 		c.newestEpoch = max(c.newestEpoch, r.Sequence)
@@ -55,11 +56,11 @@
 		c.applyFinish(p, r, at)
 	case RecordFailed:
 		if e, _ := p.find(r.ID); e != nil {
-			p.change(e, func() { e.failed = r.Failed })
+			p.update(e, func() { e.failed = r.Failed })
 		}
 	case RecordLeaseholder:
 		if e, _ := p.find(r.ID); e != nil && e.pending() {
-			p.change(e, func() { e.delivery.lastLeaseholder = c.intern(r.Leaseholder) })
+			p.update(e, func() { e.delivery.lastLeaseholder = c.intern(r.Leaseholder) })
 		}
 	case RecordDrop:
 		if e, _ := p.find(r.ID); e != nil {
@@ -79,25 +80,25 @@
 		c.replaceFinish(p, e, r, at)
 		return
 	}
-	var known *delivery
+	var previous *delivery
 	if e != nil {
-		known = e.delivery
+		previous = e.delivery
 		c.removeEntry(p, e)
 	}
 	e = c.insert(p, r, at, old)
-	if known != nil && e.delivery != nil { // the steady clock has counted since
-		e.delivery.due, e.delivery.expires = known.due, known.expires
+	if previous != nil && e.delivery != nil { // the times of the replaced entry are exact, since they come from the steady clock
+		e.delivery.due, e.delivery.expires = previous.due, previous.expires
 	}
 }
 
-// insert adds a message that is not known yet.
+// insert adds a message that the store doesn't have yet.
 func (c *Core) insert(p *partition, r *Record, at journal.Location, old bool) *entry {
 	e := &entry{id: r.ID, sequence: r.Sequence, state: r.State, failed: r.Failed}
 	if e.pending() {
 		e.delivery = &delivery{acceptSequence: r.Sequence, lastLeaseholder: c.intern(r.Leaseholder)}
 		c.setTimes(e, &r.Message, old)
 		if r.Message.Ordered && r.Message.Key != "" {
-			p.join(e, r.Message.Key)
+			p.addToKeyQueue(e, r.Message.Key)
 		}
 	} else {
 		e.finishedAt = c.seconds()
@@ -109,11 +110,12 @@
 	return e
 }
 
-// longestSpan is what delays and retentions are cut to, in milliseconds: added to the steady clock they must not come round to now.
-const longestSpan = 1 << 31
+// maxSpanMs limits delays and retentions, in milliseconds, so that their sum with the steady clock doesn't overflow to
+// a time that is already past.
+const maxSpanMs = 1 << 31
 
-// setTimes works out when a message is due and when its retention is over. For one that is not new the time of day is all there is: it may
-// be wrong, so it must neither prolong a delay beyond its full length nor shorten a retention.
+// setTimes computes when a message is due and when its retention is over. For an old message only the time of day is
+// available. It may be wrong, so it must neither prolong a delay beyond its full length nor shorten a retention.
 func (c *Core) setTimes(e *entry, m *wire.Message, old bool) {
 	delay, retention := int64(m.DelayMs), int64(m.RetentionMs)
 	if old {
@@ -121,8 +123,8 @@
 		delay = max(delay-age, 0)
 		retention = max(retention-age, 0) + int64(c.config.ClockSlack/time.Millisecond)
 	}
-	e.delivery.due = c.millis() + uint32(min(delay, longestSpan))
-	e.delivery.expires = c.millis() + uint32(min(retention, longestSpan))
+	e.delivery.due = c.millis() + uint32(min(delay, maxSpanMs))
+	e.delivery.expires = c.millis() + uint32(min(retention, maxSpanMs))
 }
 
 func (c *Core) applyFinish(p *partition, r *Record, at journal.Location) {
@@ -141,43 +143,45 @@
 	c.replaceFinish(p, e, r, at)
 }
 
-// replaceFinish gives a finished message another outcome. The body of a dead one stays where it lies.
+// replaceFinish replaces the outcome of a finished message. If the message was dead and stays dead, the entry keeps the
+// location of the body.
 func (c *Core) replaceFinish(p *partition, e *entry, r *Record, at journal.Location) {
 	dead := r.State == wire.StateDead
-	keeps := dead && e.state == wire.StateDead
+	keepsBody := dead && e.state == wire.StateDead
 	p.removeFinished(e)
-	p.change(e, func() {
+	p.update(e, func() {
 		e.state, e.sequence = r.State, r.Sequence
-		e.noBody = dead && (e.noBody || !keeps)
+		e.noBody = dead && (e.noBody || !keepsBody)
 	})
 	p.insertFinished(e)
-	if !keeps {
+	if !keepsBody {
 		c.setLocation(e, at)
 	}
 }
 
-// markFinished records an outcome in memory; the message keeps its position in its key order until all members have the outcome. The location
-// of a dead one stays that of its body.
+// markFinished records an outcome in memory. The message keeps its position in its key queue until all members have the
+// outcome. The entry of a dead message keeps the location of the body.
 func (c *Core) markFinished(p *partition, e *entry, r *Record, at journal.Location) {
-	p.change(e, func() { e.state, e.sequence = r.State, r.Sequence })
+	p.update(e, func() { e.state, e.sequence = r.State, r.Sequence })
 	e.finishedAt = c.seconds()
 	if e.state != wire.StateDead {
 		c.setLocation(e, at)
 	}
 }
 
-// dropDelivery frees the delivery state of a message, and returns the new head of its key order, if there is one.
+// dropDelivery frees the delivery state of a message. It returns the new head of the message's key queue as
+// removeFromKeyQueue does.
 func (c *Core) dropDelivery(p *partition, e *entry) *entry {
 	if e.delivery == nil {
 		return nil
 	}
-	next := p.leave(e)
+	next := p.removeFromKeyQueue(e)
 	c.releaseLease(e)
 	e.delivery = nil
 	return next
 }
 
-// removeEntry removes a message from memory, and refuses those who wait for its operations.
+// removeEntry removes a message from memory, and refuses the requests that wait for its operations.
 func (c *Core) removeEntry(p *partition, e *entry) {
 	if e.delivery != nil {
 		for _, w := range p.supersede(e) {
@@ -190,7 +194,7 @@
 	c.messageCount--
 }
 
-// intern saves the memory of a name that very many messages have.
+// intern returns an equal string that is shared by all messages of an edge, to save memory.
 func (c *Core) intern(id string) string {
 	if e := c.edges.byID[id]; e != nil {
 		return e.id
--- a/store/queue/assign.go
+++ b/store/queue/assign.go
@@ -6,7 +6,7 @@
 	"ravendale/cluster/wire"
 )
 
-// assignDue assigns unowned messages that are due to edges, and finishes those whose retention is over.
+// assignDue assigns unowned messages that are due to edges, and finishes messages whose retention is over as dead.
 func (c *Core) assignDue() {
 	for len(c.unowned) > 0 && c.unowned[0].due <= c.millis() {
 		top := c.unowned[0]
@@ -19,7 +19,7 @@
 			c.finishMessage(top.p, top.e, wire.StateDead, "", nil)
 			continue
 		}
-		to, leaseholder := c.target(top.e)
+		to, leaseholder := c.selectEdge(top.e)
 		if leaseholder != nil {
 			heap.Pop(&c.unowned)
 			leaseholder.reserved = append(leaseholder.reserved, top)
@@ -39,14 +39,17 @@
 	}
 }
 
-// isConfirmed says whether all members have acknowledged something so recently that none of them can have known a newer epoch.
+// isConfirmed reports whether all members have acknowledged an operation recently enough to assume that this store is
+// still the primary: a member that knows a newer epoch doesn't acknowledge.
 func (c *Core) isConfirmed(p *partition) bool {
 	return len(p.members) == 0 || c.now.Steady < p.confirmedAt+confirmationTimeout
 }
 
-// target picks the edge that an unowned message is assigned to: its last leaseholder as long as that one is connected, since it may have
-// finished it already and then reports so. If nothing can be assigned to that one now, the message waits for it.
-func (c *Core) target(e *entry) (to, waitsFor *edge) {
+// selectEdge returns the edge to which an unowned message is to be assigned. As long as the last leaseholder is
+// connected and hasn't released the message, this is the last leaseholder, since it may have finished the message
+// already, and then reports the outcome. If it can't be assigned anything now, selectEdge returns it as waitsFor. If no
+// edge can be assigned the message, both results are nil.
+func (c *Core) selectEdge(e *entry) (to, waitsFor *edge) {
 	leaseholder := c.edges.byID[e.delivery.lastLeaseholder]
 	switch {
 	case leaseholder == nil || e.delivery.released:
@@ -57,25 +60,26 @@
 	return nil, leaseholder
 }
 
-// canAssign says whether a message can be assigned to an edge: it has claimed under this epoch, and has not too many already.
+// canAssign reports whether a message can be assigned to an edge: it is connected, has claimed under this epoch, and
+// has fewer than maxAssigned messages.
 func (c *Core) canAssign(e *edge) bool {
 	return e.remote != nil && e.claimedEpoch == c.epoch() && e.assigned < maxAssigned
 }
 
-// unreserve puts the messages that are reserved for an edge back among the unowned ones.
+// unreserve moves the messages that are reserved for an edge back to the heap of unowned messages.
 func (c *Core) unreserve(e *edge) {
 	reserved := e.reserved
 	e.reserved = nil
-	for _, o := range reserved {
-		heap.Push(&c.unowned, o)
+	for _, m := range reserved {
+		heap.Push(&c.unowned, m)
 	}
 }
 
-// leastLoadedEdge picks the edge with the fewest assigned messages, preferably of the own zone, and rather not the one that has released this
-// message; nil if there is none.
+// leastLoadedEdge returns the edge with the fewest assigned messages, or nil if none can be assigned one. Edges in
+// other zones count as more loaded, and the edge that has released this message as much more loaded.
 func (c *Core) leastLoadedEdge(releasedBy string) *edge {
 	var best *edge
-	least := 0
+	lowestLoad := 0
 	for _, e := range c.edges.list {
 		if e.draining || !c.canAssign(e) {
 			continue
@@ -84,14 +88,14 @@
 		if e.id == releasedBy {
 			load += maxAssigned
 		}
-		if best == nil || load < least || load == least && e.lastAssignment < best.lastAssignment {
-			best, least = e, load
+		if best == nil || load < lowestLoad || load == lowestLoad && e.lastAssignment < best.lastAssignment {
+			best, lowestLoad = e, load
 		}
 	}
 	return best
 }
 
-// load is how many messages are assigned to an edge, with a penalty for another zone.
+// load returns the number of messages assigned to an edge, plus a penalty if the edge is in another zone.
 func (c *Core) load(e *edge) int {
 	if e.zone != c.config.Zone {
 		return e.assigned + otherZonePenalty
@@ -99,7 +103,8 @@
 	return e.assigned
 }
 
-// assignMessage leases a message to an edge, which is granted it with its body once all members know of the lease.
+// assignMessage leases a message to an edge. The edge is granted the message, with its body, once all members have
+// recorded the lease.
 func (c *Core) assignMessage(p *partition, e *entry, to *edge) {
 	c.startLease(e, to)
 	e.delivery.assigned = true
@@ -121,7 +126,7 @@
 	e.delivery.grantPending = false
 	to := e.delivery.leaseholder
 	if to.remote == nil {
-		return // it is requeued, if the edge does not reconnect and claim it
+		return // the message is requeued if the edge doesn't reconnect and claim it
 	}
 	message, err := c.readMessage(p, e)
 	if err != nil {
@@ -133,13 +138,14 @@
 	})
 }
 
-// unassign has a message count no more among those that are assigned to its leaseholder, when that has had it for long: messages that no
-// worker is there for must not block others. What an edge has no capacity for it releases by itself.
-func (c *Core) unassign(l *delivery) {
-	if !l.assigned {
+// unassign stops counting a message among those assigned to its leaseholder. This happens when the lease ends, and when
+// the leaseholder has had the message for long: messages for which there is no worker must not block others. An edge
+// releases messages for which it has no capacity.
+func (c *Core) unassign(d *delivery) {
+	if !d.assigned {
 		return
 	}
-	l.assigned = false
-	l.leaseholder.assigned--
-	c.unreserve(l.leaseholder)
+	d.assigned = false
+	d.leaseholder.assigned--
+	c.unreserve(d.leaseholder)
 }
--- a/store/queue/barrier.go
+++ b/store/queue/barrier.go
@@ -2,13 +2,13 @@
 
 import "container/heap"
 
-// startBarrier sends an empty Replicate to all members. Once all have acknowledged it, none of them knew a newer epoch when it was sent: the
-// store was the primary then.
+// startBarrier sends an empty Replicate to all members. Once all members have acknowledged it, it is certain that none
+// of them knew a newer epoch when it was sent, so this store was the primary then.
 func (c *Core) startBarrier(p *partition) {
 	if p.barrier != nil {
 		return
 	}
-	o := &op{p: p, since: c.now.Steady, synced: true, index: len(p.ops)}
+	o := &op{p: p, startedAt: c.now.Steady, synced: true, index: len(p.ops)}
 	p.ops = append(p.ops, o)
 	p.barrier = o
 	for member := range p.members {
@@ -18,7 +18,7 @@
 	c.complete(o)
 }
 
-// sendBarrier sends a barrier to one member.
+// sendBarrier sends the empty Replicate of a barrier to one member.
 func (c *Core) sendBarrier(o *op, member int) {
 	to := o.p.members[member]
 	to.flush(c.epoch())
@@ -27,7 +27,8 @@
 	_ = to.remote.Notify(MethodReplicate, &Replicate{Epoch: c.epoch(), Number: to.number})
 }
 
-// endBarrier puts the messages that were deferred until a barrier back among the unowned ones.
+// endBarrier ends the barrier, if there is one, and moves the messages deferred by it back to the heap of unowned
+// messages.
 func (c *Core) endBarrier(p *partition) {
 	deferred := p.deferred
 	p.deferred = nil
@@ -35,9 +36,9 @@
 		p.removeOp(p.barrier)
 	}
 	p.barrier = nil
-	for _, o := range deferred {
-		if o.e.delivery != nil {
-			heap.Push(&c.unowned, o)
+	for _, m := range deferred {
+		if m.e.delivery != nil {
+			heap.Push(&c.unowned, m)
 		}
 	}
 }
--- a/store/queue/benchmark_test.go
+++ b/store/queue/benchmark_test.go
@@ -8,34 +8,34 @@
 	"ravendale/cluster/wire"
 )
 
-// fillCore puts messages into a core, and has them end if wanted.
-func fillCore(b *testing.B, n int, end bool) *rig {
+// fillCore puts n messages into a core, and finishes them if finish is set.
+func fillCore(b *testing.B, n int, finish bool) *driver {
 	b.Helper()
 	t := &testing.T{}
-	r, peer, e := primary(t)
+	r, peer, e := newReadyPrimary(t)
 	for i := range n {
 		id := fmt.Sprintf("0.1abcdefghijkl-%d", i)
-		r.put(plain(id), e)
-		if end {
+		r.put(plainMsg(id), e)
+		if finish {
 			r.report(wire.Report{ID: id, Kind: wire.ReportDone, Signature: "s"}, e)
 		}
 		if i%100 == 0 || i == n-1 {
 			r.syncAndAck(peer)
-			peer.notices = peer.notices[:0]
-			e.notices = nil
+			peer.notifications = peer.notifications[:0]
+			e.notifications = nil
 		}
 	}
 	return r
 }
 
-func benchmarkMemory(b *testing.B, end bool) {
+func benchmarkMemory(b *testing.B, finish bool) {
 	const count = 50_000
 	var before, after runtime.MemStats
 	var bytes float64
 	for range b.N {
 		runtime.GC()
 		runtime.ReadMemStats(&before)
-		r := fillCore(b, count, end)
+		r := fillCore(b, count, finish)
 		r.records = nil
 		runtime.GC()
 		runtime.ReadMemStats(&after)
--- a/store/queue/claim.go
+++ b/store/queue/claim.go
@@ -2,8 +2,9 @@
 
 import "ravendale/cluster/wire"
 
-// ClaimMessages has an edge lease what it says it has, under the epoch in force. What it was assigned and does not claim is requeued; the
-// answer names what it may not go on with.
+// ClaimMessages leases to an edge the messages that it claims to have, under the current epoch. After a reconnection,
+// messages that the edge leased before and doesn't claim are requeued. The reply lists the claimed messages that the
+// edge must not continue with.
 func (c *Core) ClaimMessages(now Time, from Remote, m *wire.Claim, reply Replier) {
 	c.now = now
 	e := c.edges.byRemote[from]
@@ -32,7 +33,7 @@
 	c.flushPeers()
 }
 
-// claimMessage leases a message to an edge that claims it, and says whether the edge may go on with it.
+// claimMessage leases a message to an edge that claims it, and reports whether the edge may continue with it.
 func (c *Core) claimMessage(by *edge, id string) bool {
 	number, ok := wire.PartitionOf(id)
 	p := c.lookUpPartition(number)
@@ -40,7 +41,7 @@
 		return false
 	}
 	if p == nil || !p.primary {
-		return true // not this store's to say
+		return true // only the primary of the partition can refuse the claim
 	}
 	e, _ := p.find(id)
 	if e == nil || !e.pending() || e.delivery.leaseholder != nil && e.delivery.leaseholder != by {
--- a/store/queue/comparison.go
+++ b/store/queue/comparison.go
@@ -7,20 +7,21 @@
 	"ravendale/cluster/wire"
 )
 
-// comparison is a comparison of a partition with one member, and what comes of it.
+// comparison is the state of comparing a partition with one member and making the member equal to the primary.
 type comparison struct {
 	p       *partition
 	to      *peer
 	id      uint64
-	merge   bool                   // what only the member knows is adopted; else it is dropped there
-	listed  bool                   // the member has listed all that differs
-	fetches int                    // unanswered
-	buckets *[bucketCount][]*entry // what the store has, as it was when the member began to list
+	merge   bool                   // messages and outcomes that only the member has are adopted; otherwise the member drops them
+	listed  bool                   // the member has sent its lists of all buckets that differ
+	fetches int                    // number of Fetch notifications that aren't fully answered
+	buckets *[bucketCount][]*entry // the primary's entries by bucket when the member's first list arrived
 	toSend  []*entry
 	toDrop  []string
 }
 
-// compare starts to make a member equal to the primary.
+// compare starts a comparison with a member, which makes the member equal to the primary. It replaces an earlier
+// comparison of the same partition with the member.
 func (c *Core) compare(p *partition, to *peer) {
 	if to.remote == nil {
 		return
@@ -51,7 +52,7 @@
 	return nil
 }
 
-// Differ takes a member's list of one bucket.
+// Differ handles a member's list of one bucket.
 func (c *Core) Differ(now Time, from Remote, m *Differ) {
 	c.now = now
 	cmp := c.findComparison(m.Partition, from, m.ComparisonID)
@@ -70,21 +71,22 @@
 	c.flushPeers()
 }
 
-// compareBucket decides what to do about each message of a bucket.
+// compareBucket decides for each message of a bucket that differs whether to send it to the member, fetch it from
+// there, or drop it there.
 func (c *Core) compareBucket(cmp *comparison, m *Differ) {
 	cmp.to.stats.listed += len(m.Entries)
 	if cmp.buckets == nil {
 		cmp.buckets = cmp.p.buckets(func(int) bool { return true })
 	}
-	theirs := make(map[string]*Digest, len(m.Entries))
+	memberDigests := make(map[string]*Digest, len(m.Entries))
 	for i := range m.Entries {
-		theirs[m.Entries[i].ID] = &m.Entries[i]
+		memberDigests[m.Entries[i].ID] = &m.Entries[i]
 	}
 	var fetch []string
 	decide := func(e *entry, digest *Digest) {
 		switch {
 		case digest != nil && digest.Sum == e.sum(hashOf(e.id)):
-		case digest != nil && (digest.suppliesBody(e) || cmp.merge && digest.ahead(e)):
+		case digest != nil && (digest.suppliesBody(e) || cmp.merge && digest.isAheadOf(e)):
 			fetch = append(fetch, e.id)
 		default:
 			cmp.toSend = append(cmp.toSend, e)
@@ -92,12 +94,12 @@
 	}
 	for _, e := range cmp.buckets[m.Bucket] {
 		if current, _ := cmp.p.find(e.id); current != e {
-			continue // it was replaced or removed since
+			continue // the entry was replaced or removed in the meantime
 		}
-		decide(e, theirs[e.id])
-		delete(theirs, e.id)
+		decide(e, memberDigests[e.id])
+		delete(memberDigests, e.id)
 	}
-	for id, digest := range theirs {
+	for id, digest := range memberDigests {
 		e, _ := cmp.p.find(id)
 		switch {
 		case e != nil:
@@ -110,26 +112,27 @@
 	}
 	sort.Strings(fetch)
 	sort.Strings(cmp.toDrop)
-	for part := range slices.Chunk(fetch, fetchBatch) {
+	for batch := range slices.Chunk(fetch, fetchBatch) {
 		cmp.fetches++
-		_ = cmp.to.remote.Notify(MethodFetch, &Fetch{Epoch: c.epoch(), Partition: cmp.p.number, ComparisonID: cmp.id, IDs: part})
+		_ = cmp.to.remote.Notify(MethodFetch, &Fetch{Epoch: c.epoch(), Partition: cmp.p.number, ComparisonID: cmp.id, IDs: batch})
 	}
 }
 
-// suppliesBody says whether a member has the body of a dead message that this store lacks.
+// suppliesBody reports whether the member has the body of a dead message and this store lacks it.
 func (d *Digest) suppliesBody(e *entry) bool {
 	return e.noBody && d.State == wire.StateDead && !d.NoBody
 }
 
-// ahead says whether a member knows more of a message than this store.
-func (d *Digest) ahead(e *entry) bool {
+// isAheadOf reports whether the member has a newer state of a pending message than this store: an outcome, or more
+// failed attempts.
+func (d *Digest) isAheadOf(e *entry) bool {
 	if !e.pending() {
 		return false
 	}
 	return d.State != e.state || d.Failed > e.failed
 }
 
-// Fetched adopts what only a member knew.
+// Fetched handles records that a member sends as the answer to a Fetch, and adopts them.
 func (c *Core) Fetched(now Time, from Remote, m *Fetched) {
 	c.now = now
 	cmp := c.findComparison(m.Partition, from, m.ComparisonID)
@@ -139,7 +142,7 @@
 	for _, payload := range m.Records {
 		r, err := decodeRecord(payload)
 		if err != nil {
-			c.config.Log.Error("undecodable record from a member", "error", err)
+			c.config.Log.Error("can't decode a record fetched from a member; ignoring the rest of its notification", "error", err)
 			return
 		}
 		cmp.to.stats.fetched++
@@ -154,14 +157,15 @@
 	c.flushPeers()
 }
 
-// adoptRecord applies a record of a member, unless more is known by now, and sends it to all members.
+// adoptRecord applies a record fetched from a member and sends it to all members, unless this store has newer state of
+// the message by now.
 func (c *Core) adoptRecord(p *partition, r *Record) {
 	e, collides := p.find(r.ID)
 	digest := Digest{State: r.State, Failed: r.Failed, NoBody: r.NoBody}
-	if collides || e != nil && !digest.ahead(e) && !digest.suppliesBody(e) {
+	if collides || e != nil && !digest.isAheadOf(e) && !digest.suppliesBody(e) {
 		return
 	}
-	if e != nil && !e.pending() { // the body of a dead message
+	if e != nil && !e.pending() { // only the body of the dead message is adopted; the outcome stays
 		r.Sequence = e.sequence
 	}
 	var leaseholder *edge
@@ -186,7 +190,8 @@
 	o.waiters = waiters
 }
 
-// advanceComparison sends a member what it lacks, a batch at a time, and ends the comparison once it has all on disk.
+// advanceComparison queues the next batch of records that the member lacks, and ends the comparison once the member has
+// all of them on disk.
 func (c *Core) advanceComparison(cmp *comparison) {
 	if cmp.to.unackedBatch == cmp {
 		return
@@ -203,7 +208,8 @@
 	c.sendNextBatch(cmp.to)
 }
 
-// enqueueComparison queues a comparison that has something to send. Those that a takeover waits for come first.
+// enqueueComparison queues a comparison that has something to send. Comparisons that a takeover waits for go before the
+// others.
 func (to *peer) enqueueComparison(cmp *comparison) {
 	i := len(to.comparisons)
 	if cmp.merge {
@@ -215,12 +221,12 @@
 	to.comparisons = slices.Insert(to.comparisons, i, cmp)
 }
 
-// cancelComparisons drops all comparisons with a peer.
+// cancelComparisons cancels the sending of all comparisons with a peer.
 func (to *peer) cancelComparisons() {
 	to.unackedBatch, to.comparisons, to.stats = nil, nil, comparisonStats{}
 }
 
-// sendNextBatch sends the next batch to a peer that has acknowledged the one before.
+// sendNextBatch sends the next batch to a peer, unless a batch is unacknowledged.
 func (c *Core) sendNextBatch(to *peer) {
 	for to.unackedBatch == nil && len(to.comparisons) > 0 {
 		cmp := to.comparisons[0]
@@ -254,7 +260,7 @@
 		cmp.to.stats.sent++
 	}
 	cmp.to.stats.bytes += size
-	if number == 0 { // all of it was removed meanwhile
+	if number == 0 { // all entries of the batch were removed in the meantime
 		c.advanceComparison(cmp)
 		return
 	}
@@ -262,7 +268,7 @@
 	cmp.to.awaitingAck = append(cmp.to.awaitingAck, peerWait{number: number, comparison: cmp})
 }
 
-// finishComparison ends a comparison: the member has what the primary has.
+// finishComparison ends a comparison: the member has everything that the primary has.
 func (c *Core) finishComparison(cmp *comparison) {
 	p := cmp.p
 	p.comparisons = slices.DeleteFunc(p.comparisons, func(other *comparison) bool { return other == cmp })
@@ -271,9 +277,9 @@
 		cmp.to.flush(c.epoch())
 		_ = cmp.to.remote.Notify(MethodFilled, &Filled{Epoch: c.epoch(), Partition: p.number})
 	}
-	before := len(p.unmerged)
+	unmergedBefore := len(p.unmerged)
 	p.unmerged = slices.DeleteFunc(p.unmerged, func(other *peer) bool { return other == cmp.to })
-	if before > 0 && len(p.unmerged) == 0 {
+	if unmergedBefore > 0 && len(p.unmerged) == 0 {
 		c.openPartition(p)
 	}
 }
--- a/store/queue/compat_test.go
+++ b/store/queue/compat_test.go
@@ -16,8 +16,8 @@
 	"ravendale/store/journal"
 )
 
-// message is what every generated type of this package can do.
-type message interface {
+// generatedMessage is implemented by every generated type of this package.
+type generatedMessage interface {
 	msgp.Marshaler
 	msgp.Unmarshaler
 }
@@ -30,7 +30,8 @@
 	}
 }
 
-// compatRecords has a record of each kind, with the fields that the kind uses, and one with all.
+// compatRecords returns a record of each kind with the fields that the kind uses, and one record with all fields. The
+// keys name files in testdata.
 func compatRecords() map[string]Record {
 	return map[string]Record{
 		"record-all": {
@@ -63,14 +64,14 @@
 	return Digest{ID: id, Sum: 0xfedc_ba98_7654_3210, State: state, Failed: 258, NoBody: true}
 }
 
-func compatMessages() map[string]message {
-	messages := map[string]message{
+func compatMessages() map[string]generatedMessage {
+	messages := map[string]generatedMessage{
 		"hello":       &Hello{From: "DISK-FROM", To: "DISK-TO"},
 		"hello-reply": &HelloReply{Accepted: true},
 		"replicate":   &Replicate{Epoch: 70_000, Number: 1 << 34, Old: true, Records: [][]byte{{1, 2, 3}, []byte("record")}},
 		"acked":       &Acked{Number: 1 << 35},
 		"compare":     &Compare{Epoch: 70_001, Partition: 700, ComparisonID: 1 << 36, Horizon: 1 << 37, Sums: []uint64{1, 1 << 63, 3}},
-		"digest":      ref(compatDigest("7.digest", wire.StateDead)),
+		"digest":      pointerTo(compatDigest("7.digest", wire.StateDead)),
 		"differ": &Differ{
 			Partition: 701, ComparisonID: 1<<36 + 1, Bucket: 31, Last: true,
 			Entries: []Digest{compatDigest("8.one", wire.StateDone), compatDigest("8.two", wire.StateDropped)},
@@ -85,7 +86,7 @@
 	return messages
 }
 
-func ref[T any](value T) *T { return &value }
+func pointerTo[T any](value T) *T { return &value }
 
 // readCompat reads a file of testdata/compat that holds bytes as hexadecimal digits, in lines.
 func readCompat(t *testing.T, name string) []byte {
@@ -97,15 +98,16 @@
 	return data
 }
 
-// TestMessagesAndRecordsKeepTheirEncoding holds what goes between stores of two versions, and what lies on their disks, to its bytes.
-func TestMessagesAndRecordsKeepTheirEncoding(t *testing.T) {
+// Stores of two versions exchange these messages and read these records from disk, so their encoding must not change by
+// a byte.
+func TestMessageAndRecordEncodingIsStable(t *testing.T) {
 	for name, sample := range compatMessages() {
 		t.Run(name, func(t *testing.T) {
 			want := readCompat(t, name)
 			encoded, err := sample.MarshalMsg(nil)
 			require.NoError(t, err)
 			assert.Equal(t, want, encoded)
-			decoded := emptyOf(t, sample)
+			decoded := newOfSameType(t, sample)
 			rest, err := decoded.UnmarshalMsg(want)
 			require.NoError(t, err)
 			assert.Empty(t, rest)
@@ -117,7 +119,7 @@
 	}
 }
 
-func emptyOf(t *testing.T, sample message) message {
+func newOfSameType(t *testing.T, sample generatedMessage) generatedMessage {
 	t.Helper()
 	switch sample.(type) {
 	case *Hello:
@@ -143,11 +145,11 @@
 	case *Record:
 		return new(Record)
 	}
-	require.Fail(t, "a message of an unknown type")
+	require.Fail(t, "unknown message type")
 	return nil
 }
 
-func TestMethodsAndKindsKeepTheirNumbers(t *testing.T) {
+func TestMethodAndKindNumbersAreStable(t *testing.T) {
 	for offset, method := range []wire.Method{
 		MethodHello, MethodReplicate, MethodAcked, MethodCompare, MethodDiffer, MethodFetch, MethodFetched, MethodFilled,
 	} {
@@ -160,8 +162,8 @@
 	}
 }
 
-// TestSumsOfAPartitionKeepTheirValues: stores of two versions compare partitions by these.
-func TestSumsOfAPartitionKeepTheirValues(t *testing.T) {
+// Stores of two versions compare partitions by their checksums, so these must not change.
+func TestPartitionSumsAreStable(t *testing.T) {
 	c := New(Config{}, nil)
 	for i, name := range []string{"record-whole-pending", "record-whole-done", "record-whole-dead", "record-whole-bare"} {
 		at := journal.Location{Segment: 1, Offset: uint32(100 * (i + 1))}
--- a/store/queue/config.go
+++ b/store/queue/config.go
@@ -5,22 +5,23 @@
 	"time"
 )
 
-// Config of a Core. Durations of zero stand for the defaults.
+// Config is the configuration of a Core. A zero ClaimWindow, RestartWindow, ReconnectTimeout or ClockSlack selects its
+// default.
 type Config struct {
-	Disk              string // own identity
+	Disk              string // identity of this store's disk
 	Zone              string
-	Copies            int           // disks that hold a message before it is accepted, at least
-	FinishedRetention time.Duration // how long finished messages are known, at least
-	DiskBytes         int64         // of the journal at most
-	MaxMessages       int           // in memory at most
-	ClaimWindow       time.Duration // after a takeover nothing is granted for so long, unless all edges have claimed before
+	Copies            int           // minimum number of disks that must have a message before it is accepted
+	FinishedRetention time.Duration // minimum time for which finished messages are kept
+	DiskBytes         int64         // maximum size of the journal
+	MaxMessages       int           // maximum number of messages in memory
+	ClaimWindow       time.Duration // after a takeover nothing is granted for this long, unless all edges have claimed earlier
 	RestartWindow     time.Duration // the same after a restart
-	ReconnectTimeout  time.Duration // a disconnected edge keeps its leases for so long
-	ClockSlack        time.Duration // by which the time of day may be wrong: messages are retained so much longer after a restart
+	ReconnectTimeout  time.Duration // a disconnected edge keeps its leases for this long
+	ClockSlack        time.Duration // maximum error of the time of day: after a restart messages are retained longer by this
 	Log               *slog.Logger
 }
 
-// Defaults of Config, and other figures.
+// Defaults of Config, and fixed limits and intervals.
 const (
 	defaultClaimWindow      = 400 * time.Millisecond
 	defaultRestartWindow    = 800 * time.Millisecond
@@ -30,20 +31,20 @@
 	maintenanceInterval = 2 * time.Second
 	scrubInterval       = 4 * time.Second
 	regrantInterval     = 4 * time.Second  // longer than an edge waits for the answer to a put
-	maxAssigned         = 64               // messages that an edge is assigned at once
-	otherZonePenalty    = 8                // assigned messages that an edge of the own zone may have more than others
-	wipeDelay           = 20 * time.Second // a partition that others have is kept so long
-	batchBytes          = 32 << 10         // of one batch that fills a member
-	fetchBatch          = 256              // identifiers in one Fetch
-	compactionBytes     = 512 << 10        // appended anew at once
-	scrubCycle          = 4                // scrubs in which each partition is compared once
-	// A primary assigns messages only if all members acknowledged something to it so recently: one that was frozen, and replaced
-	// meanwhile, finds out first.
+	maxAssigned         = 64               // maximum number of messages assigned to an edge at a time
+	otherZonePenalty    = 8                // an edge in this store's zone may have this many more assigned messages than an edge elsewhere
+	wipeDelay           = 20 * time.Second // a partition that this store is no longer a member of is kept for this long
+	batchBytes          = 32 << 10         // size of a batch of records that brings a member up to date
+	fetchBatch          = 256              // maximum number of message identifiers in one Fetch
+	compactionBytes     = 512 << 10        // maximum size of the records that one compaction appends again
+	scrubCycle          = 4                // number of scrubs in which each partition is compared once
+	// A primary assigns messages only if all members have acknowledged an operation that began within this time. A
+	// primary that was paused, and replaced in the meantime, thus notices it before it assigns anything.
 	confirmationTimeout = 300 * time.Millisecond
-	// A disk that has synced nothing for so long is stalled.
+	// A disk counts as stalled if nothing was synced for this long although appended records wait for it.
 	stallTimeout      = 500 * time.Millisecond
-	refusePercent     = 85 // percent of the disk: new messages are refused
-	compactionPercent = 50 // percent of the disk: old segments are compacted
+	refusePercent     = 85 // percentage of DiskBytes in use from which new messages are refused
+	compactionPercent = 50 // percentage of DiskBytes in use from which old segments are compacted
 )
 
 func (c Config) withDefaults() Config {
--- a/store/queue/core.go
+++ b/store/queue/core.go
@@ -9,26 +9,27 @@
 	"ravendale/store/journal"
 )
 
-// Time is when an event happens.
+// Time is the time of an event by two clocks.
 type Time struct {
-	Steady time.Duration // since the start of the process; never steps
-	UnixMs int64         // time of day; may step
+	Steady time.Duration // monotonic time since the start of the process
+	UnixMs int64         // time of day in milliseconds; may jump
 }
 
 // Remote is a connection to an edge or another store.
 type Remote interface {
-	// Notify sends a notification. It fails if the connection is closed, which the core hears of by EdgeDown or PeerDown as well.
+	// Notify sends a notification. It fails if the connection is closed; the core may ignore that, since EdgeDown or
+	// PeerDown follows.
 	Notify(method wire.Method, message msgp.Marshaler) error
 }
 
-// Replier answers one request, once: with a reply, or an error.
+// Replier answers one request. Exactly one of its methods is called, once.
 type Replier interface {
 	Send(message msgp.Marshaler)
 	Fail(err error)
 }
 
-// Journal is the store's write-ahead log; package journal has one. Positions are bytes appended since it was opened; they are not
-// comparable between two openings.
+// Journal is the store's write-ahead log; package journal implements it. A position is the number of bytes appended
+// since the journal was opened, so positions from before and after a reopening can't be compared.
 type Journal interface {
 	Append(payload []byte) (at journal.Location, position uint64)
 	Position() uint64
@@ -38,37 +39,36 @@
 	Used() int64
 }
 
-// Host is what the core asks of its shell.
+// Host is the process around the core.
 type Host interface {
-	WakeAt(steady time.Duration) // call Tick then
-	StatusChanged()              // Status has something that the control plane waits for
-	Fail(err error)              // the disk can't be trusted
+	WakeAt(steady time.Duration) // requests a call of Tick at this time of the steady clock
+	StatusChanged()              // reports that Status has changed in a way that the control plane waits for
+	Fail(err error)              // reports a disk error after which the store can't continue
 }
 
-// Core is one store's part of the queue: a coordinator that gets events with their time, and shares them out to its parts. It is used by
-// one goroutine at a time.
+// Core is one store's part of the queue. It handles events, each with its time, and isn't safe for concurrent use.
 type Core struct {
 	config Config
 	host   Host
-	now    Time // of the event that is being handled
+	now    Time // time of the event that is being handled
 
-	view         *wire.StoreView // the placement in force; nil before the first
-	viewSeen     bool            // the first view since the start has been put into force
-	newestEpoch  uint64          // the newest epoch seen: what is older is refused (a fencing token)
-	sequence     uint64          // the newest sequence given or seen
-	lastID       uint64          // of comparisons and assignments
+	view         *wire.StoreView // the current placement; nil until the first SetView
+	viewSeen     bool            // the first view since the start has been applied
+	newestEpoch  uint64          // the newest epoch seen, a fencing token: requests of older epochs are refused
+	sequence     uint64          // the newest sequence number issued or seen
+	lastID       uint64          // last number issued to a comparison or an assignment
 	messageCount int
 
 	disk       diskState
 	peers      peerSet
 	edges      edgeSet
-	partitions []*partition // by number; nil where the store knows nothing
+	partitions []*partition // by number; nil if this store has no state of the partition
 	unowned    unownedHeap
 	regrants   regrantQueue
 	schedule   schedule
 }
 
-// New returns a core that knows nothing. Recover fills it from the journal.
+// New returns an empty core. Recover fills it from the journal.
 func New(config Config, host Host) *Core {
 	return &Core{
 		config: config.withDefaults(), host: host, disk: newDiskState(), peers: newPeerSet(), edges: newEdgeSet(),
@@ -76,17 +76,17 @@
 	}
 }
 
-// never is a time that does not come.
+// never is a point of the steady clock that is never reached: no deadline is set.
 const never = time.Duration(1<<63 - 1)
 
-// Start has the core use its journal, once all records have gone through Recover.
+// Start sets the journal, after all of its records have been passed to Recover. The core appends to it from then on.
 func (c *Core) Start(now Time, j Journal) {
 	c.now = now
 	c.disk.open(j)
 	c.wakeAt(c.schedule.maintenance)
 }
 
-// epoch is that of the placement in force; zero before the first.
+// epoch returns the epoch of the current placement, zero if there is none yet.
 func (c *Core) epoch() uint64 {
 	if c.view == nil {
 		return 0
@@ -94,13 +94,14 @@
 	return c.view.Epoch
 }
 
-// nextSequence grows, and is larger than any that was given under an older epoch.
+// nextSequence returns a new sequence number. It is larger than all earlier ones, including those issued by any store
+// under an older epoch.
 func (c *Core) nextSequence() uint64 {
 	c.sequence = max(c.sequence+1, c.epoch()<<32)
 	return c.sequence
 }
 
-// wakeAt has Tick called at a time at the latest.
+// wakeAt makes sure that Tick is called at the given time or earlier.
 func (c *Core) wakeAt(steady time.Duration) {
 	if steady < c.schedule.wakeup {
 		c.schedule.wakeup = steady
@@ -112,10 +113,10 @@
 
 func (c *Core) seconds() uint32 { return uint32(c.now.Steady / time.Second) }
 
-// flushPeers sends what the event has produced.
+// flushPeers sends the records that the event has queued for other stores.
 func (c *Core) flushPeers() { c.peers.flush(c.epoch()) }
 
-// Status is what the store reports to the control plane.
+// Status returns the store's report to the control plane.
 func (c *Core) Status() wire.StoreStatus {
 	status := wire.StoreStatus{Epoch: c.epoch(), Messages: uint64(c.messageCount), Stalled: c.disk.stalled}
 	for _, p := range c.partitions {
@@ -130,7 +131,7 @@
 	return status
 }
 
-// Primary says whether the store is the primary of any partition.
+// Primary reports whether the store is the primary of any partition.
 func (c *Core) Primary() bool {
 	for _, p := range c.partitions {
 		if p != nil && p.primary {
@@ -140,7 +141,7 @@
 	return false
 }
 
-// Tick does what is due. The next one is asked for through Host.WakeAt.
+// Tick does all work that is due, and requests the next call through Host.WakeAt.
 func (c *Core) Tick(now Time) {
 	c.now = now
 	c.schedule.wakeup = never
@@ -154,7 +155,7 @@
 	c.wakeAt(c.nextWake())
 }
 
-// nextWake is when Tick has something to do.
+// nextWake returns the next time at which Tick has work to do.
 func (c *Core) nextWake() time.Duration {
 	next := min(c.schedule.maintenance, c.schedule.scrub, c.disk.stallDue(), c.regrants.due(), c.edges.claimsDue(c.config.ReconnectTimeout))
 	for _, p := range c.partitions {
@@ -164,7 +165,7 @@
 	}
 	if len(c.unowned) > 0 {
 		due := time.Duration(c.unowned[0].due) * time.Millisecond
-		if due > c.now.Steady { // else they wait for an edge
+		if due > c.now.Steady { // messages that are already due wait for an edge, not for a time
 			next = min(next, due)
 		}
 	}
--- a/store/queue/disk.go
+++ b/store/queue/disk.go
@@ -7,32 +7,33 @@
 	"ravendale/store/journal"
 )
 
-// diskState is what the core knows of its journal: how far it is synced, and what waits for that.
+// diskState is the state of the journal's disk: the position up to which it is synced, and the operations and
+// acknowledgements that wait for a sync.
 //
-// A store whose disk stalls stays up: it refuses new messages, and reports to the control plane, which has others replace it until all that
-// waits is synced.
+// A store whose disk stalls keeps running: it refuses new messages, and reports the stall to the control plane, which
+// assigns the store's partitions to other stores until everything that was appended is synced.
 type diskState struct {
-	journal       Journal        // nil before Start
-	durable       uint64         // position up to which the journal is synced
-	unsyncedSince time.Duration  // since when what was appended waits for the disk; never: nothing does
-	stalled       bool           // as it was reported last
-	references    map[uint32]int // by segment: entries whose record lies in it
-	epochSegment  uint32         // the segment that holds the newest epoch
-	awaitingSync  []localWait    // in order: operations that wait for the own disk
-	pendingAcks   []ackWait      // in order: what is acknowledged once it is synced
+	journal        Journal        // nil before Start
+	syncedPosition uint64         // position up to which the journal is synced
+	unsyncedSince  time.Duration  // since when appended records have waited for a sync; never if none waits
+	stalled        bool           // as reported to the control plane
+	references     map[uint32]int // for each segment the number of entries whose record is in it
+	epochSegment   uint32         // the segment that has the newest RecordEpoch
+	awaitingSync   []syncWait     // operations that wait for this store's disk, by position
+	pendingAcks    []pendingAck   // acknowledgements to send once the journal is synced, by position
 }
 
-// localWait is an operation that waits until the own journal is synced up to a position.
-type localWait struct {
+// syncWait is an operation that waits until this store's journal is synced up to a position.
+type syncWait struct {
 	position uint64
 	op       *op
 }
 
-// ackWait is an acknowledgement that a primary gets once the journal is synced up to a position.
-type ackWait struct {
+// pendingAck is an acknowledgement that is sent to a primary once the journal is synced up to a position.
+type pendingAck struct {
 	position uint64
 	remote   Remote
-	number   uint64 // of the Replicate
+	number   uint64 // number of the Replicate to acknowledge
 }
 
 func newDiskState() diskState {
@@ -41,10 +42,11 @@
 
 func (d *diskState) open(j Journal) {
 	d.journal = j
-	d.durable = j.Position()
+	d.syncedPosition = j.Position()
 }
 
-// stallDue is when the disk counts as stalled, unless it syncs something before; never, if nothing waits.
+// stallDue returns when the disk will count as stalled unless a sync completes earlier, or never if nothing waits or it
+// is stalled already.
 func (d *diskState) stallDue() time.Duration {
 	if d.unsyncedSince == never || d.stalled {
 		return never
@@ -52,8 +54,8 @@
 	return d.unsyncedSince + stallTimeout
 }
 
-// takeSynced removes and returns the operations that are on the own disk once it is synced up to a position.
-func (d *diskState) takeSynced(position uint64) []localWait {
+// takeSynced removes and returns the operations that are on this store's disk now that it is synced up to a position.
+func (d *diskState) takeSynced(position uint64) []syncWait {
 	n := 0
 	for n < len(d.awaitingSync) && d.awaitingSync[n].position <= position {
 		n++
@@ -63,15 +65,16 @@
 	return done
 }
 
-// sendAcks acknowledges to primaries what has become durable here, once for each connection.
+// sendAcks sends the acknowledgements whose position is synced. On each connection only the newest is sent, since it
+// covers the earlier ones.
 func (d *diskState) sendAcks() {
 	n := 0
-	for n < len(d.pendingAcks) && d.pendingAcks[n].position <= d.durable {
+	for n < len(d.pendingAcks) && d.pendingAcks[n].position <= d.syncedPosition {
 		n++
 	}
 	due := d.pendingAcks[:n]
 	for i, ack := range due {
-		later := func(other ackWait) bool { return other.remote == ack.remote }
+		later := func(other pendingAck) bool { return other.remote == ack.remote }
 		if !slices.ContainsFunc(due[i+1:], later) {
 			_ = ack.remote.Notify(MethodAcked, &Acked{Number: ack.number})
 		}
@@ -79,17 +82,17 @@
 	d.pendingAcks = slices.Delete(d.pendingAcks, 0, n)
 }
 
-// addReference counts an entry whose record lies in a segment.
+// addReference counts an entry whose record is in a segment.
 func (d *diskState) addReference(segment uint32) { d.references[segment]++ }
 
-// dropReference takes back addReference. A segment without references can be removed.
+// dropReference undoes an addReference. A segment without references can be removed.
 func (d *diskState) dropReference(segment uint32) {
 	if d.references[segment]--; d.references[segment] == 0 {
 		delete(d.references, segment)
 	}
 }
 
-// appendPayload puts a record into the journal.
+// appendPayload appends an encoded record to the journal.
 func (c *Core) appendPayload(payload []byte) (at journal.Location, position uint64) {
 	if c.disk.unsyncedSince == never {
 		c.disk.unsyncedSince = c.now.Steady
@@ -98,10 +101,11 @@
 	return c.disk.journal.Append(payload)
 }
 
-// noteSync records that the disk has synced something, and whether more waits.
-func (c *Core) noteSync() {
+// updateSyncState records that a sync has completed. It restarts the stall timeout if more records wait, and ends a
+// stall if none does.
+func (c *Core) updateSyncState() {
 	c.disk.unsyncedSince = never
-	if c.disk.durable < c.disk.journal.Position() {
+	if c.disk.syncedPosition < c.disk.journal.Position() {
 		c.disk.unsyncedSince = c.now.Steady
 		c.wakeAt(c.disk.unsyncedSince + stallTimeout)
 	}
@@ -111,14 +115,14 @@
 	}
 }
 
-// checkStall finds out whether the disk has stalled.
+// checkStall marks the disk as stalled if the stall timeout is over.
 func (c *Core) checkStall() {
 	if c.disk.unsyncedSince != never && c.now.Steady >= c.disk.unsyncedSince+stallTimeout {
 		c.markStalled()
 	}
 }
 
-// DiskFull handles that the disk has no capacity for what was appended: it counts as stalled at once.
+// DiskFull handles that the disk is full. It counts as stalled at once if appended records wait for it.
 func (c *Core) DiskFull(now Time) {
 	c.now = now
 	if c.disk.unsyncedSince != never {
@@ -131,15 +135,16 @@
 		return
 	}
 	c.disk.stalled = true
-	c.config.Log.Warn("disk stalled: new messages are refused until it syncs", "disk", c.config.Disk)
+	c.config.Log.Warn("disk stalled: refusing new messages until it is synced", "disk", c.config.Disk)
 	c.host.StatusChanged()
 }
 
-// JournalSynced handles that the journal is synced up to a position: operations may complete, and primaries get their acknowledgements.
+// JournalSynced handles that the journal is synced up to a position: it completes operations, and sends
+// acknowledgements to primaries.
 func (c *Core) JournalSynced(now Time, position uint64) {
 	c.now = now
-	c.disk.durable = max(c.disk.durable, position)
-	c.noteSync()
+	c.disk.syncedPosition = max(c.disk.syncedPosition, position)
+	c.updateSyncState()
 	for _, wait := range c.disk.takeSynced(position) {
 		wait.op.synced = true
 		c.complete(wait.op)
--- a/store/queue/disk_test.go
+++ b/store/queue/disk_test.go
@@ -9,68 +9,69 @@
 	"ravendale/cluster/wire"
 )
 
-// A store whose disk takes nothing says so and refuses new messages, surely; once the disk has taken all it goes on.
-func TestAStoreWithAStalledDiskRefusesPuts(t *testing.T) {
-	r, b, e := primary(t)
+// A store whose disk doesn't sync must report the stall and reject new messages without writing them. Once all records
+// are synced it accepts messages again.
+func TestStalledDiskRefusesPuts(t *testing.T) {
+	r, b, e := newReadyPrimary(t)
 	r.sync()
-	waits := r.put(plain("0.1"), e)
+	pendingPut := r.put(plainMsg("0.1"), e)
 	r.ack(b)
-	r.pass(stallTimeout - ms)
+	r.advance(stallTimeout - ms)
 	assert.False(t, r.core.Status().Stalled)
-	r.pass(ms)
+	r.advance(ms)
 	assert.True(t, r.core.Status().Stalled)
-	assert.Nil(t, waits.message, "whether it is accepted is not known")
+	assert.Nil(t, pendingPut.message, "the put must not be answered yet")
 	records := len(r.records)
-	assert.Equal(t, wire.PutRejected, code(t, r.put(plain("0.2"), e)))
-	assert.Len(t, r.records, records, "nothing of what is refused is written")
+	assert.Equal(t, wire.PutRejected, replyCode(t, r.put(plainMsg("0.2"), e)))
+	assert.Len(t, r.records, records, "a rejected put writes no record")
 	r.sync()
 	assert.False(t, r.core.Status().Stalled)
-	assert.Equal(t, wire.PutAccepted, code(t, waits))
-	kept := r.put(plain("0.2"), e)
+	assert.Equal(t, wire.PutAccepted, replyCode(t, pendingPut))
+	retriedPut := r.put(plainMsg("0.2"), e)
 	r.syncAndAck(b)
-	assert.Equal(t, wire.PutAccepted, code(t, kept))
+	assert.Equal(t, wire.PutAccepted, replyCode(t, retriedPut))
 }
 
-func TestAFullDiskIsReportedAtOnce(t *testing.T) {
-	r, b, e := primary(t)
+func TestFullDiskIsReportedAtOnce(t *testing.T) {
+	r, b, e := newReadyPrimary(t)
 	r.sync()
 	r.core.DiskFull(r.now)
-	assert.False(t, r.core.Status().Stalled, "there was room meanwhile")
-	waits := r.put(plain("0.1"), e)
+	assert.False(t, r.core.Status().Stalled, "nothing waits for the disk")
+	pendingPut := r.put(plainMsg("0.1"), e)
 	r.ack(b)
 	r.core.DiskFull(r.now)
 	assert.True(t, r.core.Status().Stalled)
-	assert.Equal(t, wire.PutRejected, code(t, r.put(plain("0.2"), e)))
+	assert.Equal(t, wire.PutRejected, replyCode(t, r.put(plainMsg("0.2"), e)))
 	r.sync()
 	assert.False(t, r.core.Status().Stalled)
-	assert.Equal(t, wire.PutAccepted, code(t, waits))
+	assert.Equal(t, wire.PutAccepted, replyCode(t, pendingPut))
 }
 
-// A disk that is slow and takes one after another is not stalled.
-func TestASlowDiskIsNotStalled(t *testing.T) {
-	r, b, e := primary(t)
+// A slow disk that completes a sync within each stall timeout is not stalled.
+func TestSlowDiskIsNotStalled(t *testing.T) {
+	r, b, e := newReadyPrimary(t)
 	r.sync()
 	for i := range 5 {
-		r.put(plain("0.1"+string(rune('a'+i))), e)
-		r.put(plain("0.2"+string(rune('a'+i))), e)
+		r.put(plainMsg("0.1"+string(rune('a'+i))), e)
+		r.put(plainMsg("0.2"+string(rune('a'+i))), e)
 		r.ack(b)
-		r.pass(stallTimeout - 100*ms)
+		r.advance(stallTimeout - 100*ms)
 		r.core.JournalSynced(r.now, r.Position()-1)
 		assert.False(t, r.core.Status().Stalled)
 	}
 	r.sync()
-	r.pass(10 * time.Second)
+	r.advance(10 * time.Second)
 	r.sync()
 	assert.False(t, r.core.Status().Stalled)
 }
 
-// What waited for the disk when others replaced the store is not accepted by it.
-func TestAStalledStoreThatIsReplacedIsUnsureOfWhatWaited(t *testing.T) {
-	r, b, e := primary(t)
+// If a stalled store is replaced, it must not accept the puts that waited for its disk.
+func TestReplacedStalledStoreAnswersPutUnknown(t *testing.T) {
+	r, b, e := newReadyPrimary(t)
 	r.sync()
-	waits := r.put(plain("0.1"), e)
+	pendingPut := r.put(plainMsg("0.1"), e)
 	r.ack(b)
-	r.pass(stallTimeout)
+	r.advance(stallTimeout)
 	r.view(2, []uint16{1}, []uint16{2})
-	assert.Equal(t, wire.PutUnknown, code(t, waits))
+	assert.Equal(t, wire.PutUnknown, replyCode(t, pendingPut))
 }
--- a/store/queue/edge.go
+++ b/store/queue/edge.go
@@ -7,34 +7,34 @@
 	"ravendale/cluster/wire"
 )
 
-// edge is a scheduler that delivers messages.
+// edge is this store's state of an edge, a scheduler that puts messages and delivers them to workers.
 type edge struct {
 	id             string
 	zone           string
 	remote         Remote // nil while there is no connection
 	draining       bool
-	session        uint16           // raised with each connection
-	claimedEpoch   uint64           // epoch under which it has claimed, on this connection
-	assigned       int              // messages that it was assigned, sent with their body, and has not finished
-	reserved       []unownedMessage // unowned messages that wait for this edge, while it is connected
-	lastAssignment uint64           // when it was assigned one last, as a count
-	mustClaim      bool             // it leases messages since an earlier connection, and has not claimed them yet
+	session        uint16           // incremented with each connection
+	claimedEpoch   uint64           // epoch in which it has claimed its messages on this connection; zero if it hasn't
+	assigned       int              // number of messages assigned to it that still count, at most maxAssigned
+	reserved       []unownedMessage // unowned messages that can go only to this edge, as their last leaseholder, and wait until it can be assigned more
+	lastAssignment uint64           // number, from Core.lastID, of its last assignment
+	mustClaim      bool             // its connection was replaced or closed, and it hasn't claimed its messages since
 	mustClaimSince time.Duration
 }
 
-// edgeSet are the schedulers that are connected, or have been a moment ago.
+// edgeSet has the edges that are connected, or were within the reconnect timeout.
 type edgeSet struct {
 	byID     map[string]*edge
-	byRemote map[Remote]*edge // those that are connected
-	list     []*edge          // in the order in which they came
-	expected []string         // identities of all that the control plane names
+	byRemote map[Remote]*edge // connected edges
+	list     []*edge          // in the order in which they first attached
+	expected []string         // identities of all edges that the control plane has listed
 }
 
 func newEdgeSet() edgeSet {
 	return edgeSet{byID: make(map[string]*edge), byRemote: make(map[Remote]*edge)}
 }
 
-// claimsDue is when the first edge loses what it has not claimed; never, if none has to claim.
+// claimsDue returns when the first edge loses the leases that it hasn't claimed, or never if no edge has to claim.
 func (s *edgeSet) claimsDue(timeout time.Duration) time.Duration {
 	due := never
 	for _, e := range s.list {
@@ -45,7 +45,8 @@
 	return due
 }
 
-// allClaimed says whether every scheduler there is has said what it leases under an epoch.
+// allClaimed reports whether all edges listed by the control plane have claimed their messages under an epoch. It is
+// false if none is listed.
 func (s *edgeSet) allClaimed(epoch uint64) bool {
 	for _, id := range s.expected {
 		if e := s.byID[id]; e == nil || e.claimedEpoch != epoch {
@@ -60,14 +61,14 @@
 	s.list = slices.DeleteFunc(s.list, func(other *edge) bool { return other == e })
 }
 
-// grant notifies an edge, if it is connected, that it may deliver a message that it has.
+// grant notifies an edge, if it is connected, that it may deliver a message whose body it has.
 func (e *edge) grant(epoch uint64, p *partition, m *entry) {
 	if e.remote != nil {
 		_ = e.remote.Notify(wire.MethodGrant, &wire.Grant{Partition: p.number, Epoch: epoch, ID: m.id, Failed: m.failed})
 	}
 }
 
-// AttachEdge handles that an edge says who it is, on its connection.
+// AttachEdge handles the first request of an edge on a connection, in which it sends its identity.
 func (c *Core) AttachEdge(now Time, from Remote, m *wire.Attach, reply Replier) {
 	c.now = now
 	e := c.edges.byID[m.Edge]
@@ -86,7 +87,7 @@
 }
 
 func (c *Core) connectEdge(e *edge, from Remote) {
-	if old := c.edges.byRemote[from]; old != nil { // the connection was another's
+	if old := c.edges.byRemote[from]; old != nil { // the connection belonged to another edge
 		c.disconnectEdge(old)
 	}
 	if e.remote != nil {
@@ -101,7 +102,7 @@
 	c.edges.byRemote[from] = e
 }
 
-// startClaimTimeout starts the time in which an edge must claim what it leases.
+// startClaimTimeout starts the time within which an edge must claim the messages that it leases.
 func (c *Core) startClaimTimeout(e *edge) {
 	if !e.mustClaim {
 		e.mustClaim = true
@@ -125,7 +126,8 @@
 	c.startClaimTimeout(e)
 }
 
-// expireEdges requeues what edges lease that have not come back or claimed in time, and drops those that are away.
+// expireEdges requeues the messages of edges that haven't reconnected or claimed in time, and removes those of the
+// edges that are disconnected.
 func (c *Core) expireEdges() {
 	for _, e := range slices.Clone(c.edges.list) {
 		if !e.mustClaim || c.now.Steady < e.mustClaimSince+c.config.ReconnectTimeout {
@@ -140,13 +142,13 @@
 	}
 }
 
-// requeueLeases requeues what an edge has leased on earlier connections, but for what it claims.
+// requeueLeases requeues the messages that an edge has leased on earlier connections and doesn't claim.
 func (c *Core) requeueLeases(e *edge, claimed map[string]struct{}) {
 	for _, p := range c.partitions {
 		if p == nil || !p.primary {
 			continue
 		}
-		for _, leased := range p.sorted(func(_ uint64, x *entry) bool { return x.delivery != nil && x.delivery.leaseholder == e }) {
+		for _, leased := range p.sortedEntries(func(_ uint64, x *entry) bool { return x.delivery != nil && x.delivery.leaseholder == e }) {
 			if _, ok := claimed[leased.id]; ok || leased.delivery.session == e.session && e.remote != nil {
 				continue
 			}
@@ -155,7 +157,8 @@
 	}
 }
 
-// SetEdges takes the list of edges from the control plane: once all of them have claimed, a new primary need not wait any longer.
+// SetEdges sets the list of edges from the control plane. Once all of them have claimed, a new primary doesn't wait for
+// the rest of its claim window.
 func (c *Core) SetEdges(now Time, edges []wire.Edge) {
 	c.now = now
 	c.edges.expected = c.edges.expected[:0]
--- a/store/queue/entry.go
+++ b/store/queue/entry.go
@@ -9,39 +9,41 @@
 	"ravendale/store/journal"
 )
 
-// entry is the index entry of one message; its body is in the journal. There are very many entries, so it is small.
+// entry is the index entry of one message; the message's body is in the journal. It is kept small, because a store has
+// very many entries.
 type entry struct {
 	id         string
-	sequence   uint64 // of acceptance; once finished, of the outcome
+	sequence   uint64 // sequence number of the acceptance; once the message is finished, of the outcome
 	location   journal.Location
-	delivery   *delivery // nil once it is finished at all members
-	finishedAt uint32    // seconds of the steady clock at which its outcome was learnt
-	failed     uint16
+	delivery   *delivery // nil once the message is finished at all members
+	finishedAt uint32    // when this store recorded the outcome, in seconds of the steady clock
+	failed     uint16    // number of failed attempts
 	state      wire.State
-	noBody     bool // it is dead, and its body is not here
+	noBody     bool // the message is dead, and this store lacks its body
 }
 
-// delivery is what only a pending message needs.
+// delivery is the part of a message's state that is needed only until the message is finished at all members.
 type delivery struct {
-	key             *keyQueue // of a message with an order
-	leaseholder     *edge     // who may deliver it
-	lastLeaseholder string    // Member.ID of who put it, or was granted it last: the same at all members
-	lastChange      *op       // newest change that is not at all members yet
-	acceptSequence  uint64    // sequence of acceptance
-	due             uint32    // milliseconds of the steady clock
-	expires         uint32    // milliseconds of the steady clock
-	session         uint16    // of the leaseholder, when the lease began
-	accepting       bool      // it is not on disk at all members yet
-	granted         bool      // it may be delivered, and the leaseholder was notified
-	assigned        bool      // the leaseholder was sent it with its body by a Grant
-	queued          bool      // it is in the heap of unowned messages, reserved or deferred
-	released        bool      // its last leaseholder has given it back by itself
-	grantPending    bool      // the leaseholder is to be granted it once all members know of the lease
+	key             *keyQueue // messages of the same order key; nil for a message without order
+	leaseholder     *edge     // the only edge that may deliver the message; nil if no edge leases it
+	lastLeaseholder string    // Member.ID of the edge that put the message or leased it last; replicated to all members
+	lastChange      *op       // the newest change that isn't on disk at all members yet
+	acceptSequence  uint64    // sequence number of the acceptance
+	due             uint32    // when the message's delay ends, in milliseconds of the steady clock
+	expires         uint32    // when the message's retention ends, in milliseconds of the steady clock
+	session         uint16    // session of the leaseholder in which the lease began
+	accepting       bool      // the put isn't on disk at all members yet
+	granted         bool      // the message may be delivered, and its leaseholder was notified
+	assigned        bool      // the store chose the leaseholder, and counts the message among those assigned to it
+	queued          bool      // the message is in the heap of unowned messages, reserved for an edge, or deferred by a barrier
+	released        bool      // the last leaseholder has released the message
+	grantPending    bool      // the leaseholder gets the grant once all members have recorded the lease
 }
 
 func (e *entry) pending() bool { return e.state == wire.StatePending }
 
-// lastLeaseholder is who put a pending message, or was granted it last; else empty.
+// lastLeaseholder returns the Member.ID of the edge that put a pending message or leased it last, and "" for a finished
+// message.
 func (e *entry) lastLeaseholder() string {
 	if !e.pending() {
 		return ""
@@ -56,14 +58,14 @@
 	return a.id < b.id
 }
 
-func before(a, b *entry) bool {
+func sequencedBefore(a, b *entry) bool {
 	if a.sequence != b.sequence {
 		return a.sequence < b.sequence
 	}
 	return a.id < b.id
 }
 
-// sum stands for all that members must agree on of a message.
+// sum returns a checksum of the part of a message's state that must be equal at all members.
 func (e *entry) sum(hash uint64) uint64 {
 	var buffer [48]byte
 	b := buffer[:20]
@@ -83,5 +85,5 @@
 
 func bucketOf(hash uint64) int { return int(hash >> 59) }
 
-// bucketCount is into how many parts a partition is divided for comparisons.
+// bucketCount is the number of buckets into which a partition is divided for comparisons.
 const bucketCount = 32
--- a/store/queue/explore_test.go
+++ b/store/queue/explore_test.go
@@ -12,35 +12,36 @@
 	"ravendale/internal/explore"
 )
 
-// The model of the explore files is one partition on three stores, a schedulers' world of two, the real planner, and two messages of one key. It
-// is searched completely within its bounds: every order of deliveries, syncs, views, crashes with and without disk, resets of the leader's
-// connections and a retirement.
+// The explore files check a model with one partition on three stores, two edges, the real placement planner, and two
+// messages of one key. The model checker tries, within its bounds, every order of network deliveries, syncs, views,
+// crashes with and without loss of the disk, resets of the leader's connections, and a retirement of a store.
 //
-// Assumptions. A connection delivers in order, and what it carries at a time at once. Time passes only while nothing is on its way: a
-// delivery takes less than the windows of a takeover. A second store is lost only once enough others are complete again.
+// Assumptions: A connection delivers in order, and delivers everything under way in one direction at once. Time
+// advances only while no delivery is under way, since a delivery takes less time than the claim windows of a takeover.
+// A second store fails only once enough other stores are complete again.
 
 const modelCopies = 2
 
 var modelLog = slog.New(slog.DiscardHandler)
 
-// modelMutant takes a guard out.
+// modelMutant disables one safety check of the queue, to show that the search finds the resulting fault.
 type modelMutant struct {
-	ackBeforeSync bool // members acknowledge what is not on their disk
-	takeUnfilled  bool // a joining store is called complete though it does not say so
-	retireEarly   bool // a store is removed once one other holds all
-	forgetFormer  bool // what dropped members have is forgotten
-	grantEarly    bool // an end counts once it is on the primary
+	ackBeforeSync   bool // members acknowledge records before they are synced
+	promoteUnfilled bool // a joining store is promoted to a replica although it has not reported the partition as synced
+	retireEarly     bool // a retiring store is removed once one other store has everything
+	dropFormer      bool // the planner's record of former members is dropped
+	grantEarly      bool // a finish is complete as soon as the primary has applied it
 }
 
 type modelConfig struct {
-	mutant  modelMutant
-	retires bool // a retirement may be ordered
-	resets  bool // the leader may drop a store that runs
-	hasty   bool // the leader acts before stores do, as a rule
-	passes  int  // times that time may pass
+	mutant      modelMutant
+	retires     bool // a store may be retired
+	resets      bool // the leader may consider a running store unavailable
+	leaderFirst bool // the leader's actions come before those of stores by default
+	passes      int  // how often time may advance
 }
 
-// modelScope is searched by default. QUEUE_EXPLORE=DEPTH,STATES,FAULTS searches another.
+// modelScope bounds the search by default. QUEUE_EXPLORE=DEPTH,STATES,FAULTS sets other bounds.
 var modelScope = explore.Scope{Depth: 200, States: 60_000, Faults: 1}
 
 func scopeOf(t *testing.T) explore.Scope {
@@ -52,11 +53,11 @@
 	return scope
 }
 
-func TestEveryOrderOfASmallQueue(t *testing.T) {
+func TestExploreSmallQueue(t *testing.T) {
 	for name, config := range map[string]modelConfig{
 		"retirement":       {retires: true, passes: 1},
 		"reset":            {resets: true, passes: 1},
-		"hasty retirement": {retires: true, hasty: true, passes: 1},
+		"hasty retirement": {retires: true, leaderFirst: true, passes: 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			result := explore.Run(newWorld(config), scopeOf(t))
@@ -66,31 +67,31 @@
 	}
 }
 
-func TestMutantsOfTheSmallQueueAreCaught(t *testing.T) {
+func TestExploreCatchesMutants(t *testing.T) {
 	for name, config := range map[string]modelConfig{
-		"acknowledged before it is synced": {mutant: modelMutant{ackBeforeSync: true}},
-		"joining store taken unfilled":     {mutant: modelMutant{takeUnfilled: true}, hasty: true},
-		"retired at the first copy":        {mutant: modelMutant{retireEarly: true}, retires: true, hasty: true},
-		"an end counts once it is here":    {mutant: modelMutant{grantEarly: true}, passes: 1},
+		"acknowledged before sync":            {mutant: modelMutant{ackBeforeSync: true}},
+		"incomplete joiner promoted":          {mutant: modelMutant{promoteUnfilled: true}, leaderFirst: true},
+		"retired with one other copy":         {mutant: modelMutant{retireEarly: true}, retires: true, leaderFirst: true},
+		"granted before finish is replicated": {mutant: modelMutant{grantEarly: true}, passes: 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			result := explore.Run(newWorld(config), modelScope)
 			t.Log(result)
-			assert.NotNil(t, result.Violation, "no order shows it")
+			assert.NotNil(t, result.Violation, "the search found no violation")
 		})
 	}
 }
 
-// Traces that broke an invariant once.
-func TestTracesThatWereFound(t *testing.T) {
+// Each trace has violated an invariant in an earlier version.
+func TestRegressionTraces(t *testing.T) {
 	for name, trace := range map[string][]string{
-		"the last member that is left accepts alone": {"reset c", "power b", "put 0.1", "deliver e a 0", "sync a", "miss b", "plan", "view a"},
-		"a message that its primary left unfinished is accepted at one": {
+		"the only remaining member accepts a message alone": {"reset c", "power b", "put 0.1", "deliver e a 0", "sync a", "miss b", "plan", "view a"},
+		"a put left incomplete by the old primary is accepted with one copy": {
 			"put 0.1", "deliver e a 0", "deliver a b 0", "reset c", "power a", "sync b", "miss a", "plan", "view b", "sync b", "view c",
 			"sync c", "view e", "deliver e b 0", "deliver e b 1", "deliver e c 0", "deliver e c 1", "view f", "deliver f b 0",
 			"deliver f b 1", "deliver f c 0", "deliver f c 1", "again 0.1", "deliver e b 0",
 		},
-		"a former member becomes the primary beside one that was just filled": {
+		"a former member becomes the primary next to a newly filled one": {
 			"reset a", "plan", "view a", "sync a", "view b", "deliver b c 0", "deliver b c 1", "deliver b c 0", "sync b", "sync c",
 			"view c", "view e", "deliver e a 0", "deliver e a 1", "deliver e b 0", "deliver e b 1", "deliver e c 0", "deliver e c 1",
 			"view f", "deliver f a 0", "deliver f a 1", "deliver f b 0", "deliver f b 1", "deliver f c 0", "deliver f c 1", "reset b",
--- a/store/queue/exploreactions_test.go
+++ b/store/queue/exploreactions_test.go
@@ -11,9 +11,9 @@
 	"ravendale/internal/explore"
 )
 
-// Enabled implements explore.System. The first action is what happens as a rule; each other one, be it a fault or just something else
-// before, counts against the bound of the scope.
-func (w *world) Enabled() []explore.Action {
+// Enabled implements explore.System. The first action is the default; each other one, be it a failure or only a
+// different order, counts as a fault against the bound of the scope.
+func (w *modelWorld) Enabled() []explore.Action {
 	var actions []explore.Action
 	add := func(name string, fields ...any) {
 		actions = append(actions, explore.Action{Name: strings.TrimSpace(fmt.Sprintln(append([]any{name}, fields...)...))})
@@ -26,48 +26,48 @@
 		}
 	}
 	for _, s := range w.stores {
-		w.addStore(s, add)
+		w.addStoreActions(s, add)
 	}
 	for _, e := range w.edges {
-		w.addEdge(e, add)
+		w.addEdgeActions(e, add)
 	}
-	if next, changed := w.next(); changed && next != nil {
+	if next, changed := w.nextView(); changed && next != nil {
 		add("plan")
 	}
 	if w.config.retires && w.retired == "" {
 		add("retire", "a")
 		add("retire", "b")
 	}
-	if w.passes < w.config.passes && w.isQuiet() {
+	if w.passes < w.config.passes && w.isSettled() {
 		add("pass")
 	}
 	rank := func(a explore.Action) int {
 		verb := strings.Fields(a.Name)[0]
-		if w.config.hasty && (verb == "plan" || verb == "remove") {
+		if w.config.leaderFirst && (verb == "plan" || verb == "remove") {
 			return -1
 		}
-		return slices.Index(modelOrder, verb)
+		return slices.Index(actionOrder, verb)
 	}
 	slices.SortStableFunc(actions, func(a, b explore.Action) int { return rank(a) - rank(b) })
 	for i := range actions {
-		actions[i].Fault = i > 0 || rank(actions[i]) >= slices.Index(modelOrder, "retire")
+		actions[i].Fault = i > 0 || rank(actions[i]) >= slices.Index(actionOrder, "retire")
 	}
 	return actions
 }
 
-// modelOrder is what happens first as a rule, among all that may.
-var modelOrder = []string{
+// actionOrder ranks the enabled actions: the one that comes first here is the default.
+var actionOrder = []string{
 	"deliver", "sync", "view", "remove", "plan", "report", "finish", "run", "again", "put", "miss", "start", "hear", "pass",
 	"retire", "reset", "power", "wipe",
 }
 
-func (w *world) addStore(s *modelStore, add func(string, ...any)) {
+func (w *modelWorld) addStoreActions(s *modelStore, add func(string, ...any)) {
 	if s.removed {
 		return
 	}
 	if !s.up {
 		add("start", s.name)
-		if s.heard {
+		if s.seenLive {
 			add("miss", s.name)
 		}
 		return
@@ -78,28 +78,28 @@
 	if s.core.epoch() < w.view.Epoch {
 		add("view", s.name)
 	}
-	if !s.heard {
+	if !s.seenLive {
 		add("hear", s.name)
 	} else if w.config.resets {
 		add("reset", s.name)
 	}
-	if w.mayLose(s) {
+	if w.canFail(s) {
 		add("power", s.name)
 		add("wipe", s.name)
 	}
-	if _, _, done := placement.Retirement(w.view, s.name); s.name == w.retired && (done || w.early(s)) {
+	if _, _, done := placement.Retirement(w.view, s.name); s.name == w.retired && (done || w.canRemoveEarly(s)) {
 		add("remove", s.name)
 	}
 }
 
-// early is the mutant that takes a retirement for done at the first copy elsewhere.
-func (w *world) early(s *modelStore) bool {
+// canRemoveEarly implements the mutant retireEarly: a retirement counts as done once another store is a replica.
+func (w *modelWorld) canRemoveEarly(s *modelStore) bool {
 	replicas := w.view.Partitions[0].Replicas
 	return w.config.mutant.retireEarly && slices.ContainsFunc(replicas, func(i uint16) bool { return w.view.Stores[i].Disk != s.disk })
 }
 
-// mayLose says whether a store may be lost: one at a time, and the next once enough are complete.
-func (w *world) mayLose(s *modelStore) bool {
+// canFail reports whether a store may fail: only one store may count as failed at a time.
+func (w *modelWorld) canFail(s *modelStore) bool {
 	if s.removed {
 		return false
 	}
@@ -111,8 +111,8 @@
 	return !s.failed
 }
 
-// forgive has lost stores count no more once enough others are complete: they have had their time.
-func (w *world) forgive() {
+// clearRecoveredFailures stops counting restarted stores as failed once enough replicas are complete and synced.
+func (w *modelWorld) clearRecoveredFailures() {
 	placed := w.view.Partitions[0]
 	for _, i := range placed.Replicas {
 		s := w.byDisk(w.view.Stores[i].Disk)
@@ -124,13 +124,13 @@
 		return
 	}
 	for _, s := range w.stores {
-		if s.up && s.heard {
+		if s.up && s.seenLive {
 			s.failed = false
 		}
 	}
 }
 
-func (w *world) addEdge(e *modelEdge, add func(string, ...any)) {
+func (w *modelWorld) addEdgeActions(e *modelEdge, add func(string, ...any)) {
 	if e.epoch < w.view.Epoch {
 		add("view", e.name)
 	}
@@ -158,8 +158,8 @@
 	}
 }
 
-// isQuiet says whether nothing is on its way.
-func (w *world) isQuiet() bool {
+// isSettled reports whether no delivery, sync or view is outstanding.
+func (w *modelWorld) isSettled() bool {
 	for _, l := range w.links {
 		if len(l.ends[0].outgoing)+len(l.ends[1].outgoing) > 0 {
 			return false
@@ -178,9 +178,9 @@
 	return true
 }
 
-// quiet delivers and syncs until nothing is on its way.
-func (w *world) quiet() {
-	for !w.isQuiet() {
+// settle delivers, syncs and applies views until none is outstanding.
+func (w *modelWorld) settle() {
+	for !w.isSettled() {
 		for _, action := range w.Enabled() {
 			if verb := strings.Fields(action.Name)[0]; verb == "deliver" || verb == "sync" || verb == "view" {
 				w.Do(action.Name)
@@ -190,7 +190,7 @@
 	}
 }
 
-func (w *world) pass() {
+func (w *modelWorld) pass() {
 	w.now += time.Second
 	for _, s := range w.stores {
 		if s.up {
@@ -199,11 +199,11 @@
 	}
 }
 
-// next is the placement that should follow.
-func (w *world) next() (*wire.StoreView, bool) {
+// nextView returns the view that the planner wants next, and whether it differs from the current one.
+func (w *modelWorld) nextView() (*wire.StoreView, bool) {
 	var live []placement.Store
 	for _, s := range w.stores {
-		if !s.heard || s.removed {
+		if !s.seenLive || s.removed {
 			continue
 		}
 		reported := placement.Store{Disk: s.disk, Node: s.name, Address: s.name, Zone: s.name}
@@ -211,25 +211,25 @@
 			status := s.core.Status()
 			reported.Epoch, reported.Synced = status.Epoch, status.Synced
 		}
-		if w.config.mutant.takeUnfilled {
+		if w.config.mutant.promoteUnfilled {
 			reported.Epoch, reported.Synced = w.view.Epoch, []uint16{0}
 		}
 		live = append(live, reported)
 	}
-	next, changed := placement.Plan(w.view, live, w.plan())
-	if changed && w.config.mutant.forgetFormer {
+	next, changed := placement.Plan(w.view, live, w.placementConfig())
+	if changed && w.config.mutant.dropFormer {
 		next.Partitions[0].Former, next.Partitions[0].Covered, next.Partitions[0].Unsure = nil, false, false
 	}
 	return next, changed
 }
 
-func (w *world) enact(view *wire.StoreView) {
+func (w *modelWorld) installView(view *wire.StoreView) {
 	w.view = view
 	w.views[view.Epoch] = view
 }
 
-// mutate does what the mutants do wrong.
-func (w *world) mutate() {
+// applyMutant makes the changes of the mutants ackBeforeSync and grantEarly.
+func (w *modelWorld) applyMutant() {
 	for _, s := range w.stores {
 		if !s.up {
 			continue
@@ -251,36 +251,37 @@
 	}
 }
 
-// checkCopies makes sure that a message that is accepted lies on enough disks.
-func (w *world) checkCopies(id string) {
+// checkCopies checks that a message being accepted is on enough disks.
+func (w *modelWorld) checkCopies(id string) {
 	copies := 0
 	for _, s := range w.stores {
-		if s.stores(id) {
+		if s.hasDurable(id) {
 			copies++
 		}
 	}
 	if copies < modelCopies-w.wipes {
-		w.fault("%s is accepted with %d copies", id, copies)
+		w.violation("message %s is accepted with only %d copies", id, copies)
 	}
 }
 
-// checkElsewhere makes sure that a store that is removed leaves enough copies behind, even if one that has them is lost right then.
-func (w *world) checkElsewhere(removed *modelStore) {
+// checkOtherCopies checks that enough copies of each message remain when a store is removed. A store that has
+// failed at the same time counts as if it still had the messages, since the removal isn't to blame for that loss.
+func (w *modelWorld) checkOtherCopies(removed *modelStore) {
 	for _, id := range modelMessages {
 		copies := 0
 		for _, s := range w.stores {
-			if s != removed && (s.failed || s.stores(id)) {
+			if s != removed && (s.failed || s.hasDurable(id)) {
 				copies++
 			}
 		}
 		if m := w.messages[id]; m.accepted && !m.finished && copies < modelCopies {
-			w.fault("%s is removed, and %s has %d other copies", removed.name, id, copies)
+			w.violation("store %s is removed, and message %s has only %d other copies", removed.name, id, copies)
 		}
 	}
 }
 
 // Check implements explore.System.
-func (w *world) Check() error {
+func (w *modelWorld) Check() error {
 	if w.failure != "" {
 		return fmt.Errorf("%s", w.failure)
 	}
@@ -290,28 +291,28 @@
 			continue
 		}
 		stored := false
-		for i, known := range w.view.Stores {
-			s := w.byDisk(known.Disk)
-			if s == nil || !s.stores(id) {
+		for i, placedStore := range w.view.Stores {
+			s := w.byDisk(placedStore.Disk)
+			if s == nil || !s.hasDurable(id) {
 				if s != nil && slices.Contains(placed.Replicas, uint16(i)) && !placed.Unsure {
-					return fmt.Errorf("%s is called complete and lacks %s", known.Disk, id)
+					return fmt.Errorf("disk %s is a replica, and lacks message %s", placedStore.Disk, id)
 				}
 				continue
 			}
 			stored = stored || slices.Contains(slices.Concat(placed.Replicas, placed.Joining, placed.Former), uint16(i))
 		}
 		if !stored {
-			return fmt.Errorf("%s was accepted, and no store that counts has it", id)
+			return fmt.Errorf("message %s was accepted, and no current or former member has it on disk", id)
 		}
 	}
 	return nil
 }
 
 // Clone implements explore.System.
-func (w *world) Clone() explore.System { return explore.Clone(w, modelLog) }
+func (w *modelWorld) Clone() explore.System { return explore.Clone(w, modelLog) }
 
 // State implements explore.System.
-func (w *world) State() []byte {
+func (w *modelWorld) State() []byte {
 	d := &dumper{seen: make(map[uintptr]int)}
 	d.value(reflectOf(w))
 	return d.data
--- a/store/queue/exploredump_test.go
+++ b/store/queue/exploredump_test.go
@@ -10,7 +10,8 @@
 
 func reflectOf(value any) reflect.Value { return reflect.ValueOf(value) }
 
-// dumper writes a state with all that it points to in one form, cycles included: each pointer is followed once, and numbered.
+// dumper encodes a state, with everything that it points to, canonically: equal states have equal encodings. Each
+// pointer is followed once, and encoded as a number when it occurs again, so that cycles end.
 type dumper struct {
 	data []byte
 	seen map[uintptr]int
@@ -74,7 +75,8 @@
 	d.value(v.Elem())
 }
 
-// table writes a map in the order of its keys. Those that are pointers are ends of connections, which have names.
+// table encodes a map in the order of its keys. A key that is a pointer is an end of a connection, and is ordered by
+// its field name.
 func (d *dumper) table(v reflect.Value) {
 	type item struct {
 		name  string
--- a/store/queue/exploreedge_test.go
+++ b/store/queue/exploreedge_test.go
@@ -11,7 +11,7 @@
 	return wire.Message{ID: id, Key: "k", Ordered: true, Body: []byte(id), RetentionMs: 3_600_000}
 }
 
-func (w *world) put(id string) {
+func (w *modelWorld) put(id string) {
 	e := w.edge("e")
 	if e.deliveries[id] == nil {
 		e.deliveries[id] = &modelDelivery{}
@@ -21,10 +21,10 @@
 	w.link(e.name, w.primary(e).name).ends[0].request(wire.MethodPut, put, "put "+id)
 }
 
-// work runs a message at a worker, or reports that it is finished.
-func (w *world) work(what string, e *modelEdge, id string) {
+// applyDeliveryAction starts or finishes a message at a worker, or reports to the store that it is finished.
+func (w *modelWorld) applyDeliveryAction(action string, e *modelEdge, id string) {
 	delivery := e.deliveries[id]
-	switch what {
+	switch action {
 	case "run":
 		delivery.running = true
 		w.checkRun(e, id)
@@ -38,10 +38,10 @@
 	}
 }
 
-func (w *world) checkRun(by *modelEdge, id string) {
+func (w *modelWorld) checkRun(by *modelEdge, id string) {
 	for _, e := range w.edges {
 		if other := e.deliveries[id]; e != by && other != nil && other.running {
-			w.fault("%s runs at %s and at %s", id, e.name, by.name)
+			w.violation("message %s runs at %s and at %s", id, e.name, by.name)
 		}
 	}
 	for _, earlier := range modelMessages {
@@ -49,23 +49,23 @@
 			return
 		}
 		if m := w.messages[earlier]; m.accepted && !m.finished {
-			w.fault("%s runs before %s is finished", id, earlier)
+			w.violation("message %s runs before %s is finished", id, earlier)
 		}
 	}
 }
 
-// hear takes what a store sends to an edge.
-func (w *world) hear(e *modelEdge, l *modelLink, p packet) {
+// receiveFromStore handles a packet from a store at an edge.
+func (w *modelWorld) receiveFromStore(e *modelEdge, l *modelLink, p packet) {
 	if !p.answer {
-		w.granted(e, l, decode[wire.Grant](p.payload))
+		w.handleGrant(e, l, decode[wire.Grant](p.payload))
 		return
 	}
 	fields := strings.Fields(p.call)
 	switch fields[0] {
 	case "claim":
-		w.claimed(e, l, fields[1], decode[wire.ClaimReply](p.payload))
+		w.handleClaimReply(e, l, fields[1], decode[wire.ClaimReply](p.payload))
 	case "put":
-		w.answeredPut(e, fields[1], decode[wire.PutReply](p.payload))
+		w.handlePutReply(e, fields[1], decode[wire.PutReply](p.payload))
 	case "report":
 		delivery := e.deliveries[fields[1]]
 		if delivery == nil {
@@ -79,7 +79,7 @@
 	}
 }
 
-func (w *world) granted(e *modelEdge, l *modelLink, grant *wire.Grant) {
+func (w *modelWorld) handleGrant(e *modelEdge, l *modelLink, grant *wire.Grant) {
 	delivery := e.deliveries[grant.ID]
 	if delivery == nil {
 		if !grant.HasMessage {
@@ -93,12 +93,12 @@
 	delivery.accepted, delivery.granted = true, true
 }
 
-func (w *world) claimed(e *modelEdge, l *modelLink, epoch string, reply *wire.ClaimReply) {
+func (w *modelWorld) handleClaimReply(e *modelEdge, l *modelLink, epoch string, reply *wire.ClaimReply) {
 	if epoch != fmt.Sprint(e.epoch) {
 		return
 	}
 	if reply.Code != wire.PutAccepted {
-		if s := w.store(l.to); s.core.epoch() >= e.epoch { // else it is claimed when the store has the view
+		if s := w.store(l.to); s.core.epoch() >= e.epoch { // otherwise the edge claims again when the store has the view
 			w.claim(e, s)
 		}
 		return
@@ -110,7 +110,7 @@
 	}
 }
 
-func (w *world) answeredPut(e *modelEdge, id string, reply *wire.PutReply) {
+func (w *modelWorld) handlePutReply(e *modelEdge, id string, reply *wire.PutReply) {
 	delivery := e.deliveries[id]
 	if delivery != nil {
 		delivery.requested = false
--- a/store/queue/explorestore_test.go
+++ b/store/queue/explorestore_test.go
@@ -14,13 +14,13 @@
 type packet struct {
 	method  wire.Method
 	payload []byte
-	call    string // of a request: what is asked; of an answer: what it is the answer to
+	call    string // names a request; of an answer, the request that it answers
 	answer  bool
 }
 
-// modelEnd is one end of a connection, as a core knows it.
+// modelEnd is one end of a connection, and the core's Remote.
 type modelEnd struct {
-	world    *world
+	world    *modelWorld
 	name     string
 	closed   bool
 	outgoing []packet // on the way to the other end
@@ -32,7 +32,7 @@
 		return err
 	}
 	if grant, ok := message.(*wire.Grant); ok && e.world.messages[grant.ID].reported {
-		e.world.fault("%s is granted after its end was acknowledged", grant.ID)
+		e.world.violation("message %s is granted after its outcome was acknowledged", grant.ID)
 	}
 	if !e.closed {
 		e.outgoing = append(e.outgoing, packet{method: method, payload: payload})
@@ -56,22 +56,22 @@
 	}
 }
 
-func (r *modelReply) Fail(err error) { r.end.world.fault("%s failed: %v", r.call, err) }
+func (r *modelReply) Fail(err error) { r.end.world.violation("%s failed: %v", r.call, err) }
 
 // modelStore is a store with its disk.
 type modelStore struct {
-	world   *world
-	name    string
-	disk    string
-	records [][]byte
-	durable int
-	up      bool
-	heard   bool // the leader counts it among those that live
-	failed  bool // it counts as lost
-	removed bool
-	started time.Duration
-	core    *Core
-	starts  int
+	world    *modelWorld
+	name     string
+	disk     string
+	records  [][]byte
+	durable  int
+	up       bool
+	seenLive bool // the leader considers the store available
+	failed   bool // the store has failed and isn't known to have caught up
+	removed  bool
+	started  time.Duration
+	core     *Core
+	starts   int
 }
 
 func (s *modelStore) Append(payload []byte) (journal.Location, uint64) {
@@ -85,27 +85,27 @@
 func (s *modelStore) Used() int64                              { return 0 }
 func (s *modelStore) WakeAt(time.Duration)                     {}
 func (s *modelStore) StatusChanged()                           {}
-func (s *modelStore) Fail(err error)                           { s.world.fault("%s: %v", s.name, err) }
+func (s *modelStore) Fail(err error)                           { s.world.violation("%s: %v", s.name, err) }
 
 func (s *modelStore) time() Time {
 	return Time{Steady: time.Second + s.world.now - s.started, UnixMs: int64((s.world.now) / time.Millisecond)}
 }
 
 func (s *modelStore) start() {
-	s.up, s.heard = true, true
+	s.up, s.seenLive = true, true
 	s.started = s.world.now
 	s.starts++
 	s.core = New(Config{Disk: s.disk, Copies: modelCopies, FinishedRetention: time.Hour, Log: modelLog}, s)
 	for i, record := range s.records {
 		if err := s.core.Recover(s.time(), journal.Location{Segment: 1, Offset: uint32(i + 1)}, record); err != nil {
-			s.world.fault("recovery of %s: %v", s.name, err)
+			s.world.violation("recovery of %s: %v", s.name, err)
 		}
 	}
 	s.core.Start(s.time(), s)
 }
 
-// stores says whether a message lies on the store's disk for good.
-func (s *modelStore) stores(id string) bool {
+// hasDurable reports whether a message is synced to the store's disk.
+func (s *modelStore) hasDurable(id string) bool {
 	stored := false
 	for _, payload := range s.records[:s.durable] {
 		r, err := decodeRecord(payload)
@@ -121,7 +121,7 @@
 	return stored
 }
 
-// modelLink is a connection: of a store that may lead to another one, or of an edge to a store.
+// modelLink is a connection from a store or an edge to a store. ends[0] belongs to the one that has opened it.
 type modelLink struct {
 	from, to string
 	ends     [2]*modelEnd
--- a/store/queue/exploreworld_test.go
+++ b/store/queue/exploreworld_test.go
@@ -12,27 +12,27 @@
 	"ravendale/control/placement"
 )
 
-// modelEdge is a scheduler.
+// modelEdge is an edge, with its deliveries by message ID.
 type modelEdge struct {
 	name       string
-	epoch      uint64 // of the view that it acts under
+	epoch      uint64 // epoch of the view that it has
 	deliveries map[string]*modelDelivery
 }
 
 type modelDelivery struct {
 	accepted, granted, running, finished bool
-	requested                            bool // a put or a report is under way
+	requested                            bool // a put or a report is unanswered
 }
 
-// modelMessage is what the client and the worker know.
+// modelMessage is the state of a message from the view of its client, its worker and its edge.
 type modelMessage struct {
-	accepted bool // the client got the reply
-	finished bool // the worker succeeded
-	reported bool // the end was acknowledged
+	accepted bool // the client has received the reply that the message is accepted
+	finished bool // the worker has processed the message
+	reported bool // the edge has received the acknowledgement of the outcome
 }
 
-// world is the system that is searched.
-type world struct {
+// modelWorld is the system whose states are explored.
+type modelWorld struct {
 	config   modelConfig
 	now      time.Duration
 	passes   int
@@ -49,8 +49,8 @@
 
 var modelMessages = []string{"0.1", "0.2"}
 
-func newWorld(config modelConfig) *world {
-	w := &world{config: config, messages: make(map[string]*modelMessage), views: make(map[uint64]*wire.StoreView)}
+func newWorld(config modelConfig) *modelWorld {
+	w := &modelWorld{config: config, messages: make(map[string]*modelMessage), views: make(map[uint64]*wire.StoreView)}
 	for _, id := range modelMessages {
 		w.messages[id] = &modelMessage{}
 	}
@@ -61,9 +61,9 @@
 	for _, s := range w.stores {
 		live = append(live, placement.Store{Disk: s.disk, Node: s.name, Address: s.name, Zone: s.name})
 	}
-	view, founded := placement.Plan(nil, live, w.plan())
+	view, founded := placement.Plan(nil, live, w.placementConfig())
 	if !founded {
-		w.fault("not founded")
+		w.violation("the planner made no first view")
 	}
 	w.view = view
 	w.views[view.Epoch] = view
@@ -77,23 +77,23 @@
 		w.edges = append(w.edges, &modelEdge{name: name, epoch: view.Epoch, deliveries: make(map[string]*modelDelivery)})
 	}
 	w.connect()
-	w.quiet()
+	w.settle()
 	w.pass()
-	w.quiet()
+	w.settle()
 	return w
 }
 
-func (w *world) plan() placement.Config {
+func (w *modelWorld) placementConfig() placement.Config {
 	return placement.Config{Copies: modelCopies, Partitions: 1}
 }
 
-func (w *world) fault(format string, args ...any) {
+func (w *modelWorld) violation(format string, args ...any) {
 	if w.failure == "" {
 		w.failure = fmt.Sprintf(format, args...)
 	}
 }
 
-func (w *world) store(name string) *modelStore {
+func (w *modelWorld) store(name string) *modelStore {
 	at := slices.IndexFunc(w.stores, func(s *modelStore) bool { return s.name == name })
 	if at < 0 {
 		return nil
@@ -101,7 +101,7 @@
 	return w.stores[at]
 }
 
-func (w *world) edge(name string) *modelEdge {
+func (w *modelWorld) edge(name string) *modelEdge {
 	at := slices.IndexFunc(w.edges, func(e *modelEdge) bool { return e.name == name })
 	if at < 0 {
 		return nil
@@ -109,7 +109,7 @@
 	return w.edges[at]
 }
 
-func (w *world) link(from, to string) *modelLink {
+func (w *modelWorld) link(from, to string) *modelLink {
 	at := slices.IndexFunc(w.links, func(l *modelLink) bool { return l.from == from && l.to == to })
 	if at < 0 {
 		return nil
@@ -117,8 +117,8 @@
 	return w.links[at]
 }
 
-// connect opens the connections that are wanted and not there.
-func (w *world) connect() {
+// connect opens all missing connections.
+func (w *modelWorld) connect() {
 	for _, to := range w.stores {
 		if !to.up {
 			continue
@@ -139,7 +139,7 @@
 	}
 }
 
-func (w *world) open(from, to string) *modelLink {
+func (w *modelWorld) open(from, to string) *modelLink {
 	name := from + ">" + to
 	l := &modelLink{from: from, to: to, ends: [2]*modelEnd{{world: w, name: name + " 0"}, {world: w, name: name + " 1"}}}
 	w.links = append(w.links, l)
@@ -151,8 +151,8 @@
 	e.outgoing = append(e.outgoing, packet{method: method, payload: payload, call: call})
 }
 
-// primary is the store that leads under an edge's view.
-func (w *world) primary(e *modelEdge) *modelStore {
+// primary returns the store that is the primary according to an edge's view.
+func (w *modelWorld) primary(e *modelEdge) *modelStore {
 	view := w.views[e.epoch]
 	placed := view.Partitions[0]
 	if len(placed.Replicas) == 0 {
@@ -161,7 +161,7 @@
 	return w.byDisk(view.Stores[placed.Replicas[0]].Disk)
 }
 
-func (w *world) byDisk(disk string) *modelStore {
+func (w *modelWorld) byDisk(disk string) *modelStore {
 	at := slices.IndexFunc(w.stores, func(s *modelStore) bool { return s.disk == disk })
 	if at < 0 {
 		return nil
@@ -169,7 +169,7 @@
 	return w.stores[at]
 }
 
-func (w *world) claim(e *modelEdge, to *modelStore) {
+func (w *modelWorld) claim(e *modelEdge, to *modelStore) {
 	claim := &wire.Claim{Epoch: e.epoch}
 	if w.primary(e) == to {
 		for _, id := range modelMessages {
@@ -182,14 +182,14 @@
 }
 
 // Do implements explore.System.
-func (w *world) Do(name string) {
+func (w *modelWorld) Do(name string) {
 	fields := strings.Fields(name)
 	switch fields[0] {
 	case "deliver":
 		w.deliver(w.link(fields[1], fields[2]), int(fields[3][0]-'0'))
 	case "plan":
-		next, _ := w.next()
-		w.enact(next)
+		next, _ := w.nextView()
+		w.installView(next)
 	case "retire":
 		w.retire(fields[1])
 	case "pass":
@@ -198,18 +198,18 @@
 	case "put", "again":
 		w.put(fields[1])
 	case "run", "finish", "report":
-		w.work(fields[0], w.edge(fields[1]), fields[2])
+		w.applyDeliveryAction(fields[0], w.edge(fields[1]), fields[2])
 	case "view":
-		w.take(fields[1])
+		w.applyView(fields[1])
 	default:
-		w.disturb(fields[0], w.store(fields[1]))
+		w.applyStoreAction(fields[0], w.store(fields[1]))
 	}
-	w.mutate()
+	w.applyMutant()
 	w.connect()
-	w.forgive()
+	w.clearRecoveredFailures()
 }
 
-func (w *world) take(name string) {
+func (w *modelWorld) applyView(name string) {
 	if e := w.edge(name); e != nil {
 		e.epoch = w.view.Epoch
 		for _, s := range w.stores {
@@ -218,7 +218,7 @@
 			}
 		}
 		for _, delivery := range e.deliveries {
-			delivery.requested = false // what was asked under the old view is asked again
+			delivery.requested = false // requests of the old view are repeated
 		}
 		return
 	}
@@ -226,39 +226,39 @@
 	s.core.SetView(s.time(), w.view)
 }
 
-func (w *world) retire(name string) {
+func (w *modelWorld) retire(name string) {
 	var live []placement.Store
 	for _, s := range w.stores {
-		if s.heard && !s.removed {
+		if s.seenLive && !s.removed {
 			live = append(live, placement.Store{Disk: s.disk, Node: s.name, Address: s.name, Zone: s.name})
 		}
 	}
 	w.retired = name
-	if marked, _, enough := placement.Retire(w.view, live, w.plan(), name); enough {
-		w.enact(marked)
+	if marked, _, enough := placement.Retire(w.view, live, w.placementConfig(), name); enough {
+		w.installView(marked)
 	}
 }
 
-func (w *world) disturb(what string, s *modelStore) {
-	switch what {
+func (w *modelWorld) applyStoreAction(action string, s *modelStore) {
+	switch action {
 	case "sync":
 		s.durable = len(s.records)
 		s.core.JournalSynced(s.time(), s.Position())
 	case "start":
 		s.start()
 	case "miss":
-		s.heard = false
+		s.seenLive = false
 	case "hear":
-		s.heard = true
+		s.seenLive = true
 	case "reset":
-		s.heard = false
+		s.seenLive = false
 	case "power":
 		s.failed = true
 		w.stop(s)
 	case "wipe", "remove":
-		s.failed, s.removed = what == "wipe", what == "remove"
+		s.failed, s.removed = action == "wipe", action == "remove"
 		if s.removed {
-			w.checkElsewhere(s)
+			w.checkOtherCopies(s)
 		}
 		w.stop(s)
 		w.wipes++
@@ -267,8 +267,8 @@
 	}
 }
 
-// stop has a store lose power.
-func (w *world) stop(s *modelStore) {
+// stop makes a store lose power: unsynced records are lost, and its connections break.
+func (w *modelWorld) stop(s *modelStore) {
 	s.up = false
 	s.records = s.records[:s.durable]
 	w.links = slices.DeleteFunc(w.links, func(l *modelLink) bool {
@@ -288,8 +288,8 @@
 	})
 }
 
-// deliver takes what one end has sent to the other.
-func (w *world) deliver(l *modelLink, side int) {
+// deliver delivers all packets that one end has sent to the other end.
+func (w *modelWorld) deliver(l *modelLink, side int) {
 	from, to := l.ends[side], l.ends[1-side]
 	sent := from.outgoing
 	from.outgoing = nil
@@ -299,10 +299,10 @@
 			continue
 		}
 		if e := w.edge(l.from); e != nil {
-			w.hear(e, l, p)
+			w.receiveFromStore(e, l, p)
 			continue
 		}
-		w.store(l.from).answered(to, p)
+		w.store(l.from).receiveAnswer(to, p)
 	}
 }
 
@@ -328,7 +328,7 @@
 	}
 }
 
-func (s *modelStore) answered(from *modelEnd, p packet) {
+func (s *modelStore) receiveAnswer(from *modelEnd, p packet) {
 	switch p.method {
 	case MethodAcked:
 		s.core.Acked(s.time(), from, decode[Acked](p.payload))
--- a/store/queue/find.go
+++ b/store/queue/find.go
@@ -6,11 +6,11 @@
 	"ravendale/cluster/wire"
 )
 
-// FindMessage answers a question about a message.
+// FindMessage answers a request for the state, and on demand the body, of a message.
 func (c *Core) FindMessage(now Time, m *wire.Find, reply Replier) {
 	c.now = now
 	answer, err := c.lookUp(m)
-	if errors.Is(err, errAbsence) {
+	if errors.Is(err, errPlacementMismatch) {
 		reply.Fail(err)
 		return
 	}
@@ -22,8 +22,9 @@
 	reply.Send(answer)
 }
 
-// errAbsence answers a question about a message that is not here, but may be elsewhere.
-var errAbsence = errors.New("queue: the message is not here, under another placement than the asker's")
+// errPlacementMismatch is the answer if the store doesn't have the message, but its epoch isn't that of the request, so
+// that another store may have it.
+var errPlacementMismatch = errors.New("queue: the message is not here, under another placement than the asker's")
 
 func (c *Core) lookUp(m *wire.Find) (*wire.FindReply, error) {
 	number, _ := wire.PartitionOf(m.ID)
@@ -36,7 +37,7 @@
 		return c.absentReply(m)
 	}
 	if m.Body && (e.noBody || e.state == wire.StateDropped) {
-		return c.absentReply(m) // no body is here; of a dead message another replica has it
+		return c.absentReply(m) // the body isn't here; if the message is dead, another replica has the body
 	}
 	answer := &wire.FindReply{Found: true, State: e.state}
 	hasBody := e.pending() || e.state == wire.StateDead
@@ -54,10 +55,11 @@
 	return answer, nil
 }
 
-// absentReply says that a message is not here. If all stores say so under one placement, no replica of its partition has it.
+// absentReply returns the answer that this store doesn't have a message. If all stores answer so under the same
+// placement, no replica of the message's partition has it.
 func (c *Core) absentReply(m *wire.Find) (*wire.FindReply, error) {
 	if c.view == nil || m.Epoch != c.view.Epoch || c.newestEpoch > c.view.Epoch {
-		return nil, errAbsence
+		return nil, errPlacementMismatch
 	}
 	return &wire.FindReply{}, nil
 }
--- a/store/queue/keyqueue.go
+++ b/store/queue/keyqueue.go
@@ -2,7 +2,8 @@
 
 import "sort"
 
-// keyQueue are the messages of one order key that are not finished at all members, in the order of acceptance. Only its head may be delivered.
+// keyQueue is the queue of the messages with the same order key that aren't finished at all members yet, in the order
+// of their acceptance. Only the head may be delivered.
 type keyQueue struct {
 	hash    uint64
 	entries []*entry
--- a/store/queue/lease.go
+++ b/store/queue/lease.go
@@ -1,6 +1,7 @@
 package queue
 
-// startLease leases a message to an edge: that one alone may deliver it, as long as it stays connected or comes back in time.
+// startLease leases a message to an edge: only this edge may deliver it, as long as it stays connected or reconnects in
+// time.
 func (c *Core) startLease(e *entry, to *edge) {
 	c.releaseLease(e)
 	e.delivery.leaseholder = to
@@ -18,17 +19,19 @@
 	e.delivery.grantPending = false
 }
 
-// recordLeaseholder replicates who leases a message: after a takeover that one is asked first.
+// recordLeaseholder replicates which edge leases a message, because a new primary offers the message to that edge
+// first.
 func (c *Core) recordLeaseholder(p *partition, e *entry, by *edge) {
 	if e.delivery.lastLeaseholder == by.id {
 		return
 	}
-	p.change(e, func() { e.delivery.lastLeaseholder = by.id })
+	p.update(e, func() { e.delivery.lastLeaseholder = by.id })
 	payload, _, position := c.appendRecord(&Record{Kind: RecordLeaseholder, Partition: p.number, ID: e.id, Leaseholder: by.id})
 	c.beginOp(p, e, position, payload).put = e.delivery.accepting
 }
 
-// isDeliverable says whether a message may be delivered as far as its acceptance and its key order go; its delay is another matter.
+// isDeliverable reports whether the store may grant a message: the store is a ready primary, and the message is
+// accepted and at the head of its key queue. It ignores the message's delay.
 func (c *Core) isDeliverable(p *partition, e *entry) bool {
 	if !p.primary || !p.ready || !e.pending() || e.delivery.accepting {
 		return false
@@ -36,8 +39,8 @@
 	return e.delivery.key == nil || e.delivery.key.head() == e
 }
 
-// grantOrRequeue grants a message to its leaseholder if it may be delivered now, or has it assigned if no edge leases it. Quiet: the leaseholder
-// hears of it by a reply.
+// grantOrRequeue grants a deliverable message to its leaseholder, or requeues it if no edge leases it. If quiet is set,
+// it sends no notification, because the reply to a request of the leaseholder carries the grant.
 func (c *Core) grantOrRequeue(p *partition, e *entry, quiet bool) {
 	if !e.pending() || !c.isDeliverable(p, e) {
 		return
--- a/store/queue/maintain.go
+++ b/store/queue/maintain.go
@@ -8,7 +8,8 @@
 	"ravendale/store/journal"
 )
 
-// maintain removes finished messages after their retention, reclaims disk space, and compares some partitions with their members.
+// maintain does the periodic work that is due: it removes finished messages after their retention, reclaims disk space,
+// and compares some partitions with their members.
 func (c *Core) maintain() {
 	if c.now.Steady >= c.schedule.maintenance {
 		c.schedule.maintenance = c.now.Steady + maintenanceInterval
@@ -22,7 +23,8 @@
 	}
 }
 
-// expireFinished removes finished messages that are so at all members and old enough, in the order of their outcomes.
+// expireFinished removes messages that are finished at all members and whose retention is over, in the order of their
+// outcomes.
 func (c *Core) expireFinished() {
 	for _, p := range c.partitions {
 		if p == nil || !p.primary || !p.ready {
@@ -42,42 +44,44 @@
 	return c.seconds() > e.finishedAt+uint32(c.config.FinishedRetention.Seconds())
 }
 
-// trimFinished removes all finished messages up to a sequence.
+// trimFinished removes all finished messages up to a sequence number.
 func (c *Core) trimFinished(p *partition, horizon uint64) {
 	if horizon <= p.horizon {
 		return
 	}
 	p.horizon = horizon
 	n := sort.Search(len(p.finished), func(i int) bool { return p.finished[i].sequence > horizon })
-	old := p.finished[:n]
+	expired := p.finished[:n]
 	p.finished = append([]*entry(nil), p.finished[n:]...)
-	for _, e := range old {
+	for _, e := range expired {
 		c.removeEntry(p, e)
 	}
 }
 
-// scrub compares the next partitions that this store is the primary of with their members.
+// scrub compares the next partitions that this store is the primary of with their members. After scrubCycle calls all
+// have been compared.
 func (c *Core) scrub() {
-	var led []*partition
+	var ready []*partition
 	for _, p := range c.partitions {
 		if p != nil && p.primary && p.ready {
-			led = append(led, p)
+			ready = append(ready, p)
 		}
 	}
-	for range (len(led) + scrubCycle - 1) / scrubCycle {
-		c.schedule.scrubPosition = (c.schedule.scrubPosition + 1) % len(led)
-		c.expireLeased(led[c.schedule.scrubPosition])
-		c.compareAll(led[c.schedule.scrubPosition])
+	for range (len(ready) + scrubCycle - 1) / scrubCycle {
+		c.schedule.scrubPosition = (c.schedule.scrubPosition + 1) % len(ready)
+		c.expireLeased(ready[c.schedule.scrubPosition])
+		c.compareAll(ready[c.schedule.scrubPosition])
 	}
 }
 
-// expireLeased finishes messages whose leaseholder should have reported an outcome long ago: it does not have them any more.
+// expireLeased finishes leased messages as dead whose retention has been over for longer than the clock slack. Their
+// leaseholder should have reported an outcome by then, so it doesn't have them any more.
 func (c *Core) expireLeased(p *partition) {
 	slack := uint32(c.config.ClockSlack / time.Millisecond)
-	late := func(_ uint64, e *entry) bool {
+	isOverdue := func(_ uint64, e *entry) bool {
 		return e.pending() && !e.delivery.accepting && e.delivery.leaseholder != nil && e.delivery.expires+slack < c.millis()
 	}
-	for _, e := range p.sorted(late) {
+	for _, e := range p.sortedEntries(isOverdue) {
 		c.finishMessage(p, e, wire.StateDead, "", nil)
 	}
 }
@@ -90,7 +94,8 @@
 	}
 }
 
-// reclaimSegments removes the oldest segments that have no references, and compacts old ones if the disk fills up.
+// reclaimSegments removes the oldest segments if they have no references, and compacts the oldest remaining one if the
+// disk fills up.
 func (c *Core) reclaimSegments() {
 	oldest, newest := c.disk.journal.Segments()
 	for ; oldest < newest && c.disk.references[oldest] == 0; oldest++ {
@@ -105,14 +110,15 @@
 	}
 }
 
-// compact appends records of a segment anew, so that it can go.
+// compact appends records that are still needed from a segment again, so that the segment can be removed. It stops
+// after compactionBytes.
 func (c *Core) compact(segment uint32) {
 	size := 0
 	for _, p := range c.partitions {
 		if p == nil {
 			continue
 		}
-		for _, e := range p.sorted(func(_ uint64, e *entry) bool { return e.location.Segment == segment }) {
+		for _, e := range p.sortedEntries(func(_ uint64, e *entry) bool { return e.location.Segment == segment }) {
 			if size >= compactionBytes {
 				return
 			}
@@ -128,8 +134,9 @@
 	}
 }
 
-// scheduleWipe has a partition wiped that others have complete: not at once, for a store that was away for a moment is likely to join it
-// again, and then needs only what has changed.
+// scheduleWipe schedules the wipe of a partition that this store isn't a member of, if the other stores have it
+// complete. The wipe is delayed, because a store that was unavailable for a short time is likely to join the partition
+// again, and then needs only the changes.
 func (c *Core) scheduleWipe(p *partition, complete bool) {
 	switch {
 	case p.replica || p.joining || !complete || len(p.entries) == 0:
@@ -139,7 +146,7 @@
 	}
 }
 
-// wipeDue wipes partitions whose time has come, and all that are scheduled if there is little capacity left.
+// wipeDue wipes the partitions whose wipe is due, or all scheduled ones if the store is half full.
 func (c *Core) wipeDue() {
 	for _, p := range c.partitions {
 		if p == nil || p.wipeAt == 0 || c.now.Steady < p.wipeAt && !c.isHalfFull() {
@@ -151,12 +158,12 @@
 	}
 }
 
-// isHalfFull says whether the store has half as many messages, or bytes, as it can have.
+// isHalfFull reports whether the store has more than half of its maximum number of messages, or needs compaction.
 func (c *Core) isHalfFull() bool {
 	return c.needsCompaction() || c.config.MaxMessages > 0 && c.messageCount*2 > c.config.MaxMessages
 }
 
-// needsCompaction says whether the disk has so much that old segments are rewritten.
+// needsCompaction reports whether the journal uses so much of the disk that old segments are compacted.
 func (c *Core) needsCompaction() bool {
 	return c.config.DiskBytes > 0 && c.disk.journal.Used()*100 > c.config.DiskBytes*compactionPercent
 }
--- a/store/queue/member.go
+++ b/store/queue/member.go
@@ -1,8 +1,8 @@
 package queue
 
-// The events of this file come from the primaries of partitions that the store is a member of.
+// This file handles notifications from the primaries of partitions that this store is a member of.
 
-// raiseEpoch refuses older epochs from now on.
+// raiseEpoch records a newer epoch in the journal. Notifications of older epochs are ignored from then on.
 func (c *Core) raiseEpoch(epoch uint64) {
 	if epoch <= c.newestEpoch {
 		return
@@ -16,7 +16,7 @@
 	c.disk.epochSegment = at.Segment
 }
 
-// Replicate applies what a primary has changed, and acknowledges it once it is on disk.
+// Replicate applies changes of a primary, and acknowledges them once they are on disk.
 func (c *Core) Replicate(now Time, from Remote, m *Replicate) {
 	c.now = now
 	if m.Epoch < c.newestEpoch {
@@ -26,19 +26,19 @@
 	for _, payload := range m.Records {
 		r, err := decodeRecord(payload)
 		if err != nil {
-			c.config.Log.Error("undecodable record from a primary", "error", err)
+			c.config.Log.Error("can't decode a record from a primary; not acknowledging its notification", "error", err)
 			return
 		}
-		if c.changes(r) {
+		if c.wouldChange(r) {
 			at, _ := c.appendPayload(payload)
 			c.apply(r, at, m.Old)
 		}
 	}
-	c.disk.pendingAcks = append(c.disk.pendingAcks, ackWait{position: c.disk.journal.Position(), remote: from, number: m.Number})
+	c.disk.pendingAcks = append(c.disk.pendingAcks, pendingAck{position: c.disk.journal.Position(), remote: from, number: m.Number})
 	c.disk.sendAcks()
 }
 
-// Compare answers what of a partition differs from the primary's.
+// Compare answers with the lists of all buckets of a partition that differ from the primary's.
 func (c *Core) Compare(now Time, from Remote, m *Compare) {
 	c.now = now
 	if m.Epoch < c.newestEpoch || len(m.Sums) != bucketCount {
@@ -65,7 +65,7 @@
 	}
 }
 
-// differ lists one bucket.
+// differ returns the list of one bucket.
 func (p *partition) differ(id uint64, bucket int, last bool, list []*entry) *Differ {
 	answer := &Differ{Partition: p.number, ComparisonID: id, Bucket: uint16(bucket), Last: last}
 	for _, e := range list {
@@ -74,7 +74,7 @@
 	return answer
 }
 
-// buckets returns the entries of the buckets that are wanted, each in order.
+// buckets returns the entries of the buckets for which want returns true, each in the order of their sequence numbers.
 func (p *partition) buckets(want func(bucket int) bool) *[bucketCount][]*entry {
 	lists := new([bucketCount][]*entry)
 	for hash, e := range p.entries {
@@ -88,7 +88,7 @@
 	return lists
 }
 
-// Fetch answers with all that is known of some messages.
+// Fetch answers with the full state of some messages, in one or more Fetched notifications.
 func (c *Core) Fetch(now Time, from Remote, m *Fetch) {
 	c.now = now
 	if m.Epoch < c.newestEpoch {
@@ -117,7 +117,8 @@
 	_ = from.Notify(MethodFetched, answer)
 }
 
-// Filled handles that the primary says that this store has a partition complete, under an epoch: Status names it from then on.
+// Filled handles the primary's notification that this store has the complete partition. Status lists the partition as
+// synced from then on, as long as the epoch stays the same.
 func (c *Core) Filled(now Time, m *Filled) {
 	c.now = now
 	if m.Epoch < c.newestEpoch {
--- a/store/queue/op.go
+++ b/store/queue/op.go
@@ -7,17 +7,18 @@
 	"ravendale/cluster/wire"
 )
 
-// op is an operation under way: a change, or a barrier, that is not on disk at all members of its partition yet.
+// op is an operation in progress: a change that isn't on disk at all members of its partition yet, or a barrier that
+// they haven't all acknowledged.
 type op struct {
-	p       *partition
-	e       *entry        // nil: a barrier
-	since   time.Duration // when it began
-	put     bool          // it accepts the message
-	finish  bool          // it finishes the message
-	synced  bool          // it is on the own disk
-	unacked uint64        // bit by member
-	waiters []waiter
-	index   int // in the partition's list
+	p         *partition
+	e         *entry        // nil for a barrier
+	startedAt time.Duration // when it began
+	put       bool          // its completion accepts the message
+	finish    bool          // it sets the message's outcome
+	synced    bool          // it is on this store's disk
+	unacked   uint64        // bit i is set until members[i] has acknowledged the operation
+	waiters   []waiter
+	index     int // in partition.ops; -1 once the operation has ended
 }
 
 // waiter is a request that is answered once an operation is complete.
@@ -25,17 +26,18 @@
 	reply   Replier
 	put     bool
 	edge    *edge
-	session uint16 // of the edge, when it asked
+	session uint16 // session of the edge in which it sent the request
 }
 
-// beginOp starts the operation of a change whose record was appended, up to a position of the journal, and sends the record to all members.
+// beginOp starts the operation of a change. The change's record was appended to the journal up to a position; beginOp
+// sends it to all members.
 func (c *Core) beginOp(p *partition, e *entry, position uint64, payload []byte) *op {
-	o := &op{p: p, e: e, since: c.now.Steady, index: len(p.ops)}
+	o := &op{p: p, e: e, startedAt: c.now.Steady, index: len(p.ops)}
 	p.ops = append(p.ops, o)
 	if e.delivery != nil {
 		e.delivery.lastChange = o
 	}
-	c.disk.awaitingSync = append(c.disk.awaitingSync, localWait{position: position, op: o})
+	c.disk.awaitingSync = append(c.disk.awaitingSync, syncWait{position: position, op: o})
 	for i, member := range p.members {
 		o.unacked |= 1 << i
 		if member.remote != nil {
@@ -46,7 +48,7 @@
 	return o
 }
 
-// resend sends the newest state of an operation's message to one member.
+// resend sends the current state of an operation's message to one member, or the barrier if the operation is one.
 func (c *Core) resend(o *op, member int) {
 	to := o.p.members[member]
 	if to.remote == nil {
@@ -64,13 +66,14 @@
 	to.awaitingAck = append(to.awaitingAck, peerWait{number: number, op: o, member: member})
 }
 
-// complete ends an operation if it is on disk everywhere, answers who waits for it, and grants what may be delivered by it.
+// complete ends an operation if it is on disk at all members: it answers the requests that wait for it, and grants the
+// messages that may be delivered now.
 func (c *Core) complete(o *op) {
 	if !o.synced || o.unacked != 0 || o.index < 0 || o.put && len(o.p.members)+1 < c.requiredCopies() {
-		return // with too few members a message is not accepted; the next placement goes on with it
+		return // with too few members a message can't be accepted yet: the operation continues under the next placement
 	}
 	o.p.removeOp(o)
-	o.p.confirmedAt = max(o.p.confirmedAt, o.since)
+	o.p.confirmedAt = max(o.p.confirmedAt, o.startedAt)
 	if o.e == nil {
 		c.endBarrier(o.p)
 		return
@@ -100,7 +103,8 @@
 	}
 }
 
-// notifiesByReply says whether a leaseholder hears of the operation by a reply on its present connection.
+// notifiesByReply reports whether the leaseholder will be notified by the reply to a put on its current connection, so
+// that no grant is needed.
 func (o *op) notifiesByReply(leaseholder *edge) bool {
 	return slices.ContainsFunc(o.waiters, func(w waiter) bool {
 		return w.put && leaseholder != nil && w.edge == leaseholder && w.session == leaseholder.session && leaseholder.remote != nil
@@ -125,7 +129,8 @@
 	o.index = -1
 }
 
-// supersede ends the operations of a message that is written anew, and returns who waits for them.
+// supersede ends the operations of a message that is about to be replaced or removed, and returns the requests that
+// wait for them.
 func (p *partition) supersede(e *entry) []waiter {
 	var waiters []waiter
 	for _, o := range slices.Clone(p.ops) {
@@ -137,7 +142,7 @@
 	return waiters
 }
 
-// refuse answers a request that is not known to have taken effect.
+// refuse answers a request that may not have taken effect.
 func (w waiter) refuse(code wire.PutCode, epoch uint64) {
 	if w.put {
 		w.reply.Send(&wire.PutReply{Code: code, Epoch: epoch})
--- a/store/queue/partition.go
+++ b/store/queue/partition.go
@@ -2,30 +2,30 @@
 
 import "time"
 
-// partition is one partition as the store knows it.
+// partition is this store's state of one partition.
 type partition struct {
 	table
-	number            uint16
-	primary           bool
-	replica           bool
-	joining           bool
-	primarySince      time.Duration // from when the store has been primary
-	claimWindow       time.Duration // nothing is granted for so long after, unless all edges have claimed
-	ready             bool          // of a primary: it may grant messages
-	members           []*peer       // the other replicas, and the joiners
-	unmerged          []*peer       // replicas that may still know more than the new primary
-	formerMembersAway bool          // of a primary that is unsure: former members that may know more are away
-	joiners           []*peer       // joining members
-	comparisons       []*comparison
-	ops               []*op
-	wipeAt            time.Duration    // when what is left of it is wiped; zero: not at all
-	filledEpoch       uint64           // epoch under which the primary said that this store has it complete
-	confirmedAt       time.Duration    // when the newest operation began that all members have acknowledged
-	barrier           *op              // under way
-	deferred          []unownedMessage // wait for the barrier
+	number              uint16
+	primary             bool
+	replica             bool
+	joining             bool
+	primarySince        time.Duration // when the store became the primary
+	claimWindow         time.Duration // nothing is granted for this long after primarySince, unless all edges have claimed earlier
+	ready               bool          // the store is the primary, and may grant messages
+	members             []*peer       // the other replicas, followed by the joining members
+	unmerged            []*peer       // members that may have messages or outcomes that this primary lacks: their comparison isn't finished
+	formerMembersAbsent bool          // the placement is marked unsure, and not all former members are among the joining ones
+	joiners             []*peer       // members that don't have the complete partition yet
+	comparisons         []*comparison
+	ops                 []*op
+	wipeAt              time.Duration    // when the store wipes its copy, which it isn't a member for any more; zero if it keeps it
+	filledEpoch         uint64           // epoch in which the primary notified this store that it has the complete partition
+	confirmedAt         time.Duration    // start time of the newest operation that all members have acknowledged
+	barrier             *op              // the barrier in progress, if any
+	deferred            []unownedMessage // messages to be assigned once the barrier is acknowledged
 }
 
-// partition returns a partition, made if need be.
+// partition returns the partition with a number, and creates it if necessary.
 func (c *Core) partition(number uint16) *partition {
 	for int(number) >= len(c.partitions) {
 		c.partitions = append(c.partitions, nil)
@@ -36,7 +36,7 @@
 	return c.partitions[number]
 }
 
-// lookUpPartition returns a partition, nil if there is none of the number.
+// lookUpPartition returns the partition with a number, or nil if this store has none.
 func (c *Core) lookUpPartition(number uint16) *partition {
 	if int(number) >= len(c.partitions) {
 		return nil
@@ -44,10 +44,10 @@
 	return c.partitions[number]
 }
 
-// isMergePending says whether other stores may know more of a partition than its primary.
-func (p *partition) isMergePending() bool { return p.formerMembersAway || len(p.unmerged) > 0 }
+// isMergePending reports whether other stores may have messages or outcomes of the partition that its primary lacks.
+func (p *partition) isMergePending() bool { return p.formerMembersAbsent || len(p.unmerged) > 0 }
 
-// openPartitions opens the partitions whose time has come.
+// openPartitions calls openPartition for each partition of this primary that isn't ready.
 func (c *Core) openPartitions() {
 	for _, p := range c.partitions {
 		if p != nil && p.primary && !p.ready {
@@ -56,8 +56,8 @@
 	}
 }
 
-// openPartition has a primary grant messages of a partition, if all is known that the other replicas knew, and edges have claimed or had the
-// time for it.
+// openPartition lets the primary grant messages of a partition, once all messages and outcomes of the other replicas
+// are merged, and all edges have claimed their messages or the claim window is over.
 func (c *Core) openPartition(p *partition) {
 	if p.isMergePending() {
 		return
@@ -67,7 +67,7 @@
 		return
 	}
 	p.ready = true
-	for _, e := range p.sorted(func(_ uint64, e *entry) bool { return e.pending() }) {
+	for _, e := range p.sortedEntries(func(_ uint64, e *entry) bool { return e.pending() }) {
 		c.grantOrRequeue(p, e, false)
 	}
 }
--- a/store/queue/peer.go
+++ b/store/queue/peer.go
@@ -2,40 +2,40 @@
 
 import "slices"
 
-// peer is another store.
+// peer is this store's state of another store.
 type peer struct {
 	disk         string
 	remote       Remote // nil while there is no connection
-	number       uint64 // of the newest Replicate on the connection
+	number       uint64 // number of the newest Replicate on the connection
 	outbox       [][]byte
-	old          bool // of the records in the outbox
+	outboxOld    bool // Replicate.Old of the records in the outbox
 	awaitingAck  []peerWait
-	unackedBatch *comparison   // whose batch it has yet to acknowledge: one at a time, so that new messages find the way free
-	comparisons  []*comparison // that have something to send
+	unackedBatch *comparison   // the comparison whose batch is unacknowledged; only one batch is sent at a time, so that it doesn't delay new messages
+	comparisons  []*comparison // comparisons that wait to send a batch
 	stats        comparisonStats
 }
 
-// peerSet are the other stores of the view.
+// peerSet has the other stores of the view.
 type peerSet struct {
 	byDisk    map[string]*peer
-	byRemote  map[Remote]*peer // those that are connected
+	byRemote  map[Remote]*peer // connected stores
 	list      []*peer          // in the order of the view
-	unflushed []*peer          // with records that wait to be sent
+	unflushed []*peer          // stores whose outbox may have records
 }
 
 func newPeerSet() peerSet {
 	return peerSet{byDisk: make(map[string]*peer), byRemote: make(map[Remote]*peer)}
 }
 
-// flush sends all records that wait.
+// flush sends the records in all outboxes.
 func (s *peerSet) flush(epoch uint64) {
-	for _, p := range s.unflushed {
-		p.flush(epoch)
+	for _, to := range s.unflushed {
+		to.flush(epoch)
 	}
 	s.unflushed = s.unflushed[:0]
 }
 
-// peerWait is something that waits until a peer has synced a Replicate.
+// peerWait is an operation, or a comparison's batch, that waits until a peer has acknowledged a Replicate.
 type peerWait struct {
 	number     uint64
 	op         *op
@@ -43,32 +43,32 @@
 	comparison *comparison
 }
 
-func (p *peer) flush(epoch uint64) {
-	if len(p.outbox) == 0 {
+func (to *peer) flush(epoch uint64) {
+	if len(to.outbox) == 0 {
 		return
 	}
-	if p.remote != nil {
-		_ = p.remote.Notify(MethodReplicate, &Replicate{Epoch: epoch, Number: p.number, Old: p.old, Records: p.outbox})
+	if to.remote != nil {
+		_ = to.remote.Notify(MethodReplicate, &Replicate{Epoch: epoch, Number: to.number, Old: to.outboxOld, Records: to.outbox})
 	}
-	clear(p.outbox)
-	p.outbox = p.outbox[:0]
+	clear(to.outbox)
+	to.outbox = to.outbox[:0]
 }
 
-// enqueueRecord queues a record for a peer that is connected, and returns the number of the Replicate that it goes in.
+// enqueueRecord queues a record for a connected peer, and returns the number of the Replicate that will carry it.
 func (c *Core) enqueueRecord(to *peer, payload []byte, old bool) uint64 {
-	if len(to.outbox) > 0 && to.old != old {
+	if len(to.outbox) > 0 && to.outboxOld != old {
 		to.flush(c.epoch())
 	}
 	if len(to.outbox) == 0 {
 		to.number++
-		to.old = old
+		to.outboxOld = old
 		c.peers.unflushed = append(c.peers.unflushed, to)
 	}
 	to.outbox = append(to.outbox, payload)
 	return to.number
 }
 
-// PeerUp handles that a store is connected, and has said that it has the disk that was meant.
+// PeerUp handles a new connection to a store that has confirmed the expected disk.
 func (c *Core) PeerUp(now Time, disk string, remote Remote) {
 	c.now = now
 	to := c.peers.byDisk[disk]
@@ -96,7 +96,7 @@
 	c.flushPeers()
 }
 
-// PeerDown handles that a connection to a store is closed.
+// PeerDown handles that the connection to a store is closed.
 func (c *Core) PeerDown(now Time, remote Remote) {
 	c.now = now
 	if to := c.peers.byRemote[remote]; to != nil {
@@ -122,7 +122,7 @@
 	}
 }
 
-// Acked handles that a member has synced what it was sent, up to a number.
+// Acked handles a member's acknowledgement: it has synced all Replicates up to a number.
 func (c *Core) Acked(now Time, from Remote, m *Acked) {
 	c.now = now
 	to := c.peers.byRemote[from]
--- a/store/queue/placement.go
+++ b/store/queue/placement.go
@@ -6,14 +6,14 @@
 	"ravendale/cluster/wire"
 )
 
-// SetView puts a newer placement of the partitions into force.
+// SetView applies a newer placement of the partitions. It ignores a view that isn't newer than the current one.
 func (c *Core) SetView(now Time, view *wire.StoreView) {
 	c.now = now
 	if c.view != nil && view.Epoch <= c.view.Epoch {
 		return
 	}
-	// Others may have led this store's partitions under an epoch that it has not seen.
-	missed := c.view != nil && view.Epoch > c.view.Epoch+1 && c.newestEpoch > c.view.Epoch
+	// Other stores may have been the primaries of this store's partitions in an epoch whose view this store has missed.
+	missedEpoch := c.view != nil && view.Epoch > c.view.Epoch+1 && c.newestEpoch > c.view.Epoch
 	c.view = view
 	c.raiseEpoch(view.Epoch)
 	c.updatePeers()
@@ -22,7 +22,7 @@
 		to.cancelComparisons()
 	}
 	for number := range view.Partitions {
-		if p := c.partition(uint16(number)); missed && p.primary {
+		if p := c.partition(uint16(number)); missedEpoch && p.primary {
 			c.stepDown(p)
 			p.primary = false
 		}
@@ -38,7 +38,7 @@
 	}
 }
 
-// Peers are the other stores in the view.
+// Peers returns the other stores of the view.
 func (c *Core) Peers() []wire.Store {
 	if c.view == nil {
 		return nil
@@ -65,7 +65,7 @@
 	c.peers.list = list
 }
 
-// disks resolves indices of stores.
+// disks returns the disks of the stores with the given indices in the view.
 func (c *Core) disks(indices []uint16) []string {
 	var disks []string
 	for _, i := range indices {
@@ -100,13 +100,13 @@
 	if p.primary {
 		p.wipeAt = 0
 		sources := c.peersOf(replicas)
-		p.formerMembersAway = false
+		p.formerMembersAbsent = false
 		if placement.Unsure {
 			former := c.formerJoiners(p, placement)
-			p.formerMembersAway = len(former) < len(placement.Former)
+			p.formerMembersAbsent = len(former) < len(placement.Former)
 			sources = append(sources, former...)
 		}
-		c.lead(p, wasPrimary, sources, oldMembers)
+		c.actAsPrimary(p, wasPrimary, sources, oldMembers)
 		return
 	}
 	if wasPrimary {
@@ -115,15 +115,17 @@
 	c.scheduleWipe(p, len(joining) == 0 && len(placement.Former) == 0 && len(replicas) >= c.config.Copies)
 }
 
-// formerJoiners are the joining members of a partition that were members before.
+// formerJoiners returns the joining members of a partition that are among its former members.
 func (c *Core) formerJoiners(p *partition, placement *wire.Placement) []*peer {
 	former := c.peersOf(c.disks(placement.Former))
 	return slices.DeleteFunc(slices.Clone(p.joiners), func(to *peer) bool { return !slices.Contains(former, to) })
 }
 
-// lead makes the store the primary of a partition, or goes on with it under a new epoch. Sources are the members that may know more than
-// this store: all replicas, if it has not led until now, and former members that join an unsure primary.
-func (c *Core) lead(p *partition, wasPrimary bool, sources, oldMembers []*peer) {
+// actAsPrimary makes this store the primary of a partition, or continues as the primary under a new epoch. Sources are
+// the members that may have messages or outcomes that this store lacks: the other replicas and, if the placement is
+// unsure, the former members that join again. If this store was the primary before, it has merged the sources that
+// were members already, except those still in p.unmerged.
+func (c *Core) actAsPrimary(p *partition, wasPrimary bool, sources, oldMembers []*peer) {
 	if wasPrimary {
 		isUnmerged := func(to *peer) bool { return slices.Contains(p.unmerged, to) || !slices.Contains(oldMembers, to) }
 		p.unmerged = slices.DeleteFunc(slices.Clone(sources), func(to *peer) bool { return !isUnmerged(to) })
@@ -145,14 +147,15 @@
 		c.complete(o)
 	}
 	for _, to := range p.members {
-		known := wasPrimary && slices.Contains(oldMembers, to)
-		if !known || slices.Contains(p.unmerged, to) || slices.Contains(p.joiners, to) {
+		unchanged := wasPrimary && slices.Contains(oldMembers, to)
+		if !unchanged || slices.Contains(p.unmerged, to) || slices.Contains(p.joiners, to) {
 			c.compare(p, to)
 		}
 	}
 }
 
-// stepDown ends the store's time as the primary of a partition: operations are given up, and all leases end.
+// stepDown makes this store stop being the primary of a partition: it ends all leases, and drops all operations,
+// refusing the requests that wait for them.
 func (c *Core) stepDown(p *partition) {
 	ops := p.ops
 	p.ops = nil
@@ -166,9 +169,9 @@
 			c.dropDelivery(p, o.e)
 		}
 	}
-	for _, o := range p.deferred {
-		if o.e.delivery != nil {
-			o.e.delivery.queued = false
+	for _, m := range p.deferred {
+		if m.e.delivery != nil {
+			m.e.delivery.queued = false
 		}
 	}
 	p.barrier, p.deferred, p.confirmedAt = nil, nil, 0
--- a/store/queue/protocol.go
+++ b/store/queue/protocol.go
@@ -4,70 +4,70 @@
 
 //msgp:tuple Hello HelloReply Replicate Acked Compare Digest Differ Fetch Fetched Filled
 
-// Methods of stores among themselves.
+// Methods between stores. All but MethodHello are notifications; an answer to one is another notification.
 const (
-	MethodHello     = wire.MethodStorePrivate + iota // Hello, HelloReply: first on each connection of a store
-	MethodReplicate                                  // Replicate, notification: a primary to a member
-	MethodAcked                                      // Acked, notification: the answer
-	MethodCompare                                    // Compare, notification: a primary to a member
-	MethodDiffer                                     // Differ, notification: the answer, one for each bucket that differs
-	MethodFetch                                      // Fetch, notification: a primary to a member
-	MethodFetched                                    // Fetched, notification: the answer
-	MethodFilled                                     // Filled, notification: a primary to a joining member
+	MethodHello     = wire.MethodStorePrivate + iota // request Hello, reply HelloReply: the first on each connection between stores
+	MethodReplicate                                  // Replicate, from a primary to a member
+	MethodAcked                                      // Acked, the answer to Replicate
+	MethodCompare                                    // Compare, from a primary to a member
+	MethodDiffer                                     // Differ, the answer to Compare: one for each bucket that differs
+	MethodFetch                                      // Fetch, from a primary to a member
+	MethodFetched                                    // Fetched, the answer to Fetch
+	MethodFilled                                     // Filled, from a primary to a joining member
 )
 
-// Hello says who connects, and to which disk it means to talk.
+// Hello names the disk of the store that connects, and the disk of the store that it expects to reach.
 type Hello struct {
-	From string // disk
-	To   string // disk
+	From string // disk of the sender
+	To   string // expected disk of the receiver
 }
 
-// HelloReply says whether the store has the disk that was meant.
+// HelloReply reports whether the store has the disk that Hello names.
 type HelloReply struct {
 	Accepted bool
 }
 
-// Replicate carries changes that a primary made.
+// Replicate carries changes from a primary to a member.
 type Replicate struct {
 	Epoch   uint64
-	Number  uint64 // of this notification on its connection
-	Old     bool   // messages are not new: their delays run by the time of day
+	Number  uint64 // counts these notifications on the connection
+	Old     bool   // the messages were put earlier: the rest of their delays is computed from the time of day
 	Records [][]byte
 }
 
-// Acked says that the Replicate of a number and all before it on the connection are on disk.
+// Acked reports that the Replicate with this number, and all earlier ones on the connection, are on the member's disk.
 type Acked struct {
 	Number uint64
 }
 
-// Compare asks a member which part of a partition differs from the primary's.
+// Compare asks a member which buckets of a partition differ from the primary's.
 type Compare struct {
 	Epoch        uint64
 	Partition    uint16
-	ComparisonID uint64 // names the comparison
-	Horizon      uint64 // finished messages up to this sequence are removed
-	Sums         []uint64
+	ComparisonID uint64
+	Horizon      uint64   // finished messages up to this sequence number are removed
+	Sums         []uint64 // checksum of each bucket at the primary
 }
 
-// Digest stands for what a member knows of one message.
+// Digest summarizes a member's state of one message.
 type Digest struct {
 	ID     string
 	Sum    uint64
 	State  wire.State
-	Failed uint16
-	NoBody bool // it is dead, and its body is not there
+	Failed uint16 // number of failed attempts
+	NoBody bool   // the message is dead, and the member lacks its body
 }
 
-// Differ lists what a member has in one bucket.
+// Differ lists all messages that a member has in a bucket that differs from the primary's.
 type Differ struct {
 	Partition    uint16
 	ComparisonID uint64
-	Bucket       uint16 // bucketCount: none
-	Last         bool   // no more buckets differ
+	Bucket       uint16 // bucketCount if no bucket differs
+	Last         bool   // no further bucket differs
 	Entries      []Digest
 }
 
-// Fetch asks a member for what it knows of some messages.
+// Fetch asks a member for its full state of some messages.
 type Fetch struct {
 	Epoch        uint64
 	Partition    uint16
@@ -79,11 +79,11 @@
 type Fetched struct {
 	Partition    uint16
 	ComparisonID uint64
-	Last         bool // of the answers to one Fetch
+	Last         bool // this is the last answer to the Fetch
 	Records      [][]byte
 }
 
-// Filled notifies a joining member that it has all of a partition on disk.
+// Filled notifies a joining member that it has the complete partition on disk.
 type Filled struct {
 	Epoch     uint64
 	Partition uint16
--- a/store/queue/put.go
+++ b/store/queue/put.go
@@ -6,8 +6,9 @@
 	"ravendale/cluster/wire"
 )
 
-// admit says whether the store may decide on a partition under an epoch, and what to answer if not.
-func (c *Core) admit(number uint16, epoch uint64) (p *partition, code wire.PutCode) {
+// checkPrimary returns a partition if this store is its primary under an epoch, and otherwise the code with which to
+// refuse the request.
+func (c *Core) checkPrimary(number uint16, epoch uint64) (p *partition, code wire.PutCode) {
 	if c.view == nil || epoch != c.view.Epoch || c.newestEpoch > c.view.Epoch {
 		return nil, wire.PutStale
 	}
@@ -18,8 +19,8 @@
 	return p, wire.PutAccepted
 }
 
-// PutMessage accepts a message: the reply is sent once it is on the disks of all members of its partition. A repeated put of the same message
-// gets the same answer.
+// PutMessage handles the put of a message. The reply is sent once the message is on the disks of all members of its
+// partition. A repeated put of the same message gets the same answer.
 func (c *Core) PutMessage(now Time, from Remote, m *wire.Put, reply Replier) {
 	c.now = now
 	number, ok := wire.PartitionOf(m.Message.ID)
@@ -27,7 +28,7 @@
 		reply.Fail(fmt.Errorf("queue: message %q does not lie in partition %d", m.Message.ID, m.Partition))
 		return
 	}
-	p, code := c.admit(m.Partition, m.Epoch)
+	p, code := c.checkPrimary(m.Partition, m.Epoch)
 	if code != wire.PutAccepted {
 		reply.Send(&wire.PutReply{Code: code, Epoch: c.newestEpoch})
 		return
@@ -46,10 +47,11 @@
 	c.flushPeers()
 }
 
-// requiredCopies is on how many disks a message must be before it is accepted.
+// requiredCopies returns the number of disks on which a message must be before it is accepted.
 func (c *Core) requiredCopies() int { return max(c.config.Copies, int(c.view.Copies)) }
 
-// refusesPuts says whether there is no capacity for new messages: on disk, in memory, or as the disk stalls.
+// refusesPuts reports whether the store must refuse new messages, because its disk is stalled or nearly full, or it has
+// the maximum number of messages.
 func (c *Core) refusesPuts() bool {
 	if c.disk.stalled {
 		return true
@@ -78,7 +80,8 @@
 	o.waiters = append(o.waiters, putWaiter(reply, sender))
 }
 
-// acceptRepeat answers a put of a message that is known already, at once or with the operation under way.
+// acceptRepeat answers a put of a message that the store already has, either at once or when the operation in progress
+// completes.
 func (c *Core) acceptRepeat(p *partition, e *entry, m *wire.Put, from *edge, reply Replier) {
 	if e.delivery != nil && e.pending() && e.delivery.leaseholder == nil && m.Dispatch && from != nil {
 		c.startLease(e, from)
@@ -96,12 +99,13 @@
 	reply.Send(c.putReply(e, from))
 }
 
-// isFullyReplicated says whether all that a primary has is at enough members. What an earlier primary left incomplete may not be.
+// isFullyReplicated reports whether all members, and enough of them, have everything that this primary has. A message
+// whose put was incomplete when an earlier primary failed may be at some of the members only.
 func (c *Core) isFullyReplicated(p *partition) bool {
 	return !p.isMergePending() && len(p.joiners) == 0 && len(p.members)+1 >= c.requiredCopies()
 }
 
-// replicateAgain has all members acknowledge a message, and answers then.
+// replicateAgain sends a message to all members again, and answers once they have acknowledged it.
 func (c *Core) replicateAgain(p *partition, e *entry, w waiter) {
 	payload := c.messagePayload(p, e)
 	if payload == nil {
@@ -111,13 +115,13 @@
 	o := c.beginOp(p, e, position, payload)
 	o.put = true
 	o.waiters = append(o.waiters, w)
-	if c.disk.durable >= position {
+	if c.disk.syncedPosition >= position {
 		o.synced = true
 		c.complete(o)
 	}
 }
 
-// putWaiter makes the waiter of a Put.
+// putWaiter returns the waiter for the reply to a put.
 func putWaiter(reply Replier, from *edge) waiter {
 	w := waiter{reply: reply, put: true, edge: from}
 	if from != nil {
@@ -126,7 +130,7 @@
 	return w
 }
 
-// putReply answers a Put of a message that is on disk at all members.
+// putReply returns the reply to the put of a message that is on disk at all members.
 func (c *Core) putReply(e *entry, from *edge) *wire.PutReply {
 	granted := e.delivery != nil && e.delivery.granted && e.delivery.leaseholder == from && from != nil
 	return &wire.PutReply{Code: wire.PutAccepted, Epoch: c.epoch(), Granted: granted}
--- a/store/queue/record.go
+++ b/store/queue/record.go
@@ -8,41 +8,41 @@
 
 //msgp:tuple Record
 
-// RecordKind says what a Record changes.
+// RecordKind is the kind of change that a Record describes.
 type RecordKind uint8
 
 // The kinds of records.
 const (
-	RecordMessage     RecordKind = iota // all that is known of a message; replaces what was known
-	RecordFinish                        // State, Sequence and Signature
-	RecordFailed                        // Failed
-	RecordDrop                          // the message was never accepted
-	RecordWipe                          // all of the partition is removed
+	RecordMessage     RecordKind = iota // the full state of a message; replaces any earlier state
+	RecordFinish                        // sets State, Sequence and Signature
+	RecordFailed                        // sets Failed
+	RecordDrop                          // removes a message that was never accepted
+	RecordWipe                          // removes all messages of the partition
 	RecordEpoch                         // Sequence is the newest epoch seen
-	RecordLeaseholder                   // Leaseholder
+	RecordLeaseholder                   // sets Leaseholder
 )
 
-// Record is one change, as it lies in the journal and goes to other stores.
+// Record is one change, in the form in which it is written to the journal and sent to other stores.
 type Record struct {
 	Kind        RecordKind
 	Partition   uint16
 	ID          string
-	Sequence    uint64 // order of acceptance; of a finished message, order of outcomes
+	Sequence    uint64 // orders the acceptances of pending messages, and the outcomes of finished ones
 	State       wire.State
 	Failed      uint16
 	Signature   string
-	Leaseholder string       // of a pending message: Member.ID of the edge that put it, or was granted it last
-	NoBody      bool         // of a RecordMessage: the message is dead, and its body is not here
-	Message     wire.Message // without ID; empty for finished messages but dead ones
+	Leaseholder string       // of a pending message: Member.ID of the edge that put it or leased it last
+	NoBody      bool         // of a RecordMessage: the message is dead, and the sender lacks its body
+	Message     wire.Message // without ID; empty for finished messages other than dead ones
 }
 
-// encode makes the bytes of a record. Encoding to memory does not fail.
+// encode returns the encoded record. Encoding to memory can't fail.
 func (r *Record) encode() []byte {
 	payload, _ := r.MarshalMsg(make([]byte, 0, r.Msgsize()))
 	return payload
 }
 
-// decodeRecord reads a record. The message in it has no ID.
+// decodeRecord decodes a record. The message in it has no ID.
 func decodeRecord(payload []byte) (*Record, error) {
 	r := new(Record)
 	if _, err := r.UnmarshalMsg(payload); err != nil {
--- a/store/queue/records.go
+++ b/store/queue/records.go
@@ -5,14 +5,15 @@
 	"ravendale/store/journal"
 )
 
-// appendRecord appends a record to the journal and returns its bytes, its location, and the position up to which it must be synced.
+// appendRecord appends a record to the journal and returns its encoding, its location, and the journal position that
+// must be synced for it to be durable.
 func (c *Core) appendRecord(r *Record) (payload []byte, at journal.Location, position uint64) {
 	payload = r.encode()
 	at, position = c.appendPayload(payload)
 	return payload, at, position
 }
 
-// messageRecord makes a record of all that is known of an entry. It fails if the disk does.
+// messageRecord returns a record of a message's full state. It fails if the journal can't be read.
 func (c *Core) messageRecord(p *partition, e *entry) (*Record, error) {
 	payload, err := c.disk.journal.Read(e.location)
 	if err != nil {
@@ -28,7 +29,8 @@
 	return r, nil
 }
 
-// messagePayload is the encoding of messageRecord; nil if the disk fails, which ends the store.
+// messagePayload returns the encoding of messageRecord. If the journal can't be read, it reports the error to the host,
+// which ends the store, and returns nil.
 func (c *Core) messagePayload(p *partition, e *entry) []byte {
 	r, err := c.messageRecord(p, e)
 	if err != nil {
@@ -38,7 +40,7 @@
 	return r.encode()
 }
 
-// readMessage reads a message with its body.
+// readMessage reads a message with its body from the journal.
 func (c *Core) readMessage(p *partition, e *entry) (*wire.Message, error) {
 	r, err := c.messageRecord(p, e)
 	if err != nil {
@@ -48,7 +50,7 @@
 	return &r.Message, nil
 }
 
-// setLocation notes where an entry's record lies.
+// setLocation sets the location of an entry's record in the journal.
 func (c *Core) setLocation(e *entry, at journal.Location) {
 	c.clearLocation(e)
 	e.location = at
--- a/store/queue/regrant.go
+++ b/store/queue/regrant.go
@@ -2,15 +2,17 @@
 
 import "time"
 
-// regrant is a second grant of a message that an edge claimed or was assigned. The edge may not have it: it gave up the put under which it
-// claimed the message, or ignored the grant, as one of a store that it did not take for the primary. The store is not notified of that.
+// regrant is a scheduled repeated grant of a message that an edge claimed or was assigned. The edge may not have the
+// message, and the store isn't notified of that: the edge claimed the message while putting it and then abandoned the
+// put, or it ignored the grant because it didn't consider this store the primary. An edge answers the grant of a
+// message that it doesn't have by releasing it.
 type regrant struct {
 	at time.Duration
 	p  *partition
 	e  *entry
 }
 
-// regrantQueue has the regrants by time, one at most for each message.
+// regrantQueue has the regrants in the order of their times, at most one for each message.
 type regrantQueue struct {
 	queue     []regrant
 	scheduled map[*entry]bool
@@ -18,7 +20,7 @@
 
 func newRegrantQueue() regrantQueue { return regrantQueue{scheduled: make(map[*entry]bool)} }
 
-// due is when the first is due; never, if there is none.
+// due returns the time of the first regrant, or never if there is none.
 func (q *regrantQueue) due() time.Duration {
 	if len(q.queue) == 0 {
 		return never
@@ -26,13 +28,13 @@
 	return q.queue[0].at
 }
 
-// push adds the newest one.
+// push adds a regrant, which must not be earlier than those in the queue.
 func (q *regrantQueue) push(r regrant) {
 	q.scheduled[r.e] = true
 	q.queue = append(q.queue, r)
 }
 
-// pop removes and returns the first.
+// pop removes and returns the first regrant.
 func (q *regrantQueue) pop() regrant {
 	r := q.queue[0]
 	q.queue = q.queue[1:]
@@ -43,7 +45,7 @@
 	return r
 }
 
-// scheduleRegrant has a message granted again to its leaseholder, once for each message.
+// scheduleRegrant schedules a regrant of a message, unless one is scheduled already.
 func (c *Core) scheduleRegrant(p *partition, e *entry) {
 	if c.regrants.scheduled[e] {
 		return
@@ -53,7 +55,8 @@
 	c.wakeAt(at)
 }
 
-// regrantDue grants messages that are not finished to their leaseholders again: an edge releases what it does not have.
+// regrantDue grants leased messages whose regrant is due to their leaseholders again, and schedules the next regrant of
+// each.
 func (c *Core) regrantDue() {
 	for c.regrants.due() <= c.now.Steady {
 		r := c.regrants.pop()
@@ -68,15 +71,15 @@
 	}
 }
 
-// isLeased says whether a message is still there, and with an edge.
+// isLeased reports whether this store is still the primary for the message, and an edge leases it.
 func (r *regrant) isLeased() bool {
 	current, _ := r.p.find(r.e.id)
 	return current == r.e && r.p.primary && r.e.pending() && r.e.delivery.leaseholder != nil
 }
 
-// wasGranted says whether a message's leaseholder is connected and was granted it: else the grant is still to come, once it is the head of its key
-// order or all members know of the lease.
+// wasGranted reports whether a message's leaseholder is connected and has been granted the message. Otherwise the grant
+// follows once the message is the head of its key queue, or once all members have recorded the lease.
 func (c *Core) wasGranted(r regrant) bool {
-	l := r.e.delivery
-	return l.leaseholder.remote != nil && !l.grantPending && (l.key == nil || l.granted) && c.isDeliverable(r.p, r.e)
+	d := r.e.delivery
+	return d.leaseholder.remote != nil && !d.grantPending && (d.key == nil || d.granted) && c.isDeliverable(r.p, r.e)
 }
--- a/store/queue/report.go
+++ b/store/queue/report.go
@@ -6,17 +6,18 @@
 	"ravendale/cluster/wire"
 )
 
-// ReportDelivery records what became of a delivery: an outcome, a failure, or that the edge releases the message. The first outcome stays.
+// ReportDelivery handles an edge's report on a delivery: an outcome, a number of failed attempts, or that it releases
+// the message. Only the first outcome of a message counts.
 func (c *Core) ReportDelivery(now Time, from Remote, m *wire.Report, reply Replier) {
 	c.now = now
-	p, code := c.admit(m.Partition, m.Epoch)
+	p, code := c.checkPrimary(m.Partition, m.Epoch)
 	if code != wire.PutAccepted {
 		reply.Send(&wire.ReportReply{Code: code, Epoch: c.newestEpoch})
 		return
 	}
 	e, _ := p.find(m.ID)
 	switch {
-	case e == nil && p.isMergePending(): // another store may know the message
+	case e == nil && p.isMergePending(): // another store may have the message
 		reply.Send(&wire.ReportReply{Code: wire.PutUnknown, Epoch: c.epoch()})
 	case e == nil:
 		reply.Send(&wire.ReportReply{Code: wire.PutAccepted, Epoch: c.epoch()})
@@ -29,7 +30,7 @@
 	c.flushPeers()
 }
 
-// replyAfterLastChange answers a report that changes nothing, once what is known is at all members.
+// replyAfterLastChange answers a report that changes nothing, once all members have the message's last change.
 func (c *Core) replyAfterLastChange(e *entry, reply Replier) {
 	if e.delivery != nil && e.delivery.lastChange != nil {
 		e.delivery.lastChange.waiters = append(e.delivery.lastChange.waiters, waiter{reply: reply})
@@ -59,7 +60,7 @@
 	}
 }
 
-// finishMessage gives a message its outcome. Reply may be nil.
+// finishMessage starts the operation that sets a message's outcome. Reply may be nil.
 func (c *Core) finishMessage(p *partition, e *entry, state wire.State, signature string, reply Replier) {
 	r := &Record{
 		Kind: RecordFinish, Partition: p.number, ID: e.id, Sequence: c.nextSequence(), State: state, Failed: e.failed,
@@ -74,13 +75,13 @@
 	}
 }
 
-// countFailures records how many attempts of a message have failed, if that is more than is known.
+// countFailures records the number of failed attempts of a message, if it is larger than the recorded one.
 func (c *Core) countFailures(p *partition, e *entry, failed uint16, reply Replier) {
 	if failed <= e.failed {
 		c.replyAfterLastChange(e, reply)
 		return
 	}
-	p.change(e, func() { e.failed = failed })
+	p.update(e, func() { e.failed = failed })
 	payload, _, position := c.appendRecord(&Record{Kind: RecordFailed, Partition: p.number, ID: e.id, Failed: failed})
 	o := c.beginOp(p, e, position, payload)
 	o.put = e.delivery.accepting
--- a/store/queue/rig_test.go
+++ b/store/queue/rig_test.go
@@ -11,151 +11,155 @@
 	"ravendale/store/journal"
 )
 
-// Tests with a rig drive one core by hand. Nothing is synced, and nothing acknowledged, before the test says so.
-
-type rig struct {
+// driver drives one core event by event, and is its Journal and Host. Nothing is synced or acknowledged until the
+// test does so.
+type driver struct {
 	t       *testing.T
 	core    *Core
 	now     Time
 	records [][]byte
 }
 
-type heard struct {
-	notices []any
+// fakeRemote is a Remote that records the notifications sent to it.
+type fakeRemote struct {
+	notifications []any
 }
 
-func (h *heard) Notify(_ wire.Method, message msgp.Marshaler) error {
-	h.notices = append(h.notices, message)
+func (h *fakeRemote) Notify(_ wire.Method, message msgp.Marshaler) error {
+	h.notifications = append(h.notifications, message)
 	return nil
 }
 
-// last returns the newest notice of a type.
-func last[T any](h *heard) *T {
-	for i := len(h.notices) - 1; i >= 0; i-- {
-		if m, ok := h.notices[i].(*T); ok {
+// lastSent returns the newest notification of a type, or nil.
+func lastSent[T any](h *fakeRemote) *T {
+	for i := len(h.notifications) - 1; i >= 0; i-- {
+		if m, ok := h.notifications[i].(*T); ok {
 			return m
 		}
 	}
 	return nil
 }
 
-type answer struct {
+// reply is a Replier that records the answer to one request.
+type reply struct {
 	message msgp.Marshaler
 	err     error
 }
 
-func (a *answer) Send(message msgp.Marshaler) { a.message = message }
+func (a *reply) Send(message msgp.Marshaler) { a.message = message }
 
-func (a *answer) Fail(err error) { a.err = err }
+func (a *reply) Fail(err error) { a.err = err }
 
-func (r *rig) Append(payload []byte) (journal.Location, uint64) {
+func (r *driver) Append(payload []byte) (journal.Location, uint64) {
 	r.records = append(r.records, payload)
 	return journal.Location{Segment: 1, Offset: uint32(len(r.records))}, uint64(len(r.records))
 }
 
-func (r *rig) Position() uint64 { return uint64(len(r.records)) }
+func (r *driver) Position() uint64 { return uint64(len(r.records)) }
 
-func (r *rig) Read(at journal.Location) ([]byte, error) { return r.records[at.Offset-1], nil }
+func (r *driver) Read(at journal.Location) ([]byte, error) { return r.records[at.Offset-1], nil }
 
-func (r *rig) Remove(uint32) {}
+func (r *driver) Remove(uint32) {}
 
-func (r *rig) Segments() (uint32, uint32) { return 1, 1 }
+func (r *driver) Segments() (uint32, uint32) { return 1, 1 }
 
-func (r *rig) Used() int64 { return 0 }
+func (r *driver) Used() int64 { return 0 }
 
-func (r *rig) WakeAt(time.Duration) {}
+func (r *driver) WakeAt(time.Duration) {}
 
-func (r *rig) StatusChanged() {}
+func (r *driver) StatusChanged() {}
 
-func (r *rig) Fail(err error) { r.t.Error(err) }
+func (r *driver) Fail(err error) { r.t.Error(err) }
 
-func (r *rig) sync() { r.core.JournalSynced(r.now, r.Position()) }
+func (r *driver) sync() { r.core.JournalSynced(r.now, r.Position()) }
 
-func (r *rig) pass(d time.Duration) {
+// advance moves the clocks forward and ticks the core.
+func (r *driver) advance(d time.Duration) {
 	r.now.Steady += d
 	r.now.UnixMs += int64(d / ms)
 	r.core.Tick(r.now)
 }
 
-func (r *rig) put(m wire.Message, from Remote) *answer { return r.putAs(m, from, true) }
+func (r *driver) put(m wire.Message, from Remote) *reply { return r.putDispatch(m, from, true) }
 
-func (r *rig) attach(id string, from Remote) {
-	r.core.AttachEdge(r.now, from, &wire.Attach{Edge: id}, &answer{})
+func (r *driver) attach(id string, from Remote) {
+	r.core.AttachEdge(r.now, from, &wire.Attach{Edge: id}, &reply{})
 }
 
-func (r *rig) claim(from Remote, ids ...string) *answer { return r.claimAt(r.core.epoch(), from, ids) }
+func (r *driver) claim(by Remote, ids ...string) *reply { return r.claimAt(r.core.epoch(), by, ids) }
 
-func (r *rig) report(m wire.Report, from Remote) *answer { return r.reportAt(r.core.epoch(), m, from) }
+func (r *driver) report(m wire.Report, by Remote) *reply { return r.reportAt(r.core.epoch(), m, by) }
 
-func (r *rig) putAs(m wire.Message, from Remote, dispatch bool) *answer {
-	a := &answer{}
+func (r *driver) putDispatch(m wire.Message, from Remote, dispatch bool) *reply {
+	a := &reply{}
 	m.SentUnixMs = r.now.UnixMs
 	r.core.PutMessage(r.now, from, &wire.Put{Epoch: r.core.epoch(), Message: m, Dispatch: dispatch}, a)
 	return a
 }
 
-func (r *rig) claimAt(epoch uint64, from Remote, ids []string) *answer {
-	a := &answer{}
+func (r *driver) claimAt(epoch uint64, from Remote, ids []string) *reply {
+	a := &reply{}
 	r.core.ClaimMessages(r.now, from, &wire.Claim{Epoch: epoch, IDs: ids}, a)
 	return a
 }
 
-func (r *rig) reportAt(epoch uint64, m wire.Report, from Remote) *answer {
-	a := &answer{}
+func (r *driver) reportAt(epoch uint64, m wire.Report, from Remote) *reply {
+	a := &reply{}
 	m.Epoch = epoch
 	r.core.ReportDelivery(r.now, from, &m, a)
 	return a
 }
 
-// newRig returns a store that the test has yet to give a view.
-func newRig(t *testing.T) *rig {
-	r := &rig{t: t, now: Time{Steady: time.Second, UnixMs: 1_000_000}}
+// newDriver returns a driver whose store has no view yet.
+func newDriver(t *testing.T) *driver {
+	r := &driver{t: t, now: Time{Steady: time.Second, UnixMs: 1_000_000}}
 	r.core = New(Config{Disk: "a", Copies: 2, FinishedRetention: 10 * time.Second}, r)
 	r.core.Start(r.now, r)
 	return r
 }
 
-// view puts a view of one partition into force; the store has the index 0.
-func (r *rig) view(epoch uint64, replicas, joining []uint16) {
+// view applies a view of one partition, in which the store has the index 0.
+func (r *driver) view(epoch uint64, replicas, joining []uint16) {
 	r.core.SetView(r.now, &wire.StoreView{
 		Epoch: epoch, Copies: 2, Stores: []wire.Store{{Disk: "a"}, {Disk: "b"}, {Disk: "c"}},
 		Partitions: []wire.Placement{{Replicas: replicas, Joining: joining}},
 	})
 }
 
-// primary returns a store that is the primary of partition 0 with b, and ready; with an edge that has claimed.
-func primary(t *testing.T) (r *rig, b, e *heard) {
-	r, b, e = newRig(t), &heard{}, &heard{}
+// newReadyPrimary returns a store that is the ready primary of partition 0, the other replica b, and an edge e that has
+// claimed.
+func newReadyPrimary(t *testing.T) (r *driver, b, e *fakeRemote) {
+	r, b, e = newDriver(t), &fakeRemote{}, &fakeRemote{}
 	r.view(1, []uint16{0, 1}, nil)
 	r.core.PeerUp(r.now, "b", b)
-	r.same(b)
+	r.reportEqual(b)
 	r.attach("e", e)
 	r.claim(e)
 	r.sync()
-	r.pass(time.Second)
+	r.advance(time.Second)
 	return r, b, e
 }
 
-// same has a member say that it has what the primary has.
-func (r *rig) same(member *heard) {
-	c := last[Compare](member)
+// reportEqual makes a member answer the newest comparison with the result that nothing differs.
+func (r *driver) reportEqual(member *fakeRemote) {
+	c := lastSent[Compare](member)
 	require.NotNil(r.t, c)
 	r.core.Differ(r.now, member, &Differ{ComparisonID: c.ComparisonID, Bucket: bucketCount, Last: true})
 }
 
-// ack has a member acknowledge all that it was sent.
-func (r *rig) ack(member *heard) {
-	if sent := last[Replicate](member); sent != nil {
+// ack makes a member acknowledge everything that it was sent.
+func (r *driver) ack(member *fakeRemote) {
+	if sent := lastSent[Replicate](member); sent != nil {
 		r.core.Acked(r.now, member, &Acked{Number: sent.Number})
 	}
 }
 
-func (r *rig) syncAndAck(member *heard) {
+func (r *driver) syncAndAck(member *fakeRemote) {
 	r.sync()
 	r.ack(member)
 }
 
-func code(t *testing.T, a *answer) wire.PutCode {
+func replyCode(t *testing.T, a *reply) wire.PutCode {
 	t.Helper()
 	require.NoError(t, a.err)
 	switch m := a.message.(type) {
@@ -170,14 +174,14 @@
 	return 0
 }
 
-func plain(id string) wire.Message {
+func plainMsg(id string) wire.Message {
 	return wire.Message{ID: id, Body: []byte("body"), RetentionMs: 90_000}
 }
 
-func ordered(id string) wire.Message { m := plain(id); m.Key, m.Ordered = "k", true; return m }
+func orderedMsg(id string) wire.Message { m := plainMsg(id); m.Key, m.Ordered = "k", true; return m }
 
-// replay has a core read what another wrote.
-func replay(t *testing.T, r *rig, again *Core) {
+// recoverFrom makes a core recover from the records of another store.
+func recoverFrom(t *testing.T, r *driver, again *Core) {
 	for i, payload := range r.records {
 		require.NoError(t, again.Recover(Time{}, journal.Location{Segment: 1, Offset: uint32(i + 1)}, payload))
 	}
--- a/store/queue/schedule.go
+++ b/store/queue/schedule.go
@@ -2,12 +2,12 @@
 
 import "time"
 
-// schedule is when the core has work of its own, by the steady clock.
+// schedule has the times, by the steady clock, at which the core has periodic work to do.
 type schedule struct {
-	wakeup        time.Duration // the Tick that the host was asked for; never: none
-	maintenance   time.Duration
-	scrub         time.Duration
-	scrubPosition int // among the partitions that the store is the primary of
+	wakeup        time.Duration // time for which Tick was requested from the host; never if it wasn't
+	maintenance   time.Duration // time of the next maintenance
+	scrub         time.Duration // time of the next scrub
+	scrubPosition int           // index of the partition scrubbed last, among those that the store is the primary of
 }
 
 func newSchedule() schedule {
--- a/store/queue/sim_test.go
+++ b/store/queue/sim_test.go
@@ -10,7 +10,7 @@
 	"ravendale/cluster/wire"
 )
 
-// The simulation plays several stores, edges, a leader and a network on one clock, from a seed.
+// sim simulates several stores, edges, a leader and a network on one clock. A history is fully determined by its seed.
 
 const ms = time.Millisecond
 
@@ -38,12 +38,12 @@
 	return x
 }
 
-// mutant breaks the queue on purpose: the simulation has to find out.
+// mutant adds one fault to the queue on purpose, to show that the simulation finds it.
 type mutant struct {
-	ackBeforeSync  bool // a store acknowledges what is not on its disk
-	ackOwnOnly     bool // a primary does not wait for the other members
-	grantEarly     bool // the next of a key is granted when the end of the one before is only on the primary
-	syncWithoutAll bool // a joining member is called complete at once
+	ackBeforeSync     bool // a store acknowledges records before they are synced
+	ackWithoutMembers bool // a primary doesn't wait for the acknowledgements of the other members
+	grantEarly        bool // the next message of a key is granted when only the primary has the previous one's outcome
+	promoteUnfilled   bool // a joining member is promoted to a replica at once
 }
 
 type sim struct {
@@ -60,20 +60,20 @@
 	mutant      mutant
 	failure     string
 
-	messages map[string]*simMessage
-	names    []string
-	byKey    map[string][]*simMessage
-	stopped  bool          // no more puts and faults
-	calm     bool          // no faults: nothing may run again after it is finished
-	lag      time.Duration // edges and stores hear of a view so late, at most
-	leader   func()        // who places the partitions; nil: a simple one
+	messages     map[string]*simMessage
+	names        []string
+	byKey        map[string][]*simMessage
+	stopped      bool          // no more messages are put, and no faults are injected
+	faultless    bool          // no faults are injected, so no message may run again after it is finished
+	maxViewDelay time.Duration // maximum delay with which edges and stores receive a view
+	leader       func()        // places the partitions; nil for the simple leader of runLeader
 }
 
 type simMessage struct {
 	message    wire.Message
 	sentAt     time.Duration
-	acceptedAt time.Duration // zero: the client got no reply
-	finishedAt time.Duration // at the worker
+	acceptedAt time.Duration // when the client received the reply; zero if it hasn't
+	finishedAt time.Duration // when a worker first succeeded
 	doneAcked  bool
 	runs       int
 }
@@ -81,7 +81,7 @@
 func newSim(t *testing.T, seed uint64, stores, edges, partitions, copies int, m mutant) *sim {
 	s := &sim{
 		t: t, seed: seed, random: rand.New(rand.NewPCG(seed, 7)), partitioned: make(map[[2]string]bool), mutant: m,
-		messages: make(map[string]*simMessage), byKey: make(map[string][]*simMessage), lag: 60 * ms,
+		messages: make(map[string]*simMessage), byKey: make(map[string][]*simMessage), maxViewDelay: 60 * ms,
 	}
 	for i := range stores {
 		s.stores = append(s.stores, newSimStore(s, i, copies))
@@ -105,7 +105,7 @@
 		s.edges = append(s.edges, e)
 		e.start()
 	}
-	s.every(100*ms, s.lead)
+	s.every(100*ms, s.runLeader)
 	return s
 }
 
--- a/store/queue/simconn_test.go
+++ b/store/queue/simconn_test.go
@@ -9,7 +9,7 @@
 	"ravendale/cluster/wire"
 )
 
-// simConn is a connection; each end notifies the other.
+// simConn is a simulated connection with two ends.
 type simConn struct {
 	sim    *sim
 	names  [2]string
@@ -20,10 +20,10 @@
 }
 
 type simEnd struct {
-	conn *simConn
-	side int
-	take func(method wire.Method, payload []byte, reply *simReply)
-	// answers to requests
+	conn   *simConn
+	side   int
+	handle func(method wire.Method, payload []byte, reply *simReply)
+	// handlers of the replies to requests, by request number
 	calls map[int]func(payload []byte)
 	next  int
 }
@@ -46,7 +46,7 @@
 			return
 		}
 		if s.partitioned[[2]string{c.names[e.side], c.names[1-e.side]}] {
-			s.after(1200*ms, c.close) // what is lost on a connection ends it
+			s.after(1200*ms, c.close) // a lost packet breaks the connection
 			c.lastAt[e.side] = 1 << 62
 			return
 		}
@@ -70,9 +70,9 @@
 	payload, err := message.MarshalMsg(nil)
 	require.NoError(e.conn.sim.t, err)
 	if grant, ok := message.(*wire.Grant); ok && e.conn.sim.messages[grant.ID].doneAcked {
-		e.conn.sim.fail("message %s is granted after its end was acknowledged", grant.ID)
+		e.conn.sim.fail("message %s is granted after its outcome was acknowledged", grant.ID)
 	}
-	e.deliver(func() { e.other().take(method, payload, &simReply{}) })
+	e.deliver(func() { e.other().handle(method, payload, &simReply{}) })
 	return nil
 }
 
@@ -82,7 +82,7 @@
 	e.next++
 	call := e.next
 	e.calls[call] = done
-	e.deliver(func() { e.other().take(method, payload, &simReply{end: e.other(), call: call}) })
+	e.deliver(func() { e.other().handle(method, payload, &simReply{end: e.other(), call: call}) })
 }
 
 type simReply struct {
--- a/store/queue/simdebug_test.go
+++ b/store/queue/simdebug_test.go
@@ -2,8 +2,8 @@
 
 import "fmt"
 
-// describe lists all that stores and edges know of a message.
-func (s *sim) describe(id string) string {
+// describeMessage returns the state of a message at all stores and edges, for failure reports.
+func (s *sim) describeMessage(id string) string {
 	text := ""
 	for _, n := range s.stores {
 		if n.core == nil {
@@ -24,7 +24,7 @@
 				if l.key != nil {
 					text += " head " + l.key.head().id
 					if head := l.key.head(); head != e && p.primary {
-						text += " {" + s.describe(head.id) + "}"
+						text += " {" + s.describeMessage(head.id) + "}"
 					}
 				}
 				if l.leaseholder != nil {
--- a/store/queue/simdisk_test.go
+++ b/store/queue/simdisk_test.go
@@ -8,24 +8,26 @@
 	"ravendale/store/journal"
 )
 
-// simDisk keeps records; those that were not synced may be lost.
+// simDisk is a simulated disk with a journal. Records that aren't synced may be lost.
 type simDisk struct {
-	name        string
-	sim         *sim
-	records     [][]byte
-	first       int // index of the first that was not removed
-	removed     int // index of the first of which the removal was not asked for
-	durable     int
-	removes     []simRemove
-	owner       *simStore
-	incarnation int
-	syncing     bool
-	stalled     time.Duration // until then it takes nothing
+	name         string
+	sim          *sim
+	records      [][]byte
+	first        int // index of the first record that is still on disk
+	removed      int // index of the first record whose removal wasn't requested
+	durable      int
+	removes      []simRemove
+	owner        *simStore
+	incarnation  int
+	syncing      bool
+	stalledUntil time.Duration // no sync completes before this time
 }
 
-const simSegment = 40 // records
+// simSegment is the number of records in a segment.
+const simSegment = 40
 
-// simRemove is the removal of all records before one, once those up to another one are on disk.
+// simRemove is a pending removal: all records before the index first are removed once the records before the index
+// after are synced.
 type simRemove struct {
 	first int
 	after int
@@ -49,12 +51,12 @@
 			return
 		}
 		upTo := len(d.records)
-		takes := d.sim.between(ms/2, 3*ms)
+		duration := d.sim.between(ms/2, 3*ms)
 		if d.sim.random.IntN(10) == 0 {
-			takes = d.sim.between(5*ms, 40*ms)
+			duration = d.sim.between(5*ms, 40*ms)
 		}
-		takes = max(takes, d.stalled-d.sim.now)
-		d.sim.after(takes, func() {
+		duration = max(duration, d.stalledUntil-d.sim.now)
+		d.sim.after(duration, func() {
 			if incarnation != d.incarnation {
 				return
 			}
@@ -79,7 +81,7 @@
 	return d.records[i], nil
 }
 
-// Remove takes effect once all that was appended so far is on disk.
+// Remove requests the removal of a segment. It takes effect once all records appended so far are synced.
 func (d *simDisk) Remove(segment uint32) {
 	d.removed = int(segment) * simSegment
 	d.removes = append(d.removes, simRemove{first: d.removed, after: len(d.records)})
@@ -99,7 +101,8 @@
 
 func (d *simDisk) Used() int64 { return int64(len(d.records)-d.removed) * 100 }
 
-// stop ends the incarnation of who uses the disk; without power, part of what was not synced is lost.
+// stop ends the current incarnation of the store. If power is set, the store loses power, and a random part of the
+// unsynced records is lost.
 func (d *simDisk) stop(power bool) {
 	d.incarnation++
 	d.syncing = false
--- a/store/queue/simedge_test.go
+++ b/store/queue/simedge_test.go
@@ -9,7 +9,7 @@
 	"ravendale/cluster/wire"
 )
 
-// simEdge is a scheduler: it puts messages, runs what it may, and reports.
+// simEdge is a simulated edge: it puts messages, runs those that it may deliver, and reports outcomes.
 type simEdge struct {
 	sim         *sim
 	index       int
@@ -19,18 +19,18 @@
 	view        *wire.StoreView
 	conns       map[uint16]*simConn
 	deliveries  map[string]*simDelivery
-	puts        map[string]bool         // under way
-	finished    map[string]*simDelivery // that were reported, and acknowledged
+	puts        map[string]bool         // IDs of messages whose put isn't answered
+	finished    map[string]*simDelivery // deliveries whose outcome was acknowledged
 	count       int
 }
 
-// simDelivery is a message that an edge holds.
+// simDelivery is a message that an edge has.
 type simDelivery struct {
 	message  wire.Message
 	accepted bool
 	granted  bool
 	running  bool
-	report   *wire.Report // to be acknowledged
+	report   *wire.Report // the report that isn't acknowledged yet, if any
 	failed   uint16
 }
 
@@ -49,7 +49,7 @@
 	e.publish()
 	e.loop(incarnation, 5*ms, 40*ms, e.connect)
 	e.loop(incarnation, ms, 20*ms, e.put)
-	e.loop(incarnation, 30*ms, 60*ms, e.work)
+	e.loop(incarnation, 30*ms, 60*ms, e.processDeliveries)
 }
 
 func (e *simEdge) loop(incarnation int, low, high time.Duration, run func()) {
@@ -80,7 +80,7 @@
 
 func (e *simEdge) publish() {
 	incarnation, view := e.incarnation, e.sim.view
-	e.sim.after(e.sim.between(0, e.sim.lag), func() {
+	e.sim.after(e.sim.between(0, e.sim.maxViewDelay), func() {
 		if !e.up || e.incarnation != incarnation || e.view != nil && e.view.Epoch >= view.Epoch {
 			return
 		}
@@ -111,14 +111,14 @@
 	e.conns[i] = c
 	n.conns = append(n.conns, c)
 	incarnation, storeIncarnation := e.incarnation, n.disk.incarnation
-	c.ends[0].take = func(method wire.Method, payload []byte, _ *simReply) {
+	c.ends[0].handle = func(method wire.Method, payload []byte, _ *simReply) {
 		if e.up && e.incarnation == incarnation && method == wire.MethodGrant {
-			e.granted(decode[wire.Grant](payload))
+			e.handleGrant(decode[wire.Grant](payload))
 		}
 	}
-	c.ends[1].take = func(method wire.Method, payload []byte, reply *simReply) {
+	c.ends[1].handle = func(method wire.Method, payload []byte, reply *simReply) {
 		if n.up && n.disk.incarnation == storeIncarnation {
-			n.take(c.ends[1], method, payload, reply)
+			n.receive(c.ends[1], method, payload, reply)
 		}
 	}
 	c.closed[1] = func() {
@@ -213,7 +213,7 @@
 		return
 	}
 	incarnation := e.incarnation
-	again := func() {
+	retry := func() {
 		e.sim.after(50*ms, func() {
 			if e.up && e.incarnation == incarnation && e.puts[id] {
 				e.attemptPut(id, attempts+1)
@@ -222,13 +222,13 @@
 	}
 	if attempts > 20 {
 		delete(e.puts, id)
-		if !delivery.accepted { // a grant said otherwise
-			delete(e.deliveries, id) // given up: the client gets no reply
+		if !delivery.accepted { // a grant may have shown that the put was accepted
+			delete(e.deliveries, id) // the put is abandoned: the client gets no reply
 		}
 		return
 	}
 	if c == nil || !c.open {
-		again()
+		retry()
 		return
 	}
 	number, _ := wire.PartitionOf(id)
@@ -240,9 +240,9 @@
 		switch {
 		case !e.up || e.incarnation != incarnation:
 		case !e.puts[id]:
-			e.giveBack(c, id, reply)
+			e.releaseAbandonedPut(c, id, reply)
 		case reply.Code != wire.PutAccepted:
-			again()
+			retry()
 		default:
 			e.putAccepted(id, delivery, reply)
 		}
@@ -254,13 +254,13 @@
 	})
 }
 
-// putAccepted notes that the client got the reply that a message is accepted, and goes on with its delivery.
+// putAccepted records that the client has received the reply to an accepted put, and continues with the delivery.
 func (e *simEdge) putAccepted(id string, delivery *simDelivery, reply *wire.PutReply) {
 	delete(e.puts, id)
 	if e.sim.messages[id].acceptedAt == 0 {
 		e.sim.messages[id].acceptedAt = e.sim.now
 	}
-	if e.deliveries[id] != delivery { // it was dropped, or is finished by now
+	if e.deliveries[id] != delivery { // the delivery was dropped, or is finished by now
 		return
 	}
 	delivery.accepted = true
@@ -270,8 +270,8 @@
 	e.deliver(id)
 }
 
-// giveBack releases a message that was accepted after this edge had given up its put.
-func (e *simEdge) giveBack(c *simConn, id string, reply *wire.PutReply) {
+// releaseAbandonedPut releases a message that was accepted after this edge had abandoned its put.
+func (e *simEdge) releaseAbandonedPut(c *simConn, id string, reply *wire.PutReply) {
 	if reply.Code != wire.PutAccepted || e.deliveries[id] != nil {
 		return
 	}
@@ -280,8 +280,8 @@
 	c.ends[0].request(wire.MethodReport, report, func([]byte) {})
 }
 
-// refuse releases a message that this edge does not have any more.
-func (e *simEdge) refuse(g *wire.Grant) {
+// releaseUnknown releases a granted message that this edge doesn't have any more.
+func (e *simEdge) releaseUnknown(g *wire.Grant) {
 	i, _ := e.primary(g.ID)
 	report := &wire.Report{Partition: g.Partition, Epoch: e.view.Epoch, ID: g.ID, Kind: wire.ReportReleased}
 	if c := e.conns[i]; c != nil && c.open {
@@ -289,7 +289,7 @@
 	}
 }
 
-func (e *simEdge) granted(g *wire.Grant) {
+func (e *simEdge) handleGrant(g *wire.Grant) {
 	delivery := e.deliveries[g.ID]
 	if finished := e.finished[g.ID]; delivery == nil && finished != nil {
 		e.deliveries[g.ID] = finished
@@ -298,7 +298,7 @@
 	}
 	if delivery == nil {
 		if !g.HasMessage {
-			e.refuse(g)
+			e.releaseUnknown(g)
 			return
 		}
 		m := g.Message
@@ -313,8 +313,8 @@
 	e.deliver(g.ID)
 }
 
-// work goes on with what waits: delays, reports that were not acknowledged.
-func (e *simEdge) work() {
+// processDeliveries starts deliveries that are due, and repeats reports that weren't acknowledged.
+func (e *simEdge) processDeliveries() {
 	if e.view == nil {
 		return
 	}
@@ -336,7 +336,7 @@
 		return
 	}
 	delivery.running = true
-	e.sim.started(m)
+	e.sim.checkStart(m)
 	incarnation := e.incarnation
 	e.sim.after(e.sim.between(ms, 30*ms), func() {
 		failed := e.sim.random.IntN(12) == 0
@@ -344,7 +344,7 @@
 			m.finishedAt = e.sim.now
 		}
 		if !e.up || e.incarnation != incarnation {
-			return // the answer has nobody to go to
+			return // the edge was stopped, so the worker's answer is lost
 		}
 		delivery.running = false
 		delivery.report = &wire.Report{ID: id, Kind: wire.ReportDone, Signature: "signed " + id}
@@ -383,11 +383,11 @@
 	})
 }
 
-// started checks what may run.
-func (s *sim) started(m *simMessage) {
+// checkStart checks whether a message may run, when a worker starts it.
+func (s *sim) checkStart(m *simMessage) {
 	m.runs++
-	if s.calm && m.finishedAt > 0 {
-		s.fail("message %s runs again after its end:%s", m.message.ID, s.describe(m.message.ID))
+	if s.faultless && m.finishedAt > 0 {
+		s.fail("message %s runs again after it was finished:%s", m.message.ID, s.describeMessage(m.message.ID))
 	}
 	if !m.message.Ordered {
 		return
@@ -399,7 +399,7 @@
 	}
 }
 
-// check verifies that all that was accepted is finished, and is known as such at the primary.
+// check verifies that all accepted messages are finished, at the workers and at the primaries.
 func (s *sim) check() {
 	for _, id := range s.names {
 		m := s.messages[id]
@@ -407,25 +407,26 @@
 			continue
 		}
 		if m.finishedAt == 0 {
-			s.fail("message %s was accepted and is not finished:%s", id, s.describe(id))
+			s.fail("message %s was accepted and is not finished:%s", id, s.describeMessage(id))
 			return
 		}
 	}
 	s.checkEqual()
 }
 
-// checkEqual finds out whether all members of each partition know the same.
+// checkEqual verifies that each partition has all its members, and that they have the same content.
 func (s *sim) checkEqual() {
 	for number, placed := range s.view.Partitions {
 		primary, _ := s.storeOf(s.view, placed.Replicas[0])
 		first := s.stores[primary].core.partition(uint16(number))
 		if len(placed.Joining) > 0 || len(placed.Replicas) < int(s.view.Copies) {
-			s.fail("partition %d has not got back its members: %v", number, placed)
+			s.fail("partition %d does not have all its replicas again: %v", number, placed)
 		}
-		// What was never accepted may wait for its retention to end: its edge claimed it while it was being put, and gave it up.
-		for _, e := range first.sorted(func(_ uint64, e *entry) bool { return e.pending() }) {
+		// A message that was never accepted may stay pending until its retention ends: its edge claimed it while
+		// putting it, and then abandoned the put.
+		for _, e := range first.sortedEntries(func(_ uint64, e *entry) bool { return e.pending() }) {
 			if s.messages[e.id].acceptedAt > 0 || e.delivery.leaseholder == nil || e.delivery.key != nil {
-				s.fail("message %s is left pending:%s", e.id, s.describe(e.id))
+				s.fail("message %s is left pending:%s", e.id, s.describeMessage(e.id))
 			}
 		}
 		for _, replica := range placed.Replicas[1:] {
--- a/store/queue/simleader_test.go
+++ b/store/queue/simleader_test.go
@@ -8,7 +8,7 @@
 	"ravendale/cluster/wire"
 )
 
-// members are the edges as the leader sees them: one that has just departed or arrived may be missed.
+// members returns the running edges, as the leader reports them to stores. A store may get a list that is out of date.
 func (s *sim) members() []wire.Edge {
 	var list []wire.Edge
 	for _, e := range s.edges {
@@ -19,20 +19,21 @@
 	return list
 }
 
-// publish sends the newest view to a store, some time later.
+// publish sends the current view to a store after a random delay.
 func (s *sim) publish(n *simStore) {
 	incarnation, view := n.disk.incarnation, s.view
-	s.after(s.between(0, s.lag), func() {
+	s.after(s.between(0, s.maxViewDelay), func() {
 		if n.up && n.disk.incarnation == incarnation {
 			n.core.SetEdges(n.time(), s.members())
 			n.core.SetView(n.time(), view)
-			n.mutate()
+			n.applyMutant()
 		}
 	})
 }
 
-// lead is the leader: it removes unavailable stores, has others join, and promotes those that are complete.
-func (s *sim) lead() {
+// runLeader computes the next view as a simple leader: it removes unavailable stores, adds joining ones, and promotes
+// those that are complete.
+func (s *sim) runLeader() {
 	if s.leader != nil {
 		s.leader()
 		return
@@ -44,17 +45,17 @@
 	if fmt.Sprint(next.Partitions) == fmt.Sprint(s.view.Partitions) {
 		return
 	}
-	s.enact(next)
+	s.installView(next)
 }
 
-// storeOf is the index of the store that has a disk of a view, by its index there.
+// storeOf returns the index in sim.stores of the store that has the disk with the given index in a view.
 func (s *sim) storeOf(view *wire.StoreView, index uint16) (uint16, bool) {
 	at := slices.IndexFunc(s.stores, func(n *simStore) bool { return n.disk.name == view.Stores[index].Disk })
 	return uint16(max(at, 0)), at >= 0
 }
 
-// enact has a view take effect.
-func (s *sim) enact(next *wire.StoreView) {
+// installView makes a view the current one and publishes it.
+func (s *sim) installView(next *wire.StoreView) {
 	s.view = next
 	for _, n := range s.stores {
 		if n.up {
@@ -76,7 +77,7 @@
 	for _, i := range slices.Clone(joining) {
 		status := s.stores[i].core.Status()
 		synced := s.stores[i].up && status.Epoch == s.view.Epoch && slices.Contains(status.Synced, number)
-		if synced || s.mutant.syncWithoutAll {
+		if synced || s.mutant.promoteUnfilled {
 			replicas = append(replicas, i)
 			joining = slices.DeleteFunc(joining, func(other uint16) bool { return other == i })
 		}
@@ -90,7 +91,7 @@
 			joining = append(joining, i)
 		}
 	}
-	if len(joining) == 0 && s.random.IntN(150) == 0 && !s.stopped { // a planned move
+	if len(joining) == 0 && s.random.IntN(150) == 0 && !s.stopped { // a planned change of the primary
 		slices.Reverse(replicas)
 	}
 	return wire.Placement{Replicas: replicas, Joining: joining}
