--- a/store/queue/simplan_test.go
+++ b/store/queue/simplan_test.go
@@ -13,58 +13,59 @@
 	"ravendale/store/journal"
 )
 
-// The simulation of this file has the real planner place the partitions. Stores are lost, replaced, retired and added in any overlap, as
-// long as no more of them count as lost at once than may be: a store counts from its loss until catchUp after it is back. What is not a
-// loss comes at any time: a connection that is reset, for which the leader drops a store that has lost nothing; a disk that takes no
-// more; a retirement; a new store.
-
-// plannedRetention is how long finished messages are known: as in use, much longer than a store that is not a member any more keeps what it
-// had (wipeDelay). Else a store that joins with what it had long ago can bring back a message that all others have forgotten.
+// The simulation of this file places the partitions with the real planner. Stores fail, and are replaced, retired and
+// added in any combination, but at most copies-1 of them count as lost at a time: a store counts from its failure until
+// catchUp after its return. Events that lose no data happen at any time: a reset connection, which makes the leader
+// drop a store that has lost nothing; a stalled disk; a retirement; a new store.
+
+// plannedRetention is the retention of finished messages. As in production, it is much longer than wipeDelay, the time
+// for which a store keeps a partition that it is no longer a member of. Otherwise a store that joins again with old
+// content could bring back a message that all other stores have removed.
 const plannedRetention = 2 * wipeDelay
 
-// catchUp is how long a store counts as lost after its return.
+// catchUp is the time for which a store counts as lost after its return.
 const catchUp = 4400 * ms
 
-// planMutant breaks the placement on purpose.
+// planMutant adds one fault to the placement on purpose, to show that the simulation finds it.
 type planMutant struct {
-	forgetFormer bool // what dropped members have is forgotten
-	retireEarly  bool // a retirement is done once one other store holds all
-	takeUnfilled bool // a joining store is called complete though it does not say so
+	dropFormer      bool // the planner's record of former members is dropped
+	retireEarly     bool // a retirement is finished once one other store has everything
+	promoteUnfilled bool // a joining store is promoted to a replica although it has not reported the partition as synced
 }
 
-// planned is a simulation under the real planner.
-type planned struct {
+// plannedSim is a simulation with the real planner.
+type plannedSim struct {
 	*sim
 	config  placement.Config
 	mutant  planMutant
 	nodes   []*plannedNode
 	retired []string
 	effects map[string]int
-	trace   func(format string, args ...any) // nil: none
+	trace   func(format string, args ...any) // logs events; nil if the history isn't traced
 }
 
-// plannedNode is what the leader and the world know of a machine.
+// plannedNode is the state of a machine, as the leader and the simulation see it.
 type plannedNode struct {
-	store    *simStore
-	name     string
-	reported placement.Store // of the last renewal
-	heard    bool            // it holds a lease
-	removed  bool            // the machine is removed for good
-	counted  bool            // it counts as lost
-	losses   int
+	store       *simStore
+	name        string
+	reported    placement.Store // report of the last lease renewal
+	leased      bool            // the leader has a valid lease of the node
+	removed     bool            // the machine is removed for good
+	countedLost bool            // the store counts as lost
+	losses      int
 }
 
-func newPlanned(t *testing.T, seed uint64, m planMutant) *planned {
+func newPlanned(t *testing.T, seed uint64, m planMutant) *plannedSim {
 	copies := 2 + int(seed%4/3)
 	count := copies + 1 + int(seed/2%2)
 	s := newSim(t, seed, count, 2, 4, copies, mutant{})
-	p := &planned{
+	p := &plannedSim{
 		sim: s, mutant: m, effects: make(map[string]int),
 		config: placement.Config{Copies: copies, Partitions: 4},
 	}
-	s.leader = p.lead
+	s.leader = p.runLeader
 	for i, store := range s.stores {
-		p.adopt(store, fmt.Sprintf("node%d", i))
+		p.addNode(store, fmt.Sprintf("node%d", i))
 	}
 	var live []placement.Store
 	for _, n := range p.nodes {
@@ -73,12 +74,12 @@
 	view, founded := placement.Plan(nil, live, p.config)
 	require.True(t, founded)
 	view.Epoch = s.view.Epoch + 1
-	s.enact(view)
+	s.installView(view)
 	return p
 }
 
-func (p *planned) adopt(store *simStore, name string) *plannedNode {
-	n := &plannedNode{store: store, name: name, heard: true}
+func (p *plannedSim) addNode(store *simStore, name string) *plannedNode {
+	n := &plannedNode{store: store, name: name, leased: true}
 	store.retention = plannedRetention
 	if store.core != nil {
 		store.core.config.FinishedRetention = plannedRetention
@@ -88,7 +89,7 @@
 	return n
 }
 
-// renew is a renewal.
+// renew updates the node's report to the leader, as a lease renewal does.
 func (n *plannedNode) renew() {
 	n.reported = placement.Store{Disk: n.store.disk.name, Node: n.name, Address: n.name, Zone: n.name, Leaving: n.reported.Leaving}
 	if n.store.core != nil {
@@ -97,54 +98,56 @@
 	}
 }
 
-// lead places the partitions anew if they should be, and has a store that is retired removed with its disk.
-func (p *planned) lead() {
+// runLeader applies the planner's next view, if it differs, and removes nodes whose retirement is finished, with their
+// disks.
+func (p *plannedSim) runLeader() {
 	var live []placement.Store
 	for _, n := range p.nodes {
-		if n.store.up && n.heard {
+		if n.store.up && n.leased {
 			n.renew()
 		}
-		if n.heard {
-			live = append(live, p.mutated(n.reported))
+		if n.leased {
+			live = append(live, p.mutateReport(n.reported))
 		}
 	}
 	view := p.view
 	for _, name := range p.retired {
-		view = p.early(view, name)
+		view = p.retireEarly(view, name)
 	}
 	next, changed := placement.Plan(view, live, p.config)
-	if p.mutant.forgetFormer {
+	if p.mutant.dropFormer {
 		for i := range next.Partitions {
 			next.Partitions[i].Former, next.Partitions[i].Unsure = nil, false
 		}
 	}
 	if changed || view != p.view {
-		p.enact(next)
+		p.installView(next)
 		p.logEvent("%+v", next.Partitions)
 	}
 	for _, n := range p.nodes {
 		if _, _, done := placement.Retirement(p.view, n.name); done && !n.removed {
 			p.remove(n)
-			p.strike("after retirement")
+			p.wipeSoonAfter("after retirement")
 		}
 	}
 }
 
-// strike has another store lose its disk right after something has made up for a loss, as often as not.
-func (p *planned) strike(when string) {
+// wipeSoonAfter makes a random store lose its disk shortly after a store is replaced or complete again, with a
+// probability of one half. At that moment a loss counts as made up for, so that another one must be tolerated.
+func (p *plannedSim) wipeSoonAfter(when string) {
 	if p.stopped || p.random.IntN(2) == 0 {
 		return
 	}
 	p.after(p.between(0, 60*ms), func() {
-		if n := p.nodes[p.random.IntN(len(p.nodes))]; p.play("wipe", n) {
+		if n := p.nodes[p.random.IntN(len(p.nodes))]; p.applyEvent("wipe", n) {
 			p.logEvent("wipe %s %s", when, n.name)
 			p.effects["wipe "+when]++
 		}
 	})
 }
 
-func (p *planned) mutated(reported placement.Store) placement.Store {
-	if p.mutant.takeUnfilled && reported.Epoch == p.view.Epoch {
+func (p *plannedSim) mutateReport(reported placement.Store) placement.Store {
+	if p.mutant.promoteUnfilled && reported.Epoch == p.view.Epoch {
 		reported.Synced = nil
 		for number := range p.view.Partitions {
 			reported.Synced = append(reported.Synced, uint16(number))
@@ -153,8 +156,9 @@
 	return reported
 }
 
-// early takes a retiring store out once one other replica is complete, as the mutant does.
-func (p *planned) early(view *wire.StoreView, name string) *wire.StoreView {
+// retireEarly implements the mutant retireEarly: it removes a retiring store from all partitions that have another
+// replica.
+func (p *plannedSim) retireEarly(view *wire.StoreView, name string) *wire.StoreView {
 	at := slices.IndexFunc(view.Stores, func(s wire.Store) bool { return s.Node == name && s.Retiring })
 	if !p.mutant.retireEarly || at < 0 || !placement.IsMember(view, at) {
 		return view
@@ -170,124 +174,124 @@
 	return &next
 }
 
-// startLoss says whether another store may be lost now, and that one counts from now on.
-func (p *planned) startLoss(n *plannedNode) bool {
+// startLoss reports whether a store may be lost now. If so, the store counts as lost from now on.
+func (p *plannedSim) startLoss(n *plannedNode) bool {
 	failed := 0
 	for _, other := range p.nodes {
-		if other.counted {
+		if other.countedLost {
 			failed++
 		}
 	}
-	if n.counted || n.removed || !n.store.up || failed >= p.config.Copies-1 {
+	if n.countedLost || n.removed || !n.store.up || failed >= p.config.Copies-1 {
 		return false
 	}
-	n.counted = true
+	n.countedLost = true
 	n.losses++
 	return true
 }
 
-// endLoss has a store that is back count no more after its time.
-func (p *planned) endLoss(n *plannedNode) {
+// endLoss stops counting a store that is back as lost after catchUp.
+func (p *plannedSim) endLoss(n *plannedNode) {
 	losses := n.losses
 	p.after(catchUp, func() {
 		if n.losses == losses {
-			n.counted = false
-			p.strike("after return")
+			n.countedLost = false
+			p.wipeSoonAfter("after return")
 		}
 	})
 }
 
-// down stops a store; the leader finds out a little later.
-func (p *planned) down(n *plannedNode, power bool) {
+// stopNode stops a store. The leader notices it after a random delay.
+func (p *plannedSim) stopNode(n *plannedNode, power bool) {
 	n.store.stop(power)
 	incarnation := n.store.disk.incarnation
 	p.after(p.between(150*ms, 700*ms), func() {
 		if n.store.disk.incarnation == incarnation && !n.store.up {
-			n.heard = false
+			n.leased = false
 		}
 	})
 }
 
-func (p *planned) back(n *plannedNode, pause time.Duration) {
+func (p *plannedSim) restartNode(n *plannedNode, pause time.Duration) {
 	p.after(pause, func() {
 		if n.removed {
 			return
 		}
 		n.store.start()
 		n.reported.Leaving = false
-		p.hear(n, p.between(50*ms, 300*ms))
+		p.renewLease(n, p.between(50*ms, 300*ms))
 		p.endLoss(n)
 	})
 }
 
-func (p *planned) hear(n *plannedNode, pause time.Duration) {
+func (p *plannedSim) renewLease(n *plannedNode, pause time.Duration) {
 	incarnation := n.store.disk.incarnation
 	p.after(pause, func() {
 		if n.store.up && n.store.disk.incarnation == incarnation {
-			n.heard = true
+			n.leased = true
 			n.renew()
 		}
 	})
 }
 
-// wipe gives a store that is down an empty disk.
-func (p *planned) wipe(n *plannedNode) {
+// wipe replaces the disk of a stopped store by an empty one.
+func (p *plannedSim) wipe(n *plannedNode) {
 	old := n.store.disk
 	n.store.disk = &simDisk{name: fmt.Sprintf("%s+%d", old.name, n.losses), sim: p.sim, owner: n.store, incarnation: old.incarnation}
 	p.checkStored()
 }
 
-// remove takes a machine away for good, with its disk. An empty one of another name and address comes in its place.
-func (p *planned) remove(n *plannedNode) {
+// remove removes a machine with its disk for good. An empty machine with another name and address replaces it.
+func (p *plannedSim) remove(n *plannedNode) {
 	n.removed = true
 	if n.store.up {
-		p.down(n, true)
+		p.stopNode(n, true)
 	}
 	p.after(p.between(0, 2*time.Second), func() {
-		p.add()
-		p.endLoss(n) // it counts until its successor has caught up
+		p.addStore()
+		p.endLoss(n) // it counts as lost until the new machine has caught up
 	})
 	p.checkStored()
 }
 
-func (p *planned) add() {
+func (p *plannedSim) addStore() {
 	store := newSimStore(p.sim, len(p.stores), p.config.Copies)
 	p.stores = append(p.stores, store)
-	n := p.adopt(store, fmt.Sprintf("node%d", len(p.nodes)))
-	n.heard = false
+	n := p.addNode(store, fmt.Sprintf("node%d", len(p.nodes)))
+	n.leased = false
 	store.start()
-	p.hear(n, p.between(50*ms, 300*ms))
+	p.renewLease(n, p.between(50*ms, 300*ms))
 }
 
-// playFaults plays events until the end.
-func (p *planned) playFaults() {
+// scheduleEvents injects events at random intervals until the simulation is stopped.
+func (p *plannedSim) scheduleEvents() {
 	p.after(p.between(100*ms, 1500*ms), func() {
 		if p.stopped {
 			return
 		}
-		p.event()
-		p.playFaults()
+		p.injectEvent()
+		p.scheduleEvents()
 	})
 }
 
-func (p *planned) event() {
+func (p *plannedSim) injectEvent() {
 	n := p.nodes[p.random.IntN(len(p.nodes))]
 	name := []string{"kill", "power", "wipe", "replace", "reset", "reset", "retire", "leave", "edge", "all", "add", "stall"}[p.random.IntN(12)]
-	if p.play(name, n) {
+	if p.applyEvent(name, n) {
 		p.logEvent("%s %s", name, n.name)
 		p.effects[name]++
 	}
 }
 
-// logEvent logs what happens in a history that is traced.
-func (p *planned) logEvent(format string, args ...any) {
+// logEvent logs an event if the history is traced.
+func (p *plannedSim) logEvent(format string, args ...any) {
 	if p.trace != nil {
 		p.trace("%v "+format, append([]any{p.now}, args...)...)
 	}
 }
 
-// play says whether an event took effect.
-func (p *planned) play(name string, n *plannedNode) bool {
+// applyEvent applies an event to a node, if it is possible now, and reports whether it took effect.
+func (p *plannedSim) applyEvent(name string, n *plannedNode) bool {
 	switch name {
 	case "kill", "power", "leave":
 		if !p.startLoss(n) {
@@ -295,18 +299,18 @@
 		}
 		n.reported.Leaving = name == "leave"
 		p.after(p.between(0, 400*ms), func() {
-			p.down(n, name == "power")
-			p.back(n, p.between(100*ms, 3*time.Second))
+			p.stopNode(n, name == "power")
+			p.restartNode(n, p.between(100*ms, 3*time.Second))
 		})
-	case "wipe": // now and then all others lose power as well
+	case "wipe": // in one of three cases all other stores lose power as well
 		if !p.startLoss(n) {
 			return false
 		}
-		all := p.random.IntN(3) == 0
-		p.down(n, true)
+		othersFail := p.random.IntN(3) == 0
+		p.stopNode(n, true)
 		p.wipe(n)
-		p.back(n, p.between(100*ms, 3*time.Second))
-		if all {
+		p.restartNode(n, p.between(100*ms, 3*time.Second))
+		if othersFail {
 			p.blackout(n)
 		}
 	case "replace":
@@ -317,14 +321,14 @@
 	case "reset":
 		return p.reset(n)
 	case "stall":
-		n.store.disk.stalled = p.now + p.between(200*ms, 4*time.Second)
+		n.store.disk.stalledUntil = p.now + p.between(200*ms, 4*time.Second)
 		return n.store.up && !n.removed
 	case "retire":
 		return p.retire(n)
 	case "edge":
 		return p.restartEdge(p.edges[p.random.IntN(len(p.edges))])
 	case "all":
-		if slices.ContainsFunc(p.nodes, func(n *plannedNode) bool { return n.counted }) {
+		if slices.ContainsFunc(p.nodes, func(n *plannedNode) bool { return n.countedLost }) {
 			return false
 		}
 		p.blackout(nil)
@@ -332,26 +336,26 @@
 		if len(p.nodes) > 8 {
 			return false
 		}
-		p.add()
+		p.addStore()
 	}
 	return true
 }
 
-// blackout has all stores but one lose power. They count as lost until they have caught up.
-func (p *planned) blackout(but *plannedNode) {
+// blackout makes all stores except one lose power. They count as lost until they have caught up.
+func (p *plannedSim) blackout(except *plannedNode) {
 	for _, n := range p.nodes {
-		if n == but || n.removed || !n.store.up {
+		if n == except || n.removed || !n.store.up {
 			continue
 		}
-		n.counted = true
+		n.countedLost = true
 		n.losses++
-		p.down(n, true)
-		p.back(n, p.between(100*ms, 800*ms))
+		p.stopNode(n, true)
+		p.restartNode(n, p.between(100*ms, 800*ms))
 	}
 }
 
-// reset breaks a store's connections: the leader may drop it though it runs on.
-func (p *planned) reset(n *plannedNode) bool {
+// reset closes a store's connections. The leader may drop the store although it keeps running.
+func (p *plannedSim) reset(n *plannedNode) bool {
 	if !n.store.up || n.removed {
 		return false
 	}
@@ -360,17 +364,17 @@
 	}
 	p.after(150*ms, func() {
 		if n.store.up && !n.removed {
-			n.heard = false
-			p.hear(n, p.between(20*ms, 400*ms))
+			n.leased = false
+			p.renewLease(n, p.between(20*ms, 400*ms))
 		}
 	})
 	return true
 }
 
-func (p *planned) retire(n *plannedNode) bool {
+func (p *plannedSim) retire(n *plannedNode) bool {
 	var live []placement.Store
 	for _, other := range p.nodes {
-		if other.heard {
+		if other.leased {
 			live = append(live, other.reported)
 		}
 	}
@@ -379,11 +383,11 @@
 		return false
 	}
 	p.retired = append(p.retired, n.name)
-	p.enact(marked)
+	p.installView(marked)
 	return true
 }
 
-func (p *planned) restartEdge(e *simEdge) bool {
+func (p *plannedSim) restartEdge(e *simEdge) bool {
 	if e.up {
 		e.stop()
 		p.after(p.between(100*ms, time.Second), e.start)
@@ -391,16 +395,16 @@
 	return e.up
 }
 
-// checkStored finds out whether all that was accepted and is not finished is on some disk that is left, of a store that has, or had, a part
-// in its partition.
-func (p *planned) checkStored() {
+// checkStored verifies that each message that was accepted and isn't finished is on the disk of a current or former
+// member of its partition.
+func (p *plannedSim) checkStored() {
 	stored := make(map[string]bool)
 	for _, n := range p.nodes {
 		at := slices.IndexFunc(p.view.Stores, func(s wire.Store) bool { return s.Disk == n.store.disk.name })
 		if n.removed || at < 0 {
 			continue
 		}
-		core := n.store.recovered()
+		core := n.store.recoveredCore()
 		for number, placed := range p.view.Partitions {
 			if !slices.Contains(slices.Concat(placed.Replicas, placed.Joining, placed.Former), uint16(at)) || core.lookUpPartition(uint16(number)) == nil {
 				continue
@@ -412,19 +416,19 @@
 	}
 	for _, id := range p.names {
 		if m := p.messages[id]; m.acceptedAt > 0 && m.finishedAt == 0 && !stored[id] {
-			p.fail("message %s was accepted at %v, and no store that counts has it:%s", id, m.acceptedAt, p.describe(id))
+			p.fail("message %s was accepted at %v, and no current or former member has it on disk:%s", id, m.acceptedAt, p.describeMessage(id))
 			return
 		}
 	}
 }
 
-// recovered is what a store would know if it lost power now.
-func (n *simStore) recovered() *Core {
+// recoveredCore returns a core with the state that the store would recover if it lost power now.
+func (n *simStore) recoveredCore() *Core {
 	core := New(Config{Disk: n.disk.name, Copies: n.copies}, simHost{n, n.disk.incarnation})
 	for i := n.disk.first; i < n.disk.durable; i++ {
 		at := journal.Location{Segment: uint32(i/simSegment) + 1, Offset: uint32(i % simSegment)}
 		if err := core.Recover(n.time(), at, n.disk.records[i]); err != nil {
-			n.sim.fail("recovery: %v", err)
+			n.sim.fail("recovery of a durable record: %v", err)
 		}
 	}
 	return core
--- a/store/queue/simplanrun_test.go
+++ b/store/queue/simplanrun_test.go
@@ -10,16 +10,17 @@
 	"github.com/stretchr/testify/require"
 )
 
-// playPlanned runs a history under the planner, and returns what went wrong, if anything, and what took effect.
-func playPlanned(t *testing.T, seed uint64, m planMutant) (failure string, effects map[string]int) {
+// runPlanned simulates a history with the planner. It returns the first failure, or "", and how often each kind of
+// event took effect.
+func runPlanned(t *testing.T, seed uint64, m planMutant) (failure string, effects map[string]int) {
 	p := newPlanned(t, seed, m)
 	if os.Getenv("QUEUE_TRACE") != "" {
 		p.trace = t.Logf
 	}
-	p.playFaults()
+	p.scheduleEvents()
 	p.run(25 * time.Second)
 	p.stopped = true
-	for _, e := range p.edges { // what only an edge knows is lost
+	for _, e := range p.edges { // all state that only edges have is lost
 		p.restartEdge(e)
 	}
 	p.run(45 * time.Second)
@@ -30,18 +31,18 @@
 	return p.failure, p.effects
 }
 
-// plannedHistories are played by default; QUEUE_PLANNED names more, as first-count.
-const plannedHistories = 6
+// defaultPlannedSeeds is the number of seeds that are simulated by default. QUEUE_PLANNED=FIRST-COUNT selects others.
+const defaultPlannedSeeds = 6
 
-func TestNothingIsLostWhileStoresComeAndGo(t *testing.T) {
-	first, count := uint64(0), uint64(plannedHistories)
+func TestPlannedSimulationLosesNoMessage(t *testing.T) {
+	first, count := uint64(0), uint64(defaultPlannedSeeds)
 	if text := os.Getenv("QUEUE_PLANNED"); text != "" {
 		_, err := fmt.Sscanf(text, "%d-%d", &first, &count)
 		require.NoError(t, err)
 	}
 	total := make(map[string]int)
 	for seed := first; seed < first+count; seed++ {
-		failure, effects := playPlanned(t, seed, planMutant{})
+		failure, effects := runPlanned(t, seed, planMutant{})
 		require.Empty(t, failure)
 		for name, times := range effects {
 			total[name] += times
@@ -50,22 +51,22 @@
 	t.Logf("%d histories, took effect: %v", count, total)
 }
 
-func TestMutantsOfThePlacementAreCaught(t *testing.T) {
+func TestPlannedSimulationCatchesMutants(t *testing.T) {
 	mutants := map[string]planMutant{
-		"forget former members":        {forgetFormer: true},
-		"retired at the first copy":    {retireEarly: true},
-		"joining store taken unfilled": {takeUnfilled: true},
+		"former members dropped":      {dropFormer: true},
+		"retired with one other copy": {retireEarly: true},
+		"incomplete joiner promoted":  {promoteUnfilled: true},
 	}
 	for name, m := range mutants {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			for seed := range uint64(40) {
-				if failure, _ := playPlanned(t, seed, m); failure != "" {
+				if failure, _ := runPlanned(t, seed, m); failure != "" {
 					t.Log(failure)
 					return
 				}
 			}
-			assert.Fail(t, "no history shows it")
+			assert.Fail(t, "no seed shows the fault")
 		})
 	}
 }
--- a/store/queue/simrun_test.go
+++ b/store/queue/simrun_test.go
@@ -13,8 +13,8 @@
 	"ravendale/cluster/wire"
 )
 
-// faults plays a fault now and then, so that no more stores have one at once than may be lost.
-func (s *sim) faults() {
+// scheduleFaults injects faults at random intervals until the simulation is stopped.
+func (s *sim) scheduleFaults() {
 	if s.stopped {
 		return
 	}
@@ -22,12 +22,12 @@
 		if s.stopped {
 			return
 		}
-		s.fault()
-		s.faults()
+		s.injectFault()
+		s.scheduleFaults()
 	})
 }
 
-func (s *sim) fault() {
+func (s *sim) injectFault() {
 	store := s.stores[s.random.IntN(len(s.stores))]
 	switch s.random.IntN(8) {
 	case 0, 1: // a store is killed
@@ -61,16 +61,17 @@
 }
 
 func (s *sim) partitionLink(a, b string) {
-	way := [2]string{a, b}
+	direction := [2]string{a, b}
 	if s.random.IntN(2) == 0 {
-		way = [2]string{b, a}
+		direction = [2]string{b, a}
 	}
-	s.partitioned[way] = true
-	s.after(s.between(50*ms, 2*time.Second), func() { delete(s.partitioned, way) })
+	s.partitioned[direction] = true
+	s.after(s.between(50*ms, 2*time.Second), func() { delete(s.partitioned, direction) })
 }
 
-// shuffle has the replicas of partitions change places, now and then, as a leader does around planned work.
-func (s *sim) shuffle() {
+// rotatePrimaries rotates the replicas of random partitions at random intervals, as a leader does around planned
+// maintenance.
+func (s *sim) rotatePrimaries() {
 	s.after(s.between(50*ms, 500*ms), func() {
 		if s.stopped {
 			return
@@ -83,17 +84,18 @@
 			}
 			next.Partitions = append(next.Partitions, placed)
 		}
-		s.enact(next)
-		s.shuffle()
+		s.installView(next)
+		s.rotatePrimaries()
 	})
 }
 
-// playCalm has primaries change without any fault, and others hear of it late, or not before the next.
-func playCalm(t *testing.T, seed uint64) string {
+// runFaultless simulates changes of primaries without any fault. Stores and edges receive views late, and may receive
+// one only after the next.
+func runFaultless(t *testing.T, seed uint64) string {
 	s := newSim(t, seed, 3, 3, 4, 2+int(seed%2), mutant{})
-	s.calm = true
-	s.lag = 900 * ms
-	s.shuffle()
+	s.faultless = true
+	s.maxViewDelay = 900 * ms
+	s.rotatePrimaries()
 	s.run(8 * time.Second)
 	s.stopped = true
 	s.run(20 * time.Second)
@@ -103,21 +105,21 @@
 	return s.failure
 }
 
-func TestNothingRunsTwiceAroundViewChanges(t *testing.T) {
+func TestNoMessageRunsTwiceAcrossViewChanges(t *testing.T) {
 	for seed := range uint64(16) {
-		require.Empty(t, playCalm(t, seed))
+		require.Empty(t, runFaultless(t, seed))
 	}
 }
 
-// histories are played by default; QUEUE_SEEDS names more.
-const histories = 24
+// defaultSeeds is the number of seeds that are simulated by default. QUEUE_SEEDS=FIRST-COUNT selects others.
+const defaultSeeds = 24
 
-// play runs a whole history and returns what went wrong, if anything.
-func play(t *testing.T, seed uint64, m mutant) string {
+// runSimulation simulates a history with faults, and returns the first failure, or "".
+func runSimulation(t *testing.T, seed uint64, m mutant) string {
 	copies := 2 + int(seed%2)
 	stores := copies + 1 + int(seed/2%2)
 	s := newSim(t, seed, stores, 2+int(seed%2), 4, copies, m)
-	s.faults()
+	s.scheduleFaults()
 	s.run(12 * time.Second)
 	s.stopped = true
 	s.run(30 * time.Second)
@@ -127,33 +129,33 @@
 	return s.failure
 }
 
-func TestHistories(t *testing.T) {
-	first, count := uint64(0), uint64(histories)
+func TestSimulation(t *testing.T) {
+	first, count := uint64(0), uint64(defaultSeeds)
 	if text := os.Getenv("QUEUE_SEEDS"); text != "" { // first-count
 		_, err := fmt.Sscanf(text, "%d-%d", &first, &count)
 		require.NoError(t, err)
 	}
 	for seed := first; seed < first+count; seed++ {
-		require.Empty(t, play(t, seed, mutant{}))
+		require.Empty(t, runSimulation(t, seed, mutant{}))
 	}
 }
 
-func TestMutantsAreCaught(t *testing.T) {
+func TestSimulationCatchesMutants(t *testing.T) {
 	mutants := map[string]mutant{
-		"ack before sync":  {ackBeforeSync: true},
-		"ack own only":     {ackOwnOnly: true},
-		"grant early":      {grantEarly: true},
-		"sync without all": {syncWithoutAll: true},
+		"acknowledged before sync":            {ackBeforeSync: true},
+		"acknowledged without members":        {ackWithoutMembers: true},
+		"granted before finish is replicated": {grantEarly: true},
+		"incomplete joiner promoted":          {promoteUnfilled: true},
 	}
 	for name, m := range mutants {
 		t.Run(name, func(t *testing.T) {
 			for seed := range uint64(60) {
-				if failure := play(t, seed, m); failure != "" {
+				if failure := runSimulation(t, seed, m); failure != "" {
 					t.Log(failure)
 					return
 				}
 			}
-			assert.Fail(t, "no history shows it")
+			assert.Fail(t, "no seed shows the fault")
 		})
 	}
 }
--- a/store/queue/simstore_test.go
+++ b/store/queue/simstore_test.go
@@ -9,7 +9,7 @@
 	"ravendale/store/journal"
 )
 
-// simStore is a store with its disk.
+// simStore is a simulated store with its disk.
 type simStore struct {
 	sim       *sim
 	copies    int
@@ -18,8 +18,8 @@
 	up        bool
 	downAt    time.Duration
 	upAt      time.Duration
-	skew      int64         // of its time of day, in milliseconds
-	retention time.Duration // finished messages are known so long
+	skew      int64         // error of its time of day, in milliseconds
+	retention time.Duration // FinishedRetention of its core
 	conns     []*simConn
 	links     map[string]*simConn
 }
@@ -53,7 +53,7 @@
 	n.link()
 }
 
-// simJournal lets a mutant acknowledge what is not on disk.
+// simJournal is a store's journal. For the mutant ackBeforeSync it reports records as synced at once.
 type simJournal struct {
 	*simDisk
 	store *simStore
@@ -86,7 +86,7 @@
 	})
 }
 
-func (h simHost) StatusChanged() { h.store.sim.after(ms, h.store.sim.lead) }
+func (h simHost) StatusChanged() { h.store.sim.after(ms, h.store.sim.runLeader) }
 
 func (h simHost) Fail(err error) { h.store.sim.fail("%s: %v", h.store.disk.name, err) }
 
@@ -96,9 +96,9 @@
 	n.disk.stop(power)
 	for _, c := range n.conns {
 		if power {
-			n.sim.after(1200*ms, c.close) // nobody hears of it
-			c.ends[0].take = ignore
-			c.ends[1].take = ignore
+			n.sim.after(1200*ms, c.close) // the other end notices the loss of power late
+			c.ends[0].handle = ignore
+			c.ends[1].handle = ignore
 			continue
 		}
 		c.close()
@@ -108,7 +108,7 @@
 
 func ignore(wire.Method, []byte, *simReply) {}
 
-// link connects to the other stores of the view, over and over.
+// link connects to the other stores of the view, and repeats that periodically.
 func (n *simStore) link() {
 	incarnation := n.disk.incarnation
 	for _, other := range n.sim.stores {
@@ -120,14 +120,14 @@
 		n.conns = append(n.conns, c)
 		other.conns = append(other.conns, c)
 		otherIncarnation := other.disk.incarnation
-		c.ends[0].take = func(method wire.Method, payload []byte, _ *simReply) {
+		c.ends[0].handle = func(method wire.Method, payload []byte, _ *simReply) {
 			if n.up && n.disk.incarnation == incarnation {
-				n.answered(c.ends[0], method, payload)
+				n.receiveAnswer(c.ends[0], method, payload)
 			}
 		}
-		c.ends[1].take = func(method wire.Method, payload []byte, reply *simReply) {
+		c.ends[1].handle = func(method wire.Method, payload []byte, reply *simReply) {
 			if other.up && other.disk.incarnation == otherIncarnation {
-				other.take(c.ends[1], method, payload, reply)
+				other.receive(c.ends[1], method, payload, reply)
 			}
 		}
 		c.closed[0] = func() {
@@ -148,7 +148,7 @@
 	return s.partitioned[[2]string{a, b}] || s.partitioned[[2]string{b, a}]
 }
 
-func (n *simStore) answered(from *simEnd, method wire.Method, payload []byte) {
+func (n *simStore) receiveAnswer(from *simEnd, method wire.Method, payload []byte) {
 	switch method {
 	case MethodAcked:
 		n.core.Acked(n.time(), from, decode[Acked](payload))
@@ -159,7 +159,7 @@
 	}
 }
 
-func (n *simStore) take(from *simEnd, method wire.Method, payload []byte, reply *simReply) {
+func (n *simStore) receive(from *simEnd, method wire.Method, payload []byte, reply *simReply) {
 	now := n.time()
 	switch method {
 	case MethodReplicate:
@@ -181,17 +181,17 @@
 	case wire.MethodFind:
 		n.core.FindMessage(now, decode[wire.Find](payload), reply)
 	}
-	n.mutate()
+	n.applyMutant()
 }
 
-// mutate does what the mutant does wrong.
-func (n *simStore) mutate() {
+// applyMutant makes the changes of the mutants ackWithoutMembers and grantEarly.
+func (n *simStore) applyMutant() {
 	m := n.sim.mutant
 	for _, p := range n.core.partitions {
 		if p == nil || !p.primary {
 			continue
 		}
-		if m.ackOwnOnly {
+		if m.ackWithoutMembers {
 			for _, o := range slices.Clone(p.ops) {
 				o.unacked = 0
 				n.core.complete(o)
--- a/store/queue/table.go
+++ b/store/queue/table.go
@@ -6,21 +6,22 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// table is a partition's content.
+// table is the content of a partition.
 type table struct {
-	entries  map[uint64]*entry // by hash of the name
-	keys     map[uint64]*keyQueue
-	sums     [bucketCount]uint64
-	finished []*entry // by sequence
-	horizon  uint64   // finished messages up to this sequence are removed
-	pending  int
+	entries  map[uint64]*entry    // by hash of the message ID
+	keys     map[uint64]*keyQueue // by hash of the order key
+	sums     [bucketCount]uint64  // for each bucket the sum of its entries' checksums
+	finished []*entry             // in the order of their sequence numbers
+	horizon  uint64               // finished messages up to this sequence number are removed
+	pending  int                  // number of pending messages
 }
 
 func newTable() table {
 	return table{entries: make(map[uint64]*entry), keys: make(map[uint64]*keyQueue)}
 }
 
-// find returns a message's entry, nil if there is none. Collides: another message has the same hash.
+// find returns a message's entry, or nil if there is none. If another message has the same hash, it returns nil, and
+// collides is true.
 func (t *table) find(id string) (e *entry, collides bool) {
 	e = t.entries[hashOf(id)]
 	if e == nil || e.id == id {
@@ -40,7 +41,7 @@
 	}
 }
 
-// addToSum adds an entry to its bucket's sum, or subtracts it if the sign is negative.
+// addToSum adds an entry's checksum to its bucket's sum, or subtracts it if sign is negative.
 func (t *table) addToSum(e *entry, hash uint64, sign int) {
 	if sign > 0 {
 		t.sums[bucketOf(hash)] += e.sum(hash)
@@ -49,8 +50,9 @@
 	}
 }
 
-// change has f change what members must agree on.
-func (t *table) change(e *entry, f func()) {
+// update calls f, which changes an entry's state, and adjusts the checksums and the lists of the table to the new
+// state.
+func (t *table) update(e *entry, f func()) {
 	hash := hashOf(e.id)
 	t.addToSum(e, hash, -1)
 	wasPending := e.pending()
@@ -64,24 +66,24 @@
 
 func (t *table) insertFinished(e *entry) {
 	n := len(t.finished)
-	if n == 0 || before(t.finished[n-1], e) {
+	if n == 0 || sequencedBefore(t.finished[n-1], e) {
 		t.finished = append(t.finished, e)
 		return
 	}
-	i := sort.Search(n, func(i int) bool { return before(e, t.finished[i]) })
+	i := sort.Search(n, func(i int) bool { return sequencedBefore(e, t.finished[i]) })
 	t.finished = append(t.finished, nil)
 	copy(t.finished[i+1:], t.finished[i:])
 	t.finished[i] = e
 }
 
 func (t *table) removeFinished(e *entry) {
-	i := sort.Search(len(t.finished), func(i int) bool { return !before(t.finished[i], e) })
+	i := sort.Search(len(t.finished), func(i int) bool { return !sequencedBefore(t.finished[i], e) })
 	if i < len(t.finished) && t.finished[i] == e {
 		t.finished = append(t.finished[:i], t.finished[i+1:]...)
 	}
 }
 
-// remove removes an entry; the caller takes it out of its key order afterwards.
+// remove removes an entry from the table, but not from its key queue, which the caller does afterwards.
 func (t *table) remove(e *entry) {
 	hash := hashOf(e.id)
 	t.addToSum(e, hash, -1)
@@ -93,8 +95,8 @@
 	}
 }
 
-// join puts a message into its key's order.
-func (t *table) join(e *entry, key string) {
+// addToKeyQueue adds a message to the queue of its order key.
+func (t *table) addToKeyQueue(e *entry, key string) {
 	hash := xxhash.Sum64String(key)
 	q := t.keys[hash]
 	if q == nil {
@@ -105,8 +107,9 @@
 	e.delivery.key = q
 }
 
-// leave removes a message from its key order, and returns the new head, if the message was the head and there is a next one.
-func (t *table) leave(e *entry) *entry {
+// removeFromKeyQueue removes a message from the queue of its order key. If the message was the head, and the queue
+// isn't empty now, it returns the new head, otherwise nil.
+func (t *table) removeFromKeyQueue(e *entry) *entry {
 	if e.delivery == nil || e.delivery.key == nil {
 		return nil
 	}
@@ -124,11 +127,11 @@
 	return nil
 }
 
-// sorted returns the entries that a filter takes, in order.
-func (t *table) sorted(take func(hash uint64, e *entry) bool) []*entry {
+// sortedEntries returns the entries for which include returns true, in the order of their sequence numbers.
+func (t *table) sortedEntries(include func(hash uint64, e *entry) bool) []*entry {
 	var list []*entry
 	for hash, e := range t.entries {
-		if take(hash, e) {
+		if include(hash, e) {
 			list = append(list, e)
 		}
 	}
@@ -137,5 +140,5 @@
 }
 
 func sortEntries(list []*entry) {
-	sort.Slice(list, func(i, j int) bool { return before(list[i], list[j]) })
+	sort.Slice(list, func(i, j int) bool { return sequencedBefore(list[i], list[j]) })
 }
--- a/store/queue/takeover_test.go
+++ b/store/queue/takeover_test.go
@@ -10,226 +10,231 @@
 	"ravendale/cluster/wire"
 )
 
-// successor returns a store that has just become the primary of partition 0, and the other replica, which has said nothing yet.
-func successor(t *testing.T, records ...*Record) (r *rig, b *heard) {
-	r, b = member(t), &heard{}
-	r.take(1, records...)
+// newSuccessor returns a store that has just become the primary of partition 0, and the other replica, which hasn't
+// answered the comparison yet.
+func newSuccessor(t *testing.T, records ...*Record) (r *driver, b *fakeRemote) {
+	r, b = newMember(t), &fakeRemote{}
+	r.receiveRecords(1, records...)
 	r.view(2, []uint16{0, 1}, nil)
 	r.core.PeerUp(r.now, "b", b)
 	return r, b
 }
 
-// fetched has the other replica send a record that only it has.
-func (r *rig) fetched(b *heard, record *Record) {
-	comparisonID := last[Compare](b).ComparisonID
-	theirs := Digest{ID: record.ID, Sum: 1, State: record.State, Failed: record.Failed}
+// sendMissingRecord makes the other replica answer the comparison with a record that only it has.
+func (r *driver) sendMissingRecord(b *fakeRemote, record *Record) {
+	comparisonID := lastSent[Compare](b).ComparisonID
+	digest := Digest{ID: record.ID, Sum: 1, State: record.State, Failed: record.Failed}
 	bucket := uint16(bucketOf(hashOf(record.ID)))
-	r.core.Differ(r.now, b, &Differ{ComparisonID: comparisonID, Bucket: bucket, Entries: []Digest{theirs}, Last: true})
+	r.core.Differ(r.now, b, &Differ{ComparisonID: comparisonID, Bucket: bucket, Entries: []Digest{digest}, Last: true})
 	r.core.Fetched(r.now, b, &Fetched{ComparisonID: comparisonID, Last: true, Records: [][]byte{record.encode()}})
 	r.syncAndAck(b)
 }
 
-// An edge's report may be faster than the message that it is about.
-func TestReportOfAMessageThatMayBeKnownElsewhereIsNotTaken(t *testing.T) {
-	r, b := successor(t)
-	e := &heard{}
+// After a takeover, an edge's report may arrive before the primary has got the reported message from the other replica.
+func TestReportOfUnmergedMessageIsNotAccepted(t *testing.T) {
+	r, b := newSuccessor(t)
+	e := &fakeRemote{}
 	r.attach("e", e)
 	r.claim(e)
 	done := wire.Report{ID: "0.1", Kind: wire.ReportDone, Signature: "s"}
-	assert.Equal(t, wire.PutUnknown, code(t, r.report(done, e)))
-	r.fetched(b, &Record{ID: "0.1", Sequence: 1, Message: plain("")})
-	again := r.report(done, e)
+	assert.Equal(t, wire.PutUnknown, replyCode(t, r.report(done, e)))
+	r.sendMissingRecord(b, &Record{ID: "0.1", Sequence: 1, Message: plainMsg("")})
+	repeated := r.report(done, e)
 	r.syncAndAck(b)
-	assert.Equal(t, wire.PutAccepted, code(t, again))
+	assert.Equal(t, wire.PutAccepted, replyCode(t, repeated))
 	assert.Equal(t, wire.StateDone, r.find("0.1", false).State)
-	r.pass(10 * time.Second)
-	require.Nil(t, last[wire.Grant](e))
-	assert.Equal(t, wire.PutAccepted, code(t, r.report(wire.Report{ID: "0.2", Kind: wire.ReportDone}, e)), "nobody knows it")
+	r.advance(10 * time.Second)
+	require.Nil(t, lastSent[wire.Grant](e))
+	assert.Equal(t, wire.PutAccepted, replyCode(t, r.report(wire.Report{ID: "0.2", Kind: wire.ReportDone}, e)), "no replica has this message")
 }
 
-func TestGrantsHaveTheEpoch(t *testing.T) {
-	r, b, e := primary(t)
+func TestGrantsCarryCurrentEpoch(t *testing.T) {
+	r, b, e := newReadyPrimary(t)
 	r.view(7, []uint16{0, 1}, nil)
 	r.claim(e)
-	r.put(ordered("0.1"), e)
-	r.put(ordered("0.2"), e)
-	r.putAs(plain("0.3"), e, false)
+	r.put(orderedMsg("0.1"), e)
+	r.put(orderedMsg("0.2"), e)
+	r.putDispatch(plainMsg("0.3"), e, false)
 	r.syncAndAck(b)
 	r.syncAndAck(b)
-	require.NotNil(t, last[wire.Grant](e))
-	assert.True(t, last[wire.Grant](e).HasMessage)
-	assert.EqualValues(t, 7, last[wire.Grant](e).Epoch)
+	require.NotNil(t, lastSent[wire.Grant](e))
+	assert.True(t, lastSent[wire.Grant](e).HasMessage)
+	assert.EqualValues(t, 7, lastSent[wire.Grant](e).Epoch)
 	r.report(wire.Report{ID: "0.1", Kind: wire.ReportDone}, e)
 	r.syncAndAck(b)
-	assert.False(t, last[wire.Grant](e).HasMessage)
-	assert.EqualValues(t, 7, last[wire.Grant](e).Epoch)
+	assert.False(t, lastSent[wire.Grant](e).HasMessage)
+	assert.EqualValues(t, 7, lastSent[wire.Grant](e).Epoch)
 }
 
-// The edge that put a message may have finished it, and its report be on its way: it is asked before another gets the message.
+// The edge that put a message may have finished it, with the report still under way. It must get the message before any
+// other edge.
 func TestUnownedMessageGoesToItsLastLeaseholderFirst(t *testing.T) {
-	r, b := successor(t, &Record{ID: "0.1", Sequence: 1, Leaseholder: "e", Message: plain("")})
-	e, f := &heard{}, &heard{}
+	r, b := newSuccessor(t, &Record{ID: "0.1", Sequence: 1, Leaseholder: "e", Message: plainMsg("")})
+	e, f := &fakeRemote{}, &fakeRemote{}
 	r.attach("e", e)
 	r.attach("f", f)
 	r.claim(f)
-	r.same(b)
-	r.pass(10 * time.Second)
+	r.reportEqual(b)
+	r.advance(10 * time.Second)
 	r.syncAndAck(b)
-	assert.Empty(t, f.notices, "its last leaseholder is connected, and has not heard of the new primary yet")
+	assert.Empty(t, f.notifications, "its last leaseholder is connected, and has not claimed at the new primary yet")
 	r.claim(e)
 	r.syncAndAck(b)
-	require.NotNil(t, last[wire.Grant](e))
-	assert.True(t, last[wire.Grant](e).HasMessage)
-	assert.Empty(t, f.notices)
+	require.NotNil(t, lastSent[wire.Grant](e))
+	assert.True(t, lastSent[wire.Grant](e).HasMessage)
+	assert.Empty(t, f.notifications)
 
 	released := r.report(wire.Report{ID: "0.1", Kind: wire.ReportReleased}, e)
-	assert.Equal(t, wire.PutAccepted, code(t, released))
-	assert.Empty(t, f.notices, "whose it is now is not on all disks")
+	assert.Equal(t, wire.PutAccepted, replyCode(t, released))
+	assert.Empty(t, f.notifications, "the new lease is not on all disks")
 	r.syncAndAck(b)
-	require.NotNil(t, last[wire.Grant](f), "its last leaseholder has released it")
+	require.NotNil(t, lastSent[wire.Grant](f), "its last leaseholder has released it")
 }
 
-func TestUnownedMessageGoesToAnotherEdgeOnceItsLastLeaseholderDisconnected(t *testing.T) {
-	r, b := successor(t, &Record{ID: "0.1", Sequence: 1, Leaseholder: "e", Message: plain("")})
-	e, f := &heard{}, &heard{}
+func TestUnownedMessageIsReassignedAfterReconnectTimeout(t *testing.T) {
+	r, b := newSuccessor(t, &Record{ID: "0.1", Sequence: 1, Leaseholder: "e", Message: plainMsg("")})
+	e, f := &fakeRemote{}, &fakeRemote{}
 	r.attach("e", e)
 	r.attach("f", f)
 	r.claim(f)
-	r.same(b)
-	r.pass(2 * time.Second)
+	r.reportEqual(b)
+	r.advance(2 * time.Second)
 	r.core.EdgeDown(r.now, e)
-	r.pass(defaultReconnectTimeout - ms)
+	r.advance(defaultReconnectTimeout - ms)
 	r.syncAndAck(b)
-	assert.Empty(t, f.notices)
-	r.pass(2 * ms)
+	assert.Empty(t, f.notifications)
+	r.advance(2 * ms)
 	r.syncAndAck(b)
 	r.syncAndAck(b)
-	require.NotNil(t, last[wire.Grant](f))
+	require.NotNil(t, lastSent[wire.Grant](f))
 }
 
-func TestUnownedMessageWhoseLastLeaseholderIsNotConnectedGoesToAnotherEdge(t *testing.T) {
-	r, b := successor(t, &Record{ID: "0.1", Sequence: 1, Leaseholder: "e", Message: plain("")})
-	f := &heard{}
+func TestUnownedMessageOfAbsentLeaseholderIsReassigned(t *testing.T) {
+	r, b := newSuccessor(t, &Record{ID: "0.1", Sequence: 1, Leaseholder: "e", Message: plainMsg("")})
+	f := &fakeRemote{}
 	r.attach("f", f)
 	r.claim(f)
-	r.same(b)
-	r.pass(time.Second)
+	r.reportEqual(b)
+	r.advance(time.Second)
 	r.syncAndAck(b)
 	r.syncAndAck(b)
-	require.NotNil(t, last[wire.Grant](f))
+	require.NotNil(t, lastSent[wire.Grant](f))
 }
 
-// Who holds a message is known wherever the message is, and after a restart.
-func TestLastLeaseholderIsOnAllDisks(t *testing.T) {
-	r, b, e := primary(t)
-	r.put(plain("0.1"), e)
-	full, err := decodeRecord(r.records[len(r.records)-1])
+// All members have the last leaseholder of a message, also after a restart.
+func TestLastLeaseholderIsReplicated(t *testing.T) {
+	r, b, e := newReadyPrimary(t)
+	r.put(plainMsg("0.1"), e)
+	messageRecord, err := decodeRecord(r.records[len(r.records)-1])
 	require.NoError(t, err)
-	assert.Equal(t, "e", full.Leaseholder)
+	assert.Equal(t, "e", messageRecord.Leaseholder)
 	r.syncAndAck(b)
-	f := &heard{}
+	f := &fakeRemote{}
 	r.attach("f", f)
 	r.claim(f)
 	r.report(wire.Report{ID: "0.1", Kind: wire.ReportReleased}, e)
 	r.syncAndAck(b)
 	entry, _ := r.core.partition(0).find("0.1")
 	to := entry.delivery.leaseholder.id
-	other := newRig(t)
+	other := newDriver(t)
 	other.view(1, []uint16{1, 0}, nil)
-	other.take(1, full)
-	holder := &Record{Kind: RecordLeaseholder, ID: "0.1", Leaseholder: to}
-	other.take(1, holder)
+	other.receiveRecords(1, messageRecord)
+	leaseholderRecord := &Record{Kind: RecordLeaseholder, ID: "0.1", Leaseholder: to}
+	other.receiveRecords(1, leaseholderRecord)
 	assert.Equal(t, r.core.partition(0).sums, other.core.partition(0).sums)
-	again := New(Config{Disk: "a", Copies: 2}, r)
-	replay(t, r, again)
-	assert.Equal(t, r.core.partition(0).sums, again.partition(0).sums)
-	other.take(1, &Record{Kind: RecordDrop, ID: "0.1"})
+	recovered := New(Config{Disk: "a", Copies: 2}, r)
+	recoverFrom(t, r, recovered)
+	assert.Equal(t, r.core.partition(0).sums, recovered.partition(0).sums)
+	other.receiveRecords(1, &Record{Kind: RecordDrop, ID: "0.1"})
 	assert.Equal(t, [bucketCount]uint64{}, other.core.partition(0).sums)
 }
 
-// An edge claims what it is putting, too, and may give it up without a message.
-func TestClaimedMessageThatItsEdgeGaveUpIsReleased(t *testing.T) {
-	r, b := successor(t, &Record{ID: "0.1", Sequence: 1, Leaseholder: "e", Message: plain("")})
-	e, f := &heard{}, &heard{}
+// An edge also claims messages whose put is unanswered, and may abandon the put without notifying the store.
+func TestAbandonedClaimIsReleased(t *testing.T) {
+	r, b := newSuccessor(t, &Record{ID: "0.1", Sequence: 1, Leaseholder: "e", Message: plainMsg("")})
+	e, f := &fakeRemote{}, &fakeRemote{}
 	r.attach("e", e)
 	r.attach("f", f)
 	r.claim(e, "0.1")
 	r.claim(f)
-	r.same(b)
-	r.pass(regrantInterval - ms)
-	assert.Nil(t, last[wire.Grant](e))
-	r.pass(ms)
-	require.NotNil(t, last[wire.Grant](e), "it is asked")
-	assert.False(t, last[wire.Grant](e).HasMessage)
+	r.reportEqual(b)
+	r.advance(regrantInterval - ms)
+	assert.Nil(t, lastSent[wire.Grant](e))
+	r.advance(ms)
+	require.NotNil(t, lastSent[wire.Grant](e), "the message is granted again")
+	assert.False(t, lastSent[wire.Grant](e).HasMessage)
 	r.report(wire.Report{ID: "0.1", Kind: wire.ReportReleased}, e)
 	r.syncAndAck(b)
 	r.syncAndAck(b)
-	require.NotNil(t, last[wire.Grant](f))
-	assert.True(t, last[wire.Grant](f).HasMessage)
-	reported := len(e.notices)
-	r.pass(10 * time.Second)
-	assert.Len(t, e.notices, reported)
+	require.NotNil(t, lastSent[wire.Grant](f))
+	assert.True(t, lastSent[wire.Grant](f).HasMessage)
+	reported := len(e.notifications)
+	r.advance(10 * time.Second)
+	assert.Len(t, e.notifications, reported)
 }
 
-func TestClaimedMessageIsGrantedAgainRepeatedly(t *testing.T) {
-	r, b := successor(t, &Record{ID: "0.1", Sequence: 1, Leaseholder: "e", Message: plain("")})
-	e := &heard{}
+func TestClaimedMessageIsRegrantedPeriodically(t *testing.T) {
+	r, b := newSuccessor(t, &Record{ID: "0.1", Sequence: 1, Leaseholder: "e", Message: plainMsg("")})
+	e := &fakeRemote{}
 	r.attach("e", e)
 	r.claim(e, "0.1")
-	r.same(b)
+	r.reportEqual(b)
 	for i := range 3 {
-		assert.Len(t, e.notices, i)
-		r.pass(regrantInterval)
+		assert.Len(t, e.notifications, i)
+		r.advance(regrantInterval)
 	}
 	r.report(wire.Report{ID: "0.1", Kind: wire.ReportDone}, e)
 	r.syncAndAck(b)
-	reported := len(e.notices)
-	r.pass(3 * regrantInterval)
-	assert.Len(t, e.notices, reported)
+	reported := len(e.notifications)
+	r.advance(3 * regrantInterval)
+	assert.Len(t, e.notifications, reported)
 }
 
-// Placements may be skipped on their way. Under one that this store has not seen another was the primary.
-func TestPrimaryThatMissedAnEpochAsksTheOthers(t *testing.T) {
-	r, b, e := primary(t)
-	put := r.put(plain("0.1"), e)
-	r.core.Replicate(r.now, &heard{}, &Replicate{Epoch: 2, Number: 1, Records: [][]byte{(&Record{Kind: RecordDrop, ID: "0.1"}).encode()}})
-	assert.Equal(t, wire.PutUnknown, code(t, put))
-	r.core.PeerUp(r.now, "b", b) // what was dropped is not sent again
+// A store may miss views. Under a view that it missed, another store may have been the primary, so it must compare the
+// partition again.
+func TestPrimaryThatMissedEpochComparesAgain(t *testing.T) {
+	r, b, e := newReadyPrimary(t)
+	put := r.put(plainMsg("0.1"), e)
+	r.core.Replicate(r.now, &fakeRemote{}, &Replicate{Epoch: 2, Number: 1, Records: [][]byte{(&Record{Kind: RecordDrop, ID: "0.1"}).encode()}})
+	assert.Equal(t, wire.PutUnknown, replyCode(t, put))
+	r.core.PeerUp(r.now, "b", b) // the dropped message is not sent again
 	r.syncAndAck(b)
-	r.core.Replicate(r.now, &heard{}, &Replicate{Epoch: 2, Number: 2, Records: [][]byte{(&Record{ID: "0.2", Sequence: 2 << 32, Message: plain("")}).encode()}})
+	r.core.Replicate(r.now, &fakeRemote{}, &Replicate{Epoch: 2, Number: 2, Records: [][]byte{(&Record{ID: "0.2", Sequence: 2 << 32, Message: plainMsg("")}).encode()}})
 	r.view(3, []uint16{0, 1}, nil)
 	r.claim(e)
-	r.pass(10 * time.Second)
-	assert.Nil(t, last[wire.Grant](e), "the other replica has not said what it knows")
-	assert.Equal(t, wire.PutUnknown, code(t, r.report(wire.Report{ID: "0.1", Kind: wire.ReportDone}, e)))
-	r.same(b)
+	r.advance(10 * time.Second)
+	assert.Nil(t, lastSent[wire.Grant](e), "the other replica has not answered the comparison")
+	assert.Equal(t, wire.PutUnknown, replyCode(t, r.report(wire.Report{ID: "0.1", Kind: wire.ReportDone}, e)))
+	r.reportEqual(b)
 	r.syncAndAck(b)
 	r.syncAndAck(b)
-	require.NotNil(t, last[wire.Grant](e))
-	assert.Equal(t, "0.2", last[wire.Grant](e).ID)
+	require.NotNil(t, lastSent[wire.Grant](e))
+	assert.Equal(t, "0.2", lastSent[wire.Grant](e).ID)
 }
 
-// An edge that has connected anew has had what it sent before settled: the rest of it must not come after.
-func TestPutOverAConnectionThatWasReplacedIsRefused(t *testing.T) {
-	r, _, e := primary(t)
-	again := &heard{}
-	r.attach("e", again)
-	assert.Equal(t, wire.PutRejected, code(t, r.put(plain("0.1"), e)))
-	r.core.EdgeDown(r.now, again)
-	assert.Equal(t, wire.PutRejected, code(t, r.put(plain("0.1"), again)))
+// When an edge has reconnected, its requests on the old connection count as failed, so they must not take effect any
+// more.
+func TestPutOverReplacedConnectionIsRefused(t *testing.T) {
+	r, _, e := newReadyPrimary(t)
+	reconnected := &fakeRemote{}
+	r.attach("e", reconnected)
+	assert.Equal(t, wire.PutRejected, replyCode(t, r.put(plainMsg("0.1"), e)))
+	r.core.EdgeDown(r.now, reconnected)
+	assert.Equal(t, wire.PutRejected, replyCode(t, r.put(plainMsg("0.1"), reconnected)))
 	assert.Empty(t, r.core.partition(0).entries)
 }
 
-// A message with an order was granted, and the edge's message that it has none is lost.
-func TestGrantedMessageIsGrantedAgain(t *testing.T) {
-	r, b := successor(t, &Record{ID: "0.1", Sequence: 1, Leaseholder: "e", Message: ordered("")}, &Record{ID: "0.2", Sequence: 2, Leaseholder: "e", Message: ordered("")})
-	e := &heard{}
+// If an ordered message was granted, and the edge's report that it doesn't have the message is lost, the message must
+// be granted again.
+func TestOrderedMessageIsRegranted(t *testing.T) {
+	r, b := newSuccessor(t, &Record{ID: "0.1", Sequence: 1, Leaseholder: "e", Message: orderedMsg("")}, &Record{ID: "0.2", Sequence: 2, Leaseholder: "e", Message: orderedMsg("")})
+	e := &fakeRemote{}
 	r.attach("e", e)
 	r.claim(e, "0.1", "0.2")
-	r.same(b)
-	r.pass(time.Second)
-	require.Len(t, e.notices, 1)
-	r.pass(regrantInterval)
-	require.Len(t, e.notices, 2, "of the first alone")
-	assert.Equal(t, "0.1", last[wire.Grant](e).ID)
+	r.reportEqual(b)
+	r.advance(time.Second)
+	require.Len(t, e.notifications, 1)
+	r.advance(regrantInterval)
+	require.Len(t, e.notifications, 2, "of the first alone")
+	assert.Equal(t, "0.1", lastSent[wire.Grant](e).ID)
 }
--- a/store/queue/unowned.go
+++ b/store/queue/unowned.go
@@ -7,12 +7,12 @@
 
 // unownedMessage is a deliverable message that no edge leases.
 type unownedMessage struct {
-	due uint32 // milliseconds of the steady clock
+	due uint32 // when it is to be assigned or expires, in milliseconds of the steady clock
 	p   *partition
 	e   *entry
 }
 
-// unownedHeap has the message that is due first on top.
+// unownedHeap is a heap whose first element is the message that is due first.
 type unownedHeap []unownedMessage
 
 func (h unownedHeap) Len() int { return len(h) }
@@ -21,15 +21,15 @@
 	if h[i].due != h[j].due {
 		return h[i].due < h[j].due
 	}
-	return before(h[i].e, h[j].e)
+	return sequencedBefore(h[i].e, h[j].e)
 }
 
 func (h unownedHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
 
-// Push is part of heap.Interface.
+// Push implements heap.Interface.
 func (h *unownedHeap) Push(x any) { *h = append(*h, x.(unownedMessage)) }
 
-// Pop is part of heap.Interface.
+// Pop implements heap.Interface.
 func (h *unownedHeap) Pop() any {
 	last := len(*h) - 1
 	x := (*h)[last]
@@ -38,7 +38,7 @@
 	return x
 }
 
-// requeueMessage ends a message's lease, if any, and has it assigned to an edge once it is due.
+// requeueMessage ends a message's lease, if any, and queues the message for assignment once it is due.
 func (c *Core) requeueMessage(p *partition, e *entry) {
 	c.releaseLease(e)
 	if e.delivery.queued || !c.isDeliverable(p, e) {
@@ -47,7 +47,7 @@
 	e.delivery.queued = true
 	due := min(e.delivery.due, e.delivery.expires)
 	heap.Push(&c.unowned, unownedMessage{due: due, p: p, e: e})
-	if due > c.millis() { // else the event ends with assignDue
+	if due > c.millis() { // otherwise assignDue, which ends each event, assigns it
 		c.wakeAt(time.Duration(due) * time.Millisecond)
 	}
 }
@@ -59,8 +59,8 @@
 	}
 }
 
-// isUnowned says whether a message is still there, deliverable, and leased to no edge.
-func (c *Core) isUnowned(o unownedMessage) bool {
-	current, _ := o.p.find(o.e.id)
-	return current == o.e && o.e.delivery != nil && o.e.delivery.queued && o.e.delivery.leaseholder == nil && c.isDeliverable(o.p, o.e)
+// isUnowned reports whether a queued message still exists, is deliverable, and isn't leased.
+func (c *Core) isUnowned(m unownedMessage) bool {
+	current, _ := m.p.find(m.e.id)
+	return current == m.e && m.e.delivery != nil && m.e.delivery.queued && m.e.delivery.leaseholder == nil && c.isDeliverable(m.p, m.e)
 }
