--- a/api.go
+++ b/api.go
@@ -2,29 +2,29 @@
 
 import "time"
 
-// JobID names a job. The owner never uses one twice.
+// JobID identifies a job. The owner never reuses one.
 type JobID uint32
 
-// Availability is a worker's state by the list.
+// Availability is the state of a worker according to the list.
 type Availability uint8
 
 // States of a worker.
 const (
-	Removed  Availability = iota // it is no longer listed
-	Ready                        // jobs may go to it
-	Draining                     // it finishes what it has, and nothing new may go to it
+	Removed  Availability = iota // no longer listed
+	Ready                        // may be sent jobs
+	Draining                     // finishes the jobs that it has and may be sent no new ones
 )
 
-// Entry is one worker in a list.
+// Entry is one worker in a list of workers.
 type Entry struct {
 	Worker    string
 	Zone      int
 	Kind      int
 	Cell      int
 	State     Availability
-	Weight    float64       // comparable size, 1 where the list gives none
-	Slots     int           // jobs that it runs at once, 0 where the list does not say
-	StartedAt time.Duration // time of its latest start, 0 if long past
+	Weight    float64       // relative size, 1 if the list gives none
+	Slots     int           // jobs that it runs at once, 0 if the list does not say
+	StartedAt time.Duration // time of its latest start, 0 if long ago
 }
 
 // ListKind says how the entries of a WorkersListed event apply.
@@ -34,8 +34,8 @@
 const (
 	Delta  ListKind = iota // changed entries only
 	Full                   // the whole list
-	Cached                 // the whole list as last held, maybe outdated
-	Failed                 // the call failed or the watch broke; no entries
+	Cached                 // the last known whole list, possibly outdated
+	Failed                 // the request failed or the watch broke; no entries
 )
 
 // Outcome is how an attempt ended.
@@ -45,65 +45,65 @@
 const (
 	OK            Outcome = iota
 	Error                 // may have run
-	Overloaded            // rejected unseen: never ran
+	Overloaded            // rejected unread: never ran
 	TimedOut              // may have run, may still run
 	ConnectFailed         // never ran
 	Reset                 // may have run
 	Cancelled             // may have run
 	NotSent               // never ran
-	Rejected              // the worker could not use the request; nothing promises that it did not run
+	Rejected              // the worker could not use the request; nothing guarantees that the job did not run
 )
 
-// Load is a worker's report of itself; a field it did not give is negative.
+// Load is a worker's report of its own load. A field that the worker did not report is negative.
 type Load struct {
 	Given     bool
-	InFlight  float64 // jobs it holds
+	InFlight  float64 // jobs that it holds
 	FreeSlots float64
-	Busy      float64 // part of its processors in use
+	Busy      float64 // fraction of its processors in use
 }
 
-// EventKind tells what an Event reports, and so which of its fields count.
+// EventKind says what an Event reports, and therefore which of its fields are used.
 type EventKind uint8
 
-// Kinds of events, with the fields that count.
+// Kinds of events, with the fields that they use.
 const (
 	JobArrived          EventKind = iota // Job, Class, Tenant, Key, Left, Work, Slots, Memory, Retry, Attempts
-	JobStarted                           // Job, Attempt
+	JobStarted                           // Job, Attempt: the worker reported that the job runs (a start note)
 	JobProgressed                        // Job, Attempt, Done
-	StreamBegan                          // Job, Attempt: the answer has begun, no deadline binds it any more
+	StreamBegan                          // Job, Attempt: the answer streams to the client; the deadline no longer applies
 	AttemptEnded                         // Job, Attempt, Outcome, Took, Closed, Load
 	ClientLeft                           // Job
 	TimerFired                           // nothing else
 	WorkersListed                        // List, Entries
 	ProbeAnswered                        // Worker, Outcome, Took, Load
 	PeerMessage                          // From, Data
-	AttemptUnresponsive                  // Job, Attempt: the worker has not even taken it, long after it should have
-	WorkerDetached                       // Worker: nothing more may go there, whatever is listed, until it is back
-	WorkerAttached                       // Worker: the list counts again, and its slow start begins
-	SentElsewhere                        // Worker, Slots: another process of this dispatcher sent a job there; below 0: it ended
-	Inherited                            // Snapshot: of the process before this one, after its list
-	Learnt                               // Snapshot: what others know, after the list; it counts where nothing was seen here
-	Leaving                              // Left: all that is open, or comes yet, is to be answered within it
+	AttemptUnresponsive                  // Job, Attempt: the worker has not even accepted the request, long after it should have
+	WorkerDetached                       // Worker: it gets no more jobs, whatever is listed, until WorkerAttached
+	WorkerAttached                       // Worker: the list applies to it again, and its slow start begins
+	SentElsewhere                        // Worker, Slots: another process of this dispatcher sent a job there; negative: it ended
+	Inherited                            // Snapshot: of the process that this one replaces; after the list
+	Learnt                               // Snapshot: observations of other dispatchers, used where this one has none; after the list
+	Leaving                              // Left: the process shuts down; all open and new jobs must be answered within this time
 )
 
-// Event is one thing that happened. Class and Tenant are indices into the settings, -1 if unknown.
+// Event reports one thing that happened. Class and Tenant are indices into the settings, -1 if unknown.
 type Event struct {
 	Kind   EventKind
 	Job    JobID
 	Class  int
 	Tenant int
 	Key    uint64
-	Left   time.Duration // until the client gives this attempt of its own up
-	Work   time.Duration // hint of the job's work at unit speed, 0 if none
-	Slots  float64       // 0 counts as 1
+	Left   time.Duration // time until the client gives up this request; a client may retry its job with a new one
+	Work   time.Duration // estimated run time of the job on a worker of unit speed, 0 if unknown
+	Slots  float64       // slots that the job takes; 0 counts as 1
 	Memory float64
-	Retry  bool
-	// Attempts are those of the process before this one, which had the job. Such a job is not new: Retry is set.
+	Retry  bool // the client has sent this job before
+	// Attempts were made by the process that this one replaces, if it had the job. Such a job is not new: Retry is set.
 	Attempts []AttemptSnapshot
 	Attempt  int
 	Outcome  Outcome
 	Took     time.Duration
-	Closed   bool // the job has had its final answer
+	Closed   bool // the job has its final answer
 	Done     float64
 	Load     Load
 	Worker   string
@@ -114,29 +114,31 @@
 	Snapshot *Snapshot
 }
 
-// ActionKind tells what an Action asks for, and so which of its fields count.
+// ActionKind says what an Action requests, and therefore which of its fields are used.
 type ActionKind uint8
 
-// Kinds of actions, with the fields that count.
+// Kinds of actions, with the fields that they use.
 const (
-	Send        ActionKind = iota // Job, Worker, By: attempts count 0, 1, 2 in the order of their sends
+	Send        ActionKind = iota // Job, Worker, By: the attempts of a job are numbered 0, 1, 2 in the order of their Sends
 	Cancel                        // Job, Attempt
-	Refuse                        // Job, Wait: final; a retry can do no harm, best after Wait
-	Fail                          // Job: final, without that promise
+	Refuse                        // Job, Wait: final answer; the client may safely retry, preferably after Wait
+	Fail                          // Job: final answer, without the guarantee that a retry is safe
 	SetTimer                      // Wait
 	Probe                         // Worker
 	WatchList                     // nothing else
 	NotifyPeers                   // To (-1 for all), Data
 )
 
-// Action is one thing to do.
+// Action is one thing that the owner has to do.
 type Action struct {
 	Kind    ActionKind
 	Job     JobID
 	Worker  string
 	Attempt int
 	Wait    time.Duration
-	By      time.Duration // on the clock of the events: the send's last byte may go until then, whenever a connection is there
-	To      int
-	Data    []byte
+	// By is the time, on the clock of the events, until which the last byte of the request may be sent, however late its connection
+	// is established.
+	By   time.Duration
+	To   int
+	Data []byte
 }
--- a/bench_test.go
+++ b/bench_test.go
@@ -7,15 +7,15 @@
 
 const ms = time.Millisecond
 
-// bench drives one dispatcher and keeps what it said.
-type bench struct {
-	t    *testing.T
-	d    *Dispatcher
-	now  time.Duration
-	acts []Action // of the last event
+// testBench drives one Dispatcher and keeps its latest actions.
+type testBench struct {
+	t       *testing.T
+	d       *Dispatcher
+	now     time.Duration
+	actions []Action // for the latest event
 }
 
-// testSettings has one class of each effect: 0 safe, 1 keyed by cell, 2 unsafe.
+// testSettings returns settings with one class of each effect: 0 safe, 1 keyed by cell, 2 unsafe.
 func testSettings() Settings {
 	return Settings{
 		Dispatchers: 4, Me: 1, Zones: 2, Zone: 0,
@@ -31,45 +31,45 @@
 	}
 }
 
-func newBench(t *testing.T, s Settings, workers ...Entry) *bench {
+func newTestBench(t *testing.T, s Settings, workers ...Entry) *testBench {
 	t.Helper()
 	d, err := New(s, 7)
 	if err != nil {
 		t.Fatal(err)
 	}
-	b := &bench{t: t, d: d, now: time.Hour}
-	b.do(Event{Kind: WorkersListed, List: Cached, Entries: workers})
+	b := &testBench{t: t, d: d, now: time.Hour}
+	b.handle(Event{Kind: WorkersListed, List: Cached, Entries: workers})
 	return b
 }
 
-func (b *bench) do(ev Event) []Action {
-	b.acts = b.d.Handle(b.now, &ev, nil)
-	return b.acts
+func (b *testBench) handle(ev Event) []Action {
+	b.actions = b.d.Handle(b.now, &ev, nil)
+	return b.actions
 }
 
-func (b *bench) arrive(id JobID, class int, left time.Duration) []Action {
-	return b.do(Event{Kind: JobArrived, Job: id, Class: class, Tenant: -1, Left: left})
+func (b *testBench) arrive(id JobID, class int, left time.Duration) []Action {
+	return b.handle(Event{Kind: JobArrived, Job: id, Class: class, Tenant: -1, Left: left})
 }
 
-func (b *bench) end(id JobID, attempt int, o Outcome) []Action {
-	return b.do(Event{Kind: AttemptEnded, Job: id, Attempt: attempt, Outcome: o, Closed: o == OK})
+func (b *testBench) endAttempt(id JobID, attempt int, o Outcome) []Action {
+	return b.handle(Event{Kind: AttemptEnded, Job: id, Attempt: attempt, Outcome: o, Closed: o == OK})
 }
 
-// free is a report of free slots that comes with an outcome.
-func (b *bench) endWith(id JobID, attempt int, o Outcome, free float64) {
-	b.do(Event{Kind: AttemptEnded, Job: id, Attempt: attempt, Outcome: o, Closed: o == OK,
+// endAttemptWithFreeSlots passes an outcome with a report of free slots.
+func (b *testBench) endAttemptWithFreeSlots(id JobID, attempt int, o Outcome, free float64) {
+	b.handle(Event{Kind: AttemptEnded, Job: id, Attempt: attempt, Outcome: o, Closed: o == OK,
 		Load: Load{Given: true, FreeSlots: free, InFlight: -1, Busy: -1}})
 }
 
-// fire advances the clock and lets the timer fire.
-func (b *bench) fire(by time.Duration) []Action {
+// advance moves the clock forward and fires the timer.
+func (b *testBench) advance(by time.Duration) []Action {
 	b.now += by
-	return b.do(Event{Kind: TimerFired})
+	return b.handle(Event{Kind: TimerFired})
 }
 
-// of returns the last actions of one kind.
-func (b *bench) of(kind ActionKind) (found []Action) {
-	for _, a := range b.acts {
+// actionsOf returns the latest actions of one kind.
+func (b *testBench) actionsOf(kind ActionKind) (found []Action) {
+	for _, a := range b.actions {
 		if a.Kind == kind {
 			found = append(found, a)
 		}
@@ -77,43 +77,43 @@
 	return found
 }
 
-// one returns the only action of one kind, and fails the test if there is not exactly one.
-func (b *bench) one(kind ActionKind) Action {
+// requireOne returns the only latest action of one kind, and fails the test if there is not exactly one.
+func (b *testBench) requireOne(kind ActionKind) Action {
 	b.t.Helper()
-	found := b.of(kind)
+	found := b.actionsOf(kind)
 	if len(found) != 1 {
-		b.t.Fatalf("%d actions of kind %d in %+v, want 1", len(found), kind, b.acts)
+		b.t.Fatalf("got %d actions of kind %d in %+v, want 1", len(found), kind, b.actions)
 	}
 	return found[0]
 }
 
-// none fails the test if there is an action of the kind.
-func (b *bench) none(kind ActionKind) {
+// requireNone fails the test if the latest actions include one of the kind.
+func (b *testBench) requireNone(kind ActionKind) {
 	b.t.Helper()
-	if found := b.of(kind); len(found) > 0 {
-		b.t.Fatalf("unwanted actions of kind %d: %+v", kind, found)
+	if found := b.actionsOf(kind); len(found) > 0 {
+		b.t.Fatalf("unexpected actions of kind %d: %+v", kind, found)
 	}
 }
 
-// untilSent lets the timer fire again and again until a job is sent, and returns how long that took.
-func (b *bench) untilSent(step time.Duration) time.Duration {
+// untilSent fires the timer once a step until a job is sent or 2*rejectionTTL has passed, and returns the time it took.
+func (b *testBench) untilSent(step time.Duration) time.Duration {
 	from := b.now
-	for len(b.of(Send)) == 0 && b.now-from < 2*rejectionTTL {
+	for len(b.actionsOf(Send)) == 0 && b.now-from < 2*rejectionTTL {
 		b.now += step
-		b.d.wakeAt = 0
-		for _, j := range b.d.open {
-			j.due = 0
+		b.d.timerAt = 0
+		for _, j := range b.d.openJobs {
+			j.checkAt = 0
 		}
-		b.do(Event{Kind: TimerFired})
+		b.handle(Event{Kind: TimerFired})
 	}
 	return b.now - from
 }
 
-func ready(name string, zone, cell int) Entry {
+func readyEntry(name string, zone, cell int) Entry {
 	return Entry{Worker: name, Zone: zone, Cell: cell, State: Ready, Weight: 1}
 }
 
-func startSettings() Settings {
+func startNoteSettings() Settings {
 	s := testSettings()
 	s.TellsStart = true
 	return s
--- a/compat_test.go
+++ b/compat_test.go
@@ -13,10 +13,10 @@
 	"ravendale"
 )
 
-// The files in testdata/compat were written by version a08c060. What one process hands to the next is JSON of these types, so the
-// names of their fields are its format.
+// The files in testdata/compat were written by version a08c060. A process passes its state to its replacement as JSON of these
+// types, so the names of their fields are the format.
 
-var compatMemory = ravendale.Snapshot{
+var goldenSnapshot = ravendale.Snapshot{
 	Detached: map[string]time.Duration{"worker-7": 7 * time.Second},
 	Arrivals: 123.5,
 	Peak:     12,
@@ -33,20 +33,20 @@
 	MeanValue: 1.75, JobsSeen: 1000, WarmThroughput: 33.25, WarmingOnTime: 0.875,
 }
 
-var compatAttempts = []ravendale.AttemptSnapshot{
+var goldenAttempts = []ravendale.AttemptSnapshot{
 	{Worker: "worker-1", Zone: 2, Cell: 5, SentAt: 17 * time.Second, InFlight: true, MayRun: true, Started: true},
 	{Worker: "worker-2", Zone: -1, Cell: -1, SentAt: 18 * time.Second},
 }
 
-var compatClasses = []ravendale.Class{
+var goldenClasses = []ravendale.Class{
 	{Name: "view", Effect: ravendale.Safe, Group: ravendale.GroupZone, Window: 40 * time.Second, LatencyTarget: 400 * time.Millisecond, Stretch: 1.75,
 		Deadline: 2 * time.Second, Value: 3.5, LateValue: 0.5, Kind: 1, Priority: 2},
 	{Name: "pay", Effect: ravendale.Keyed, Group: ravendale.GroupCell, Window: 1, LatencyTarget: 2, Stretch: 3, Deadline: 4, Value: 5, LateValue: 6, Kind: -1, Priority: 8},
 	{Name: "move", Effect: ravendale.Unsafe, Group: ravendale.GroupAll, Kind: -1},
 }
 
-// compatJSON holds that a golden file reads as a value, and that the value is written as the file.
-func compatJSON[T any](t *testing.T, name string, value T) {
+// checkGoldenJSON checks that a golden file decodes to value, and that value encodes to the content of the file.
+func checkGoldenJSON[T any](t *testing.T, name string, value T) {
 	t.Helper()
 	golden, err := os.ReadFile(filepath.Join("testdata", "compat", name))
 	if err != nil {
@@ -57,23 +57,23 @@
 		t.Fatal(err)
 	}
 	if diff := cmp.Diff(value, got); diff != "" {
-		t.Errorf("%s reads as another value (-want +got):\n%s", name, diff)
+		t.Errorf("%s decodes to a different value (-want +got):\n%s", name, diff)
 	}
 	text, err := json.Marshal(got)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if !bytes.Equal(append(text, '\n'), golden) {
-		t.Errorf("%s is written as\n%s\nnot as\n%s", name, text, golden)
+		t.Errorf("%s is encoded as\n%s\nwant\n%s", name, text, golden)
 	}
 }
 
-func TestGoldenMemoryReadsAndWritesTheSame(t *testing.T) { compatJSON(t, "memory.json", compatMemory) }
+func TestSnapshotMatchesGoldenFile(t *testing.T) { checkGoldenJSON(t, "memory.json", goldenSnapshot) }
 
-func TestGoldenAttemptsReadAndWriteTheSame(t *testing.T) {
-	compatJSON(t, "attempts.json", compatAttempts)
+func TestAttemptsMatchGoldenFile(t *testing.T) {
+	checkGoldenJSON(t, "attempts.json", goldenAttempts)
 }
 
-func TestGoldenClassesReadAndWriteTheSame(t *testing.T) {
-	compatJSON(t, "classes.json", compatClasses)
+func TestClassesMatchGoldenFile(t *testing.T) {
+	checkGoldenJSON(t, "classes.json", goldenClasses)
 }
--- a/dispatcher.go
+++ b/dispatcher.go
@@ -6,62 +6,63 @@
 	"time"
 )
 
-// never is a time that does not come.
+// never is a time that is never reached.
 const never = time.Duration(math.MaxInt64)
 
-// Dispatcher decides for one dispatcher: see the package comment for how to drive it. It is not safe for concurrent use.
+// Dispatcher makes the decisions of one dispatcher: see the package comment for its usage. It is not safe for concurrent use.
 type Dispatcher struct {
-	settings Settings
-	random   *rand.Rand
-	workers  []*worker // in the order in which they were first listed
-	byName   map[string]*worker
-	detached map[string]time.Duration // by an operator, listed or not: since when
-	zones    []zone                   // by number; the last is for workers of no known zone
-	capacity capacity
-	watch    watch
+	settings    Settings
+	random      *rand.Rand
+	workers     []*worker // in the order in which they were first listed
+	byName      map[string]*worker
+	detached    map[string]time.Duration // workers detached by an operator, listed or not, with the time of the detach
+	zones       []zone                   // by zone index; the last is for workers of unknown zones
+	capacity    capacity
+	listRequest listRequest
 
-	jobs     map[JobID]*job
-	open     []*job        // oldest first
-	slots    float64       // of all workers, held by attempts of ours in flight
-	stats    []*classStats // by class
-	arrivals arrivals
+	jobs          map[JobID]*job
+	openJobs      []*job        // oldest first
+	slotsInFlight float64       // slots held by this dispatcher's attempts at all workers
+	stats         []*classStats // by class
+	arrivals      arrivals
 
-	now     time.Duration
-	leaveAt time.Duration // what is unanswered by then is lost with this process
-	wakeAt  time.Duration // when our earliest timer fires
-	acts    []Action      // of the event in hand
+	now           time.Duration
+	drainDeadline time.Duration // the process exits then: jobs without an answer would get none
+	timerAt       time.Duration // when the earliest timer that was set fires
+	actions       []Action      // actions for the current event
 }
 
-// Handle takes one event at the time now, which never goes back, and appends to acts what is to be done, in order.
-func (d *Dispatcher) Handle(now time.Duration, ev *Event, acts []Action) []Action {
-	d.now, d.acts = now, acts
+// Handle processes one event at the time now, which must never decrease. It appends the resulting actions to actions, in the
+// order in which they must be executed, and returns the extended slice.
+func (d *Dispatcher) Handle(now time.Duration, ev *Event, actions []Action) []Action {
+	d.now, d.actions = now, actions
 	switch ev.Kind {
 	case JobArrived:
-		d.onArrival(ev)
+		d.handleArrival(ev)
 	case AttemptEnded:
-		d.onOutcome(ev)
+		d.handleOutcome(ev)
 	case JobStarted, JobProgressed, StreamBegan:
 		if j := d.jobs[ev.Job]; j != nil && ev.Kind == StreamBegan {
-			j.answerBy = never // the attempt is the client's now, and no deadline binds it
+			j.answerBy = never // the client is receiving the answer, so the deadline no longer applies
 		}
-		d.onStart(ev)
+		d.handleStart(ev)
 	case ClientLeft:
 		if j := d.jobs[ev.Job]; j != nil {
-			d.close(j)
+			d.closeJob(j)
 		}
 	case TimerFired:
-		d.onTimer()
+		d.handleTimer()
 	case WorkersListed:
-		d.onList(ev)
+		d.handleList(ev)
 	case AttemptUnresponsive:
-		d.onUnresponsive(ev)
+		d.handleUnresponsive(ev)
 	case WorkerDetached, WorkerAttached:
 		d.setDetached(ev.Worker, ev.Kind == WorkerDetached)
 	case SentElsewhere:
-		d.slots = max(0, d.slots+ev.Slots)
+		d.slotsInFlight = max(0, d.slotsInFlight+ev.Slots)
 		if w := d.byName[ev.Worker]; w != nil {
-			w.slots = max(0, w.slots+ev.Slots)
-			if d.warmUp(w) < 1 && ev.Slots > 0 {
+			w.ownSlots = max(0, w.ownSlots+ev.Slots)
+			if d.warmUpFraction(w) < 1 && ev.Slots > 0 {
 				w.tokens--
 			}
 		}
@@ -72,18 +73,18 @@
 	case Leaving:
 		d.drain(d.now + ev.Left)
 	}
-	acts, d.acts = d.acts, nil
-	return acts
+	actions, d.actions = d.actions, nil
+	return actions
 }
 
-// New returns a Dispatcher, or an error that names the setting that makes no sense.
+// New returns a Dispatcher, or an error that names the first invalid setting.
 func New(s Settings, seed uint64) (*Dispatcher, error) {
 	if err := s.Validate(); err != nil {
 		return nil, err
 	}
 	d := &Dispatcher{
-		random:  rand.New(rand.NewPCG(seed, 0)),
-		leaveAt: never, wakeAt: never, watch: watch{askAt: never, askAfter: askRetry},
+		random:        rand.New(rand.NewPCG(seed, 0)),
+		drainDeadline: never, timerAt: never, listRequest: listRequest{requestAt: never, retryDelay: listRetryDelay},
 		byName: make(map[string]*worker), detached: make(map[string]time.Duration),
 		jobs: make(map[JobID]*job), zones: make([]zone, s.Zones+1),
 	}
@@ -97,13 +98,14 @@
 	return detached || d.byName[name] != nil
 }
 
-// WarmingUp reports whether a worker is taken to be in its slow start at a time.
+// WarmingUp reports whether a worker is assumed to be in its slow start at the time now.
 func (d *Dispatcher) WarmingUp(name string, now time.Duration) bool {
 	w := d.byName[name]
 	return w != nil && w.StartedAt > 0 && now-w.StartedAt < d.settings.SlowStartFor
 }
 
-// Workers counts those listed, and those of them that get no jobs now: detached, not ready or unhealthy.
+// Workers returns how many workers are listed, and how many of these currently get no jobs because they are detached, not
+// ready or unhealthy.
 func (d *Dispatcher) Workers() (listed, avoided int) {
 	for _, w := range d.workers {
 		if !w.usable() || w.unhealthyUntil > d.now {
--- a/example_test.go
+++ b/example_test.go
@@ -7,7 +7,7 @@
 	"ravendale"
 )
 
-// The owner of a dispatcher tells it what happens and carries out what it asks for.
+// The owner of a Dispatcher passes events to it and executes the actions that it returns.
 func Example() {
 	d, err := ravendale.New(ravendale.Settings{
 		Dispatchers: 1,
@@ -22,7 +22,7 @@
 		fmt.Println(err)
 		return
 	}
-	now := time.Hour // any clock that only goes forward
+	now := time.Hour // any clock that never decreases
 	tell := func(ev ravendale.Event) {
 		for _, a := range d.Handle(now, &ev, nil) {
 			switch a.Kind {
--- a/hedging.go
+++ b/hedging.go
@@ -2,17 +2,19 @@
 
 import "time"
 
-// Hedging sends a copy of a job to a second worker before the first has answered. Its rule is pi-gamma: Lee and others, "On
-// Scheduling Redundant Requests With Cancellation Overheads", IEEE/ACM Transactions on Networking 25(2), 2017.
+// A hedge is a second attempt of a job, sent to another worker before the first attempt has ended. The rule is pi-gamma: Lee
+// and others, "On Scheduling Redundant Requests With Cancellation Overheads", IEEE/ACM Transactions on Networking 25(2), 2017.
 
-// gamma is how many jobs may be open here at most while copies are made: see docs/design.md.
+// gamma is the largest number of open jobs at which hedgeOldest sends hedges: see docs/design.md.
 const gamma = 4
 
-// initialStartTimeout holds until a start note has told how long a start takes.
+// initialStartTimeout applies until a start note has shown how long a start takes.
 const initialStartTimeout = 100 * time.Millisecond
 
-// watchStart moves a job whose start note is overdue: it is queued behind others, and a place in a second queue costs nothing
-// where the first to start is kept and the rest cancelled. There, unless unsafe, it gets a copy whatever N is, which moves on.
+// watchStart hedges a job whose start note is overdue. Such a job is queued behind others, and a place in a second queue costs
+// nothing if the first attempt to start causes the others to be cancelled. So if attempts can be cancelled and the job is not
+// unsafe, it gets a hedge, however many jobs are open. If the start of the hedge is overdue too, the hedge moves on to another
+// worker.
 func (d *Dispatcher) watchStart(j *job) {
 	newest := -1
 	for i := range j.attempts {
@@ -26,14 +28,14 @@
 		newest = i
 		due := a.sentAt + d.startTimeout(a.w)
 		if due > d.now {
-			j.due = min(j.due, due)
-			d.wake(j.due)
+			j.checkAt = min(j.checkAt, due)
+			d.scheduleTimer(j.checkAt)
 			return
 		}
-		if !a.late {
-			a.late = true
-			d.observeFree(a.w, -1)
-			if d.warmUp(a.w) < 1 {
+		if !a.startOverdue {
+			a.startOverdue = true
+			d.observeFreeSlots(a.w, -1)
+			if d.warmUpFraction(a.w) < 1 {
 				updateMean(&d.capacity.warmingOnTime, 0)
 			}
 		}
@@ -46,37 +48,37 @@
 		return
 	}
 	w := d.pick(j, false)
-	if w == nil || d.now-w.reportedAt < reportTTL && w.free < 0 {
+	if w == nil || d.now-w.reportedAt < reportTTL && w.freeSlots < 0 {
 		return
 	}
-	if j.active > 1 {
+	if j.activeAttempts > 1 {
 		d.cancel(j, newest)
 	}
 	d.send(j, w)
-	j.due = min(j.due, d.now+d.startTimeout(w))
-	d.wake(j.due)
+	j.checkAt = min(j.checkAt, d.now+d.startTimeout(w))
+	d.scheduleTimer(j.checkAt)
 }
 
-// yieldSlots gives up a low-value job's places in queues and spreads the attempts left over the time left: it takes only slots
-// that it finds free, so that jobs of more value go first though workers serve in order. Not for one that can't be refused and
-// earns nothing late.
+// yieldSlots cancels the queued attempts of a low-value job and spreads its remaining attempts over the remaining time. The
+// job then uses only slots that it finds free, so that jobs of higher value go first although workers serve in order. It is
+// not for jobs that can't be refused and earn nothing late.
 func (d *Dispatcher) yieldSlots(j *job) {
 	for i := range j.attempts {
 		d.cancel(j, i)
 	}
-	j.due = d.now + (j.due-d.now)/time.Duration(j.maxAttempts-len(j.attempts)+1)
-	j.notBefore = j.due
-	d.wake(j.due)
+	j.checkAt = d.now + (j.checkAt-d.now)/time.Duration(j.maxAttempts-len(j.attempts)+1)
+	j.notBefore = j.checkAt
+	d.scheduleTimer(j.checkAt)
 }
 
-// hedgeOldest is pi-gamma: at each arrival and finish, while N <= gamma, the oldest safe job without a copy gets one on an idle
-// worker.
+// hedgeOldest applies pi-gamma at each arrival and outcome: while at most gamma jobs are open, safe jobs without a hedge get one
+// on an idle worker, oldest job first.
 func (d *Dispatcher) hedgeOldest() {
-	if !d.settings.MayHedge || len(d.open) > gamma {
+	if !d.settings.MayHedge || len(d.openJobs) > gamma {
 		return
 	}
-	for _, j := range d.open {
-		if j.hedged || j.active != 1 || j.class.Effect != Safe {
+	for _, j := range d.openJobs {
+		if j.hedged || j.activeAttempts != 1 || j.class.Effect != Safe {
 			continue
 		}
 		w := d.pick(j, true)
@@ -88,8 +90,8 @@
 	}
 }
 
-// startTimeout is the time by which a job that found a free slot is known to have started: on sockets a worker reports it in up
-// to 50 ms.
+// startTimeout returns the time after a send within which the start note of a job that found a free slot is received. On
+// sockets, a worker takes up to 50 ms to send it.
 func (d *Dispatcher) startTimeout(w *worker) time.Duration {
 	if latency := d.zone(w.Zone).startLatency; latency > 0 {
 		return 10*latency + 20*d.settings.Tick
--- a/job.go
+++ b/job.go
@@ -7,108 +7,108 @@
 )
 
 const (
-	// answerTicks is how many ticks before the client leaves its answer goes: one until the next batch, one for a time-out that
-	// shares it.
-	answerTicks = 2
-	// valueWindow is over how many arrivals the mean value is averaged, sampleWindow over how many samples a zone's busy part and a
-	// class's run are.
+	// answerMarginTicks is how many ticks before the client's deadline a job is answered: one until the next batch of events, and
+	// one for a time-out in the same batch.
+	answerMarginTicks = 2
+	// valueWindow is how many arrivals the mean value is averaged over, sampleWindow how many samples the other means, such as
+	// the busy fraction of a zone and the mean run of a class.
 	valueWindow, sampleWindow = 64, 16
 )
 
 // attempt is one send of a job.
 type attempt struct {
-	w          *worker
-	zone, cell int // its worker's then: a list may move it, and who discards a duplicate is where the job went
-	sentAt     time.Duration
-	inFlight   bool // no outcome yet
-	mayRun     bool // it may have run, or still may
-	started    bool // a start note or a progress note came
-	cancelled  bool
-	late       bool // its start is overdue: it waits
+	w            *worker
+	zone, cell   int // at the time of the send: a list may move the worker, but duplicates are discarded where the job went
+	sentAt       time.Duration
+	inFlight     bool // no outcome yet
+	mayRun       bool // it may have run, or still may
+	started      bool // a start note or a progress note was received
+	cancelled    bool
+	startOverdue bool // no start note came within startTimeout: the job is queued at the worker
 }
 
-// job is one that has no final answer yet, or attempts without an outcome.
+// job is a job that has no final answer yet, or attempts without an outcome.
 type job struct {
-	id          JobID
-	class       *Class      // the class and the most attempts as they were when it came:
-	maxAttempts int         // settings that change later are not for it
-	stats       *classStats // of its class
-	slots       float64
-	answerBy    time.Duration
-	startBy     time.Duration // started after this it misses its latency target, as far as is known
-	notBefore   time.Duration // it is not sent before this
-	due         time.Duration // when it is to be looked at next
-	attempts    []attempt
-	open        bool // no final answer yet
-	hedged      bool
-	value       float64
-	cost        float64 // to the budget of a worker that warms up, in mean jobs
-	started     bool    // an attempt is known to run
-	inFlight    int     // attempts without an outcome
-	active      int     // attempts without an outcome that we have not cancelled
+	id               JobID
+	class            *Class      // class and maxAttempts are those at the arrival:
+	maxAttempts      int         // later settings do not apply to this job
+	stats            *classStats // of its class
+	slots            float64
+	answerBy         time.Duration
+	startBy          time.Duration // if it starts later, it is expected to miss its latency target
+	notBefore        time.Duration // earliest time of the next send
+	checkAt          time.Duration // when advance checks it next
+	attempts         []attempt
+	open             bool // no final answer yet
+	hedged           bool
+	value            float64
+	cost             float64 // what it takes from the budget of a worker in its slow start; 1 for a mean job
+	started          bool    // an attempt is known to have started
+	attemptsInFlight int     // attempts without an outcome
+	activeAttempts   int     // attempts without an outcome that were not cancelled
 }
 
-// arrivals is what was seen of the jobs that come.
+// arrivals holds statistics of the arriving jobs.
 type arrivals struct {
 	rate            float64       // jobs a second, averaged over rateWindow: see arrivalRate
-	first, last     time.Duration // when they came
-	jobs, meanValue float64       // how many, and their mean value of late
+	first, last     time.Duration // times of the first and the latest arrival
+	jobs, meanValue float64       // number of arrivals, and the mean value of the recent ones
 }
 
-// classStats is what was seen of the jobs of one class.
+// classStats holds statistics of the jobs of one class.
 type classStats struct {
-	run      time.Duration // from send to answer, of late
-	dev      time.Duration // mean deviation from run
-	least    time.Duration // the shortest run of late: it hardly waited at the worker
-	longest  time.Duration // the longest time that a client's attempt came with
-	arrivals float64       // so many jobs
-	prior    *prior        // what others saw, until enough was seen here
+	meanRun     time.Duration // mean time from send to answer, of recent jobs
+	meanDev     time.Duration // mean deviation from meanRun
+	minRun      time.Duration // the shortest recent run: that job hardly waited at the worker
+	maxTimeLeft time.Duration // the largest Event.Left of an arrival
+	arrivals    float64       // number of arrivals
+	learnt      *learntStats  // observations of other dispatchers, until there are enough own ones
 }
 
-// onArrival takes a new job, or one that another process had.
-func (d *Dispatcher) onArrival(ev *Event) {
+// handleArrival adds a new job, or one that was taken over from another process.
+func (d *Dispatcher) handleArrival(ev *Event) {
 	class := ev.Class
 	if class < 0 || class >= len(d.settings.Classes) {
-		class = len(d.settings.Classes) - 1 // no class of the settings: see apply
+		class = len(d.settings.Classes) - 1 // not a class of the settings: see apply
 	}
 	j := &job{id: ev.Job, slots: max(ev.Slots, 1), open: true, maxAttempts: d.settings.MaxAttempts,
 		class: &d.settings.Classes[class], stats: d.stats[class]}
-	j.answerBy = min(d.now+ev.Left-answerTicks*d.settings.Tick, d.leaveAt)
+	j.answerBy = min(d.now+ev.Left-answerMarginTicks*d.settings.Tick, d.drainDeadline)
 	if d.arrivals.last == 0 {
 		d.arrivals.first = d.now
 	}
 	d.arrivals.rate *= math.Exp(-float64(d.now-d.arrivals.last) / float64(rateWindow))
 	d.arrivals.last = d.now
 	d.setTarget(j, ev)
-	// A client's retry adds nothing to the rate: more than comes must not be sent to what warms up.
-	if !ev.Retry && ev.Left >= j.stats.longest-j.stats.longest/100 {
+	// Retries by clients don't count: workers in their slow start must not be sent more than what newly arrives.
+	if !ev.Retry && ev.Left >= j.stats.maxTimeLeft-j.stats.maxTimeLeft/100 {
 		d.arrivals.rate += 1 / rateWindow.Seconds()
 		d.estimateCapacity()
 	}
 	d.resumeAttempts(j, ev.Attempts)
 	d.jobs[j.id] = j
-	d.open = append(d.open, j)
+	d.openJobs = append(d.openJobs, j)
 	d.advance(j)
 	if j.open {
-		d.wake(j.due)
+		d.scheduleTimer(j.checkAt)
 	}
 	d.hedgeOldest()
 }
 
-// setTarget works out by when the job must start and its value. The client's clock began with its first attempt: one that
-// has less time left than the longest seen of its class is so much older.
+// setTarget computes the latest start, the value and the cost of a job. The client's deadline counts from its first request:
+// a job with less time left than the maximum of its class is older by the difference.
 func (d *Dispatcher) setTarget(j *job, ev *Event) {
 	c := j.stats
-	c.longest = max(c.longest, ev.Left)
+	c.maxTimeLeft = max(c.maxTimeLeft, ev.Left)
 	work, run := ev.Work, ev.Work
 	if work <= 0 {
-		work, run = c.run, c.run+c.dev
+		work, run = c.meanRun, c.meanRun+c.meanDev
 	}
 	j.startBy = never
 	if j.class.LatencyTarget > 0 {
-		target := min(j.class.LatencyTarget+time.Duration(j.class.Stretch*float64(work)), c.longest)
-		// At least LatencyTarget: a deviation may be twice the mean, and nothing would be left.
-		j.startBy = d.now + ev.Left - c.longest + max(target-run, j.class.LatencyTarget)
+		target := min(j.class.LatencyTarget+time.Duration(j.class.Stretch*float64(work)), c.maxTimeLeft)
+		// At least LatencyTarget: the mean deviation may be twice the mean, which would leave no time to start.
+		j.startBy = d.now + ev.Left - c.maxTimeLeft + max(target-run, j.class.LatencyTarget)
 	}
 	j.value = j.class.Value
 	if d.settings.ValuePerJob {
@@ -117,51 +117,52 @@
 	d.arrivals.meanValue += (j.value - d.arrivals.meanValue) * max(1/(1+d.arrivals.jobs), 1.0/valueWindow)
 	d.arrivals.jobs++
 	c.arrivals++
-	sum, all := 0.0, 0.0
+	totalRun, totalArrivals := 0.0, 0.0
 	for _, s := range d.stats {
-		sum, all = sum+s.arrivals*float64(s.run), all+s.arrivals
+		totalRun, totalArrivals = totalRun+s.arrivals*float64(s.meanRun), totalArrivals+s.arrivals
 	}
-	if j.cost = 1; c.run > 0 { // of what a mean job costs: a budget is of work, and runs of 0.3 s go beside runs of 3 s
-		j.cost = max(float64(c.run)*all/sum, 0.25)
+	if j.cost = 1; c.meanRun > 0 { // relative to a mean job: runs of 0.3 s and of 3 s share a budget
+		j.cost = max(float64(c.meanRun)*totalArrivals/totalRun, 0.25)
 	}
 }
 
-// isWaiting reports whether a job is known not to run: it is pending here, or no start note came.
+// isWaiting reports whether a job is known not to be running: it is pending here, or no start note was received.
 func (d *Dispatcher) isWaiting(j *job) bool {
-	return j.active == 0 || d.settings.TellsStart && !j.started
+	return j.activeAttempts == 0 || d.settings.TellsStart && !j.started
 }
 
-// giveUp gives a job its final answer: a refusal if a retry can do no harm, else a failure.
+// giveUp ends a job with a refusal if the client may safely retry, else with a failure.
 func (d *Dispatcher) giveUp(j *job) {
 	a := Action{Kind: Fail, Job: j.id}
-	if j.mayRefuse() { // the client should stay away for a run, which frees some slots; 0 where it is not told
-		a.Kind, a.Wait = Refuse, min(max(j.stats.run, pendingRetry), max(d.settings.MaxRetryAfter, 0))
+	if j.mayRefuse() { // some slots become free within a mean run; Wait is 0 if clients are not told
+		a.Kind, a.Wait = Refuse, min(max(j.stats.meanRun, pendingRetryInterval), max(d.settings.MaxRetryAfter, 0))
 	}
-	d.acts = append(d.acts, a)
-	d.close(j)
+	d.actions = append(d.actions, a)
+	d.closeJob(j)
 }
 
-// close ends a job that has its final answer; it is forgotten with its last outcome.
-func (d *Dispatcher) close(j *job) {
+// closeJob ends a job that has its final answer. The job is deleted once all its attempts have an outcome.
+func (d *Dispatcher) closeJob(j *job) {
 	if !j.open {
 		return
 	}
 	j.open = false
-	d.open = slices.DeleteFunc(d.open, func(other *job) bool { return other == j })
+	d.openJobs = slices.DeleteFunc(d.openJobs, func(other *job) bool { return other == j })
 	for i := range j.attempts {
 		d.cancel(j, i)
 	}
-	if j.inFlight == 0 {
+	if j.attemptsInFlight == 0 {
 		delete(d.jobs, j.id)
 	}
 }
 
-// drain has every open job answered by a time, so that its client may try elsewhere: later, none would come at all.
+// drain makes sure that every job is answered by a time, so that its client can retry elsewhere. The process exits after it,
+// and unanswered clients would get no answer at all.
 func (d *Dispatcher) drain(at time.Duration) {
-	d.leaveAt = at
-	for _, j := range d.open {
+	d.drainDeadline = at
+	for _, j := range d.openJobs {
 		j.answerBy = min(j.answerBy, at)
-		j.due = min(j.due, j.answerBy)
+		j.checkAt = min(j.checkAt, j.answerBy)
 	}
-	d.wake(at)
+	d.scheduleTimer(at)
 }
--- a/learning.go
+++ b/learning.go
@@ -2,69 +2,70 @@
 
 import "time"
 
-// ownEnough is how many own observations of a class leave what others saw of it no weight.
+// ownEnough is the number of own observations of a class at which those of other dispatchers have no weight any more.
 const ownEnough = 50
 
-// prior is what others saw of a class, and beside it what was seen here.
-type prior struct {
-	learnt   ClassSnapshot
-	run, dev time.Duration
-	observed float64
+// learntStats holds the observations of a class by other dispatchers, and the own ones since then.
+type learntStats struct {
+	fromPeers      ClassSnapshot
+	ownRun, ownDev time.Duration
+	observations   float64
 }
 
-// observe takes how long a job ran. What was learnt counts as so many observations, less as own ones come, at ownEnough nothing.
+// observe records the run time of a job. Learnt observations count as fromPeers.Weight own ones at first, and this weight
+// decreases linearly with the number of own ones, to 0 at ownEnough.
 func (c *classStats) observe(run time.Duration) {
-	if c.least += c.least / sampleWindow; run < c.least {
-		c.least = run
+	if c.minRun += c.minRun / sampleWindow; run < c.minRun {
+		c.minRun = run
 	}
-	p := c.prior
+	p := c.learnt
 	if p == nil {
-		off := run - c.run
-		c.run += off / sampleWindow
-		c.dev += (off.Abs() - c.dev) / sampleWindow
+		deviation := run - c.meanRun
+		c.meanRun += deviation / sampleWindow
+		c.meanDev += (deviation.Abs() - c.meanDev) / sampleWindow
 		return
 	}
-	p.observed++
-	kept := min(p.observed, sampleWindow)
-	off := run - p.run
-	p.run += time.Duration(float64(off) / kept)
-	if p.observed > 1 {
-		p.dev += time.Duration((float64(off.Abs()) - float64(p.dev)) / kept)
+	p.observations++
+	ownWeight := min(p.observations, sampleWindow)
+	deviation := run - p.ownRun
+	p.ownRun += time.Duration(float64(deviation) / ownWeight)
+	if p.observations > 1 {
+		p.ownDev += time.Duration((float64(deviation.Abs()) - float64(p.ownDev)) / ownWeight)
 	}
-	left := p.learnt.Weight * max(0, 1-p.observed/ownEnough)
-	weight := left / (left + kept)
-	c.run = p.run + time.Duration(weight*float64(p.learnt.Run-p.run))
-	c.dev = p.dev + time.Duration(weight*float64(p.learnt.Dev-p.dev))
-	if p.observed >= ownEnough {
-		c.prior = nil
+	peerWeight := p.fromPeers.Weight * max(0, 1-p.observations/ownEnough)
+	peerShare := peerWeight / (peerWeight + ownWeight)
+	c.meanRun = p.ownRun + time.Duration(peerShare*float64(p.fromPeers.Run-p.ownRun))
+	c.meanDev = p.ownDev + time.Duration(peerShare*float64(p.fromPeers.Dev-p.ownDev))
+	if p.observations >= ownEnough {
+		c.learnt = nil
 	}
 }
 
-// learn takes what other dispatchers know, of whatever truth: where nothing was seen here, and so that it does no more harm
-// than a blind start. It may lower the budget of a worker in its slow start, never raise it; arrivals and starts, which would,
-// are not learnt.
-func (d *Dispatcher) learn(m *Snapshot) {
+// learn adopts observations of other dispatchers, which may be wrong. It uses them only where this dispatcher has none, and only
+// so that wrong ones do no more harm than a start without any: they may lower the budget of a worker in its slow start, but
+// never raise it. Arrivals and start times could raise it, so they are not adopted.
+func (d *Dispatcher) learn(src *Snapshot) {
 	for i, c := range d.settings.Classes {
-		r, s := m.Classes[c.Name], d.stats[i]
-		if s.run == 0 && s.prior == nil && r.Run > 0 && r.Run <= c.Deadline && r.Dev >= 0 && r.Dev <= c.Deadline && r.Weight > 0 {
-			s.run, s.dev, s.prior = r.Run, r.Dev, &prior{learnt: r}
+		r, s := src.Classes[c.Name], d.stats[i]
+		if s.meanRun == 0 && s.learnt == nil && r.Run > 0 && r.Run <= c.Deadline && r.Dev >= 0 && r.Dev <= c.Deadline && r.Weight > 0 {
+			s.meanRun, s.meanDev, s.learnt = r.Run, r.Dev, &learntStats{fromPeers: r}
 		}
 	}
-	for i := range min(len(m.Zones), len(d.zones)) {
-		if z := &d.zones[i]; z.startLatency == 0 && m.Zones[i].StartLatency > 0 && m.Zones[i].StartLatency <= initialStartTimeout {
-			z.startLatency = m.Zones[i].StartLatency
+	for i := range min(len(src.Zones), len(d.zones)) {
+		if z := &d.zones[i]; z.startLatency == 0 && src.Zones[i].StartLatency > 0 && src.Zones[i].StartLatency <= initialStartTimeout {
+			z.startLatency = src.Zones[i].StartLatency
 		}
 	}
 	for _, w := range d.workers {
-		was, known := m.Workers[w.Worker]
-		if !known || was.ListedStart != w.listedStart {
-			continue // another start: nothing that was seen of that one holds
+		learnt, known := src.Workers[w.Worker]
+		if !known || learnt.ListedStart != w.listedStart {
+			continue // observations from before or after a restart of the worker
 		}
-		if was.UnhealthyUntil > d.now {
-			w.unhealthyUntil = max(w.unhealthyUntil, min(was.UnhealthyUntil, d.now+unhealthyFor))
+		if learnt.UnhealthyUntil > d.now {
+			w.unhealthyUntil = max(w.unhealthyUntil, min(learnt.UnhealthyUntil, d.now+unhealthyFor))
 		}
-		if d.warmUp(w) < 1 {
-			w.tokens = min(w.tokens, max(was.Tokens, 0))
+		if d.warmUpFraction(w) < 1 {
+			w.tokens = min(w.tokens, max(learnt.Tokens, 0))
 		}
 	}
 }
--- a/learning_test.go
+++ b/learning_test.go
@@ -9,50 +9,51 @@
 	"pgregory.net/rapid"
 )
 
-// What others saw of a class serves until enough was seen here, and then has no part in it.
-func TestALearntRunFadesAsOwnOnesCome(t *testing.T) {
-	run := func(learnt time.Duration, own ...time.Duration) time.Duration {
-		b := newBench(t, testSettings(), Entry{Worker: "w", State: Ready, Weight: 1})
-		b.do(Event{Kind: Learnt, Snapshot: &Snapshot{Classes: map[string]ClassSnapshot{"s": {Run: learnt, Dev: learnt / 4, Weight: 20}}}})
-		for i, took := range own {
+// The run time learnt from other dispatchers is used until there are enough own observations, and has no weight then.
+func TestLearntRunIsReplacedByOwnObservations(t *testing.T) {
+	runAfter := func(learnt time.Duration, ownRuns ...time.Duration) time.Duration {
+		b := newTestBench(t, testSettings(), Entry{Worker: "w", State: Ready, Weight: 1})
+		b.handle(Event{Kind: Learnt, Snapshot: &Snapshot{Classes: map[string]ClassSnapshot{"s": {Run: learnt, Dev: learnt / 4, Weight: 20}}}})
+		for i, took := range ownRuns {
 			b.arrive(JobID(i+1), 0, 6*time.Second)
 			b.now += took
-			b.end(JobID(i+1), 0, OK)
+			b.endAttempt(JobID(i+1), 0, OK)
 		}
 		return b.d.Snapshot().Classes["s"].Run
 	}
-	if got := run(200 * ms); got != 200*ms {
-		t.Errorf("at first %v", got)
+	if got := runAfter(200 * ms); got != 200*ms {
+		t.Errorf("got mean run %v without own observations, want the learnt 200ms", got)
 	}
-	if got := run(200*ms, 100*ms); got <= 100*ms || got >= 200*ms {
-		t.Errorf("after one of 100 ms: %v", got)
+	if got := runAfter(200*ms, 100*ms); got <= 100*ms || got >= 200*ms {
+		t.Errorf("got mean run %v after one run of 100 ms, want one between that and the learnt 200 ms", got)
 	}
-	hundred := make([]time.Duration, ownEnough)
-	for i := range hundred {
-		hundred[i] = 100 * ms
+	runs := make([]time.Duration, ownEnough)
+	for i := range runs {
+		runs[i] = 100 * ms
 	}
-	if got := run(2*time.Second, hundred...); got != 100*ms {
-		t.Errorf("after %d of 100 ms: %v", ownEnough, got)
+	if got := runAfter(2*time.Second, runs...); got != 100*ms {
+		t.Errorf("after %d runs of 100 ms got mean run %v", ownEnough, got)
 	}
-	if got := run(7 * time.Second); got != 0 {
-		t.Errorf("longer than clients wait, and believed: %v", got)
+	if got := runAfter(7 * time.Second); got != 0 {
+		t.Errorf("got mean run %v learnt from one longer than the deadline, want 0", got)
 	}
 }
 
-// Nothing is learnt of a class that was seen here, of another start of a worker, of arrivals or starts; a sick worker is
-// avoided for as long as one is that was seen to be sick, and a cold one's budget is never raised.
-func TestWhatIsNotLearnt(t *testing.T) {
-	born := 59 * time.Minute
-	workers := []Entry{{Worker: "w", State: Ready, Weight: 1}, {Worker: "new", State: Ready, Weight: 1, StartedAt: born},
+// Nothing is learnt about a class with own observations, about a worker that has been restarted, or about arrivals and start
+// times. A worker that is learnt to be unhealthy is avoided for unhealthyFor at most, and the budget of a worker in its slow
+// start is never raised.
+func TestLearntSnapshotDoesNotOverrideOwnState(t *testing.T) {
+	startedAt := 59 * time.Minute
+	workers := []Entry{{Worker: "w", State: Ready, Weight: 1}, {Worker: "new", State: Ready, Weight: 1, StartedAt: startedAt},
 		{Worker: "cold", State: Ready, Weight: 1, StartedAt: time.Hour - time.Second}}
-	b := newBench(t, testSettings(), workers...)
-	b.d.stats[0].run = 70 * ms
+	b := newTestBench(t, testSettings(), workers...)
+	b.d.stats[0].meanRun = 70 * ms
 	before := b.d.Snapshot()
-	b.do(Event{Kind: Learnt, Snapshot: &Snapshot{Arrivals: 1e6, Peak: 999, Detached: map[string]time.Duration{"w": 1},
+	b.handle(Event{Kind: Learnt, Snapshot: &Snapshot{Arrivals: 1e6, Peak: 999, Detached: map[string]time.Duration{"w": 1},
 		Classes: map[string]ClassSnapshot{"s": {Run: time.Second, Dev: 1, Weight: 30}, "k": {Run: time.Second, Weight: 0}},
 		Workers: map[string]WorkerSnapshot{
 			"w":    {UnhealthyUntil: b.now + time.Hour, Tokens: 9, StartedAt: 5, Faults: 1},
-			"new":  {ListedStart: born - 1, UnhealthyUntil: b.now + time.Hour},
+			"new":  {ListedStart: startedAt - 1, UnhealthyUntil: b.now + time.Hour},
 			"cold": {ListedStart: time.Hour - time.Second, StartedAt: 0, Tokens: 9}}}})
 	got := b.d.Snapshot()
 	want := before
@@ -62,50 +63,50 @@
 	if diff := cmp.Diff(want, got); diff != "" {
 		t.Error(diff)
 	}
-	b.do(Event{Kind: Learnt, Snapshot: &Snapshot{Workers: map[string]WorkerSnapshot{"cold": {ListedStart: time.Hour - time.Second, Tokens: -3}}}})
+	b.handle(Event{Kind: Learnt, Snapshot: &Snapshot{Workers: map[string]WorkerSnapshot{"cold": {ListedStart: time.Hour - time.Second, Tokens: -3}}}})
 	if got := b.d.Snapshot().Workers["cold"].Tokens; got != 0 {
-		t.Errorf("a budget that is spent elsewhere is %v here", got)
+		t.Errorf("got %v tokens for a worker whose budget is spent at another dispatcher, want 0", got)
 	}
 }
 
-// Whatever is learnt, and whenever: no cold worker has more sends left than without it, every job still gets its answer in
-// time, and a draining worker gets nothing.
+// Whatever is learnt, a worker in its slow start has no more tokens than without it, each job is answered in time, and a draining
+// worker gets no jobs. The name of this test is also the folder of its saved cases in testdata/rapid.
 func TestNoLearntMemoryBreaksARule(t *testing.T) {
 	span := rapid.Int64Range(math.MinInt64/4, math.MaxInt64/4)
 	rapid.Check(t, func(rt *rapid.T) {
 		workers := []Entry{{Worker: "a", State: Ready, Weight: 1}, {Worker: "b", State: Ready, Weight: 2, StartedAt: time.Hour - 2*time.Second},
 			{Worker: "c", State: Draining, Weight: 1}}
-		b, blind := newBench(t, testSettings(), workers...), newBench(t, testSettings(), workers...)
+		b, withoutLearning := newTestBench(t, testSettings(), workers...), newTestBench(t, testSettings(), workers...)
 		m := &Snapshot{Classes: make(map[string]ClassSnapshot), Workers: make(map[string]WorkerSnapshot), Arrivals: rapid.Float64().Draw(rt, "arrivals"),
 			Peak: rapid.Int().Draw(rt, "peak")}
 		for _, c := range []string{"s", "k", "u"} {
 			m.Classes[c] = ClassSnapshot{Run: time.Duration(span.Draw(rt, "run")), Dev: time.Duration(span.Draw(rt, "dev")), Weight: rapid.Float64().Draw(rt, "weight")}
 		}
 		for _, w := range workers {
-			told := w.StartedAt
+			listedStart := w.StartedAt
 			if rapid.Bool().Draw(rt, "another start") {
-				told++
+				listedStart++
 			}
-			m.Workers[w.Worker] = WorkerSnapshot{ListedStart: told, StartedAt: time.Duration(span.Draw(rt, "start")), Tokens: rapid.Float64Range(-1e9, 1e9).Draw(rt, "tokens"),
+			m.Workers[w.Worker] = WorkerSnapshot{ListedStart: listedStart, StartedAt: time.Duration(span.Draw(rt, "start")), Tokens: rapid.Float64Range(-1e9, 1e9).Draw(rt, "tokens"),
 				UnhealthyUntil: time.Duration(span.Draw(rt, "sick"))}
 		}
 		for range 3 {
 			m.Zones = append(m.Zones, ZoneSnapshot{StartLatency: time.Duration(span.Draw(rt, "prompt")), Busy: rapid.Float64().Draw(rt, "busy")})
 		}
-		b.do(Event{Kind: Learnt, Snapshot: m})
-		if got, may := b.d.byName["b"].tokens, blind.d.byName["b"].tokens; got > may {
-			rt.Fatalf("%v sends left for a cold worker, %v without what was learnt", got, may)
+		b.handle(Event{Kind: Learnt, Snapshot: m})
+		if got, limit := b.d.byName["b"].tokens, withoutLearning.d.byName["b"].tokens; got > limit {
+			rt.Fatalf("a worker in its slow start has %v tokens, and %v without the learnt snapshot", got, limit)
 		}
-		if got, was := b.d.byName["b"].StartedAt, blind.d.byName["b"].StartedAt; got != was {
-			rt.Fatalf("its start is %v, listed %v", got, was)
+		if got, want := b.d.byName["b"].StartedAt, withoutLearning.d.byName["b"].StartedAt; got != want {
+			rt.Fatalf("the start of the worker is %v, listed %v", got, want)
 		}
 		b.arrive(1, rapid.IntRange(0, 2).Draw(rt, "class"), 5*time.Second)
-		acts, answered := b.acts, 0
+		acts, answered := b.actions, 0
 		for step := 0; ; step++ {
 			for _, a := range acts {
 				switch {
 				case a.Kind == Send && a.Worker == "c":
-					rt.Fatal("a send to a draining worker")
+					rt.Fatal("a job is sent to a draining worker")
 				case a.Kind == Refuse || a.Kind == Fail:
 					answered++
 				}
@@ -113,10 +114,10 @@
 			if answered > 0 || step > 2000 {
 				break
 			}
-			acts = b.fire(5 * ms)
+			acts = b.advance(5 * ms)
 		}
 		if answered != 1 || b.now > time.Hour+5*time.Second+20*ms {
-			rt.Fatalf("%d answers by %v", answered, b.now-time.Hour)
+			rt.Fatalf("got %d final answers within %v, want 1 within 5.02s", answered, b.now-time.Hour)
 		}
 	})
 }
--- a/members.go
+++ b/members.go
@@ -6,37 +6,38 @@
 	"time"
 )
 
-// First calls to the list are spread over askSpread for each dispatcher, and retried after askRetry, which doubles.
-const askSpread, askRetry = 20 * time.Millisecond, time.Second
+// The first requests for the list are spread over listRequestSpread times the number of dispatchers. Failed requests are
+// retried after listRetryDelay, which doubles with each failure.
+const listRequestSpread, listRetryDelay = 20 * time.Millisecond, time.Second
 
-// watch is when the list of workers is asked for, if settings want that.
-type watch struct {
-	askAt    time.Duration // the next time
-	askAfter time.Duration // the delay after the next failure
+// listRequest holds when the list of workers is requested next, if the settings require requests.
+type listRequest struct {
+	requestAt  time.Duration // time of the next request
+	retryDelay time.Duration // delay after the next failure
 }
 
-// worker is one that is listed, and what was seen of it.
+// worker is a listed worker with the observations of it.
 type worker struct {
-	Entry                                    // StartedAt as it is taken to be
+	Entry                                    // StartedAt is the assumed start
 	listedStart                time.Duration // StartedAt as listed
 	detached                   bool          // by an operator
-	slots                      float64       // our slots in flight
+	ownSlots                   float64       // slots held by this dispatcher's attempts
 	tokens                     float64       // sends allowed in its slow start: see hasToken
 	refilledAt, unhealthyUntil time.Duration
-	faults                     float64       // part of its outcomes, of late, that were errors or breaks
-	limit                      float64       // our slots there when it last rejected a job as overloaded
-	rejectedAt                 time.Duration // when that was
-	rejections                 int           // such answers of late: see hasCapacity
-	free                       float64       // slots that it reported free, less what we sent since
-	reportedAt                 time.Duration // when free was last set
+	faultRate                  float64       // fraction of its recent outcomes that were errors or broken connections
+	slotLimit                  float64       // ownSlots when it last rejected a job as overloaded
+	rejectedAt                 time.Duration // time of that rejection
+	rejections                 int           // recent rejections: see hasCapacity
+	freeSlots                  float64       // free slots by its latest report, adjusted for the sends and answers since
+	reportedAt                 time.Duration // when freeSlots was last set, by a report or an overdue start
 }
 
-// onList follows the worker list.
-func (d *Dispatcher) onList(ev *Event) {
+// handleList applies an update of the worker list.
+func (d *Dispatcher) handleList(ev *Event) {
 	if ev.List == Failed {
-		d.watch.askAt = d.now + time.Duration(float64(d.watch.askAfter)*(0.5+d.random.Float64()))
-		d.watch.askAfter = min(2*d.watch.askAfter, max(d.settings.AskWithin/4, askRetry))
-		d.wake(d.watch.askAt)
+		d.listRequest.requestAt = d.now + time.Duration(float64(d.listRequest.retryDelay)*(0.5+d.random.Float64()))
+		d.listRequest.retryDelay = min(2*d.listRequest.retryDelay, max(d.settings.AskWithin/4, listRetryDelay))
+		d.scheduleTimer(d.listRequest.requestAt)
 		return
 	}
 	if ev.List != Delta {
@@ -51,15 +52,15 @@
 	switch {
 	case !d.settings.MustAsk:
 	case ev.List == Cached:
-		d.watch.askAt = d.now + time.Duration(d.random.Float64()*float64(d.settings.Dispatchers)*float64(askSpread))
-		d.wake(d.watch.askAt)
+		d.listRequest.requestAt = d.now + time.Duration(d.random.Float64()*float64(d.settings.Dispatchers)*float64(listRequestSpread))
+		d.scheduleTimer(d.listRequest.requestAt)
 	default:
-		d.watch.askAt, d.watch.askAfter = never, askRetry
+		d.listRequest.requestAt, d.listRequest.retryDelay = never, listRetryDelay
 	}
 	d.dispatchPending()
 }
 
-// updateEntry takes one entry of the list. A worker that started anew since is one of which nothing is known.
+// updateEntry applies one entry of the list. A worker that has restarted loses all observations.
 func (d *Dispatcher) updateEntry(e *Entry) {
 	w := d.byName[e.Worker]
 	if w == nil {
@@ -67,43 +68,44 @@
 			return
 		}
 		w = new(d.newWorker(e.Worker, 0))
-		if e.Slots > 0 { // all who learn of it would come at once: it is as if it had held our share and rejected one more
-			w.limit, w.rejectedAt = max(1, float64(e.Slots)/float64(d.settings.Dispatchers)), d.now
+		if e.Slots > 0 { // all dispatchers would send to it at once: start as if it had rejected a job beyond our share of its slots
+			w.slotLimit, w.rejectedAt = max(1, float64(e.Slots)/float64(d.settings.Dispatchers)), d.now
 		}
 		d.byName[e.Worker] = w
 		d.workers = append(d.workers, w)
 	}
-	at := e.StartedAt
+	startedAt := e.StartedAt
 	switch {
-	case at == w.listedStart:
-		at = w.StartedAt // not new: what it was taken to be stands
-	case at > w.StartedAt:
-		*w = d.newWorker(e.Worker, w.slots)
+	case startedAt == w.listedStart:
+		startedAt = w.StartedAt // unchanged: keep the assumed start
+	case startedAt > w.StartedAt:
+		*w = d.newWorker(e.Worker, w.ownSlots)
 	}
 	w.Entry, w.listedStart = *e, e.StartedAt
-	w.StartedAt = at
+	w.StartedAt = startedAt
 	_, w.detached = d.detached[e.Worker]
 }
 
-// setDetached takes a worker out of service, or puts it back. It was restarted meanwhile, and nothing seen before counts. Until a
-// list tells when that was, it was now: one taken for warm is overloaded. It gets one job at once.
+// setDetached takes a worker out of service or puts it back. A worker that comes back is assumed to have been restarted, and
+// loses all observations. Until a list says when it started, that is assumed to be now, since a worker that is wrongly
+// assumed to be warm gets overloaded. It may be sent one job immediately.
 func (d *Dispatcher) setDetached(name string, detached bool) {
-	since, was := d.detached[name]
+	detachedSince, wasDetached := d.detached[name]
 	w := d.byName[name]
 	switch {
-	case detached && !was:
+	case detached && !wasDetached:
 		d.detached[name] = d.now
 	case !detached:
 		delete(d.detached, name)
 	}
-	if w == nil || detached == was {
+	if w == nil || detached == wasDetached {
 		return
 	}
 	if !detached {
 		e, listedStart := w.Entry, w.listedStart
-		*w = d.newWorker(e.Worker, w.slots)
+		*w = d.newWorker(e.Worker, w.ownSlots)
 		w.Entry, w.listedStart, w.tokens = e, listedStart, 1
-		if w.StartedAt = listedStart; listedStart < since {
+		if w.StartedAt = listedStart; listedStart < detachedSince {
 			w.StartedAt = d.now
 		}
 	}
@@ -112,40 +114,40 @@
 	d.dispatchPending()
 }
 
-// usable reports whether jobs may go to a worker, by the list and by operators.
+// usable reports whether a worker may be sent jobs according to the list and the operators.
 func (w *worker) usable() bool { return w.State == Ready && !w.detached }
 
-// newWorker is a worker of which nothing is known but our slots. The part of a token that it begins with is another at each
-// dispatcher and for each worker: so their sends come evenly, and not many at once, or one dispatcher's all together.
+// newWorker returns a worker without observations. The fraction of a token that it begins with differs between dispatchers and
+// between workers: this spreads the first sends of all dispatchers to one worker, and of one dispatcher to all workers.
 func (d *Dispatcher) newWorker(name string, slots float64) worker {
-	dispatcher := (float64(d.settings.Me) + d.random.Float64()) / float64(d.settings.Dispatchers)
-	_, phase := math.Modf(dispatcher + float64(crc32.ChecksumIEEE([]byte(name)))/math.MaxUint32)
-	long := d.now - rejectionTTL
-	return worker{slots: slots, tokens: phase, refilledAt: d.now, rejectedAt: long, reportedAt: long}
+	dispatcherPhase := (float64(d.settings.Me) + d.random.Float64()) / float64(d.settings.Dispatchers)
+	_, phase := math.Modf(dispatcherPhase + float64(crc32.ChecksumIEEE([]byte(name)))/math.MaxUint32)
+	expired := d.now - rejectionTTL
+	return worker{ownSlots: slots, tokens: phase, refilledAt: d.now, rejectedAt: expired, reportedAt: expired}
 }
 
-// pruneRemoved drops workers that were removed from the list, and counts the ready ones.
+// pruneRemoved drops the workers that were removed from the list, and updates the counts of the usable ones.
 func (d *Dispatcher) pruneRemoved() {
-	kept, ready, all, weight := d.workers[:0], 0, 0, 0.0
+	remaining, ready, usable, weight := d.workers[:0], 0, 0, 0.0
 	for _, w := range d.workers {
 		if w.State == Removed {
 			delete(d.byName, w.Worker)
 			continue
 		}
 		if w.usable() {
-			if d.capacity.peak == 0 || d.warmUp(w) == 1 {
-				ready++ // successors that come before the old ones go would count twice
+			if d.capacity.peakReady == 0 || d.warmUpFraction(w) == 1 {
+				ready++ // not those in slow start: replacements listed before the old workers leave would count twice
 			} else {
 				d.capacity.warmingUntil = max(d.capacity.warmingUntil, w.StartedAt+d.settings.SlowStartFor)
 			}
-			all++
+			usable++
 			weight += w.Weight
 		}
-		kept = append(kept, w)
+		remaining = append(remaining, w)
 	}
-	clear(d.workers[len(kept):])
-	d.workers = kept
-	d.capacity.peak = max(d.capacity.peak, ready)
-	d.capacity.allUp = all == d.capacity.peak
-	d.capacity.meanWeight = weight / float64(max(all, 1))
+	clear(d.workers[len(remaining):])
+	d.workers = remaining
+	d.capacity.peakReady = max(d.capacity.peakReady, ready)
+	d.capacity.allReady = usable == d.capacity.peakReady
+	d.capacity.meanWeight = weight / float64(max(usable, 1))
 }
--- a/module_test.go
+++ b/module_test.go
@@ -11,8 +11,9 @@
 	"unicode/utf8"
 )
 
-// The files that decide are those that the deploy file names, and no others but the interface; each is small, and told of in doc.go.
-func TestModuleKeepsItsLimits(t *testing.T) {
+// Checks that policy in the deploy file names exactly the deciding files, which are all except the interface, and that each of
+// these is small and described in doc.go.
+func TestPolicyFilesMatchDeployFileAndLimits(t *testing.T) {
 	const maxLines, maxWidth = 200, 130 // of a file, of a line
 	deploy, err := os.ReadFile("deploy/balancer.toml")
 	_, policy, _ := strings.Cut(string(deploy), "\npolicy = ")
@@ -29,7 +30,7 @@
 	})
 	slices.Sort(named)
 	if !slices.Equal(named, deciding) {
-		t.Errorf("policy names %v, and the files that decide are %v", named, deciding)
+		t.Errorf("policy names %v, want the deciding files %v", named, deciding)
 	}
 	for _, name := range deciding {
 		text, err := os.ReadFile(name)
@@ -37,15 +38,15 @@
 			t.Fatal(err)
 		}
 		if !strings.Contains(string(doc), "\n//\t"+name) {
-			t.Errorf("doc.go does not tell what %s decides", name)
+			t.Errorf("doc.go does not describe what %s decides", name)
 		}
 		lines := strings.Split(strings.TrimSuffix(string(text), "\n"), "\n")
 		if len(lines) < 5 || len(lines) > maxLines {
-			t.Errorf("%s has %d lines, at most %d are wanted", name, len(lines), maxLines)
+			t.Errorf("%s has %d lines, want at least 5 and at most %d", name, len(lines), maxLines)
 		}
 		for i, line := range lines {
 			if width := utf8.RuneCountInString(line); width > maxWidth {
-				t.Errorf("%s:%d is %d characters wide", name, i+1, width)
+				t.Errorf("%s:%d is %d characters wide, want at most 130", name, i+1, width)
 			}
 		}
 	}
--- a/outcome.go
+++ b/outcome.go
@@ -1,7 +1,7 @@
 package ravendale
 
-// onStart takes the note that an attempt runs, and cancels those that still wait elsewhere.
-func (d *Dispatcher) onStart(ev *Event) {
+// handleStart records that an attempt is running, and cancels the attempts of the job that have not started.
+func (d *Dispatcher) handleStart(ev *Event) {
 	j := d.jobs[ev.Job]
 	if j == nil || ev.Attempt < 0 || ev.Attempt >= len(j.attempts) || j.attempts[ev.Attempt].started {
 		return
@@ -14,9 +14,9 @@
 		if z.startLatency += z.startLatency / 32; z.startLatency == 0 || z.startLatency > took {
 			z.startLatency = took
 		}
-		if !a.late {
+		if !a.startOverdue {
 			updateMean(&z.busy, 0)
-			if d.warmUp(a.w) < 1 {
+			if d.warmUpFraction(a.w) < 1 {
 				updateMean(&d.capacity.warmingOnTime, 1)
 			}
 		}
@@ -32,43 +32,45 @@
 	}
 }
 
-// onOutcome takes the outcome of an attempt. Outcomes of jobs that ended before only free their slots.
-func (d *Dispatcher) onOutcome(ev *Event) {
+// handleOutcome processes the outcome of an attempt. If the job has already ended, this frees the slots and updates the
+// observations, and the job itself is not advanced.
+func (d *Dispatcher) handleOutcome(ev *Event) {
 	j := d.jobs[ev.Job]
 	if j == nil || ev.Attempt < 0 || ev.Attempt >= len(j.attempts) || !j.attempts[ev.Attempt].inFlight {
 		return
 	}
 	a := &j.attempts[ev.Attempt]
 	a.inFlight = false
-	j.inFlight--
+	j.attemptsInFlight--
 	if !a.cancelled {
-		j.active--
+		j.activeAttempts--
 	}
-	a.w.slots -= j.slots
-	d.slots -= j.slots
+	a.w.ownSlots -= j.slots
+	d.slotsInFlight -= j.slots
 	switch ev.Outcome {
 	case Overloaded, ConnectFailed, NotSent:
 		a.mayRun = false
 		if ev.Outcome == ConnectFailed && d.settings.WrittenCount && j.maxAttempts < 2*d.settings.MaxAttempts {
-			j.maxAttempts++ // it was none, and six can go to a partitioned zone in a second: some are left for where it can run
+			j.maxAttempts++ // not counted: six in a second may fail at a partitioned zone; leave some for others
 		}
 	}
 	d.observeOutcome(j, a, ev)
 	switch {
 	case ev.Closed:
-		d.close(j)
-	case j.open && j.active == 0:
+		d.closeJob(j)
+	case j.open && j.activeAttempts == 0:
 		d.advance(j)
 	}
-	if !j.open && j.inFlight == 0 {
+	if !j.open && j.attemptsInFlight == 0 {
 		delete(d.jobs, j.id)
 	}
 	d.dispatchPending()
 	d.hedgeOldest()
 }
 
-// onUnresponsive moves a job that a worker does not even accept. What must not run twice stays, for it may be there.
-func (d *Dispatcher) onUnresponsive(ev *Event) {
+// handleUnresponsive cancels an attempt that the worker has not even accepted, so that the job can be sent elsewhere. The
+// attempt of an unsafe job is not cancelled, since the worker may have received it.
+func (d *Dispatcher) handleUnresponsive(ev *Event) {
 	j := d.jobs[ev.Job]
 	if j == nil || !j.open || ev.Attempt >= len(j.attempts) || j.class.Effect == Unsafe {
 		return
@@ -78,13 +80,13 @@
 	d.cancel(j, ev.Attempt)
 }
 
-// cancel asks for the end of an attempt without an outcome, if settings allow it.
+// cancel requests the cancellation of an attempt that has no outcome yet, if the settings allow it.
 func (d *Dispatcher) cancel(j *job, i int) {
 	a := &j.attempts[i]
 	if !a.inFlight || a.cancelled || !d.settings.MayCancel {
 		return
 	}
 	a.cancelled = true
-	j.active--
-	d.acts = append(d.acts, Action{Kind: Cancel, Job: j.id, Attempt: i})
+	j.activeAttempts--
+	d.actions = append(d.actions, Action{Kind: Cancel, Job: j.id, Attempt: i})
 }
--- a/placement_test.go
+++ b/placement_test.go
@@ -6,24 +6,24 @@
 	"time"
 )
 
-func TestFirstSendGoesToFewestOwnSlots(t *testing.T) {
-	b := newBench(t, testSettings(), ready("a", 0, 0), ready("b", 0, 0), ready("c", 0, 0))
-	used := map[string]bool{}
+func TestJobGoesToWorkerWithFewestOwnSlots(t *testing.T) {
+	b := newTestBench(t, testSettings(), readyEntry("a", 0, 0), readyEntry("b", 0, 0), readyEntry("c", 0, 0))
+	sentTo := map[string]bool{}
 	for id := range JobID(3) {
 		b.arrive(id, 2, 25*time.Second)
-		used[b.one(Send).Worker] = true
+		sentTo[b.requireOne(Send).Worker] = true
 	}
-	if len(used) != 3 {
-		t.Fatalf("three jobs went to %d workers, want 3", len(used))
+	if len(sentTo) != 3 {
+		t.Fatalf("three jobs were sent to %d workers, want 3", len(sentTo))
 	}
 }
 
-func TestNoWorkForADrainingWorker(t *testing.T) {
-	b := newBench(t, testSettings(), ready("a", 0, 0), ready("b", 0, 0))
-	b.do(Event{Kind: WorkersListed, List: Delta, Entries: []Entry{{Worker: "a", State: Draining}}})
+func TestDrainingWorkerGetsNoJobs(t *testing.T) {
+	b := newTestBench(t, testSettings(), readyEntry("a", 0, 0), readyEntry("b", 0, 0))
+	b.handle(Event{Kind: WorkersListed, List: Delta, Entries: []Entry{{Worker: "a", State: Draining}}})
 	for id := range JobID(20) {
 		b.arrive(id, 0, 6*time.Second)
-		for _, a := range b.of(Send) {
+		for _, a := range b.actionsOf(Send) {
 			if a.Worker == "a" {
 				t.Fatal("a draining worker was sent a job")
 			}
@@ -31,21 +31,22 @@
 	}
 }
 
-// Walking all of 594 workers cost more CPU than a job may; the walk still finds the only one that will do.
-func TestTheScanFindsTheOnlyWorkerOfItsKind(t *testing.T) {
+// A scan of all workers of a fleet of 594 took more CPU than the limit for a job. The limited scan must still find the only
+// suitable worker.
+func TestScanFindsOnlyWorkerOfKind(t *testing.T) {
 	s := testSettings()
 	s.Classes[0].Kind = 1
-	var fleet []Entry
+	var entries []Entry
 	for i := range 3 * maxScanned {
-		fleet = append(fleet, ready("w"+strconv.Itoa(i), 0, 0))
+		entries = append(entries, readyEntry("w"+strconv.Itoa(i), 0, 0))
 	}
-	fleet[7].Kind = 1
-	b := newBench(t, s, fleet...)
+	entries[7].Kind = 1
+	b := newTestBench(t, s, entries...)
 	for id := range JobID(20) {
 		b.arrive(id, 0, 6*time.Second)
-		if got := b.of(Send); len(got) == 1 && got[0].Worker != "w7" || len(got) > 1 {
-			t.Fatalf("job %d: %+v, want w7 or a hold", id, got)
+		if got := b.actionsOf(Send); len(got) == 1 && got[0].Worker != "w7" || len(got) > 1 {
+			t.Fatalf("job %d: got sends %+v, want w7 or none", id, got)
 		}
-		b.end(id, 0, OK)
+		b.endAttempt(id, 0, OK)
 	}
 }
--- a/rank.go
+++ b/rank.go
@@ -1,29 +1,30 @@
 package ravendale
 
-// rank orders workers: first by our slots in flight, unhealthy ones last. Own slots tie at zero nearly everywhere where many
-// dispatchers see a trickle each. The draw is by weight: were the rest scaled by it too, all would take the fastest of a busy
-// zone. A worker of the own zone that warms up and has a token goes first: a budget that waits for the draw is not spent, and the
-// worker warms late.
+// rank returns the order of a worker among the candidates for a job, lowest first: by the slots that this dispatcher holds
+// there, with unhealthy workers last. With many dispatchers that get few jobs each, nearly all workers tie at 0 slots. A random
+// draw, scaled by weight, decides between them. Only the draw is scaled: if the rest were too, all dispatchers would choose the
+// fastest workers of a busy zone. A worker of the own zone that is in its slow start and has a token goes first: if its budget
+// depended on the draw, it would not be spent, and the worker would warm up late.
 func (d *Dispatcher) rank(w *worker) float64 {
-	const remote, longWait = 0.25, 8
+	const remotePenalty, maxWait = 0.25, 8
 	wait := d.random.Float64()
-	if d.settings.LiveWeights { // they tell of everybody's jobs: a few go by them alone, many would all choose the same one
+	if d.settings.LiveWeights { // they cover the jobs of all: few dispatchers use them alone, many would choose one worker
 		wait += (1 - wait) * min(1, fewDispatchers/float64(d.settings.Dispatchers))
 	}
 	if w.Weight > 0 {
 		wait *= d.capacity.meanWeight / w.Weight
 	}
 	if d.now-w.reportedAt < reportTTL {
-		wait += min(max(0, 1-w.free), longWait)
+		wait += min(max(0, 1-w.freeSlots), maxWait)
 	} else {
 		wait += d.zone(w.Zone).busy
 	}
 	if w.Zone != d.settings.Zone {
-		wait += remote
-	} else if d.warmUp(w) < 1 {
+		wait += remotePenalty
+	} else if d.warmUpFraction(w) < 1 {
 		wait = 0
 	}
-	rank := w.slots + wait/(1+wait)
+	rank := w.ownSlots + wait/(1+wait)
 	if d.zone(w.Zone).unavailableUntil > d.now {
 		rank += unavailablePenalty
 	}
--- a/retry.go
+++ b/retry.go
@@ -2,15 +2,15 @@
 
 import "time"
 
-// retryUntil is until when a job may be sent again: see apply for the windows of classes that are not keyed.
+// retryUntil returns the time until which a job may be sent again. See apply for the windows of classes that are not Keyed.
 func (d *Dispatcher) retryUntil(j *job) time.Duration {
 	if first := j.mayHaveRun(); first != nil {
-		return first.sentAt + j.class.Window - answerTicks*d.settings.Tick
+		return first.sentAt + j.class.Window - answerMarginTicks*d.settings.Tick
 	}
 	return never
 }
 
-// mayHaveRun returns the first attempt that may have run, or nil while nothing can have.
+// mayHaveRun returns the first attempt that may have run, or nil if the job cannot have run.
 func (j *job) mayHaveRun() *attempt {
 	for i := range j.attempts {
 		if j.attempts[i].mayRun {
@@ -20,7 +20,7 @@
 	return nil
 }
 
-// mayRetryOn reports whether a job that may have run on first's worker may go to w as well, before retryUntil.
+// mayRetryOn reports whether a job that may have run on the worker of first may also be sent to w, before retryUntil.
 func (d *Dispatcher) mayRetryOn(j *job, first *attempt, w *worker) bool {
 	for i := range j.attempts {
 		if j.attempts[i].inFlight && (j.attempts[i].w == w || !d.settings.MayHedge) {
@@ -32,7 +32,7 @@
 		group == GroupCell && w.Cell == first.cell && w.Cell >= 0
 }
 
-// mayRefuse reports whether the client may be told that a retry does no harm.
+// mayRefuse reports whether the client may be told that a retry is safe.
 func (j *job) mayRefuse() bool {
 	return j.class.Effect == Safe || j.mayHaveRun() == nil || j.class.Effect == Keyed && j.class.Group == GroupAll
 }
--- a/retry_test.go
+++ b/retry_test.go
@@ -8,65 +8,66 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-func TestUnsafeJobThatMayHaveRunIsNeverSentAgain(t *testing.T) {
+func TestUnsafeJobThatMayHaveRunIsNotRetried(t *testing.T) {
 	for _, o := range []Outcome{Error, TimedOut, Reset, Cancelled} {
-		b := newBench(t, testSettings(), ready("a", 0, 0), ready("b", 0, 0))
+		b := newTestBench(t, testSettings(), readyEntry("a", 0, 0), readyEntry("b", 0, 0))
 		b.arrive(1, 2, 25*time.Second)
-		b.end(1, 0, o)
-		b.none(Send)
-		b.none(Refuse)
-		b.one(Fail)
+		b.endAttempt(1, 0, o)
+		b.requireNone(Send)
+		b.requireNone(Refuse)
+		b.requireOne(Fail)
 	}
 	for _, o := range []Outcome{Overloaded, ConnectFailed, NotSent} {
-		b := newBench(t, testSettings(), ready("a", 0, 0), ready("b", 0, 0))
+		b := newTestBench(t, testSettings(), readyEntry("a", 0, 0), readyEntry("b", 0, 0))
 		b.arrive(1, 2, 25*time.Second)
-		b.end(1, 0, o)
-		b.one(Send)
+		b.endAttempt(1, 0, o)
+		b.requireOne(Send)
 	}
 }
 
-func TestKeyedJobThatMayHaveRunStaysInItsCellAndWindow(t *testing.T) {
+func TestKeyedJobIsRetriedOnlyInItsCellAndWindow(t *testing.T) {
 	s := testSettings()
-	b := newBench(t, s, ready("a", 0, 1), ready("b", 0, 1), ready("c", 0, 2), ready("d", 1, 2))
+	b := newTestBench(t, s, readyEntry("a", 0, 1), readyEntry("b", 0, 1), readyEntry("c", 0, 2), readyEntry("d", 1, 2))
 	cell := map[string]int{"a": 1, "b": 1, "c": 2, "d": 2}
 	b.arrive(1, 1, 25*time.Second)
-	first := b.one(Send).Worker
-	b.end(1, 0, Error)
-	if second := b.one(Send).Worker; cell[second] != cell[first] {
-		t.Errorf("sent to %s after %s, another cell", second, first)
+	first := b.requireOne(Send).Worker
+	b.endAttempt(1, 0, Error)
+	if second := b.requireOne(Send).Worker; cell[second] != cell[first] {
+		t.Errorf("the job is sent to %s after %s, which is in another cell", second, first)
 	}
 	b.now += s.Classes[1].Window
-	b.end(1, 1, Error)
-	b.none(Send)
-	b.none(Refuse)
-	b.one(Fail)
+	b.endAttempt(1, 1, Error)
+	b.requireNone(Send)
+	b.requireNone(Refuse)
+	b.requireOne(Fail)
 }
 
-// A send says until when it may go: its connection may take longer to come up than workers drop a repeat.
-func TestARetrySaysUntilWhenItMayGo(t *testing.T) {
-	b := newBench(t, testSettings(), ready("a", 0, 0), ready("b", 0, 0))
-	for class, again := range []time.Duration{never / 2, 10*time.Second - 2*5*ms} {
+// A Send carries the time until which it may be sent: its connection may be established after the time in which workers discard
+// duplicates.
+func TestRetryCarriesSendDeadline(t *testing.T) {
+	b := newTestBench(t, testSettings(), readyEntry("a", 0, 0), readyEntry("b", 0, 0))
+	for class, window := range []time.Duration{never / 2, 10*time.Second - 2*5*ms} {
 		id := JobID(class + 1)
 		b.arrive(id, class, 6*time.Second)
-		if by := b.one(Send).By; by != never {
-			t.Errorf("class %d: a first send may go until %v", class, by)
+		if by := b.requireOne(Send).By; by != never {
+			t.Errorf("class %d: the first attempt may be sent until %v, want no limit", class, by)
 		}
-		sent := b.now
+		sentAt := b.now
 		b.now += ms
-		b.do(Event{Kind: AttemptEnded, Job: id, Outcome: Reset})
-		if by := b.one(Send).By; by != sent+again && by != sent+again-2*5*ms {
-			t.Errorf("class %d: a repeat may go until %v after the first", class, by-sent)
+		b.handle(Event{Kind: AttemptEnded, Job: id, Outcome: Reset})
+		if by := b.requireOne(Send).By; by != sentAt+window && by != sentAt+window-2*5*ms {
+			t.Errorf("class %d: the retry may be sent until %v after the first attempt", class, by-sentAt)
 		}
 	}
 }
 
-// On sockets an attempt whose connection never came up is none by the protocol's count: a job that meets a cut zone keeps
-// some for where it can run, but not without end. The simulator counts every send.
-func TestAttemptsThatNeverConnectedCountOnlyWhereEverySendCounts(t *testing.T) {
+// On sockets the protocol doesn't count an attempt whose connection was never established. So a job that is sent to a partitioned
+// zone keeps attempts for other zones, but not an unlimited number. The simulator counts every send.
+func TestUnconnectedAttemptsAreNotCountedWithWrittenCount(t *testing.T) {
 	for _, tc := range []struct {
 		written  bool
-		outcomes []Outcome // of the attempts in turn, the last one again and again
-		want     int       // sends until the job is given up
+		outcomes []Outcome // of the attempts in order; the last one repeats
+		want     int       // number of sends until the job is given up
 	}{
 		{false, []Outcome{ConnectFailed}, 5},
 		{true, []Outcome{ConnectFailed}, 10},
@@ -75,23 +76,23 @@
 		{true, []Outcome{NotSent}, 5},
 	} {
 		s := testSettings()
-		s.WrittenCount, s.Zones = tc.written, 20 // few failures in any one zone: none is taken for lost
+		s.WrittenCount, s.Zones = tc.written, 20 // few failures in each zone: none becomes unavailable
 		var workers []Entry
 		for i := range 40 {
-			workers = append(workers, ready(fmt.Sprint("w", i), i%20, 0))
+			workers = append(workers, readyEntry(fmt.Sprint("w", i), i%20, 0))
 		}
-		b := newBench(t, s, workers...)
+		b := newTestBench(t, s, workers...)
 		b.arrive(1, 0, 6*time.Second)
 		sends, ended := 0, false
 		for !ended && b.now < time.Hour+6*time.Second {
-			sent := b.of(Send)
-			ended = len(b.of(Refuse))+len(b.of(Fail)) > 0
+			sent := b.actionsOf(Send)
+			ended = len(b.actionsOf(Refuse))+len(b.actionsOf(Fail)) > 0
 			if len(sent) == 0 {
-				b.fire(50 * ms)
+				b.advance(50 * ms)
 				continue
 			}
 			b.now += ms
-			b.end(1, sends, tc.outcomes[min(sends, len(tc.outcomes)-1)])
+			b.endAttempt(1, sends, tc.outcomes[min(sends, len(tc.outcomes)-1)])
 			sends++
 		}
 		if diff := cmp.Diff(tc.want, sends); diff != "" {
--- a/rules_test.go
+++ b/rules_test.go
@@ -8,192 +8,192 @@
 	"time"
 )
 
-// world makes legal random events for one dispatcher and passes both sides to a checker.
-type world struct {
-	rnd      *rand.Rand
-	check    *checker
-	d        *Dispatcher
-	set      Settings
-	now      time.Duration
-	timers   []time.Duration
-	nextID   JobID
-	inFlight []openAttempt
-	hung     map[string]bool
-	entries  []Entry
-	log      []string // every action, to compare two runs
-}
-
-type openAttempt struct {
+// simulation generates valid random events for one Dispatcher, and passes these and its actions to a checker.
+type simulation struct {
+	rnd        *rand.Rand
+	checker    *checker
+	dispatcher *Dispatcher
+	settings   Settings
+	now        time.Duration
+	timers     []time.Duration
+	nextID     JobID
+	inFlight   []sentAttempt
+	hung       map[string]bool
+	entries    []Entry
+	log        []string // all actions, to compare two runs
+}
+
+type sentAttempt struct {
 	job     JobID
 	attempt int
 	worker  string
 }
 
-func newWorld(t *testing.T, s Settings, seed uint64) *world {
+func newSimulation(t *testing.T, s Settings, seed uint64) *simulation {
 	t.Helper()
 	d, err := New(s, seed)
 	if err != nil {
 		t.Fatal(err)
 	}
-	w := &world{rnd: rand.New(rand.NewPCG(seed, 1)), check: newChecker(s), d: d, set: s,
+	sim := &simulation{rnd: rand.New(rand.NewPCG(seed, 1)), checker: newChecker(s), dispatcher: d, settings: s,
 		now: time.Hour, hung: make(map[string]bool)}
 	for i := range 8 {
-		w.entries = append(w.entries, Entry{Worker: fmt.Sprint("w", i), Zone: i % 2, Cell: i % 3,
+		sim.entries = append(sim.entries, Entry{Worker: fmt.Sprint("w", i), Zone: i % 2, Cell: i % 3,
 			State: Ready, Weight: 1 + float64(i%2)})
 	}
-	w.handle(Event{Kind: WorkersListed, List: Cached, Entries: slices.Clone(w.entries)})
-	return w
+	sim.handle(Event{Kind: WorkersListed, List: Cached, Entries: slices.Clone(sim.entries)})
+	return sim
 }
 
-func (w *world) handle(ev Event) {
-	w.check.event(w.now, &ev)
-	for _, a := range w.d.Handle(w.now, &ev, nil) {
-		w.log = append(w.log, fmt.Sprint(w.now, a))
-		w.check.action(w.now, a)
+func (sim *simulation) handle(ev Event) {
+	sim.checker.observeEvent(sim.now, &ev)
+	for _, a := range sim.dispatcher.Handle(sim.now, &ev, nil) {
+		sim.log = append(sim.log, fmt.Sprint(sim.now, a))
+		sim.checker.checkAction(sim.now, a)
 		switch a.Kind {
 		case SetTimer:
-			w.timers = append(w.timers, w.now+max(a.Wait, w.set.Tick))
+			sim.timers = append(sim.timers, sim.now+max(a.Wait, sim.settings.Tick))
 		case Send:
-			w.inFlight = append(w.inFlight, openAttempt{a.Job, len(w.check.jobs[a.Job].attempts) - 1, a.Worker})
+			sim.inFlight = append(sim.inFlight, sentAttempt{a.Job, len(sim.checker.jobs[a.Job].attempts) - 1, a.Worker})
 		case Probe:
-			if w.rnd.IntN(4) > 0 {
-				w.handle(Event{Kind: ProbeAnswered, Worker: a.Worker, Outcome: OK, Load: w.load()})
+			if sim.rnd.IntN(4) > 0 {
+				sim.handle(Event{Kind: ProbeAnswered, Worker: a.Worker, Outcome: OK, Load: sim.randomLoad()})
 			}
 		}
 	}
 }
 
-func (w *world) load() Load {
-	return Load{Given: w.rnd.IntN(3) > 0, InFlight: float64(w.rnd.IntN(6)), FreeSlots: float64(w.rnd.IntN(3)), Busy: -1}
+func (sim *simulation) randomLoad() Load {
+	return Load{Given: sim.rnd.IntN(3) > 0, InFlight: float64(sim.rnd.IntN(6)), FreeSlots: float64(sim.rnd.IntN(3)), Busy: -1}
 }
 
-// step lets a tick pass and something happen.
-func (w *world) step() {
-	w.now += w.set.Tick * time.Duration(1+w.rnd.IntN(4))
-	w.overdue()
-	w.check.clock(w.now)
+// step advances the clock by one to four ticks and passes a random event.
+func (sim *simulation) step() {
+	sim.now += sim.settings.Tick * time.Duration(1+sim.rnd.IntN(4))
+	sim.timeOutAttempts()
+	sim.checker.checkDeadlines(sim.now)
 	due := 0
-	w.timers = slices.DeleteFunc(w.timers, func(at time.Duration) bool {
-		if at <= w.now {
+	sim.timers = slices.DeleteFunc(sim.timers, func(at time.Duration) bool {
+		if at <= sim.now {
 			due++
 		}
-		return at <= w.now
+		return at <= sim.now
 	})
 	for range due {
-		w.handle(Event{Kind: TimerFired})
+		sim.handle(Event{Kind: TimerFired})
 	}
-	switch n := w.rnd.IntN(20); {
+	switch n := sim.rnd.IntN(20); {
 	case n < 6:
-		w.arrive()
+		sim.arriveJob()
 	case n < 13:
-		w.endOne()
+		sim.endRandomAttempt()
 	case n < 15:
-		w.note()
+		sim.sendRandomNote()
 	case n < 16:
-		if w.rnd.IntN(12) == 0 {
-			w.change()
+		if sim.rnd.IntN(12) == 0 {
+			sim.changeList()
 		}
 	case n == 16:
-		w.clientLeaves()
+		sim.clientLeaves()
 	case n == 17:
-		name := w.entries[w.rnd.IntN(len(w.entries))].Worker
-		w.hung[name] = !w.hung[name]
+		name := sim.entries[sim.rnd.IntN(len(sim.entries))].Worker
+		sim.hung[name] = !sim.hung[name]
 	}
 }
 
-func (w *world) arrive() {
-	w.nextID++
-	class := w.rnd.IntN(len(w.set.Classes))
-	left := time.Duration(1+w.rnd.IntN(100)) * w.set.Classes[class].Deadline / 100
-	w.handle(Event{Kind: JobArrived, Job: w.nextID, Class: class, Tenant: w.rnd.IntN(3) - 1, Left: left,
-		Work: time.Duration(w.rnd.IntN(3)) * time.Second})
+func (sim *simulation) arriveJob() {
+	sim.nextID++
+	class := sim.rnd.IntN(len(sim.settings.Classes))
+	left := time.Duration(1+sim.rnd.IntN(100)) * sim.settings.Classes[class].Deadline / 100
+	sim.handle(Event{Kind: JobArrived, Job: sim.nextID, Class: class, Tenant: sim.rnd.IntN(3) - 1, Left: left,
+		Work: time.Duration(sim.rnd.IntN(3)) * time.Second})
 }
 
-// overdue delivers the time-outs at the clients' deadlines.
-func (w *world) overdue() {
-	for i := 0; i < len(w.inFlight); i++ {
-		if j := w.check.jobs[w.inFlight[i].job]; j.open && w.now >= j.deadline {
-			w.end(i, TimedOut)
-			i = -1 // the dispatcher may have changed the list
+// timeOutAttempts ends the attempts of jobs whose client's deadline has passed.
+func (sim *simulation) timeOutAttempts() {
+	for i := 0; i < len(sim.inFlight); i++ {
+		if j := sim.checker.jobs[sim.inFlight[i].job]; j.open && sim.now >= j.deadline {
+			sim.endAttempt(i, TimedOut)
+			i = -1 // the Dispatcher may have changed inFlight
 		}
 	}
 }
 
-func (w *world) endOne() {
-	if len(w.inFlight) == 0 {
+func (sim *simulation) endRandomAttempt() {
+	if len(sim.inFlight) == 0 {
 		return
 	}
-	i := w.rnd.IntN(len(w.inFlight))
-	o := w.inFlight[i]
+	i := sim.rnd.IntN(len(sim.inFlight))
+	o := sim.inFlight[i]
 	switch {
-	case w.check.jobs[o.job].attempts[o.attempt].cancelled && w.rnd.IntN(4) > 0:
-		w.end(i, Cancelled)
-	case w.hung[o.worker]:
+	case sim.checker.jobs[o.job].attempts[o.attempt].cancelled && sim.rnd.IntN(4) > 0:
+		sim.endAttempt(i, Cancelled)
+	case sim.hung[o.worker]:
 	default:
 		outcomes := []Outcome{OK, OK, OK, OK, Error, Overloaded, Overloaded, ConnectFailed, Reset, NotSent}
-		w.end(i, outcomes[w.rnd.IntN(len(outcomes))])
+		sim.endAttempt(i, outcomes[sim.rnd.IntN(len(outcomes))])
 	}
 }
 
-func (w *world) end(i int, outcome Outcome) {
-	o := w.inFlight[i]
-	w.inFlight = slices.Delete(w.inFlight, i, i+1)
-	closed := outcome == OK || !w.check.jobs[o.job].open
-	w.handle(Event{Kind: AttemptEnded, Job: o.job, Attempt: o.attempt, Outcome: outcome, Closed: closed, Load: w.load()})
+func (sim *simulation) endAttempt(i int, outcome Outcome) {
+	o := sim.inFlight[i]
+	sim.inFlight = slices.Delete(sim.inFlight, i, i+1)
+	closed := outcome == OK || !sim.checker.jobs[o.job].open
+	sim.handle(Event{Kind: AttemptEnded, Job: o.job, Attempt: o.attempt, Outcome: outcome, Closed: closed, Load: sim.randomLoad()})
 }
 
-func (w *world) note() {
-	if len(w.inFlight) == 0 {
+func (sim *simulation) sendRandomNote() {
+	if len(sim.inFlight) == 0 {
 		return
 	}
-	o := w.inFlight[w.rnd.IntN(len(w.inFlight))]
+	o := sim.inFlight[sim.rnd.IntN(len(sim.inFlight))]
 	kind := JobProgressed
-	if w.rnd.IntN(2) == 0 {
+	if sim.rnd.IntN(2) == 0 {
 		kind = JobStarted
 	}
-	w.handle(Event{Kind: kind, Job: o.job, Attempt: o.attempt, Done: w.rnd.Float64()})
+	sim.handle(Event{Kind: kind, Job: o.job, Attempt: o.attempt, Done: sim.rnd.Float64()})
 }
 
-// change lets a worker drain, go, come back cold or move to another zone, or the list fail or lack half, have some twice and
-// six hundred others.
-func (w *world) change() {
-	e := &w.entries[w.rnd.IntN(len(w.entries))]
-	switch w.rnd.IntN(8) {
+// changeList makes a worker drain, leave, restart or move to another zone. Or the request for the list fails, or the list lacks
+// half of the workers, has some twice and has 600 others.
+func (sim *simulation) changeList() {
+	e := &sim.entries[sim.rnd.IntN(len(sim.entries))]
+	switch sim.rnd.IntN(8) {
 	case 6:
-		e.Zone, e.Cell = w.rnd.IntN(4)-1, w.rnd.IntN(4)-1
+		e.Zone, e.Cell = sim.rnd.IntN(4)-1, sim.rnd.IntN(4)-1
 	case 7:
-		w.handle(Event{Kind: WorkersListed, List: Full, Entries: slices.Concat(w.entries[:4], kinds(600), w.entries[2:4])})
+		sim.handle(Event{Kind: WorkersListed, List: Full, Entries: slices.Concat(sim.entries[:4], entriesOfThreeKinds(600), sim.entries[2:4])})
 		return
 	case 0:
-		w.handle(Event{Kind: WorkersListed, List: Failed})
+		sim.handle(Event{Kind: WorkersListed, List: Failed})
 		return
 	case 1:
 		e.State = Draining
 	case 2:
 		e.State = Removed
 	default:
-		e.State, e.StartedAt = Ready, w.now
+		e.State, e.StartedAt = Ready, sim.now
 	}
-	if w.rnd.IntN(3) == 0 {
-		w.handle(Event{Kind: WorkersListed, List: Full, Entries: slices.Clone(w.entries)})
+	if sim.rnd.IntN(3) == 0 {
+		sim.handle(Event{Kind: WorkersListed, List: Full, Entries: slices.Clone(sim.entries)})
 		return
 	}
-	w.handle(Event{Kind: WorkersListed, List: Delta, Entries: []Entry{*e}})
+	sim.handle(Event{Kind: WorkersListed, List: Delta, Entries: []Entry{*e}})
 }
 
-func (w *world) clientLeaves() {
+func (sim *simulation) clientLeaves() {
 	var open []JobID
-	for id, j := range w.check.jobs {
+	for id, j := range sim.checker.jobs {
 		if j.open {
 			open = append(open, id)
 		}
 	}
 	if len(open) > 0 {
-		w.handle(Event{Kind: ClientLeft, Job: slices.Min(open)})
+		sim.handle(Event{Kind: ClientLeft, Job: slices.Min(open)})
 	}
 }
 
-func streamSettings(seed uint64) Settings {
+func settingsForSeed(seed uint64) Settings {
 	s := testSettings()
 	s.Classes = append(s.Classes, Class{Name: "z", Effect: Keyed, Group: GroupZone, Window: time.Second,
 		LatencyTarget: time.Second, Deadline: 4 * time.Second, Kind: -1, Value: 3})
@@ -202,36 +202,36 @@
 	s.MayHedge = seed%3 > 0
 	s.MustAsk = seed%4 == 0
 	s.ValuePerJob = seed%5 == 0
-	s.Dispatchers = []int{4, 400, 2}[seed%3] // as told: it may be wrong by far
+	s.Dispatchers = []int{4, 400, 2}[seed%3] // as configured: the real number may be very different
 	if seed%2 == 1 {
 		s.ReportsIn, s.MayProbe = ReportsInAnswers, true
 	}
 	return s
 }
 
-func TestRulesHoldOverRandomStreams(t *testing.T) {
+func TestRulesHoldOverRandomEvents(t *testing.T) {
 	for seed := range uint64(24) {
-		w := newWorld(t, streamSettings(seed), seed)
+		sim := newSimulation(t, settingsForSeed(seed), seed)
 		for range 3000 {
-			w.step()
+			sim.step()
 		}
-		for range 6000 { // let everything end
-			w.now += w.set.Tick
-			w.overdue()
-			w.check.clock(w.now)
-			for len(w.timers) > 0 && slices.Min(w.timers) <= w.now {
-				i := slices.Index(w.timers, slices.Min(w.timers))
-				w.timers = slices.Delete(w.timers, i, i+1)
-				w.handle(Event{Kind: TimerFired})
+		for range 6000 { // let all jobs end
+			sim.now += sim.settings.Tick
+			sim.timeOutAttempts()
+			sim.checker.checkDeadlines(sim.now)
+			for len(sim.timers) > 0 && slices.Min(sim.timers) <= sim.now {
+				i := slices.Index(sim.timers, slices.Min(sim.timers))
+				sim.timers = slices.Delete(sim.timers, i, i+1)
+				sim.handle(Event{Kind: TimerFired})
 			}
 		}
-		for _, f := range w.check.faults {
+		for _, f := range sim.checker.breaches {
 			t.Errorf("seed %d: %s", seed, f)
 		}
-		if w.check.sent < 100 {
-			t.Errorf("seed %d: only %d sends, the stream shows nothing", seed, w.check.sent)
+		if sim.checker.sent < 100 {
+			t.Errorf("seed %d: got only %d sends, want at least 100", seed, sim.checker.sent)
 		}
-		for id, j := range w.check.jobs {
+		for id, j := range sim.checker.jobs {
 			if j.open {
 				t.Errorf("seed %d: job %d was never answered", seed, id)
 			}
@@ -242,13 +242,13 @@
 func TestEqualEventsGiveEqualActions(t *testing.T) {
 	var logs [2][]string
 	for i := range logs {
-		w := newWorld(t, streamSettings(4), 4)
+		sim := newSimulation(t, settingsForSeed(4), 4)
 		for range 2000 {
-			w.step()
+			sim.step()
 		}
-		logs[i] = w.log
+		logs[i] = sim.log
 	}
 	if len(logs[0]) == 0 || !slices.Equal(logs[0], logs[1]) {
-		t.Fatal("two runs of the same events differ")
+		t.Fatal("two runs with the same events differ in their actions, or have none")
 	}
 }
--- a/schedule.go
+++ b/schedule.go
@@ -2,54 +2,54 @@
 
 import "time"
 
-// pendingRetry is when a job that found no worker looks again: well under any latency target.
-const pendingRetry = 50 * time.Millisecond
+// pendingRetryInterval is how often a job that found no worker is tried again: well under any latency target.
+const pendingRetryInterval = 50 * time.Millisecond
 
-// wake sets the one timer, unless it fires before that already.
-func (d *Dispatcher) wake(at time.Duration) {
-	if at >= d.wakeAt {
+// scheduleTimer sets the timer, unless it already fires before that time.
+func (d *Dispatcher) scheduleTimer(at time.Duration) {
+	if at >= d.timerAt {
 		return
 	}
-	d.wakeAt = at
-	d.acts = append(d.acts, Action{Kind: SetTimer, Wait: max(at-d.now, d.settings.Tick)})
+	d.timerAt = at
+	d.actions = append(d.actions, Action{Kind: SetTimer, Wait: max(at-d.now, d.settings.Tick)})
 }
 
-// onTimer looks at every open job that is due. Timers that come early find nothing due.
-func (d *Dispatcher) onTimer() {
-	if d.now < d.wakeAt {
+// handleTimer advances every open job that is due. A timer that fires too early has no effect.
+func (d *Dispatcher) handleTimer() {
+	if d.now < d.timerAt {
 		return
 	}
-	d.wakeAt = never
+	d.timerAt = never
 	next := never
-	for i := 0; i < len(d.open); {
-		j := d.open[i]
-		if j.due <= d.now {
+	for i := 0; i < len(d.openJobs); {
+		j := d.openJobs[i]
+		if j.checkAt <= d.now {
 			d.advance(j)
 		}
-		if j.open { // else close took it out of the list
-			next = min(next, j.due)
+		if j.open { // else closeJob has removed it from openJobs
+			next = min(next, j.checkAt)
 			i++
 		}
 	}
-	if d.watch.askAt <= d.now {
-		d.acts = append(d.acts, Action{Kind: WatchList})
-		d.watch.askAt = d.now + max(d.settings.AskWithin/2, askRetry) // unless an answer comes
+	if d.listRequest.requestAt <= d.now {
+		d.actions = append(d.actions, Action{Kind: WatchList})
+		d.listRequest.requestAt = d.now + max(d.settings.AskWithin/2, listRetryDelay) // in case no answer comes
 	}
-	d.wake(min(next, d.watch.askAt))
+	d.scheduleTimer(min(next, d.listRequest.requestAt))
 }
 
-// advance does what is due for an open job and sets when it is next.
+// advance does what is due for an open job and sets the time of its next check.
 func (d *Dispatcher) advance(j *job) {
 	if d.now >= j.answerBy || d.now > j.startBy && d.isWaiting(j) && j.mayRefuse() &&
-		(j.class.LateValue == 0 || d.zone(d.settings.Zone).busy > busyZone) {
+		(j.class.LateValue == 0 || d.zone(d.settings.Zone).busy > busyZoneThreshold) {
 		d.giveUp(j)
 		return
 	}
-	j.due = j.answerBy
+	j.checkAt = j.answerBy
 	switch {
-	case j.active > 0:
+	case j.activeAttempts > 0:
 	case j.notBefore > d.now:
-		j.due = min(j.due, j.notBefore)
+		j.checkAt = min(j.checkAt, j.notBefore)
 	default:
 		d.dispatch(j)
 	}
@@ -57,14 +57,15 @@
 		return
 	}
 	if j.startBy < never && d.isWaiting(j) && j.mayRefuse() {
-		j.due = min(j.due, max(j.startBy, d.now)+d.settings.Tick)
+		j.checkAt = min(j.checkAt, max(j.startBy, d.now)+d.settings.Tick)
 	}
 	if d.settings.TellsStart {
 		d.watchStart(j)
 	}
 }
 
-// dispatch sends a pending job, or gives it up if it may go nowhere any more; else it looks again soon.
+// dispatch sends a pending job, or gives it up if no further attempt is allowed. If no worker has capacity, it schedules
+// another try.
 func (d *Dispatcher) dispatch(j *job) {
 	if w := d.pick(j, false); w != nil {
 		d.send(j, w)
@@ -74,16 +75,16 @@
 		d.giveUp(j)
 		return
 	}
-	j.due = min(j.answerBy, d.now+pendingRetry)
-	d.wake(j.due)
+	j.checkAt = min(j.answerBy, d.now+pendingRetryInterval)
+	d.scheduleTimer(j.checkAt)
 }
 
-// dispatchPending sends pending jobs while there is capacity, those of the highest value first and then the oldest.
+// dispatchPending sends pending jobs while there is capacity: those of the highest value first, and the oldest of these.
 func (d *Dispatcher) dispatchPending() {
 	for {
 		var best *job
-		for _, j := range d.open {
-			if j.active == 0 && j.notBefore <= d.now && (best == nil || j.value > best.value) {
+		for _, j := range d.openJobs {
+			if j.activeAttempts == 0 && j.notBefore <= d.now && (best == nil || j.value > best.value) {
 				best = j
 			}
 		}
@@ -91,22 +92,22 @@
 			return
 		}
 		d.advance(best)
-		if best.open && best.active == 0 {
+		if best.open && best.activeAttempts == 0 {
 			return
 		}
 	}
 }
 
-// send begins an attempt.
+// send starts an attempt.
 func (d *Dispatcher) send(j *job, w *worker) {
-	d.acts = append(d.acts, Action{Kind: Send, Job: j.id, Worker: w.Worker, By: d.retryUntil(j)})
+	d.actions = append(d.actions, Action{Kind: Send, Job: j.id, Worker: w.Worker, By: d.retryUntil(j)})
 	j.attempts = append(j.attempts, attempt{w: w, zone: w.Zone, cell: w.Cell, sentAt: d.now, inFlight: true, mayRun: true})
-	j.inFlight++
-	j.active++
-	w.slots += j.slots
-	d.slots += j.slots
-	w.free -= j.slots
-	if d.warmUp(w) < 1 {
+	j.attemptsInFlight++
+	j.activeAttempts++
+	w.ownSlots += j.slots
+	d.slotsInFlight += j.slots
+	w.freeSlots -= j.slots
+	if d.warmUpFraction(w) < 1 {
 		w.tokens -= j.cost
 	}
 }
--- a/settings.go
+++ b/settings.go
@@ -6,13 +6,13 @@
 	"time"
 )
 
-// Effect says what a second run of a job does.
+// Effect says whether a job may run a second time.
 type Effect uint8
 
-// Effects of a second run.
+// Effects of a second run of a job.
 const (
 	Safe   Effect = iota // may run any number of times
-	Keyed                // the workers of one Group discard duplicates inside Class.Window
+	Keyed                // the workers of one Group discard duplicates within Class.Window
 	Unsafe               // must never run twice
 )
 
@@ -22,8 +22,8 @@
 // Groups of workers.
 const (
 	GroupAll  Group = iota // all workers
-	GroupZone              // those of one zone
-	GroupCell              // those of one cell
+	GroupZone              // the workers of one zone
+	GroupCell              // the workers of one cell
 )
 
 // Class describes a kind of job.
@@ -31,13 +31,13 @@
 	Name          string
 	Effect        Effect
 	Group         Group
-	Window        time.Duration // for so long duplicates are discarded, from the first send that may have run
+	Window        time.Duration // time for which duplicates are discarded, from the first send that may have run
 	LatencyTarget time.Duration `json:"Aim"` // an answer within LatencyTarget + Stretch x the job's work earns its full value
 	Stretch       float64
-	Deadline      time.Duration // what a client waits in all
-	Value         float64       `json:"Worth"`     // of an answer within the latency target
-	LateValue     float64       `json:"LateWorth"` // part of Value that an answer between latency target and deadline earns
-	Kind          int           // the machine kind it needs, -1 for any
+	Deadline      time.Duration // how long a client waits in total
+	Value         float64       `json:"Worth"`     // value of an answer within the latency target
+	LateValue     float64       `json:"LateWorth"` // fraction of Value that an answer between latency target and deadline earns
+	Kind          int           // the kind of machine that it needs, -1 for any
 	Priority      int
 }
 
@@ -48,66 +48,67 @@
 	Quota float64 // jobs a second over all dispatchers; 0 if unknown
 }
 
-// Prices are fractions of the result, each for one unit a job.
+// Prices are costs as fractions of the result, each for one unit per job.
 type Prices struct {
 	CrossZone, Waste, Connection, Handshake, Probe, Peer, LateFail float64
 }
 
-// Settings is all that a dispatcher is given at its start.
+// Settings are the settings of a Dispatcher.
 type Settings struct {
-	Dispatchers int // how many there are; Me is this one's number
+	Dispatchers int // number of dispatchers; Me is the index of this one
 	Me          int
-	Zones       int // how many zones there are; Zone is this dispatcher's own, -1 if unknown
+	Zones       int // number of zones; Zone is the index of this dispatcher's own zone, -1 if unknown
 	Zone        int
 	Classes     []Class
 	Tenants     []Tenant
 	Prices      Prices
 
-	ValuePerJob    bool    // a job has the same value however long it runs
-	OverShareValue float64 // the value of a job beyond its tenant's share, as a part of its class's
+	ValuePerJob    bool    // the value of a job does not depend on how long it runs
+	OverShareValue float64 // value of a job beyond its tenant's share, as a fraction of the value of its class
 
-	MaxAttempts    int  // for one job
+	MaxAttempts    int  // attempts for one job
 	MayHedge       bool // two attempts of a job may be in flight at once
 	MayCancel      bool
 	MayProbe       bool
 	MayNotifyPeers bool // messages to other dispatchers are allowed
 
-	RetryAfter    bool // clients are told when to come back
+	RetryAfter    bool // refused clients are told when to retry
 	MaxRetryAfter time.Duration
 
-	MustAsk   bool          // the worker list comes only when asked for
-	AskWithin time.Duration // a dispatcher that has not asked for so long counts as informed
+	MustAsk   bool          // the list of workers is sent only on request
+	AskWithin time.Duration // a dispatcher that has not requested the list for this long is assumed to have it
 
-	LiveWeights bool // listed weights fall with the jobs that a worker holds, whoever sent them
+	LiveWeights bool // the listed weight of a worker decreases with the jobs that it holds, from any dispatcher
 
-	AnswerSlack      time.Duration // a final answer may be so late
-	DrainTimeout     time.Duration // nothing may go to a draining worker after it
-	SlowStartFrom    float64       // a worker that starts has this part of its capacity or more,
-	SlowStartFor     time.Duration // rising to all of it in this time,
-	OverloadMultiple float64       // and fails if it is sent more than this multiple of what it can do
-	OverloadSpan     time.Duration // for so long
+	AnswerSlack      time.Duration // how late a final answer may be
+	DrainTimeout     time.Duration // how long jobs may still be sent to a worker that began to drain
+	SlowStartFrom    float64       // a worker that starts has at least this fraction of its capacity,
+	SlowStartFor     time.Duration // which rises to all of it within this time,
+	OverloadMultiple float64       // and it fails if it is sent more than this multiple of its capacity
+	OverloadSpan     time.Duration // for this long
 
 	TellsStart bool // workers report when a job starts
-	// WrittenCount: an attempt counts against MaxAttempts once its request may have reached the worker, so one whose
-	// connection never came up is none. So the platform's protocol counts on sockets; the simulator counts every send.
+	// WrittenCount means that an attempt counts against MaxAttempts only once its request may have reached the worker, so an
+	// attempt whose connection was never established doesn't count. The platform's protocol counts this way on sockets; the
+	// simulator counts every send.
 	WrittenCount bool
 	Progress     time.Duration // interval of progress notes, 0 for none
 	ReportsIn    ReportMode
-	Tick         time.Duration // events are delivered this coarsely
+	Tick         time.Duration // granularity of the times at which events are delivered
 }
 
-// ReportMode says where load reports come from.
+// ReportMode says how workers report their load.
 type ReportMode uint8
 
-// Where load reports come from.
+// Ways in which workers report their load.
 const (
 	NoReports        ReportMode = iota
-	ReportsInAnswers            // beside each outcome
-	ReportsInProbes             // in answers to probes alone
+	ReportsInAnswers            // with each outcome
+	ReportsInProbes             // only in answers to probes
 )
 
-// Retune takes other settings for the jobs that come from now on. Those that are open keep the class and the attempts
-// that they came with. Zones and tenants stay as they are; the owner sees to it that the new settings agree.
+// Retune replaces the settings for jobs that arrive from now on. Open jobs keep the class and the maximum number of
+// attempts that they arrived with. Zones and tenants must not change: Retune checks their number, the owner the rest.
 func (d *Dispatcher) Retune(s Settings) error {
 	if err := s.Validate(); err != nil {
 		return err
@@ -119,38 +120,38 @@
 	return nil
 }
 
-// apply puts settings in force. What was seen of a class stays with its name, but for the longest time that a client's attempt
-// came with, which another deadline makes untrue. A job of a class that the settings don't name counts as of one that must
-// never run twice.
+// apply puts settings into force. The statistics of a class stay with the name of the class, except maxTimeLeft, which
+// starts anew if the deadline of the class has changed. The class that apply appends is for jobs whose class isn't in the
+// settings: they must never run twice.
 func (d *Dispatcher) apply(s Settings) {
 	s.Classes = append(s.Classes[:len(s.Classes):len(s.Classes)], Class{Effect: Unsafe, Kind: -1, LateValue: 1})
-	for i := range s.Classes { // for so long a job may be sent again that may have run
+	for i := range s.Classes { // Window is how long a job that may have run may be sent again
 		switch c := &s.Classes[i]; c.Effect {
 		case Safe:
-			c.Window = never / 2 // for good, and still a sum with a time is no overflow
+			c.Window = never / 2 // unlimited, but small enough to be added to a time without overflow
 		case Unsafe:
 			c.Window = 0
 		}
 	}
 	stats := make([]*classStats, len(s.Classes))
 	for i, c := range s.Classes {
-		stats[i] = &classStats{least: pendingRetry}
-		for j, was := range d.settings.Classes {
-			if was.Name == c.Name {
+		stats[i] = &classStats{minRun: pendingRetryInterval}
+		for j, previous := range d.settings.Classes {
+			if previous.Name == c.Name {
 				*stats[i] = *d.stats[j]
-				if was.Deadline != c.Deadline {
-					stats[i].longest = 0
+				if previous.Deadline != c.Deadline {
+					stats[i].maxTimeLeft = 0
 				}
 			}
 		}
 	}
 	if !s.RetryAfter {
-		s.MaxRetryAfter = 0 // clients are not told
+		s.MaxRetryAfter = 0 // clients are not told when to retry
 	}
 	d.settings, d.stats = s, stats
 }
 
-// LongestDeadline is the longest that any client waits.
+// LongestDeadline returns the longest deadline of any class.
 func (s *Settings) LongestDeadline() (longest time.Duration) {
 	for _, c := range s.Classes {
 		longest = max(longest, c.Deadline)
@@ -158,7 +159,7 @@
 	return longest
 }
 
-// Validate names the first setting that makes no sense.
+// Validate returns an error that names the first invalid setting, or nil if all are valid.
 func (s *Settings) Validate() error {
 	if len(s.Classes) == 0 {
 		return errors.New("Settings.Classes is empty")
--- a/settings_test.go
+++ b/settings_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-func TestSettingsThatMakeNoSenseAreNamed(t *testing.T) {
-	for want, spoil := range map[string]func(s *Settings){
+func TestValidateNamesInvalidSetting(t *testing.T) {
+	for want, invalidate := range map[string]func(s *Settings){
 		"Classes is empty":          func(s *Settings) { s.Classes = nil },
 		"Classes[1]":                func(s *Settings) { s.Classes[1].LatencyTarget = -1 },
 		"Dispatchers":               func(s *Settings) { s.Dispatchers = 0 },
@@ -18,41 +18,41 @@
 		"Settings.SlowStartFrom is": func(s *Settings) { s.SlowStartFrom = 2 },
 	} {
 		s := testSettings()
-		spoil(&s)
+		invalidate(&s)
 		if _, err := New(s, 1); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("error %v, want one that names %q", err, want)
 		}
 	}
 }
 
-// Other settings are for the jobs that come from then on, whatever place their class has now. What was seen of a class
-// stays with its name, but for the longest time seen where its deadline is another.
-func TestRetuneIsForNewJobs(t *testing.T) {
+// New settings apply to the jobs that arrive from then on, even if the index of their class changes. The statistics of a class stay
+// with its name, except maxTimeLeft if its deadline changes.
+func TestUpdatedSettingsApplyToNewJobs(t *testing.T) {
 	s := testSettings()
-	b := newBench(t, s, ready("a", 0, 0), ready("b", 0, 0))
+	b := newTestBench(t, s, readyEntry("a", 0, 0), readyEntry("b", 0, 0))
 	b.arrive(1, 2, 25*time.Second)
 	b.now += 100 * ms
-	b.end(1, 0, OK)
+	b.endAttempt(1, 0, OK)
 	b.arrive(2, 0, 6*time.Second)
-	run, longest := b.d.stats[2].run, b.d.stats[2].longest
+	run, longest := b.d.stats[2].meanRun, b.d.stats[2].maxTimeLeft
 	s.MaxAttempts = 1
 	s.Classes = []Class{s.Classes[2], s.Classes[1]}
 	if err := b.d.Retune(s); err != nil {
 		t.Fatal(err)
 	}
-	if seen := b.d.stats[0]; run == 0 || seen.run != run || seen.longest != longest {
-		t.Fatalf("of the class that moved %+v is known", seen)
+	if stats := b.d.stats[0]; run == 0 || stats.meanRun != run || stats.maxTimeLeft != longest {
+		t.Fatalf("got statistics %+v for the class whose index changed, want those from before", stats)
 	}
-	b.end(2, 0, Error)
-	b.one(Send) // safe, with attempts left, as it came
+	b.endAttempt(2, 0, Error)
+	b.requireOne(Send) // class and maximum number of attempts are those of its arrival
 	b.arrive(3, 0, 25*time.Second)
-	b.end(3, 0, Error)
-	b.one(Fail)
+	b.endAttempt(3, 0, Error)
+	b.requireOne(Fail)
 	s.Classes[0].Deadline /= 5
-	if err := b.d.Retune(s); err != nil || b.d.stats[0].longest != 0 || b.d.stats[0].run != run {
-		t.Fatalf("error %v, known %+v", err, b.d.stats[0])
+	if err := b.d.Retune(s); err != nil || b.d.stats[0].maxTimeLeft != 0 || b.d.stats[0].meanRun != run {
+		t.Fatalf("after a change of the deadline: got error %v, statistics %+v, want maxTimeLeft 0 and the same meanRun", err, b.d.stats[0])
 	}
 	if s.MaxAttempts = 0; b.d.Retune(s) == nil {
-		t.Fatal("no attempts are taken")
+		t.Fatal("settings with MaxAttempts 0 are accepted")
 	}
 }
