--- a/cluster/catalog/catalog.go
+++ b/cluster/catalog/catalog.go
@@ -2,20 +2,20 @@
 
 import "encoding/json"
 
-// Config is one version of the configuration. It isn't changed once made.
+// Config is one version of the configuration. It is immutable.
 type Config struct {
 	Version  uint64    `json:"version"`
 	Routes   []Route   `json:"routes"`
 	Services []Service `json:"backends"`
 	Limits   Limits    `json:"limits"`
 
-	text    string   // as sent, or as put together from what was sent
-	members []member // of text
-	routes  []string // of text, in the order of Routes
-	backs   []string // of text, in the order of Services
+	text         string   // the JSON document, as sent or as merged by Apply
+	members      []member // top-level fields of text
+	routeTexts   []string // JSON of each route, in the order of Routes
+	serviceTexts []string // JSON of each service, in the order of Services
 }
 
-// Route says what becomes of the requests to a host whose path begins with a prefix.
+// Route defines how requests to a host whose path begins with a prefix are handled.
 type Route struct {
 	Name          string  `json:"name" validate:"required"`
 	Host          string  `json:"host" validate:"required"`
@@ -23,12 +23,12 @@
 	Type          string  `json:"type"`
 	Service       string  `json:"backend" validate:"required"`
 	Priority      int     `json:"priority" validate:"gte=0"`      // 0 is the highest
-	TargetMs      float64 `json:"targetMs" validate:"gte=0"`      // aim for the answer to the client
-	StartTargetMs float64 `json:"startTargetMs" validate:"gte=0"` // aim for the start of a run
-	TimeoutMs     float64 `json:"timeoutMs" validate:"gt=0"`      // of one delivery
+	TargetMs      float64 `json:"targetMs" validate:"gte=0"`      // target time until the client has the answer
+	StartTargetMs float64 `json:"startTargetMs" validate:"gte=0"` // target time until a run starts
+	TimeoutMs     float64 `json:"timeoutMs" validate:"gt=0"`      // of one delivery attempt
 	Retries       int     `json:"retries" validate:"gte=0"`       // failed attempts after which a message is dead
-	Ordered       bool    `json:"fifo"`                           // messages with the same key run one after the other
-	RetentionS    float64 `json:"retentionS" validate:"gte=0"`    // a message ends so long after it was sent
+	Ordered       bool    `json:"fifo"`                           // messages with the same key run in order, one at a time
+	RetentionS    float64 `json:"retentionS" validate:"gte=0"`    // a message is finished this long after it was sent
 	CallbackURL   bool    `json:"callbackUrl"`
 }
 
@@ -36,16 +36,16 @@
 type Service struct {
 	Name       string  `json:"name" validate:"required"`
 	HealthPath string  `json:"healthPath" validate:"omitempty,startswith=/"`
-	MaxConns   int     `json:"maxConns" validate:"gte=0"` // connections that a worker takes from all callers
+	MaxConns   int     `json:"maxConns" validate:"gte=0"` // connections that a worker accepts from all callers together
 	Protocol   string  `json:"protocol"`
 	TLS        bool    `json:"tls"`
-	RatePerS   float64 `json:"ratePerS" validate:"gte=0"` // 0: no ceiling
+	RatePerS   float64 `json:"ratePerS" validate:"gte=0"` // 0: unlimited
 	Idempotent bool    `json:"idempotent"`
 	Pull       bool    `json:"pull"`
-	Endpoint   string  `json:"endpoint"` // address of a service that is on no list; empty: it is on the platform's list
+	Endpoint   string  `json:"endpoint"` // fixed address; empty: the platform's list has the workers
 }
 
-// Limits bound what a client may send. Zero is no bound.
+// Limits bound what a client may send. Zero means no limit.
 type Limits struct {
 	MaxHeaderBytes  int     `json:"maxHeaderBytes" validate:"gte=0"`
 	MaxBodyBytes    int     `json:"maxBodyBytes" validate:"gte=0"`
@@ -53,23 +53,24 @@
 	IdleTimeoutMs   float64 `json:"idleTimeoutMs" validate:"gte=0"`
 }
 
-// Parse reads and checks a complete configuration. The error is of type Findings and names all that is wrong.
+// Parse reads and checks a complete configuration. The error is of type Findings and lists every error found.
 func Parse(document []byte) (*Config, error) {
-	text, findings := readable(document)
+	text, findings := checkJSON(document)
 	if findings != nil {
 		return nil, findings
 	}
 	return parse(text, &reader{})
 }
 
-// Load reads a configuration that was checked before, as one that the control plane has taken. It costs a fraction of Parse, since
-// it leaves out the checks of single fields; types and the checks between items remain.
+// Load reads a configuration that has been checked before, such as one that the control plane has accepted. It costs a
+// fraction of Parse, since it skips the validation of single fields; it still checks types and the references between
+// items.
 func Load(document []byte) (*Config, error) {
-	text, findings := readable(document)
+	text, findings := checkJSON(document)
 	if findings != nil {
 		return nil, findings
 	}
-	return parse(text, &reader{checked: true})
+	return parse(text, &reader{fieldsChecked: true})
 }
 
 func parse(text string, r *reader) (*Config, error) {
@@ -83,14 +84,14 @@
 	return c, nil
 }
 
-// Document is the configuration as JSON. Parse makes an equal Config of it.
+// Document returns the configuration as JSON. Parsing it gives an equal Config.
 func (c *Config) Document() []byte {
 	if c.text != "" {
 		return []byte(c.text)
 	}
-	document, err := json.Marshal(c) // made in the program, not read
+	document, err := json.Marshal(c) // the Config was built in code, not parsed
 	if err != nil {
-		return nil // no field can fail but a number that is not finite
+		return nil // only a number that is not finite can't be encoded
 	}
 	return document
 }
--- a/cluster/catalog/catalog_test.go
+++ b/cluster/catalog/catalog_test.go
@@ -15,7 +15,7 @@
 "limits":{"maxHeaderBytes":16384,"maxBodyBytes":262144,"headerTimeoutMs":3000,"idleTimeoutMs":15000},"future":[1e2]}
 `
 
-func parsed(t *testing.T, document string) *Config {
+func mustParse(t *testing.T, document string) *Config {
 	t.Helper()
 	c, err := Parse([]byte(document))
 	require.NoError(t, err)
@@ -23,7 +23,7 @@
 }
 
 func TestParseReadsAllFields(t *testing.T) {
-	c := parsed(t, example)
+	c := mustParse(t, example)
 	require.Equal(t, uint64(7), c.Version)
 	require.Equal(t, Route{Name: "r-1", Host: "Lode17.example", PathPrefix: "/noda/", Type: "deferred", Service: "wuno", Priority: 1, TargetMs: 80,
 		StartTargetMs: 600, TimeoutMs: 600, Retries: 6, Ordered: true, RetentionS: 90}, c.Routes[0])
@@ -34,7 +34,7 @@
 	require.Equal(t, Limits{16384, 262144, 3000, 15000}, c.Limits)
 }
 
-func TestParseNamesAllThatIsWrong(t *testing.T) {
+func TestParseReportsAllFindings(t *testing.T) {
 	const service = `{"name":"s"}`
 	complete := func(version, routes, services string) string {
 		return `{"version":` + version + `,"routes":[` + routes + `],"backends":[` + services + `],"limits":{}}`
@@ -80,12 +80,12 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			_, err := Parse([]byte(test.document))
-			require.Equal(t, test.places, placesOf(t, err))
+			require.Equal(t, test.places, findingPlaces(t, err))
 		})
 	}
 }
 
-func placesOf(t *testing.T, err error) []string {
+func findingPlaces(t *testing.T, err error) []string {
 	t.Helper()
 	var findings Findings
 	require.ErrorAs(t, err, &findings)
@@ -97,7 +97,7 @@
 	return places
 }
 
-func TestEveryTruncatedDocumentIsInvalid(t *testing.T) {
+func TestParseTruncatedDocument(t *testing.T) {
 	complete := strings.TrimSpace(example)
 	for i := range complete {
 		_, err := Parse([]byte(complete[:i]))
@@ -105,46 +105,46 @@
 	}
 }
 
-func TestHostsThatDifferInCaseOnlyAreTheSame(t *testing.T) {
+func TestParseHostsIgnoreCase(t *testing.T) {
 	document := strings.Replace(example, `"pathPrefix":"/noda/deep/"`, `"pathPrefix":"/noda/"`, 1)
 	_, err := Parse([]byte(document))
-	require.Equal(t, []string{"routes[1]"}, placesOf(t, err))
+	require.Equal(t, []string{"routes[1]"}, findingPlaces(t, err))
 }
 
-func TestFindingsAreBounded(t *testing.T) {
+func TestParseLimitsFindings(t *testing.T) {
 	document := `{"version":1,"routes":[` + strings.Repeat("1,", 999) + `1],"backends":[],"limits":{}}`
 	_, err := Parse([]byte(document))
-	require.Len(t, placesOf(t, err), MaxFindings+1)
+	require.Len(t, findingPlaces(t, err), MaxFindings+1)
 	require.ErrorContains(t, err, "900 more findings")
 }
 
-func TestWholeNumbersMayBeWrittenAsFractions(t *testing.T) {
-	c := parsed(t, strings.NewReplacer(`"version":7`, `"version":7.0`, `"retries":6`, `"retries":6e0`).Replace(example))
+func TestParseIntegerWithFractionOrExponent(t *testing.T) {
+	c := mustParse(t, strings.NewReplacer(`"version":7`, `"version":7.0`, `"retries":6`, `"retries":6e0`).Replace(example))
 	require.Equal(t, uint64(7), c.Version)
 	require.Equal(t, 6, c.Routes[0].Retries)
 }
 
-func TestEscapesAreDecoded(t *testing.T) {
-	c := parsed(t, strings.Replace(example, `"name":"r-1"`, `"na\u006de":"r-\"\u0031"`, 1))
+func TestParseDecodesEscapes(t *testing.T) {
+	c := mustParse(t, strings.Replace(example, `"name":"r-1"`, `"na\u006de":"r-\"\u0031"`, 1))
 	require.Equal(t, `r-"1`, c.Routes[0].Name)
 }
 
-func TestTheDocumentComesBackAsSent(t *testing.T) {
-	c := parsed(t, example)
+func TestDocumentIsReturnedAsSent(t *testing.T) {
+	c := mustParse(t, example)
 	require.Equal(t, strings.TrimSpace(example), string(c.Document()))
 }
 
-func TestAConfigMadeInTheProgramHasADocument(t *testing.T) {
+func TestDocumentOfConfigBuiltInCode(t *testing.T) {
 	c := &Config{Version: 3, Services: []Service{{Name: "s"}}, Routes: []Route{{Name: "r", Host: "h", PathPrefix: "/", Service: "s", TimeoutMs: 1}}}
-	again := parsed(t, string(c.Document()))
+	again := mustParse(t, string(c.Document()))
 	require.Equal(t, c.Routes, again.Routes)
 	changed, err := c.Apply([]byte(`{"version":4,"delete":{"routes":["r"]}}`))
 	require.NoError(t, err)
 	require.Empty(t, changed.Routes)
 }
 
-func TestMatchTakesTheLongestPrefixOfTheHost(t *testing.T) {
-	x := NewIndex(parsed(t, example))
+func TestMatchLongestPrefix(t *testing.T) {
+	x := NewIndex(mustParse(t, example))
 	for _, test := range []struct{ host, path, route string }{
 		{"lode17.example", "/noda/x", "r-1"},
 		{"LODE17.example:8044", "/noda/deep/x", "r-2"},
@@ -179,16 +179,16 @@
 }
 
 func TestMatchDoesNotAllocate(t *testing.T) {
-	x := NewIndex(parsed(t, example))
+	x := NewIndex(mustParse(t, example))
 	require.Zero(t, testing.AllocsPerRun(100, func() { x.Match("lode17.example:80", "/noda/deep/x") }))
 }
 
 func TestLoadReadsTheSameAsParse(t *testing.T) {
 	loaded, err := Load([]byte(example))
 	require.NoError(t, err)
-	require.Equal(t, parsed(t, example), loaded)
+	require.Equal(t, mustParse(t, example), loaded)
 	_, err = Load([]byte(example + "x"))
-	require.Len(t, placesOf(t, err), 1)
+	require.Len(t, findingPlaces(t, err), 1)
 	_, err = Load([]byte(strings.Replace(example, `"backend":"kafi"`, `"backend":"none"`, 1)))
-	require.Equal(t, []string{"routes[1].backend"}, placesOf(t, err))
+	require.Equal(t, []string{"routes[1].backend"}, findingPlaces(t, err))
 }
--- a/cluster/catalog/check.go
+++ b/cluster/catalog/check.go
@@ -16,9 +16,9 @@
 	return v
 }
 
-// check reports the fields of one item that do not meet their tags.
+// check validates the fields of one item by their validate tags.
 func (r *reader) check(item any, at path) {
-	if r.checked {
+	if r.fieldsChecked {
 		return
 	}
 	err := validate.Struct(item)
@@ -31,11 +31,11 @@
 		return
 	}
 	for _, field := range fields {
-		r.add(at.field(field.Field()), "%s", fault(field))
+		r.add(at.field(field.Field()), "%s", validationReason(field))
 	}
 }
 
-func fault(field validator.FieldError) string {
+func validationReason(field validator.FieldError) string {
 	switch field.Tag() {
 	case "required":
 		return "missing or empty"
@@ -49,29 +49,29 @@
 	return "does not meet " + strings.TrimSpace(field.Tag()+" "+field.Param())
 }
 
-// address is what a request is routed by.
-type address struct {
+// routeKey identifies a route by host and path prefix. No two routes may share it.
+type routeKey struct {
 	host   string
 	prefix string
 }
 
-// crossCheck reports what is wrong between the items of a complete configuration.
+// crossCheck reports duplicate names, duplicate route keys and routes to unknown services in a complete configuration.
 func (r *reader) crossCheck(c *Config) {
 	services := make(map[string]int, len(c.Services))
 	for i := range c.Services {
-		r.unique(services, c.Services[i].Name, fieldServices, i)
+		r.checkUnique(services, c.Services[i].Name, fieldServices, i)
 	}
 	routes := make(map[string]int, len(c.Routes))
-	addresses := make(map[address]int, len(c.Routes))
+	addresses := make(map[routeKey]int, len(c.Routes))
 	for i := range c.Routes {
 		route := &c.Routes[i]
 		at := path{fieldRoutes, i}
-		r.unique(routes, route.Name, fieldRoutes, i)
+		r.checkUnique(routes, route.Name, fieldRoutes, i)
 		if _, ok := services[route.Service]; !ok {
 			r.add(at.field("backend"), "route %q names the unknown service %q", route.Name, route.Service)
 		}
-		key := address{normalHost(route.Host), route.PathPrefix}
-		if first, taken := addresses[key]; taken {
+		key := routeKey{normalHost(route.Host), route.PathPrefix}
+		if first, exists := addresses[key]; exists {
 			r.add(at.String(), "route %q has the host and prefix of route %q", route.Name, c.Routes[first].Name)
 			continue
 		}
@@ -79,8 +79,8 @@
 	}
 }
 
-func (r *reader) unique(names map[string]int, name, list string, index int) {
-	if first, taken := names[name]; taken {
+func (r *reader) checkUnique(names map[string]int, name, list string, index int) {
+	if first, exists := names[name]; exists {
 		r.add(path{list, index}.field(fieldName), "%q is the name of %s[%d] too", name, list, first)
 		return
 	}
--- a/cluster/catalog/compat_test.go
+++ b/cluster/catalog/compat_test.go
@@ -7,9 +7,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestAConfigurationStaysAsWritten holds what is kept and told of a configuration, and of one that a patch has changed, to the bytes of the
-// version before.
-func TestAConfigurationStaysAsWritten(t *testing.T) {
+// TestConfigCompatibility checks that the documents of a configuration and of a patched one, which are stored and
+// returned to operators, equal byte for byte those of the previous version.
+func TestConfigCompatibility(t *testing.T) {
 	golden, err := os.ReadFile("testdata/compat/config.json")
 	require.NoError(t, err)
 	config, err := Parse(golden)
@@ -29,8 +29,8 @@
 	require.Equal(t, string(result), string(patched.Document()))
 }
 
-// TestAConfigurationMadeHereKeepsItsFields holds the document of a configuration that no operator has written.
-func TestAConfigurationMadeHereKeepsItsFields(t *testing.T) {
+// TestConfigBuiltInCodeCompatibility checks the document of a configuration that was built in code, not parsed.
+func TestConfigBuiltInCodeCompatibility(t *testing.T) {
 	golden, err := os.ReadFile("testdata/compat/config-made.json")
 	require.NoError(t, err)
 	config := &Config{
--- a/cluster/catalog/doc.go
+++ b/cluster/catalog/doc.go
@@ -1,6 +1,7 @@
-// Package catalog is the operator's configuration: the routes that requests come by, the services that they go to, and limits.
+// Package catalog implements the operator's configuration: the routes that match requests, the services that handle
+// them, and limits.
 //
-// Parse reads and checks a complete configuration, Config.Apply a change of single items, and an Index finds the route of a request. What is
-// wrong is returned as Findings, each with its path in the document. What the operator sent is kept as sent: fields that are not known here
-// stay, and numbers are not written anew.
+// Parse reads and checks a complete configuration, Config.Apply applies a patch that changes single items, and an Index
+// finds the route of a request. Errors are returned as Findings, each with its path in the document. The operator's
+// text is preserved: unknown fields are kept, and numbers are not reformatted.
 package catalog
--- a/cluster/catalog/findings.go
+++ b/cluster/catalog/findings.go
@@ -5,22 +5,22 @@
 	"strings"
 )
 
-// MaxFindings bounds how many findings are reported at a time.
+// MaxFindings is the maximum number of findings in one error; the rest are only counted.
 const MaxFindings = 100
 
-// Finding is one thing that is wrong with a configuration.
+// Finding is one error in a configuration.
 type Finding struct {
-	Place  string `json:"place"` // path of the JSON value, or byte offset
+	Place  string `json:"place"` // path of the JSON value, or byte offset of a syntax error
 	Reason string `json:"reason"`
 }
 
-// String gives the place and the reason.
+// String returns the place and the reason.
 func (f Finding) String() string { return f.Place + ": " + f.Reason }
 
-// Findings are all things that were found wrong.
+// Findings are the errors found in a configuration.
 type Findings []Finding
 
-// Error lists the findings.
+// Error returns all findings in one line.
 func (f Findings) Error() string {
 	lines := make([]string, len(f))
 	for i, finding := range f {
@@ -29,15 +29,15 @@
 	return "invalid configuration: " + strings.Join(lines, "; ")
 }
 
-// collector gathers findings up to the bound, and counts the rest.
+// collector collects up to MaxFindings findings and counts the rest.
 type collector struct {
 	findings Findings
-	more     int
+	omitted  int
 }
 
 func (c *collector) add(path, format string, arguments ...any) {
 	if len(c.findings) >= MaxFindings {
-		c.more++
+		c.omitted++
 		return
 	}
 	c.findings = append(c.findings, Finding{Place: path, Reason: fmt.Sprintf(format, arguments...)})
@@ -47,8 +47,8 @@
 	if len(c.findings) == 0 {
 		return nil
 	}
-	if c.more > 0 {
-		return append(c.findings, Finding{Place: "document", Reason: fmt.Sprintf("%d more findings", c.more)})
+	if c.omitted > 0 {
+		return append(c.findings, Finding{Place: "document", Reason: fmt.Sprintf("%d more findings", c.omitted)})
 	}
 	return c.findings
 }
--- a/cluster/catalog/fuzz_test.go
+++ b/cluster/catalog/fuzz_test.go
@@ -7,7 +7,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// FuzzParse holds the reader against encoding/json: it takes no document that encoding/json does not read, and reads the same.
+// FuzzParse compares Parse with encoding/json: it must accept no document that encoding/json rejects, and decode the
+// same values.
 func FuzzParse(f *testing.F) {
 	f.Add([]byte(example))
 	f.Add([]byte(`{"version":1,"routes":[],"backends":[],"limits":{}}`))
@@ -15,7 +16,7 @@
 	f.Fuzz(func(t *testing.T, document []byte) {
 		c, err := Parse(document)
 		if err != nil {
-			require.NotEmpty(t, placesOf(t, err))
+			require.NotEmpty(t, findingPlaces(t, err))
 			return
 		}
 		var reference struct {
@@ -34,7 +35,7 @@
 	})
 }
 
-// FuzzApply makes sure that whatever a patch turns a configuration into can be read again.
+// FuzzApply checks that the document of every patched configuration parses to an equal one.
 func FuzzApply(f *testing.F) {
 	f.Add([]byte(`{"version":9,"upsert":{"routes":[{"name":"r-3","host":"n","pathPrefix":"/","backend":"kafi","timeoutMs":1}],"limits":{}},"delete":{"routes":["r-2"]}}`))
 	f.Add([]byte(`{"version":9,"upsert":{"backends":[{"name":"x"}]},"delete":{"backends":["y"]}}`))
@@ -45,7 +46,7 @@
 	f.Fuzz(func(t *testing.T, patch []byte) {
 		changed, err := base.Apply(patch)
 		if err != nil {
-			require.NotEmpty(t, placesOf(t, err))
+			require.NotEmpty(t, findingPlaces(t, err))
 			return
 		}
 		again, err := Parse(changed.Document())
--- a/cluster/catalog/index.go
+++ b/cluster/catalog/index.go
@@ -5,16 +5,16 @@
 	"strings"
 )
 
-// Index finds routes and services. It is immutable.
+// Index looks up routes and services. It is immutable.
 type Index struct {
 	config   *Config
 	routes   map[string]*Route
 	services map[string]*Service
-	byPrefix map[address]*Route
-	lengths  map[string][]int // of the prefixes of a host, longest first
+	byPrefix map[routeKey]*Route
+	lengths  map[string][]int // distinct lengths of a host's prefixes, longest first
 }
 
-// NewIndex indexes a configuration, which must not be changed any more. Nil is an empty one.
+// NewIndex indexes a configuration, which must not be modified afterwards. A nil configuration is treated as empty.
 func NewIndex(c *Config) *Index {
 	if c == nil {
 		c = &Config{}
@@ -23,7 +23,7 @@
 		config:   c,
 		routes:   make(map[string]*Route, len(c.Routes)),
 		services: make(map[string]*Service, len(c.Services)),
-		byPrefix: make(map[address]*Route, len(c.Routes)),
+		byPrefix: make(map[routeKey]*Route, len(c.Routes)),
 		lengths:  make(map[string][]int),
 	}
 	for i := range c.Services {
@@ -38,7 +38,7 @@
 func (x *Index) addRoute(route *Route) {
 	host := normalHost(route.Host)
 	x.routes[route.Name] = route
-	x.byPrefix[address{host, route.PathPrefix}] = route
+	x.byPrefix[routeKey{host, route.PathPrefix}] = route
 	lengths := x.lengths[host]
 	at, found := slices.BinarySearchFunc(lengths, len(route.PathPrefix), func(have, want int) int { return want - have })
 	if !found {
@@ -46,31 +46,31 @@
 	}
 }
 
-// Config is the configuration that the index was made of.
+// Config returns the indexed configuration.
 func (x *Index) Config() *Config { return x.config }
 
-// Route returns the route of a name, or nil.
+// Route returns the route with a name, or nil.
 func (x *Index) Route(name string) *Route { return x.routes[name] }
 
-// Service returns the service of a name, or nil.
+// Service returns the service with a name, or nil.
 func (x *Index) Service(name string) *Service { return x.services[name] }
 
-// Match returns the route of a request: of those with its host, the one with the longest prefix that the path starts with. Nil
-// is none. The host is a Host header: its case and its port don't matter.
+// Match returns the route of a request, or nil: among the routes of the host, the one with the longest prefix of the
+// path. The host is the value of a Host header; its case and port are ignored.
 func (x *Index) Match(host, path string) *Route {
 	host = normalHost(host)
 	for _, length := range x.lengths[host] {
 		if length > len(path) {
 			continue
 		}
-		if route := x.byPrefix[address{host, path[:length]}]; route != nil {
+		if route := x.byPrefix[routeKey{host, path[:length]}]; route != nil {
 			return route
 		}
 	}
 	return nil
 }
 
-// normalHost strips the port and lowers the case. It allocates for upper case only.
+// normalHost removes the port and converts to lower case. It allocates only if the host has upper-case letters.
 func normalHost(host string) string {
 	if colon := strings.LastIndexByte(host, ':'); colon >= 0 && isPort(host[colon+1:]) && !insideBrackets(host, colon) {
 		host = host[:colon]
@@ -87,7 +87,7 @@
 	return true
 }
 
-// insideBrackets says whether a colon is a part of an IPv6 address and not in front of a port.
+// insideBrackets reports whether a colon belongs to a bracketed IPv6 address rather than preceding a port.
 func insideBrackets(host string, colon int) bool {
 	return strings.IndexByte(host[colon:], ']') >= 0
 }
--- a/cluster/catalog/patch.go
+++ b/cluster/catalog/patch.go
@@ -2,30 +2,31 @@
 
 import "strings"
 
-// change is a patch as read.
-type change struct {
-	version       string // as written
-	routes        items
-	services      items
-	limits        string // as written; empty: unchanged
-	deletedRoutes map[string]bool
-	deletedBacks  map[string]bool
+// parsedPatch is a decoded patch: upserts, deletions and the new version.
+type parsedPatch struct {
+	version         string // JSON text
+	routes          upsertedItems
+	services        upsertedItems
+	limits          string // JSON text; empty: unchanged
+	deletedRoutes   map[string]bool
+	deletedServices map[string]bool
 }
 
-// items are what is to be added to a list or replaced in it, in their order.
-type items struct {
+// upsertedItems are the items that a patch adds to a list or replaces in it, in the patch's order.
+type upsertedItems struct {
 	names []string
 	texts []string
 }
 
-// CheckPatch checks what can be said of a patch without the configuration that it is applied to.
+// CheckPatch checks a patch as far as possible without the configuration that it will be applied to.
 func CheckPatch(patch []byte) error {
 	_, err := readPatch(patch)
 	return err
 }
 
-// Apply makes the configuration that a patch turns c into. Items are added at the end of their list, or replace the one of their
-// name in its place; names to delete need not be there. The complete result is checked; the error is of type Findings.
+// Apply returns the configuration that results from applying a patch to c. An upserted item replaces the item with the
+// same name in place, or is appended to the list; deleting an unknown name is not an error. The complete result is
+// checked; the error is of type Findings.
 func (c *Config) Apply(patch []byte) (*Config, error) {
 	p, err := readPatch(patch)
 	if err != nil {
@@ -37,18 +38,18 @@
 			return nil, err
 		}
 	}
-	return base.reload(base.merge(p), &reader{checked: true})
+	return base.reload(base.merge(p), &reader{fieldsChecked: true})
 }
 
-func readPatch(patch []byte) (*change, error) {
-	text, findings := readable(patch)
+func readPatch(patch []byte) (*parsedPatch, error) {
+	text, findings := checkJSON(patch)
 	if findings != nil {
 		return nil, findings
 	}
 	r := &reader{}
-	p := &change{}
+	p := &parsedPatch{}
 	in := &cursor{text: text}
-	members := r.members(in, "document", top, func(key string) {
+	members := r.members(in, "document", rootPath, func(key string) {
 		switch key {
 		case fieldVersion:
 			p.version = in.value()
@@ -62,39 +63,39 @@
 		}
 	})
 	if members != nil {
-		r.require(members, top, fieldVersion)
+		r.requireMembers(members, rootPath, fieldVersion)
 	}
-	r.contradictions(p.routes.names, p.deletedRoutes, fieldRoutes)
-	r.contradictions(p.services.names, p.deletedBacks, fieldServices)
+	r.checkUpsertsNotDeleted(p.routes.names, p.deletedRoutes, fieldRoutes)
+	r.checkUpsertsNotDeleted(p.services.names, p.deletedServices, fieldServices)
 	if err := r.result(); err != nil {
 		return nil, err
 	}
 	return p, nil
 }
 
-func (r *reader) upserts(in *cursor, p *change) {
+func (r *reader) upserts(in *cursor, p *parsedPatch) {
 	at := path{fieldUpsert, -1}
-	r.optional(in, fieldUpsert, at, func(key string) {
+	r.optionalMembers(in, fieldUpsert, at, func(key string) {
 		name := at.field(key)
 		switch key {
 		case fieldRoutes:
 			routes, texts := r.routes(in, name)
-			p.routes = items{make([]string, len(routes)), texts}
+			p.routes = upsertedItems{make([]string, len(routes)), texts}
 			for i := range routes {
 				p.routes.names[i] = routes[i].Name
 			}
-			r.distinct(p.routes.names, name)
+			r.checkUniqueNames(p.routes.names, name)
 		case fieldServices:
 			services, texts := r.services(in, name)
-			p.services = items{make([]string, len(services)), texts}
+			p.services = upsertedItems{make([]string, len(services)), texts}
 			for i := range services {
 				p.services.names[i] = services[i].Name
 			}
-			r.distinct(p.services.names, name)
+			r.checkUniqueNames(p.services.names, name)
 		case fieldLimits:
-			from := in.at
+			from := in.offset
 			r.limits(in, name)
-			if written := in.text[from:in.at]; written != null {
+			if written := in.text[from:in.offset]; written != null {
 				p.limits = written
 			}
 		default:
@@ -104,8 +105,8 @@
 	})
 }
 
-// optional reads the members of an object that may be null.
-func (r *reader) optional(in *cursor, name string, at path, visit func(key string)) {
+// optionalMembers is members for a value that may be null.
+func (r *reader) optionalMembers(in *cursor, name string, at path, visit func(key string)) {
 	if in.next() == 'n' { // null
 		in.value()
 		return
@@ -113,22 +114,22 @@
 	r.members(in, name, at, visit)
 }
 
-func (r *reader) distinct(names []string, list string) {
+func (r *reader) checkUniqueNames(names []string, list string) {
 	first := make(map[string]int, len(names))
 	for i, name := range names {
-		r.unique(first, name, list, i)
+		r.checkUnique(first, name, list, i)
 	}
 }
 
-func (r *reader) deletes(in *cursor, p *change) {
+func (r *reader) deletes(in *cursor, p *parsedPatch) {
 	at := path{fieldDelete, -1}
-	r.optional(in, fieldDelete, at, func(key string) {
+	r.optionalMembers(in, fieldDelete, at, func(key string) {
 		name := at.field(key)
 		switch key {
 		case fieldRoutes:
 			p.deletedRoutes = r.names(in, name)
 		case fieldServices:
-			p.deletedBacks = r.names(in, name)
+			p.deletedServices = r.names(in, name)
 		default:
 			r.add(name, "unknown: nothing of this kind can be deleted")
 			in.value()
@@ -147,7 +148,7 @@
 	in.elements(func(index int) {
 		value := in.value()
 		if value[0] != '"' {
-			r.add(path{name, index}.String(), "%s is not a string", shorten(value))
+			r.add(path{name, index}.String(), "%s is not a string", truncate(value))
 			return
 		}
 		names[unquote(value)] = true
@@ -155,8 +156,8 @@
 	return names
 }
 
-// contradictions reports names that are both given anew and deleted.
-func (r *reader) contradictions(names []string, deleted map[string]bool, list string) {
+// checkUpsertsNotDeleted reports names that a patch both upserts and deletes.
+func (r *reader) checkUpsertsNotDeleted(names []string, deleted map[string]bool, list string) {
 	for i, name := range names {
 		if deleted[name] {
 			r.add(path{fieldUpsert + "." + list, i}.field(fieldName), "%q is deleted by the same change", name)
@@ -164,8 +165,8 @@
 	}
 }
 
-// merge writes the changed document.
-func (c *Config) merge(p *change) string {
+// merge returns the document with the patch applied.
+func (c *Config) merge(p *parsedPatch) string {
 	var document strings.Builder
 	document.Grow(len(c.text) + len(p.version) + p.routes.size() + p.services.size() + len(p.limits))
 	routeName := func(i int) string { return c.Routes[i].Name }
@@ -181,9 +182,9 @@
 		case m.key == fieldVersion:
 			document.WriteString(p.version)
 		case m.key == fieldRoutes:
-			mergeList(&document, c.routes, routeName, p.routes, p.deletedRoutes)
+			mergeList(&document, c.routeTexts, routeName, p.routes, p.deletedRoutes)
 		case m.key == fieldServices:
-			mergeList(&document, c.backs, serviceName, p.services, p.deletedBacks)
+			mergeList(&document, c.serviceTexts, serviceName, p.services, p.deletedServices)
 		case m.key == fieldLimits && p.limits != "":
 			document.WriteString(p.limits)
 		default:
@@ -194,7 +195,7 @@
 	return document.String()
 }
 
-func (i items) size() int {
+func (i upsertedItems) size() int {
 	size := 0
 	for _, text := range i.texts {
 		size += len(text) + 1
@@ -202,11 +203,12 @@
 	return size
 }
 
-// mergeList writes a list: what is there, without the deleted and with the replaced, then what is new.
-func mergeList(document *strings.Builder, texts []string, name func(int) string, upserts items, deleted map[string]bool) {
-	replaced := make(map[string]string, len(upserts.names))
+// mergeList writes a list: the existing items without the deleted ones and with replacements in place, then the new
+// items.
+func mergeList(document *strings.Builder, texts []string, name func(int) string, upserts upsertedItems, deleted map[string]bool) {
+	replacements := make(map[string]string, len(upserts.names))
 	for i, name := range upserts.names {
-		replaced[name] = upserts.texts[i]
+		replacements[name] = upserts.texts[i]
 	}
 	separator := byte('[')
 	write := func(text string) {
@@ -220,9 +222,9 @@
 		if deleted[key] {
 			continue
 		}
-		if other, ok := replaced[key]; ok {
+		if replacement, ok := replacements[key]; ok {
 			present[key] = true
-			text = other
+			text = replacement
 		}
 		write(text)
 	}
--- a/cluster/catalog/read.go
+++ b/cluster/catalog/read.go
@@ -7,7 +7,7 @@
 	"strconv"
 )
 
-// The fields of a configuration and of a change.
+// Names of JSON fields in a configuration and in a patch.
 const (
 	fieldVersion  = "version"
 	fieldRoutes   = "routes"
@@ -18,21 +18,21 @@
 	fieldName     = "name"
 )
 
-// maxExactInteger is the largest whole number up to which a float64 holds each.
+// maxExactInteger is the limit up to which a float64 represents every integer exactly.
 const maxExactInteger = 1 << 53
 
 const null = "null"
 
-// reader makes typed values of valid JSON, and gathers what is wrong with them.
+// reader decodes valid JSON into typed values and collects findings.
 type reader struct {
 	collector
-	checked bool // the fields have been checked before
+	fieldsChecked bool // skip the validation of single fields: it was done before
 }
 
-// path names a JSON value. It is put together only when something is to be reported.
+// path locates a JSON value. It is formatted only when a finding is reported.
 type path struct {
 	list  string
-	index int // in the list; negative: the list itself
+	index int // of an item in the list; negative: the list itself
 }
 
 func (p path) field(name string) string {
@@ -42,7 +42,7 @@
 	return p.String() + "." + name
 }
 
-// String is the path as findings have it.
+// String formats the path for a finding.
 func (p path) String() string {
 	if p.index < 0 {
 		return p.list
@@ -50,19 +50,19 @@
 	return fmt.Sprintf("%s[%d]", p.list, p.index)
 }
 
-var top = path{index: -1}
+var rootPath = path{index: -1}
 
 func (r *reader) config(text string) *Config {
 	c := &Config{text: text}
 	in := &cursor{text: text}
-	c.members = r.members(in, "document", top, func(key string) {
+	c.members = r.members(in, "document", rootPath, func(key string) {
 		switch key {
 		case fieldVersion:
 			c.Version = r.version(in.value())
 		case fieldRoutes:
-			c.Routes, c.routes = r.routes(in, fieldRoutes)
+			c.Routes, c.routeTexts = r.routes(in, fieldRoutes)
 		case fieldServices:
-			c.Services, c.backs = r.services(in, fieldServices)
+			c.Services, c.serviceTexts = r.services(in, fieldServices)
 		case fieldLimits:
 			c.Limits = r.limits(in, fieldLimits)
 		default:
@@ -70,13 +70,13 @@
 		}
 	})
 	if c.members != nil {
-		r.require(c.members, top, fieldVersion, fieldRoutes, fieldServices, fieldLimits)
+		r.requireMembers(c.members, rootPath, fieldVersion, fieldRoutes, fieldServices, fieldLimits)
 	}
 	return c
 }
 
-// members reads the object that comes next, each field of which may stand there once. The visitor has to take the value. The list is
-// nil if there is no object.
+// members reads the next object and reports duplicate fields. The visitor must consume each field's value. It returns
+// nil if the next value is not an object.
 func (r *reader) members(in *cursor, name string, at path, visit func(key string)) []member {
 	if in.next() != '{' {
 		r.add(name, "not an object")
@@ -91,22 +91,22 @@
 		}
 		seen[key] = true
 		in.next()
-		from := in.at
+		from := in.offset
 		visit(key)
-		members = append(members, member{key, in.text[from:in.at]})
+		members = append(members, member{key, in.text[from:in.offset]})
 	})
 	return members
 }
 
-func (r *reader) require(members []member, at path, names ...string) {
+func (r *reader) requireMembers(members []member, at path, names ...string) {
 	for _, name := range names {
-		if value, ok := find(members, name); !ok || value == null {
+		if value, ok := findMember(members, name); !ok || value == null {
 			r.add(at.field(name), "missing")
 		}
 	}
 }
 
-func find(members []member, name string) (string, bool) {
+func findMember(members []member, name string) (string, bool) {
 	for _, m := range members {
 		if m.key == name {
 			return m.value, true
@@ -117,14 +117,14 @@
 
 func (r *reader) version(value string) uint64 {
 	if value == null {
-		return 0 // reported as missing
+		return 0 // requireMembers reports it as missing
 	}
 	if version, err := strconv.ParseUint(value, 10, 64); err == nil && version > 0 {
 		return version
 	}
 	version, err := strconv.ParseFloat(value, 64)
 	if err != nil || !isInteger(version) || version <= 0 {
-		r.add(fieldVersion, "%s is not a whole number above 0", shorten(value))
+		r.add(fieldVersion, "%s is not a whole number above 0", truncate(value))
 		return 0
 	}
 	return uint64(version)
@@ -133,11 +133,11 @@
 func (r *reader) routes(in *cursor, name string) ([]Route, []string) {
 	var routes []Route
 	var texts []string
-	r.objects(in, name, func(at path, left int) {
-		from := in.at
+	r.objects(in, name, func(at path, remaining int) {
+		from := in.offset
 		route := r.route(in, at)
-		routes = append(slices.Grow(routes, left), route)
-		texts = append(slices.Grow(texts, left), in.text[from:in.at])
+		routes = append(slices.Grow(routes, remaining), route)
+		texts = append(slices.Grow(texts, remaining), in.text[from:in.offset])
 	})
 	return routes, texts
 }
@@ -145,21 +145,21 @@
 func (r *reader) services(in *cursor, name string) ([]Service, []string) {
 	var services []Service
 	var texts []string
-	r.objects(in, name, func(at path, left int) {
-		from := in.at
+	r.objects(in, name, func(at path, remaining int) {
+		from := in.offset
 		service := r.service(in, at)
-		services = append(slices.Grow(services, left), service)
-		texts = append(slices.Grow(texts, left), in.text[from:in.at])
+		services = append(slices.Grow(services, remaining), service)
+		texts = append(slices.Grow(texts, remaining), in.text[from:in.offset])
 	})
 	return services, texts
 }
 
-// sampleSize is after how many items of a list the number of all is estimated, to make room for them at once.
+// sampleSize is the number of items after which the length of a list is estimated, to allocate the rest at once.
 const sampleSize = 32
 
-// objects visits the items of the list of objects that comes next. The visitor has to take the item, and is told once about how many
-// are left.
-func (r *reader) objects(in *cursor, name string, visit func(at path, left int)) {
+// objects calls visit for each item of the next value, a list of objects. The visitor must consume the item. It
+// receives once, after sampleSize items, an estimate of how many remain, and 0 otherwise.
+func (r *reader) objects(in *cursor, name string, visit func(at path, remaining int)) {
 	first := in.next()
 	if first != '[' {
 		if in.value() != null {
@@ -167,7 +167,7 @@
 		}
 		return
 	}
-	from := in.at
+	from := in.offset
 	in.elements(func(index int) {
 		at := path{name, index}
 		if in.next() != '{' {
@@ -175,11 +175,11 @@
 			in.value()
 			return
 		}
-		left := 0
+		remaining := 0
 		if index == sampleSize {
-			left = (len(in.text) - in.at) * sampleSize / (in.at - from)
+			remaining = (len(in.text) - in.offset) * sampleSize / (in.offset - from)
 		}
-		visit(at, left)
+		visit(at, remaining)
 	})
 }
 
@@ -190,44 +190,44 @@
 		value := in.value()
 		switch key {
 		case fieldName:
-			r.once(&seen, 0, at, key)
+			r.checkDuplicate(&seen, 0, at, key)
 			route.Name = r.text(value, at, key)
 		case "host":
-			r.once(&seen, 1, at, key)
+			r.checkDuplicate(&seen, 1, at, key)
 			route.Host = r.text(value, at, key)
 		case "pathPrefix":
-			r.once(&seen, 2, at, key)
+			r.checkDuplicate(&seen, 2, at, key)
 			route.PathPrefix = r.text(value, at, key)
 		case "type":
-			r.once(&seen, 3, at, key)
+			r.checkDuplicate(&seen, 3, at, key)
 			route.Type = r.text(value, at, key)
 		case "backend":
-			r.once(&seen, 4, at, key)
+			r.checkDuplicate(&seen, 4, at, key)
 			route.Service = r.text(value, at, key)
 		case "priority":
-			r.once(&seen, 5, at, key)
+			r.checkDuplicate(&seen, 5, at, key)
 			route.Priority = r.integer(value, at, key)
 		case "targetMs":
-			r.once(&seen, 6, at, key)
+			r.checkDuplicate(&seen, 6, at, key)
 			route.TargetMs = r.number(value, at, key)
 		case "startTargetMs":
-			r.once(&seen, 7, at, key)
+			r.checkDuplicate(&seen, 7, at, key)
 			route.StartTargetMs = r.number(value, at, key)
 		case "timeoutMs":
-			r.once(&seen, 8, at, key)
+			r.checkDuplicate(&seen, 8, at, key)
 			route.TimeoutMs = r.number(value, at, key)
 		case "retries":
-			r.once(&seen, 9, at, key)
+			r.checkDuplicate(&seen, 9, at, key)
 			route.Retries = r.integer(value, at, key)
 		case "fifo":
-			r.once(&seen, 10, at, key)
-			route.Ordered = r.truth(value, at, key)
+			r.checkDuplicate(&seen, 10, at, key)
+			route.Ordered = r.boolean(value, at, key)
 		case "retentionS":
-			r.once(&seen, 11, at, key)
+			r.checkDuplicate(&seen, 11, at, key)
 			route.RetentionS = r.number(value, at, key)
 		case "callbackUrl":
-			r.once(&seen, 12, at, key)
-			route.CallbackURL = r.truth(value, at, key)
+			r.checkDuplicate(&seen, 12, at, key)
+			route.CallbackURL = r.boolean(value, at, key)
 		}
 	})
 	r.check(&route, at)
@@ -241,31 +241,31 @@
 		value := in.value()
 		switch key {
 		case fieldName:
-			r.once(&seen, 0, at, key)
+			r.checkDuplicate(&seen, 0, at, key)
 			service.Name = r.text(value, at, key)
 		case "healthPath":
-			r.once(&seen, 1, at, key)
+			r.checkDuplicate(&seen, 1, at, key)
 			service.HealthPath = r.text(value, at, key)
 		case "maxConns":
-			r.once(&seen, 2, at, key)
+			r.checkDuplicate(&seen, 2, at, key)
 			service.MaxConns = r.integer(value, at, key)
 		case "protocol":
-			r.once(&seen, 3, at, key)
+			r.checkDuplicate(&seen, 3, at, key)
 			service.Protocol = r.text(value, at, key)
 		case "tls":
-			r.once(&seen, 4, at, key)
-			service.TLS = r.truth(value, at, key)
+			r.checkDuplicate(&seen, 4, at, key)
+			service.TLS = r.boolean(value, at, key)
 		case "ratePerS":
-			r.once(&seen, 5, at, key)
+			r.checkDuplicate(&seen, 5, at, key)
 			service.RatePerS = r.number(value, at, key)
 		case "idempotent":
-			r.once(&seen, 6, at, key)
-			service.Idempotent = r.truth(value, at, key)
+			r.checkDuplicate(&seen, 6, at, key)
+			service.Idempotent = r.boolean(value, at, key)
 		case "pull":
-			r.once(&seen, 7, at, key)
-			service.Pull = r.truth(value, at, key)
+			r.checkDuplicate(&seen, 7, at, key)
+			service.Pull = r.boolean(value, at, key)
 		case "endpoint":
-			r.once(&seen, 8, at, key)
+			r.checkDuplicate(&seen, 8, at, key)
 			service.Endpoint = r.text(value, at, key)
 		}
 	})
@@ -297,10 +297,10 @@
 	return limits
 }
 
-// fieldSet holds which of an item's known fields have been met.
+// fieldSet is a bit set of an item's known fields that have been read.
 type fieldSet uint32
 
-func (r *reader) once(seen *fieldSet, field uint, at path, key string) {
+func (r *reader) checkDuplicate(seen *fieldSet, field uint, at path, key string) {
 	if *seen&(1<<field) != 0 {
 		r.add(at.field(key), "stands there twice")
 	}
@@ -312,19 +312,19 @@
 		return ""
 	}
 	if value[0] != '"' {
-		r.add(at.field(key), "%s is not a string", shorten(value))
+		r.add(at.field(key), "%s is not a string", truncate(value))
 		return ""
 	}
 	return unquote(value)
 }
 
-func (r *reader) truth(value string, at path, key string) bool {
+func (r *reader) boolean(value string, at path, key string) bool {
 	switch value {
 	case "true":
 		return true
 	case "false", null:
 	default:
-		r.add(at.field(key), "%s is neither true nor false", shorten(value))
+		r.add(at.field(key), "%s is neither true nor false", truncate(value))
 	}
 	return false
 }
@@ -335,20 +335,20 @@
 	}
 	number, err := strconv.ParseFloat(value, 64)
 	if err != nil {
-		r.add(at.field(key), "%s is not a number", shorten(value))
+		r.add(at.field(key), "%s is not a number", truncate(value))
 		return 0
 	}
 	return number
 }
 
-// integer takes whole numbers, also when they are written as 7.0 or 7e0.
+// integer decodes a whole number, also when it is written as 7.0 or 7e0.
 func (r *reader) integer(value string, at path, key string) int {
 	if number, err := strconv.Atoi(value); err == nil {
 		return number
 	}
 	number := r.number(value, at, key)
 	if !isInteger(number) {
-		r.add(at.field(key), "%s is not a whole number", shorten(value))
+		r.add(at.field(key), "%s is not a whole number", truncate(value))
 		return 0
 	}
 	return int(number)
@@ -358,12 +358,12 @@
 	return number == math.Trunc(number) && math.Abs(number) <= maxExactInteger
 }
 
-// longestQuote bounds how much of a value a finding repeats, in bytes.
-const longestQuote = 60
+// maxQuotedBytes is how many bytes of an invalid value a finding quotes.
+const maxQuotedBytes = 60
 
-func shorten(value string) string {
-	if len(value) <= longestQuote {
+func truncate(value string) string {
+	if len(value) <= maxQuotedBytes {
 		return value
 	}
-	return value[:longestQuote] + "..."
+	return value[:maxQuotedBytes] + "..."
 }
--- a/cluster/catalog/reload.go
+++ b/cluster/catalog/reload.go
@@ -6,45 +6,46 @@
 	"unicode/utf8"
 )
 
-// maxSkipped bounds how many items of a list may have been removed one after the other for the next to be known again.
+// maxSkipped is how many consecutive removed items findUnchanged skips while it searches for the next unchanged one.
 const maxSkipped = 64
 
-// Reload is Load of a document that follows on c, which may be nil: what is the same to the byte is not read again, and costs a comparison. A
-// document that is written otherwise than by Apply is read as a whole.
+// Reload loads a document that succeeds c, which may be nil. Items whose bytes are the same as in c are not parsed
+// again, only compared. A document whose layout differs from what Apply writes is parsed as a whole.
 func (c *Config) Reload(document []byte) (*Config, error) {
-	return c.reload(string(document), &reader{checked: true})
+	return c.reload(string(document), &reader{fieldsChecked: true})
 }
 
 func (c *Config) reload(text string, r *reader) (*Config, error) {
 	if c != nil && c.text != "" {
-		in := &reloading{reader: reader{checked: r.checked}, before: c, text: text}
-		if next := in.config(); next != nil {
-			in.crossCheck(next)
-			if len(in.findings) == 0 {
+		incremental := &incrementalReader{reader: reader{fieldsChecked: r.fieldsChecked}, previous: c, text: text}
+		if next := incremental.config(); next != nil {
+			incremental.crossCheck(next)
+			if len(incremental.findings) == 0 {
 				return next, nil
 			}
 		}
 	}
-	read, findings := readable([]byte(text)) // what is wrong is told by their places in the whole
+	read, findings := checkJSON([]byte(text)) // findings give their place in the whole document
 	if findings != nil {
 		return nil, findings
 	}
 	return parse(read, r)
 }
 
-// reloading reads a document beside the one before it. All that differs is made sure to be valid before it is read. It gives up at what it does
-// not expect: the document is then parsed as a whole.
-type reloading struct {
+// incrementalReader reads a document by comparing it with the previous one. Changed items are checked for valid JSON
+// before they are parsed. It gives up when the layout is unexpected; the caller then parses the document as a whole.
+type incrementalReader struct {
 	reader
-	before *Config
-	text   string
-	at     int
+	previous *Config
+	text     string
+	offset   int
 }
 
-// config reads the whole document, in which the members are those of before and in their order. It returns nil if it gives up.
-func (in *reloading) config() *Config {
-	c := &Config{text: in.text, members: make([]member, 0, len(in.before.members))}
-	for i, m := range in.before.members {
+// config reads the whole document. Its members must be the previous document's, in the same order, otherwise it gives
+// up and returns nil.
+func (in *incrementalReader) config() *Config {
+	c := &Config{text: in.text, members: make([]member, 0, len(in.previous.members))}
+	for i, m := range in.previous.members {
 		separator := ","
 		if i == 0 {
 			separator = "{"
@@ -52,60 +53,61 @@
 		if !in.skip(separator) || !in.skip(quote(m.key)) || !in.skip(":") {
 			return nil
 		}
-		from := in.at
+		from := in.offset
 		if !in.member(c, m) {
 			return nil
 		}
-		c.members = append(c.members, member{m.key, in.text[from:in.at]})
+		c.members = append(c.members, member{m.key, in.text[from:in.offset]})
 	}
-	if !in.skip("}") || in.at != len(in.text) || len(in.findings) > 0 {
+	if !in.skip("}") || in.offset != len(in.text) || len(in.findings) > 0 {
 		return nil
 	}
 	return c
 }
 
-// member reads the value of a member, and reports whether it could.
-func (in *reloading) member(c *Config, before member) bool {
-	switch before.key {
+// member reads the value of a member, and reports whether that succeeded.
+func (in *incrementalReader) member(c *Config, previous member) bool {
+	switch previous.key {
 	case fieldVersion:
 		c.Version = in.version(in.digits())
 		return c.Version > 0
 	case fieldRoutes:
-		c.Routes, c.routes = reloadList(in, in.before.Routes, in.before.routes, in.freshRoute)
+		c.Routes, c.routeTexts = reloadList(in, in.previous.Routes, in.previous.routeTexts, in.newRoute)
 		return c.Routes != nil
 	case fieldServices:
-		c.Services, c.backs = reloadList(in, in.before.Services, in.before.backs, in.freshService)
+		c.Services, c.serviceTexts = reloadList(in, in.previous.Services, in.previous.serviceTexts, in.newService)
 		return c.Services != nil
 	case fieldLimits:
-		c.Limits = in.before.Limits
+		c.Limits = in.previous.Limits
 	}
-	return in.skip(before.value)
+	return in.skip(previous.value)
 }
 
-// reloadList reads a list of items that were read before, or are read by fresh. It returns nil if it gives up, and for an empty list.
-func reloadList[T any](in *reloading, before []T, texts []string, fresh func(text string, index int) T) ([]T, []string) {
+// reloadList reads a list, reusing previous items whose text is unchanged and parsing others with readItem. It returns
+// nil if it gives up, and for an empty list.
+func reloadList[T any](in *incrementalReader, previous []T, texts []string, readItem func(text string, index int) T) ([]T, []string) {
 	if !in.skip("[") {
 		return nil, nil
 	}
-	items, itemTexts := make([]T, 0, len(before)+1), make([]string, 0, len(before)+1)
-	next := 0 // of those before
+	items, itemTexts := make([]T, 0, len(previous)+1), make([]string, 0, len(previous)+1)
+	nextIndex := 0 // in previous, of the next expected item
 	for {
-		from := in.at
-		if known := in.known(texts, next); known >= 0 {
-			in.at += len(texts[known])
-			items = append(items, before[known])
-			next = known + 1
+		from := in.offset
+		if match := in.findUnchanged(texts, nextIndex); match >= 0 {
+			in.offset += len(texts[match])
+			items = append(items, previous[match])
+			nextIndex = match + 1
 		} else {
 			text := in.object()
 			if text == "" {
 				return nil, nil
 			}
-			items = append(items, fresh(text, len(items)))
-			if next < len(texts) && !in.followedBy(texts[next]) {
-				next++ // it stands in the place of the next one before
+			items = append(items, readItem(text, len(items)))
+			if nextIndex < len(texts) && !in.followedBy(texts[nextIndex]) {
+				nextIndex++ // the new item replaces the previous one at nextIndex
 			}
 		}
-		itemTexts = append(itemTexts, in.text[from:in.at])
+		itemTexts = append(itemTexts, in.text[from:in.offset])
 		switch {
 		case in.skip(","):
 		case in.skip("]"):
@@ -116,57 +118,59 @@
 	}
 }
 
-// known returns the index of the item before that stands here, of those from next on; negative: none does.
-func (in *reloading) known(texts []string, next int) int {
-	for i := next; i < min(next+maxSkipped, len(texts)); i++ {
-		if strings.HasPrefix(in.text[in.at:], texts[i]) {
+// findUnchanged returns the index in texts, starting at from, of the previous item that the document has at the current
+// offset; negative if there is none within maxSkipped items.
+func (in *incrementalReader) findUnchanged(texts []string, from int) int {
+	for i := from; i < min(from+maxSkipped, len(texts)); i++ {
+		if strings.HasPrefix(in.text[in.offset:], texts[i]) {
 			return i
 		}
 	}
 	return -1
 }
 
-// followedBy reports whether an item comes next after the separator.
-func (in *reloading) followedBy(item string) bool {
-	return in.at < len(in.text) && strings.HasPrefix(in.text[in.at+1:], item)
+// followedBy reports whether the given item follows the separator at the current offset.
+func (in *incrementalReader) followedBy(item string) bool {
+	return in.offset < len(in.text) && strings.HasPrefix(in.text[in.offset+1:], item)
 }
 
-// skip takes a text that is expected, and reports whether it is there.
-func (in *reloading) skip(expected string) bool {
-	if !strings.HasPrefix(in.text[in.at:], expected) {
+// skip consumes the expected text, and reports whether it was there.
+func (in *incrementalReader) skip(expected string) bool {
+	if !strings.HasPrefix(in.text[in.offset:], expected) {
 		return false
 	}
-	in.at += len(expected)
+	in.offset += len(expected)
 	return true
 }
 
-// digits takes a number without sign, point and exponent.
-func (in *reloading) digits() string {
-	from := in.at
-	for in.at < len(in.text) && in.text[in.at] >= '0' && in.text[in.at] <= '9' {
-		in.at++
+// digits consumes a number without sign, fraction and exponent. It returns null if there is none.
+func (in *incrementalReader) digits() string {
+	from := in.offset
+	for in.offset < len(in.text) && in.text[in.offset] >= '0' && in.text[in.offset] <= '9' {
+		in.offset++
 	}
-	if digits := in.text[from:in.at]; json.Valid([]byte(digits)) { // it has no zero in front
+	if digits := in.text[from:in.offset]; json.Valid([]byte(digits)) { // rejects a leading zero
 		return digits
 	}
 	return null
 }
 
-// object takes the object that comes next, and returns it if it is valid JSON in UTF-8, and empty text else.
-func (in *reloading) object() string {
-	end := objectEnd(in.text[in.at:])
+// object consumes the next object and returns its text. It returns an empty string if that is not valid JSON in UTF-8.
+func (in *incrementalReader) object() string {
+	end := objectEnd(in.text[in.offset:])
 	if end < 0 {
 		return ""
 	}
-	text := in.text[in.at : in.at+end]
+	text := in.text[in.offset : in.offset+end]
 	if !utf8.ValidString(text) || !json.Valid([]byte(text)) {
 		return ""
 	}
-	in.at += end
+	in.offset += end
 	return text
 }
 
-// objectEnd returns the length of the object that a text begins with; negative: it does not begin with one, or does not end it.
+// objectEnd returns the length of the object at the start of a text, or a negative number if there is none or it is
+// incomplete.
 func objectEnd(text string) int {
 	if !strings.HasPrefix(text, "{") {
 		return -1
@@ -190,12 +194,13 @@
 	return -1
 }
 
-// freshRoute reads a route that was not there before. Its strings are copies: it may outlive the document by many others.
-func (in *reloading) freshRoute(text string, index int) Route {
+// newRoute reads a route that is not in the previous document. Its strings are copies, because a route may be kept for
+// many more versions and must not keep this document in memory.
+func (in *incrementalReader) newRoute(text string, index int) Route {
 	return in.route(&cursor{text: strings.Clone(text)}, path{fieldRoutes, index})
 }
 
-// freshService is freshRoute for services.
-func (in *reloading) freshService(text string, index int) Service {
+// newService reads a service that is not in the previous document; see newRoute.
+func (in *incrementalReader) newService(text string, index int) Service {
 	return in.service(&cursor{text: strings.Clone(text)}, path{fieldServices, index})
 }
--- a/cluster/catalog/reload_test.go
+++ b/cluster/catalog/reload_test.go
@@ -11,8 +11,9 @@
 	"pgregory.net/rapid"
 )
 
-// drawnPatch is a patch of some routes and services, by names that are there or not. Many are refused.
-func drawnPatch(t *rapid.T, version uint64) string {
+// generatePatch returns a random patch of routes and services, whose names may exist or not. Many such patches are
+// invalid.
+func generatePatch(t *rapid.T, version uint64) string {
 	number := func(name string, limit int) int { return rapid.IntRange(0, limit).Draw(t, name) }
 	var routes, services, deletedRoutes []string
 	for range number("routes", 3) {
@@ -30,20 +31,20 @@
 		version, strings.Join(routes, ","), strings.Join(services, ","), strings.Join(deletedRoutes, ","))
 }
 
-// Through any changes, a document that is read beside the one before is the same as one that is read alone.
-func TestReloadIsLoad(t *testing.T) {
+// Through any sequence of patches, Reload must give the same configuration as parsing the document alone.
+func TestReloadEqualsLoad(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		control, err := Parse(manyRoutes(25))
 		require.NoError(t, err)
 		edge := control
 		for version := uint64(2); version < 8; version++ {
-			next, err := control.Apply([]byte(drawnPatch(t, version)))
+			next, err := control.Apply([]byte(generatePatch(t, version)))
 			if err != nil {
 				continue
 			}
 			control = next
 			if rapid.Bool().Draw(t, "missed") {
-				continue // the edge hears of a later one
+				continue // the edge misses this version and receives a later one
 			}
 			parsed, err := Parse(control.Document())
 			require.NoError(t, err)
@@ -55,8 +56,9 @@
 	})
 }
 
-// A document that is damaged, or not as Apply writes it, is read or refused as if it was read alone.
-func TestReloadOfADamagedDocumentIsLoad(t *testing.T) {
+// For a damaged document, or one with another layout than Apply writes, Reload must return the same result or error as
+// Load.
+func TestReloadDamagedDocumentEqualsLoad(t *testing.T) {
 	before, err := Parse(manyRoutes(6))
 	require.NoError(t, err)
 	before, err = before.Apply([]byte(`{"version":2}`))
@@ -82,17 +84,17 @@
 	})
 }
 
-func TestReloadWithoutAConfigurationBefore(t *testing.T) {
+func TestReloadWithoutPreviousConfig(t *testing.T) {
 	var none *Config
 	c, err := none.Reload(manyRoutes(3))
 	require.NoError(t, err)
 	require.Len(t, c.Routes, 3)
 	_, err = none.Reload([]byte(`{"version":1}`))
-	require.Equal(t, []string{"routes", "backends", "limits"}, placesOf(t, err))
+	require.Equal(t, []string{"routes", "backends", "limits"}, findingPlaces(t, err))
 }
 
-// A route that came with some change does not keep the whole document of that change in memory.
-func TestReloadKeepsNoDocumentForOneRoute(t *testing.T) {
+// A route that a patch added must not keep the whole document of that version in memory.
+func TestReloadCopiesNewRoutes(t *testing.T) {
 	c, err := Parse(manyRoutes(20))
 	require.NoError(t, err)
 	changed, err := c.Apply([]byte(`{"version":2,"upsert":{"routes":[{"name":"new","host":"h.example","pathPrefix":"/n/","backend":"huvo1","timeoutMs":5}]}}`))
@@ -100,11 +102,11 @@
 	reloaded, err := c.Reload(changed.Document())
 	require.NoError(t, err)
 	require.Equal(t, "new", reloaded.Routes[20].Name)
-	require.False(t, partOf(reloaded.text, reloaded.Routes[20].Name))
-	require.True(t, partOf(reloaded.text, reloaded.routes[20]))
+	require.False(t, sharesMemory(reloaded.text, reloaded.Routes[20].Name))
+	require.True(t, sharesMemory(reloaded.text, reloaded.routeTexts[20]))
 }
 
-// BenchmarkReload is what a process does for a change of one route.
+// BenchmarkReload measures the reload after a change of one route.
 func BenchmarkReload(b *testing.B) {
 	for _, size := range sizes {
 		c, err := Parse(manyRoutes(size))
@@ -130,8 +132,8 @@
 	}
 }
 
-// partOf reports whether a text lies in the memory of another.
-func partOf(whole, text string) bool {
+// sharesMemory reports whether a text is stored in the memory of another.
+func sharesMemory(whole, text string) bool {
 	start, at := uintptr(unsafe.Pointer(unsafe.StringData(whole))), uintptr(unsafe.Pointer(unsafe.StringData(text)))
 	return at >= start && at < start+uintptr(len(whole))
 }
--- a/cluster/catalog/scan.go
+++ b/cluster/catalog/scan.go
@@ -8,14 +8,15 @@
 	"unicode/utf8"
 )
 
-// member is a field of a JSON object: its name, and its value as written.
+// member is a field of a JSON object: its decoded name, and the JSON text of its value.
 type member struct {
 	key   string
 	value string
 }
 
-// readable makes sure that a document is one JSON value and nothing else, in UTF-8. What follows in this file relies on it.
-func readable(document []byte) (string, Findings) {
+// checkJSON checks that a document is exactly one JSON value in UTF-8, and returns it without surrounding space. The
+// rest of this file relies on that.
+func checkJSON(document []byte) (string, Findings) {
 	if !utf8.Valid(document) {
 		at := 0
 		for at < len(document) {
@@ -42,29 +43,29 @@
 	return Finding{Place: "document", Reason: "not JSON"}
 }
 
-// cursor walks through valid JSON.
+// cursor reads valid JSON from an offset. It does not check syntax.
 type cursor struct {
-	text string
-	at   int
+	text   string
+	offset int
 }
 
-// next skips space and returns the byte that follows.
+// next skips white space and returns the next byte without consuming it.
 func (c *cursor) next() byte {
 	for {
-		switch char := c.text[c.at]; char {
+		switch char := c.text[c.offset]; char {
 		case ' ', '\t', '\n', '\r':
-			c.at++
+			c.offset++
 		default:
 			return char
 		}
 	}
 }
 
-// value takes the next value, as written.
+// value consumes the next value and returns its JSON text.
 func (c *cursor) value() string {
-	first := c.next()
-	from := c.at
-	switch first {
+	char := c.next()
+	from := c.offset
+	switch char {
 	case '"':
 		c.skipString()
 	case '{', '[':
@@ -72,24 +73,24 @@
 	default:
 		c.skipScalar()
 	}
-	return c.text[from:c.at]
+	return c.text[from:c.offset]
 }
 
 func (c *cursor) skipString() {
 	text := c.text
-	at := c.at + 1
+	at := c.offset + 1
 	for text[at] != '"' {
 		if text[at] == '\\' {
 			at++
 		}
 		at++
 	}
-	c.at = at + 1
+	c.offset = at + 1
 }
 
 func (c *cursor) skipNested() {
 	for depth := 0; ; {
-		switch c.text[c.at] {
+		switch c.text[c.offset] {
 		case '"':
 			c.skipString()
 			continue
@@ -98,7 +99,7 @@
 		case '}', ']':
 			depth--
 		}
-		c.at++
+		c.offset++
 		if depth == 0 {
 			return
 		}
@@ -107,50 +108,50 @@
 
 func (c *cursor) skipScalar() {
 	text := c.text
-	at := c.at
+	at := c.offset
 	for at < len(text) && text[at] != ',' && text[at] != '}' && text[at] != ']' && text[at] > ' ' {
 		at++
 	}
-	c.at = at
+	c.offset = at
 }
 
-// members visits the fields of the object that comes next, in their order. The visitor has to take the value.
+// members calls visit for each field of the next object, in order. The visitor must consume the field's value.
 func (c *cursor) members(visit func(key string)) {
 	c.next()
-	c.at++ // the bracket
+	c.offset++ // the bracket
 	for c.next() != '}' {
 		key := unquote(c.value())
 		c.next()
-		c.at++ // the colon
+		c.offset++ // the colon
 		visit(key)
 		if c.next() == ',' {
-			c.at++
+			c.offset++
 		}
 	}
-	c.at++
+	c.offset++
 }
 
-// elements visits the values of the array that comes next, in their order. The visitor has to take the value.
+// elements calls visit for each value of the next array, in order. The visitor must consume the value.
 func (c *cursor) elements(visit func(index int)) {
 	c.next()
-	c.at++ // the bracket
+	c.offset++ // the bracket
 	for index := 0; c.next() != ']'; index++ {
 		visit(index)
 		if c.next() == ',' {
-			c.at++
+			c.offset++
 		}
 	}
-	c.at++
+	c.offset++
 }
 
-// unquote decodes a JSON string. Without escapes it stays a part of the document.
+// unquote decodes a JSON string. A string without escapes is returned as a substring of the document.
 func unquote(quoted string) string {
 	if strings.IndexByte(quoted, '\\') < 0 {
 		return quoted[1 : len(quoted)-1]
 	}
 	var decoded string
 	if json.Unmarshal([]byte(quoted), &decoded) != nil {
-		return quoted // can't be: it is valid
+		return quoted // unreachable: the string is valid JSON
 	}
 	return decoded
 }
@@ -159,7 +160,7 @@
 func quote(text string) string {
 	quoted, err := json.Marshal(text)
 	if err != nil {
-		return `""` // can't be: a string always can be encoded
+		return `""` // unreachable: any string can be encoded
 	}
 	return string(quoted)
 }
--- a/cluster/host/doc.go
+++ b/cluster/host/doc.go
@@ -1,4 +1,4 @@
-// Package host is what the parts of a process need of the machine that they run on: a steady clock, random numbers, tasks and connections.
+// Package host abstracts the machine that a process runs on: a monotonic clock, random numbers, tasks and connections.
 //
-// System is the real machine. Parts that take a Host run in real time as well as in the virtual time of a simulation.
+// System is the real machine. Code that takes a Host runs in real time as well as in the virtual time of a simulation.
 package host
--- a/cluster/host/host.go
+++ b/cluster/host/host.go
@@ -10,33 +10,33 @@
 	"ravendale/cluster/rpc"
 )
 
-// Host is the machine as a part of a process sees it.
+// Host provides time, randomness, concurrency and connections to the components of a process.
 type Host interface {
-	// Now is a steady time, which has no meaning but against another one.
+	// Now returns a monotonic time. Only differences between two such times are meaningful.
 	Now() time.Duration
-	// Uint64 draws a random number.
+	// Uint64 returns a random number.
 	Uint64() uint64
-	// Sleep pauses the task that calls it; the error is the context's if that ends first.
+	// Sleep pauses the calling task. It returns the context's error if the context ends first.
 	Sleep(ctx context.Context, pause time.Duration) error
 	// Serve runs a mailbox until the context ends; see mailbox.Mailbox.Run.
 	Serve(ctx context.Context, box *mailbox.Mailbox, tick func() time.Duration)
-	// Tasks makes an empty group of tasks.
+	// Tasks returns an empty group of tasks.
 	Tasks() Tasks
-	// AfterFunc calls a function, on a goroutine of its own, after a while.
+	// AfterFunc calls a function on its own goroutine after a pause.
 	AfterFunc(pause time.Duration, run func()) Timer
-	// Signal makes a signal that nobody has given.
+	// Signal returns a Signal without a pending notification.
 	Signal() Signal
-	// Connect keeps a connection to an address; see rpc.NewLink.
-	Connect(address string, options rpc.Options, up func(*rpc.Conn), down func(error)) Link
+	// Connect maintains a connection to an address; see rpc.NewLink.
+	Connect(address string, options rpc.Options, onUp func(*rpc.Conn), onDown func(error)) Link
 }
 
-// Tasks are functions that run beside the one that starts them.
+// Tasks is a group of functions that run concurrently; see sync.WaitGroup.
 type Tasks interface {
 	Go(task func())
 	Wait()
 }
 
-// Link is a connection that is made again whenever it is lost; see rpc.Link.
+// Link is a connection that is re-established whenever it is lost; see rpc.Link.
 type Link interface {
 	Address() string
 	Conn() *rpc.Conn
@@ -44,36 +44,36 @@
 	Close()
 }
 
-// Timer is what AfterFunc returns; see time.Timer.
+// Timer controls a call scheduled by AfterFunc; see time.Timer.
 type Timer interface {
 	Reset(pause time.Duration) bool
 	Stop() bool
 }
 
-// Signal wakes one task that waits for it. One that is given while nobody waits is kept; two are kept as one.
+// Signal wakes one waiting task. A notification while no task waits is kept for the next Wait; several are kept as one.
 type Signal interface {
 	Give()
-	// Wait waits for so long at most, and says whether the signal was given.
-	Wait(most time.Duration) bool
+	// Wait waits until Give is called or the timeout has passed, and reports whether it was notified.
+	Wait(timeout time.Duration) bool
 }
 
 // System is the machine that the process runs on.
 var System Host = system{}
 
-// Or is the host given, or System in the place of none.
-func Or(given Host) Host {
-	if given == nil {
+// Or returns the given host, or System if it is nil.
+func Or(machine Host) Host {
+	if machine == nil {
 		return System
 	}
-	return given
+	return machine
 }
 
-var started = time.Now()
+var processStart = time.Now()
 
 type system struct{}
 
 // Now implements Host.
-func (system) Now() time.Duration { return time.Since(started) }
+func (system) Now() time.Duration { return time.Since(processStart) }
 
 // Uint64 implements Host.
 func (system) Uint64() uint64 { return rand.Uint64() }
@@ -102,12 +102,12 @@
 func (system) AfterFunc(pause time.Duration, run func()) Timer { return time.AfterFunc(pause, run) }
 
 // Signal implements Host.
-func (system) Signal() Signal { return make(signal, 1) }
+func (system) Signal() Signal { return make(channelSignal, 1) }
 
-type signal chan struct{}
+type channelSignal chan struct{}
 
 // Give implements Signal.
-func (s signal) Give() {
+func (s channelSignal) Give() {
 	select {
 	case s <- struct{}{}:
 	default:
@@ -115,16 +115,16 @@
 }
 
 // Wait implements Signal.
-func (s signal) Wait(most time.Duration) bool {
+func (s channelSignal) Wait(timeout time.Duration) bool {
 	select {
 	case <-s:
 		return true
 	default:
 	}
-	if most <= 0 {
+	if timeout <= 0 {
 		return false
 	}
-	timer := time.NewTimer(most)
+	timer := time.NewTimer(timeout)
 	defer timer.Stop()
 	select {
 	case <-s:
@@ -135,6 +135,6 @@
 }
 
 // Connect implements Host.
-func (system) Connect(address string, options rpc.Options, up func(*rpc.Conn), down func(error)) Link {
-	return rpc.NewLink(address, options, up, down)
+func (system) Connect(address string, options rpc.Options, onUp func(*rpc.Conn), onDown func(error)) Link {
+	return rpc.NewLink(address, options, onUp, onDown)
 }
--- a/cluster/member/agent.go
+++ b/cluster/member/agent.go
@@ -15,51 +15,52 @@
 	"ravendale/cluster/wire"
 )
 
-// Times of the connection to a control process. Renewals show soon enough when it is unresponsive, so that pings
-// are hardly needed.
+// Timing of the connection to a control process. Renewals detect an unresponsive one soon enough, so pings are rarely
+// needed.
 const (
 	connectTimeout = 200 * time.Millisecond
 	pingInterval   = 2 * time.Second
 	failureTimeout = 5 * time.Second
 )
 
-// Config of an Agent.
+// Config is the configuration of an Agent.
 type Config struct {
 	Settings *settings.Settings
 	Self     wire.Member             // Ready and Leaving are filled in by the agent
-	Mux      *rpc.Mux                // gets the handlers of the relay tree; the main program listens with it
-	Status   func() wire.StoreStatus // stores only
-	Ready    func() bool             // nil: always
+	Mux      *rpc.Mux                // New registers the relay tree's handlers on it; the main program serves it
+	Status   func() wire.StoreStatus // reports the store's status; only set in stores
+	Ready    func() bool             // reports whether the process is ready; nil: always ready
 	Log      *slog.Logger            // nil: the default
 	Host     host.Host               // nil: host.System
 }
 
-// Agent is a process's part in membership and distribution. Its methods may be called by any goroutine, but for OnChange.
+// Agent maintains a process's membership and receives the topics. All methods but OnChange may be called from any
+// goroutine.
 type Agent struct {
-	config   Config
-	log      *slog.Logger
-	host     host.Host
-	started  time.Duration
-	box      *mailbox.Mailbox
-	node     *relay.Node
-	snapshot atomic.Pointer[Snapshot]
-	onChange []func(wire.Topic, *Snapshot)
-	first    atomic.Pointer[relay.Versions] // what the first granted renewal named
-	leaseEnd atomic.Int64                   // steady time since started
-	leader   atomic.Pointer[rpc.Conn]       // to who granted last, while it is up
+	config          Config
+	log             *slog.Logger
+	host            host.Host
+	started         time.Duration
+	box             *mailbox.Mailbox
+	node            *relay.Node
+	snapshot        atomic.Pointer[Snapshot]
+	onChange        []func(wire.Topic, *Snapshot)
+	initialVersions atomic.Pointer[relay.Versions] // newest versions, as in the first granted renewal that listed them
+	leaseEnd        atomic.Int64                   // host time since started, in nanoseconds
+	leader          atomic.Pointer[rpc.Conn]       // to the control process that granted the last renewal
 
-	// The rest belongs to the goroutine of Run.
+	// The fields below are used only by the goroutine of Run.
 	session       *session
 	link          host.Link
 	conn          *rpc.Conn
 	leaving       bool
-	left          []chan struct{} // closed once a leader knows that the process is leaving
+	leaveWaiters  []chan struct{} // closed once a leader has acknowledged that the process is leaving
 	parents       parentsKey
-	granting      bool // it was granted a lease
-	currentLogged bool // the log says that the state is current
+	leaseGranted  bool // a lease was granted at least once; limits logging
+	currentLogged bool // logCurrent has logged
 }
 
-// New makes an agent and registers its handlers on the Mux. Nothing else happens before Run.
+// New returns an agent and registers its handlers on the Mux. It does nothing else before Run.
 func New(config Config) *Agent {
 	machine := host.Or(config.Host)
 	a := &Agent{config: config, log: config.Log, host: machine, started: machine.Now(), box: mailbox.New()}
@@ -77,10 +78,11 @@
 	return a
 }
 
-// OnChange has f called after each change of a topic, in order, on one goroutine. It must be called before Run.
+// OnChange registers f, which is called after each change of a topic, in order, on the goroutine of Run. It must be
+// called before Run.
 func (a *Agent) OnChange(f func(topic wire.Topic, s *Snapshot)) { a.onChange = append(a.onChange, f) }
 
-// Run renews the lease and follows the topics until the context ends.
+// Run renews the lease and receives the topics until the context ends.
 func (a *Agent) Run(ctx context.Context) {
 	tasks := a.host.Tasks()
 	tasks.Go(func() { a.node.Run(ctx) })
@@ -91,25 +93,28 @@
 	tasks.Wait()
 }
 
-// Snapshot is the newest state known, never nil.
+// Snapshot returns the newest state. It is never nil.
 func (a *Agent) Snapshot() *Snapshot { return a.snapshot.Load() }
 
-// Current says whether each topic is at least as new as the leader said in this life's first granted renewal.
+// Current reports whether each topic is at least as new as in the first granted renewal since the start of the process
+// that listed versions.
 func (a *Agent) Current() bool {
-	first := a.first.Load()
-	return first != nil && a.Snapshot().covers(first)
+	initial := a.initialVersions.Load()
+	return initial != nil && a.Snapshot().atLeast(initial)
 }
 
-// Leased says whether the lease of membership holds now: without it the process may not be counted among the members.
+// Leased reports whether the membership lease is valid now. Without it, the leader may no longer count the process as a
+// member.
 func (a *Agent) Leased() bool { return int64(a.now()) < a.leaseEnd.Load() }
 
-// Leave tells the leader that the process is being stopped, and returns once that was answered or the context ends.
+// Leave notifies the leader that the process is being stopped. It returns when the leader has acknowledged that or the
+// context ends.
 func (a *Agent) Leave(ctx context.Context) {
 	acknowledged := make(chan struct{})
 	a.box.Post(func() {
 		a.leaving = true
-		a.left = append(a.left, acknowledged)
-		a.session.hurry(a.now())
+		a.leaveWaiters = append(a.leaveWaiters, acknowledged)
+		a.session.renewNow(a.now())
 	})
 	select {
 	case <-acknowledged:
@@ -117,12 +122,12 @@
 	}
 }
 
-// RenewNow renews at once, as when a store's status or the process's readiness changed.
+// RenewNow renews the lease at once, for example when a store's status or the process's readiness has changed.
 func (a *Agent) RenewNow() {
-	a.box.Post(func() { a.session.hurry(a.now()) })
+	a.box.Post(func() { a.session.renewNow(a.now()) })
 }
 
-// SetSettings gives the agent settings that were read again: the seeds are looked at anew.
+// SetSettings updates the agent to changed settings. Only the seeds are used.
 func (a *Agent) SetSettings(s *settings.Settings) {
 	seeds := s.SeedAddresses()
 	a.box.Post(func() { a.session.setSeeds(seeds) })
@@ -139,8 +144,8 @@
 	return max(a.session.next()-a.now(), time.Millisecond)
 }
 
-// connect has the link go to the session's target. In a pause no link is made: where nothing listens a connect fails at once, and each failure
-// names another target.
+// connect points the link at the session's target. It makes no link during a pause: where nothing listens a connect
+// fails at once, and each failure would select another target.
 func (a *Agent) connect() {
 	target := a.session.target
 	if a.link != nil && a.link.Address() == target {
@@ -203,45 +208,45 @@
 	now := a.now()
 	a.session.replied(now, sentAt, address, reply)
 	if !reply.Granted || now >= sentAt+leaseOf(reply) {
-		return // or so late that who granted it may lead no more: the versions that it names may be old
+		return // refused, or so late that the sender may no longer be the leader and its versions may be old
 	}
 	a.granted(conn, reply)
 	if leaving {
-		for _, acknowledged := range a.left {
+		for _, acknowledged := range a.leaveWaiters {
 			close(acknowledged)
 		}
-		a.left = nil
+		a.leaveWaiters = nil
 	}
 }
 
 func (a *Agent) granted(conn *rpc.Conn, reply *wire.RenewReply) {
-	if !a.granting {
-		a.granting = true
-		a.log.Debug("member of the system", "leader", a.session.leader, "after", a.now())
+	if !a.leaseGranted {
+		a.leaseGranted = true
+		a.log.Debug("joined the cluster", "leader", a.session.leader, "after", a.now())
 	}
 	a.leader.Store(conn)
-	a.leaseEnd.Store(int64(a.session.renewed + a.session.lease))
-	a.named(reply.Heads)
+	a.leaseEnd.Store(int64(a.session.renewedAt + a.session.lease))
+	a.recordInitialVersions(reply.Heads)
 	a.node.Named(reply.Heads)
 	a.updateParents()
 }
 
-// named notes the versions that the first renewal names which does so.
-func (a *Agent) named(heads []wire.Version) {
-	if a.first.Load() != nil {
+// recordInitialVersions stores the versions in the first granted renewal that lists them; see Current.
+func (a *Agent) recordInitialVersions(heads []wire.Version) {
+	if a.initialVersions.Load() != nil {
 		return
 	}
 	if len(heads) != int(wire.TopicCount) {
-		a.session.unnamed(a.now())
+		a.session.headsUnavailable(a.now())
 		return
 	}
-	first := relay.VersionsOf(heads)
-	a.first.Store(&first)
-	a.session.named = true
+	versions := relay.VersionsOf(heads)
+	a.initialVersions.Store(&versions)
+	a.session.headsReceived = true
 	a.logCurrent()
 }
 
-// logCurrent logs once that the process has the newest state, and how long that took.
+// logCurrent logs, once, that the state is current and how long that took since the start.
 func (a *Agent) logCurrent() {
 	if a.currentLogged || !a.Current() {
 		return
@@ -250,7 +255,7 @@
 	a.log.Info("state is current", "leader", a.session.leader, "after", a.now())
 }
 
-// parentsKey is what the process's parents follow from.
+// parentsKey is the input from which the process's parents in the relay tree are computed.
 type parentsKey struct {
 	leader  string
 	members *wire.Members
@@ -270,7 +275,7 @@
 	a.node.SetParents(relay.Parents(a.config.Self, key.members, key.stores, key.leader))
 }
 
-// updated is called by the relay node for each newer version.
+// updated is called by the relay node for each newer version of a topic.
 func (a *Agent) updated(topic wire.Topic, version wire.Version, payload []byte) {
 	a.box.Post(func() { a.apply(topic, version, payload) })
 }
@@ -282,7 +287,7 @@
 	}
 	snapshot, err := old.with(topic, version, payload, a.config.Self.Edge)
 	if err != nil {
-		a.log.Error("an update can't be read and is kept out", "topic", topic, "version", version, "error", err)
+		a.log.Error("ignoring an update that can't be decoded", "topic", topic, "version", version, "error", err)
 		return
 	}
 	a.snapshot.Store(snapshot)
--- a/cluster/member/agent_test.go
+++ b/cluster/member/agent_test.go
@@ -23,8 +23,9 @@
 	often = 2 * time.Millisecond
 )
 
-// leader grants every renewal, takes every child and answers every fetch; the test says what it names, sends and knows.
-type leader struct {
+// testLeader grants every renewal, accepts every child and answers every fetch. The test sets its versions and topics,
+// and sends updates.
+type testLeader struct {
 	t        *testing.T
 	server   *rpc.Server
 	mu       sync.Mutex
@@ -36,8 +37,8 @@
 	lease    uint32
 }
 
-func newLeader(t *testing.T) *leader {
-	l := &leader{t: t, topics: make(map[wire.Topic]wire.Update), lease: 300, heads: make([]wire.Version, wire.TopicCount)}
+func newTestLeader(t *testing.T) *testLeader {
+	l := &testLeader{t: t, topics: make(map[wire.Topic]wire.Update), lease: 300, heads: make([]wire.Version, wire.TopicCount)}
 	mux := rpc.NewMux()
 	rpc.Handle(mux, wire.MethodRenew, func(_ *rpc.Conn, renew *wire.Renew, reply rpc.Reply) {
 		l.mu.Lock()
@@ -65,8 +66,8 @@
 	return l
 }
 
-// know has the leader name and answer a version, without sending it.
-func (l *leader) know(topic wire.Topic, sequence uint64, payload []byte) wire.Update {
+// setTopic sets a topic's version, for renewals and fetches, without sending an update.
+func (l *testLeader) setTopic(topic wire.Topic, sequence uint64, payload []byte) wire.Update {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	update := wire.Update{Topic: topic, To: wire.Version{Term: 1, Sequence: sequence}, Payload: payload}
@@ -76,12 +77,12 @@
 	return update
 }
 
-func (l *leader) send(update wire.Update) {
+func (l *testLeader) send(update wire.Update) {
 	require.Eventually(l.t, func() bool { return l.child() != nil }, soon, often)
 	require.NoError(l.t, l.child().Notify(wire.MethodUpdate, &update))
 }
 
-func (l *leader) child() *rpc.Conn {
+func (l *testLeader) child() *rpc.Conn {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if len(l.children) == 0 {
@@ -90,7 +91,7 @@
 	return l.children[len(l.children)-1]
 }
 
-func (l *leader) lastRenewal() wire.Renew {
+func (l *testLeader) lastRenewal() wire.Renew {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if len(l.renewals) == 0 {
@@ -99,7 +100,7 @@
 	return l.renewals[len(l.renewals)-1]
 }
 
-func (l *leader) agent(t *testing.T, change func(*Config)) *Agent {
+func (l *testLeader) agent(t *testing.T, change func(*Config)) *Agent {
 	t.Helper()
 	_, port, _ := net.SplitHostPort(l.server.Address())
 	first, _ := strconv.Atoi(port)
@@ -127,7 +128,7 @@
 	})
 }
 
-func encoded(t *testing.T, ids ...string) []byte {
+func encodedWorkers(t *testing.T, ids ...string) []byte {
 	var workers wire.Workers
 	for _, id := range ids {
 		workers.Entries = append(workers.Entries, wire.Worker{ID: id})
@@ -144,9 +145,9 @@
 	return len(a.Snapshot().Workers.Entries)
 }
 
-func TestAMissingUpdateIsFetched(t *testing.T) {
-	l := newLeader(t)
-	l.know(wire.TopicWorkers, 1, encoded(t, "a"))
+func TestFetchMissingUpdate(t *testing.T) {
+	l := newTestLeader(t)
+	l.setTopic(wire.TopicWorkers, 1, encodedWorkers(t, "a"))
 	a := l.agent(t, nil)
 	require.False(t, a.Current())
 	start(t, a)
@@ -156,17 +157,17 @@
 	require.True(t, a.Current())
 }
 
-func TestAnUpdateThatArrivesIsNotFetched(t *testing.T) {
-	l := newLeader(t)
+func TestReceivedUpdateIsNotFetched(t *testing.T) {
+	l := newTestLeader(t)
 	a := l.agent(t, nil)
 	start(t, a)
-	l.send(l.know(wire.TopicWorkers, 1, encoded(t, "a")))
+	l.send(l.setTopic(wire.TopicWorkers, 1, encodedWorkers(t, "a")))
 	require.Eventually(t, func() bool { return a.workers() == 1 }, soon, often)
 	require.Zero(t, l.fetched.Load())
 }
 
-func TestVersionsNeverGoBack(t *testing.T) {
-	l := newLeader(t)
+func TestIgnoreOlderVersion(t *testing.T) {
+	l := newTestLeader(t)
 	a := l.agent(t, nil)
 	var seen []uint64
 	var mu sync.Mutex
@@ -176,28 +177,28 @@
 		seen = append(seen, s.Versions[topic].Sequence)
 	})
 	start(t, a)
-	l.send(l.know(wire.TopicWorkers, 2, encoded(t, "a", "b")))
-	l.send(wire.Update{Topic: wire.TopicWorkers, To: wire.Version{Term: 1, Sequence: 1}, Payload: encoded(t, "a")})
-	l.send(l.know(wire.TopicWorkers, 3, encoded(t)))
+	l.send(l.setTopic(wire.TopicWorkers, 2, encodedWorkers(t, "a", "b")))
+	l.send(wire.Update{Topic: wire.TopicWorkers, To: wire.Version{Term: 1, Sequence: 1}, Payload: encodedWorkers(t, "a")})
+	l.send(l.setTopic(wire.TopicWorkers, 3, encodedWorkers(t)))
 	require.Eventually(t, func() bool { return a.workers() == 0 }, soon, often)
 	mu.Lock()
 	defer mu.Unlock()
 	require.Equal(t, []uint64{2, 3}, seen)
 }
 
-func TestAnUnreadableUpdateIsIgnored(t *testing.T) {
-	l := newLeader(t)
+func TestIgnoreUndecodableUpdate(t *testing.T) {
+	l := newTestLeader(t)
 	a := l.agent(t, nil)
 	start(t, a)
-	l.send(l.know(wire.TopicConfig, 1, []byte("{")))
-	l.send(l.know(wire.TopicWorkers, 1, encoded(t, "a")))
+	l.send(l.setTopic(wire.TopicConfig, 1, []byte("{")))
+	l.send(l.setTopic(wire.TopicWorkers, 1, encodedWorkers(t, "a")))
 	require.Eventually(t, func() bool { return a.workers() == 1 }, soon, often)
 	require.Nil(t, a.Snapshot().Catalog)
 	require.Zero(t, a.Snapshot().Versions[wire.TopicConfig])
 }
 
-func TestLeaveReturnsOnceTheLeaderKnows(t *testing.T) {
-	l := newLeader(t)
+func TestLeaveWaitsForLeader(t *testing.T) {
+	l := newTestLeader(t)
 	a := l.agent(t, nil)
 	start(t, a)
 	require.Eventually(t, a.Leased, soon, often)
@@ -210,16 +211,16 @@
 	require.False(t, l.lastRenewal().Member.Ready)
 }
 
-func TestLeaveEndsWithItsContext(t *testing.T) {
-	l := newLeader(t)
+func TestLeaveReturnsWhenContextEnds(t *testing.T) {
+	l := newTestLeader(t)
 	a := l.agent(t, nil)
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
-	a.Leave(ctx) // the agent does not even run
+	a.Leave(ctx) // the agent is not running
 }
 
-func TestRenewNowTellsTheNewStatus(t *testing.T) {
-	l := newLeader(t)
+func TestRenewNowSendsNewStatus(t *testing.T) {
+	l := newTestLeader(t)
 	l.lease = 60_000
 	var epoch atomic.Uint64
 	a := l.agent(t, func(c *Config) {
@@ -233,8 +234,8 @@
 	require.Eventually(t, func() bool { return l.lastRenewal().Store.Epoch == 7 }, soon, often)
 }
 
-func TestTheLeaseEndsWithoutRenewals(t *testing.T) {
-	l := newLeader(t)
+func TestLeaseExpiresWithoutRenewals(t *testing.T) {
+	l := newTestLeader(t)
 	a := l.agent(t, nil)
 	start(t, a)
 	require.Eventually(t, a.Leased, soon, often)
@@ -242,15 +243,15 @@
 	require.Eventually(t, func() bool { return !a.Leased() }, soon, often)
 }
 
-func TestCurrentNeedsATopicsVersionNotOnlyALease(t *testing.T) {
-	l := newLeader(t)
+func TestCurrentRequiresHeads(t *testing.T) {
+	l := newTestLeader(t)
 	l.mu.Lock()
 	l.heads = nil
 	l.mu.Unlock()
 	a := l.agent(t, nil)
 	start(t, a)
 	require.Eventually(t, a.Leased, soon, often)
-	require.False(t, a.Current(), "the leader did not name versions yet")
+	require.False(t, a.Current(), "the leader has not sent versions yet")
 	l.mu.Lock()
 	l.heads = make([]wire.Version, wire.TopicCount)
 	l.mu.Unlock()
--- a/cluster/member/compat_test.go
+++ b/cluster/member/compat_test.go
@@ -11,8 +11,8 @@
 	"ravendale/cluster/wire"
 )
 
-// TestTopicsKeepTheirEncoding holds the topics that members get to the bytes that the version before wrote.
-func TestTopicsKeepTheirEncoding(t *testing.T) {
+// TestTopicEncodingCompatibility compares the encoding of the topics with golden files written by the previous version.
+func TestTopicEncodingCompatibility(t *testing.T) {
 	stores := &wire.StoreView{
 		Epoch: 9, Copies: 2,
 		Stores: []wire.Store{
--- a/cluster/member/partitioned_test.go
+++ b/cluster/member/partitioned_test.go
@@ -10,23 +10,24 @@
 	"ravendale/cluster/wire"
 )
 
-// control is a control process as a member sees it.
-type control int
+// controlRole is the state of a control process as seen by a member.
+type controlRole int
 
 const (
-	leads        control = iota
-	unresponsive         // it can't be reached, or says nothing
-	partitioned          // it is reached, but is partitioned from the core: it does not lead any more and knows nobody who does
-	refers               // it names the leader
-	stale                // it names one that is unresponsive
+	leading       controlRole = iota
+	unresponsive              // not reachable, or does not answer
+	partitioned               // reachable, but partitioned from the core: neither leads nor knows the leader
+	referring                 // names the leader
+	staleReferral             // names an unresponsive process as the leader
 )
 
 const roundTrip = 4 * ms
 
-// findLeader plays a session that starts with some control processes, until it holds a lease; it returns when that was.
-func findLeader(seed uint64, controls map[string]control, seeds []string, until time.Duration) time.Duration {
+// findLeader simulates a session with the given control processes until it has a lease or the limit has passed, and
+// returns that time.
+func findLeader(seed uint64, controls map[string]controlRole, seeds []string, until time.Duration) time.Duration {
 	s := newSession(rand.New(rand.NewPCG(seed, 3)), 1200*ms, seeds)
-	now, leader, unreachable := time.Duration(0), addressOf(controls, leads), addressOf(controls, unresponsive)
+	now, leader, unreachable := time.Duration(0), addressOf(controls, leading), addressOf(controls, unresponsive)
 	for !s.leased(now) && now < until {
 		reached := s.target != "" && controls[s.target] != unresponsive
 		if !s.tick(now, reached) {
@@ -36,20 +37,20 @@
 		sentAt := now
 		now += roundTrip
 		switch controls[s.target] {
-		case leads:
+		case leading:
 			s.replied(now, sentAt, s.target, grant(2400*ms))
 		case partitioned:
 			s.replied(now, sentAt, s.target, &wire.RenewReply{})
-		case refers:
+		case referring:
 			s.replied(now, sentAt, s.target, &wire.RenewReply{Leader: leader})
-		case stale:
+		case staleReferral:
 			s.replied(now, sentAt, s.target, &wire.RenewReply{Leader: unreachable})
 		}
 	}
 	return now
 }
 
-func addressOf(controls map[string]control, role control) string {
+func addressOf(controls map[string]controlRole, role controlRole) string {
 	for address, kind := range controls {
 		if kind == role {
 			return address
@@ -58,18 +59,19 @@
 	return ""
 }
 
-// TestTheCoreIsFoundThoughTheFirstSeedsArePartitioned has seeds that begin with processes that are partitioned.
-func TestTheCoreIsFoundThoughTheFirstSeedsArePartitioned(t *testing.T) {
+// TestFindLeaderWithPartitionedSeeds checks the time to the first lease if some seeds, the first ones included, are
+// unresponsive or partitioned.
+func TestFindLeaderWithPartitionedSeeds(t *testing.T) {
 	for name, c := range map[string]struct {
-		controls map[string]control
+		controls map[string]controlRole
 		bound    time.Duration
 	}{
-		"one is silent":            {map[string]control{"a": unresponsive, "b": leads, "c": refers}, 600 * ms},
-		"one leads no more":        {map[string]control{"a": partitioned, "b": refers, "c": leads}, 300 * ms},
-		"two of five are silent":   {map[string]control{"a": unresponsive, "b": unresponsive, "c": refers, "d": leads, "e": refers}, 1200 * ms},
-		"two of five lead no more": {map[string]control{"a": partitioned, "b": partitioned, "c": refers, "d": leads, "e": refers}, 500 * ms},
-		"one names one cut off":    {map[string]control{"a": unresponsive, "b": stale, "c": leads}, 1600 * ms},
-		"only the last is reached": {map[string]control{"a": unresponsive, "b": unresponsive, "c": unresponsive, "d": unresponsive, "e": leads}, 2400 * ms},
+		"one unresponsive":         {map[string]controlRole{"a": unresponsive, "b": leading, "c": referring}, 600 * ms},
+		"one partitioned":          {map[string]controlRole{"a": partitioned, "b": referring, "c": leading}, 300 * ms},
+		"two of five unresponsive": {map[string]controlRole{"a": unresponsive, "b": unresponsive, "c": referring, "d": leading, "e": referring}, 1200 * ms},
+		"two of five partitioned":  {map[string]controlRole{"a": partitioned, "b": partitioned, "c": referring, "d": leading, "e": referring}, 500 * ms},
+		"referral to unresponsive": {map[string]controlRole{"a": unresponsive, "b": staleReferral, "c": leading}, 1600 * ms},
+		"only the last reachable":  {map[string]controlRole{"a": unresponsive, "b": unresponsive, "c": unresponsive, "d": unresponsive, "e": leading}, 2400 * ms},
 	} {
 		t.Run(name, func(t *testing.T) {
 			seeds := []string{"a", "b", "c", "d", "e"}[:len(c.controls)]
@@ -85,8 +87,9 @@
 	}
 }
 
-// TestAPartitionedOneTakesNoAddressAway has the core replaced, all but one process that is partitioned and names the core of before.
-func TestAPartitionedOneTakesNoAddressAway(t *testing.T) {
+// TestPartitionedProcessKeepsCoreAddresses: the whole core is replaced but for one process, which is partitioned and
+// still lists the previous core. Its list must not displace the addresses that the leader listed.
+func TestPartitionedProcessKeepsCoreAddresses(t *testing.T) {
 	s := testSession("old")
 	s.tick(0, true)
 	s.replied(1*ms, 0, "old", grant(600*ms, "old", "new"))
@@ -97,17 +100,17 @@
 		s.failed(s.next(), s.target)
 		seen[s.target] = true
 	}
-	require.True(t, seen["new"], "as the leader said")
-	require.True(t, seen["gone"], "it may be right")
+	require.True(t, seen["new"], "listed by the leader")
+	require.True(t, seen["gone"], "listed by the partitioned process, which may be right")
 }
 
-// TestAGrantThatComesTooLateNamesNothing has the answer of a leader that stood still, or was partitioned, come when its lease is over.
-func TestAGrantThatComesTooLateNamesNothing(t *testing.T) {
-	l := newLeader(t)
+// TestExpiredGrantIsIgnored: the answer of a leader that was paused or partitioned arrives after the lease has expired.
+func TestExpiredGrantIsIgnored(t *testing.T) {
+	l := newTestLeader(t)
 	a := l.agent(t, nil)
 	late := &wire.RenewReply{Granted: true, LeaseMillis: 300, Heads: make([]wire.Version, wire.TopicCount)}
 	a.replied(nil, a.session.target, a.now()-300*ms, false, late, nil)
-	require.False(t, a.Current(), "what it named may be old")
+	require.False(t, a.Current(), "the versions in the answer may be old")
 	require.False(t, a.Leased())
 	a.replied(nil, a.session.target, a.now(), false, late, nil)
 	require.True(t, a.Current())
--- a/cluster/member/session.go
+++ b/cluster/member/session.go
@@ -8,38 +8,38 @@
 	"ravendale/cluster/wire"
 )
 
-// Times of a session.
+// Timing of a session.
 const (
-	replyTimeout     = 350 * time.Millisecond // connect included
-	retryPause       = 130 * time.Millisecond // around which to wait after a failure
-	maxHops          = 3                      // from one control process to the next before a pause
-	renewalsPerLease = 3                      // renewals within a lease
-	startPause       = 75 * time.Millisecond  // around which to wait at first, until the newest versions are known
-	maxStartAttempts = 16                     // so often
+	replyTimeout     = 350 * time.Millisecond // of a renewal, including the time to connect
+	retryPause       = 130 * time.Millisecond // average pause after a failure; jitter varies it by half
+	maxHops          = 3                      // redirects from one control process to the next before a pause
+	renewalsPerLease = 3                      // renewals during one lease
+	startPause       = 75 * time.Millisecond  // average pause at the start, until a leader has sent the newest versions
+	maxStartAttempts = 16                     // number of such short pauses
 )
 
-// session decides when to renew the lease, and at which control process. It is pure: time and events go in, target and what
-// tick returns come out.
+// session decides when to renew the lease, and at which control process. It does no I/O: its inputs are the time and
+// events, its outputs the target and the result of tick.
 type session struct {
 	random    *rand.Rand
 	heartbeat time.Duration
 	seeds     []string
-	core      []string       // as a leader, or the topic of members, named it last
-	hinted    []string       // as one that does not lead named it last: it may be partitioned from the core
-	failures  map[string]int // of control processes, since the last grant; the candidate that failed least often has none
+	core      []string       // control processes, as last listed by a leader or in the members topic
+	coreHint  []string       // the same as last listed by a non-leader, which may be partitioned from the core
+	failures  map[string]int // by control process, since the last grant; see reduceFailures
 
 	target        string
-	leader        string // who granted last
-	hops          int
-	waiting       bool          // a renewal is to be sent or answered
-	sent          bool          // it was sent
-	pausing       bool          // after a failure, until due: nothing is to be connected
-	due           time.Duration // waiting: give up; else: renew
-	renewed       time.Duration // when the renewal that was granted last was sent
+	leader        string        // control process that granted the last renewal
+	hops          int           // redirects followed since the last pause or grant
+	renewing      bool          // a renewal is to be sent, or its answer is awaited
+	sent          bool          // the renewal was sent
+	pausing       bool          // waiting until due after a failure: no connection is made
+	due           time.Duration // while renewing: time-out of the renewal; otherwise: time of the next one
+	renewedAt     time.Duration // when the last granted renewal was sent; the lease starts then
 	lease         time.Duration
-	again         bool // something changed while a renewal was under way
-	named         bool // a leader has named the newest versions: the start is over
-	startAttempts int  // pauses before that
+	renewAgain    bool // renew again at once: something changed while a renewal was in progress
+	headsReceived bool // a leader has sent the newest versions: short pauses end
+	startAttempts int  // short pauses so far
 }
 
 func newSession(random *rand.Rand, heartbeat time.Duration, seeds []string) *session {
@@ -48,30 +48,31 @@
 	return s
 }
 
-// candidate picks a control process other than the target, if there is one: any of those that failed least often. So those that are
-// partitioned are not tried again before all others were.
+// candidate picks at random one of the control processes with the fewest failures, other than the target if there are
+// others. Partitioned ones are therefore not retried before all others have been tried.
 func (s *session) candidate() string {
-	candidates := slices.DeleteFunc(union(s.core, s.hinted, s.seeds), func(address string) bool { return address == s.target })
+	candidates := slices.DeleteFunc(union(s.core, s.coreHint, s.seeds), func(address string) bool { return address == s.target })
 	if len(candidates) == 0 {
 		return s.target
 	}
-	least := s.failures[candidates[0]]
+	fewest := s.failures[candidates[0]]
 	for _, address := range candidates {
-		least = min(least, s.failures[address])
+		fewest = min(fewest, s.failures[address])
 	}
-	s.forgive(least)
+	s.reduceFailures(fewest)
 	candidates = slices.DeleteFunc(candidates, func(address string) bool { return s.failures[address] > 0 })
 	return candidates[s.random.IntN(len(candidates))]
 }
 
-// forgive takes failures off all control processes alike. Only differences count: one that is named after a long outage has not failed yet, and
-// is no better for it than those that failed while nobody led.
-func (s *session) forgive(count int) {
-	if count == 0 {
+// reduceFailures subtracts the same number of failures from all control processes, since only differences matter.
+// Otherwise a process that is first listed after a long outage, with no failures yet, would be preferred over those
+// that failed while there was no leader.
+func (s *session) reduceFailures(amount int) {
+	if amount == 0 {
 		return
 	}
 	for address, failures := range s.failures {
-		s.failures[address] = max(failures-count, 0)
+		s.failures[address] = max(failures-amount, 0)
 	}
 }
 
@@ -89,10 +90,10 @@
 	return all
 }
 
-// leased says whether the lease holds.
-func (s *session) leased(now time.Duration) bool { return s.lease > 0 && now < s.renewed+s.lease }
+// leased reports whether the lease is valid.
+func (s *session) leased(now time.Duration) bool { return s.lease > 0 && now < s.renewedAt+s.lease }
 
-// interval between renewals.
+// interval returns the time between renewals.
 func (s *session) interval() time.Duration {
 	if s.lease > 0 {
 		return min(s.heartbeat, s.lease/renewalsPerLease)
@@ -100,19 +101,20 @@
 	return s.heartbeat
 }
 
-// hurry renews at once.
-func (s *session) hurry(now time.Duration) {
-	if s.waiting {
-		s.again = s.sent
+// renewNow makes the next renewal due at once. If one is in progress, another follows it.
+func (s *session) renewNow(now time.Duration) {
+	if s.renewing {
+		s.renewAgain = s.sent
 		return
 	}
 	s.due = now
 }
 
-// unnamed tells that the leader granted a lease and could not name the newest versions yet: the next renewal follows soon.
-func (s *session) unnamed(now time.Duration) {
-	if !s.waiting {
-		s.due = min(s.due, now+s.spread(s.retryIn()))
+// headsUnavailable handles a granted renewal without the newest versions: the leader does not have them yet, so the
+// next renewal is brought forward.
+func (s *session) headsUnavailable(now time.Duration) {
+	if !s.renewing {
+		s.due = min(s.due, now+s.jitter(s.retryDelay()))
 	}
 }
 
@@ -120,28 +122,30 @@
 
 func (s *session) setCore(core []string) { s.core = core }
 
-// tick says whether a renewal is to be sent to the target, over a connection that is up.
+// tick handles time-outs, and reports whether the caller must now send a renewal to the target. Connected says whether
+// the connection to the target is up.
 func (s *session) tick(now time.Duration, connected bool) bool {
-	if s.waiting && now >= s.due {
+	if s.renewing && now >= s.due {
 		s.failed(now, s.target)
 	}
-	if !s.waiting && now >= s.due {
-		s.waiting, s.sent, s.pausing, s.due = true, false, false, now+replyTimeout
+	if !s.renewing && now >= s.due {
+		s.renewing, s.sent, s.pausing, s.due = true, false, false, now+replyTimeout
 		if s.target == "" {
 			s.target = s.candidate()
 		}
 	}
-	if !s.waiting || s.sent || !connected {
+	if !s.renewing || s.sent || !connected {
 		return false
 	}
-	s.sent, s.again = true, false
+	s.sent, s.renewAgain = true, false
 	return true
 }
 
-// next is when tick has something to do, if nothing happens before.
+// next returns when tick is due, if no event occurs before.
 func (s *session) next() time.Duration { return s.due }
 
-// failed tells that the target can't be connected, or that a renewal ended without an answer.
+// failed handles a failed connect, or a renewal that ended without an answer. Failures of addresses other than the
+// target are ignored.
 func (s *session) failed(now time.Duration, from string) {
 	if from != s.target {
 		return
@@ -152,51 +156,52 @@
 }
 
 func (s *session) pause(now time.Duration) {
-	s.waiting, s.sent, s.pausing, s.hops = false, false, true, 0
-	s.due = now + s.spread(s.retryIn())
+	s.renewing, s.sent, s.pausing, s.hops = false, false, true, 0
+	s.due = now + s.jitter(s.retryDelay())
 }
 
-// retryIn is about how long to wait before the next attempt.
-func (s *session) retryIn() time.Duration {
-	if s.named || s.startAttempts >= maxStartAttempts {
+// retryDelay returns the average pause before the next attempt. It counts the short pauses of the start.
+func (s *session) retryDelay() time.Duration {
+	if s.headsReceived || s.startAttempts >= maxStartAttempts {
 		return retryPause
 	}
 	s.startAttempts++
 	return startPause
 }
 
-func (s *session) spread(around time.Duration) time.Duration {
-	return around/2 + time.Duration(s.random.Int64N(int64(around)))
+func (s *session) jitter(mean time.Duration) time.Duration {
+	return mean/2 + time.Duration(s.random.Int64N(int64(mean)))
 }
 
-// disconnected tells that the connection to the target has ended. Between renewals it is only made again, and in a pause after a failure no
-// failure more.
+// disconnected handles the end of the connection to the target. During a renewal or without a lease it counts as a
+// failure. Between renewals the target stays and the next renewal is due at once. During a pause after a failure it is
+// ignored.
 func (s *session) disconnected(now time.Duration, from string) {
 	if from != s.target || s.pausing {
 		return
 	}
-	if s.waiting || !s.leased(now) {
+	if s.renewing || !s.leased(now) {
 		s.failed(now, from)
 		return
 	}
-	s.due = now // the leader may take a broken connection for the process's end
+	s.due = now // the leader may interpret the closed connection as the end of this process
 }
 
-// replied takes the answer to a renewal that was sent at a time.
+// replied handles the answer to a renewal that was sent at sentAt.
 func (s *session) replied(now, sentAt time.Duration, from string, reply *wire.RenewReply) {
 	if len(reply.Core) > 0 && reply.Granted {
 		s.core = reply.Core
 	} else if len(reply.Core) > 0 {
-		s.hinted = reply.Core
+		s.coreHint = reply.Core
 	}
 	if reply.Granted {
 		s.granted(now, sentAt, from, reply)
 		return
 	}
-	if from != s.target || !s.waiting {
+	if from != s.target || !s.renewing {
 		return
 	}
-	if !s.follows(from, reply.Leader) {
+	if !s.shouldFollow(from, reply.Leader) {
 		s.failed(now, from)
 		return
 	}
@@ -205,9 +210,9 @@
 	s.sent, s.due = false, now+replyTimeout
 }
 
-// follows says whether the leader that a control process names is to be tried. One that failed before may be partitioned, and named by who
-// has not noticed: it is tried again at once, but not time after time.
-func (s *session) follows(from, leader string) bool {
+// shouldFollow reports whether to try the leader that a control process names. A leader that failed before may be
+// partitioned while the other process has not detected that yet: it is retried at once, but not repeatedly.
+func (s *session) shouldFollow(from, leader string) bool {
 	return leader != "" && leader != from && s.hops < maxHops && s.failures[leader] <= s.failures[from]+1
 }
 
@@ -216,8 +221,8 @@
 }
 
 func (s *session) granted(now, sentAt time.Duration, from string, reply *wire.RenewReply) {
-	if sentAt >= s.renewed || s.lease == 0 {
-		s.renewed = sentAt
+	if sentAt >= s.renewedAt || s.lease == 0 {
+		s.renewedAt = sentAt
 		s.lease = leaseOf(reply)
 	}
 	s.leader = from
@@ -225,9 +230,9 @@
 	if from != s.target {
 		return
 	}
-	s.waiting, s.sent, s.pausing, s.hops = false, false, false, 0
+	s.renewing, s.sent, s.pausing, s.hops = false, false, false, 0
 	s.due = max(now, sentAt+s.interval())
-	if s.again {
-		s.again, s.due = false, now
+	if s.renewAgain {
+		s.renewAgain, s.due = false, now
 	}
 }
--- a/cluster/member/session_test.go
+++ b/cluster/member/session_test.go
@@ -21,29 +21,29 @@
 	return &wire.RenewReply{Granted: true, LeaseMillis: uint32(lease / ms), Core: core}
 }
 
-func TestTheFirstRenewalIsSentAtOnceWhenConnected(t *testing.T) {
+func TestFirstRenewalSentOnceConnected(t *testing.T) {
 	s := testSession("a")
 	require.Equal(t, "a", s.target)
-	require.False(t, s.tick(0, false), "not before the connection is up")
+	require.False(t, s.tick(0, false), "not before the connection is established")
 	require.True(t, s.tick(5*ms, true))
 	require.False(t, s.tick(6*ms, true), "once")
 	require.False(t, s.leased(6*ms))
 }
 
-func TestRenewalsAreDueThriceInALease(t *testing.T) {
+func TestRenewalInterval(t *testing.T) {
 	s := testSession("a")
 	require.True(t, s.tick(0, true))
 	s.replied(20*ms, 0, "a", grant(600*ms))
 	require.True(t, s.leased(599*ms))
-	require.False(t, s.leased(600*ms), "counted from when it was sent")
+	require.False(t, s.leased(600*ms), "the lease counts from when the renewal was sent")
 	require.Equal(t, 200*ms, s.next())
 	require.False(t, s.tick(199*ms, true))
 	require.True(t, s.tick(200*ms, true))
 	s.replied(201*ms, 200*ms, "a", grant(9000*ms))
-	require.Equal(t, 1200*ms, s.next(), "or at the heartbeat")
+	require.Equal(t, 1200*ms, s.next(), "the heartbeat limits the interval")
 }
 
-func TestTheLeaderThatIsNamedGetsARenewalAtOnce(t *testing.T) {
+func TestRedirectToLeader(t *testing.T) {
 	s := testSession("a")
 	s.tick(0, true)
 	s.replied(10*ms, 0, "a", &wire.RenewReply{Leader: "b", Core: []string{"a", "b", "c"}})
@@ -53,7 +53,7 @@
 	require.Equal(t, "b", s.leader)
 }
 
-func TestControlProcessesThatNameOneAnotherAreNotFollowedForEver(t *testing.T) {
+func TestRedirectLoopIsBounded(t *testing.T) {
 	s := testSession("a", "b")
 	now := time.Duration(0)
 	for hop := 0; s.tick(now, true); hop++ {
@@ -62,11 +62,11 @@
 		other := map[string]string{"a": "b", "b": "a"}[from]
 		s.replied(now, now, from, &wire.RenewReply{Leader: other})
 	}
-	require.Greater(t, s.next(), now, "a pause")
+	require.Greater(t, s.next(), now, "a pause follows")
 	require.LessOrEqual(t, s.next(), now+2*retryPause)
 }
 
-func TestWhoDoesNotKnowIsLeftForAnother(t *testing.T) {
+func TestSwitchTargetWhenLeaderUnknown(t *testing.T) {
 	s := testSession("a", "b")
 	first := s.target
 	s.tick(0, true)
@@ -76,7 +76,7 @@
 	require.True(t, s.tick(s.next(), true))
 }
 
-func TestAnUnresponsiveControlProcessIsLeft(t *testing.T) {
+func TestSwitchTargetOnReplyTimeout(t *testing.T) {
 	s := testSession("a", "b")
 	first := s.target
 	require.True(t, s.tick(0, true))
@@ -87,7 +87,7 @@
 	require.LessOrEqual(t, s.next(), replyTimeout+2*retryPause)
 }
 
-func TestAConnectThatHangsIsLeft(t *testing.T) {
+func TestSwitchTargetOnConnectTimeout(t *testing.T) {
 	s := testSession("a", "b")
 	first := s.target
 	s.tick(0, false)
@@ -95,20 +95,20 @@
 	require.NotEqual(t, first, s.target)
 }
 
-func TestABrokenConnectionIsMadeAgainAndTheLeaseRenewed(t *testing.T) {
+func TestReconnectAfterDisconnect(t *testing.T) {
 	s := testSession("a", "b")
 	first := s.target
 	s.tick(0, true)
 	s.replied(1*ms, 0, first, grant(600*ms))
 	s.disconnected(50*ms, first)
-	require.Equal(t, first, s.target, "the leader may live")
+	require.Equal(t, first, s.target, "the leader may still be available")
 	require.False(t, s.tick(50*ms, false))
 	require.True(t, s.tick(60*ms, true))
 	s.disconnected(70*ms, first)
-	require.NotEqual(t, first, s.target, "a renewal was under way")
+	require.NotEqual(t, first, s.target, "a renewal was in progress")
 }
 
-func TestOldConnectionsSayNothing(t *testing.T) {
+func TestEventsOfOtherAddressesIgnored(t *testing.T) {
 	s := testSession("a", "b")
 	first := s.target
 	s.failed(0, "elsewhere")
@@ -116,17 +116,17 @@
 	require.Equal(t, first, s.target)
 }
 
-func TestALateGrantCountsFromWhenItWasRequested(t *testing.T) {
+func TestLateGrantCountsFromRequest(t *testing.T) {
 	s := testSession("a", "b")
 	first := s.target
 	s.tick(0, true)
-	s.tick(replyTimeout, true) // given up
+	s.tick(replyTimeout, true) // the renewal times out
 	s.replied(400*ms, 0, first, grant(600*ms))
 	require.True(t, s.leased(500*ms))
 	require.False(t, s.leased(600*ms))
 }
 
-func TestAnOlderGrantDoesNotShortenTheLease(t *testing.T) {
+func TestOlderGrantDoesNotShortenLease(t *testing.T) {
 	s := testSession("a")
 	s.tick(0, true)
 	s.replied(300*ms, 200*ms, "a", grant(600*ms))
@@ -134,19 +134,19 @@
 	require.True(t, s.leased(799*ms))
 }
 
-func TestWhatChangedDuringARenewalIsSentAfterIt(t *testing.T) {
+func TestRenewNowDuringRenewal(t *testing.T) {
 	s := testSession("a")
 	s.tick(0, true)
-	s.hurry(1 * ms)
+	s.renewNow(1 * ms)
 	s.replied(2*ms, 0, "a", grant(600*ms))
 	require.True(t, s.tick(2*ms, true))
 	s.replied(3*ms, 2*ms, "a", grant(600*ms))
 	require.False(t, s.tick(4*ms, true))
-	s.hurry(5 * ms)
+	s.renewNow(5 * ms)
 	require.True(t, s.tick(5*ms, true))
 }
 
-func TestWithoutSeedsItWaitsForThem(t *testing.T) {
+func TestSessionWithoutSeeds(t *testing.T) {
 	s := testSession()
 	require.False(t, s.tick(0, false))
 	s.setSeeds([]string{"a"})
@@ -157,7 +157,7 @@
 	require.Equal(t, "a", s.target)
 }
 
-func TestProcessesOfTheCoreAreTriedBesideTheSeeds(t *testing.T) {
+func TestCoreAddressesAreCandidates(t *testing.T) {
 	s := testSession("a")
 	s.tick(0, true)
 	s.replied(1*ms, 0, "a", grant(600*ms, "a", "b"))
@@ -166,8 +166,8 @@
 	require.Equal(t, "b", s.target)
 }
 
-// TestALeaderIsFoundAfterAnyHistory plays any events, and then a core that works.
-func TestALeaderIsFoundAfterAnyHistory(t *testing.T) {
+// TestFindLeaderAfterRandomEvents applies random events, and then a working core: a lease must be granted within 3 s.
+func TestFindLeaderAfterRandomEvents(t *testing.T) {
 	addresses := []string{"a", "b", "c"}
 	rapid.Check(t, func(t *rapid.T) {
 		s := testSession(addresses...)
@@ -175,7 +175,7 @@
 		for range rapid.IntRange(0, 60).Draw(t, "events") {
 			now += time.Duration(rapid.IntRange(0, 400).Draw(t, "pause")) * ms
 			from := rapid.SampledFrom(append(addresses, s.target)).Draw(t, "from")
-			switch rapid.SampledFrom([]string{"tick", "failed", "disconnected", "refused", "granted", "hurry"}).Draw(t, "event") {
+			switch rapid.SampledFrom([]string{"tick", "failed", "disconnected", "refused", "granted", "renewNow"}).Draw(t, "event") {
 			case "tick":
 				if s.tick(now, rapid.Bool().Draw(t, "connected")) {
 					sentAt = now
@@ -188,13 +188,13 @@
 				s.replied(now, sentAt, from, &wire.RenewReply{Leader: rapid.SampledFrom(append(addresses, "")).Draw(t, "named")})
 			case "granted":
 				s.replied(now, sentAt, from, grant(600*ms))
-			case "hurry":
-				s.hurry(now)
+			case "renewNow":
+				s.renewNow(now)
 			}
-			require.False(t, s.leased(now) && now >= s.renewed+600*ms)
+			require.False(t, s.leased(now) && now >= s.renewedAt+600*ms)
 		}
-		s.renewed, s.lease = 0, 0                     // whatever was granted
-		for start := now; !s.leased(now); now += ms { // it is called after each event, and when it asked to be
+		s.renewedAt, s.lease = 0, 0                   // discards any granted lease
+		for start := now; !s.leased(now); now += ms { // tick is called after each event and when it is due
 			require.Less(t, now-start, 3*time.Second)
 			if !s.tick(now, true) {
 				now = max(now, s.next()-ms)
@@ -209,7 +209,7 @@
 	})
 }
 
-func TestAtTheStartAttemptsFollowQuickly(t *testing.T) {
+func TestShortPausesAtStart(t *testing.T) {
 	s := testSession("a", "b")
 	now, attempts := time.Duration(0), 0
 	for ; now < 500*ms; now = s.next() {
@@ -226,25 +226,25 @@
 	now = s.next()
 	s.tick(now, true)
 	s.replied(now, now, s.target, &wire.RenewReply{})
-	require.GreaterOrEqual(t, s.next(), now+retryPause/2, "not for ever")
+	require.GreaterOrEqual(t, s.next(), now+retryPause/2, "short pauses end")
 }
 
-func TestALeaderThatCannotNameTheNewestYetGetsARenewalSoon(t *testing.T) {
+func TestRenewSoonWhenHeadsUnavailable(t *testing.T) {
 	s := testSession("a")
 	s.tick(0, true)
 	s.replied(1*ms, 0, "a", grant(3000*ms))
 	require.Equal(t, 1000*ms, s.next())
-	s.unnamed(1 * ms)
+	s.headsUnavailable(1 * ms)
 	require.LessOrEqual(t, s.next(), 1*ms+2*startPause)
 	now := s.next()
 	require.True(t, s.tick(now, true))
 	s.replied(now, now, "a", grant(3000*ms))
-	s.named = true
+	s.headsReceived = true
 	require.Equal(t, now+1000*ms, s.next())
 }
 
-// A machine is up before its control process: connects are refused at once.
-func TestRefusedConnectsInAPauseAreNoFailures(t *testing.T) {
+// When a machine runs before its control process does, connects are refused at once.
+func TestDisconnectDuringPauseIsNotCounted(t *testing.T) {
 	s := testSession("a", "b", "c")
 	s.tick(0, false)
 	s.disconnected(1*ms, s.target)
@@ -259,7 +259,7 @@
 	require.False(t, s.pausing)
 }
 
-func TestALeaderIsFollowedSoonAfterALongOutage(t *testing.T) {
+func TestFollowLeaderAfterLongOutage(t *testing.T) {
 	s := testSession("a", "b", "c")
 	now := time.Duration(0)
 	for ; now < 10*time.Second; now = s.next() {
@@ -268,7 +268,7 @@
 	}
 	core := []string{"a", "b", "c", "d", "e"}
 	require.True(t, s.tick(now, true))
-	s.replied(now, now, s.target, &wire.RenewReply{Core: core}) // it names processes that were never asked, and no leader yet
+	s.replied(now, now, s.target, &wire.RenewReply{Core: core}) // lists control processes that were not tried yet, but no leader
 	hint := &wire.RenewReply{Leader: "c", Core: core}
 	now = s.next()
 	start := now
@@ -280,8 +280,8 @@
 		} else {
 			s.replied(now, now, s.target, hint)
 		}
-		if s.waiting && !s.sent {
-			continue // the leader that was named is asked at once
+		if s.renewing && !s.sent {
+			continue // the named leader is tried at once
 		}
 		now = max(now, s.next())
 	}
--- a/cluster/member/snapshot.go
+++ b/cluster/member/snapshot.go
@@ -10,26 +10,26 @@
 	"ravendale/cluster/wire"
 )
 
-// Snapshot is what the process knows of all topics at one moment. It never changes; a newer one takes its place.
+// Snapshot is the process's state of all topics at one moment. It is immutable; a newer one replaces it.
 type Snapshot struct {
 	Versions [wire.TopicCount]wire.Version
-	Catalog  *catalog.Index  // nil until a configuration is known, and in processes that are no edge
-	Workers  *wire.Workers   // nil until known
-	Stores   *wire.StoreView // nil until known
-	Members  *wire.Members   // nil until known
+	Catalog  *catalog.Index  // nil until a configuration is received, and always in processes other than edges
+	Workers  *wire.Workers   // nil until received
+	Stores   *wire.StoreView // nil until received
+	Members  *wire.Members   // nil until received
 }
 
-// covers says whether no topic is older than named.
-func (s *Snapshot) covers(named *relay.Versions) bool {
+// atLeast reports whether every topic is at least as new as in versions.
+func (s *Snapshot) atLeast(versions *relay.Versions) bool {
 	for i := range s.Versions {
-		if s.Versions[i].Less(named[i]) {
+		if s.Versions[i].Less(versions[i]) {
 			return false
 		}
 	}
 	return true
 }
 
-// with returns a snapshot with one topic renewed, as an edge or another process needs it.
+// with returns a copy of the snapshot with one topic replaced. Only an edge parses the configuration.
 func (s *Snapshot) with(topic wire.Topic, version wire.Version, payload []byte, edge bool) (*Snapshot, error) {
 	next := *s
 	if err := next.read(topic, payload, edge); err != nil {
@@ -43,7 +43,7 @@
 	switch topic {
 	case wire.TopicConfig:
 		if !edge {
-			return nil // a store only passes it on
+			return nil // stores only relay the configuration
 		}
 		config, err := s.config().Reload(payload)
 		if err != nil {
@@ -64,7 +64,7 @@
 	return fmt.Errorf("member: unknown topic %d", topic)
 }
 
-// config is the configuration, nil until one is known.
+// config returns the configuration, or nil if none has been received.
 func (s *Snapshot) config() *catalog.Config {
 	if s.Catalog == nil {
 		return nil
--- a/cluster/member/snapshot_test.go
+++ b/cluster/member/snapshot_test.go
@@ -11,8 +11,8 @@
 
 const smallConfig = `{"version":3,"routes":[],"backends":[],"limits":{}}`
 
-// A store passes the configuration on, and spends neither time nor memory on reading it.
-func TestOnlyEdgesReadTheConfiguration(t *testing.T) {
+// A store only relays the configuration, so it should not spend time and memory on parsing it.
+func TestOnlyEdgesParseConfig(t *testing.T) {
 	version := wire.Version{Sequence: 3}
 	for _, edge := range []bool{true, false} {
 		snapshot, err := (&Snapshot{}).with(wire.TopicConfig, version, []byte(smallConfig), edge)
--- a/cluster/program/doc.go
+++ b/cluster/program/doc.go
@@ -1,2 +1,3 @@
-// Package program has what the processes of the system share at their start and end: arguments, logs, settings, signals and the exit code.
+// Package program implements the startup and shutdown that all processes of the system share: arguments, logs,
+// settings, signals and exit codes.
 package program
--- a/cluster/program/program.go
+++ b/cluster/program/program.go
@@ -15,7 +15,7 @@
 	"ravendale/cluster/settings"
 )
 
-// Arguments of every process of the system.
+// Arguments are the command-line arguments of every process of the system.
 type Arguments struct {
 	Settings  string `help:"Path of the settings file." env:"RAVENDALE_SETTINGS" required:"" type:"path"`
 	LogLevel  string `help:"Least level that is logged: debug, info, warn or error." enum:"debug,info,warn,error" default:"info"`
@@ -30,7 +30,7 @@
 	ExitSettings = 2
 )
 
-// Environment is what a process runs with.
+// Environment is what Run passes to a process's main function.
 type Environment struct {
 	Settings *settings.Settings
 	Path     string // of the settings file
@@ -38,17 +38,17 @@
 	Hangup   <-chan os.Signal // SIGHUP
 }
 
-// Run parses the arguments, loads the settings, and calls run with a context that ends at SIGTERM or SIGINT. It does not
-// return.
+// Run parses the arguments, loads the settings, and calls run with a context that is cancelled by SIGTERM or SIGINT. It
+// exits the process and does not return.
 func Run(name, description string, run func(context.Context, Environment) error) {
 	hangup := make(chan os.Signal, 1)
-	signal.Notify(hangup, syscall.SIGHUP) // first: until then it would end the process
+	signal.Notify(hangup, syscall.SIGHUP) // registered first: by default SIGHUP terminates the process
 	var arguments Arguments
 	kong.Parse(&arguments, kong.Name(name), kong.Description(description), kong.UsageOnError())
-	os.Exit(start(arguments, hangup, os.Stderr, run))
+	os.Exit(runProcess(arguments, hangup, os.Stderr, run))
 }
 
-func start(arguments Arguments, hangup <-chan os.Signal, output io.Writer, run func(context.Context, Environment) error) int {
+func runProcess(arguments Arguments, hangup <-chan os.Signal, output io.Writer, run func(context.Context, Environment) error) int {
 	loaded, err := settings.Load(arguments.Settings)
 	if err != nil {
 		_, _ = fmt.Fprintln(output, err)
@@ -62,34 +62,34 @@
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
 	if err := run(ctx, Environment{Settings: loaded, Path: arguments.Settings, Log: log, Hangup: hangup}); err != nil {
-		log.Error("stopped", "error", err)
+		log.Error("process stopped by an error", "error", err)
 		return ExitFailed
 	}
 	return ExitOK
 }
 
-// Logger makes a logger of a level and a form as Arguments has them.
+// Logger returns a logger with a level and a format as in Arguments.
 func Logger(output io.Writer, level, format string) *slog.Logger {
-	var least slog.Level
-	if err := least.UnmarshalText([]byte(level)); err != nil {
-		least = slog.LevelInfo
+	var minLevel slog.Level
+	if err := minLevel.UnmarshalText([]byte(level)); err != nil {
+		minLevel = slog.LevelInfo
 	}
-	options := &slog.HandlerOptions{Level: least}
+	options := &slog.HandlerOptions{Level: minLevel}
 	if format == "json" {
 		return slog.New(slog.NewJSONHandler(output, options))
 	}
 	return slog.New(slog.NewTextHandler(output, options))
 }
 
-// WatchSettings follows the settings file until the context ends.
+// WatchSettings calls changed with each new valid content of the settings file until the context ends.
 func (e Environment) WatchSettings(ctx context.Context, changed func(*settings.Settings)) {
 	settings.Watch(ctx, e.Path, e.Hangup, changed, func(err error) {
-		e.Log.Warn("settings not taken", "error", err)
+		e.Log.Warn("ignoring changed settings file", "error", err)
 	})
 }
 
-// Memory sets the garbage collector's goal: a heap that grows by percent before it is collected, and harder work close to a
-// part of the process's limit.
+// Memory configures the garbage collector: percent is the heap growth between collections (GOGC), and the soft
+// memory limit is 80 % of the process's limit.
 func Memory(percent, limitMb int) {
 	const mb = 1 << 20
 	debug.SetGCPercent(percent)
--- a/cluster/program/program_test.go
+++ b/cluster/program/program_test.go
@@ -13,25 +13,25 @@
 	"github.com/stretchr/testify/require"
 )
 
-// childVariable has the test binary be a process of the system.
-const childVariable = "RAVENDALE_PROGRAM_TEST_CHILD"
+// childProcessEnv is the environment variable that makes the test binary run as a process of the system.
+const childProcessEnv = "RAVENDALE_PROGRAM_TEST_CHILD"
 
 func TestMain(m *testing.M) {
-	if os.Getenv(childVariable) != "" {
+	if os.Getenv(childProcessEnv) != "" {
 		Run("child", "A process that does nothing.", func(context.Context, Environment) error { return nil })
 	}
 	os.Exit(m.Run())
 }
 
-// The platform may tell a process of new settings while it starts: that does not end it. The settings are a pipe, so the process is known to
-// be at their reading when the signal comes.
-func TestAHangupDuringTheStartEndsNothing(t *testing.T) {
+// The platform may announce new settings by SIGHUP while a process starts, which must not terminate it. The settings
+// file is a named pipe, so that the process is known to be reading it when the signal is sent.
+func TestHangupDuringStartIsIgnored(t *testing.T) {
 	settings := filepath.Join(t.TempDir(), "settings")
 	require.NoError(t, syscall.Mkfifo(settings, 0o600))
 	child := exec.Command(os.Args[0], "--settings", settings)
-	child.Env = append(os.Environ(), childVariable+"=1")
+	child.Env = append(os.Environ(), childProcessEnv+"=1")
 	require.NoError(t, child.Start())
-	pipe, err := os.OpenFile(settings, os.O_WRONLY, 0) // opens once the process reads
+	pipe, err := os.OpenFile(settings, os.O_WRONLY, 0) // blocks until the process opens the pipe for reading
 	require.NoError(t, err)
 	require.NoError(t, child.Process.Signal(syscall.SIGHUP))
 	_, err = pipe.WriteString("no settings")
--- a/cluster/relay/compat_test.go
+++ b/cluster/relay/compat_test.go
@@ -11,9 +11,9 @@
 	"ravendale/cluster/wire"
 )
 
-// TestACompressedTopicStaysReadable reads the update that the version before sent for a long topic. Which of the forms that deflate allows a
-// sender chooses is its own: what this version sends must be read to the same bytes.
-func TestACompressedTopicStaysReadable(t *testing.T) {
+// TestCompressedUpdateCompatibility decodes a compressed update written by the previous version. The compressed bytes
+// may differ between versions, since deflate allows several encodings; only the decompressed bytes must be equal.
+func TestCompressedUpdateCompatibility(t *testing.T) {
 	golden, err := os.ReadFile("testdata/compat/update-compressed.msgpack")
 	require.NoError(t, err)
 	var full bytes.Buffer
--- a/cluster/relay/compress.go
+++ b/cluster/relay/compress.go
@@ -12,14 +12,14 @@
 
 // Sizes in bytes.
 const (
-	minCompressedSize = 16 << 10 // shorter payloads of full topics are sent as they are
-	maxPayload        = 32 << 20 // of a payload once it is decompressed
+	minCompressedSize = 16 << 10 // shorter payloads of full topics are sent uncompressed
+	maxPayload        = 32 << 20 // of a decompressed payload
 )
 
-// ErrTooLong is returned for a payload that is longer than any topic may be.
-var ErrTooLong = errors.New("relay: payload is too long")
+// ErrTooLong is returned for a payload that exceeds the maximum size of a topic.
+var ErrTooLong = errors.New("relay: decompressed payload exceeds the maximum size")
 
-// compress returns a shorter form of a payload, or nil if there is none.
+// compress returns the compressed payload, or nil if that is not shorter.
 func compress(payload []byte) []byte {
 	var buffer bytes.Buffer
 	writer, err := flate.NewWriter(&buffer, flate.BestSpeed)
@@ -32,7 +32,8 @@
 	return bytes.Clone(buffer.Bytes())
 }
 
-// Payload is the full topic that an update brings, decompressed. It returns ErrTooLong beyond 32 MB.
+// Payload returns the full topic of an update, decompressed. It returns ErrTooLong if a compressed one expands
+// to more than 32 MiB.
 func Payload(update *wire.Update) ([]byte, error) {
 	if !update.Compressed {
 		return update.Payload, nil
@@ -40,7 +41,7 @@
 	reader := flate.NewReader(bytes.NewReader(update.Payload))
 	payload, err := io.ReadAll(io.LimitReader(reader, maxPayload+1))
 	if err != nil {
-		return nil, fmt.Errorf("relay: compressed payload: %w", err)
+		return nil, fmt.Errorf("relay: decompress payload: %w", err)
 	}
 	if len(payload) > maxPayload {
 		return nil, ErrTooLong
--- a/cluster/relay/delta/compat_test.go
+++ b/cluster/relay/delta/compat_test.go
@@ -7,8 +7,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestADeltaKeepsItsEncoding holds the encoding to the bytes that the version before wrote: a parent and its child may be of both.
-func TestADeltaKeepsItsEncoding(t *testing.T) {
+// TestDeltaEncodingCompatibility compares the encoding with bytes written by the previous version: a parent and its
+// child may run different versions.
+func TestDeltaEncodingCompatibility(t *testing.T) {
 	golden, err := os.ReadFile("testdata/compat/delta.msgpack")
 	require.NoError(t, err)
 	var delta Delta
@@ -24,8 +25,9 @@
 	require.Equal(t, golden, encoded)
 }
 
-// TestADeltaOfTheVersionBeforeApplies has what the version before made out of two documents, and makes the same.
-func TestADeltaOfTheVersionBeforeApplies(t *testing.T) {
+// TestDeltaOfPreviousVersionApplies applies a delta that the previous version made from two documents, and checks that
+// Make returns the same.
+func TestDeltaOfPreviousVersionApplies(t *testing.T) {
 	golden, err := os.ReadFile("testdata/compat/document.msgpack")
 	require.NoError(t, err)
 	base, result := document(100), document(100, 0, 50, 99)
--- a/cluster/relay/delta/delta.go
+++ b/cluster/relay/delta/delta.go
@@ -13,17 +13,17 @@
 
 // Sizes in bytes.
 const (
-	block   = 24       // the shortest stretch that is looked for
-	maxSize = 32 << 20 // of a result
+	blockSize = 24       // of the indexed blocks of the base; shorter matches are found only at the ends
+	maxSize   = 32 << 20 // of a result that Apply accepts
 )
 
 // Errors of Apply.
 var (
-	ErrBase   = errors.New("delta: does not fit what it is applied to")
-	ErrResult = errors.New("delta: result is not what it was made for")
+	ErrBase   = errors.New("delta: step reads beyond the end of the base")
+	ErrResult = errors.New("delta: result is too long or does not match its size or checksum")
 )
 
-// Delta makes a byte string out of another.
+// Delta describes how to construct a byte string from a base.
 type Delta struct {
 	Size  uint32 // bytes of the result
 	Sum   uint64 // xxhash of the result
@@ -43,14 +43,14 @@
 	prefix := commonPrefix(base, result)
 	suffix := commonSuffix(base[prefix:], result[prefix:])
 	b := builder{base: base}
-	b.copied(0, prefix)
-	b.middle(base[prefix:len(base)-suffix], prefix, result[prefix:len(result)-suffix])
-	b.copied(len(base)-suffix, suffix)
+	b.addCopy(0, prefix)
+	b.addMiddle(base[prefix:len(base)-suffix], prefix, result[prefix:len(result)-suffix])
+	b.addCopy(len(base)-suffix, suffix)
 	d.Steps = b.steps
 	return d.MarshalMsg(nil)
 }
 
-// Apply returns what an encoded Delta makes of base.
+// Apply returns the result of applying an encoded Delta to base.
 func Apply(base, encoded []byte) ([]byte, error) {
 	var d Delta
 	if _, err := d.UnmarshalMsg(encoded); err != nil {
@@ -82,13 +82,13 @@
 	steps []Step
 }
 
-func (b *builder) copied(offset, length int) {
+func (b *builder) addCopy(offset, length int) {
 	if length > 0 {
 		b.steps = append(b.steps, Step{Offset: uint32(offset), Length: uint32(length)})
 	}
 }
 
-func (b *builder) literal(data []byte) {
+func (b *builder) addLiteral(data []byte) {
 	if len(data) == 0 {
 		return
 	}
@@ -98,34 +98,36 @@
 	b.steps[len(b.steps)-1].Data = data
 }
 
-// middle adds steps for a part of the result, of stretches of a part of the base that begins at an offset.
-func (b *builder) middle(base []byte, offset int, result []byte) {
+// addMiddle adds steps that construct a part of the result from blocks found in a part of the base, which begins at
+// offset.
+func (b *builder) addMiddle(base []byte, offset int, result []byte) {
 	index := indexBlocks(base)
-	from, at := 0, 0 // result[from:at] is not matched
-	for at+block <= len(result) && len(index) > 0 {
-		found, ok := index[xxhash.Sum64(result[at:at+block])]
-		if !ok || !bytes.Equal(base[found:found+block], result[at:at+block]) {
+	from, at := 0, 0 // result[from:at] is not covered by steps yet
+	for at+blockSize <= len(result) && len(index) > 0 {
+		found, ok := index[xxhash.Sum64(result[at:at+blockSize])]
+		if !ok || !bytes.Equal(base[found:found+blockSize], result[at:at+blockSize]) {
 			at++
 			continue
 		}
 		back := commonSuffix(base[:found], result[from:at])
 		ahead := commonPrefix(base[found:], result[at:])
-		b.literal(result[from : at-back])
-		b.copied(offset+found-back, back+ahead)
+		b.addLiteral(result[from : at-back])
+		b.addCopy(offset+found-back, back+ahead)
 		at += ahead
 		from = at
 	}
-	b.literal(result[from:])
+	b.addLiteral(result[from:])
 }
 
-// indexBlocks finds the blocks of base, at multiples of their size, by their hash; the first of equal ones.
+// indexBlocks maps the hash of each block of base, at multiples of blockSize, to its offset; the first one if blocks
+// are equal.
 func indexBlocks(base []byte) map[uint64]int {
-	if len(base) < block || len(base) > math.MaxUint32 {
+	if len(base) < blockSize || len(base) > math.MaxUint32 {
 		return nil
 	}
-	index := make(map[uint64]int, len(base)/block)
-	for at := 0; at+block <= len(base); at += block {
-		hash := xxhash.Sum64(base[at : at+block])
+	index := make(map[uint64]int, len(base)/blockSize)
+	for at := 0; at+blockSize <= len(base); at += blockSize {
+		hash := xxhash.Sum64(base[at : at+blockSize])
 		if _, taken := index[hash]; !taken {
 			index[hash] = at
 		}
--- a/cluster/relay/delta/delta_test.go
+++ b/cluster/relay/delta/delta_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 )
 
-func TestADeltaMakesTheResult(t *testing.T) {
+func TestMakeAndApply(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		base := rapid.SliceOfN(rapid.ByteRange(0, 3), 0, 400).Draw(t, "base")
 		result := bytes.Clone(base)
@@ -41,7 +41,7 @@
 	return b.Bytes()
 }
 
-func TestScatteredChangesOfALongDocumentAreSmall(t *testing.T) {
+func TestDeltaOfScatteredChangesIsSmall(t *testing.T) {
 	base, result := document(1000), document(1000, 0, 500, 999)
 	encoded, err := Make(base, result)
 	require.NoError(t, err)
@@ -51,7 +51,7 @@
 	require.Equal(t, result, made)
 }
 
-func TestADeltaDoesNotFitAnotherBase(t *testing.T) {
+func TestApplyToOtherBase(t *testing.T) {
 	encoded, err := Make(document(10), document(10, 5))
 	require.NoError(t, err)
 	_, err = Apply(document(10, 1), encoded)
@@ -62,7 +62,7 @@
 	require.Error(t, err)
 }
 
-func FuzzApplyTakesAnything(f *testing.F) {
+func FuzzApply(f *testing.F) {
 	good, _ := Make(document(10), document(10, 5))
 	f.Add(document(10), good)
 	f.Fuzz(func(t *testing.T, base, encoded []byte) {
--- a/cluster/relay/delta/doc.go
+++ b/cluster/relay/delta/doc.go
@@ -1,3 +1,4 @@
-// Package delta says how one byte string becomes another, in fewer bytes where they have much in common. It knows nothing of what the bytes
-// mean. A delta has the length and the checksum of its result, so that one that is applied to another base is an error.
+// Package delta encodes the difference between two byte strings, whatever their content. A delta is shorter than its
+// result if that has much in common with the base. It contains the length and the checksum of the result, so that
+// applying it to another base is detected as an error.
 package delta
--- a/cluster/relay/doc.go
+++ b/cluster/relay/doc.go
@@ -1,7 +1,9 @@
-// Package relay brings updates of the topics from the leader to all processes, along a tree of schedulers with a bounded fan-out.
+// Package relay distributes updates of the topics from the leader to all processes, along a tree of schedulers with a
+// bounded fan-out.
 //
-// Parents shapes the tree: it is computed by each process from the list of members alone. Topics holds the newest version of each topic
-// and the deltas that led to it, Children what each child was sent, Uplink which parent a process subscribes to; these are pure. Node is the
-// shell that connects them. A parent sends each child what is newer than what it has, as deltas if it has them, and a heartbeat with the
-// versions each 500 ms; a child that misses a version that was named fetches it from its parent or from the leader.
+// Parents defines the tree: each process computes its parents from the list of members alone. Topics holds the newest
+// version of each topic and the recent deltas that led to it, Children records what each child was sent, and Uplink
+// selects the parent that a process subscribes to; these do no I/O. Node connects them to the network. A parent sends
+// each child what is newer than the child's versions, as deltas if it has them, and every 500 ms a heartbeat with its
+// versions. A child that lacks an announced version fetches it from its parent or from the leader.
 package relay
--- a/cluster/relay/mailbox/doc.go
+++ b/cluster/relay/mailbox/doc.go
@@ -1,3 +1,3 @@
-// Package mailbox brings events from many goroutines to the one that handles them, in order. Posting never waits, so it may be done from any
-// callback.
+// Package mailbox queues events from many goroutines for the one that handles them, in order. Posting never blocks, so
+// it is safe in any callback.
 package mailbox
--- a/cluster/relay/mailbox/mailbox.go
+++ b/cluster/relay/mailbox/mailbox.go
@@ -6,25 +6,25 @@
 	"time"
 )
 
-// Limit is how many events may wait; more are dropped.
+// Limit is the maximum number of queued events; Post drops further ones.
 const Limit = 4096
 
-// idle is how long the loop sleeps when nothing is due.
-const idle = time.Hour
+// idlePause is how long Run sleeps if no tick is due.
+const idlePause = time.Hour
 
-// Mailbox holds events that wait for their goroutine.
+// Mailbox is a bounded queue of events for one goroutine.
 type Mailbox struct {
 	wake chan struct{}
 
 	mu     sync.Mutex
 	queue  []func()
-	posted func() // nil: none
+	onPost func() // called after each Post instead of waking Run; may be nil
 }
 
 // New returns an empty Mailbox.
 func New() *Mailbox { return &Mailbox{wake: make(chan struct{}, 1)} }
 
-// Post queues an event, and says whether there was room.
+// Post queues an event. It reports false if the queue was full and the event was dropped.
 func (m *Mailbox) Post(event func()) bool {
 	m.mu.Lock()
 	if len(m.queue) >= Limit {
@@ -32,10 +32,10 @@
 		return false
 	}
 	m.queue = append(m.queue, event)
-	posted := m.posted
+	onPost := m.onPost
 	m.mu.Unlock()
-	if posted != nil {
-		posted()
+	if onPost != nil {
+		onPost()
 		return true
 	}
 	select {
@@ -53,29 +53,29 @@
 	return events
 }
 
-// OnPost has a function called after each Post, for those who call Handle themselves and not Run.
-func (m *Mailbox) OnPost(posted func()) {
+// OnPost sets a function that is called after each Post, for callers that use Handle instead of Run.
+func (m *Mailbox) OnPost(onPost func()) {
 	m.mu.Lock()
-	m.posted = posted
+	m.onPost = onPost
 	m.mu.Unlock()
 }
 
-// Waiting says whether events wait.
+// Waiting reports whether events are queued.
 func (m *Mailbox) Waiting() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return len(m.queue) > 0
 }
 
-// Handle handles the events that wait.
+// Handle handles the queued events. Events posted meanwhile stay queued.
 func (m *Mailbox) Handle() {
 	for _, event := range m.take() {
 		event()
 	}
 }
 
-// Run handles events until the context ends. After each batch, and when its answer to the last call has passed, it calls tick,
-// which says in how long it wants to be called again; zero or less stands for never.
+// Run handles events until the context ends. It calls tick at the start, after each batch of events, and when the
+// duration that tick returned last has passed; zero or less means that no further call is due.
 func (m *Mailbox) Run(ctx context.Context, tick func() time.Duration) {
 	timer := time.NewTimer(pause(tick()))
 	defer timer.Stop()
@@ -93,7 +93,7 @@
 
 func pause(requested time.Duration) time.Duration {
 	if requested <= 0 {
-		return idle
+		return idlePause
 	}
 	return requested
 }
--- a/cluster/relay/mailbox/mailbox_test.go
+++ b/cluster/relay/mailbox/mailbox_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestEventsAreHandledInOrderOnOneGoroutine(t *testing.T) {
+func TestEventsAreHandledInOrder(t *testing.T) {
 	m := New()
 	var got []int
 	done := make(chan struct{})
@@ -29,7 +29,7 @@
 	}
 }
 
-func TestAnEventMayPostAnother(t *testing.T) {
+func TestPostFromEvent(t *testing.T) {
 	m := New()
 	done := make(chan struct{})
 	m.Post(func() { m.Post(func() { close(done) }) })
@@ -37,7 +37,7 @@
 	<-done
 }
 
-func TestTickIsCalledAgainWhenItIsDue(t *testing.T) {
+func TestTickIsRepeated(t *testing.T) {
 	m := New()
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
@@ -51,7 +51,7 @@
 	require.GreaterOrEqual(t, calls, 3)
 }
 
-func TestAFullBoxTakesNothing(t *testing.T) {
+func TestPostToFullMailbox(t *testing.T) {
 	m := New()
 	for range Limit {
 		require.True(t, m.Post(func() {}))
--- a/cluster/relay/node.go
+++ b/cluster/relay/node.go
@@ -13,46 +13,46 @@
 	"ravendale/cluster/wire"
 )
 
-// heartbeatInterval is how often a parent tells its children that it lives.
+// heartbeatInterval is the time between a parent's heartbeats to its children.
 const heartbeatInterval = 500 * time.Millisecond
 
-// Heartbeats say that a parent lives, and the uplink gives it up: pings are hardly needed.
+// Pings are rarely needed: the uplink detects a failed parent by missing heartbeats.
 const (
 	pingInterval      = 2 * time.Second
 	connectionTimeout = 5 * time.Second
 )
 
-// NodeConfig says what a Node is and whom it tells.
+// NodeConfig is the configuration of a Node.
 type NodeConfig struct {
 	Self     string  // Member.ID
-	Root     bool    // it has no parent, and any number of children
-	Link     float64 // bytes a second that the machine's link carries; 0: not known, and nothing is paced
+	Root     bool    // the node has no parent, and an unlimited number of children
+	Link     float64 // bytes a second of the network link; 0: unknown, updates are not paced
 	OnUpdate func(topic wire.Topic, version wire.Version, payload []byte)
-	Leader   func() *rpc.Conn // a connection to the leader, if there is one; nil: never
+	Leader   func() *rpc.Conn // returns a connection to the leader, or nil; may be nil itself
 	Log      *slog.Logger
 	Host     host.Host // nil: host.System
 }
 
-// Node is a process's place in the relay tree. Its methods may be called by any goroutine.
+// Node is a process's node in the relay tree. Its methods may be called from any goroutine.
 type Node struct {
 	config  NodeConfig
 	box     *mailbox.Mailbox
 	host    host.Host
 	started time.Duration
 
-	// The rest belongs to the goroutine of Run.
+	// The fields below are used only by the goroutine of Run.
 	topics         Topics
 	children       *Children[*rpc.Conn]
 	uplink         *Uplink
 	link           host.Link
 	heartbeatDue   time.Duration
-	parentVersions Versions // what the parent said that it has
-	pace           pace
-	deferred       bool // some update waits for the pace
+	parentVersions Versions // the parent's versions, as in its last heartbeat
+	pacer          pacer
+	deferred       bool // some update waits until the pacer allows it
 	stopped        bool
 }
 
-// NewNode makes a node that does nothing before Run.
+// NewNode returns a node that does nothing before Run.
 func NewNode(config NodeConfig) *Node {
 	if config.Log == nil {
 		config.Log = slog.Default()
@@ -65,11 +65,12 @@
 	random := rand.New(rand.NewPCG(machine.Uint64(), machine.Uint64()))
 	return &Node{
 		config: config, box: mailbox.New(), host: machine, started: machine.Now(),
-		children: NewChildren[*rpc.Conn](limit), uplink: NewUplink(random), pace: newPace(config.Link),
+		children: NewChildren[*rpc.Conn](limit), uplink: NewUplink(random), pacer: newPacer(config.Link),
 	}
 }
 
-// Register has a Mux pass children's requests to the node that current names. While it names none, children are refused.
+// Register registers handlers that pass children's requests to the node that current returns. While current returns
+// nil, children are refused.
 func Register(mux *rpc.Mux, current func() *Node) {
 	rpc.Handle(mux, wire.MethodSubscribe, func(c *rpc.Conn, subscribe *wire.Subscribe, reply rpc.Reply) {
 		node := current()
@@ -85,7 +86,7 @@
 	})
 }
 
-// Run takes part in the tree until the context ends. It lets its children go then.
+// Run takes part in the tree until the context ends. It then closes its children's connections.
 func (n *Node) Run(ctx context.Context) {
 	n.host.Serve(ctx, n.box, n.tick)
 	n.stop()
@@ -101,7 +102,7 @@
 	}
 }
 
-// Publish sets a topic's newest version. Its payload must not be changed any more.
+// Publish sets a topic's newest version. The payload must not be modified afterwards.
 func (n *Node) Publish(topic wire.Topic, version wire.Version, payload []byte) {
 	n.box.Post(func() {
 		if n.topics.Publish(topic, version, payload) {
@@ -110,19 +111,19 @@
 	})
 }
 
-// SetParents gives the addresses of parents, the best first.
+// SetParents sets the addresses of possible parents in order of preference.
 func (n *Node) SetParents(parents []string) {
 	n.box.Post(func() { n.uplink.SetParents(n.now(), parents) })
 }
 
-// Named takes note of versions that exist somewhere; what stays missing is fetched.
+// Named records versions that are known to exist. Those that do not arrive in time are fetched.
 func (n *Node) Named(heads []wire.Version) {
 	n.box.Post(func() { n.topics.Named(n.now(), heads) })
 }
 
-// Take applies an update that came outside of the tree.
+// Take applies an update that was received outside the tree.
 func (n *Node) Take(update *wire.Update) {
-	n.box.Post(func() { n.take(update) })
+	n.box.Post(func() { n.apply(update) })
 }
 
 func (n *Node) now() time.Duration { return n.host.Now() - n.started }
@@ -135,7 +136,7 @@
 }
 
 func (n *Node) push() {
-	sends, deferred := n.children.Push(&n.topics, n.may)
+	sends, deferred := n.children.Push(&n.topics, n.allow)
 	n.deferred = deferred
 	for _, send := range sends {
 		if err := send.Child.Notify(wire.MethodUpdate, send.Update); err != nil {
@@ -144,8 +145,8 @@
 	}
 }
 
-// may says whether an update of so many bytes may be sent now.
-func (n *Node) may(size int) bool { return n.pace.take(n.now(), size) }
+// allow reports whether an update of size bytes may be sent now, and if so accounts for it.
+func (n *Node) allow(size int) bool { return n.pacer.allow(n.now(), size) }
 
 func (n *Node) subscribe(c *rpc.Conn, subscribe *wire.Subscribe, reply rpc.Reply) {
 	if subscribe.Member == n.config.Self || !n.children.Add(c, VersionsOf(subscribe.Have)) {
@@ -159,15 +160,15 @@
 
 func (n *Node) answer(fetch *wire.Fetch, reply rpc.Reply) {
 	update := n.topics.Answer(fetch)
-	if !n.may(len(update.Payload)) { // it asks again
+	if !n.allow(len(update.Payload)) { // the child repeats its request later
 		update = wire.Update{Topic: fetch.Topic}
 	}
 	reply.Send(&update)
 }
 
-func (n *Node) take(update *wire.Update) {
+func (n *Node) apply(update *wire.Update) {
 	newer, err := n.topics.Apply(update)
-	if err != nil { // the topic is missing now, and is fetched in full
+	if err != nil { // record the version as missing, so that Repairs fetches it
 		n.topics.Named(n.now(), headOf(update))
 		return
 	}
@@ -187,7 +188,7 @@
 	n.uplink.Tick(now)
 	n.connect()
 	n.sendHeartbeats(now)
-	if n.deferred && now >= n.pace.next() {
+	if n.deferred && now >= n.pacer.next() {
 		n.push()
 	}
 	for _, repair := range n.topics.Repairs(now) {
@@ -204,8 +205,8 @@
 	if len(n.children.List()) > 0 && (!found || n.heartbeatDue < next) {
 		next, found = n.heartbeatDue, true
 	}
-	if n.deferred && (!found || n.pace.next() < next) {
-		next, found = n.pace.next(), true
+	if n.deferred && (!found || n.pacer.next() < next) {
+		next, found = n.pacer.next(), true
 	}
 	if !found {
 		return 0
@@ -227,7 +228,7 @@
 	}
 }
 
-// connect has the link go where the uplink wants it.
+// connect points the link at the uplink's target.
 func (n *Node) connect() {
 	target := n.uplink.Target()
 	if n.link != nil && n.link.Address() == target {
@@ -251,7 +252,7 @@
 	rpc.Handle(mux, wire.MethodUpdate, func(_ *rpc.Conn, update *wire.Update, _ rpc.Reply) {
 		n.box.Post(func() {
 			n.uplink.Heard(n.now(), address)
-			n.take(update)
+			n.apply(update)
 		})
 	})
 	rpc.Handle(mux, wire.MethodHeartbeat, func(_ *rpc.Conn, heartbeat *wire.Heartbeat, _ rpc.Reply) {
@@ -287,8 +288,8 @@
 	n.uplink.Accepted(n.now(), address)
 }
 
-// fetch asks the parent for a topic, and the leader every other time, or if there is no parent. If the parent itself is behind, the
-// leader is asked first.
+// fetch requests a topic from the parent and the leader alternately, or from the leader only if there is no parent. The
+// leader is first if the parent itself lacks the version.
 func (n *Node) fetch(repair Repair) {
 	conn := n.fetchFrom(repair)
 	if conn == nil {
--- a/cluster/relay/node_test.go
+++ b/cluster/relay/node_test.go
@@ -20,22 +20,22 @@
 	often = 2 * time.Millisecond
 )
 
-type served struct {
+type testNode struct {
 	*Node
-	server  *rpc.Server
-	address string
-	got     atomic.Uint64 // sequence of the workers' newest version
+	server   *rpc.Server
+	address  string
+	received atomic.Uint64 // sequence of the workers' newest version
 }
 
-// serve runs a node that others can hang on.
-func serve(t *testing.T, root bool, leader func() *rpc.Conn) *served {
-	s := new(served)
+// startNode runs a node that others can subscribe to.
+func startNode(t *testing.T, root bool, leader func() *rpc.Conn) *testNode {
+	s := new(testNode)
 	mux := rpc.NewMux()
 	s.Node = NewNode(NodeConfig{
 		Root: root, Leader: leader, Log: slog.New(slog.NewTextHandler(io.Discard, nil)),
 		OnUpdate: func(topic wire.Topic, version wire.Version, _ []byte) {
 			if topic == wire.TopicWorkers {
-				s.got.Store(version.Sequence)
+				s.received.Store(version.Sequence)
 			}
 		},
 	})
@@ -58,17 +58,17 @@
 	return s
 }
 
-func (s *served) publishWorkers(sequence uint64) {
+func (s *testNode) publishWorkers(sequence uint64) {
 	s.Publish(wire.TopicWorkers, version(sequence), payload(sequence))
 }
 
-func (s *served) eventually(t *testing.T, sequence uint64) {
+func (s *testNode) waitForVersion(t *testing.T, sequence uint64) {
 	t.Helper()
-	require.Eventually(t, func() bool { return s.got.Load() == sequence }, soon, often)
+	require.Eventually(t, func() bool { return s.received.Load() == sequence }, soon, often)
 }
 
-// parent answers subscriptions as told and says nothing else.
-func parent(t *testing.T, accepts bool) string {
+// startFakeParent runs a parent that accepts or refuses subscriptions and sends nothing else. It returns the address.
+func startFakeParent(t *testing.T, accepts bool) string {
 	mux := rpc.NewMux()
 	rpc.Handle(mux, wire.MethodSubscribe, func(_ *rpc.Conn, _ *wire.Subscribe, reply rpc.Reply) {
 		reply.Send(&wire.SubscribeReply{Accepted: accepts})
@@ -79,77 +79,77 @@
 	return server.Address()
 }
 
-func TestUpdatesFlowDownAChain(t *testing.T) {
-	root, middle, leaf := serve(t, true, nil), serve(t, false, nil), serve(t, false, nil)
+func TestUpdatesPropagateThroughChain(t *testing.T) {
+	root, middle, leaf := startNode(t, true, nil), startNode(t, false, nil), startNode(t, false, nil)
 	root.publishWorkers(1)
 	middle.SetParents([]string{root.address})
 	leaf.SetParents([]string{middle.address, root.address})
-	leaf.eventually(t, 1)
+	leaf.waitForVersion(t, 1)
 	root.publishWorkers(2)
-	leaf.eventually(t, 2)
+	leaf.waitForVersion(t, 2)
 }
 
-func TestAParentThatRefusesIsPassedOver(t *testing.T) {
-	root, leaf := serve(t, true, nil), serve(t, false, nil)
+func TestSkipRefusingParent(t *testing.T) {
+	root, leaf := startNode(t, true, nil), startNode(t, false, nil)
 	root.publishWorkers(1)
-	leaf.SetParents([]string{parent(t, false), root.address})
-	leaf.eventually(t, 1)
+	leaf.SetParents([]string{startFakeParent(t, false), root.address})
+	leaf.waitForVersion(t, 1)
 }
 
-func TestAParentThatSaysNothingIsLeft(t *testing.T) {
-	root, leaf := serve(t, true, nil), serve(t, false, nil)
+func TestLeaveSilentParent(t *testing.T) {
+	root, leaf := startNode(t, true, nil), startNode(t, false, nil)
 	root.publishWorkers(1)
 	started := time.Now()
-	leaf.SetParents([]string{parent(t, true), root.address})
-	leaf.eventually(t, 1)
+	leaf.SetParents([]string{startFakeParent(t, true), root.address})
+	leaf.waitForVersion(t, 1)
 	require.Less(t, time.Since(started), 2*failureTimeout)
 }
 
-func TestAParentThatAcceptsNoConnectionIsPassedOver(t *testing.T) {
-	root, leaf := serve(t, true, nil), serve(t, false, nil)
+func TestSkipUnreachableParent(t *testing.T) {
+	root, leaf := startNode(t, true, nil), startNode(t, false, nil)
 	root.publishWorkers(1)
-	unresponsive, err := net.Listen("tcp4", "127.0.0.1:0") // connections wait in its queue
+	unresponsive, err := net.Listen("tcp4", "127.0.0.1:0") // connections stay in the listen backlog
 	require.NoError(t, err)
 	defer func() { _ = unresponsive.Close() }()
 	leaf.SetParents([]string{unresponsive.Addr().String(), "127.0.0.1:1", root.address})
-	leaf.eventually(t, 1)
+	leaf.waitForVersion(t, 1)
 }
 
-func TestAParentThatIsBehindIsRepairedAroundByTheLeader(t *testing.T) {
-	root, middle := serve(t, true, nil), serve(t, false, nil)
+func TestFetchFromLeaderWhenParentIsBehind(t *testing.T) {
+	root, middle := startNode(t, true, nil), startNode(t, false, nil)
 	direct, err := rpc.Dial(t.Context(), root.address, rpc.Options{})
 	require.NoError(t, err)
 	defer direct.Close()
-	leaf := serve(t, false, func() *rpc.Conn { return direct })
-	leaf.SetParents([]string{middle.address}) // it hangs on nobody
+	leaf := startNode(t, false, func() *rpc.Conn { return direct })
+	leaf.SetParents([]string{middle.address}) // middle itself has no parent
 	root.publishWorkers(3)
 	leaf.Named(Versions{wire.TopicWorkers: version(3)}.List())
-	leaf.eventually(t, 3)
-	require.Zero(t, middle.got.Load())
+	leaf.waitForVersion(t, 3)
+	require.Zero(t, middle.received.Load())
 }
 
-// TestAChildOfAPartitionedParentFollowsTheLeader has a parent that lives, goes on to speak and has old state, as one that is partitioned from the
-// core with the leader of before.
-func TestAChildOfAPartitionedParentFollowsTheLeader(t *testing.T) {
-	newLeader, partitioned := serve(t, true, nil), serve(t, true, nil)
+// TestFetchFromLeaderWhenParentIsPartitioned: the parent is partitioned from the core together with the previous
+// leader. It keeps sending messages, but with old state.
+func TestFetchFromLeaderWhenParentIsPartitioned(t *testing.T) {
+	newLeader, partitioned := startNode(t, true, nil), startNode(t, true, nil)
 	direct, err := rpc.Dial(t.Context(), newLeader.address, rpc.Options{})
 	require.NoError(t, err)
 	defer direct.Close()
 	partitioned.publishWorkers(1)
-	child := serve(t, false, func() *rpc.Conn { return direct })
+	child := startNode(t, false, func() *rpc.Conn { return direct })
 	child.SetParents([]string{partitioned.address})
-	child.eventually(t, 1)
+	child.waitForVersion(t, 1)
 	newLeader.publishWorkers(3)
-	child.Named(Versions{wire.TopicWorkers: version(3)}.List()) // as its renewal at the new leader says
-	child.eventually(t, 3)
+	child.Named(Versions{wire.TopicWorkers: version(3)}.List()) // as the renewal at the new leader reports
+	child.waitForVersion(t, 3)
 	partitioned.publishWorkers(2)
 	newLeader.publishWorkers(4)
 	child.Named(Versions{wire.TopicWorkers: version(4)}.List())
-	child.eventually(t, 4)
+	child.waitForVersion(t, 4)
 }
 
-func TestANodeIsNotItsOwnParent(t *testing.T) {
-	node := serve(t, false, nil)
+func TestRefuseOwnSubscription(t *testing.T) {
+	node := startNode(t, false, nil)
 	conn, err := rpc.Dial(t.Context(), node.address, rpc.Options{})
 	require.NoError(t, err)
 	defer conn.Close()
@@ -158,7 +158,7 @@
 	require.False(t, reply.Accepted)
 }
 
-func TestChildrenAreLetGoAtTheEnd(t *testing.T) {
+func TestStopClosesChildConnections(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	node := NewNode(NodeConfig{Root: true})
 	mux := rpc.NewMux()
@@ -176,6 +176,6 @@
 	select {
 	case <-conn.Done():
 	case <-time.After(soon):
-		t.Fatal("the connection stays")
+		t.Fatal("the child's connection was not closed")
 	}
 }
--- a/cluster/relay/pace.go
+++ b/cluster/relay/pace.go
@@ -2,25 +2,26 @@
 
 import "time"
 
-// Bounds of what full topics may take of a link: heartbeats and leases use the same one, and must not wait behind them.
+// Limits on the use of the network link by long updates: heartbeats and lease renewals use the same link and must not
+// queue behind them.
 const (
-	minPacedSize = 4 << 10 // bytes; shorter updates pass at once
-	linkFraction = 0.4     // of the link
-	maxLag       = 100 * time.Millisecond
+	minPacedSize = 4 << 10                // bytes; shorter updates are not paced
+	linkFraction = 0.4                    // share of the link's bandwidth
+	maxLag       = 100 * time.Millisecond // backlog of sent updates, at the paced rate, above which further ones are deferred
 )
 
-// pace spreads long updates over time, so that they leave room on the link. The zero pace lets all pass.
-type pace struct {
+// pacer limits the rate of long updates, so that they leave bandwidth on the link. The zero pacer allows every update.
+type pacer struct {
 	bytesPerSecond float64
 	busyUntil      time.Duration
 }
 
-func newPace(linkBytesPerSecond float64) pace {
-	return pace{bytesPerSecond: linkFraction * linkBytesPerSecond}
+func newPacer(linkBytesPerSecond float64) pacer {
+	return pacer{bytesPerSecond: linkFraction * linkBytesPerSecond}
 }
 
-// take says whether an update may be sent now, and counts it if so.
-func (p *pace) take(now time.Duration, size int) bool {
+// allow reports whether an update may be sent now, and if so accounts for it.
+func (p *pacer) allow(now time.Duration, size int) bool {
 	if p.bytesPerSecond == 0 || size < minPacedSize {
 		return true
 	}
@@ -31,5 +32,5 @@
 	return true
 }
 
-// next is when a deferred update may be sent.
-func (p *pace) next() time.Duration { return p.busyUntil - maxLag }
+// next returns when a deferred update may be sent.
+func (p *pacer) next() time.Duration { return p.busyUntil - maxLag }
--- a/cluster/relay/pace_test.go
+++ b/cluster/relay/pace_test.go
@@ -11,7 +11,7 @@
 	"ravendale/cluster/wire"
 )
 
-// document is the configuration of a large deployment: many entries that differ in their names alone.
+// document returns the configuration of a large deployment: many entries that differ only in name and prefix.
 func document(entries int) []byte {
 	var text bytes.Buffer
 	for i := range entries {
@@ -20,7 +20,7 @@
 	return text.Bytes()
 }
 
-func TestLongWholesAreCompressed(t *testing.T) {
+func TestLongTopicsAreCompressed(t *testing.T) {
 	var parent, child Topics
 	full := document(1000)
 	parent.Publish(wire.TopicConfig, version(1), full)
@@ -37,10 +37,10 @@
 	parent.Publish(wire.TopicConfig, version(2), changed)
 	payload, err := Payload(&parent.UpdatesFor(wire.TopicConfig, wire.Version{})[0])
 	require.NoError(t, err)
-	require.Equal(t, changed, payload, "not what was compressed before")
+	require.Equal(t, changed, payload, "the cached compressed payload must be discarded")
 }
 
-func TestCompressedPayloadsThatAreBrokenChangeNothing(t *testing.T) {
+func TestCorruptCompressedPayloadIsRejected(t *testing.T) {
 	var parent, child Topics
 	parent.Publish(wire.TopicConfig, version(1), document(1000))
 	update := parent.UpdatesFor(wire.TopicConfig, wire.Version{})[0]
@@ -57,8 +57,9 @@
 	require.ErrorIs(t, err, ErrTooLong)
 }
 
-// The leader of many who start at once must not fill its link with what they lack: renewals of its lease use the same one.
-func TestLongUpdatesLeaveBandwidthOnTheLink(t *testing.T) {
+// A leader whose many members start at once must not saturate its link with full topics, since lease renewals use the
+// same link.
+func TestPacerLimitsBandwidth(t *testing.T) {
 	const link = 1e6 // bytes a second
 	var topics Topics
 	topics.Publish(wire.TopicConfig, version(1), document(3000))
@@ -69,35 +70,35 @@
 	for child := range count {
 		children.Add(child, Versions{})
 	}
-	paced := newPace(link)
+	paced := newPacer(link)
 	got, sent, now := make(map[int]bool), 0, time.Duration(0)
 	for deferred := true; deferred; now = max(now, paced.next()) {
 		var sends []Send[int]
-		sends, deferred = children.Push(&topics, func(size int) bool { return paced.take(now, size) })
+		sends, deferred = children.Push(&topics, func(size int) bool { return paced.allow(now, size) })
 		for _, send := range sends {
 			if send.Update.Topic == wire.TopicConfig {
 				require.False(t, got[send.Child])
 				got[send.Child] = true
 				sent += len(send.Update.Payload)
 			} else {
-				require.Zero(t, now, "short updates don't wait")
+				require.Zero(t, now, "short updates are not paced")
 			}
 		}
 		require.LessOrEqual(t, float64(sent), linkFraction*link*(now+maxLag).Seconds()+float64(size)+1)
 	}
-	require.Len(t, got, count, "all get theirs")
+	require.Len(t, got, count, "every child gets the topic")
 	require.Greater(t, now, time.Duration(float64((count-2)*size)/link*float64(time.Second)))
 }
 
-func TestWithoutAKnownLinkNothingIsPaced(t *testing.T) {
-	var p pace
+func TestPacerWithUnknownBandwidth(t *testing.T) {
+	var p pacer
 	for range 100 {
-		require.True(t, p.take(0, 1<<20))
+		require.True(t, p.allow(0, 1<<20))
 	}
 }
 
-// An answer that is slow to come, since a link is full, is not made slower by asking for it again and again.
-func TestMissingTopicsAreFetchedEverMoreSeldom(t *testing.T) {
+// Repeated requests must not further delay an answer that is slow because a link is saturated.
+func TestRepairBackoff(t *testing.T) {
 	var topics Topics
 	topics.Named(0, []wire.Version{version(1)})
 	fetches := 0
--- a/cluster/relay/topics.go
+++ b/cluster/relay/topics.go
@@ -8,46 +8,46 @@
 	"ravendale/cluster/wire"
 )
 
-// Limits of what Topics keeps beside the newest versions.
+// Limits and timing of Topics.
 const (
-	maxDeltas      = 8 // of a topic
-	repairDelay    = 300 * time.Millisecond
+	maxDeltas      = 8                      // kept for each topic
+	repairDelay    = 300 * time.Millisecond // from learning of a newer version to the first fetch
 	repairInterval = 400 * time.Millisecond // doubled with each further fetch of the same topic
 	maxDoublings   = 3
 )
 
-// ErrGap is returned for a delta from a version that is not at hand.
-var ErrGap = errors.New("relay: delta from a version that is not at hand")
+// ErrGap is returned for a delta whose base is not the topic's current version.
+var ErrGap = errors.New("relay: delta applies to another version than the current one")
 
-// Versions has the version of each topic.
+// Versions holds a version of each topic.
 type Versions [wire.TopicCount]wire.Version
 
-// VersionsOf reads a list as it comes in messages; what it lacks is the zero Version.
+// VersionsOf converts a list from a message; missing entries are the zero Version.
 func VersionsOf(list []wire.Version) Versions {
 	var versions Versions
 	copy(versions[:], list)
 	return versions
 }
 
-// List is the form that messages have.
+// List returns the versions as a list for a message.
 func (v Versions) List() []wire.Version { return append([]wire.Version(nil), v[:]...) }
 
 type topic struct {
 	version           wire.Version
 	payload           []byte
-	compressedPayload []byte        // the payload, compressed, once it was requested; nil if that is not shorter
-	compressed        bool          // short was made
-	deltas            []wire.Update // in order, the last ends at version
-	head              wire.Version  // the newest that was named
-	attempts          int           // fetches since then
-	next              time.Duration // when to fetch
-	corrupt           bool          // a delta did not fit: fetch the full topic
+	compressedPayload []byte        // nil until the full topic is requested, and if compression does not shorten it
+	compressionTried  bool          // compressedPayload was computed for this payload
+	deltas            []wire.Update // oldest first; the last one leads to version
+	head              wire.Version  // the newest version that is known to exist
+	attempts          int           // fetches since a version went missing
+	fetchAt           time.Duration // time of the next fetch
+	corrupt           bool          // a delta could not be applied: fetch the full topic
 }
 
-// Topics holds the newest version of each topic, and the changes that led to it lately.
+// Topics holds the newest version of each topic and the recent deltas that led to it.
 type Topics struct{ topics [wire.TopicCount]topic }
 
-// Versions are the newest at hand.
+// Versions returns the current version of each topic.
 func (t *Topics) Versions() Versions {
 	var versions Versions
 	for i := range t.topics {
@@ -56,17 +56,17 @@
 	return versions
 }
 
-// Payload is the newest payload of a topic. It is shared: nobody may change it.
+// Payload returns the newest payload of a topic. It is shared and must not be modified.
 func (t *Topics) Payload(which wire.Topic) []byte { return t.topics[which].payload }
 
-// Publish sets a topic's newest version, and says whether it is newer than what was at hand.
+// Publish sets a topic's newest version, and reports whether it is newer than the current one.
 func (t *Topics) Publish(which wire.Topic, version wire.Version, payload []byte) bool {
 	topic := &t.topics[which]
 	if !topic.version.Less(version) {
 		return false
 	}
-	if change, ok := difference(topic, which, version, payload); ok {
-		topic.remember(change, len(payload))
+	if change, ok := makeDelta(topic, which, version, payload); ok {
+		topic.addDelta(change, len(payload))
 	} else {
 		topic.deltas = nil
 	}
@@ -76,22 +76,22 @@
 
 func (t *topic) set(version wire.Version, payload []byte) {
 	t.version, t.payload = version, payload
-	t.compressedPayload, t.compressed = nil, false
+	t.compressedPayload, t.compressionTried = nil, false
 }
 
-// update brings the full topic.
+// update returns an update with the full topic, compressed if that is shorter.
 func (t *topic) update(which wire.Topic) wire.Update {
-	if !t.compressed && len(t.payload) >= minCompressedSize {
+	if !t.compressionTried && len(t.payload) >= minCompressedSize {
 		t.compressedPayload = compress(t.payload)
 	}
-	t.compressed = true
+	t.compressionTried = true
 	if t.compressedPayload != nil {
 		return wire.Update{Topic: which, To: t.version, Compressed: true, Payload: t.compressedPayload}
 	}
 	return wire.Update{Topic: which, To: t.version, Payload: t.payload}
 }
 
-func difference(topic *topic, which wire.Topic, version wire.Version, full []byte) (wire.Update, bool) {
+func makeDelta(topic *topic, which wire.Topic, version wire.Version, full []byte) (wire.Update, bool) {
 	if topic.payload == nil {
 		return wire.Update{}, false
 	}
@@ -102,8 +102,9 @@
 	return wire.Update{Topic: which, From: topic.version, To: version, Delta: true, Payload: payload}, true
 }
 
-// remember keeps a change as long as all those kept are less than the full topic.
-func (t *topic) remember(change wire.Update, fullSize int) {
+// addDelta appends a delta. It drops the oldest ones so that at most maxDeltas remain and their total size does not
+// exceed the full topic's.
+func (t *topic) addDelta(change wire.Update, fullSize int) {
 	t.deltas = append(t.deltas, change)
 	size := 0
 	for i := len(t.deltas) - 1; i >= 0; i-- {
@@ -115,7 +116,7 @@
 	}
 }
 
-// Apply takes an update, and says whether it brought something newer.
+// Apply applies an update, and reports whether that changed the topic to a newer version.
 func (t *Topics) Apply(update *wire.Update) (bool, error) {
 	if update.Topic >= wire.TopicCount {
 		return false, nil
@@ -141,12 +142,12 @@
 		topic.corrupt = true
 		return false, err
 	}
-	topic.remember(*update, len(payload))
+	topic.addDelta(*update, len(payload))
 	topic.set(update.To, payload)
 	return true, nil
 }
 
-// UpdatesFor is what brings one that has a version to the newest: nothing, deltas, or the full topic.
+// UpdatesFor returns the updates that lead from version have to the newest one: none, deltas, or the full topic.
 func (t *Topics) UpdatesFor(which wire.Topic, have wire.Version) []wire.Update {
 	topic := &t.topics[which]
 	if !have.Less(topic.version) {
@@ -160,7 +161,7 @@
 	return []wire.Update{topic.update(which)}
 }
 
-// Answer replies to a Fetch.
+// Answer returns the answer to a Fetch, which is always a single update.
 func (t *Topics) Answer(fetch *wire.Fetch) wire.Update {
 	if fetch.Topic >= wire.TopicCount {
 		return wire.Update{Topic: fetch.Topic}
@@ -175,15 +176,15 @@
 	return t.topics[fetch.Topic].update(fetch.Topic)
 }
 
-// Named takes note of versions that exist somewhere.
+// Named records versions that are known to exist. Repairs returns those that do not arrive.
 func (t *Topics) Named(now time.Duration, heads []wire.Version) {
 	for i, head := range VersionsOf(heads) {
 		topic := &t.topics[i]
 		if !topic.head.Less(head) {
 			continue
 		}
-		if !topic.version.Less(topic.head) { // nothing was missing so far
-			topic.attempts, topic.next = 0, now+repairDelay
+		if !topic.version.Less(topic.head) { // the topic was up to date so far
+			topic.attempts, topic.fetchAt = 0, now+repairDelay
 		}
 		topic.head = head
 	}
@@ -193,17 +194,17 @@
 type Repair struct {
 	Topic    wire.Topic
 	Have     wire.Version
-	Head     wire.Version // that was named
-	Attempts int          // fetches of it before
+	Head     wire.Version // newest version known to exist
+	Attempts int          // earlier fetches since a version went missing
 }
 
-// Repairs lists what has been missing for too long, each again after a while that doubles: an answer that is slow to come is not hastened
-// by another one behind it.
+// Repairs returns the topics whose newest version has been missing for too long. The interval between fetches of a
+// topic doubles up to maxDoublings times, since a further request does not speed up an answer that is slow to arrive.
 func (t *Topics) Repairs(now time.Duration) []Repair {
 	var repairs []Repair
 	for i := range t.topics {
 		topic := &t.topics[i]
-		if !topic.version.Less(topic.head) || now < topic.next {
+		if !topic.version.Less(topic.head) || now < topic.fetchAt {
 			continue
 		}
 		repair := Repair{Topic: wire.Topic(i), Head: topic.head, Attempts: topic.attempts}
@@ -211,20 +212,20 @@
 			repair.Have = topic.version
 		}
 		repairs = append(repairs, repair)
-		topic.next = now + repairInterval<<min(topic.attempts, maxDoublings)
+		topic.fetchAt = now + repairInterval<<min(topic.attempts, maxDoublings)
 		topic.attempts++
 	}
 	return repairs
 }
 
-// Next is when Repairs has something to say, if nothing happens before.
+// Next returns when Repairs is due if no event occurs before, and whether it is due at all.
 func (t *Topics) Next() (time.Duration, bool) {
 	var next time.Duration
 	found := false
 	for i := range t.topics {
 		topic := &t.topics[i]
-		if topic.version.Less(topic.head) && (!found || topic.next < next) {
-			next, found = topic.next, true
+		if topic.version.Less(topic.head) && (!found || topic.fetchAt < next) {
+			next, found = topic.fetchAt, true
 		}
 	}
 	return next, found
--- a/cluster/relay/topics_test.go
+++ b/cluster/relay/topics_test.go
@@ -19,7 +19,7 @@
 	return append(bytes.Repeat([]byte("what stays alike. "), 40), byte(sequence))
 }
 
-func unpaced(int) bool { return true }
+func allowAll(int) bool { return true }
 
 func publish(topics *Topics, sequences ...uint64) {
 	for _, sequence := range sequences {
@@ -27,7 +27,7 @@
 	}
 }
 
-func TestOnlyNewerVersionsAreTaken(t *testing.T) {
+func TestOlderVersionsAreIgnored(t *testing.T) {
 	var topics Topics
 	require.True(t, topics.Publish(wire.TopicConfig, version(2), payload(2)))
 	require.False(t, topics.Publish(wire.TopicConfig, version(2), payload(9)))
@@ -38,7 +38,7 @@
 	require.Equal(t, payload(2), topics.Payload(wire.TopicConfig))
 }
 
-func TestAChildGetsTheChangesSinceItsVersion(t *testing.T) {
+func TestUpdatesForReturnsDeltas(t *testing.T) {
 	var parent Topics
 	publish(&parent, 1, 2, 3)
 	updates := parent.UpdatesFor(wire.TopicWorkers, version(1))
@@ -58,7 +58,7 @@
 	require.Empty(t, parent.UpdatesFor(wire.TopicWorkers, version(3)))
 }
 
-func TestAChangeOfAnotherVersionIsAGap(t *testing.T) {
+func TestApplyDeltaOfOtherVersion(t *testing.T) {
 	var parent, child Topics
 	publish(&parent, 1, 2, 3)
 	publish(&child, 1)
@@ -67,7 +67,7 @@
 	require.Equal(t, version(1), child.Versions()[wire.TopicWorkers])
 }
 
-func TestADeltaThatDoesNotFitLeadsToTheFullTopic(t *testing.T) {
+func TestCorruptDeltaFetchesFullTopic(t *testing.T) {
 	var parent, child Topics
 	publish(&parent, 1, 2)
 	child.Publish(wire.TopicWorkers, version(1), []byte("something else altogether"))
@@ -76,7 +76,7 @@
 	require.Error(t, err)
 	child.Named(0, headOf(&update))
 	repairs := child.Repairs(repairDelay)
-	require.Equal(t, []Repair{{Topic: wire.TopicWorkers, Head: version(2)}}, repairs, "asked for whole")
+	require.Equal(t, []Repair{{Topic: wire.TopicWorkers, Head: version(2)}}, repairs, "the full topic is fetched")
 	answer := parent.Answer(&wire.Fetch{Topic: wire.TopicWorkers, Have: repairs[0].Have})
 	newer, err := child.Apply(&answer)
 	require.NoError(t, err)
@@ -84,7 +84,7 @@
 	require.Equal(t, payload(2), child.Payload(wire.TopicWorkers))
 }
 
-func TestWhatStaysMissingIsFetched(t *testing.T) {
+func TestRepairsAfterDelay(t *testing.T) {
 	var topics Topics
 	publish(&topics, 1)
 	_, due := topics.Next()
@@ -105,14 +105,14 @@
 	require.False(t, due)
 }
 
-func TestAnUpdateOnItsWayIsNotFetched(t *testing.T) {
+func TestNoRepairAfterUpdateArrives(t *testing.T) {
 	var topics Topics
 	topics.Named(0, Versions{wire.TopicWorkers: version(2)}.List())
 	publish(&topics, 2)
 	require.Empty(t, topics.Repairs(time.Hour))
 }
 
-func TestAnswersAreOneUpdate(t *testing.T) {
+func TestAnswerIsOneUpdate(t *testing.T) {
 	var topics Topics
 	publish(&topics, 1, 2, 3)
 	answer := topics.Answer(&wire.Fetch{Topic: wire.TopicWorkers, Have: version(3)})
@@ -128,7 +128,7 @@
 	require.NoError(t, err)
 }
 
-func TestKeptChangesAreBounded(t *testing.T) {
+func TestDeltasAreBounded(t *testing.T) {
 	var topics Topics
 	for sequence := range uint64(100) {
 		publish(&topics, sequence+1)
@@ -138,30 +138,31 @@
 	require.Len(t, updates, maxDeltas)
 }
 
-func TestChildrenAreSentEachVersionOnce(t *testing.T) {
+func TestPushSendsEachVersionOnce(t *testing.T) {
 	var topics Topics
 	children := NewChildren[string](2)
 	require.True(t, children.Add("a", Versions{}))
 	require.True(t, children.Add("b", Versions{wire.TopicWorkers: version(1)}))
-	require.False(t, children.Add("c", Versions{}), "it is full")
-	require.True(t, children.Add("b", Versions{wire.TopicWorkers: version(1)}), "who is in may ask again")
+	require.False(t, children.Add("c", Versions{}), "the set is full")
+	require.True(t, children.Add("b", Versions{wire.TopicWorkers: version(1)}), "a child may subscribe again")
 	publish(&topics, 1)
-	sends, deferred := children.Push(&topics, unpaced)
+	sends, deferred := children.Push(&topics, allowAll)
 	require.False(t, deferred)
 	require.Len(t, sends, 1)
 	require.Equal(t, "a", sends[0].Child)
-	again, _ := children.Push(&topics, unpaced)
+	again, _ := children.Push(&topics, allowAll)
 	require.Empty(t, again)
 	children.Remove("a")
 	publish(&topics, 2)
-	sends, _ = children.Push(&topics, unpaced)
+	sends, _ = children.Push(&topics, allowAll)
 	require.Len(t, sends, 1)
 	require.Equal(t, "b", sends[0].Child)
 	require.True(t, children.Add("c", Versions{}))
 }
 
-// TestAChainOfProcessesEndsAlike loses updates between a parent and a child at will; named heads and fetches repair it.
-func TestAChainOfProcessesEndsAlike(t *testing.T) {
+// TestChildConvergesDespiteLostUpdates drops random updates between a parent and a child, which then repairs them by
+// heads and fetches.
+func TestChildConvergesDespiteLostUpdates(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var parent, child Topics
 		now, last := time.Duration(0), wire.Version{}
@@ -169,14 +170,14 @@
 		children.Add("child", Versions{})
 		for sequence := range rapid.Uint64Range(1, 20).Draw(t, "versions") {
 			publish(&parent, sequence+1)
-			sends, _ := children.Push(&parent, unpaced)
+			sends, _ := children.Push(&parent, allowAll)
 			for _, send := range sends {
 				if rapid.Bool().Draw(t, "arrives") {
 					_, _ = child.Apply(send.Update)
 				}
 			}
 			got := child.Versions()[wire.TopicWorkers]
-			require.False(t, got.Less(last), "it went back")
+			require.False(t, got.Less(last), "the version decreased")
 			last = got
 		}
 		child.Named(now, parent.Versions().List())
--- a/cluster/relay/tree.go
+++ b/cluster/relay/tree.go
@@ -2,12 +2,13 @@
 
 import "ravendale/cluster/wire"
 
-// fanOut is how many children a process is given in the tree.
+// fanOut is the number of children that the tree assigns to a process, within its zone and among zones each.
 const fanOut = 8
 
-// Parents lists the addresses that a process may hang on, the best first; the leader's is the last. The leader feeds the first
-// scheduler of each zone, or if there are many zones a heap of them; within a zone the schedulers form a heap. A store hangs on
-// the leader, or on the first scheduler of its zone where there are more than FanOut stores.
+// Parents returns the addresses of a process's possible parents, in order of preference; the leader is the last. Within
+// a zone the schedulers form a heap with fanOut children each. The first scheduler of a zone subscribes to the leader;
+// if there are more than fanOut zones, their first schedulers form a heap of the same kind. A store subscribes to the
+// leader, or, if there are more than fanOut stores, to the first scheduler of its zone.
 func Parents(self wire.Member, members *wire.Members, stores int, leader string) []string {
 	var parents []string
 	if members != nil {
@@ -15,7 +16,7 @@
 		if self.Edge {
 			parents = edgeParents(self, zones)
 		} else if stores > fanOut {
-			parents = zoneHead(self, zones)
+			parents = firstInZone(self, zones)
 		}
 	}
 	parents = append(parents, leader)
@@ -27,7 +28,7 @@
 	edges []wire.Edge
 }
 
-// byZone cuts the list, which is ordered by zone, at the zones' borders.
+// byZone splits the list, which is ordered by zone, into zones.
 func byZone(edges []wire.Edge) []zone {
 	var zones []zone
 	for i := range edges {
@@ -41,7 +42,7 @@
 	return zones
 }
 
-func zoneHead(self wire.Member, zones []zone) []string {
+func firstInZone(self wire.Member, zones []zone) []string {
 	for _, zone := range zones {
 		if zone.name == self.Zone {
 			return []string{zone.edges[0].Address}
@@ -56,10 +57,10 @@
 			continue
 		}
 		position := indexOf(zone.edges, self.ID)
-		if position < 0 { // it is not a member yet
+		if position < 0 { // the process is not in the list of members yet
 			return []string{zone.edges[0].Address}
 		}
-		return append(withinZone(zone.edges, position), amongHeads(zones, z)...)
+		return append(parentsWithinZone(zone.edges, position), parentsAmongZones(zones, z)...)
 	}
 	return nil
 }
@@ -73,7 +74,7 @@
 	return -1
 }
 
-func withinZone(edges []wire.Edge, position int) []string {
+func parentsWithinZone(edges []wire.Edge, position int) []string {
 	var parents []string
 	for position > 0 {
 		position = (position - 1) / fanOut
@@ -82,7 +83,7 @@
 	return parents
 }
 
-func amongHeads(zones []zone, z int) []string {
+func parentsAmongZones(zones []zone, z int) []string {
 	var parents []string
 	for z >= fanOut {
 		z = z/fanOut - 1
@@ -91,14 +92,14 @@
 	return parents
 }
 
-func distinct(addresses []string, without string) []string {
-	seen := map[string]bool{"": true, without: true}
-	kept := addresses[:0]
+func distinct(addresses []string, exclude string) []string {
+	seen := map[string]bool{"": true, exclude: true}
+	result := addresses[:0]
 	for _, address := range addresses {
 		if !seen[address] {
 			seen[address] = true
-			kept = append(kept, address)
+			result = append(result, address)
 		}
 	}
-	return kept
+	return result
 }
--- a/cluster/relay/tree_test.go
+++ b/cluster/relay/tree_test.go
@@ -27,26 +27,26 @@
 	return wire.Member{ID: edge.ID, Node: edge.Node, Address: edge.Address, Zone: edge.Zone, Edge: true}
 }
 
-func TestFirstEdgesOfZonesHangOnTheLeader(t *testing.T) {
+func TestParentsOfFirstEdgePerZone(t *testing.T) {
 	members := edgesIn(20, 3)
 	require.Equal(t, []string{leader}, Parents(selfOf(members.Edges[0]), members, 0, leader))
 	require.Equal(t, []string{leader}, Parents(selfOf(members.Edges[20]), members, 0, leader))
 	require.Equal(t, []string{"z01-00:1", leader}, Parents(selfOf(members.Edges[21]), members, 0, leader))
 }
 
-func TestWithinAZoneEdgesFormAHeap(t *testing.T) {
+func TestParentsWithinZone(t *testing.T) {
 	members := edgesIn(20)
 	require.Equal(t, []string{"z00-00:1", leader}, Parents(selfOf(members.Edges[8]), members, 0, leader))
 	require.Equal(t, []string{"z00-01:1", "z00-00:1", leader}, Parents(selfOf(members.Edges[9]), members, 0, leader))
 }
 
-func TestManyZonesFormAHeapOfTheirFirstEdges(t *testing.T) {
+func TestParentsAmongManyZones(t *testing.T) {
 	members := edgesIn(1, 1, 1, 1, 1, 1, 1, 1, 1, 1)
 	require.Equal(t, []string{leader}, Parents(selfOf(members.Edges[7]), members, 0, leader))
 	require.Equal(t, []string{"z00-00:1", leader}, Parents(selfOf(members.Edges[8]), members, 0, leader))
 }
 
-func TestWhoIsNotListedYetHangsOnItsZone(t *testing.T) {
+func TestParentsOfUnlistedEdge(t *testing.T) {
 	members := edgesIn(2)
 	fresh := wire.Member{ID: "x", Address: "x:1", Zone: "z00", Edge: true}
 	require.Equal(t, []string{"z00-00:1", leader}, Parents(fresh, members, 0, leader))
@@ -55,14 +55,14 @@
 	require.Equal(t, []string{leader}, Parents(fresh, members, 0, leader))
 }
 
-func TestStoresHangOnTheLeaderUnlessTheyAreMany(t *testing.T) {
+func TestParentsOfStores(t *testing.T) {
 	members := edgesIn(2)
 	store := wire.Member{ID: "s", Address: "s:1", Zone: "z00", Storage: true}
 	require.Equal(t, []string{leader}, Parents(store, members, fanOut, leader))
 	require.Equal(t, []string{"z00-00:1", leader}, Parents(store, members, fanOut+1, leader))
 }
 
-func TestTheTreeHasBoundedFanOutAndNoCycle(t *testing.T) {
+func TestTreeHasBoundedFanOutAndNoCycle(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		zones := rapid.SliceOfN(rapid.IntRange(1, 40), 1, 30).Draw(t, "zones")
 		members := edgesIn(zones...)
--- a/cluster/relay/uplink.go
+++ b/cluster/relay/uplink.go
@@ -5,49 +5,52 @@
 	"time"
 )
 
-// Times of an Uplink.
+// Timing of an Uplink.
 const (
-	joinTimeout       = 400 * time.Millisecond // connect and subscribe
-	failureTimeout    = 1200 * time.Millisecond
-	switchDelay       = 500 * time.Millisecond // before a parent that serves is left for a better one
-	retryPause        = 150 * time.Millisecond // after all parents failed
-	betterParentRetry = 10 * time.Second       // a better parent that failed is tried again
+	joinTimeout       = 400 * time.Millisecond  // to connect and subscribe
+	failureTimeout    = 1200 * time.Millisecond // without a message from the parent
+	switchDelay       = 500 * time.Millisecond  // average delay before a working parent is left for a better one
+	retryPause        = 150 * time.Millisecond  // average pause after all parents failed
+	betterParentRetry = 10 * time.Second        // average delay before a better parent that failed is tried again
 )
 
-// Uplink decides which parent a process hangs on. It is pure: time and events go in, Target comes out.
+// Uplink selects the parent that a process subscribes to. It does no I/O: its inputs are the time and events, its
+// output is Target.
 type Uplink struct {
-	random  *rand.Rand
-	parents []string
-	target  string
-	at      int // of target in parents; -1 if it is not there
-	joined  bool
-	heard   time.Duration
-	due     time.Duration // joined: look for a better parent, 0 never; else: give up, or with no target, start over
+	random       *rand.Rand
+	parents      []string
+	target       string
+	index        int // of target in parents; -1 if it is not listed
+	joined       bool
+	lastReceived time.Duration
+	due          time.Duration // joined: when to try a better parent (0: never); else: time-out, or when to start over
 }
 
-// NewUplink makes an Uplink without parents. The random source spreads the moves of many processes.
-func NewUplink(random *rand.Rand) *Uplink { return &Uplink{random: random, at: -1} }
+// NewUplink returns an Uplink without parents. The random source adds jitter, so that many processes do not switch at
+// once.
+func NewUplink(random *rand.Rand) *Uplink { return &Uplink{random: random, index: -1} }
 
-// Target is the address to be connected to; empty: none.
+// Target returns the address to connect to; empty means none.
 func (u *Uplink) Target() string { return u.target }
 
-// Joined says whether the target took this process as its child.
+// Joined reports whether the target has accepted this process as a child.
 func (u *Uplink) Joined() bool { return u.joined }
 
-// SetParents gives the parents, the best first. One that serves is left only after a while, unless it is not listed any more.
+// SetParents sets the parents in order of preference. A working parent is left for a better one only after switchDelay,
+// but at once if it is no longer listed.
 func (u *Uplink) SetParents(now time.Duration, parents []string) {
 	if equal(parents, u.parents) && u.target != "" {
 		return
 	}
 	u.parents = parents
-	u.at = position(parents, u.target)
+	u.index = position(parents, u.target)
 	switch {
-	case u.at < 0 || !u.joined:
+	case u.index < 0 || !u.joined:
 		u.attempt(now, 0)
-	case u.at == 0:
+	case u.index == 0:
 		u.due = 0
 	default:
-		u.due = now + u.spread(switchDelay)
+		u.due = now + u.jitter(switchDelay)
 	}
 }
 
@@ -72,52 +75,52 @@
 	return -1
 }
 
-func (u *Uplink) spread(around time.Duration) time.Duration {
-	return around/2 + time.Duration(u.random.Int64N(int64(around)))
+func (u *Uplink) jitter(mean time.Duration) time.Duration {
+	return mean/2 + time.Duration(u.random.Int64N(int64(mean)))
 }
 
-func (u *Uplink) attempt(now time.Duration, at int) {
+func (u *Uplink) attempt(now time.Duration, index int) {
 	u.joined = false
-	if at >= len(u.parents) {
-		u.target, u.at = "", -1
-		u.due = now + u.spread(retryPause)
+	if index >= len(u.parents) {
+		u.target, u.index = "", -1
+		u.due = now + u.jitter(retryPause)
 		return
 	}
-	u.target, u.at = u.parents[at], at
+	u.target, u.index = u.parents[index], index
 	u.due = now + joinTimeout
 }
 
-// Accepted tells that the target took this process as its child.
+// Accepted records that a parent has accepted this process as a child.
 func (u *Uplink) Accepted(now time.Duration, address string) {
 	if address != u.target || u.joined {
 		return
 	}
-	u.joined, u.heard, u.due = true, now, 0
-	if u.at > 0 {
-		u.due = now + u.spread(betterParentRetry)
+	u.joined, u.lastReceived, u.due = true, now, 0
+	if u.index > 0 {
+		u.due = now + u.jitter(betterParentRetry)
 	}
 }
 
-// Heard tells that the target said something.
+// Heard records that a message was received from a parent.
 func (u *Uplink) Heard(now time.Duration, address string) {
 	if address == u.target {
-		u.heard = now
+		u.lastReceived = now
 	}
 }
 
-// Failed tells that the target can't be connected, refused, or that the connection ended.
+// Failed records that a connect to a parent failed, that the parent refused this process, or that the connection ended.
 func (u *Uplink) Failed(now time.Duration, address string) {
 	if address != "" && address == u.target {
 		u.fail(now)
 	}
 }
 
-func (u *Uplink) fail(now time.Duration) { u.attempt(now, u.at+1) }
+func (u *Uplink) fail(now time.Duration) { u.attempt(now, u.index+1) }
 
-// Tick acts on what is due.
+// Tick handles time-outs.
 func (u *Uplink) Tick(now time.Duration) {
 	switch {
-	case u.joined && now-u.heard >= failureTimeout:
+	case u.joined && now-u.lastReceived >= failureTimeout:
 		u.fail(now)
 	case u.joined && u.due > 0 && now >= u.due:
 		u.attempt(now, 0)
@@ -129,13 +132,13 @@
 	}
 }
 
-// Next is when Tick has something to do, if nothing happens before.
+// Next returns when Tick is due if no event occurs before, and whether it is due at all.
 func (u *Uplink) Next() (time.Duration, bool) {
 	if !u.joined {
 		return u.due, u.target != "" || len(u.parents) > 0
 	}
 	if u.due > 0 {
-		return min(u.due, u.heard+failureTimeout), true
+		return min(u.due, u.lastReceived+failureTimeout), true
 	}
-	return u.heard + failureTimeout, true
+	return u.lastReceived + failureTimeout, true
 }
--- a/cluster/relay/uplink_test.go
+++ b/cluster/relay/uplink_test.go
@@ -10,7 +10,7 @@
 
 func newTestUplink() *Uplink { return NewUplink(rand.New(rand.NewPCG(1, 2))) }
 
-func TestTheBestParentIsTriedFirstAndAncestorsNext(t *testing.T) {
+func TestUplinkTriesParentsInOrder(t *testing.T) {
 	u := newTestUplink()
 	require.Empty(t, u.Target())
 	u.SetParents(0, []string{"a", "b", leader})
@@ -18,14 +18,14 @@
 	u.Failed(10*ms, "a")
 	require.Equal(t, "b", u.Target())
 	u.Tick(10*ms + joinTimeout)
-	require.Equal(t, leader, u.Target(), "b said nothing")
+	require.Equal(t, leader, u.Target(), "b did not answer")
 	u.Accepted(450*ms, leader)
 	require.True(t, u.Joined())
 	u.Failed(460*ms, "a")
-	require.Equal(t, leader, u.Target(), "an old connection says nothing")
+	require.Equal(t, leader, u.Target(), "events of a former target are ignored")
 }
 
-func TestAnUnresponsiveParentIsLeft(t *testing.T) {
+func TestUplinkLeavesUnresponsiveParent(t *testing.T) {
 	u := newTestUplink()
 	u.SetParents(0, []string{"a", leader})
 	u.Accepted(0, "a")
@@ -39,7 +39,7 @@
 	require.False(t, u.Joined())
 }
 
-func TestAllParentsAreTriedAgainAfterAPause(t *testing.T) {
+func TestUplinkRetriesAfterAllParentsFailed(t *testing.T) {
 	u := newTestUplink()
 	u.SetParents(0, []string{leader})
 	u.Failed(0, leader)
@@ -52,12 +52,12 @@
 	require.Equal(t, leader, u.Target())
 }
 
-func TestABetterParentIsTakenAfterAWhile(t *testing.T) {
+func TestUplinkSwitchesToBetterParent(t *testing.T) {
 	u := newTestUplink()
 	u.SetParents(0, []string{leader})
 	u.Accepted(0, leader)
 	u.SetParents(0, []string{"a", leader})
-	require.Equal(t, leader, u.Target(), "the one that serves is kept for now")
+	require.Equal(t, leader, u.Target(), "the working parent is kept for now")
 	u.Heard(2*switchDelay, leader)
 	at, _ := u.Next()
 	u.Tick(at)
@@ -75,10 +75,10 @@
 		}
 		at += 500 * ms
 	}
-	t.Fatal("it is never tried again")
+	t.Fatal("the better parent was not tried again")
 }
 
-func TestAParentThatIsNotListedAnyMoreIsLeftAtOnce(t *testing.T) {
+func TestUplinkLeavesRemovedParent(t *testing.T) {
 	u := newTestUplink()
 	u.SetParents(0, []string{"old", leader})
 	u.Accepted(0, "old")
@@ -86,7 +86,7 @@
 	require.Equal(t, "new", u.Target())
 }
 
-func TestTheSameParentsChangeNothing(t *testing.T) {
+func TestUplinkKeepsTargetForSameParents(t *testing.T) {
 	u := newTestUplink()
 	u.SetParents(0, []string{"a", leader})
 	u.Failed(0, "a")
--- a/cluster/rpc/compat_test.go
+++ b/cluster/rpc/compat_test.go
@@ -11,11 +11,11 @@
 	"ravendale/cluster/wire"
 )
 
-// frames takes what a connection sends.
-type frames struct{ sent [][]byte }
+// frameLog is a Transport that records the frames that a connection sends.
+type frameLog struct{ sent [][]byte }
 
-func (f *frames) WriteFrame(frame []byte) { f.sent = append(f.sent, append([]byte(nil), frame...)) }
-func (f *frames) Close()                  {}
+func (f *frameLog) WriteFrame(frame []byte) { f.sent = append(f.sent, append([]byte(nil), frame...)) }
+func (f *frameLog) Close()                  {}
 
 func goldenFrame(t *testing.T, name string) []byte {
 	t.Helper()
@@ -24,15 +24,16 @@
 	return frame
 }
 
-// TestFramesKeepTheirEncoding holds each kind of frame to the bytes that the version before wrote, and has them read.
-func TestFramesKeepTheirEncoding(t *testing.T) {
-	var heard []wire.Fetch
+// TestFrameEncodingCompatibility compares each kind of frame with bytes written by the previous version, in both
+// directions.
+func TestFrameEncodingCompatibility(t *testing.T) {
+	var received []wire.Fetch
 	mux := NewMux()
 	Handle(mux, wire.MethodFetch, func(_ *Conn, message *wire.Fetch, reply Reply) {
-		heard = append(heard, *message)
+		received = append(received, *message)
 		reply.Send(&wire.SubscribeReply{Accepted: true})
 	})
-	written := &frames{}
+	written := &frameLog{}
 	conn := NewWithTransport(Options{Mux: mux}, written)
 	fetch := wire.Fetch{Topic: wire.TopicStores, Have: wire.Version{Term: 5, Sequence: 6}}
 
@@ -41,7 +42,7 @@
 	conn.Start(wire.MethodFetch, &fetch, func(payload []byte, err error) { answer = append([]byte(nil), payload...) })
 	conn.Start(wire.MethodRenew, nil, func(_ []byte, err error) { failure = err })
 	require.NoError(t, conn.Notify(wire.MethodFetch, &fetch))
-	require.NoError(t, conn.queue(framePing, 0, 0, nil))
+	require.NoError(t, conn.enqueue(framePing, 0, 0, nil))
 	conn.Deliver(goldenFrame(t, "request"))
 	conn.Deliver(goldenFrame(t, "notice"))
 	conn.Deliver(goldenFrame(t, "ping"))
@@ -50,7 +51,7 @@
 	conn.Deliver(goldenFrame(t, "error"))
 	conn.Deliver(goldenFrame(t, "unknown-request"))
 
-	require.Equal(t, []wire.Fetch{fetch, fetch}, heard)
+	require.Equal(t, []wire.Fetch{fetch, fetch}, received)
 	var reply wire.SubscribeReply
 	_, err := reply.UnmarshalMsg(answer)
 	require.NoError(t, err)
@@ -65,8 +66,8 @@
 	}
 }
 
-func TestAnErrorKeepsItsFrame(t *testing.T) {
-	written := &frames{}
+func TestErrorFrameCompatibility(t *testing.T) {
+	written := &frameLog{}
 	conn := NewWithTransport(Options{}, written)
 	Reply{conn: conn, method: wire.MethodRenew, call: 2, expected: true}.Fail(errors.New("no lease"))
 	require.Equal(t, [][]byte{goldenFrame(t, "error")}, written.sent)
