--- a/cluster/rpc/conn.go
+++ b/cluster/rpc/conn.go
@@ -15,22 +15,22 @@
 	"ravendale/cluster/wire"
 )
 
-// Bounds of a connection.
+// Limits of a connection.
 const (
-	maxQueued = 48 << 20 // bytes that wait to be written; more ends the connection
+	maxQueued = 48 << 20 // bytes waiting to be written; exceeding it closes the connection
 
-	maxKeptBuffer = 64 << 10 // larger buffers are given back after use
-	readBuffer    = 4 << 10
-	writeTimeout  = 10 * time.Second
+	maxReusedBuffer = 64 << 10 // bytes; larger buffers are released after use
+	readBuffer      = 4 << 10
+	writeTimeout    = 10 * time.Second
 )
 
-// Conn is a connection to a peer. Its methods may be called by any goroutine.
+// Conn is a connection to a peer. Its methods may be called from any goroutine.
 type Conn struct {
 	options      Options
-	socket       net.Conn // nil: the transport is used
+	socket       net.Conn // nil if transport is used
 	transport    Transport
 	tag          atomic.Value
-	lastReceived atomic.Int64 // steady time at which something was read last
+	lastReceived atomic.Int64 // monotonicNanos of the last read frame
 	done         chan struct{}
 
 	mu        sync.Mutex
@@ -42,23 +42,23 @@
 	pingTimer *time.Timer
 }
 
-var started = time.Now()
+var processStart = time.Now()
 
-func steady() int64 { return int64(time.Since(started)) }
+func monotonicNanos() int64 { return int64(time.Since(processStart)) }
 
 func newConn(socket net.Conn, options Options) *Conn {
 	c := &Conn{
 		options: options, socket: socket, done: make(chan struct{}), wake: make(chan struct{}, 1),
 	}
-	c.lastReceived.Store(steady())
+	c.lastReceived.Store(monotonicNanos())
 	return c
 }
 
 func (c *Conn) start() {
-	go c.write()
-	go c.read()
+	go c.writeLoop()
+	go c.readLoop()
 	c.mu.Lock()
-	c.pingTimer = time.AfterFunc(c.options.PingAfter, c.watch)
+	c.pingTimer = time.AfterFunc(c.options.PingAfter, c.checkLiveness)
 	c.mu.Unlock()
 }
 
@@ -74,13 +74,14 @@
 	return c, nil
 }
 
-// Tag returns what SetTag set, or nil.
+// Tag returns the value set by SetTag, or nil.
 func (c *Conn) Tag() any { return c.tag.Load() }
 
-// SetTag keeps a value with the connection, as who the peer is. All values of one connection must have the same type.
+// SetTag attaches a value to the connection, such as the peer's identity. All values of one connection must have the
+// same type.
 func (c *Conn) SetTag(value any) { c.tag.Store(value) }
 
-// RemoteAddress is the peer's address, for logs.
+// RemoteAddress returns the peer's address, for logs. It is empty for a connection over a Transport.
 func (c *Conn) RemoteAddress() string {
 	if c.socket == nil {
 		return ""
@@ -88,17 +89,17 @@
 	return c.socket.RemoteAddr().String()
 }
 
-// Done is closed once the connection is.
+// Done returns a channel that is closed when the connection is closed.
 func (c *Conn) Done() <-chan struct{} { return c.done }
 
-// Err is why the connection is closed, nil while it is open.
+// Err returns why the connection was closed, or nil while it is open.
 func (c *Conn) Err() error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.err
 }
 
-// OnClose has f called once the connection is closed, at once if it is.
+// OnClose registers f, which is called when the connection closes, or at once if it is closed already.
 func (c *Conn) OnClose(f func(error)) {
 	c.mu.Lock()
 	if err := c.err; err != nil {
@@ -110,7 +111,7 @@
 	c.mu.Unlock()
 }
 
-// Close ends the connection. Calls that wait fail with ErrClosed.
+// Close closes the connection. Pending calls fail with ErrClosed.
 func (c *Conn) Close() { c.fail(ErrClosed) }
 
 func (c *Conn) fail(err error) {
@@ -140,13 +141,14 @@
 	}
 }
 
-// Notify sends a message that gets no reply. Without an error it is queued, which promises nothing.
+// Notify queues a message that has no reply. A nil error does not mean that the message is delivered.
 func (c *Conn) Notify(method wire.Method, message msgp.Marshaler) error {
-	return c.queue(frameNotice, method, 0, message)
+	return c.enqueue(frameNotice, method, 0, message)
 }
 
-// Start sends a request. Done is called once, by the goroutine that reads the connection, so it must not wait for anything;
-// the payload is its only until it returns. No time limit is kept: the connection's end ends the call.
+// Start sends a request and returns without waiting for the reply. Done is called once, usually on the goroutine that
+// reads the connection, so it must not block; the payload is valid only until it returns. There is no time-out: the
+// call ends at the latest when the connection closes.
 func (c *Conn) Start(method wire.Method, request msgp.Marshaler, done func(payload []byte, err error)) {
 	c.begin(method, request, done)
 }
@@ -160,13 +162,13 @@
 	}
 	call := c.calls.add(done)
 	c.mu.Unlock()
-	if err := c.queue(frameRequest, method, call, request); err != nil {
+	if err := c.enqueue(frameRequest, method, call, request); err != nil {
 		c.complete(call, nil, err)
 	}
 	return call
 }
 
-// complete ends a call, if it has not ended.
+// complete ends a pending call; it does nothing if the call has ended.
 func (c *Conn) complete(call uint32, payload []byte, err error) {
 	c.mu.Lock()
 	done := c.calls.take(call)
@@ -176,7 +178,7 @@
 	}
 }
 
-// Call sends a request and waits for its reply, which it decodes into reply unless that is nil.
+// Call sends a request, waits for its reply, and decodes it into reply unless that is nil.
 func (c *Conn) Call(ctx context.Context, method wire.Method, request msgp.Marshaler, reply msgp.Unmarshaler) error {
 	result := make(chan error, 1)
 	call := c.begin(method, request, func(payload []byte, err error) {
@@ -191,10 +193,10 @@
 	case <-ctx.Done():
 	}
 	c.complete(call, nil, ctx.Err())
-	return <-result // the reply may just have been decoded
+	return <-result // the reply may have arrived just before complete
 }
 
-func (c *Conn) queue(kind frameKind, method wire.Method, call uint32, message msgp.Marshaler) error {
+func (c *Conn) enqueue(kind frameKind, method wire.Method, call uint32, message msgp.Marshaler) error {
 	c.mu.Lock()
 	if c.err != nil {
 		err := c.err
@@ -215,9 +217,9 @@
 		return nil
 	}
 	c.outbound = outbound
-	over := len(c.outbound) > maxQueued
+	overflow := len(c.outbound) > maxQueued
 	c.mu.Unlock()
-	if over {
+	if overflow {
 		c.fail(ErrOverflow)
 		return ErrOverflow
 	}
@@ -228,7 +230,7 @@
 	return nil
 }
 
-func (c *Conn) write() {
+func (c *Conn) writeLoop() {
 	var spare []byte
 	for {
 		select {
@@ -250,21 +252,21 @@
 			return
 		}
 		spare = nil
-		if cap(buffer) <= maxKeptBuffer {
+		if cap(buffer) <= maxReusedBuffer {
 			spare = buffer
 		}
 	}
 }
 
-// watch pings a quiet peer, and closes the connection to an unresponsive one.
-func (c *Conn) watch() {
-	quiet := time.Duration(steady() - c.lastReceived.Load())
+// checkLiveness pings a peer that has sent nothing for a while, and closes the connection to an unresponsive one.
+func (c *Conn) checkLiveness() {
+	quiet := time.Duration(monotonicNanos() - c.lastReceived.Load())
 	if quiet >= c.options.FailureTimeout {
 		c.fail(ErrUnresponsive)
 		return
 	}
 	if quiet >= c.options.PingAfter/2 {
-		_ = c.queue(framePing, 0, 0, nil)
+		_ = c.enqueue(framePing, 0, 0, nil)
 	}
 	c.mu.Lock()
 	if c.err == nil {
@@ -273,7 +275,7 @@
 	c.mu.Unlock()
 }
 
-func (c *Conn) read() {
+func (c *Conn) readLoop() {
 	reader := bufio.NewReaderSize(c.socket, readBuffer)
 	var header [headerSize]byte
 	var buffer []byte
@@ -287,7 +289,7 @@
 			c.fail(ErrTooLong)
 			return
 		}
-		if cap(buffer) < size || cap(buffer) > maxKeptBuffer && size <= maxKeptBuffer {
+		if cap(buffer) < size || cap(buffer) > maxReusedBuffer && size <= maxReusedBuffer {
 			buffer = make([]byte, size)
 		}
 		payload := buffer[:size]
@@ -295,7 +297,7 @@
 			c.fail(err)
 			return
 		}
-		c.lastReceived.Store(steady())
+		c.lastReceived.Store(monotonicNanos())
 		c.handle(frameKind(header[4]), wire.Method(binary.BigEndian.Uint16(header[5:])), binary.BigEndian.Uint32(header[7:]), payload)
 	}
 }
@@ -314,6 +316,6 @@
 	case frameError:
 		c.complete(call, nil, &RemoteError{Text: string(payload)})
 	case framePing:
-		_ = c.queue(framePong, 0, 0, nil)
+		_ = c.enqueue(framePong, 0, 0, nil)
 	}
 }
--- a/cluster/rpc/errors.go
+++ b/cluster/rpc/errors.go
@@ -11,8 +11,8 @@
 	ErrMethod       = errors.New("rpc: unknown method")
 )
 
-// RemoteError is what the other end answered in place of a reply.
+// RemoteError is an error that the other end sent instead of a reply.
 type RemoteError struct{ Text string }
 
-// Error gives the other end's text.
+// Error returns the other end's error text.
 func (e *RemoteError) Error() string { return "rpc: peer answered: " + e.Text }
--- a/cluster/rpc/frame.go
+++ b/cluster/rpc/frame.go
@@ -8,15 +8,15 @@
 	"ravendale/cluster/wire"
 )
 
-// MaxFrame is the size of a frame in bytes; a longer one ends the connection.
+// MaxFrame is the maximum size of a frame in bytes; a longer one closes the connection.
 const MaxFrame = 32 << 20
 
 const headerSize = 4 + 1 + 2 + 4 // length of the rest, kind, method, call
 
-// frameKind says what a frame is for. Its values stand on the wire.
+// frameKind is the kind of a frame. Its values are part of the wire format.
 type frameKind uint8
 
-// The kinds of frames. A request is answered by a reply or an error with its number, a notice by nothing.
+// The kinds of frames. A request is answered by a reply or an error with the same call number; a notice has no answer.
 const (
 	frameRequest frameKind = iota
 	frameNotice
@@ -26,7 +26,7 @@
 	framePong
 )
 
-// appendFrame appends a frame to a buffer. After an error what it appended means nothing.
+// appendFrame appends a frame to a buffer. After an error the appended bytes are invalid.
 func appendFrame(buffer []byte, kind frameKind, method wire.Method, call uint32, message msgp.Marshaler) ([]byte, error) {
 	at := len(buffer)
 	buffer = append(buffer, 0, 0, 0, 0, byte(kind))
--- a/cluster/rpc/link.go
+++ b/cluster/rpc/link.go
@@ -7,46 +7,46 @@
 	"time"
 )
 
-// Pauses between attempts to connect: the first, and the longest as it doubles.
+// Average pauses between attempts to connect: the first one, and the maximum when doubling it.
 const (
 	minRetryPause = 30 * time.Millisecond
-	maxRetryPause = 150 * time.Millisecond // a process that is back serves nobody until they are connected
+	maxRetryPause = 150 * time.Millisecond // short, since a restarted process can serve its peers only once they are connected
 )
 
-// Link keeps a connection to one address: it connects again whenever that is lost, until it is closed.
+// Link maintains a connection to one address: it reconnects whenever the connection is lost, until it is closed.
 type Link struct {
-	address string
-	options Options
-	onUp    func(*Conn)
-	onDown  func(error)
-	cancel  context.CancelFunc
-	hurried chan struct{}
+	address   string
+	options   Options
+	onUp      func(*Conn)
+	onDown    func(error)
+	cancel    context.CancelFunc
+	reconnect chan struct{}
 
-	mu     sync.Mutex
-	conn   *Conn
-	giveUp context.CancelFunc // of the connect that is under way; nil: none is
+	mu         sync.Mutex
+	conn       *Conn
+	cancelDial context.CancelFunc // cancels the connect in progress; nil if there is none
 }
 
-// NewLink starts a link. OnUp and onDown, which may be nil, are called in turn, on a goroutine of the link; onDown also for a
-// connect that failed.
+// NewLink starts a link. OnUp is called with each new connection, onDown when it is lost and for each failed connect.
+// Both are called on the link's goroutine and may be nil.
 func NewLink(address string, options Options, onUp func(*Conn), onDown func(error)) *Link {
 	ctx, cancel := context.WithCancel(context.Background())
-	l := &Link{address: address, options: options.withDefaults(), onUp: onUp, onDown: onDown, cancel: cancel, hurried: make(chan struct{}, 1)}
+	l := &Link{address: address, options: options.withDefaults(), onUp: onUp, onDown: onDown, cancel: cancel, reconnect: make(chan struct{}, 1)}
 	go l.run(ctx)
 	return l
 }
 
-// Address is the peer's.
+// Address returns the peer's address.
 func (l *Link) Address() string { return l.address }
 
-// Conn is the connection, nil while there is none.
+// Conn returns the current connection, or nil while there is none.
 func (l *Link) Conn() *Conn {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.conn
 }
 
-// Close ends the link and its connection.
+// Close closes the link and its connection.
 func (l *Link) Close() {
 	l.cancel()
 	if c := l.Conn(); c != nil {
@@ -54,8 +54,8 @@
 	}
 }
 
-// Hurry has a link that is down connect anew at once: the peer is known to be back. A connect that began before, and may wait
-// for what was lost on its way, is given up.
+// Hurry makes a link without a connection reconnect at once, because the peer is known to be available again. A
+// connect in progress is cancelled: it may be waiting for the retransmission of a lost packet.
 func (l *Link) Hurry() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -63,23 +63,23 @@
 		return
 	}
 	select {
-	case l.hurried <- struct{}{}:
+	case l.reconnect <- struct{}{}:
 	default:
 	}
-	if l.giveUp != nil {
-		l.giveUp()
+	if l.cancelDial != nil {
+		l.cancelDial()
 	}
 }
 
 func (l *Link) dial(ctx context.Context) (*Conn, error) {
-	ctx, giveUp := context.WithCancel(ctx)
-	defer giveUp()
+	ctx, cancel := context.WithCancel(ctx)
+	defer cancel()
 	l.mu.Lock()
-	l.giveUp = giveUp
+	l.cancelDial = cancel
 	l.mu.Unlock()
 	conn, err := Dial(ctx, l.address, l.options)
 	l.mu.Lock()
-	l.giveUp = nil
+	l.cancelDial = nil
 	l.mu.Unlock()
 	return conn, err
 }
@@ -90,7 +90,7 @@
 		conn, err := l.dial(ctx)
 		if err == nil {
 			pause = minRetryPause
-			err = l.hold(ctx, conn)
+			err = l.holdUntilClosed(ctx, conn)
 		}
 		if l.onDown != nil && ctx.Err() == nil {
 			l.onDown(err)
@@ -98,17 +98,17 @@
 		select {
 		case <-time.After(pause/2 + rand.N(pause)):
 			pause = min(2*pause, maxRetryPause)
-		case <-l.hurried:
+		case <-l.reconnect:
 			pause = minRetryPause
 		case <-ctx.Done():
 		}
 	}
 }
 
-func (l *Link) hold(ctx context.Context, conn *Conn) error {
+func (l *Link) holdUntilClosed(ctx context.Context, conn *Conn) error {
 	l.set(conn)
 	select {
-	case <-l.hurried: // it came while the connect was under way
+	case <-l.reconnect: // a Hurry during the connect is obsolete
 	default:
 	}
 	if l.onUp != nil {
--- a/cluster/rpc/mux.go
+++ b/cluster/rpc/mux.go
@@ -6,21 +6,21 @@
 	"ravendale/cluster/wire"
 )
 
-// Handler takes what a peer sent, on the goroutine that reads the connection: it must not wait for anything, and the payload
-// is its only until it returns.
+// Handler handles a request or notice of a peer. It runs on the goroutine that reads the connection, so it must not
+// block. The payload is valid only until it returns.
 type Handler func(c *Conn, payload []byte, reply Reply)
 
-// Mux says who handles which method. It is filled before it serves.
+// Mux maps methods to handlers. All handlers must be registered before connections use it.
 type Mux struct{ handlers map[wire.Method]Handler }
 
 // NewMux returns an empty Mux.
 func NewMux() *Mux { return &Mux{handlers: make(map[wire.Method]Handler)} }
 
-// Handle names the handler of a method.
+// Handle registers the handler of a method.
 func (m *Mux) Handle(method wire.Method, handler Handler) { m.handlers[method] = handler }
 
-// Handle names a handler that gets the decoded message, which is its own to keep. What can't be decoded is answered with an
-// error.
+// Handle registers a handler that receives the decoded message, which it may keep. A message that can't be decoded is
+// answered with an error.
 func Handle[T any, P interface {
 	*T
 	msgp.Unmarshaler
@@ -35,7 +35,7 @@
 	})
 }
 
-// Reply answers one request. It may be kept, and used by any goroutine, once. For notifications it does nothing.
+// Reply answers one request. It may be kept and used once, from any goroutine. For notices it does nothing.
 type Reply struct {
 	conn     *Conn
 	method   wire.Method
@@ -46,18 +46,18 @@
 // Send answers with a message.
 func (r Reply) Send(message msgp.Marshaler) {
 	if r.expected {
-		_ = r.conn.queue(frameReply, r.method, r.call, message)
+		_ = r.conn.enqueue(frameReply, r.method, r.call, message)
 	}
 }
 
 // Fail answers with an error.
 func (r Reply) Fail(err error) {
 	if r.expected {
-		_ = r.conn.queue(frameError, r.method, r.call, rawText(err.Error()))
+		_ = r.conn.enqueue(frameError, r.method, r.call, rawText(err.Error()))
 	}
 }
 
 type rawText string
 
-// MarshalMsg implements msgp.Marshaler: the text stands in the frame as it is.
+// MarshalMsg implements msgp.Marshaler. It appends the text without msgpack encoding.
 func (t rawText) MarshalMsg(b []byte) ([]byte, error) { return append(b, t...), nil }
--- a/cluster/rpc/options.go
+++ b/cluster/rpc/options.go
@@ -13,14 +13,14 @@
 	DefaultConnectTimeout = 500 * time.Millisecond
 )
 
-// Options of a connection.
+// Options are the options of a connection.
 type Options struct {
-	Mux *Mux // what the other end may call; nil: nothing
-	// A peer that says nothing for PingAfter gets a ping; after FailureTimeout the connection is closed. Zero for
-	// the defaults.
+	Mux *Mux // handlers of the other end's calls; nil: none
+	// PingAfter is the interval at which a peer that has sent nothing is pinged; after FailureTimeout without a frame
+	// the connection is closed. Zero means the default.
 	PingAfter, FailureTimeout time.Duration
 	ConnectTimeout            time.Duration
-	// DialContext makes the connection under a Conn; nil: TCP.
+	// DialContext makes the network connection; nil: TCP.
 	DialContext func(ctx context.Context, address string) (net.Conn, error)
 }
 
--- a/cluster/rpc/pending.go
+++ b/cluster/rpc/pending.go
@@ -1,19 +1,20 @@
 package rpc
 
-// replyFunc takes a call's reply, or why there is none.
+// replyFunc receives a call's reply, or the error that ended the call.
 type replyFunc func(payload []byte, err error)
 
-// pending are the calls of one connection that have no reply yet, by number. A number means something on its connection only: the
-// calls of another begin with the same ones.
+// pending holds the calls of one connection that await a reply, by call number. Numbers are unique only within a
+// connection: every connection counts from 1.
 type pending struct {
 	waiting map[uint32]replyFunc
 	last    uint32
 
-	// anyNumber takes the guard away: a reply ends whichever call waits. Only tests set it, to show that they notice.
-	anyNumber bool
+	// ignoreCallNumbers disables the matching by number: a reply ends any waiting call. Only tests set it, to show that
+	// they detect this fault.
+	ignoreCallNumbers bool
 }
 
-// add notes a call and returns its number, which no other that waits has. 0 is none.
+// add registers a call and returns its number, which is not 0 and differs from those of all waiting calls.
 func (p *pending) add(done replyFunc) uint32 {
 	if p.waiting == nil {
 		p.waiting = make(map[uint32]replyFunc)
@@ -26,9 +27,10 @@
 	return p.last
 }
 
-// take ends a call and returns who waits for it: nil if it has ended, as one that was given up.
+// take removes a call and returns its callback, or nil if the call has ended already, for example because it was
+// cancelled.
 func (p *pending) take(call uint32) replyFunc {
-	if p.anyNumber {
+	if p.ignoreCallNumbers {
 		for other := range p.waiting {
 			call = other
 		}
@@ -38,7 +40,7 @@
 	return done
 }
 
-// takeAll ends all calls.
+// takeAll removes and returns all calls.
 func (p *pending) takeAll() map[uint32]replyFunc {
 	all := p.waiting
 	p.waiting = nil
--- a/cluster/rpc/replies_test.go
+++ b/cluster/rpc/replies_test.go
@@ -16,15 +16,15 @@
 	"ravendale/cluster/wire"
 )
 
-// peer is the other end of a connection, played frame by frame.
+// peer is the other end of a connection, which the test controls frame by frame.
 type peer struct {
 	t      *testing.T
 	socket net.Conn
 	reader *bufio.Reader
 }
 
-// played returns a connection to a played peer.
-func played(t *testing.T) (*Conn, *peer) {
+// newTestPeer returns a connection and the peer at its other end.
+func newTestPeer(t *testing.T) (*Conn, *peer) {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer func() { _ = listener.Close() }()
@@ -37,8 +37,8 @@
 	return conn, &peer{t: t, socket: socket, reader: bufio.NewReader(socket)}
 }
 
-// called returns the number of the next call; pings are passed over.
-func (p *peer) called() uint32 {
+// nextCall returns the number of the next call; it skips pings.
+func (p *peer) nextCall() uint32 {
 	for {
 		header := make([]byte, headerSize)
 		_, err := io.ReadFull(p.reader, header)
@@ -63,11 +63,11 @@
 	p.send(frameReply, call, &wire.FindReply{Found: true, Body: []byte(body)})
 }
 
-// heard is what calls were answered, as bodies.
-type heard chan string
+// replies receives the bodies of replies, or the texts of errors.
+type replies chan string
 
-// ask begins a call whose reply goes to the one who hears.
-func (h heard) ask(conn *Conn) {
+// startCall starts a call whose reply goes to the channel.
+func (h replies) startCall(conn *Conn) {
 	conn.Start(wire.MethodFind, &wire.Find{ID: "x"}, func(payload []byte, err error) {
 		reply := &wire.FindReply{}
 		if err == nil {
@@ -81,31 +81,32 @@
 	})
 }
 
-func TestRepliesComeInAnyOrder(t *testing.T) {
-	conn, p := played(t)
-	first, second := make(heard, 2), make(heard, 2)
-	first.ask(conn)
-	one := p.called()
-	second.ask(conn)
-	two := p.called()
+func TestRepliesOutOfOrder(t *testing.T) {
+	conn, p := newTestPeer(t)
+	first, second := make(replies, 2), make(replies, 2)
+	first.startCall(conn)
+	one := p.nextCall()
+	second.startCall(conn)
+	two := p.nextCall()
 	p.reply(two, "second")
 	p.reply(one, "first")
 	assert.Equal(t, "second", <-second)
 	assert.Equal(t, "first", <-first)
 }
 
-// lateReply has the reply to a call that was given up come while another call waits, and returns what that other hears first.
+// lateReply sends the reply to a cancelled call, and other stray replies, while a second call waits. It returns the
+// second call's first reply.
 func lateReply(t *testing.T, conn *Conn, p *peer) string {
 	ctx, cancel := context.WithCancel(context.Background())
-	given := make(chan error, 1)
-	go func() { given <- conn.Call(ctx, wire.MethodFind, &wire.Find{ID: "x"}, &wire.FindReply{}) }()
-	late := p.called()
+	cancelled := make(chan error, 1)
+	go func() { cancelled <- conn.Call(ctx, wire.MethodFind, &wire.Find{ID: "x"}, &wire.FindReply{}) }()
+	late := p.nextCall()
 	cancel()
-	require.ErrorIs(t, <-given, context.Canceled)
+	require.ErrorIs(t, <-cancelled, context.Canceled)
 
-	waits := make(heard, 2)
-	waits.ask(conn)
-	call := p.called()
+	waiting := make(replies, 2)
+	waiting.startCall(conn)
+	call := p.nextCall()
 	require.NotEqual(t, late, call)
 	p.reply(late, "late")
 	p.send(frameError, late, rawText("late error"))
@@ -113,29 +114,30 @@
 	p.reply(0, "of none")
 	p.reply(call, "own")
 	p.reply(call, "again")
-	return <-waits
+	return <-waiting
 }
 
-func TestReplyToACallThatWasGivenUpIsNobodys(t *testing.T) {
-	conn, p := played(t)
+func TestReplyToCancelledCallIsDropped(t *testing.T) {
+	conn, p := newTestPeer(t)
 	require.Equal(t, "own", lateReply(t, conn, p))
-	next := make(heard, 2)
-	next.ask(conn)
-	p.reply(p.called(), "next")
-	assert.Equal(t, "next", <-next, "nor does a reply count twice")
+	next := make(replies, 2)
+	next.startCall(conn)
+	p.reply(p.nextCall(), "next")
+	assert.Equal(t, "next", <-next, "a duplicate reply is dropped, too")
 }
 
-func TestMutantThatMatchesRepliesByConnectionIsCaught(t *testing.T) {
-	conn, p := played(t)
-	conn.calls.anyNumber = true
+func TestMutantMatchingRepliesByConnectionIsDetected(t *testing.T) {
+	conn, p := newTestPeer(t)
+	conn.calls.ignoreCallNumbers = true
 	assert.Equal(t, "late", lateReply(t, conn, p))
 }
 
-// Numbers begin anew with each connection: a reply by way of the old one is not taken for that to the call that has the number now.
-func TestReplyOnAConnectionThatWasReplacedIsNobodys(t *testing.T) {
-	kept := make(chan Reply, 2)
+// Call numbers restart with each connection: a reply on the old connection must not be taken for the reply to the call
+// with the same number on the new one.
+func TestReplyOnReplacedConnectionIsDropped(t *testing.T) {
+	received := make(chan Reply, 2)
 	server := NewMux()
-	Handle(server, wire.MethodFind, func(_ *Conn, _ *wire.Find, reply Reply) { kept <- reply })
+	Handle(server, wire.MethodFind, func(_ *Conn, _ *wire.Find, reply Reply) { received <- reply })
 	s, err := Listen("127.0.0.1:0", Options{Mux: server}, nil)
 	require.NoError(t, err)
 	defer s.Close()
@@ -144,16 +146,16 @@
 	defer link.Close()
 
 	old := <-up
-	first := make(heard, 1)
-	first.ask(old)
-	oldReply := <-kept
+	first := make(replies, 1)
+	first.startCall(old)
+	oldReply := <-received
 	old.Close()
-	require.Equal(t, ErrClosed.Error(), <-first, "the end of its connection ends a call, once")
+	require.Equal(t, ErrClosed.Error(), <-first, "closing the connection ends the call, once")
 
-	second := make(heard, 2)
-	second.ask(<-up)
-	newReply := <-kept
-	require.Equal(t, oldReply.call, newReply.call, "the same number")
+	second := make(replies, 2)
+	second.startCall(<-up)
+	newReply := <-received
+	require.Equal(t, oldReply.call, newReply.call, "both calls have the same number")
 	oldReply.Send(&wire.FindReply{Body: []byte("old")})
 	oldReply.Fail(ErrMethod)
 	newReply.Send(&wire.FindReply{Body: []byte("new")})
@@ -161,12 +163,12 @@
 	assert.Empty(t, first)
 }
 
-func TestNumbersOfCallsThatWaitAreNotGivenAgain(t *testing.T) {
+func TestPendingCallNumbersAreNotReused(t *testing.T) {
 	p := pending{last: math.MaxUint32 - 2}
 	done := func([]byte, error) {}
 	assert.EqualValues(t, math.MaxUint32-1, p.add(done))
 	assert.EqualValues(t, math.MaxUint32, p.add(done))
-	assert.EqualValues(t, 1, p.add(done), "0 is no number")
+	assert.EqualValues(t, 1, p.add(done), "0 is not used as a number")
 	p.last = math.MaxUint32 - 2
 	assert.EqualValues(t, 2, p.add(done))
 	assert.NotNil(t, p.take(1))
--- a/cluster/rpc/rpc_test.go
+++ b/cluster/rpc/rpc_test.go
@@ -11,7 +11,7 @@
 	"ravendale/cluster/wire"
 )
 
-func pair(t *testing.T, server, client *Mux) (*Conn, chan *Conn) {
+func newConnPair(t *testing.T, server, client *Mux) (*Conn, chan *Conn) {
 	t.Helper()
 	accepted := make(chan *Conn, 1)
 	s, err := Listen("127.0.0.1:0", Options{Mux: server}, func(c *Conn) { accepted <- c })
@@ -23,14 +23,14 @@
 	return c, accepted
 }
 
-func TestCallsGoBothWays(t *testing.T) {
+func TestCallsInBothDirections(t *testing.T) {
 	server, client := NewMux(), NewMux()
 	Handle(server, wire.MethodFind, func(_ *Conn, find *wire.Find, reply Reply) {
 		reply.Send(&wire.FindReply{Found: true, Body: []byte(find.ID)})
 	})
 	granted := make(chan string, 1)
 	Handle(client, wire.MethodGrant, func(_ *Conn, grant *wire.Grant, _ Reply) { granted <- grant.ID })
-	conn, accepted := pair(t, server, client)
+	conn, accepted := newConnPair(t, server, client)
 
 	var reply wire.FindReply
 	require.NoError(t, conn.Call(context.Background(), wire.MethodFind, &wire.Find{ID: "x"}, &reply))
@@ -40,39 +40,39 @@
 	require.Equal(t, "y", <-granted)
 }
 
-func TestUnknownMethodsAndBadMessagesAreAnsweredWithErrors(t *testing.T) {
+func TestUnknownMethodAndInvalidMessage(t *testing.T) {
 	server := NewMux()
 	Handle(server, wire.MethodFind, func(_ *Conn, _ *wire.Find, reply Reply) { reply.Send(&wire.FindReply{}) })
-	conn, _ := pair(t, server, nil)
+	conn, _ := newConnPair(t, server, nil)
 	var remote *RemoteError
 	err := conn.Call(context.Background(), wire.MethodPut, &wire.Put{}, nil)
 	require.ErrorAs(t, err, &remote)
 	err = conn.Call(context.Background(), wire.MethodFind, rawText("\xc1"), nil)
 	require.ErrorAs(t, err, &remote)
-	require.NoError(t, conn.Call(context.Background(), wire.MethodFind, &wire.Find{}, nil), "the connection lives on")
+	require.NoError(t, conn.Call(context.Background(), wire.MethodFind, &wire.Find{}, nil), "the connection stays open")
 }
 
-func TestCallsEndWithTheConnection(t *testing.T) {
+func TestCallsFailWhenConnectionCloses(t *testing.T) {
 	server := NewMux()
 	Handle(server, wire.MethodFind, func(c *Conn, _ *wire.Find, _ Reply) { c.Close() })
-	conn, _ := pair(t, server, nil)
+	conn, _ := newConnPair(t, server, nil)
 	require.Error(t, conn.Call(context.Background(), wire.MethodFind, &wire.Find{}, nil))
 	<-conn.Done()
 	require.Error(t, conn.Err())
 	require.Error(t, conn.Notify(wire.MethodGrant, &wire.Grant{}))
 }
 
-func TestACallCanBeGivenUp(t *testing.T) {
+func TestCancelCall(t *testing.T) {
 	server := NewMux()
 	received := make(chan struct{})
 	Handle(server, wire.MethodFind, func(*Conn, *wire.Find, Reply) { close(received) })
-	conn, _ := pair(t, server, nil)
+	conn, _ := newConnPair(t, server, nil)
 	ctx, cancel := context.WithCancel(context.Background())
 	go func() { <-received; cancel() }()
 	require.ErrorIs(t, conn.Call(ctx, wire.MethodFind, &wire.Find{}, nil), context.Canceled)
 }
 
-func TestAnUnresponsivePeerTimesOut(t *testing.T) {
+func TestUnresponsivePeerTimesOut(t *testing.T) {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer func() { _ = listener.Close() }()
@@ -82,7 +82,7 @@
 	require.ErrorIs(t, conn.Err(), ErrUnresponsive)
 }
 
-func TestAFrameThatIsTooLongEndsTheConnection(t *testing.T) {
+func TestTooLongFrameClosesConnection(t *testing.T) {
 	accepted := make(chan *Conn, 1)
 	s, err := Listen("127.0.0.1:0", Options{}, func(c *Conn) { accepted <- c })
 	require.NoError(t, err)
@@ -97,7 +97,7 @@
 	require.ErrorIs(t, conn.Err(), ErrTooLong)
 }
 
-func TestALinkConnectsAgain(t *testing.T) {
+func TestLinkReconnects(t *testing.T) {
 	accepted := make(chan *Conn, 4)
 	s, err := Listen("127.0.0.1:0", Options{}, func(c *Conn) { accepted <- c })
 	require.NoError(t, err)
@@ -111,25 +111,25 @@
 	require.NotSame(t, first, second)
 }
 
-func TestAHurriedLinkGivesUpAConnectThatHangs(t *testing.T) {
+func TestHurryCancelsHangingConnect(t *testing.T) {
 	s, err := Listen("127.0.0.1:0", Options{}, nil)
 	require.NoError(t, err)
 	defer s.Close()
 	failed := make(chan error, 64)
 	up := make(chan *Conn, 1)
-	link := &Link{address: s.Address(), options: Options{}.withDefaults(), onUp: func(c *Conn) { up <- c }, hurried: make(chan struct{}, 1)}
+	link := &Link{address: s.Address(), options: Options{}.withDefaults(), onUp: func(c *Conn) { up <- c }, reconnect: make(chan struct{}, 1)}
 	link.onDown = func(err error) { failed <- err }
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	waiting, given := context.WithCancel(ctx)
-	link.giveUp = given // a connect that is under way
+	dialing, cancelDial := context.WithCancel(ctx)
+	link.cancelDial = cancelDial // simulates a connect in progress
 	link.Hurry()
-	require.ErrorIs(t, waiting.Err(), context.Canceled)
-	require.Len(t, link.hurried, 1)
+	require.ErrorIs(t, dialing.Err(), context.Canceled)
+	require.Len(t, link.reconnect, 1)
 
 	go link.run(ctx)
 	<-up
-	link.Hurry() // connected: nothing to do
-	require.Empty(t, link.hurried)
+	link.Hurry() // no effect while connected
+	require.Empty(t, link.reconnect)
 	require.Empty(t, failed)
 }
--- a/cluster/rpc/server.go
+++ b/cluster/rpc/server.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-const acceptPause = 20 * time.Millisecond // after an error, as of descriptors that have run out
+const acceptPause = 20 * time.Millisecond // after a failed accept, for example because file descriptors are exhausted
 
 // Server accepts connections.
 type Server struct {
@@ -20,7 +20,7 @@
 	closed bool
 }
 
-// Listen starts a server. OnConn, if any, hears of each new connection before anything is read from it.
+// Listen starts a server. OnConn, which may be nil, is called with each new connection before anything is read from it.
 func Listen(address string, options Options, onConn func(*Conn)) (*Server, error) {
 	listener, err := net.Listen("tcp4", address)
 	if err != nil {
@@ -29,14 +29,14 @@
 	return Serve(listener, options, onConn), nil
 }
 
-// Serve starts a server on a listener, which it closes at its end.
+// Serve starts a server on a listener, which Close closes.
 func Serve(listener net.Listener, options Options, onConn func(*Conn)) *Server {
 	s := &Server{listener: listener, options: options.withDefaults(), onConn: onConn, conns: make(map[*Conn]struct{})}
 	go s.accept()
 	return s
 }
 
-// Address is where the server listens.
+// Address returns the address that the server listens on.
 func (s *Server) Address() string { return s.listener.Addr().String() }
 
 func (s *Server) accept() {
@@ -74,7 +74,7 @@
 	c.start()
 }
 
-// Close ends the server and its connections.
+// Close closes the server and its connections.
 func (s *Server) Close() {
 	s.mu.Lock()
 	s.closed = true
--- a/cluster/rpc/transport.go
+++ b/cluster/rpc/transport.go
@@ -6,21 +6,21 @@
 	"ravendale/cluster/wire"
 )
 
-// Transport brings a connection's frames to the other end in the place of a socket, as a simulated network does.
+// Transport delivers a connection's frames to the other end instead of a socket, for example over a simulated network.
 type Transport interface {
-	WriteFrame(frame []byte) // must be copied if it is kept
-	Close()                  // the connection has ended here
+	WriteFrame(frame []byte) // the frame must be copied if it is kept after the call
+	Close()                  // called when this end has closed the connection
 }
 
-// NewWithTransport makes a connection without a socket, goroutines or timers: frames go to the transport, Deliver takes those of the other
-// end, and Fail ends it for a cause, as a timeout.
+// NewWithTransport returns a connection without a socket, goroutines or timers. It sends frames to the transport,
+// Deliver receives those of the other end, and Fail closes it with an error such as a time-out.
 func NewWithTransport(options Options, transport Transport) *Conn {
 	c := newConn(nil, options.withDefaults())
 	c.transport = transport
 	return c
 }
 
-// Deliver takes one complete frame from a Transport.
+// Deliver handles one complete frame from a Transport.
 func (c *Conn) Deliver(frame []byte) {
 	if len(frame) < headerSize || c.Err() != nil {
 		return
@@ -29,5 +29,5 @@
 	c.handle(frameKind(frame[4]), method, call, frame[headerSize:])
 }
 
-// Fail ends the connection for a cause.
+// Fail closes the connection with an error.
 func (c *Conn) Fail(err error) { c.fail(err) }
--- a/cluster/rpc/transport_test.go
+++ b/cluster/rpc/transport_test.go
@@ -9,21 +9,21 @@
 	"ravendale/cluster/wire"
 )
 
-// wireTo hands frames on at once.
-type wireTo struct {
+// directTransport delivers frames to the peer synchronously.
+type directTransport struct {
 	peer   **Conn
 	closed bool
 }
 
-func (w *wireTo) WriteFrame(frame []byte) { (*w.peer).Deliver(append([]byte(nil), frame...)) }
+func (w *directTransport) WriteFrame(frame []byte) { (*w.peer).Deliver(append([]byte(nil), frame...)) }
 
-func (w *wireTo) Close() { w.closed = true }
+func (w *directTransport) Close() { w.closed = true }
 
-func TestAConnectionOverATransportCallsAndEnds(t *testing.T) {
+func TestConnOverTransport(t *testing.T) {
 	mux := NewMux()
 	Handle(mux, wire.MethodFetch, func(_ *Conn, fetch *wire.Fetch, reply Reply) { reply.Send(&wire.Update{Topic: fetch.Topic}) })
 	var near, far *Conn
-	toFar, toNear := &wireTo{peer: &far}, &wireTo{peer: &near}
+	toFar, toNear := &directTransport{peer: &far}, &directTransport{peer: &near}
 	near, far = NewWithTransport(Options{}, toFar), NewWithTransport(Options{Mux: mux}, toNear)
 
 	var update wire.Update
--- a/cluster/settings/settings.go
+++ b/cluster/settings/settings.go
@@ -16,7 +16,7 @@
 // PathVariable names the environment variable that holds the path of the settings file.
 const PathVariable = "RAVENDALE_SETTINGS"
 
-// Settings of a process. Durations are read in the unit that the key's name ends with.
+// Settings are the settings of a process. The unit of a duration is the suffix of its key.
 type Settings struct {
 	Node             string   `properties:"nodeName" validate:"required"`
 	Role             string   `properties:"role,default="`
@@ -40,7 +40,7 @@
 	MemoryMb         int      `properties:"limits.memoryMb,default=256" validate:"min=16"`
 	MaxFds           int      `properties:"limits.maxFds,default=1024" validate:"min=64"`
 	DiskMb           int      `properties:"limits.diskMb,default=0" validate:"min=0"`
-	BandwidthMbps    float64  `properties:"limits.bandwidthMbps,default=0" validate:"min=0"` // of the machine's link; 0: not known
+	BandwidthMbps    float64  `properties:"limits.bandwidthMbps,default=0" validate:"min=0"` // of the machine's network link; 0: unknown
 	ToleratedNodes   int      `properties:"faultTolerance.nodes,default=0" validate:"min=0"`
 	ToleratedZones   int      `properties:"faultTolerance.zones,default=0" validate:"min=0"`
 	ToleratedRegions int      `properties:"faultTolerance.regions,default=0" validate:"min=0"`
@@ -49,10 +49,10 @@
 	ProviderLagMs    int      `properties:"provider.maxLagMs,default=0" validate:"min=0"`
 
 	Bounds Bounds            `properties:"bounds"`
-	Zones  map[string]string `properties:"-" validate:"required"` // region by zone
+	Zones  map[string]string `properties:"-" validate:"required"` // region of each zone
 }
 
-// Bounds are the figures of the rules in force.
+// Bounds are the time limits and ratios that the system must observe.
 type Bounds struct {
 	SeedLagS         float64 `properties:"seedLagS,default=3" validate:"gte=0"`
 	ReuseAfterS      float64 `properties:"reuseAfterS,default=2" validate:"gte=0"`
@@ -69,14 +69,14 @@
 	OriginOvershoot  float64 `properties:"originOvershoot,default=1.1" validate:"gte=1"`
 }
 
-// The surfaces that a process may serve.
+// The surfaces that a process may serve: values of Settings.Serves.
 const (
 	ServesEdge    = "edge"
 	ServesControl = "control_plane"
 	ServesStorage = "storage"
 )
 
-// ServesSurface says whether the process serves a surface.
+// ServesSurface reports whether the process serves a surface.
 func (s *Settings) ServesSurface(surface string) bool {
 	for _, name := range s.Serves {
 		if name == surface {
@@ -94,20 +94,20 @@
 	portsUsed
 )
 
-// ControlAddress is where the control process of a machine listens for rpc. On all machines ports are alike.
-func (s *Settings) ControlAddress(ip string) string { return s.internal(ip, controlPort) }
+// ControlAddress returns the rpc address of the control process on a machine. All machines use the same ports.
+func (s *Settings) ControlAddress(ip string) string { return s.rpcAddress(ip, controlPort) }
 
-// EdgeAddress is where this machine's edge process listens for rpc.
-func (s *Settings) EdgeAddress() string { return s.internal(s.IP, edgePort) }
+// EdgeAddress returns the rpc address of this machine's edge process.
+func (s *Settings) EdgeAddress() string { return s.rpcAddress(s.IP, edgePort) }
 
-// StorageAddress is where this machine's storage process listens for rpc.
-func (s *Settings) StorageAddress() string { return s.internal(s.IP, storagePort) }
+// StorageAddress returns the rpc address of this machine's storage process.
+func (s *Settings) StorageAddress() string { return s.rpcAddress(s.IP, storagePort) }
 
-func (s *Settings) internal(ip string, offset int) string {
+func (s *Settings) rpcAddress(ip string, offset int) string {
 	return net.JoinHostPort(ip, strconv.Itoa(s.PortRange[0]+offset))
 }
 
-// SeedAddresses are the rpc addresses of the control processes that the seeds name.
+// SeedAddresses returns the rpc addresses of the control processes on the seed machines.
 func (s *Settings) SeedAddresses() []string {
 	var addresses []string
 	for _, seed := range s.Seeds {
@@ -118,21 +118,21 @@
 	return addresses
 }
 
-// Copies is how many disks must hold what is acknowledged: one more than the nodes whose failure is tolerated.
+// Copies returns how many disks must hold acknowledged data: one more than the number of node failures to tolerate.
 func (s *Settings) Copies() int { return s.ToleratedNodes + 1 }
 
-// BytesPerSecond is what the machine's link carries; 0 if it is not known.
+// BytesPerSecond returns the bandwidth of the machine's network link; 0 if it is unknown.
 func (s *Settings) BytesPerSecond() float64 { return s.BandwidthMbps * 1e6 / 8 }
 
-// Seconds makes a duration of a figure in seconds.
-func Seconds(figure float64) time.Duration { return time.Duration(figure * float64(time.Second)) }
+// Seconds converts a number of seconds to a duration.
+func Seconds(seconds float64) time.Duration { return time.Duration(seconds * float64(time.Second)) }
 
-// Milliseconds makes a duration of a figure in milliseconds.
-func Milliseconds(figure float64) time.Duration {
-	return time.Duration(figure * float64(time.Millisecond))
+// Milliseconds converts a number of milliseconds to a duration.
+func Milliseconds(milliseconds float64) time.Duration {
+	return time.Duration(milliseconds * float64(time.Millisecond))
 }
 
-// Load reads and checks a settings file. The error names all fields that make no sense.
+// Load reads and checks a settings file. The error lists every invalid field.
 func Load(path string) (*Settings, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -152,7 +152,7 @@
 	if err != nil {
 		return nil, err
 	}
-	for _, key := range listKeys { // an absent list is an empty one
+	for _, key := range listKeys { // the properties package splits lists at semicolons; an absent list stays empty
 		if value, ok := pairs.Get(key); ok {
 			_, _, _ = pairs.Set(key, strings.ReplaceAll(value, ",", ";"))
 		}
@@ -174,24 +174,24 @@
 var validate = validator.New(validator.WithRequiredStructEnabled())
 
 func check(s *Settings) error {
-	var found []error
+	var problems []error
 	err := validate.Struct(s)
 	var fields validator.ValidationErrors
 	if errors.As(err, &fields) {
 		for _, field := range fields {
-			found = append(found, fmt.Errorf("%s: %v does not meet %s %s", field.Namespace(), field.Value(), field.Tag(), field.Param()))
+			problems = append(problems, fmt.Errorf("%s: %v does not meet %s %s", field.Namespace(), field.Value(), field.Tag(), field.Param()))
 		}
 	} else if err != nil {
-		found = append(found, err)
+		problems = append(problems, err)
 	}
 	if len(s.PortRange) == 2 && s.PortRange[1]-s.PortRange[0]+1 < portsUsed {
-		found = append(found, fmt.Errorf("Settings.PortRange: %v has fewer than %d ports", s.PortRange, portsUsed))
+		problems = append(problems, fmt.Errorf("Settings.PortRange: %v has fewer than %d ports", s.PortRange, portsUsed))
 	}
 	if _, ok := s.Zones[s.Zone]; !ok && s.Zone != "" {
-		found = append(found, fmt.Errorf("Settings.Zones: does not list the own zone %q", s.Zone))
+		problems = append(problems, fmt.Errorf("Settings.Zones: does not list the own zone %q", s.Zone))
 	}
 	if s.ServesSurface(ServesStorage) && s.DataDir == "" {
-		found = append(found, errors.New("Settings.DataDir: a process that serves storage needs one"))
+		problems = append(problems, errors.New("Settings.DataDir: a process that serves storage needs one"))
 	}
-	return errors.Join(found...)
+	return errors.Join(problems...)
 }
--- a/cluster/settings/settings_test.go
+++ b/cluster/settings/settings_test.go
@@ -37,7 +37,7 @@
 something.else=ignored
 `
 
-func TestParseReadsAllKindsOfFields(t *testing.T) {
+func TestParse(t *testing.T) {
 	s, err := Parse([]byte(example))
 	require.NoError(t, err)
 	require.Equal(t, "edge-a-1", s.Node)
@@ -55,7 +55,7 @@
 	require.InDelta(t, 47, s.ProviderRate, 1e-9)
 }
 
-func TestParseTellsAllThatIsWrong(t *testing.T) {
+func TestParseReportsAllErrors(t *testing.T) {
 	text := strings.NewReplacer("ip=10.1.0.30\n", "ip=ten\n", "zone=a\n", "zone=c\n", "7240,7255", "7240,7240").Replace(example)
 	_, err := Parse([]byte(text))
 	require.ErrorContains(t, err, "Settings.IP")
@@ -63,7 +63,7 @@
 	require.ErrorContains(t, err, "fewer than 3 ports")
 }
 
-func TestParseRefusesWhatItCannotRead(t *testing.T) {
+func TestParseInvalidOrMissingField(t *testing.T) {
 	_, err := Parse([]byte(strings.Replace(example, "bounds.catchupS=4.4", "bounds.catchupS=soon", 1)))
 	require.Error(t, err)
 	_, err = Parse([]byte(strings.Replace(example, "nodeName=edge-a-1\n", "", 1)))
--- a/cluster/settings/watch.go
+++ b/cluster/settings/watch.go
@@ -7,52 +7,53 @@
 	"time"
 )
 
-// WatchEvery is how often a file is looked at that may change without a signal. A stat costs a system call only.
+// WatchEvery is the interval between checks of the file for changes that come without a signal. A check costs one
+// stat system call.
 const WatchEvery = 2 * time.Second
 
-// Watch calls changed with the settings each time that the file's content becomes other, valid settings: found out at a
-// word on now (as a SIGHUP), and every WatchEvery. A file that can't be read or is not valid is reported to failed, once for
-// each content, and changes nothing. It returns when the context ends.
-func Watch(ctx context.Context, path string, now <-chan os.Signal, changed func(*Settings), failed func(error)) {
+// Watch calls changed with the new settings each time the file's content changes to valid settings. It reads the file
+// on each signal on trigger (such as SIGHUP), and checks it every WatchEvery. A file that can't be read or is
+// invalid is reported to failed, once for each content, and changes nothing. Watch returns when the context ends.
+func Watch(ctx context.Context, path string, trigger <-chan os.Signal, changed func(*Settings), failed func(error)) {
 	ticker := time.NewTicker(WatchEvery)
 	defer ticker.Stop()
 	w := watcher{path: path, changed: changed, failed: failed}
 	w.content, _ = os.ReadFile(path)
-	w.seen, _ = os.Stat(path)
+	w.lastInfo, _ = os.Stat(path)
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-now:
-			w.read()
+		case <-trigger:
+			w.reload()
 		case <-ticker.C:
-			w.look()
+			w.checkFile()
 		}
 	}
 }
 
 type watcher struct {
-	path    string
-	seen    os.FileInfo
-	content []byte
-	changed func(*Settings)
-	failed  func(error)
+	path     string
+	lastInfo os.FileInfo
+	content  []byte
+	changed  func(*Settings)
+	failed   func(error)
 }
 
-// look reads the file only if its size or time of change is another.
-func (w *watcher) look() {
+// checkFile reloads the file only if its size or modification time has changed.
+func (w *watcher) checkFile() {
 	info, err := os.Stat(w.path)
 	if err != nil {
-		return // it may be in the middle of a replacement: the next look tells
+		return // the file may be being replaced: the next check finds the new one
 	}
-	if w.seen != nil && info.Size() == w.seen.Size() && info.ModTime().Equal(w.seen.ModTime()) {
+	if w.lastInfo != nil && info.Size() == w.lastInfo.Size() && info.ModTime().Equal(w.lastInfo.ModTime()) {
 		return
 	}
-	w.seen = info
-	w.read()
+	w.lastInfo = info
+	w.reload()
 }
 
-func (w *watcher) read() {
+func (w *watcher) reload() {
 	content, err := os.ReadFile(w.path)
 	if err != nil {
 		w.failed(err)
--- a/cluster/settings/watch_test.go
+++ b/cluster/settings/watch_test.go
@@ -10,7 +10,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestWatchTakesOnlyOtherValidContent(t *testing.T) {
+func TestWatchReportsChangedValidSettings(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "local.conf")
 	write := func(text string) { require.NoError(t, os.WriteFile(path, []byte(text), 0o600)) }
 	write(example)
@@ -22,7 +22,7 @@
 		defer close(done)
 		Watch(ctx, path, hangup, func(s *Settings) { notified <- s.Node }, func(error) { notified <- "refused" })
 	}()
-	hangup <- os.Interrupt // the content is the same: nobody is notified
+	hangup <- os.Interrupt // the content is unchanged: no notification
 	write(strings.Replace(example, "nodeName=edge-a-1", "nodeName=other", 1))
 	hangup <- os.Interrupt
 	require.Equal(t, "other", <-notified)
--- a/cluster/wire/compat_test.go
+++ b/cluster/wire/compat_test.go
@@ -9,9 +9,9 @@
 	"github.com/tinylib/msgp/msgp"
 )
 
-// TestMessagesKeepTheirEncoding holds each message to the bytes that the version before wrote. The files are never written anew: processes of
-// both versions run side by side while a system is rolled.
-func TestMessagesKeepTheirEncoding(t *testing.T) {
+// TestMessageEncodingCompatibility compares the encoding of each message with golden files written by the previous
+// version. The files must not be regenerated: during a rolling upgrade processes of both versions run side by side.
+func TestMessageEncodingCompatibility(t *testing.T) {
 	type message interface {
 		msgp.Marshaler
 		msgp.Unmarshaler
@@ -76,8 +76,8 @@
 	require.Len(t, files, len(tests), "a golden file without a test, or the reverse")
 }
 
-// TestNumbersOnTheWireStay holds the numbers that methods, topics, codes and states have in messages.
-func TestNumbersOnTheWireStay(t *testing.T) {
+// TestWireNumbers checks that the numbers of methods, topics, codes and states in messages have not changed.
+func TestWireNumbers(t *testing.T) {
 	methods := map[Method]uint16{
 		MethodRenew: 1, MethodSubscribe: 2, MethodUpdate: 3, MethodHeartbeat: 4, MethodFetch: 5, MethodRetire: 6, MethodRetireState: 7, MethodStatus: 8,
 		MethodHostCore: 9, MethodAttach: 32, MethodPut: 33, MethodReport: 34, MethodClaim: 35, MethodFind: 36, MethodGrant: 37,
@@ -94,8 +94,8 @@
 		[]ReportKind{ReportDone, ReportFailed, ReportDead, ReportDropped, ReportReleased, ReportExpired})
 }
 
-// TestNamesOfMessagesKeepTheirForm holds the names that clients have been told, and where the keys of order lie.
-func TestNamesOfMessagesKeepTheirForm(t *testing.T) {
+// TestMessageIDFormat checks that message IDs, which clients hold, and the partitions of order keys have not changed.
+func TestMessageIDFormat(t *testing.T) {
 	require.Equal(t, "1r.abc-1_2.z", MessageID(63, "abc-1_2.z"))
 	partition, ok := PartitionOf("1r.abc-1_2.z")
 	require.True(t, ok)
--- a/cluster/wire/membership.go
+++ b/cluster/wire/membership.go
@@ -3,7 +3,7 @@
 //msgp:tuple Version Member StoreStatus Renew RenewReply Subscribe SubscribeReply Update Heartbeat Fetch HostCore
 //msgp:tuple Store Placement StoreView Edge Members Worker Workers
 
-// Topic is a kind of state that the control plane gives to all. Of each there is one newest version.
+// Topic is a kind of state that the control plane distributes to all processes. Each topic has one newest version.
 type Topic uint8
 
 // The topics, in the order in which they index lists of versions.
@@ -15,13 +15,13 @@
 	TopicCount
 )
 
-// Version orders what is said on a topic: by term, then by sequence. The zero Version is before all others.
+// Version orders the states of a topic: by term, then by sequence. The zero Version is older than all others.
 type Version struct {
 	Term     uint64
 	Sequence uint64
 }
 
-// Less says whether v comes before other.
+// Less reports whether v is older than other.
 func (v Version) Less(other Version) bool {
 	if v.Term != other.Term {
 		return v.Term < other.Term
@@ -29,114 +29,117 @@
 	return v.Sequence < other.Sequence
 }
 
-// Member is one process of the system in one life: a restart makes another one.
+// Member is one run of a process of the system: after a restart the process is another member.
 type Member struct {
-	ID      string // drawn at the start of the process
+	ID      string // random, generated at the start of the process
 	Node    string // the machine's name
 	Address string // host:port where its rpc server listens
 	Zone    string
 	Region  string
-	Edge    bool   // takes clients' requests
-	Storage bool   // keeps messages
-	Disk    string // identity of the store's disk, drawn when it is first used
+	Edge    bool   // accepts clients' requests
+	Storage bool   // stores messages
+	Disk    string // identity of the store's disk, generated when it is first used
 	Ready   bool
-	Leaving bool // it is being stopped in order
+	Leaving bool // it is being shut down in an orderly way
 }
 
-// StoreStatus is what a store tells with each renewal.
+// StoreStatus is what a store reports with each renewal.
 type StoreStatus struct {
-	Epoch    uint64   // of the StoreView that it acts under
-	Synced   []uint16 // partitions that it is joining and holds completely
-	Pending  uint64   // messages that have not ended
-	Messages uint64   // messages kept, those that have ended included
-	Stalled  bool     // its disk takes nothing: it is full, or does not answer
+	Epoch    uint64   // of the StoreView that the store applies
+	Synced   []uint16 // partitions that the store is joining and already holds completely
+	Pending  uint64   // messages that are not finished
+	Messages uint64   // stored messages, including finished ones
+	Stalled  bool     // the store's disk accepts no writes: it is full or does not respond
 }
 
-// Renew asks for a lease of membership, or for its renewal.
+// Renew requests a membership lease or its renewal.
 type Renew struct {
 	Member Member
-	Store  StoreStatus // of members with Storage
+	Store  StoreStatus // set by members with Storage
 	Have   []Version   // by topic
 }
 
-// HostCore has a store take part in the control plane's core, where too few control processes have a disk, or leave it.
+// HostCore instructs a store to join the control plane's core, where too few control processes have a disk, or to leave
+// it.
 type HostCore struct {
 	Host bool
 }
 
-// RenewReply grants a lease, or names who can.
+// RenewReply grants a lease, or names the control process that can.
 type RenewReply struct {
 	Granted     bool
 	Leader      string    // rpc address of the control process that grants leases; empty if unknown
-	LeaseMillis uint32    // counted from when the renewal was sent
-	Heads       []Version // by topic, newest; empty unless Granted
-	Core        []string  // rpc addresses of all control processes known
+	LeaseMillis uint32    // duration of the lease, counted from when the renewal was sent
+	Heads       []Version // newest version by topic; empty unless Granted
+	Core        []string  // rpc addresses of all known control processes
 }
 
-// Subscribe asks a parent in the relay tree for all updates that are newer than Have.
+// Subscribe asks a parent in the relay tree to send all updates newer than Have.
 type Subscribe struct {
 	Member string
 	Have   []Version // by topic
 }
 
-// SubscribeReply says whether the parent takes the child. Refused, the child looks for another.
+// SubscribeReply reports whether the parent accepts the child. A refused child tries another parent.
 type SubscribeReply struct {
 	Accepted bool
 }
 
-// Update brings one topic to version To.
+// Update updates one topic to version To.
 type Update struct {
 	Topic      Topic
-	From       Version // with Delta: the version that the payload applies to
+	From       Version // if Delta is set: the version that the payload applies to
 	To         Version
 	Delta      bool
 	Compressed bool // the payload is a full topic, compressed
 	Payload    []byte
 }
 
-// Heartbeat tells a child that its parent lives, and what the newest versions are that it has.
+// Heartbeat shows a child that its parent is available, and lists the parent's newest versions.
 type Heartbeat struct {
 	Heads []Version // by topic
 }
 
-// Fetch asks for a topic's newest version; the answer is an Update, with an empty payload if Have is as new.
+// Fetch requests a topic's newest version. The answer is an Update, with an empty payload if there is none newer than
+// Have.
 type Fetch struct {
 	Topic Topic
 	Have  Version
 }
 
-// Store is one machine of the queue.
+// Store is one machine that stores messages.
 type Store struct {
-	Disk     string // identity: a machine that lost its disk is another store
+	Disk     string // identity of the store: a machine with a new disk is another store
 	Node     string
 	Address  string
 	Zone     string
 	Region   string
-	Retiring bool // it is being emptied
+	Retiring bool // the operator is retiring it: its partitions are being moved to other stores
 }
 
-// Placement says where a partition lies.
+// Placement lists the stores that hold a partition.
 type Placement struct {
-	Replicas []uint16 // indices into StoreView.Stores that hold it completely; the first is the primary
-	Joining  []uint16 // indices of those that get all new writes and are being filled with the old ones
-	// Former are indices of members that were dropped while too few others held the partition completely.
+	Replicas []uint16 // indices into StoreView.Stores of those that hold the partition completely; the first is the primary
+	Joining  []uint16 // indices of those that receive all new writes while they copy the existing data
+	// Former are indices of stores that were removed while too few others held the partition completely.
 	Former []uint16
-	// Covered says that Former and Joining together have all that was accepted: one of Former was complete when it was dropped, and there
-	// have been enough members since.
+	// Covered means that Former and Joining together hold every accepted message: one of Former was complete when it
+	// was removed, and there have been enough stores since.
 	Covered bool
-	// Unsure says that all replicas were lost, and rebuilt from others: what joining ones that are Former have is taken over.
+	// Unsure means that all replicas were lost and the partition was rebuilt from other stores: data on joining stores
+	// that are in Former is merged into it.
 	Unsure bool
 }
 
-// StoreView is the agreed placement of all partitions. A new one has the next epoch.
+// StoreView is the agreed placement of all partitions. Each new view has the next epoch.
 type StoreView struct {
 	Epoch      uint64
-	Copies     uint16 // disks that hold a message before it is accepted
+	Copies     uint16 // number of disks that must hold a message before it is accepted
 	Stores     []Store
 	Partitions []Placement
 }
 
-// Edge is a scheduler as others see it.
+// Edge is a scheduler's entry in Members.
 type Edge struct {
 	ID      string
 	Node    string
@@ -152,7 +155,7 @@
 	Core  []string // rpc addresses of the control processes
 }
 
-// Worker is one entry of the platform's list.
+// Worker is one entry of the platform's list of workers.
 type Worker struct {
 	ID           string
 	Service      string
@@ -164,7 +167,7 @@
 	WarmupMillis uint32
 }
 
-// Workers is the platform's list, complete.
+// Workers is the platform's complete list of workers.
 type Workers struct {
 	Entries []Worker
 }
--- a/cluster/wire/methods.go
+++ b/cluster/wire/methods.go
@@ -1,6 +1,6 @@
 package wire
 
-// Method names what a request or a notification asks for. Each plane has a range of its own.
+// Method identifies the type of a request or a notification. Each plane has its own range of numbers.
 type Method uint16
 
 // Methods of the membership and distribution planes.
@@ -10,9 +10,9 @@
 	MethodUpdate                        // Update, notification: a parent to its children
 	MethodHeartbeat                     // Heartbeat, notification: a parent to its children
 	MethodFetch                         // Fetch, Update: a topic requested outside of the tree
-	MethodRetire                        // an order of the operator: a control process to the one that leads
-	MethodRetireState                   // the operator's question how far that is, to the process that leads
-	MethodStatus                        // the operator's question how the system is, to the process that leads
+	MethodRetire                        // an operator's request to retire a machine: a control process to the leader
+	MethodRetireState                   // an operator's query of the progress of a retirement: a control process to the leader
+	MethodStatus                        // an operator's query of the system's status: a control process to the leader
 	MethodHostCore                      // HostCore, notification: a control process to a store
 )
 
@@ -26,7 +26,7 @@
 	MethodGrant                     // Grant, notification: a store to an edge
 )
 
-// Methods from here on are private to a plane: stores among themselves, and the core among itself.
+// First methods of the ranges that are private to a plane: between stores, and within the core.
 const (
 	MethodStorePrivate Method = 64
 	MethodCorePrivate  Method = 128
--- a/cluster/wire/partition.go
+++ b/cluster/wire/partition.go
@@ -7,15 +7,16 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// MaxMessageID is the longest name of a message, in bytes, that clients may get.
+// MaxMessageID is the maximum length in bytes of a message ID, which clients receive.
 const MaxMessageID = 64
 
-// MessageID makes the name of a message that lies in a partition. The suffix must be unique, of letters, digits, '-', '_' and '.'.
+// MessageID returns the ID of a message in a partition. The suffix must be unique and consist of letters, digits, '-',
+// '_' and '.'.
 func MessageID(partition uint16, suffix string) string {
 	return strconv.FormatUint(uint64(partition), 36) + "." + suffix
 }
 
-// PartitionOf reads the partition off a name made by MessageID, and says whether it is one.
+// PartitionOf returns the partition encoded in an ID from MessageID, and reports whether the ID is valid.
 func PartitionOf(id string) (uint16, bool) {
 	head, rest, found := strings.Cut(id, ".")
 	if !found || rest == "" || len(id) > MaxMessageID {
@@ -28,8 +29,8 @@
 	return uint16(n), true
 }
 
-// PartitionOfKey is the partition, of count, in which all messages with an order key lie, whatever their route: a route
-// that is replaced by another keeps the order.
+// PartitionOfKey returns which of count partitions holds all messages with an order key. It does not depend on the
+// route, so that the order is kept when one route replaces another.
 func PartitionOfKey(key string, count int) uint16 {
 	if count <= 0 {
 		return 0
--- a/cluster/wire/queue.go
+++ b/cluster/wire/queue.go
@@ -2,99 +2,100 @@
 
 //msgp:tuple Message Attach AttachReply Put PutReply Report ReportReply Claim ClaimReply Find FindReply Grant
 
-// Message is a client's request that the system has accepted, or is asked to accept.
+// Message is a client's request that the system has accepted or is to accept.
 type Message struct {
-	ID          string // its name for clients; PartitionOf tells where it lies
+	ID          string // given to clients; PartitionOf returns its partition
 	RequestID   string
-	Route       string // name of the route it came by
+	Route       string // name of the matching route
 	Method      string
 	Host        string
 	Target      string // path and query, as received
 	ContentType string
-	Key         string // Order-Key; empty: no order
+	Key         string // Order-Key header; empty: not ordered
 	Body        []byte
-	SentUnixMs  int64  // time of day when it was received
-	DelayMs     uint32 // it may be delivered so long after that
-	RetentionMs uint32 // it is finished so long after that, delivered or not
+	SentUnixMs  int64  // wall-clock time at which it was received
+	DelayMs     uint32 // time from SentUnixMs until it may be delivered
+	RetentionMs uint32 // time from SentUnixMs until it is finished, delivered or not
 	Retries     uint16 // failed attempts after which it is dead
-	Ordered     bool   // its route is ordered by Key
+	Ordered     bool   // its route delivers messages in order of Key
 }
 
-// State of a message.
+// State is the state of a message.
 type State uint8
 
 // The states of a message.
 const (
 	StatePending State = iota
 	StateDone
-	StateDead    // refused for good, or failed as often as its route allows, or retained to its end
+	StateDead    // permanently refused, failed as often as its route allows, or its retention has expired
 	StateDropped // its route was removed
 )
 
-// Attach says to a store which edge is at the other end of a connection.
+// Attach identifies the edge of a connection to a store.
 type Attach struct {
 	Edge     string // Member.ID
 	Zone     string
-	Draining bool // assign nothing to it: it is being stopped
+	Draining bool // it is being stopped: assign no messages to it
 }
 
-// AttachReply says under which epoch the store acts.
+// AttachReply returns the epoch that the store applies.
 type AttachReply struct {
 	Epoch uint64
 }
 
-// PutCode says what became of a Put.
+// PutCode is the result of a Put.
 type PutCode uint8
 
-// The answers to a Put. Only PutAccepted accepts a message; after PutStale, PutNotPrimary and PutRejected nothing was accepted and
-// nothing will be. PutUnknown leaves it open.
+// The results of a Put. PutAccepted means that the message is accepted. After PutStale, PutNotPrimary and PutRejected
+// it is not accepted and never will be by this Put. After PutUnknown it may or may not be accepted.
 const (
 	PutAccepted   PutCode = iota
-	PutStale              // the store acts under another epoch: see PutReply.Epoch
+	PutStale              // the store applies another epoch: see PutReply.Epoch
 	PutNotPrimary         // the partition's primary is another store
-	PutRejected           // too few stores, or too full
+	PutRejected           // too few stores are available, or they are too full
 	PutUnknown
 )
 
-// Put asks the primary of a partition to accept a message. The same message may be put again.
+// Put asks the primary of a partition to accept a message. It may be repeated with the same message.
 type Put struct {
 	Partition uint16
 	Epoch     uint64
 	Message   Message
-	Dispatch  bool // the edge will deliver it: else the store assigns it to one that can
+	Dispatch  bool // the edge will deliver the message; otherwise the store assigns it to an edge that can
 }
 
 // PutReply answers a Put.
 type PutReply struct {
 	Code    PutCode
 	Epoch   uint64
-	Granted bool // of a message with an order: it is the first of its key, and may be delivered now
+	Granted bool // for an ordered message: it is the first one of its key and may be delivered now
 }
 
-// Grant assigns a message to an edge for delivery, or notifies its leaseholder that it may deliver it now.
+// Grant assigns a message to an edge for delivery, or notifies the edge that already leases the message that it may
+// deliver it now.
 type Grant struct {
 	Partition  uint16
-	Epoch      uint64 // of the store that grants
+	Epoch      uint64 // of the granting store
 	ID         string
-	Failed     uint16 // attempts that failed
-	HasMessage bool   // Message is set: the edge did not have it
+	Failed     uint16 // failed attempts so far
+	HasMessage bool   // Message is set, because the edge does not have it
 	Message    Message
 }
 
-// ReportKind says how a delivery went.
+// ReportKind is the outcome of a delivery.
 type ReportKind uint8
 
 // The kinds of reports. ReportFailed and ReportReleased leave the message pending.
 const (
 	ReportDone     ReportKind = iota // with Signature
-	ReportFailed                     // one more failed attempt; the edge goes on leasing the message
-	ReportDead                       // refused for good, or failed too often
+	ReportFailed                     // one more attempt failed; the edge keeps its lease of the message
+	ReportDead                       // permanently refused, or failed too often
 	ReportDropped                    // its route was removed
 	ReportReleased                   // the edge ends its lease without an outcome
-	ReportExpired                    // retained to its end
+	ReportExpired                    // its retention has expired
 )
 
-// Report notifies the primary of a message's partition of what became of its delivery. It may be sent again.
+// Report notifies the primary of a message's partition of the outcome of a delivery. It may be repeated.
 type Report struct {
 	Partition uint16
 	Epoch     uint64
@@ -104,30 +105,31 @@
 	Signature string
 }
 
-// ReportReply is sent once the report is on disk at all replicas. Code is as for a Put: PutAccepted, PutStale, PutNotPrimary or
-// PutUnknown. A report of an unknown message is PutAccepted.
+// ReportReply is sent after all replicas have written the report to disk. Code is PutAccepted, PutStale, PutNotPrimary
+// or PutUnknown, as for a Put. A report on an unknown message is answered with PutAccepted.
 type ReportReply struct {
 	Code  PutCode
 	Epoch uint64
 }
 
-// Claim says to a new primary which messages of its partitions an edge leases, so that it does not assign them anew. It is sent
-// after Attach, and again for each epoch, even if empty.
+// Claim lists for a new primary which messages of its partitions an edge leases, so that the primary does not assign
+// them again. An edge sends it after Attach and for each new epoch, even if the list is empty.
 type Claim struct {
 	Epoch uint64
 	IDs   []string
 }
 
-// ClaimReply lists the claimed messages that the store does not know as pending: the edge drops them if no reply
-// has said that they are accepted, or if they are finished.
+// ClaimReply lists the claimed messages that are not pending at the store. The edge drops those that no reply has
+// confirmed as accepted, and those that are finished.
 type ClaimReply struct {
 	Code    PutCode
 	Epoch   uint64
 	Unknown []string
 }
 
-// Find asks for a message's state, and with Body for its bytes. Any replica answers that knows the message. That it does not know it a
-// store says only under the epoch that the asker names: another placement may have the message elsewhere.
+// Find requests a message's state, and with Body also its content. Any replica that holds the message can answer. A
+// store reports a message as not found only if it applies the epoch of the request: under another placement other
+// stores may hold the message.
 type Find struct {
 	ID    string
 	Body  bool
