--- a/cmd/ravendale-capacity/backlog.go
+++ b/cmd/ravendale-capacity/backlog.go
@@ -22,26 +22,26 @@
 		return err
 	}
 	defer func() { _ = os.RemoveAll(dir) }()
-	before := machineLoad()
-	r, err := backlog.Run(context.Background(), backlog.Config{Dir: dir, Messages: c.Messages, Body: c.Body})
+	loadBefore := loadAverage()
+	result, err := backlog.Run(context.Background(), backlog.Config{Dir: dir, Messages: c.Messages, Body: c.Body})
 	if err != nil {
 		return err
 	}
-	count := float64(r.Messages)
-	fmt.Printf("messages %d, body %d bytes, load of the machine %s before, %s after\n", r.Messages, r.Body, before, machineLoad())
-	fmt.Printf("memory %.0f B a message, %.0f B after the restart\n", float64(r.Heap)/count, float64(r.RecoveredHeap)/count)
-	fmt.Printf("disk %.0f B a message\n", float64(r.Disk)/count)
-	fmt.Printf("fill %v, %.1f us of processor time a message (store and sender)\n", r.Filled.Round(time.Millisecond), perMessage(r.FilledCPU, count))
-	fmt.Printf("restart %v, %.2f us of processor time a message\n", r.Recovered.Round(time.Millisecond), perMessage(r.RecoveredCPU, count))
+	messageCount := float64(result.Messages)
+	fmt.Printf("messages %d, body %d bytes, load of the machine %s before, %s after\n", result.Messages, result.Body, loadBefore, loadAverage())
+	fmt.Printf("memory %.0f B a message, %.0f B after the restart\n", float64(result.Heap)/messageCount, float64(result.RecoveredHeap)/messageCount)
+	fmt.Printf("disk %.0f B a message\n", float64(result.Disk)/messageCount)
+	fmt.Printf("fill %v, %.1f us of processor time a message (store and sender)\n", result.Filled.Round(time.Millisecond), perMessage(result.FilledCPU, messageCount))
+	fmt.Printf("restart %v, %.2f us of processor time a message\n", result.Recovered.Round(time.Millisecond), perMessage(result.RecoveredCPU, messageCount))
 	return nil
 }
 
-func perMessage(total time.Duration, count float64) float64 {
-	return float64(total) / float64(time.Microsecond) / count
+func perMessage(total time.Duration, messageCount float64) float64 {
+	return float64(total) / float64(time.Microsecond) / messageCount
 }
 
-// machineLoad is the machine's load over the last minute, as text; empty if it can't be read.
-func machineLoad() string {
+// loadAverage returns the machine's load average over the last minute as text, or an empty string if it can't be read.
+func loadAverage() string {
 	content, err := os.ReadFile("/proc/loadavg")
 	if err != nil {
 		return ""
--- a/cmd/ravendale-capacity/main.go
+++ b/cmd/ravendale-capacity/main.go
@@ -1,4 +1,5 @@
-// Command ravendale-capacity measures what the roles of the system cost as it grows: see docs/CAPACITY.md.
+// Command ravendale-capacity measures the memory, disk and processor time that each role uses as the system grows: see
+// docs/CAPACITY.md.
 package main
 
 import (
@@ -11,6 +12,6 @@
 
 func main() {
 	var c commands
-	k := kong.Parse(&c, kong.Name("ravendale-capacity"), kong.Description("Slopes of the system's cost, on loopback."), kong.UsageOnError())
+	k := kong.Parse(&c, kong.Name("ravendale-capacity"), kong.Description("Measures how resource usage grows with the size of the system, on loopback."), kong.UsageOnError())
 	k.FatalIfErrorf(k.Run())
 }
--- a/cmd/ravendale-control/control_test.go
+++ b/cmd/ravendale-control/control_test.go
@@ -16,7 +16,7 @@
 	"ravendale/cluster/settings"
 )
 
-// freePort is a port that nobody listened on just now.
+// freePort returns a port that was free at the time of the call.
 func freePort(t *testing.T) int {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -24,7 +24,7 @@
 	return listener.Addr().(*net.TCPAddr).Port
 }
 
-// testSettings are those of a control process that starts a system of its own.
+// testSettings returns the settings of a control process that bootstraps a system.
 func testSettings(t *testing.T) *settings.Settings {
 	const ip = "127.0.8.10"
 	port := freePort(t)
@@ -38,14 +38,14 @@
 	return s
 }
 
-func TestRunServesUntilItsContextEndsAndLeavesNothingBehind(t *testing.T) {
+func TestRunServesUntilContextEnds(t *testing.T) {
 	s := testSettings(t)
-	c, err := newControl(program.Environment{Settings: s, Path: filepath.Join(t.TempDir(), "settings.json"), Log: slog.New(slog.DiscardHandler)})
+	c, err := newControlProcess(program.Environment{Settings: s, Path: filepath.Join(t.TempDir(), "settings.json"), Log: slog.New(slog.DiscardHandler)})
 	require.NoError(t, err)
 
 	ctx, cancel := context.WithCancel(t.Context())
-	ended := make(chan error, 1)
-	go func() { ended <- c.run(ctx) }()
+	runErr := make(chan error, 1)
+	go func() { runErr <- c.run(ctx) }()
 	ready := func() bool {
 		response, err := http.Get("http://" + s.ListenAdmin + "/v1/readyz")
 		if err != nil {
@@ -56,20 +56,20 @@
 	require.Eventually(t, ready, 20*time.Second, 10*time.Millisecond)
 	cancel()
 	select {
-	case err := <-ended:
+	case err := <-runErr:
 		require.NoError(t, err)
 	case <-time.After(20 * time.Second):
-		t.Fatal("run goes on after its context has ended")
+		t.Fatal("run has not returned after the end of its context")
 	}
-	require.False(t, ready(), "its addresses are free again")
+	require.False(t, ready(), "the admin address is free again")
 }
 
-func TestRunFailsWhereItCannotListenForOtherProcesses(t *testing.T) {
+func TestRunFailsWhenRPCAddressInUse(t *testing.T) {
 	s := testSettings(t)
-	taken, err := net.Listen("tcp4", s.ControlAddress(s.IP))
+	occupied, err := net.Listen("tcp4", s.ControlAddress(s.IP))
 	require.NoError(t, err)
-	t.Cleanup(func() { _ = taken.Close() })
-	c, err := newControl(program.Environment{Settings: s, Path: filepath.Join(t.TempDir(), "settings.json"), Log: slog.New(slog.DiscardHandler)})
+	t.Cleanup(func() { _ = occupied.Close() })
+	c, err := newControlProcess(program.Environment{Settings: s, Path: filepath.Join(t.TempDir(), "settings.json"), Log: slog.New(slog.DiscardHandler)})
 	require.NoError(t, err)
 	require.ErrorIs(t, c.run(t.Context()), syscall.EADDRINUSE)
 }
--- a/cmd/ravendale-control/main.go
+++ b/cmd/ravendale-control/main.go
@@ -1,5 +1,5 @@
-// Command ravendale-control is a process of the control plane: the operator's interface, the replicated control state, and, on
-// the one that holds the leader lease, membership, discovery and the placement of the queue.
+// Command ravendale-control runs one process of the control plane: the operator API, the replicated control state and, in the
+// process that holds the leader lease, membership, discovery and the placement of the queue.
 package main
 
 import (
@@ -8,10 +8,10 @@
 	"ravendale/cluster/program"
 )
 
-// Garbage collection: a small state, so that a smaller goal costs little.
+// Garbage collection settings. The heap is small, so frequent collections cost little.
 const (
 	gcPercent     = 50
-	memoryDivisor = 2 // the process aims to stay under its memory limit divided by this
+	memoryDivisor = 2 // the process aims to use at most its memory limit divided by this
 	name          = "ravendale-control"
 	description   = "The control plane of ravendale: configuration, membership, discovery and placement."
 )
@@ -19,7 +19,7 @@
 func main() {
 	program.Run(name, description, func(ctx context.Context, env program.Environment) error {
 		program.Memory(gcPercent, env.Settings.MemoryMb/memoryDivisor)
-		c, err := newControl(env)
+		c, err := newControlProcess(env)
 		if err != nil {
 			return err
 		}
--- a/cmd/ravendale-control/retire.go
+++ b/cmd/ravendale-control/retire.go
@@ -11,15 +11,16 @@
 	"ravendale/control/leader"
 )
 
-// retirer serves the operator's orders to empty a store by the leader service.
+// retirer implements the operator's requests to empty a store on top of the leader service.
 type retirer struct{ leader *leader.Service }
 
-// StartRetire has a node's store emptied. How long that may take is the operator's to watch: emptying is never cut short.
+// StartRetire starts moving all messages off a node's store. It ignores the deadline: the operator watches the progress, and a
+// running retirement is never aborted.
 func (r retirer) StartRetire(ctx context.Context, node string, _ time.Duration) error {
 	return apiError(r.leader.StartRetire(ctx, node))
 }
 
-// RetireState says how far a node's store is.
+// RetireState reports whether the retirement of a node's store is running or done.
 func (r retirer) RetireState(ctx context.Context, node string) (string, error) {
 	done, err := r.leader.RetireState(ctx, node)
 	if err != nil {
@@ -31,6 +32,7 @@
 	return api.RetireRunning, nil
 }
 
+// apiError wraps an error of the leader service in the error that the operator API maps to a status code.
 func apiError(err error) error {
 	switch {
 	case errors.Is(err, leader.ErrUnknownNode):
--- a/cmd/ravendale-control/status.go
+++ b/cmd/ravendale-control/status.go
@@ -6,21 +6,22 @@
 	"ravendale/cluster/settings"
 )
 
-// leaderAdmin is where the leader serves the operator, empty if this process leads or speaks for it; false: none is known.
-func (c *control) leaderAdmin() (host string, ok bool) {
-	address, known := c.plane.Core.Leader()
+// leaderAdminAddress returns the admin address of the leader. It is empty if this process leads or forwards requests to the leader;
+// ok is false if no leader is known.
+func (c *controlProcess) leaderAdminAddress() (adminAddress string, ok bool) {
+	rpcAddress, known := c.plane.Core.Leader()
 	if !known {
 		return "", false
 	}
 	if c.plane.Core.LeaderIsStore() {
-		return "", true // no operator can call it: this process passes on what is asked
+		return "", true // a store has no admin address: this process forwards the request
 	}
-	return adminOf(c.env.Settings, address)
+	return adminAddressOf(c.env.Settings, rpcAddress)
 }
 
-// adminOf is the admin address of the control process that listens for rpc at an address, empty if it is this one. Ports are alike
-// on all machines.
-func adminOf(s *settings.Settings, rpcAddress string) (host string, ok bool) {
+// adminAddressOf returns the admin address of the control process with the given RPC address; it is empty for this process, and ok is
+// false if an address is malformed. All machines use the same ports.
+func adminAddressOf(s *settings.Settings, rpcAddress string) (adminAddress string, ok bool) {
 	if rpcAddress == s.ControlAddress(s.IP) {
 		return "", true
 	}
--- a/cmd/ravendale-control/status_test.go
+++ b/cmd/ravendale-control/status_test.go
@@ -11,24 +11,24 @@
 	"ravendale/control/leader"
 )
 
-func TestTheLeadersAdminAddressFollowsFromItsRPCAddress(t *testing.T) {
+func TestAdminAddressOf(t *testing.T) {
 	s := &settings.Settings{IP: "10.0.0.1", PortRange: []int{7200, 7210}, ListenAdmin: "10.0.0.1:8046"}
-	host, ok := adminOf(s, "10.0.0.2:7200")
+	address, ok := adminAddressOf(s, "10.0.0.2:7200")
 	require.True(t, ok)
-	require.Equal(t, "10.0.0.2:8046", host)
+	require.Equal(t, "10.0.0.2:8046", address)
 
-	host, ok = adminOf(s, "10.0.0.1:7200")
+	address, ok = adminAddressOf(s, "10.0.0.1:7200")
 	require.True(t, ok)
-	require.Empty(t, host, "this one leads")
+	require.Empty(t, address, "this process leads")
 
-	_, ok = adminOf(s, "nowhere")
+	_, ok = adminAddressOf(s, "nowhere")
 	require.False(t, ok)
 	s.ListenAdmin = ""
-	_, ok = adminOf(s, "10.0.0.2:7200")
+	_, ok = adminAddressOf(s, "10.0.0.2:7200")
 	require.False(t, ok)
 }
 
-func TestOnlyAProcessThatDoesNotLeadAnswersUnavailable(t *testing.T) {
+func TestAPIError(t *testing.T) {
 	require.ErrorIs(t, apiError(leader.ErrNotLeading), core.ErrUnavailable)
 	require.NotErrorIs(t, apiError(leader.ErrUndecided), core.ErrUnavailable)
 	require.ErrorIs(t, apiError(leader.ErrUnknownNode), api.ErrUnknownNode)
--- a/cmd/ravendale-edge/backlog.go
+++ b/cmd/ravendale-edge/backlog.go
@@ -10,10 +10,10 @@
 
 const (
 	backlogInterval  = 2 * time.Second // between checks of the backlog
-	backlogThreshold = time.Second     // a message that is due for so long is overdue
+	backlogThreshold = time.Second     // a message that has been due for longer is overdue
 )
 
-// watchBacklogs logs overdue messages by service, until the context ends.
+// watchBacklogs periodically logs the overdue messages of each service until the context ends.
 func watchBacklogs(ctx context.Context, dispatcher *dispatch.Manager, log *slog.Logger) {
 	ticker := time.NewTicker(backlogInterval)
 	defer ticker.Stop()
@@ -28,8 +28,9 @@
 	}
 }
 
-// logBacklogs logs each backlog, and the end of those of the last check. It returns the services that have one.
-func logBacklogs(backlogs []dispatch.Backlog, before map[string]bool, log *slog.Logger) map[string]bool {
+// logBacklogs logs each backlog, and each service that had one at the previous check and has none now. It returns the services that
+// have a backlog.
+func logBacklogs(backlogs []dispatch.Backlog, previous map[string]bool, log *slog.Logger) map[string]bool {
 	current := make(map[string]bool, len(backlogs))
 	for i := range backlogs {
 		b := &backlogs[i]
@@ -38,7 +39,7 @@
 			"key_order", b.KeyOrder, "backing_off", b.BackingOff, "rate_limited", b.RateLimited, "queued", b.Queued, "in_flight", b.InFlight,
 			"workers", b.Workers, "unhealthy", b.Unhealthy, "at_capacity", b.AtCapacity)
 	}
-	for service := range before {
+	for service := range previous {
 		if !current[service] {
 			log.Info("no messages overdue", "service", service)
 		}
--- a/cmd/ravendale-edge/edge.go
+++ b/cmd/ravendale-edge/edge.go
@@ -21,43 +21,44 @@
 	"ravendale/edge/worker"
 )
 
-const currentPollInterval = 50 * time.Millisecond // between checks for the first newest state
+const currentStatePollInterval = 50 * time.Millisecond // between checks of whether the state is current, at the start
 
-// Shares of the process's descriptors and memory.
+// Limits derived from the process's file descriptors and memory.
 const (
-	reservedDescriptors = 500      // of files, of connections to workers, stores and other schedulers
-	minClientConns      = 64       // of clients
-	maxBodyBytes        = 24 << 20 // bytes of leased messages
-	bodyMemoryDivisor   = 8        // they take one in so many bytes of the process's memory
+	reservedDescriptors = 500      // for files and for connections to workers, stores and other schedulers
+	minClientConns      = 64       // lower bound for the number of client connections
+	maxBodyBytes        = 24 << 20 // upper bound for the bodies of leased messages
+	bodyMemoryDivisor   = 8        // the bodies of leased messages use at most the process's memory divided by this
 )
 
-// Time-outs of a planned stop. The platform takes two failed readiness checks, a second each, to send no more new connections.
+// Timeouts of a planned stop. The platform stops sending new connections after two failed readiness checks, which run once a second.
+// The margins are counted back from the end of the grace period.
 const (
 	acceptPeriod = 2200 * time.Millisecond
-	acceptMargin = 1500 * time.Millisecond // before the grace period is over, nothing more is accepted
-	answerMargin = 1200 * time.Millisecond // ... all is answered
-	reportMargin = time.Second             // ... all outcomes are reported
+	acceptMargin = 1500 * time.Millisecond // requests are accepted until then
+	answerMargin = 1200 * time.Millisecond // requests are answered until then
+	reportMargin = time.Second             // outcomes are reported until then
 	leaveTimeout = 400 * time.Millisecond
 )
 
-// See retryListen.
+// Used by retryListen.
 const (
-	listenTimeout = 3 * time.Second
-	listenPause   = 50 * time.Millisecond
+	listenTimeout       = 3 * time.Second
+	listenRetryInterval = 50 * time.Millisecond
 )
 
 // edge wires the components of the process.
 type edge struct {
-	env        program.Environment
-	id         string // Member.ID
-	mux        *rpc.Mux
-	agent      *member.Agent
-	workers    *worker.Client
-	dispatcher *dispatch.Manager
-	queue      *queueclient.Client
-	ingress    *ingress.Server
-	current    func() bool // the state is as new as the leader reported first
-	stopping   atomic.Bool
+	env            program.Environment
+	id             string // Member.ID
+	mux            *rpc.Mux
+	agent          *member.Agent
+	workers        *worker.Client
+	dispatcher     *dispatch.Manager
+	queue          *queueclient.Client
+	ingress        *ingress.Server
+	stateIsCurrent func() bool // whether the local state has reached the version that the leader reported first
+	stopping       atomic.Bool
 
 	mu      sync.Mutex // guards applied
 	applied [wire.TopicCount]wire.Version
@@ -80,7 +81,7 @@
 		Self: wire.Member{ID: id, Node: s.Node, Address: s.EdgeAddress(), Zone: s.Zone, Region: s.Region, Edge: true},
 	})
 	e.agent.OnChange(e.stateChanged)
-	e.current = e.agent.Current
+	e.stateIsCurrent = e.agent.Current
 	e.ingress = ingress.New(ingress.Config{
 		Queue: e.queue, Index: e.dispatcher.Index, Ready: e.isCurrent, Accepts: e.dispatcher.Accepts,
 		MaxConns: max(s.MaxFds-reservedDescriptors, minClientConns), Log: env.Log,
@@ -104,26 +105,28 @@
 	}
 }
 
-// stateChanged applies a newer state. Before the agent has what the leader reported first, an old one could be taken for the newest.
+// stateChanged applies a newer state. It ignores states older than the one that the leader reported first, since the components would
+// take an outdated state for the newest.
 func (e *edge) stateChanged(wire.Topic, *member.Snapshot) {
-	if e.current() {
+	if e.stateIsCurrent() {
 		e.apply(e.agent.Snapshot())
 	}
 }
 
-// awaitCurrent applies the state that the leader reported first, should the report that it is the newest come after it.
+// awaitCurrent applies the state that the leader reported first. This covers the case in which the state arrives before the report of
+// its version: stateChanged has ignored it then.
 func (e *edge) awaitCurrent(ctx context.Context) {
-	for !e.current() {
+	for !e.stateIsCurrent() {
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(currentPollInterval):
+		case <-time.After(currentStatePollInterval):
 		}
 	}
 	e.apply(e.agent.Snapshot())
 }
 
-// apply passes what is newer in a snapshot to the components that need it.
+// apply passes the topics of a snapshot that are newer than the applied ones to the components that use them.
 func (e *edge) apply(s *member.Snapshot) {
 	defer e.ingress.ConfigChanged()
 	e.mu.Lock()
@@ -143,7 +146,7 @@
 	}
 }
 
-// isNewer reports whether a topic has a newer version than the one applied, and records it.
+// isNewer reports whether a snapshot has a newer version of a topic than the applied one, and records that version as applied.
 func (e *edge) isNewer(s *member.Snapshot, topic wire.Topic) bool {
 	if !e.applied[topic].Less(s.Versions[topic]) {
 		return false
@@ -154,11 +157,11 @@
 
 func (e *edge) usable() bool { return !e.stopping.Load() && e.queue.Usable() }
 
-func (e *edge) isCurrent() bool { return e.current() }
+func (e *edge) isCurrent() bool { return e.stateIsCurrent() }
 
-func (e *edge) ready() bool { return e.usable() && e.current() && e.dispatcher.Index() != nil }
+func (e *edge) ready() bool { return e.usable() && e.stateIsCurrent() && e.dispatcher.Index() != nil }
 
-// run serves until the context ends, and then stops in order. It returns once all of its goroutines have ended.
+// run serves until the context ends, and then performs a planned stop. It returns once all of its goroutines have ended.
 func (e *edge) run(ctx context.Context) error {
 	s := e.env.Settings
 	closeListeners, err := e.listen()
@@ -166,22 +169,23 @@
 		return err
 	}
 	e.env.Log.Info("started", "http", s.ListenHTTP, "rpc", s.EdgeAddress())
-	alive, end := context.WithCancel(context.Background())
-	defer end()
+	runCtx, cancelRun := context.WithCancel(context.Background())
+	defer cancelRun()
 	var tasks sync.WaitGroup
-	tasks.Go(func() { e.agent.Run(alive) })
-	tasks.Go(func() { e.awaitCurrent(alive) })
-	tasks.Go(func() { e.env.WatchSettings(alive, e.agent.SetSettings) })
-	tasks.Go(func() { watchBacklogs(alive, e.dispatcher, e.env.Log) })
+	tasks.Go(func() { e.agent.Run(runCtx) })
+	tasks.Go(func() { e.awaitCurrent(runCtx) })
+	tasks.Go(func() { e.env.WatchSettings(runCtx, e.agent.SetSettings) })
+	tasks.Go(func() { watchBacklogs(runCtx, e.dispatcher, e.env.Log) })
 	<-ctx.Done()
 	e.stop(settings.Seconds(s.Bounds.GraceS))
 	closeListeners()
-	end()
+	cancelRun()
 	tasks.Wait()
 	return nil
 }
 
-// listen listens for peers, the platform and, last, clients. The function that it returns closes what ingress.Close has not closed.
+// listen opens the listeners for peers, for readiness checks of the platform and, last, for clients. The returned function closes the
+// listeners that ingress does not close.
 func (e *edge) listen() (closeListeners func(), err error) {
 	s := e.env.Settings
 	server, err := retryListen(func() (*rpc.Server, error) {
@@ -206,41 +210,42 @@
 	return closeListeners, nil
 }
 
-// retryListen opens a listener, again for listenTimeout: the process before this one may still hold the address.
+// retryListen opens a listener and retries for listenTimeout, since the previous process may still be bound to the address.
 func retryListen[T any](open func() (T, error)) (T, error) {
-	began := time.Now()
+	started := time.Now()
 	for {
 		listener, err := open()
-		if err == nil || time.Since(began) > listenTimeout {
+		if err == nil || time.Since(started) > listenTimeout {
 			return listener, err
 		}
-		time.Sleep(listenPause)
+		time.Sleep(listenRetryInterval)
 	}
 }
 
-// stop ends the process's work within its grace period: it is not ready any more, still accepts what comes for a while, releases
-// what is not in flight, completes what is, and waits until all outcomes are acknowledged.
+// stop performs a planned stop within the grace period. The process reports that it is not ready but accepts requests for
+// acceptPeriod, releases the leased messages that are not in flight, completes those in flight, and waits until all outcomes are
+// acknowledged.
 func (e *edge) stop(gracePeriod time.Duration) {
-	began := time.Now()
-	left := func(margin time.Duration) time.Duration { return max(gracePeriod-margin-time.Since(began), 0) }
+	started := time.Now()
+	remaining := func(margin time.Duration) time.Duration { return max(gracePeriod-margin-time.Since(started), 0) }
 	e.stopping.Store(true)
 	e.queue.Drain()
 	e.dispatcher.Stop()
 	e.ingress.Drain()
-	time.Sleep(min(acceptPeriod, left(acceptMargin)))
+	time.Sleep(min(acceptPeriod, remaining(acceptMargin)))
 
-	answers, cancelAnswers := context.WithTimeout(context.Background(), left(answerMargin))
-	defer cancelAnswers()
-	e.ingress.Shutdown(answers)
+	answerCtx, cancelAnswer := context.WithTimeout(context.Background(), remaining(answerMargin))
+	defer cancelAnswer()
+	e.ingress.Shutdown(answerCtx)
 
-	reports, cancelReports := context.WithTimeout(context.Background(), left(reportMargin))
-	defer cancelReports()
-	if !e.dispatcher.AwaitDrained(reports) {
-		e.env.Log.Warn("stopped with deliveries in flight")
+	reportCtx, cancelReport := context.WithTimeout(context.Background(), remaining(reportMargin))
+	defer cancelReport()
+	if !e.dispatcher.AwaitDrained(reportCtx) {
+		e.env.Log.Warn("stopping although deliveries are still in flight")
 	}
-	leaving, cancelLeaving := context.WithTimeout(context.Background(), leaveTimeout)
-	defer cancelLeaving()
-	e.agent.Leave(leaving)
+	leaveCtx, cancelLeave := context.WithTimeout(context.Background(), leaveTimeout)
+	defer cancelLeave()
+	e.agent.Leave(leaveCtx)
 	e.dispatcher.Close()
 	e.queue.Close()
 	e.workers.Close()
--- a/cmd/ravendale-edge/edge_test.go
+++ b/cmd/ravendale-edge/edge_test.go
@@ -28,9 +28,9 @@
 	"ravendale/test/diskfolder"
 )
 
-const patience = 8 * time.Second
+const waitTimeout = 8 * time.Second
 
-// rig is a small system without a control plane: the test says what the leader would. Stores and edges are real.
+// rig is a small system with real stores and edges but without a control plane: the test distributes the state in place of the leader.
 type rig struct {
 	t       *testing.T
 	log     *slog.Logger
@@ -55,16 +55,16 @@
 	done chan error
 }
 
-// rigWorker answers as the test says, and records the runs.
+// rigWorker records the requests and responds with the handler set by the test.
 type rigWorker struct {
-	mu      sync.Mutex
-	runs    []string
-	bodies  map[string]string
-	keys    map[string]string
-	running map[string]int // by order key
-	overlap bool
-	answer  func(w http.ResponseWriter, r *http.Request, run int) bool // true: it has answered
-	address string
+	mu           sync.Mutex
+	runs         []string
+	bodies       map[string]string
+	keys         map[string]string
+	runningByKey map[string]int // concurrent runs by order key
+	overlapSeen  bool
+	handler      func(w http.ResponseWriter, r *http.Request, run int) bool // returns true if it has written the response
+	address      string
 }
 
 func (w *rigWorker) ServeHTTP(response http.ResponseWriter, r *http.Request) {
@@ -74,17 +74,17 @@
 	w.runs = append(w.runs, id)
 	w.bodies[id], w.keys[id] = string(body), key
 	run := len(w.runs)
-	w.running[key]++
-	w.overlap = w.overlap || key != "" && w.running[key] > 1
-	answer := w.answer
+	w.runningByKey[key]++
+	w.overlapSeen = w.overlapSeen || key != "" && w.runningByKey[key] > 1
+	handler := w.handler
 	w.mu.Unlock()
 	defer func() {
 		w.mu.Lock()
-		w.running[key]--
+		w.runningByKey[key]--
 		w.mu.Unlock()
 	}()
 	response.Header().Set("Request-Id", id)
-	if answer != nil && answer(response, r, run) {
+	if handler != nil && handler(response, r, run) {
 		return
 	}
 	response.Header().Set("Signature", "sig-"+id)
@@ -111,18 +111,18 @@
 func (w *rigWorker) overlapped() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.overlap
+	return w.overlapSeen
 }
 
-func (w *rigWorker) answerBy(answer func(w http.ResponseWriter, r *http.Request, run int) bool) {
+func (w *rigWorker) setHandler(handler func(w http.ResponseWriter, r *http.Request, run int) bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.answer = answer
+	w.handler = handler
 }
 
 func newRig(t *testing.T, stores, edges int) *rig {
 	r := &rig{t: t, log: slog.New(slog.NewTextHandler(io.Discard, nil))}
-	r.worker = &rigWorker{bodies: make(map[string]string), keys: make(map[string]string), running: make(map[string]int)}
+	r.worker = &rigWorker{bodies: make(map[string]string), keys: make(map[string]string), runningByKey: make(map[string]int)}
 	server := httptest.NewServer(r.worker)
 	t.Cleanup(server.Close)
 	r.worker.address = server.Listener.Addr().String()
@@ -160,28 +160,28 @@
 	})
 	require.NoError(r.t, err)
 	started := &rigStore{settings: s, store: opened, server: server, disk: disk}
-	r.t.Cleanup(started.end)
+	r.t.Cleanup(started.close)
 	return started
 }
 
-// restartStores has all stores end and start again with their disks. They get no state.
+// restartStores closes all stores and restarts them with their disks, without distributing any state to them.
 func (r *rig) restartStores() {
 	for _, s := range r.stores {
-		s.end()
+		s.close()
 	}
 	for i, s := range r.stores {
 		r.stores[i] = r.startStore(s.settings, s.server.Address())
 	}
 }
 
-func (s *rigStore) end() {
+func (s *rigStore) close() {
 	s.stopOnce.Do(func() {
 		s.server.Close()
 		_ = s.store.Close()
 	})
 }
 
-// freePort finds a port that nobody listens on.
+// freePort returns a port that was free at the time of the call.
 func freePort(t *testing.T) int {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -189,7 +189,7 @@
 	return listener.Addr().(*net.TCPAddr).Port
 }
 
-// addEdge starts an edge. Ports that were free a moment ago may be another program's by then: it is started with others.
+// addEdge starts an edge. It retries with other ports, since another program may have bound a free port in the meantime.
 func (r *rig) addEdge() {
 	const attempts = 5
 	var err error
@@ -210,7 +210,7 @@
 	s.ListenHTTP = fmt.Sprintf("127.0.0.1:%d", freePort(r.t))
 	s.ListenReady = fmt.Sprintf("127.0.0.1:%d", freePort(r.t))
 	e := newEdge(program.Environment{Settings: s, Log: r.log, Path: "none"})
-	e.current = func() bool { return true }
+	e.stateIsCurrent = func() bool { return true }
 	ctx, cancel := context.WithCancel(context.Background())
 	added := &rigEdge{edge: e, stop: cancel, done: make(chan error, 1)}
 	go func() { added.done <- e.run(ctx) }()
@@ -218,7 +218,7 @@
 		e.queue.Close()
 		e.dispatcher.Close()
 	})
-	for { // http is the last that is listened on
+	for { // the edge opens the HTTP listener last
 		conn, err := net.Dial("tcp4", s.ListenHTTP)
 		if err == nil {
 			return added, conn.Close()
@@ -242,7 +242,7 @@
 	}
 }
 
-// distribute gives all processes the newest state.
+// distribute passes the newest state to all processes.
 func (r *rig) distribute() {
 	r.version++
 	members := &wire.Members{}
@@ -277,7 +277,7 @@
 func (r *rig) awaitReady(e *rigEdge) {
 	r.t.Helper()
 	last := ""
-	deadline := time.Now().Add(patience)
+	deadline := time.Now().Add(waitTimeout)
 	for ; time.Now().Before(deadline); time.Sleep(5 * time.Millisecond) {
 		response, err := http.Get("http://" + e.env.Settings.ListenReady + "/v1/readyz")
 		if err != nil {
@@ -292,7 +292,7 @@
 	require.Fail(r.t, "edge is not ready", "%s; usable %t, connected to %d stores", last, e.usable(), len(r.stores))
 }
 
-// put sends a message until it is taken, and returns its name.
+// put retries sending a message until it is accepted, and returns its Msg-Id.
 func (r *rig) put(e *rigEdge, path, id, key string, delay int) string {
 	r.t.Helper()
 	name := ""
@@ -314,11 +314,11 @@
 		_ = response.Body.Close()
 		name = response.Header.Get("Msg-Id")
 		return response.StatusCode == http.StatusAccepted
-	}, patience, 10*time.Millisecond)
+	}, waitTimeout, 10*time.Millisecond)
 	return name
 }
 
-func (r *rig) ask(e *rigEdge, path string) (int, []byte) {
+func (r *rig) get(e *rigEdge, path string) (int, []byte) {
 	request, err := http.NewRequest(http.MethodGet, "http://"+e.env.Settings.ListenHTTP+path, nil)
 	require.NoError(r.t, err)
 	request.Host = "a.example"
@@ -331,22 +331,22 @@
 	return response.StatusCode, body
 }
 
-// awaitState waits until a message's state, asked at an edge, is as wanted.
+// awaitState waits until an edge reports the given state for a message, and returns the message's signature.
 func (r *rig) awaitState(e *rigEdge, name, want string) (signature string) {
 	r.t.Helper()
 	require.Eventually(r.t, func() bool {
-		status, body := r.ask(e, "/v1/message/"+name)
+		status, body := r.get(e, "/v1/message/"+name)
 		var answer struct{ State, Signature string }
 		if status != http.StatusOK || json.Unmarshal(body, &answer) != nil {
 			return false
 		}
 		signature = answer.Signature
 		return answer.State == want
-	}, patience, 5*time.Millisecond)
+	}, waitTimeout, 5*time.Millisecond)
 	return signature
 }
 
-func TestMessagesAreAcceptedRunAndReported(t *testing.T) {
+func TestAcceptDeliverAndReport(t *testing.T) {
 	r := newRig(t, 3, 2)
 	one, two := r.edges[0], r.edges[1]
 	r.awaitReady(one)
@@ -361,18 +361,18 @@
 		assert.Equal(t, "body of "+id, r.worker.body(id))
 	}
 	assert.Len(t, r.worker.list(), 20)
-	status, _ := r.ask(one, "/v1/message/0.none")
+	status, _ := r.get(one, "/v1/message/0.none")
 	assert.Equal(t, http.StatusNotFound, status)
 	late := r.put(one, "/p/x", "late", "", 60000)
 	r.awaitState(two, late, "pending")
-	status, body := r.ask(two, "/v1/message-body/"+late)
+	status, body := r.get(two, "/v1/message-body/"+late)
 	assert.Equal(t, http.StatusOK, status)
 	assert.Equal(t, "body of late", string(body))
 }
 
-func TestOrderIsKeptAcrossEdgesAndFailures(t *testing.T) {
+func TestOrderedDeliveryAcrossEdgesAndFailures(t *testing.T) {
 	r := newRig(t, 3, 2)
-	r.worker.answerBy(func(w http.ResponseWriter, _ *http.Request, run int) bool {
+	r.worker.setHandler(func(w http.ResponseWriter, _ *http.Request, run int) bool {
 		time.Sleep(2 * time.Millisecond)
 		switch run % 5 {
 		case 1:
@@ -397,51 +397,52 @@
 	}
 	assert.False(t, r.worker.overlapped())
 	seen := map[string]bool{}
-	var firsts []string
+	var firstRuns []string
 	for _, id := range r.worker.list() {
 		if !seen[id] {
-			firsts = append(firsts, id)
+			firstRuns = append(firstRuns, id)
 		}
 		seen[id] = true
 	}
-	assert.Equal(t, ids, firsts)
+	assert.Equal(t, ids, firstRuns)
 }
 
-// startRunning has a message under way at the worker, until it is let end, at the latest by the end of the test.
-func (r *rig) startRunning(at *rigEdge) (name string, letEnd func()) {
-	hold := make(chan struct{})
-	letEnd = sync.OnceFunc(func() { close(hold) })
-	r.t.Cleanup(letEnd) // a test that fails before must not leave the worker waiting, which would keep it from closing
-	r.worker.answerBy(func(http.ResponseWriter, *http.Request, int) bool {
-		<-hold
+// blockWorkerOnMessage sends a message and waits until the worker has received it. The worker blocks until release is called, at the
+// latest at the end of the test.
+func (r *rig) blockWorkerOnMessage(target *rigEdge) (name string, release func()) {
+	released := make(chan struct{})
+	release = sync.OnceFunc(func() { close(released) })
+	r.t.Cleanup(release) // a blocked worker would prevent its server from closing if the test fails earlier
+	r.worker.setHandler(func(http.ResponseWriter, *http.Request, int) bool {
+		<-released
 		return false
 	})
-	name = r.put(at, "/p/x", "running", "", 0)
-	require.Eventually(r.t, func() bool { return len(r.worker.list()) == 1 }, patience, time.Millisecond)
-	return name, letEnd
+	name = r.put(target, "/p/x", "running", "", 0)
+	require.Eventually(r.t, func() bool { return len(r.worker.list()) == 1 }, waitTimeout, time.Millisecond)
+	return name, release
 }
 
-func TestPlannedStopHandsOver(t *testing.T) {
+func TestPlannedStop(t *testing.T) {
 	r := newRig(t, 3, 2)
 	one, two := r.edges[0], r.edges[1]
 	r.awaitReady(one)
 	r.awaitReady(two)
-	running, letEnd := r.startRunning(one)
+	running, release := r.blockWorkerOnMessage(one)
 	delayed := r.put(one, "/p/x", "delayed", "", 1500)
-	began := time.Now()
+	stopStarted := time.Now()
 	one.stop()
 	time.Sleep(100 * time.Millisecond)
-	taken := r.put(one, "/p/x", "taken while leaving", "", 0)
-	letEnd()
+	acceptedWhileStopping := r.put(one, "/p/x", "accepted while stopping", "", 0)
+	release()
 	require.NoError(t, <-one.done)
-	assert.Less(t, time.Since(began), 6*time.Second)
-	for _, name := range []string{running, delayed, taken} {
+	assert.Less(t, time.Since(stopStarted), 6*time.Second)
+	for _, name := range []string{running, delayed, acceptedWhileStopping} {
 		r.awaitState(two, name, "done")
 	}
-	assert.Len(t, r.worker.list(), 3, "nothing ran twice")
+	assert.Len(t, r.worker.list(), 3, "each message ran once")
 }
 
-func TestMessagesOfAnEdgeThatDiesAreRunByOthers(t *testing.T) {
+func TestRedeliveryAfterEdgeFailure(t *testing.T) {
 	r := newRig(t, 3, 2)
 	one, two := r.edges[0], r.edges[1]
 	r.awaitReady(one)
@@ -454,7 +455,7 @@
 	assert.Equal(t, "sig-orphan", r.awaitState(two, name, "done"))
 }
 
-func TestStoreThatDiesLosesNothing(t *testing.T) {
+func TestNoMessageLostAfterStoreFailure(t *testing.T) {
 	r := newRig(t, 3, 1)
 	one := r.edges[0]
 	r.awaitReady(one)
@@ -463,7 +464,7 @@
 		id := fmt.Sprintf("m%d", i)
 		names[id] = r.put(one, "/f/x", id, fmt.Sprint("key", i), 700)
 	}
-	r.stores[0].end()
+	r.stores[0].close()
 	r.setPlacement(2, []uint16{1, 2}, []uint16{1, 2}, []uint16{2, 1}, []uint16{2, 1})
 	r.distribute()
 	for i := range 4 {
--- a/cmd/ravendale-edge/main.go
+++ b/cmd/ravendale-edge/main.go
@@ -1,5 +1,5 @@
-// Command ravendale-edge is the scheduler of an edge machine: it accepts clients' requests, has stores keep them on
-// disk, and delivers them to workers.
+// Command ravendale-edge is the scheduler of an edge machine: it accepts messages from clients, writes them to stores, which keep them
+// on disk, and delivers them to workers.
 package main
 
 import (
@@ -8,12 +8,12 @@
 	"ravendale/cluster/program"
 )
 
-const garbagePercent = 60 // growth of the heap between collections: small heaps are cheap to collect
+const gcPercent = 60 // GOGC value; low, because small heaps are cheap to collect
 
 func main() {
-	program.Run("ravendale-edge", "Takes messages from clients and delivers them to workers.",
+	program.Run("ravendale-edge", "Accepts messages from clients and delivers them to workers.",
 		func(ctx context.Context, env program.Environment) error {
-			program.Memory(garbagePercent, env.Settings.MemoryMb)
+			program.Memory(gcPercent, env.Settings.MemoryMb)
 			return newEdge(env).run(ctx)
 		})
 }
--- a/cmd/ravendale-edge/rules_test.go
+++ b/cmd/ravendale-edge/rules_test.go
@@ -9,8 +9,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// UNASKED: the key that a worker sees is the sender's, from whichever edge, and after a restart of all stores.
-func TestOrderKeyReachesTheWorkerByteByByte(t *testing.T) {
+// UNASKED: workers receive the sender's order key unchanged, from any edge and after a restart of all stores.
+func TestOrderKeyReachesWorkerUnchanged(t *testing.T) {
 	const key = "K \xe9\xff,\t\"=;:%20/ k"
 	r := newRig(t, 3, 2)
 	one, two := r.edges[0], r.edges[1]
@@ -32,8 +32,8 @@
 	}
 }
 
-// LOST: stores that have just started, and have no state yet, do not say that there is no such message.
-func TestStateIsNotDeniedWhileStoresStart(t *testing.T) {
+// LOST: stores that have just started and have received no state yet must not report an existing message as unknown.
+func TestMessageStateUnavailableWhileStoresStart(t *testing.T) {
 	r := newRig(t, 3, 2)
 	one, two := r.edges[0], r.edges[1]
 	r.awaitReady(one)
@@ -41,11 +41,11 @@
 	done, pending := r.put(one, "/p/x", "m1", "", 0), r.put(one, "/p/x", "m2", "", 60000)
 	require.Equal(t, "sig-m1", r.awaitState(two, done, "done"))
 	r.restartStores()
-	r.awaitReady(one) // connected again
+	r.awaitReady(one) // the edges have reconnected
 	r.awaitReady(two)
 	for _, e := range r.edges {
 		for _, path := range []string{"/v1/message/" + done, "/v1/message/" + pending, "/v1/message-body/" + pending} {
-			status, _ := r.ask(e, path)
+			status, _ := r.get(e, path)
 			assert.Equal(t, http.StatusServiceUnavailable, status)
 		}
 	}
@@ -56,15 +56,15 @@
 	r.awaitState(two, pending, "pending")
 }
 
-// DRAIN: an edge that is being stopped is not ready from then on, however long it still works.
-func TestStoppingEdgeIsNotReady(t *testing.T) {
+// DRAIN: an edge is not ready from the start of a planned stop until it exits, however long it still delivers messages.
+func TestStoppingEdgeNotReady(t *testing.T) {
 	r := newRig(t, 3, 2)
 	one, two := r.edges[0], r.edges[1]
 	r.awaitReady(one)
 	r.awaitReady(two)
-	name, letEnd := r.startRunning(one)
+	name, release := r.blockWorkerOnMessage(one)
 	one.stop()
-	ask := func() int {
+	readyStatus := func() int {
 		response, err := http.Get("http://" + one.env.Settings.ListenReady + "/v1/readyz")
 		if err != nil {
 			return 0
@@ -72,16 +72,16 @@
 		_ = response.Body.Close()
 		return response.StatusCode
 	}
-	require.Eventually(t, func() bool { return ask() == http.StatusServiceUnavailable }, patience, time.Millisecond)
-	assert.Len(t, r.worker.list(), 1, "it still runs")
-	letEnd()
+	require.Eventually(t, func() bool { return readyStatus() == http.StatusServiceUnavailable }, waitTimeout, time.Millisecond)
+	assert.Len(t, r.worker.list(), 1, "the message is still running")
+	release()
 	for stopped := false; !stopped; {
 		select {
 		case err := <-one.done:
 			require.NoError(t, err)
 			stopped = true
 		default:
-			require.NotEqual(t, http.StatusOK, ask())
+			require.NotEqual(t, http.StatusOK, readyStatus())
 		}
 	}
 	r.awaitState(two, name, "done")
--- a/cmd/ravendale-standin/main.go
+++ b/cmd/ravendale-standin/main.go
@@ -1,4 +1,5 @@
-// Ravendale-standin plays the world outside of the system on loopback: the platform's list, and the workers of some services.
+// Command ravendale-standin simulates the external dependencies of the system on loopback: the platform's instance list and the
+// workers of some services.
 package main
 
 import (
@@ -30,13 +31,13 @@
 	Rate     float64       `help:"Calls of the list accepted a second; 0: no limit." default:"20"`
 }
 
-// limits of the configuration that is printed.
-var limits = protocol.Limits{MaxHeaderBytes: 16384, MaxBodyBytes: 262144, HeaderTimeoutMs: 3000, IdleTimeoutMs: 15000}
+// configLimits are the limits in the printed configuration.
+var configLimits = protocol.Limits{MaxHeaderBytes: 16384, MaxBodyBytes: 262144, HeaderTimeoutMs: 3000, IdleTimeoutMs: 15000}
 
 func main() {
 	var a arguments
 	k := kong.Parse(&a, kong.Name("ravendale-standin"),
-		kong.Description("The platform's list and workers on loopback. Prints a configuration that leads to them, and plays until it is interrupted."))
+		kong.Description("Simulates the platform's instance list and workers on loopback. Prints a configuration that refers to them, and runs until it is interrupted."))
 	k.FatalIfErrorf(run(a))
 }
 
@@ -50,14 +51,14 @@
 		return err
 	}
 	defer world.Close()
-	if err := json.NewEncoder(os.Stdout).Encode(world.Config(1, limits)); err != nil {
+	if err := json.NewEncoder(os.Stdout).Encode(world.Config(1, configLimits)); err != nil {
 		return err
 	}
 	fmt.Fprintf(os.Stderr, "the list is at http://%s/instances\n", world.Platform.Address())
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
 	<-ctx.Done()
-	report(world)
+	printSummary(world)
 	return nil
 }
 
@@ -77,18 +78,18 @@
 	return options
 }
 
-// report tells what the workers ran, and how fast.
-func report(world *standin.World) {
-	ran := make(map[string]int)
-	var times []time.Duration
+// printSummary prints the number of runs of each service and quantiles of their durations.
+func printSummary(world *standin.World) {
+	runsByService := make(map[string]int)
+	var runDurations []time.Duration
 	for _, arrival := range world.Record.History().Arrivals {
 		if arrival.Started() {
-			ran[arrival.Service]++
-			times = append(times, arrival.End-arrival.Start)
+			runsByService[arrival.Service]++
+			runDurations = append(runDurations, arrival.End-arrival.Start)
 		}
 	}
-	for _, service := range world.Config(1, limits).Services {
-		fmt.Fprintf(os.Stderr, "%s ran %d\n", service.Name, ran[service.Name])
+	for _, service := range world.Config(1, configLimits).Services {
+		fmt.Fprintf(os.Stderr, "%s ran %d\n", service.Name, runsByService[service.Name])
 	}
-	fmt.Fprintf(os.Stderr, "runs took p50 %v, p99 %v\n", check.Quantile(times, 0.5), check.Quantile(times, 0.99))
+	fmt.Fprintf(os.Stderr, "runs took p50 %v, p99 %v\n", check.Quantile(runDurations, 0.5), check.Quantile(runDurations, 0.99))
 }
--- a/cmd/ravendale-store/corehost.go
+++ b/cmd/ravendale-store/corehost.go
@@ -18,78 +18,79 @@
 )
 
 const (
-	coreFolder          = "control"              // in the data folder
-	coreRetryInterval   = time.Second            // after a member failed, as by a full disk
-	removalPollInterval = 100 * time.Millisecond // how often it is looked whether the others have removed this one
+	coreFolder          = "control"              // name within the data folder
+	coreRetryInterval   = time.Second            // delay before a failed member is restarted, for example after the disk was full
+	removalPollInterval = 100 * time.Millisecond // between checks of whether the other members have removed this one
 	coreFolderMode      = 0o700
 )
 
-// coreHost runs a member of the control plane's core beside the store, where too few control processes have a disk: from when a control
-// process requests it, or from the start if the folder of a member is there, and until the others have removed it. Its goroutines run under the
-// context of run, and wait returns once all have ended.
+// coreHost runs a member of the control plane's core in the store process, for systems in which too few control processes have a disk.
+// The member starts when a control process requests it, or with the process if the folder of a member exists, and runs until the other
+// members have removed it. The goroutines run under the context passed to run, and wait returns once all have ended.
 type coreHost struct {
 	settings *settings.Settings
 	folder   string
 	log      *slog.Logger
 
-	mu      sync.Mutex
-	plane   *plane.Plane       // nil while none runs
-	stop    context.CancelFunc // nil while none is hosted
-	leaving bool
+	mu               sync.Mutex
+	plane            *plane.Plane       // nil while no member runs
+	cancelMember     context.CancelFunc // nil while no member is hosted
+	removalRequested bool
 
-	starting sync.Mutex // held while submit starts a goroutine
-	work     sync.WaitGroup
+	submitMu   sync.Mutex // held while applyRequestAsync starts a goroutine
+	goroutines sync.WaitGroup
 }
 
 func newCoreHost(s *settings.Settings, log *slog.Logger) *coreHost {
 	return &coreHost{settings: s, folder: filepath.Join(s.DataDir, coreFolder), log: log}
 }
 
-// run hosts the core from the start if this disk did so before. It returns at once.
+// run starts a member if the disk has the folder of an earlier one. It does not block.
 func (h *coreHost) run(ctx context.Context) {
 	if _, err := os.Stat(h.folder); !errors.Is(err, fs.ErrNotExist) {
-		h.order(ctx, true)
+		h.applyRequest(ctx, true)
 	}
 }
 
-// submit has order called by a goroutine of its own, and returns at once.
-func (h *coreHost) submit(ctx context.Context, host bool) {
-	h.starting.Lock()
-	defer h.starting.Unlock()
+// applyRequestAsync calls applyRequest in a new goroutine and does not block.
+func (h *coreHost) applyRequestAsync(ctx context.Context, host bool) {
+	h.submitMu.Lock()
+	defer h.submitMu.Unlock()
 	if ctx.Err() == nil {
-		h.work.Go(func() { h.order(ctx, host) })
+		h.goroutines.Go(func() { h.applyRequest(ctx, host) })
 	}
 }
 
-// order does what a control process requests: that the core is hosted here, or not any more. Once the context has ended it hosts nothing.
-func (h *coreHost) order(ctx context.Context, host bool) {
+// applyRequest applies a request of a control process to start (host is true) or to remove the local member. It starts no member after
+// the context has ended.
+func (h *coreHost) applyRequest(ctx context.Context, host bool) {
 	if host {
-		h.host(ctx)
+		h.startMember(ctx)
 		return
 	}
-	h.leave(ctx)
+	h.requestRemoval(ctx)
 }
 
-// host has a member run here, unless one does.
-func (h *coreHost) host(ctx context.Context) {
+// startMember starts a member unless one is hosted already.
+func (h *coreHost) startMember(ctx context.Context) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if ctx.Err() != nil || h.stop != nil {
+	if ctx.Err() != nil || h.cancelMember != nil {
 		return
 	}
-	member, stop := context.WithCancel(ctx)
-	h.stop, h.leaving = stop, false
-	h.work.Go(func() { h.serve(member) })
+	memberCtx, cancel := context.WithCancel(ctx)
+	h.cancelMember, h.removalRequested = cancel, false
+	h.goroutines.Go(func() { h.runMemberWithRetries(memberCtx) })
 }
 
-// serve runs the core until the context ends. A member that fails is opened anew a while later from what the disk has.
-func (h *coreHost) serve(ctx context.Context) {
+// runMemberWithRetries runs a member until the context ends. It reopens a failed member from the disk after coreRetryInterval.
+func (h *coreHost) runMemberWithRetries(ctx context.Context) {
 	for ctx.Err() == nil {
 		err := h.runMember(ctx)
 		if ctx.Err() != nil || err == nil {
 			return
 		}
-		h.log.Error("core member failed beside this store", "error", err)
+		h.log.Error("core member hosted by this store failed", "error", err)
 		select {
 		case <-ctx.Done():
 		case <-time.After(coreRetryInterval):
@@ -102,15 +103,15 @@
 	if err := h.makeFolder(); err != nil {
 		return err
 	}
-	opened, err := plane.Open(plane.Config{Settings: h.settings, DataDir: h.folder, Storage: true, Log: h.log})
+	member, err := plane.Open(plane.Config{Settings: h.settings, DataDir: h.folder, Storage: true, Log: h.log})
 	if err != nil {
 		return err
 	}
 	h.mu.Lock()
-	h.plane = opened
+	h.plane = member
 	h.mu.Unlock()
-	h.log.Info("core member started beside this store", "rpc", h.settings.ControlAddress(h.settings.IP))
-	err = opened.Run(ctx)
+	h.log.Info("core member hosted by this store started", "rpc", h.settings.ControlAddress(h.settings.IP))
+	err = member.Run(ctx)
 	h.mu.Lock()
 	h.plane = nil
 	h.mu.Unlock()
@@ -124,8 +125,8 @@
 	return journal.SyncFolder(h.settings.DataDir)
 }
 
-// abdicate transfers the leadership to another member, if this one has it.
-func (h *coreHost) abdicate() {
+// transferLeadership transfers the leadership to another member if the local member leads.
+func (h *coreHost) transferLeadership() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.plane != nil {
@@ -133,79 +134,79 @@
 	}
 }
 
-// leave has the other members remove this one, and stops it once they have.
-func (h *coreHost) leave(ctx context.Context) {
+// requestRemoval requests that the other members remove the local one, and stops it once they have.
+func (h *coreHost) requestRemoval(ctx context.Context) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.plane == nil {
 		return
 	}
 	h.plane.Core.Leave()
-	if h.leaving {
+	if h.removalRequested {
 		return
 	}
-	h.leaving = true
-	opened := h.plane
-	h.work.Go(func() { h.awaitRemoval(ctx, opened) })
+	h.removalRequested = true
+	member := h.plane
+	h.goroutines.Go(func() { h.awaitRemoval(ctx, member) })
 }
 
-func (h *coreHost) awaitRemoval(ctx context.Context, opened *plane.Plane) {
-	for !opened.Core.Removed() {
+func (h *coreHost) awaitRemoval(ctx context.Context, member *plane.Plane) {
+	for !member.Core.Removed() {
 		select {
 		case <-ctx.Done():
 			return
 		case <-time.After(removalPollInterval):
 		}
 	}
-	h.stopMember(opened)
+	h.stopRemovedMember(member)
 }
 
-// stopMember stops a member, and removes its folder.
-func (h *coreHost) stopMember(opened *plane.Plane) {
+// stopRemovedMember stops a member and starts the removal of its folder.
+func (h *coreHost) stopRemovedMember(member *plane.Plane) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.plane != opened {
-		h.leaving = false
+	if h.plane != member {
+		h.removalRequested = false
 		return
 	}
-	h.stop()
-	h.work.Go(h.removeFolder)
+	h.cancelMember()
+	h.goroutines.Go(h.removeFolder)
 }
 
-// removeFolder removes what the core has on this disk, once no member runs any more.
+// removeFolder waits until no member runs, and then removes the files of the core from the disk.
 func (h *coreHost) removeFolder() {
-	for h.running() {
+	for h.memberRunning() {
 		time.Sleep(removalPollInterval)
 	}
 	err := errors.Join(os.RemoveAll(h.folder), journal.SyncFolder(h.settings.DataDir))
 	if err != nil {
-		h.log.Warn("core folder not removed from this store", "error", err)
+		h.log.Warn("failed to remove the folder of the core member hosted by this store", "error", err)
 	}
-	h.log.Info("core member removed from this store")
+	h.log.Info("core member hosted by this store removed")
 	h.mu.Lock()
-	h.stop, h.leaving = nil, false
+	h.cancelMember, h.removalRequested = nil, false
 	h.mu.Unlock()
 }
 
-func (h *coreHost) running() bool {
+func (h *coreHost) memberRunning() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.plane != nil
 }
 
-// votes says whether this store has a vote in the core, and how many have.
-func (h *coreHost) votes() (has bool, voters int) {
+// voteStatus reports whether the local member is a voter of the core, and the number of voters.
+func (h *coreHost) voteStatus() (hasVote bool, voters int) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.plane == nil {
 		return false, 0
 	}
 	status := h.plane.Core.Status()
-	_, has = (&view.View{Voters: status.Voters}).Voter(status.ID)
-	return has, len(status.Voters)
+	_, hasVote = (&view.View{Voters: status.Voters}).Voter(status.ID)
+	return hasVote, len(status.Voters)
 }
 
-// setSettings gives the core settings that were read again.
+// setSettings passes reloaded settings to the member.
 func (h *coreHost) setSettings(s *settings.Settings) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -214,11 +215,11 @@
 	}
 }
 
-// wait returns once nothing of the core runs any more, after the context of run has ended.
+// wait returns once all goroutines have ended. It must be called after the context passed to run has ended.
 func (h *coreHost) wait() {
-	h.starting.Lock()   // what began before the context ended is counted
-	h.starting.Unlock() //nolint:staticcheck // SA2001: it is only waited for
+	h.submitMu.Lock()   // waits for a concurrent applyRequestAsync, so that goroutines counts what it starts
+	h.submitMu.Unlock() //nolint:staticcheck // SA2001: acquired only to wait for the holder
 	h.mu.Lock()
-	h.mu.Unlock() //nolint:staticcheck // SA2001: it is only waited for
-	h.work.Wait()
+	h.mu.Unlock() //nolint:staticcheck // SA2001: acquired only to wait for the holder
+	h.goroutines.Wait()
 }
--- a/cmd/ravendale-store/corehost_test.go
+++ b/cmd/ravendale-store/corehost_test.go
@@ -18,29 +18,29 @@
 )
 
 const (
-	soon  = 20 * time.Second
-	often = 10 * time.Millisecond
+	waitTimeout = 20 * time.Second
+	pollEvery   = 10 * time.Millisecond
 )
 
-// testLog is a log that may be read while it is written.
-type testLog struct {
+// logBuffer collects log output and is safe for concurrent use.
+type logBuffer struct {
 	mu   sync.Mutex
 	text bytes.Buffer
 }
 
-func (l *testLog) Write(data []byte) (int, error) {
+func (l *logBuffer) Write(data []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.text.Write(data)
 }
 
-func (l *testLog) has(text string) bool {
+func (l *logBuffer) contains(text string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return bytes.Contains(l.text.Bytes(), []byte(text))
 }
 
-func settingsOfStore(t *testing.T) *settings.Settings {
+func newStoreSettings(t *testing.T) *settings.Settings {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer func() { _ = listener.Close() }()
@@ -51,8 +51,8 @@
 	}
 }
 
-// start runs a host until the test or the returned function ends it.
-func start(t *testing.T, s *settings.Settings, log *testLog) (ctx context.Context, h *coreHost, stop func()) {
+// startCoreHost runs a core host until the returned function is called or the test ends.
+func startCoreHost(t *testing.T, s *settings.Settings, log *logBuffer) (ctx context.Context, h *coreHost, stop func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	h = newCoreHost(s, slog.New(slog.NewTextHandler(log, nil)))
 	h.run(ctx)
@@ -64,7 +64,7 @@
 	return ctx, h, stop
 }
 
-func listens(s *settings.Settings) bool {
+func isListening(s *settings.Settings) bool {
 	conn, err := net.Dial("tcp4", s.ControlAddress(s.IP))
 	if err == nil {
 		_ = conn.Close()
@@ -72,32 +72,32 @@
 	return err == nil
 }
 
-func TestAStoreHostsTheCoreOnceItIsRequested(t *testing.T) {
-	s, log := settingsOfStore(t), &testLog{}
-	ctx, h, stop := start(t, s, log)
-	require.False(t, listens(s))
+func TestCoreMemberStartsOnRequest(t *testing.T) {
+	s, log := newStoreSettings(t), &logBuffer{}
+	ctx, h, stop := startCoreHost(t, s, log)
+	require.False(t, isListening(s))
 	entries, err := os.ReadDir(s.DataDir)
 	require.NoError(t, err)
-	require.Empty(t, entries, "it has nothing on disk before")
-	h.order(ctx, false)
-	h.order(ctx, true)
-	h.order(ctx, true)
-	require.Eventually(t, func() bool { return listens(s) }, soon, often)
+	require.Empty(t, entries, "no folder is created before the first request")
+	h.applyRequest(ctx, false)
+	h.applyRequest(ctx, true)
+	h.applyRequest(ctx, true)
+	require.Eventually(t, func() bool { return isListening(s) }, waitTimeout, pollEvery)
 	stop()
-	require.False(t, listens(s))
-	h.order(ctx, true)
-	require.False(t, listens(s), "the process has ended")
+	require.False(t, isListening(s))
+	h.applyRequest(ctx, true)
+	require.False(t, isListening(s), "a request after the end of the context is ignored")
 
-	start(t, s, log)
-	require.Eventually(t, func() bool { return listens(s) }, soon, often, "in the next incarnation no request is needed")
+	startCoreHost(t, s, log)
+	require.Eventually(t, func() bool { return isListening(s) }, waitTimeout, pollEvery, "after a restart the member starts without a request")
 }
 
-func TestACoreThatCannotRunIsTriedAgain(t *testing.T) {
-	s, log := settingsOfStore(t), &testLog{}
+func TestFailedCoreMemberIsRestarted(t *testing.T) {
+	s, log := newStoreSettings(t), &logBuffer{}
 	blocked := filepath.Join(s.DataDir, coreFolder)
 	require.NoError(t, os.WriteFile(blocked, []byte("no folder"), 0o600))
-	start(t, s, log)
-	require.Eventually(t, func() bool { return log.has("core member failed beside this store") }, soon, often)
+	startCoreHost(t, s, log)
+	require.Eventually(t, func() bool { return log.contains("core member hosted by this store failed") }, waitTimeout, pollEvery)
 	require.NoError(t, os.Remove(blocked))
-	require.Eventually(t, func() bool { return listens(s) }, soon, often)
+	require.Eventually(t, func() bool { return isListening(s) }, waitTimeout, pollEvery)
 }
--- a/cmd/ravendale-store/main.go
+++ b/cmd/ravendale-store/main.go
@@ -1,5 +1,5 @@
-// Command ravendale-store is the durable queue of a storage machine: it accepts messages, replicates them with other stores, and has them
-// delivered by edges until they are finished.
+// Command ravendale-store is the durable queue of a storage machine: it accepts messages, replicates them to other stores, and leases
+// them to edges for delivery until they are finished.
 package main
 
 import (
@@ -8,12 +8,12 @@
 	"ravendale/cluster/program"
 )
 
-const garbagePercent = 50 // growth of the heap between collections: small heaps are cheap to collect
+const gcPercent = 50 // GOGC value; low, because small heaps are cheap to collect
 
 func main() {
-	program.Run("ravendale-store", "Keeps messages until they have ended.",
+	program.Run("ravendale-store", "Stores messages until they are finished.",
 		func(ctx context.Context, env program.Environment) error {
-			program.Memory(garbagePercent, env.Settings.MemoryMb)
+			program.Memory(gcPercent, env.Settings.MemoryMb)
 			p, err := newProcess(ctx, env)
 			if err != nil {
 				return err
--- a/cmd/ravendale-store/process.go
+++ b/cmd/ravendale-store/process.go
@@ -14,39 +14,39 @@
 	"ravendale/store/server"
 )
 
-// Times of a planned stop and of a start.
+// Timeouts of a planned stop and of a start.
 const (
-	leaveTimeout        = 400 * time.Millisecond  // to notify the leader
-	successorTimeout    = time.Second             // to notify the leader of now, which may have taken over meanwhile
-	dropTimeout         = 200 * time.Millisecond  // once the leader has seen this store go, for the others to go on without it
-	transferTimeout     = 1500 * time.Millisecond // for other stores to become the primaries of this one's partitions
-	voteTimeout         = 2500 * time.Millisecond // for another store to take over the vote in the core
+	leaveTimeout        = 400 * time.Millisecond  // for notifying the leader that this store is leaving
+	newLeaderTimeout    = time.Second             // for notifying the current leader, which may have changed during the stop
+	dropTimeout         = 200 * time.Millisecond  // for other stores to receive the placement without this one
+	transferTimeout     = 1500 * time.Millisecond // for other stores to become the primaries of this store's partitions
+	voteTimeout         = 2500 * time.Millisecond // for another store to replace this one as a voter of the core
 	pollInterval        = 50 * time.Millisecond
-	stopMargin          = 1500 * time.Millisecond // before the grace is over, the process has ended
-	listenTimeout       = 3 * time.Second         // the process before this one may still have the address
+	stopMargin          = 1500 * time.Millisecond // the process ends this long before the end of the grace period
+	listenTimeout       = 3 * time.Second         // the previous process may still be bound to the address
 	listenRetryInterval = 50 * time.Millisecond
 )
 
-// process is the store, put together.
+// process wires the components of a store process.
 type process struct {
-	env    program.Environment
-	mux    *rpc.Mux
-	store  *server.Store
-	agent  *member.Agent
-	core   *coreHost
-	failed chan error
+	env         program.Environment
+	mux         *rpc.Mux
+	store       *server.Store
+	agent       *member.Agent
+	core        *coreHost
+	diskFailure chan error
 }
 
 func newProcess(ctx context.Context, env program.Environment) (*process, error) {
 	s := env.Settings
-	p := &process{env: env, mux: rpc.NewMux(), failed: make(chan error, 1)}
-	opened, disk, err := server.OpenDisk(ctx, server.Config{
-		Settings: s, Mux: p.mux, Log: env.Log, StatusChanged: func() { p.agent.RenewNow() }, Failed: p.fail,
+	p := &process{env: env, mux: rpc.NewMux(), diskFailure: make(chan error, 1)}
+	store, disk, err := server.OpenDisk(ctx, server.Config{
+		Settings: s, Mux: p.mux, Log: env.Log, StatusChanged: func() { p.agent.RenewNow() }, Failed: p.reportDiskFailure,
 	})
 	if err != nil {
 		return nil, err
 	}
-	p.store = opened
+	p.store = store
 	p.agent = member.New(member.Config{
 		Settings: s, Mux: p.mux, Log: env.Log, Status: p.store.Status,
 		Self: wire.Member{
@@ -59,21 +59,23 @@
 	return p, nil
 }
 
-func (p *process) fail(err error) {
+func (p *process) reportDiskFailure(err error) {
 	select {
-	case p.failed <- err:
+	case p.diskFailure <- err:
 	default:
 	}
 }
 
-// onChange handles a newer state. Before the agent has what the leader named first, an old placement could pass for the newest.
+// onChange applies a newer state. It ignores states older than the one that the leader reported first, since the store would take an
+// outdated placement for the newest.
 func (p *process) onChange(_ wire.Topic, s *member.Snapshot) {
 	if p.agent.Current() {
 		p.applySnapshot(s)
 	}
 }
 
-// awaitCurrent applies the state that the leader named first, should the agent learn that it is the newest only after it has come.
+// awaitCurrent applies the state that the leader reported first. This covers the case in which the state arrives before the report of
+// its version: onChange has ignored it then.
 func (p *process) awaitCurrent(ctx context.Context) {
 	for !p.agent.Current() {
 		select {
@@ -90,30 +92,30 @@
 	p.store.SetView(s.Stores)
 }
 
-// run serves until the context ends, and then as long as a planned stop takes, or until the disk fails.
+// run serves until the context ends and the planned stop that follows is complete, or until the disk fails.
 func (p *process) run(ctx context.Context) error {
-	running, stop := context.WithCancel(context.Background())
-	defer stop()
-	rpc.Handle(p.mux, wire.MethodHostCore, func(_ *rpc.Conn, order *wire.HostCore, _ rpc.Reply) { p.core.submit(running, order.Host) })
+	runCtx, cancelRun := context.WithCancel(context.Background())
+	defer cancelRun()
+	rpc.Handle(p.mux, wire.MethodHostCore, func(_ *rpc.Conn, request *wire.HostCore, _ rpc.Reply) { p.core.applyRequestAsync(runCtx, request.Host) })
 	listener, err := p.listen(ctx)
 	if err != nil {
 		return err
 	}
-	p.core.run(running)
-	// These three end soon after the context. The process does not wait for them: what is durable does not depend on them.
-	go p.env.WatchSettings(running, p.setSettings)
-	go p.agent.Run(running)
-	go p.awaitCurrent(running)
-	p.env.Log.Info("store is up", "address", listener.Address())
+	p.core.run(runCtx)
+	// These three goroutines end soon after their context. The process does not wait for them, since durability does not depend on them.
+	go p.env.WatchSettings(runCtx, p.setSettings)
+	go p.agent.Run(runCtx)
+	go p.awaitCurrent(runCtx)
+	p.env.Log.Info("store started", "address", listener.Address())
 	select {
-	case err = <-p.failed:
+	case err = <-p.diskFailure:
 	case <-ctx.Done():
-		p.leave()
+		p.leaveCluster()
 	}
-	stop()
+	cancelRun()
 	p.core.wait()
 	if err == nil {
-		p.awaitDropped()
+		p.awaitDroppedByPeers()
 	}
 	listener.Close()
 	if err != nil {
@@ -127,7 +129,7 @@
 	p.core.setSettings(s)
 }
 
-// listen listens on the store's address, which the process before this one may still have.
+// listen listens on the store's address. It retries for listenTimeout, since the previous process may still be bound to the address.
 func (p *process) listen(ctx context.Context) (*rpc.Server, error) {
 	options := rpc.Options{Mux: p.mux}
 	onConn := func(c *rpc.Conn) {
@@ -143,37 +145,40 @@
 	}
 }
 
-// leave has the leader move what this store decides to others, and serves until then, or for as long as there is time.
-func (p *process) leave() {
-	available := max(settings.Seconds(p.env.Settings.Bounds.GraceS)-stopMargin, 0)
+// leaveCluster requests that the leader move the partitions of which this store is the primary to other stores, and transfers the
+// leadership and the vote in the core. It keeps serving until this is done or the time limits are reached.
+func (p *process) leaveCluster() {
+	timeLimit := max(settings.Seconds(p.env.Settings.Bounds.GraceS)-stopMargin, 0)
 	started := time.Now()
 	p.notifyLeader(leaveTimeout)
-	for p.store.Primary() && time.Since(started) < min(transferTimeout, available) {
+	for p.store.Primary() && time.Since(started) < min(transferTimeout, timeLimit) {
 		time.Sleep(pollInterval)
 	}
-	p.core.abdicate()
-	for p.replaceable() && time.Since(started) < min(voteTimeout, available) {
+	p.core.transferLeadership()
+	for p.voteTransferable() && time.Since(started) < min(voteTimeout, timeLimit) {
 		time.Sleep(pollInterval)
 	}
-	// Who took over the lease since, from this very process perhaps, does not know that this store is leaving, and would count on it for a
-	// while after it has gone: what others accept would wait for it.
-	p.notifyLeader(min(successorTimeout, max(available-time.Since(started), 0)))
+	// A leader elected in the meantime, perhaps to replace one in this process, has not been notified that this store is leaving. It would
+	// keep the store in the placement for a while after the process has ended, and messages accepted by other stores would wait for its
+	// acknowledgement.
+	p.notifyLeader(min(newLeaderTimeout, max(timeLimit-time.Since(started), 0)))
 }
 
-// notifyLeader tells the leader that this store is leaving, and waits until one knows.
-func (p *process) notifyLeader(limit time.Duration) {
-	ctx, cancel := context.WithTimeout(context.Background(), limit)
+// notifyLeader notifies the leader that this store is leaving, and waits for an acknowledgement or the timeout.
+func (p *process) notifyLeader(timeout time.Duration) {
+	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
 	p.agent.Leave(ctx)
 }
 
-// awaitDropped serves for a while after the leader has seen this store go: until the others know the placement without it, what they
-// accept waits for its acknowledgements.
-func (p *process) awaitDropped() { time.Sleep(dropTimeout) }
+// awaitDroppedByPeers keeps the store serving for dropTimeout after the leader has seen it disconnect: until the other stores receive the
+// placement without it, the messages that they accept wait for its acknowledgements.
+func (p *process) awaitDroppedByPeers() { time.Sleep(dropTimeout) }
 
-// replaceable says whether this store has a vote in the core that another store may take over: it might not come back.
-func (p *process) replaceable() bool {
-	has, voters := p.core.votes()
-	placed := p.agent.Snapshot().Stores
-	return has && placed != nil && len(placed.Stores) > voters
+// voteTransferable reports whether this store is a voter of the core and another store could replace it. The vote is transferred since
+// the store may not restart.
+func (p *process) voteTransferable() bool {
+	hasVote, voters := p.core.voteStatus()
+	placement := p.agent.Snapshot().Stores
+	return hasVote && placement != nil && len(placement.Stores) > voters
 }
--- a/cmd/ravendale-store/process_test.go
+++ b/cmd/ravendale-store/process_test.go
@@ -16,20 +16,20 @@
 	"ravendale/cluster/wire"
 )
 
-// fakeControl is a control process that leads as the test says.
+// fakeControl is a control process that grants renewals while the test has set it as the leader.
 type fakeControl struct {
-	server *rpc.Server
-	gone   chan bool // once a connection over which a renewal was granted has ended: whether the last one said that the member leaves
+	server            *rpc.Server
+	renewalConnClosed chan bool // on close after a granted renewal: whether the last one had Leaving set
 
-	mu      sync.Mutex
-	leader  string // address of who leads
-	leaving bool   // as the last granted renewal said
-	granted bool
-	onLeave func() // called when a member that leaves was told so
+	mu              sync.Mutex
+	leader          string // address of the leader
+	memberLeaving   bool   // from the last granted renewal
+	renewalGranted  bool
+	onLeaveAnswered func() // called after a renewal of a leaving member was answered
 }
 
 func newFakeControl(t *testing.T, address string) *fakeControl {
-	f := &fakeControl{gone: make(chan bool, 1)}
+	f := &fakeControl{renewalConnClosed: make(chan bool, 1)}
 	mux := rpc.NewMux()
 	rpc.Handle(mux, wire.MethodRenew, f.renew)
 	server, err := rpc.Listen(address, rpc.Options{Mux: mux}, func(c *rpc.Conn) { c.OnClose(func(error) { f.closed() }) })
@@ -49,14 +49,14 @@
 
 func (f *fakeControl) renew(_ *rpc.Conn, m *wire.Renew, reply rpc.Reply) {
 	f.mu.Lock()
-	leads := f.leader == f.address()
-	answer := &wire.RenewReply{Granted: leads, Leader: f.leader, LeaseMillis: 700}
+	isLeader := f.leader == f.address()
+	answer := &wire.RenewReply{Granted: isLeader, Leader: f.leader, LeaseMillis: 700}
 	var onLeave func()
-	if leads {
-		f.granted, f.leaving = true, m.Member.Leaving
+	if isLeader {
+		f.renewalGranted, f.memberLeaving = true, m.Member.Leaving
 		answer.Heads = make([]wire.Version, wire.TopicCount)
 		if m.Member.Leaving {
-			onLeave = f.onLeave
+			onLeave = f.onLeaveAnswered
 		}
 	}
 	f.mu.Unlock()
@@ -69,39 +69,41 @@
 func (f *fakeControl) closed() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.granted && f.leader == f.address() {
-		f.granted = false
-		f.gone <- f.leaving
+	if f.renewalGranted && f.leader == f.address() {
+		f.renewalGranted = false
+		f.renewalConnClosed <- f.memberLeaving
 	}
 }
 
-// A leader that took over while the store was leaving would count on it for a while after it has gone, if nobody told it: what other stores
-// accept would wait for its acknowledgements. And until the others know the placement without it, it has to go on acknowledging.
-func TestAStoreThatStopsTellsTheLeaderOfNow(t *testing.T) {
-	s := settingsOfStore(t)
+// TestStoppingStoreNotifiesNewLeader guards against delayed acknowledgements after a planned stop. A leader elected while the store is
+// leaving would keep it in the placement for a while after it has exited, unless it is notified, and messages accepted by other stores
+// would wait for its acknowledgements. The store must also keep acknowledging until the other stores have received the placement
+// without it.
+func TestStoppingStoreNotifiesNewLeader(t *testing.T) {
+	s := newStoreSettings(t)
 	s.Seeds, s.MemoryMb, s.Bounds = []string{"127.0.6.11:1"}, 64, settings.Bounds{GraceS: 6}
 	first, second := newFakeControl(t, s.ControlAddress("127.0.6.11")), newFakeControl(t, s.ControlAddress("127.0.6.12"))
 	first.setLeader(first.address())
 	second.setLeader(first.address())
-	first.onLeave = func() {
+	first.onLeaveAnswered = func() {
 		first.setLeader(second.address())
 		second.setLeader(second.address())
 	}
 	ctx, stop := context.WithCancel(t.Context())
 	p, err := newProcess(ctx, program.Environment{Settings: s, Log: slog.New(slog.DiscardHandler)})
 	require.NoError(t, err)
-	ended := make(chan error, 1)
-	go func() { ended <- p.run(ctx) }()
-	require.Eventually(t, p.agent.Leased, soon, often)
+	runErr := make(chan error, 1)
+	go func() { runErr <- p.run(ctx) }()
+	require.Eventually(t, p.agent.Leased, waitTimeout, pollEvery)
 	stop()
 	select {
-	case knew := <-second.gone:
-		assert.True(t, knew, "the leader of now knows that the store leaves")
-	case <-time.After(soon):
-		t.Fatal("the store never told the second leader")
+	case leaving := <-second.renewalConnClosed:
+		assert.True(t, leaving, "the new leader was notified that the store leaves")
+	case <-time.After(waitTimeout):
+		t.Fatal("the store did not notify the new leader")
 	}
 	conn, err := rpc.Dial(t.Context(), s.StorageAddress(), rpc.Options{})
-	require.NoError(t, err, "it still serves when the leader sees it go")
+	require.NoError(t, err, "the store still serves when the leader sees it disconnect")
 	conn.Close()
-	require.NoError(t, <-ended)
+	require.NoError(t, <-runErr)
 }
--- a/cmd/ravendalectl/admin.go
+++ b/cmd/ravendalectl/admin.go
@@ -8,7 +8,7 @@
 	"ravendale/control/operatorclient"
 )
 
-// adminFlags say whom to ask.
+// adminFlags are the flags of commands that contact control processes.
 type adminFlags struct {
 	Admin  []string      `help:"Admin addresses of control processes, host:port, tried one after another." env:"RAVENDALE_ADMIN" placeholder:"HOST:PORT"`
 	Within time.Duration `help:"How long to try until an answer is clear." default:"30s"`
--- a/cmd/ravendalectl/config.go
+++ b/cmd/ravendalectl/config.go
@@ -15,7 +15,7 @@
 	"ravendale/control/operatorclient"
 )
 
-// configCommand has what is done to the configuration.
+// configCommand groups the commands for the configuration.
 type configCommand struct {
 	Check checkCommand `cmd:"" help:"Check a configuration in a file, and tell all that is wrong with it. Asks no system."`
 	Show  showCommand  `cmd:"" help:"Write the newest configuration to standard output."`
@@ -33,16 +33,16 @@
 func (c *checkCommand) Run(env environment) error {
 	content, err := os.ReadFile(c.File)
 	if err != nil {
-		return fileFailed(err)
+		return fileError(err)
 	}
-	if err := check(content, c.Patch); err != nil {
-		return invalid(env, c.File, content, err)
+	if err := checkContent(content, c.Patch); err != nil {
+		return findingsError(env, c.File, content, err)
 	}
 	_, err = fmt.Fprintf(env.stdout, "%s: no findings\n", c.File)
 	return err
 }
 
-func check(content []byte, patch bool) error {
+func checkContent(content []byte, patch bool) error {
 	if patch {
 		return catalog.CheckPatch(content)
 	}
@@ -50,8 +50,8 @@
 	return err
 }
 
-// invalid lists findings, each with its line in the file.
-func invalid(env environment, file string, content []byte, err error) error {
+// findingsError prints the findings with their lines in the file, and returns the error for an invalid file.
+func findingsError(env environment, file string, content []byte, err error) error {
 	var findings catalog.Findings
 	if !errors.As(err, &findings) {
 		findings = catalog.Findings{{Place: "document", Reason: err.Error()}}
@@ -80,18 +80,18 @@
 	if err != nil {
 		return err
 	}
-	shown, err := client.Show(ctx)
+	current, err := client.Show(ctx)
 	if err != nil {
-		return callFailed(err, "show", "check status and the addresses, then repeat the command")
+		return callError(err, "show", "check status and the addresses, then repeat the command")
 	}
-	if shown.Version == 0 {
+	if current.Version == 0 {
 		return oops.Code(codeUnknown).Hint("put one into force by config set").Errorf("there is no configuration yet")
 	}
-	_, err = fmt.Fprintf(env.stdout, "%s\n", bytes.TrimSpace(shown.Body))
+	_, err = fmt.Fprintf(env.stdout, "%s\n", bytes.TrimSpace(current.Body))
 	return err
 }
 
-// changeFlags are those of commands that change the configuration.
+// changeFlags are the flags of commands that change the configuration.
 type changeFlags struct {
 	adminFlags
 	File   string  `arg:"" help:"What to send, as JSON."`
@@ -128,43 +128,43 @@
 func (c *diffCommand) Run(ctx context.Context, env environment) error {
 	content, err := os.ReadFile(c.File)
 	if err != nil {
-		return fileFailed(err)
+		return fileError(err)
 	}
 	client, err := c.client(env)
 	if err != nil {
 		return err
 	}
-	shown, err := client.Show(ctx)
+	current, err := client.Show(ctx)
 	if err != nil {
-		return callFailed(err, "show", "")
+		return callError(err, "show", "")
 	}
-	next, err := result(shown, content, c.Patch)
+	next, err := resultingConfig(current, content, c.Patch)
 	if err != nil {
-		return invalid(env, c.File, content, err)
+		return findingsError(env, c.File, content, err)
 	}
-	differs, err := listChanges(env.stdout, shown.Body, next.Document())
+	differs, err := listChanges(env.stdout, current.Body, next.Document())
 	if err != nil {
 		return err
 	}
 	if differs && c.ExitCode {
-		return oops.Code(codeDiffers).Errorf("%s differs from version %d", c.File, shown.Version)
+		return oops.Code(codeDiffers).Errorf("%s differs from version %d", c.File, current.Version)
 	}
 	return nil
 }
 
-// result is the configuration that a file would make of what is in place.
-func result(shown *operatorclient.Document, content []byte, patch bool) (*catalog.Config, error) {
+// resultingConfig returns the configuration that would be in force after applying a file to the current one.
+func resultingConfig(current *operatorclient.Document, content []byte, patch bool) (*catalog.Config, error) {
 	if !patch {
 		return catalog.Parse(content)
 	}
-	if shown.Version == 0 {
+	if current.Version == 0 {
 		return nil, catalog.Findings{{Place: "document", Reason: "there is no configuration yet that could be changed"}}
 	}
-	now, err := catalog.Load(shown.Body)
+	config, err := catalog.Load(current.Body)
 	if err != nil {
 		return nil, err
 	}
-	return now.Apply(content)
+	return config.Apply(content)
 }
 
 func listChanges(stdout io.Writer, before, after []byte) (differs bool, err error) {
--- a/cmd/ravendalectl/disk.go
+++ b/cmd/ravendalectl/disk.go
@@ -13,7 +13,7 @@
 	"ravendale/cmd/ravendalectl/internal/disks"
 )
 
-// diskCommand reads disks.
+// diskCommand groups the commands that read disks.
 type diskCommand struct {
 	Inspect inspectCommand `cmd:"" help:"Tell what is on a disk, and what of it is complete."`
 	Verify  verifyCommand  `cmd:"" help:"Tell only whether all that was synced can be read."`
@@ -27,7 +27,7 @@
 
 // Run implements the command.
 func (c *inspectCommand) Run(env environment) error {
-	reports, err := inspect(c.Folder)
+	reports, err := inspectDisks(c.Folder)
 	if err != nil {
 		return err
 	}
@@ -59,7 +59,7 @@
 
 // Run implements the command.
 func (c *verifyCommand) Run(env environment) error {
-	reports, err := inspect(c.Folder)
+	reports, err := inspectDisks(c.Folder)
 	if err != nil {
 		return err
 	}
@@ -86,18 +86,18 @@
 		Errorf("damaged disks: %d of %d", damaged, len(reports))
 }
 
-func inspect(folder string) ([]*disks.Report, error) {
+func inspectDisks(folder string) ([]*disks.Report, error) {
 	reports, err := disks.Inspect(folder)
 	if errors.Is(err, disks.ErrNoDisk) {
 		return nil, oops.Code(codeUnknown).Hint("name the dataDir of the process's settings").Wrap(err)
 	}
 	if err != nil {
-		return nil, fileFailed(err)
+		return nil, fileError(err)
 	}
 	return reports, nil
 }
 
-// renderDisk writes a report for people.
+// renderDisk writes a report as a human-readable table.
 func renderDisk(stdout io.Writer, r *disks.Report) error {
 	table := tabwriter.NewWriter(stdout, 0, 0, 2, ' ', 0)
 	line := func(format string, arguments ...any) { _, _ = fmt.Fprintf(table, format+"\n", arguments...) }
@@ -119,7 +119,7 @@
 	return table.Flush()
 }
 
-func renderCoreDisk(line liner, c *disks.Core) {
+func renderCoreDisk(line printLine, c *disks.Core) {
 	if c == nil {
 		return
 	}
@@ -133,7 +133,7 @@
 	line("after it\t%d commands, up to %d: %s", len(c.Uncovered), c.Last, strings.Join(c.Uncovered, ", "))
 }
 
-func renderStoreDisk(line liner, s *disks.Store) {
+func renderStoreDisk(line printLine, s *disks.Store) {
 	if s == nil {
 		return
 	}
--- a/cmd/ravendalectl/failures.go
+++ b/cmd/ravendalectl/failures.go
@@ -24,7 +24,7 @@
 	exitDiffers     = 9
 )
 
-const exitCodes = `Exit codes:
+const exitCodesHelp = `Exit codes:
   0 done
   1 failed otherwise, as when a file can't be read
   2 the command line is wrong
@@ -36,7 +36,7 @@
   8 the disk is damaged
   9 the configurations differ (with diff --exit-code)`
 
-// Codes of errors, which are what oops tells them by.
+// Error codes, set with oops.Code.
 const (
 	codeInvalid     = "invalid"
 	codeConflict    = "conflict"
@@ -49,30 +49,30 @@
 	codeFile        = "file"
 )
 
-var exitOf = map[any]int{
+var exitCodeByErrorCode = map[any]int{
 	codeInvalid: exitInvalid, codeConflict: exitConflict, codeUnknown: exitUnknown, codeUnavailable: exitUnavailable,
 	codeUndecided: exitUndecided, codeDamaged: exitDamaged, codeDiffers: exitDiffers, codeUsage: exitUsage, codeFile: exitFailed,
 }
 
-func codeOf(err error) int {
-	if known, ok := oops.AsOops(err); ok {
-		if code, ok := exitOf[known.Code()]; ok {
+func exitCodeOf(err error) int {
+	if oopsErr, ok := oops.AsOops(err); ok {
+		if code, ok := exitCodeByErrorCode[oopsErr.Code()]; ok {
 			return code
 		}
 	}
 	return exitFailed
 }
 
-// printError writes what went wrong and what to do next.
+// printError writes an error and, if it has one, its hint on what to do next.
 func printError(stdout io.Writer, err error) {
 	_, _ = fmt.Fprintln(stdout, "ravendalectl:", err)
-	if known, ok := oops.AsOops(err); ok && known.Hint() != "" {
-		_, _ = fmt.Fprintln(stdout, "next:", known.Hint())
+	if oopsErr, ok := oops.AsOops(err); ok && oopsErr.Hint() != "" {
+		_, _ = fmt.Fprintln(stdout, "next:", oopsErr.Hint())
 	}
 }
 
-// hints say what to do next, by the kind of a failure. Commands may know better.
-var hints = map[operatorclient.Kind]string{
+// hintByKind has the default hints on what to do next. Commands may pass a more specific hint to callError.
+var hintByKind = map[operatorclient.Kind]string{
 	operatorclient.KindInvalid:     "mend what is listed and try again; config check tells all of it without a system",
 	operatorclient.KindConflict:    "look at config show, and build on the version that is in place",
 	operatorclient.KindNotFound:    "check the name, and the addresses that you asked",
@@ -81,26 +81,26 @@
 	operatorclient.KindUndecided:   "repeat the very same command: an order that was taken is acknowledged again",
 }
 
-var kinds = map[operatorclient.Kind]string{
+var errorCodeByKind = map[operatorclient.Kind]string{
 	operatorclient.KindInvalid: codeInvalid, operatorclient.KindConflict: codeConflict, operatorclient.KindNotFound: codeUnknown,
 	operatorclient.KindUnavailable: codeUnavailable, operatorclient.KindUndecided: codeUndecided,
 }
 
-// callFailed makes an error of a failed call, with a hint of the command's own unless it is empty.
-func callFailed(err error, what, hint string) error {
+// callError wraps the error of a failed call with an error code and a hint. An empty hint selects the default for the kind of failure.
+func callError(err error, operation, hint string) error {
 	if err == nil {
 		return nil
 	}
 	var failure *operatorclient.Error
 	if !errors.As(err, &failure) {
-		return oops.Wrapf(err, "%s", what)
+		return oops.Wrapf(err, "%s", operation)
 	}
 	if hint == "" {
-		hint = hints[failure.Kind]
+		hint = hintByKind[failure.Kind]
 	}
-	return oops.Code(kinds[failure.Kind]).Hint(hint).Wrapf(err, "%s", what)
+	return oops.Code(errorCodeByKind[failure.Kind]).Hint(hint).Wrapf(err, "%s", operation)
 }
 
-func fileFailed(err error) error {
+func fileError(err error) error {
 	return oops.Code(codeFile).Hint("check the path and its permissions").Wrap(err)
 }
--- a/cmd/ravendalectl/internal/disks/compat_test.go
+++ b/cmd/ravendalectl/internal/disks/compat_test.go
@@ -11,10 +11,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestDisksOfAnEarlierVersionAreReportedAlike reads disks that version a08c060 wrote: a core's with two states, a record with each kind of
-// command and a torn end; one whose newest slot rotted, beside the files of one that was set aside; and a store's of which one segment is cut
-// short. The reports are those of that version, letter for letter.
-func TestDisksOfAnEarlierVersionAreReportedAlike(t *testing.T) {
+// TestReportsOfEarlierVersionUnchanged reads disks written by version a08c060: a core disk with two states, a record with each kind of
+// command and a torn end; a core disk whose newest slot is corrupt, next to the files of a disk that was set aside; and a store disk with
+// one truncated segment. The reports must be identical to those of that version.
+func TestReportsOfEarlierVersionUnchanged(t *testing.T) {
 	golden, err := os.ReadFile(filepath.Join("testdata", "compat", "reports.json"))
 	require.NoError(t, err)
 	require.Equal(t, strings.Split(string(golden), "\n"), strings.Split(string(compatReports(t)), "\n"))
@@ -26,7 +26,7 @@
 	require.Equal(t, string(documents), string(reports[0].Core.Document))
 }
 
-// compatReports are the reports of the golden disks, a line each.
+// compatReports returns the reports of the golden disks, one per line.
 func compatReports(t *testing.T) []byte {
 	t.Helper()
 	var text bytes.Buffer
--- a/cmd/ravendalectl/internal/disks/core.go
+++ b/cmd/ravendalectl/internal/disks/core.go
@@ -13,58 +13,59 @@
 	"ravendale/control/state"
 )
 
-// Core is what a control process keeps.
+// Core is the state of the core on the disk of a control process.
 type Core struct {
 	Disk             string   `json:"disk"`
-	BootstrapMembers []string `json:"founders,omitempty"` // seeds, if this disk may found the system
+	BootstrapMembers []string `json:"founders,omitempty"` // seeds, if this disk may bootstrap the system
 	Epoch            uint64   `json:"epoch"`
 	Voters           []string `json:"voters"` // disk@address
 	Chain            []string `json:"chain"`
-	Sealed           bool     `json:"sealed"`    // it has promised a successor of the epoch
+	Sealed           bool     `json:"sealed"`    // the member has promised a ballot for the successor of the epoch
 	Base             uint64   `json:"base"`      // sequence of the newest command that the state covers
 	Last             uint64   `json:"last"`      // sequence of the newest command on disk
-	Version          uint64   `json:"version"`   // of the configuration at Base
-	Term             uint64   `json:"term"`      // of the leader at Base
+	Version          uint64   `json:"version"`   // version of the configuration at Base
+	Term             uint64   `json:"term"`      // term of the leader at Base
 	Placement        uint64   `json:"placement"` // epoch of the queue's placement at Base
-	Uncovered        []string `json:"uncovered"` // kinds of the commands after Base, oldest first: committed or not, the chain decides
+	Uncovered        []string `json:"uncovered"` // commands after Base, oldest first; the chain decides if they are committed
 	Document         []byte   `json:"-"`         // the configuration at Base
-	Older            bool     `json:"older"`     // the newest state is lost, and this is the one before
+	Older            bool     `json:"older"`     // the newest state is unreadable, and this is the previous one
 }
 
-// pair is the files of the generations of one parity: a state, and the records that follow it.
-type pair struct{ slot, log string }
+// filePair has the file names for generations of one parity: the slot with the state, and the log of the records after it.
+type filePair struct{ slot, log string }
 
-var pairs = [2]pair{pairOf(0), pairOf(1)}
+var filesByParity = [2]filePair{filesOfParity(0), filesOfParity(1)}
 
-func pairOf(parity int) pair {
+func filesOfParity(parity int) filePair {
 	slot, log := slots.FileNames(parity)
-	return pair{slot, log}
+	return filePair{slot, log}
 }
 
-func coreFile(name string) bool {
-	return name == pairs[0].slot || name == pairs[1].slot || name == pairs[0].log || name == pairs[1].log
+func isCoreFile(name string) bool {
+	return name == filesByParity[0].slot || name == filesByParity[1].slot || name == filesByParity[0].log || name == filesByParity[1].log
 }
 
-// damagedFile says whether a file was set aside by a control process that found its disk damaged.
-func damagedFile(name string) bool {
-	return slices.ContainsFunc(pairs[:], func(p pair) bool { return name == slots.DamagedName(p.slot) || name == slots.DamagedName(p.log) })
+// isDamagedFile reports whether a file was set aside by a control process that found its disk damaged.
+func isDamagedFile(name string) bool {
+	return slices.ContainsFunc(filesByParity[:], func(p filePair) bool { return name == slots.DamagedName(p.slot) || name == slots.DamagedName(p.log) })
 }
 
-// fileName is the name of a file as it is, rather than as a store asks for it.
-type fileName func(name string) string
+// nameMapping maps the file name that slots.Store uses to the name on disk; they differ for files that were set aside.
+type nameMapping func(name string) string
 
-func sameName(name string) string { return name }
+func unchangedName(name string) string { return name }
 
-// readOnlyFolder is a folder of which some files are seen, and none is changed. It notes where a store would go on writing.
+// readOnlyFolder implements slots.Folder without changing any file. It hides some files, and records the offsets at which a
+// slots.Store would continue writing.
 type readOnlyFolder struct {
-	dir    string
-	named  fileName
-	hidden map[string]bool
-	opened map[string]int64 // size by name
+	dir         string
+	diskName    nameMapping
+	hidden      map[string]bool
+	openedSizes map[string]int64 // offset of the next write, by file name
 }
 
-func newReadOnlyFolder(dir string, named fileName, hidden ...string) *readOnlyFolder {
-	f := &readOnlyFolder{dir: dir, named: named, hidden: make(map[string]bool), opened: make(map[string]int64)}
+func newReadOnlyFolder(dir string, diskName nameMapping, hidden ...string) *readOnlyFolder {
+	f := &readOnlyFolder{dir: dir, diskName: diskName, hidden: make(map[string]bool), openedSizes: make(map[string]int64)}
 	for _, name := range hidden {
 		f.hidden[name] = true
 	}
@@ -76,19 +77,19 @@
 	if f.hidden[name] {
 		return nil, fs.ErrNotExist
 	}
-	return os.ReadFile(filepath.Join(f.dir, f.named(name)))
+	return os.ReadFile(filepath.Join(f.dir, f.diskName(name)))
 }
 
 // Open implements slots.Folder.
 func (f *readOnlyFolder) Open(name string, size int64) (slots.File, error) {
-	f.opened[name] = size
+	f.openedSizes[name] = size
 	return discardFile{}, nil
 }
 
 // Remove implements slots.Folder.
 func (f *readOnlyFolder) Remove(string) error { return nil }
 
-// Sync implements slots.Folder.
+// Rename implements slots.Folder.
 func (f *readOnlyFolder) Rename(string, string) error { return nil }
 
 // Sync implements slots.Folder.
@@ -100,7 +101,7 @@
 func (discardFile) Sync() error                    { return nil }
 func (discardFile) Close() error                   { return nil }
 
-// openResult is what a slots.Store finds.
+// openResult is the content that a slots.Store reads from a folder.
 type openResult struct {
 	folder   *readOnlyFolder
 	snapshot []byte
@@ -108,63 +109,63 @@
 	err      error
 }
 
-func open(folder *readOnlyFolder) openResult {
+func openSlots(folder *readOnlyFolder) openResult {
 	_, snapshot, records, err := slots.OpenFolder(folder)
 	return openResult{folder, snapshot, records, err}
 }
 
-func (f *openResult) uses(name string) bool {
-	_, used := f.folder.opened[name]
+func (o *openResult) uses(name string) bool {
+	_, used := o.folder.openedSizes[name]
 	return used
 }
 
-func inspectCore(dir string, named fileName) (*Report, error) {
-	report := &Report{Folder: dir, named: named}
-	newest := open(newReadOnlyFolder(dir, named))
+func inspectCore(dir string, diskName nameMapping) (*Report, error) {
+	report := &Report{Folder: dir, diskName: diskName}
+	newest := openSlots(newReadOnlyFolder(dir, diskName))
 	if newest.err != nil && !errors.Is(newest.err, slots.ErrDamaged) {
 		return nil, newest.err
 	}
-	for i, pair := range pairs {
-		other := pairs[1-i]
-		if err := report.addPair(i, &newest, open(newReadOnlyFolder(dir, named, other.slot, other.log, pair.log)), open(newReadOnlyFolder(dir, named, other.slot, other.log))); err != nil {
+	for i, pair := range filesByParity {
+		other := filesByParity[1-i]
+		if err := report.addGenerationFiles(i, &newest, openSlots(newReadOnlyFolder(dir, diskName, other.slot, other.log, pair.log)), openSlots(newReadOnlyFolder(dir, diskName, other.slot, other.log))); err != nil {
 			return nil, err
 		}
 	}
 	best := &newest
 	if newest.err != nil {
-		report.damage("%v: the process would set this aside and join the core as a new member", newest.err)
-		best = olderState(dir, named)
+		report.addDamage("%v: the process would set this aside and join the core as a new member", newest.err)
+		best = openOlderState(dir, diskName)
 	}
 	report.readCore(best, newest.err != nil)
 	return report, nil
 }
 
-// olderState is the older state of a disk that lost its newest.
-func olderState(dir string, named fileName) *openResult {
-	for i := range pairs {
-		only := open(newReadOnlyFolder(dir, named, pairs[1-i].slot, pairs[1-i].log))
-		if only.err == nil && only.snapshot != nil {
-			return &only
+// openOlderState reads the previous state of a disk whose newest state is unreadable.
+func openOlderState(dir string, diskName nameMapping) *openResult {
+	for i := range filesByParity {
+		opened := openSlots(newReadOnlyFolder(dir, diskName, filesByParity[1-i].slot, filesByParity[1-i].log))
+		if opened.err == nil && opened.snapshot != nil {
+			return &opened
 		}
 	}
 	return &openResult{}
 }
 
-// addPair reports a slot and its log: alone is what a store finds in the slot only, both with the log.
-func (r *Report) addPair(i int, newest *openResult, alone, both openResult) error {
-	slot, log := pairs[i].slot, pairs[i].log
-	size, exists, err := sizeOf(r.Folder, r.named(slot))
+// addGenerationFiles reports a slot and its log. slotOnly is the content read from the slot alone, slotAndLog that read from both files.
+func (r *Report) addGenerationFiles(parity int, newest *openResult, slotOnly, slotAndLog openResult) error {
+	slot, log := filesByParity[parity].slot, filesByParity[parity].log
+	size, exists, err := fileSize(r.Folder, r.diskName(slot))
 	if err != nil {
 		return err
 	}
 	if exists {
-		r.Files = append(r.Files, r.slotFile(slot, size, newest, alone, both))
+		r.Files = append(r.Files, r.inspectSlot(slot, size, newest, slotOnly, slotAndLog))
 	}
-	size, exists, err = sizeOf(r.Folder, r.named(log))
+	size, exists, err = fileSize(r.Folder, r.diskName(log))
 	if err != nil || !exists {
 		return err
 	}
-	file := File{Name: r.named(log), Bytes: size, Good: both.folder.opened[log], Records: len(both.records), Fate: FateIntact}
+	file := File{Name: r.diskName(log), Bytes: size, Good: slotAndLog.folder.openedSizes[log], Records: len(slotAndLog.records), Fate: FateIntact}
 	switch {
 	case !newest.uses(log):
 		file.Fate = FateOlder
@@ -173,22 +174,22 @@
 		}
 	case file.Good < file.Bytes:
 		file.Fate = FateTorn
-		r.remark("%s: the last %d bytes were torn, or are left of an earlier log", log, file.Bytes-file.Good)
+		r.addRemark("%s: the last %d bytes were torn, or are left of an earlier log", log, file.Bytes-file.Good)
 	}
 	r.Files = append(r.Files, file)
 	return nil
 }
 
-func (r *Report) slotFile(name string, size int64, newest *openResult, alone, both openResult) File {
-	file := File{Name: r.named(name), Bytes: size}
+func (r *Report) inspectSlot(name string, size int64, newest *openResult, slotOnly, slotAndLog openResult) File {
+	file := File{Name: r.diskName(name), Bytes: size}
 	switch {
-	case errors.Is(both.err, slots.ErrDamaged):
-		file.Fate = FateUnreadable // its log shows that it was there
+	case errors.Is(slotAndLog.err, slots.ErrDamaged):
+		file.Fate = FateUnreadable // its log shows that the slot was complete
 		if !errors.Is(newest.err, slots.ErrDamaged) {
 			file.Fate = FateUnneeded
 		}
 		return file
-	case alone.snapshot == nil:
+	case slotOnly.snapshot == nil:
 		file.Fate = FateUnneeded
 		return file
 	}
@@ -199,7 +200,7 @@
 	return file
 }
 
-func sizeOf(dir, name string) (size int64, exists bool, err error) {
+func fileSize(dir, name string) (size int64, exists bool, err error) {
 	info, err := os.Stat(filepath.Join(dir, name))
 	if errors.Is(err, fs.ErrNotExist) {
 		return 0, false, nil
@@ -210,52 +211,52 @@
 	return info.Size(), true, nil
 }
 
-// readCore decodes what survives.
-func (r *Report) readCore(from *openResult, older bool) {
-	if from.snapshot == nil {
-		r.remark("nothing was ever kept here, or nothing of it can be read")
+// readCore decodes the readable state.
+func (r *Report) readCore(opened *openResult, older bool) {
+	if opened.snapshot == nil {
+		r.addRemark("nothing was ever kept here, or nothing of it can be read")
 		return
 	}
-	kept, err := core.ReadImage(from.snapshot, from.records)
+	image, err := core.ReadImage(opened.snapshot, opened.records)
 	if err != nil {
-		r.damage("the state has a content that is not known here: %v", err)
+		r.addDamage("the state has a content that is not known here: %v", err)
 		return
 	}
-	r.Core = render(kept)
+	r.Core = coreReport(image)
 	r.Core.Older = older
 	machine := state.NewMachine()
-	if len(kept.Machine) > 0 {
-		if err := machine.Restore(kept.Machine); err != nil {
-			r.damage("the state machine's snapshot: %v", err)
+	if len(image.Machine) > 0 {
+		if err := machine.Restore(image.Machine); err != nil {
+			r.addDamage("the state machine's snapshot: %v", err)
 			return
 		}
 	}
-	now := machine.Current()
-	r.Core.Version, r.Core.Term, r.Core.Placement, r.Core.Document = now.Version, now.Term, now.Epoch(), now.Document
+	current := machine.Current()
+	r.Core.Version, r.Core.Term, r.Core.Placement, r.Core.Document = current.Version, current.Term, current.Epoch(), current.Document
 }
 
-func render(i *core.Image) *Core {
+func coreReport(image *core.Image) *Core {
 	c := &Core{
-		Disk: i.ID.String(), BootstrapMembers: i.BootstrapMembers, Epoch: i.View.Epoch, Sealed: i.Vote.Sealed(i.View.Epoch),
-		Base: i.Chain.Base, Last: i.Chain.Base, Voters: []string{}, Chain: []string{}, Uncovered: []string{},
+		Disk: image.ID.String(), BootstrapMembers: image.BootstrapMembers, Epoch: image.View.Epoch, Sealed: image.Vote.Sealed(image.View.Epoch),
+		Base: image.Chain.Base, Last: image.Chain.Base, Voters: []string{}, Chain: []string{}, Uncovered: []string{},
 	}
-	for _, member := range i.View.Voters {
+	for _, member := range image.View.Voters {
 		c.Voters = append(c.Voters, member.ID.String()+"@"+member.Address)
 	}
-	for _, id := range i.View.Chain {
+	for _, id := range image.View.Chain {
 		c.Chain = append(c.Chain, id.String())
 	}
-	for n := range i.Chain.Entries {
-		entry := &i.Chain.Entries[n]
+	for n := range image.Chain.Entries {
+		entry := &image.Chain.Entries[n]
 		c.Last = entry.Sequence
 		if entry.Origin != 0 {
-			c.Uncovered = append(c.Uncovered, kindOf(entry.Command))
+			c.Uncovered = append(c.Uncovered, commandSummary(entry.Command))
 		}
 	}
 	return c
 }
 
-func kindOf(encoded []byte) string {
+func commandSummary(encoded []byte) string {
 	command, err := state.Decode(encoded)
 	if err != nil {
 		return "unreadable"
--- a/cmd/ravendalectl/internal/disks/disks.go
+++ b/cmd/ravendalectl/internal/disks/disks.go
@@ -1,5 +1,5 @@
-// Package disks reads the disks of processes that don't run, and changes nothing on them: what is intact on them, what was torn by a
-// loss of power, what is lost, and what their processes would find when they start.
+// Package disks reads the disks of stopped processes without changing them. It reports which data is intact, torn by a power loss or
+// unreadable, and the state that the processes would recover at the next start.
 package disks
 
 import (
@@ -12,62 +12,63 @@
 	"ravendale/control/slots"
 )
 
-// Fate says what became of a file.
+// Fate is the condition of a file.
 type Fate string
 
-// The fates of files.
+// Conditions of files.
 const (
 	FateIntact     Fate = "whole"
-	FateOlder      Fate = "older"    // intact, and replaced by a newer one
-	FateTorn       Fate = "torn"     // what follows the good part was not synced: it is truncated at the next start, and nothing of it was acknowledged
-	FateUnneeded   Fate = "unneeded" // not intact, and replaced by a newer one, or never in use
-	FateUnreadable Fate = "lost"     // what was synced can't be read: the disk is damaged
+	FateOlder      Fate = "older"    // intact, but superseded by a newer file
+	FateTorn       Fate = "torn"     // the data after the good part was not synced or acknowledged, and is truncated at the next start
+	FateUnneeded   Fate = "unneeded" // not intact, but superseded by a newer file or never used
+	FateUnreadable Fate = "lost"     // synced data can't be read: the disk is damaged
 )
 
 // File is one file of a disk.
 type File struct {
 	Name    string `json:"name"`
 	Bytes   int64  `json:"bytes"`
-	Good    int64  `json:"good"` // bytes from the start that can be read
+	Good    int64  `json:"good"` // number of readable bytes from the start
 	Records int    `json:"records"`
 	Fate    Fate   `json:"fate"`
 }
 
-// Report is what is on one disk.
+// Report is the content of one disk.
 type Report struct {
 	Folder  string   `json:"folder"`
 	Files   []File   `json:"files"`
-	Damage  []string `json:"damage"`          // empty: all that was ever acknowledged is there
-	Core    *Core    `json:"core,omitempty"`  // of a control process; nil if it can't be read
-	Store   *Store   `json:"store,omitempty"` // of a store
+	Damage  []string `json:"damage"`          // empty if all acknowledged data is readable
+	Core    *Core    `json:"core,omitempty"`  // set for a control process; nil if it can't be read
+	Store   *Store   `json:"store,omitempty"` // set for a store
 	Remarks []string `json:"remarks,omitempty"`
 
-	SetAside bool `json:"setAside,omitempty"` // a control process found it damaged, and went on as a new member
+	SetAside bool `json:"setAside,omitempty"` // a control process found the disk damaged, and continued as a new member
 
-	named fileName
+	diskName nameMapping
 }
 
-// Damaged says whether something that had been synced can't be read.
+// Damaged reports whether any synced data can't be read.
 func (r *Report) Damaged() bool { return len(r.Damage) > 0 }
 
-func (r *Report) damage(format string, arguments ...any) {
+func (r *Report) addDamage(format string, arguments ...any) {
 	r.Damage = append(r.Damage, fmt.Sprintf(format, arguments...))
 }
 
-func (r *Report) remark(format string, arguments ...any) {
+func (r *Report) addRemark(format string, arguments ...any) {
 	r.Remarks = append(r.Remarks, fmt.Sprintf(format, arguments...))
 }
 
-// ErrNoDisk is returned for a folder in which neither a control process nor a store keeps anything.
+// ErrNoDisk is returned for a folder that has files of neither a control process nor a store.
 var ErrNoDisk = errors.New("disks: neither a control process nor a store has anything here")
 
-// Inspect reads all disks in a folder: its own, and those of the folders in it, as the data folder of a machine holds one for each role.
+// Inspect reads the disks in a folder. If the folder itself is no disk, it reads its subfolders: the data folder of a machine has one for
+// each role.
 func Inspect(folder string) ([]*Report, error) {
 	entries, err := os.ReadDir(folder)
 	if err != nil {
 		return nil, fmt.Errorf("disks: %w", err)
 	}
-	reports, err := inspectOne(folder, entries)
+	reports, err := inspectFolder(folder, entries)
 	if err != nil || len(reports) > 0 {
 		return reports, err
 	}
@@ -80,7 +81,7 @@
 		if err != nil {
 			return nil, fmt.Errorf("disks: %w", err)
 		}
-		found, err := inspectOne(inner, innerEntries)
+		found, err := inspectFolder(inner, innerEntries)
 		if err != nil {
 			return nil, err
 		}
@@ -92,16 +93,16 @@
 	return reports, nil
 }
 
-func inspectOne(folder string, entries []os.DirEntry) ([]*Report, error) {
+func inspectFolder(folder string, entries []os.DirEntry) ([]*Report, error) {
 	var reports []*Report
-	if holds(entries, func(e os.DirEntry) bool { return coreFile(e.Name()) && !e.IsDir() }) {
-		report, err := inspectCore(folder, sameName)
+	if containsEntry(entries, func(e os.DirEntry) bool { return isCoreFile(e.Name()) && !e.IsDir() }) {
+		report, err := inspectCore(folder, unchangedName)
 		if err != nil {
 			return nil, err
 		}
 		reports = append(reports, report)
 	}
-	if holds(entries, func(e os.DirEntry) bool { return damagedFile(e.Name()) && !e.IsDir() }) {
+	if containsEntry(entries, func(e os.DirEntry) bool { return isDamagedFile(e.Name()) && !e.IsDir() }) {
 		report, err := inspectCore(folder, slots.DamagedName)
 		if err != nil {
 			return nil, err
@@ -109,7 +110,7 @@
 		report.SetAside = true
 		reports = append(reports, report)
 	}
-	if journal, ok := journalIn(folder, entries); ok {
+	if journal, ok := findJournal(folder, entries); ok {
 		report, err := inspectStore(folder, journal)
 		if err != nil {
 			return nil, err
@@ -119,22 +120,22 @@
 	return reports, nil
 }
 
-func holds(entries []os.DirEntry, is func(os.DirEntry) bool) bool {
+func containsEntry(entries []os.DirEntry, match func(os.DirEntry) bool) bool {
 	for _, entry := range entries {
-		if is(entry) {
+		if match(entry) {
 			return true
 		}
 	}
 	return false
 }
 
-// journalIn finds the journal of the store whose folder this is.
-func journalIn(folder string, entries []os.DirEntry) (string, bool) {
+// findJournal returns the folder that has journal segments: the given one or its journal subfolder. It returns false if neither has any.
+func findJournal(folder string, entries []os.DirEntry) (string, bool) {
 	isSegment := func(e os.DirEntry) bool { return !e.IsDir() && strings.HasSuffix(e.Name(), segmentSuffix) }
-	if holds(entries, isSegment) {
+	if containsEntry(entries, isSegment) {
 		return folder, true
 	}
 	inner := filepath.Join(folder, journalFolder)
 	segments, err := os.ReadDir(inner)
-	return inner, err == nil && holds(segments, isSegment)
+	return inner, err == nil && containsEntry(segments, isSegment)
 }
--- a/cmd/ravendalectl/internal/disks/disks_test.go
+++ b/cmd/ravendalectl/internal/disks/disks_test.go
@@ -23,8 +23,8 @@
 	"ravendale/store/server"
 )
 
-// content is all that is in a folder.
-func content(t *testing.T, dir string) map[string]string {
+// folderContent returns the contents of all files in a folder by path.
+func folderContent(t *testing.T, dir string) map[string]string {
 	t.Helper()
 	files := make(map[string]string)
 	require.NoError(t, filepath.WalkDir(dir, func(path string, entry os.DirEntry, err error) error {
@@ -38,13 +38,13 @@
 	return files
 }
 
-// inspect reads a disk and makes sure that nothing on it changed.
+// inspect reads a disk and checks that this changed nothing on it.
 func inspect(t *testing.T, dir string) *Report {
 	t.Helper()
-	before := content(t, dir)
+	before := folderContent(t, dir)
 	reports, err := Inspect(dir)
 	require.NoError(t, err)
-	require.Equal(t, before, content(t, dir), "reading changes nothing")
+	require.Equal(t, before, folderContent(t, dir), "reading changes nothing")
 	require.Len(t, reports, 1)
 	return reports[0]
 }
@@ -58,14 +58,14 @@
 	return File{}
 }
 
-func change(t *testing.T, path string, how func(data []byte) []byte) {
+func modifyFile(t *testing.T, path string, modify func(data []byte) []byte) {
 	t.Helper()
 	data, err := os.ReadFile(path)
 	require.NoError(t, err)
-	require.NoError(t, os.WriteFile(path, how(data), 0o600))
+	require.NoError(t, os.WriteFile(path, modify(data), 0o600))
 }
 
-// runCore has a real core of one process take commands, and returns its folder and identity.
+// runCore runs a real core of one process, submits a command for each version, and returns its folder and identity.
 func runCore(t *testing.T, versions int) (folder, disk string) {
 	t.Helper()
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -78,18 +78,18 @@
 		DataDir: folder, Bounds: settings.Bounds{CatchupS: 5},
 	}
 	mux := rpc.NewMux()
-	running, err := core.Open(core.Config{Settings: s, Machine: state.NewMachine(), Mux: mux})
+	coreNode, err := core.Open(core.Config{Settings: s, Machine: state.NewMachine(), Mux: mux})
 	require.NoError(t, err)
 	server, err := rpc.Listen(s.ControlAddress(s.IP), rpc.Options{Mux: mux}, nil)
 	require.NoError(t, err)
 	defer server.Close()
 	ctx, cancel := context.WithCancel(context.Background())
 	exited := make(chan error, 1)
-	go func() { running.Run(ctx); exited <- nil }()
+	go func() { coreNode.Run(ctx); exited <- nil }()
 	for version := 1; version <= versions; {
 		command, err := state.Encode(&state.Set{Base: uint64(version - 1), Body: document(version)})
 		require.NoError(t, err)
-		answer, err := running.Submit(t.Context(), command)
+		answer, err := coreNode.Submit(t.Context(), command)
 		if errors.Is(err, core.ErrUnavailable) {
 			continue
 		}
@@ -99,7 +99,7 @@
 		require.Equal(t, state.OutcomeApplied, result.Outcome)
 		version++
 	}
-	disk = running.Status().ID.String()
+	disk = coreNode.Status().ID.String()
 	cancel()
 	require.NoError(t, <-exited)
 	return folder, disk
@@ -109,7 +109,7 @@
 	return fmt.Appendf(nil, `{"version":%d,"routes":[],"backends":[],"limits":{}}`, version)
 }
 
-func TestADiskOfARealCoreIsRead(t *testing.T) {
+func TestInspectCore(t *testing.T) {
 	folder, disk := runCore(t, 3)
 	for _, dir := range []string{folder, filepath.Dir(folder)} {
 		report := inspect(t, dir)
@@ -124,14 +124,14 @@
 	}
 }
 
-// emptyRecord is a change of nothing: none of its four parts is there.
-var emptyRecord = []byte{0x94, 0xc0, 0xc0, 0xc0, 0xc0}
+// emptyChangeRecord is an encoded record without changes: each of its four fields is nil.
+var emptyChangeRecord = []byte{0x94, 0xc0, 0xc0, 0xc0, 0xc0}
 
-// writeSlots makes a core's disk by hand: a state with a configuration, a newer one, and a record.
+// writeSlots writes a core disk with a state, a newer state, and a record after it.
 func writeSlots(t *testing.T) string {
 	t.Helper()
 	dir := t.TempDir()
-	kept, _, _, err := slots.Open(dir)
+	slotStore, _, _, err := slots.Open(dir)
 	require.NoError(t, err)
 	machine := state.NewMachine()
 	for version := 1; version <= 2; version++ {
@@ -141,14 +141,14 @@
 		image := core.Image{ID: 0x1f, Machine: machine.Snapshot()}
 		encoded, err := image.MarshalMsg(nil)
 		require.NoError(t, err)
-		require.NoError(t, kept.Snapshot(encoded))
+		require.NoError(t, slotStore.Snapshot(encoded))
 	}
-	require.NoError(t, kept.Append(emptyRecord))
-	require.NoError(t, kept.Close())
+	require.NoError(t, slotStore.Append(emptyChangeRecord))
+	require.NoError(t, slotStore.Close())
 	return dir
 }
 
-func TestAnIntactDiskHasItsNewestState(t *testing.T) {
+func TestInspectIntactCoreDisk(t *testing.T) {
 	report := inspect(t, writeSlots(t))
 	require.Empty(t, report.Damage)
 	require.EqualValues(t, 2, report.Core.Version)
@@ -160,9 +160,9 @@
 	require.Equal(t, File{Name: "log-0", Bytes: log.Bytes, Good: log.Bytes, Records: 1, Fate: FateIntact}, log)
 }
 
-func TestATornLogIsNoDamage(t *testing.T) {
+func TestTornLogIsNotDamage(t *testing.T) {
 	dir := writeSlots(t)
-	change(t, filepath.Join(dir, "log-0"), func(data []byte) []byte { return data[:len(data)-1] })
+	modifyFile(t, filepath.Join(dir, "log-0"), func(data []byte) []byte { return data[:len(data)-1] })
 	report := inspect(t, dir)
 	require.Empty(t, report.Damage)
 	require.Equal(t, FateTorn, report.file("log-0").Fate)
@@ -170,9 +170,9 @@
 	require.Contains(t, report.Remarks[0], "torn")
 }
 
-func TestASlotThatWasBeingWrittenIsUnneeded(t *testing.T) {
+func TestIncompleteSlotIsUnneeded(t *testing.T) {
 	dir := writeSlots(t)
-	change(t, filepath.Join(dir, "slot-1"), func(data []byte) []byte { return data[:5] })
+	modifyFile(t, filepath.Join(dir, "slot-1"), func(data []byte) []byte { return data[:5] })
 	require.NoError(t, os.Remove(filepath.Join(dir, "log-1")))
 	report := inspect(t, dir)
 	require.Empty(t, report.Damage)
@@ -180,9 +180,9 @@
 	require.EqualValues(t, 2, report.Core.Version)
 }
 
-func TestAnUnreadableSlotIsDamageAndTheOlderStateIsShown(t *testing.T) {
+func TestUnreadableSlotIsDamage(t *testing.T) {
 	dir := writeSlots(t)
-	change(t, filepath.Join(dir, "slot-0"), func(data []byte) []byte { data[len(data)-1] ^= 1; return data })
+	modifyFile(t, filepath.Join(dir, "slot-0"), func(data []byte) []byte { data[len(data)-1] ^= 1; return data })
 	report := inspect(t, dir)
 	require.True(t, report.Damaged())
 	require.Contains(t, report.Damage[0], "generation 2")
@@ -191,20 +191,20 @@
 	require.EqualValues(t, 1, report.Core.Version)
 }
 
-// TestADamagedDiskThatWasSetAsideIsStillRead has a process set its disk aside and begin another.
-func TestADamagedDiskThatWasSetAsideIsStillRead(t *testing.T) {
+// TestInspectSetAsideDisk sets a damaged disk aside and starts a new one in the same folder, as a control process does.
+func TestInspectSetAsideDisk(t *testing.T) {
 	dir := writeSlots(t)
-	change(t, filepath.Join(dir, "slot-0"), func(data []byte) []byte { data[len(data)-1] ^= 1; return data })
+	modifyFile(t, filepath.Join(dir, "slot-0"), func(data []byte) []byte { data[len(data)-1] ^= 1; return data })
 	require.NoError(t, slots.SetAside(slots.OSFolder(dir)))
-	kept, _, _, err := slots.Open(dir)
+	slotStore, _, _, err := slots.Open(dir)
 	require.NoError(t, err)
 	image, err := (&core.Image{ID: 0x2f, Machine: state.NewMachine().Snapshot()}).MarshalMsg(nil)
 	require.NoError(t, err)
-	require.NoError(t, kept.Snapshot(image))
-	before := content(t, dir)
+	require.NoError(t, slotStore.Snapshot(image))
+	before := folderContent(t, dir)
 	reports, err := Inspect(dir)
 	require.NoError(t, err)
-	require.Equal(t, before, content(t, dir), "reading changes nothing")
+	require.Equal(t, before, folderContent(t, dir), "reading changes nothing")
 	require.Len(t, reports, 2)
 	require.False(t, reports[0].SetAside)
 	require.Empty(t, reports[0].Damage)
@@ -216,24 +216,24 @@
 	require.EqualValues(t, 1, reports[1].Core.Version)
 }
 
-func TestContentOfAnotherKindIsReported(t *testing.T) {
+func TestUnknownSlotContentIsDamage(t *testing.T) {
 	dir := t.TempDir()
-	kept, _, _, err := slots.Open(dir)
+	slotStore, _, _, err := slots.Open(dir)
 	require.NoError(t, err)
-	require.NoError(t, kept.Snapshot([]byte("something else")))
-	require.NoError(t, kept.Close())
+	require.NoError(t, slotStore.Snapshot([]byte("something else")))
+	require.NoError(t, slotStore.Close())
 	report := inspect(t, dir)
 	require.Contains(t, report.Damage[0], "not known here")
 	require.Nil(t, report.Core)
 }
 
-// writeStore makes a store's disk of three segments.
+// writeStore writes a store disk with three segments.
 func writeStore(t *testing.T) string {
 	t.Helper()
 	dir := t.TempDir()
 	_, err := server.Identity(dir)
 	require.NoError(t, err)
-	kept, err := journal.Open(filepath.Join(dir, journalFolder), journal.Options{SegmentBytes: 240}, func(journal.Location, []byte) error { return nil })
+	journalWriter, err := journal.Open(filepath.Join(dir, journalFolder), journal.Options{SegmentBytes: 240}, func(journal.Location, []byte) error { return nil })
 	require.NoError(t, err)
 	body := bytes.Repeat([]byte("x"), 200)
 	for _, record := range []queue.Record{
@@ -248,17 +248,17 @@
 	} {
 		payload, err := record.MarshalMsg(nil)
 		require.NoError(t, err)
-		kept.Append(payload)
+		journalWriter.Append(payload)
 	}
-	require.NoError(t, kept.Close())
+	require.NoError(t, journalWriter.Close())
 	return dir
 }
 
-func segment(dir string, number int) string {
+func segmentPath(dir string, number int) string {
 	return filepath.Join(dir, journalFolder, fmt.Sprintf("%010d%s", number, segmentSuffix))
 }
 
-func TestADiskOfAStoreIsRead(t *testing.T) {
+func TestInspectStore(t *testing.T) {
 	dir := writeStore(t)
 	report := inspect(t, dir)
 	require.Empty(t, report.Damage)
@@ -275,42 +275,42 @@
 	}
 }
 
-func TestATornEndOfAJournalIsNoDamage(t *testing.T) {
+func TestTornJournalEndIsNotDamage(t *testing.T) {
 	dir := writeStore(t)
-	change(t, segment(dir, 3), func(data []byte) []byte { return data[:len(data)-1] })
+	modifyFile(t, segmentPath(dir, 3), func(data []byte) []byte { return data[:len(data)-1] })
 	report := inspect(t, dir)
 	require.Empty(t, report.Damage)
 	torn := report.Files[2]
 	require.Equal(t, FateTorn, torn.Fate)
 	require.Less(t, torn.Good, torn.Bytes)
-	require.Equal(t, 1, report.Store.Pending, "the last message is gone")
+	require.Equal(t, 1, report.Store.Pending, "the last message is truncated")
 
-	change(t, segment(dir, 3), func(data []byte) []byte { return append(make([]byte, 20), data[20:]...) })
+	modifyFile(t, segmentPath(dir, 3), func(data []byte) []byte { return append(make([]byte, 20), data[20:]...) })
 	report = inspect(t, dir)
 	require.Empty(t, report.Damage)
-	require.Zero(t, report.Files[2].Good, "its header is gone")
+	require.Zero(t, report.Files[2].Good, "the header is unreadable")
 }
 
-func TestRotInAnOlderSegmentIsDamage(t *testing.T) {
+func TestCorruptOlderSegmentIsDamage(t *testing.T) {
 	dir := writeStore(t)
-	change(t, segment(dir, 2), func(data []byte) []byte { data[len(data)-1] ^= 1; return data })
+	modifyFile(t, segmentPath(dir, 2), func(data []byte) []byte { data[len(data)-1] ^= 1; return data })
 	report := inspect(t, dir)
 	require.True(t, report.Damaged())
 	require.Contains(t, report.Damage[0], "0000000002.journal: it can't be read from byte 12 on")
 	require.Equal(t, FateUnreadable, report.Files[1].Fate)
-	require.Equal(t, FateIntact, report.Files[2].Fate, "what follows is still read")
+	require.Equal(t, FateIntact, report.Files[2].Fate, "the following segment is still read")
 }
 
-func TestAMissingSegmentIsDamage(t *testing.T) {
+func TestMissingSegmentIsDamage(t *testing.T) {
 	dir := writeStore(t)
-	require.NoError(t, os.Remove(segment(dir, 2)))
+	require.NoError(t, os.Remove(segmentPath(dir, 2)))
 	require.NoError(t, os.Remove(filepath.Join(dir, identityFile)))
 	report := inspect(t, dir)
 	require.Equal(t, []string{"segments 2 to 2 are lost"}, report.Damage)
 	require.Contains(t, report.Remarks[0], "no identity")
 }
 
-func TestOtherFoldersAreNoDisks(t *testing.T) {
+func TestInspectFolderWithoutDisk(t *testing.T) {
 	_, err := Inspect(t.TempDir())
 	require.ErrorIs(t, err, ErrNoDisk)
 	_, err = Inspect(filepath.Join(t.TempDir(), "none"))
--- a/cmd/ravendalectl/internal/disks/store.go
+++ b/cmd/ravendalectl/internal/disks/store.go
@@ -21,10 +21,10 @@
 	identityFile  = "identity"
 )
 
-// Store is what a store keeps.
+// Store is the content of the disk of a store.
 type Store struct {
-	Disk       string      `json:"disk"`  // identity; empty if it can't be read
-	Epoch      uint64      `json:"epoch"` // newest placement that it has acted under
+	Disk       string      `json:"disk"`  // identity of the disk; empty if it can't be read
+	Epoch      uint64      `json:"epoch"` // newest placement epoch that the store has acted under
 	Partitions []Partition `json:"partitions"`
 	Pending    int         `json:"pending"`
 	Done       int         `json:"done"`
@@ -45,19 +45,19 @@
 	if err != nil {
 		return nil, err
 	}
-	content := newMessages()
+	states := newMessages()
 	previous := uint32(0)
 	for i, name := range names {
-		number := numberOf(name)
+		number := segmentNumber(name)
 		if previous != 0 && number != previous+1 {
-			report.damage("segments %d to %d are lost", previous+1, number-1)
+			report.addDamage("segments %d to %d are lost", previous+1, number-1)
 		}
 		previous = number
-		if err := report.addSegment(journalDir, name, i == len(names)-1, content); err != nil {
+		if err := report.addSegment(journalDir, name, i == len(names)-1, states); err != nil {
 			return nil, err
 		}
 	}
-	report.Store = content.render()
+	report.Store = states.render()
 	report.readIdentity(dir)
 	return report, nil
 }
@@ -69,16 +69,16 @@
 	}
 	var names []string
 	for _, entry := range entries {
-		if !entry.IsDir() && numberOf(entry.Name()) > 0 {
+		if !entry.IsDir() && segmentNumber(entry.Name()) > 0 {
 			names = append(names, entry.Name())
 		}
 	}
-	slices.SortFunc(names, func(a, b string) int { return int(numberOf(a)) - int(numberOf(b)) })
+	slices.SortFunc(names, func(a, b string) int { return int(segmentNumber(a)) - int(segmentNumber(b)) })
 	return names, nil
 }
 
-// numberOf reads the number of a segment off its name; zero: it is none.
-func numberOf(name string) uint32 {
+// segmentNumber parses the number of a segment from its file name. It returns 0 if the file is no segment.
+func segmentNumber(name string) uint32 {
 	var number uint32
 	if !strings.HasSuffix(name, segmentSuffix) {
 		return 0
@@ -87,8 +87,8 @@
 	return number
 }
 
-// addSegment reads one segment of a journal. The journal reads a copy, since it mends what it opens.
-func (r *Report) addSegment(dir, name string, newest bool, content *messages) error {
+// addSegment reads one segment of a journal, from a copy, since opening a journal repairs its files.
+func (r *Report) addSegment(dir, name string, newest bool, states *messages) error {
 	original, err := os.ReadFile(filepath.Join(dir, name))
 	if err != nil {
 		return fmt.Errorf("disks: %w", err)
@@ -96,8 +96,8 @@
 	file := File{Name: name, Bytes: int64(len(original)), Fate: FateIntact}
 	good, err := readSegment(name, original, func(payload []byte) {
 		file.Records++
-		if err := content.apply(payload); err != nil {
-			r.damage("%s: record %d has a content that is not known here: %v", name, file.Records, err)
+		if err := states.apply(payload); err != nil {
+			r.addDamage("%s: record %d has a content that is not known here: %v", name, file.Records, err)
 		}
 	})
 	if err != nil {
@@ -108,16 +108,16 @@
 	case good == file.Bytes:
 	case newest:
 		file.Fate = FateTorn
-		r.remark("%s: the last %d bytes were torn by a loss of power, or have rotted: on the newest segment one can't be told from the other", name, file.Bytes-good)
+		r.addRemark("%s: the last %d bytes were torn by a loss of power, or have rotted: on the newest segment one can't be told from the other", name, file.Bytes-good)
 	default:
 		file.Fate = FateUnreadable
-		r.damage("%s: it can't be read from byte %d on, and it was synced before the next segment was begun: the store would not start", name, good)
+		r.addDamage("%s: it can't be read from byte %d on, and it was synced before the next segment was begun: the store would not start", name, good)
 	}
 	r.Files = append(r.Files, file)
 	return nil
 }
 
-// readSegment visits the good records of a segment, and returns how many bytes they are.
+// readSegment calls visit for each readable record of a segment, and returns the number of readable bytes.
 func readSegment(name string, original []byte, visit func(payload []byte)) (good int64, err error) {
 	scratch, err := os.MkdirTemp("", "ravendalectl-*")
 	if err != nil {
@@ -142,27 +142,27 @@
 	if err != nil {
 		return 0, fmt.Errorf("disks: %w", err)
 	}
-	if !bytes.HasPrefix(original, repaired) { // its header was made anew
+	if !bytes.HasPrefix(original, repaired) { // the journal has rewritten an unreadable header
 		return 0, nil
 	}
 	return int64(len(repaired)), nil
 }
 
-// readIdentity reads the identity, which a store draws anew if it is not complete.
+// readIdentity reads the identity of the store. A store replaces an incomplete identity by a new one.
 func (r *Report) readIdentity(dir string) {
 	content, err := os.ReadFile(filepath.Join(dir, identityFile))
 	if errors.Is(err, fs.ErrNotExist) {
-		r.remark("there is no identity beside the journal: with it missing the store would be a new one")
+		r.addRemark("there is no identity beside the journal: with it missing the store would be a new one")
 		return
 	}
 	if err != nil {
-		r.remark("identity: %v", err)
+		r.addRemark("identity: %v", err)
 		return
 	}
 	r.Store.Disk = strings.TrimSpace(string(content))
 }
 
-// messages follows the records of a journal.
+// messages has the states of the messages of each partition after the journal records applied so far.
 type messages struct {
 	epoch      uint64
 	partitions map[uint16]map[string]wire.State
@@ -171,42 +171,42 @@
 func newMessages() *messages { return &messages{partitions: make(map[uint16]map[string]wire.State)} }
 
 func (m *messages) apply(payload []byte) error {
-	var r queue.Record
-	if _, err := r.UnmarshalMsg(payload); err != nil {
+	var record queue.Record
+	if _, err := record.UnmarshalMsg(payload); err != nil {
 		return err
 	}
-	if r.Kind == queue.RecordEpoch {
-		m.epoch = max(m.epoch, r.Sequence)
+	if record.Kind == queue.RecordEpoch {
+		m.epoch = max(m.epoch, record.Sequence)
 		return nil
 	}
-	in := m.partitions[r.Partition]
-	if in == nil {
-		in = make(map[string]wire.State)
-		m.partitions[r.Partition] = in
+	states := m.partitions[record.Partition]
+	if states == nil {
+		states = make(map[string]wire.State)
+		m.partitions[record.Partition] = states
 	}
-	switch r.Kind {
+	switch record.Kind {
 	case queue.RecordMessage, queue.RecordFinish:
-		in[r.ID] = r.State
+		states[record.ID] = record.State
 	case queue.RecordDrop:
-		delete(in, r.ID)
+		delete(states, record.ID)
 	case queue.RecordWipe:
-		clear(in)
+		clear(states)
 	}
 	return nil
 }
 
 func (m *messages) render() *Store {
 	s := &Store{Epoch: m.epoch, Partitions: []Partition{}}
-	for number, in := range m.partitions {
+	for number, states := range m.partitions {
 		p := Partition{Number: number}
-		for _, state := range in {
-			s.count(state)
+		for _, state := range states {
+			s.countState(state)
 			if state == wire.StatePending {
 				p.Pending++
 			}
 		}
-		p.Finished = len(in) - p.Pending
-		if len(in) > 0 {
+		p.Finished = len(states) - p.Pending
+		if len(states) > 0 {
 			s.Partitions = append(s.Partitions, p)
 		}
 	}
@@ -214,7 +214,7 @@
 	return s
 }
 
-func (s *Store) count(state wire.State) {
+func (s *Store) countState(state wire.State) {
 	switch state {
 	case wire.StatePending:
 		s.Pending++
--- a/cmd/ravendalectl/internal/document/diff.go
+++ b/cmd/ravendalectl/internal/document/diff.go
@@ -9,12 +9,12 @@
 
 // Change is one difference between two configurations.
 type Change struct {
-	Path   string `json:"path"`   // a field, or an item by its name: routes/r-1/timeoutMs
-	Before string `json:"before"` // as JSON; empty: it was not there
-	After  string `json:"after"`  // as JSON; empty: it is gone
+	Path   string `json:"path"`   // a field, or a named item, such as routes/r-1/timeoutMs
+	Before string `json:"before"` // as JSON; empty if added
+	After  string `json:"after"`  // as JSON; empty if removed
 }
 
-// String renders the change in one line: + is new, - is gone, ~ is other than before.
+// String formats the change as one line, which starts with + for added, - for removed and ~ for modified.
 func (c Change) String() string {
 	switch {
 	case c.Before == "":
@@ -25,23 +25,23 @@
 	return fmt.Sprintf("~ %s %s -> %s", c.Path, c.Before, c.After)
 }
 
-// Diff lists what differs between two configurations, item by item and field by field. The order of items, and space, don't count.
-// No document is an empty one.
+// Diff lists the differences between two configurations by item and field. It ignores whitespace and the order of items, and treats
+// missing input as an empty document.
 func Diff(before, after []byte) ([]Change, error) {
-	old, err := fieldsOf(before)
+	old, err := parseFields(before)
 	if err != nil {
 		return nil, fmt.Errorf("document: before: %w", err)
 	}
-	new, err := fieldsOf(after)
+	new, err := parseFields(after)
 	if err != nil {
 		return nil, fmt.Errorf("document: after: %w", err)
 	}
-	return compareFields("", old, new, compareTop), nil
+	return compareFields("", old, new, compareTopLevel), nil
 }
 
 type fields map[string]json.RawMessage
 
-func fieldsOf(document []byte) (fields, error) {
+func parseFields(document []byte) (fields, error) {
 	if len(bytes.TrimSpace(document)) == 0 {
 		return fields{}, nil
 	}
@@ -52,10 +52,10 @@
 	return f, nil
 }
 
-// compare lists the differences of two values, both of which are there.
-type compare func(path string, before, after json.RawMessage) []Change
+// compareFunc lists the differences between two present values.
+type compareFunc func(path string, before, after json.RawMessage) []Change
 
-func compareFields(prefix string, before, after fields, inside compare) []Change {
+func compareFields(prefix string, before, after fields, compareField compareFunc) []Change {
 	names := make([]string, 0, len(before)+len(after))
 	for name := range before {
 		names = append(names, name)
@@ -68,10 +68,10 @@
 	slices.Sort(names)
 	var changes []Change
 	for _, name := range names {
-		old, had := before[name]
-		new, has := after[name]
-		if had && has {
-			changes = append(changes, inside(prefix+name, old, new)...)
+		old, inBefore := before[name]
+		new, inAfter := after[name]
+		if inBefore && inAfter {
+			changes = append(changes, compareField(prefix+name, old, new)...)
 			continue
 		}
 		changes = append(changes, Change{Path: prefix + name, Before: compact(old), After: compact(new)})
@@ -79,10 +79,10 @@
 	return changes
 }
 
-// compareTop compares fields of the whole document: lists of items by the items' names, objects by their fields.
-func compareTop(path string, before, after json.RawMessage) []Change {
-	if old, ok := itemsOf(before); ok {
-		if new, ok := itemsOf(after); ok {
+// compareTopLevel compares two values of a top-level field: lists by the names of their items, objects by their fields.
+func compareTopLevel(path string, before, after json.RawMessage) []Change {
+	if old, ok := parseItems(before); ok {
+		if new, ok := parseItems(after); ok {
 			return compareFields(path+"/", old, new, compareObjects)
 		}
 	}
@@ -104,8 +104,8 @@
 	return nil
 }
 
-// itemsOf reads a list of objects that all have different names.
-func itemsOf(list json.RawMessage) (fields, bool) {
+// parseItems parses a list of objects with unique names. It returns false for any other value.
+func parseItems(list json.RawMessage) (fields, bool) {
 	var items []json.RawMessage
 	if json.Unmarshal(list, &items) != nil || items == nil {
 		return nil, false
--- a/cmd/ravendalectl/internal/document/document_test.go
+++ b/cmd/ravendalectl/internal/document/document_test.go
@@ -8,7 +8,7 @@
 	"ravendale/cluster/catalog"
 )
 
-const written = `{
+const testDocument = `{
   "version": 3,
   "routes": [
     {"name": "a"},
@@ -22,30 +22,30 @@
     "name": "c"}]}
 }`
 
-func TestLinesOfPlaces(t *testing.T) {
+func TestLine(t *testing.T) {
 	for place, want := range map[string]int{
 		"version": 2, "routes": 3, "routes[0]": 4, "routes[0].name": 4, "routes[1]": 5, "routes[1].name": 6,
-		"routes[1].timeoutMs":    8, // the later one
-		"routes[1].host":         5, // not there: its item
-		"routes[7].host":         3, // not there: its list
+		"routes[1].timeoutMs":    8, // the last of the repeated fields
+		"routes[1].host":         5, // missing field: line of its item
+		"routes[7].host":         3, // missing item: line of its list
 		"upsert.routes[0].name":  12,
 		"upsert.backends[0].one": 11,
 		"byte 1":                 1,
 		"byte 21":                3,
 	} {
-		line, ok := Line([]byte(written), place)
+		line, ok := Line([]byte(testDocument), place)
 		require.True(t, ok, place)
 		require.Equal(t, want, line, place)
 	}
 	for _, place := range []string{"limits", "document of nothing", "", "[0]", "routes[x]", "routes[1", "byte 9999"} {
-		_, ok := Line([]byte(written), place)
+		_, ok := Line([]byte(testDocument), place)
 		require.False(t, ok, place)
 	}
 	_, ok := Line([]byte("{"), "version")
 	require.False(t, ok, "not JSON")
 }
 
-func TestFindingsOfTheCatalogAreLocated(t *testing.T) {
+func TestLineOfCatalogFindings(t *testing.T) {
 	document := []byte("{\"version\":1,\n\"routes\":[\n{\"name\":\"r\",\"host\":\"h\",\"pathPrefix\":\"/\",\"backend\":\"s\",\n\"timeoutMs\":0}],\n\"backends\":[{\"name\":\"s\"}],\n\"limits\":{}}")
 	_, err := catalog.Parse(document)
 	var findings catalog.Findings
@@ -62,7 +62,7 @@
 	require.Equal(t, 3, line, findings)
 }
 
-func TestItemsAreComparedByName(t *testing.T) {
+func TestDiffComparesItemsByName(t *testing.T) {
 	before := `{"version":1,"routes":[{"name":"a","timeoutMs":5},{"name":"b"}],"backends":[{"name":"s"}],"limits":{"maxBodyBytes":1}, "x":[1, 2]}`
 	after := `{"version":2,"routes":[{"name":"c"},{"name": "a", "timeoutMs":6,"fifo":true}],"backends":[{"name":"s"}],"limits":{"maxBodyBytes":2},"x":[1,2]}`
 	changes, err := Diff([]byte(before), []byte(after))
@@ -84,7 +84,7 @@
 	require.Empty(t, same)
 }
 
-func TestWhatHasNoNamesIsComparedAsOneValue(t *testing.T) {
+func TestDiffComparesUnnamedValuesWhole(t *testing.T) {
 	changes, err := Diff([]byte(`{"routes":[{"name":"a"},{"name":"a"}]}`), []byte(`{"routes":null}`))
 	require.NoError(t, err)
 	require.Equal(t, []Change{{"routes", `[{"name":"a"},{"name":"a"}]`, "null"}}, changes)
--- a/cmd/ravendalectl/internal/document/locate.go
+++ b/cmd/ravendalectl/internal/document/locate.go
@@ -1,4 +1,4 @@
-// Package document finds places in configurations and compares them, for people who read them.
+// Package document locates places in configuration files and compares configurations, for human-readable output.
 package document
 
 import (
@@ -9,17 +9,17 @@
 	"strings"
 )
 
-// Line returns the line, counted from 1, of a place as catalog.Finding has it: a path such as routes[3].timeoutMs, or "byte 17". Of
-// what is not there, it is that of the innermost value around it that is. False: the place names nothing in the document.
+// Line returns the line, counted from 1, of a place in the form of catalog.Finding: a path such as routes[3].timeoutMs, or "byte 17".
+// For a path that does not exist, it returns the line of the innermost enclosing value. ok is false if no part of the place exists.
 func Line(document []byte, place string) (line int, ok bool) {
-	offset, ok := offsetOf(document, place)
+	offset, ok := findOffset(document, place)
 	if !ok || offset > len(document) {
 		return 0, false
 	}
 	return 1 + bytes.Count(document[:offset], []byte{'\n'}), true
 }
 
-func offsetOf(document []byte, place string) (int, bool) {
+func findOffset(document []byte, place string) (int, bool) {
 	var offset int
 	if n, _ := fmt.Sscanf(place, "byte %d", &offset); n == 1 {
 		return max(offset-1, 0), true
@@ -32,10 +32,10 @@
 	return w.find(path)
 }
 
-// step is one part of a path: a field, or an item of a list.
+// step is one element of a path: a field of an object or an item of a list.
 type step struct {
 	field string
-	index int // of an item; -1: it is a field
+	index int // of an item; -1 for a field
 }
 
 func parsePath(place string) ([]step, bool) {
@@ -59,14 +59,14 @@
 	return path, true
 }
 
-// walker goes through a valid document.
+// walker finds values in a valid JSON document.
 type walker struct {
 	decoder  *json.Decoder
 	document []byte
 }
 
-// next is where the next token starts.
-func (w *walker) next() int {
+// nextOffset returns the offset at which the next token starts.
+func (w *walker) nextOffset() int {
 	offset := int(w.decoder.InputOffset())
 	for offset < len(w.document) && strings.IndexByte(" \t\r\n,:", w.document[offset]) >= 0 {
 		offset++
@@ -74,72 +74,72 @@
 	return offset
 }
 
-// find returns where the value of a path starts, or the innermost value around it. False: not even its first part is there.
+// find returns the offset of the value at a path, or of its innermost enclosing value. It returns false if the first step does not exist.
 func (w *walker) find(path []step) (int, bool) {
-	at := w.next()
+	offset := w.nextOffset()
 	if len(path) == 0 {
-		return at, true
+		return offset, true
 	}
 	token, err := w.decoder.Token()
 	if err != nil {
 		return 0, false
 	}
-	inside := false
+	found := false
 	switch {
 	case token == json.Delim('{') && path[0].index < 0:
-		at, inside = w.findField(path, at)
+		offset, found = w.findField(path, offset)
 	case token == json.Delim('[') && path[0].index >= 0:
-		at, inside = w.findItem(path, at)
+		offset, found = w.findItem(path, offset)
 	}
-	return at, inside
+	return offset, found
 }
 
-// findField looks for the last field of a name, since that is the one that counts and the one that stands there twice.
-func (w *walker) findField(path []step, around int) (at int, found bool) {
-	at = around
+// findField looks for the last field with the name: if a field is repeated, the last one applies and is the duplicate to report.
+func (w *walker) findField(path []step, fallback int) (offset int, found bool) {
+	offset = fallback
 	for w.decoder.More() {
-		start := w.next()
+		start := w.nextOffset()
 		key, err := w.decoder.Token()
 		if err != nil {
-			return at, found
+			return offset, found
 		}
 		if key != path[0].field {
-			w.skip()
+			w.skipValue()
 			continue
 		}
-		at, found = start, true
+		offset, found = start, true
 		if len(path) == 1 {
-			w.skip()
+			w.skipValue()
 			continue
 		}
-		from := w.next()
-		value := w.skip()
+		valueStart := w.nextOffset()
+		value := w.skipValue()
 		inner := &walker{decoder: json.NewDecoder(bytes.NewReader(value)), document: value}
-		if deeper, ok := inner.find(path[1:]); ok {
-			at = from + deeper
+		if innerOffset, ok := inner.find(path[1:]); ok {
+			offset = valueStart + innerOffset
 		}
 	}
-	return at, found
+	return offset, found
 }
 
-func (w *walker) findItem(path []step, around int) (int, bool) {
+func (w *walker) findItem(path []step, fallback int) (int, bool) {
 	for index := 0; w.decoder.More(); index++ {
-		from := w.next()
-		value := w.skip()
+		valueStart := w.nextOffset()
+		value := w.skipValue()
 		if index != path[0].index {
 			continue
 		}
 		inner := &walker{decoder: json.NewDecoder(bytes.NewReader(value)), document: value}
-		if deeper, ok := inner.find(path[1:]); ok {
-			return from + deeper, true
+		if innerOffset, ok := inner.find(path[1:]); ok {
+			return valueStart + innerOffset, true
 		}
-		return from, true
+		return valueStart, true
 	}
-	return around, false
+	return fallback, false
 }
 
-// skip passes a value over and returns it.
-func (w *walker) skip() json.RawMessage {
+// skipValue skips the next value and returns it.
+func (w *walker) skipValue() json.RawMessage {
 	var value json.RawMessage
 	if err := w.decoder.Decode(&value); err != nil {
 		return nil
--- a/cmd/ravendalectl/main.go
+++ b/cmd/ravendalectl/main.go
@@ -1,5 +1,5 @@
-// Command ravendalectl is the operator's command line: it checks configurations, changes them, tells how the system is, empties
-// stores and reads disks.
+// Command ravendalectl is the operator's command-line tool: it checks and changes configurations, shows the status of the system,
+// empties stores and reads disks.
 package main
 
 import (
@@ -14,7 +14,7 @@
 	"github.com/alecthomas/kong"
 )
 
-// commandLine are all commands.
+// commandLine has all commands.
 type commandLine struct {
 	Config  configCommand  `cmd:"" help:"The configuration: routes, services and limits."`
 	Status  statusCommand  `cmd:"" help:"Tell how the control plane, the queue and the members are."`
@@ -23,13 +23,13 @@
 	Disk    diskCommand    `cmd:"" help:"Read the disk of a process that does not run. Nothing on it is changed."`
 }
 
-// environment is what commands work with beside their arguments.
+// environment has the dependencies of commands, which tests replace.
 type environment struct {
 	stdout io.Writer
 	sleep  func(ctx context.Context, pause time.Duration) error
 }
 
-const description = "The operator's command line of ravendale.\n\n" + exitCodes
+const description = "The operator's command line of ravendale.\n\n" + exitCodesHelp
 
 func main() {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
@@ -39,10 +39,10 @@
 
 // run executes a command line and returns the exit code.
 func run(ctx context.Context, env environment, arguments []string, stderr io.Writer) int {
-	parser, exited := newParser(&commandLine{}, env.stdout, stderr)
+	parser, helpShown := newParser(&commandLine{}, env.stdout, stderr)
 	parsed, err := parser.Parse(arguments)
-	if *exited {
-		return exitDone // help was asked for, and given
+	if *helpShown {
+		return exitDone // help was requested and has been printed
 	}
 	if err != nil {
 		_, _ = fmt.Fprintf(stderr, "ravendalectl: %v\nnext: see ravendalectl --help\n", err)
@@ -51,19 +51,19 @@
 	parsed.BindTo(ctx, (*context.Context)(nil))
 	if err := parsed.Run(env); err != nil {
 		printError(stderr, err)
-		return codeOf(err)
+		return exitCodeOf(err)
 	}
 	return exitDone
 }
 
-func newParser(line *commandLine, stdout, stderr io.Writer) (*kong.Kong, *bool) {
-	exited := false
-	parser := kong.Must(line,
+func newParser(commands *commandLine, stdout, stderr io.Writer) (*kong.Kong, *bool) {
+	helpShown := false
+	parser := kong.Must(commands,
 		kong.Name("ravendalectl"), kong.Description(description), kong.Writers(stdout, stderr),
-		kong.Exit(func(int) { exited = true }),
+		kong.Exit(func(int) { helpShown = true }),
 		kong.ConfigureHelp(kong.HelpOptions{Compact: true}),
 	)
-	return parser, &exited
+	return parser, &helpShown
 }
 
 func sleep(ctx context.Context, pause time.Duration) error {
--- a/cmd/ravendalectl/message.go
+++ b/cmd/ravendalectl/message.go
@@ -24,14 +24,14 @@
 	if c.Body {
 		body, err := client.MessageBody(ctx, c.Host, c.ID)
 		if err != nil {
-			return callFailed(err, c.ID, hint)
+			return callError(err, c.ID, hint)
 		}
 		_, err = env.stdout.Write(body)
 		return err
 	}
 	message, err := client.Message(ctx, c.Host, c.ID)
 	if err != nil {
-		return callFailed(err, c.ID, hint)
+		return callError(err, c.ID, hint)
 	}
 	if message.Signature != "" {
 		_, err = fmt.Fprintf(env.stdout, "%s %s\n", message.State, message.Signature)
--- a/cmd/ravendalectl/status.go
+++ b/cmd/ravendalectl/status.go
@@ -26,7 +26,7 @@
 		return err
 	}
 	for {
-		err := c.once(ctx, env, client)
+		err := c.printStatus(ctx, env, client)
 		if !c.Watch {
 			return err
 		}
@@ -39,19 +39,19 @@
 	}
 }
 
-func (c *statusCommand) once(ctx context.Context, env environment, client *operatorclient.Client) error {
+func (c *statusCommand) printStatus(ctx context.Context, env environment, client *operatorclient.Client) error {
 	seen, err := client.Status(ctx)
 	if err != nil {
-		return callFailed(err, "status", "check the addresses, and whether control processes run there")
+		return callError(err, "status", "check the addresses, and whether control processes run there")
 	}
 	if c.JSON {
 		return json.NewEncoder(env.stdout).Encode(seen)
 	}
-	return render(env.stdout, seen)
+	return renderStatus(env.stdout, seen)
 }
 
-// render writes a status for people.
-func render(stdout io.Writer, s *status.Status) error {
+// renderStatus writes a status as a human-readable table.
+func renderStatus(stdout io.Writer, s *status.Status) error {
 	table := tabwriter.NewWriter(stdout, 0, 0, 2, ' ', 0)
 	line := func(format string, arguments ...any) { _, _ = fmt.Fprintf(table, format+"\n", arguments...) }
 	line("answered by\t%s", s.Node)
@@ -62,9 +62,10 @@
 	return table.Flush()
 }
 
-type liner func(format string, arguments ...any)
+// printLine writes one line of a table, with cells separated by tabs.
+type printLine func(format string, arguments ...any)
 
-func renderCore(line liner, c *status.Core) {
+func renderCore(line printLine, c *status.Core) {
 	leader := c.Leader
 	switch {
 	case c.Leading:
@@ -73,17 +74,17 @@
 		leader = "not known"
 	}
 	line("leader\t%s, term %d", leader, c.Term)
-	line("core\tepoch %d, %d voters of %d required, %d in the chain, %s", c.Epoch, len(c.Voters), c.RequiredVoters, len(c.Chain), commits(c))
+	line("core\tepoch %d, %d voters of %d required, %d in the chain, %s", c.Epoch, len(c.Voters), c.RequiredVoters, len(c.Chain), commitState(c))
 	line("commands\t%d committed, %d known", c.Committed, c.Last)
 	if c.DiskFault != "" {
 		line("DISK\tof the process that answers, which is degraded: %s", c.DiskFault)
 	}
 	for _, voter := range c.Voters {
-		line("  voter\t%s\t%s\t%s\t%s", voter.Disk, voter.Address, voter.Zone, positionOf(c.Chain, voter.Disk))
+		line("  voter\t%s\t%s\t%s\t%s", voter.Disk, voter.Address, voter.Zone, chainPosition(c.Chain, voter.Disk))
 	}
 }
 
-func commits(c *status.Core) string {
+func commitState(c *status.Core) string {
 	if !c.Durable {
 		return "TOO FEW DISKS TO COMMIT"
 	}
@@ -93,7 +94,7 @@
 	return "durable"
 }
 
-func positionOf(chain []string, disk string) string {
+func chainPosition(chain []string, disk string) string {
 	for i, other := range chain {
 		if other != disk {
 			continue
@@ -109,7 +110,7 @@
 	return "NOT IN THE CHAIN"
 }
 
-func renderPlacement(line liner, p *status.Placement) {
+func renderPlacement(line printLine, p *status.Placement) {
 	if p == nil {
 		line("queue\tnot placed yet")
 		return
@@ -126,7 +127,7 @@
 	}
 }
 
-func renderMembers(line liner, m *status.Members) {
+func renderMembers(line printLine, m *status.Members) {
 	if m == nil {
 		line("members\tnot known here: the leader was not reached")
 		return
--- a/cmd/ravendalectl/store.go
+++ b/cmd/ravendalectl/store.go
@@ -11,7 +11,7 @@
 	"ravendale/control/operatorclient"
 )
 
-// storeCommand has what is done to the machines that keep messages.
+// storeCommand groups the commands for storage machines.
 type storeCommand struct {
 	Retire retireCommand `cmd:"" help:"Empty a store, so that its machine and disk can go."`
 	Show   storeShow     `cmd:"" help:"Tell how far the emptying of a store is."`
@@ -24,7 +24,7 @@
 	Wait     bool          `help:"Wait until it is empty."`
 }
 
-const retirePoll = time.Second
+const retirePollInterval = time.Second
 
 // Run implements the command.
 func (c *retireCommand) Run(ctx context.Context, env environment) error {
@@ -33,13 +33,13 @@
 		return err
 	}
 	if err := client.StartRetire(ctx, c.Node, c.Deadline); err != nil {
-		return callFailed(err, c.Node, retireHint(err))
+		return callError(err, c.Node, retireHint(err))
 	}
 	if !c.Wait {
 		_, err := fmt.Fprintf(env.stdout, "%s is being emptied; keep its machine until store show says done\n", c.Node)
 		return err
 	}
-	return c.wait(ctx, env, client)
+	return c.awaitEmpty(ctx, env, client)
 }
 
 func retireHint(err error) string {
@@ -50,18 +50,18 @@
 	return ""
 }
 
-// wait asks until the store is empty, or the deadline has passed.
-func (c *retireCommand) wait(ctx context.Context, env environment, client *operatorclient.Client) error {
-	for waited := time.Duration(0); waited < c.Deadline; waited += retirePoll {
+// awaitEmpty polls until the store is empty or the deadline has passed.
+func (c *retireCommand) awaitEmpty(ctx context.Context, env environment, client *operatorclient.Client) error {
+	for waited := time.Duration(0); waited < c.Deadline; waited += retirePollInterval {
 		state, err := client.RetireState(ctx, c.Node)
 		if err != nil {
-			return callFailed(err, c.Node, "the order was taken; ask again by store show")
+			return callError(err, c.Node, "the order was taken; ask again by store show")
 		}
 		if state == operatorclient.RetireDone {
 			_, err := fmt.Fprintf(env.stdout, "%s is empty: its machine and disk can go\n", c.Node)
 			return err
 		}
-		if err := env.sleep(ctx, retirePoll); err != nil {
+		if err := env.sleep(ctx, retirePollInterval); err != nil {
 			return oops.Hint("the emptying goes on; ask again by store show").Wrapf(err, "%s", c.Node)
 		}
 	}
@@ -82,7 +82,7 @@
 	}
 	state, err := client.RetireState(ctx, c.Node)
 	if err != nil {
-		return callFailed(err, c.Node, "")
+		return callError(err, c.Node, "")
 	}
 	_, err = fmt.Fprintln(env.stdout, state)
 	return err
