--- a/cmd/ravendale-capacity/backlog.go
+++ b/cmd/ravendale-capacity/backlog.go
@@ -11,9 +11,9 @@
 )
 
 type backlogCmd struct {
-	Messages int    `help:"That wait." default:"100000"`
-	Body     int    `help:"Bytes of a message's body." default:"1000"`
-	Dir      string `help:"Folder on the disk that is to be used; a new one is made in it and removed." type:"existingdir" default:"."`
+	Messages int    `help:"Number of pending messages in the store." default:"100000"`
+	Body     int    `help:"Size of a message body in bytes." default:"1000"`
+	Dir      string `help:"Folder on the disk to measure; a temporary folder is created in it and removed afterwards." type:"existingdir" default:"."`
 }
 
 func (c *backlogCmd) Run() error {
--- a/cmd/ravendale-capacity/main.go
+++ b/cmd/ravendale-capacity/main.go
@@ -7,7 +7,7 @@
 )
 
 type commands struct {
-	Backlog backlogCmd `cmd:"" help:"Fill one store with messages that wait, restart it, and tell what they cost."`
+	Backlog backlogCmd `cmd:"" help:"Fill one store with pending messages, restart it, and print the memory, disk and processor time used per message."`
 }
 
 func main() {
--- a/cmd/ravendale-standin/main.go
+++ b/cmd/ravendale-standin/main.go
@@ -20,15 +20,15 @@
 )
 
 type arguments struct {
-	Address  string        `help:"Where the platform's list is served." default:"127.0.0.1:8040"`
+	Address  string        `help:"Address of the platform's instance list." default:"127.0.0.1:8040"`
 	Zones    []string      `help:"Zones of the workers." default:"east,west,north"`
 	Services int           `help:"Number of services." default:"2"`
 	Workers  int           `help:"Workers of each service in each zone." default:"2"`
-	Capacity int           `help:"Messages that a worker works on at once." default:"8"`
-	Work     time.Duration `help:"Mean time of a run." default:"20ms"`
+	Capacity int           `help:"Messages that a worker processes concurrently." default:"8"`
+	Work     time.Duration `help:"Mean processing time of a message." default:"20ms"`
 	Fail     float64       `help:"Share of runs that fail." default:"0"`
-	Lag      time.Duration `help:"How far the list trails." default:"500ms"`
-	Rate     float64       `help:"Calls of the list accepted a second; 0: no limit." default:"20"`
+	Lag      time.Duration `help:"Delay of the instance list behind the actual instances." default:"500ms"`
+	Rate     float64       `help:"Requests for the instance list accepted per second; 0 means no limit." default:"20"`
 }
 
 // configLimits are the limits in the printed configuration.
--- a/cmd/ravendalectl/admin.go
+++ b/cmd/ravendalectl/admin.go
@@ -11,7 +11,7 @@
 // adminFlags are the flags of commands that contact control processes.
 type adminFlags struct {
 	Admin  []string      `help:"Admin addresses of control processes, host:port, tried one after another." env:"RAVENDALE_ADMIN" placeholder:"HOST:PORT"`
-	Within time.Duration `help:"How long to try until an answer is clear." default:"30s"`
+	Within time.Duration `help:"How long to retry until a definite answer arrives." default:"30s"`
 }
 
 func (f *adminFlags) client(env environment) (*operatorclient.Client, error) {
--- a/cmd/ravendalectl/config.go
+++ b/cmd/ravendalectl/config.go
@@ -17,11 +17,11 @@
 
 // configCommand groups the commands for the configuration.
 type configCommand struct {
-	Check checkCommand `cmd:"" help:"Check a configuration in a file, and tell all that is wrong with it. Asks no system."`
+	Check checkCommand `cmd:"" help:"Check a configuration file and list all findings, without contacting a control process."`
 	Show  showCommand  `cmd:"" help:"Write the newest configuration to standard output."`
-	Set   setCommand   `cmd:"" help:"Put a whole configuration into force."`
+	Set   setCommand   `cmd:"" help:"Replace the whole configuration."`
 	Patch patchCommand `cmd:"" help:"Add, replace and delete items of the configuration."`
-	Diff  diffCommand  `cmd:"" help:"Tell which items of a file differ from the configuration in force."`
+	Diff  diffCommand  `cmd:"" help:"List the differences between a file and the configuration in force."`
 }
 
 type checkCommand struct {
@@ -94,9 +94,9 @@
 // changeFlags are the flags of commands that change the configuration.
 type changeFlags struct {
 	adminFlags
-	File   string  `arg:"" help:"What to send, as JSON."`
-	Base   *uint64 `help:"The version that the change builds on; by default the one that is in place."`
-	DryRun bool    `help:"Only check the change against what is in place, and tell what it would change."`
+	File   string  `arg:"" help:"The configuration or patch to send, as JSON."`
+	Base   *uint64 `help:"The version that the change is based on; by default the one in force."`
+	DryRun bool    `help:"Only check the change against the configuration in force, and list what it would change."`
 }
 
 type setCommand struct {
@@ -120,7 +120,7 @@
 type diffCommand struct {
 	adminFlags
 	File     string `arg:"" help:"A whole configuration, as JSON."`
-	Patch    bool   `help:"The file is a patch, applied to what is in place."`
+	Patch    bool   `help:"The file is a patch, which is applied to the configuration in force."`
 	ExitCode bool   `help:"Exit with code 9 if there is any difference."`
 }
 
--- a/cmd/ravendalectl/disk.go
+++ b/cmd/ravendalectl/disk.go
@@ -15,8 +15,8 @@
 
 // diskCommand groups the commands that read disks.
 type diskCommand struct {
-	Inspect inspectCommand `cmd:"" help:"Tell what is on a disk, and what of it is complete."`
-	Verify  verifyCommand  `cmd:"" help:"Tell only whether all that was synced can be read."`
+	Inspect inspectCommand `cmd:"" help:"Show the content of a disk and the state of each file."`
+	Verify  verifyCommand  `cmd:"" help:"Only report whether all synced data can be read."`
 }
 
 type inspectCommand struct {
--- a/cmd/ravendalectl/main.go
+++ b/cmd/ravendalectl/main.go
@@ -17,10 +17,10 @@
 // commandLine has all commands.
 type commandLine struct {
 	Config  configCommand  `cmd:"" help:"The configuration: routes, services and limits."`
-	Status  statusCommand  `cmd:"" help:"Tell how the control plane, the queue and the members are."`
-	Message messageCommand `cmd:"" help:"Tell what became of a message."`
-	Store   storeCommand   `cmd:"" help:"The machines that keep messages."`
-	Disk    diskCommand    `cmd:"" help:"Read the disk of a process that does not run. Nothing on it is changed."`
+	Status  statusCommand  `cmd:"" help:"Show the state of the control plane, the queue and the members."`
+	Message messageCommand `cmd:"" help:"Show the state of a message."`
+	Store   storeCommand   `cmd:"" help:"The storage machines."`
+	Disk    diskCommand    `cmd:"" help:"Read the disk of a stopped process without changing it."`
 }
 
 // environment has the dependencies of commands, which tests replace.
--- a/cmd/ravendalectl/message.go
+++ b/cmd/ravendalectl/message.go
@@ -7,11 +7,11 @@
 )
 
 type messageCommand struct {
-	ID     string        `arg:"" help:"The message's name: Msg-Id of the answer that accepted it, else its Request-Id."`
-	Edge   []string      `help:"Addresses at which edges take requests, tried one after another." placeholder:"HOST:PORT" required:""`
+	ID     string        `arg:"" help:"The message's ID: the Msg-Id header of the response that accepted it, or else its Request-Id."`
+	Edge   []string      `help:"HTTP addresses of edges, tried one after another." placeholder:"HOST:PORT" required:""`
 	Host   string        `help:"Host header of the message." required:""`
 	Body   bool          `help:"Write the message's body to standard output instead of its state."`
-	Within time.Duration `help:"How long to try until an answer is clear." default:"30s"`
+	Within time.Duration `help:"How long to retry until a definite answer arrives." default:"30s"`
 }
 
 // Run implements the command.
--- a/cmd/ravendalectl/status.go
+++ b/cmd/ravendalectl/status.go
@@ -15,8 +15,8 @@
 type statusCommand struct {
 	adminFlags
 	JSON  bool          `name:"json" help:"Write JSON, one line for each status."`
-	Watch bool          `help:"Go on, until interrupted."`
-	Every time.Duration `help:"With --watch: how often to ask." default:"2s"`
+	Watch bool          `help:"Repeat until interrupted."`
+	Every time.Duration `help:"With --watch: interval between requests." default:"2s"`
 }
 
 // Run implements the command.
--- a/cmd/ravendalectl/store.go
+++ b/cmd/ravendalectl/store.go
@@ -13,8 +13,8 @@
 
 // storeCommand groups the commands for storage machines.
 type storeCommand struct {
-	Retire retireCommand `cmd:"" help:"Empty a store, so that its machine and disk can go."`
-	Show   storeShow     `cmd:"" help:"Tell how far the emptying of a store is."`
+	Retire retireCommand `cmd:"" help:"Move all messages off a store, so that its machine and disk can be removed."`
+	Show   storeShow     `cmd:"" help:"Show whether the emptying of a store is running or done."`
 }
 
 type retireCommand struct {
