--- a/cmd/ravendale-lab/main.go
+++ b/cmd/ravendale-lab/main.go
@@ -1,4 +1,4 @@
-// Ravendale-lab plays experiments on ravendale: nodes, discovery and clients of its own on loopback.
+// Ravendale-lab runs experiments on ravendale with simulated nodes, discovery and clients on loopback addresses.
 package main
 
 import (
@@ -18,23 +18,23 @@
 )
 
 type commands struct {
-	Run   runCmd   `cmd:"" help:"Play an experiment and keep its results."`
-	Check checkCmd `cmd:"" help:"Tell what is wrong with experiment files."`
-	List  listCmd  `cmd:"" help:"List the experiments of a folder."`
-	Draw  drawCmd  `cmd:"" help:"Write the table and the report of kept results anew."`
-	Trace traceCmd `cmd:"" help:"Count what many schedulers did together, from the logs that they wrote with --log-level debug --log-format json."`
-	Fleet fleetCmd `cmd:"" hidden:"" help:"Play nodes; the spec is JSON on standard input, whose end is the end."`
-	Load  loadCmd  `cmd:"" hidden:"" help:"Play clients; the spec is JSON on standard input."`
+	Run   runCmd   `cmd:"" help:"Run an experiment and save its results."`
+	Check checkCmd `cmd:"" help:"Check experiment files and report their errors."`
+	List  listCmd  `cmd:"" help:"List the experiments in a folder."`
+	Draw  drawCmd  `cmd:"" help:"Regenerate the table and the report of saved results."`
+	Trace traceCmd `cmd:"" help:"Count events across schedulers, from logs written with --log-level debug --log-format json."`
+	Fleet fleetCmd `cmd:"" hidden:"" help:"Simulate nodes until standard input is closed; the spec is a line of JSON on it."`
+	Load  loadCmd  `cmd:"" hidden:"" help:"Simulate clients; the spec is a line of JSON on standard input."`
 }
 
-// errMissed is an experiment of which something did not hold.
-var errMissed = errors.New("what the experiment expects did not hold")
+// errExpectationFailed is returned after an experiment if one of its expectations did not hold.
+var errExpectationFailed = errors.New("an expectation of the experiment did not hold")
 
 func main() {
 	var c commands
-	k := kong.Parse(&c, kong.Name("ravendale-lab"), kong.Description("Experiments on ravendale, all on loopback addresses."))
+	k := kong.Parse(&c, kong.Name("ravendale-lab"), kong.Description("Runs experiments on ravendale, all on loopback addresses."))
 	switch err := k.Run(); {
-	case errors.Is(err, errMissed):
+	case errors.Is(err, errExpectationFailed):
 		fmt.Fprintln(os.Stderr, err)
 		os.Exit(1)
 	case err != nil:
@@ -44,20 +44,20 @@
 }
 
 type traceCmd struct {
-	Folder string        `arg:"" help:"Where the logs are, NAME.log for each scheduler." type:"path"`
-	Span   time.Duration `help:"Length of the spans of time that are counted." default:"2s"`
+	Folder string        `arg:"" help:"Folder of the logs, with a file NAME.log for each scheduler." type:"path"`
+	Span   time.Duration `help:"Length of the intervals that events are counted in." default:"2s"`
 }
 
 func (c *traceCmd) Run() error {
 	if c.Span <= 0 {
-		return fmt.Errorf("--span: %v is no length of time", c.Span)
+		return fmt.Errorf("--span: %v is not above 0", c.Span)
 	}
 	spans, skipped, err := lab.Trace(c.Folder, c.Span)
 	if err != nil {
 		return err
 	}
 	if skipped > 0 {
-		fmt.Fprintln(os.Stderr, skipped, "lines are no JSON of a log and were passed over")
+		fmt.Fprintln(os.Stderr, skipped, "lines skipped: not JSON log lines")
 	}
 	return lab.WriteTrace(os.Stdout, spans, c.Span)
 }
@@ -68,17 +68,17 @@
 
 type runCmd struct {
 	File   string `arg:"" help:"The experiment file."`
-	Short  bool   `help:"Play the short form."`
+	Short  bool   `help:"Run the short form of the experiment."`
 	Out    string `help:"Folder for results.json, results.csv and report.html." type:"path"`
-	Binary string `help:"The scheduler to run." default:"bin/ravendale" type:"path"`
+	Binary string `help:"The scheduler binary to run." default:"bin/ravendale" type:"path"`
 	Logs   string `help:"Folder for the scheduler's logs." type:"path"`
-	Only   string `help:"Play this variant alone."`
+	Only   string `help:"Run only this variant."`
 
-	Commit  string   `help:"The commit that is measured, for the results."`
-	Comment []string `help:"A remark to keep with the results; may be given again." sep:"none"`
+	Commit  string   `help:"The measured commit, recorded in the results."`
+	Comment []string `help:"A comment to save with the results; may be repeated." sep:"none"`
 }
 
-func read(file string) (*lab.Experiment, *lab.FleetExperiment, error) {
+func loadExperiment(file string) (*lab.Experiment, *lab.FleetExperiment, error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
 		return nil, nil, err
@@ -87,7 +87,7 @@
 }
 
 func (c *runCmd) Run() error {
-	x, fleet, err := read(c.File)
+	experiment, fleet, err := loadExperiment(c.File)
 	if err != nil {
 		return err
 	}
@@ -108,33 +108,33 @@
 	if fleet != nil {
 		results, err = r.RunFleet(fleet)
 	} else {
-		results, err = r.Run(x)
+		results, err = r.Run(experiment)
 	}
 	if err != nil {
 		return err
 	}
-	verdicts := x.Judge(results)
-	held, count := true, 0
+	verdicts := experiment.Judge(results)
+	allHeld, heldCount := true, 0
 	for _, v := range verdicts {
 		if v.Held {
-			count++
+			heldCount++
 		}
 		if !v.Held || v.Aim {
 			fmt.Println(v)
 		}
-		held = held && (v.Held || v.Aim)
+		allHeld = allHeld && (v.Held || v.Aim)
 	}
-	fmt.Printf("%d of %d expectations held\n", count, len(verdicts))
+	fmt.Printf("%d of %d expectations held\n", heldCount, len(verdicts))
 	if c.Out != "" {
-		origin := lab.ThisMachine(x.Seed, c.Commit, c.Short)
+		origin := lab.ThisMachine(experiment.Seed, c.Commit, c.Short)
 		origin.Comments = c.Comment
-		if err := lab.Keep(c.Out, x, origin, results, verdicts); err != nil {
+		if err := lab.Keep(c.Out, experiment, origin, results, verdicts); err != nil {
 			return err
 		}
 		fmt.Println("results in", filepath.Clean(c.Out))
 	}
-	if !held {
-		return errMissed
+	if !allHeld {
+		return errExpectationFailed
 	}
 	return nil
 }
@@ -149,11 +149,11 @@
 		return err
 	}
 	for _, file := range files {
-		x, _, err := read(file)
+		experiment, _, err := loadExperiment(file)
 		if err != nil {
 			return err
 		}
-		fmt.Printf("%-12s %d variants, %d phases: %s\n", x.Name, len(x.Variants), len(x.Phases), x.About)
+		fmt.Printf("%-12s %d variants, %d phases: %s\n", experiment.Name, len(experiment.Variants), len(experiment.Phases), experiment.About)
 	}
 	return nil
 }
@@ -164,7 +164,7 @@
 }
 
 func (c *drawCmd) Run() error {
-	x, _, err := read(c.File)
+	experiment, _, err := loadExperiment(c.File)
 	if err != nil {
 		return err
 	}
@@ -172,14 +172,14 @@
 	if err != nil {
 		return err
 	}
-	var kept lab.Kept
-	if err := json.Unmarshal(text, &kept); err != nil {
+	var stored lab.Kept
+	if err := json.Unmarshal(text, &stored); err != nil {
 		return fmt.Errorf("%s: %w", c.Dir, err)
 	}
-	if kept.Experiment != x.Name {
-		return fmt.Errorf("%s holds results of the experiment %q", c.Dir, kept.Experiment)
+	if stored.Experiment != experiment.Name {
+		return fmt.Errorf("%s holds results of the experiment %q", c.Dir, stored.Experiment)
 	}
-	return lab.Keep(c.Dir, x, kept.Origin, kept.Results, x.Judge(kept.Results))
+	return lab.Keep(c.Dir, experiment, stored.Origin, stored.Results, experiment.Judge(stored.Results))
 }
 
 type checkCmd struct {
@@ -187,17 +187,17 @@
 }
 
 func (c *checkCmd) Run() error {
-	var all error
+	var errs error
 	for _, file := range c.Files {
-		if _, _, err := read(file); err != nil {
-			all = errors.Join(all, err)
+		if _, _, err := loadExperiment(file); err != nil {
+			errs = errors.Join(errs, err)
 		}
 	}
-	return all
+	return errs
 }
 
-// spec reads a child's spec, a line of JSON.
-func spec(v any) (*bufio.Reader, error) {
+// readSpec reads the spec of a child process, one line of JSON on standard input. It returns the reader of the rest.
+func readSpec(v any) (*bufio.Reader, error) {
 	in := bufio.NewReader(os.Stdin)
 	line, err := in.ReadBytes('\n')
 	if err != nil {
@@ -210,14 +210,14 @@
 
 func (fleetCmd) Run() error {
 	var s lab.FleetSpec
-	in, err := spec(&s)
+	in, err := readSpec(&s)
 	if err != nil {
 		return err
 	}
 	runtime.GOMAXPROCS(1)
 	stop := make(chan struct{})
 	go func() {
-		_, _ = in.ReadByte() // its end
+		_, _ = in.ReadByte() // returns at the end of the input
 		close(stop)
 	}()
 	report, err := lab.ServeFleet(s, logger(), func() { fmt.Println("ready") }, stop)
@@ -231,7 +231,7 @@
 
 func (loadCmd) Run() error {
 	var s lab.LoadSpec
-	if _, err := spec(&s); err != nil {
+	if _, err := readSpec(&s); err != nil {
 		return err
 	}
 	runtime.GOMAXPROCS(1)
--- a/cmd/ravendale/fleet.go
+++ b/cmd/ravendale/fleet.go
@@ -29,80 +29,80 @@
 	"ravendale/balancer/xmlfile"
 )
 
-// build is the generation of the program that epochs may ask for: it is raised with what older programs can't act under. A test
-// links another one in.
+// build is the program's generation, of which an epoch may require a minimum. It is raised when epochs can contain what
+// older programs can't act under. A test sets another one at link time.
 var build = "1"
 
 func generation() int {
 	n, err := strconv.Atoi(build)
 	if err != nil || n < 1 {
-		panic("the program was linked with a generation that is none: " + build)
+		panic("ravendale: the program was linked with an invalid generation: " + build)
 	}
 	return n
 }
 
-// wallClock is the system's, in Unix milliseconds. RAVENDALE_CLOCK_FILE names a file with milliseconds that it is off by, read
-// again each time: tests have one process's clock wrong, and step.
+// wallClock returns a function that reads the system clock in Unix milliseconds. RAVENDALE_CLOCK_FILE names a file with
+// an offset in milliseconds, which is read at each call: tests use it to skew the clock of one process, and to step it.
 func wallClock() func() int64 {
 	file := os.Getenv("RAVENDALE_CLOCK_FILE")
 	if file == "" {
 		return func() int64 { return time.Now().UnixMilli() }
 	}
 	return func() int64 {
-		text, _ := os.ReadFile(file) // none: it is right
-		off, _ := strconv.ParseInt(strings.TrimSpace(string(text)), 10, 64)
-		return time.Now().UnixMilli() + off
+		text, _ := os.ReadFile(file) // without a file the offset is 0
+		offsetMs, _ := strconv.ParseInt(strings.TrimSpace(string(text)), 10, 64)
+		return time.Now().UnixMilli() + offsetMs
 	}
 }
 
-// loadKeys reads the key file of a fleet's element.
+// loadKeys reads the key file that the <fleet> element names.
 func loadKeys(f *operator.Fleet) (frames.Keys, error) {
 	text, err := os.ReadFile(f.Keys)
 	if err != nil {
-		return nil, fmt.Errorf("fleet: keys: %w", err)
+		return nil, fmt.Errorf("fleet: reading the key file: %w", err)
 	}
 	return frames.ParseKeys(f.Keys, text)
 }
 
-// join makes the scheduler a member of the fleet that the operator's file names.
-func join(n *node.Node, name string, file *operator.File, log *slog.Logger) error {
+// joinFleet makes the scheduler a member of the fleet in the operator's file, which was read from path.
+func joinFleet(n *node.Node, path string, file *operator.File, log *slog.Logger) error {
 	f := *file.Fleet
 	f.Defaults()
 	keys, err := loadKeys(&f)
 	if err != nil {
 		return err
 	}
-	text, err := os.ReadFile(name)
+	text, err := os.ReadFile(path)
 	if err != nil {
 		return err
 	}
-	signal.Ignore(syscall.SIGXFSZ) // a disk or quota that is full is an error of the write, not the end of the scheduler
+	signal.Ignore(syscall.SIGXFSZ) // a write to a full disk or quota must return an error, not kill the scheduler
 	sum := sha256.Sum256(text)
 	n.Join(node.FleetOptions{File: f, Keys: keys, Build: generation(), Digest: hex.EncodeToString(sum[:8]), Wall: wallClock(),
 		Getenv: os.Getenv, Read: os.ReadFile})
-	log.Info("member of a fleet", "name", f.Name, "members", len(f.Members), "alone", f.Alone)
+	log.Info("joining fleet", "name", f.Name, "members", len(f.Members), "alone", f.Alone)
 	return nil
 }
 
 type fleetCmd struct {
-	Status  statusCmd  `cmd:"" help:"Show who is there, and what each acts under."`
-	RollOut rollOutCmd `cmd:"" help:"Hand in an epoch, and wait until all act under it."`
+	Status  statusCmd  `cmd:"" help:"Show the members, and the epoch that each acts under."`
+	RollOut rollOutCmd `cmd:"" help:"Submit an epoch, and wait until all members act under it."`
 }
 
-// ask says whom to ask.
-type ask struct {
-	Config string        `help:"The operator's file with the fleet's element." placeholder:"FILE" env:"RAVENDALE_FILE" required:""`
-	Member string        `help:"Ask this member alone; else each of the file." placeholder:"NAME"`
-	Within time.Duration `help:"Wait at most so long for each answer." default:"2s"`
+// targetFlags select the members to query.
+type targetFlags struct {
+	Config string        `help:"The operator's file with the <fleet> element." placeholder:"FILE" env:"RAVENDALE_FILE" required:""`
+	Member string        `help:"Contact only this member instead of all in the file." placeholder:"NAME"`
+	Within time.Duration `help:"Timeout for each answer." default:"2s"`
 }
 
-func (a *ask) load() (f *operator.Fleet, keys frames.Keys, members []operator.Member, err error) {
+func (a *targetFlags) loadFleet() (f *operator.Fleet, keys frames.Keys, members []operator.Member, err error) {
 	file, err := operator.Load(a.Config)
 	if err != nil {
 		return nil, nil, nil, err
 	}
 	if file.Fleet == nil {
-		return nil, nil, nil, fmt.Errorf("%s: there is no <fleet> in it", a.Config)
+		return nil, nil, nil, fmt.Errorf("%s: the file has no <fleet> element", a.Config)
 	}
 	file.Fleet.Defaults()
 	if keys, err = loadKeys(file.Fleet); err != nil {
@@ -114,13 +114,13 @@
 		}
 	}
 	if len(members) == 0 {
-		return nil, nil, nil, fmt.Errorf("%s: no member %q", a.Config, a.Member)
+		return nil, nil, nil, fmt.Errorf("%s: the fleet has no member %q", a.Config, a.Member)
 	}
 	return file.Fleet, keys, members, nil
 }
 
-// call asks all members at once; one that gives no answer has a status with the error.
-func (a *ask) call(keys frames.Keys, members []operator.Member) map[string]*agent.Status {
+// queryStatus queries all members concurrently. The status of a member that doesn't answer holds the error.
+func (a *targetFlags) queryStatus(keys frames.Keys, members []operator.Member) map[string]*agent.Status {
 	type answer struct {
 		name string
 		s    *agent.Status
@@ -137,46 +137,46 @@
 			answers <- answer{m.Name, s}
 		}()
 	}
-	all := make(map[string]*agent.Status)
+	statuses := make(map[string]*agent.Status)
 	for range members {
-		x := <-answers
-		all[x.name] = x.s
+		received := <-answers
+		statuses[received.name] = received.s
 	}
-	return all
+	return statuses
 }
 
 type statusCmd struct {
-	ask
-	JSON bool `help:"As JSON." name:"json"`
+	targetFlags
+	JSON bool `help:"Print JSON." name:"json"`
 }
 
-// Run shows the fleet; the exit code is 1 where a member gave no answer.
+// Run prints the status of the members. The exit code is 1 if a member did not answer.
 func (c *statusCmd) Run() error {
-	_, keys, members, err := c.load()
+	_, keys, members, err := c.loadFleet()
 	if err != nil {
 		return err
 	}
-	all := c.call(keys, members)
+	statuses := c.queryStatus(keys, members)
 	if c.JSON {
 		enc := json.NewEncoder(os.Stdout)
 		enc.SetIndent("", "  ")
-		err = enc.Encode(all)
+		err = enc.Encode(statuses)
 	} else {
-		err = showStatus(os.Stdout, all)
+		err = showStatus(os.Stdout, statuses)
 	}
-	for _, s := range all {
+	for _, s := range statuses {
 		if s.Error != "" && err == nil {
-			err = errWrong
+			err = errReported
 		}
 	}
 	return err
 }
 
-func showStatus(to io.Writer, all map[string]*agent.Status) error {
-	w := tabwriter.NewWriter(to, 0, 0, 2, ' ', 0) // Flush tells of what it met before
+func showStatus(out io.Writer, statuses map[string]*agent.Status) error {
+	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0) // Flush returns the error of an earlier write
 	_, _ = fmt.Fprintln(w, "MEMBER\tINCARNATION\tBUILD\tACTS UNDER\tIN FORCE\tSTANDING\tPEERS ALIVE\tLAG\tRECORD\tNOTES")
-	for _, name := range slices.Sorted(maps.Keys(all)) {
-		s := all[name]
+	for _, name := range slices.Sorted(maps.Keys(statuses)) {
+		s := statuses[name]
 		if s.Error != "" {
 			_, _ = fmt.Fprintf(w, "%s\t\t\t\t\tno answer\t\t\t\t%s\n", name, s.Error)
 			continue
@@ -212,7 +212,7 @@
 	return w.Flush()
 }
 
-// epochFile is the form of a file that is rolled out.
+// epochFile is the XML form of an epoch to roll out.
 type epochFile struct {
 	Number   int64         `xml:"number,attr" required:"true"`
 	Floor    int64         `xml:"floor,attr" required:"true"`
@@ -222,7 +222,7 @@
 }
 
 type settingsFile struct {
-	File string `xml:"file,attr" required:"true"` // JSON, a merge patch (RFC 7396) for the platform's settings; beside the epoch's file
+	File string `xml:"file,attr" required:"true"` // JSON merge patch (RFC 7396) of the platform's settings; relative to the epoch file
 }
 
 // Check implements xmlfile.Checker.
@@ -254,48 +254,48 @@
 			return nil, err
 		}
 		if !json.Valid(e.Settings) {
-			return nil, fmt.Errorf("%s: no JSON", path)
+			return nil, fmt.Errorf("%s: not valid JSON", path)
 		}
 	}
 	return fleet.Pack(e)
 }
 
 type rollOutCmd struct {
-	ask
-	File string        `arg:"" help:"The epoch: XML, docs/fleet.md has its form."`
-	Wait time.Duration `help:"Until all act under it, at most so long." default:"30s"`
+	targetFlags
+	File string        `arg:"" help:"The epoch file: XML, see docs/fleet.md."`
+	Wait time.Duration `help:"Time to wait until all members act under the epoch." default:"30s"`
 }
 
-// Run hands the epoch in at the first member that takes it, or the one that is named. The exit code is 1 where some do not act
-// under it in time.
+// Run submits the epoch to the members in turn until one accepts it, or only to the named one. The exit code is 1 if some
+// member does not act under it in time.
 func (c *rollOutCmd) Run() error {
 	e, err := loadEpoch(c.File)
 	if err != nil {
 		return err
 	}
-	f, keys, members, err := c.load()
+	f, keys, members, err := c.loadFleet()
 	if err != nil {
 		return err
 	}
 	var refusals []error
-	took := ""
+	acceptedBy := ""
 	for _, m := range members {
 		ctx, cancel := context.WithTimeout(context.Background(), c.Within)
 		_, err := agent.Call(ctx, m.Address, keys, "roll-out", e.Content)
 		cancel()
 		if err == nil {
-			took = m.Name
+			acceptedBy = m.Name
 			break
 		}
 		refusals = append(refusals, fmt.Errorf("%s: %w", m.Name, err))
 	}
-	if took == "" {
+	if acceptedBy == "" {
 		return errors.Join(refusals...)
 	}
-	fmt.Printf("%v handed in at %s\n", e.ID, took)
-	for end := time.Now().Add(c.Wait); ; time.Sleep(f.Heartbeat) {
+	fmt.Printf("%v handed in at %s\n", e.ID, acceptedBy)
+	for deadline := time.Now().Add(c.Wait); ; time.Sleep(f.Heartbeat) {
 		var behind []string
-		for name, s := range c.call(keys, f.Members) {
+		for name, s := range c.queryStatus(keys, f.Members) {
 			if s.Error != "" || s.Acting != e.ID {
 				behind = append(behind, name)
 			}
@@ -304,22 +304,22 @@
 			fmt.Println("all act under it")
 			return nil
 		}
-		if time.Now().After(end) {
+		if time.Now().After(deadline) {
 			slices.Sort(behind)
 			fmt.Printf("not yet: %s\n", strings.Join(behind, ", "))
-			return errWrong
+			return errReported
 		}
 	}
 }
 
 type auditCmd struct {
-	Dirs []string `arg:"" help:"Folders with records." name:"dir"`
-	JSON bool     `help:"As JSON." name:"json"`
-	At   string   `help:"Who acted under which epoch at this time (RFC 3339, by the first member's clock)." placeholder:"TIME"`
-	All  bool     `help:"Every entry, not only those that change what is acted on."`
+	Dirs []string `arg:"" help:"Folders with the members' records." name:"dir"`
+	JSON bool     `help:"Print JSON." name:"json"`
+	At   string   `help:"Show the epoch that each member acted under at this time (RFC 3339, by the first member's clock)." placeholder:"TIME"`
+	All  bool     `help:"Show every entry, not only those that affect which epoch is acted under."`
 }
 
-// Run prints what the records say together. The exit code is 1 where a rule of a roll-out was broken or a record tampered with.
+// Run prints the merged records. The exit code is 1 if a roll-out's rule was broken or a record was tampered with.
 func (c *auditCmd) Run() error {
 	a, err := audit.Read(c.Dirs...)
 	if err != nil {
@@ -330,9 +330,9 @@
 		if err != nil {
 			return fmt.Errorf("--at: %w", err)
 		}
-		under := a.Under(at.UnixMilli())
+		epochByMember := a.Under(at.UnixMilli())
 		for _, m := range a.Members {
-			if id, known := under[m]; known {
+			if id, known := epochByMember[m]; known {
 				fmt.Printf("%s\t%v\n", m, id)
 			} else {
 				fmt.Printf("%s\tits record does not say\n", m)
@@ -348,14 +348,14 @@
 		showAudit(os.Stdout, a, c.All)
 	}
 	if err == nil && (a.Broken() || slices.ContainsFunc(a.Findings, func(f audit.Finding) bool { return f.Kind.Fault() })) {
-		err = errWrong
+		err = errReported
 	}
 	return err
 }
 
-func clock(ms int64) string { return time.UnixMilli(ms).UTC().Format("2006-01-02T15:04:05.000Z") }
+func formatTime(ms int64) string { return time.UnixMilli(ms).UTC().Format("2006-01-02T15:04:05.000Z") }
 
-func showAudit(to io.Writer, a *audit.Audit, all bool) {
+func showAudit(out io.Writer, a *audit.Audit, all bool) {
 	for _, e := range a.Timeline {
 		if !all && slices.Contains([]string{audit.Span, audit.Witness, audit.Member, audit.List}, e.Kind) {
 			continue
@@ -367,26 +367,26 @@
 		if e.Kind == audit.Standing {
 			text = fmt.Sprintf("acts=%v marked=%v %s", *e.Acts, e.Marked, e.Why)
 		}
-		_, _ = fmt.Fprintf(to, "%s  %-10s %-10s %s\n", clock(e.When), e.Member, e.Kind, strings.TrimSpace(text+" "+e.From+" "+e.Peer+" "+e.State))
+		_, _ = fmt.Fprintf(out, "%s  %-10s %-10s %s\n", formatTime(e.When), e.Member, e.Kind, strings.TrimSpace(text+" "+e.From+" "+e.Peer+" "+e.State))
 	}
-	for _, l := range a.Epochs {
-		if l.InForce == 0 {
-			_, _ = fmt.Fprintf(to, "epoch %v: never in force\n", l.ID)
+	for _, history := range a.Epochs {
+		if history.InForce == 0 {
+			_, _ = fmt.Fprintf(out, "epoch %v: never in force\n", history.ID)
 			continue
 		}
-		_, _ = fmt.Fprintf(to, "epoch %v: in force %s, floor %d from %s, adopted by %d of %d\n", l.ID, clock(l.InForce), l.Floor, clock(l.Date), len(l.Adopted), len(a.Members))
-		if l.Conflict {
-			_, _ = fmt.Fprintf(to, "BROKEN: another content was in force as epoch %d\n", l.ID.Number)
+		_, _ = fmt.Fprintf(out, "epoch %v: in force %s, floor %d from %s, adopted by %d of %d\n", history.ID, formatTime(history.InForce), history.Floor, formatTime(history.Date), len(history.Adopted), len(a.Members))
+		if history.Conflict {
+			_, _ = fmt.Fprintf(out, "BROKEN: another content was in force as epoch %d\n", history.ID.Number)
 		}
 	}
 	for _, s := range a.Straggled {
-		_, _ = fmt.Fprintf(to, "straggler %s under epoch %v: %s %d ms after the date %s\n", s.Member, s.Epoch, s.End, s.AfterMs, s.From)
+		_, _ = fmt.Fprintf(out, "straggler %s under epoch %v: %s %d ms after the date %s\n", s.Member, s.Epoch, s.End, s.AfterMs, s.From)
 	}
 	for _, b := range a.Below {
-		_, _ = fmt.Fprintf(to, "BROKEN: %s took %d requests below floor %d in the span that ended %s, %d ms after the date (%s)\n", b.Member, b.Taken, b.Floor,
-			clock(b.When), b.When-b.Date, b.Position)
+		_, _ = fmt.Fprintf(out, "BROKEN: %s took %d requests below floor %d in the span that ended %s, %d ms after the date (%s)\n", b.Member, b.Taken, b.Floor,
+			formatTime(b.When), b.When-b.Date, b.Position)
 	}
 	for _, f := range a.Findings {
-		_, _ = fmt.Fprintln(to, "found:", f)
+		_, _ = fmt.Fprintln(out, "found:", f)
 	}
 }
--- a/cmd/ravendale/main.go
+++ b/cmd/ravendale/main.go
@@ -1,4 +1,4 @@
-// Ravendale is one scheduler on real sockets; PROXY_CONFIG names its configuration.
+// Ravendale is the scheduler; PROXY_CONFIG names its configuration file.
 package main
 
 import (
@@ -20,25 +20,25 @@
 	"ravendale/balancer/platform/node"
 )
 
-// commands are the sub-commands and flags; without any the program serves.
+// commands are the sub-commands and flags. Without a sub-command the program serves.
 type commands struct {
-	Serve serveCmd `cmd:"" default:"withargs" help:"Serve, as PROXY_CONFIG says. What is done where no command is given."`
-	Check checkCmd `cmd:"" help:"Tell all that is wrong with an operator's file."`
-	Fleet fleetCmd `cmd:"" help:"Ask and steer the fleet that an operator's file names."`
-	Audit auditCmd `cmd:"" help:"Read the records of schedulers as one timeline."`
+	Serve serveCmd `cmd:"" default:"withargs" help:"Run the scheduler with the configuration that PROXY_CONFIG names (the default command)."`
+	Check checkCmd `cmd:"" help:"Check operator's files and report all errors."`
+	Fleet fleetCmd `cmd:"" help:"Show and control the fleet of an operator's file."`
+	Audit auditCmd `cmd:"" help:"Merge the records of schedulers into one timeline."`
 }
 
-// errWrong is a file of which everything wrong has been told.
-var errWrong = errors.New("wrong")
+// errReported makes the program exit with code 1 without a message: the cause has been printed or logged already.
+var errReported = errors.New("error already reported")
 
 func main() {
-	hangup := catch() // before anything slow
+	hangup := catchHangup() // before anything slow, since SIGHUP terminates the process until then
 	var c commands
-	k := kong.Parse(&c, kong.Name("ravendale"), kong.Description("The scheduler: takes jobs, and pushes each to one backend server."),
+	k := kong.Parse(&c, kong.Name("ravendale"), kong.Description("The scheduler: accepts jobs and sends each to one backend server."),
 		kong.Bind(hangup))
 	err := k.Run()
 	switch {
-	case errors.Is(err, errWrong):
+	case errors.Is(err, errReported):
 		os.Exit(1)
 	case err != nil:
 		fmt.Fprintln(os.Stderr, "ravendale:", err)
@@ -46,33 +46,34 @@
 	}
 }
 
-// hangups bring SIGHUP.
-type hangups <-chan os.Signal
+// hangupSignals receives SIGHUP.
+type hangupSignals <-chan os.Signal
 
-// catch takes SIGHUP, which ends the program until then. One that comes while another is waited for adds nothing.
-func catch() hangups {
+// catchHangup subscribes to SIGHUP, which terminates the process until then. A signal that arrives while another is
+// pending is dropped.
+func catchHangup() hangupSignals {
 	hangup := make(chan os.Signal, 1)
 	signal.Notify(hangup, syscall.SIGHUP)
 	return hangup
 }
 
 type serveCmd struct {
-	Config    string           `help:"The operator's file, by its schema deploy/ravendale.xsd." placeholder:"FILE" env:"RAVENDALE_FILE"`
-	Cores     int              `help:"Serve on so many cores. It comes before the file's." placeholder:"N"`
-	LogLevel  *operator.Level  `help:"Least level that is logged: debug, info, warn or error." placeholder:"LEVEL"`
-	LogFormat *operator.Format `help:"Form of the log's lines: text or json." placeholder:"FORM"`
+	Config    string           `help:"The operator's file; its schema is deploy/ravendale.xsd." placeholder:"FILE" env:"RAVENDALE_FILE"`
+	Cores     int              `help:"Number of cores to use. It overrides the operator's file." placeholder:"N"`
+	LogLevel  *operator.Level  `help:"Lowest level that is logged: debug, info, warn or error." placeholder:"LEVEL"`
+	LogFormat *operator.Format `help:"Format of log lines: text or json." placeholder:"FORM"`
 }
 
-// logger writes lines of a form and from a level on.
-func logger(to io.Writer, level operator.Level, format operator.Format) *slog.Logger {
+// logger returns a logger that writes lines of the given format, at the given level and above.
+func logger(out io.Writer, level operator.Level, format operator.Format) *slog.Logger {
 	o := &slog.HandlerOptions{Level: slog.Level(level)}
 	if format == "json" {
-		return slog.New(slog.NewJSONHandler(to, o))
+		return slog.New(slog.NewJSONHandler(out, o))
 	}
-	return slog.New(slog.NewTextHandler(to, o))
+	return slog.New(slog.NewTextHandler(out, o))
 }
 
-func (c *serveCmd) Run(hangup hangups) error {
+func (c *serveCmd) Run(hangup hangupSignals) error {
 	file, err := operator.Load(c.Config)
 	if err != nil {
 		return err
@@ -90,13 +91,13 @@
 	}
 	log := logger(os.Stderr, level, format)
 	if err := c.serve(log, file, hangup); err != nil {
-		log.Error("cannot run", "err", err)
-		return errWrong
+		log.Error("scheduler failed", "err", err)
+		return errReported
 	}
 	return nil
 }
 
-func (c *serveCmd) serve(log *slog.Logger, file *operator.File, hangup hangups) error {
+func (c *serveCmd) serve(log *slog.Logger, file *operator.File, hangup hangupSignals) error {
 	cfg, err := config.Load(os.Getenv, os.ReadFile)
 	if err != nil {
 		return err
@@ -110,13 +111,13 @@
 	if cfg.Cores < 1 || cfg.Cores > operator.MostCores {
 		return fmt.Errorf("--cores: %d is not between 1 and %d", cfg.Cores, operator.MostCores)
 	}
-	processors := cfg.Cores // the platform's machine has a single core
+	processors := cfg.Cores // 1 unless the operator sets more: the platform's machine has a single core
 	if cfg.Cores > 1 {
-		processors++ // the decider's poller keeps one while it sleeps in the system: see docs/cores.md
+		processors++ // the decider's poller occupies one while it waits in a system call: see docs/cores.md
 	}
 	runtime.GOMAXPROCS(processors)
 	if os.Getenv("GOGC") == "" {
-		debug.SetGCPercent(400) // little lives long: see docs/cores.md
+		debug.SetGCPercent(400) // most objects are short-lived: see docs/cores.md
 	}
 	limitMemory(cfg, 1)
 	ctx, cancel := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
@@ -126,7 +127,7 @@
 		return err
 	}
 	if file.Fleet != nil {
-		if err := join(n, c.Config, file, log); err != nil {
+		if err := joinFleet(n, c.Config, file, log); err != nil {
 			return err
 		}
 	}
@@ -139,27 +140,27 @@
 	return n.Run(ctx)
 }
 
-// limitMemory has the garbage collector keep to this process's part of the limit.
+// limitMemory sets the garbage collector's limit to this process's share of the memory limit.
 func limitMemory(cfg *config.Config, processes int) {
 	if cfg.MemoryMB > 0 {
-		debug.SetMemoryLimit(int64(cfg.MemoryMB) << 20 * 3 / 5 / int64(processes)) // files and buffers of the system count too
+		debug.SetMemoryLimit(int64(cfg.MemoryMB) << 20 * 3 / 5 / int64(processes)) // the system's files and buffers count towards the limit, too
 	}
 }
 
 type checkCmd struct {
-	Files []string `arg:"" help:"The files."`
+	Files []string `arg:"" help:"The operator's files."`
 }
 
 func (c *checkCmd) Run() error {
-	wrong := false
+	failed := false
 	for _, name := range c.Files {
 		if _, err := operator.Load(name); err != nil {
 			fmt.Fprintln(os.Stderr, err)
-			wrong = true
+			failed = true
 		}
 	}
-	if wrong {
-		return errWrong
+	if failed {
+		return errReported
 	}
 	return nil
 }
--- a/cmd/ravendale/main_test.go
+++ b/cmd/ravendale/main_test.go
@@ -5,9 +5,9 @@
 	"testing"
 )
 
-// Not caught, the signal ends this very process.
-func TestHangupIsCaught(t *testing.T) {
-	hangup := catch()
+// If SIGHUP isn't caught, it terminates the test process.
+func TestCatchHangup(t *testing.T) {
+	hangup := catchHangup()
 	if err := syscall.Kill(syscall.Getpid(), syscall.SIGHUP); err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/ravendale/stop_test.go
+++ b/cmd/ravendale/stop_test.go
@@ -15,9 +15,9 @@
 	"time"
 )
 
-// One who is told to end twice, and to read its configuration again between, still answers what it has, and ends in order: the built
-// program, among a client, a backend server, and a discovery that never answers.
-func TestASecondSIGTERMEndsNothing(t *testing.T) {
+// A scheduler that receives SIGTERM, SIGHUP and a second SIGTERM must still answer its open request and then exit with
+// code 0. The test runs the built program with a client, a backend server and a discovery service that never answers.
+func TestSecondSIGTERMDuringShutdown(t *testing.T) {
 	listen := func() *net.TCPListener {
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
@@ -49,12 +49,12 @@
 		err = cmd.Start()
 	}
 	if err != nil {
-		t.Fatalf("%v: 'make build' makes it", err)
+		t.Fatalf("%v: 'make build' builds the scheduler", err)
 	}
 	defer func() { _ = cmd.Process.Kill() }()
 	_, _ = inherited.Close(), clients.Close()
 	log := bufio.NewScanner(stderr)
-	logged := func(word string) {
+	waitForLog := func(word string) {
 		for log.Scan() {
 			if strings.Contains(log.Text(), word) {
 				return
@@ -62,7 +62,7 @@
 		}
 		t.Fatalf("%q was not logged", word)
 	}
-	say := func(c net.Conn, text string) {
+	send := func(c net.Conn, text string) {
 		_ = c.SetDeadline(time.Now().Add(20 * time.Second))
 		if _, err := io.WriteString(c, text); err != nil {
 			t.Fatal(err)
@@ -76,24 +76,24 @@
 		t.Cleanup(func() { _ = c.Close() })
 		return c
 	}
-	answer := func(c net.Conn, want int) {
+	wantStatus := func(c net.Conn, want int) {
 		t.Helper()
 		if r, err := http.ReadResponse(bufio.NewReader(c), nil); err != nil || r.StatusCode != want {
-			t.Fatalf("answered %v, %v", r, err)
+			t.Fatalf("got response %v, error %v", r, err)
 		}
 	}
-	logged("msg=serving")
+	waitForLog("msg=serving")
 	client := dial()
-	say(client, "POST /api HTTP/1.1\r\nX-Txn: 00000000000000a1\r\nX-Lane: saldo\r\nX-Remaining-Ms: 5000\r\nContent-Length: 2\r\n\r\nhi")
-	w, err := server.Accept()
+	send(client, "POST /api HTTP/1.1\r\nX-Txn: 00000000000000a1\r\nX-Lane: saldo\r\nX-Remaining-Ms: 5000\r\nContent-Length: 2\r\n\r\nhi")
+	worker, err := server.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer func() { _ = w.Close() }()
-	if _, err := http.ReadRequest(bufio.NewReader(w)); err != nil {
+	defer func() { _ = worker.Close() }()
+	if _, err := http.ReadRequest(bufio.NewReader(worker)); err != nil {
 		t.Fatal(err)
 	}
-	say(w, "HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n")
+	send(worker, "HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n")
 	for _, step := range []struct {
 		sig  syscall.Signal
 		word string
@@ -102,16 +102,16 @@
 			t.Fatal(err)
 		}
 		if step.word != "" {
-			logged(step.word)
+			waitForLog(step.word)
 		}
 	}
-	call := dial()
+	callback := dial()
 	body := `{"id":"00000000000000a1","from":"w1","state":"done","result":"x"}`
-	say(call, fmt.Sprintf("POST /callback HTTP/1.1\r\nContent-Length: %d\r\nConnection: close\r\n\r\n%s", len(body), body))
-	answer(call, 204)
-	answer(client, 200)
-	_, _ = call.Close(), client.Close()
-	logged(`why="nothing is owed"`)
+	send(callback, fmt.Sprintf("POST /callback HTTP/1.1\r\nContent-Length: %d\r\nConnection: close\r\n\r\n%s", len(body), body))
+	wantStatus(callback, 204)
+	wantStatus(client, 200)
+	_, _ = callback.Close(), client.Close()
+	waitForLog(`why="nothing is owed"`)
 	if err := cmd.Wait(); err != nil {
 		t.Error(err)
 	}
--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -1,5 +1,5 @@
-// Simhost hosts dispatchers on the simulator's wire: one Dispatcher for each
-// instance, sharing nothing. It reads standard input and writes standard output.
+// Simhost is the simulator's adapter: it runs one Dispatcher for each instance, without shared state.
+// It reads the simulator's line protocol from standard input and writes its replies to standard output.
 package main
 
 import (
@@ -19,17 +19,17 @@
 	}
 }
 
-// serve answers every batch of in on out. It writes whole replies only, and returns nil where in ends
-// between two batches.
+// serve reads batches from in and writes a reply to each to out. It writes complete replies only, and returns nil
+// if in ends between two batches.
 func serve(in io.Reader, out io.Writer) error {
 	reader := wire.NewReader(in)
 	instances := make(map[string]*ravendale.Dispatcher)
 	var (
-		m       wire.Message
-		batch   wire.Message // the clock line of the batch in hand
-		reply   []byte
-		actions []ravendale.Action
-		writing string // the instance whose actions the reply is at
+		m             wire.Message
+		clock         wire.Message // the message that began the current batch
+		reply         []byte
+		actions       []ravendale.Action
+		replyInstance string // the instance of the last action in the reply
 	)
 	for {
 		if err := reader.Next(&m); err != nil {
@@ -40,8 +40,8 @@
 		}
 		switch m.Kind {
 		case wire.Clock:
-			batch = m
-			reply, writing = reply[:0], ""
+			clock = m
+			reply, replyInstance = reply[:0], ""
 		case wire.Start:
 			d, err := ravendale.New(m.Settings, m.Seed)
 			if err != nil {
@@ -51,15 +51,15 @@
 		case wire.Exit:
 			delete(instances, m.Instance)
 		case wire.Event:
-			actions = instances[m.Instance].Handle(batch.Now, &m.Event, actions[:0])
-			if len(actions) > 0 && writing != m.Instance {
-				reply, writing = wire.AppendInstance(reply, m.Instance), m.Instance
+			actions = instances[m.Instance].Handle(clock.Now, &m.Event, actions[:0])
+			if len(actions) > 0 && replyInstance != m.Instance {
+				reply, replyInstance = wire.AppendInstance(reply, m.Instance), m.Instance
 			}
 			for i := range actions {
 				reply = wire.AppendAction(reply, &actions[i])
 			}
 		case wire.Turn:
-			if _, err := out.Write(wire.AppendEnd(reply, batch.Frame)); err != nil {
+			if _, err := out.Write(wire.AppendEnd(reply, clock.Frame)); err != nil {
 				return err
 			}
 		}
--- a/internal/wire/compat_test.go
+++ b/internal/wire/compat_test.go
@@ -11,7 +11,8 @@
 	"ravendale"
 )
 
-// The files in testdata/compat were written for version a08c060: each setting that is read, as a line's pairs and as JSON.
+// The files in testdata/compat were written for version a08c060. They hold each setting that is read, as the
+// pairs of a line and as JSON.
 
 var compatSettings = ravendale.Settings{
 	Dispatchers: 3, Me: 1, Zones: 2, Zone: 1,
@@ -35,7 +36,7 @@
 var compatNames = Names{Classes: []string{"view", "pay", "move"}, Tenants: []string{"acme", "other"}, Zones: []string{"east", "west"},
 	Kinds: []string{"big", "small"}}
 
-func TestGoldenNestedSettingsReadToTheValue(t *testing.T) {
+func TestCompatNestedSettings(t *testing.T) {
 	text, err := os.ReadFile(filepath.Join("testdata", "compat", "settings.json"))
 	if err != nil {
 		t.Fatal(err)
@@ -45,31 +46,31 @@
 		t.Fatal(err)
 	}
 	if diff := cmp.Diff(compatSettings, s); diff != "" {
-		t.Errorf("the settings read as others (-want +got):\n%s", diff)
+		t.Errorf("settings differ (-want +got):\n%s", diff)
 	}
 	if diff := cmp.Diff(compatNames, names); diff != "" {
-		t.Errorf("the names read as others (-want +got):\n%s", diff)
+		t.Errorf("names differ (-want +got):\n%s", diff)
 	}
 	if pairs["report.how"] != "inline" || pairs["limits-of-later.0.cap"] != "7" || pairs["limits-of-later.count"] != "1" {
-		t.Errorf("the pairs read as %v", pairs)
+		t.Errorf("wrong pairs: %v", pairs)
 	}
 }
 
-func TestGoldenSessionReadsToTheValue(t *testing.T) {
+func TestCompatSession(t *testing.T) {
 	text, err := os.ReadFile(filepath.Join("testdata", "compat", "session.txt"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	got, err := read(string(text))
+	got, err := readAll(string(text))
 	if err != nil {
 		t.Fatal(err)
 	}
 	event := func(e ravendale.Event) Message { return Message{Kind: Event, Instance: "scheduler/3", Event: e} }
-	probes := compatSettings
-	probes.ReportsIn = ravendale.ReportsInProbes
+	probeSettings := compatSettings
+	probeSettings.ReportsIn = ravendale.ReportsInProbes
 	want := []Message{
 		{Kind: Clock, Now: time.Millisecond, Frame: 1},
-		{Kind: Start, Instance: "scheduler/3", Seed: 5, Settings: probes},
+		{Kind: Start, Instance: "scheduler/3", Seed: 5, Settings: probeSettings},
 		event(ravendale.Event{Kind: ravendale.WorkersListed, List: ravendale.Cached, Entries: []ravendale.Entry{
 			{Worker: "worker_a", Zone: 0, Kind: 1, Cell: 7, State: ravendale.Ready, Weight: 1.5, StartedAt: 900 * time.Microsecond},
 			{Worker: "worker_b", Zone: -1, Kind: -1, Cell: -1, State: ravendale.Draining, Weight: 1},
@@ -97,11 +98,11 @@
 		Message{Kind: Turn},
 	)
 	if diff := cmp.Diff(want, got); diff != "" {
-		t.Errorf("the session reads as another (-want +got):\n%s", diff)
+		t.Errorf("messages differ (-want +got):\n%s", diff)
 	}
 }
 
-func TestGoldenActionsAreWrittenTheSame(t *testing.T) {
+func TestCompatActions(t *testing.T) {
 	golden, err := os.ReadFile(filepath.Join("testdata", "compat", "actions.txt"))
 	if err != nil {
 		t.Fatal(err)
@@ -123,6 +124,6 @@
 		b = AppendAction(b, &a)
 	}
 	if b = AppendEnd(b, 18446744073709551615); string(b) != string(golden) {
-		t.Errorf("the actions are written as\n%s\nnot as\n%s", b, golden)
+		t.Errorf("actions:\n%s\nwant:\n%s", b, golden)
 	}
 }
--- a/internal/wire/doc.go
+++ b/internal/wire/doc.go
@@ -1,4 +1,4 @@
 // Package wire reads and writes the line protocol between a simulator and
-// the dispatchers. It decides nothing: it turns lines into events and actions
-// into lines, and says which line it could not read.
+// the dispatchers. It only translates: lines into events, and actions into
+// lines. An error names the line that could not be parsed.
 package wire
--- a/internal/wire/fields.go
+++ b/internal/wire/fields.go
@@ -10,20 +10,20 @@
 	"ravendale"
 )
 
-// fields walks the name=value pairs of a line and keeps the first error.
-type fields struct {
+// fieldScanner iterates over the name=value pairs of a line and keeps the first error.
+type fieldScanner struct {
 	rest     []byte
 	key, val []byte
 	err      error
 }
 
-// keyword takes the first part of the line.
-func (f *fields) keyword() (first []byte) {
+// keyword consumes and returns the first word of the line.
+func (f *fieldScanner) keyword() (first []byte) {
 	first, f.rest = splitAt(f.rest, ' ')
 	return first
 }
 
-func (f *fields) next() bool {
+func (f *fieldScanner) next() bool {
 	if f.err != nil || len(f.rest) == 0 {
 		return false
 	}
@@ -35,7 +35,7 @@
 			return true
 		}
 	}
-	f.err = fmt.Errorf("%q is no name=value pair", pair)
+	f.err = fmt.Errorf("%q is not a name=value pair", pair)
 	return false
 }
 
@@ -48,66 +48,66 @@
 	return b, nil
 }
 
-func (f *fields) bad(what string, val []byte) {
+func (f *fieldScanner) invalid(expected string, val []byte) {
 	if f.err == nil {
-		f.err = fmt.Errorf("%s=%s is no %s", f.key, val, what)
+		f.err = fmt.Errorf("%s=%s is not a %s", f.key, val, expected)
 	}
 }
 
-func (f *fields) uint(bits int) uint64 {
+func (f *fieldScanner) uint(bits int) uint64 {
 	v, err := strconv.ParseUint(string(f.val), 10, bits)
 	if err != nil {
-		f.bad("whole number in range", f.val)
+		f.invalid("whole number in range", f.val)
 	}
 	return v
 }
 
-func (f *fields) int() int {
+func (f *fieldScanner) int() int {
 	v, err := strconv.ParseInt(string(f.val), 10, 32)
 	if err != nil {
-		f.bad("whole number in range", f.val)
+		f.invalid("whole number in range", f.val)
 	}
 	return int(v)
 }
 
-func (f *fields) micros() time.Duration {
-	v, ok := micros(string(f.val))
+func (f *fieldScanner) micros() time.Duration {
+	v, ok := parseMicros(string(f.val))
 	if !ok {
-		f.bad("time in microseconds", f.val)
+		f.invalid("time in microseconds", f.val)
 	}
 	return v
 }
 
-func (f *fields) float() float64 { return f.number(f.val) }
+func (f *fieldScanner) float() float64 { return f.number(f.val) }
 
-func (f *fields) number(val []byte) float64 {
-	v, ok := number(string(val))
+func (f *fieldScanner) number(val []byte) float64 {
+	v, ok := parseNumber(string(val))
 	if !ok {
-		f.bad("number", val)
+		f.invalid("number", val)
 	}
 	return v
 }
 
-func (f *fields) hex() uint64 {
+func (f *fieldScanner) hex() uint64 {
 	v, err := strconv.ParseUint(string(f.val), 16, 64)
 	if err != nil {
-		f.bad("hex number of 64 bits", f.val)
+		f.invalid("64-bit hexadecimal number", f.val)
 	}
 	return v
 }
 
-func (f *fields) base64() []byte {
+func (f *fieldScanner) base64() []byte {
 	if string(f.val) == "-" {
 		return nil
 	}
 	data, err := base64.StdEncoding.DecodeString(string(f.val))
 	if err != nil {
-		f.bad("base64 text", f.val)
+		f.invalid("valid base64 string", f.val)
 	}
 	return data
 }
 
-func (f *fields) outcome() ravendale.Outcome {
+func (f *fieldScanner) outcome() ravendale.Outcome {
 	switch string(f.val) {
 	case "S":
 		return ravendale.OK
@@ -126,12 +126,12 @@
 	case "N":
 		return ravendale.NotSent
 	}
-	f.bad("outcome", f.val)
+	f.invalid("known outcome", f.val)
 	return ravendale.Error
 }
 
-// micros reads a time; what would overflow is no time.
-func micros(text string) (time.Duration, bool) {
+// parseMicros parses a duration in microseconds. It rejects one that would overflow a time.Duration.
+func parseMicros(text string) (time.Duration, bool) {
 	v, err := strconv.ParseInt(text, 10, 64)
 	if err != nil || v > math.MaxInt64/1000 || v < math.MinInt64/1000 {
 		return 0, false
@@ -139,8 +139,8 @@
 	return time.Duration(v) * time.Microsecond, true
 }
 
-// number reads a finite number.
-func number(text string) (float64, bool) {
+// parseNumber parses a finite number.
+func parseNumber(text string) (float64, bool) {
 	v, err := strconv.ParseFloat(text, 64)
 	if err != nil || math.IsNaN(v) || math.IsInf(v, 0) {
 		return 0, false
--- a/internal/wire/getter.go
+++ b/internal/wire/getter.go
@@ -9,15 +9,15 @@
 	"ravendale"
 )
 
-// getter reads values of a config and keeps the first error. An absent value is zero.
+// getter reads typed values from a config and keeps the first error. An absent value reads as zero.
 type getter struct {
 	config
 	err error
 }
 
-func (g *getter) bad(path, what string) {
+func (g *getter) invalid(path, expected string) {
 	if g.err == nil {
-		g.err = fmt.Errorf("setting %s=%s is no %s", path, g.config[path], what)
+		g.err = fmt.Errorf("setting %s=%s is no %s", path, g.config[path], expected)
 	}
 }
 
@@ -28,18 +28,18 @@
 	}
 	v, err := strconv.ParseInt(text, 10, 32)
 	if err != nil {
-		g.bad(path, "whole number in range")
+		g.invalid(path, "whole number in range")
 	}
 	return int(v)
 }
 
-// maxCount bounds the lists of a settings line: more is no real line but a broken one.
+// maxCount limits the lists of a settings line; a larger count means that the line is corrupt.
 const maxCount = 10_000
 
 func (g *getter) count(path string) int {
 	n := g.int(path)
 	if n < 0 || n > maxCount {
-		g.bad(path, "sensible count")
+		g.invalid(path, "sensible count")
 		return 0
 	}
 	return n
@@ -50,21 +50,21 @@
 	if !given {
 		return 0
 	}
-	v, ok := number(text)
+	v, ok := parseNumber(text)
 	if !ok {
-		g.bad(path, "number")
+		g.invalid(path, "number")
 	}
 	return v
 }
 
-func (g *getter) time(path string) time.Duration {
+func (g *getter) duration(path string) time.Duration {
 	text, given := g.config[path]
 	if !given {
 		return 0
 	}
-	v, ok := micros(text)
+	v, ok := parseMicros(text)
 	if !ok {
-		g.bad(path, "time in microseconds")
+		g.invalid(path, "time in microseconds")
 	}
 	return v
 }
@@ -76,7 +76,7 @@
 	case "", "false", "0":
 		return false
 	}
-	g.bad(path, "true or false")
+	g.invalid(path, "true or false")
 	return false
 }
 
@@ -88,37 +88,37 @@
 	return strings.Split(text, ",")
 }
 
-// item reads one number of a list that has one for each class; a shorter list gives otherwise.
-func (g *getter) item(list []string, i int, path string, otherwise float64) float64 {
+// listItem parses item i of a list with one number for each class. It returns fallback if the list is shorter.
+func (g *getter) listItem(list []string, i int, path string, fallback float64) float64 {
 	if i >= len(list) {
-		return otherwise
+		return fallback
 	}
-	v, ok := number(list[i])
+	v, ok := parseNumber(list[i])
 	if !ok {
-		g.bad(path, "list of numbers")
+		g.invalid(path, "list of numbers")
 	}
 	return v
 }
 
-func (g *getter) effect(at string) (ravendale.Effect, ravendale.Group) {
+func (g *getter) effectAndGroup(prefix string) (ravendale.Effect, ravendale.Group) {
 	effect, group := ravendale.Safe, ravendale.GroupAll
-	switch g.config[at+"effect"] {
+	switch g.config[prefix+"effect"] {
 	case "idempotent":
 	case "deduplicated":
 		effect = ravendale.Keyed
 	case "at_most_once":
 		effect = ravendale.Unsafe
 	default:
-		g.bad(at+"effect", "known effect")
+		g.invalid(prefix+"effect", "known effect")
 	}
-	switch g.config[at+"group"] {
+	switch g.config[prefix+"group"] {
 	case "", "all":
 	case "zone":
 		group = ravendale.GroupZone
 	case "cell":
 		group = ravendale.GroupCell
 	default:
-		g.bad(at+"group", "known group")
+		g.invalid(prefix+"group", "known group")
 	}
 	return effect, group
 }
--- a/internal/wire/nested.go
+++ b/internal/wire/nested.go
@@ -9,12 +9,12 @@
 	"ravendale"
 )
 
-// Names are the names that the settings give to what the decision module counts by index.
+// Names are the names in the settings of what the decision module refers to by index.
 type Names struct{ Classes, Tenants, Zones, Kinds []string }
 
-// Nested reads settings that come as nested JSON instead of a line of pairs. Both have the same names,
-// so the object is flattened into the pairs that a line would hold and read by the same code. It returns
-// the pairs too, for what the module is not told.
+// Nested reads settings from nested JSON instead of a line of name=value pairs. Both forms use the same names,
+// so the object is flattened into the pairs of such a line and read by the same code. Nested also returns
+// the pairs, for the settings that are not passed to the decision module.
 func Nested(text []byte) (ravendale.Settings, Names, map[string]string, error) {
 	dec := json.NewDecoder(strings.NewReader(string(text)))
 	dec.UseNumber()
@@ -48,7 +48,7 @@
 		if _, nested := v[0].(map[string]any); !nested {
 			values := make([]string, len(v))
 			for i := range v {
-				values[i] = scalar(v[i])
+				values[i] = formatScalar(v[i])
 			}
 			pairs[path] = strings.Join(values, ",")
 			return
@@ -58,11 +58,11 @@
 			flatten(pairs, fmt.Sprintf("%s.%d", path, i), v[i])
 		}
 	default:
-		pairs[path] = scalar(v)
+		pairs[path] = formatScalar(v)
 	}
 }
 
-// scalar writes a scalar as a line does: spaces and commas become underscores.
-func scalar(v any) string {
+// formatScalar formats a scalar as in a settings line: spaces and commas become underscores.
+func formatScalar(v any) string {
 	return strings.NewReplacer(" ", "_", ",", "_").Replace(fmt.Sprint(v))
 }
--- a/internal/wire/reader.go
+++ b/internal/wire/reader.go
@@ -10,19 +10,19 @@
 	"ravendale"
 )
 
-// MessageKind tells what a Message is.
+// MessageKind is the kind of a Message.
 type MessageKind uint8
 
-// The kinds of message, each with the fields of Message that count.
+// The kinds of message, each with the fields of Message that are set.
 const (
-	Clock MessageKind = iota // a batch begins: Now, Frame
-	Start                    // an instance begins: Instance, Seed, Settings
-	Exit                     // an instance has been killed: Instance
+	Clock MessageKind = iota // start of a batch: Now, Frame
+	Start                    // an instance starts: Instance, Seed, Settings
+	Exit                     // an instance was killed: Instance
 	Event                    // Instance, Event
-	Turn                     // the batch is complete
+	Turn                     // end of the batch
 )
 
-// Message is one line, or a list with its entries.
+// Message is one line, or a directory_update line with its entry lines.
 type Message struct {
 	Kind     MessageKind
 	Now      time.Duration
@@ -37,75 +37,75 @@
 type Reader struct {
 	in         *bufio.Reader
 	lineNumber int
-	long       []byte
+	longLine   []byte
 	inBatch    bool
 
-	running map[string]*tables // the instances that have started
-	current *tables            // nil until a select line
-	name    string
+	running  map[string]*nameTables // names of each running instance's settings
+	current  *nameTables            // of the selected instance; nil if it isn't running
+	selected string
 
-	interned map[string]string // one copy of each worker's name
+	interned map[string]string // one copy of each instance's and worker's name
 	entries  []ravendale.Entry
 }
 
-// tables resolve the names of one instance's settings.
-type tables struct {
+// nameTables resolves names in lines to indices into one instance's settings.
+type nameTables struct {
 	classes, tenants, zones, kinds []string
-	x0, x1                         string
+	x0, x1                         string // metrics that the fields x0 and x1 of a load report hold
 }
 
-// NewReader returns a Reader of in.
+// NewReader returns a Reader that reads from in.
 func NewReader(in io.Reader) *Reader {
 	return &Reader{
 		in:       bufio.NewReaderSize(in, 1<<20),
-		running:  make(map[string]*tables),
+		running:  make(map[string]*nameTables),
 		interned: make(map[string]string),
 	}
 }
 
-// Next reads one message. It returns io.EOF where the input ends between two batches.
+// Next reads one message. It returns io.EOF if the input ends between two batches.
 func (r *Reader) Next(m *Message) error {
 	for {
 		text, err := r.readLine()
 		if err != nil {
 			return err
 		}
-		done, err := r.parse(text, m)
+		complete, err := r.parse(text, m)
 		if err != nil {
 			return fmt.Errorf("line %d: %w", r.lineNumber, err)
 		}
-		if done {
+		if complete {
 			return nil
 		}
 	}
 }
 
-// readLine returns the next line without its end.
+// readLine returns the next line without its newline.
 func (r *Reader) readLine() ([]byte, error) {
 	r.lineNumber++
 	chunk, err := r.in.ReadSlice('\n')
 	if err == nil {
 		return chunk[:len(chunk)-1], nil
 	}
-	r.long = append(r.long[:0], chunk...)
+	r.longLine = append(r.longLine[:0], chunk...)
 	for errors.Is(err, bufio.ErrBufferFull) {
 		chunk, err = r.in.ReadSlice('\n')
-		r.long = append(r.long, chunk...)
+		r.longLine = append(r.longLine, chunk...)
 	}
 	switch {
 	case err == nil:
-		return r.long[:len(r.long)-1], nil
+		return r.longLine[:len(r.longLine)-1], nil
 	case !errors.Is(err, io.EOF):
 		return nil, fmt.Errorf("line %d: %w", r.lineNumber, err)
-	case r.inBatch || len(r.long) > 0:
+	case r.inBatch || len(r.longLine) > 0:
 		return nil, fmt.Errorf("line %d: the input ends inside a batch, before your_turn", r.lineNumber)
 	}
 	return nil, io.EOF
 }
 
-// parse reads one line; done is false for a line that only sets the scene.
-func (r *Reader) parse(text []byte, m *Message) (done bool, err error) {
-	f := fields{rest: text}
+// parse parses one line; complete is false for a line that yields no message by itself.
+func (r *Reader) parse(text []byte, m *Message) (complete bool, err error) {
+	f := fieldScanner{rest: text}
 	keyword := string(f.keyword())
 	if !r.inBatch {
 		switch keyword {
@@ -115,7 +115,7 @@
 			r.inBatch = true
 			return true, parseClock(&f, m)
 		}
-		return false, fmt.Errorf("%q stands outside a batch", keyword)
+		return false, fmt.Errorf("%q outside a batch", keyword)
 	}
 	switch keyword {
 	case "your_turn":
@@ -128,13 +128,13 @@
 		return true, r.parseStart(&f, m)
 	}
 	if r.current == nil {
-		return false, fmt.Errorf("%q concerns no running instance (%q)", keyword, r.name)
+		return false, fmt.Errorf("%q: instance %q is not running", keyword, r.selected)
 	}
-	*m = Message{Kind: Event, Instance: r.name}
+	*m = Message{Kind: Event, Instance: r.selected}
 	switch keyword {
 	case "exit":
 		m.Kind = Exit
-		delete(r.running, r.name)
+		delete(r.running, r.selected)
 		r.current = nil
 		return true, nil
 	case "directory_update":
@@ -143,7 +143,7 @@
 	return true, r.parseEvent(keyword, &f, &m.Event)
 }
 
-func parseClock(f *fields, m *Message) error {
+func parseClock(f *fieldScanner, m *Message) error {
 	*m = Message{Kind: Clock}
 	seen := 0
 	for f.next() {
@@ -162,25 +162,25 @@
 	return f.err
 }
 
-func (r *Reader) parseSelect(f *fields) error {
-	r.name = ""
+func (r *Reader) parseSelect(f *fieldScanner) error {
+	r.selected = ""
 	for f.next() {
 		if string(f.key) == "i" {
-			r.name = r.intern(f.val)
+			r.selected = r.intern(f.val)
 		}
 	}
-	if f.err == nil && r.name == "" {
-		return errors.New("select names no instance")
+	if f.err == nil && r.selected == "" {
+		return errors.New("select has no instance name")
 	}
-	r.current = r.running[r.name]
+	r.current = r.running[r.selected]
 	return f.err
 }
 
-func (r *Reader) parseStart(f *fields, m *Message) error {
-	if r.name == "" {
+func (r *Reader) parseStart(f *fieldScanner, m *Message) error {
+	if r.selected == "" {
 		return errors.New("start before any select")
 	}
-	*m = Message{Kind: Start, Instance: r.name}
+	*m = Message{Kind: Start, Instance: r.selected}
 	conf := make(config)
 	for f.next() {
 		if string(f.key) == "salt" {
@@ -198,12 +198,12 @@
 	}
 	m.Settings = settings
 	r.current = names
-	r.running[r.name] = names
+	r.running[r.selected] = names
 	return nil
 }
 
-// parseList reads a list and the entry lines that follow it.
-func (r *Reader) parseList(f *fields, e *ravendale.Event) error {
+// parseList parses a worker list and the entry lines that follow it.
+func (r *Reader) parseList(f *fieldScanner, e *ravendale.Event) error {
 	e.Kind = ravendale.WorkersListed
 	var count uint64
 	for f.next() {
@@ -211,7 +211,7 @@
 		case "kind":
 			kind := f.uint(8)
 			if kind > uint64(ravendale.Failed) {
-				return fmt.Errorf("list kind %d is unknown", kind)
+				return fmt.Errorf("unknown list kind %d", kind)
 			}
 			e.List = ravendale.ListKind(kind)
 		case "members-list":
@@ -239,24 +239,24 @@
 
 func (r *Reader) parseEntry(text []byte) (ravendale.Entry, error) {
 	entry := ravendale.Entry{Zone: -1, Kind: -1, Cell: -1, State: ravendale.Ready, Weight: 1}
-	f := fields{rest: text}
+	f := fieldScanner{rest: text}
 	if keyword := f.keyword(); string(keyword) != "m" {
-		return entry, fmt.Errorf("a list entry was expected, not %q", keyword)
+		return entry, fmt.Errorf("expected a list entry, got %q", keyword)
 	}
 	for f.next() {
 		switch string(f.key) {
 		case "worker":
 			entry.Worker = r.intern(f.val)
 		case "az":
-			entry.Zone = index(r.current.zones, f.val)
+			entry.Zone = indexOf(r.current.zones, f.val)
 		case "shape":
-			entry.Kind = index(r.current.kinds, f.val)
+			entry.Kind = indexOf(r.current.kinds, f.val)
 		case "group":
 			entry.Cell = f.int()
 		case "availability":
 			state := f.uint(8)
 			if state > uint64(ravendale.Draining) {
-				return entry, fmt.Errorf("availability %d is unknown", state)
+				return entry, fmt.Errorf("unknown availability %d", state)
 			}
 			entry.State = ravendale.Availability(state)
 		case "heft":
@@ -266,7 +266,7 @@
 		}
 	}
 	if f.err == nil && entry.Worker == "" {
-		return entry, errors.New("a list entry names no worker")
+		return entry, errors.New("list entry has no worker")
 	}
 	return entry, f.err
 }
@@ -282,35 +282,35 @@
 	"whisper":     ravendale.PeerMessage,
 }
 
-func (r *Reader) parseEvent(keyword string, f *fields, e *ravendale.Event) error {
+func (r *Reader) parseEvent(keyword string, f *fieldScanner, e *ravendale.Event) error {
 	kind, known := eventKinds[keyword]
 	if !known {
-		return fmt.Errorf("message %q is unknown", keyword)
+		return fmt.Errorf("unknown message %q", keyword)
 	}
 	*e = ravendale.Event{Kind: kind, Class: -1, Tenant: -1}
-	named := false
+	hasTicket := false
 	for f.next() {
-		named = named || string(f.key) == "ticket"
+		hasTicket = hasTicket || string(f.key) == "ticket"
 		r.parseField(f, e)
 	}
-	if f.err == nil && !named && needsJob(kind) {
-		return fmt.Errorf("%s names no ticket", keyword)
+	if f.err == nil && !hasTicket && needsJob(kind) {
+		return fmt.Errorf("%s has no ticket", keyword)
 	}
 	if f.err == nil && kind == ravendale.ProbeAnswered && e.Worker == "" {
-		return fmt.Errorf("%s names no worker", keyword)
+		return fmt.Errorf("%s has no worker", keyword)
 	}
 	return f.err
 }
 
-// parseField reads one value of an event.
-func (r *Reader) parseField(f *fields, e *ravendale.Event) {
+// parseField parses one field of an event.
+func (r *Reader) parseField(f *fieldScanner, e *ravendale.Event) {
 	switch string(f.key) {
 	case "ticket":
 		e.Job = ravendale.JobID(f.uint(32))
 	case "class":
-		e.Class = index(r.current.classes, f.val)
+		e.Class = indexOf(r.current.classes, f.val)
 	case "project":
-		e.Tenant = index(r.current.tenants, f.val)
+		e.Tenant = indexOf(r.current.tenants, f.val)
 	case "subject":
 		e.Key = f.hex()
 	case "remaining-us":
@@ -340,7 +340,7 @@
 	case "level":
 		e.Done = f.float()
 	case "server-stats":
-		e.Load = r.current.load(f)
+		e.Load = r.current.parseLoad(f)
 	case "origin-peer":
 		e.From = f.int()
 	case "blob":
@@ -356,8 +356,8 @@
 	return true
 }
 
-// load reads a report; the values of x0 and x1 mean what the settings say.
-func (t *tables) load(f *fields) ravendale.Load {
+// parseLoad parses a worker's load report. The settings define which metrics the fields x0 and x1 hold.
+func (t *nameTables) parseLoad(f *fieldScanner) ravendale.Load {
 	load := ravendale.Load{Given: true, InFlight: -1, FreeSlots: -1, Busy: -1}
 	rest := f.val
 	for len(rest) > 0 {
@@ -367,14 +367,14 @@
 		if string(value) == "" {
 			continue
 		}
-		what := string(name)
-		switch what {
+		metric := string(name)
+		switch metric {
 		case "x0":
-			what = t.x0
+			metric = t.x0
 		case "x1":
-			what = t.x1
+			metric = t.x1
 		}
-		switch what {
+		switch metric {
 		case "inflight":
 			load.InFlight = f.number(value)
 		case "free_slots":
@@ -386,7 +386,7 @@
 	return load
 }
 
-// intern returns the one copy of a short name.
+// intern returns the shared copy of a name, so that repeated names aren't allocated again.
 func (r *Reader) intern(b []byte) string {
 	if s, ok := r.interned[string(b)]; ok {
 		return s
@@ -396,7 +396,7 @@
 	return s
 }
 
-func index(names []string, b []byte) int {
+func indexOf(names []string, b []byte) int {
 	for i, name := range names {
 		if name == string(b) {
 			return i
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -6,28 +6,28 @@
 	"ravendale"
 )
 
-// config is the settings as they came: path to value.
+// config holds the settings as received, by path.
 type config map[string]string
 
-// settings translates config, and returns the names that later lines use.
-func (c config) settings() (ravendale.Settings, *tables, error) {
+// settings translates c into Settings, and returns the names that later lines refer to.
+func (c config) settings() (ravendale.Settings, *nameTables, error) {
 	get := getter{config: c}
-	names := &tables{
+	names := &nameTables{
 		zones: get.list("dcs"),
 		kinds: get.list("host-types"),
 		x0:    c["specifics.report-x0"],
 		x1:    c["specifics.report-x1"],
 	}
-	s := get.limits()
-	s.Zones, s.Zone = len(names.zones), index(names.zones, []byte(c["locality"]))
+	s := get.plainSettings()
+	s.Zones, s.Zone = len(names.zones), indexOf(names.zones, []byte(c["locality"]))
 	s.Prices = get.prices()
 	s.Classes, names.classes = get.classes()
 	s.Tenants, names.tenants = get.tenants()
 	return s, names, get.err
 }
 
-// limits reads what stands for itself: numbers, times and permissions.
-func (g *getter) limits() ravendale.Settings {
+// plainSettings reads the settings that depend on no other: numbers, times and permissions.
+func (g *getter) plainSettings() ravendale.Settings {
 	s := ravendale.Settings{
 		Dispatchers:      g.int("balancers"),
 		Me:               g.int("me"),
@@ -37,19 +37,19 @@
 		MayProbe:         g.bool("ceilings.probes"),
 		MayNotifyPeers:   g.bool("ceilings.peers"),
 		RetryAfter:       g.bool("ceilings.retry-after"),
-		MaxRetryAfter:    g.time("ceilings.max-retry-after-us"),
+		MaxRetryAfter:    g.duration("ceilings.max-retry-after-us"),
 		MustAsk:          g.config["discovery"] == "ask",
-		AskWithin:        g.time("rules.ask-every-us"),
+		AskWithin:        g.duration("rules.ask-every-us"),
 		LiveWeights:      g.config["weight-source"] == "live",
-		AnswerSlack:      g.time("rules.grace-to-answer-us"),
-		DrainTimeout:     g.time("rules.stop-sending-within-us"),
+		AnswerSlack:      g.duration("rules.grace-to-answer-us"),
+		DrainTimeout:     g.duration("rules.stop-sending-within-us"),
 		SlowStartFrom:    g.float("rules.cold-from"),
-		SlowStartFor:     g.time("rules.cold-us"),
+		SlowStartFor:     g.duration("rules.cold-us"),
 		OverloadMultiple: g.float("rules.fall-multiple"),
-		OverloadSpan:     g.time("rules.fall-us"),
+		OverloadSpan:     g.duration("rules.fall-us"),
 		TellsStart:       g.bool("specifics.tells-start"),
-		Progress:         g.time("specifics.progress-us"),
-		Tick:             g.time("tick-us"),
+		Progress:         g.duration("specifics.progress-us"),
+		Tick:             g.duration("tick-us"),
 		ValuePerJob:      g.config["worth-by"] == "request",
 		OverShareValue:   g.float("over-share-worth"),
 	}
@@ -74,29 +74,30 @@
 	}
 }
 
-// classes reads the classes and their names. Some of their values stand in lists beside them, one for each class.
+// classes reads the classes and their names. Some values of a class come from separate lists with one item
+// for each class.
 func (g *getter) classes() (classes []ravendale.Class, names []string) {
 	kinds := g.list("specifics.class-kind")
 	stretches := g.list("specifics.class-stretch")
 	priorities := g.list("specifics.class-priority")
 	for i := range g.count("request-classes.count") {
-		at := fmt.Sprintf("request-classes.%d.", i)
-		stretch := g.item(stretches, i, "specifics.class-stretch", 0)
-		if _, own := g.config[at+"aim-stretch"]; own {
-			stretch = g.float(at + "aim-stretch")
+		prefix := fmt.Sprintf("request-classes.%d.", i)
+		stretch := g.listItem(stretches, i, "specifics.class-stretch", 0)
+		if _, hasOwn := g.config[prefix+"aim-stretch"]; hasOwn {
+			stretch = g.float(prefix + "aim-stretch")
 		}
 		class := ravendale.Class{
-			Name:          g.config[at+"name"],
-			LatencyTarget: g.time(at + "aim-us"),
+			Name:          g.config[prefix+"name"],
+			LatencyTarget: g.duration(prefix + "aim-us"),
 			Stretch:       stretch,
-			Deadline:      g.time(at + "give-up-us"),
-			Window:        g.time(at + "window-us"),
-			Value:         g.float(at + "importance"),
-			LateValue:     g.float(at + "late-worth"),
-			Kind:          int(g.item(kinds, i, "specifics.class-kind", -1)),
-			Priority:      int(g.item(priorities, i, "specifics.class-priority", 0)),
+			Deadline:      g.duration(prefix + "give-up-us"),
+			Window:        g.duration(prefix + "window-us"),
+			Value:         g.float(prefix + "importance"),
+			LateValue:     g.float(prefix + "late-worth"),
+			Kind:          int(g.listItem(kinds, i, "specifics.class-kind", -1)),
+			Priority:      int(g.listItem(priorities, i, "specifics.class-priority", 0)),
 		}
-		class.Effect, class.Group = g.effect(at)
+		class.Effect, class.Group = g.effectAndGroup(prefix)
 		classes, names = append(classes, class), append(names, class.Name)
 	}
 	return classes, names
@@ -105,8 +106,8 @@
 // tenants reads the projects and their names.
 func (g *getter) tenants() (tenants []ravendale.Tenant, names []string) {
 	for i := range g.count("projects.count") {
-		at := fmt.Sprintf("projects.%d.", i)
-		tenant := ravendale.Tenant{Name: g.config[at+"name"], Share: g.float(at + "share"), Quota: g.float(at + "quota-per-s")}
+		prefix := fmt.Sprintf("projects.%d.", i)
+		tenant := ravendale.Tenant{Name: g.config[prefix+"name"], Share: g.float(prefix + "share"), Quota: g.float(prefix + "quota-per-s")}
 		tenants, names = append(tenants, tenant), append(names, tenant.Name)
 	}
 	return tenants, names
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -10,7 +10,7 @@
 	"ravendale"
 )
 
-const start = "start salt=5 balancers=3 me=1 ceilings.attempts-cap=5 ceilings.may-duplicate=true " +
+const startLine = "start salt=5 balancers=3 me=1 ceilings.attempts-cap=5 ceilings.may-duplicate=true " +
 	"dcs=east,west host-types=big,small locality=west request-classes.count=2 " +
 	"request-classes.0.name=view request-classes.0.effect=idempotent request-classes.0.aim-us=400000 " +
 	"request-classes.1.name=pay request-classes.1.effect=deduplicated request-classes.1.group=cell " +
@@ -18,8 +18,8 @@
 	"specifics.report-x0=free_slots projects.count=1 projects.0.name=acme projects.0.share=0.5 " +
 	"discovery=ask report.how=inline worth-by=request future.key=whatever tick-us=5000\n"
 
-// read returns all messages of a text, and the error that ended it (nil at its end).
-func read(text string) (all []Message, err error) {
+// readAll returns all messages of a text, and the error that stopped the reader, or nil for io.EOF.
+func readAll(text string) (all []Message, err error) {
 	r := NewReader(strings.NewReader(text))
 	for {
 		var m Message
@@ -35,11 +35,11 @@
 }
 
 func batch(lines string) string {
-	return "clock clock-us=1000 frame=1\nselect i=scheduler/3\n" + start + lines + "your_turn\n"
+	return "clock clock-us=1000 frame=1\nselect i=scheduler/3\n" + startLine + lines + "your_turn\n"
 }
 
-func TestSettingsAreRead(t *testing.T) {
-	all, err := read(batch(""))
+func TestReadSettings(t *testing.T) {
+	all, err := readAll(batch(""))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -65,8 +65,8 @@
 	}
 }
 
-func TestEventsAreRead(t *testing.T) {
-	all, err := read(batch("directory_update kind=2 epoch=41 members-list=2\n" +
+func TestReadEvents(t *testing.T) {
+	all, err := readAll(batch("directory_update kind=2 epoch=41 members-list=2\n" +
 		"m worker=worker_a az=east shape=small group=7 availability=1 heft=1.5 boot-time-us=900 new=1\n" +
 		"m worker=worker_b az=nowhere availability=2\n" +
 		"accept ticket=4294967295 class=pay project=acme subject=91f03b7c55d20a64 remaining-us=240000 " +
@@ -107,7 +107,7 @@
 		t.Errorf("unknown class or tenant is not -1: %+v", events[2])
 	}
 	if events[3].Kind != ravendale.JobStarted || events[4].Kind != ravendale.JobProgressed || events[4].Done != 0.5 {
-		t.Errorf("notes are wrong: %+v", events[3:5])
+		t.Errorf("job start or progress is wrong: %+v", events[3:5])
 	}
 	end := events[5]
 	wantLoad := ravendale.Load{Given: true, InFlight: 7, FreeSlots: 0.4, Busy: -1}
@@ -118,21 +118,21 @@
 		t.Errorf("probe is wrong: %+v", events[6])
 	}
 	if string(events[7].Data) != "hi 7" || events[7].From != 2 {
-		t.Errorf("message of a peer is wrong: %+v", events[7])
+		t.Errorf("peer message is wrong: %+v", events[7])
 	}
 }
 
-func TestMalformedInputNamesItsLine(t *testing.T) {
+func TestMalformedInputErrorNamesLine(t *testing.T) {
 	for name, tc := range map[string]struct{ text, want string }{
 		"outside a batch":       {"accept ticket=1\n", "line 1:"},
 		"no end of batch":       {"clock clock-us=1 frame=1\n", "line 2: the input ends inside a batch"},
-		"cut line":              {"clock clock-us=1 frame=1", "line 1:"},
+		"incomplete line":       {"clock clock-us=1 frame=1", "line 1:"},
 		"no clock":              {"clock frame=1\n", "line 1:"},
 		"bad number":            {batch("accept ticket=x\n"), "line 4: ticket=x"},
 		"number too large":      {batch("accept ticket=4294967296\n"), "line 4:"},
 		"time too large":        {batch("accept ticket=1 remaining-us=9223372036854775807\n"), "line 4:"},
 		"not a number":          {batch("accept ticket=1 cores-needed=NaN\n"), "line 4:"},
-		"no pair":               {batch("accept ticket=1 class\n"), "line 4:"},
+		"field without =":       {batch("accept ticket=1 class\n"), "line 4:"},
 		"unknown message":       {batch("hello ticket=1\n"), "line 4:"},
 		"no ticket":             {batch("resolved trial=0 rc=S\n"), "line 4:"},
 		"unknown outcome":       {batch("resolved ticket=1 rc=Q\n"), "line 4:"},
@@ -147,26 +147,26 @@
 			"line 3: setting balancers=many"},
 		"bad effect": {"clock clock-us=1 frame=1\nselect i=a\nstart salt=1 request-classes.count=1 " +
 			"request-classes.0.effect=maybe\n", "line 3:"},
-		"absurd count": {"clock clock-us=1 frame=1\nselect i=a\nstart salt=1 request-classes.count=2000000000\n", "line 3:"},
+		"count above limit": {"clock clock-us=1 frame=1\nselect i=a\nstart salt=1 request-classes.count=2000000000\n", "line 3:"},
 	} {
-		_, err := read(tc.text)
+		_, err := readAll(tc.text)
 		if err == nil || !strings.Contains(err.Error(), tc.want) {
 			t.Errorf("%s: error %v, want one with %q", name, err, tc.want)
 		}
 	}
 }
 
-func TestLongLinesAreRead(t *testing.T) {
-	all, err := read(batch("accept ticket=1 class=view extra=" + strings.Repeat("x", 3<<20) + " remaining-us=7\n"))
+func TestReadLongLine(t *testing.T) {
+	all, err := readAll(batch("accept ticket=1 class=view extra=" + strings.Repeat("x", 3<<20) + " remaining-us=7\n"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	if got := all[2].Event.Left; got != 7*time.Microsecond {
-		t.Errorf("the value behind 3 MiB is %v", got)
+		t.Errorf("remaining time after a 3 MiB field is %v, want 7µs", got)
 	}
 }
 
-func TestActionsAreWritten(t *testing.T) {
+func TestAppendAction(t *testing.T) {
 	for want, a := range map[string]ravendale.Action{
 		"forward ticket=7 worker=worker_a\n":                        {Kind: ravendale.Send, Job: 7, Worker: "worker_a"},
 		"forward ticket=7 worker=worker_a give-up-after-us=80000\n": {Kind: ravendale.Send, Job: 7, Worker: "worker_a", Wait: 80 * time.Millisecond},
@@ -190,7 +190,7 @@
 	f.Add(batch("accept ticket=1 class=view\n"))
 	f.Add("clock clock-us=1 frame=1\nyour_turn\n")
 	f.Fuzz(func(t *testing.T, text string) {
-		all, err := read(text)
+		all, err := readAll(text)
 		if err == nil && len(all) > 0 && all[len(all)-1].Kind != Turn {
 			t.Error("the input ended inside a batch without an error")
 		}
--- a/internal/wire/writer.go
+++ b/internal/wire/writer.go
@@ -8,24 +8,24 @@
 	"ravendale"
 )
 
-// timerToken marks the one timer that an instance keeps.
+// timerToken is the context of an instance's only timer.
 const timerToken = "w"
 
-// AppendInstance names the instance whose actions follow.
+// AppendInstance appends the line that names the instance of the actions that follow.
 func AppendInstance(b []byte, instance string) []byte {
 	b = append(b, "for i="...)
 	b = append(b, instance...)
 	return append(b, '\n')
 }
 
-// AppendEnd closes the reply to a batch.
+// AppendEnd appends the line that ends the reply to a batch.
 func AppendEnd(b []byte, frame uint64) []byte {
 	b = append(b, "eor frame="...)
 	b = strconv.AppendUint(b, frame, 10)
 	return append(b, '\n')
 }
 
-// AppendAction writes one action as a line.
+// AppendAction appends one action as a line.
 func AppendAction(b []byte, a *ravendale.Action) []byte {
 	switch a.Kind {
 	case ravendale.Send:
@@ -76,7 +76,7 @@
 	return strconv.AppendUint(b, uint64(job), 10)
 }
 
-// appendMicros rounds up, so that a timer is never early.
+// appendMicros rounds up, so that a timer never fires early.
 func appendMicros(b []byte, name string, d time.Duration) []byte {
 	b = append(b, name...)
 	return strconv.AppendInt(b, int64((d+time.Microsecond-1)/time.Microsecond), 10)
