--- a/test/simulation/control_test.go
+++ b/test/simulation/control_test.go
@@ -21,40 +21,40 @@
 	"ravendale/control/view"
 )
 
-// Times of a control process, as its shell has them.
+// Timeouts of a control process, as in the real program.
 const (
-	submitWithin = 2 * time.Second
+	submitTimeout = 2 * time.Second
 )
 
-// control is a machine that serves the control plane: a member of the core, its state machine and the leader's service.
+// control is a machine with a control process: a member of the core with its state machine and the leader's service.
 type control struct {
 	*machine
-	settings settings.Settings
-	folder   *slotstest.Folder
-	fresh    bool // it may found the core
-	wiped    bool
-	leastLog int
+	settings     settings.Settings
+	folder       *slotstest.Folder
+	mayBootstrap bool // it may bootstrap the core
+	wiped        bool
+	minLogBytes  int
 
-	// Of one incarnation.
-	store   *slots.Store
-	node    *core.Node
-	state   *recorder
-	service *leader.Service
-	box     *rpc.Mux
-	writes  []core.DiskWrite
-	writing bool
-	calls   map[uint64]func(core.Completion) // commands by number
-	applied map[*byte]int                    // the place of a result, by its first byte
-	lead    func()                           // ends leading; nil while the lease is not held
-	leading bool                             // the task of a leader runs
-	slowBy  time.Duration                    // of the disk
-	stalled bool
+	// State of one incarnation.
+	store           *slots.Store
+	node            *core.Node
+	state           *recorder
+	service         *leader.Service
+	handlers        *rpc.Mux
+	writes          []core.DiskWrite
+	writing         bool
+	pendingCommands map[uint64]func(core.Completion) // callbacks of submitted commands, by command number
+	resultPositions map[*byte]int                    // position of each result in the sequence of commands, by the address of its first byte
+	stopLeading     func()                           // cancels the leader task; nil while the process does not lead
+	leaderTaskRuns  bool                             // the leader task has not ended yet
+	diskDelay       time.Duration                    // maximum extra delay of a disk write
+	diskStalled     bool
 }
 
 func (w *world) newControl(number int, zone string, seeds []string, fresh bool) *control {
 	ip := ipOf(controlNet, number)
 	c := &control{
-		folder: slotstest.New(), fresh: fresh, leastLog: 500 << w.random.IntN(7),
+		folder: slotstest.New(), mayBootstrap: fresh, minLogBytes: 500 << w.random.IntN(7),
 		settings: settings.Settings{
 			Node: "control-" + ip, IP: ip, PortRange: []int{firstPort, firstPort + 2}, Zone: zone, Seeds: seeds, Bootstrap: fresh,
 			HeartbeatMs: w.settings.heartbeatMs, ToleratedNodes: w.settings.faultTolerance, ProviderRate: 10,
@@ -65,7 +65,7 @@
 	return c
 }
 
-func (c *control) mux() *rpc.Mux { return c.box }
+func (c *control) mux() *rpc.Mux { return c.handlers }
 
 // start implements program.
 func (c *control) start(l *incarnation) {
@@ -74,20 +74,20 @@
 		c.world.fail("%s: %v", c.name, err)
 		return
 	}
-	c.store, c.writes, c.writing, c.lead, c.leading = store, nil, false, nil, false
-	c.calls, c.applied = make(map[uint64]func(core.Completion)), make(map[*byte]int)
+	c.store, c.writes, c.writing, c.stopLeading, c.leaderTaskRuns = store, nil, false, nil, false
+	c.pendingCommands, c.resultPositions = make(map[uint64]func(core.Completion)), make(map[*byte]int)
 	c.state = newRecorder(c)
-	c.box = rpc.NewMux()
-	terms, down := lease.DefaultTiming, core.DownAfter(catchup)
-	if c.world.mutant == keepsVotes {
-		down = 2 * catchup
+	c.handlers = rpc.NewMux()
+	terms, down := lease.DefaultTiming, core.DownAfter(catchupBound)
+	if c.world.mutant == keepsVotesTooLong {
+		down = 2 * catchupBound
 	}
-	if c.world.mutant == noMargin {
+	if c.world.mutant == noLeaseMargin {
 		terms.Margin = 0
 	}
 	config := core.NodeConfig{
-		Address: c.address, Zone: c.zone, Seeds: c.settings.SeedAddresses(), Bootstrap: c.fresh && snapshot == nil, Disk: true, Candidate: true,
-		Durability: view.Durability{Copies: c.world.settings.faultTolerance + 1}, DownAfter: down, LearnerExpiry: core.LearnerExpiry(catchup), Terms: terms, MinLogBytes: c.leastLog, MaxLogRecords: c.leastLog / 4,
+		Address: c.address, Zone: c.zone, Seeds: c.settings.SeedAddresses(), Bootstrap: c.mayBootstrap && snapshot == nil, Disk: true, Candidate: true,
+		Durability: view.Durability{Copies: c.world.settings.faultTolerance + 1}, DownAfter: down, LearnerExpiry: core.LearnerExpiry(catchupBound), Terms: terms, MinLogBytes: c.minLogBytes, MaxLogRecords: c.minLogBytes / 4,
 		Machine: c.state, Random: l.Uint64,
 	}
 	if c.node, err = core.NewNode(l.now(), config, snapshot, records); err != nil {
@@ -95,7 +95,7 @@
 		return
 	}
 	c.service = leader.NewService(leader.Config{
-		Settings: &c.settings, Mux: c.box, Log: l.log(), Host: l, Submit: c.submit, State: c.state.machine.Current,
+		Settings: &c.settings, Mux: c.handlers, Log: l.log(), Host: l, Submit: c.submit, State: c.state.machine.Current,
 		Leader: func() (string, bool) { address := c.node.Leader(c.clock()); return address, address != "" },
 		Core:   func() []string { return c.node.Addresses() }, Read: c.world.readWorkers,
 	})
@@ -103,14 +103,14 @@
 	c.tick(l, l.now())
 }
 
-// stopped implements program. The disk may be caught in the middle of a write.
+// stopped implements program. Half of the time a pending write is interrupted at a random point.
 func (c *control) stopped(powerLoss bool) {
-	if c.lead != nil {
-		c.lead()
+	if c.stopLeading != nil {
+		c.stopLeading()
 	}
 	if len(c.writes) > 0 && c.world.random.IntN(2) == 0 {
 		c.folder.FailAfter(c.world.random.IntN(6))
-		_, _ = c.put()
+		_, _ = c.flushWrites()
 		c.folder.FailAfter(-1)
 	}
 	if powerLoss {
@@ -118,37 +118,37 @@
 	}
 }
 
-// tick calls the node when it wants.
+// tick calls the node's Tick at the time that the node asked for, over and over.
 func (c *control) tick(l *incarnation, at time.Duration) {
-	l.after(l.real(at-l.now())+c.world.upTo(2*time.Millisecond), func() {
+	l.after(l.worldDuration(at-l.now())+c.world.durationUpTo(2*time.Millisecond), func() {
 		next := c.node.Tick(l.now())
 		c.execute(l)
 		c.tick(l, next)
 	})
 }
 
-// step has the node do something, and does what it wants.
+// step calls the node and then handles its output.
 func (c *control) step(l *incarnation, do func(now time.Duration)) {
 	do(l.now())
 	c.execute(l)
 }
 
-// execute does what the node wants, and then has it apply some of what is committed.
+// execute handles the node's output, lets it apply some of the committed commands, and handles the resulting output.
 func (c *control) execute(l *incarnation) {
-	c.carryOut(l, c.node.Take())
+	c.handleOutput(l, c.node.Take())
 	if c.node.ApplyDue() {
 		c.node.Apply(l.now())
-		c.carryOut(l, c.node.Take())
+		c.handleOutput(l, c.node.Take())
 	}
-	c.write(l)
-	c.follow(l)
+	c.startWrite(l)
+	c.updateLeadership(l)
 	c.world.history.checkLease()
 }
 
-func (c *control) carryOut(l *incarnation, actions core.Output) {
+func (c *control) handleOutput(l *incarnation, actions core.Output) {
 	for _, write := range actions.Writes {
 		c.writes = append(c.writes, write)
-		if c.world.mutant == unsyncedAck { // the disk says so before it has done it
+		if c.world.mutant == acksBeforeWrite { // reports the write as done before it is
 			l.after(0, func() { c.step(l, func(now time.Duration) { c.node.OnDisk(now, write.Batch) }) })
 		}
 	}
@@ -156,8 +156,8 @@
 		c.send(l, post)
 	}
 	for _, end := range actions.Completions {
-		if done := c.calls[end.Number]; done != nil {
-			delete(c.calls, end.Number)
+		if done := c.pendingCommands[end.Number]; done != nil {
+			delete(c.pendingCommands, end.Number)
 			done(end)
 		}
 	}
@@ -166,78 +166,78 @@
 	}
 }
 
-// follow starts and ends leading as the node gets and loses the lease.
-func (c *control) follow(l *incarnation) {
-	pending := c.holds() || c.leadsOn()
+// updateLeadership starts the leader task when the node gets the lease, and cancels it when the lease is lost.
+func (c *control) updateLeadership(l *incarnation) {
+	pending := c.holdsLease() || c.leadsWithoutLease()
 	switch {
-	case pending && c.lead == nil && !c.leading:
+	case pending && c.stopLeading == nil && !c.leaderTaskRuns:
 		ctx, cancel := context.WithCancel(context.Background())
-		c.lead, c.leading = cancel, true
-		c.world.log("%s holds the lease", c.name)
-		l.begin(func() {
+		c.stopLeading, c.leaderTaskRuns = cancel, true
+		c.world.log("%s acquired the leader lease", c.name)
+		l.startTask(func() {
 			c.service.Lead(ctx, c.mayLead)
-			c.leading = false
+			c.leaderTaskRuns = false
 		})
-	case !pending && c.lead != nil:
-		c.world.log("%s lost the lease", c.name)
-		c.lead()
-		c.lead = nil
+	case !pending && c.stopLeading != nil:
+		c.world.log("%s lost the leader lease", c.name)
+		c.stopLeading()
+		c.stopLeading = nil
 		l.wakeSleepers()
 	}
 }
 
-func (c *control) holds() bool {
+func (c *control) holdsLease() bool {
 	return c.incarnation != nil && c.node != nil && c.clock() < c.node.LeaseExpiresAt()
 }
 
-// mayLead is what the leader asks before each act.
-func (c *control) mayLead() bool { return c.holds() || c.leadsOn() }
+// mayLead is the check that the leader makes before each action.
+func (c *control) mayLead() bool { return c.holdsLease() || c.leadsWithoutLease() }
 
-// leadsOn is a mistake: a leader whose lease is over leads until it hears of another.
-func (c *control) leadsOn() bool {
-	if c.world.mutant != leadsOn || c.lead == nil {
+// leadsWithoutLease implements the mutant leadsAfterLeaseEnd: a leader whose lease has expired leads until it learns of another leader.
+func (c *control) leadsWithoutLease() bool {
+	if c.world.mutant != leadsAfterLeaseEnd || c.stopLeading == nil {
 		return false
 	}
 	leader := c.node.Leader(c.clock())
 	return leader == "" || leader == c.address
 }
 
-func (c *control) write(l *incarnation) {
+func (c *control) startWrite(l *incarnation) {
 	if c.writing || len(c.writes) == 0 {
 		return
 	}
 	c.writing = true
-	wait := c.world.between(200*time.Microsecond, time.Millisecond)
+	wait := c.world.durationBetween(200*time.Microsecond, time.Millisecond)
 	if c.world.slowDisks {
-		wait += c.world.upTo(40 * time.Millisecond)
+		wait += c.world.durationUpTo(40 * time.Millisecond)
 	}
-	if c.slowBy > 0 {
-		wait += c.world.upTo(c.slowBy)
-		c.world.took("disk_slow: a write was late")
+	if c.diskDelay > 0 {
+		wait += c.world.durationUpTo(c.diskDelay)
+		c.world.countFault("disk_slow: a write was late")
 	}
-	l.after(wait, func() { c.written(l) })
+	l.after(wait, func() { c.finishWrite(l) })
 }
 
-func (c *control) written(l *incarnation) {
-	if c.stalled {
-		c.world.took("disk_stall: a write waited")
-		l.after(50*time.Millisecond, func() { c.written(l) })
+func (c *control) finishWrite(l *incarnation) {
+	if c.diskStalled {
+		c.world.countFault("disk_stall: a write waited")
+		l.after(50*time.Millisecond, func() { c.finishWrite(l) })
 		return
 	}
-	last, err := c.put()
+	last, err := c.flushWrites()
 	if err != nil {
 		c.world.fail("%s: disk: %v", c.name, err)
 		return
 	}
 	c.writing = false
-	if c.world.mutant != unsyncedAck {
+	if c.world.mutant != acksBeforeWrite {
 		c.step(l, func(now time.Duration) { c.node.OnDisk(now, last) })
 	}
-	c.write(l)
+	c.startWrite(l)
 }
 
-// put brings all that waits to the disk.
-func (c *control) put() (last uint64, err error) {
+// flushWrites writes all pending writes to the disk.
+func (c *control) flushWrites() (last uint64, err error) {
 	for _, write := range c.writes {
 		if write.Image != nil {
 			err = c.store.Snapshot(write.Image)
@@ -257,12 +257,12 @@
 func (c *control) send(l *incarnation, p core.OutboundMessage) {
 	w, n := c.world, c.world.network
 	to := w.byHost[p.To]
-	if to == nil || to.dark || !n.passes(c.machine, to) || n.lossy > 0 && w.random.IntN(100) < n.lossy {
+	if to == nil || to.poweredOff || !n.reachable(c.machine, to) || n.lossPercent > 0 && w.random.IntN(100) < n.lossPercent {
 		return
 	}
 	if to.incarnation == nil {
 		l.after(2*time.Millisecond, func() {
-			if n.passes(to, c.machine) {
+			if n.reachable(to, c.machine) {
 				c.step(l, func(now time.Duration) { c.node.Refused(now, p.To) })
 			}
 		})
@@ -274,41 +274,41 @@
 		return
 	}
 	from, target := c.node.Self(), to.program.(*control)
-	way := n.way(c.machine, to)
-	if n.lossy > 0 && w.random.IntN(20) == 0 {
-		way += w.upTo(400 * time.Millisecond)
+	delay := n.latency(c.machine, to)
+	if n.lossPercent > 0 && w.random.IntN(20) == 0 {
+		delay += w.durationUpTo(400 * time.Millisecond)
 	}
 	receiver := to.incarnation
-	w.after(way, receiver.guard(func() {
-		if n.passes(c.machine, to) {
+	w.after(delay, receiver.guard(func() {
+		if n.reachable(c.machine, to) {
 			target.step(receiver, func(now time.Duration) { target.node.Receive(now, from, message) })
 		}
 	}))
 }
 
-// order submits a command, and tells its end. After so long nobody waits for it any more.
-func (c *control) order(l *incarnation, command []byte, within time.Duration, done func(core.Completion)) {
+// submitCommand submits a command and calls done with its completion. After the given time it cancels the command and reports that result.
+func (c *control) submitCommand(l *incarnation, command []byte, within time.Duration, done func(core.Completion)) {
 	number := c.node.Submit(l.now(), command)
-	c.calls[number] = done
+	c.pendingCommands[number] = done
 	c.execute(l)
-	l.after(l.real(within), func() {
-		if c.calls[number] == nil {
+	l.after(l.worldDuration(within), func() {
+		if c.pendingCommands[number] == nil {
 			return
 		}
 		err, ended := c.node.Cancel(number)
 		if ended {
 			err = core.ErrUnknown
 		}
-		delete(c.calls, number)
+		delete(c.pendingCommands, number)
 		done(core.Completion{Number: number, Err: err})
 	})
 }
 
-// submit is how the leader, which runs in a task, has a command decided.
+// submit submits a command of the leader, which runs in a task, and waits for its completion.
 func (c *control) submit(_ context.Context, command []byte) ([]byte, error) {
 	t := c.world.running
 	var end *core.Completion
-	c.order(t.incarnation, command, submitWithin, func(e core.Completion) {
+	c.submitCommand(t.incarnation, command, submitTimeout, func(e core.Completion) {
 		end = &e
 		t.wake(0)
 	})
@@ -318,16 +318,16 @@
 	return end.Result, end.Err
 }
 
-// wipe replaces the disk by an empty one.
+// wipe replaces the disk with an empty one.
 func (c *control) wipe() {
 	c.folder = slotstest.New()
-	c.fresh, c.wiped = false, true
+	c.mayBootstrap, c.wiped = false, true
 }
 
-// readWorkers is the platform's list.
+// readWorkers returns the platform's list of workers. One of ten calls fails.
 func (w *world) readWorkers(context.Context, time.Duration) (*wire.Workers, int, error) {
 	if w.random.IntN(10) == 0 {
-		return nil, 0, errors.New("simulation: the platform does not answer")
+		return nil, 0, errors.New("simulation: platform did not answer")
 	}
 	list := &wire.Workers{}
 	for _, id := range w.workers {
@@ -340,7 +340,7 @@
 	return discovery.Sort(list.Entries), 1, nil
 }
 
-// recorder is the state machine, which tells the history what it applies and in which place.
+// recorder is a state machine that reports each applied command and its position to the history.
 type recorder struct {
 	control *control
 	machine *state.Machine
@@ -353,12 +353,12 @@
 func (r *recorder) Apply(command []byte) []byte {
 	result := r.machine.Apply(command)
 	r.control.world.history.applied(r.control, r.count, command, result)
-	r.control.applied[&result[0]] = r.count
+	r.control.resultPositions[&result[0]] = r.count
 	r.count++
 	return result
 }
 
-// sequenceSize is the length of the place in front of a snapshot.
+// sequenceSize is the length of the position stored in front of a snapshot.
 const sequenceSize = 8
 
 // Snapshot implements core.Machine.
@@ -369,7 +369,7 @@
 // Restore implements core.Machine.
 func (r *recorder) Restore(snapshot []byte) error {
 	if len(snapshot) < sequenceSize {
-		return errors.New("simulation: snapshot without a place")
+		return errors.New("simulation: snapshot is shorter than its position field")
 	}
 	r.count = int(binary.BigEndian.Uint64(snapshot))
 	return r.machine.Restore(snapshot[sequenceSize:])
--- a/test/simulation/diskfaults_test.go
+++ b/test/simulation/diskfaults_test.go
@@ -4,49 +4,49 @@
 	"time"
 )
 
-// losing notes that a disk of the core is lost, so that no other one is before the system has caught up.
-func (w *world) losing() {
-	if w.now-w.diskLostAt >= lossEvery {
+// noteDiskLoss records the loss of a disk of the core, so that no further one is lost before the system has caught up.
+func (w *world) noteDiskLoss() {
+	if w.now-w.diskLostAt >= lossInterval {
 		w.disksLost = 0
 	}
 	w.diskLostAt = w.now
 	w.disksLost++
 }
 
-// replace has a control machine go for good, and an empty one come at another address.
+// replace removes a control machine permanently and adds an empty one at another address: before the removal if planned, else after it.
 func (w *world) replace(name string, planned bool) {
-	if !w.complete() || w.replaced >= 2 {
+	if !w.coreComplete() || w.replaced >= 2 {
 		return
 	}
 	w.replaced++
 	old := w.anyControl().program.(*control)
-	fresh := w.newControl(w.number(controlNet), old.zone, w.seedsNow(), false)
-	come := func() { fresh.machine.start() }
+	fresh := w.newControl(w.nextNumber(controlNet), old.zone, w.seedsNow(), false)
+	startFresh := func() { fresh.machine.start() }
 	if planned {
-		come()
-		w.later(w.between(500*time.Millisecond, 3*time.Second), func() { w.retire(name, old) })
+		startFresh()
+		w.afterUnlessCalm(w.durationBetween(500*time.Millisecond, 3*time.Second), func() { w.retire(name, old) })
 		return
 	}
 	old.end(true)
 	w.remove(old)
-	w.took(name)
-	w.later(time.Second+w.upTo(time.Second), come)
+	w.countFault(name)
+	w.afterUnlessCalm(time.Second+w.durationUpTo(time.Second), startFresh)
 }
 
-// retire stops a control machine for good, once another may be lost.
+// retire stops a control machine gracefully and removes it, as soon as the core tolerates that.
 func (w *world) retire(name string, old *control) {
-	if old.incarnation == nil || w.spare() == 0 {
-		w.later(200*time.Millisecond, func() { w.retire(name, old) })
+	if old.incarnation == nil || w.toleratedLosses() == 0 {
+		w.afterUnlessCalm(200*time.Millisecond, func() { w.retire(name, old) })
 		return
 	}
-	old.stop(name, 0, false)
+	old.stopGracefully(name, 0, false)
 	old.removed = true
-	w.later(50*time.Millisecond, func() { w.remove(old) })
+	w.afterUnlessCalm(50*time.Millisecond, func() { w.remove(old) })
 }
 
-// remove takes a control machine away for good.
+// remove removes a control machine permanently.
 func (w *world) remove(c *control) {
-	w.losing()
+	w.noteDiskLoss()
 	if c.incarnation != nil {
 		c.end(true)
 	}
@@ -60,10 +60,10 @@
 	}
 }
 
-func (w *world) lose(name string) {
-	w.took(name)
-	w.network.lossy = 1 + w.random.IntN(10)
-	w.later(w.upTo(2*time.Second), func() { w.network.lossy = 0; w.coreHarmed = w.now })
+func (w *world) dropMessages(name string) {
+	w.countFault(name)
+	w.network.lossPercent = 1 + w.random.IntN(10)
+	w.afterUnlessCalm(w.durationUpTo(2*time.Second), func() { w.network.lossPercent = 0; w.coreDisturbedAt = w.now })
 }
 
 func (w *world) storeMachines() []*machine {
@@ -76,82 +76,82 @@
 	return machines
 }
 
-// wipeStore has a store lose its disk, if all partitions are complete without it.
+// wipeStore powers off a store and wipes its disk, provided that all partitions have all their replicas and all stores run.
 func (w *world) wipeStore(name string) {
 	p := w.anyProcess(false).program.(*process)
-	if p.incarnation == nil || p.frozen || w.unplaced(-1) != "" || w.now-w.wipedAt < lossEvery {
+	if p.incarnation == nil || p.frozen || w.placementProblem(-1) != "" || w.now-w.storeWipedAt < lossInterval {
 		return
 	}
 	for _, other := range w.processes() {
-		if !other.edge && (other.incarnation == nil || other.frozen || other.stalled) {
+		if !other.edge && (other.incarnation == nil || other.frozen || other.diskStalled) {
 			return
 		}
 	}
-	w.took(name)
-	w.wipedAt = w.now
+	w.countFault(name)
+	w.storeWipedAt = w.now
 	p.end(true)
 	p.wipe()
-	w.later(w.upTo(2*time.Second), p.machine.start)
+	w.afterUnlessCalm(w.durationUpTo(2*time.Second), p.machine.start)
 }
 
 func (w *world) slowStore(string) {
 	p := w.anyProcess(false).program.(*process)
-	p.slowBy = w.between(20*time.Millisecond, 300*time.Millisecond)
-	w.later(w.span(), func() { p.slowBy = 0 })
+	p.diskDelay = w.durationBetween(20*time.Millisecond, 300*time.Millisecond)
+	w.afterUnlessCalm(w.faultDuration(), func() { p.diskDelay = 0 })
 }
 
 func (w *world) stallStore(string) {
 	p := w.anyProcess(false).program.(*process)
-	p.stalled = true
-	w.later(w.span(), func() { p.stalled = false })
+	p.diskStalled = true
+	w.afterUnlessCalm(w.faultDuration(), func() { p.diskStalled = false })
 }
 
 func (w *world) slowDisk(string) {
 	c := w.anyControl().program.(*control)
-	if !w.mayLose(c.machine) {
+	if !w.canLose(c.machine) {
 		return
 	}
-	c.slowBy = w.between(20*time.Millisecond, 300*time.Millisecond)
-	c.harm()
-	w.later(w.span(), func() { c.slowBy = 0; c.harm() })
+	c.diskDelay = w.durationBetween(20*time.Millisecond, 300*time.Millisecond)
+	c.noteDisturbance()
+	w.afterUnlessCalm(w.faultDuration(), func() { c.diskDelay = 0; c.noteDisturbance() })
 }
 
 func (w *world) stallDisk(string) {
 	c := w.anyControl().program.(*control)
-	if !w.mayLose(c.machine) {
+	if !w.canLose(c.machine) {
 		return
 	}
-	c.stalled = true
-	c.harm()
-	w.later(w.span(), func() { c.stalled = false; c.harm() })
+	c.diskStalled = true
+	c.noteDisturbance()
+	w.afterUnlessCalm(w.faultDuration(), func() { c.diskStalled = false; c.noteDisturbance() })
 }
 
 func (w *world) loseAcks(string) {
-	w.ackLoss = 70
-	w.later(w.span(), func() { w.ackLoss = 0 })
+	w.ackLossPercent = 70
+	w.afterUnlessCalm(w.faultDuration(), func() { w.ackLossPercent = 0 })
 }
 
-// afterAckWipe has as many machines as may be lost lose their disks, and others of the core power.
+// afterAckWipe wipes the disks of as many control machines as may fail at once right after an acknowledgement, and powers off a third of the others.
 func (w *world) afterAckWipe(name string) {
-	if !w.complete() {
+	if !w.coreComplete() {
 		return
 	}
 	w.afterAck(func() {
-		if !w.complete() {
+		if !w.coreComplete() {
 			return
 		}
 		controls := w.controls()
 		w.random.Shuffle(len(controls), func(i, j int) { controls[i], controls[j] = controls[j], controls[i] })
 		for i, c := range controls {
 			if i < w.settings.faultTolerance {
-				w.losing()
+				w.noteDiskLoss()
 				c.end(true)
 				c.wipe()
-				w.took(name)
-				w.later(w.upTo(2*time.Second), c.machine.start)
+				w.countFault(name)
+				w.afterUnlessCalm(w.durationUpTo(2*time.Second), c.machine.start)
 			} else if w.random.IntN(3) == 0 {
 				c.end(true)
-				w.later(w.upTo(time.Second), c.machine.start)
+				w.afterUnlessCalm(w.durationUpTo(time.Second), c.machine.start)
 			}
 		}
 	})
--- a/test/simulation/doc.go
+++ b/test/simulation/doc.go
@@ -1,3 +1,4 @@
-// Package simulation has tests only: a simulation of the whole system. The real parts of control processes, edges and stores run in one seeded
-// world of virtual time, with networks, disks, clocks and faults, and the history of each world is checked after the fact.
+// Package simulation contains only tests: a simulation of the whole system. The real code of control processes, edges and stores runs in one
+// seeded world of virtual time with simulated networks, disks, clocks and faults. The rules are checked while a world runs and on its recorded
+// history at the end.
 package simulation
--- a/test/simulation/edge_test.go
+++ b/test/simulation/edge_test.go
@@ -11,25 +11,25 @@
 	"ravendale/edge/worker"
 )
 
-// startEdge makes the queue's client and the dispatch manager of an edge, as cmd/ravendale-edge does.
+// startEdge creates the queue client and the dispatch manager of an edge, as cmd/ravendale-edge does.
 func (p *process) startEdge(l *incarnation, id string) {
 	config := dispatch.Config{
 		Topology: dispatch.Topology{Edge: id, Zone: p.zone, Zones: p.world.zones()},
-		Window:   rateWindow, Overshoot: rateOvershoot, ConvergenceTime: converge, MaxBodyBytes: 1 << 24,
+		Window:   rateWindow, Overshoot: rateOvershoot, ConvergenceTime: convergeBound, MaxBodyBytes: 1 << 24,
 	}
-	p.taken = [wire.TopicCount]wire.Version{}
+	p.appliedVersions = [wire.TopicCount]wire.Version{}
 	p.dispatcher = dispatch.NewManagerOn(l, config, &deliveries{process: p, incarnation: l})
 	dispatcher, ends := p.dispatcher, make(map[string]wire.ReportKind)
 	p.client = queueclient.New(queueclient.Config{
 		Edge: id, Zone: p.zone, Log: l.log(), Host: l, Unknown: dispatcher.Unknown, Leased: dispatcher.MessageIDs,
 		Accepted: func(m *wire.Message, granted bool) {
-			p.world.messages.given(m.RequestID, l)
+			p.world.messages.assigned(m.RequestID, l)
 			dispatcher.Accept(m, granted)
 		},
 		Granted: func(g *wire.Grant) {
 			if g.HasMessage {
-				p.world.log("%s is granted %s (%s) whole in epoch %d, sent at %v", p.name, g.Message.RequestID, g.ID, g.Epoch, p.world.messages.byName[g.Message.RequestID].sentAt)
-				p.world.messages.given(g.Message.RequestID, l)
+				p.world.log("%s is granted %s (%s) with its content in epoch %d, sent at %v", p.name, g.Message.RequestID, g.ID, g.Epoch, p.world.messages.byName[g.Message.RequestID].sentAt)
+				p.world.messages.assigned(g.Message.RequestID, l)
 			}
 			dispatcher.Grant(g)
 		},
@@ -38,11 +38,11 @@
 			dispatcher.Acknowledged(id)
 		},
 	})
-	p.client.Handle(p.box)
+	p.client.Handle(p.handlers)
 	dispatcher.SetQueue(&reporter{Client: p.client, messages: p.world.messages, ends: ends})
 }
 
-// reporter notes how an edge says that messages end.
+// reporter records the reports of an edge about the end of messages.
 type reporter struct {
 	*queueclient.Client
 	messages *messages
@@ -56,13 +56,13 @@
 	r.Client.Report(report)
 }
 
-// takeEdge hands what is newer to the parts that need it.
-func (p *process) takeEdge(s *member.Snapshot) {
+// applyToEdge passes the topics that have a newer version to the parts of the edge that need them.
+func (p *process) applyToEdge(s *member.Snapshot) {
 	newer := func(topic wire.Topic) bool {
-		if !p.taken[topic].Less(s.Versions[topic]) {
+		if !p.appliedVersions[topic].Less(s.Versions[topic]) {
 			return false
 		}
-		p.taken[topic] = s.Versions[topic]
+		p.appliedVersions[topic] = s.Versions[topic]
 		return true
 	}
 	if newer(wire.TopicMembers) && s.Members != nil {
@@ -79,7 +79,7 @@
 	}
 }
 
-// usable says whether an edge takes messages.
+// usable reports whether an edge accepts messages.
 func (p *process) usable() bool {
 	return p.edge && p.incarnation != nil && !p.frozen && p.agent.Current() && p.client.Usable() && p.dispatcher.Index() != nil
 }
@@ -93,13 +93,13 @@
 
 	rateWindow    = 5 * time.Second
 	rateOvershoot = 1.1
-	attempts      = 8 // of each route
+	routeRetries  = 8 // retries of each route
 )
 
-// submitMessages has a client send one message after the other.
+// submitMessages sends messages to random usable edges until traffic stops.
 func (w *world) submitMessages() {
-	w.after(w.upTo(2*messageEvery), w.submitMessages)
-	if w.quiet {
+	w.after(w.durationUpTo(2*meanMessageInterval), w.submitMessages)
+	if w.trafficStopped {
 		return
 	}
 	var usable []*process
@@ -113,12 +113,12 @@
 	}
 }
 
-const messageEvery = 60 * time.Millisecond
+const meanMessageInterval = 60 * time.Millisecond
 
 func (w *world) submitMessage(p *process) {
-	r := w.messages.make()
+	r := w.messages.newMessage()
 	m := &wire.Message{
-		RequestID: r.name, Route: "plain", Method: "POST", Host: "h", Target: "/jobs/" + r.name, Retries: attempts, Body: []byte(r.name),
+		RequestID: r.name, Route: "plain", Method: "POST", Host: "h", Target: "/jobs/" + r.name, Retries: routeRetries, Body: []byte(r.name),
 		SentUnixMs: p.time().UnixMs, RetentionMs: 600_000,
 	}
 	switch w.random.IntN(4) {
@@ -130,30 +130,30 @@
 		m.Route, m.Target, m.Key, m.Ordered = "ordered", orderedPath+r.name, r.key, true
 	}
 	client, dispatcher, service := p.client, p.dispatcher, r.service
-	p.incarnation.begin(func() {
+	p.incarnation.startTask(func() {
 		limits := queueclient.Limits{Attempt: time.Second, Answer: time.Second, LateAnswer: 2 * time.Second}
 		if client.Put(m, dispatcher.Accepts(service, len(m.Body)), limits) == queueclient.Accepted {
-			w.messages.kept(r, m.ID)
+			w.messages.accepted(r, m.ID)
 		}
 	})
 }
 
-// deliveries carries out what an edge sends to workers. It implements dispatch.Workers.
+// deliveries delivers messages of an edge to the simulated workers. It implements dispatch.Workers.
 type deliveries struct {
 	process     *process
 	incarnation *incarnation
 }
 
-// Limit implements dispatch.Workers.
+// SetLimits implements dispatch.Workers.
 func (d *deliveries) SetLimits(map[string]worker.Share) {}
 
-// delivery is a call of a worker. It implements dispatch.Call.
+// delivery is one call of a worker. It implements dispatch.Call.
 type delivery struct {
 	incarnation *incarnation
 	done        func(worker.Result)
 	name        string
 	began       time.Duration
-	over        bool
+	ended       bool
 }
 
 // Start implements dispatch.Workers.
@@ -162,91 +162,91 @@
 	call := &delivery{incarnation: d.incarnation, done: done, name: delivered.RequestID, began: d.incarnation.now()}
 	server := w.servers[delivered.Worker]
 	name, limit := delivered.RequestID, delivered.Limit
-	if server == nil || server.dark {
-		call.end(w.between(200*time.Millisecond, 300*time.Millisecond), worker.Unreachable)
+	if server == nil || server.unreachable {
+		call.end(w.durationBetween(200*time.Millisecond, 300*time.Millisecond), worker.Unreachable)
 		return call
 	}
-	w.after(w.between(leastWay, mostWay), func() { server.run(call, name, limit) })
+	w.after(w.durationBetween(minLatency, maxLatency), func() { server.run(call, name, limit) })
 	return call
 }
 
 // Cancel implements dispatch.Call.
 func (c *delivery) Cancel() { c.end(0, worker.Cancelled) }
 
-// end tells the edge, after a while.
+// end reports the outcome to the edge after a delay, unless the call has ended before.
 func (c *delivery) end(after time.Duration, outcome worker.Outcome) {
 	c.incarnation.after(after, func() {
-		if !c.over {
-			c.over = true
+		if !c.ended {
+			c.ended = true
 			c.incarnation.machine.world.log("%s: outcome %d at %s", c.name, outcome, c.incarnation.machine.name)
 			c.done(worker.Result{Outcome: outcome, Signature: "signed", Took: c.incarnation.now() - c.began})
 		}
 	})
 }
 
-// server is a worker. It runs messages, and goes on with those whose edge has ended.
+// server is a simulated worker. It finishes a run even if the edge that started it has ended.
 type server struct {
-	world        *world
-	name         string
-	service      string
-	capacity     int
-	dark         bool
-	incarnations int
-	running      map[string]bool
-	lossy        int // of answers, in hundredths
-	garbles      int // the same
-	slow         bool
+	world               *world
+	name                string
+	service             string
+	capacity            int
+	unreachable         bool
+	incarnations        int
+	running             map[string]bool
+	answerLossPercent   int // percentage of answers that are lost
+	brokenAnswerPercent int // percentage of answers that are unreadable
+	slow                bool
 }
 
 func (w *world) newServer(name, service string) {
 	w.servers[name] = &server{world: w, name: name, service: service, capacity: 8, running: make(map[string]bool)}
 }
 
-// run runs a message for an edge, unless it can't.
+// run runs a message for an edge, or rejects it if the worker is down, at capacity or already running that message.
 func (s *server) run(call *delivery, name string, limit time.Duration) {
 	w := s.world
-	back := func() time.Duration { return w.between(leastWay, mostWay) }
+	answerDelay := func() time.Duration { return w.durationBetween(minLatency, maxLatency) }
 	switch {
-	case s.dark:
-		call.end(w.between(200*time.Millisecond, 300*time.Millisecond), worker.Unreachable)
+	case s.unreachable:
+		call.end(w.durationBetween(200*time.Millisecond, 300*time.Millisecond), worker.Unreachable)
 		return
 	case s.running[name]:
-		call.end(back(), worker.Duplicate)
+		call.end(answerDelay(), worker.Duplicate)
 		return
 	case len(s.running) >= s.capacity:
-		call.end(back(), worker.AtCapacity)
+		call.end(answerDelay(), worker.AtCapacity)
 		return
 	}
 	s.running[name] = true
-	run := w.messages.begins(name, s, call.incarnation)
-	takes, incarnation := w.between(5*time.Millisecond, 60*time.Millisecond), s.incarnations
+	run := w.messages.runStarted(name, s, call.incarnation)
+	duration, incarnation := w.durationBetween(5*time.Millisecond, 60*time.Millisecond), s.incarnations
 	if s.slow {
-		takes *= 5
+		duration *= 5
 	}
-	if takes > limit {
+	if duration > limit {
 		call.end(limit, worker.TimedOut)
 	}
-	w.after(takes, func() {
+	w.after(duration, func() {
 		if s.incarnations != incarnation {
-			call.end(limit, worker.TimedOut) // it crashed meanwhile
+			call.end(limit, worker.TimedOut) // the worker crashed during the run
 			return
 		}
 		delete(s.running, name)
 		if w.random.IntN(40) == 0 {
-			w.messages.ends(run, false)
-			call.end(back(), worker.Failed)
+			w.messages.runEnded(run, false)
+			call.end(answerDelay(), worker.Failed)
 			return
 		}
-		w.messages.ends(run, true)
+		w.messages.runEnded(run, true)
 		switch {
-		case w.random.IntN(100) < s.lossy:
-			w.took("answer_lost")
+		case w.random.IntN(100) < s.answerLossPercent:
+			w.countFault("answer_lost")
 			call.end(limit, worker.TimedOut)
-		case w.random.IntN(100) < s.garbles:
-			w.took("garble")
-			call.end(back(), worker.Broken)
+		case w.random.IntN(100) < s.brokenAnswerPercent:
+			w.countFault("garble")
+			call.end(answerDelay(), worker.Broken)
 		default:
-			call.end(back(), worker.Done)
+			call.end(answerDelay(), worker.Done)
 		}
 	})
 }
--- a/test/simulation/faults_test.go
+++ b/test/simulation/faults_test.go
@@ -7,13 +7,13 @@
 	"time"
 )
 
-// fault is something that goes wrong, or that is done, and ends by itself. It counts what took effect.
+// fault is a failure or an administrative action that ends by itself. inject counts it under its name if it takes effect.
 type fault struct {
-	name string
-	play func(w *world, name string)
+	name   string
+	inject func(w *world, name string)
 }
 
-// faults are the kinds of disruptions that the bench knows and that apply to what is in the world, and some of our own.
+// faults lists the faults of the benchmark that apply to this world, by the benchmark's names, and some further ones.
 var faults = []fault{
 	{"node_kill control", func(w *world, name string) { w.kill(name, w.anyControl(), false) }},
 	{"node_kill control power", func(w *world, name string) { w.kill(name, w.anyControl(), true) }},
@@ -30,10 +30,10 @@
 	{"node_slow", func(w *world, name string) { w.slow(name, w.anyMachine()) }},
 	{"roll_term control", (*world).rollControls},
 	{"roll_term edge", (*world).rollEdges},
-	{"herd_kill core", func(w *world, name string) { w.herd(name, w.coreMachines(), false) }},
-	{"herd_kill core power", func(w *world, name string) { w.herd(name, w.coreMachines(), true) }},
-	{"herd_kill all power", func(w *world, name string) { w.herd(name, w.machines, true) }},
-	{"herd_kill all power taken", func(w *world, name string) { w.afterAck(func() { w.herd(name, w.machines, true) }) }},
+	{"herd_kill core", func(w *world, name string) { w.killAll(name, w.coreMachines(), false) }},
+	{"herd_kill core power", func(w *world, name string) { w.killAll(name, w.coreMachines(), true) }},
+	{"herd_kill all power", func(w *world, name string) { w.killAll(name, w.machines, true) }},
+	{"herd_kill all power taken", func(w *world, name string) { w.afterAck(func() { w.killAll(name, w.machines, true) }) }},
 	{"after_ack_kill", (*world).afterAckKill},
 	{"after_ack_wipe", (*world).afterAckWipe},
 	{"after_ack_wipe all power", (*world).wipeAndPowerOff},
@@ -44,49 +44,49 @@
 	{"core_cut all", func(w *world, name string) { w.partitionCore(name, false, true) }},
 	{"core_cut near", (*world).partitionNear},
 	{"core_cut leader", (*world).partitionLeader},
-	{"core_cut leader", (*world).partitionLeader}, // the day that users meet most
-	{"core_cut lure", (*world).lure},
+	{"core_cut leader", (*world).partitionLeader}, // listed twice: users meet this fault most often
+	{"core_cut lure", (*world).restartWithPartitionedSeeds},
 	{"core_cut seeds", (*world).partitionSeeds},
 	{"core_cut both", (*world).partitionBoth},
 	{"node_cut", func(w *world, name string) { w.partitionNode(name, false) }},
 	{"node_cut all", func(w *world, name string) { w.partitionNode(name, true) }},
-	{"seed_turnover", (*world).turnSeeds},
+	{"seed_turnover", (*world).changeSeeds},
 	{"reset_conns", (*world).resetAll},
 	{"disk_slow", (*world).slowDisk},
 	{"disk_stall", (*world).stallDisk},
 	{"ack_lost", (*world).loseAcks},
-	{"config_race", (*world).raceThrice},
-	{"messages lost", (*world).lose},
+	{"config_race", (*world).raceOrdersThreeTimes},
+	{"messages lost", (*world).dropMessages},
 	{"add_nodes", (*world).addEdge},
 	{"node_kill store power", func(w *world, name string) { w.kill(name, w.anyProcess(false), true) }},
 	{"node_freeze store", func(w *world, name string) { w.freeze(name, w.anyProcess(false)) }},
-	{"herd_kill stores power", func(w *world, name string) { w.herd(name, w.storeMachines(), true) }},
+	{"herd_kill stores power", func(w *world, name string) { w.killAll(name, w.storeMachines(), true) }},
 	{"after_ack_wipe store", (*world).wipeStore},
 	{"disk_slow store", (*world).slowStore},
 	{"disk_stall store", (*world).stallStore},
 	{"clock_step", (*world).stepClocks},
 	{"srv_crash", (*world).crashServers},
-	{"release", (*world).release},
-	{"garble", func(w *world, _ string) { w.breakServers(func(s *server, share int) { s.garbles = share }) }},
-	{"answer_lost", func(w *world, _ string) { w.breakServers(func(s *server, share int) { s.lossy = share }) }},
+	{"release", (*world).replaceServer},
+	{"garble", func(w *world, _ string) { w.breakServers(func(s *server, share int) { s.brokenAnswerPercent = share }) }},
+	{"answer_lost", func(w *world, _ string) { w.breakServers(func(s *server, share int) { s.answerLossPercent = share }) }},
 }
 
-// later does something after a while, unless calm comes first: then it is not wanted any more.
-func (w *world) later(wait time.Duration, run func()) {
-	period := w.period
+// afterUnlessCalm schedules run after a delay. It is cancelled if all faults are ended before that.
+func (w *world) afterUnlessCalm(wait time.Duration, run func()) {
+	period := w.faultPeriod
 	w.after(wait, func() {
-		if w.period == period {
+		if w.faultPeriod == period {
 			run()
 		}
 	})
 }
 
-// span is how long a disruption lasts: mostly short, now and then long.
-func (w *world) span() time.Duration {
+// faultDuration draws how long a fault lasts: mostly below 4 s, in one of five cases 6 to 20 s.
+func (w *world) faultDuration() time.Duration {
 	if w.random.IntN(5) == 0 {
-		return w.between(6*time.Second, 20*time.Second)
+		return w.durationBetween(6*time.Second, 20*time.Second)
 	}
-	return w.between(50*time.Millisecond, 4*time.Second)
+	return w.durationBetween(50*time.Millisecond, 4*time.Second)
 }
 
 func (w *world) anyControl() *machine {
@@ -95,13 +95,13 @@
 }
 
 func (w *world) anyProcess(edge bool) *machine {
-	var fit []*machine
+	var candidates []*machine
 	for _, p := range w.processes() {
 		if p.edge == edge && !p.removed {
-			fit = append(fit, p.machine)
+			candidates = append(candidates, p.machine)
 		}
 	}
-	return fit[w.random.IntN(len(fit))]
+	return candidates[w.random.IntN(len(candidates))]
 }
 
 func (w *world) anyMachine() *machine {
@@ -132,33 +132,33 @@
 
 func (w *world) leader() *control {
 	for _, c := range w.controls() {
-		if c.holds() {
+		if c.holdsLease() {
 			return c
 		}
 	}
 	return nil
 }
 
-// mayLose says whether a machine may be lost now.
-func (w *world) mayLose(m *machine) bool {
+// canLose reports whether a machine may fail now without exceeding the fault tolerance of the core.
+func (w *world) canLose(m *machine) bool {
 	_, core := m.program.(*control)
-	return !core || w.spare() > 0
+	return !core || w.toleratedLosses() > 0
 }
 
 func (w *world) kill(name string, m *machine, power bool) {
-	if m.incarnation == nil || !w.mayLose(m) {
+	if m.incarnation == nil || !w.canLose(m) {
 		return
 	}
 	m.end(power)
-	w.took(name)
-	w.later(w.span(), m.start)
+	w.countFault(name)
+	w.afterUnlessCalm(w.faultDuration(), m.start)
 }
 
 func (w *world) freeze(name string, m *machine) {
-	if w.mayLose(m) && m.freeze() {
-		w.took(name)
+	if w.canLose(m) && m.freeze() {
+		w.countFault(name)
 		l := m.incarnation
-		w.later(w.span(), func() {
+		w.afterUnlessCalm(w.faultDuration(), func() {
 			if m.incarnation == l {
 				m.thaw()
 			}
@@ -167,31 +167,31 @@
 }
 
 func (w *world) slow(name string, m *machine) {
-	w.took(name)
-	w.network.slow[m]++
-	m.harm()
-	w.later(w.span(), func() { w.network.slow[m]--; m.harm() })
+	w.countFault(name)
+	w.network.slowCount[m]++
+	m.noteDisturbance()
+	w.afterUnlessCalm(w.faultDuration(), func() { w.network.slowCount[m]--; m.noteDisturbance() })
 }
 
-// rollControls stops one control process after the other in order, and starts it again.
+// rollControls stops the control processes gracefully, one every second, and restarts each.
 func (w *world) rollControls(name string) {
 	for i, c := range w.controls() {
-		w.later(time.Duration(i)*time.Second, func() { c.stop(name, w.upTo(time.Second), true) })
+		w.afterUnlessCalm(time.Duration(i)*time.Second, func() { c.stopGracefully(name, w.durationUpTo(time.Second), true) })
 	}
 }
 
-// stop ends a control process in order.
-func (c *control) stop(name string, away time.Duration, back bool) {
+// stopGracefully stops a control process gracefully, and restarts it after the downtime if restart is set.
+func (c *control) stopGracefully(name string, downtime time.Duration, restart bool) {
 	l := c.incarnation
 	if l == nil || c.frozen {
 		return
 	}
-	c.harm()
-	c.world.took(name)
+	c.noteDisturbance()
+	c.world.countFault(name)
 	c.step(l, func(now time.Duration) { c.node.BeginStop(now) })
-	c.world.later(20*time.Millisecond, func() { c.endIncarnation(l) })
-	if back {
-		c.world.later(20*time.Millisecond+away, c.machine.start)
+	c.world.afterUnlessCalm(20*time.Millisecond, func() { c.endIncarnation(l) })
+	if restart {
+		c.world.afterUnlessCalm(20*time.Millisecond+downtime, c.machine.start)
 	}
 }
 
@@ -201,40 +201,40 @@
 		if !p.edge || w.random.IntN(2) == 0 {
 			continue
 		}
-		at += w.upTo(time.Second)
-		w.later(at, func() {
+		at += w.durationUpTo(time.Second)
+		w.afterUnlessCalm(at, func() {
 			if p.incarnation == nil || p.frozen || p.removed {
 				return
 			}
-			w.took(name)
+			w.countFault(name)
 			p.leave()
-			w.later(time.Second+w.upTo(time.Second), p.machine.start)
+			w.afterUnlessCalm(time.Second+w.durationUpTo(time.Second), p.machine.start)
 		})
 	}
 }
 
-// herd ends many at once.
-func (w *world) herd(name string, machines []*machine, power bool) {
-	w.took(name)
+// killAll ends many processes at once and restarts each within 1 s.
+func (w *world) killAll(name string, machines []*machine, power bool) {
+	w.countFault(name)
 	for _, m := range slices.Clone(machines) {
 		if m.removed {
 			continue
 		}
 		m.end(power)
-		w.later(w.upTo(time.Second), m.start)
+		w.afterUnlessCalm(w.durationUpTo(time.Second), m.start)
 	}
 }
 
-// afterAck has something done within some milliseconds of the next acknowledgement.
+// afterAck runs then within 4 ms or so of the next acknowledgement to an operator, if one comes within 2 s.
 func (w *world) afterAck(then func()) {
-	newest, until := w.history.newest, w.now+2*time.Second
+	newest, until := w.history.lastAckAt, w.now+2*time.Second
 	var wait func()
 	wait = func() {
 		switch {
-		case w.history.newest != newest:
-			w.later(w.upTo(4*time.Millisecond), then)
+		case w.history.lastAckAt != newest:
+			w.afterUnlessCalm(w.durationUpTo(4*time.Millisecond), then)
 		case w.now < until:
-			w.later(time.Millisecond, wait)
+			w.afterUnlessCalm(time.Millisecond, wait)
 		}
 	}
 	wait()
@@ -250,9 +250,9 @@
 	})
 }
 
-func (w *world) raceThrice(string) {
+func (w *world) raceOrdersThreeTimes(string) {
 	for i := range 3 {
-		w.later(time.Duration(i)*w.upTo(time.Second), w.race)
+		w.afterUnlessCalm(time.Duration(i)*w.durationUpTo(time.Second), w.raceOrders)
 	}
 }
 
@@ -260,19 +260,19 @@
 	if len(w.machines) > 30 {
 		return
 	}
-	w.took(name)
-	number := w.number(edgeNet)
+	w.countFault(name)
+	number := w.nextNumber(edgeNet)
 	w.newProcess(number, w.zone(number), w.seedsNow(), true).machine.start()
 }
 
-// stepClocks has the time of day jump on some machines, and back.
+// stepClocks moves the time of day of some edges and stores by up to 2 s, and back after a while.
 func (w *world) stepClocks(name string) {
 	step := w.random.Int64N(4000) - 2000
 	for _, p := range w.processes() {
 		if w.random.IntN(3) == 0 {
-			w.took(name)
+			w.countFault(name)
 			p.skewMs += step
-			w.after(w.span(), func() { p.skewMs -= step })
+			w.after(w.faultDuration(), func() { p.skewMs -= step })
 		}
 	}
 }
@@ -282,27 +282,27 @@
 	return w.servers[names[w.random.IntN(len(names))]]
 }
 
-// crashServers has a worker go dark: what it runs is lost.
+// crashServers crashes a worker for a while. Its runs are lost.
 func (w *world) crashServers(name string) {
 	s := w.anyServer()
-	if s.dark {
+	if s.unreachable {
 		return
 	}
-	w.took(name)
-	s.dark = true
+	w.countFault(name)
+	s.unreachable = true
 	s.incarnations++
 	s.running = make(map[string]bool)
-	w.after(w.span(), func() { s.dark = false })
+	w.after(w.faultDuration(), func() { s.unreachable = false })
 }
 
-// release has another worker come in the place of one, which goes.
-func (w *world) release(name string) {
+// replaceServer adds a worker and removes the one that it replaces some seconds later.
+func (w *world) replaceServer(name string) {
 	old := w.anyServer()
-	w.races++
-	w.took(name)
-	w.newServer(fmt.Sprint(old.service, "-new-", w.races), old.service)
-	w.after(w.between(4*time.Second, 8*time.Second), func() {
-		old.dark = true
+	w.raceCount++
+	w.countFault(name)
+	w.newServer(fmt.Sprint(old.service, "-new-", w.raceCount), old.service)
+	w.after(w.durationBetween(4*time.Second, 8*time.Second), func() {
+		old.unreachable = true
 		old.incarnations++
 		delete(w.servers, old.name)
 	})
@@ -312,27 +312,27 @@
 	for range 2 {
 		s := w.anyServer()
 		set(s, 5+w.random.IntN(20))
-		w.after(w.span(), func() { set(s, 0) })
+		w.after(w.faultDuration(), func() { set(s, 0) })
 	}
 }
 
-// calm ends all disruptions.
-func (w *world) calm() {
-	w.period++
+// endFaults ends all faults and starts all processes that do not run.
+func (w *world) endFaults() {
+	w.faultPeriod++
 	n := w.network
-	n.partitioned, n.slow, n.lossy, w.ackLoss = make(map[[2]*machine]int), make(map[*machine]int), 0, 0
-	w.coreHarmed = w.now
+	n.partitioned, n.slowCount, n.lossPercent, w.ackLossPercent = make(map[[2]*machine]int), make(map[*machine]int), 0, 0
+	w.coreDisturbedAt = w.now
 	for _, s := range w.servers {
-		s.dark, s.lossy, s.garbles = false, 0, 0
+		s.unreachable, s.answerLossPercent, s.brokenAnswerPercent = false, 0, 0
 	}
 	for _, m := range slices.Clone(w.machines) {
-		m.harm()
+		m.noteDisturbance()
 		m.thaw()
 		switch program := m.program.(type) {
 		case *control:
-			program.slowBy, program.stalled = 0, false
+			program.diskDelay, program.diskStalled = 0, false
 		case *process:
-			program.slowBy, program.stalled = 0, false
+			program.diskDelay, program.diskStalled = 0, false
 		}
 		m.start()
 	}
--- a/test/simulation/machine_test.go
+++ b/test/simulation/machine_test.go
@@ -12,44 +12,44 @@
 	"ravendale/cluster/rpc"
 )
 
-// machine runs one process, in one incarnation after another.
+// machine runs one process at a time; each start of it is a new incarnation.
 type machine struct {
 	world        *world
 	name         string
 	zone         string
-	address      string // of its process
-	rate         float64
-	offset       time.Duration // of its steady clock
+	address      string // listen address of its process
+	clockRate    float64
+	clockOffset  time.Duration // offset of its monotonic clock
 	incarnation  *incarnation  // nil while no process runs
-	dark         bool          // it has no power: nobody answers for it
+	poweredOff   bool          // it has lost power: neither process nor kernel answers
 	frozen       bool
-	removed      bool // for good
+	removed      bool // permanently
 	program      program
-	harmed       time.Duration // when something was last done to it
+	disturbedAt  time.Duration // time of the last fault or restart
 	incarnations int
 }
 
-// program is what runs on a machine.
+// program is the software that runs on a machine.
 type program interface {
-	// start makes the process of a new incarnation.
+	// start creates the state of a new incarnation.
 	start(l *incarnation)
-	// stopped tells that the process has ended, of a loss of power or a kill.
+	// stopped is called when the process has ended by a power loss or a kill.
 	stopped(powerLoss bool)
 }
 
 func (w *world) newMachine(name, zone, address string, program program) *machine {
 	m := &machine{
-		world: w, name: name, zone: zone, address: address, rate: 0.965 + 0.07*w.random.Float64(),
-		offset: w.upTo(time.Hour), program: program, harmed: w.now,
+		world: w, name: name, zone: zone, address: address, clockRate: 0.965 + 0.07*w.random.Float64(),
+		clockOffset: w.durationUpTo(time.Hour), program: program, disturbedAt: w.now,
 	}
 	w.machines = append(w.machines, m)
 	w.byHost[address] = m
 	return m
 }
 
-// clock is the machine's steady clock.
+// clock returns the time of the machine's monotonic clock.
 func (m *machine) clock() time.Duration {
-	return m.offset + time.Duration(float64(m.world.now)*m.rate)
+	return m.clockOffset + time.Duration(float64(m.world.now)*m.clockRate)
 }
 
 func (m *machine) start() {
@@ -57,8 +57,8 @@
 		return
 	}
 	m.incarnations++
-	m.dark, m.frozen = false, false
-	m.harm()
+	m.poweredOff, m.frozen = false, false
+	m.noteDisturbance()
 	l := &incarnation{
 		machine: m, number: m.incarnations, random: rand.New(rand.NewPCG(m.world.random.Uint64(), 5)), sleeping: make(map[*task]bool),
 	}
@@ -67,20 +67,20 @@
 	m.program.start(l)
 }
 
-// end ends the process; with a loss of power nobody answers for the machine from then on.
+// end ends the process. With a power loss the machine no longer answers to anything, until it is started again.
 func (m *machine) end(powerLoss bool) {
 	l := m.incarnation
-	m.harm()
-	m.dark = m.dark || powerLoss
+	m.noteDisturbance()
+	m.poweredOff = m.poweredOff || powerLoss
 	if l == nil {
 		return
 	}
 	m.world.log("%s ends, power lost: %v", m.name, powerLoss)
 	m.incarnation, m.frozen = nil, false
-	l.dead, l.thawed = true, nil
+	l.ended, l.onThaw = true, nil
 	m.program.stopped(powerLoss)
 	l.endTasks()
-	m.world.network.stopped(l)
+	m.world.network.closeConnections(l)
 }
 
 func (m *machine) freeze() bool {
@@ -88,7 +88,7 @@
 		return false
 	}
 	m.frozen = true
-	m.harm()
+	m.noteDisturbance()
 	return true
 }
 
@@ -97,43 +97,43 @@
 		return
 	}
 	m.frozen = false
-	m.harm()
+	m.noteDisturbance()
 	l := m.incarnation
-	pending := l.thawed
-	l.thawed = nil
+	pending := l.onThaw
+	l.onThaw = nil
 	for _, run := range pending {
 		run()
 	}
 }
 
-// harm notes that something is done to the machine.
-func (m *machine) harm() {
-	m.harmed = m.world.now
+// noteDisturbance records that a fault or a restart affects the machine now.
+func (m *machine) noteDisturbance() {
+	m.disturbedAt = m.world.now
 	if _, ok := m.program.(*control); ok {
-		m.world.coreHarmed = m.world.now
+		m.world.coreDisturbedAt = m.world.now
 	}
 }
 
-// incarnation is one process. It implements host.Host.
+// incarnation is one process: a machine's program from one start to its end. It implements host.Host.
 type incarnation struct {
 	machine  *machine
 	number   int
-	dead     bool
+	ended    bool
 	random   *rand.Rand
 	tasks    []*task
 	sleeping map[*task]bool
-	thawed   []func()
-	ends     []*end // of connections, in the order of their making
+	onThaw   []func()
+	ends     []*endpoint // endpoints of its connections, in the order of creation
 }
 
-// guard runs something unless the process has ended; while it is frozen that waits.
+// guard wraps run: the result does nothing once the process has ended, and is postponed until the thaw while the process is frozen.
 func (l *incarnation) guard(run func()) func() {
 	var guarded func()
 	guarded = func() {
 		switch {
-		case l.dead:
+		case l.ended:
 		case l.machine.frozen:
-			l.thawed = append(l.thawed, guarded)
+			l.onThaw = append(l.onThaw, guarded)
 		default:
 			run()
 		}
@@ -141,16 +141,16 @@
 	return guarded
 }
 
-// after has the process do something after a while of the world's time.
+// after runs something in the process after a delay of virtual time.
 func (l *incarnation) after(wait time.Duration, run func()) {
 	l.machine.world.after(wait, l.guard(run))
 }
 
 func (l *incarnation) now() time.Duration { return l.machine.clock() }
 
-// real is the world's time for a span of the process's clock.
-func (l *incarnation) real(span time.Duration) time.Duration {
-	return max(0, time.Duration(float64(span)/l.machine.rate)) + time.Microsecond
+// worldDuration converts a duration of the machine's clock to virtual time.
+func (l *incarnation) worldDuration(span time.Duration) time.Duration {
+	return max(0, time.Duration(float64(span)/l.machine.clockRate)) + time.Microsecond
 }
 
 // Now implements host.Host.
@@ -191,30 +191,30 @@
 type timer struct {
 	incarnation *incarnation
 	run         func()
-	turn        int
+	resets      int
 	set         bool
 }
 
 // Reset implements host.Timer.
 func (t *timer) Reset(pause time.Duration) bool {
-	was := t.Stop()
+	wasSet := t.Stop()
 	t.set = true
-	turn := t.turn
-	t.incarnation.after(t.incarnation.real(pause), func() {
-		if t.turn == turn && t.set {
+	resets := t.resets
+	t.incarnation.after(t.incarnation.worldDuration(pause), func() {
+		if t.resets == resets && t.set {
 			t.set = false
 			t.run()
 		}
 	})
-	return was
+	return wasSet
 }
 
 // Stop implements host.Timer.
 func (t *timer) Stop() bool {
-	was := t.set
-	t.turn++
+	wasSet := t.set
+	t.resets++
 	t.set = false
-	return was
+	return wasSet
 }
 
 // signal implements host.Signal.
@@ -237,7 +237,7 @@
 	until := s.incarnation.now() + most
 	for !s.given && s.incarnation.now() < until {
 		s.waiter = s.incarnation.machine.world.running
-		s.waiter.wake(s.incarnation.real(until - s.incarnation.now()))
+		s.waiter.wake(s.incarnation.worldDuration(until - s.incarnation.now()))
 		s.waiter.pause()
 		s.waiter = nil
 	}
@@ -246,7 +246,7 @@
 	return given
 }
 
-// logger passes what a process logs to the trace.
+// logger writes the log records of a process to the debug trace.
 type logger struct {
 	slog.Handler
 	incarnation *incarnation
--- a/test/simulation/network_test.go
+++ b/test/simulation/network_test.go
@@ -8,41 +8,42 @@
 	"ravendale/cluster/rpc"
 )
 
-// Times of the network.
+// Delays of the simulated network.
 const (
-	leastWay   = 300 * time.Microsecond
-	mostWay    = 4 * time.Millisecond
-	resendWait = 40 * time.Millisecond // of what a partition holds up
-	firstRetry = 30 * time.Millisecond // of a link, as rpc has it
+	minLatency = 300 * time.Microsecond
+	maxLatency = 4 * time.Millisecond
+	resendWait = 40 * time.Millisecond // retransmission interval of a packet that a partition holds up
+	firstRetry = 30 * time.Millisecond // first reconnect delay of a link, as in package rpc
 	lastRetry  = 150 * time.Millisecond
 )
 
 var (
 	errRefused = errors.New("simulation: connection refused")
-	errTimeout = errors.New("simulation: no answer to a connect")
+	errTimeout = errors.New("simulation: connect timed out")
 )
 
-// network says which machines reach which.
+// network is the state of the network between all machines: partitions, slow machines and message loss.
 type network struct {
 	world       *world
-	partitioned map[[2]*machine]int // from, to: how many cuts hold
-	slow        map[*machine]int    // how many slow-downs hold
-	lossy       int                 // of messages among control processes, in hundredths
+	partitioned map[[2]*machine]int // number of active partitions, by sender and receiver
+	slowCount   map[*machine]int    // number of active slow-downs, by machine
+	lossPercent int                 // percentage of messages among control processes that are dropped
 }
 
-// passes says whether a packet gets from one machine to the other.
-func (n *network) passes(from, to *machine) bool { return n.partitioned[[2]*machine{from, to}] == 0 }
+// reachable reports whether a packet gets from one machine to another; the opposite direction may differ.
+func (n *network) reachable(from, to *machine) bool { return n.partitioned[[2]*machine{from, to}] == 0 }
 
-// way is how long a packet takes.
-func (n *network) way(from, to *machine) time.Duration {
-	way := n.world.between(leastWay, mostWay)
-	if n.slow[from]+n.slow[to] > 0 {
-		way += n.world.upTo(60 * time.Millisecond)
+// latency draws the delay of one packet.
+func (n *network) latency(from, to *machine) time.Duration {
+	delay := n.world.durationBetween(minLatency, maxLatency)
+	if n.slowCount[from]+n.slowCount[to] > 0 {
+		delay += n.world.durationUpTo(60 * time.Millisecond)
 	}
-	return way
+	return delay
 }
 
-// partition cuts the way from each of one side to each of the other, and back unless it is one way only. The cut must be mended by join.
+// partition adds change to the number of partitions from each machine of one side to each of the other, and back unless oneWay is set: 1 begins
+// a partition, -1 ends it.
 func (n *network) partition(side, others []*machine, oneWay bool, change int) {
 	for _, a := range side {
 		for _, b := range others {
@@ -57,38 +58,39 @@
 	}
 	for _, a := range side {
 		for _, b := range others {
-			n.disturbed(a, b)
+			n.recordDisturbance(a, b)
 		}
 	}
 }
 
-// disturbed notes what a change of the ways between two machines means for the rules that hold for machines in touch.
-func (n *network) disturbed(a, b *machine) {
+// recordDisturbance records that the connectivity of two machines changed. Rules for machines in contact with the core apply again only after
+// the contact bound.
+func (n *network) recordDisturbance(a, b *machine) {
 	_, first := a.program.(*control)
 	_, second := b.program.(*control)
 	switch {
 	case first && second:
-		n.world.coreHarmed = n.world.now
+		n.world.coreDisturbedAt = n.world.now
 	case first:
-		b.harmed = n.world.now
+		b.disturbedAt = n.world.now
 	case second:
-		a.harmed = n.world.now
+		a.disturbedAt = n.world.now
 	}
 }
 
-// end is one end of a connection. It implements rpc.Transport.
-type end struct {
-	network        *network
-	incarnation    *incarnation
-	peer           *end
-	conn           *rpc.Conn
-	link           *link // of the end that connected
-	sent           []packet
-	pumping        bool
-	arrives        time.Duration // of the packet sent last
-	heard          time.Duration
-	failureTimeout time.Duration // after which it gives the peer up
-	closed         bool
+// endpoint is one end of a connection. It implements rpc.Transport.
+type endpoint struct {
+	network           *network
+	incarnation       *incarnation
+	peer              *endpoint
+	conn              *rpc.Conn
+	link              *link // nil at the accepting end
+	inFlight          []packet
+	deliveryScheduled bool
+	lastArrival       time.Duration // arrival time of the packet sent last
+	lastHeardAt       time.Duration
+	failureTimeout    time.Duration // silence after which the peer counts as unresponsive
+	closed            bool
 }
 
 type packet struct {
@@ -98,61 +100,61 @@
 }
 
 // WriteFrame implements rpc.Transport.
-func (e *end) WriteFrame(frame []byte) {
+func (e *endpoint) WriteFrame(frame []byte) {
 	e.send(packet{frame: append([]byte(nil), frame...)})
 }
 
 // Close implements rpc.Transport.
-func (e *end) Close() {
+func (e *endpoint) Close() {
 	if e.closed {
 		return
 	}
 	e.closed = true
 	e.send(packet{cause: errReset})
 	if e.link != nil {
-		e.link.lost(e)
+		e.link.connectionClosed(e)
 	}
 }
 
-func (e *end) send(p packet) {
+func (e *endpoint) send(p packet) {
 	n := e.network
-	p.at = max(e.arrives, n.world.now+n.way(e.incarnation.machine, e.peer.incarnation.machine))
-	e.arrives = p.at
-	e.sent = append(e.sent, p)
-	e.pump()
+	p.at = max(e.lastArrival, n.world.now+n.latency(e.incarnation.machine, e.peer.incarnation.machine))
+	e.lastArrival = p.at
+	e.inFlight = append(e.inFlight, p)
+	e.scheduleDelivery()
 }
 
-// pump has the first packet on its way arrive.
-func (e *end) pump() {
-	if e.pumping || len(e.sent) == 0 {
+// scheduleDelivery schedules the arrival of the first packet in flight, unless that is scheduled already.
+func (e *endpoint) scheduleDelivery() {
+	if e.deliveryScheduled || len(e.inFlight) == 0 {
 		return
 	}
-	e.pumping = true
-	e.network.world.after(max(0, e.sent[0].at-e.network.world.now), e.arrive)
+	e.deliveryScheduled = true
+	e.network.world.after(max(0, e.inFlight[0].at-e.network.world.now), e.deliverNext)
 }
 
-func (e *end) arrive() {
-	e.pumping = false
+func (e *endpoint) deliverNext() {
+	e.deliveryScheduled = false
 	n, from, to := e.network, e.incarnation.machine, e.peer.incarnation.machine
 	if e.peer.closed {
-		e.sent = nil
+		e.inFlight = nil
 	}
-	if len(e.sent) == 0 || e.sent[0].at > n.world.now {
-		e.pump()
+	if len(e.inFlight) == 0 || e.inFlight[0].at > n.world.now {
+		e.scheduleDelivery()
 		return
 	}
-	if !n.passes(from, to) || to.dark || from.dark {
-		e.sent[0].at = n.world.now + resendWait
-		e.arrives = max(e.arrives, e.sent[0].at)
-		if from.dark && e.incarnation.dead {
-			e.sent = nil // it has forgotten
+	if !n.reachable(from, to) || to.poweredOff || from.poweredOff {
+		e.inFlight[0].at = n.world.now + resendWait
+		e.lastArrival = max(e.lastArrival, e.inFlight[0].at)
+		if from.poweredOff && e.incarnation.ended {
+			e.inFlight = nil // a crashed machine retransmits nothing
 			return
 		}
-		e.pump()
+		e.scheduleDelivery()
 		return
 	}
-	p := e.sent[0]
-	e.sent = e.sent[1:]
+	p := e.inFlight[0]
+	e.inFlight = e.inFlight[1:]
 	peer := e.peer
 	deliver := peer.incarnation.guard(func() {
 		if p.frame == nil {
@@ -162,56 +164,56 @@
 		peer.conn.Deliver(p.frame)
 	})
 	deliver()
-	e.pump()
+	e.scheduleDelivery()
 }
 
-// watch gives up a peer that is silent.
-func (e *end) watch() {
-	if e.closed || e.incarnation.dead {
+// watchPeer fails the connection when the peer's process has ended or the peer was silent for the failure timeout.
+func (e *endpoint) watchPeer() {
+	if e.closed || e.incarnation.ended {
 		return
 	}
 	n, peer := e.network, e.peer.incarnation.machine
-	if !e.peer.incarnation.dead && !peer.frozen && n.passes(peer, e.incarnation.machine) {
-		e.heard = n.world.now
+	if !e.peer.incarnation.ended && !peer.frozen && n.reachable(peer, e.incarnation.machine) {
+		e.lastHeardAt = n.world.now
 	}
-	if e.peer.incarnation.dead && !peer.dark && n.passes(peer, e.incarnation.machine) && n.passes(e.incarnation.machine, peer) {
+	if e.peer.incarnation.ended && !peer.poweredOff && n.reachable(peer, e.incarnation.machine) && n.reachable(e.incarnation.machine, peer) {
 		e.conn.Fail(errReset)
 		return
 	}
-	if n.world.now-e.heard >= e.failureTimeout {
+	if n.world.now-e.lastHeardAt >= e.failureTimeout {
 		e.conn.Fail(rpc.ErrUnresponsive)
 		return
 	}
-	e.incarnation.after(watchEvery, e.watch)
+	e.incarnation.after(watchEvery, e.watchPeer)
 }
 
 const watchEvery = 100 * time.Millisecond
 
-// stopped closes the connections of a process that has ended: its system says so to others, unless it has no power.
-func (n *network) stopped(l *incarnation) {
+// closeConnections closes the connections of a process that has ended. The machine's kernel resets them, unless the machine lost power.
+func (n *network) closeConnections(l *incarnation) {
 	for _, e := range l.ends {
 		if e.closed {
 			continue
 		}
 		e.closed = true
-		e.sent = nil
-		if !l.machine.dark {
+		e.inFlight = nil
+		if !l.machine.poweredOff {
 			e.send(packet{cause: errReset})
 		}
 	}
 }
 
-// link implements host.Link.
+// link is an outgoing connection that reconnects. It implements host.Link.
 type link struct {
 	network     *network
 	incarnation *incarnation
 	address     string
 	options     rpc.Options
-	up          func(*rpc.Conn)
-	down        func(error)
-	end         *end
+	onUp        func(*rpc.Conn)
+	onDown      func(error)
+	end         *endpoint
 	retry       time.Duration
-	turn        int // counts attempts: an earlier one is given up
+	attempt     int // number of the current connection attempt; results of earlier ones are ignored
 	closed      bool
 }
 
@@ -222,8 +224,8 @@
 	if options.FailureTimeout <= 0 {
 		options.FailureTimeout = rpc.DefaultFailureTimeout
 	}
-	k := &link{network: n, incarnation: l, address: address, options: options, up: up, down: down, retry: firstRetry}
-	l.after(0, func() { k.dialAt(0) })
+	k := &link{network: n, incarnation: l, address: address, options: options, onUp: up, onDown: down, retry: firstRetry}
+	l.after(0, func() { k.dial(0) })
 	return k
 }
 
@@ -242,9 +244,9 @@
 func (k *link) Hurry() {
 	if k.end == nil && !k.closed {
 		k.retry = firstRetry
-		k.turn++
-		turn := k.turn
-		k.incarnation.after(0, func() { k.dialAt(turn) })
+		k.attempt++
+		attempt := k.attempt
+		k.incarnation.after(0, func() { k.dial(attempt) })
 	}
 }
 
@@ -256,43 +258,43 @@
 	}
 }
 
-func (k *link) dialAt(turn int) {
-	if k.closed || k.turn != turn || k.end != nil {
+func (k *link) dial(attempt int) {
+	if k.closed || k.attempt != attempt || k.end != nil {
 		return
 	}
 	n, from, to := k.network, k.incarnation.machine, k.network.world.byHost[k.address]
-	if to == nil || to.dark || !n.passes(from, to) || !n.passes(to, from) {
-		k.incarnation.after(k.options.ConnectTimeout, func() { k.failed(turn, errTimeout) })
+	if to == nil || to.poweredOff || !n.reachable(from, to) || !n.reachable(to, from) {
+		k.incarnation.after(k.options.ConnectTimeout, func() { k.attemptFailed(attempt, errTimeout) })
 		return
 	}
-	k.incarnation.after(n.way(from, to)+n.way(to, from), func() {
+	k.incarnation.after(n.latency(from, to)+n.latency(to, from), func() {
 		switch {
-		case k.turn != turn:
+		case k.attempt != attempt:
 		case to.incarnation == nil:
-			k.failed(turn, errRefused)
+			k.attemptFailed(attempt, errRefused)
 		default:
 			k.connected(to)
 		}
 	})
 }
 
-func (k *link) failed(turn int, err error) {
-	if k.closed || k.turn != turn {
+func (k *link) attemptFailed(attempt int, err error) {
+	if k.closed || k.attempt != attempt {
 		return
 	}
-	if k.down != nil {
-		k.down(err)
+	if k.onDown != nil {
+		k.onDown(err)
 	}
-	k.again()
+	k.scheduleRetry()
 }
 
-func (k *link) again() {
+func (k *link) scheduleRetry() {
 	if k.closed {
 		return
 	}
-	k.turn++
-	turn := k.turn
-	k.incarnation.after(k.retry/2+k.network.world.upTo(k.retry), func() { k.dialAt(turn) })
+	k.attempt++
+	attempt := k.attempt
+	k.incarnation.after(k.retry/2+k.network.world.durationUpTo(k.retry), func() { k.dial(attempt) })
 	k.retry = min(2*k.retry, lastRetry)
 }
 
@@ -302,8 +304,8 @@
 	}
 	k.retry = firstRetry
 	n, now := k.network, k.network.world.now
-	near := &end{network: n, incarnation: k.incarnation, link: k, heard: now, failureTimeout: k.options.FailureTimeout}
-	far := &end{network: n, incarnation: to.incarnation, heard: now, failureTimeout: rpc.DefaultFailureTimeout, peer: near}
+	near := &endpoint{network: n, incarnation: k.incarnation, link: k, lastHeardAt: now, failureTimeout: k.options.FailureTimeout}
+	far := &endpoint{network: n, incarnation: to.incarnation, lastHeardAt: now, failureTimeout: rpc.DefaultFailureTimeout, peer: near}
 	near.peer = far
 	near.conn = rpc.NewWithTransport(k.options, near)
 	far.conn = rpc.NewWithTransport(rpc.Options{Mux: to.program.(listener).mux()}, far)
@@ -312,15 +314,15 @@
 	if program, ok := to.program.(*process); ok {
 		program.accepted(to.incarnation, far.conn)
 	}
-	near.incarnation.after(watchEvery, near.watch)
-	far.incarnation.after(watchEvery, far.watch)
-	if k.up != nil {
-		k.up(near.conn)
+	near.incarnation.after(watchEvery, near.watchPeer)
+	far.incarnation.after(watchEvery, far.watchPeer)
+	if k.onUp != nil {
+		k.onUp(near.conn)
 	}
 }
 
-// lost tells that the connection has ended.
-func (k *link) lost(e *end) {
+// connectionClosed reports the end of a connection to its user and schedules a reconnect.
+func (k *link) connectionClosed(e *endpoint) {
 	if k.end != e {
 		return
 	}
@@ -330,41 +332,41 @@
 	}
 	k.incarnation.after(0, func() {
 		if !k.closed {
-			if k.down != nil {
-				k.down(errReset)
+			if k.onDown != nil {
+				k.onDown(errReset)
 			}
-			k.again()
+			k.scheduleRetry()
 		}
 	})
 }
 
-// listener is a program that others connect to.
+// listener is a program that accepts connections.
 type listener interface{ mux() *rpc.Mux }
 
-// reset breaks some of the connections of a machine.
-func (n *network) reset(m *machine, share float64) (count int) {
+// resetConnections breaks a random share of the connections of a machine and returns their number.
+func (n *network) resetConnections(m *machine, share float64) (count int) {
 	if m.incarnation == nil {
 		return 0
 	}
-	for _, e := range append([]*end(nil), m.incarnation.ends...) {
+	for _, e := range append([]*endpoint(nil), m.incarnation.ends...) {
 		if e.closed || n.world.random.Float64() >= share {
 			continue
 		}
 		count++
-		e.sent, e.peer.sent = nil, nil
-		ends := []*end{e, e.peer}
+		e.inFlight, e.peer.inFlight = nil, nil
+		ends := []*endpoint{e, e.peer}
 		for _, one := range ends {
 			one.incarnation.after(0, func() { one.conn.Fail(errReset) })
 		}
 	}
 	if count > 0 {
-		m.harm()
+		m.noteDisturbance()
 	}
 	return count
 }
 
-// tidy forgets connections that have ended.
-func (l *incarnation) tidy() {
+// dropClosedEndpoints removes closed connections from the list of the process.
+func (l *incarnation) dropClosedEndpoints() {
 	kept := l.ends[:0]
 	for _, e := range l.ends {
 		if !e.closed {
--- a/test/simulation/operator_test.go
+++ b/test/simulation/operator_test.go
@@ -11,37 +11,37 @@
 	"ravendale/control/state"
 )
 
-// Times of operators.
+// Timeouts and pauses of operators.
 const (
-	answerWithin     = 850 * time.Millisecond // of a control process
-	operatorWaits    = 1200 * time.Millisecond
+	controlTimeout   = 850 * time.Millisecond // for the answer of a control process
+	operatorTimeout  = 1200 * time.Millisecond
 	operatorAttempts = 8
-	operatorPauses   = 400 * time.Millisecond
+	maxOperatorPause = 400 * time.Millisecond
 )
 
-// operator sends orders, and repeats those whose outcome it doesn't know.
+// operator sends orders, and repeats those whose outcome is unknown.
 type operator struct {
-	world *world
-	name  string
-	known uint64 // the newest version that it knows
-	sent  int
-	busy  bool
+	world        *world
+	name         string
+	knownVersion uint64 // newest configuration version that it was told of
+	sent         int
+	busy         bool
 }
 
-// work sends one order after the other.
-func (o *operator) work() {
+// sendNext sends the next order unless one is pending, and runs itself again after a pause.
+func (o *operator) sendNext() {
 	w := o.world
-	if !w.ordersDone && !o.busy {
-		o.send(o.choose(), 0)
+	if !w.operatorsStopped && !o.busy {
+		o.send(o.nextCommand(), 0)
 	}
-	w.after(20*time.Millisecond+w.upTo(operatorPauses), o.work)
+	w.after(20*time.Millisecond+w.durationUpTo(maxOperatorPause), o.sendNext)
 }
 
-// choose makes an order.
-func (o *operator) choose() state.Command {
+// nextCommand draws an order: a read, a set, an invalid set or a patch, sometimes on top of an old version.
+func (o *operator) nextCommand() state.Command {
 	w := o.world
 	o.sent++
-	base := o.known
+	base := o.knownVersion
 	if w.random.IntN(12) == 0 && base > 0 {
 		base -= uint64(w.random.IntN(2)) + 1
 	}
@@ -50,7 +50,7 @@
 	case kind == 0:
 		return &state.Show{}
 	case kind == 1:
-		w.took("bad_config")
+		w.countFault("bad_config")
 		return &state.Set{Base: base, Body: []byte(fmt.Sprintf(`{"version":%d,"routes":[{}],"backends":[],"limits":{}}`, version))}
 	case kind < 5 && base > 0:
 		return &state.Patch{Base: base, Body: []byte(fmt.Sprintf(`{"version":%d,"note":"%s %d"}`, version, o.name, o.sent))}
@@ -58,17 +58,17 @@
 	return &state.Set{Base: base, Body: []byte(document(version, o.name, o.sent))}
 }
 
-// routes are in force at all times.
+// routes are part of each valid configuration.
 var routes = fmt.Sprintf(`{"name":"plain","host":"h","pathPrefix":"/jobs/","type":"deferred","backend":"jobs","timeoutMs":500,"retries":%[1]d,"retentionS":600},
 {"name":"ordered","host":"h","pathPrefix":"/ordered/","type":"deferred","backend":"jobs","timeoutMs":500,"retries":%[1]d,"fifo":true,"retentionS":600},
-{"name":"limited","host":"h","pathPrefix":"/limited/","type":"deferred","backend":"limited","timeoutMs":500,"retries":%[1]d,"retentionS":600}`, attempts)
+{"name":"limited","host":"h","pathPrefix":"/limited/","type":"deferred","backend":"limited","timeoutMs":500,"retries":%[1]d,"retentionS":600}`, routeRetries)
 
 func document(version uint64, name string, number int) string {
 	return fmt.Sprintf(`{"version":%d,"note":"%s %d","routes":[%s],"backends":[{"name":"jobs"},{"name":"limited","ratePerS":%d}],"limits":{}}`,
 		version, name, number, routes, limitedRate)
 }
 
-// send has an order decided by some control process, and sends it again while its outcome is not known.
+// send sends an order to a random control process, and repeats it until it is accepted or refused, up to operatorAttempts times.
 func (o *operator) send(command state.Command, attempts int) {
 	w := o.world
 	targets := w.controls()
@@ -76,57 +76,57 @@
 		targets = slices.DeleteFunc(targets, func(c *control) bool { return c.incarnation == nil })
 	}
 	o.busy = true
-	w.ask(targets[w.random.IntN(len(targets))], command, func(op *operation) {
-		w.history.heard(op)
+	w.sendOrder(targets[w.random.IntN(len(targets))], command, func(op *operation) {
+		w.history.answerReceived(op)
 		switch op.answer {
-		case unsure, unavailable:
+		case answerUnknown, answerUnavailable:
 			if attempts < operatorAttempts {
-				if attempts > 0 && op.answer == unsure {
+				if attempts > 0 && op.answer == answerUnknown {
 					w.counts["an order repeated"]++
 				}
-				w.after(w.upTo(operatorPauses), func() { o.send(command, attempts+1) })
+				w.after(w.durationUpTo(maxOperatorPause), func() { o.send(command, attempts+1) })
 				return
 			}
-		case taken, refusedVersion:
-			o.known = max(o.known, op.version)
+		case answerAccepted, answerRefusedVersion:
+			o.knownVersion = max(o.knownVersion, op.version)
 		}
 		o.busy = false
 	})
 }
 
-// ask sends an order to a control process once. Done is called when the operator has an answer, or gives up.
-func (w *world) ask(c *control, command state.Command, done func(*operation)) {
+// sendOrder sends an order to a control process once. done is called when the operator has an answer or times out.
+func (w *world) sendOrder(c *control, command state.Command, done func(*operation)) {
 	encoded, err := state.Encode(command)
 	if err != nil {
 		w.fail("%v", err)
 		return
 	}
-	op := w.history.began(encoded)
+	op := w.history.orderSent(encoded)
 	finished := false
 	finish := func() {
 		if finished {
 			return
 		}
 		finished = true
-		w.history.answered(op)
+		w.history.orderAnswered(op)
 		done(op)
 	}
-	w.after(operatorWaits, finish)
-	w.after(w.between(leastWay, mostWay), func() {
+	w.after(operatorTimeout, finish)
+	w.after(w.durationBetween(minLatency, maxLatency), func() {
 		switch {
-		case c.incarnation == nil && c.dark:
+		case c.incarnation == nil && c.poweredOff:
 		case c.incarnation == nil:
-			op.answer = unavailable
+			op.answer = answerUnavailable
 			finish()
 		default:
 			l := c.incarnation
 			l.after(0, func() {
-				c.operate(l, command, encoded, func(a answer, version uint64, end []byte, position int) {
-					if w.ackLoss > 0 && w.random.IntN(100) < w.ackLoss {
-						w.took("ack_lost")
+				c.handleOrder(l, command, encoded, func(a answer, version uint64, end []byte, position int) {
+					if w.ackLossPercent > 0 && w.random.IntN(100) < w.ackLossPercent {
+						w.countFault("ack_lost")
 						return
 					}
-					w.after(w.between(leastWay, mostWay), func() {
+					w.after(w.durationBetween(minLatency, maxLatency), func() {
 						if !finished {
 							op.answer, op.version, op.result, op.position = a, version, end, position
 							finish()
@@ -138,28 +138,28 @@
 	})
 }
 
-// operate answers an order as package api does.
-func (c *control) operate(l *incarnation, command state.Command, encoded []byte, reply func(a answer, version uint64, result []byte, position int)) {
-	if err := checkAlone(command); err != nil {
-		reply(refusedInvalid, 0, nil, -1)
+// handleOrder answers an order as package api does.
+func (c *control) handleOrder(l *incarnation, command state.Command, encoded []byte, reply func(a answer, version uint64, result []byte, position int)) {
+	if err := validateStateless(command); err != nil {
+		reply(answerRefusedInvalid, 0, nil, -1)
 		return
 	}
-	if c.world.mutant == refusesByApplied && c.refuses(command) {
-		reply(refusedVersion, c.state.machine.Current().Version, nil, -1)
+	if c.world.mutant == refusesByLocalState && c.refusesLocally(command) {
+		reply(answerRefusedVersion, c.state.machine.Current().Version, nil, -1)
 		return
 	}
-	c.order(l, encoded, answerWithin, func(end core.Completion) {
+	c.submitCommand(l, encoded, controlTimeout, func(end core.Completion) {
 		switch {
 		case end.Err == nil:
 		case errors.Is(end.Err, core.ErrUnavailable):
-			reply(unavailable, 0, nil, -1)
+			reply(answerUnavailable, 0, nil, -1)
 			return
 		default:
-			if c.world.mutant == unknownIsNever {
-				reply(unavailable, 0, nil, -1)
+			if c.world.mutant == reportsUnknownAsNotApplied {
+				reply(answerUnavailable, 0, nil, -1)
 				return
 			}
-			reply(unsure, 0, nil, -1)
+			reply(answerUnknown, 0, nil, -1)
 			return
 		}
 		result, err := state.DecodeResult(end.Result)
@@ -167,12 +167,12 @@
 			c.world.fail("%s: %v", c.name, err)
 			return
 		}
-		reply(answerOf(result), result.Version, end.Result, c.applied[&end.Result[0]])
+		reply(answerOf(result), result.Version, end.Result, c.resultPositions[&end.Result[0]])
 	})
 }
 
-// refuses says whether an order is refused by the state that this process happens to have.
-func (c *control) refuses(command state.Command) bool {
+// refusesLocally reports whether an order conflicts with the local, possibly stale, state of this process.
+func (c *control) refusesLocally(command state.Command) bool {
 	version := c.state.machine.Current().Version
 	switch order := command.(type) {
 	case *state.Set:
@@ -183,8 +183,8 @@
 	return false
 }
 
-// checkAlone is what is said of an order without the state.
-func checkAlone(command state.Command) error {
+// validateStateless validates the parts of an order that do not depend on the state.
+func validateStateless(command state.Command) error {
 	switch order := command.(type) {
 	case *state.Set:
 		_, err := catalog.Parse(order.Body)
@@ -198,28 +198,28 @@
 func answerOf(result *state.Result) answer {
 	switch result.Outcome {
 	case state.OutcomeApplied, state.OutcomeDuplicate:
-		return taken
+		return answerAccepted
 	case state.OutcomeRefusedVersion:
-		return refusedVersion
+		return answerRefusedVersion
 	}
-	return refusedInvalid
+	return answerRefusedInvalid
 }
 
-// race has two orders for the same number sent at once, to two processes; often each is sent again.
-func (w *world) race() {
+// raceOrders sends two orders for the same version at once to two control processes. Each is repeated if its outcome is unknown, and in half of the other cases.
+func (w *world) raceOrders() {
 	targets := w.controls()
-	base := max(w.operators[0].known, w.operators[1].known)
-	w.races++
+	base := max(w.operators[0].knownVersion, w.operators[1].knownVersion)
+	w.raceCount++
 	for i := range 2 {
-		command := &state.Set{Base: base, Body: []byte(document(base+1, fmt.Sprint("race-", i), w.races))}
+		command := &state.Set{Base: base, Body: []byte(document(base+1, fmt.Sprint("race-", i), w.raceCount))}
 		op := &operator{world: w, name: "race", busy: true}
-		target := targets[(w.races+i)%len(targets)]
-		w.ask(target, command, func(answered *operation) {
-			w.history.heard(answered)
-			if w.random.IntN(2) == 0 || answered.answer == unsure {
+		target := targets[(w.raceCount+i)%len(targets)]
+		w.sendOrder(target, command, func(answered *operation) {
+			w.history.answerReceived(answered)
+			if w.random.IntN(2) == 0 || answered.answer == answerUnknown {
 				op.send(command, operatorAttempts-3)
 			}
 		})
 	}
-	w.took("config_race")
+	w.countFault("config_race")
 }
--- a/test/simulation/partitions_test.go
+++ b/test/simulation/partitions_test.go
@@ -6,15 +6,16 @@
 	"time"
 )
 
-// partitionSpan is how long a partition lasts: often so long that another leader has long led, and what it sent is old.
+// partitionSpan draws how long a partition lasts. Half of them last 6 to 20 s: another leader has taken over long before their end, and messages
+// that they held up are outdated.
 func (w *world) partitionSpan() time.Duration {
 	if w.random.IntN(2) == 0 {
-		return w.between(6*time.Second, 20*time.Second)
+		return w.durationBetween(6*time.Second, 20*time.Second)
 	}
-	return w.span()
+	return w.faultDuration()
 }
 
-// seedsNow are addresses of control machines that are there.
+// seedsNow returns the addresses of up to three control machines that have not been removed.
 func (w *world) seedsNow() []string {
 	var seeds []string
 	for _, c := range w.controls() {
@@ -25,22 +26,22 @@
 	return seeds
 }
 
-// partitionFor holds a partition for a while.
+// partitionFor starts a partition that ends by itself, and returns its duration; 0: one side is empty and there is no partition.
 func (w *world) partitionFor(name string, side, others []*machine, oneWay bool) time.Duration {
 	if len(side) == 0 || len(others) == 0 {
 		return 0
 	}
-	w.took(name)
+	w.countFault(name)
 	span := w.partitionSpan()
 	w.network.partition(side, others, oneWay, 1)
-	w.later(span, func() { w.network.partition(side, others, oneWay, -1) })
+	w.afterUnlessCalm(span, func() { w.network.partition(side, others, oneWay, -1) })
 	return span
 }
 
-// minority draws control machines, no more than may be lost now.
+// minority draws control machines: fewer than half of the core, and no more than may fail now.
 func (w *world) minority() []*machine {
 	core := w.coreMachines()
-	most := min(w.spare(), (len(core)-1)/2)
+	most := min(w.toleratedLosses(), (len(core)-1)/2)
 	if most == 0 {
 		return nil
 	}
@@ -70,7 +71,7 @@
 	w.partitionFor(name, side, others, oneWay)
 }
 
-// partitionNear cuts some off from the rest of the core and from all machines of other zones.
+// partitionNear partitions a minority of the core from the rest of the core and from all machines of other zones.
 func (w *world) partitionNear(name string) {
 	side := w.minority()
 	if len(side) == 0 {
@@ -86,31 +87,31 @@
 	w.partitionFor(name, side, others, false)
 }
 
-// partitionLeader cuts the leader off from the core, and leaves it all others.
+// partitionLeader partitions the leader from the rest of the core, but from no edge or store.
 func (w *world) partitionLeader(name string) {
-	if leader := w.leader(); leader != nil && w.spare() > 0 {
+	if leader := w.leader(); leader != nil && w.toleratedLosses() > 0 {
 		side := []*machine{leader.machine}
 		w.partitionFor(name, side, without(w.coreMachines(), side), w.random.IntN(4) == 0)
 	}
 }
 
-// lure has some members start anew with seeds that are partitioned.
-func (w *world) lure(name string) {
+// restartWithPartitionedSeeds partitions a minority of the core, makes it the first seeds of all members and restarts a third of them.
+func (w *world) restartWithPartitionedSeeds(name string) {
 	side := w.minority()
 	if w.partitionFor(name, side, without(w.coreMachines(), side), false) == 0 {
 		return
 	}
-	w.seed(side)
+	w.setSeeds(side)
 	for _, p := range w.processes() {
 		if w.random.IntN(3) == 0 && p.incarnation != nil {
 			p.end(false)
-			w.later(w.upTo(500*time.Millisecond), p.machine.start)
+			w.afterUnlessCalm(w.durationUpTo(500*time.Millisecond), p.machine.start)
 		}
 	}
 }
 
-// seed gives members the seeds of some control machines first.
-func (w *world) seed(first []*machine) {
+// setSeeds gives all members a list of seeds that begins with the given control machines.
+func (w *world) setSeeds(first []*machine) {
 	var seeds []string
 	for _, m := range first {
 		seeds = append(seeds, fmt.Sprintf("%s:%d", m.program.(*control).settings.IP, firstPort))
@@ -133,16 +134,16 @@
 	if w.partitionFor(name, side, without(w.coreMachines(), side), false) == 0 {
 		return
 	}
-	w.seed(side)
+	w.setSeeds(side)
 	for _, p := range w.processes() {
 		if w.random.IntN(2) == 0 && p.incarnation != nil {
 			p.end(false)
-			w.later(w.upTo(time.Second), p.machine.start)
+			w.afterUnlessCalm(w.durationUpTo(time.Second), p.machine.start)
 		}
 	}
 }
 
-// partitionBoth restarts those that are partitioned, and then the others of the core.
+// partitionBoth partitions a minority of the core and restarts it, and 1 s later the rest of the core.
 func (w *world) partitionBoth(name string) {
 	side := w.minority()
 	others := without(w.coreMachines(), side)
@@ -151,12 +152,12 @@
 	}
 	for _, m := range side {
 		m.end(false)
-		w.later(w.upTo(500*time.Millisecond), m.start)
+		w.afterUnlessCalm(w.durationUpTo(500*time.Millisecond), m.start)
 	}
-	w.later(time.Second, func() {
+	w.afterUnlessCalm(time.Second, func() {
 		for _, m := range others {
 			m.end(false)
-			w.later(w.upTo(500*time.Millisecond), m.start)
+			w.afterUnlessCalm(w.durationUpTo(500*time.Millisecond), m.start)
 		}
 	})
 }
@@ -170,19 +171,19 @@
 	w.partitionFor(name, side, others, w.random.IntN(4) == 0)
 }
 
-func (w *world) turnSeeds(name string) {
-	w.took(name)
-	w.seed([]*machine{w.anyControl()})
+func (w *world) changeSeeds(name string) {
+	w.countFault(name)
+	w.setSeeds([]*machine{w.anyControl()})
 }
 
 func (w *world) resetAll(name string) {
 	count := 0
 	for _, m := range slices.Clone(w.machines) {
 		if w.random.IntN(3) == 0 {
-			count += w.network.reset(m, 0.5)
+			count += w.network.resetConnections(m, 0.5)
 		}
 	}
 	if count > 0 {
-		w.took(name)
+		w.countFault(name)
 	}
 }
--- a/test/simulation/powerloss_test.go
+++ b/test/simulation/powerloss_test.go
@@ -2,15 +2,15 @@
 
 import "time"
 
-// wipeAndPowerOff has, right after an acknowledgement, as many machines as may be lost lose their disks, control machines and stores alike, and
-// all others lose power at the same moment, those too that don't count for the quorum. Partitions may be joining or moving, and the core's chain
-// may be changing: what was acknowledged lies on enough disks in each of these states.
+// wipeAndPowerOff powers off all machines right after an acknowledgement, those without a vote included, and wipes the disks of as many control
+// machines and stores as may fail at once. Partitions may be joining or moving and the core's chain may be changing at that time: acknowledged
+// data must be on enough disks in each of these states.
 func (w *world) wipeAndPowerOff(name string) {
 	w.afterAck(func() {
-		if !w.complete() || !w.storesRun() || w.now-w.wipedAt < lossEvery {
+		if !w.coreComplete() || !w.storesRun() || w.now-w.storeWipedAt < lossInterval {
 			return
 		}
-		w.took(name)
+		w.countFault(name)
 		wiped := w.disksToLose()
 		for _, m := range w.machines {
 			if m.removed {
@@ -20,22 +20,22 @@
 			if wiped[m] {
 				w.wipeDisk(m)
 			}
-			w.later(w.upTo(time.Second), m.start)
+			w.afterUnlessCalm(w.durationUpTo(time.Second), m.start)
 		}
 	})
 }
 
-// storesRun says whether no store counts as lost.
+// storesRun reports whether all stores run, and none is frozen or has a stalled disk.
 func (w *world) storesRun() bool {
 	for _, m := range w.storeMachines() {
-		if m.incarnation == nil || m.frozen || m.program.(*process).stalled {
+		if m.incarnation == nil || m.frozen || m.program.(*process).diskStalled {
 			return false
 		}
 	}
 	return true
 }
 
-// disksToLose draws as many machines with a disk as may be lost at once.
+// disksToLose draws as many machines with a disk as may fail at once.
 func (w *world) disksToLose() map[*machine]bool {
 	withDisk := append(w.coreMachines(), w.storeMachines()...)
 	w.random.Shuffle(len(withDisk), func(i, j int) { withDisk[i], withDisk[j] = withDisk[j], withDisk[i] })
@@ -46,14 +46,14 @@
 	return chosen
 }
 
-// wipeDisk has a machine that does not run come back with an empty disk.
+// wipeDisk replaces the disk of a stopped machine with an empty one.
 func (w *world) wipeDisk(m *machine) {
 	switch program := m.program.(type) {
 	case *control:
-		w.losing()
+		w.noteDiskLoss()
 		program.wipe()
 	case *process:
-		w.wipedAt = w.now
+		w.storeWipedAt = w.now
 		program.wipe()
 	}
 }
--- a/test/simulation/queue_test.go
+++ b/test/simulation/queue_test.go
@@ -14,121 +14,123 @@
 	"ravendale/store/queue"
 )
 
-// unsyncedFor is how long a journal that claims to be synced is not.
-const unsyncedFor = 200 * time.Millisecond
+// unsyncedDuration is the time for which the mutant acksUnsyncedRecord reports a record as synced before it is.
+const unsyncedDuration = 200 * time.Millisecond
 
-// segmentRecords is how many records one segment of a journal holds.
+// segmentRecords is the number of records in one segment of a journal.
 const segmentRecords = 60
 
-// records is a store's journal on a disk that keeps what was synced.
-type records struct {
-	process     *process
-	incarnation *incarnation
-	kept        [][]byte
-	first       int // of those that were not removed
-	durable     int
-	syncing     bool
+// memoryJournal is the journal of a store on a simulated disk. After a power loss at least the synced entries are still there.
+type memoryJournal struct {
+	process       *process
+	incarnation   *incarnation
+	entries       [][]byte
+	firstRetained int // index of the first entry that was not removed
+	durable       int
+	syncing       bool
 }
 
 // Append implements queue.Journal.
-func (r *records) Append(payload []byte) (journal.Location, uint64) {
-	r.kept = append(r.kept, slices.Clone(payload))
-	r.sync()
-	i := len(r.kept) - 1
-	return journal.Location{Segment: uint32(i/segmentRecords) + 1, Offset: uint32(i % segmentRecords)}, uint64(len(r.kept))
+func (r *memoryJournal) Append(payload []byte) (journal.Location, uint64) {
+	r.entries = append(r.entries, slices.Clone(payload))
+	r.startSync()
+	i := len(r.entries) - 1
+	return journal.Location{Segment: uint32(i/segmentRecords) + 1, Offset: uint32(i % segmentRecords)}, uint64(len(r.entries))
 }
 
-func (r *records) sync() {
+func (r *memoryJournal) startSync() {
 	if r.syncing {
 		return
 	}
 	r.syncing = true
 	w, l := r.process.world, r.incarnation
-	takes := w.between(200*time.Microsecond, 2*time.Millisecond)
+	duration := w.durationBetween(200*time.Microsecond, 2*time.Millisecond)
 	if w.slowDisks {
-		takes += w.upTo(20 * time.Millisecond)
+		duration += w.durationUpTo(20 * time.Millisecond)
 	}
-	if r.process.slowBy > 0 {
-		takes += w.upTo(r.process.slowBy)
-		w.took("disk_slow store: a write was late")
+	if r.process.diskDelay > 0 {
+		duration += w.durationUpTo(r.process.diskDelay)
+		w.countFault("disk_slow store: a write was late")
 	}
-	upTo := len(r.kept)
-	if w.mutant == unsyncedRecord {
-		takes = unsyncedFor
+	upTo := len(r.entries)
+	if w.mutant == acksUnsyncedRecord {
+		duration = unsyncedDuration
 		l.after(0, func() { r.process.queue.JournalSynced(r.process.time(), uint64(upTo)) })
 	}
-	l.after(takes, func() { r.synced(l, upTo) })
+	l.after(duration, func() { r.finishSync(l, upTo) })
 }
 
-func (r *records) synced(l *incarnation, upTo int) {
-	if r.process.stalled {
-		r.process.world.took("disk_stall store: a write waited")
-		l.after(50*time.Millisecond, func() { r.synced(l, upTo) })
+func (r *memoryJournal) finishSync(l *incarnation, upTo int) {
+	if r.process.diskStalled {
+		r.process.world.countFault("disk_stall store: a write waited")
+		l.after(50*time.Millisecond, func() { r.finishSync(l, upTo) })
 		return
 	}
 	r.durable, r.syncing = max(r.durable, upTo), false
-	if r.durable < len(r.kept) {
-		r.sync()
+	if r.durable < len(r.entries) {
+		r.startSync()
 	}
 	r.process.queue.JournalSynced(r.process.time(), uint64(r.durable))
 }
 
 // Position implements queue.Journal.
-func (r *records) Position() uint64 { return uint64(len(r.kept)) }
+func (r *memoryJournal) Position() uint64 { return uint64(len(r.entries)) }
 
 // Read implements queue.Journal.
-func (r *records) Read(at journal.Location) ([]byte, error) {
+func (r *memoryJournal) Read(at journal.Location) ([]byte, error) {
 	i := int(at.Segment-1)*segmentRecords + int(at.Offset)
-	if at.Segment == 0 || i < r.first || i >= len(r.kept) {
+	if at.Segment == 0 || i < r.firstRetained || i >= len(r.entries) {
 		return nil, fmt.Errorf("simulation: no record at %v", at)
 	}
-	return r.kept[i], nil
+	return r.entries[i], nil
 }
 
 // Remove implements queue.Journal.
-func (r *records) Remove(segment uint32) { r.first = max(r.first, int(segment)*segmentRecords) }
+func (r *memoryJournal) Remove(segment uint32) {
+	r.firstRetained = max(r.firstRetained, int(segment)*segmentRecords)
+}
 
 // Segments implements queue.Journal.
-func (r *records) Segments() (oldest, newest uint32) {
-	return uint32(r.first/segmentRecords) + 1, uint32(max(len(r.kept)-1, 0)/segmentRecords) + 1
+func (r *memoryJournal) Segments() (oldest, newest uint32) {
+	return uint32(r.firstRetained/segmentRecords) + 1, uint32(max(len(r.entries)-1, 0)/segmentRecords) + 1
 }
 
 // Used implements queue.Journal.
-func (r *records) Used() int64 { return int64(len(r.kept)-r.first) * 100 }
+func (r *memoryJournal) Used() int64 { return int64(len(r.entries)-r.firstRetained) * 100 }
 
-// stop ends the incarnation of who uses the disk. Without power part of what was not synced is lost.
-func (r *records) stop(powerLoss bool) {
+// stop is called at the end of the incarnation that used the journal. A power loss loses a random part of the unsynced entries.
+func (r *memoryJournal) stop(powerLoss bool) {
 	if powerLoss {
-		r.kept = r.kept[:r.durable+r.process.world.random.IntN(len(r.kept)-r.durable+1)]
+		r.entries = r.entries[:r.durable+r.process.world.random.IntN(len(r.entries)-r.durable+1)]
 	}
-	r.durable, r.syncing = len(r.kept), false
+	r.durable, r.syncing = len(r.entries), false
 }
 
-// time is what the process's queue goes by.
+// time returns the monotonic time and the time of day for the store's queue.
 func (p *process) time() queue.Time {
 	return queue.Time{Steady: p.clock() - p.startedAt, UnixMs: int64(p.world.now/time.Millisecond) + p.skewMs + 1e9}
 }
 
-// startStore makes the queue of a store from its disk.
+// startStore recovers the store's queue from its journal.
 func (p *process) startStore(l *incarnation) {
 	p.startedAt = p.clock()
-	p.records.incarnation = l
+	p.journal.incarnation = l
 	p.peers = make(map[string]host.Link)
 	p.queue = queue.New(queue.Config{
 		Disk: p.disk, Zone: p.zone, Copies: p.world.settings.faultTolerance + 1, FinishedRetention: time.Minute, DiskBytes: 1 << 20, Log: l.log(),
 	}, queueHost{p, l})
-	for i := p.records.first; i < len(p.records.kept); i++ {
+	for i := p.journal.firstRetained; i < len(p.journal.entries); i++ {
 		at := journal.Location{Segment: uint32(i/segmentRecords) + 1, Offset: uint32(i % segmentRecords)}
-		if err := p.queue.Recover(p.time(), at, p.records.kept[i]); err != nil {
+		if err := p.queue.Recover(p.time(), at, p.journal.entries[i]); err != nil {
 			p.world.fail("%s: %v", p.name, err)
 			return
 		}
 	}
-	p.queue.Start(p.time(), p.records)
+	p.queue.Start(p.time(), p.journal)
 	p.handleStore()
 }
 
-// queueHost is what the queue sees of its process.
+// queueHost connects the queue to its process. It implements queue.Host.
 type queueHost struct {
 	process     *process
 	incarnation *incarnation
@@ -137,10 +139,10 @@
 // WakeAt implements queue.Host.
 func (h queueHost) WakeAt(steady time.Duration) {
 	p := h.process
-	p.wakes++
-	number := p.wakes
-	h.incarnation.after(h.incarnation.real(steady-p.time().Steady), func() {
-		if number == p.wakes { // else it wanted another time since
+	p.wakeCount++
+	number := p.wakeCount
+	h.incarnation.after(h.incarnation.worldDuration(steady-p.time().Steady), func() {
+		if number == p.wakeCount { // a later call of WakeAt replaces this one
 			p.queue.Tick(p.time())
 		}
 	})
@@ -152,19 +154,19 @@
 // Fail implements queue.Host.
 func (h queueHost) Fail(err error) { h.process.world.fail("%s: %v", h.process.name, err) }
 
-// handleStore registers what edges and other stores call, as package store/server does.
+// handleStore registers the handlers of calls by edges and other stores, as package store/server does.
 func (p *process) handleStore() {
-	request(p, p.box, wire.MethodPut, (*queue.Core).PutMessage)
-	request(p, p.box, wire.MethodReport, (*queue.Core).ReportDelivery)
-	request(p, p.box, wire.MethodClaim, (*queue.Core).ClaimMessages)
-	request(p, p.box, wire.MethodAttach, (*queue.Core).AttachEdge)
-	rpc.Handle(p.box, queue.MethodHello, func(_ *rpc.Conn, m *queue.Hello, reply rpc.Reply) {
+	request(p, p.handlers, wire.MethodPut, (*queue.Core).PutMessage)
+	request(p, p.handlers, wire.MethodReport, (*queue.Core).ReportDelivery)
+	request(p, p.handlers, wire.MethodClaim, (*queue.Core).ClaimMessages)
+	request(p, p.handlers, wire.MethodAttach, (*queue.Core).AttachEdge)
+	rpc.Handle(p.handlers, queue.MethodHello, func(_ *rpc.Conn, m *queue.Hello, reply rpc.Reply) {
 		reply.Send(&queue.HelloReply{Accepted: m.To == p.disk})
 	})
-	notice(p, p.box, queue.MethodReplicate, (*queue.Core).Replicate)
-	notice(p, p.box, queue.MethodCompare, (*queue.Core).Compare)
-	notice(p, p.box, queue.MethodFetch, (*queue.Core).Fetch)
-	rpc.Handle(p.box, queue.MethodFilled, func(_ *rpc.Conn, m *queue.Filled, _ rpc.Reply) { p.queue.Filled(p.time(), m) })
+	notice(p, p.handlers, queue.MethodReplicate, (*queue.Core).Replicate)
+	notice(p, p.handlers, queue.MethodCompare, (*queue.Core).Compare)
+	notice(p, p.handlers, queue.MethodFetch, (*queue.Core).Fetch)
+	rpc.Handle(p.handlers, queue.MethodFilled, func(_ *rpc.Conn, m *queue.Filled, _ rpc.Reply) { p.queue.Filled(p.time(), m) })
 }
 
 func request[T any, P interface {
@@ -181,7 +183,7 @@
 	rpc.Handle[T, P](mux, method, func(c *rpc.Conn, m *T, _ rpc.Reply) { handle(p.queue, p.time(), c, m) })
 }
 
-// accepted hears of a connection that another process opened.
+// accepted is called for each connection that another process opened.
 func (p *process) accepted(l *incarnation, c *rpc.Conn) {
 	if p.edge {
 		return
@@ -189,8 +191,8 @@
 	c.OnClose(func(error) { l.after(0, func() { p.queue.EdgeDown(p.time(), c) }) })
 }
 
-// takeStore has a store act under what it knows now.
-func (p *process) takeStore(l *incarnation) {
+// applyToStore passes the agent's members and placement to the queue, and opens and closes connections to other stores accordingly.
+func (p *process) applyToStore(l *incarnation) {
 	s := p.agent.Snapshot()
 	if s.Members != nil {
 		p.queue.SetEdges(p.time(), s.Members.Edges)
@@ -216,7 +218,7 @@
 	}
 }
 
-// linkTo connects to another store, and makes sure that it has the disk that is meant.
+// linkTo connects to another store. The connection is closed unless that store has the expected disk.
 func (p *process) linkTo(l *incarnation, other wire.Store) host.Link {
 	mux := rpc.NewMux()
 	notice(p, mux, queue.MethodAcked, (*queue.Core).Acked)
--- a/test/simulation/simulation_test.go
+++ b/test/simulation/simulation_test.go
@@ -18,19 +18,19 @@
 )
 
 var (
-	seedsFlag = flag.Int("worlds", 0, "seeds of the simulation of the whole system; 0: as many as the test command plays")
-	fromFlag  = flag.Uint64("from", 1, "the first of them")
-	traceFlag = flag.Bool("trace", false, "write what happens to standard error; play one seed only")
+	seedsFlag = flag.Int("worlds", 0, "number of simulated worlds, one seed each; 0: the default of the test")
+	fromFlag  = flag.Uint64("from", 1, "first seed")
+	traceFlag = flag.Bool("trace", false, "run only the first seed and write its events to standard error")
 	debug     io.Writer
 )
 
-// settingsOf draws what a world is made of.
-func settingsOf(seed uint64) worldSettings {
+// drawSettings derives the parameters of a world from its seed.
+func drawSettings(seed uint64) worldSettings {
 	draw := func(salt, most uint64) int { return int((seed*2654435761 + salt*40503) >> 7 % most) }
 	s := worldSettings{
 		controls: 3 + draw(1, 3), edges: 2 + draw(2, 5), stores: 2 + draw(3, 2), zones: 1 + draw(4, 3), faultTolerance: 1, heartbeatMs: 600,
 	}
-	if draw(5, 8) == 0 { // a tree of more than one level in a zone
+	if draw(5, 8) == 0 { // enough edges in one zone for a distribution tree of more than one level
 		s.edges, s.zones = 12, 1
 	}
 	if s.controls == 5 && draw(6, 2) == 0 {
@@ -43,36 +43,36 @@
 	return s
 }
 
-// play is one whole history: founding, disruptions, calm, another disruption right after an acknowledgement, calm.
-func play(seed uint64, m mutant) *world { return playIn(seed, settingsOf(seed), m) }
+// runWorld runs one world: start, random faults, recovery, one more severe fault, recovery, check of the history.
+func runWorld(seed uint64, m mutant) *world { return runWorldWith(seed, drawSettings(seed), m) }
 
-func playIn(seed uint64, settings worldSettings, m mutant) *world {
+func runWorldWith(seed uint64, settings worldSettings, m mutant) *world {
 	w := newWorld(seed, settings, m)
-	w.found()
-	w.play(4 * time.Second)
+	w.bootstrap()
+	w.runFor(4 * time.Second)
 	kinds, count := faults, 3+w.random.IntN(5)
 	if settings.only != "" {
 		kinds, count = faultsNamed(settings.only), 2*count
 	}
 	for range count {
-		w.play(w.upTo(2500 * time.Millisecond))
+		w.runFor(w.durationUpTo(2500 * time.Millisecond))
 		next := kinds[w.random.IntN(len(kinds))]
 		w.disturb()
-		next.play(w, next.name)
+		next.inject(w, next.name)
 	}
-	w.play(w.between(4*time.Second, 10*time.Second))
-	w.calmDown("after disruptions")
-	lasts := []string{"after_ack_wipe", "herd_kill all power taken", "after_ack_kill", "replace_core", "after_ack_wipe all power"}
-	last := lasts[w.random.IntN(len(lasts))]
+	w.runFor(w.durationBetween(4*time.Second, 10*time.Second))
+	w.recoverAndExpectService("after disruptions")
+	finalFaults := []string{"after_ack_wipe", "herd_kill all power taken", "after_ack_kill", "replace_core", "after_ack_wipe all power"}
+	final := finalFaults[w.random.IntN(len(finalFaults))]
 	w.disturb()
-	for _, f := range faultsNamed(last) {
-		f.play(w, f.name)
-	}
-	w.play(w.between(3*time.Second, 5*time.Second))
-	w.calmDown("after the last disruption")
-	w.quiet = true
-	w.play(4 * time.Second)
-	if w.broken == "" {
+	for _, f := range faultsNamed(final) {
+		f.inject(w, f.name)
+	}
+	w.runFor(w.durationBetween(3*time.Second, 5*time.Second))
+	w.recoverAndExpectService("after the last disruption")
+	w.trafficStopped = true
+	w.runFor(4 * time.Second)
+	if w.violation == "" {
 		w.history.check()
 		w.messages.checkLost()
 	}
@@ -90,36 +90,36 @@
 	return named
 }
 
-// calmDown ends all disruptions, and expects service soon.
-func (w *world) calmDown(when string) {
-	w.calm()
-	w.calmAt = w.now
-	w.play(recovery)
-	w.awaits(2*time.Second, func() bool { return w.unwell() == "" })
+// recoverAndExpectService ends all faults and expects full service within the recovery bound and 2 s.
+func (w *world) recoverAndExpectService(when string) {
+	w.endFaults()
+	w.undisturbedSince = w.now
+	w.runFor(recoveryBound)
+	w.runUntil(2*time.Second, func() bool { return w.serviceProblem() == "" })
 	w.expectService(when)
 }
 
-// close ends what still runs.
+// close ends all processes and their tasks.
 func (w *world) close() {
-	w.ordersDone = true
+	w.operatorsStopped = true
 	for _, m := range w.machines {
 		if m.incarnation != nil {
-			m.incarnation.dead = true
+			m.incarnation.ended = true
 			m.incarnation.endTasks()
 		}
 	}
 }
 
-// tally gathers what many worlds show.
+// tally collects the results of many worlds.
 type tally struct {
-	mu     sync.Mutex
-	counts map[string]int
-	broken []string
-	orders int
-	checks int
-	kept   int
-	runs   int
-	spans  time.Duration
+	mu               sync.Mutex
+	counts           map[string]int
+	violations       []string
+	orders           int
+	checks           int
+	acceptedMessages int
+	runs             int
+	virtualTime      time.Duration
 }
 
 func (t *tally) add(seed uint64, w *world) {
@@ -132,28 +132,28 @@
 	t.checks += w.history.checks
 	for _, s := range w.messages.all {
 		t.runs += len(s.runs)
-		if s.keptAt >= 0 {
-			t.kept++
+		if s.acceptedAt >= 0 {
+			t.acceptedMessages++
 		}
 	}
-	t.spans += w.now
-	if w.broken != "" {
-		t.broken = append(t.broken, fmt.Sprintf("seed %d %+v: %s", seed, w.settings, w.broken))
+	t.virtualTime += w.now
+	if w.violation != "" {
+		t.violations = append(t.violations, fmt.Sprintf("seed %d %+v: %s", seed, w.settings, w.violation))
 	}
 }
 
-// init has fewer collections of garbage: worlds make much, and keep little.
+// init makes garbage collections rarer: worlds allocate much and retain little.
 func init() { garbage.SetGCPercent(400) }
 
-// playAll plays many seeds, some at once.
-func playAll(from uint64, count int, m mutant) *tally {
+// runWorlds runs one world for each seed, as many in parallel as there are processors.
+func runWorlds(from uint64, count int, m mutant) *tally {
 	t := &tally{counts: make(map[string]int)}
 	seeds := make(chan uint64)
 	var group sync.WaitGroup
 	for range runtime.GOMAXPROCS(0) {
 		group.Go(func() {
 			for seed := range seeds {
-				t.add(seed, play(seed, m))
+				t.add(seed, runWorld(seed, m))
 			}
 		})
 	}
@@ -162,58 +162,58 @@
 	}
 	close(seeds)
 	group.Wait()
-	slices.Sort(t.broken)
+	slices.Sort(t.violations)
 	return t
 }
 
 const (
-	usualWorlds   = 100
-	countedWorlds = 200 // from so many on each fault must have taken effect
+	defaultWorlds        = 100
+	minWorldsForCoverage = 200 // with this many worlds or more, each fault must have taken effect at least once
 )
 
-// TestWorldsOfDisruptionsKeepAllRules plays seeded worlds, and names each fault with how often it took effect.
-func TestWorldsOfDisruptionsKeepAllRules(t *testing.T) {
+// TestRandomFaults runs seeded worlds with random faults, in which no rule may be violated, and logs how often each fault took effect.
+func TestRandomFaults(t *testing.T) {
 	if *traceFlag {
 		debug = os.Stderr
-		w := play(*fromFlag, sound)
-		require.Empty(t, w.broken)
+		w := runWorld(*fromFlag, noMutation)
+		require.Empty(t, w.violation)
 		return
 	}
-	count := usualWorlds
+	count := defaultWorlds
 	if *seedsFlag > 0 {
 		count = *seedsFlag
 	}
-	tally := playAll(*fromFlag, count, sound)
-	t.Logf("%d worlds, %v of their time, %d orders sent, %d looks at an edge in touch, %d messages kept, %d runs", count,
-		tally.spans.Round(time.Second), tally.orders, tally.checks, tally.kept, tally.runs)
+	tally := runWorlds(*fromFlag, count, noMutation)
+	t.Logf("%d worlds, %v of virtual time, %d orders sent, %d checks of a connected edge or store, %d messages accepted, %d runs", count,
+		tally.virtualTime.Round(time.Second), tally.orders, tally.checks, tally.acceptedMessages, tally.runs)
 	for _, name := range slices.Sorted(maps.Keys(tally.counts)) {
 		t.Logf("%6d %s", tally.counts[name], name)
 	}
-	require.Empty(t, tally.broken, "%d of %d worlds broke a rule: %s", len(tally.broken), count, strings.Join(tally.broken[:min(3, len(tally.broken))], "\n\n"))
-	if count >= countedWorlds {
-		for _, name := range expected() {
+	require.Empty(t, tally.violations, "%d of %d worlds violated a rule: %s", len(tally.violations), count, strings.Join(tally.violations[:min(3, len(tally.violations))], "\n\n"))
+	if count >= minWorldsForCoverage {
+		for _, name := range expectedCounters() {
 			require.Positive(t, tally.counts[name], "%s never took effect", name)
 		}
 	}
 }
 
-// expected are the names under which faults count what took effect.
-func expected() []string {
+// expectedCounters lists the names under which faults count that they took effect.
+func expectedCounters() []string {
 	names := []string{"an order repeated", "bad_config", "disk_slow: a write was late", "disk_stall: a write waited", "disk_slow store: a write was late", "disk_stall store: a write waited"}
 	for _, f := range faults {
-		if !strings.HasPrefix(f.name, "disk_") { // these count the writes that they hold up
+		if !strings.HasPrefix(f.name, "disk_") { // disk faults count delayed writes instead, under the names above
 			names = append(names, f.name)
 		}
 	}
 	return names
 }
 
-// TestEqualSeedsHaveEqualHistories plays the same world twice, without messages: package dispatch goes through maps.
-func TestEqualSeedsHaveEqualHistories(t *testing.T) {
+// TestSimulationIsDeterministic runs worlds twice and expects equal traces. The worlds have no messages, since package dispatch iterates over maps.
+func TestSimulationIsDeterministic(t *testing.T) {
 	for seed := range uint64(12) {
-		settings := settingsOf(seed + 1)
+		settings := drawSettings(seed + 1)
 		settings.noTraffic = true
-		first, second := playIn(seed+1, settings, sound), playIn(seed+1, settings, sound)
+		first, second := runWorldWith(seed+1, settings, noMutation), runWorldWith(seed+1, settings, noMutation)
 		require.Equal(t, first.trace, second.trace, "seed %d", seed+1)
 	}
 }
--- a/test/simulation/system_test.go
+++ b/test/simulation/system_test.go
@@ -6,40 +6,40 @@
 	"time"
 )
 
-// worldSettings is what a world is made of.
+// worldSettings are the parameters of a world.
 type worldSettings struct {
 	controls       int
 	edges          int
 	stores         int
 	zones          int
-	faultTolerance int // machines that may be lost at once
+	faultTolerance int // number of machines that may fail at once
 	heartbeatMs    int
-	noTraffic      bool   // clients send nothing
-	asksRunning    bool   // operators ask only control machines that run
-	only           string // the name of the disruption that comes again and again; empty: all kinds
+	noTraffic      bool   // clients send no messages
+	asksRunning    bool   // operators send orders only to running control processes
+	only           string // name of the only fault to inject; empty: all faults
 }
 
-// mutant is a guard taken out, which the simulation must notice.
+// mutant is a deliberate bug, mostly a removed guard, that the simulation must detect.
 type mutant int
 
 const (
-	sound            mutant = iota
-	leadsOn                 // a leader that has lost its lease goes on until it hears of another
-	refusesByApplied        // an order is refused by the state that a process happens to have
-	unknownIsNever          // an order whose outcome is not known is said to have had no effect
-	keepsVotes              // a voter that has gone keeps its vote for longer than until another may be lost
-	noMargin                // a holder uses its lease as long as voters grant it
-	unsyncedAck             // a disk says that it has what it has not written yet
-	unsyncedRecord          // a store's journal says that a record is synced once it is in memory
+	noMutation                 mutant = iota
+	leadsAfterLeaseEnd                // a leader whose lease has expired keeps leading until it learns of another leader
+	refusesByLocalState               // an order is refused on the basis of the local, possibly stale, state of a control process
+	reportsUnknownAsNotApplied        // an order of unknown outcome is reported as not applied
+	keepsVotesTooLong                 // a failed voter keeps its vote beyond the time when the next machine may fail
+	noLeaseMargin                     // the holder uses its lease for the whole time granted by the voters, without a safety margin
+	acksBeforeWrite                   // a control process's disk confirms a write before it has written it
+	acksUnsyncedRecord                // a store's journal reports a record as synced when it is only in memory
 )
 
-// Bounds that the system must keep, as settings have them by default.
+// Bounds that the system must keep: the defaults of the settings.
 const (
-	contact   = 4 * time.Second
-	converge  = 3 * time.Second
-	catchup   = 5 * time.Second         // from then on a lost machine counts no more
-	lossEvery = catchup + 2*time.Second // from the loss of a disk of the core to the next: two until another is there
-	recovery  = 8 * time.Second         // from the end of all faults to service by all
+	contactBound  = 4 * time.Second
+	convergeBound = 3 * time.Second
+	catchupBound  = 5 * time.Second              // after this time a failed machine no longer counts as failed
+	lossInterval  = catchupBound + 2*time.Second // minimum time between losses of core disks: up to 2 s until a replacement starts, and its catch-up
+	recoveryBound = 8 * time.Second              // from the end of all faults until every process serves
 )
 
 const (
@@ -51,9 +51,9 @@
 
 func ipOf(net, number int) string { return fmt.Sprintf("10.%d.%d.%d", net, number/200, number%200+1) }
 
-func (w *world) number(net int) int {
-	w.numbers[net]++
-	return w.numbers[net] - 1
+func (w *world) nextNumber(net int) int {
+	w.nextNumbers[net]++
+	return w.nextNumbers[net] - 1
 }
 
 func (w *world) zones() []string {
@@ -66,23 +66,23 @@
 
 func (w *world) zone(number int) string { return fmt.Sprint("zone-", number%w.settings.zones) }
 
-// found makes all machines, and starts them within a short time.
-func (w *world) found() {
+// bootstrap creates all machines and starts each at a random time within 300 ms.
+func (w *world) bootstrap() {
 	s := w.settings
 	var seeds []string
 	for i := range min(3, s.controls) {
 		seeds = append(seeds, fmt.Sprintf("%s:%d", ipOf(controlNet, i), firstPort))
 	}
 	for range s.controls {
-		number := w.number(controlNet)
+		number := w.nextNumber(controlNet)
 		w.startSoon(w.newControl(number, w.zone(number), seeds, true).machine)
 	}
 	for range s.edges {
-		number := w.number(edgeNet)
+		number := w.nextNumber(edgeNet)
 		w.startSoon(w.newProcess(number, w.zone(number), seeds, true).machine)
 	}
 	for range s.stores {
-		number := w.number(storeNet)
+		number := w.nextNumber(storeNet)
 		w.startSoon(w.newProcess(number, w.zone(number), seeds, false).machine)
 	}
 	w.workers = []string{"worker-0", "worker-1"}
@@ -98,40 +98,40 @@
 	for i := range 2 {
 		o := &operator{world: w, name: fmt.Sprint("operator-", i)}
 		w.operators = append(w.operators, o)
-		w.after(time.Second+w.upTo(time.Second), o.work)
+		w.after(time.Second+w.durationUpTo(time.Second), o.sendNext)
 	}
-	w.after(lookEvery, w.look)
+	w.after(checkInterval, w.checkContinuously)
 	w.after(time.Second, w.changeWorkers)
 }
 
-func (w *world) startSoon(m *machine) { w.after(w.upTo(300*time.Millisecond), m.start) }
+func (w *world) startSoon(m *machine) { w.after(w.durationUpTo(300*time.Millisecond), m.start) }
 
-const lookEvery = 50 * time.Millisecond
+const checkInterval = 50 * time.Millisecond
 
-// look checks what holds at each moment.
-func (w *world) look() {
+// checkContinuously checks the rules that hold at all times, and runs itself again after checkInterval.
+func (w *world) checkContinuously() {
 	w.history.checkServing()
 	for _, m := range w.machines {
 		if m.incarnation != nil {
-			m.incarnation.tidy()
+			m.incarnation.dropClosedEndpoints()
 		}
 	}
-	w.after(lookEvery, w.look)
+	w.after(checkInterval, w.checkContinuously)
 }
 
-// changeWorkers has the platform's list change now and then.
+// changeWorkers changes the platform's list of workers at random intervals.
 func (w *world) changeWorkers() {
-	if !w.ordersDone {
-		w.races++
-		w.workers = append(w.workers, fmt.Sprint("worker-", len(w.workers), "-", w.races))
+	if !w.operatorsStopped {
+		w.raceCount++
+		w.workers = append(w.workers, fmt.Sprint("worker-", len(w.workers), "-", w.raceCount))
 		if len(w.workers) > 6 {
 			w.workers = append([]string(nil), w.workers[3:]...)
 		}
 	}
-	w.after(w.between(500*time.Millisecond, 3*time.Second), w.changeWorkers)
+	w.after(w.durationBetween(500*time.Millisecond, 3*time.Second), w.changeWorkers)
 }
 
-// controls are the control machines that have not been removed.
+// controls returns the control machines that have not been removed.
 func (w *world) controls() []*control {
 	var controls []*control
 	for _, m := range w.machines {
@@ -142,7 +142,7 @@
 	return controls
 }
 
-// processes are the edges and stores.
+// processes returns the edges and stores.
 func (w *world) processes() []*process {
 	var processes []*process
 	for _, m := range w.machines {
@@ -153,9 +153,11 @@
 	return processes
 }
 
-func (w *world) linked(a, b *machine) bool { return w.network.passes(a, b) && w.network.passes(b, a) }
+func (w *world) linked(a, b *machine) bool {
+	return w.network.reachable(a, b) && w.network.reachable(b, a)
+}
 
-// reachesMajority says whether a control machine reaches more than half of the core, itself included.
+// reachesMajority reports whether a control machine can exchange packets with more than half of the core, itself included.
 func (w *world) reachesMajority(c *control, core []*control) bool {
 	count := 0
 	for _, other := range core {
@@ -166,7 +168,8 @@
 	return 2*count > len(core)
 }
 
-// reachesCore says whether a machine has a path both ways to each running control machine that reaches more than half of the core.
+// reachesCore reports whether a machine can exchange packets with every running control machine that reaches a majority of the core. It is
+// false if there is no such control machine.
 func (w *world) reachesCore(p *process) bool {
 	core := w.controls()
 	any := false
@@ -182,15 +185,15 @@
 	return any
 }
 
-// coreStable says whether nothing has been done to the core for a while, and more than half of it runs and is connected.
+// coreStable reports whether the core was not disturbed within the contact bound and a connected majority of it runs.
 func (w *world) coreStable() bool {
-	if w.now-w.coreHarmed < contact || w.network.lossy > 0 {
+	if w.now-w.coreDisturbedAt < contactBound || w.network.lossPercent > 0 {
 		return false
 	}
 	core := w.controls()
 	complete := false
 	for _, c := range core {
-		if w.network.slow[c.machine] > 0 || c.slowBy > 0 || c.stalled {
+		if w.network.slowCount[c.machine] > 0 || c.diskDelay > 0 || c.diskStalled {
 			return false
 		}
 		complete = complete || c.incarnation != nil && !c.frozen && w.reachesMajority(c, core)
@@ -198,23 +201,23 @@
 	return complete
 }
 
-// spare is how many more control machines may be lost now: the bench has what would lose more wait its turn. A machine whose disk was
-// lost counts as lost until the system has had the time to catch up.
-func (w *world) spare() int {
+// toleratedLosses returns how many more control machines may fail now; a fault that would exceed this is not injected. A machine that lost its
+// disk counts as failed until lossInterval has passed, so that the system has had time to catch up.
+func (w *world) toleratedLosses() int {
 	spare := w.settings.faultTolerance
-	if w.diskLostAt > 0 && w.now-w.diskLostAt < lossEvery {
+	if w.diskLostAt > 0 && w.now-w.diskLostAt < lossInterval {
 		spare -= w.disksLost
 	}
 	core := w.controls()
 	for _, c := range core {
-		if c.incarnation == nil || c.frozen || c.stalled || !c.node.Attached() || !w.reachesAll(c, core) {
+		if c.incarnation == nil || c.frozen || c.diskStalled || !c.node.Attached() || !w.reachesAll(c, core) {
 			spare--
 		}
 	}
 	return max(0, spare)
 }
 
-// reachesAll says whether a control machine is partitioned from none of the core, but for those that many are partitioned from.
+// reachesAll reports whether a control machine reaches a majority of the core and every other control machine that also reaches a majority.
 func (w *world) reachesAll(c *control, core []*control) bool {
 	if !w.reachesMajority(c, core) {
 		return false
@@ -227,50 +230,50 @@
 	return true
 }
 
-// complete says whether nothing of the core is lost.
-func (w *world) complete() bool { return w.spare() == w.settings.faultTolerance }
+// coreComplete reports whether no control machine counts as failed.
+func (w *world) coreComplete() bool { return w.toleratedLosses() == w.settings.faultTolerance }
 
-// describe tells how the system stands.
-func (w *world) describe() string {
+// debugString describes the state of each process, for failure messages.
+func (w *world) debugString() string {
 	var text strings.Builder
 	for _, c := range w.controls() {
 		if c.node != nil {
-			fmt.Fprintf(&text, "%s runs %v frozen %v holds %v leader %q %s\n", c.name, c.incarnation != nil, c.frozen, c.holds(), c.node.Leader(c.clock()), c.node.DebugString())
+			fmt.Fprintf(&text, "%s: running %v, frozen %v, holds the lease %v, leader %q, %s\n", c.name, c.incarnation != nil, c.frozen, c.holdsLease(), c.node.Leader(c.clock()), c.node.DebugString())
 		}
 	}
 	for _, p := range w.processes() {
 		versions, serves := p.serves()
-		fmt.Fprintf(&text, "%s runs %v frozen %v serves %v %v\n", p.name, p.incarnation != nil, p.frozen, serves, versions)
+		fmt.Fprintf(&text, "%s: running %v, frozen %v, serves %v, versions %v\n", p.name, p.incarnation != nil, p.frozen, serves, versions)
 	}
 	return text.String()
 }
 
-// expectService sees whether all is well.
+// expectService fails the world if the system is not fully in service.
 func (w *world) expectService(when string) {
-	if w.broken != "" {
+	if w.violation != "" {
 		return
 	}
-	if problem := w.unwell(); problem != "" {
-		w.fail("%s: %s\n%s", when, problem, w.describe())
+	if problem := w.serviceProblem(); problem != "" {
+		w.fail("%s: %s\n%s", when, problem, w.debugString())
 	}
 }
 
-// unwell says what is not as it should be when nothing has been in the way for a while.
-func (w *world) unwell() string {
-	if w.now-w.history.newest > 2*time.Second {
-		return fmt.Sprintf("no order was acknowledged for %v", w.now-w.history.newest)
+// serviceProblem describes the first shortcoming of a system that should be fully in service; empty: there is none.
+func (w *world) serviceProblem() string {
+	if w.now-w.history.lastAckAt > 2*time.Second {
+		return fmt.Sprintf("no order was acknowledged for %v", w.now-w.history.lastAckAt)
 	}
 	holders := 0
 	for _, c := range w.controls() {
-		if c.holds() {
+		if c.holdsLease() {
 			holders++
 		}
 		if !c.node.Attached() {
-			return c.name + " is not in the chain"
+			return c.name + " is not in the replication chain"
 		}
 	}
 	if holders != 1 {
-		return fmt.Sprintf("%d hold the lease", holders)
+		return fmt.Sprintf("%d control processes hold the leader lease, want 1", holders)
 	}
 	edges := 0
 	for _, p := range w.processes() {
@@ -284,11 +287,12 @@
 			return p.name + " does not serve"
 		}
 	}
-	return w.unplaced(edges)
+	return w.placementProblem(edges)
 }
 
-// unplaced says what is wrong with the lists of members and the placement.
-func (w *world) unplaced(edges int) string {
+// placementProblem describes the first error in the processes' member lists and store placement; empty: there is none. A negative number of
+// edges is not compared.
+func (w *world) placementProblem(edges int) string {
 	for _, p := range w.processes() {
 		if p.removed {
 			continue
@@ -298,17 +302,17 @@
 		}
 		snapshot := p.agent.Snapshot()
 		if snapshot.Members == nil {
-			return p.name + " knows no members"
+			return p.name + " has no member list"
 		}
 		if listed := len(snapshot.Members.Edges); edges >= 0 && listed != edges {
-			return fmt.Sprintf("%s lists %d of %d edges", p.name, listed, edges)
+			return fmt.Sprintf("%s lists %d edges, want %d", p.name, listed, edges)
 		}
 		if snapshot.Stores == nil {
-			return p.name + " knows no placement"
+			return p.name + " has no store placement"
 		}
 		for number, partition := range snapshot.Stores.Partitions {
 			if len(partition.Replicas) != int(snapshot.Stores.Copies) || len(partition.Joining) > 0 {
-				return fmt.Sprintf("%s has partition %d at %v, joining %v", p.name, number, partition.Replicas, partition.Joining)
+				return fmt.Sprintf("%s has partition %d with replicas %v, joining %v", p.name, number, partition.Replicas, partition.Joining)
 			}
 		}
 	}
--- a/test/simulation/task_test.go
+++ b/test/simulation/task_test.go
@@ -8,27 +8,27 @@
 	"ravendale/cluster/relay/mailbox"
 )
 
-// task is code that may wait, run as a coroutine: one runs at a time, and gives way only where it waits.
+// task is a coroutine of a process. One task runs at a time, and yields only where it waits.
 type task struct {
 	incarnation *incarnation
 	next        func() (struct{}, bool)
 	stop        func()
 	yield       func(struct{}) bool
-	turn        uint64
+	wakeCount   uint64
 	done        bool
 }
 
-// killed is what a task ends with whose process has ended.
-type killed struct{}
+// processEnded is the panic value that unwinds a task whose process has ended.
+type processEnded struct{}
 
-// begin starts a task of a process.
-func (l *incarnation) begin(run func()) {
+// startTask starts a task of the process.
+func (l *incarnation) startTask(run func()) {
 	t := &task{incarnation: l}
 	t.next, t.stop = iter.Pull(func(yield func(struct{}) bool) {
 		defer func() {
 			t.done = true
 			if problem := recover(); problem != nil {
-				if _, ended := problem.(killed); !ended {
+				if _, ended := problem.(processEnded); !ended {
 					panic(problem)
 				}
 			}
@@ -40,18 +40,18 @@
 	t.wake(0)
 }
 
-// wake has a waiting task go on, after a while.
+// wake resumes a waiting task after a delay, unless it has been resumed before that.
 func (t *task) wake(after time.Duration) {
-	turn := t.turn
-	t.incarnation.after(after, func() { t.resume(turn) })
+	wakeCount := t.wakeCount
+	t.incarnation.after(after, func() { t.resume(wakeCount) })
 }
 
-// resume goes on unless the task has done so since.
-func (t *task) resume(turn uint64) {
-	if t.done || t.turn != turn {
+// resume continues the task, unless it has been resumed since this wake-up was scheduled.
+func (t *task) resume(wakeCount uint64) {
+	if t.done || t.wakeCount != wakeCount {
 		return
 	}
-	t.turn++
+	t.wakeCount++
 	world := t.incarnation.machine.world
 	before := world.running
 	world.running = t
@@ -62,11 +62,11 @@
 // pause waits until the task is woken.
 func (t *task) pause() {
 	if !t.yield(struct{}{}) {
-		panic(killed{})
+		panic(processEnded{})
 	}
 }
 
-// end ends all tasks of a process.
+// endTasks ends all tasks of the process.
 func (l *incarnation) endTasks() {
 	for _, t := range l.tasks {
 		t.done = true
@@ -85,7 +85,7 @@
 // Go implements host.Tasks.
 func (g *tasks) Go(run func()) {
 	g.running++
-	g.incarnation.begin(func() {
+	g.incarnation.startTask(func() {
 		run()
 		g.running--
 		for _, waiter := range g.waiting {
@@ -104,12 +104,12 @@
 	}
 }
 
-// sleep implements host.Host.Sleep. Those who end a context wake all that sleep.
+// sleep implements host.Host.Sleep. Code that cancels a context has to call wakeSleepers.
 func (l *incarnation) sleep(ctx context.Context, pause time.Duration) error {
 	t := l.machine.world.running
 	until := l.now() + pause
 	for ctx.Err() == nil && l.now() < until {
-		t.wake(l.real(until - l.now()))
+		t.wake(l.worldDuration(until - l.now()))
 		l.sleeping[t] = true
 		t.pause()
 		delete(l.sleeping, t)
@@ -117,7 +117,7 @@
 	return ctx.Err()
 }
 
-// wakeSleepers has all that wait look at their contexts.
+// wakeSleepers wakes all sleeping tasks, which then check their contexts.
 func (l *incarnation) wakeSleepers() {
 	for _, t := range l.tasks {
 		if l.sleeping[t] {
@@ -133,7 +133,7 @@
 	box.OnPost(func() {
 		if waiting && !woken {
 			woken = true
-			t.wake(l.machine.world.upTo(handling))
+			t.wake(l.machine.world.durationUpTo(maxHandlingDelay))
 		}
 	})
 	for {
@@ -142,7 +142,7 @@
 			return
 		}
 		if pause > 0 {
-			t.wake(l.real(pause))
+			t.wake(l.worldDuration(pause))
 		}
 		l.sleeping[t] = true
 		waiting, woken = true, false
@@ -159,5 +159,5 @@
 	}
 }
 
-// handling is how long a process takes at most until it handles what has come.
-const handling = 300 * time.Microsecond
+// maxHandlingDelay is the longest delay until a process handles a message in its mailbox.
+const maxHandlingDelay = 300 * time.Microsecond
--- a/test/simulation/world_test.go
+++ b/test/simulation/world_test.go
@@ -6,40 +6,40 @@
 	"time"
 )
 
-// world is a system in virtual time: events run one after the other, in the order of their times.
+// world is a simulated system in virtual time. Its events run one after the other in the order of their times.
 type world struct {
-	random   *rand.Rand
-	mutant   mutant
-	settings worldSettings
-	now      time.Duration
-	queue    []event // heap by time, then by order of making
-	made     uint64
-	broken   string
-	trace    uint64         // of all that happened: equal seeds have equal ones
-	counts   map[string]int // faults that took effect, by kind
-	running  *task          // nil while no task runs
-	machines []*machine     // in the order of their making
-	byHost   map[string]*machine
-	network  *network
-	history  *history
-	workers  []string // on the platform's list beside the servers
-	servers  map[string]*server
-	messages *messages
-	quiet    bool          // clients send no more
-	calmAt   time.Duration // since when nothing is in the way; negative: something is
+	random           *rand.Rand
+	mutant           mutant
+	settings         worldSettings
+	now              time.Duration
+	queue            []event // heap by time, then by order of creation
+	eventCount       uint64
+	violation        string
+	trace            uint64         // hash of the logged events and their times; equal seeds give equal hashes
+	counts           map[string]int // number of faults that took effect, by name
+	running          *task          // nil while no task runs
+	machines         []*machine     // in the order of creation
+	byHost           map[string]*machine
+	network          *network
+	history          *history
+	workers          []string // listed by the platform in addition to the servers; they accept no messages
+	servers          map[string]*server
+	messages         *messages
+	trafficStopped   bool          // clients have stopped sending
+	undisturbedSince time.Duration // start of the period without faults; negative: faults are active
 
-	operators  []*operator
-	races      int
-	ackLoss    int           // of answers to operators, in hundredths
-	ordersDone bool          // operators send no more
-	period     int           // counts up when calm comes
-	wipedAt    time.Duration // when a store lost its disk last
-	diskLostAt time.Duration // when a disk of the core was lost last
-	disksLost  int           // with it
-	slowDisks  bool          // all of them, always
-	replaced   int           // control machines that were replaced
-	coreHarmed time.Duration // when something was last done to the core
-	numbers    map[int]int   // of machines, by net
+	operators        []*operator
+	raceCount        int
+	ackLossPercent   int           // percentage of answers to operators that are lost
+	operatorsStopped bool          // operators have stopped sending
+	faultPeriod      int           // incremented when all faults are ended, which cancels pending faults
+	storeWipedAt     time.Duration // last time a store lost its disk
+	diskLostAt       time.Duration // last time a disk of the core was lost
+	disksLost        int           // core disks lost within lossInterval
+	slowDisks        bool          // all disks are slow for the whole run
+	replaced         int           // number of control machines that were replaced
+	coreDisturbedAt  time.Duration // time of the last fault or restart in the core
+	nextNumbers      map[int]int   // next machine number, by network
 }
 
 type event struct {
@@ -51,18 +51,18 @@
 func newWorld(seed uint64, settings worldSettings, m mutant) *world {
 	w := &world{
 		random: rand.New(rand.NewPCG(seed, 11)), mutant: m, settings: settings, counts: make(map[string]int), byHost: make(map[string]*machine),
-		numbers: make(map[int]int),
+		nextNumbers: make(map[int]int),
 	}
-	w.network = &network{world: w, partitioned: make(map[[2]*machine]int), slow: make(map[*machine]int)}
-	w.history, w.messages, w.servers, w.calmAt = newHistory(w), newMessages(w), make(map[string]*server), -1
+	w.network = &network{world: w, partitioned: make(map[[2]*machine]int), slowCount: make(map[*machine]int)}
+	w.history, w.messages, w.servers, w.undisturbedSince = newHistory(w), newMessages(w), make(map[string]*server), -1
 	w.slowDisks = w.random.IntN(4) == 0
 	return w
 }
 
-// after has something done after a while.
+// after schedules run after a delay.
 func (w *world) after(wait time.Duration, run func()) {
-	w.made++
-	w.queue = append(w.queue, event{w.now + wait, w.made, run})
+	w.eventCount++
+	w.queue = append(w.queue, event{w.now + wait, w.eventCount, run})
 	for i := len(w.queue) - 1; i > 0; {
 		parent := (i - 1) / 2
 		if !w.before(i, parent) {
@@ -101,38 +101,38 @@
 	return first
 }
 
-// play runs for a while, or until a rule is broken.
-func (w *world) play(span time.Duration) {
+// runFor runs events for a duration, or until a rule is violated.
+func (w *world) runFor(span time.Duration) {
 	until := w.now + span
-	for len(w.queue) > 0 && w.queue[0].at <= until && w.broken == "" {
+	for len(w.queue) > 0 && w.queue[0].at <= until && w.violation == "" {
 		next := w.pop()
 		w.now = next.at
 		next.run()
 	}
-	if w.broken == "" {
+	if w.violation == "" {
 		w.now = until
 	}
 }
 
-// awaits plays until a condition holds, for so long at most, and says whether it does.
-func (w *world) awaits(within time.Duration, met func() bool) bool {
+// runUntil runs events until a condition holds or the time is over, and reports whether it holds.
+func (w *world) runUntil(within time.Duration, met func() bool) bool {
 	until := w.now + within
-	for w.broken == "" && w.now < until {
+	for w.violation == "" && w.now < until {
 		if met() {
 			return true
 		}
-		w.play(min(10*time.Millisecond, until-w.now))
+		w.runFor(min(10*time.Millisecond, until-w.now))
 	}
 	return met()
 }
 
 func (w *world) fail(format string, arguments ...any) {
-	if w.broken == "" {
-		w.broken = fmt.Sprintf("at %v: ", w.now) + fmt.Sprintf(format, arguments...)
+	if w.violation == "" {
+		w.violation = fmt.Sprintf("at %v: ", w.now) + fmt.Sprintf(format, arguments...)
 	}
 }
 
-// log adds something that happened, and when, to the trace.
+// log adds an event and its time to the trace.
 func (w *world) log(format string, arguments ...any) {
 	w.trace = (w.trace^uint64(w.now))*1099511628211 + uint64(len(format))
 	if debug != nil {
@@ -140,16 +140,18 @@
 	}
 }
 
-// took counts a fault that took effect.
-func (w *world) took(fault string) {
+// countFault counts a fault that took effect.
+func (w *world) countFault(fault string) {
 	w.counts[fault]++
 	w.log("fault %s", fault)
 }
 
-// upTo draws a span.
-func (w *world) upTo(most time.Duration) time.Duration {
+// durationUpTo draws a duration below most.
+func (w *world) durationUpTo(most time.Duration) time.Duration {
 	return time.Duration(w.random.Int64N(int64(max(most, 1))))
 }
 
-// between draws a span.
-func (w *world) between(least, most time.Duration) time.Duration { return least + w.upTo(most-least) }
+// durationBetween draws a duration from least to most.
+func (w *world) durationBetween(least, most time.Duration) time.Duration {
+	return least + w.durationUpTo(most-least)
+}
--- a/test/standin/check/check.go
+++ b/test/standin/check/check.go
@@ -23,35 +23,35 @@
 	RuleRoute       Rule = "ROUTE"
 	RuleDrain       Rule = "DRAIN"
 	RuleConfig      Rule = "CONFIG"
-	RuleEarly       Rule = "EARLY" // a run before the delay is over: not a rule, but worth nothing
+	RuleEarly       Rule = "EARLY" // a run before the end of the message's delay: it violates no rule, but is useless
 	RuleUndelivered Rule = "UNDELIVERED"
 )
 
-// Finding is one break of a rule.
+// Finding is one violation of a rule.
 type Finding struct {
 	Rule    Rule
 	Subject string // Request-Id, service or version
 	Reason  string
 }
 
-// String gives the rule, the subject and the reason.
+// String returns the rule, the subject and the reason.
 func (f Finding) String() string { return fmt.Sprintf("%s %s: %s", f.Rule, f.Subject, f.Reason) }
 
 // Bounds of the rules.
 type Bounds struct {
-	Drain         time.Duration // from when the list shows a worker as leaving
-	Failover      time.Duration // more, while no machine is in touch: a process was faulty or stopped within Contact
-	Converge      time.Duration // from the acknowledgement of a configuration
-	Contact       time.Duration // a fault counts so long
+	Drain         time.Duration // time after the list shows a worker as leaving until requests must not reach it
+	Failover      time.Duration // added to Drain if a process was faulty or stopped within Contact, when a new leader may have to take over first
+	Converge      time.Duration // time from the acknowledgement of a configuration until all edges use it
+	Contact       time.Duration // time after a fault during which its effects are allowed
 	RateWindow    time.Duration
 	RateOvershoot float64       // originOvershoot
-	Earliest      time.Duration // a run may begin so long before its delay is over
-	LossSlack     time.Duration // a connection may close so long after a request without an answer
-	SuccessMargin time.Duration // a success counts if it was complete so long before the time-out
-	RateSlack     int           // allowed beyond rate x window x factor
+	Earliest      time.Duration // how much earlier than its delay a run may start
+	LossSlack     time.Duration // a connection may close without an answer for this long after the request
+	SuccessMargin time.Duration // a success counts if it was complete this long before the timeout
+	RateSlack     int           // arrivals allowed beyond rate x window x overshoot
 }
 
-// DefaultBounds are the figures of the protocol's example.
+// DefaultBounds returns the bounds of the protocol's example.
 func DefaultBounds() Bounds {
 	return Bounds{
 		Drain:         3 * time.Second,
@@ -66,7 +66,7 @@
 	}
 }
 
-// All applies each rule.
+// All applies every rule except UNDELIVERED.
 func All(h *history.History, bounds Bounds) []Finding {
 	v := newView(h)
 	var found []Finding
@@ -85,54 +85,55 @@
 	return found
 }
 
-// Lost finds accepted messages that have not ended and can't be read back, or are told to have ended.
+// Lost finds accepted messages that have not ended, but can't be read back or are reported as ended.
 func Lost(h *history.History) []Finding { return newView(h).lost() }
 
-// Truncated finds requests that got no answer although no unplanned fault was near: they ran, or their connection closed late.
+// Truncated finds requests without an answer, although there was no unplanned fault at that time, that reached a worker or whose connection closed
+// late.
 func Truncated(h *history.History, bounds Bounds) []Finding { return newView(h).truncated(bounds) }
 
-// Order finds runs on ordered routes that started before one accepted earlier had ended.
+// Order finds runs on ordered routes that started before a message of the same key that was accepted earlier had ended.
 func Order(h *history.History) []Finding { return newView(h).order() }
 
-// Twice finds runs after a complete success, with no fault near.
+// Twice finds runs after a complete success, without an unplanned fault at that time.
 func Twice(h *history.History, bounds Bounds) []Finding { return newView(h).twice(bounds) }
 
-// RateLimits finds services that got more arrivals in a window than their rate allows.
+// RateLimits finds services with more arrivals in a window than their rate allows.
 func RateLimits(h *history.History, bounds Bounds) []Finding { return newView(h).rateLimits(bounds) }
 
-// Mixed finds states and bodies that are another's, or that nobody gave.
+// Mixed finds states and bodies that belong to another message or to none.
 func Mixed(h *history.History) []Finding { return newView(h).mixed() }
 
-// Refused finds messages that ran although their client was promised that they never would.
+// Refused finds messages that ran although the answer to their client promised that they never would.
 func Refused(h *history.History) []Finding { return newView(h).refused() }
 
-// Unasked finds requests at workers that no client sent, or not like that.
+// Unasked finds runs of requests that no client sent, or that differ from the client's request.
 func Unasked(h *history.History) []Finding { return newView(h).unasked() }
 
-// Route finds runs at services to which no configuration ever sent the request.
+// Route finds runs at services to which no configuration ever routed the request.
 func Route(h *history.History) []Finding { return newView(h).route() }
 
 // Drain finds requests that reached a worker too long after the list showed it as leaving.
 func Drain(h *history.History, bounds Bounds) []Finding { return newView(h).drain(bounds) }
 
-// Config finds requests that were handled as only an older version allows.
+// Config finds requests that were handled by an outdated configuration, and pairs of changes that were both acknowledged on the same version.
 func Config(h *history.History, bounds Bounds) []Finding { return newView(h).config(bounds) }
 
-// Early finds runs before a message's delay was over.
+// Early finds runs that started before the message's delay was over.
 func Early(h *history.History, bounds Bounds) []Finding { return newView(h).early(bounds) }
 
-// Undelivered finds accepted messages that have not ended. It is stricter than any rule: use it where all could be delivered.
+// Undelivered finds accepted messages that have not ended. It is stricter than the rules: use it where all messages could be delivered.
 func Undelivered(h *history.History) []Finding { return newView(h).undelivered() }
 
-// never is later than all times of a history.
+// never is the end time of messages that have not ended; it is later than all times of a history.
 const never = time.Duration(1<<63 - 1)
 
-// view is a history with its indices.
+// view is a history with indices.
 type view struct {
 	*history.History
 	sends    map[string]history.Send      // by Request-Id
 	arrivals map[string][]history.Arrival // by Request-Id, in the order of arrival
-	orders   []history.Order              // those that may have been taken, by version
+	orders   []history.Order              // those that may have been applied, by version
 	end      time.Duration                // of the history
 }
 
@@ -166,9 +167,9 @@
 	return v
 }
 
-// endOf is when a message ended, or never. Where versions differ, the earliest end counts.
-func (v *view) endOf(send history.Send) time.Duration {
-	finished := v.expired(send)
+// endTime returns when a message ended, or never. If the possible configurations give different ends, it is the earliest.
+func (v *view) endTime(send history.Send) time.Duration {
+	finished := v.expiryTime(send)
 	var failures []time.Duration
 	for _, arrival := range v.arrivals[send.RequestID] {
 		switch arrival.Outcome {
@@ -186,13 +187,13 @@
 	return finished
 }
 
-// expired is when a message's retention is over, or its route is dropped.
-func (v *view) expired(send history.Send) time.Duration {
+// expiryTime returns when a message's retention ended or its route was removed, or never.
+func (v *view) expiryTime(send history.Send) time.Duration {
 	expired := never
-	for _, order := range v.possible(send.Sent, never, 0) {
+	for _, order := range v.possibleOrders(send.Sent, never, 0) {
 		route, found := order.Config.Route(send.Route)
 		if !found {
-			if v.known(send.Route, order.Config.Version) {
+			if v.existedBefore(send.Route, order.Config.Version) {
 				expired = min(expired, max(order.Sent, send.Sent))
 			}
 			continue
@@ -205,8 +206,8 @@
 	return expired
 }
 
-// known says whether a version before the given one has a route, so that one without it drops it.
-func (v *view) known(route string, before uint64) bool {
+// existedBefore reports whether a version before the given one has a route, so that a version without it removes the route.
+func (v *view) existedBefore(route string, before uint64) bool {
 	for _, order := range v.orders {
 		if _, found := order.Config.Route(route); found {
 			return order.Config.Version < before
@@ -227,8 +228,8 @@
 	return retries
 }
 
-// ordered says whether any version orders a route's messages by key.
-func (v *view) ordered(name string) bool {
+// isOrdered reports whether any version orders a route's messages by key.
+func (v *view) isOrdered(name string) bool {
 	for _, order := range v.orders {
 		if route, found := order.Config.Route(name); found && route.Ordered {
 			return true
@@ -237,29 +238,29 @@
 	return false
 }
 
-// unplanned says whether an unplanned fault lies in a span.
-func (v *view) unplanned(from, until time.Duration) bool {
-	for _, trouble := range v.Faults {
-		if !trouble.Planned && trouble.At <= until && trouble.Until >= from {
+// hasUnplannedFault reports whether an unplanned fault overlaps a period.
+func (v *view) hasUnplannedFault(from, until time.Duration) bool {
+	for _, fault := range v.Faults {
+		if !fault.Planned && fault.At <= until && fault.Until >= from {
 			return true
 		}
 	}
 	return false
 }
 
-// disturbed says whether any fault, planned or not, lies in a span.
-func (v *view) disturbed(from, until time.Duration) bool {
-	for _, trouble := range v.Faults {
-		if trouble.At <= until && trouble.Until >= from {
+// hasFault reports whether any fault, planned or not, overlaps a period.
+func (v *view) hasFault(from, until time.Duration) bool {
+	for _, fault := range v.Faults {
+		if fault.At <= until && fault.Until >= from {
 			return true
 		}
 	}
 	return false
 }
 
-// possible lists the orders that may rule a request sent and handled at some times: the newest that was acknowledged long enough
-// before, and all newer ones.
-func (v *view) possible(sent, handled, converge time.Duration) []history.Order {
+// possibleOrders lists the orders whose configuration may apply to a request that was sent and handled at the given times: the newest one
+// acknowledged more than converge before the request was sent, and all newer ones sent before it was handled.
+func (v *view) possibleOrders(sent, handled, converge time.Duration) []history.Order {
 	var possible []history.Order
 	for _, order := range v.orders {
 		if order.Taken() && order.Answered+converge < sent {
--- a/test/standin/check/doc.go
+++ b/test/standin/check/doc.go
@@ -1,5 +1,6 @@
-// Package check judges histories: pure functions that find where a rule was broken. Each names the rule, the message and the reason.
+// Package check finds violations of the system's rules in a recorded history. Its functions are pure. Each finding names the rule, the message
+// and the reason.
 //
-// Where a history leaves open what happened, as when an order of the operator got no clear answer, the checkers assume what keeps
-// the rule.
+// Where a history leaves open what happened, for example after an operator's order without a clear answer, the checkers assume the case in
+// which the rule holds.
 package check
--- a/test/standin/check/rules.go
+++ b/test/standin/check/rules.go
@@ -10,8 +10,8 @@
 	"ravendale/test/standin/protocol"
 )
 
-// readings is the last reading of each message, by Request-Id.
-func (v *view) readings() map[string]history.Reading {
+// lastReadings returns the last reading of each message, by Request-Id.
+func (v *view) lastReadings() map[string]history.Reading {
 	last := make(map[string]history.Reading, len(v.Readings))
 	for _, reading := range v.Readings {
 		if reading.At >= last[reading.RequestID].At {
@@ -23,19 +23,19 @@
 
 func (v *view) lost() []Finding {
 	var found []Finding
-	readings := v.readings()
+	readings := v.lastReadings()
 	for _, send := range v.Sends {
-		if !send.Accepted() || v.endOf(send) != never {
+		if !send.Accepted() || v.endTime(send) != never {
 			continue
 		}
 		reading, read := readings[send.RequestID]
 		switch {
 		case !read || reading.StateStatus != http.StatusOK:
-			found = append(found, Finding{RuleLost, send.RequestID, fmt.Sprintf("accepted at %v, has not ended, and its state does not come back (%d)", send.Answered, reading.StateStatus)})
+			found = append(found, Finding{RuleLost, send.RequestID, fmt.Sprintf("accepted at %v, has not ended, but its state can't be read (status %d)", send.Answered, reading.StateStatus)})
 		case reading.State != protocol.StatePending:
-			found = append(found, Finding{RuleLost, send.RequestID, "has not ended, and is told to be " + reading.State})
+			found = append(found, Finding{RuleLost, send.RequestID, "has not ended, but is reported as " + reading.State})
 		case reading.BodyStatus != http.StatusOK:
-			found = append(found, Finding{RuleLost, send.RequestID, fmt.Sprintf("has not ended, and its body does not come back (%d)", reading.BodyStatus)})
+			found = append(found, Finding{RuleLost, send.RequestID, fmt.Sprintf("has not ended, but its body can't be read (status %d)", reading.BodyStatus)})
 		}
 	}
 	return found
@@ -44,7 +44,7 @@
 func (v *view) truncated(bounds Bounds) []Finding {
 	var found []Finding
 	for _, send := range v.Sends {
-		if send.Status != 0 || v.unplanned(send.Sent-bounds.Contact, send.Answered) {
+		if send.Status != 0 || v.hasUnplannedFault(send.Sent-bounds.Contact, send.Answered) {
 			continue
 		}
 		took := send.Answered - send.Sent
@@ -59,7 +59,7 @@
 func (v *view) undelivered() []Finding {
 	var found []Finding
 	for _, send := range v.Sends {
-		if send.Accepted() && v.endOf(send) == never {
+		if send.Accepted() && v.endTime(send) == never {
 			reason := fmt.Sprintf("route %s key %q, accepted at %v with delay %v as %s, arrived %d times", send.Route, send.Key, send.Answered, send.Delay, send.MessageID, len(v.arrivals[send.RequestID]))
 			found = append(found, Finding{RuleUndelivered, send.RequestID, reason})
 		}
@@ -67,8 +67,8 @@
 	return found
 }
 
-// finishedBefore is, of messages with a key in the order of their acceptance, when the last of all up to each ended.
-type finishedBefore struct {
+// latestEnd is the latest end among a message and all messages of its key that were accepted before it.
+type latestEnd struct {
 	accepted time.Duration
 	finished time.Duration
 	id       string
@@ -76,8 +76,8 @@
 
 func (v *view) order() []Finding {
 	var found []Finding
-	for key, sends := range v.byKey() {
-		earlier := v.endings(sends)
+	for key, sends := range v.sendsByKey() {
+		earlier := v.latestEnds(sends)
 		for _, send := range sends {
 			i := sort.Search(len(earlier), func(i int) bool { return earlier[i].accepted >= send.Sent })
 			if i == 0 {
@@ -86,7 +86,7 @@
 			last := earlier[i-1]
 			for _, arrival := range v.arrivals[send.RequestID] {
 				if arrival.Started() && arrival.Start < last.finished {
-					reason := fmt.Sprintf("key %s: started at %v before %s had ended (%s)", key, arrival.Start, last.id, timeOf(last.finished))
+					reason := fmt.Sprintf("key %s: started at %v before %s had ended (%s)", key, arrival.Start, last.id, formatEnd(last.finished))
 					found = append(found, Finding{RuleOrder, send.RequestID, reason})
 				}
 			}
@@ -95,21 +95,21 @@
 	return found
 }
 
-func timeOf(finished time.Duration) string {
+func formatEnd(finished time.Duration) string {
 	if finished == never {
 		return "never"
 	}
 	return finished.String()
 }
 
-// byKey groups the messages of ordered routes.
-func (v *view) byKey() map[string][]history.Send {
+// sendsByKey groups the messages of ordered routes by key.
+func (v *view) sendsByKey() map[string][]history.Send {
 	grouped := make(map[string][]history.Send)
 	ordered := make(map[string]bool)
 	for _, send := range v.Sends {
 		known, checked := ordered[send.Route]
 		if !checked {
-			known = v.ordered(send.Route)
+			known = v.isOrdered(send.Route)
 			ordered[send.Route] = known
 		}
 		if known && send.Key != "" {
@@ -119,11 +119,11 @@
 	return grouped
 }
 
-func (v *view) endings(sends []history.Send) []finishedBefore {
-	var endings []finishedBefore
+func (v *view) latestEnds(sends []history.Send) []latestEnd {
+	var endings []latestEnd
 	for _, send := range sends {
 		if send.Accepted() {
-			endings = append(endings, finishedBefore{accepted: send.Answered, finished: v.endOf(send), id: send.RequestID})
+			endings = append(endings, latestEnd{accepted: send.Answered, finished: v.endTime(send), id: send.RequestID})
 		}
 	}
 	sort.Slice(endings, func(i, j int) bool { return endings[i].accepted < endings[j].accepted })
@@ -140,11 +140,11 @@
 	var found []Finding
 	for id, arrivals := range v.arrivals {
 		for _, done := range arrivals {
-			if done.Outcome != history.OutcomeDone || !done.Answered || !v.inTime(id, done, bounds) {
+			if done.Outcome != history.OutcomeDone || !done.Answered || !v.succeededInTime(id, done, bounds) {
 				continue
 			}
 			for _, again := range arrivals {
-				if !again.Started() || again.Start <= done.Written || v.unplanned(done.Start-bounds.Contact, again.Arrived) {
+				if !again.Started() || again.Start <= done.Written || v.hasUnplannedFault(done.Start-bounds.Contact, again.Arrived) {
 					continue
 				}
 				reason := fmt.Sprintf("succeeded at %v at %s and ran again at %v at %s", done.End, done.Worker, again.Start, again.Worker)
@@ -155,8 +155,8 @@
 	return found
 }
 
-// inTime says whether a success was complete well before its time-out.
-func (v *view) inTime(id string, done history.Arrival, bounds Bounds) bool {
+// succeededInTime reports whether a success was complete by SuccessMargin before its timeout in every version.
+func (v *view) succeededInTime(id string, done history.Arrival, bounds Bounds) bool {
 	for _, order := range v.orders {
 		route, found := order.Config.Route(v.sends[id].Route)
 		timeout := time.Duration(route.TimeoutMs * float64(time.Millisecond))
@@ -168,7 +168,7 @@
 }
 
 func (v *view) rateLimits(bounds Bounds) []Finding {
-	rates := v.rates()
+	rates := v.maxRates()
 	arrived := make(map[string][]time.Duration)
 	for _, arrival := range v.Arrivals {
 		if rates[arrival.Service] > 0 {
@@ -178,15 +178,15 @@
 	var found []Finding
 	for service, times := range arrived {
 		allowed := int(rates[service]*bounds.RateWindow.Seconds()*bounds.RateOvershoot) + bounds.RateSlack
-		if most, at := mostInWindow(times, bounds.RateWindow); most > allowed {
-			found = append(found, Finding{RuleRateLimit, service, fmt.Sprintf("%d arrivals in the window from %v, allowed are %d", most, at, allowed)})
+		if most, at := maxInWindow(times, bounds.RateWindow); most > allowed {
+			found = append(found, Finding{RuleRateLimit, service, fmt.Sprintf("%d arrivals in the window from %v, limit %d", most, at, allowed)})
 		}
 	}
 	return found
 }
 
-// rates is the highest rate that a version allows, by service.
-func (v *view) rates() map[string]float64 {
+// maxRates returns the highest rate of any version, by service.
+func (v *view) maxRates() map[string]float64 {
 	rates := make(map[string]float64)
 	for _, order := range v.orders {
 		for _, service := range order.Config.Services {
@@ -196,8 +196,8 @@
 	return rates
 }
 
-// mostInWindow is the largest number of times in any window, and where that begins.
-func mostInWindow(times []time.Duration, window time.Duration) (most int, at time.Duration) {
+// maxInWindow returns the largest number of times in any window, and the first time in that window.
+func maxInWindow(times []time.Duration, window time.Duration) (most int, at time.Duration) {
 	sort.Slice(times, func(i, j int) bool { return times[i] < times[j] })
 	first := 0
 	for i, t := range times {
@@ -218,34 +218,34 @@
 		if !sent || reading.StateStatus != http.StatusOK {
 			continue
 		}
-		if reason := v.mixedReading(send, reading); reason != "" {
+		if reason := v.mixedReason(send, reading); reason != "" {
 			found = append(found, Finding{RuleMixed, reading.RequestID, reason})
 		}
 	}
 	return found
 }
 
-func (v *view) mixedReading(send history.Send, reading history.Reading) string {
+func (v *view) mixedReason(send history.Send, reading history.Reading) string {
 	switch reading.State {
 	case protocol.StateDone:
-		if !v.signed(reading) {
-			return fmt.Sprintf("is told to be done with the signature %q, which no run of it gave", reading.Signature)
+		if !v.hasSignature(reading) {
+			return fmt.Sprintf("is reported as done with signature %q, which no run of it returned", reading.Signature)
 		}
 	case protocol.StateDead:
-		if v.endOf(send) > reading.At {
-			return "is told to be a dead letter, and has not ended"
+		if v.endTime(send) > reading.At {
+			return "is reported as a dead letter, but has not ended"
 		}
 	case protocol.StatePending:
 	default:
-		return fmt.Sprintf("is told to be in the state %q", reading.State)
+		return fmt.Sprintf("is reported with unknown state %q", reading.State)
 	}
 	if reading.BodyStatus == http.StatusOK && reading.Body != send.Body {
-		return "its body came back with other bytes"
+		return "its body differs from the body that was sent"
 	}
 	return ""
 }
 
-func (v *view) signed(reading history.Reading) bool {
+func (v *view) hasSignature(reading history.Reading) bool {
 	for _, arrival := range v.arrivals[reading.RequestID] {
 		if arrival.Outcome == history.OutcomeDone && arrival.Signature == reading.Signature && reading.Signature != "" {
 			return true
@@ -262,7 +262,7 @@
 		}
 		for _, arrival := range v.arrivals[send.RequestID] {
 			if arrival.Started() {
-				reason := fmt.Sprintf("was answered %d at %v, and ran at %v", send.Status, send.Answered, arrival.Start)
+				reason := fmt.Sprintf("was answered %d at %v, but ran at %v", send.Status, send.Answered, arrival.Start)
 				found = append(found, Finding{RuleRefused, send.RequestID, reason})
 			}
 		}
@@ -276,14 +276,14 @@
 		if !arrival.Started() {
 			continue
 		}
-		if reason := v.unaskedArrival(arrival); reason != "" {
+		if reason := v.unaskedReason(arrival); reason != "" {
 			found = append(found, Finding{RuleUnasked, arrival.RequestID, reason})
 		}
 	}
 	return found
 }
 
-func (v *view) unaskedArrival(arrival history.Arrival) string {
+func (v *view) unaskedReason(arrival history.Arrival) string {
 	send, sent := v.sends[arrival.RequestID]
 	switch {
 	case !sent:
@@ -291,7 +291,7 @@
 	case arrival.Method != send.Method || arrival.Host != send.Host || arrival.Target != send.Target:
 		return fmt.Sprintf("ran as %s %s%s, was sent as %s %s%s", arrival.Method, arrival.Host, arrival.Target, send.Method, send.Host, send.Target)
 	case arrival.Body != send.Body:
-		return "ran with another body"
+		return "body differs from the body that was sent"
 	case arrival.Key != send.Key:
 		return fmt.Sprintf("ran with the order key %q, was sent with %q", arrival.Key, send.Key)
 	}
@@ -301,16 +301,16 @@
 func (v *view) route() []Finding {
 	var found []Finding
 	for _, arrival := range v.Arrivals {
-		if !arrival.Started() || v.routed(arrival) {
+		if !arrival.Started() || v.isRouted(arrival) {
 			continue
 		}
-		found = append(found, Finding{RuleRoute, arrival.RequestID, "no configuration sends it to " + arrival.Service})
+		found = append(found, Finding{RuleRoute, arrival.RequestID, "no configuration routes it to " + arrival.Service})
 	}
 	return found
 }
 
-// routed says whether any order ever sent, refused ones too, leads a request to the service.
-func (v *view) routed(arrival history.Arrival) bool {
+// isRouted reports whether the configuration of any order, even a refused one, routes the request to the service.
+func (v *view) isRouted(arrival history.Arrival) bool {
 	for _, order := range v.Orders {
 		if route, found := order.Config.Match(arrival.Host, arrival.Target); found && route.Service == arrival.Service {
 			return true
@@ -331,13 +331,13 @@
 			continue
 		}
 		allowed := bounds.Drain
-		if v.disturbed(arrival.Arrived-bounds.Contact, arrival.Arrived) {
+		if v.hasFault(arrival.Arrived-bounds.Contact, arrival.Arrived) {
 			allowed += bounds.Failover
 		}
 		if arrival.Arrived <= at+allowed {
 			continue
 		}
-		reason := fmt.Sprintf("reached %s at %v, which was shown as leaving at %v", arrival.Worker, arrival.Arrived, at)
+		reason := fmt.Sprintf("reached %s at %v, which was listed as leaving at %v", arrival.Worker, arrival.Arrived, at)
 		found = append(found, Finding{RuleDrain, arrival.RequestID, reason})
 	}
 	return found
@@ -346,23 +346,23 @@
 func (v *view) config(bounds Bounds) []Finding {
 	var found []Finding
 	for _, send := range v.Sends {
-		if reason := v.configSend(send, bounds); reason != "" {
+		if reason := v.configSendReason(send, bounds); reason != "" {
 			found = append(found, Finding{RuleConfig, send.RequestID, reason})
 		}
 	}
 	for _, arrival := range v.Arrivals {
-		if reason := v.configRun(arrival, bounds); reason != "" {
+		if reason := v.configRunReason(arrival, bounds); reason != "" {
 			found = append(found, Finding{RuleConfig, arrival.RequestID, reason})
 		}
 	}
 	return append(found, v.writeRaces()...)
 }
 
-func (v *view) configSend(send history.Send, bounds Bounds) string {
+func (v *view) configSendReason(send history.Send, bounds Bounds) string {
 	if !send.Accepted() && send.Status != http.StatusNotFound {
 		return ""
 	}
-	possible := v.possible(send.Sent, send.Answered, bounds.Converge)
+	possible := v.possibleOrders(send.Sent, send.Answered, bounds.Converge)
 	there := 0
 	for _, order := range possible {
 		if _, found := order.Config.Match(send.Host, send.Target); found {
@@ -371,27 +371,27 @@
 	}
 	switch {
 	case send.Accepted() && there == 0:
-		return fmt.Sprintf("was accepted at %v, and no version that may be in force has its route", send.Answered)
+		return fmt.Sprintf("was accepted at %v, but no version that may be in force has its route", send.Answered)
 	case !send.Accepted() && len(possible) > 0 && there == len(possible):
-		return fmt.Sprintf("got 404 at %v, and each version that may be in force has its route", send.Answered)
+		return fmt.Sprintf("was answered 404 at %v, but every version that may be in force has its route", send.Answered)
 	}
 	return ""
 }
 
-func (v *view) configRun(arrival history.Arrival, bounds Bounds) string {
+func (v *view) configRunReason(arrival history.Arrival, bounds Bounds) string {
 	send, sent := v.sends[arrival.RequestID]
 	if !sent || !arrival.Started() {
 		return ""
 	}
-	for _, order := range v.possible(send.Sent, arrival.Arrived, bounds.Converge) {
+	for _, order := range v.possibleOrders(send.Sent, arrival.Arrived, bounds.Converge) {
 		if route, found := order.Config.Match(arrival.Host, arrival.Target); found && route.Service == arrival.Service {
 			return ""
 		}
 	}
-	return fmt.Sprintf("sent at %v, ran at %v at %s, and no version that may be in force says so", send.Sent, arrival.Start, arrival.Service)
+	return fmt.Sprintf("sent at %v, ran at %v at %s, but no version that may be in force routes it there", send.Sent, arrival.Start, arrival.Service)
 }
 
-// writeRaces finds changes made on top of the same version that were both acknowledged.
+// writeRaces finds pairs of changes on the same base version that were both acknowledged.
 func (v *view) writeRaces() []Finding {
 	var found []Finding
 	taken := make(map[uint64]uint64) // version by base
--- a/test/standin/check/summary.go
+++ b/test/standin/check/summary.go
@@ -9,22 +9,22 @@
 	"ravendale/test/standin/history"
 )
 
-// Summary tells how much was done, and how fast.
+// Summary holds the counts and latencies of a history.
 type Summary struct {
 	Sent       int
 	Accepted   int
-	Promised   int // not taken, by promise
+	Promised   int // rejected with the promise that they never run
 	Unanswered int
-	Other      int // other answers
-	Finished   int // of Accepted
-	Duplicates int // runs after a success
+	Other      int // answered otherwise
+	Finished   int // accepted messages that ended
+	Duplicates int // runs that started after a success of the same message
 	AcceptP50  time.Duration
 	AcceptP99  time.Duration
-	StartP50   time.Duration // of the first run, after sending and delay
+	StartP50   time.Duration // start of the first run, relative to the sending time plus the delay
 	StartP99   time.Duration
 }
 
-// String gives the counts and quantiles in one line.
+// String returns the counts and quantiles in one line.
 func (s Summary) String() string {
 	return fmt.Sprintf("sent %d, accepted %d, promised %d, unanswered %d, other %d, ended %d, repeats %d, 202 p50 %v p99 %v, start p50 %v p99 %v",
 		s.Sent, s.Accepted, s.Promised, s.Unanswered, s.Other, s.Finished, s.Duplicates,
@@ -33,21 +33,21 @@
 
 func round(d time.Duration) time.Duration { return d.Round(100 * time.Microsecond) }
 
-// Summarize counts and measures a history.
+// Summarize computes the summary of a history.
 func Summarize(h *history.History) Summary {
 	v := newView(h)
 	var summary Summary
 	var accepts, starts []time.Duration
 	for _, send := range h.Sends {
-		summary.count(send)
+		summary.countStatus(send)
 		if !send.Accepted() {
 			continue
 		}
 		accepts = append(accepts, send.Answered-send.Sent)
-		if v.endOf(send) != never {
+		if v.endTime(send) != never {
 			summary.Finished++
 		}
-		if start, started := v.firstStart(send); started {
+		if start, started := v.firstStartDelay(send); started {
 			starts = append(starts, start)
 		}
 	}
@@ -57,7 +57,7 @@
 	return summary
 }
 
-func (s *Summary) count(send history.Send) {
+func (s *Summary) countStatus(send history.Send) {
 	s.Sent++
 	switch {
 	case send.Status == http.StatusAccepted:
@@ -71,8 +71,8 @@
 	}
 }
 
-// firstStart is how long after a message was due its first run began.
-func (v *view) firstStart(send history.Send) (time.Duration, bool) {
+// firstStartDelay returns how long after a message was due its first run started; false: it never ran.
+func (v *view) firstStartDelay(send history.Send) (time.Duration, bool) {
 	for _, arrival := range v.arrivals[send.RequestID] {
 		if arrival.Started() {
 			return arrival.Start - send.Sent - send.Delay, true
@@ -81,7 +81,7 @@
 	return 0, false
 }
 
-// duplicates counts the runs that began after a success of the same message.
+// duplicates counts the runs that started after a success of the same message.
 func (v *view) duplicates() int {
 	duplicates := 0
 	for _, arrivals := range v.arrivals {
@@ -98,7 +98,7 @@
 	return duplicates
 }
 
-// Quantile of some durations, in the given part from the smallest. It sorts them.
+// Quantile returns a quantile, from 0 to 1, of some durations; 0 if there are none. It sorts them in place.
 func Quantile(durations []time.Duration, quantile float64) time.Duration {
 	if len(durations) == 0 {
 		return 0
--- a/test/standin/check/timeline.go
+++ b/test/standin/check/timeline.go
@@ -8,7 +8,7 @@
 	"ravendale/test/standin/history"
 )
 
-// Timeline tells all that was seen of a message, and the faults and orders near it, in the order of time.
+// Timeline lists all events of a message, and the faults and orders during that time, in order of time.
 func Timeline(h *history.History, requestID string) []string {
 	v := newView(h)
 	var line timeline
@@ -32,20 +32,20 @@
 		}
 	}
 	from, until := line.span()
-	for _, trouble := range h.Faults {
-		if trouble.At <= until && trouble.Until >= from {
-			line.add(trouble.At, "%s of %s, until %v", trouble.What, trouble.Machine, trouble.Until)
+	for _, fault := range h.Faults {
+		if fault.At <= until && fault.Until >= from {
+			line.add(fault.At, "fault %s of %s, until %v", fault.What, fault.Machine, fault.Until)
 		}
 	}
 	for _, order := range h.Orders {
 		if order.Sent <= until && order.Answered >= from {
-			line.add(order.Answered, "version %d on %d answered %d, sent at %v", order.Config.Version, order.Base, order.Status, order.Sent)
+			line.add(order.Answered, "order of version %d on base %d answered %d, sent at %v", order.Config.Version, order.Base, order.Status, order.Sent)
 		}
 	}
 	return line.lines()
 }
 
-// timeline collects events.
+// timeline is a list of events.
 type timeline []event
 
 type event struct {
@@ -57,7 +57,7 @@
 	*t = append(*t, event{at: at, text: fmt.Sprintf(format, arguments...)})
 }
 
-// span is from the first event to the last.
+// span returns the times of the first and the last event.
 func (t timeline) span() (from, until time.Duration) {
 	from = never
 	for _, e := range t {
--- a/test/standin/client/balancer.go
+++ b/test/standin/client/balancer.go
@@ -8,20 +8,20 @@
 	"time"
 )
 
-// Edge is where one scheduler takes clients' connections and says that it is ready.
+// Edge holds the addresses of one edge, for clients and for readiness probes.
 type Edge struct {
 	HTTP      string // host:port
 	Readiness string // host:port
 }
 
-// How the balancer probes.
+// Parameters of the readiness probes.
 const (
 	probeInterval = time.Second
-	missesAllowed = 1
+	allowedMisses = 1
 	readyPath     = "/v1/readyz"
 )
 
-// Balancer gives new connections to the edges that are ready.
+// Balancer chooses among the ready edges for new connections.
 type Balancer struct {
 	edges  []Edge
 	client *http.Client
@@ -30,11 +30,11 @@
 	misses []int
 }
 
-// NewBalancer makes a balancer to which no edge is ready yet.
+// NewBalancer returns a balancer that considers no edge ready yet.
 func NewBalancer(edges []Edge) *Balancer {
 	misses := make([]int, len(edges))
 	for i := range misses {
-		misses[i] = missesAllowed + 1
+		misses[i] = allowedMisses + 1
 	}
 	transport := &http.Transport{DisableKeepAlives: true}
 	return &Balancer{
@@ -67,11 +67,11 @@
 		group.Go(func() { b.probe(ctx, i) })
 	}
 	group.Wait()
-	return len(b.in())
+	return len(b.inRotation())
 }
 
 func (b *Balancer) probe(ctx context.Context, i int) {
-	ready := b.ask(ctx, b.edges[i])
+	ready := b.isReady(ctx, b.edges[i])
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	if ready {
@@ -81,7 +81,7 @@
 	}
 }
 
-func (b *Balancer) ask(ctx context.Context, edge Edge) bool {
+func (b *Balancer) isReady(ctx context.Context, edge Edge) bool {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+edge.Readiness+readyPath, nil)
 	if err != nil {
 		return false
@@ -94,24 +94,24 @@
 	return response.StatusCode == http.StatusOK
 }
 
-// in lists the edges that get new connections.
-func (b *Balancer) in() []Edge {
+// inRotation lists the edges that get new connections.
+func (b *Balancer) inRotation() []Edge {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	var in []Edge
+	var ready []Edge
 	for i, edge := range b.edges {
-		if b.misses[i] <= missesAllowed {
-			in = append(in, edge)
+		if b.misses[i] <= allowedMisses {
+			ready = append(ready, edge)
 		}
 	}
-	return in
+	return ready
 }
 
-// Pick chooses the edge of a new connection: of all, if fewer than half are in.
+// Pick chooses the edge of a new connection at random: among the ready ones or, if fewer than half are ready, among all.
 func (b *Balancer) Pick() Edge {
-	in := b.in()
-	if len(in)*2 < len(b.edges) {
-		in = b.edges
+	ready := b.inRotation()
+	if len(ready)*2 < len(b.edges) {
+		ready = b.edges
 	}
-	return in[rand.IntN(len(in))]
+	return ready[rand.IntN(len(ready))]
 }
--- a/test/standin/client/client.go
+++ b/test/standin/client/client.go
@@ -20,34 +20,34 @@
 	"ravendale/test/standin/protocol"
 )
 
-// Traffic is what clients send on one route.
+// Traffic describes the messages that clients send on one route.
 type Traffic struct {
 	Route      string
 	Host       string
 	Target     string        // path and query, below the route's prefix
-	Weight     int           // its part of all messages
-	Keys       int           // number of order keys; 0: none
-	DelayShare float64       // of messages that carry a delay
+	Weight     int           // share of all messages, relative to the other weights
+	Keys       int           // number of order keys; 0: no keys
+	DelayShare float64       // fraction of messages with a delay
 	DelayMax   time.Duration // longest delay
 	BodyBytes  int           // largest body
-	Deadline   time.Duration // that clients announce; 0: they announce none
+	Deadline   time.Duration // announced by the clients; 0: none
 }
 
-// Load is a stretch of traffic.
+// Load is traffic at a rate for a time.
 type Load struct {
 	RatePerS float64
 	Duration time.Duration
 	Traffic  []Traffic
-	Clients  int           // each has a connection of its own; 0: defaultClients
-	Attempts int           // of a message, while they are promised not to have run; 0: defaultTries
-	Patience time.Duration // for an answer; 0: defaultPatience
+	Clients  int           // each with its own connection; 0: defaultClients
+	Attempts int           // per message, as long as the answers promise that it never runs; 0: defaultAttempts
+	Patience time.Duration // time for all attempts of a message; 0: defaultAnswerTimeout
 }
 
 const (
-	defaultClients  = 24
-	defaultAttempts = 4
-	defaultPatience = 3 * time.Second
-	maxRetryAfter   = time.Second
+	defaultClients       = 24
+	defaultAttempts      = 4
+	defaultAnswerTimeout = 3 * time.Second
+	maxRetryAfter        = time.Second
 )
 
 func (l Load) withDefaults() Load {
@@ -58,7 +58,7 @@
 		l.Attempts = defaultAttempts
 	}
 	if l.Patience == 0 {
-		l.Patience = defaultPatience
+		l.Patience = defaultAnswerTimeout
 	}
 	return l
 }
@@ -71,12 +71,12 @@
 	serial   atomic.Uint64
 }
 
-// New makes clients. They send nothing yet.
+// New returns clients that send nothing yet.
 func New(balancer *Balancer, record *history.Recorder) *Clients {
 	return &Clients{balancer: balancer, record: record, prefix: fmt.Sprintf("%012x", rand.Uint64()>>16)}
 }
 
-// Run sends a load, and returns when all of it is answered or given up.
+// Run sends a load, and returns when all messages are answered or abandoned.
 func (c *Clients) Run(ctx context.Context, load Load) {
 	load = load.withDefaults()
 	transports := make([]*http.Transport, load.Clients)
@@ -91,14 +91,14 @@
 	for next.Before(end) && ctx.Err() == nil {
 		time.Sleep(time.Until(next))
 		transport := transports[rand.IntN(len(transports))]
-		traffic := pick(load.Traffic)
+		traffic := pickTraffic(load.Traffic)
 		group.Go(func() { c.submit(ctx, transport, traffic, load) })
 		next = next.Add(time.Duration(rand.ExpFloat64() / load.RatePerS * float64(time.Second)))
 	}
 }
 
-// pick chooses a route by weight.
-func pick(traffic []Traffic) Traffic {
+// pickTraffic chooses a route by weight.
+func pickTraffic(traffic []Traffic) Traffic {
 	total := 0
 	for _, t := range traffic {
 		total += max(t.Weight, 1)
@@ -113,7 +113,7 @@
 	return traffic[0]
 }
 
-// transport dials an edge of the balancer's choice for each new connection.
+// transport returns a transport that lets the balancer choose the edge of each new connection.
 func (c *Clients) transport() *http.Transport {
 	dialer := &net.Dialer{Timeout: time.Second}
 	return &http.Transport{
@@ -125,7 +125,7 @@
 	}
 }
 
-// submit hands in one message, with more tries while it is promised not to have been taken.
+// submit sends one message, and repeats it while the answer promises that it never runs.
 func (c *Clients) submit(ctx context.Context, transport *http.Transport, traffic Traffic, load Load) {
 	body := make([]byte, rand.IntN(traffic.BodyBytes+1))
 	for i := range body {
@@ -148,8 +148,8 @@
 	ctx, cancel := context.WithTimeout(ctx, load.Patience)
 	defer cancel()
 	for attempt := 0; attempt < load.Attempts && ctx.Err() == nil; attempt++ {
-		tried, retryAfter := c.Send(ctx, transport, send, body)
-		if !tried.Promised() {
+		sent, retryAfter := c.Send(ctx, transport, send, body)
+		if !sent.Promised() {
 			return
 		}
 		transport.CloseIdleConnections()
@@ -164,16 +164,16 @@
 	}
 }
 
-// SendOne hands in one message in one try on a connection of its own.
+// SendOne makes one attempt to submit a message, on a new connection.
 func (c *Clients) SendOne(ctx context.Context, send history.Send, body []byte) history.Send {
 	transport := c.transport()
 	defer transport.CloseIdleConnections()
 	send.Body = xxhash.Sum64(body)
-	tried, _ := c.Send(ctx, transport, send, body)
-	return tried
+	sent, _ := c.Send(ctx, transport, send, body)
+	return sent
 }
 
-// Send makes one try under a new Request-Id and records it.
+// Send makes one attempt under a new Request-Id and records it.
 func (c *Clients) Send(ctx context.Context, transport *http.Transport, send history.Send, body []byte) (history.Send, time.Duration) {
 	send.RequestID = fmt.Sprintf("%s%06x", c.prefix, c.serial.Add(1))
 	send.MessageID = send.RequestID
--- a/test/standin/client/client_test.go
+++ b/test/standin/client/client_test.go
@@ -21,7 +21,7 @@
 	"ravendale/test/standin/protocol"
 )
 
-// edge is an HTTP server that stands for a scheduler.
+// edge starts an HTTP server that stands in for an edge.
 func edge(t *testing.T, handler http.HandlerFunc) client.Edge {
 	t.Helper()
 	server := httptest.NewServer(handler)
@@ -37,7 +37,7 @@
 	return ctx
 }
 
-func TestLoadIsSentAndRecorded(t *testing.T) {
+func TestRun(t *testing.T) {
 	var mutex sync.Mutex
 	bodies := make(map[string]uint64)
 	taking := edge(t, func(w http.ResponseWriter, r *http.Request) {
@@ -70,11 +70,11 @@
 		assert.Equal(t, send.Route == "ordered", send.Key != "")
 		routes[send.Route]++
 	}
-	assert.Len(t, bodies, len(h.Sends), "each try has an id of its own")
+	assert.Len(t, bodies, len(h.Sends), "each attempt has its own id")
 	assert.Greater(t, routes["plain"], routes["ordered"])
 }
 
-func TestPromisesAreTriedAgainAndSilenceIsNot(t *testing.T) {
+func TestRetries(t *testing.T) {
 	load := client.Load{RatePerS: 1, Duration: time.Millisecond, Traffic: []client.Traffic{{Route: "plain", Host: "a.example", Target: "/"}}}
 
 	refusing := edge(t, func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusServiceUnavailable) })
@@ -91,7 +91,7 @@
 	assert.NotEmpty(t, sends[0].Problem)
 }
 
-func TestReadingBackGoesOnAfterFailures(t *testing.T) {
+func TestReadBackRetries(t *testing.T) {
 	var asked atomic.Int64
 	telling := edge(t, func(w http.ResponseWriter, r *http.Request) {
 		if asked.Add(1) == 1 {
@@ -105,7 +105,7 @@
 			_, _ = fmt.Fprint(w, `{"state":"pending"}`)
 		case "/v1/message-body/held":
 			_, _ = fmt.Fprint(w, "bytes")
-		case "/v1/message/dropped": // its body is told to nobody
+		case "/v1/message/dropped": // its body can't be read
 			_, _ = fmt.Fprint(w, `{"state":"dead_letter"}`)
 		default:
 			w.WriteHeader(http.StatusNotFound)
@@ -124,13 +124,13 @@
 	require.Len(t, readings, 4)
 	assert.Equal(t, "s1", readings["r1"].Signature)
 	assert.Equal(t, xxhash.Sum64String("bytes"), readings["r2"].Body)
-	assert.Equal(t, http.StatusNotFound, readings["r3"].StateStatus, "as answered, and not as cut off by the end of the context")
+	assert.Equal(t, http.StatusNotFound, readings["r3"].StateStatus, "the answered status, not the interruption by the end of the context")
 	assert.Equal(t, http.StatusOK, readings["r4"].StateStatus)
 	assert.Equal(t, protocol.StateDead, readings["r4"].State)
 	assert.Equal(t, http.StatusNotFound, readings["r4"].BodyStatus)
 }
 
-func TestBalancerLeavesOutWhatIsNotReady(t *testing.T) {
+func TestBalancerSkipsUnreadyEdges(t *testing.T) {
 	var ready atomic.Bool
 	flapping := edge(t, func(w http.ResponseWriter, _ *http.Request) {
 		if !ready.Load() {
--- a/test/standin/client/poller.go
+++ b/test/standin/client/poller.go
@@ -16,16 +16,16 @@
 
 // Polling of states and bodies.
 const (
-	pollers      = 16
-	pollPatience = 2 * time.Second
-	pollPause    = 200 * time.Millisecond
-	statePath    = "/v1/message/"
-	bodyPath     = "/v1/message-body/"
+	pollers     = 16
+	pollTimeout = 2 * time.Second
+	pollPause   = 200 * time.Millisecond
+	statePath   = "/v1/message/"
+	bodyPath    = "/v1/message-body/"
 )
 
-// ReadBack asks for the state of each message, and for the body of those that it is told are pending or dead. Each is asked for
-// again after a failure, at another edge, until the context ends. Recorded is the reading that settles it, or else the last that the end of
-// the context did not cut off.
+// ReadBack reads the state of each message, and the body of those reported as pending or dead letters. After a failure it repeats that on a new
+// connection until the context ends. It records the complete reading of each message, or else the last one that was not interrupted by the
+// end of the context.
 func (c *Clients) ReadBack(ctx context.Context, sends []history.Send) {
 	work := make(chan history.Send)
 	var group sync.WaitGroup
@@ -56,7 +56,7 @@
 		}
 		if ctx.Err() != nil {
 			unanswered := reading.StateStatus == 0 || reading.StateStatus == http.StatusOK && reading.BodyStatus == 0
-			if unanswered && before != nil { // the call was cut off from here
+			if unanswered && before != nil { // the end of the context interrupted the call
 				reading = *before
 			}
 			c.record.Read(reading)
@@ -68,14 +68,14 @@
 	}
 }
 
-// ReadOne reads a message's state, and unless it is done its body, on a connection of its own.
+// ReadOne reads a message's state and, unless it is done, its body on a new connection.
 func (c *Clients) ReadOne(ctx context.Context, send history.Send) history.Reading {
 	transport := c.transport()
 	defer transport.CloseIdleConnections()
 	return c.Read(ctx, transport, send)
 }
 
-// Read reads a message's state, and unless it is done its body.
+// Read reads a message's state and, unless it is done, its body.
 func (c *Clients) Read(ctx context.Context, transport *http.Transport, send history.Send) history.Reading {
 	reading := history.Reading{RequestID: send.RequestID, MessageID: send.MessageID, At: c.record.Now()}
 	var state struct {
@@ -100,7 +100,7 @@
 }
 
 func get(ctx context.Context, transport *http.Transport, host, path string) (status int, body []byte) {
-	ctx, cancel := context.WithTimeout(ctx, pollPatience)
+	ctx, cancel := context.WithTimeout(ctx, pollTimeout)
 	defer cancel()
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://platform"+path, nil)
 	if err != nil {
--- a/test/standin/cluster/build.go
+++ b/test/standin/cluster/build.go
@@ -15,7 +15,7 @@
 	ProgramStore   = "ravendale-store"
 )
 
-// Build builds the programs from the module at root into a folder. Race adds the race detector.
+// Build builds the programs of the module at root into a folder, with the race detector if race is set.
 func Build(ctx context.Context, root, folder string, race bool) error {
 	arguments := []string{"build", "-o", folder + string(os.PathSeparator)}
 	if race {
@@ -33,7 +33,7 @@
 	return nil
 }
 
-// ModuleRoot finds the folder of go.mod, from the working folder upwards.
+// ModuleRoot returns the nearest folder with a go.mod, from the working folder upwards.
 func ModuleRoot() (string, error) {
 	folder, err := os.Getwd()
 	if err != nil {
@@ -45,7 +45,7 @@
 		}
 		parent := filepath.Dir(folder)
 		if parent == folder {
-			return "", fmt.Errorf("cluster: no go.mod above the working folder")
+			return "", fmt.Errorf("cluster: no go.mod in the working folder or above it")
 		}
 		folder = parent
 	}
--- a/test/standin/cluster/cluster.go
+++ b/test/standin/cluster/cluster.go
@@ -10,7 +10,7 @@
 	"ravendale/test/standin/client"
 )
 
-// Cluster is the system on loopback.
+// Cluster is the system under test on the loopback network.
 type Cluster struct {
 	spec     Spec
 	ports    ports
@@ -18,10 +18,10 @@
 	Controls []*Process
 	Edges    []*Process
 	Stores   []*Process
-	replaced []*Process // whose machines are gone
+	replaced []*Process // processes on machines that were replaced
 }
 
-// New lays a cluster out. Nothing runs yet.
+// New creates a cluster. No process runs yet.
 func New(spec Spec) (*Cluster, error) {
 	spec.ControlsPerZone = max(spec.ControlsPerZone, 1)
 	if spec.ProviderRate == 0 {
@@ -39,50 +39,50 @@
 	controls := make(map[string]int)
 	for _, machine := range machines {
 		if machine.class == ClassStorage {
-			c.Stores = append(c.Stores, c.process(machine, ProgramStore))
+			c.Stores = append(c.Stores, c.newProcess(machine, ProgramStore))
 			continue
 		}
-		c.Edges = append(c.Edges, c.process(machine, ProgramEdge))
+		c.Edges = append(c.Edges, c.newProcess(machine, ProgramEdge))
 		if controls[machine.zone] < spec.ControlsPerZone {
 			controls[machine.zone]++
-			c.Controls = append(c.Controls, c.process(machine, ProgramControl))
+			c.Controls = append(c.Controls, c.newProcess(machine, ProgramControl))
 		}
 	}
 	return c, nil
 }
 
-func (c *Cluster) process(machine machine, program string) *Process {
+func (c *Cluster) newProcess(machine machine, program string) *Process {
 	base := filepath.Join(c.spec.Folder, machine.name+"."+program)
 	return &Process{
-		cluster: c,
-		machine: machine,
-		program: program,
-		path:    base + ".conf",
-		data:    base + ".data",
-		log:     base + ".log",
+		cluster:      c,
+		machine:      machine,
+		program:      program,
+		settingsPath: base + ".conf",
+		dataPath:     base + ".data",
+		logPath:      base + ".log",
 
 		programs: c.spec.Programs,
 	}
 }
 
-// ReplaceControl puts a new machine with an empty disk, another name and another address in the place of a control process's, which
-// must not run any more. The new process isn't started.
+// ReplaceControl replaces the machine of a control process with a new one that has an empty disk, another name and another address. The old
+// process must have ended. The new one is not started.
 func (c *Cluster) ReplaceControl(i int) error {
 	removed := c.Controls[i]
 	if err := removed.Wipe(); err != nil {
 		return err
 	}
 	if len(c.replaced) == maxSpares {
-		return fmt.Errorf("cluster: no more than %d machines can be replaced", maxSpares)
+		return fmt.Errorf("cluster: at most %d machines can be replaced", maxSpares)
 	}
 	machine := spares(len(c.machines))[len(c.replaced)]
 	machine.name, machine.class, machine.zone = removed.machine.name+"-new", removed.machine.class, removed.machine.zone
 	c.replaced = append(c.replaced, removed)
-	c.Controls[i] = c.process(machine, ProgramControl)
+	c.Controls[i] = c.newProcess(machine, ProgramControl)
 	return nil
 }
 
-// Processes lists all.
+// Processes lists all processes.
 func (c *Cluster) Processes() []*Process {
 	all := append([]*Process(nil), c.Controls...)
 	all = append(all, c.Edges...)
@@ -107,7 +107,7 @@
 	})
 }
 
-// Each does something for processes at once, and joins the errors.
+// Each calls do for all processes concurrently, and joins the errors.
 func Each(processes []*Process, do func(*Process) error) error {
 	found := make([]error, len(processes))
 	var group sync.WaitGroup
@@ -118,7 +118,7 @@
 	return errors.Join(found...)
 }
 
-// Surprises tells which processes ended by themselves.
+// Surprises describes the processes that ended by themselves, including those on replaced machines.
 func (c *Cluster) Surprises() []string {
 	var surprises []string
 	for _, process := range append(c.Processes(), c.replaced...) {
@@ -143,7 +143,7 @@
 	return admin[:min(len(admin), maxSeeds)]
 }
 
-// EdgeAddresses lists where clients connect.
+// EdgeAddresses lists the addresses of the edges.
 func (c *Cluster) EdgeAddresses() []client.Edge {
 	var edges []client.Edge
 	for _, edge := range c.Edges {
@@ -155,5 +155,5 @@
 	return edges
 }
 
-// ControlRPC is where a control process listens for the other processes.
+// ControlRPC returns the address where a control process listens for the other processes.
 func (c *Cluster) ControlRPC(p *Process) string { return address(p.machine.ip, c.ports.first) }
--- a/test/standin/cluster/cluster_test.go
+++ b/test/standin/cluster/cluster_test.go
@@ -13,8 +13,8 @@
 	"ravendale/test/standin/cluster"
 )
 
-// fake stands for each of the programs: it marks its data folder, and ends in order at SIGTERM.
-const fake = `#!/bin/sh
+// fakeProgram replaces each of the programs. It creates a file in its data folder, and ends gracefully on SIGTERM.
+const fakeProgram = `#!/bin/sh
 data=$(sed -n 's/^dataDir=//p' "$RAVENDALE_SETTINGS")
 test -n "$data" && touch "$data/mark"
 trap 'exit 0' TERM
@@ -22,7 +22,7 @@
 while :; do sleep 0.02; done
 `
 
-func lay(t *testing.T, script string) *cluster.Cluster {
+func newCluster(t *testing.T, script string) *cluster.Cluster {
 	t.Helper()
 	programs := t.TempDir()
 	for _, name := range []string{cluster.ProgramControl, cluster.ProgramEdge, cluster.ProgramStore} {
@@ -39,7 +39,7 @@
 }
 
 func TestLayoutAndSettings(t *testing.T) {
-	c := lay(t, fake)
+	c := newCluster(t, fakeProgram)
 	assert.Len(t, c.Controls, 2)
 	assert.Len(t, c.Edges, 4)
 	assert.Len(t, c.Stores, 2)
@@ -69,19 +69,19 @@
 }
 
 func TestFaults(t *testing.T) {
-	c := lay(t, fake)
+	c := newCluster(t, fakeProgram)
 	require.NoError(t, c.Start())
 	store := c.Stores[0]
 	require.Eventually(t, func() bool { return started(store) }, 5*time.Second, 5*time.Millisecond)
 
-	assert.Error(t, store.Start(false), "it runs already")
-	assert.Error(t, store.Wipe(), "it runs")
+	assert.Error(t, store.Start(false), "the process already runs")
+	assert.Error(t, store.Wipe(), "the process runs")
 	require.NoError(t, store.Freeze())
 	require.NoError(t, store.Thaw())
 	require.NoError(t, store.Kill())
 	assert.Zero(t, store.PID())
 	mark := filepath.Join(filepath.Dir(store.LogPath()), settingsName(store)[:len(settingsName(store))-len(".conf")]+".data", "mark")
-	assert.FileExists(t, mark, "a kill leaves the disk")
+	assert.FileExists(t, mark, "a kill does not change the disk")
 	require.NoError(t, store.Wipe())
 	assert.NoFileExists(t, mark)
 	require.NoError(t, store.Start(false))
@@ -90,8 +90,8 @@
 	assert.Empty(t, c.Surprises())
 }
 
-func TestStopTellsOfOneThatDoesNotEnd(t *testing.T) {
-	c := lay(t, "#!/bin/sh\ntrap '' TERM\necho started\nwhile :; do sleep 0.02; done\n")
+func TestStopTimeout(t *testing.T) {
+	c := newCluster(t, "#!/bin/sh\ntrap '' TERM\necho started\nwhile :; do sleep 0.02; done\n")
 	edge := c.Edges[0]
 	require.NoError(t, edge.Start(true))
 	require.Eventually(t, func() bool { return started(edge) }, 5*time.Second, 5*time.Millisecond)
@@ -99,8 +99,8 @@
 	assert.Zero(t, edge.PID())
 }
 
-func TestStopInOrder(t *testing.T) {
-	c := lay(t, fake)
+func TestStop(t *testing.T) {
+	c := newCluster(t, fakeProgram)
 	edge := c.Edges[0]
 	require.NoError(t, edge.Start(true))
 	require.Eventually(t, func() bool { return started(edge) }, 5*time.Second, 5*time.Millisecond)
@@ -108,8 +108,8 @@
 	assert.Empty(t, c.Surprises())
 }
 
-func TestSurprisesAreKept(t *testing.T) {
-	c := lay(t, "#!/bin/sh\nexit 3\n")
+func TestUnexpectedExits(t *testing.T) {
+	c := newCluster(t, "#!/bin/sh\nexit 3\n")
 	require.NoError(t, c.Edges[0].Start(true))
 	require.Eventually(t, func() bool { return len(c.Surprises()) == 1 }, 5*time.Second, 5*time.Millisecond)
 	assert.Contains(t, c.Surprises()[0], "exit status 3")
--- a/test/standin/cluster/doc.go
+++ b/test/standin/cluster/doc.go
@@ -1,3 +1,3 @@
-// Package cluster runs the system's programs as processes on loopback: each simulated machine has an address of its own, settings
-// files and data folders, and can be killed, frozen, stopped, wiped and started again.
+// Package cluster runs the system's programs as processes on the loopback network. Each simulated machine has its own address, settings files
+// and data folders. Processes can be killed, frozen, stopped, wiped and restarted.
 package cluster
