--- a/test/standin/cluster/process.go
+++ b/test/standin/cluster/process.go
@@ -13,49 +13,49 @@
 	"ravendale/cluster/settings"
 )
 
-// ErrNotRunning is wrapped by errors of signals to a process that does not run.
-var ErrNotRunning = errors.New("it does not run")
+// ErrNotRunning is wrapped by the errors for signals to a process that does not run.
+var ErrNotRunning = errors.New("process is not running")
 
-// Process is one program on one machine, over all its incarnations.
+// Process is one program on one machine, across all its restarts. Each run of it is an incarnation.
 type Process struct {
-	cluster  *Cluster
-	machine  machine
-	program  string
-	path     string // of the settings file
-	data     string // of the data folder
-	log      string // of the log file
-	programs string // folder that the program is started from
-	mutex    sync.Mutex
-	command  *exec.Cmd
-	exited   chan struct{} // closed when the incarnation is over
-	exit     error
-	expected bool // the incarnation was ended by a fault or a stop
-	surprise []string
+	cluster         *Cluster
+	machine         machine
+	program         string
+	settingsPath    string // of the settings file
+	dataPath        string // of the data folder
+	logPath         string // of the log file
+	programs        string // folder of the program
+	mutex           sync.Mutex
+	command         *exec.Cmd
+	exited          chan struct{} // closed when the incarnation has ended
+	exitErr         error
+	expected        bool // the end of the incarnation was requested
+	unexpectedExits []string
 }
 
-// Name of the process: program and machine.
+// Name returns the program and the machine of the process.
 func (p *Process) Name() string { return p.program + " on " + p.machine.name }
 
-// Node is the name of its machine.
+// Node returns the name of its machine.
 func (p *Process) Node() string { return p.machine.name }
 
-// IP of its machine.
+// IP returns the address of its machine.
 func (p *Process) IP() string { return p.machine.ip }
 
-// LogPath is where its standard error goes.
-func (p *Process) LogPath() string { return p.log }
+// LogPath returns the file that standard output and standard error go to.
+func (p *Process) LogPath() string { return p.logPath }
 
-// DataPath is its data folder.
-func (p *Process) DataPath() string { return p.data }
+// DataPath returns its data folder.
+func (p *Process) DataPath() string { return p.dataPath }
 
-// RunFrom has the next start take the program from another folder, as an upgrade does.
+// RunFrom sets the folder from which the next start takes the program, as an upgrade does.
 func (p *Process) RunFrom(programs string) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	p.programs = programs
 }
 
-// PID is the id of the operating system's process, or 0.
+// PID returns the process id, or 0 if the process does not run.
 func (p *Process) PID() int {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -65,26 +65,26 @@
 	return p.command.Process.Pid
 }
 
-// Start begins an incarnation with the settings that are current. Bootstrap is for the first start of the whole cluster.
+// Start starts an incarnation with the current settings. bootstrap is set for the first start of the whole cluster.
 func (p *Process) Start(bootstrap bool) error {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	if p.command != nil {
-		return fmt.Errorf("cluster: %s runs already", p.Name())
+		return fmt.Errorf("cluster: %s is already running", p.Name())
 	}
-	if err := os.WriteFile(p.path, []byte(p.cluster.settings(p, bootstrap)), 0o644); err != nil {
+	if err := os.WriteFile(p.settingsPath, []byte(p.cluster.settings(p, bootstrap)), 0o644); err != nil {
 		return fmt.Errorf("cluster: %w", err)
 	}
-	if err := os.MkdirAll(p.data, 0o755); err != nil {
+	if err := os.MkdirAll(p.dataPath, 0o755); err != nil {
 		return fmt.Errorf("cluster: %w", err)
 	}
-	log, err := os.OpenFile(p.log, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
+	log, err := os.OpenFile(p.logPath, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 	if err != nil {
 		return fmt.Errorf("cluster: %w", err)
 	}
 	defer func() { _ = log.Close() }()
 	command := exec.Command(filepath.Join(p.programs, p.program))
-	command.Env = []string{settings.PathVariable + "=" + p.path, "GOMAXPROCS=1", "PATH=" + os.Getenv("PATH")}
+	command.Env = []string{settings.PathVariable + "=" + p.settingsPath, "GOMAXPROCS=1", "PATH=" + os.Getenv("PATH")}
 	command.Stdout, command.Stderr = log, log
 	command.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	if err := command.Start(); err != nil {
@@ -99,14 +99,14 @@
 	err := command.Wait()
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	p.command, p.exit = nil, err
+	p.command, p.exitErr = nil, err
 	if !p.expected {
-		p.surprise = append(p.surprise, fmt.Sprintf("%s ended by itself: %v", p.Name(), command.ProcessState))
+		p.unexpectedExits = append(p.unexpectedExits, fmt.Sprintf("%s ended unexpectedly: %v", p.Name(), command.ProcessState))
 	}
 	close(exited)
 }
 
-// signal sends a signal to the incarnation under way, and returns what is closed at its end.
+// signal sends a signal to the current incarnation, and returns a channel that is closed at its end. ends tells whether the signal is to end it.
 func (p *Process) signal(signal syscall.Signal, ends bool) (exited chan struct{}, err error) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -119,7 +119,7 @@
 	return p.exited, p.command.Process.Signal(signal)
 }
 
-// Kill ends the process by SIGKILL.
+// Kill ends the process with SIGKILL and waits for its end.
 func (p *Process) Kill() error {
 	exited, err := p.signal(syscall.SIGKILL, true)
 	if err != nil {
@@ -129,32 +129,32 @@
 	return nil
 }
 
-// Freeze stops the process without ending it.
+// Freeze suspends the process with SIGSTOP.
 func (p *Process) Freeze() error {
 	_, err := p.signal(syscall.SIGSTOP, false)
 	return err
 }
 
-// Thaw lets a frozen process go on.
+// Thaw resumes a frozen process with SIGCONT.
 func (p *Process) Thaw() error {
 	_, err := p.signal(syscall.SIGCONT, false)
 	return err
 }
 
-// Reload tells the process that its settings file has changed.
+// Reload makes the process read its settings file again, by SIGHUP.
 func (p *Process) Reload() error {
 	_, err := p.signal(syscall.SIGHUP, false)
 	return err
 }
 
-// Terminate asks the process to end by SIGTERM, and does not wait for that.
+// Terminate requests the end of the process with SIGTERM, and does not wait for it.
 func (p *Process) Terminate() error {
 	_, err := p.signal(syscall.SIGTERM, true)
 	return err
 }
 
-// Stop asks the process to end by SIGTERM. One that has not ended within the grace is killed, which is an error, as is an exit that
-// tells of one.
+// Stop requests the end of the process with SIGTERM and waits for it. It returns an error if the process had to be killed after the grace period
+// or exited with a non-zero status.
 func (p *Process) Stop(grace time.Duration) error {
 	exited, err := p.signal(syscall.SIGTERM, true)
 	if err != nil {
@@ -168,26 +168,26 @@
 	}
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	if p.exit != nil {
-		return fmt.Errorf("cluster: %s: %w", p.Name(), p.exit)
+	if p.exitErr != nil {
+		return fmt.Errorf("cluster: %s: %w", p.Name(), p.exitErr)
 	}
 	return nil
 }
 
-// Wipe empties the data folder of a process that does not run.
+// Wipe removes the data folder of a process that does not run.
 func (p *Process) Wipe() error {
 	if p.PID() != 0 {
-		return fmt.Errorf("cluster: %s runs, and can't lose its disk", p.Name())
+		return fmt.Errorf("cluster: %s is running, its disk can't be wiped", p.Name())
 	}
-	if err := os.RemoveAll(p.data); err != nil {
+	if err := os.RemoveAll(p.dataPath); err != nil {
 		return fmt.Errorf("cluster: %w", err)
 	}
 	return nil
 }
 
-// Surprises tells which incarnations ended by themselves.
+// Surprises describes the incarnations that ended by themselves.
 func (p *Process) Surprises() []string {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	return append([]string(nil), p.surprise...)
+	return append([]string(nil), p.unexpectedExits...)
 }
--- a/test/standin/cluster/spec.go
+++ b/test/standin/cluster/spec.go
@@ -10,17 +10,17 @@
 	"strings"
 )
 
-// Spec of a cluster.
+// Spec describes a cluster.
 type Spec struct {
 	Programs        string   // folder with the programs
-	Folder          string   // settings, data and logs
+	Folder          string   // for settings files, data and logs
 	Provider        string   // address of the platform
-	ProviderRate    float64  // calls a second that it accepts; 0: defaultProviderRate
+	ProviderRate    float64  // calls per second that the platform accepts; 0: defaultProviderRate
 	Zones           []string // each has the machines below
 	EdgesPerZone    int
 	StoresPerZone   int
-	ControlsPerZone int  // of the edges, from the first; 0: one
-	LostNodes       int  // machines that may be lost at once
+	ControlsPerZone int  // control processes run on the first edge machines of a zone; 0: one
+	LostNodes       int  // machines that may fail at once
 	DisklessControl bool // the control processes have no disk
 	Settings        map[string]string
 }
@@ -31,16 +31,16 @@
 	ClassStorage = "storage"
 )
 
-// Figures of a cluster.
+// Defaults and limits of a cluster.
 const (
 	defaultProviderRate = 20
 	portsInRange        = 16
-	portsBelow          = 3 // http, readiness and admin, before the range
+	fixedPorts          = 3 // http, readiness and admin, in front of the port range
 	firstPort           = 20000
-	lastPort            = 32000 // below the ports that connections take
-	attemptsAtPorts     = 50
+	lastPort            = 32000 // below the ephemeral ports of outgoing connections
+	portAttempts        = 50
 	maxMachines         = 200
-	maxSpares           = 3 // machines that may take the place of others
+	maxSpares           = 3 // machines that may replace others
 )
 
 // machine is one simulated machine.
@@ -51,7 +51,7 @@
 	ip    string
 }
 
-// ports are alike on all machines.
+// ports are the listen ports, the same on all machines.
 type ports struct {
 	http, ready, admin, first, last int
 }
@@ -59,7 +59,7 @@
 // layout lists the machines of a spec.
 func (s Spec) layout() ([]machine, error) {
 	if len(s.Zones) == 0 || s.EdgesPerZone < 1 || s.StoresPerZone < 1 {
-		return nil, errors.New("cluster: a spec needs zones, and edges and stores in each")
+		return nil, errors.New("cluster: spec needs at least one zone, with at least one edge and one store per zone")
 	}
 	var machines []machine
 	for _, zone := range s.Zones {
@@ -71,7 +71,7 @@
 		}
 	}
 	if len(machines) > maxMachines {
-		return nil, fmt.Errorf("cluster: %d machines are more than %d", len(machines), maxMachines)
+		return nil, fmt.Errorf("cluster: %d machines, limit is %d", len(machines), maxMachines)
 	}
 	for i := range machines {
 		machines[i].ip = ipOf(i)
@@ -81,7 +81,7 @@
 
 func ipOf(i int) string { return fmt.Sprintf("127.0.1.%d", i+1) }
 
-// spares are the addresses of the machines that may take the place of others, beside so many.
+// spares returns the machines that may replace others, with the addresses that follow those of the given number of machines.
 func spares(machines int) []machine {
 	spares := make([]machine, maxSpares)
 	for i := range spares {
@@ -90,16 +90,16 @@
 	return spares
 }
 
-// freePorts draws ports that are free on all machines.
+// freePorts draws a range of ports that is free on all machines.
 func freePorts(machines []machine) (ports, error) {
-	for range attemptsAtPorts {
+	for range portAttempts {
 		first := firstPort + rand.IntN(lastPort-firstPort)
-		drawn := ports{http: first, ready: first + 1, admin: first + 2, first: first + portsBelow, last: first + portsBelow + portsInRange - 1}
+		drawn := ports{http: first, ready: first + 1, admin: first + 2, first: first + fixedPorts, last: first + fixedPorts + portsInRange - 1}
 		if drawn.free(machines) {
 			return drawn, nil
 		}
 	}
-	return ports{}, errors.New("cluster: no free ports")
+	return ports{}, errors.New("cluster: found no port range that is free on all machines")
 }
 
 func (p ports) free(machines []machine) bool {
@@ -117,7 +117,7 @@
 
 func address(ip string, port int) string { return net.JoinHostPort(ip, strconv.Itoa(port)) }
 
-// settings of a process as the lines of its file.
+// settings returns the content of a process's settings file.
 func (c *Cluster) settings(p *Process, bootstrap bool) string {
 	lines := map[string]string{
 		"nodeName":               p.machine.name,
@@ -147,20 +147,20 @@
 	for _, zone := range c.spec.Zones {
 		lines["zones."+zone] = "loopback"
 	}
-	p.surface(lines, c.ports)
+	p.addProgramSettings(lines, c.ports)
 	for key, value := range c.spec.Settings {
 		lines[key] = value
 	}
 	return encode(lines)
 }
 
-// surface adds what belongs to the program of a process.
-func (p *Process) surface(lines map[string]string, ports ports) {
+// addProgramSettings adds the settings that depend on the program of a process.
+func (p *Process) addProgramSettings(lines map[string]string, ports ports) {
 	ip := p.machine.ip
 	counts := p.program == ProgramStore || p.program == ProgramControl && !p.cluster.spec.DisklessControl
 	lines["countsForQuorum"] = strconv.FormatBool(counts)
 	if counts {
-		lines["dataDir"] = p.data
+		lines["dataDir"] = p.dataPath
 	}
 	switch p.program {
 	case ProgramControl:
--- a/test/standin/doc.go
+++ b/test/standin/doc.go
@@ -1,2 +1,2 @@
-// Package standin puts the stand-ins for the outside world together: a platform's list and the workers on it, with one history.
+// Package standin combines the stand-ins for the environment of the system: the platform with its list, the workers on it, and one shared history.
 package standin
--- a/test/standin/history/doc.go
+++ b/test/standin/history/doc.go
@@ -1,5 +1,5 @@
-// Package history records what the stand-ins saw on their sockets: what clients sent and were answered, what workers were handed and
-// ran, what the operator ordered, and what faults were injected. The checkers judge nothing else.
+// Package history records what the stand-ins observed: requests and answers of clients, requests and runs at workers, orders of the operator,
+// and injected faults. It is the only input of the checkers.
 //
-// All times are on the steady clock, counted from the start of the Recorder.
+// All times are monotonic, relative to the creation of the Recorder.
 package history
--- a/test/standin/history/history.go
+++ b/test/standin/history/history.go
@@ -8,10 +8,10 @@
 	"ravendale/test/standin/protocol"
 )
 
-// Send is one try of a client to hand in a message. Each has a Request-Id of its own.
+// Send is one attempt of a client to submit a message. Each attempt has its own Request-Id.
 type Send struct {
 	RequestID string
-	MessageID string // as the 202 named it, else RequestID
+	MessageID string // as named in the 202 answer, else RequestID
 	Route     string
 	Method    string
 	Host      string
@@ -19,7 +19,7 @@
 	Key       string // Order-Key; empty: none
 	Body      uint64 // xxhash of the body
 	Delay     time.Duration
-	Deadline  time.Duration // as the client announced it; 0: it did not
+	Deadline  time.Duration // as announced by the client; 0: none
 	Sent      time.Duration
 	Answered  time.Duration
 	Status    int // 0: the connection ended without an answer
@@ -27,10 +27,10 @@
 	Problem   string // why there was no answer
 }
 
-// Accepted says whether the message was taken.
+// Accepted reports whether the message was accepted.
 func (s Send) Accepted() bool { return s.Status == http.StatusAccepted }
 
-// Promised says whether the answer promises that the message will never run.
+// Promised reports whether the answer promises that the message never runs.
 func (s Send) Promised() bool {
 	switch s.Status {
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable, http.StatusRequestTimeout, http.StatusMisdirectedRequest:
@@ -39,17 +39,17 @@
 	return false
 }
 
-// Outcome of what a worker was handed.
+// Outcome is what became of a request at a worker.
 type Outcome uint8
 
-// The outcomes. Whatever is not OutcomeNotRun was started.
+// The outcomes. All but OutcomeNotRun mean that a run was started.
 const (
-	OutcomeNotRun  Outcome = iota // rejected, or answered from the table of ids
-	OutcomeRunning                // not over when the history was taken
+	OutcomeNotRun  Outcome = iota // rejected, or answered from the idempotency table
+	OutcomeRunning                // still running when the history was copied
 	OutcomeDone                   // success, with a signature
 	OutcomeFailed                 // 500
-	OutcomeRefused                // 422: can never be done
-	OutcomeStopped                // the deadline was reached
+	OutcomeRefused                // 422: can never succeed
+	OutcomeStopped                // ended at its deadline
 	OutcomeDropped                // the connection closed, or the worker crashed
 )
 
@@ -57,8 +57,8 @@
 type Arrival struct {
 	RequestID   string
 	Service     string
-	Worker      string // id of the incarnation
-	Listed      bool   // the worker is on the platform's list
+	Worker      string // instance id, unique to the incarnation
+	Listed      bool   // the worker is a listed one
 	Method      string
 	Host        string
 	Target      string
@@ -67,40 +67,40 @@
 	Arrived     time.Duration
 	Start       time.Duration // of the run
 	End         time.Duration // of the run, before its answer is written
-	Status      int           // as answered; 0: no answer
+	Status      int           // of the answer; 0: none
 	Outcome     Outcome
 	Signature   string
-	Reused      bool          // its connection had carried another request before
-	AnswerFault string        // what the worker did to its success; empty: nothing
-	Answered    bool          // the whole answer was written to a connection that stood
-	Written     time.Duration // when it had been written
+	Reused      bool          // its connection had carried an earlier message
+	AnswerFault string        // fault injected into the answer to its success; empty: none
+	Answered    bool          // the whole answer was written without an error
+	Written     time.Duration // when the answer had been written
 }
 
-// Started says whether the worker ran the request.
+// Started reports whether the worker started to run the request.
 func (a Arrival) Started() bool { return a.Outcome != OutcomeNotRun }
 
-// Order is a call of the operator to change the configuration.
+// Order is a call of the operator that changes the configuration, with all its repetitions.
 type Order struct {
 	Base     uint64
-	Config   protocol.Config // what is in force if it is taken
-	Sent     time.Duration   // the first time
+	Config   protocol.Config // the whole configuration if the order is applied
+	Sent     time.Duration   // time of the first attempt
 	Answered time.Duration
 	Status   int // 0: no clear answer
 }
 
-// Taken says whether the order was acknowledged.
+// Taken reports whether the order was acknowledged.
 func (o Order) Taken() bool { return o.Status == http.StatusOK }
 
-// Possible says whether the order may have been taken.
+// Possible reports whether the order may have been applied.
 func (o Order) Possible() bool { return o.Taken() || o.Status == 0 }
 
-// Drain is when the platform's list first showed a worker as draining, or no longer showed it.
+// Drain is the time from which the platform's list shows a worker as draining or no longer shows it, whichever comes first.
 type Drain struct {
 	Worker string
 	Shown  time.Duration
 }
 
-// Reading is what a message's state, and if asked for its body, was told to be.
+// Reading is an answer about a message's state and, if requested, its body.
 type Reading struct {
 	RequestID   string
 	MessageID   string
@@ -108,20 +108,20 @@
 	StateStatus int // 0: no answer
 	State       string
 	Signature   string
-	BodyStatus  int // 0: not asked for, or no answer
+	BodyStatus  int // 0: not requested, or no answer
 	Body        uint64
 }
 
-// Fault is a fault that was made, or planned work.
+// Fault is an injected fault or planned work.
 type Fault struct {
 	Machine string
 	What    string
 	At      time.Duration
-	Until   time.Duration // when the machine was whole again
+	Until   time.Duration // end of the fault
 	Planned bool
 }
 
-// History is all that was seen.
+// History is everything that the stand-ins observed.
 type History struct {
 	Sends    []Send
 	Arrivals []Arrival
@@ -138,23 +138,23 @@
 	mutex    sync.Mutex
 	history  History
 	arrivals []*Arrival
-	troubles []*Fault
+	faults   []*Fault
 }
 
-// NewRecorder starts a history.
+// NewRecorder returns a recorder whose time starts now.
 func NewRecorder() *Recorder { return &Recorder{start: time.Now()} }
 
-// Now is the time since the start.
+// Now returns the time since the recorder was created.
 func (r *Recorder) Now() time.Duration { return time.Since(r.start) }
 
-// Send records a client's try that is over.
+// Send records a finished attempt of a client.
 func (r *Recorder) Send(send Send) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.history.Sends = append(r.history.Sends, send)
 }
 
-// Arrive records an arrival. What becomes of it is recorded by Change.
+// Arrive records an arrival. Later changes to it are made by Change.
 func (r *Recorder) Arrive(arrival Arrival) *Arrival {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -163,28 +163,28 @@
 	return kept
 }
 
-// Change records what became of an arrival.
+// Change updates a recorded arrival.
 func (r *Recorder) Change(arrival *Arrival, change func(*Arrival)) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	change(arrival)
 }
 
-// Order records an order that is over.
+// Order records a finished order.
 func (r *Recorder) Order(order Order) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.history.Orders = append(r.history.Orders, order)
 }
 
-// Drain records that the list shows a worker as leaving or gone.
+// Drain records the time from which the list shows a worker as leaving or gone.
 func (r *Recorder) Drain(drain Drain) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.history.Drains = append(r.history.Drains, drain)
 }
 
-// Read records a reading.
+// Read records a reading of a message's state.
 func (r *Recorder) Read(reading Reading) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -195,16 +195,16 @@
 func (r *Recorder) Trouble(machine, what string, planned bool) (end func()) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	trouble := &Fault{Machine: machine, What: what, At: r.Now(), Planned: planned}
-	r.troubles = append(r.troubles, trouble)
+	fault := &Fault{Machine: machine, What: what, At: r.Now(), Planned: planned}
+	r.faults = append(r.faults, fault)
 	return func() {
 		r.mutex.Lock()
 		defer r.mutex.Unlock()
-		trouble.Until = r.Now()
+		fault.Until = r.Now()
 	}
 }
 
-// History is a copy of what was recorded so far. Faults that have not ended last until now.
+// History returns a copy of everything recorded so far. Faults that have not ended are given the current time as their end.
 func (r *Recorder) History() *History {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -217,8 +217,8 @@
 	for _, arrival := range r.arrivals {
 		copied.Arrivals = append(copied.Arrivals, *arrival)
 	}
-	for _, trouble := range r.troubles {
-		ended := *trouble
+	for _, fault := range r.faults {
+		ended := *fault
 		if ended.Until == 0 {
 			ended.Until = r.Now()
 		}
--- a/test/standin/operator/operator.go
+++ b/test/standin/operator/operator.go
@@ -15,13 +15,13 @@
 	"ravendale/test/standin/protocol"
 )
 
-// How calls are made and made again.
+// Timeouts and limits of calls and their repetitions.
 const (
-	callPatience  = time.Second
-	firstPause    = 50 * time.Millisecond
-	longestPause  = time.Second
-	redirectsMost = 2
-	othersMost    = 3 // tries after which any other 4xx ends a call
+	callTimeout      = time.Second
+	firstPause       = 50 * time.Millisecond
+	maxPause         = time.Second
+	maxRedirects     = 2
+	maxOtherAttempts = 3 // number of 4xx answers that are neither clear nor retryable after which a call ends
 )
 
 // Operator calls the control plane.
@@ -34,23 +34,23 @@
 	next  int
 }
 
-// New makes an operator that calls any of some control processes, by host:port.
+// New returns an operator that calls the control processes at the given host:port addresses, beginning with the first.
 func New(addresses []string, record *history.Recorder) *Operator {
 	client := &http.Client{
-		Timeout:       callPatience,
+		Timeout:       callTimeout,
 		Transport:     &http.Transport{DisableKeepAlives: true},
 		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
 	}
 	return &Operator{addresses: addresses, record: record, client: client}
 }
 
-// Answer to a call. Status 0: the context ended without a clear answer.
+// Answer is the answer to a call. With Status 0 the context ended without a clear answer.
 type Answer struct {
 	Status int
 	Body   []byte
 }
 
-// Set orders a whole configuration on top of version base.
+// Set orders a whole configuration, based on version base.
 func (o *Operator) Set(ctx context.Context, base uint64, config protocol.Config) (Answer, error) {
 	body, err := json.Marshal(config)
 	if err != nil {
@@ -59,7 +59,7 @@
 	return o.order(ctx, "/v1/config/set", base, body, config), nil
 }
 
-// Patch orders a change of the configuration current.
+// Patch orders a change of the current configuration.
 func (o *Operator) Patch(ctx context.Context, current protocol.Config, patch protocol.Patch) (Answer, error) {
 	body, err := json.Marshal(patch)
 	if err != nil {
@@ -83,7 +83,7 @@
 func (o *Operator) Show(ctx context.Context) (protocol.Config, error) {
 	answer := o.Call(ctx, http.MethodGet, "/v1/config/show", nil, nil)
 	if answer.Status != http.StatusOK {
-		return protocol.Config{}, fmt.Errorf("operator: show was answered %d", answer.Status)
+		return protocol.Config{}, fmt.Errorf("operator: show was answered with status %d", answer.Status)
 	}
 	var config protocol.Config
 	if err := json.Unmarshal(answer.Body, &config); err != nil {
@@ -92,17 +92,17 @@
 	return config, nil
 }
 
-// StartRetire asks for a storage machine to be emptied.
+// StartRetire orders that a storage machine be emptied by a deadline.
 func (o *Operator) StartRetire(ctx context.Context, node string, deadline time.Duration) Answer {
 	body := fmt.Appendf(nil, `{"deadlineS":%g}`, deadline.Seconds())
 	return o.Call(ctx, http.MethodPost, "/v1/retire/"+node+"/start", nil, body)
 }
 
-// RetireState asks how far the emptying of a storage machine is.
+// RetireState returns the state of the emptying of a storage machine.
 func (o *Operator) RetireState(ctx context.Context, node string) (string, error) {
 	answer := o.Call(ctx, http.MethodGet, "/v1/retire/"+node+"/show", nil, nil)
 	if answer.Status != http.StatusOK {
-		return "", fmt.Errorf("operator: retire of %s was answered %d", node, answer.Status)
+		return "", fmt.Errorf("operator: retire state of %s was answered with status %d", node, answer.Status)
 	}
 	var state struct {
 		State string `json:"state"`
@@ -111,23 +111,23 @@
 	return state.State, err
 }
 
-// Call makes a call, and makes it again at other control processes until it is answered clearly or the context ends.
+// Call makes a call, and repeats it at the other control processes in turn until the answer is clear or the context ends.
 func (o *Operator) Call(ctx context.Context, method, path string, header http.Header, body []byte) Answer {
 	pause := firstPause
 	for others := 0; ctx.Err() == nil; {
-		answer := o.try(ctx, method, "http://"+o.address()+path, header, body)
+		answer := o.callOnce(ctx, method, "http://"+o.address()+path, header, body)
 		if isOther(answer.Status) {
 			others++
 		}
-		if isClear(answer.Status) || others >= othersMost {
+		if isClear(answer.Status) || others >= maxOtherAttempts {
 			return answer
 		}
-		o.moveOn()
+		o.nextAddress()
 		select {
 		case <-time.After(pause):
 		case <-ctx.Done():
 		}
-		pause = min(2*pause, longestPause)
+		pause = min(2*pause, maxPause)
 	}
 	return Answer{}
 }
@@ -141,7 +141,7 @@
 	return status >= 200 && status < 300
 }
 
-// isOther says whether a status ends a call only when it comes again.
+// isOther reports whether a status is a 4xx that is neither clear nor retryable. It ends a call only after maxOtherAttempts.
 func isOther(status int) bool {
 	return status >= 400 && status < 500 && !isClear(status) &&
 		status != http.StatusRequestTimeout && status != http.StatusTooManyRequests
@@ -153,16 +153,16 @@
 	return o.addresses[o.next%len(o.addresses)]
 }
 
-func (o *Operator) moveOn() {
+func (o *Operator) nextAddress() {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 	o.next++
 }
 
-// try makes a call once, along redirects.
-func (o *Operator) try(ctx context.Context, method, url string, header http.Header, body []byte) Answer {
-	for range redirectsMost + 1 {
-		answer, location := o.once(ctx, method, url, header, body)
+// callOnce makes a call once and follows its redirects.
+func (o *Operator) callOnce(ctx context.Context, method, url string, header http.Header, body []byte) Answer {
+	for range maxRedirects + 1 {
+		answer, location := o.roundTrip(ctx, method, url, header, body)
 		if answer.Status != http.StatusTemporaryRedirect || location == "" {
 			return answer
 		}
@@ -171,7 +171,7 @@
 	return Answer{}
 }
 
-func (o *Operator) once(ctx context.Context, method, url string, header http.Header, body []byte) (answer Answer, location string) {
+func (o *Operator) roundTrip(ctx context.Context, method, url string, header http.Header, body []byte) (answer Answer, location string) {
 	request, err := http.NewRequestWithContext(ctx, method, url, bytes.NewReader(body))
 	if err != nil {
 		return Answer{}, ""
--- a/test/standin/operator/operator_test.go
+++ b/test/standin/operator/operator_test.go
@@ -18,7 +18,7 @@
 	"ravendale/test/standin/protocol"
 )
 
-// control answers calls with the given statuses in turn, and the last one from then on.
+// control starts a server that answers calls with the given statuses in turn, and with the last one from then on.
 func control(t *testing.T, statuses ...int) (address string, calls *atomic.Int64) {
 	t.Helper()
 	calls = new(atomic.Int64)
@@ -37,7 +37,7 @@
 	return ctx
 }
 
-func TestUnclearAnswersAreSentAgainElsewhere(t *testing.T) {
+func TestRetryAtOtherAddress(t *testing.T) {
 	unavailable, first := control(t, http.StatusServiceUnavailable)
 	taking, second := control(t, http.StatusTooManyRequests, http.StatusOK)
 	record := history.NewRecorder()
@@ -53,7 +53,7 @@
 	assert.True(t, orders[0].Taken())
 }
 
-func TestClearRefusalEndsACall(t *testing.T) {
+func TestClearRefusalIsFinal(t *testing.T) {
 	for _, status := range []int{400, 409, 412, 413, 422} {
 		address, calls := control(t, status)
 		record := history.NewRecorder()
@@ -65,14 +65,14 @@
 	}
 }
 
-func TestOtherRefusalEndsACallAtTheThirdTry(t *testing.T) {
+func TestOtherRefusalIsFinalAfterThreeAttempts(t *testing.T) {
 	address, calls := control(t, http.StatusForbidden)
 	answer := operator.New([]string{address}, history.NewRecorder()).StartRetire(within(t, 5*time.Second), "node", time.Second)
 	assert.Equal(t, http.StatusForbidden, answer.Status)
 	assert.EqualValues(t, 3, calls.Load())
 }
 
-func TestNoClearAnswerIsRecordedAsPossible(t *testing.T) {
+func TestNoClearAnswerIsPossible(t *testing.T) {
 	address, _ := control(t, http.StatusGatewayTimeout)
 	record := history.NewRecorder()
 	_, err := operator.New([]string{address}, record).Set(within(t, 150*time.Millisecond), 0, protocol.Config{Version: 1})
@@ -81,7 +81,7 @@
 	assert.False(t, record.History().Orders[0].Taken())
 }
 
-func TestRedirectsAreFollowedTwice(t *testing.T) {
+func TestRedirects(t *testing.T) {
 	var hops atomic.Int64
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /v1/config/show", func(w http.ResponseWriter, r *http.Request) {
@@ -100,7 +100,7 @@
 	assert.EqualValues(t, 3, hops.Load())
 }
 
-func TestPatchRecordsTheConfigurationThatItMakes(t *testing.T) {
+func TestPatchRecordsResult(t *testing.T) {
 	address, _ := control(t, http.StatusOK)
 	record := history.NewRecorder()
 	current := protocol.Config{Version: 5, Routes: []protocol.Route{{Name: "a"}, {Name: "b"}}, Services: []protocol.Service{{Name: "s"}}}
--- a/test/standin/platform/platform.go
+++ b/test/standin/platform/platform.go
@@ -17,30 +17,30 @@
 	"ravendale/test/standin/protocol"
 )
 
-// Options of a platform.
+// Options are the options of a platform.
 type Options struct {
-	Address  string        // host:port to listen on; port 0 takes a free one
-	PageSize int           // entries a page; 0: defaultPageSize
-	RatePerS float64       // calls accepted a second; 0: no limit
-	Lag      time.Duration // how far the list trails
+	Address  string        // host:port to listen on; port 0: a free port
+	PageSize int           // entries per page; 0: defaultPageSize
+	RatePerS float64       // accepted calls per second; 0: no limit
+	Lag      time.Duration // delay until the list shows a change
 	Record   *history.Recorder
 }
 
 const defaultPageSize = 50
 
-// tokenPrefix begins the tokens of pages.
+// tokenPrefix is the prefix of page tokens.
 const tokenPrefix = "p-"
 
-// entry is a worker with the times, since the platform's start, of its changes. Zero: not yet.
+// entry is a worker with the times of its changes since the platform's start. Zero: the change has not happened.
 type entry struct {
-	instance protocol.Instance
-	shown    time.Duration
-	draining time.Duration
-	gone     time.Duration
-	warm     time.Duration // when its warm-up ends
+	instance   protocol.Instance
+	listedAt   time.Duration
+	drainingAt time.Duration
+	removedAt  time.Duration
+	warmupEnd  time.Duration // end of its warm-up
 }
 
-// Platform serves the list.
+// Platform serves the list of workers over HTTP.
 type Platform struct {
 	options Options
 	start   time.Time
@@ -55,7 +55,7 @@
 	limited int
 }
 
-// Start listens and serves.
+// Start starts a platform.
 func Start(options Options) (*Platform, error) {
 	if options.PageSize <= 0 {
 		options.PageSize = defaultPageSize
@@ -75,38 +75,38 @@
 	return p, nil
 }
 
-// Address is where the platform listens.
+// Address returns the host:port that the platform listens on.
 func (p *Platform) Address() string { return p.address }
 
-// Close ends the platform and its connections.
+// Close stops the platform and closes its connections.
 func (p *Platform) Close() error { return p.server.Close() }
 
-// Shutdown lets calls under way end first.
+// Shutdown stops the platform after the calls in progress have ended.
 func (p *Platform) Shutdown(ctx context.Context) error { return p.server.Shutdown(ctx) }
 
-// Add puts a worker on the list; it is seen after the lag. Warmup is the time for which it is slow.
+// Add adds a worker, which is listed after the lag. warmup is the time from now during which it is slow.
 func (p *Platform) Add(instance protocol.Instance, warmup time.Duration) {
 	p.add(instance, warmup, p.options.Lag)
 }
 
-// AddShown puts a worker on the list at once, as one that was there before.
+// AddShown adds a worker that is listed at once, as if it had been added before the start.
 func (p *Platform) AddShown(instance protocol.Instance) { p.add(instance, 0, 0) }
 
 func (p *Platform) add(instance protocol.Instance, warmup, lag time.Duration) {
 	now := time.Since(p.start)
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	p.entries = append(p.entries, &entry{instance: instance, shown: now + lag, warm: now + warmup})
+	p.entries = append(p.entries, &entry{instance: instance, listedAt: now + lag, warmupEnd: now + warmup})
 }
 
-// Drain marks a worker as draining, and returns the time until the list shows it.
+// Drain marks a worker as draining, and returns the time until the list shows that.
 func (p *Platform) Drain(id string) time.Duration {
-	return p.change(id, func(e *entry, shown time.Duration) { e.draining = shown })
+	return p.change(id, func(e *entry, shown time.Duration) { e.drainingAt = shown })
 }
 
-// Remove takes a worker off the list, and returns the time until the list no longer shows it.
+// Remove removes a worker, and returns the time until the list no longer shows it.
 func (p *Platform) Remove(id string) time.Duration {
-	return p.change(id, func(e *entry, shown time.Duration) { e.gone = shown })
+	return p.change(id, func(e *entry, shown time.Duration) { e.removedAt = shown })
 }
 
 func (p *Platform) change(id string, change func(e *entry, shown time.Duration)) time.Duration {
@@ -115,28 +115,28 @@
 	shown := time.Since(p.start) + p.options.Lag
 	for _, e := range p.entries {
 		if e.instance.ID == id {
-			p.record(e)
+			p.recordDrain(e)
 			change(e, shown)
 		}
 	}
 	return p.options.Lag
 }
 
-func (p *Platform) record(e *entry) {
-	if p.options.Record == nil || e.draining > 0 || e.gone > 0 {
+func (p *Platform) recordDrain(e *entry) {
+	if p.options.Record == nil || e.drainingAt > 0 || e.removedAt > 0 {
 		return
 	}
 	p.options.Record.Drain(history.Drain{Worker: e.instance.ID, Shown: p.options.Record.Now() + p.options.Lag})
 }
 
-// SetDown makes the platform answer 503 to all calls, or ends that.
+// SetDown sets whether the platform answers 503 to all calls.
 func (p *Platform) SetDown(down bool) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	p.down = down
 }
 
-// Calls is how many calls were made, and how many of them were over the rate.
+// Calls returns the number of calls, and how many of them were rejected by the rate limit.
 func (p *Platform) Calls() (all, limited int) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -177,7 +177,7 @@
 	if err != nil {
 		return protocol.Page{}, err
 	}
-	shown := p.shown(zone)
+	shown := p.listed(zone)
 	page := protocol.Page{Instances: []protocol.Instance{}}
 	if offset >= len(shown) {
 		return page, nil
@@ -203,22 +203,22 @@
 	return offset, nil
 }
 
-// shown is the list as it is shown now.
-func (p *Platform) shown(zone string) []protocol.Instance {
+// listed returns the list as it is served now, of one zone or, if that is empty, of all.
+func (p *Platform) listed(zone string) []protocol.Instance {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	now := time.Since(p.start)
 	var shown []protocol.Instance
 	for _, e := range p.entries {
-		if e.shown > now || (e.gone > 0 && e.gone <= now) || (zone != "" && zone != e.instance.Zone) {
+		if e.listedAt > now || (e.removedAt > 0 && e.removedAt <= now) || (zone != "" && zone != e.instance.Zone) {
 			continue
 		}
 		instance := e.instance
 		instance.State = protocol.InstanceReady
-		if e.draining > 0 && e.draining <= now {
+		if e.drainingAt > 0 && e.drainingAt <= now {
 			instance.State = protocol.InstanceDraining
 		}
-		instance.WarmupMs = max(0, (e.warm - now).Milliseconds())
+		instance.WarmupMs = max(0, (e.warmupEnd - now).Milliseconds())
 		shown = append(shown, instance)
 	}
 	return shown
--- a/test/standin/platform/platform_test.go
+++ b/test/standin/platform/platform_test.go
@@ -68,7 +68,7 @@
 	assert.Equal(t, http.StatusBadRequest, status)
 }
 
-func TestRateIsLimited(t *testing.T) {
+func TestRateLimit(t *testing.T) {
 	p := start(t, platform.Options{RatePerS: 2})
 	var statuses []int
 	for range 3 {
@@ -81,7 +81,7 @@
 	assert.Equal(t, 1, limited)
 }
 
-func TestListTrailsAndDrainsBeforeAnEnd(t *testing.T) {
+func TestLagAndDrain(t *testing.T) {
 	const lag = 100 * time.Millisecond
 	record := history.NewRecorder()
 	p := start(t, platform.Options{Lag: lag, Record: record})
@@ -94,7 +94,7 @@
 
 	p.Drain("i-1")
 	_, page = call(t, p, "")
-	assert.Equal(t, protocol.InstanceReady, page.Instances[0].State, "nor that one drains")
+	assert.Equal(t, protocol.InstanceReady, page.Instances[0].State, "nor that a worker drains")
 
 	assert.Eventually(t, func() bool {
 		_, page = call(t, p, "")
@@ -109,11 +109,11 @@
 	}, 2*time.Second, 10*time.Millisecond)
 
 	drains := record.History().Drains
-	require.Len(t, drains, 1, "the time runs from the first sign")
+	require.Len(t, drains, 1, "only the first sign of leaving is recorded")
 	assert.GreaterOrEqual(t, drains[0].Shown, lag)
 }
 
-func TestDownPlatform(t *testing.T) {
+func TestSetDown(t *testing.T) {
 	p := start(t, platform.Options{})
 	p.SetDown(true)
 	status, _ := call(t, p, "")
--- a/test/standin/protocol/doc.go
+++ b/test/standin/protocol/doc.go
@@ -1,3 +1,3 @@
-// Package protocol holds the public protocol's words as the stand-ins speak them: headers, the operator's configuration, and the
-// entries of the platform's list. It is written from the protocol page alone and shares nothing with the system under test.
+// Package protocol defines the public protocol for the stand-ins: headers, the operator's configuration, and the entries of the platform's list.
+// It is written from the protocol page alone and shares no code with the system under test.
 package protocol
--- a/test/standin/protocol/protocol.go
+++ b/test/standin/protocol/protocol.go
@@ -29,7 +29,7 @@
 	InstanceDraining = "draining"
 )
 
-// TypeDeferred is the type of routes that take messages.
+// TypeDeferred is the type of routes that accept messages for later delivery.
 const TypeDeferred = "deferred"
 
 // Instance is an entry of the platform's list.
@@ -44,13 +44,13 @@
 	WarmupMs int64  `json:"warmupMs"`
 }
 
-// Page is an answer of the platform's list.
+// Page is one page of the platform's list.
 type Page struct {
 	Instances []Instance `json:"instances"`
 	NextToken *string    `json:"nextToken"`
 }
 
-// Route of a configuration. Times are in the unit that their name ends with.
+// Route is a route of a configuration. The names of times end with their unit.
 type Route struct {
 	Name          string  `json:"name"`
 	Host          string  `json:"host"`
@@ -67,7 +67,7 @@
 	StartTargetMs float64 `json:"startTargetMs"`
 }
 
-// Service of a configuration.
+// Service is a service of a configuration.
 type Service struct {
 	Name       string  `json:"name"`
 	HealthPath string  `json:"healthPath"`
@@ -80,7 +80,7 @@
 	Endpoint   *string `json:"endpoint"`
 }
 
-// Limits on what clients send.
+// Limits are the limits on clients' requests.
 type Limits struct {
 	MaxHeaderBytes  int     `json:"maxHeaderBytes"`
 	MaxBodyBytes    int     `json:"maxBodyBytes"`
@@ -115,7 +115,7 @@
 	Services []string `json:"backends,omitempty"`
 }
 
-// Apply is the configuration that a patch makes of c, which stays as it is.
+// Apply returns the configuration that results from applying a patch to c. It does not change c.
 func (c Config) Apply(patch Patch) Config {
 	routeName := func(route Route) string { return route.Name }
 	serviceName := func(service Service) string { return service.Name }
@@ -144,7 +144,7 @@
 	return append(merged, upsert...)
 }
 
-// Match finds the route of a request: by host, and by the longest prefix that the target starts with.
+// Match finds the route of a request: with the same host and the longest prefix of the target.
 func (c Config) Match(host, target string) (Route, bool) {
 	var best Route
 	found := false
--- a/test/standin/standin.go
+++ b/test/standin/standin.go
@@ -11,25 +11,25 @@
 	"ravendale/test/standin/workers"
 )
 
-// Service is a service with its workers and the routes that lead to it.
+// Service is a service with its workers and its routes.
 type Service struct {
 	workers.Service
-	Workers  int              // of each zone
-	Endpoint bool             // a single endpoint, on no list, in place of Workers
+	Workers  int              // number per zone
+	Endpoint bool             // one unlisted worker, named in the configuration, in place of Workers
 	Routes   []protocol.Route // Service and Type are filled in
 }
 
 // Options of a world.
 type Options struct {
-	Address  string        // of the platform's list; empty: a free port of 127.0.0.1
+	Address  string        // listen address of the platform; empty: a free port of 127.0.0.1
 	Zones    []string      // of the workers
-	Lag      time.Duration // how far the list trails
-	RatePerS float64       // calls of the list accepted a second; 0: no limit
-	PageSize int           // entries a page; 0: the platform's default
+	Lag      time.Duration // delay until the list shows a change
+	RatePerS float64       // accepted calls per second; 0: no limit
+	PageSize int           // entries per page; 0: the platform's default
 	Services []Service
 }
 
-// World is all that is outside of the system.
+// World is the environment of the system under test, except for its clients and operators.
 type World struct {
 	Record   *history.Recorder
 	Platform *platform.Platform
@@ -99,7 +99,7 @@
 	return nil
 }
 
-// Add starts one more worker, which the list shows after its lag.
+// Add starts one more worker, which the platform lists after its lag.
 func (w *World) Add(service, zone string) (*workers.Worker, error) {
 	worker, err := w.Fleet.Start(workers.Listen{Service: service, Zone: zone})
 	if err != nil {
@@ -109,13 +109,13 @@
 	return worker, nil
 }
 
-// Crash ends a worker at once. The list shows it for some time yet.
+// Crash ends a worker at once. The platform lists it for the given time longer.
 func (w *World) Crash(worker *workers.Worker, listed time.Duration) {
 	worker.Crash()
 	time.AfterFunc(listed, func() { w.Platform.Remove(worker.ID()) })
 }
 
-// Drain shows a worker as draining, lets it serve for a time from then on, and ends it.
+// Drain marks a worker as draining, and ends it when the list has shown that for the given time.
 func (w *World) Drain(worker *workers.Worker, serves time.Duration) {
 	shown := w.Platform.Drain(worker.ID())
 	worker.Drain()
@@ -125,7 +125,7 @@
 	})
 }
 
-// Replace drains a worker and starts another in its zone.
+// Replace starts another worker in the same zone and drains the old one.
 func (w *World) Replace(worker *workers.Worker, serves time.Duration) (*workers.Worker, error) {
 	instance := worker.Instance()
 	replacement, err := w.Add(instance.Service, instance.Zone)
@@ -136,7 +136,7 @@
 	return replacement, nil
 }
 
-// Config is the configuration that leads to the world's services.
+// Config returns a configuration with the services and routes of the world.
 func (w *World) Config(version uint64, limits protocol.Limits) protocol.Config {
 	config := protocol.Config{Version: version, Limits: limits}
 	for _, service := range w.options.Services {
@@ -154,16 +154,16 @@
 	return config
 }
 
-// Close ends all.
+// Close ends all workers and the platform.
 func (w *World) Close() {
 	w.Fleet.Close()
 	_ = w.Platform.Close()
 }
 
-// errNoServices says that a world has nothing in it.
+// errNoServices is returned for options without services.
 var errNoServices = errors.New("no services")
 
-// Validate says what is wrong with the options.
+// Validate returns all errors in the options.
 func (o Options) Validate() error {
 	var found []error
 	if len(o.Services) == 0 {
@@ -171,7 +171,7 @@
 	}
 	for i, service := range o.Services {
 		if service.Name == "" {
-			found = append(found, fmt.Errorf("services[%d]: has no name", i))
+			found = append(found, fmt.Errorf("services[%d]: name is empty", i))
 		}
 		if !service.Endpoint && service.Workers < 1 {
 			found = append(found, fmt.Errorf("services[%d] %s: has neither workers nor an endpoint", i, service.Name))
--- a/test/standin/standin_test.go
+++ b/test/standin/standin_test.go
@@ -23,7 +23,7 @@
 	}
 }
 
-func TestConfigurationLeadsToTheWorkers(t *testing.T) {
+func TestConfig(t *testing.T) {
 	world, err := standin.Start(options())
 	require.NoError(t, err)
 	t.Cleanup(world.Close)
@@ -45,7 +45,7 @@
 	assert.Equal(t, http.StatusOK, response.StatusCode)
 }
 
-func TestReplacedWorkerEndsAndIsRecorded(t *testing.T) {
+func TestReplace(t *testing.T) {
 	world, err := standin.Start(options())
 	require.NoError(t, err)
 	t.Cleanup(world.Close)
@@ -60,10 +60,10 @@
 	assert.Equal(t, old.ID(), drains[0].Worker)
 }
 
-func TestOptionsAreChecked(t *testing.T) {
+func TestValidate(t *testing.T) {
 	assert.NoError(t, options().Validate())
 	assert.ErrorContains(t, standin.Options{}.Validate(), "no services")
-	spoilt := options()
-	spoilt.Services[0].Workers = 0
-	assert.ErrorContains(t, spoilt.Validate(), "services[0] listed")
+	invalid := options()
+	invalid.Services[0].Workers = 0
+	assert.ErrorContains(t, invalid.Validate(), "services[0] listed")
 }
--- a/test/standin/workers/connection.go
+++ b/test/standin/workers/connection.go
@@ -18,12 +18,12 @@
 	"ravendale/test/standin/protocol"
 )
 
-// conn is one connection, which handles one request at a time.
+// conn is one connection. It handles one request at a time.
 type conn struct {
 	worker *Worker
 	net    net.Conn
 	reader *bufio.Reader
-	used   bool // it has carried a message
+	used   bool // it has carried a message before
 }
 
 func (c *conn) reset() {
@@ -34,7 +34,7 @@
 }
 
 func (c *conn) serve() {
-	defer c.worker.forget(c)
+	defer c.worker.removeConn(c)
 	defer func() { _ = c.net.Close() }()
 	for {
 		_ = c.net.SetReadDeadline(time.Now().Add(c.worker.service.KeepAlive))
@@ -57,10 +57,10 @@
 	}
 }
 
-// discard reads whatever comes until the other end gives up.
+// discard reads and ignores all input until the peer closes the connection.
 func (c *conn) discard() { _, _ = io.Copy(io.Discard, c.reader) }
 
-// handle answers a request, and says whether the connection goes on.
+// handle answers a request, and reports whether the connection stays open.
 func (c *conn) handle(request *http.Request, body []byte) bool {
 	ctx, stop := c.watch()
 	defer stop()
@@ -70,7 +70,7 @@
 	return c.deliver(ctx, request, body)
 }
 
-// watch makes a context that ends with the worker, or when the other end closes the connection. stop ends the watching.
+// watch returns a context that ends with the worker or when the peer closes the connection. stop ends the watching.
 func (c *conn) watch() (ctx context.Context, stop func()) {
 	ctx, cancel := context.WithCancel(c.worker.lifetime)
 	watched := make(chan struct{})
@@ -107,7 +107,7 @@
 		Reused:    c.used,
 	})
 	c.used = true
-	reply, given := worker.answerTo(ctx, request, arrival)
+	reply, given := worker.answerMessage(ctx, request, arrival)
 	record.Change(arrival, func(a *history.Arrival) { a.Status = reply.status })
 	if !given {
 		return false
@@ -118,15 +118,15 @@
 	return c.write(id, reply)
 }
 
-// writeSuccess sends a success with the worker's faults.
+// writeSuccess sends the answer to a success, with a fault if the worker's faults say so.
 func (c *conn) writeSuccess(ctx context.Context, reply answer, arrival *history.Arrival, deadline string) bool {
 	record := c.worker.fleet.record
 	id := arrival.RequestID
 	encoded := c.encode(id, reply)
-	before := c.worker.swap(id, reply)
+	before := c.worker.swapLastSuccess(id, reply)
 	answerFault := c.worker.faults.Load().draw()
 	if answerFault == AnswerForeign && (before.id == "" || before.id == id) {
-		answerFault = "" // there is no other message's answer
+		answerFault = "" // there is no answer to another message yet
 	}
 	record.Change(arrival, func(a *history.Arrival) { a.AnswerFault = answerFault })
 	switch answerFault {
@@ -152,21 +152,21 @@
 		a.Written = record.Now()
 	})
 	if answerFault == AnswerDuplicated {
-		time.Sleep(duplicateAfter)
+		time.Sleep(duplicateDelay)
 		_, err := c.net.Write(encoded)
 		return err == nil
 	}
 	return true
 }
 
-// awaitDeadline waits until about the deadline of a request. The end of its connection does not end the wait, that of the worker does.
+// awaitDeadline waits until a random time around the request's deadline. The end of the worker ends the wait early, the end of the connection does not.
 func (c *conn) awaitDeadline(arrived time.Duration, header string) {
 	millis, err := strconv.ParseFloat(header, 64)
 	if err != nil || millis <= 0 {
 		return
 	}
 	allowed := millis * float64(time.Millisecond)
-	until := arrived + time.Duration(allowed*(1-lateSpread+2*lateSpread*rand.Float64()))
+	until := arrived + time.Duration(allowed*(1-lateFraction+2*lateFraction*rand.Float64()))
 	timer := time.NewTimer(until - c.worker.fleet.record.Now())
 	defer timer.Stop()
 	select {
--- a/test/standin/workers/delivery.go
+++ b/test/standin/workers/delivery.go
@@ -12,7 +12,7 @@
 	"ravendale/test/standin/protocol"
 )
 
-// answer to a request.
+// answer is the answer to a request.
 type answer struct {
 	status    int
 	signature string
@@ -20,8 +20,8 @@
 	notRun    bool
 }
 
-// answerTo works on a message. Not given: the connection is gone.
-func (w *Worker) answerTo(ctx context.Context, request *http.Request, arrival *history.Arrival) (reply answer, given bool) {
+// answerMessage handles a message. If given is false there is no answer and the connection is to be closed.
+func (w *Worker) answerMessage(ctx context.Context, request *http.Request, arrival *history.Arrival) (reply answer, given bool) {
 	id := arrival.RequestID
 	if id == "" {
 		return answer{status: http.StatusBadRequest, notRun: true}, true
@@ -35,12 +35,12 @@
 	ctx, cancel := withDeadline(ctx, request.Header.Get(protocol.HeaderDeadline))
 	defer cancel()
 	if w.service.Idempotent {
-		return w.answerOnce(ctx, arrival)
+		return w.answerIdempotent(ctx, arrival)
 	}
 	return w.run(ctx, arrival)
 }
 
-// withDeadline ends a context at the Deadline-Ms that a worker is handed.
+// withDeadline returns a context that ends at the deadline in the Deadline-Ms header, if there is one.
 func withDeadline(ctx context.Context, header string) (context.Context, context.CancelFunc) {
 	millis, err := strconv.ParseFloat(header, 64)
 	if err != nil || millis <= 0 {
@@ -49,7 +49,7 @@
 	return context.WithTimeout(ctx, time.Duration(millis*float64(time.Millisecond)))
 }
 
-func (w *Worker) answerOnce(ctx context.Context, arrival *history.Arrival) (answer, bool) {
+func (w *Worker) answerIdempotent(ctx context.Context, arrival *history.Arrival) (answer, bool) {
 	id := arrival.RequestID
 	known, running, began := w.service.table.begin(id)
 	if running {
@@ -63,12 +63,12 @@
 	return reply, given
 }
 
-// run works on a message in a slot.
+// run waits for a slot and runs a message in it.
 func (w *Worker) run(ctx context.Context, arrival *history.Arrival) (answer, bool) {
-	if err := w.slot(ctx, true); err != nil {
+	if err := w.acquireSlot(ctx, true); err != nil {
 		return answer{status: http.StatusServiceUnavailable, notRun: true}, !errors.Is(err, context.Canceled)
 	}
-	defer w.release()
+	defer w.releaseSlot()
 	record := w.fleet.record
 	record.Change(arrival, func(a *history.Arrival) {
 		a.Start = record.Now()
@@ -83,10 +83,10 @@
 	return reply, outcome != history.OutcomeDropped
 }
 
-// work takes the time that a run takes, and decides how it ends.
+// work sleeps for the duration of a run, and draws its outcome.
 func (w *Worker) work(ctx context.Context, id string) (answer, history.Outcome) {
 	faults := w.faults.Load()
-	took := w.service.work()
+	took := w.service.drawRunTime()
 	if faults.Slow > 0 {
 		took = time.Duration(float64(took) * faults.Slow)
 	}
@@ -105,7 +105,7 @@
 	return answer{status: http.StatusOK, signature: signature, body: []byte("done " + id)}, history.OutcomeDone
 }
 
-// sleep waits for the work's time. A worker that keeps working heeds only its own end and the deadline.
+// sleep waits for the duration of a run. With KeepsWorking only the end of the worker ends it early.
 func (w *Worker) sleep(ctx context.Context, took time.Duration) error {
 	timer := time.NewTimer(took)
 	defer timer.Stop()
@@ -125,17 +125,17 @@
 	}
 }
 
-// foreign is an answer as it may be sent to another message.
-type foreign struct {
+// sentAnswer is an answer and the message that it belongs to, kept for AnswerForeign.
+type sentAnswer struct {
 	id    string
 	reply answer
 }
 
-// swap keeps a success, and returns the one before it.
-func (w *Worker) swap(id string, reply answer) foreign {
+// swapLastSuccess stores a success, and returns the previous one.
+func (w *Worker) swapLastSuccess(id string, reply answer) sentAnswer {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	before := w.previous
-	w.previous = foreign{id: id, reply: reply}
+	before := w.lastSuccess
+	w.lastSuccess = sentAnswer{id: id, reply: reply}
 	return before
 }
--- a/test/standin/workers/doc.go
+++ b/test/standin/workers/doc.go
@@ -1,3 +1,3 @@
-// Package workers stands in for the workers of many services, all in one process with a listener each. They keep to the protocol,
-// and have the faults that they are given. All that they are handed and run is recorded.
+// Package workers stands in for the workers of many services, all in one process with one listener each. They follow the protocol, except for
+// injected faults. All requests and runs are recorded.
 package workers
--- a/test/standin/workers/faults.go
+++ b/test/standin/workers/faults.go
@@ -4,25 +4,25 @@
 	"math/rand/v2"
 )
 
-// Faults of a worker.
+// Faults are the injected faults of a worker.
 type Faults struct {
-	Dark    bool    // it accepts connections and says nothing
-	Failing bool    // it answers health checks 503, and each run 500
-	Slow    float64 // runs take so many times as long; 0: as usual
+	Dark    bool    // it accepts connections and never answers
+	Failing bool    // it answers 503 to health checks, and 500 to each message
+	Slow    float64 // factor for the duration of runs; 0: none
 	AnswerFaults
 }
 
-// AnswerFaults is how the answers to runs that were a success are made faulty, by share. An answer has one fault at most.
+// AnswerFaults holds the fraction of answers to successful runs that get each fault. An answer has at most one fault.
 type AnswerFaults struct {
-	NeverSentShare  float64 // never sent
-	TruncatedShare  float64 // end early
-	ResetShare      float64 // the connection is reset in place of an answer
-	ForeignShare    float64 // another message's answer, its id and signature, in place of the own one
-	LateShare       float64 // sent about the deadline that the request names, before it or after it
-	DuplicatedShare float64 // sent a second time, later
+	NeverSentShare  float64 // the answer is never sent
+	TruncatedShare  float64 // the connection is closed after a part of the answer
+	ResetShare      float64 // the connection is reset instead of an answer
+	ForeignShare    float64 // the answer to another message is sent instead, with its id and signature
+	LateShare       float64 // the answer is sent shortly before or after the request's deadline
+	DuplicatedShare float64 // the answer is sent twice
 }
 
-// Names of the faults of answers, as history.Arrival has them.
+// Names of the answer faults, as recorded in history.Arrival.
 const (
 	AnswerNeverSent  = "lost"
 	AnswerTruncated  = "cut"
@@ -32,7 +32,7 @@
 	AnswerDuplicated = "repeated"
 )
 
-// draw chooses what becomes of an answer; empty: it is sent as it is.
+// draw chooses the fault of an answer; empty: none.
 func (s AnswerFaults) draw() string {
 	drawn := rand.Float64()
 	for _, way := range []struct {
--- a/test/standin/workers/fleet.go
+++ b/test/standin/workers/fleet.go
@@ -11,7 +11,7 @@
 	"ravendale/test/standin/protocol"
 )
 
-// Fleet is all workers of all services.
+// Fleet holds all workers of all services.
 type Fleet struct {
 	record *history.Recorder
 	serial atomic.Uint64
@@ -22,24 +22,24 @@
 	workers  []*Worker
 }
 
-// NewFleet makes a fleet without workers.
+// NewFleet returns a fleet without services and workers.
 func NewFleet(record *history.Recorder) *Fleet {
 	return &Fleet{record: record, seed: fmt.Sprintf("%x", time.Now().UnixNano()), services: make(map[string]*serviceState)}
 }
 
-// AddService makes a service known.
+// AddService adds a service, for which workers can be started then.
 func (f *Fleet) AddService(service Service) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	f.services[service.Name] = newServiceState(service)
 }
 
-// Listen is where and as what a worker starts.
+// Listen describes a worker to start.
 type Listen struct {
 	Service  string
 	Zone     string
 	Address  string // host:port; empty: a free port of 127.0.0.1
-	Unlisted bool   // it is a service's single endpoint, on no list
+	Unlisted bool   // it is the single endpoint of a service and not on the platform's list
 }
 
 // Start starts a worker.
@@ -48,7 +48,7 @@
 	state, found := f.services[listen.Service]
 	f.mutex.Unlock()
 	if !found {
-		return nil, fmt.Errorf("workers: no service %q", listen.Service)
+		return nil, fmt.Errorf("workers: unknown service %q", listen.Service)
 	}
 	address := listen.Address
 	if address == "" {
@@ -95,7 +95,7 @@
 
 func (f *Fleet) signature() string { return fmt.Sprintf("s.%s.%x", f.seed, f.serial.Add(1)) }
 
-// Instance is the worker's entry for the platform's list.
+// Instance returns the worker's entry for the platform's list.
 func (w *Worker) Instance() protocol.Instance {
 	return protocol.Instance{
 		ID:       w.id,
--- a/test/standin/workers/service.go
+++ b/test/standin/workers/service.go
@@ -11,26 +11,26 @@
 	"ravendale/test/standin/protocol"
 )
 
-// Service is what all workers of a service have in common.
+// Service holds the parameters of a service, common to all its workers.
 type Service struct {
 	Name         string
 	HealthPath   string
-	Capacity     int           // messages that a worker works on at once
-	Queue        int           // messages that wait at a worker for a slot
-	MaxConns     int           // connections that a worker takes
+	Capacity     int           // messages that a worker runs at once
+	Queue        int           // messages that may wait for a slot of a worker
+	MaxConns     int           // connections that a worker accepts
 	RatePerS     float64       // 0: no limit
-	Idempotent   bool          // the workers share a table of ids
+	Idempotent   bool          // the workers share an idempotency table of message ids
 	WorkMin      time.Duration // shortest run
-	WorkMean     time.Duration // mean of what a run takes beyond that, exponentially distributed
+	WorkMean     time.Duration // mean of the exponentially distributed duration beyond WorkMin
 	WorkMax      time.Duration // longest run; 0: no bound
-	FailShare    float64       // of runs that are answered 500
-	RefuseShare  float64       // of ids that are answered 422
-	PoisonShare  float64       // of ids that are always answered 500
-	KeepAlive    time.Duration // idle connections are closed after it; whole seconds
-	KeepsWorking bool          // goes on when the connection of a message closes
+	FailShare    float64       // fraction of runs that are answered 500
+	RefuseShare  float64       // fraction of ids that are always answered 422
+	PoisonShare  float64       // fraction of ids that are always answered 500
+	KeepAlive    time.Duration // idle connections are closed after this time; whole seconds
+	KeepsWorking bool          // a run continues when the connection of its message is closed
 }
 
-// withDefaults fills in what a service must have.
+// withDefaults returns the service with defaults for unset fields.
 func (s Service) withDefaults() Service {
 	s.Capacity = max(s.Capacity, 1)
 	if s.MaxConns == 0 {
@@ -45,7 +45,7 @@
 	return s
 }
 
-// Config is the service as the operator configures it.
+// Config returns the service's entry in the operator's configuration.
 func (s Service) Config() protocol.Service {
 	s = s.withDefaults()
 	return protocol.Service{
@@ -58,22 +58,22 @@
 	}
 }
 
-// Refuses says whether all workers of the service refuse an id for good.
-func (s Service) Refuses(id string) bool { return share(id, "refuse") < s.RefuseShare }
+// Refuses reports whether all workers of the service refuse an id permanently.
+func (s Service) Refuses(id string) bool { return hashFraction(id, "refuse") < s.RefuseShare }
 
-// Poison says whether all attempts at an id fail.
-func (s Service) Poison(id string) bool { return share(id, "poison") < s.PoisonShare }
+// Poison reports whether all runs of an id fail.
+func (s Service) Poison(id string) bool { return hashFraction(id, "poison") < s.PoisonShare }
 
-// share is a figure in [0, 1) that depends on an id alone.
-func share(id, kind string) float64 {
+// hashFraction returns a number in [0, 1) that depends only on the id and the kind.
+func hashFraction(id, kind string) float64 {
 	hash := fnv.New64a()
 	_, _ = hash.Write([]byte(kind))
 	_, _ = hash.Write([]byte(id))
 	return rand.New(rand.NewPCG(hash.Sum64(), 0)).Float64()
 }
 
-// work draws how long a run takes.
-func (s Service) work() time.Duration {
+// drawRunTime draws the duration of a run.
+func (s Service) drawRunTime() time.Duration {
 	took := s.WorkMin + time.Duration(rand.ExpFloat64()*float64(s.WorkMean))
 	if s.WorkMax > 0 {
 		took = min(took, s.WorkMax)
@@ -81,14 +81,14 @@
 	return took
 }
 
-// rateSlack is what a service takes beyond its rate before it answers 429.
+// rateSlack is the factor on a service's rate beyond which it answers 429.
 const rateSlack = 1.25
 
-// serviceState is what all workers of a service share.
+// serviceState is the state that all workers of a service share.
 type serviceState struct {
 	Service
 	limiter *rate.Limiter
-	table   table
+	table   idTable
 }
 
 func newServiceState(service Service) *serviceState {
@@ -100,20 +100,20 @@
 	return state
 }
 
-// table of the ids of an idempotent service.
-type table struct {
+// idTable is the idempotency table of a service, by message id.
+type idTable struct {
 	mutex   sync.Mutex
-	entries map[string]success // an empty signature: it is running
+	entries map[string]success // an empty signature: the message is running
 }
 
-// success is a first answer, which repeats get again.
+// success is the answer to a message's first successful run, which repeated requests get again.
 type success struct {
 	signature string
 	body      []byte
 }
 
-// begin takes an id for a run. If it does not, known is the first success, or running is set.
-func (t *table) begin(id string) (known success, running, began bool) {
+// begin reserves an id for a run and reports whether it did. If not, the id is running or known is its success.
+func (t *idTable) begin(id string) (known success, running, began bool) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	if t.entries == nil {
@@ -127,8 +127,8 @@
 	return success{}, false, true
 }
 
-// end records a success, or with an empty one that the id may run again.
-func (t *table) end(id string, first success) {
+// end stores a success. An empty one releases the id, which may run again.
+func (t *idTable) end(id string, first success) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	if first.signature == "" {
--- a/test/standin/workers/worker.go
+++ b/test/standin/workers/worker.go
@@ -11,12 +11,12 @@
 	"time"
 )
 
-// Sizes and times of a worker's connections.
+// Limits and delays of a worker's connections.
 const (
 	maxBody        = 16 << 20
 	readerSize     = 4096
-	duplicateAfter = 30 * time.Millisecond // until a second answer
-	lateSpread     = 0.25                  // a late answer comes within this part of the time allowed before its end, or after it
+	duplicateDelay = 30 * time.Millisecond // delay of a duplicated answer
+	lateFraction   = 0.25                  // a late answer is sent up to this fraction of the allowed time before or after the deadline
 )
 
 // Worker is one incarnation of a worker.
@@ -34,9 +34,9 @@
 	lifetime context.Context
 	end      context.CancelFunc
 
-	mutex    sync.Mutex
-	conns    map[*conn]bool
-	previous foreign // newest success
+	mutex       sync.Mutex
+	conns       map[*conn]bool
+	lastSuccess sentAnswer // answer to the newest success
 }
 
 func newWorker(fleet *Fleet, service *serviceState, listen Listen, listener net.Listener) *Worker {
@@ -57,33 +57,33 @@
 	return worker
 }
 
-// ID of the incarnation.
+// ID returns the instance id, which is unique to this incarnation.
 func (w *Worker) ID() string { return w.id }
 
-// Address where the worker listens.
+// Address returns the host:port that the worker listens on.
 func (w *Worker) Address() string { return w.listener.Addr().String() }
 
-// SetFaults replaces the worker's faults.
+// SetFaults replaces the injected faults.
 func (w *Worker) SetFaults(faults Faults) { w.faults.Store(&faults) }
 
-// Drain makes the worker answer health checks 503. It goes on serving.
+// Drain makes the worker answer 503 to health checks. It continues to serve messages.
 func (w *Worker) Drain() { w.draining.Store(true) }
 
-// Crash ends the worker at once, its runs and connections with it.
+// Crash ends the worker with its runs and connections at once.
 func (w *Worker) Crash() {
 	w.end()
 	_ = w.listener.Close()
-	for _, c := range w.open() {
+	for _, c := range w.openConns() {
 		c.reset()
 	}
 }
 
-// Connections is how many the worker has.
-func (w *Worker) Connections() int { return len(w.open()) }
+// Connections returns the number of open connections.
+func (w *Worker) Connections() int { return len(w.openConns()) }
 
 func (w *Worker) hasEnded() bool { return w.lifetime.Err() != nil }
 
-func (w *Worker) open() []*conn {
+func (w *Worker) openConns() []*conn {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	open := make([]*conn, 0, len(w.conns))
@@ -100,7 +100,7 @@
 			return
 		}
 		c := &conn{worker: w, net: netConn, reader: bufio.NewReaderSize(netConn, readerSize)}
-		if !w.admit(c) {
+		if !w.addConn(c) {
 			c.reset()
 			continue
 		}
@@ -108,7 +108,7 @@
 	}
 }
 
-func (w *Worker) admit(c *conn) bool {
+func (w *Worker) addConn(c *conn) bool {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	if w.hasEnded() || len(w.conns) >= w.service.MaxConns {
@@ -118,17 +118,17 @@
 	return true
 }
 
-func (w *Worker) forget(c *conn) {
+func (w *Worker) removeConn(c *conn) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	delete(w.conns, c)
 }
 
-// errFull says that neither a slot nor a place in the queue is free.
-var errFull = errors.New("full")
+// errQueueFull is returned when neither a slot nor a place in the queue is free.
+var errQueueFull = errors.New("worker queue is full")
 
-// slot waits for a slot. A health check may wait however long the queue is.
-func (w *Worker) slot(ctx context.Context, queued bool) error {
+// acquireSlot waits for a slot. The queue limit applies if queued is set; health checks are exempt from it.
+func (w *Worker) acquireSlot(ctx context.Context, queued bool) error {
 	select {
 	case w.slots <- struct{}{}:
 		return nil
@@ -137,7 +137,7 @@
 	if queued {
 		defer w.waiting.Add(-1)
 		if w.waiting.Add(1) > int64(w.service.Queue) {
-			return errFull
+			return errQueueFull
 		}
 	}
 	select {
@@ -148,15 +148,15 @@
 	}
 }
 
-func (w *Worker) release() { <-w.slots }
+func (w *Worker) releaseSlot() { <-w.slots }
 
 func (w *Worker) health(ctx context.Context) answer {
 	if w.draining.Load() || w.faults.Load().Failing {
 		return answer{status: http.StatusServiceUnavailable}
 	}
-	if err := w.slot(ctx, false); err != nil {
+	if err := w.acquireSlot(ctx, false); err != nil {
 		return answer{status: http.StatusServiceUnavailable}
 	}
-	w.release()
+	w.releaseSlot()
 	return answer{status: http.StatusOK}
 }
--- a/test/standin/workers/workers_test.go
+++ b/test/standin/workers/workers_test.go
@@ -84,7 +84,7 @@
 	return f.record.History().Arrivals
 }
 
-func TestSuccessIsSignedAndRecorded(t *testing.T) {
+func TestSuccess(t *testing.T) {
 	f := start(t, workers.Service{})
 	response := dial(t, f.worker).ask(t, "r1", "Order-Key: k", "Expect-Instance: "+f.worker.ID())
 	assert.Equal(t, http.StatusOK, response.StatusCode)
@@ -98,7 +98,7 @@
 	assert.Equal(t, []string{"r1", "POST", "a.example", "/x?y=1", "k"}, []string{run.RequestID, run.Method, run.Host, run.Target, run.Key})
 }
 
-func TestWhatDidNotRunSaysSo(t *testing.T) {
+func TestRejectionsAreMarkedNotExecuted(t *testing.T) {
 	f := start(t, workers.Service{RatePerS: 1})
 	c := dial(t, f.worker)
 	other := c.ask(t, "r1", "Expect-Instance: i-other")
@@ -115,8 +115,8 @@
 	}
 }
 
-// useBeyondMost opens a connection and reads from it. The reset may come while it is still being opened.
-func useBeyondMost(worker *workers.Worker) error {
+// useExcessConnection opens a connection and reads from it. The reset may arrive while the connection is still being opened.
+func useExcessConnection(worker *workers.Worker) error {
 	conn, err := net.Dial("tcp4", worker.Address())
 	if err != nil {
 		return err
@@ -126,7 +126,7 @@
 	return err
 }
 
-func TestSlotsQueueAndConnectionsAreBounded(t *testing.T) {
+func TestLimits(t *testing.T) {
 	f := start(t, workers.Service{Capacity: 1, Queue: 1, MaxConns: 3, WorkMin: 200 * time.Millisecond})
 	callers := []*caller{dial(t, f.worker), dial(t, f.worker), dial(t, f.worker)}
 	for i, c := range callers {
@@ -140,10 +140,10 @@
 	}
 	assert.Equal(t, map[int]int{http.StatusOK: 2, http.StatusServiceUnavailable: 1}, statuses)
 
-	assert.ErrorIs(t, useBeyondMost(f.worker), syscall.ECONNRESET, "connections beyond the most are reset")
+	assert.ErrorIs(t, useExcessConnection(f.worker), syscall.ECONNRESET, "connections beyond the limit are reset")
 }
 
-func TestWorkStopsAtItsDeadlineAndWhenItsConnectionCloses(t *testing.T) {
+func TestRunIsAborted(t *testing.T) {
 	f := start(t, workers.Service{Capacity: 2, WorkMin: 30 * time.Second})
 	response := dial(t, f.worker).ask(t, "r1", "Deadline-Ms: 20")
 	assert.Equal(t, http.StatusGatewayTimeout, response.StatusCode)
@@ -157,7 +157,7 @@
 	assert.Less(t, arrivals[1].End-arrivals[1].Start, 3*time.Second)
 }
 
-func TestIdempotentServiceSharesItsIDs(t *testing.T) {
+func TestIdempotentService(t *testing.T) {
 	f := start(t, workers.Service{Capacity: 4, Idempotent: true, WorkMin: 100 * time.Millisecond})
 	second, err := f.fleet.Start(workers.Listen{Service: "work", Zone: "west"})
 	require.NoError(t, err)
@@ -181,7 +181,7 @@
 	assert.Equal(t, 1, runs)
 }
 
-func TestPoisonAndRefusalsDependOnTheIDAlone(t *testing.T) {
+func TestPoisonAndRefusalsDependOnID(t *testing.T) {
 	service := workers.Service{PoisonShare: 0.5, RefuseShare: 0.25}
 	f := start(t, service)
 	c := dial(t, f.worker)
@@ -214,18 +214,18 @@
 	assert.Equal(t, f.worker.ID(), response.Header.Get(protocol.HeaderInstance))
 	f.worker.Drain()
 	assert.Equal(t, http.StatusServiceUnavailable, check().StatusCode)
-	assert.Empty(t, f.record.History().Arrivals, "health checks are no arrivals")
+	assert.Empty(t, f.record.History().Arrivals, "health checks are not recorded as arrivals")
 }
 
 func TestIdleConnectionsAreClosed(t *testing.T) {
 	f := start(t, workers.Service{KeepAlive: 50 * time.Millisecond})
 	c := dial(t, f.worker)
 	_ = c.SetReadDeadline(time.Now().Add(3 * time.Second))
-	_, err := c.reader.ReadByte() // not by way of an answer, whose reader tells of an early end by another error
+	_, err := c.reader.ReadByte() // http.ReadResponse would return another error for a closed connection
 	assert.ErrorIs(t, err, io.EOF)
 }
 
-func TestScriptedTroubles(t *testing.T) {
+func TestFaults(t *testing.T) {
 	isTimeout := func(err error) bool {
 		var timeout net.Error
 		return errors.As(err, &timeout) && timeout.Timeout()
@@ -243,7 +243,7 @@
 		silent(t, c)
 		assert.Empty(t, f.record.History().Arrivals)
 	})
-	t.Run("lost answers", func(t *testing.T) {
+	t.Run("answers that are never sent", func(t *testing.T) {
 		f := start(t, workers.Service{})
 		f.worker.SetFaults(workers.Faults{AnswerFaults: workers.AnswerFaults{NeverSentShare: 1}})
 		c := dial(t, f.worker)
@@ -252,7 +252,7 @@
 		silent(t, c)
 		assert.False(t, f.record.History().Arrivals[0].Answered)
 	})
-	t.Run("cut answers", func(t *testing.T) {
+	t.Run("truncated answers", func(t *testing.T) {
 		f := start(t, workers.Service{})
 		f.worker.SetFaults(workers.Faults{AnswerFaults: workers.AnswerFaults{TruncatedShare: 1}})
 		c := dial(t, f.worker)
@@ -261,7 +261,7 @@
 		assert.Error(t, err)
 		assert.False(t, f.record.History().Arrivals[0].Answered)
 	})
-	t.Run("second answers", func(t *testing.T) {
+	t.Run("duplicated answers", func(t *testing.T) {
 		f := start(t, workers.Service{})
 		f.worker.SetFaults(workers.Faults{AnswerFaults: workers.AnswerFaults{DuplicatedShare: 1}})
 		c := dial(t, f.worker)
@@ -270,7 +270,7 @@
 		require.NoError(t, err)
 		assert.Equal(t, first.Header, second.Header)
 	})
-	t.Run("reset in place of an answer", func(t *testing.T) {
+	t.Run("reset instead of an answer", func(t *testing.T) {
 		f := start(t, workers.Service{})
 		f.worker.SetFaults(workers.Faults{AnswerFaults: workers.AnswerFaults{ResetShare: 1}})
 		c := dial(t, f.worker)
@@ -328,7 +328,7 @@
 	})
 }
 
-func TestManyCallersAtOnce(t *testing.T) {
+func TestConcurrentCallers(t *testing.T) {
 	f := start(t, workers.Service{Capacity: 8, Queue: 100, WorkMin: time.Millisecond, FailShare: 0.2})
 	var group sync.WaitGroup
 	for i := range 16 {
--- a/test/systemtest/answers_test.go
+++ b/test/systemtest/answers_test.go
@@ -11,55 +11,55 @@
 	"ravendale/test/standin/workers"
 )
 
-// faultShare of all successes are faulty in each way.
+// faultShare is the fraction of the answers to successful runs that get each fault.
 const faultShare = 0.06
 
-// A third of the answers of workers are faulty: no message is reported done with another's signature, none runs again after a success
-// that came complete, and the order by key holds.
-func TestFaultyAnswersOnRealProcesses(t *testing.T) {
+// About a third of the workers' answers to successes are faulty. No message may be reported as done with another message's signature, none may run
+// again after an answer that arrived complete, and the order by key must hold.
+func TestFaultyAnswers(t *testing.T) {
 	r := start(t)
 	wait := r.load(8 * time.Second)
-	var spoiling []*workers.Worker
+	var faultyWorkers []*workers.Worker
 	for _, service := range services() {
-		spoiling = append(spoiling, r.world.Fleet.Workers(service.Name)...)
+		faultyWorkers = append(faultyWorkers, r.world.Fleet.Workers(service.Name)...)
 	}
-	for _, worker := range spoiling {
+	for _, worker := range faultyWorkers {
 		worker.SetFaults(workers.Faults{AnswerFaults: workers.AnswerFaults{
 			NeverSentShare: faultShare, TruncatedShare: faultShare, ResetShare: faultShare,
 			ForeignShare: faultShare, LateShare: faultShare, DuplicatedShare: faultShare,
 		}})
 	}
 	wait()
-	for _, worker := range spoiling {
+	for _, worker := range faultyWorkers {
 		worker.SetFaults(workers.Faults{})
 	}
 	r.verify()
 
 	h := r.world.Record.History()
-	spoilt, reused := faultyAnswers(h)
-	t.Logf("spoilt %v, of these on connections used before %v", spoilt, reused)
-	for _, way := range []string{
+	faulty, reused := faultyAnswers(h)
+	t.Logf("faulty answers %v, of these on reused connections %v", faulty, reused)
+	for _, fault := range []string{
 		workers.AnswerNeverSent, workers.AnswerTruncated, workers.AnswerReset, workers.AnswerForeign, workers.AnswerLate, workers.AnswerDuplicated,
 	} {
-		assert.NotZero(t, spoilt[way], "no answer was %s", way)
-		assert.NotZero(t, reused[way], "no answer on a used connection was %s", way)
+		assert.NotZero(t, faulty[fault], "no answer had the fault %s", fault)
+		assert.NotZero(t, reused[fault], "no answer on a reused connection had the fault %s", fault)
 	}
 	for _, reading := range h.Readings {
 		assert.Equal(t, http.StatusOK, reading.StateStatus)
 	}
 }
 
-// faultyAnswers counts the faulty answers by fault, and of these those on connections that had been used before.
-func faultyAnswers(h *history.History) (spoilt, reused map[string]int) {
-	spoilt, reused = make(map[string]int), make(map[string]int)
+// faultyAnswers counts the faulty answers by fault, and among these the ones on reused connections.
+func faultyAnswers(h *history.History) (faulty, reused map[string]int) {
+	faulty, reused = make(map[string]int), make(map[string]int)
 	for _, arrival := range h.Arrivals {
 		if arrival.AnswerFault == "" {
 			continue
 		}
-		spoilt[arrival.AnswerFault]++
+		faulty[arrival.AnswerFault]++
 		if arrival.Reused {
 			reused[arrival.AnswerFault]++
 		}
 	}
-	return spoilt, reused
+	return faulty, reused
 }
--- a/test/systemtest/control_test.go
+++ b/test/systemtest/control_test.go
@@ -16,13 +16,13 @@
 	"ravendale/test/standin/protocol"
 )
 
-// operatorAt is an operator who calls one control process first, and the others where that gives no clear answer.
+// operatorAt returns an operator that calls the given control process first, and the others if it gives no clear answer.
 func operatorAt(r *rig, control int) *operator.Operator {
 	admin := r.system.Admin()
 	return operator.New(append(admin[control:len(admin):len(admin)], admin[:control]...), r.world.Record)
 }
 
-// withTimeout is the newest configuration with another number and another time-out of the first route.
+// withTimeout returns the newest configuration with another version and another timeout of the first route.
 func withTimeout(r *rig, version uint64, timeoutMs float64) protocol.Config {
 	config := r.config
 	config.Version = version
@@ -31,8 +31,8 @@
 	return config
 }
 
-// loseAnswer sends an order and closes the connection without reading what comes back.
-func loseAnswer(t *testing.T, address string, base uint64, config protocol.Config) {
+// sendAndDropAnswer sends an order and closes the connection without reading the answer.
+func sendAndDropAnswer(t *testing.T, address string, base uint64, config protocol.Config) {
 	t.Helper()
 	body, err := json.Marshal(config)
 	require.NoError(t, err)
@@ -44,14 +44,14 @@
 	require.NoError(t, err)
 }
 
-const races = 12 // two operators each
+const raceRounds = 12 // rounds with two racing operators each
 
-// Of two operators who order under one number at two control processes exactly one is confirmed. Each order that is sent again gets the
-// answer that it had, at any control process.
-func TestTwoOperatorsUnderOneNumber(t *testing.T) {
+// Two operators send orders with the same version to two control processes. Exactly one must be confirmed, and repeating either order at any control
+// process must give the same answer again.
+func TestRacingOrders(t *testing.T) {
 	r := start(t)
 	wait := r.load(3 * time.Second)
-	for round := range races {
+	for round := range raceRounds {
 		base, version := r.config.Version, r.config.Version+1
 		configs := [2]protocol.Config{
 			withTimeout(r, version, float64(1000+2*round)),
@@ -74,25 +74,25 @@
 		for control := range r.system.Controls {
 			again, err := operatorAt(r, control).Set(r.within(startBound), base, configs[winner])
 			require.NoError(t, err)
-			require.Equal(t, http.StatusOK, again.Status, "round %d, sent again to control process %d: %s", round, control, again.Body)
+			require.Equal(t, http.StatusOK, again.Status, "round %d, confirmed order repeated at control process %d: %s", round, control, again.Body)
 			lost, err := operatorAt(r, control).Set(r.within(startBound), base, configs[1-winner])
 			require.NoError(t, err)
-			require.Equal(t, http.StatusPreconditionFailed, lost.Status, "round %d, the other order at %d: %s", round, control, lost.Body)
+			require.Equal(t, http.StatusPreconditionFailed, lost.Status, "round %d, refused order repeated at control process %d: %s", round, control, lost.Body)
 		}
 	}
 	wait()
 	r.verify()
 }
 
-// An order whose answer was lost is confirmed when it is sent again, whether or not the control process that it went to was killed.
-func TestOrderIsSentAgainAfterALostAnswer(t *testing.T) {
+// An order whose answer was lost must be confirmed when it is repeated, even if the control process that received it was killed.
+func TestOrderIsRepeatedAfterLostAnswer(t *testing.T) {
 	r := start(t)
 	wait := r.load(3 * time.Second)
 	for round := range 2 * len(r.system.Controls) {
 		control, kills := round%len(r.system.Controls), round >= len(r.system.Controls)
 		base := r.config.Version
 		config := withTimeout(r, base+1, float64(1100+round))
-		loseAnswer(t, r.system.Admin()[control], base, config)
+		sendAndDropAnswer(t, r.system.Admin()[control], base, config)
 		if kills {
 			require.NoError(t, r.system.Controls[control].Kill())
 		}
@@ -103,7 +103,7 @@
 		if kills {
 			require.NoError(t, r.system.Controls[control].Start(false))
 		}
-		r.showIsNewest()
+		r.verifyShownConfig()
 	}
 	wait()
 	r.verify()
@@ -111,8 +111,8 @@
 
 const manyChanges = 120
 
-// A control process that was away for many changes is killed and started again, and then carries the majority when another goes: it
-// has the newest state, and the changes go on from there.
+// A control process misses many changes, is started, killed while it catches up and started again. It is then needed for the majority when
+// each of the others is killed in turn. It must have the newest state, and further changes must be accepted.
 func TestMemberCatchesUpAfterManyChanges(t *testing.T) {
 	r := start(t)
 	wait := r.load(3 * time.Second)
@@ -124,18 +124,18 @@
 	require.NoError(t, controls[0].Start(false))
 	shown, err := operatorAt(r, 0).Show(r.within(startBound))
 	require.NoError(t, err)
-	require.Equal(t, r.config.Version, shown.Version, "the process that was away hands out the newest configuration")
+	require.Equal(t, r.config.Version, shown.Version, "the process that missed the changes returns the newest configuration")
 	require.NoError(t, controls[0].Kill()) // while it catches up
 	require.NoError(t, controls[0].Start(false))
 	r.patch(protocol.Patch{Upsert: protocol.Upsert{Routes: []protocol.Route{extraRoute(900)}}})
 
-	for _, gone := range controls[1:] { // whoever leads is one of them, or it was the one that was away
+	for _, gone := range controls[1:] { // the leader is one of them, or the process that missed the changes
 		require.NoError(t, gone.Kill())
 		answer, err := operatorAt(r, 0).Set(r.within(startBound), r.config.Version, withTimeout(r, r.config.Version+1, 1000))
 		require.NoError(t, err)
 		require.Equal(t, http.StatusOK, answer.Status, "without %s: %s", gone.Name(), answer.Body)
 		r.config = withTimeout(r, r.config.Version+1, 1000)
-		r.showIsNewest()
+		r.verifyShownConfig()
 		require.NoError(t, gone.Start(false))
 		shown, err := operatorAt(r, 0).Show(r.within(startBound))
 		require.NoError(t, err)
--- a/test/systemtest/diskless_test.go
+++ b/test/systemtest/diskless_test.go
@@ -17,18 +17,18 @@
 	"ravendale/test/standin/protocol"
 )
 
-const completeBound = 30 * time.Second // for a store to be filled, or emptied
+const completeBound = 30 * time.Second // until a store has received all its data, or is emptied
 
-// diskless is a cluster whose control processes have no disk, so that stores hold the core.
+// diskless specifies a cluster whose control processes have no disk, so that stores host the core.
 func diskless(spec *cluster.Spec) { spec.DisklessControl = true }
 
-// hostsCore says whether a store's disk has a part of the core.
+// hostsCore reports whether a store has core data on its disk.
 func hostsCore(store *cluster.Process) bool {
 	_, err := os.Stat(filepath.Join(store.DataPath(), "control"))
 	return err == nil
 }
 
-func TestControlWithoutDisksOutlivesTheKillOfAllProcesses(t *testing.T) {
+func TestDisklessControlSurvivesKillOfAllProcesses(t *testing.T) {
 	r := startWith(t, diskless)
 	for _, store := range r.system.Stores {
 		assert.True(t, hostsCore(store), store.Name())
@@ -36,41 +36,41 @@
 	wait := r.load(3 * time.Second)
 	r.patch(protocol.Patch{Upsert: protocol.Upsert{Routes: []protocol.Route{extraRoute(700)}}})
 	r.crash(r.system.Processes(), 500*time.Millisecond, nil) // right after an acknowledgement
-	r.showIsNewest()
+	r.verifyShownConfig()
 	r.patch(protocol.Patch{Upsert: protocol.Upsert{Routes: []protocol.Route{extraRoute(800)}}})
 	wait()
 	r.awaitReady(len(r.system.Edges))
 	over := r.world.Record.Now()
 	r.load(3 * time.Second)()
-	assert.GreaterOrEqual(t, r.acceptedSince(over), served)
+	assert.GreaterOrEqual(t, r.acceptedSince(over), minAccepted)
 	r.verify()
 }
 
-func TestControlWithoutDisksOutlivesAStoreWithoutItsDisk(t *testing.T) {
+func TestDisklessControlSurvivesLostStoreDisk(t *testing.T) {
 	r := startWith(t, diskless)
 	wait := r.load(10 * time.Second)
 	for i, store := range r.system.Stores { // the leader is one of them
 		r.patch(protocol.Patch{Upsert: protocol.Upsert{Routes: []protocol.Route{extraRoute(500 + i)}}})
 		r.crash([]*cluster.Process{store}, 300*time.Millisecond, (*cluster.Process).Wipe)
-		r.showIsNewest()
+		r.verifyShownConfig()
 		r.awaitFilled(store)
 	}
 	wait()
 	r.verify()
 }
 
-// awaitFilled waits until a store that lost its disk is in the core's chain and holds its part of the queue. The next change is
-// acknowledged only once it holds all of the core.
+// awaitFilled waits until a store that lost its disk is in the core's chain and has all its messages of the queue again. Changes after that are
+// acknowledged only once the store has all of the core's state.
 func (r *rig) awaitFilled(store *cluster.Process) {
 	r.t.Helper()
 	require.Eventually(r.t, func() bool {
-		answer := r.staff.Call(r.within(ackBound), http.MethodGet, "/v1/status", nil, nil)
+		answer := r.operator.Call(r.within(ackBound), http.MethodGet, "/v1/status", nil, nil)
 		var seen status.Status
 		if json.Unmarshal(answer.Body, &seen) != nil || seen.Placement == nil {
 			return false
 		}
 		return inChain(&seen.Core, r.system.ControlRPC(store)) && filled(seen.Placement)
-	}, completeBound, 50*time.Millisecond, "%s is not whole", store.Name())
+	}, completeBound, 50*time.Millisecond, "%s did not receive all its data", store.Name())
 }
 
 func inChain(core *status.Core, address string) bool {
@@ -83,7 +83,7 @@
 	return placement.UnderReplicated == 0 && !slices.ContainsFunc(placement.Stores, func(s status.Store) bool { return s.Joining > 0 })
 }
 
-func TestControlWithoutDisksRetiresAVoter(t *testing.T) {
+func TestDisklessControlRetiresVoter(t *testing.T) {
 	r := startWith(t, func(spec *cluster.Spec) {
 		diskless(spec)
 		spec.StoresPerZone = 2
@@ -96,20 +96,20 @@
 	}
 	require.NotNil(t, voter)
 	wait := r.load(6 * time.Second)
-	answer := r.staff.StartRetire(r.within(ackBound), voter.Node(), 10*time.Second)
+	answer := r.operator.StartRetire(r.within(ackBound), voter.Node(), 10*time.Second)
 	require.Equal(t, http.StatusOK, answer.Status, "%s", answer.Body)
 	require.Eventually(t, func() bool {
-		state, err := r.staff.RetireState(r.within(ackBound), voter.Node())
+		state, err := r.operator.RetireState(r.within(ackBound), voter.Node())
 		return err == nil && state == "done"
-	}, completeBound, 50*time.Millisecond, "it is not emptied")
-	require.Eventually(t, func() bool { return !hostsCore(voter) }, startBound, 20*time.Millisecond, "it kept its part of the core")
+	}, completeBound, 50*time.Millisecond, "the store was not emptied")
+	require.Eventually(t, func() bool { return !hostsCore(voter) }, startBound, 20*time.Millisecond, "the store still has core data on its disk")
 	hosts := 0
 	for _, store := range r.system.Stores {
 		if hostsCore(store) {
 			hosts++
 		}
 	}
-	assert.Equal(t, 3, hosts, "another store has taken its place")
+	assert.Equal(t, 3, hosts, "another store hosts the core instead")
 	require.NoError(t, voter.Kill())
 	r.patch(protocol.Patch{Upsert: protocol.Upsert{Routes: []protocol.Route{extraRoute(700)}}})
 	wait()
--- a/test/systemtest/doc.go
+++ b/test/systemtest/doc.go
@@ -1,3 +1,3 @@
-// Package systemtest plays scenarios on the system's real programs: a small cluster on loopback, the stand-ins round it, faults in
-// between, and the checkers over all that was seen. The scenarios are its tests.
+// Package systemtest contains only tests: scenarios on the system's real programs. Each runs a small cluster on the loopback network with
+// stand-ins for its environment, injects faults, and checks the recorded history against the rules.
 package systemtest
--- a/test/systemtest/loss_test.go
+++ b/test/systemtest/loss_test.go
@@ -18,11 +18,11 @@
 )
 
 const (
-	replaceBound = 40 * time.Second // until a member that was replaced, or a store that is emptied, is made up for; below the retention
+	replaceBound = 40 * time.Second // until the replacement of a member, or the emptying of a store, is complete; below the retention
 	pollPause    = 20 * time.Millisecond
 )
 
-// coreStatus is the part of the operator's status that the scenarios wait for.
+// coreStatus is the part of the operator's status that the scenarios examine.
 type coreStatus struct {
 	Core struct {
 		Disk   string `json:"disk"`
@@ -40,7 +40,7 @@
 	} `json:"placement"`
 }
 
-// statusAt asks one control process how it sees the system; false: it did not answer.
+// statusAt reads the status at one control process; false: it did not answer.
 func statusAt(ctx context.Context, r *rig, control int) (seen coreStatus, ok bool) {
 	ctx, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
@@ -52,8 +52,8 @@
 	return seen, json.Unmarshal(answer.Body, &seen) == nil
 }
 
-// carries says whether a member that leads names the process as a voter and a member of the chain, and its old disk nowhere.
-func (s coreStatus) carries(address, disk, old string) bool {
+// hasReplaced reports whether the process with the given address and disk is a voter and a member of the chain, and no voter has its old disk.
+func (s coreStatus) hasReplaced(address, disk, old string) bool {
 	voters := 0
 	for _, voter := range s.Core.Voters {
 		if voter.Disk == old || voter.Disk == disk && voter.Address != address {
@@ -66,8 +66,8 @@
 	return voters == 1 && slices.Contains(s.Core.Chain, disk)
 }
 
-// awaitMember waits until the leader says that the process is filled, with another disk than the old one.
-func awaitMember(r *rig, control int, old string) {
+// awaitReplacement waits until the leader reports the process as a complete member, with another disk than the old one.
+func awaitReplacement(r *rig, control int, old string) {
 	r.t.Helper()
 	ctx := r.within(replaceBound)
 	address := r.system.ControlRPC(r.system.Controls[control])
@@ -78,14 +78,14 @@
 		}
 		for i := range r.system.Controls {
 			if seen, ok := statusAt(ctx, r, i); ok && seen.Core.Leading {
-				return seen.carries(address, own.Core.Disk, old)
+				return seen.hasReplaced(address, own.Core.Disk, old)
 			}
 		}
 		return false
-	}, replaceBound, pollPause, "the process in the place of the lost one is not filled")
+	}, replaceBound, pollPause, "the replacement of the lost control process did not become a complete member")
 }
 
-// diskOf is the identity of a control process's disk.
+// diskOf returns the identity of a control process's disk.
 func diskOf(r *rig, control int) (disk string) {
 	r.t.Helper()
 	ctx := r.within(startBound)
@@ -93,14 +93,14 @@
 		seen, ok := statusAt(ctx, r, control)
 		disk = seen.Core.Disk
 		return ok && disk != ""
-	}, startBound, pollPause, "control process %d does not tell its disk", control)
+	}, startBound, pollPause, "control process %d did not report its disk", control)
 	return disk
 }
 
-const none = -1 // of the control processes
+const noControl = -1 // no control process is excluded
 
-// leaderBeside is the control process that leads, or if that is the given one or none, the one after it.
-func leaderBeside(r *rig, control int) int {
+// leaderExcept returns the number of the leading control process. If that is the given one, or none leads, it returns the one after the given one.
+func leaderExcept(r *rig, control int) int {
 	for i := range r.system.Controls {
 		if i == control {
 			continue
@@ -112,26 +112,26 @@
 	return (control + 1) % len(r.system.Controls)
 }
 
-// A control process is lost with its disk and another takes its place. As soon as that one is filled another is lost for good, the
-// leader if it can be: the two that are left take orders, and hand out the newest configuration.
-func TestASecondLossRightAfterAReplacement(t *testing.T) {
+// A control process fails with its disk and is replaced. As soon as the replacement is a complete member another control process fails permanently,
+// the leader if possible. The remaining two must accept orders and return the newest configuration.
+func TestSecondLossAfterReplacement(t *testing.T) {
 	for name, replace := range map[string]func(*rig, int) error{
-		"at the same address":      func(r *rig, control int) error { return r.system.Controls[control].Wipe() },
-		"at an address of its own": func(r *rig, control int) error { return r.system.ReplaceControl(control) },
+		"at the same address": func(r *rig, control int) error { return r.system.Controls[control].Wipe() },
+		"at a new address":    func(r *rig, control int) error { return r.system.ReplaceControl(control) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := start(t)
 			wait := r.load(3 * time.Second)
-			lost := leaderBeside(r, none)
+			lost := leaderExcept(r, noControl)
 			old := diskOf(r, lost)
 			require.NoError(t, r.system.Controls[lost].Kill())
 			require.NoError(t, replace(r, lost))
 			require.NoError(t, r.system.Controls[lost].Start(false))
-			awaitMember(r, lost, old)
+			awaitReplacement(r, lost, old)
 
-			second := leaderBeside(r, lost)
+			second := leaderExcept(r, lost)
 			require.NoError(t, r.system.Controls[second].Kill())
-			r.staff = operator.New(r.system.Admin(), r.world.Record)
+			r.operator = operator.New(r.system.Admin(), r.world.Record)
 			r.configure(r.config.Version, withTimeout(r, r.config.Version+1, 1001))
 			for control := range r.system.Controls {
 				if control == second {
@@ -147,37 +147,37 @@
 	}
 }
 
-// keepDeadMessages has messages refused for good, whose bodies are kept until the end of the scenario.
-func keepDeadMessages(r *rig) {
+// createDeadLetters sends messages that their service refuses permanently. Their bodies are retained until the end of the scenario.
+func createDeadLetters(r *rig) {
 	r.clients.Run(r.t.Context(), client.Load{
 		RatePerS: 2 * rate, Duration: 2 * time.Second,
 		Traffic: []client.Traffic{{Route: "refusing", Host: host, Target: "/refusing/a", BodyBytes: 4096}},
 	})
 }
 
-// retireBeside orders a store to be emptied while another, which has to take from it, is frozen.
-func retireBeside(r *rig, leaving, receiver *cluster.Process) {
+// retireWhileFrozen orders a store to be emptied while another store, which has to receive its messages, is frozen.
+func retireWhileFrozen(r *rig, leaving, receiver *cluster.Process) {
 	r.t.Helper()
 	ctx := r.within(replaceBound)
 	for {
 		require.NoError(r.t, receiver.Freeze())
-		answer := r.staff.StartRetire(ctx, leaving.Node(), replaceBound)
+		answer := r.operator.StartRetire(ctx, leaving.Node(), replaceBound)
 		if answer.Status == http.StatusOK {
 			return
 		}
-		require.Equal(r.t, http.StatusConflict, answer.Status, "%s", answer.Body) // it was given up before the order came
+		require.Equal(r.t, http.StatusConflict, answer.Status, "%s", answer.Body) // the receiver was declared failed before the order arrived
 		require.NoError(r.t, receiver.Thaw())
 	}
 }
 
 func requireRetire(r *rig, leaving *cluster.Process, want string) {
 	r.t.Helper()
-	state, err := r.staff.RetireState(r.within(startBound), leaving.Node())
+	state, err := r.operator.RetireState(r.within(startBound), leaving.Node())
 	require.NoError(r.t, err)
 	require.Equal(r.t, want, state)
 }
 
-// awaitUnderStrength waits until the leader has given a store up, so that some partitions lie on too few.
+// awaitUnderStrength waits until the leader has declared a store failed, so that some partitions have too few replicas.
 func awaitUnderStrength(r *rig) {
 	r.t.Helper()
 	ctx := r.within(replaceBound)
@@ -188,23 +188,23 @@
 			}
 		}
 		return false
-	}, replaceBound, pollPause, "the store that was killed is not given up")
+	}, replaceBound, pollPause, "the leader did not declare the killed store failed")
 }
 
-// A store that takes from one that is being emptied is killed, and comes back, with its disk or without: the other is not said to be empty
-// before the two that stay have all. Then it is removed with its disk, and nothing is missing.
-func TestAStoreIsLostWhileAnotherIsRetired(t *testing.T) {
+// A store that receives messages from a store that is being emptied is killed and restarted, with its disk or with an empty one. The retirement
+// must not be reported as done before the two remaining stores have all messages: the retired store is then wiped, and no message may be missing.
+func TestStoreLostDuringRetirement(t *testing.T) {
 	for name, between := range map[string]func(*cluster.Process) error{
-		"and keeps its disk": func(*cluster.Process) error { return nil },
-		"and loses its disk": (*cluster.Process).Wipe,
+		"with its disk":      func(*cluster.Process) error { return nil },
+		"with an empty disk": (*cluster.Process).Wipe,
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := start(t)
-			keepDeadMessages(r)
+			createDeadLetters(r)
 			wait := r.load(8 * time.Second)
 			leaving, receiver := r.system.Stores[0], r.system.Stores[1]
 			over := r.world.Record.Trouble(receiver.Node(), "kill", false)
-			retireBeside(r, leaving, receiver)
+			retireWhileFrozen(r, leaving, receiver)
 			require.NoError(t, receiver.Kill())
 			requireRetire(r, leaving, "running")
 			awaitUnderStrength(r)
@@ -213,9 +213,9 @@
 			require.NoError(t, receiver.Start(false))
 			ctx := r.within(replaceBound)
 			require.Eventually(t, func() bool {
-				state, err := r.staff.RetireState(ctx, leaving.Node())
+				state, err := r.operator.RetireState(ctx, leaving.Node())
 				return err == nil && state == "done"
-			}, replaceBound, pollPause, "the store is not emptied")
+			}, replaceBound, pollPause, "the store was not emptied")
 			over()
 			require.NoError(t, leaving.Kill())
 			require.NoError(t, leaving.Wipe())
@@ -223,7 +223,7 @@
 			r.verify()
 			for _, reading := range r.world.Record.History().Readings {
 				if reading.State != protocol.StateDone {
-					assert.Equal(t, http.StatusOK, reading.BodyStatus, "the body of %s, which is told to be %q", reading.MessageID, reading.State)
+					assert.Equal(t, http.StatusOK, reading.BodyStatus, "the body of %s, which is reported as %q", reading.MessageID, reading.State)
 				}
 			}
 		})
--- a/test/systemtest/plannedstop_test.go
+++ b/test/systemtest/plannedstop_test.go
@@ -15,17 +15,18 @@
 	"ravendale/test/standin/protocol"
 )
 
-// Bounds of the rule that around planned work no request is cut off: soon after it was read it may be, and late, too.
+// Bounds of the rule that no connection closes under a request during planned work. A close soon after the request was sent is allowed, and so
+// is one close to the request's deadline.
 const (
-	requestDeadline = 800 * time.Millisecond
-	earlyCut        = 200 * time.Millisecond
-	lateCutFraction = 0.7
-	patchInterval   = 300 * time.Millisecond
+	requestDeadline     = 800 * time.Millisecond
+	allowedEarlyClose   = 200 * time.Millisecond
+	allowedLateFraction = 0.7
+	patchInterval       = 300 * time.Millisecond
 )
 
-// Stores that hold the core are stopped in order, one after the other, each at another moment of a series of changes: the leader is on one of
-// them. No client loses its connection for it.
-func TestARollOverStoresThatHoldTheCoreCutsNoRequest(t *testing.T) {
+// Stores that host the core, one of them the leader, are stopped gracefully one after the other, each at a different point in a series of
+// configuration changes. No client request may be truncated by that.
+func TestRollOverCoreStoresTruncatesNoRequest(t *testing.T) {
 	r := startWith(t, diskless)
 	wait := r.loadWithDeadlines(14 * time.Second)
 	stopPatches := r.patchRepeatedly()
@@ -35,13 +36,14 @@
 	}
 	stopPatches()
 	wait()
-	r.none(r.world.Record.History(), cutOff(r.world.Record.History()))
-	assert.GreaterOrEqual(t, r.acceptedSince(0), served)
+	r.reportFindings(r.world.Record.History(), truncatedRequests(r.world.Record.History()))
+	assert.GreaterOrEqual(t, r.acceptedSince(0), minAccepted)
 	r.verify()
 }
 
-// The same where control processes have disks, and one of them stops while a store does: whoever leads then has to learn of the store.
-func TestARollOverStoresAndControlTogetherCutsNoRequest(t *testing.T) {
+// Like the test above with control processes that have disks. One of them stops together with a store: a new leader then has to learn that the
+// store is stopping.
+func TestRollOverStoresAndControlTruncatesNoRequest(t *testing.T) {
 	r := start(t)
 	wait := r.loadWithDeadlines(12 * time.Second)
 	stopPatches := r.patchRepeatedly()
@@ -54,26 +56,26 @@
 	}
 	stopPatches()
 	wait()
-	r.none(r.world.Record.History(), cutOff(r.world.Record.History()))
+	r.reportFindings(r.world.Record.History(), truncatedRequests(r.world.Record.History()))
 	r.verify()
 }
 
-// loadWithDeadlines is load by clients that say how long they wait.
+// loadWithDeadlines is like load, with clients that announce their deadline.
 func (r *rig) loadWithDeadlines(duration time.Duration) (wait func()) {
 	routes := traffic()
 	for i := range routes {
 		routes[i].Deadline = requestDeadline
 	}
-	return r.loadOf(duration, routes)
+	return r.loadTraffic(duration, routes)
 }
 
-// patchRepeatedly changes the configuration again and again until it is stopped.
+// patchRepeatedly changes the configuration every patchInterval until stop is called.
 func (r *rig) patchRepeatedly() (stop func()) {
 	ctx, cancel := context.WithCancel(r.t.Context())
 	var group sync.WaitGroup
 	group.Go(func() {
 		for i := 0; ctx.Err() == nil; i++ {
-			r.patchInTheEnd(protocol.Patch{Upsert: protocol.Upsert{Routes: []protocol.Route{extraRoute(600 + i)}}})
+			r.patchUntilAccepted(protocol.Patch{Upsert: protocol.Upsert{Routes: []protocol.Route{extraRoute(600 + i)}}})
 			select {
 			case <-ctx.Done():
 			case <-time.After(patchInterval):
@@ -86,11 +88,11 @@
 	}
 }
 
-// patchInTheEnd changes the configuration. A change that gets no clear answer is sent again as it is.
-func (r *rig) patchInTheEnd(patch protocol.Patch) {
+// patchUntilAccepted changes the configuration, and repeats the same change until it is accepted.
+func (r *rig) patchUntilAccepted(patch protocol.Patch) {
 	patch.Version = r.config.Version + 2
 	taken := func() bool {
-		answer, err := r.staff.Patch(r.within(ackBound), r.config, patch)
+		answer, err := r.operator.Patch(r.within(ackBound), r.config, patch)
 		return err == nil && answer.Status == http.StatusOK
 	}
 	if assert.Eventually(r.t, taken, 2*ackBound, 20*time.Millisecond, "version %d", patch.Version) {
@@ -98,16 +100,16 @@
 	}
 }
 
-// cutOff finds requests whose connection ended without an answer when it should not.
-func cutOff(h *history.History) []check.Finding {
+// truncatedRequests finds requests whose connection closed without an answer outside the allowed times.
+func truncatedRequests(h *history.History) []check.Finding {
 	var found []check.Finding
 	for i := range h.Sends {
 		send := &h.Sends[i]
 		after := send.Answered - send.Sent
-		if send.Status != 0 || after <= earlyCut || float64(after) >= lateCutFraction*float64(send.Deadline) {
+		if send.Status != 0 || after <= allowedEarlyClose || float64(after) >= allowedLateFraction*float64(send.Deadline) {
 			continue
 		}
-		found = append(found, check.Finding{Rule: check.RuleLost, Subject: send.RequestID, Reason: fmt.Sprintf("cut off after %v by %s: %s", after, send.Edge, send.Problem)})
+		found = append(found, check.Finding{Rule: check.RuleLost, Subject: send.RequestID, Reason: fmt.Sprintf("connection closed without an answer after %v by %s: %s", after, send.Edge, send.Problem)})
 	}
 	return found
 }
--- a/test/systemtest/rig_test.go
+++ b/test/systemtest/rig_test.go
@@ -27,9 +27,9 @@
 // programs is the folder that TestMain builds the programs into.
 var programs string
 
-// atOnce bounds how many scenarios are played at the same time, each with some ten processes. The rules are in real time, so what is
-// played at once must leave the processes the time to keep them.
-var atOnce = make(chan struct{}, 2)
+// scenarioSlots limits the number of concurrent scenarios, each with some ten processes. The bounds of the rules are in real time, so that too
+// many concurrent scenarios would violate them for lack of processor time.
+var scenarioSlots = make(chan struct{}, 2)
 
 func TestMain(m *testing.M) {
 	os.Exit(buildAndRun(m))
@@ -54,14 +54,14 @@
 	return m.Run()
 }
 
-// Bounds that the scenarios' settings and checkers share.
+// Bounds shared by the clusters' settings, the checkers and the waits of the scenarios.
 const (
 	drainBound    = 2 * time.Second
-	failoverBound = 2500 * time.Millisecond // a new leader 1.6 s after the one before, and its first read of the list
+	failoverBound = 2500 * time.Millisecond // 1.6 s until a new leader is elected, and its first read of the platform's list
 	convergeBound = 2 * time.Second
 	grace         = 5 * time.Second
 	ackBound      = 5 * time.Second
-	finishBound   = 8 * time.Second // after the load, until all accepted messages have ended
+	finishBound   = 8 * time.Second // from the end of the load until all accepted messages have ended
 	startBound    = 10 * time.Second
 	readBound     = 5 * time.Second
 	rate          = 150.0 // messages a second
@@ -74,7 +74,7 @@
 	return b
 }
 
-func settingsOfBounds() map[string]string {
+func boundSettings() map[string]string {
 	return map[string]string{
 		"bounds.drainMs":         fmt.Sprint(drainBound.Milliseconds()),
 		"bounds.convergeMs":      fmt.Sprint(convergeBound.Milliseconds()),
@@ -103,8 +103,8 @@
 	}
 }
 
-// services of all scenarios: a plain one, one that fails now and then, one for messages with an order, one that refuses all, and one
-// with a rate limit.
+// services returns the services of all scenarios: a plain one, one that sometimes fails, one for ordered messages, one that refuses all messages,
+// and one with a rate limit.
 func services() []standin.Service {
 	work := workers.Service{Capacity: 8, Queue: 8, WorkMin: 2 * time.Millisecond, WorkMean: 10 * time.Millisecond, WorkMax: 300 * time.Millisecond}
 	plain, flaky, ordered, limited, refusing := work, work, work, work, work
@@ -132,45 +132,45 @@
 	}
 }
 
-// rig is a running system with the world round it.
+// rig is a running cluster with the stand-ins for its environment.
 type rig struct {
 	t        *testing.T
 	world    *standin.World
 	system   *cluster.Cluster
-	staff    *operator.Operator
+	operator *operator.Operator
 	balancer *client.Balancer
 	clients  *client.Clients
-	config   protocol.Config // newest that was acknowledged
+	config   protocol.Config // newest acknowledged configuration
 	folder   string
 }
 
-// start starts a system with a configuration in force, whose edges are all ready.
+// start starts a cluster, sets its first configuration and waits until all edges are ready.
 func start(t *testing.T) *rig {
 	t.Helper()
 	return startWith(t, func(*cluster.Spec) {})
 }
 
-// startWith does the same with a cluster that differs from the usual one.
+// startWith is like start, with changes to the specification of the cluster.
 func startWith(t *testing.T, differ func(spec *cluster.Spec)) *rig {
 	t.Helper()
 	t.Parallel()
-	atOnce <- struct{}{}
-	t.Cleanup(func() { <-atOnce })
+	scenarioSlots <- struct{}{}
+	t.Cleanup(func() { <-scenarioSlots })
 	world, err := standin.Start(standin.Options{Zones: zones, Lag: 300 * time.Millisecond, RatePerS: 20, Services: services()})
 	require.NoError(t, err)
 	t.Cleanup(world.Close)
 	folder := diskfolder.New(t)
 	spec := cluster.Spec{
 		Programs: programs, Folder: folder, Provider: world.Platform.Address(), ProviderRate: 20,
-		Zones: zones, EdgesPerZone: 1, StoresPerZone: 1, LostNodes: 1, Settings: settingsOfBounds(),
+		Zones: zones, EdgesPerZone: 1, StoresPerZone: 1, LostNodes: 1, Settings: boundSettings(),
 	}
 	differ(&spec)
 	system, err := cluster.New(spec)
 	require.NoError(t, err)
 	r := &rig{t: t, world: world, system: system, folder: folder}
-	t.Cleanup(r.end)
+	t.Cleanup(r.stop)
 	require.NoError(t, system.Start())
-	r.staff = operator.New(system.Admin(), world.Record)
+	r.operator = operator.New(system.Admin(), world.Record)
 	r.balancer = client.NewBalancer(system.EdgeAddresses())
 	r.clients = client.New(r.balancer, world.Record)
 	r.configure(0, world.Config(1, protocol.Limits{MaxHeaderBytes: 16384, MaxBodyBytes: 262144, HeaderTimeoutMs: 3000, IdleTimeoutMs: 15000}))
@@ -179,8 +179,8 @@
 	return r
 }
 
-// end kills the system, and shows the logs' ends if the scenario failed.
-func (r *rig) end() {
+// stop kills the cluster, and logs the last lines of each log file if the scenario failed.
+func (r *rig) stop() {
 	r.system.Kill()
 	if !r.t.Failed() {
 		return
@@ -199,20 +199,20 @@
 	return ctx
 }
 
-// configure sets a whole configuration, which must be taken.
+// configure sets a whole configuration, which must be accepted.
 func (r *rig) configure(base uint64, config protocol.Config) {
 	r.t.Helper()
-	answer, err := r.staff.Set(r.within(startBound), base, config)
+	answer, err := r.operator.Set(r.within(startBound), base, config)
 	require.NoError(r.t, err)
 	require.Equal(r.t, http.StatusOK, answer.Status, "%s", answer.Body)
 	r.config = config
 }
 
-// patch changes the configuration, which must be taken.
+// patch changes the configuration, which must be accepted.
 func (r *rig) patch(patch protocol.Patch) {
 	r.t.Helper()
 	patch.Version = r.config.Version + 2
-	answer, err := r.staff.Patch(r.within(ackBound), r.config, patch)
+	answer, err := r.operator.Patch(r.within(ackBound), r.config, patch)
 	require.NoError(r.t, err)
 	require.Equal(r.t, http.StatusOK, answer.Status, "%s", answer.Body)
 	r.config = r.config.Apply(patch)
@@ -221,22 +221,22 @@
 func (r *rig) awaitReady(edges int) {
 	r.t.Helper()
 	ctx := r.within(startBound)
-	require.Eventually(r.t, func() bool { return r.balancer.Ready(ctx) >= edges }, startBound, 50*time.Millisecond, "the edges do not become ready")
+	require.Eventually(r.t, func() bool { return r.balancer.Ready(ctx) >= edges }, startBound, 50*time.Millisecond, "the edges did not become ready")
 }
 
-// awaitEdge waits until one edge says that it is ready.
+// awaitEdge waits until one edge reports that it is ready.
 func (r *rig) awaitEdge(i int) {
 	r.t.Helper()
 	single := client.NewBalancer(r.system.EdgeAddresses()[i : i+1])
 	ctx := r.within(startBound)
-	require.Eventually(r.t, func() bool { return single.Ready(ctx) == 1 }, startBound, 50*time.Millisecond, "edge %d does not become ready", i)
+	require.Eventually(r.t, func() bool { return single.Ready(ctx) == 1 }, startBound, 50*time.Millisecond, "edge %d did not become ready", i)
 }
 
-// load sends traffic in the background. The wait returns when all is answered or given up.
-func (r *rig) load(duration time.Duration) (wait func()) { return r.loadOf(duration, traffic()) }
+// load sends traffic in the background. wait returns when all messages are answered or abandoned.
+func (r *rig) load(duration time.Duration) (wait func()) { return r.loadTraffic(duration, traffic()) }
 
-// loadOf does the same with traffic of the caller's.
-func (r *rig) loadOf(duration time.Duration, traffic []client.Traffic) (wait func()) {
+// loadTraffic is like load, with the given traffic.
+func (r *rig) loadTraffic(duration time.Duration, traffic []client.Traffic) (wait func()) {
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
@@ -245,7 +245,7 @@
 	return func() { <-done }
 }
 
-// crash kills processes at once, leaves them down for a time, and starts them again; between, it does something to them.
+// crash kills processes at the same time, and starts them again after a time. Before the start it calls between, unless that is nil, for each.
 func (r *rig) crash(processes []*cluster.Process, down time.Duration, between func(*cluster.Process) error) {
 	r.t.Helper()
 	for _, process := range processes {
@@ -259,7 +259,7 @@
 	require.NoError(r.t, cluster.Each(processes, func(p *cluster.Process) error { return p.Start(false) }))
 }
 
-// roll stops a process in order and starts it again.
+// roll stops a process gracefully and starts it again.
 func (r *rig) roll(process *cluster.Process) {
 	r.t.Helper()
 	defer r.world.Record.Trouble(process.Node(), "stop", true)()
@@ -267,7 +267,7 @@
 	require.NoError(r.t, process.Start(false))
 }
 
-// verify waits until all accepted messages have ended, reads all back and applies each rule.
+// verify waits until all accepted messages have ended, reads them and the configuration back, and checks all rules.
 func (r *rig) verify() check.Summary {
 	r.t.Helper()
 	record := r.world.Record
@@ -282,26 +282,26 @@
 		}
 	}
 	r.clients.ReadBack(r.within(readBound), accepted)
-	r.showIsNewest()
+	r.verifyShownConfig()
 	h := record.History()
 	summary := check.Summarize(h)
 	r.t.Log(summary)
-	r.none(h, check.Undelivered(h))
-	r.none(h, check.All(h, bounds()))
-	r.none(h, statesUntold(h))
+	r.reportFindings(h, check.Undelivered(h))
+	r.reportFindings(h, check.All(h, bounds()))
+	r.reportFindings(h, unreadableStates(h))
 	assert.Empty(r.t, r.system.Surprises())
 	assert.NotZero(r.t, summary.Accepted)
 	return summary
 }
 
-// Bounds of what is shown of findings.
+// Limits on the findings that are reported.
 const (
 	maxShown     = 8
 	maxTimelines = 3
 )
 
-// none fails the scenario if there are findings, and shows the first.
-func (r *rig) none(h *history.History, found []check.Finding) {
+// reportFindings fails the scenario if there are findings, and reports the first ones.
+func (r *rig) reportFindings(h *history.History, found []check.Finding) {
 	r.t.Helper()
 	if len(found) == 0 {
 		return
@@ -313,25 +313,25 @@
 			lines = append(lines, "  "+strings.Join(check.Timeline(h, finding.Subject), "\n  "))
 		}
 	}
-	r.t.Errorf("%d findings:\n%s", len(found), strings.Join(lines, "\n"))
+	r.t.Errorf("%d violations of rules:\n%s", len(found), strings.Join(lines, "\n"))
 }
 
-// statesUntold finds messages that were accepted and whose state could not be read.
-func statesUntold(h *history.History) []check.Finding {
+// unreadableStates finds accepted messages whose state could not be read.
+func unreadableStates(h *history.History) []check.Finding {
 	var found []check.Finding
 	for _, reading := range h.Readings {
 		if reading.StateStatus != http.StatusOK {
-			reason := fmt.Sprintf("the state of %s was answered %d", reading.MessageID, reading.StateStatus)
+			reason := fmt.Sprintf("request for the state of %s was answered %d", reading.MessageID, reading.StateStatus)
 			found = append(found, check.Finding{Rule: check.RuleLost, Subject: reading.RequestID, Reason: reason})
 		}
 	}
 	return found
 }
 
-// showIsNewest reads the configuration back.
-func (r *rig) showIsNewest() {
+// verifyShownConfig reads the configuration and compares it with the newest acknowledged one.
+func (r *rig) verifyShownConfig() {
 	r.t.Helper()
-	shown, err := r.staff.Show(r.within(ackBound))
+	shown, err := r.operator.Show(r.within(ackBound))
 	if !assert.NoError(r.t, err) {
 		return
 	}
@@ -341,7 +341,7 @@
 	assert.ElementsMatch(r.t, r.config.Services, shown.Services)
 }
 
-// acceptedSince is the part of the messages sent since a time that was accepted.
+// acceptedSince returns the fraction of the messages sent since the given time that were accepted.
 func (r *rig) acceptedSince(since time.Duration) float64 {
 	sent, accepted := 0, 0
 	for _, send := range r.world.Record.History().Sends {
--- a/test/systemtest/scenarios_test.go
+++ b/test/systemtest/scenarios_test.go
@@ -14,14 +14,14 @@
 	"ravendale/test/standin/workers"
 )
 
-// served is the least part of the messages that must be accepted once a fault is over.
-const served = 0.95
+// minAccepted is the fraction of the messages that must be accepted once a fault has ended.
+const minAccepted = 0.95
 
-func TestCalm(t *testing.T) {
+func TestNoFaults(t *testing.T) {
 	r := start(t)
 	r.load(5 * time.Second)()
 	summary := r.verify()
-	assert.Equal(t, summary.Sent, summary.Accepted, "with no trouble each message is accepted at its first try")
+	assert.Equal(t, summary.Sent, summary.Accepted, "without faults each message is accepted at the first attempt")
 	assert.Zero(t, summary.Duplicates)
 	assert.Less(t, summary.AcceptP99, 500*time.Millisecond)
 }
@@ -33,18 +33,18 @@
 	r.crash(r.system.Stores[:1], 1500*time.Millisecond, nil)
 	over := r.world.Record.Now() + time.Second
 	wait()
-	assert.GreaterOrEqual(t, r.acceptedSince(over), served)
+	assert.GreaterOrEqual(t, r.acceptedSince(over), minAccepted)
 	r.verify()
 }
 
-func TestStoreThatLostItsDisk(t *testing.T) {
+func TestStoreLosesDisk(t *testing.T) {
 	r := start(t)
 	wait := r.load(7 * time.Second)
 	time.Sleep(1500 * time.Millisecond)
 	r.crash(r.system.Stores[1:2], 500*time.Millisecond, (*cluster.Process).Wipe)
 	over := r.world.Record.Now() + time.Second
 	wait()
-	assert.GreaterOrEqual(t, r.acceptedSince(over), served)
+	assert.GreaterOrEqual(t, r.acceptedSince(over), minAccepted)
 	r.verify()
 }
 
@@ -67,7 +67,7 @@
 		time.Sleep(500 * time.Millisecond)
 	}
 	wait()
-	assert.GreaterOrEqual(t, r.acceptedSince(0), served, "traffic does not wait for the control plane")
+	assert.GreaterOrEqual(t, r.acceptedSince(0), minAccepted, "traffic does not depend on the control plane")
 	r.verify()
 }
 
@@ -77,10 +77,10 @@
 	time.Sleep(time.Second)
 	r.patch(protocol.Patch{Upsert: protocol.Upsert{Routes: []protocol.Route{extraRoute(700)}}})
 	r.crash(r.system.Controls, 500*time.Millisecond, nil) // right after an acknowledgement
-	r.showIsNewest()
+	r.verifyShownConfig()
 	r.patch(protocol.Patch{Upsert: protocol.Upsert{Routes: []protocol.Route{extraRoute(800)}}})
 	wait()
-	assert.GreaterOrEqual(t, r.acceptedSince(0), served, "traffic does not wait for the control plane")
+	assert.GreaterOrEqual(t, r.acceptedSince(0), minAccepted, "traffic does not depend on the control plane")
 	r.verify()
 }
 
@@ -91,7 +91,7 @@
 	r.crash(r.system.Stores, 500*time.Millisecond, nil)
 	over := r.world.Record.Now() + 2*time.Second
 	wait()
-	assert.GreaterOrEqual(t, r.acceptedSince(over), served)
+	assert.GreaterOrEqual(t, r.acceptedSince(over), minAccepted)
 	r.verify()
 }
 
@@ -104,7 +104,7 @@
 	}
 	wait()
 	summary := r.verify()
-	assert.Zero(t, summary.Duplicates, "nothing runs twice round a stop in order")
+	assert.Zero(t, summary.Duplicates, "no message runs twice when edges stop gracefully")
 }
 
 func TestRollOverAllStores(t *testing.T) {
@@ -115,13 +115,13 @@
 		time.Sleep(1500 * time.Millisecond)
 	}
 	wait()
-	assert.GreaterOrEqual(t, r.acceptedSince(0), served)
+	assert.GreaterOrEqual(t, r.acceptedSince(0), minAccepted)
 	r.verify()
 }
 
-// Dead letters are kept with their bytes, also those that were accepted while the view of the stores changed, and by stores that were
-// filled by others after they came back.
-func TestDeadLettersOutliveARollOverAllStores(t *testing.T) {
+// Dead letters and their bodies survive a roll over all stores, including messages accepted while the placement changed and copies that a restarted
+// store received from other stores.
+func TestDeadLettersSurviveRollOverAllStores(t *testing.T) {
 	r := start(t)
 	done := make(chan struct{})
 	go func() {
@@ -139,7 +139,7 @@
 	r.verify()
 }
 
-// extraRoute is a route to the plain service with a time-out of its own.
+// extraRoute returns a route to the plain service with the given timeout in milliseconds.
 func extraRoute(timeout int) protocol.Route {
 	extra := route("extra", false)
 	extra.Type, extra.Service, extra.TimeoutMs = protocol.TypeDeferred, "plain", float64(timeout)
@@ -162,13 +162,13 @@
 	extra(convergeBound + 500*time.Millisecond)
 	wait()
 
-	lost, err := r.staff.Set(r.within(ackBound), 1, r.world.Config(r.config.Version+5, r.config.Limits))
+	lost, err := r.operator.Set(r.within(ackBound), 1, r.world.Config(r.config.Version+5, r.config.Limits))
 	require.NoError(t, err)
-	assert.Equal(t, http.StatusPreconditionFailed, lost.Status, "another version is in place")
+	assert.Equal(t, http.StatusPreconditionFailed, lost.Status, "the base version is outdated")
 	invalid := r.config
 	invalid.Version += 5
 	invalid.Routes = append([]protocol.Route{{Name: "x", Host: "x", PathPrefix: "/", Type: protocol.TypeDeferred, TimeoutMs: 1, Service: "nobody"}}, invalid.Routes...)
-	refused, err := r.staff.Set(r.within(ackBound), r.config.Version, invalid)
+	refused, err := r.operator.Set(r.within(ackBound), r.config.Version, invalid)
 	require.NoError(t, err)
 	assert.Equal(t, http.StatusBadRequest, refused.Status)
 
@@ -179,10 +179,10 @@
 			missing++
 		}
 	}
-	assert.NotZero(t, missing, "the dropped route is gone")
+	assert.NotZero(t, missing, "the removed route is no longer served")
 }
 
-func TestTroubledWorkers(t *testing.T) {
+func TestWorkerFaults(t *testing.T) {
 	r := start(t)
 	wait := r.load(7 * time.Second)
 	ordered, flaky, plain := r.world.Fleet.Workers("ordered"), r.world.Fleet.Workers("flaky"), r.world.Fleet.Workers("plain")
@@ -202,7 +202,7 @@
 		worker.SetFaults(workers.Faults{})
 	}
 	wait()
-	assert.GreaterOrEqual(t, r.acceptedSince(0), served, "acceptance does not wait for workers")
+	assert.GreaterOrEqual(t, r.acceptedSince(0), minAccepted, "acceptance does not depend on workers")
 	r.verify()
 }
 
--- a/test/systemtest/soak_test.go
+++ b/test/systemtest/soak_test.go
@@ -21,18 +21,18 @@
 )
 
 var (
-	soakSeeds = flag.Int("soaks", 4, "soaks that are played, a seed each")
+	soakSeeds = flag.Int("soaks", 4, "number of soak runs, one seed each")
 	soakFrom  = flag.Uint64("soakfrom", 1, "the first seed")
 )
 
 const (
-	healBound    = 30 * time.Second       // until what a step took away is made up for
-	listedFor    = 500 * time.Millisecond // a worker that has crashed is listed
-	soakAccepted = 0.5                    // of the messages, however much is away
+	healBound    = 30 * time.Second       // until all copies lost by a step are replaced
+	listedFor    = 500 * time.Millisecond // how long a crashed worker stays on the platform's list
+	soakAccepted = 0.5                    // fraction of the messages that must be accepted, regardless of the faults
 )
 
-// Signals, restarts, lost disks, changes and faults of workers come in series, and those series overlap, while clients keep sending on
-// connections that they have: each rule is kept, and all that was accepted ends.
+// TestSoak runs overlapping series of signals, restarts, lost disks, configuration changes and worker faults while clients send on persistent
+// connections. All rules must hold and all accepted messages must end.
 func TestSoak(t *testing.T) {
 	for i := range *soakSeeds {
 		plan := drawSoak(*soakFrom + uint64(i))
@@ -54,16 +54,16 @@
 	t.Logf("seed %d: %d processes; %s", plan.seed, len(r.system.Processes()), s.summary())
 }
 
-// soak plays a plan on a rig.
+// soak executes a plan on a rig.
 type soak struct {
 	*rig
 	plan soakPlan
 
-	mu   sync.Mutex
-	done [len(soakActNames)]int
+	mu         sync.Mutex
+	doneCounts [len(soakActNames)]int
 }
 
-// play plays all lanes at the same time, each until the plan's length is over, and has the test fail with what went wrong.
+// play executes all lanes concurrently until the plan's length is over, and fails the test with all errors.
 func (s *soak) play() {
 	ctx, cancel := context.WithTimeout(s.t.Context(), s.plan.length)
 	defer cancel()
@@ -87,7 +87,7 @@
 			return fmt.Errorf("%v: %v: %w", lane, step, err)
 		}
 		s.mu.Lock()
-		s.done[step.act]++
+		s.doneCounts[step.act]++
 		s.mu.Unlock()
 	}
 	return nil
@@ -97,24 +97,24 @@
 	switch lane {
 	case laneHangups:
 		all := s.system.Processes()
-		_ = all[step.target%len(all)].Reload() // one that does not run just now hears nothing
+		_ = all[step.target%len(all)].Reload() // a process that does not run at this moment gets no signal
 		return nil
 	case laneChanges:
-		return s.change(step.act)
+		return s.changeConfig(step.act)
 	case laneWorkers:
-		return s.injectFault(step)
+		return s.injectWorkerFault(step)
 	}
 	process := s.target(lane, step.target)
-	if err := s.disturb(process, step); err != nil {
+	if err := s.injectProcessFault(process, step); err != nil {
 		return err
 	}
 	if lane == laneDisks {
-		return s.awaitHealed()
+		return s.awaitReplicas()
 	}
 	return s.awaitServing(process)
 }
 
-// target returns the process that a lane's step acts on.
+// target maps a step's drawn number to a process of its lane.
 func (s *soak) target(lane soakLane, drawn int) *cluster.Process {
 	processes, edges := append(append([]*cluster.Process(nil), s.system.Controls...), s.system.Stores...), s.system.Edges
 	switch half := (len(edges) + 1) / 2; lane {
@@ -126,8 +126,8 @@
 	return processes[drawn%len(processes)]
 }
 
-// disturb does something to a process, after which it runs again.
-func (s *soak) disturb(process *cluster.Process, step soakStep) error {
+// injectProcessFault executes a step on a process. Afterwards the process runs again.
+func (s *soak) injectProcessFault(process *cluster.Process, step soakStep) error {
 	defer s.world.Record.Trouble(process.Node(), step.act.String(), step.act.isPlanned())()
 	switch step.act {
 	case actRoll:
@@ -159,8 +159,8 @@
 	return process.Start(false)
 }
 
-// awaitHealed waits until the core and the queue have all copies again: the settings bear the loss of one machine.
-func (s *soak) awaitHealed() error {
+// awaitReplicas waits until the core and the queue have all copies again, since the settings tolerate the failure of only one machine at a time.
+func (s *soak) awaitReplicas() error {
 	ctx, cancel := context.WithTimeout(s.t.Context(), healBound)
 	defer cancel()
 	for ctx.Err() == nil {
@@ -171,15 +171,15 @@
 		}
 		time.Sleep(pollPause)
 	}
-	return errors.New("the copies are not made up for")
+	return errors.New("the core or the queue still lacks copies")
 }
 
-// isComplete says whether the core's chain and the queue lack no copy.
+// isComplete reports whether the core's chain and the queue have all copies.
 func (s coreStatus) isComplete(controls int) bool {
 	return len(s.Core.Chain) >= controls && s.Placement != nil && s.Placement.UnderStrength == 0
 }
 
-// awaitServing waits until an edge is ready.
+// awaitServing waits until an edge is ready. For other processes it returns at once.
 func (s *soak) awaitServing(edge *cluster.Process) error {
 	ctx, cancel := context.WithTimeout(s.t.Context(), startBound)
 	defer cancel()
@@ -190,7 +190,7 @@
 		single := client.NewBalancer(s.system.EdgeAddresses()[i : i+1])
 		for single.Ready(ctx) == 0 {
 			if ctx.Err() != nil {
-				return errors.New("the edge is not ready")
+				return errors.New("the edge did not become ready")
 			}
 			time.Sleep(pollPause)
 		}
@@ -198,8 +198,8 @@
 	return nil
 }
 
-// change has an operator order something, and looks at the answer.
-func (s *soak) change(act soakAct) error {
+// changeConfig sends an order of the given kind and checks its answer.
+func (s *soak) changeConfig(act soakAct) error {
 	ctx, cancel := context.WithTimeout(s.t.Context(), startBound)
 	defer cancel()
 	base := s.config
@@ -207,19 +207,19 @@
 	switch act {
 	case actInvalid:
 		next.Routes[0].Service = "nobody"
-		return expect(http.StatusBadRequest)(s.staff.Set(ctx, base.Version, next))
+		return expectStatus(http.StatusBadRequest)(s.operator.Set(ctx, base.Version, next))
 	case actRace:
-		return s.race(ctx, base, next)
+		return s.raceOrders(ctx, base, next)
 	}
-	if err := expect(http.StatusOK)(s.staff.Set(ctx, base.Version, next)); err != nil {
+	if err := expectStatus(http.StatusOK)(s.operator.Set(ctx, base.Version, next)); err != nil {
 		return err
 	}
 	s.config = next
 	return nil
 }
 
-// race has two operators order different changes on the same version: one is taken.
-func (s *soak) race(ctx context.Context, base, next protocol.Config) error {
+// raceOrders sends two different changes on the same base version, of which exactly one must be accepted.
+func (s *soak) raceOrders(ctx context.Context, base, next protocol.Config) error {
 	other := withTimeout(s.rig, next.Version, next.Routes[0].TimeoutMs+1)
 	configs := [2]protocol.Config{next, other}
 	var answers [2]operator.Answer
@@ -235,13 +235,13 @@
 	}
 	s.config = configs[winner]
 	if answers[winner].Status != http.StatusOK || answers[1-winner].Status != http.StatusPreconditionFailed {
-		return fmt.Errorf("two orders on one version were answered %d and %d", answers[0].Status, answers[1].Status)
+		return fmt.Errorf("two orders on the same version were answered %d and %d, want one 200 and one 412", answers[0].Status, answers[1].Status)
 	}
 	return nil
 }
 
-// expect returns what looks at the answer to an order.
-func expect(status int) func(operator.Answer, error) error {
+// expectStatus returns a function that checks the status of the answer to an order.
+func expectStatus(status int) func(operator.Answer, error) error {
 	return func(answer operator.Answer, err error) error {
 		if err == nil && answer.Status != status {
 			err = fmt.Errorf("answered %d, want %d: %s", answer.Status, status, answer.Body)
@@ -250,11 +250,11 @@
 	}
 }
 
-// soakServices are those whose workers get faults.
+// soakServices are the services whose workers get faults.
 var soakServices = []string{"plain", "flaky", "ordered"}
 
-// injectFault makes a worker faulty.
-func (s *soak) injectFault(step soakStep) error {
+// injectWorkerFault executes a step on a worker.
+func (s *soak) injectWorkerFault(step soakStep) error {
 	service := soakServices[step.target%len(soakServices)]
 	all := s.world.Fleet.Workers(service)
 	worker := all[step.target/len(soakServices)%len(all)]
@@ -273,12 +273,12 @@
 	return nil
 }
 
-// summary tells how often each act was carried out.
+// summary lists how often each act was executed.
 func (s *soak) summary() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	text := ""
-	for act, times := range s.done {
+	for act, times := range s.doneCounts {
 		text += fmt.Sprintf("%v %d, ", soakAct(act), times)
 	}
 	return text
--- a/test/systemtest/soakplan_test.go
+++ b/test/systemtest/soakplan_test.go
@@ -9,22 +9,22 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// soakAct is something that is done to the system in a soak.
+// soakAct is a kind of action in a soak run.
 type soakAct uint8
 
 const (
 	actRoll              soakAct = iota // SIGTERM, and a start once the process has ended
 	actHangup                           // SIGHUP, also to processes that stop or start
-	actChange                           // a change of the configuration, which must be taken
-	actInvalid                          // ... and one that must be refused
-	actRace                             // two operators order on the same version
-	actReplaceWorker                    // another starts, and it drains
+	actChange                           // a change of the configuration, which must be accepted
+	actInvalid                          // an invalid change, which must be refused
+	actRace                             // two operators send changes on the same version
+	actReplaceWorker                    // another worker starts, and the old one drains
 	actKill                             // SIGKILL, and a start after a time
-	actWipe                             // the same, with an empty disk
+	actWipe                             // SIGKILL, and a start with an empty disk after a time
 	actKillWhileStopping                // SIGTERM, and SIGKILL while the process stops
 	actFreeze                           // SIGSTOP, and SIGCONT after a time
 	actCrashWorker
-	actDarkWorker // it accepts connections and says nothing for a time
+	actDarkWorker // the worker accepts connections but does not answer for a time
 )
 
 var soakActNames = [...]string{
@@ -33,28 +33,28 @@
 
 func (a soakAct) String() string { return soakActNames[a] }
 
-// isPlanned says whether nothing may be lost round it but what it stops.
+// isPlanned reports whether the act is planned work, for which the rules allow no losses.
 func (a soakAct) isPlanned() bool { return a <= actReplaceWorker }
 
-// soakStep is one act, a pause after the one before it in its lane.
+// soakStep is one act, which starts a pause after the end of the previous step in its lane.
 type soakStep struct {
 	act    soakAct
 	pause  time.Duration
-	length time.Duration // it lasts
-	target int           // among what the lane acts on
+	length time.Duration // of the act, if it lasts
+	target int           // drawn number, mapped to one of the lane's targets
 }
 
 func (s soakStep) String() string {
 	return fmt.Sprintf("%v: %v %d for %v", s.pause.Round(time.Millisecond), s.act, s.target, s.length.Round(time.Millisecond))
 }
 
-// soakLane is what its steps act on. Steps of a lane come one after the other, and those of several lanes at the same time.
+// soakLane is a sequence of steps on one kind of target. The lanes run concurrently.
 type soakLane uint8
 
 const (
-	laneDisks   soakLane = iota // control processes and stores: one is away at a time, as the settings say
+	laneDisks   soakLane = iota // control processes and stores: one is down at a time, which is what the settings tolerate
 	laneEdges                   // the first half of the edges
-	laneOthers                  // the second half, but for the last
+	laneOthers                  // the second half of the edges, except the last
 	laneHangups                 // all processes
 	laneChanges
 	laneWorkers
@@ -65,7 +65,7 @@
 
 func (l soakLane) String() string { return soakLaneNames[l] }
 
-// soakPlan is one soak, drawn from a seed.
+// soakPlan is the plan of one soak run, drawn from a seed.
 type soakPlan struct {
 	seed          uint64
 	edgesPerZone  int
@@ -75,13 +75,13 @@
 }
 
 const (
-	soakLength   = 10 * time.Second
-	largeEvery   = 8 // one soak of so many has as many processes as a machine of eight processors bears beside another
-	plannedEvery = 2 // one of so many has planned work alone, beside which nothing may be lost
+	soakLength      = 10 * time.Second
+	largeInterval   = 8 // one of this many soaks has as many processes as a machine with eight processors can run beside another soak
+	plannedInterval = 2 // one of this many soaks has only planned work, for which the rules allow no losses
 )
 
-// soakActs lists what may be done in each lane.
-var soakActs = [soakLanes][]soakAct{
+// laneActs lists the possible acts of each lane.
+var laneActs = [soakLanes][]soakAct{
 	laneDisks:   {actRoll, actKill, actWipe, actKillWhileStopping, actFreeze},
 	laneEdges:   {actRoll, actKill, actKillWhileStopping, actFreeze},
 	laneOthers:  {actRoll, actKill, actFreeze},
@@ -90,8 +90,8 @@
 	laneWorkers: {actReplaceWorker, actCrashWorker, actDarkWorker},
 }
 
-// soakPauses are the mean times between the steps of a lane.
-var soakPauses = [soakLanes]time.Duration{
+// lanePauses are the mean pauses between the steps of each lane.
+var lanePauses = [soakLanes]time.Duration{
 	laneDisks: time.Second, laneEdges: 400 * time.Millisecond, laneOthers: 700 * time.Millisecond,
 	laneHangups: 150 * time.Millisecond, laneChanges: 300 * time.Millisecond, laneWorkers: 1200 * time.Millisecond,
 }
@@ -99,10 +99,10 @@
 func drawSoak(seed uint64) soakPlan {
 	random := rand.New(rand.NewPCG(seed, 51))
 	plan := soakPlan{seed: seed, edgesPerZone: 1 + random.IntN(2), storesPerZone: 1 + random.IntN(2), length: soakLength}
-	if seed%largeEvery == 0 {
+	if seed%largeInterval == 0 {
 		plan.edgesPerZone, plan.storesPerZone = 10, 3
 	}
-	planned := seed%plannedEvery == 0
+	planned := seed%plannedInterval == 0
 	for lane := range soakLanes {
 		plan.lanes[lane] = drawLane(random, lane, planned, plan.length)
 	}
@@ -111,7 +111,7 @@
 
 func drawLane(random *rand.Rand, lane soakLane, planned bool, length time.Duration) []soakStep {
 	var acts []soakAct
-	for _, act := range soakActs[lane] {
+	for _, act := range laneActs[lane] {
 		if act.isPlanned() || !planned {
 			acts = append(acts, act)
 		}
@@ -120,7 +120,7 @@
 	for at := time.Duration(0); at < length; {
 		step := soakStep{
 			act: acts[random.IntN(len(acts))], target: random.IntN(1 << 16),
-			pause:  time.Duration(random.ExpFloat64() * float64(soakPauses[lane])),
+			pause:  time.Duration(random.ExpFloat64() * float64(lanePauses[lane])),
 			length: time.Duration((0.2 + random.Float64()) * float64(time.Second)),
 		}
 		at += step.pause
@@ -129,7 +129,7 @@
 	return steps
 }
 
-func TestSoaksAreDrawnFromTheirSeed(t *testing.T) {
+func TestSoakPlanIsDeterministic(t *testing.T) {
 	assert.Equal(t, drawSoak(3), drawSoak(3))
 	assert.NotEqual(t, drawSoak(3).lanes, drawSoak(5).lanes)
 	for seed := range uint64(100) {
@@ -137,7 +137,7 @@
 		for lane, steps := range plan.lanes {
 			assert.NotEmpty(t, steps)
 			for _, step := range steps {
-				assert.True(t, step.act.isPlanned() || seed%plannedEvery != 0, "seed %d, %v: %v", seed, soakLane(lane), step)
+				assert.True(t, step.act.isPlanned() || seed%plannedInterval != 0, "seed %d, %v: %v", seed, soakLane(lane), step)
 			}
 		}
 	}
--- a/test/systemtest/tolerance_test.go
+++ b/test/systemtest/tolerance_test.go
@@ -10,17 +10,17 @@
 	"ravendale/test/standin/protocol"
 )
 
-// twoLosses is a cluster of four control machines with a disk that is to bear the loss of two machines with a disk at once.
-func twoLosses(spec *cluster.Spec) {
+// toleratingTwoFailures specifies a cluster of four control machines with disks that must tolerate the concurrent failure of two machines with disks.
+func toleratingTwoFailures(spec *cluster.Spec) {
 	spec.Zones = []string{"east", "west", "north", "south"}
 	spec.LostNodes = 2
 }
 
-// startBearingTwoLosses starts such a cluster under load once its core has as many voters as two losses need, with an order acknowledged. It names two
-// control processes that have a vote.
-func startBearingTwoLosses(t *testing.T) (r *rig, wait func(), first, second *cluster.Process) {
+// startToleratingTwoFailures starts such a cluster, waits until its core has as many voters as two failures require, starts the load, and has a
+// configuration change acknowledged. It returns two control processes that are voters.
+func startToleratingTwoFailures(t *testing.T) (r *rig, wait func(), first, second *cluster.Process) {
 	t.Helper()
-	r = startWith(t, twoLosses)
+	r = startWith(t, toleratingTwoFailures)
 	voters := awaitVoters(r)
 	require.GreaterOrEqual(t, len(voters), 2)
 	wait = r.load(4 * time.Second)
@@ -28,7 +28,7 @@
 	return r, wait, voters[0], voters[1]
 }
 
-// awaitVoters waits until the core has as many voters as are wanted, and lists the control processes among them.
+// awaitVoters waits until the core has as many voters as it requires, and returns the control processes among them.
 func awaitVoters(r *rig) (voters []*cluster.Process) {
 	r.t.Helper()
 	ctx := r.within(startBound)
@@ -37,7 +37,7 @@
 		now, ok := statusAt(ctx, r, 0)
 		seen = now
 		return ok && seen.Core.Wanted > 0 && len(seen.Core.Voters) >= seen.Core.Wanted
-	}, startBound, pollPause, "the core has too few voters for the losses to be borne")
+	}, startBound, pollPause, "the core has fewer voters than its fault tolerance requires")
 	for _, control := range r.system.Controls {
 		for _, voter := range seen.Core.Voters {
 			if voter.Address == r.system.ControlRPC(control) {
@@ -48,7 +48,7 @@
 	return voters
 }
 
-// ordersAreTaken changes the configuration, and reads it back from each control process but one.
+// ordersAreTaken changes the configuration, and reads it back from each control process except the given one.
 func ordersAreTaken(r *rig, timeoutMs int, but *cluster.Process) {
 	r.t.Helper()
 	r.patch(protocol.Patch{Upsert: protocol.Upsert{Routes: []protocol.Route{extraRoute(timeoutMs)}}})
@@ -62,18 +62,18 @@
 	}
 }
 
-// Two control processes lose their disks at the same moment, right after an acknowledgement (incident inc2).
-func TestTwoControlProcessesLoseTheirDisksAtOnce(t *testing.T) {
-	r, wait, first, second := startBearingTwoLosses(t)
+// Two control processes are killed and lose their disks at the same time, right after an acknowledgement (incident inc2).
+func TestTwoControlProcessesLoseDisks(t *testing.T) {
+	r, wait, first, second := startToleratingTwoFailures(t)
 	r.crash([]*cluster.Process{first, second}, 300*time.Millisecond, (*cluster.Process).Wipe)
 	ordersAreTaken(r, 800, nil)
 	wait()
 	r.verify()
 }
 
-// A control process loses its disk, and another falls silent before the first has caught up (incident inc1).
-func TestAControlProcessLosesItsDiskWhileAnotherIsSilent(t *testing.T) {
-	r, wait, wiped, silent := startBearingTwoLosses(t)
+// A control process loses its disk while another one is frozen, so that it has to catch up without that one (incident inc1).
+func TestControlProcessLosesDiskWhileAnotherIsFrozen(t *testing.T) {
+	r, wait, wiped, silent := startToleratingTwoFailures(t)
 	over := r.world.Record.Trouble(silent.Node(), "freeze", false)
 	require.NoError(t, silent.Freeze())
 	r.crash([]*cluster.Process{wiped}, 300*time.Millisecond, (*cluster.Process).Wipe)
