--- a/example/cluster/main.go
+++ b/example/cluster/main.go
@@ -73,7 +73,7 @@
 	defer world.Close()
 	system, err := cluster.New(cluster.Spec{
 		Programs: programs, Folder: filepath.Join(folder, "machines"), Provider: world.Platform.Address(),
-		Zones: zones, EdgesPerZone: 1, StoresPerZone: 1, LostNodes: 1,
+		Zones: zones, EdgesPerZone: 1, StoresPerZone: 1, ToleratedNodes: 1,
 	})
 	if err != nil {
 		return err
@@ -195,7 +195,7 @@
 func stop(system *cluster.Cluster) error {
 	inOrder := func(p *cluster.Process) error { return p.Stop(stopGrace) }
 	found := []error{cluster.Each(system.Edges, inOrder), cluster.Each(system.Stores, inOrder), cluster.Each(system.Controls, inOrder)}
-	for _, surprise := range system.Surprises() {
+	for _, surprise := range system.UnexpectedExits() {
 		found = append(found, errors.New(surprise))
 	}
 	if err := errors.Join(found...); err != nil {
--- a/test/simulation/control_test.go
+++ b/test/simulation/control_test.go
@@ -120,7 +120,7 @@
 
 // tick calls the node's Tick at the time that the node asked for, over and over.
 func (c *control) tick(l *incarnation, at time.Duration) {
-	l.after(l.worldDuration(at-l.now())+c.world.durationUpTo(2*time.Millisecond), func() {
+	l.after(l.worldDuration(at-l.now())+c.world.drawUpTo(2*time.Millisecond), func() {
 		next := c.node.Tick(l.now())
 		c.execute(l)
 		c.tick(l, next)
@@ -193,7 +193,8 @@
 // mayLead is the check that the leader makes before each action.
 func (c *control) mayLead() bool { return c.holdsLease() || c.leadsWithoutLease() }
 
-// leadsWithoutLease implements the mutant leadsAfterLeaseEnd: a leader whose lease has expired leads until it learns of another leader.
+// leadsWithoutLease implements the mutant leadsAfterLeaseEnd: a leader whose lease has expired leads until it learns of
+// another leader.
 func (c *control) leadsWithoutLease() bool {
 	if c.world.mutant != leadsAfterLeaseEnd || c.stopLeading == nil {
 		return false
@@ -207,12 +208,12 @@
 		return
 	}
 	c.writing = true
-	wait := c.world.durationBetween(200*time.Microsecond, time.Millisecond)
+	wait := c.world.drawBetween(200*time.Microsecond, time.Millisecond)
 	if c.world.slowDisks {
-		wait += c.world.durationUpTo(40 * time.Millisecond)
+		wait += c.world.drawUpTo(40 * time.Millisecond)
 	}
 	if c.diskDelay > 0 {
-		wait += c.world.durationUpTo(c.diskDelay)
+		wait += c.world.drawUpTo(c.diskDelay)
 		c.world.countFault("disk_slow: a write was late")
 	}
 	l.after(wait, func() { c.finishWrite(l) })
@@ -257,12 +258,12 @@
 func (c *control) send(l *incarnation, p core.OutboundMessage) {
 	w, n := c.world, c.world.network
 	to := w.byHost[p.To]
-	if to == nil || to.poweredOff || !n.reachable(c.machine, to) || n.lossPercent > 0 && w.random.IntN(100) < n.lossPercent {
+	if to == nil || to.poweredOff || !n.reaches(c.machine, to) || n.lossPercent > 0 && w.random.IntN(100) < n.lossPercent {
 		return
 	}
 	if to.incarnation == nil {
 		l.after(2*time.Millisecond, func() {
-			if n.reachable(to, c.machine) {
+			if n.reaches(to, c.machine) {
 				c.step(l, func(now time.Duration) { c.node.Refused(now, p.To) })
 			}
 		})
@@ -276,17 +277,18 @@
 	from, target := c.node.Self(), to.program.(*control)
 	delay := n.latency(c.machine, to)
 	if n.lossPercent > 0 && w.random.IntN(20) == 0 {
-		delay += w.durationUpTo(400 * time.Millisecond)
+		delay += w.drawUpTo(400 * time.Millisecond)
 	}
 	receiver := to.incarnation
 	w.after(delay, receiver.guard(func() {
-		if n.reachable(c.machine, to) {
+		if n.reaches(c.machine, to) {
 			target.step(receiver, func(now time.Duration) { target.node.Receive(now, from, message) })
 		}
 	}))
 }
 
-// submitCommand submits a command and calls done with its completion. After the given time it cancels the command and reports that result.
+// submitCommand submits a command and calls done with its completion. After the given time it cancels the command and
+// reports that result.
 func (c *control) submitCommand(l *incarnation, command []byte, within time.Duration, done func(core.Completion)) {
 	number := c.node.Submit(l.now(), command)
 	c.pendingCommands[number] = done
--- a/test/simulation/diskfaults_test.go
+++ b/test/simulation/diskfaults_test.go
@@ -13,7 +13,8 @@
 	w.disksLost++
 }
 
-// replace removes a control machine permanently and adds an empty one at another address: before the removal if planned, else after it.
+// replace removes a control machine permanently and adds an empty one at another address: before the removal if
+// planned, else after it.
 func (w *world) replace(name string, planned bool) {
 	if !w.coreComplete() || w.replaced >= 2 {
 		return
@@ -24,13 +25,13 @@
 	startFresh := func() { fresh.machine.start() }
 	if planned {
 		startFresh()
-		w.afterUnlessCalm(w.durationBetween(500*time.Millisecond, 3*time.Second), func() { w.retire(name, old) })
+		w.afterUnlessCalm(w.drawBetween(500*time.Millisecond, 3*time.Second), func() { w.retire(name, old) })
 		return
 	}
 	old.end(true)
 	w.remove(old)
 	w.countFault(name)
-	w.afterUnlessCalm(time.Second+w.durationUpTo(time.Second), startFresh)
+	w.afterUnlessCalm(time.Second+w.drawUpTo(time.Second), startFresh)
 }
 
 // retire stops a control machine gracefully and removes it, as soon as the core tolerates that.
@@ -63,7 +64,7 @@
 func (w *world) dropMessages(name string) {
 	w.countFault(name)
 	w.network.lossPercent = 1 + w.random.IntN(10)
-	w.afterUnlessCalm(w.durationUpTo(2*time.Second), func() { w.network.lossPercent = 0; w.coreDisturbedAt = w.now })
+	w.afterUnlessCalm(w.drawUpTo(2*time.Second), func() { w.network.lossPercent = 0; w.coreDisturbedAt = w.now })
 }
 
 func (w *world) storeMachines() []*machine {
@@ -76,7 +77,8 @@
 	return machines
 }
 
-// wipeStore powers off a store and wipes its disk, provided that all partitions have all their replicas and all stores run.
+// wipeStore powers off a store and wipes its disk, provided that all partitions have all their replicas and all stores
+// run.
 func (w *world) wipeStore(name string) {
 	p := w.anyProcess(false).program.(*process)
 	if p.incarnation == nil || p.frozen || w.placementProblem(-1) != "" || w.now-w.storeWipedAt < lossInterval {
@@ -91,12 +93,12 @@
 	w.storeWipedAt = w.now
 	p.end(true)
 	p.wipe()
-	w.afterUnlessCalm(w.durationUpTo(2*time.Second), p.machine.start)
+	w.afterUnlessCalm(w.drawUpTo(2*time.Second), p.machine.start)
 }
 
 func (w *world) slowStore(string) {
 	p := w.anyProcess(false).program.(*process)
-	p.diskDelay = w.durationBetween(20*time.Millisecond, 300*time.Millisecond)
+	p.diskDelay = w.drawBetween(20*time.Millisecond, 300*time.Millisecond)
 	w.afterUnlessCalm(w.faultDuration(), func() { p.diskDelay = 0 })
 }
 
@@ -111,7 +113,7 @@
 	if !w.canLose(c.machine) {
 		return
 	}
-	c.diskDelay = w.durationBetween(20*time.Millisecond, 300*time.Millisecond)
+	c.diskDelay = w.drawBetween(20*time.Millisecond, 300*time.Millisecond)
 	c.noteDisturbance()
 	w.afterUnlessCalm(w.faultDuration(), func() { c.diskDelay = 0; c.noteDisturbance() })
 }
@@ -131,7 +133,8 @@
 	w.afterUnlessCalm(w.faultDuration(), func() { w.ackLossPercent = 0 })
 }
 
-// afterAckWipe wipes the disks of as many control machines as may fail at once right after an acknowledgement, and powers off a third of the others.
+// afterAckWipe wipes the disks of as many control machines as may fail at once right after an acknowledgement, and
+// powers off a third of the others.
 func (w *world) afterAckWipe(name string) {
 	if !w.coreComplete() {
 		return
@@ -148,10 +151,10 @@
 				c.end(true)
 				c.wipe()
 				w.countFault(name)
-				w.afterUnlessCalm(w.durationUpTo(2*time.Second), c.machine.start)
+				w.afterUnlessCalm(w.drawUpTo(2*time.Second), c.machine.start)
 			} else if w.random.IntN(3) == 0 {
 				c.end(true)
-				w.afterUnlessCalm(w.durationUpTo(time.Second), c.machine.start)
+				w.afterUnlessCalm(w.drawUpTo(time.Second), c.machine.start)
 			}
 		}
 	})
--- a/test/simulation/edge_test.go
+++ b/test/simulation/edge_test.go
@@ -98,7 +98,7 @@
 
 // submitMessages sends messages to random usable edges until traffic stops.
 func (w *world) submitMessages() {
-	w.after(w.durationUpTo(2*meanMessageInterval), w.submitMessages)
+	w.after(w.drawUpTo(2*meanMessageInterval), w.submitMessages)
 	if w.trafficStopped {
 		return
 	}
@@ -163,10 +163,10 @@
 	server := w.servers[delivered.Worker]
 	name, limit := delivered.RequestID, delivered.Limit
 	if server == nil || server.unreachable {
-		call.end(w.durationBetween(200*time.Millisecond, 300*time.Millisecond), worker.Unreachable)
+		call.end(w.drawBetween(200*time.Millisecond, 300*time.Millisecond), worker.Unreachable)
 		return call
 	}
-	w.after(w.durationBetween(minLatency, maxLatency), func() { server.run(call, name, limit) })
+	w.after(w.drawBetween(minLatency, maxLatency), func() { server.run(call, name, limit) })
 	return call
 }
 
@@ -205,10 +205,10 @@
 // run runs a message for an edge, or rejects it if the worker is down, at capacity or already running that message.
 func (s *server) run(call *delivery, name string, limit time.Duration) {
 	w := s.world
-	answerDelay := func() time.Duration { return w.durationBetween(minLatency, maxLatency) }
+	answerDelay := func() time.Duration { return w.drawBetween(minLatency, maxLatency) }
 	switch {
 	case s.unreachable:
-		call.end(w.durationBetween(200*time.Millisecond, 300*time.Millisecond), worker.Unreachable)
+		call.end(w.drawBetween(200*time.Millisecond, 300*time.Millisecond), worker.Unreachable)
 		return
 	case s.running[name]:
 		call.end(answerDelay(), worker.Duplicate)
@@ -219,7 +219,7 @@
 	}
 	s.running[name] = true
 	run := w.messages.runStarted(name, s, call.incarnation)
-	duration, incarnation := w.durationBetween(5*time.Millisecond, 60*time.Millisecond), s.incarnations
+	duration, incarnation := w.drawBetween(5*time.Millisecond, 60*time.Millisecond), s.incarnations
 	if s.slow {
 		duration *= 5
 	}
--- a/test/simulation/faults_test.go
+++ b/test/simulation/faults_test.go
@@ -7,7 +7,8 @@
 	"time"
 )
 
-// fault is a failure or an administrative action that ends by itself. inject counts it under its name if it takes effect.
+// fault is a failure or an administrative action that ends by itself. inject counts it under its name if it takes
+// effect.
 type fault struct {
 	name   string
 	inject func(w *world, name string)
@@ -84,9 +85,9 @@
 // faultDuration draws how long a fault lasts: mostly below 4 s, in one of five cases 6 to 20 s.
 func (w *world) faultDuration() time.Duration {
 	if w.random.IntN(5) == 0 {
-		return w.durationBetween(6*time.Second, 20*time.Second)
+		return w.drawBetween(6*time.Second, 20*time.Second)
 	}
-	return w.durationBetween(50*time.Millisecond, 4*time.Second)
+	return w.drawBetween(50*time.Millisecond, 4*time.Second)
 }
 
 func (w *world) anyControl() *machine {
@@ -176,7 +177,7 @@
 // rollControls stops the control processes gracefully, one every second, and restarts each.
 func (w *world) rollControls(name string) {
 	for i, c := range w.controls() {
-		w.afterUnlessCalm(time.Duration(i)*time.Second, func() { c.stopGracefully(name, w.durationUpTo(time.Second), true) })
+		w.afterUnlessCalm(time.Duration(i)*time.Second, func() { c.stopGracefully(name, w.drawUpTo(time.Second), true) })
 	}
 }
 
@@ -201,14 +202,14 @@
 		if !p.edge || w.random.IntN(2) == 0 {
 			continue
 		}
-		at += w.durationUpTo(time.Second)
+		at += w.drawUpTo(time.Second)
 		w.afterUnlessCalm(at, func() {
 			if p.incarnation == nil || p.frozen || p.removed {
 				return
 			}
 			w.countFault(name)
 			p.leave()
-			w.afterUnlessCalm(time.Second+w.durationUpTo(time.Second), p.machine.start)
+			w.afterUnlessCalm(time.Second+w.drawUpTo(time.Second), p.machine.start)
 		})
 	}
 }
@@ -221,7 +222,7 @@
 			continue
 		}
 		m.end(power)
-		w.afterUnlessCalm(w.durationUpTo(time.Second), m.start)
+		w.afterUnlessCalm(w.drawUpTo(time.Second), m.start)
 	}
 }
 
@@ -232,7 +233,7 @@
 	wait = func() {
 		switch {
 		case w.history.lastAckAt != newest:
-			w.afterUnlessCalm(w.durationUpTo(4*time.Millisecond), then)
+			w.afterUnlessCalm(w.drawUpTo(4*time.Millisecond), then)
 		case w.now < until:
 			w.afterUnlessCalm(time.Millisecond, wait)
 		}
@@ -252,7 +253,7 @@
 
 func (w *world) raceOrdersThreeTimes(string) {
 	for i := range 3 {
-		w.afterUnlessCalm(time.Duration(i)*w.durationUpTo(time.Second), w.raceOrders)
+		w.afterUnlessCalm(time.Duration(i)*w.drawUpTo(time.Second), w.raceOrders)
 	}
 }
 
@@ -301,7 +302,7 @@
 	w.raceCount++
 	w.countFault(name)
 	w.newServer(fmt.Sprint(old.service, "-new-", w.raceCount), old.service)
-	w.after(w.durationBetween(4*time.Second, 8*time.Second), func() {
+	w.after(w.drawBetween(4*time.Second, 8*time.Second), func() {
 		old.unreachable = true
 		old.incarnations++
 		delete(w.servers, old.name)
--- a/test/simulation/history_test.go
+++ b/test/simulation/history_test.go
@@ -56,7 +56,8 @@
 
 func newHistory(w *world) *history { return &history{world: w, sequences: make(map[string]uint64)} }
 
-// applied records that a control process applied command number count, and checks it against the other control processes.
+// applied records that a control process applied command number count, and checks it against the other control
+// processes.
 func (h *history) applied(c *control, count int, command, result []byte) {
 	switch {
 	case count == len(h.order):
@@ -86,7 +87,8 @@
 	h.firstAt, h.changeNumbers = append(h.firstAt, h.world.now), append(h.changeNumbers, change)
 }
 
-// checkLease fails if two control processes hold the leader lease at once. A frozen holder counts: it would act on its lease after a thaw.
+// checkLease fails if two control processes hold the leader lease at once. A frozen holder counts: it would act on its
+// lease after a thaw.
 func (h *history) checkLease() {
 	holders := ""
 	count := 0
@@ -123,8 +125,8 @@
 	}
 }
 
-// checkServing checks that no edge or store returns to an older version within an incarnation, and that none that is connected to the core serves
-// an older configuration than the newest one acknowledged more than convergeBound ago.
+// checkServing checks that no edge or store returns to an older version within an incarnation, and that none that is
+// connected to the core serves an older configuration than the newest one acknowledged more than convergeBound ago.
 func (h *history) checkServing() {
 	w := h.world
 	needed := uint64(0)
@@ -182,8 +184,8 @@
 	}
 }
 
-// checkTimes checks that the order of commands agrees with real time: no command sent after another one was answered precedes it. Together
-// with checkResults this makes the history linearizable.
+// checkTimes checks that the order of commands agrees with real time: no command sent after another one was answered
+// precedes it. Together with checkResults this makes the history linearizable.
 func (h *history) checkTimes() {
 	earliest := make([]time.Duration, len(h.order)+1) // earliest answer to an operation at this position or a later one
 	from := make([]time.Duration, len(h.order))
@@ -204,7 +206,8 @@
 	}
 }
 
-// checkCounts checks that no command was applied more often than it was sent, not counting attempts that were answered as not applied.
+// checkCounts checks that no command was applied more often than it was sent, not counting attempts that were answered
+// as not applied.
 func (h *history) checkCounts() {
 	sent := make(map[string]int)
 	for _, o := range h.operations {
@@ -223,7 +226,8 @@
 	}
 }
 
-// checkDuplicates checks that each version was confirmed to one order only, and that no repeated order is refused after it was applied.
+// checkDuplicates checks that each version was confirmed to one order only, and that no repeated order is refused after
+// it was applied.
 func (h *history) checkDuplicates() {
 	orders := make(map[uint64]string)
 	takenAt := make(map[string]time.Duration)
--- a/test/simulation/machine_test.go
+++ b/test/simulation/machine_test.go
@@ -40,7 +40,7 @@
 func (w *world) newMachine(name, zone, address string, program program) *machine {
 	m := &machine{
 		world: w, name: name, zone: zone, address: address, clockRate: 0.965 + 0.07*w.random.Float64(),
-		clockOffset: w.durationUpTo(time.Hour), program: program, disturbedAt: w.now,
+		clockOffset: w.drawUpTo(time.Hour), program: program, disturbedAt: w.now,
 	}
 	w.machines = append(w.machines, m)
 	w.byHost[address] = m
@@ -126,7 +126,8 @@
 	ends     []*endpoint // endpoints of its connections, in the order of creation
 }
 
-// guard wraps run: the result does nothing once the process has ended, and is postponed until the thaw while the process is frozen.
+// guard wraps run: the result does nothing once the process has ended, and is postponed until the thaw while the
+// process is frozen.
 func (l *incarnation) guard(run func()) func() {
 	var guarded func()
 	guarded = func() {
--- a/test/simulation/member_test.go
+++ b/test/simulation/member_test.go
@@ -94,7 +94,8 @@
 // stopped implements program.
 func (p *process) stopped(powerLoss bool) { p.journal.stop(powerLoss) }
 
-// awaitCurrent polls until the agent's state is confirmed as the newest, and then applies it: the confirmation may come after the state.
+// awaitCurrent polls until the agent's state is confirmed as the newest, and then applies it: the confirmation may come
+// after the state.
 func (p *process) awaitCurrent(l *incarnation) {
 	if !p.agent.Current() {
 		l.after(currentPollInterval, func() { p.awaitCurrent(l) })
@@ -144,7 +145,7 @@
 	ended, end := context.WithCancel(context.Background())
 	end()
 	p.agent.Leave(ended)
-	l.after(p.world.durationBetween(50*time.Millisecond, 400*time.Millisecond), func() { p.world.after(0, func() { p.endIncarnation(l) }) })
+	l.after(p.world.drawBetween(50*time.Millisecond, 400*time.Millisecond), func() { p.world.after(0, func() { p.endIncarnation(l) }) })
 }
 
 // endIncarnation ends the given incarnation, unless it has ended already.
--- a/test/simulation/messages_test.go
+++ b/test/simulation/messages_test.go
@@ -150,13 +150,11 @@
 }
 
 // undisturbed reports whether all faults ended at least recoveryBound ago.
-func (w *world) undisturbed() bool {
-	return w.undisturbedSince >= 0 && w.now-w.undisturbedSince >= recoveryBound
-}
+func (w *world) undisturbed() bool { return w.calmSince >= 0 && w.now-w.calmSince >= recoveryBound }
 
 // disturb records that faults are active from now on.
 func (w *world) disturb() {
-	w.undisturbedSince = -1
+	w.calmSince = -1
 	for _, s := range w.messages.all {
 		s.undisturbed = false
 	}
--- a/test/simulation/mutants_test.go
+++ b/test/simulation/mutants_test.go
@@ -6,7 +6,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestMutationsAreDetected runs worlds with one deliberate bug at a time. Within the given number of seeds one of them must violate a rule.
+// TestMutationsAreDetected runs worlds with one deliberate bug at a time. Within the given number of seeds one of them
+// must violate a rule.
 func TestMutationsAreDetected(t *testing.T) {
 	for _, mistake := range []struct {
 		name   string
--- a/test/simulation/network_test.go
+++ b/test/simulation/network_test.go
@@ -30,20 +30,20 @@
 	lossPercent int                 // percentage of messages among control processes that are dropped
 }
 
-// reachable reports whether a packet gets from one machine to another; the opposite direction may differ.
-func (n *network) reachable(from, to *machine) bool { return n.partitioned[[2]*machine{from, to}] == 0 }
+// reaches reports whether a packet gets from one machine to another; the opposite direction may differ.
+func (n *network) reaches(from, to *machine) bool { return n.partitioned[[2]*machine{from, to}] == 0 }
 
 // latency draws the delay of one packet.
 func (n *network) latency(from, to *machine) time.Duration {
-	delay := n.world.durationBetween(minLatency, maxLatency)
+	delay := n.world.drawBetween(minLatency, maxLatency)
 	if n.slowCount[from]+n.slowCount[to] > 0 {
-		delay += n.world.durationUpTo(60 * time.Millisecond)
+		delay += n.world.drawUpTo(60 * time.Millisecond)
 	}
 	return delay
 }
 
-// partition adds change to the number of partitions from each machine of one side to each of the other, and back unless oneWay is set: 1 begins
-// a partition, -1 ends it.
+// partition adds change to the number of partitions from each machine of one side to each of the other, and back unless
+// oneWay is set: 1 begins a partition, -1 ends it.
 func (n *network) partition(side, others []*machine, oneWay bool, change int) {
 	for _, a := range side {
 		for _, b := range others {
@@ -63,8 +63,8 @@
 	}
 }
 
-// recordDisturbance records that the connectivity of two machines changed. Rules for machines in contact with the core apply again only after
-// the contact bound.
+// recordDisturbance records that the connectivity of two machines changed. Rules for machines in contact with the core
+// apply again only after the contact bound.
 func (n *network) recordDisturbance(a, b *machine) {
 	_, first := a.program.(*control)
 	_, second := b.program.(*control)
@@ -143,7 +143,7 @@
 		e.scheduleDelivery()
 		return
 	}
-	if !n.reachable(from, to) || to.poweredOff || from.poweredOff {
+	if !n.reaches(from, to) || to.poweredOff || from.poweredOff {
 		e.inFlight[0].at = n.world.now + resendWait
 		e.lastArrival = max(e.lastArrival, e.inFlight[0].at)
 		if from.poweredOff && e.incarnation.ended {
@@ -173,10 +173,10 @@
 		return
 	}
 	n, peer := e.network, e.peer.incarnation.machine
-	if !e.peer.incarnation.ended && !peer.frozen && n.reachable(peer, e.incarnation.machine) {
+	if !e.peer.incarnation.ended && !peer.frozen && n.reaches(peer, e.incarnation.machine) {
 		e.lastHeardAt = n.world.now
 	}
-	if e.peer.incarnation.ended && !peer.poweredOff && n.reachable(peer, e.incarnation.machine) && n.reachable(e.incarnation.machine, peer) {
+	if e.peer.incarnation.ended && !peer.poweredOff && n.reaches(peer, e.incarnation.machine) && n.reaches(e.incarnation.machine, peer) {
 		e.conn.Fail(errReset)
 		return
 	}
@@ -189,7 +189,8 @@
 
 const watchEvery = 100 * time.Millisecond
 
-// closeConnections closes the connections of a process that has ended. The machine's kernel resets them, unless the machine lost power.
+// closeConnections closes the connections of a process that has ended. The machine's kernel resets them, unless the
+// machine lost power.
 func (n *network) closeConnections(l *incarnation) {
 	for _, e := range l.ends {
 		if e.closed {
@@ -263,7 +264,7 @@
 		return
 	}
 	n, from, to := k.network, k.incarnation.machine, k.network.world.byHost[k.address]
-	if to == nil || to.poweredOff || !n.reachable(from, to) || !n.reachable(to, from) {
+	if to == nil || to.poweredOff || !n.reaches(from, to) || !n.reaches(to, from) {
 		k.incarnation.after(k.options.ConnectTimeout, func() { k.attemptFailed(attempt, errTimeout) })
 		return
 	}
@@ -294,7 +295,7 @@
 	}
 	k.attempt++
 	attempt := k.attempt
-	k.incarnation.after(k.retry/2+k.network.world.durationUpTo(k.retry), func() { k.dial(attempt) })
+	k.incarnation.after(k.retry/2+k.network.world.drawUpTo(k.retry), func() { k.dial(attempt) })
 	k.retry = min(2*k.retry, lastRetry)
 }
 
--- a/test/simulation/operator_test.go
+++ b/test/simulation/operator_test.go
@@ -34,7 +34,7 @@
 	if !w.operatorsStopped && !o.busy {
 		o.send(o.nextCommand(), 0)
 	}
-	w.after(20*time.Millisecond+w.durationUpTo(maxOperatorPause), o.sendNext)
+	w.after(20*time.Millisecond+w.drawUpTo(maxOperatorPause), o.sendNext)
 }
 
 // nextCommand draws an order: a read, a set, an invalid set or a patch, sometimes on top of an old version.
@@ -68,7 +68,8 @@
 		version, name, number, routes, limitedRate)
 }
 
-// send sends an order to a random control process, and repeats it until it is accepted or refused, up to operatorAttempts times.
+// send sends an order to a random control process, and repeats it until it is accepted or refused, up to
+// operatorAttempts times.
 func (o *operator) send(command state.Command, attempts int) {
 	w := o.world
 	targets := w.controls()
@@ -84,7 +85,7 @@
 				if attempts > 0 && op.answer == answerUnknown {
 					w.counts["an order repeated"]++
 				}
-				w.after(w.durationUpTo(maxOperatorPause), func() { o.send(command, attempts+1) })
+				w.after(w.drawUpTo(maxOperatorPause), func() { o.send(command, attempts+1) })
 				return
 			}
 		case answerAccepted, answerRefusedVersion:
@@ -112,7 +113,7 @@
 		done(op)
 	}
 	w.after(operatorTimeout, finish)
-	w.after(w.durationBetween(minLatency, maxLatency), func() {
+	w.after(w.drawBetween(minLatency, maxLatency), func() {
 		switch {
 		case c.incarnation == nil && c.poweredOff:
 		case c.incarnation == nil:
@@ -126,7 +127,7 @@
 						w.countFault("ack_lost")
 						return
 					}
-					w.after(w.durationBetween(minLatency, maxLatency), func() {
+					w.after(w.drawBetween(minLatency, maxLatency), func() {
 						if !finished {
 							op.answer, op.version, op.result, op.position = a, version, end, position
 							finish()
@@ -205,7 +206,8 @@
 	return answerRefusedInvalid
 }
 
-// raceOrders sends two orders for the same version at once to two control processes. Each is repeated if its outcome is unknown, and in half of the other cases.
+// raceOrders sends two orders for the same version at once to two control processes. Each is repeated if its outcome is
+// unknown, and in half of the other cases.
 func (w *world) raceOrders() {
 	targets := w.controls()
 	base := max(w.operators[0].knownVersion, w.operators[1].knownVersion)
--- a/test/simulation/partitions_test.go
+++ b/test/simulation/partitions_test.go
@@ -6,11 +6,11 @@
 	"time"
 )
 
-// partitionSpan draws how long a partition lasts. Half of them last 6 to 20 s: another leader has taken over long before their end, and messages
-// that they held up are outdated.
+// partitionSpan draws how long a partition lasts. Half of them last 6 to 20 s: another leader has taken over long
+// before their end, and messages that they held up are outdated.
 func (w *world) partitionSpan() time.Duration {
 	if w.random.IntN(2) == 0 {
-		return w.durationBetween(6*time.Second, 20*time.Second)
+		return w.drawBetween(6*time.Second, 20*time.Second)
 	}
 	return w.faultDuration()
 }
@@ -26,7 +26,8 @@
 	return seeds
 }
 
-// partitionFor starts a partition that ends by itself, and returns its duration; 0: one side is empty and there is no partition.
+// partitionFor starts a partition that ends by itself, and returns its duration; 0: one side is empty and there is no
+// partition.
 func (w *world) partitionFor(name string, side, others []*machine, oneWay bool) time.Duration {
 	if len(side) == 0 || len(others) == 0 {
 		return 0
@@ -95,7 +96,8 @@
 	}
 }
 
-// restartWithPartitionedSeeds partitions a minority of the core, makes it the first seeds of all members and restarts a third of them.
+// restartWithPartitionedSeeds partitions a minority of the core, makes it the first seeds of all members and restarts a
+// third of them.
 func (w *world) restartWithPartitionedSeeds(name string) {
 	side := w.minority()
 	if w.partitionFor(name, side, without(w.coreMachines(), side), false) == 0 {
@@ -105,7 +107,7 @@
 	for _, p := range w.processes() {
 		if w.random.IntN(3) == 0 && p.incarnation != nil {
 			p.end(false)
-			w.afterUnlessCalm(w.durationUpTo(500*time.Millisecond), p.machine.start)
+			w.afterUnlessCalm(w.drawUpTo(500*time.Millisecond), p.machine.start)
 		}
 	}
 }
@@ -138,7 +140,7 @@
 	for _, p := range w.processes() {
 		if w.random.IntN(2) == 0 && p.incarnation != nil {
 			p.end(false)
-			w.afterUnlessCalm(w.durationUpTo(time.Second), p.machine.start)
+			w.afterUnlessCalm(w.drawUpTo(time.Second), p.machine.start)
 		}
 	}
 }
@@ -152,12 +154,12 @@
 	}
 	for _, m := range side {
 		m.end(false)
-		w.afterUnlessCalm(w.durationUpTo(500*time.Millisecond), m.start)
+		w.afterUnlessCalm(w.drawUpTo(500*time.Millisecond), m.start)
 	}
 	w.afterUnlessCalm(time.Second, func() {
 		for _, m := range others {
 			m.end(false)
-			w.afterUnlessCalm(w.durationUpTo(500*time.Millisecond), m.start)
+			w.afterUnlessCalm(w.drawUpTo(500*time.Millisecond), m.start)
 		}
 	})
 }
--- a/test/simulation/powerloss_test.go
+++ b/test/simulation/powerloss_test.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// wipeAndPowerOff powers off all machines right after an acknowledgement, those without a vote included, and wipes the disks of as many control
-// machines and stores as may fail at once. Partitions may be joining or moving and the core's chain may be changing at that time: acknowledged
-// data must be on enough disks in each of these states.
+// wipeAndPowerOff powers off all machines right after an acknowledgement, those without a vote included, and wipes the
+// disks of as many control machines and stores as may fail at once. Partitions may be joining or moving and the core's
+// chain may be changing at that time: acknowledged data must be on enough disks in each of these states.
 func (w *world) wipeAndPowerOff(name string) {
 	w.afterAck(func() {
 		if !w.coreComplete() || !w.storesRun() || w.now-w.storeWipedAt < lossInterval {
@@ -20,7 +20,7 @@
 			if wiped[m] {
 				w.wipeDisk(m)
 			}
-			w.afterUnlessCalm(w.durationUpTo(time.Second), m.start)
+			w.afterUnlessCalm(w.drawUpTo(time.Second), m.start)
 		}
 	})
 }
--- a/test/simulation/queue_test.go
+++ b/test/simulation/queue_test.go
@@ -20,14 +20,15 @@
 // segmentRecords is the number of records in one segment of a journal.
 const segmentRecords = 60
 
-// memoryJournal is the journal of a store on a simulated disk. After a power loss at least the synced entries are still there.
+// memoryJournal is the journal of a store on a simulated disk. After a power loss at least the synced entries are still
+// there.
 type memoryJournal struct {
-	process       *process
-	incarnation   *incarnation
-	entries       [][]byte
-	firstRetained int // index of the first entry that was not removed
-	durable       int
-	syncing       bool
+	process     *process
+	incarnation *incarnation
+	entries     [][]byte
+	oldest      int // index of the first entry that was not removed
+	durable     int
+	syncing     bool
 }
 
 // Append implements queue.Journal.
@@ -44,12 +45,12 @@
 	}
 	r.syncing = true
 	w, l := r.process.world, r.incarnation
-	duration := w.durationBetween(200*time.Microsecond, 2*time.Millisecond)
+	duration := w.drawBetween(200*time.Microsecond, 2*time.Millisecond)
 	if w.slowDisks {
-		duration += w.durationUpTo(20 * time.Millisecond)
+		duration += w.drawUpTo(20 * time.Millisecond)
 	}
 	if r.process.diskDelay > 0 {
-		duration += w.durationUpTo(r.process.diskDelay)
+		duration += w.drawUpTo(r.process.diskDelay)
 		w.countFault("disk_slow store: a write was late")
 	}
 	upTo := len(r.entries)
@@ -79,26 +80,25 @@
 // Read implements queue.Journal.
 func (r *memoryJournal) Read(at journal.Location) ([]byte, error) {
 	i := int(at.Segment-1)*segmentRecords + int(at.Offset)
-	if at.Segment == 0 || i < r.firstRetained || i >= len(r.entries) {
+	if at.Segment == 0 || i < r.oldest || i >= len(r.entries) {
 		return nil, fmt.Errorf("simulation: no record at %v", at)
 	}
 	return r.entries[i], nil
 }
 
 // Remove implements queue.Journal.
-func (r *memoryJournal) Remove(segment uint32) {
-	r.firstRetained = max(r.firstRetained, int(segment)*segmentRecords)
-}
+func (r *memoryJournal) Remove(segment uint32) { r.oldest = max(r.oldest, int(segment)*segmentRecords) }
 
 // Segments implements queue.Journal.
 func (r *memoryJournal) Segments() (oldest, newest uint32) {
-	return uint32(r.firstRetained/segmentRecords) + 1, uint32(max(len(r.entries)-1, 0)/segmentRecords) + 1
+	return uint32(r.oldest/segmentRecords) + 1, uint32(max(len(r.entries)-1, 0)/segmentRecords) + 1
 }
 
 // Used implements queue.Journal.
-func (r *memoryJournal) Used() int64 { return int64(len(r.entries)-r.firstRetained) * 100 }
+func (r *memoryJournal) Used() int64 { return int64(len(r.entries)-r.oldest) * 100 }
 
-// stop is called at the end of the incarnation that used the journal. A power loss loses a random part of the unsynced entries.
+// stop is called at the end of the incarnation that used the journal. A power loss loses a random part of the unsynced
+// entries.
 func (r *memoryJournal) stop(powerLoss bool) {
 	if powerLoss {
 		r.entries = r.entries[:r.durable+r.process.world.random.IntN(len(r.entries)-r.durable+1)]
@@ -119,7 +119,7 @@
 	p.queue = queue.New(queue.Config{
 		Disk: p.disk, Zone: p.zone, Copies: p.world.settings.faultTolerance + 1, FinishedRetention: time.Minute, DiskBytes: 1 << 20, Log: l.log(),
 	}, queueHost{p, l})
-	for i := p.journal.firstRetained; i < len(p.journal.entries); i++ {
+	for i := p.journal.oldest; i < len(p.journal.entries); i++ {
 		at := journal.Location{Segment: uint32(i/segmentRecords) + 1, Offset: uint32(i % segmentRecords)}
 		if err := p.queue.Recover(p.time(), at, p.journal.entries[i]); err != nil {
 			p.world.fail("%s: %v", p.name, err)
@@ -191,7 +191,8 @@
 	c.OnClose(func(error) { l.after(0, func() { p.queue.EdgeDown(p.time(), c) }) })
 }
 
-// applyToStore passes the agent's members and placement to the queue, and opens and closes connections to other stores accordingly.
+// applyToStore passes the agent's members and placement to the queue, and opens and closes connections to other stores
+// accordingly.
 func (p *process) applyToStore(l *incarnation) {
 	s := p.agent.Snapshot()
 	if s.Members != nil {
--- a/test/simulation/secondloss_test.go
+++ b/test/simulation/secondloss_test.go
@@ -8,9 +8,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// loseTwoControls replaces a control machine with an empty one at another address, and powers off another one as soon as the first no longer counts
-// as failed. It returns the time without an acknowledgement up to the end of the run. Operators call only running machines, so that their
-// timeouts at failed ones do not count as an outage of the core.
+// loseTwoControls replaces a control machine with an empty one at another address, and powers off another one as soon
+// as the first no longer counts as failed. It returns the time without an acknowledgement up to the end of the run.
+// Operators call only running machines, so that their timeouts at failed ones do not count as an outage of the core.
 func loseTwoControls(t *testing.T, seed uint64, controls int, planned bool, m mutant) (outage time.Duration, described string) {
 	w := newWorld(seed, worldSettings{controls: controls, edges: 2, stores: 2, zones: 1, faultTolerance: 1, heartbeatMs: 600, asksRunning: true}, m)
 	w.bootstrap()
@@ -25,8 +25,8 @@
 	return w.now - w.history.lastAckAt, w.debugString()
 }
 
-// TestSecondLossAfterReplacement checks that orders are still acknowledged when a second control machine fails as soon as the first no longer
-// counts as failed.
+// TestSecondLossAfterReplacement checks that orders are still acknowledged when a second control machine fails as soon
+// as the first no longer counts as failed.
 func TestSecondLossAfterReplacement(t *testing.T) {
 	for _, controls := range []int{3, 4, 5} {
 		for _, planned := range []bool{false, true} {
@@ -40,8 +40,9 @@
 	}
 }
 
-// TestMutationKeptVoteIsDetected checks that the test above detects a failed machine that still counts as a voter beside its replacement. It can
-// be seen only with the seeds in which the second machine to fail is not the replacement.
+// TestMutationKeptVoteIsDetected checks that the test above detects a failed machine that still counts as a voter
+// beside its replacement. It can be seen only with the seeds in which the second machine to fail is not the
+// replacement.
 func TestMutationKeptVoteIsDetected(t *testing.T) {
 	caught := 0
 	for seed := range uint64(10) {
--- a/test/simulation/simulation_test.go
+++ b/test/simulation/simulation_test.go
@@ -55,12 +55,12 @@
 		kinds, count = faultsNamed(settings.only), 2*count
 	}
 	for range count {
-		w.runFor(w.durationUpTo(2500 * time.Millisecond))
+		w.runFor(w.drawUpTo(2500 * time.Millisecond))
 		next := kinds[w.random.IntN(len(kinds))]
 		w.disturb()
 		next.inject(w, next.name)
 	}
-	w.runFor(w.durationBetween(4*time.Second, 10*time.Second))
+	w.runFor(w.drawBetween(4*time.Second, 10*time.Second))
 	w.recoverAndExpectService("after disruptions")
 	finalFaults := []string{"after_ack_wipe", "herd_kill all power taken", "after_ack_kill", "replace_core", "after_ack_wipe all power"}
 	final := finalFaults[w.random.IntN(len(finalFaults))]
@@ -68,7 +68,7 @@
 	for _, f := range faultsNamed(final) {
 		f.inject(w, f.name)
 	}
-	w.runFor(w.durationBetween(3*time.Second, 5*time.Second))
+	w.runFor(w.drawBetween(3*time.Second, 5*time.Second))
 	w.recoverAndExpectService("after the last disruption")
 	w.trafficStopped = true
 	w.runFor(4 * time.Second)
@@ -93,7 +93,7 @@
 // recoverAndExpectService ends all faults and expects full service within the recovery bound and 2 s.
 func (w *world) recoverAndExpectService(when string) {
 	w.endFaults()
-	w.undisturbedSince = w.now
+	w.calmSince = w.now
 	w.runFor(recoveryBound)
 	w.runUntil(2*time.Second, func() bool { return w.serviceProblem() == "" })
 	w.expectService(when)
@@ -171,7 +171,8 @@
 	minWorldsForCoverage = 200 // with this many worlds or more, each fault must have taken effect at least once
 )
 
-// TestRandomFaults runs seeded worlds with random faults, in which no rule may be violated, and logs how often each fault took effect.
+// TestRandomFaults runs seeded worlds with random faults, in which no rule may be violated, and logs how often each
+// fault took effect.
 func TestRandomFaults(t *testing.T) {
 	if *traceFlag {
 		debug = os.Stderr
@@ -208,7 +209,8 @@
 	return names
 }
 
-// TestSimulationIsDeterministic runs worlds twice and expects equal traces. The worlds have no messages, since package dispatch iterates over maps.
+// TestSimulationIsDeterministic runs worlds twice and expects equal traces. The worlds have no messages, since package
+// dispatch iterates over maps.
 func TestSimulationIsDeterministic(t *testing.T) {
 	for seed := range uint64(12) {
 		settings := drawSettings(seed + 1)
--- a/test/simulation/system_test.go
+++ b/test/simulation/system_test.go
@@ -98,13 +98,13 @@
 	for i := range 2 {
 		o := &operator{world: w, name: fmt.Sprint("operator-", i)}
 		w.operators = append(w.operators, o)
-		w.after(time.Second+w.durationUpTo(time.Second), o.sendNext)
+		w.after(time.Second+w.drawUpTo(time.Second), o.sendNext)
 	}
 	w.after(checkInterval, w.checkContinuously)
 	w.after(time.Second, w.changeWorkers)
 }
 
-func (w *world) startSoon(m *machine) { w.after(w.durationUpTo(300*time.Millisecond), m.start) }
+func (w *world) startSoon(m *machine) { w.after(w.drawUpTo(300*time.Millisecond), m.start) }
 
 const checkInterval = 50 * time.Millisecond
 
@@ -128,7 +128,7 @@
 			w.workers = append([]string(nil), w.workers[3:]...)
 		}
 	}
-	w.after(w.durationBetween(500*time.Millisecond, 3*time.Second), w.changeWorkers)
+	w.after(w.drawBetween(500*time.Millisecond, 3*time.Second), w.changeWorkers)
 }
 
 // controls returns the control machines that have not been removed.
@@ -153,11 +153,10 @@
 	return processes
 }
 
-func (w *world) linked(a, b *machine) bool {
-	return w.network.reachable(a, b) && w.network.reachable(b, a)
-}
+func (w *world) linked(a, b *machine) bool { return w.network.reaches(a, b) && w.network.reaches(b, a) }
 
-// reachesMajority reports whether a control machine can exchange packets with more than half of the core, itself included.
+// reachesMajority reports whether a control machine can exchange packets with more than half of the core, itself
+// included.
 func (w *world) reachesMajority(c *control, core []*control) bool {
 	count := 0
 	for _, other := range core {
@@ -168,8 +167,8 @@
 	return 2*count > len(core)
 }
 
-// reachesCore reports whether a machine can exchange packets with every running control machine that reaches a majority of the core. It is
-// false if there is no such control machine.
+// reachesCore reports whether a machine can exchange packets with every running control machine that reaches a majority
+// of the core. It is false if there is no such control machine.
 func (w *world) reachesCore(p *process) bool {
 	core := w.controls()
 	any := false
@@ -201,8 +200,9 @@
 	return complete
 }
 
-// toleratedLosses returns how many more control machines may fail now; a fault that would exceed this is not injected. A machine that lost its
-// disk counts as failed until lossInterval has passed, so that the system has had time to catch up.
+// toleratedLosses returns how many more control machines may fail now; a fault that would exceed this is not injected.
+// A machine that lost its disk counts as failed until lossInterval has passed, so that the system has had time to catch
+// up.
 func (w *world) toleratedLosses() int {
 	spare := w.settings.faultTolerance
 	if w.diskLostAt > 0 && w.now-w.diskLostAt < lossInterval {
@@ -217,7 +217,8 @@
 	return max(0, spare)
 }
 
-// reachesAll reports whether a control machine reaches a majority of the core and every other control machine that also reaches a majority.
+// reachesAll reports whether a control machine reaches a majority of the core and every other control machine that also
+// reaches a majority.
 func (w *world) reachesAll(c *control, core []*control) bool {
 	if !w.reachesMajority(c, core) {
 		return false
@@ -290,8 +291,8 @@
 	return w.placementProblem(edges)
 }
 
-// placementProblem describes the first error in the processes' member lists and store placement; empty: there is none. A negative number of
-// edges is not compared.
+// placementProblem describes the first error in the processes' member lists and store placement; empty: there is none.
+// A negative number of edges is not compared.
 func (w *world) placementProblem(edges int) string {
 	for _, p := range w.processes() {
 		if p.removed {
@@ -302,13 +303,13 @@
 		}
 		snapshot := p.agent.Snapshot()
 		if snapshot.Members == nil {
-			return p.name + " has no member list"
+			return p.name + " has received no member list"
 		}
 		if listed := len(snapshot.Members.Edges); edges >= 0 && listed != edges {
 			return fmt.Sprintf("%s lists %d edges, want %d", p.name, listed, edges)
 		}
 		if snapshot.Stores == nil {
-			return p.name + " has no store placement"
+			return p.name + " has received no store placement"
 		}
 		for number, partition := range snapshot.Stores.Partitions {
 			if len(partition.Replicas) != int(snapshot.Stores.Copies) || len(partition.Joining) > 0 {
--- a/test/simulation/task_test.go
+++ b/test/simulation/task_test.go
@@ -133,7 +133,7 @@
 	box.OnPost(func() {
 		if waiting && !woken {
 			woken = true
-			t.wake(l.machine.world.durationUpTo(maxHandlingDelay))
+			t.wake(l.machine.world.drawUpTo(maxHandlingDelay))
 		}
 	})
 	for {
--- a/test/simulation/world_test.go
+++ b/test/simulation/world_test.go
@@ -8,25 +8,25 @@
 
 // world is a simulated system in virtual time. Its events run one after the other in the order of their times.
 type world struct {
-	random           *rand.Rand
-	mutant           mutant
-	settings         worldSettings
-	now              time.Duration
-	queue            []event // heap by time, then by order of creation
-	eventCount       uint64
-	violation        string
-	trace            uint64         // hash of the logged events and their times; equal seeds give equal hashes
-	counts           map[string]int // number of faults that took effect, by name
-	running          *task          // nil while no task runs
-	machines         []*machine     // in the order of creation
-	byHost           map[string]*machine
-	network          *network
-	history          *history
-	workers          []string // listed by the platform in addition to the servers; they accept no messages
-	servers          map[string]*server
-	messages         *messages
-	trafficStopped   bool          // clients have stopped sending
-	undisturbedSince time.Duration // start of the period without faults; negative: faults are active
+	random         *rand.Rand
+	mutant         mutant
+	settings       worldSettings
+	now            time.Duration
+	queue          []event // heap by time, then by order of creation
+	eventCount     uint64
+	violation      string
+	trace          uint64         // hash of the logged events and their times; equal seeds give equal hashes
+	counts         map[string]int // number of faults that took effect, by name
+	running        *task          // nil while no task runs
+	machines       []*machine     // in the order of creation
+	byHost         map[string]*machine
+	network        *network
+	history        *history
+	workers        []string // listed by the platform in addition to the servers; they accept no messages
+	servers        map[string]*server
+	messages       *messages
+	trafficStopped bool          // clients have stopped sending
+	calmSince      time.Duration // start of the period without faults; negative: faults are active
 
 	operators        []*operator
 	raceCount        int
@@ -54,7 +54,7 @@
 		nextNumbers: make(map[int]int),
 	}
 	w.network = &network{world: w, partitioned: make(map[[2]*machine]int), slowCount: make(map[*machine]int)}
-	w.history, w.messages, w.servers, w.undisturbedSince = newHistory(w), newMessages(w), make(map[string]*server), -1
+	w.history, w.messages, w.servers, w.calmSince = newHistory(w), newMessages(w), make(map[string]*server), -1
 	w.slowDisks = w.random.IntN(4) == 0
 	return w
 }
@@ -146,12 +146,10 @@
 	w.log("fault %s", fault)
 }
 
-// durationUpTo draws a duration below most.
-func (w *world) durationUpTo(most time.Duration) time.Duration {
+// drawUpTo draws a duration below most.
+func (w *world) drawUpTo(most time.Duration) time.Duration {
 	return time.Duration(w.random.Int64N(int64(max(most, 1))))
 }
 
-// durationBetween draws a duration from least to most.
-func (w *world) durationBetween(least, most time.Duration) time.Duration {
-	return least + w.durationUpTo(most-least)
-}
+// drawBetween draws a duration from lo to hi.
+func (w *world) drawBetween(lo, hi time.Duration) time.Duration { return lo + w.drawUpTo(hi-lo) }
--- a/test/standin/check/check.go
+++ b/test/standin/check/check.go
@@ -88,8 +88,8 @@
 // Lost finds accepted messages that have not ended, but can't be read back or are reported as ended.
 func Lost(h *history.History) []Finding { return newView(h).lost() }
 
-// Truncated finds requests without an answer, although there was no unplanned fault at that time, that reached a worker or whose connection closed
-// late.
+// Truncated finds requests without an answer, although there was no unplanned fault at that time, that reached a worker
+// or whose connection closed late.
 func Truncated(h *history.History, bounds Bounds) []Finding { return newView(h).truncated(bounds) }
 
 // Order finds runs on ordered routes that started before a message of the same key that was accepted earlier had ended.
@@ -116,13 +116,15 @@
 // Drain finds requests that reached a worker too long after the list showed it as leaving.
 func Drain(h *history.History, bounds Bounds) []Finding { return newView(h).drain(bounds) }
 
-// Config finds requests that were handled by an outdated configuration, and pairs of changes that were both acknowledged on the same version.
+// Config finds requests that were handled by an outdated configuration, and pairs of changes that were both
+// acknowledged on the same version.
 func Config(h *history.History, bounds Bounds) []Finding { return newView(h).config(bounds) }
 
 // Early finds runs that started before the message's delay was over.
 func Early(h *history.History, bounds Bounds) []Finding { return newView(h).early(bounds) }
 
-// Undelivered finds accepted messages that have not ended. It is stricter than the rules: use it where all messages could be delivered.
+// Undelivered finds accepted messages that have not ended. It is stricter than the rules: use it where all messages
+// could be delivered.
 func Undelivered(h *history.History) []Finding { return newView(h).undelivered() }
 
 // never is the end time of messages that have not ended; it is later than all times of a history.
@@ -155,7 +157,7 @@
 		sort.Slice(arrivals, func(i, j int) bool { return arrivals[i].Arrived < arrivals[j].Arrived })
 	}
 	for _, order := range h.Orders {
-		if order.Possible() {
+		if order.MayBeApplied() {
 			v.orders = append(v.orders, order)
 		}
 		v.end = max(v.end, order.Answered)
@@ -167,7 +169,8 @@
 	return v
 }
 
-// endTime returns when a message ended, or never. If the possible configurations give different ends, it is the earliest.
+// endTime returns when a message ended, or never. If the possible configurations give different ends, it is the
+// earliest.
 func (v *view) endTime(send history.Send) time.Duration {
 	finished := v.expiryTime(send)
 	var failures []time.Duration
@@ -206,7 +209,8 @@
 	return expired
 }
 
-// existedBefore reports whether a version before the given one has a route, so that a version without it removes the route.
+// existedBefore reports whether a version before the given one has a route, so that a version without it removes the
+// route.
 func (v *view) existedBefore(route string, before uint64) bool {
 	for _, order := range v.orders {
 		if _, found := order.Config.Route(route); found {
@@ -258,12 +262,13 @@
 	return false
 }
 
-// possibleOrders lists the orders whose configuration may apply to a request that was sent and handled at the given times: the newest one
-// acknowledged more than converge before the request was sent, and all newer ones sent before it was handled.
+// possibleOrders lists the orders whose configuration may apply to a request that was sent and handled at the given
+// times: the newest one acknowledged more than converge before the request was sent, and all newer ones sent before it
+// was handled.
 func (v *view) possibleOrders(sent, handled, converge time.Duration) []history.Order {
 	var possible []history.Order
 	for _, order := range v.orders {
-		if order.Taken() && order.Answered+converge < sent {
+		if order.Acknowledged() && order.Answered+converge < sent {
 			possible = possible[:0]
 		}
 		if order.Sent <= handled {
--- a/test/standin/check/rules.go
+++ b/test/standin/check/rules.go
@@ -291,7 +291,7 @@
 	case arrival.Method != send.Method || arrival.Host != send.Host || arrival.Target != send.Target:
 		return fmt.Sprintf("ran as %s %s%s, was sent as %s %s%s", arrival.Method, arrival.Host, arrival.Target, send.Method, send.Host, send.Target)
 	case arrival.Body != send.Body:
-		return "body differs from the body that was sent"
+		return "ran with a body that differs from the one that was sent"
 	case arrival.Key != send.Key:
 		return fmt.Sprintf("ran with the order key %q, was sent with %q", arrival.Key, send.Key)
 	}
@@ -396,7 +396,7 @@
 	var found []Finding
 	taken := make(map[uint64]uint64) // version by base
 	for _, order := range v.orders {
-		if !order.Taken() {
+		if !order.Acknowledged() {
 			continue
 		}
 		version := order.Config.Version
--- a/test/standin/client/balancer.go
+++ b/test/standin/client/balancer.go
@@ -107,7 +107,8 @@
 	return ready
 }
 
-// Pick chooses the edge of a new connection at random: among the ready ones or, if fewer than half are ready, among all.
+// Pick chooses the edge of a new connection at random: among the ready ones or, if fewer than half are ready, among
+// all.
 func (b *Balancer) Pick() Edge {
 	ready := b.inRotation()
 	if len(ready)*2 < len(b.edges) {
--- a/test/standin/client/client.go
+++ b/test/standin/client/client.go
@@ -40,7 +40,7 @@
 	Traffic  []Traffic
 	Clients  int           // each with its own connection; 0: defaultClients
 	Attempts int           // per message, as long as the answers promise that it never runs; 0: defaultAttempts
-	Patience time.Duration // time for all attempts of a message; 0: defaultAnswerTimeout
+	Timeout  time.Duration // time for all attempts of a message; 0: defaultAnswerTimeout
 }
 
 const (
@@ -57,8 +57,8 @@
 	if l.Attempts == 0 {
 		l.Attempts = defaultAttempts
 	}
-	if l.Patience == 0 {
-		l.Patience = defaultAnswerTimeout
+	if l.Timeout == 0 {
+		l.Timeout = defaultAnswerTimeout
 	}
 	return l
 }
@@ -145,7 +145,7 @@
 	if rand.Float64() < traffic.DelayShare {
 		send.Delay = time.Duration(rand.Float64() * float64(traffic.DelayMax)).Truncate(time.Millisecond)
 	}
-	ctx, cancel := context.WithTimeout(ctx, load.Patience)
+	ctx, cancel := context.WithTimeout(ctx, load.Timeout)
 	defer cancel()
 	for attempt := 0; attempt < load.Attempts && ctx.Err() == nil; attempt++ {
 		sent, retryAfter := c.Send(ctx, transport, send, body)
--- a/test/standin/client/poller.go
+++ b/test/standin/client/poller.go
@@ -23,9 +23,9 @@
 	bodyPath    = "/v1/message-body/"
 )
 
-// ReadBack reads the state of each message, and the body of those reported as pending or dead letters. After a failure it repeats that on a new
-// connection until the context ends. It records the complete reading of each message, or else the last one that was not interrupted by the
-// end of the context.
+// ReadBack reads the state of each message, and the body of those reported as pending or dead letters. After a failure
+// it repeats that on a new connection until the context ends. It records the complete reading of each message, or else
+// the last one that was not interrupted by the end of the context.
 func (c *Clients) ReadBack(ctx context.Context, sends []history.Send) {
 	work := make(chan history.Send)
 	var group sync.WaitGroup
--- a/test/standin/cluster/cluster.go
+++ b/test/standin/cluster/cluster.go
@@ -65,8 +65,8 @@
 	}
 }
 
-// ReplaceControl replaces the machine of a control process with a new one that has an empty disk, another name and another address. The old
-// process must have ended. The new one is not started.
+// ReplaceControl replaces the machine of a control process with a new one that has an empty disk, another name and
+// another address. The old process must have ended. The new one is not started.
 func (c *Cluster) ReplaceControl(i int) error {
 	removed := c.Controls[i]
 	if err := removed.Wipe(); err != nil {
@@ -118,13 +118,13 @@
 	return errors.Join(found...)
 }
 
-// Surprises describes the processes that ended by themselves, including those on replaced machines.
-func (c *Cluster) Surprises() []string {
-	var surprises []string
+// UnexpectedExits describes the processes that ended by themselves, including those on replaced machines.
+func (c *Cluster) UnexpectedExits() []string {
+	var exits []string
 	for _, process := range append(c.Processes(), c.replaced...) {
-		surprises = append(surprises, process.Surprises()...)
+		exits = append(exits, process.UnexpectedExits()...)
 	}
-	return surprises
+	return exits
 }
 
 // Admin lists the addresses of the operator's API.
--- a/test/standin/cluster/cluster_test.go
+++ b/test/standin/cluster/cluster_test.go
@@ -30,7 +30,7 @@
 	}
 	laid, err := cluster.New(cluster.Spec{
 		Programs: programs, Folder: t.TempDir(), Provider: "127.0.0.1:1",
-		Zones: []string{"east", "west"}, EdgesPerZone: 2, StoresPerZone: 1, LostNodes: 1,
+		Zones: []string{"east", "west"}, EdgesPerZone: 2, StoresPerZone: 1, ToleratedNodes: 1,
 		Settings: map[string]string{"bounds.graceS": "4"},
 	})
 	require.NoError(t, err)
@@ -87,7 +87,7 @@
 	require.NoError(t, store.Start(false))
 	assert.NotZero(t, store.PID())
 
-	assert.Empty(t, c.Surprises())
+	assert.Empty(t, c.UnexpectedExits())
 }
 
 func TestStopTimeout(t *testing.T) {
@@ -105,12 +105,12 @@
 	require.NoError(t, edge.Start(true))
 	require.Eventually(t, func() bool { return started(edge) }, 5*time.Second, 5*time.Millisecond)
 	require.NoError(t, edge.Stop(5*time.Second))
-	assert.Empty(t, c.Surprises())
+	assert.Empty(t, c.UnexpectedExits())
 }
 
 func TestUnexpectedExits(t *testing.T) {
 	c := newCluster(t, "#!/bin/sh\nexit 3\n")
 	require.NoError(t, c.Edges[0].Start(true))
-	require.Eventually(t, func() bool { return len(c.Surprises()) == 1 }, 5*time.Second, 5*time.Millisecond)
-	assert.Contains(t, c.Surprises()[0], "exit status 3")
+	require.Eventually(t, func() bool { return len(c.UnexpectedExits()) == 1 }, 5*time.Second, 5*time.Millisecond)
+	assert.Contains(t, c.UnexpectedExits()[0], "exit status 3")
 }
--- a/test/standin/cluster/process.go
+++ b/test/standin/cluster/process.go
@@ -106,7 +106,8 @@
 	close(exited)
 }
 
-// signal sends a signal to the current incarnation, and returns a channel that is closed at its end. ends tells whether the signal is to end it.
+// signal sends a signal to the current incarnation, and returns a channel that is closed at its end. ends tells whether
+// the signal is to end it.
 func (p *Process) signal(signal syscall.Signal, ends bool) (exited chan struct{}, err error) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -153,8 +154,8 @@
 	return err
 }
 
-// Stop requests the end of the process with SIGTERM and waits for it. It returns an error if the process had to be killed after the grace period
-// or exited with a non-zero status.
+// Stop requests the end of the process with SIGTERM and waits for it. It returns an error if the process had to be
+// killed after the grace period or exited with a non-zero status.
 func (p *Process) Stop(grace time.Duration) error {
 	exited, err := p.signal(syscall.SIGTERM, true)
 	if err != nil {
@@ -185,8 +186,8 @@
 	return nil
 }
 
-// Surprises describes the incarnations that ended by themselves.
-func (p *Process) Surprises() []string {
+// UnexpectedExits describes the incarnations that ended by themselves.
+func (p *Process) UnexpectedExits() []string {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	return append([]string(nil), p.unexpectedExits...)
--- a/test/standin/cluster/spec.go
+++ b/test/standin/cluster/spec.go
@@ -20,7 +20,7 @@
 	EdgesPerZone    int
 	StoresPerZone   int
 	ControlsPerZone int  // control processes run on the first edge machines of a zone; 0: one
-	LostNodes       int  // machines that may fail at once
+	ToleratedNodes  int  // machines that may fail at once
 	DisklessControl bool // the control processes have no disk
 	Settings        map[string]string
 }
@@ -81,7 +81,8 @@
 
 func ipOf(i int) string { return fmt.Sprintf("127.0.1.%d", i+1) }
 
-// spares returns the machines that may replace others, with the addresses that follow those of the given number of machines.
+// spares returns the machines that may replace others, with the addresses that follow those of the given number of
+// machines.
 func spares(machines int) []machine {
 	spares := make([]machine, maxSpares)
 	for i := range spares {
@@ -137,7 +138,7 @@
 		"discovery":              "provider",
 		"entrypoint":             "vip",
 		"heartbeatMs":            "1000",
-		"faultTolerance.nodes":   strconv.Itoa(c.spec.LostNodes),
+		"faultTolerance.nodes":   strconv.Itoa(c.spec.ToleratedNodes),
 		"faultTolerance.zones":   "0",
 		"faultTolerance.regions": "0",
 		"provider.address":       c.spec.Provider,
--- a/test/standin/history/history.go
+++ b/test/standin/history/history.go
@@ -44,13 +44,13 @@
 
 // The outcomes. All but OutcomeNotRun mean that a run was started.
 const (
-	OutcomeNotRun  Outcome = iota // rejected, or answered from the idempotency table
-	OutcomeRunning                // still running when the history was copied
-	OutcomeDone                   // success, with a signature
-	OutcomeFailed                 // 500
-	OutcomeRefused                // 422: can never succeed
-	OutcomeStopped                // ended at its deadline
-	OutcomeDropped                // the connection closed, or the worker crashed
+	OutcomeNotRun   Outcome = iota // rejected, or answered from the idempotency table
+	OutcomeRunning                 // still running when the history was copied
+	OutcomeDone                    // success, with a signature
+	OutcomeFailed                  // 500
+	OutcomeRefused                 // 422: can never succeed
+	OutcomeTimedOut                // ended at its deadline
+	OutcomeDropped                 // the connection closed, or the worker crashed
 )
 
 // Arrival is a request that reached a worker.
@@ -88,13 +88,14 @@
 	Status   int // 0: no clear answer
 }
 
-// Taken reports whether the order was acknowledged.
-func (o Order) Taken() bool { return o.Status == http.StatusOK }
+// Acknowledged reports whether the order was acknowledged.
+func (o Order) Acknowledged() bool { return o.Status == http.StatusOK }
 
-// Possible reports whether the order may have been applied.
-func (o Order) Possible() bool { return o.Taken() || o.Status == 0 }
+// MayBeApplied reports whether the order may have been applied.
+func (o Order) MayBeApplied() bool { return o.Acknowledged() || o.Status == 0 }
 
-// Drain is the time from which the platform's list shows a worker as draining or no longer shows it, whichever comes first.
+// Drain is the time from which the platform's list shows a worker as draining or no longer shows it, whichever comes
+// first.
 type Drain struct {
 	Worker string
 	Shown  time.Duration
@@ -191,8 +192,8 @@
 	r.history.Readings = append(r.history.Readings, reading)
 }
 
-// Trouble records that a fault begins, and returns what ends it.
-func (r *Recorder) Trouble(machine, what string, planned bool) (end func()) {
+// BeginFault records the start of a fault, and returns a function that records its end.
+func (r *Recorder) BeginFault(machine, what string, planned bool) (end func()) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	fault := &Fault{Machine: machine, What: what, At: r.Now(), Planned: planned}
@@ -204,7 +205,8 @@
 	}
 }
 
-// History returns a copy of everything recorded so far. Faults that have not ended are given the current time as their end.
+// History returns a copy of everything recorded so far. Faults that have not ended are given the current time as their
+// end.
 func (r *Recorder) History() *History {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
--- a/test/standin/operator/operator.go
+++ b/test/standin/operator/operator.go
@@ -111,7 +111,8 @@
 	return state.State, err
 }
 
-// Call makes a call, and repeats it at the other control processes in turn until the answer is clear or the context ends.
+// Call makes a call, and repeats it at the other control processes in turn until the answer is clear or the context
+// ends.
 func (o *Operator) Call(ctx context.Context, method, path string, header http.Header, body []byte) Answer {
 	pause := firstPause
 	for others := 0; ctx.Err() == nil; {
@@ -141,7 +142,8 @@
 	return status >= 200 && status < 300
 }
 
-// isOther reports whether a status is a 4xx that is neither clear nor retryable. It ends a call only after maxOtherAttempts.
+// isOther reports whether a status is a 4xx that is neither clear nor retryable. It ends a call only after
+// maxOtherAttempts.
 func isOther(status int) bool {
 	return status >= 400 && status < 500 && !isClear(status) &&
 		status != http.StatusRequestTimeout && status != http.StatusTooManyRequests
--- a/test/standin/operator/operator_test.go
+++ b/test/standin/operator/operator_test.go
@@ -50,7 +50,7 @@
 	assert.EqualValues(t, 2, second.Load())
 	orders := record.History().Orders
 	require.Len(t, orders, 1)
-	assert.True(t, orders[0].Taken())
+	assert.True(t, orders[0].Acknowledged())
 }
 
 func TestClearRefusalIsFinal(t *testing.T) {
@@ -61,7 +61,7 @@
 		require.NoError(t, err)
 		assert.Equal(t, status, answer.Status)
 		assert.EqualValues(t, 1, calls.Load())
-		assert.False(t, record.History().Orders[0].Possible())
+		assert.False(t, record.History().Orders[0].MayBeApplied())
 	}
 }
 
@@ -77,8 +77,8 @@
 	record := history.NewRecorder()
 	_, err := operator.New([]string{address}, record).Set(within(t, 150*time.Millisecond), 0, protocol.Config{Version: 1})
 	require.NoError(t, err)
-	assert.True(t, record.History().Orders[0].Possible())
-	assert.False(t, record.History().Orders[0].Taken())
+	assert.True(t, record.History().Orders[0].MayBeApplied())
+	assert.False(t, record.History().Orders[0].Acknowledged())
 }
 
 func TestRedirects(t *testing.T) {
--- a/test/standin/platform/platform.go
+++ b/test/standin/platform/platform.go
@@ -89,8 +89,8 @@
 	p.add(instance, warmup, p.options.Lag)
 }
 
-// AddShown adds a worker that is listed at once, as if it had been added before the start.
-func (p *Platform) AddShown(instance protocol.Instance) { p.add(instance, 0, 0) }
+// AddListed adds a worker that is listed at once, as if it had been added before the start.
+func (p *Platform) AddListed(instance protocol.Instance) { p.add(instance, 0, 0) }
 
 func (p *Platform) add(instance protocol.Instance, warmup, lag time.Duration) {
 	now := time.Since(p.start)
--- a/test/standin/platform/platform_test.go
+++ b/test/standin/platform/platform_test.go
@@ -43,7 +43,7 @@
 func TestPagesAndZones(t *testing.T) {
 	p := start(t, platform.Options{PageSize: 2})
 	for i := range 5 {
-		p.AddShown(instance(i, []string{"east", "west"}[i%2]))
+		p.AddListed(instance(i, []string{"east", "west"}[i%2]))
 	}
 	var seen []string
 	query := ""
@@ -85,7 +85,7 @@
 	const lag = 100 * time.Millisecond
 	record := history.NewRecorder()
 	p := start(t, platform.Options{Lag: lag, Record: record})
-	p.AddShown(instance(1, "east"))
+	p.AddListed(instance(1, "east"))
 	p.Add(instance(2, "east"), time.Minute)
 
 	_, page := call(t, p, "")
--- a/test/standin/standin.go
+++ b/test/standin/standin.go
@@ -93,7 +93,7 @@
 			if err != nil {
 				return err
 			}
-			w.Platform.AddShown(worker.Instance())
+			w.Platform.AddListed(worker.Instance())
 		}
 	}
 	return nil
--- a/test/standin/workers/connection.go
+++ b/test/standin/workers/connection.go
@@ -42,7 +42,7 @@
 			return
 		}
 		_ = c.net.SetReadDeadline(time.Time{})
-		if c.worker.faults.Load().Dark {
+		if c.worker.faults.Load().Unresponsive {
 			c.discard()
 			return
 		}
@@ -159,7 +159,8 @@
 	return true
 }
 
-// awaitDeadline waits until a random time around the request's deadline. The end of the worker ends the wait early, the end of the connection does not.
+// awaitDeadline waits until a random time around the request's deadline. The end of the worker ends the wait early, the
+// end of the connection does not.
 func (c *conn) awaitDeadline(arrived time.Duration, header string) {
 	millis, err := strconv.ParseFloat(header, 64)
 	if err != nil || millis <= 0 {
--- a/test/standin/workers/delivery.go
+++ b/test/standin/workers/delivery.go
@@ -91,7 +91,7 @@
 		took = time.Duration(float64(took) * faults.Slow)
 	}
 	if err := w.sleep(ctx, took); errors.Is(err, context.DeadlineExceeded) {
-		return answer{status: http.StatusGatewayTimeout}, history.OutcomeStopped
+		return answer{status: http.StatusGatewayTimeout}, history.OutcomeTimedOut
 	} else if err != nil {
 		return answer{}, history.OutcomeDropped
 	}
--- a/test/standin/workers/faults.go
+++ b/test/standin/workers/faults.go
@@ -6,9 +6,9 @@
 
 // Faults are the injected faults of a worker.
 type Faults struct {
-	Dark    bool    // it accepts connections and never answers
-	Failing bool    // it answers 503 to health checks, and 500 to each message
-	Slow    float64 // factor for the duration of runs; 0: none
+	Unresponsive bool    // it accepts connections and never answers
+	Failing      bool    // it answers 503 to health checks, and 500 to each message
+	Slow         float64 // factor for the duration of runs; 0: none
 	AnswerFaults
 }
 
--- a/test/standin/workers/fleet.go
+++ b/test/standin/workers/fleet.go
@@ -27,7 +27,7 @@
 	return &Fleet{record: record, seed: fmt.Sprintf("%x", time.Now().UnixNano()), services: make(map[string]*serviceState)}
 }
 
-// AddService adds a service, for which workers can be started then.
+// AddService adds a service. Its workers can be started after that.
 func (f *Fleet) AddService(service Service) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
--- a/test/standin/workers/workers_test.go
+++ b/test/standin/workers/workers_test.go
@@ -115,7 +115,8 @@
 	}
 }
 
-// useExcessConnection opens a connection and reads from it. The reset may arrive while the connection is still being opened.
+// useExcessConnection opens a connection and reads from it. The reset may arrive while the connection is still being
+// opened.
 func useExcessConnection(worker *workers.Worker) error {
 	conn, err := net.Dial("tcp4", worker.Address())
 	if err != nil {
@@ -153,7 +154,7 @@
 	f.arrivals(t, func(a []history.Arrival) bool { return len(a) == 2 && a[1].Started() })
 	_ = c.Close()
 	arrivals := f.arrivals(t, func(a []history.Arrival) bool { return a[1].Outcome == history.OutcomeDropped })
-	assert.Equal(t, history.OutcomeStopped, arrivals[0].Outcome)
+	assert.Equal(t, history.OutcomeTimedOut, arrivals[0].Outcome)
 	assert.Less(t, arrivals[1].End-arrivals[1].Start, 3*time.Second)
 }
 
@@ -237,7 +238,7 @@
 	}
 	t.Run("dark", func(t *testing.T) {
 		f := start(t, workers.Service{})
-		f.worker.SetFaults(workers.Faults{Dark: true})
+		f.worker.SetFaults(workers.Faults{Unresponsive: true})
 		c := dial(t, f.worker)
 		require.NoError(t, c.send("r1"))
 		silent(t, c)
--- a/test/systemtest/answers_test.go
+++ b/test/systemtest/answers_test.go
@@ -14,8 +14,8 @@
 // faultShare is the fraction of the answers to successful runs that get each fault.
 const faultShare = 0.06
 
-// About a third of the workers' answers to successes are faulty. No message may be reported as done with another message's signature, none may run
-// again after an answer that arrived complete, and the order by key must hold.
+// About a third of the workers' answers to successes are faulty. No message may be reported as done with another
+// message's signature, none may run again after an answer that arrived complete, and the order by key must hold.
 func TestFaultyAnswers(t *testing.T) {
 	r := start(t)
 	wait := r.load(8 * time.Second)
--- a/test/systemtest/control_test.go
+++ b/test/systemtest/control_test.go
@@ -16,7 +16,8 @@
 	"ravendale/test/standin/protocol"
 )
 
-// operatorAt returns an operator that calls the given control process first, and the others if it gives no clear answer.
+// operatorAt returns an operator that calls the given control process first, and the others if it gives no clear
+// answer.
 func operatorAt(r *rig, control int) *operator.Operator {
 	admin := r.system.Admin()
 	return operator.New(append(admin[control:len(admin):len(admin)], admin[:control]...), r.world.Record)
@@ -46,8 +47,8 @@
 
 const raceRounds = 12 // rounds with two racing operators each
 
-// Two operators send orders with the same version to two control processes. Exactly one must be confirmed, and repeating either order at any control
-// process must give the same answer again.
+// Two operators send orders with the same version to two control processes. Exactly one must be confirmed, and
+// repeating either order at any control process must give the same answer again.
 func TestRacingOrders(t *testing.T) {
 	r := start(t)
 	wait := r.load(3 * time.Second)
@@ -84,7 +85,8 @@
 	r.verify()
 }
 
-// An order whose answer was lost must be confirmed when it is repeated, even if the control process that received it was killed.
+// An order whose answer was lost must be confirmed when it is repeated, even if the control process that received it
+// was killed.
 func TestOrderIsRepeatedAfterLostAnswer(t *testing.T) {
 	r := start(t)
 	wait := r.load(3 * time.Second)
@@ -111,8 +113,9 @@
 
 const manyChanges = 120
 
-// A control process misses many changes, is started, killed while it catches up and started again. It is then needed for the majority when
-// each of the others is killed in turn. It must have the newest state, and further changes must be accepted.
+// A control process misses many changes, is started, killed while it catches up and started again. It is then needed
+// for the majority when each of the others is killed in turn. It must have the newest state, and further changes must
+// be accepted.
 func TestMemberCatchesUpAfterManyChanges(t *testing.T) {
 	r := start(t)
 	wait := r.load(3 * time.Second)
--- a/test/systemtest/diskless_test.go
+++ b/test/systemtest/diskless_test.go
@@ -59,8 +59,8 @@
 	r.verify()
 }
 
-// awaitFilled waits until a store that lost its disk is in the core's chain and has all its messages of the queue again. Changes after that are
-// acknowledged only once the store has all of the core's state.
+// awaitFilled waits until a store that lost its disk is in the core's chain and has all its messages of the queue
+// again. Changes after that are acknowledged only once the store has all of the core's state.
 func (r *rig) awaitFilled(store *cluster.Process) {
 	r.t.Helper()
 	require.Eventually(r.t, func() bool {
--- a/test/systemtest/loss_test.go
+++ b/test/systemtest/loss_test.go
@@ -52,7 +52,8 @@
 	return seen, json.Unmarshal(answer.Body, &seen) == nil
 }
 
-// hasReplaced reports whether the process with the given address and disk is a voter and a member of the chain, and no voter has its old disk.
+// hasReplaced reports whether the process with the given address and disk is a voter and a member of the chain, and no
+// voter has its old disk.
 func (s coreStatus) hasReplaced(address, disk, old string) bool {
 	voters := 0
 	for _, voter := range s.Core.Voters {
@@ -99,7 +100,8 @@
 
 const noControl = -1 // no control process is excluded
 
-// leaderExcept returns the number of the leading control process. If that is the given one, or none leads, it returns the one after the given one.
+// leaderExcept returns the number of the leading control process. If that is the given one, or none leads, it returns
+// the one after the given one.
 func leaderExcept(r *rig, control int) int {
 	for i := range r.system.Controls {
 		if i == control {
@@ -112,8 +114,9 @@
 	return (control + 1) % len(r.system.Controls)
 }
 
-// A control process fails with its disk and is replaced. As soon as the replacement is a complete member another control process fails permanently,
-// the leader if possible. The remaining two must accept orders and return the newest configuration.
+// A control process fails with its disk and is replaced. As soon as the replacement is a complete member another
+// control process fails permanently, the leader if possible. The remaining two must accept orders and return the newest
+// configuration.
 func TestSecondLossAfterReplacement(t *testing.T) {
 	for name, replace := range map[string]func(*rig, int) error{
 		"at the same address": func(r *rig, control int) error { return r.system.Controls[control].Wipe() },
@@ -147,7 +150,8 @@
 	}
 }
 
-// createDeadLetters sends messages that their service refuses permanently. Their bodies are retained until the end of the scenario.
+// createDeadLetters sends messages that their service refuses permanently. Their bodies are retained until the end of
+// the scenario.
 func createDeadLetters(r *rig) {
 	r.clients.Run(r.t.Context(), client.Load{
 		RatePerS: 2 * rate, Duration: 2 * time.Second,
@@ -191,8 +195,9 @@
 	}, replaceBound, pollPause, "the leader did not declare the killed store failed")
 }
 
-// A store that receives messages from a store that is being emptied is killed and restarted, with its disk or with an empty one. The retirement
-// must not be reported as done before the two remaining stores have all messages: the retired store is then wiped, and no message may be missing.
+// A store that receives messages from a store that is being emptied is killed and restarted, with its disk or with an
+// empty one. The retirement must not be reported as done before the two remaining stores have all messages: the retired
+// store is then wiped, and no message may be missing.
 func TestStoreLostDuringRetirement(t *testing.T) {
 	for name, between := range map[string]func(*cluster.Process) error{
 		"with its disk":      func(*cluster.Process) error { return nil },
@@ -203,7 +208,7 @@
 			createDeadLetters(r)
 			wait := r.load(8 * time.Second)
 			leaving, receiver := r.system.Stores[0], r.system.Stores[1]
-			over := r.world.Record.Trouble(receiver.Node(), "kill", false)
+			over := r.world.Record.BeginFault(receiver.Node(), "kill", false)
 			retireWhileFrozen(r, leaving, receiver)
 			require.NoError(t, receiver.Kill())
 			requireRetire(r, leaving, "running")
--- a/test/systemtest/plannedstop_test.go
+++ b/test/systemtest/plannedstop_test.go
@@ -15,8 +15,8 @@
 	"ravendale/test/standin/protocol"
 )
 
-// Bounds of the rule that no connection closes under a request during planned work. A close soon after the request was sent is allowed, and so
-// is one close to the request's deadline.
+// Bounds of the rule that no connection closes under a request during planned work. A close soon after the request was
+// sent is allowed, and so is one close to the request's deadline.
 const (
 	requestDeadline     = 800 * time.Millisecond
 	allowedEarlyClose   = 200 * time.Millisecond
@@ -24,8 +24,8 @@
 	patchInterval       = 300 * time.Millisecond
 )
 
-// Stores that host the core, one of them the leader, are stopped gracefully one after the other, each at a different point in a series of
-// configuration changes. No client request may be truncated by that.
+// Stores that host the core, one of them the leader, are stopped gracefully one after the other, each at a different
+// point in a series of configuration changes. No client request may be truncated by that.
 func TestRollOverCoreStoresTruncatesNoRequest(t *testing.T) {
 	r := startWith(t, diskless)
 	wait := r.loadWithDeadlines(14 * time.Second)
@@ -41,8 +41,8 @@
 	r.verify()
 }
 
-// Like the test above with control processes that have disks. One of them stops together with a store: a new leader then has to learn that the
-// store is stopping.
+// Like the test above with control processes that have disks. One of them stops together with a store: a new leader
+// then has to learn that the store is stopping.
 func TestRollOverStoresAndControlTruncatesNoRequest(t *testing.T) {
 	r := start(t)
 	wait := r.loadWithDeadlines(12 * time.Second)
--- a/test/systemtest/rig_test.go
+++ b/test/systemtest/rig_test.go
@@ -27,8 +27,8 @@
 // programs is the folder that TestMain builds the programs into.
 var programs string
 
-// scenarioSlots limits the number of concurrent scenarios, each with some ten processes. The bounds of the rules are in real time, so that too
-// many concurrent scenarios would violate them for lack of processor time.
+// scenarioSlots limits the number of concurrent scenarios, each with some ten processes. The bounds of the rules are in
+// real time, so that too many concurrent scenarios would violate them for lack of processor time.
 var scenarioSlots = make(chan struct{}, 2)
 
 func TestMain(m *testing.M) {
@@ -103,8 +103,8 @@
 	}
 }
 
-// services returns the services of all scenarios: a plain one, one that sometimes fails, one for ordered messages, one that refuses all messages,
-// and one with a rate limit.
+// services returns the services of all scenarios: a plain one, one that sometimes fails, one for ordered messages, one
+// that refuses all messages, and one with a rate limit.
 func services() []standin.Service {
 	work := workers.Service{Capacity: 8, Queue: 8, WorkMin: 2 * time.Millisecond, WorkMean: 10 * time.Millisecond, WorkMax: 300 * time.Millisecond}
 	plain, flaky, ordered, limited, refusing := work, work, work, work, work
@@ -162,7 +162,7 @@
 	folder := diskfolder.New(t)
 	spec := cluster.Spec{
 		Programs: programs, Folder: folder, Provider: world.Platform.Address(), ProviderRate: 20,
-		Zones: zones, EdgesPerZone: 1, StoresPerZone: 1, LostNodes: 1, Settings: boundSettings(),
+		Zones: zones, EdgesPerZone: 1, StoresPerZone: 1, ToleratedNodes: 1, Settings: boundSettings(),
 	}
 	differ(&spec)
 	system, err := cluster.New(spec)
@@ -245,11 +245,12 @@
 	return func() { <-done }
 }
 
-// crash kills processes at the same time, and starts them again after a time. Before the start it calls between, unless that is nil, for each.
+// crash kills processes at the same time, and starts them again after a time. Before the start it calls between, unless
+// that is nil, for each.
 func (r *rig) crash(processes []*cluster.Process, down time.Duration, between func(*cluster.Process) error) {
 	r.t.Helper()
 	for _, process := range processes {
-		defer r.world.Record.Trouble(process.Node(), "kill", false)()
+		defer r.world.Record.BeginFault(process.Node(), "kill", false)()
 	}
 	require.NoError(r.t, cluster.Each(processes, (*cluster.Process).Kill))
 	time.Sleep(down)
@@ -262,7 +263,7 @@
 // roll stops a process gracefully and starts it again.
 func (r *rig) roll(process *cluster.Process) {
 	r.t.Helper()
-	defer r.world.Record.Trouble(process.Node(), "stop", true)()
+	defer r.world.Record.BeginFault(process.Node(), "stop", true)()
 	assert.NoError(r.t, process.Stop(grace))
 	require.NoError(r.t, process.Start(false))
 }
@@ -289,7 +290,7 @@
 	r.reportFindings(h, check.Undelivered(h))
 	r.reportFindings(h, check.All(h, bounds()))
 	r.reportFindings(h, unreadableStates(h))
-	assert.Empty(r.t, r.system.Surprises())
+	assert.Empty(r.t, r.system.UnexpectedExits())
 	assert.NotZero(r.t, summary.Accepted)
 	return summary
 }
--- a/test/systemtest/scenarios_test.go
+++ b/test/systemtest/scenarios_test.go
@@ -119,8 +119,8 @@
 	r.verify()
 }
 
-// Dead letters and their bodies survive a roll over all stores, including messages accepted while the placement changed and copies that a restarted
-// store received from other stores.
+// Dead letters and their bodies survive a roll over all stores, including messages accepted while the placement changed
+// and copies that a restarted store received from other stores.
 func TestDeadLettersSurviveRollOverAllStores(t *testing.T) {
 	r := start(t)
 	done := make(chan struct{})
@@ -195,7 +195,7 @@
 	_, err = r.world.Replace(flaky[1], drainBound+500*time.Millisecond)
 	require.NoError(t, err)
 	time.Sleep(2 * time.Second)
-	plain[1].SetFaults(workers.Faults{Dark: true})
+	plain[1].SetFaults(workers.Faults{Unresponsive: true})
 	r.world.Crash(flaky[2], time.Second)
 	time.Sleep(2 * time.Second)
 	for _, worker := range []*workers.Worker{flaky[0], plain[0], plain[1], ordered[0]} {
@@ -211,7 +211,7 @@
 	wait := r.load(6 * time.Second)
 	time.Sleep(1500 * time.Millisecond)
 	store := r.system.Stores[2]
-	thawed := r.world.Record.Trouble(store.Node(), "freeze", false)
+	thawed := r.world.Record.BeginFault(store.Node(), "freeze", false)
 	require.NoError(t, store.Freeze())
 	time.Sleep(1500 * time.Millisecond)
 	require.NoError(t, store.Thaw())
--- a/test/systemtest/soak_test.go
+++ b/test/systemtest/soak_test.go
@@ -31,8 +31,8 @@
 	soakAccepted = 0.5                    // fraction of the messages that must be accepted, regardless of the faults
 )
 
-// TestSoak runs overlapping series of signals, restarts, lost disks, configuration changes and worker faults while clients send on persistent
-// connections. All rules must hold and all accepted messages must end.
+// TestSoak runs overlapping series of signals, restarts, lost disks, configuration changes and worker faults while
+// clients send on persistent connections. All rules must hold and all accepted messages must end.
 func TestSoak(t *testing.T) {
 	for i := range *soakSeeds {
 		plan := drawSoak(*soakFrom + uint64(i))
@@ -128,7 +128,7 @@
 
 // injectProcessFault executes a step on a process. Afterwards the process runs again.
 func (s *soak) injectProcessFault(process *cluster.Process, step soakStep) error {
-	defer s.world.Record.Trouble(process.Node(), step.act.String(), step.act.isPlanned())()
+	defer s.world.Record.BeginFault(process.Node(), step.act.String(), step.act.isPlanned())()
 	switch step.act {
 	case actRoll:
 		if err := process.Stop(grace); err != nil {
@@ -159,7 +159,8 @@
 	return process.Start(false)
 }
 
-// awaitReplicas waits until the core and the queue have all copies again, since the settings tolerate the failure of only one machine at a time.
+// awaitReplicas waits until the core and the queue have all copies again, since the settings tolerate the failure of
+// only one machine at a time.
 func (s *soak) awaitReplicas() error {
 	ctx, cancel := context.WithTimeout(s.t.Context(), healBound)
 	defer cancel()
@@ -267,7 +268,7 @@
 		_, err := s.world.Add(service, worker.Instance().Zone)
 		return err
 	}
-	worker.SetFaults(workers.Faults{Dark: true})
+	worker.SetFaults(workers.Faults{Unresponsive: true})
 	time.Sleep(step.length)
 	worker.SetFaults(workers.Faults{})
 	return nil
--- a/test/systemtest/tolerance_test.go
+++ b/test/systemtest/tolerance_test.go
@@ -10,14 +10,15 @@
 	"ravendale/test/standin/protocol"
 )
 
-// toleratingTwoFailures specifies a cluster of four control machines with disks that must tolerate the concurrent failure of two machines with disks.
+// toleratingTwoFailures specifies a cluster of four control machines with disks that must tolerate the concurrent
+// failure of two machines with disks.
 func toleratingTwoFailures(spec *cluster.Spec) {
 	spec.Zones = []string{"east", "west", "north", "south"}
-	spec.LostNodes = 2
+	spec.ToleratedNodes = 2
 }
 
-// startToleratingTwoFailures starts such a cluster, waits until its core has as many voters as two failures require, starts the load, and has a
-// configuration change acknowledged. It returns two control processes that are voters.
+// startToleratingTwoFailures starts such a cluster, waits until its core has as many voters as two failures require,
+// starts the load, and has a configuration change acknowledged. It returns two control processes that are voters.
 func startToleratingTwoFailures(t *testing.T) (r *rig, wait func(), first, second *cluster.Process) {
 	t.Helper()
 	r = startWith(t, toleratingTwoFailures)
@@ -62,7 +63,8 @@
 	}
 }
 
-// Two control processes are killed and lose their disks at the same time, right after an acknowledgement (incident inc2).
+// Two control processes are killed and lose their disks at the same time, right after an acknowledgement (incident
+// inc2).
 func TestTwoControlProcessesLoseDisks(t *testing.T) {
 	r, wait, first, second := startToleratingTwoFailures(t)
 	r.crash([]*cluster.Process{first, second}, 300*time.Millisecond, (*cluster.Process).Wipe)
@@ -71,10 +73,11 @@
 	r.verify()
 }
 
-// A control process loses its disk while another one is frozen, so that it has to catch up without that one (incident inc1).
+// A control process loses its disk while another one is frozen, so that it has to catch up without that one (incident
+// inc1).
 func TestControlProcessLosesDiskWhileAnotherIsFrozen(t *testing.T) {
 	r, wait, wiped, silent := startToleratingTwoFailures(t)
-	over := r.world.Record.Trouble(silent.Node(), "freeze", false)
+	over := r.world.Record.BeginFault(silent.Node(), "freeze", false)
 	require.NoError(t, silent.Freeze())
 	r.crash([]*cluster.Process{wiped}, 300*time.Millisecond, (*cluster.Process).Wipe)
 	ordersAreTaken(r, 800, silent)
