--- a/deploy/architecture_test.go
+++ b/deploy/architecture_test.go
@@ -10,10 +10,11 @@
 	"github.com/stretchr/testify/require"
 )
 
-// pathInCode is a path of the tree between back-quotes. Names on a machine's disk have capitals or stand alone.
+// pathInCode matches a repository path between back-quotes. Names of files on a machine's disk contain capitals or no slash, so
+// it doesn't match them.
 var pathInCode = regexp.MustCompile("`([a-z0-9_.]+(?:/[a-z0-9_.]+)+)`")
 
-// The pages that lead newcomers through the code name folders and files that are there.
+// Checks that the folders and files named in the introductory pages exist.
 func TestPagesNamePathsThatExist(t *testing.T) {
 	for _, page := range []string{"../README.md", "../docs/architecture.md"} {
 		text, err := os.ReadFile(page)
--- a/deploy/doc.go
+++ b/deploy/doc.go
@@ -1,2 +1,2 @@
-// Package deploy has no code; its test looks at what the deploy file's recipe builds.
+// Package deploy contains only tests. They check the build recipes and package lists of the deploy files.
 package deploy
--- a/deploy/packages_test.go
+++ b/deploy/packages_test.go
@@ -15,8 +15,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// tinyProgram needs of the system what the programs need: a C compiler, the C library's headers, and the external linker.
-const tinyProgram = `package main
+// minimalProgram has the same build dependencies as the real programs: a C compiler, the C library's headers, and the external
+// linker.
+const minimalProgram = `package main
 
 // #include <stdio.h>
 // #include <stdlib.h>
@@ -27,11 +28,12 @@
 func main() { C.free(C.malloc(1)) }
 `
 
-// The build of system.toml gets by with Go, the base system, and what the listed packages and their dependencies bring.
+// Checks that the build command in system.toml succeeds with only Go, the base system, and the listed packages and their
+// dependencies.
 func TestListedPackagesAreEnoughToBuild(t *testing.T) {
 	installed := readInstalledPackages(t)
 	recipe := readSystemRecipe(t)
-	root := installed.lay(t, recipe.packages)
+	root := installed.linkPackages(t, recipe.packages)
 	checkout := copyOfSources(t)
 	output, err := root.run(checkout, recipe.build)
 	require.NoError(t, err, "%s", output)
@@ -40,28 +42,28 @@
 	assert.Len(t, programs, strings.Count(recipe.build, "./cmd/"))
 }
 
-// No package is listed that the build does not need: without any one of them a program that is built alike is not built.
+// Checks that every listed package is needed: building a minimal program by the same command fails without any one of them.
 func TestEachListedPackageIsNeededToBuild(t *testing.T) {
 	installed := readInstalledPackages(t)
 	recipe := readSystemRecipe(t)
 	build := regexp.MustCompile(`-o .*$`).ReplaceAllString(recipe.build, "-o target/ .")
 	require.Contains(t, build, "-linkmode=external")
 	folder := t.TempDir()
-	require.NoError(t, os.WriteFile(filepath.Join(folder, "main.go"), []byte(tinyProgram), 0o600))
+	require.NoError(t, os.WriteFile(filepath.Join(folder, "main.go"), []byte(minimalProgram), 0o600))
 	require.NoError(t, os.WriteFile(filepath.Join(folder, "go.mod"), []byte("module tiny\n"), 0o600))
 
-	output, err := installed.lay(t, recipe.packages).run(folder, build)
+	output, err := installed.linkPackages(t, recipe.packages).run(folder, build)
 	require.NoError(t, err, "with all packages: %s", output)
 	for i, missing := range recipe.packages {
 		t.Run("without "+missing, func(t *testing.T) {
 			rest := slices.Delete(slices.Clone(recipe.packages), i, i+1)
-			output, err := installed.lay(t, rest).run(folder, build)
-			assert.Error(t, err, "%s is listed, and the build does not need it: %s", missing, output)
+			output, err := installed.linkPackages(t, rest).run(folder, build)
+			assert.Error(t, err, "package %s is listed, but the build succeeds without it: %s", missing, output)
 		})
 	}
 }
 
-// recipe is what the deploy file says of the build.
+// recipe is the build command and the package list of the deploy file.
 type recipe struct {
 	build    string
 	packages []string
@@ -79,32 +81,32 @@
 	require.NoError(t, err)
 	top, _, _ := strings.Cut(string(text), "\n[")
 	build, packages := buildLine.FindStringSubmatch(top), packagesLine.FindStringSubmatch(top)
-	require.NotNil(t, build, "system.toml has no build")
-	require.NotNil(t, packages, "system.toml has no list of packages")
-	found := recipe{build: build[1]}
+	require.NotNil(t, build, "system.toml has no build line above its first table")
+	require.NotNil(t, packages, "system.toml has no packages line above its first table")
+	parsed := recipe{build: build[1]}
 	for _, name := range quoted.FindAllStringSubmatch(packages[1], -1) {
-		found.packages = append(found.packages, name[1])
+		parsed.packages = append(parsed.packages, name[1])
 	}
-	require.NotEmpty(t, found.packages)
-	return found
+	require.NotEmpty(t, parsed.packages)
+	return parsed
 }
 
-// debianPackage is what dpkg tells of an installed package.
+// debianPackage is an installed package as dpkg describes it.
 type debianPackage struct {
-	name    string   // as dpkg -L takes it
-	depends []string // names, the installed ones of alternatives among them
-	base    bool     // of the base system
+	name    string   // in the form that dpkg -L accepts
+	depends []string // package names, including all alternatives
+	base    bool     // belongs to the base system
 }
 
-type installedPackages map[string]debianPackage // by name, and by the names that they provide
+type installedPackages map[string]debianPackage // by package name and by the names of the virtual packages that it provides
 
 const packageFormat = `${db:Status-Status}\t${Package}\t${binary:Package}\t${Essential}\t${Priority}\t${Provides}\t${Pre-Depends}, ${Depends}\n`
 
-// readInstalledPackages skips the test where the machine is no Debian.
+// readInstalledPackages returns the installed packages. It skips the test on machines without dpkg.
 func readInstalledPackages(t *testing.T) installedPackages {
 	t.Helper()
 	if _, err := exec.LookPath("dpkg-query"); err != nil {
-		t.Skip("the packages are Debian's, and this machine has no dpkg to ask what they bring")
+		t.Skip("the listed packages are Debian packages, and this machine has no dpkg-query to list their files")
 	}
 	output, err := exec.Command("dpkg-query", "-W", "-f", packageFormat).Output()
 	require.NoError(t, err)
@@ -115,18 +117,18 @@
 		if fields[0] != "installed" {
 			continue
 		}
-		found := debianPackage{name: fields[2], base: fields[3] == "yes" || fields[4] == "required", depends: relations(fields[6])}
-		all[fields[1]] = found
+		pkg := debianPackage{name: fields[2], base: fields[3] == "yes" || fields[4] == "required", depends: relations(fields[6])}
+		all[fields[1]] = pkg
 		for _, provided := range relations(fields[5]) {
 			if _, taken := all[provided]; !taken {
-				all[provided] = found
+				all[provided] = pkg
 			}
 		}
 	}
 	return all
 }
 
-// relations are the names in a field of relations, without versions, architectures and the like.
+// relations returns the package names in a dependency field, without versions and architectures.
 func relations(field string) []string {
 	var names []string
 	for _, relation := range strings.FieldsFunc(field, func(r rune) bool { return r == ',' || r == '|' }) {
@@ -138,10 +140,10 @@
 	return names
 }
 
-// closure adds a package and all that it depends on.
+// closure adds an installed package and all its transitive dependencies to found.
 func (all installedPackages) closure(name string, found map[string]bool) {
-	installed, is := all[name]
-	if !is || found[installed.name] { // an alternative, or a virtual package by another name
+	installed, ok := all[name]
+	if !ok || found[installed.name] { // an alternative that isn't installed, or a package already added, perhaps under the name of a virtual package
 		return
 	}
 	found[installed.name] = true
@@ -150,11 +152,11 @@
 	}
 }
 
-// systemRoot is a folder that holds links to the files of some packages, at their places.
+// systemRoot is a root folder that contains symbolic links to the files of selected packages, at their usual paths.
 type systemRoot struct{ folder string }
 
-// lay makes a root of the base system and what the packages bring.
-func (all installedPackages) lay(t *testing.T, packages []string) systemRoot {
+// linkPackages creates a root with the files of the base system, the given packages and their dependencies.
+func (all installedPackages) linkPackages(t *testing.T, packages []string) systemRoot {
 	t.Helper()
 	found := make(map[string]bool)
 	for name, installed := range all {
@@ -163,7 +165,7 @@
 		}
 	}
 	for _, name := range packages {
-		require.Contains(t, all, name, "listed, and not installed here: apt-get install %s", name)
+		require.Contains(t, all, name, "listed package is not installed on this machine: apt-get install %s", name)
 		all.closure(name, found)
 	}
 	arguments := []string{"-L"}
@@ -173,7 +175,7 @@
 	output, err := exec.Command("dpkg", arguments...).Output()
 	require.NoError(t, err)
 	root := systemRoot{folder: t.TempDir()}
-	for _, merged := range []string{"bin", "sbin", "lib", "lib64"} { // links to the folders in usr, where the machine has them so
+	for _, merged := range []string{"bin", "sbin", "lib", "lib64"} { // symbolic links to the folders in usr on machines with a merged /usr
 		require.NoError(t, os.MkdirAll(filepath.Join(root.folder, "usr", merged), 0o755))
 		if info, err := os.Lstat("/" + merged); err == nil && info.Mode()&fs.ModeSymlink != 0 {
 			require.NoError(t, os.Symlink("usr/"+merged, filepath.Join(root.folder, merged)))
@@ -185,7 +187,7 @@
 	return root
 }
 
-// link links a file, if a build may need it.
+// link adds a symbolic link to a file, unless no build needs the file.
 func (r systemRoot) link(t *testing.T, path string) {
 	t.Helper()
 	info, err := os.Stat(path)
@@ -194,14 +196,14 @@
 	}
 	place := filepath.Join(r.folder, path)
 	if _, err := os.Lstat(place); err == nil {
-		return // of two packages, or told under both names of a merged folder
+		return // listed by two packages, or under both names of a merged folder
 	}
 	require.NoError(t, os.MkdirAll(filepath.Dir(place), 0o755))
 	require.NoError(t, os.Symlink(path, place))
 }
 
-// run gives a command to a shell that finds only the root's programs and Go; the C compiler finds only the root's headers, libraries
-// and programs.
+// run runs a shell command. The shell finds only the programs of the root and Go; the C compiler finds only the headers,
+// libraries and programs of the root.
 func (r systemRoot) run(folder, command string) (output []byte, err error) {
 	tools, err := goRoot()
 	if err != nil {
@@ -217,26 +219,26 @@
 	return shell.CombinedOutput()
 }
 
-// goEnvironment is what the Go tool needs: where its caches are, and where modules come from.
+// goEnvironment returns the environment variables that the Go tool needs to find its caches and to fetch modules.
 func goEnvironment() []string {
-	var kept []string
+	var env []string
 	for _, variable := range os.Environ() {
 		name, _, _ := strings.Cut(variable, "=")
 		if name == "HOME" || name == "TMPDIR" || strings.HasPrefix(name, "GO") || strings.HasPrefix(name, "XDG_") ||
 			strings.HasSuffix(strings.ToLower(name), "_proxy") || strings.HasPrefix(name, "SSL_CERT_") {
-			kept = append(kept, variable)
+			env = append(env, variable)
 		}
 	}
-	return kept
+	return env
 }
 
-// goRoot is the folder of the Go tools that play the test; without an answer from them no build could work.
+// goRoot returns the root folder of the Go toolchain that runs the test, without which no build could work.
 func goRoot() (string, error) {
 	output, err := exec.Command("go", "env", "GOROOT").Output()
 	return strings.TrimSpace(string(output)), err
 }
 
-// copyOfSources copies what a build reads, as a clean checkout has it.
+// copyOfSources copies the files of the repository that a build reads, as in a clean checkout, and returns the folder.
 func copyOfSources(t *testing.T) string {
 	t.Helper()
 	folder, sources := t.TempDir(), os.DirFS("..")
@@ -248,7 +250,7 @@
 			return fs.SkipDir
 		case entry.IsDir():
 			return os.MkdirAll(filepath.Join(folder, path), 0o755)
-		case !entry.Type().IsRegular(), path == ".git": // a file in a worktree
+		case !entry.Type().IsRegular(), path == ".git": // in a git worktree, .git is a regular file
 			return nil
 		}
 		text, err := fs.ReadFile(sources, path)
--- a/example/cluster/main.go
+++ b/example/cluster/main.go
@@ -1,5 +1,5 @@
-// Cluster is an example: it starts a small system on loopback, hands in messages, shows that they are delivered, reads them back
-// and stops all. Run it from anywhere in the repository by
+// Cluster is an example: it starts a small system on loopback, sends messages, waits until they are delivered, prints which
+// worker ran them, and stops all processes. Run it from anywhere in the repository with
 //
 //	go run ./example/cluster
 package main
@@ -32,7 +32,7 @@
 	Within   time.Duration `help:"All must be over by then." default:"60s"`
 }
 
-// The example's names.
+// Names, route and timing of the example.
 const (
 	serviceName = "greeter"
 	host        = "messages.example"
@@ -44,25 +44,25 @@
 var zones = []string{"east", "west", "north"}
 
 func main() {
-	var a arguments
-	k := kong.Parse(&a, kong.Name("cluster"), kong.Description("A small system on loopback, from start to stop."))
+	var args arguments
+	k := kong.Parse(&args, kong.Name("cluster"), kong.Description("A small system on loopback, from start to stop."))
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt)
-	ctx, cancel := context.WithTimeout(ctx, a.Within)
-	err := run(ctx, a)
+	ctx, cancel := context.WithTimeout(ctx, args.Within)
+	err := run(ctx, args)
 	cancel()
 	stop()
 	k.FatalIfErrorf(err)
 }
 
-func run(ctx context.Context, a arguments) error {
-	folder, err := workFolder(a)
+func run(ctx context.Context, args arguments) error {
+	folder, err := workFolder(args)
 	if err != nil {
 		return err
 	}
-	if a.Folder == "" {
+	if args.Folder == "" {
 		defer func() { _ = os.RemoveAll(folder) }()
 	}
-	programs, err := buildPrograms(ctx, a, folder)
+	programs, err := buildPrograms(ctx, args, folder)
 	if err != nil {
 		return err
 	}
@@ -79,24 +79,24 @@
 		return err
 	}
 	defer system.Kill()
-	if err := play(ctx, a, world, system); err != nil {
+	if err := runDemo(ctx, args, world, system); err != nil {
 		return err
 	}
 	return stop(system)
 }
 
-func workFolder(a arguments) (string, error) {
-	if a.Folder != "" {
-		return filepath.Abs(a.Folder)
+func workFolder(args arguments) (string, error) {
+	if args.Folder != "" {
+		return filepath.Abs(args.Folder)
 	}
 	return os.MkdirTemp("", "ravendale-example-")
 }
 
-func buildPrograms(ctx context.Context, a arguments, folder string) (string, error) {
-	if a.Programs != "" {
-		return filepath.Abs(a.Programs)
+func buildPrograms(ctx context.Context, args arguments, folder string) (string, error) {
+	if args.Programs != "" {
+		return filepath.Abs(args.Programs)
 	}
-	say("building the programs")
+	printf("building the programs")
 	root, err := cluster.ModuleRoot()
 	if err != nil {
 		return "", err
@@ -119,12 +119,12 @@
 	}
 }
 
-// play shows the system at work.
-func play(ctx context.Context, a arguments, world *standin.World, system *cluster.Cluster) error {
+// runDemo starts and configures the system, sends the messages, and prints each step.
+func runDemo(ctx context.Context, args arguments, world *standin.World, system *cluster.Cluster) error {
 	if err := system.Start(); err != nil {
 		return err
 	}
-	say("started %d processes on %d machines", len(system.Processes()), len(system.Edges)+len(system.Stores))
+	printf("started %d processes on %d machines", len(system.Processes()), len(system.Edges)+len(system.Stores))
 	if err := configure(ctx, world, system); err != nil {
 		return err
 	}
@@ -132,76 +132,76 @@
 	if err := awaitReady(ctx, balancer, len(system.Edges)); err != nil {
 		return err
 	}
-	say("all edges are ready")
+	printf("all edges are ready")
 	clients := client.New(balancer, world.Record)
-	for i := range a.Messages {
+	for i := range args.Messages {
 		if err := deliver(ctx, clients, i); err != nil {
 			return err
 		}
 	}
 	for _, arrival := range world.Record.History().Arrivals {
-		say("worker %s ran %s in %v", arrival.Worker, arrival.RequestID, (arrival.End - arrival.Start).Round(time.Millisecond))
+		printf("worker %s ran %s in %v", arrival.Worker, arrival.RequestID, (arrival.End - arrival.Start).Round(time.Millisecond))
 	}
 	return nil
 }
 
 func configure(ctx context.Context, world *standin.World, system *cluster.Cluster) error {
-	staff := operator.New(system.Admin(), world.Record)
+	admin := operator.New(system.Admin(), world.Record)
 	limits := protocol.Limits{MaxHeaderBytes: 16384, MaxBodyBytes: 262144, HeaderTimeoutMs: 3000, IdleTimeoutMs: 15000}
-	answer, err := staff.Set(ctx, 0, world.Config(1, limits))
+	answer, err := admin.Set(ctx, 0, world.Config(1, limits))
 	if err != nil {
 		return err
 	}
 	if answer.Status != http.StatusOK {
-		return fmt.Errorf("the configuration was answered %d %s", answer.Status, answer.Body)
+		return fmt.Errorf("setting the configuration: status %d: %s", answer.Status, answer.Body)
 	}
-	shown, err := staff.Show(ctx)
+	shown, err := admin.Show(ctx)
 	if err != nil {
 		return err
 	}
-	say("configuration %d is in force, with %d route", shown.Version, len(shown.Routes))
+	printf("configuration %d is in force, with %d route", shown.Version, len(shown.Routes))
 	return nil
 }
 
 func awaitReady(ctx context.Context, balancer *client.Balancer, edges int) error {
 	for balancer.Ready(ctx) < edges {
 		if err := pause(ctx); err != nil {
-			return fmt.Errorf("waiting for %d edges: %w", edges, err)
+			return fmt.Errorf("waiting for %d edges to become ready: %w", edges, err)
 		}
 	}
 	return nil
 }
 
-// deliver hands in one message and reads its state until it is done.
+// deliver sends one message and polls its state until it is done.
 func deliver(ctx context.Context, clients *client.Clients, i int) error {
-	wanted := history.Send{Route: "greet", Method: http.MethodPost, Host: host, Target: fmt.Sprintf("%s%d", prefix, i)}
-	sent := clients.SendOne(ctx, wanted, fmt.Appendf(nil, "hello %d", i))
+	request := history.Send{Route: "greet", Method: http.MethodPost, Host: host, Target: fmt.Sprintf("%s%d", prefix, i)}
+	sent := clients.SendOne(ctx, request, fmt.Appendf(nil, "hello %d", i))
 	if !sent.Accepted() {
-		return fmt.Errorf("message %d was answered %d %s", i, sent.Status, sent.Problem)
+		return fmt.Errorf("message %d was not accepted: status %d: %s", i, sent.Status, sent.Problem)
 	}
-	say("message %s was accepted by %s after %v", sent.MessageID, sent.Edge, (sent.Answered - sent.Sent).Round(time.Millisecond))
+	printf("message %s was accepted by %s after %v", sent.MessageID, sent.Edge, (sent.Answered - sent.Sent).Round(time.Millisecond))
 	for {
 		reading := clients.ReadOne(ctx, sent)
 		if reading.State == protocol.StateDone {
-			say("message %s is done, signed %s", sent.MessageID, reading.Signature)
+			printf("message %s is done, signed %s", sent.MessageID, reading.Signature)
 			return nil
 		}
 		if err := pause(ctx); err != nil {
-			return fmt.Errorf("message %s is %q (%d): %w", sent.MessageID, reading.State, reading.StateStatus, err)
+			return fmt.Errorf("message %s is not done, its state is %q (status %d): %w", sent.MessageID, reading.State, reading.StateStatus, err)
 		}
 	}
 }
 
 func stop(system *cluster.Cluster) error {
-	inOrder := func(p *cluster.Process) error { return p.Stop(stopGrace) }
-	found := []error{cluster.Each(system.Edges, inOrder), cluster.Each(system.Stores, inOrder), cluster.Each(system.Controls, inOrder)}
+	stopGracefully := func(p *cluster.Process) error { return p.Stop(stopGrace) }
+	errs := []error{cluster.Each(system.Edges, stopGracefully), cluster.Each(system.Stores, stopGracefully), cluster.Each(system.Controls, stopGracefully)}
 	for _, surprise := range system.UnexpectedExits() {
-		found = append(found, errors.New(surprise))
+		errs = append(errs, errors.New(surprise))
 	}
-	if err := errors.Join(found...); err != nil {
+	if err := errors.Join(errs...); err != nil {
 		return err
 	}
-	say("all processes have stopped")
+	printf("all processes have stopped")
 	return nil
 }
 
@@ -214,4 +214,4 @@
 	}
 }
 
-func say(format string, arguments ...any) { fmt.Printf(format+"\n", arguments...) }
+func printf(format string, arguments ...any) { fmt.Printf(format+"\n", arguments...) }
--- a/example/toyserver/main.go
+++ b/example/toyserver/main.go
@@ -1,5 +1,5 @@
-// Toyserver plays one backend server and discovery, so that ravendale can be tried on one machine. It takes
-// each job, tells that it has started, and after a moment that it is done.
+// Toyserver is a stand-in for one backend server and for discovery, so that ravendale can be tried on one machine. It accepts
+// every job, reports its start to the scheduler, and reports it as done after the time given by -run.
 package main
 
 import (
@@ -23,19 +23,19 @@
 	flag.Parse()
 	log := slog.New(slog.NewTextHandler(os.Stderr, nil))
 	go func() {
-		log.Error("discovery ended", "err", http.ListenAndServe(*discovery, list(*listen)))
+		log.Error("discovery listener failed", "err", http.ListenAndServe(*discovery, discoveryHandler(*listen)))
 		os.Exit(1)
 	}()
-	log.Error("server ended", "err", http.ListenAndServe(*listen, jobs(*scheduler, *run, log)))
+	log.Error("job listener failed", "err", http.ListenAndServe(*listen, jobHandler(*scheduler, *run, log)))
 	os.Exit(1)
 }
 
-// list answers a watch with the whole list, and then with an empty line every 2 s.
-func list(dial string) http.Handler {
+// discoveryHandler answers a request with the whole list of servers. A streaming request then gets an empty line every 2 s.
+func discoveryHandler(serverAddress string) http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /v1/endpoints", func(w http.ResponseWriter, r *http.Request) {
 		_, _ = fmt.Fprintf(w, `{"seq":1,"whole":true,"hosts":[{"host":%q,"dial":%q,"site":"here","class":"toy",`+
-			`"block":0,"health":"in_service","share":1.0,"born_ms":0}]}`+"\n", name, dial)
+			`"block":0,"health":"in_service","share":1.0,"born_ms":0}]}`+"\n", name, serverAddress)
 		for r.URL.Query().Get("stream") == "1" {
 			if http.NewResponseController(w).Flush() != nil {
 				return
@@ -51,30 +51,30 @@
 	return mux
 }
 
-func jobs(scheduler string, run time.Duration, log *slog.Logger) http.Handler {
+func jobHandler(scheduler string, run time.Duration, log *slog.Logger) http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /api", func(w http.ResponseWriter, r *http.Request) {
 		id := r.Header.Get("X-Txn")
 		w.WriteHeader(http.StatusAccepted)
 		go func() {
-			tell(scheduler, log, map[string]string{"id": id, "from": name, "state": "started"})
+			sendCallback(scheduler, log, map[string]string{"id": id, "from": name, "state": "started"})
 			time.Sleep(run)
-			tell(scheduler, log, map[string]string{"id": id, "from": name, "state": "done", "result": "toy result of " + id + "\n"})
+			sendCallback(scheduler, log, map[string]string{"id": id, "from": name, "state": "done", "result": "toy result of " + id + "\n"})
 		}()
 	})
-	mux.HandleFunc("DELETE /jobs/{id}", func(http.ResponseWriter, *http.Request) {}) // a toy runs on
+	mux.HandleFunc("DELETE /jobs/{id}", func(http.ResponseWriter, *http.Request) {}) // cancelling is not supported: the job continues
 	return mux
 }
 
-func tell(scheduler string, log *slog.Logger, word map[string]string) {
-	body, err := json.Marshal(word)
+func sendCallback(scheduler string, log *slog.Logger, message map[string]string) {
+	body, err := json.Marshal(message)
 	if err != nil {
-		log.Error("call-back", "err", err)
+		log.Error("encoding the callback failed", "err", err)
 		return
 	}
 	resp, err := http.Post("http://"+scheduler+"/callback", "application/json", bytes.NewReader(body))
 	if err != nil {
-		log.Error("call-back", "err", err)
+		log.Error("sending the callback failed", "err", err)
 		return
 	}
 	_ = resp.Body.Close()
--- a/test/diskfolder/diskfolder.go
+++ b/test/diskfolder/diskfolder.go
@@ -5,12 +5,12 @@
 	"testing"
 )
 
-// memoryFolder is a file system in memory, where a machine has one.
+// memoryFolder is the mount point of an in-memory file system on machines that have one.
 const memoryFolder = "/dev/shm"
 
-// New makes a folder that is removed at the test's end: in memory, if that can be had. A shared machine's own disk stalls for seconds now and
-// then, which processes take for the failing disk that it is, and which no bound on the time of a test has room for. SIGKILL and lost disks
-// mean the same in memory; a loss of power can't be played in such a folder.
+// New creates a folder that is removed at the end of the test. The folder is in memory if possible: the disk of a shared machine
+// occasionally stalls for seconds, which the processes under test rightly treat as a disk failure and which exceeds the time
+// limits of the tests. SIGKILL and the loss of a disk have the same effect in memory; a power failure can't be tested there.
 func New(t testing.TB) string {
 	t.Helper()
 	folder, err := os.MkdirTemp(memoryFolder, "ravendale-test-")
--- a/test/diskfolder/doc.go
+++ b/test/diskfolder/doc.go
@@ -1,2 +1,2 @@
-// Package diskfolder gives tests of real time a folder for the disks of their processes that does not stall.
+// Package diskfolder provides tests that run in real time with a data folder whose file system doesn't stall.
 package diskfolder
--- a/test/emulator/node.go
+++ b/test/emulator/node.go
@@ -6,120 +6,120 @@
 	"time"
 )
 
-// Kind is a kind of machine.
+// Kind describes a machine type.
 type Kind struct {
 	Name  string
-	Speed float64 // of a core, 1 for the reference
+	Speed float64 // of one core, relative to the reference core
 	Cores float64
-	Slots float64 // jobs run in so many slots; with more slots than cores they share the cores
-	Queue int     // jobs that may wait; more are rejected
+	Slots float64 // capacity for running jobs; more running jobs than cores share the cores
+	Queue int     // maximum number of waiting jobs; further jobs are rejected
 }
 
-// Capacity is how many seconds of work a warm machine of that kind does in a second.
+// Capacity returns the seconds of reference work that a machine of this kind does per second once it is warm.
 func (k Kind) Capacity() float64 { return k.Speed * min(k.Cores, k.Slots) }
 
-// Rules are what holds for all nodes of a fleet.
+// Rules are the settings that all nodes of a fleet share.
 type Rules struct {
-	SlowStartFrom    float64       // a fresh node starts at this part of its capacity,
-	SlowStartFor     time.Duration // and has all of it after so long
-	OverloadMultiple float64       // it fails when sent more than this multiple of what it can do
-	OverloadSpan     time.Duration // within so long
-	DownFor          time.Duration // a node that failed is down for so long
-	StopsRunning     bool          // a cancel stops work that runs
+	SlowStartFrom    float64       // fraction of the capacity that a node has right after its start
+	SlowStartFor     time.Duration // time from the start until the node has its full capacity
+	OverloadMultiple float64       // a node in slow start fails when it is sent more than this multiple of its current capacity
+	OverloadSpan     time.Duration // sliding window over which the work sent is summed
+	DownFor          time.Duration // how long a failed node stays down
+	StopsRunning     bool          // a cancel also stops a running job
 }
 
-// Job is what a node is asked to run.
+// Job is one job sent to a node.
 type Job struct {
 	ID    string
-	Work  time.Duration // on a core of speed 1
+	Work  time.Duration // run time on a core of speed 1
 	Slots float64
 }
 
-// NoticeKind says what a node reports of a job.
+// NoticeKind is the kind of event that a node reports about a job.
 type NoticeKind uint8
 
-// What a node reports.
+// The kinds of notices.
 const (
 	Started NoticeKind = iota
 	Done
-	Rejected // unseen
-	Lost     // the node failed, or was restarted
+	Rejected // without having been queued or run
+	Lost     // the node failed or was restarted
 )
 
-// Notice is one report of a node on a job.
+// Notice is one event that a node reports about a job.
 type Notice struct {
 	Kind NoticeKind
 	ID   string
 }
 
-type reserved struct {
+type jobState struct {
 	Job
-	left float64 // seconds of work
+	remaining float64 // seconds of work still to be done
 }
 
-type sent struct {
+type arrival struct {
 	at   time.Duration
 	work float64
 }
 
-// Node is one node. The zero value is not of use; see New.
+// Node is one emulated node. The zero value is not usable; use New.
 type Node struct {
-	kind    Kind
-	rules   Rules
-	born    time.Duration // of its latest start; warm for ever if below 0
-	now     time.Duration
-	downTil time.Duration
-	running []reserved
-	waiting []reserved
-	slots   float64
-	recent  []sent // of the last FallSpan, while cold
-	worst   float64
-	falls   int
-	fallsOn bool
+	kind            Kind
+	rules           Rules
+	startedAt       time.Duration // time of the latest start; below 0 the node is always warm
+	now             time.Duration
+	downUntil       time.Duration
+	running         []jobState
+	waiting         []jobState
+	usedSlots       float64
+	recentArrivals  []arrival // work sent within the last OverloadSpan, recorded only during slow start
+	worstOverload   float64
+	failures        int
+	failsOnOverload bool
 }
 
-// New returns a node that has been warm for long. With falls it goes down when it is overfed while cold; without, it
-// only counts how near it came.
-func New(k Kind, r Rules, falls bool) *Node {
-	return &Node{kind: k, rules: r, born: -1, fallsOn: falls}
+// New returns a warm node. With failsOnOverload the node goes down when it is overloaded during slow start; without, it
+// only records the highest load (see Worst).
+func New(k Kind, r Rules, failsOnOverload bool) *Node {
+	return &Node{kind: k, rules: r, startedAt: -1, failsOnOverload: failsOnOverload}
 }
 
-// Restart has the node begin anew, cold. What it held is lost.
+// Restart restarts the node into its slow start. All its running and waiting jobs are reported as Lost.
 func (n *Node) Restart(now time.Duration) []Notice {
 	n.advance(now)
-	n.born, n.recent = now, nil
-	return n.lose()
+	n.startedAt, n.recentArrivals = now, nil
+	return n.dropAllJobs()
 }
 
-func (n *Node) lose() (notes []Notice) {
-	for _, list := range [][]reserved{n.running, n.waiting} {
-		for _, h := range list {
-			notes = append(notes, Notice{Lost, h.ID})
+func (n *Node) dropAllJobs() (notes []Notice) {
+	for _, list := range [][]jobState{n.running, n.waiting} {
+		for _, job := range list {
+			notes = append(notes, Notice{Lost, job.ID})
 		}
 	}
-	n.running, n.waiting, n.slots = nil, nil, 0
+	n.running, n.waiting, n.usedSlots = nil, nil, 0
 	return notes
 }
 
-// warmUp is the part of its capacity that the node has at a time.
-func (n *Node) warmUp(at time.Duration) float64 {
-	if n.born < 0 || n.rules.SlowStartFor <= 0 || at-n.born >= n.rules.SlowStartFor {
+// capacityFraction returns the fraction of its capacity that the node has at the given time.
+func (n *Node) capacityFraction(at time.Duration) float64 {
+	if n.startedAt < 0 || n.rules.SlowStartFor <= 0 || at-n.startedAt >= n.rules.SlowStartFor {
 		return 1
 	}
-	return n.rules.SlowStartFrom + (1-n.rules.SlowStartFrom)*max(0, float64(at-n.born)/float64(n.rules.SlowStartFor))
+	return n.rules.SlowStartFrom + (1-n.rules.SlowStartFrom)*max(0, float64(at-n.startedAt)/float64(n.rules.SlowStartFor))
 }
 
-// Down says whether the node has fallen and not come back.
-func (n *Node) Down(now time.Duration) bool { return now < n.downTil }
+// Down reports whether the node has failed and is not up again.
+func (n *Node) Down(now time.Duration) bool { return now < n.downUntil }
 
-// Worst is the most that the node was sent within a span while cold, as a part of what it may be sent; above 1 it was
-// overfed. Falls is how often it went down for that.
-func (n *Node) Worst() float64 { return n.worst }
+// Worst returns the highest load during slow start: the work sent within one OverloadSpan, divided by the work that may be
+// sent in it. Above 1 the node was overloaded.
+func (n *Node) Worst() float64 { return n.worstOverload }
 
-// Falls is how often the node went down.
-func (n *Node) Falls() int { return n.falls }
+// Falls returns how often the node went down because of an overload.
+func (n *Node) Falls() int { return n.failures }
 
-// rate is how much of a job's work each running one does in a second at a time, warmth left out.
+// rate returns the seconds of reference work that each running job gets done per second, without the effect of slow start.
 func (n *Node) rate() float64 {
 	if len(n.running) == 0 {
 		return 0
@@ -127,154 +127,154 @@
 	return n.kind.Speed * min(1, n.kind.Cores/float64(len(n.running)))
 }
 
-// warmTime is the integral of the warm-up from one time to another, in seconds.
-func (n *Node) warmTime(from, to time.Duration) float64 {
-	if n.born < 0 {
+// capacityIntegral returns the integral of capacityFraction from one time to another, in seconds.
+func (n *Node) capacityIntegral(from, to time.Duration) float64 {
+	if n.startedAt < 0 {
 		return (to - from).Seconds()
 	}
-	warm := n.born + n.rules.SlowStartFor
-	warming := min(to, warm) - min(from, warm)
-	mean := (n.warmUp(min(from, warm-1)) + n.warmUp(min(to, warm-1))) / 2
-	return warming.Seconds()*mean + (max(to, warm) - max(from, warm)).Seconds()
+	warmAt := n.startedAt + n.rules.SlowStartFor
+	warming := min(to, warmAt) - min(from, warmAt)
+	mean := (n.capacityFraction(min(from, warmAt-1)) + n.capacityFraction(min(to, warmAt-1))) / 2
+	return warming.Seconds()*mean + (max(to, warmAt) - max(from, warmAt)).Seconds()
 }
 
-// advance does the work up to now; nothing may finish in between, which Next sees to.
+// advance does the running jobs' work up to now. No job may end before now: the caller steps to the time that Next returns.
 func (n *Node) advance(now time.Duration) {
 	if now <= n.now {
 		return
 	}
-	done := n.rate() * n.warmTime(n.now, now)
+	done := n.rate() * n.capacityIntegral(n.now, now)
 	for i := range n.running {
-		n.running[i].left -= done
+		n.running[i].remaining -= done
 	}
 	n.now = now
 }
 
-// Offer hands the node a job.
+// Offer submits a job to the node. It returns the notices up to now, including those about the submitted job.
 func (n *Node) Offer(now time.Duration, j Job) (notes []Notice) {
 	notes = n.Pass(now)
 	if n.Down(now) {
 		return append(notes, Notice{Lost, j.ID})
 	}
 	j.Slots = min(max(j.Slots, 1), n.kind.Slots)
-	if notes = append(notes, n.feed(j)...); n.Down(now) {
+	if notes = append(notes, n.recordArrival(j)...); n.Down(now) {
 		return append(notes, Notice{Lost, j.ID})
 	}
-	if len(n.waiting) >= n.kind.Queue && n.slots+j.Slots > n.kind.Slots {
+	if len(n.waiting) >= n.kind.Queue && n.usedSlots+j.Slots > n.kind.Slots {
 		return append(notes, Notice{Rejected, j.ID})
 	}
-	n.waiting = append(n.waiting, reserved{j, j.Work.Seconds()})
-	return append(notes, n.fill()...)
+	n.waiting = append(n.waiting, jobState{j, j.Work.Seconds()})
+	return append(notes, n.startWaiting()...)
 }
 
-// feed counts work sent to a cold node. The rule allows, in any window of FallSpan, FallMultiple times what the node can
-// do at present; a single job right after the start may be more than that alone, which no scheduler can avoid, so the
-// first job of a window is allowed for.
-func (n *Node) feed(j Job) (notes []Notice) {
-	if n.warmUp(n.now) >= 1 || n.rules.OverloadSpan <= 0 {
+// recordArrival records work sent to a node in slow start, and fails the node on overload. In any window of OverloadSpan
+// the node may be sent OverloadMultiple times the work that it can do at its current capacity. A single job right after the
+// start may exceed that limit, which no scheduler can avoid, so the limit is at least the work of the window's first job.
+func (n *Node) recordArrival(j Job) (notes []Notice) {
+	if n.capacityFraction(n.now) >= 1 || n.rules.OverloadSpan <= 0 {
 		return nil
 	}
-	for len(n.recent) > 0 && n.recent[0].at <= n.now-n.rules.OverloadSpan {
-		n.recent = n.recent[1:]
+	for len(n.recentArrivals) > 0 && n.recentArrivals[0].at <= n.now-n.rules.OverloadSpan {
+		n.recentArrivals = n.recentArrivals[1:]
 	}
-	n.recent = append(n.recent, sent{n.now, j.Work.Seconds()})
+	n.recentArrivals = append(n.recentArrivals, arrival{n.now, j.Work.Seconds()})
 	sum := 0.0
-	for _, s := range n.recent {
+	for _, s := range n.recentArrivals {
 		sum += s.work
 	}
-	may := n.rules.OverloadMultiple * n.kind.Capacity() * n.warmUp(n.now) * n.rules.OverloadSpan.Seconds()
-	may = max(may, n.recent[0].work)
-	if n.worst = max(n.worst, sum/may); sum <= may || !n.fallsOn {
+	allowed := n.rules.OverloadMultiple * n.kind.Capacity() * n.capacityFraction(n.now) * n.rules.OverloadSpan.Seconds()
+	allowed = max(allowed, n.recentArrivals[0].work)
+	if n.worstOverload = max(n.worstOverload, sum/allowed); sum <= allowed || !n.failsOnOverload {
 		return nil
 	}
-	n.falls++
-	n.downTil = n.now + n.rules.DownFor
-	n.born, n.recent = n.downTil, nil
-	return n.lose()
+	n.failures++
+	n.downUntil = n.now + n.rules.DownFor
+	n.startedAt, n.recentArrivals = n.downUntil, nil
+	return n.dropAllJobs()
 }
 
-// fill starts what waits, in order, while the first of it fits.
-func (n *Node) fill() (notes []Notice) {
-	for len(n.waiting) > 0 && n.slots+n.waiting[0].Slots <= n.kind.Slots {
-		h := n.waiting[0]
+// startWaiting starts the waiting jobs in order, as long as the first one fits into the free slots.
+func (n *Node) startWaiting() (notes []Notice) {
+	for len(n.waiting) > 0 && n.usedSlots+n.waiting[0].Slots <= n.kind.Slots {
+		job := n.waiting[0]
 		n.waiting = n.waiting[1:]
-		n.slots += h.Slots
-		n.running = append(n.running, h)
-		notes = append(notes, Notice{Started, h.ID})
+		n.usedSlots += job.Slots
+		n.running = append(n.running, job)
+		notes = append(notes, Notice{Started, job.ID})
 	}
 	return notes
 }
 
-// Cancel gives a job up: one that waits is dropped, one that runs is stopped where Rules say so. It returns whether the
-// node held it, and what starts in its place.
-func (n *Node) Cancel(now time.Duration, id string) (was bool, notes []Notice) {
+// Cancel cancels a job: a waiting job is dropped, a running one is stopped if Rules.StopsRunning is set. It reports whether
+// the node had the job, and which jobs ended or started meanwhile or start in its place.
+func (n *Node) Cancel(now time.Duration, id string) (found bool, notes []Notice) {
 	notes = n.Pass(now)
-	named := func(h reserved) bool { return h.ID == id }
-	if i := slices.IndexFunc(n.waiting, named); i >= 0 {
+	matches := func(job jobState) bool { return job.ID == id }
+	if i := slices.IndexFunc(n.waiting, matches); i >= 0 {
 		n.waiting = slices.Delete(n.waiting, i, i+1)
-		return true, append(notes, n.fill()...)
+		return true, append(notes, n.startWaiting()...)
 	}
-	if i := slices.IndexFunc(n.running, named); i >= 0 {
+	if i := slices.IndexFunc(n.running, matches); i >= 0 {
 		if !n.rules.StopsRunning {
 			return true, notes
 		}
-		n.slots -= n.running[i].Slots
+		n.usedSlots -= n.running[i].Slots
 		n.running = slices.Delete(n.running, i, i+1)
-		return true, append(notes, n.fill()...)
+		return true, append(notes, n.startWaiting()...)
 	}
 	return false, notes
 }
 
-// tiny is less work than any clock here tells apart.
-const tiny = 1e-7
+// workEpsilon is the remaining work, in seconds, below which a job counts as done; it absorbs rounding errors.
+const workEpsilon = 1e-7
 
-// Pass lets time pass and tells what finished, and what started in its place, in order.
+// Pass advances the node to now and returns the jobs that ended and those that started in their place, in order.
 func (n *Node) Pass(now time.Duration) (notes []Notice) {
 	for {
-		at, any := n.Next()
-		if !any || at > now {
+		at, pending := n.Next()
+		if !pending || at > now {
 			n.advance(now)
 			return notes
 		}
 		n.advance(at)
 		for i := 0; i < len(n.running); {
-			if h := n.running[i]; h.left <= tiny {
-				n.slots -= h.Slots
+			if job := n.running[i]; job.remaining <= workEpsilon {
+				n.usedSlots -= job.Slots
 				n.running = slices.Delete(n.running, i, i+1)
-				notes = append(notes, Notice{Done, h.ID})
+				notes = append(notes, Notice{Done, job.ID})
 				continue
 			}
 			i++
 		}
-		notes = append(notes, n.fill()...)
+		notes = append(notes, n.startWaiting()...)
 	}
 }
 
-// Next is when the next running job ends if nothing else happens.
-func (n *Node) Next() (at time.Duration, any bool) {
+// Next returns the time at which the next running job ends if no other call changes the node, and whether any job runs.
+func (n *Node) Next() (at time.Duration, pending bool) {
 	if len(n.running) == 0 {
 		return 0, false
 	}
-	least := math.Inf(1)
+	leastRemaining := math.Inf(1)
 	for i := range n.running {
-		least = min(least, n.running[i].left)
+		leastRemaining = min(leastRemaining, n.running[i].remaining)
 	}
-	need := max(least, 0) / n.rate() // seconds at full warmth
-	if warm := n.born + n.rules.SlowStartFor; n.born >= 0 && n.now < warm {
-		in := n.warmTime(n.now, warm)
-		if need <= in {
-			// Over a time t the warm-up rises evenly from w by slope: need = w t + slope t^2 / 2.
-			w, slope := n.warmUp(n.now), (1-n.rules.SlowStartFrom)/n.rules.SlowStartFor.Seconds()
+	need := max(leastRemaining, 0) / n.rate() // seconds at full capacity
+	if warmAt := n.startedAt + n.rules.SlowStartFor; n.startedAt >= 0 && n.now < warmAt {
+		workWhileCold := n.capacityIntegral(n.now, warmAt)
+		if need <= workWhileCold {
+			// Over a time t the capacity fraction rises linearly from w by slope: need = w t + slope t^2 / 2.
+			w, slope := n.capacityFraction(n.now), (1-n.rules.SlowStartFrom)/n.rules.SlowStartFor.Seconds()
 			t := need / w
 			if slope > 0 {
 				t = (math.Sqrt(w*w+2*slope*need) - w) / slope
 			}
-			return n.now + seconds(t), true
+			return n.now + ceilDuration(t), true
 		}
-		return warm + seconds(need-in), true
+		return warmAt + ceilDuration(need-workWhileCold), true
 	}
-	return n.now + seconds(need), true
+	return n.now + ceilDuration(need), true
 }
 
-// seconds rounds up, so that what is due is done by then.
-func seconds(s float64) time.Duration { return time.Duration(math.Ceil(s * float64(time.Second))) }
+// ceilDuration converts seconds to a duration and rounds up, so that a job's work is complete at the time that Next returns.
+func ceilDuration(s float64) time.Duration { return time.Duration(math.Ceil(s * float64(time.Second))) }
--- a/test/emulator/node_test.go
+++ b/test/emulator/node_test.go
@@ -15,79 +15,79 @@
 
 var rules = Rules{SlowStartFrom: 0.1, SlowStartFor: 10 * time.Second, OverloadMultiple: 3, OverloadSpan: 2 * time.Second, DownFor: 5 * time.Second}
 
-// played writes what a node told, with the milliseconds at which it became known.
-type played struct {
+// recorder logs a node's notices with the time of each in milliseconds.
+type recorder struct {
 	n   *Node
 	log []string
 }
 
-func (p *played) note(now time.Duration, notes []Notice) {
+func (p *recorder) record(now time.Duration, notes []Notice) {
 	for _, n := range notes {
-		word := [...]string{"started", "done", "full", "lost"}[n.Kind]
-		p.log = append(p.log, fmt.Sprintf("%d %s %s", now/ms, n.ID, word))
+		event := [...]string{"started", "done", "full", "lost"}[n.Kind]
+		p.log = append(p.log, fmt.Sprintf("%d %s %s", now/ms, n.ID, event))
 	}
 }
 
-// until lets time pass, and looks whenever something is due.
-func (p *played) until(now time.Duration) {
+// advanceTo advances the node to now, in steps that end when a job ends.
+func (p *recorder) advanceTo(now time.Duration) {
 	for {
-		at, any := p.n.Next()
-		if !any || at > now {
-			p.note(now, p.n.Pass(now))
+		at, pending := p.n.Next()
+		if !pending || at > now {
+			p.record(now, p.n.Pass(now))
 			return
 		}
-		p.note(at, p.n.Pass(at))
+		p.record(at, p.n.Pass(at))
 	}
 }
 
-func (p *played) offer(now time.Duration, id string, work time.Duration, slots float64) {
-	p.until(now)
-	p.note(now, p.n.Offer(now, Job{id, work, slots}))
+func (p *recorder) offer(now time.Duration, id string, work time.Duration, slots float64) {
+	p.advanceTo(now)
+	p.record(now, p.n.Offer(now, Job{id, work, slots}))
 }
 
-func TestANode(t *testing.T) {
+func TestNodeReports(t *testing.T) {
 	kind := Kind{Speed: 2, Cores: 1, Slots: 2, Queue: 2}
 	for name, tc := range map[string]struct {
-		play func(*played)
+		run  func(*recorder)
 		want string
 	}{
-		"one job runs at the core's speed": {func(p *played) { p.offer(0, "a", 100*ms, 1) }, "0 a started, 50 a done"},
-		"two share the core": {func(p *played) {
+		"one job runs at the speed of the core": {func(p *recorder) { p.offer(0, "a", 100*ms, 1) }, "0 a started, 50 a done"},
+		"two jobs share one core": {func(p *recorder) {
 			p.offer(0, "a", 100*ms, 1)
 			p.offer(0, "b", 100*ms, 1)
 		}, "0 a started, 0 b started, 100 a done, 100 b done"},
-		"who comes later shares what is left": {func(p *played) {
+		"later job shares the core": {func(p *recorder) {
 			p.offer(0, "a", 100*ms, 1)
 			p.offer(25*ms, "b", 100*ms, 1)
 		}, "0 a started, 25 b started, 75 a done, 100 b done"},
-		"the first that waits keeps those behind it waiting": {func(p *played) {
+		"head of the queue blocks the jobs behind it": {func(p *recorder) {
 			p.offer(0, "a", 100*ms, 1)
 			p.offer(0, "big", 100*ms, 2)
 			p.offer(0, "b", 20*ms, 1)
 		}, "0 a started, 50 a done, 50 big started, 100 big done, 100 b started, 110 b done"},
-		"a full queue turns away": {func(p *played) {
+		"full queue rejects": {func(p *recorder) {
 			for _, id := range []string{"a", "b", "c", "d", "e"} {
 				p.offer(0, id, 100*ms, 1)
 			}
 		}, "0 a started, 0 b started, 0 e full, 100 a done, 100 b done, 100 c started, 100 d started, 200 c done, 200 d done"},
-		"a cancel drops what waits, and lets running work go on": {func(p *played) {
+		"cancel drops a waiting job and keeps a running one": {func(p *recorder) {
 			p.offer(0, "a", 100*ms, 2)
 			p.offer(0, "b", 100*ms, 1)
 			_, notes := p.n.Cancel(10*ms, "b")
-			p.note(10*ms, notes)
+			p.record(10*ms, notes)
 			_, notes = p.n.Cancel(10*ms, "a")
-			p.note(10*ms, notes)
+			p.record(10*ms, notes)
 		}, "0 a started, 50 a done"},
-		"a restart loses all and begins cold": {func(p *played) {
+		"restart drops all jobs and begins a slow start": {func(p *recorder) {
 			p.offer(0, "a", 100*ms, 1)
-			p.note(10*ms, p.n.Restart(10*ms))
+			p.record(10*ms, p.n.Restart(10*ms))
 			p.offer(10*ms, "b", 10*ms, 1)
 		}, "0 a started, 10 a lost, 10 b started, 58 b done"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			p := &played{n: New(kind, rules, false)}
-			tc.play(p)
-			p.until(time.Minute)
+			p := &recorder{n: New(kind, rules, false)}
+			tc.run(p)
+			p.advanceTo(time.Minute)
 			if diff := cmp.Diff(tc.want, strings.Join(p.log, ", ")); diff != "" {
 				t.Error(diff)
 			}
@@ -95,34 +95,36 @@
 	}
 }
 
-// A cold node may be sent three times what it can do in two seconds; it counts how near that came, and falls beyond it.
-func TestAnOverloadedNodeInSlowStartFails(t *testing.T) {
-	for _, falls := range []bool{false, true} {
-		n := New(Kind{Speed: 1, Cores: 2, Slots: 2, Queue: 100}, rules, falls)
+// A node in slow start may be sent three times the work that it can do in two seconds. Worst reports the highest load
+// relative to that limit, and the node fails above it.
+func TestOverloadDuringSlowStart(t *testing.T) {
+	for _, failsOnOverload := range []bool{false, true} {
+		n := New(Kind{Speed: 1, Cores: 2, Slots: 2, Queue: 100}, rules, failsOnOverload)
 		n.Restart(time.Second)
-		n.Offer(time.Second, Job{"a", 600 * ms, 1}) // of 3 x 0.1 x 2 x 2 s
-		if diff := cmp.Diff(0.5, n.Worst(), near); diff != "" {
+		n.Offer(time.Second, Job{"a", 600 * ms, 1}) // the limit is 3 x 0.1 x 2 x 2 s
+		if diff := cmp.Diff(0.5, n.Worst(), approximately); diff != "" {
 			t.Error(diff)
 		}
 		n.Offer(time.Second, Job{"b", 600 * ms, 1})
-		n.Offer(3*time.Second+ms, Job{"c", 600 * ms, 1}) // of another window
+		n.Offer(3*time.Second+ms, Job{"c", 600 * ms, 1}) // in another window
 		if n.Falls() != 0 {
-			t.Error("it fell at its limit")
+			t.Error("the node failed at its overload limit")
 		}
 		n.Offer(3*time.Second+ms, Job{"d", 6 * time.Second, 1})
-		if n.Worst() <= 1 || n.Down(4*time.Second) != falls || (n.Falls() == 1) != falls {
+		if n.Worst() <= 1 || n.Down(4*time.Second) != failsOnOverload || (n.Falls() == 1) != failsOnOverload {
 			t.Errorf("worst %v, down %v, falls %d", n.Worst(), n.Down(4*time.Second), n.Falls())
 		}
-		if falls && n.warmUp(9*time.Second) > 0.2 {
-			t.Errorf("it is back with %v of its capacity", n.warmUp(9*time.Second))
+		if failsOnOverload && n.capacityFraction(9*time.Second) > 0.2 {
+			t.Errorf("after its failure the node starts at %v of its capacity", n.capacityFraction(9*time.Second))
 		}
 	}
 }
 
-var near = cmp.Comparer(func(a, b float64) bool { return math.Abs(a-b) < 1e-6 })
+var approximately = cmp.Comparer(func(a, b float64) bool { return math.Abs(a-b) < 1e-6 })
 
-// However time is cut: a node does the work that it was given, no faster than it can, and ends every job once.
-func TestANodeDoesItsWorkOnce(t *testing.T) {
+// Checks with random jobs and pauses that a node ends every accepted job exactly once, does its work no faster than its
+// capacity allows, and never runs more jobs than it has slots.
+func TestNodeEndsEachJobOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		kind := Kind{Speed: rapid.Float64Range(0.5, 3).Draw(t, "speed"), Cores: float64(rapid.IntRange(1, 4).Draw(t, "cores")),
 			Slots: float64(rapid.IntRange(1, 8).Draw(t, "slots")), Queue: rapid.IntRange(0, 10).Draw(t, "queue")}
@@ -132,11 +134,11 @@
 		}
 		now, work, state := time.Duration(0), 0.0, make(map[string]NoticeKind)
 		running := 0
-		take := func(notes []Notice) {
+		apply := func(notes []Notice) {
 			for _, note := range notes {
-				was, known := state[note.ID]
-				if note.Kind == Done && (!known || was != Started) || note.Kind != Done && known {
-					t.Fatalf("%v after %v", note, was)
+				previous, known := state[note.ID]
+				if note.Kind == Done && (!known || previous != Started) || note.Kind != Done && known {
+					t.Fatalf("notice %v follows %v", note, previous)
 				}
 				switch state[note.ID] = note.Kind; note.Kind {
 				case Started:
@@ -146,29 +148,29 @@
 				}
 			}
 			if float64(running) > kind.Slots {
-				t.Fatalf("%d run in %v slots", running, kind.Slots)
+				t.Fatalf("%d jobs run in %v slots", running, kind.Slots)
 			}
 		}
 		for i := range rapid.IntRange(1, 40).Draw(t, "jobs") {
 			now += time.Duration(rapid.IntRange(0, 300).Draw(t, "wait")) * ms
 			j := Job{fmt.Sprint(i), time.Duration(rapid.IntRange(1, 500).Draw(t, "work")) * ms, float64(rapid.IntRange(1, 3).Draw(t, "wants"))}
 			notes := n.Offer(now, j)
-			take(notes)
+			apply(notes)
 			if state[j.ID] != Rejected || len(notes) == 0 || notes[len(notes)-1].ID != j.ID {
 				work += j.Work.Seconds()
 			}
 		}
-		for at, any := n.Next(); any; at, any = n.Next() {
+		for at, pending := n.Next(); pending; at, pending = n.Next() {
 			now = at
-			take(n.Pass(at))
+			apply(n.Pass(at))
 		}
 		for id, kind := range state {
 			if kind == Started {
-				t.Fatalf("%s never ended", id)
+				t.Fatalf("job %s was started and never ended", id)
 			}
 		}
-		if could := kind.Speed * kind.Cores * n.warmTime(0, now); work > could*1.001+1e-3 {
-			t.Fatalf("%v s of work in a time in which %v can be done", work, could)
+		if capacity := kind.Speed * kind.Cores * n.capacityIntegral(0, now); work > capacity*1.001+1e-3 {
+			t.Fatalf("node did %v s of work in a time in which its capacity allows %v", work, capacity)
 		}
 	})
 }
--- a/test/fleettest/await.go
+++ b/test/fleettest/await.go
@@ -11,20 +11,20 @@
 	"ravendale/balancer/fleet"
 )
 
-// Patience is how long an awaited event may take: far above what it takes, for machines that are busy.
+// Patience is the timeout for an awaited event. It is far above the usual time, to allow for busy machines.
 const Patience = 30 * time.Second
 
-// until waits for an event, and says what was there instead.
-func (b *Bench) until(holds func() (bool, string)) error {
-	last := ""
+// waitUntil polls until the condition holds. On timeout its error contains the last state observed.
+func (b *Bench) waitUntil(condition func() (bool, string)) error {
+	lastObserved := ""
 	for end := time.Now().Add(Patience); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
-		ok, seen := holds()
+		ok, observed := condition()
 		if ok {
 			return nil
 		}
-		last = seen
+		lastObserved = observed
 	}
-	return fmt.Errorf("it never came; last: %s", last)
+	return fmt.Errorf("timeout waiting for the event; last state: %s", lastObserved)
 }
 
 func (b *Bench) await(args []string) error {
@@ -37,7 +37,7 @@
 	if len(args) == 3 && args[0] == "told" {
 		return b.awaitWitnessed(args[1], args[2])
 	}
-	some, err := b.pick(args[len(args)-1])
+	selected, err := b.processesNamed(args[len(args)-1])
 	if err != nil {
 		return err
 	}
@@ -47,44 +47,44 @@
 			return err
 		}
 	}
-	for _, p := range some {
-		if err := b.until(func() (bool, string) { return b.holds(args[0], p, number) }); err != nil {
+	for _, p := range selected {
+		if err := b.waitUntil(func() (bool, string) { return b.hasOccurred(args[0], p, number) }); err != nil {
 			return fmt.Errorf("%s: %w", p.name, err)
 		}
 	}
 	return nil
 }
 
-// holds says whether an event has come at a member, and what is there instead.
-func (b *Bench) holds(event string, p *process, number uint64) (bool, string) {
+// hasOccurred reports whether a member has reached the state that an event names, and returns the state observed.
+func (b *Bench) hasOccurred(event string, p *process, number uint64) (bool, string) {
 	if event == "dead" {
-		return !p.running(), "it runs"
+		return !p.running(), "process is still running"
 	}
 	s, err := b.Status(p.name)
 	if err != nil {
 		return false, err.Error()
 	}
-	seen := fmt.Sprintf("%+v, acting under %v, in force %v, %+v", s.Standing, s.Acting, s.Force, s.Peers)
+	observed := fmt.Sprintf("%+v, acting under %v, in force %v, %+v", s.Standing, s.Acting, s.Force, s.Peers)
 	switch event {
 	case "acts":
-		return s.Standing == fleet.Standing{Acts: true} && s.Votes, seen
+		return s.Standing == fleet.Standing{Acts: true} && s.Votes, observed
 	case "marked":
-		return s.Standing.Marked, seen
+		return s.Standing.Marked, observed
 	case "shut":
-		return !s.Standing.Acts, seen
+		return !s.Standing.Acts, observed
 	case "epoch":
-		return s.Acting.Number == number, seen
+		return s.Acting.Number == number, observed
 	}
-	return false, "there is no such event"
+	return false, "unknown event name"
 }
 
-// awaitSeen waits until a member sees others in a state.
+// awaitSeen waits until a member reports the other members in a state.
 func (b *Bench) awaitSeen(member, state, list string) error {
-	others, err := b.pick(list)
+	others, err := b.processesNamed(list)
 	if err != nil {
 		return err
 	}
-	return b.until(func() (bool, string) {
+	return b.waitUntil(func() (bool, string) {
 		s, err := b.Status(member)
 		if err != nil {
 			return false, err.Error()
@@ -98,7 +98,8 @@
 	})
 }
 
-// awaitLaterSecond waits until an empty disk begins with an incarnation above those of a record: it is the second of its start.
+// awaitLaterSecond waits until the wall clock has passed the newest incarnation in a record. A member that starts on an empty
+// disk takes the current Unix second as its incarnation, which must be above those in the record.
 func (b *Bench) awaitLaterSecond(record string) error {
 	files, err := filepath.Glob(filepath.Join(record, "*.audit"))
 	if err != nil {
@@ -111,20 +112,20 @@
 			newest = max(newest, incarnation)
 		}
 	}
-	return b.until(func() (bool, string) { return time.Now().Unix() > newest, fmt.Sprintf("it is %d still", newest) })
+	return b.waitUntil(func() (bool, string) { return time.Now().Unix() > newest, fmt.Sprintf("clock at %d s", newest) })
 }
 
-// awaitWitnessed waits until another member's record says that a member's record is as far as its adoption of an epoch.
+// awaitWitnessed waits until another member's record confirms that a member's record includes its adoption of an epoch.
 func (b *Bench) awaitWitnessed(member, number string) error {
 	epoch, err := strconv.ParseUint(number, 10, 64)
 	if err != nil {
 		return err
 	}
-	return b.until(func() (bool, string) {
+	return b.waitUntil(func() (bool, string) {
 		records, err := audit.Read(b.Records()...)
 		if err != nil {
 			return false, err.Error()
 		}
-		return records.AdoptionWitnessed(member, epoch), "no record says so"
+		return records.AdoptionWitnessed(member, epoch), "no other member's record confirms the adoption"
 	})
 }
--- a/test/fleettest/bench.go
+++ b/test/fleettest/bench.go
@@ -21,40 +21,40 @@
 	"ravendale/balancer/frames"
 )
 
-// Options say what a bench plays with.
+// Options configure a bench.
 type Options struct {
-	Binary    string // the program
-	Dir       string // for files, the bench's own
+	Binary    string // path of the program under test
+	Dir       string // working folder, used by this bench only
 	Members   int
-	Alone     string        // mark or stop
-	ShutOut   string        // wait or exit
-	Heartbeat time.Duration // 50 ms if 0
-	Trust     time.Duration // 600 ms if 0
-	Record    int64         // bytes, the program's own if 0
+	Alone     string        // value of the fleet setting alone, mark or stop; empty: the program's default
+	ShutOut   string        // value of the fleet setting shut-out, wait or exit; empty: the program's default
+	Heartbeat time.Duration // default 50 ms
+	Trust     time.Duration // default 600 ms
+	Record    int64         // value of the fleet setting record in bytes; 0: the program's default
 	Seed      uint64
-	Every     time.Duration // between two requests of a client, 10 ms if 0
-	Off       bool          // no fleet: for comparisons
-	Direct    bool          // no proxies on the links: for many members
+	Every     time.Duration // interval between a client's requests, default 10 ms
+	Off       bool          // run the members without a fleet, for comparisons
+	Direct    bool          // connect members without proxies, for large fleets
 	Log       func(format string, args ...any)
 }
 
-// Bench is one play.
+// Bench is one fleet of processes with its stand-ins and fault proxies.
 type Bench struct {
-	o        Options
-	net      string // its part of the loopback addresses
-	keys     frames.Keys
-	all      []*process
-	links    map[[2]string]*proxy // from, to
-	dirty    []*expect            // faults whose effect is still to be seen
-	mu       sync.Mutex
-	requests []Request
-	stop     context.CancelFunc
-	clients  sync.WaitGroup
-	began    time.Time
-	Events   []Event
+	options       Options
+	addressPrefix string // first three bytes of the bench's loopback addresses
+	keys          frames.Keys
+	members       []*process
+	links         map[[2]string]*proxy // by the names of the dialling and the dialled member
+	pendingFaults []*pendingFault      // faults whose effect heal still has to check
+	mu            sync.Mutex
+	requests      []Request
+	stopLoad      context.CancelFunc
+	clients       sync.WaitGroup
+	startedAt     time.Time
+	Events        []Event
 }
 
-// New lays a bench out; Close ends it.
+// New prepares a bench: its files, proxies and stand-ins. Run starts the members. Close stops everything.
 func New(o Options) (*Bench, error) {
 	if o.Heartbeat == 0 {
 		o.Heartbeat = 50 * time.Millisecond
@@ -68,7 +68,7 @@
 	if o.Log == nil {
 		o.Log = func(string, ...any) {}
 	}
-	b := &Bench{o: o, links: make(map[[2]string]*proxy), net: fmt.Sprintf("127.%d.%d", 64+rand.IntN(128), rand.IntN(256)), began: time.Now()}
+	b := &Bench{options: o, links: make(map[[2]string]*proxy), addressPrefix: fmt.Sprintf("127.%d.%d", 64+rand.IntN(128), rand.IntN(256)), startedAt: time.Now()}
 	secret := make([]byte, 16)
 	for i := range secret {
 		secret[i] = byte(rand.Uint32())
@@ -76,19 +76,19 @@
 	b.keys = frames.Keys{{ID: 1, Secret: secret}}
 	err := os.WriteFile(filepath.Join(o.Dir, "keys"), []byte("1 "+hex.EncodeToString(secret)+"\n"), 0o600)
 	for i := range o.Members {
-		b.all = append(b.all, &process{name: memberName(i)})
+		b.members = append(b.members, &process{name: memberName(i)})
 	}
-	for i, from := range b.all {
-		for j, to := range b.all {
+	for i, from := range b.members {
+		for j, to := range b.members {
 			if i != j && err == nil && !o.Off && !o.Direct {
-				b.links[[2]string{from.name, to.name}], err = newProxy(fmt.Sprintf("%s.%d:%d", b.net, 1+i, 10000+j), b.address(j))
+				b.links[[2]string{from.name, to.name}], err = newProxy(fmt.Sprintf("%s.%d:%d", b.addressPrefix, 1+i, 10000+j), b.address(j))
 			}
 		}
 		if err == nil {
-			from.side, err = newSide(fmt.Sprintf("%s.%d:9000", b.net, 1+i), fmt.Sprintf("%s.%d:8500", b.net, 1+i), fmt.Sprintf("%s.%d:9101", b.net, 1+i))
+			from.standIns, err = newStandIns(fmt.Sprintf("%s.%d:9000", b.addressPrefix, 1+i), fmt.Sprintf("%s.%d:8500", b.addressPrefix, 1+i), fmt.Sprintf("%s.%d:9101", b.addressPrefix, 1+i))
 		}
 		if err == nil {
-			err = b.files(i)
+			err = b.writeFiles(i)
 		}
 	}
 	if err != nil {
@@ -105,21 +105,21 @@
 	return memberName(i/26-1) + string(rune('a'+i%26))
 }
 
-func (b *Bench) address(i int) string { return fmt.Sprintf("%s.%d:7000", b.net, 1+i) }
+func (b *Bench) address(i int) string { return fmt.Sprintf("%s.%d:7000", b.addressPrefix, 1+i) }
 
-func (b *Bench) dir(name string) string { return filepath.Join(b.o.Dir, name) }
+func (b *Bench) dir(name string) string { return filepath.Join(b.options.Dir, name) }
 
-// Close ends everything that the bench started.
+// Close stops everything that the bench started.
 func (b *Bench) Close() {
-	if b.stop != nil {
-		b.stop()
+	if b.stopLoad != nil {
+		b.stopLoad()
 		b.clients.Wait()
-		b.stop = nil
+		b.stopLoad = nil
 	}
-	for _, p := range b.all {
-		p.end()
-		if p.side != nil {
-			p.side.close()
+	for _, p := range b.members {
+		p.killAll()
+		if p.standIns != nil {
+			p.standIns.close()
 		}
 	}
 	for _, l := range b.links {
@@ -129,7 +129,7 @@
 	}
 }
 
-// Status asks a member, past all faults.
+// Status requests a member's status over a direct connection that no fault affects.
 func (b *Bench) Status(name string) (*agent.Status, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
 	defer cancel()
@@ -137,39 +137,39 @@
 }
 
 func (b *Bench) index(name string) int {
-	return slices.IndexFunc(b.all, func(p *process) bool { return p.name == name })
+	return slices.IndexFunc(b.members, func(p *process) bool { return p.name == name })
 }
 
-// pick returns the processes of a list of names, or all.
-func (b *Bench) pick(list string) (some []*process, err error) {
+// processesNamed returns the members in a comma-separated list of names, or all members for "all".
+func (b *Bench) processesNamed(list string) (selected []*process, err error) {
 	if list == "all" {
-		return b.all, nil
+		return b.members, nil
 	}
 	for _, name := range strings.Split(list, ",") {
 		i := b.index(name)
 		if i < 0 {
-			return nil, fmt.Errorf("no member %q", name)
+			return nil, fmt.Errorf("unknown member %q", name)
 		}
-		some = append(some, b.all[i])
+		selected = append(selected, b.members[i])
 	}
-	return some, nil
+	return selected, nil
 }
 
-func (b *Bench) load(on bool) error {
+func (b *Bench) setLoad(on bool) error {
 	if !on {
-		if b.stop == nil {
-			return errors.New("it is off")
+		if b.stopLoad == nil {
+			return errors.New("load is already off")
 		}
-		b.stop()
+		b.stopLoad()
 		b.clients.Wait()
-		b.stop = nil
+		b.stopLoad = nil
 		return nil
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	b.stop = cancel
-	for i, p := range b.all {
+	b.stopLoad = cancel
+	for i, p := range b.members {
 		b.clients.Go(func() {
-			client(ctx, i, p.name, fmt.Sprintf("%s.%d:9000", b.net, 1+i), b.o.Every, func(a Request) {
+			client(ctx, i, p.name, fmt.Sprintf("%s.%d:9000", b.addressPrefix, 1+i), b.options.Every, func(a Request) {
 				b.mu.Lock()
 				b.requests = append(b.requests, a)
 				b.mu.Unlock()
@@ -179,29 +179,29 @@
 	return nil
 }
 
-// Finish ends the members as planned, and returns what their records and the clients say. A script whose last faults were not
-// healed has them judged here.
+// Finish stops the members with SIGTERM and returns the audit of their records and the clients' requests. It also ends the
+// faults that the script left in place, and returns an error if one of them affected no data.
 func (b *Bench) Finish() (*audit.Audit, []Request, error) {
 	err := b.heal()
-	if b.stop != nil {
-		err = errors.Join(err, b.load(false))
+	if b.stopLoad != nil {
+		err = errors.Join(err, b.setLoad(false))
 	}
-	for _, p := range b.all {
+	for _, p := range b.members {
 		if p.stopped && p.running() {
 			_ = p.cmd.Process.Signal(syscall.SIGCONT)
 		}
-		for _, r := range append(p.before, run{p.cmd, p.exited}) {
+		for _, r := range append(p.previous, processRun{p.cmd, p.exited}) {
 			if r.cmd != nil {
-				_ = r.cmd.Process.Signal(syscall.SIGTERM) // it may have ended
+				_ = r.cmd.Process.Signal(syscall.SIGTERM) // it may have exited already
 			}
 		}
 	}
-	for _, p := range b.all {
+	for _, p := range b.members {
 		if p.cmd != nil {
 			select {
 			case <-p.exited:
 			case <-time.After(Patience):
-				err = errors.Join(err, fmt.Errorf("%s does not stop", p.name))
+				err = errors.Join(err, fmt.Errorf("member %s has not stopped after SIGTERM", p.name))
 			}
 		}
 	}
@@ -211,13 +211,13 @@
 	return a, b.requests, errors.Join(err, readErr)
 }
 
-// Keep copies the bench's files, logs and records among them, to a folder.
+// Keep copies the bench's files, including logs and records, to a folder.
 func (b *Bench) Keep(to string) error {
-	return filepath.WalkDir(b.o.Dir, func(path string, d fs.DirEntry, err error) error {
-		if err != nil || !d.Type().IsRegular() { // sockets of hand-overs lie there too
+	return filepath.WalkDir(b.options.Dir, func(path string, d fs.DirEntry, err error) error {
+		if err != nil || !d.Type().IsRegular() { // the folder also contains the sockets used for hand-overs
 			return err
 		}
-		rel, err := filepath.Rel(b.o.Dir, path)
+		rel, err := filepath.Rel(b.options.Dir, path)
 		if err != nil {
 			return err
 		}
@@ -232,19 +232,19 @@
 	})
 }
 
-// Records are the folders of the members' records.
+// Records returns the folders of the members' records.
 func (b *Bench) Records() (dirs []string) {
-	for _, p := range b.all {
+	for _, p := range b.members {
 		dirs = append(dirs, filepath.Join(b.dir(p.name), "record"))
 	}
 	return dirs
 }
 
-// Ready waits until all members say that clients may come.
+// Ready waits until all members report that they are ready for clients.
 func (b *Bench) Ready(ctx context.Context) error {
-	for i, p := range b.all {
+	for i, p := range b.members {
 		for {
-			req, err := http.NewRequestWithContext(ctx, "GET", fmt.Sprintf("http://%s.%d:9000/ready", b.net, 1+i), nil)
+			req, err := http.NewRequestWithContext(ctx, "GET", fmt.Sprintf("http://%s.%d:9000/ready", b.addressPrefix, 1+i), nil)
 			if err != nil {
 				return err
 			}
@@ -256,7 +256,7 @@
 				}
 			}
 			if ctx.Err() != nil {
-				return fmt.Errorf("%s is not ready: %w", p.name, ctx.Err())
+				return fmt.Errorf("member %s is not ready: %w", p.name, ctx.Err())
 			}
 			time.Sleep(10 * time.Millisecond)
 		}
@@ -264,7 +264,7 @@
 	return nil
 }
 
-// Requests is the clients' history so far.
+// Requests returns the clients' requests so far.
 func (b *Bench) Requests() []Request {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/test/fleettest/fleet_test.go
+++ b/test/fleettest/fleet_test.go
@@ -14,15 +14,16 @@
 	"ravendale/balancer/audit"
 )
 
-var binaries string
+var binaryDir string
 
 func TestMain(m *testing.M) {
 	dir, err := os.MkdirTemp("", "fleettest")
 	if err != nil {
 		panic(err)
 	}
-	binaries = dir
-	// The program under test is built here, unseen by go test's cache: reading its sources has a change of them run the tests again.
+	binaryDir = dir
+	// The program under test is built here, so go test's cache doesn't know its sources. Reading them makes a change to them
+	// invalidate the cached test result.
 	err = filepath.WalkDir("../..", func(path string, d fs.DirEntry, err error) error {
 		if err == nil && strings.HasSuffix(path, ".go") {
 			_, err = os.ReadFile(path)
@@ -33,7 +34,7 @@
 		panic(err)
 	}
 	code := 1
-	if err := errorsOf(build("ravendale"), build("mutant", "-tags=mutant")); err == nil {
+	if err := firstError(build("ravendale"), build("mutant", "-tags=mutant")); err == nil {
 		code = m.Run()
 	} else {
 		fmt.Fprintln(os.Stderr, err)
@@ -42,7 +43,7 @@
 	os.Exit(code)
 }
 
-func errorsOf(all ...error) error {
+func firstError(all ...error) error {
 	for _, err := range all {
 		if err != nil {
 			return err
@@ -52,31 +53,31 @@
 }
 
 func build(name string, flags ...string) error {
-	cmd := exec.Command("go", append(append([]string{"build", "-o", filepath.Join(binaries, name)}, flags...), "ravendale/cmd/ravendale")...)
+	cmd := exec.Command("go", append(append([]string{"build", "-o", filepath.Join(binaryDir, name)}, flags...), "ravendale/cmd/ravendale")...)
 	if text, err := cmd.CombinedOutput(); err != nil {
 		return fmt.Errorf("%s: %w: %s", name, err, text)
 	}
 	return nil
 }
 
-// verdict is what the records and the clients' history are to show.
-type verdict struct {
-	below      bool     // acts under the floor: in builds without it alone
-	straggled  []string // who was below a floor at its date, as "member end"
-	faults     []string // kinds of findings that are somebody's fault, as "member kind"
-	adopted    uint64   // by all members, in the end, as their records say
-	restarted  []string // members whose clients may have lost requests: their processes were killed
-	notAdopted []string // members that never come to that epoch
-	gap        []string // members that could not write for a time, as their records say
+// expectation is what the members' records and the clients' requests must show after a script.
+type expectation struct {
+	actsBelowFloor bool     // some member acted below the floor; only a build that doesn't enforce the floor may
+	stragglers     []string // members that were below a floor when it took effect, as "member end"
+	faults         []string // findings that count as a member's fault, as "member kind"
+	adopted        uint64   // number of the epoch that all members have adopted at the end, according to their records
+	restarted      []string // members whose processes were killed, so that their clients may have lost requests
+	notAdopted     []string // members that never adopt that epoch
+	gaps           []string // members whose records report a gap because they couldn't write for a time
 }
 
-func TestHardCases(t *testing.T) {
+func TestFaultScripts(t *testing.T) {
 	for name, tc := range map[string]struct {
 		o      Options
 		script string
-		want   verdict
+		want   expectation
 	}{
-		"a roll-out, and one after it": {Options{Members: 5, Alone: "stop"}, `
+		"two roll-outs in sequence": {Options{Members: 5, Alone: "stop"}, `
 			start all
 			await acts all
 			load on
@@ -84,8 +85,8 @@
 			await epoch 1 all
 			roll-out 2 floor=2 settings={"ceilings":{"attempts-cap":3}} via e
 			await epoch 2 all
-			load off`, verdict{adopted: 2}},
-		"cut in the middle: the half that is cut off is shut out, and brought up once it heals": {Options{Members: 5, Alone: "stop"}, `
+			load off`, expectation{adopted: 2}},
+		"partitioned minority is shut out and catches up after the partition heals": {Options{Members: 5, Alone: "stop"}, `
 			start all
 			await acts all
 			load on
@@ -98,19 +99,19 @@
 			heal
 			await epoch 1 all
 			await acts all
-			load off`, verdict{adopted: 1}},
-		"cut in one direction: who is not answered is shut out": {Options{Members: 3, Alone: "stop"}, `
+			load off`, expectation{adopted: 1}},
+		"member whose outgoing links are cut is shut out": {Options{Members: 3, Alone: "stop"}, `
 			start all
 			await acts all
 			cut c>a,b
 			await shut c
 			roll-out 1 floor=1 via a
 			await epoch 1 a,b
-			await c sees gone a,b                  # a link wants both directions
+			await c sees gone a,b                  # a link needs both directions
 			heal
 			await epoch 1 all
-			await acts all`, verdict{adopted: 1}},
-		"two roll-outs of one number on the two sides of a cut": {Options{Members: 5, Alone: "stop"}, `
+			await acts all`, expectation{adopted: 1}},
+		"conflicting roll-outs of one number on both sides of a partition": {Options{Members: 5, Alone: "stop"}, `
 			start all
 			await acts all
 			cut a,b,c|d,e
@@ -120,8 +121,8 @@
 			heal
 			await epoch 1 all
 			roll-out 2 floor=2 via d
-			await epoch 2 all`, verdict{adopted: 2}},
-		"stopped across the date, and woken with requests in its sockets": {Options{Members: 3, Alone: "stop"}, `
+			await epoch 2 all`, expectation{adopted: 2}},
+		"member is stopped while the floor takes effect and continues with unread requests": {Options{Members: 3, Alone: "stop"}, `
 			start all
 			await acts all
 			load on
@@ -132,8 +133,8 @@
 			cont c
 			await epoch 1 c
 			await acts all
-			load off`, verdict{adopted: 1, straggled: []string{"c shut out"}}},
-		"killed while it adopts, and started again": {Options{Members: 3, Alone: "stop"}, `
+			load off`, expectation{adopted: 1, stragglers: []string{"c shut out"}}},
+		"member is killed during adoption and restarted": {Options{Members: 3, Alone: "stop"}, `
 			start all
 			await acts all
 			roll-out 1 floor=1 via a
@@ -144,8 +145,8 @@
 			kill a,b,c
 			start all
 			await epoch 1 all
-			await acts all`, verdict{adopted: 1, restarted: []string{"a", "b", "c"}}},
-		"an upgrade by hand-over in the middle": {Options{Members: 3, Alone: "stop"}, `
+			await acts all`, expectation{adopted: 1, restarted: []string{"a", "b", "c"}}},
+		"upgrade by hand-over during a roll-out": {Options{Members: 3, Alone: "stop"}, `
 			start all
 			await acts all
 			load on
@@ -153,20 +154,20 @@
 			roll-out 1 floor=1 via a
 			await epoch 1 all
 			await acts all
-			load off`, verdict{adopted: 1}},
-		"a straggler that can't be brought up": {Options{Members: 3, Alone: "mark"}, `
+			load off`, expectation{adopted: 1}},
+		"straggler that can't apply the settings": {Options{Members: 3, Alone: "mark"}, `
 			start all
 			await acts all
 			load on
 			roll-out 1 floor=1 build=9 via a refused
 			roll-out 2 floor=3 via a refused
 			roll-out 3 floor=3 within=10ms via a refused
-			hup c bad                              # its configuration can't take an epoch's settings
+			hup c bad                              # its configuration can't be combined with an epoch's settings
 			roll-out 4 floor=4 settings={"ceilings":{"attempts-cap":3}} via a
 			await epoch 4 a,b
 			await shut c
-			load off`, verdict{straggled: nil, adopted: 4, notAdopted: []string{"c"}}},
-		"who is alone goes on, and its spans are marked": {Options{Members: 3, Alone: "mark"}, `
+			load off`, expectation{stragglers: nil, adopted: 4, notAdopted: []string{"c"}}},
+		"isolated member with alone=mark continues and is marked": {Options{Members: 3, Alone: "mark"}, `
 			start all
 			await acts all
 			load on
@@ -175,8 +176,8 @@
 			pass 300ms
 			heal
 			await acts all
-			load off`, verdict{}},
-		"a straggler that flaps": {Options{Members: 3, Alone: "stop"}, `
+			load off`, expectation{}},
+		"straggler is restarted repeatedly": {Options{Members: 3, Alone: "stop"}, `
 			start all
 			await acts all
 			save c
@@ -190,8 +191,8 @@
 			start c
 			heal
 			await epoch 1 all
-			await acts all`, verdict{adopted: 1, restarted: []string{"c"}}},
-		"yesterday's disk": {Options{Members: 3, Alone: "stop", Trust: 20 * time.Second}, `
+			await acts all`, expectation{adopted: 1, restarted: []string{"c"}}},
+		"member restarts on an outdated copy of its disk": {Options{Members: 3, Alone: "stop", Trust: 20 * time.Second}, `
 			start all
 			await acts all
 			save c
@@ -203,8 +204,8 @@
 			await epoch 1 c
 			await acts all
 			roll-out 2 floor=2 via c
-			await epoch 2 all`, verdict{adopted: 2, restarted: []string{"c"}, faults: []string{"c rolled back"}}},
-		"an empty disk under an old name": {Options{Members: 3, Alone: "stop", Trust: 20 * time.Second}, `
+			await epoch 2 all`, expectation{adopted: 2, restarted: []string{"c"}, faults: []string{"c rolled back"}}},
+		"member restarts on an empty disk": {Options{Members: 3, Alone: "stop", Trust: 20 * time.Second}, `
 			start all
 			await acts all
 			roll-out 1 floor=1 via a
@@ -215,8 +216,8 @@
 			await epoch 1 c
 			await acts all
 			roll-out 2 floor=2 via c
-			await epoch 2 all`, verdict{adopted: 2, restarted: []string{"c"}, faults: []string{"c rolled back"}}},
-		"twice there: the older of two processes stands down": {Options{Members: 3, Alone: "stop"}, `
+			await epoch 2 all`, expectation{adopted: 2, restarted: []string{"c"}, faults: []string{"c rolled back"}}},
+		"stopped member is killed and restarted": {Options{Members: 3, Alone: "stop"}, `
 			start all
 			await acts all
 			stop c
@@ -224,8 +225,8 @@
 			start c
 			await acts all
 			roll-out 1 floor=1 via c
-			await epoch 1 all`, verdict{adopted: 1, restarted: []string{"c"}}},
-		"clocks that are off, and step back": {Options{Members: 3, Alone: "stop"}, `
+			await epoch 1 all`, expectation{adopted: 1, restarted: []string{"c"}}},
+		"clock offsets and a backward clock step": {Options{Members: 3, Alone: "stop"}, `
 			clock b 5000
 			start all
 			await acts all
@@ -237,8 +238,8 @@
 			await epoch 1 all
 			pass 700ms
 			await acts all
-			load off`, verdict{adopted: 1}},
-		"bytes that change, come twice, or break off": {Options{Members: 3, Alone: "stop"}, `
+			load off`, expectation{adopted: 1}},
+		"corrupted, duplicated, reset and delayed links": {Options{Members: 3, Alone: "stop"}, `
 			start all
 			await acts all
 			corrupt a>b
@@ -255,8 +256,8 @@
 			await epoch 1 all
 			heal
 			await acts all
-			await a sees alive b,c`, verdict{adopted: 1}},
-		"the whole fleet is killed and comes back in another order": {Options{Members: 5, Alone: "stop"}, `
+			await a sees alive b,c`, expectation{adopted: 1}},
+		"whole fleet is killed and restarted in another order": {Options{Members: 5, Alone: "stop"}, `
 			start all
 			await acts all
 			roll-out 1 floor=1 via c
@@ -269,8 +270,8 @@
 			await acts a,c,e
 			start b,d
 			await acts all
-			await epoch 1 all`, verdict{adopted: 1, restarted: []string{"a", "b", "c", "d", "e"}}},
-		"a disk that is full: it goes on, without its vote": {Options{Members: 3, Alone: "stop"}, `
+			await epoch 1 all`, expectation{adopted: 1, restarted: []string{"a", "b", "c", "d", "e"}}},
+		"member with a full disk continues": {Options{Members: 3, Alone: "stop"}, `
 			start all
 			await acts all
 			load on
@@ -279,30 +280,31 @@
 			await epoch 1 all
 			pass 500ms
 			free c
-			await acts all                         # it votes again
+			await acts all                         # acts requires that it votes again
 			roll-out 2 floor=2 via c
 			await epoch 2 all
-			load off`, verdict{adopted: 2}},
-		"shut out by the file's word: it ends": {Options{Members: 3, Alone: "mark", ShutOut: "exit"}, `
+			load off`, expectation{adopted: 2}},
+		"member with shut-out=exit exits when it is shut out": {Options{Members: 3, Alone: "mark", ShutOut: "exit"}, `
 			start all
 			await acts all
 			hup c bad
 			roll-out 4 floor=4 settings={"ceilings":{"attempts-cap":3}} via a
 			await epoch 4 a,b
-			await dead c`, verdict{adopted: 4, notAdopted: []string{"c"}}},
+			await dead c`, expectation{adopted: 4, notAdopted: []string{"c"}}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			tc.o.Binary = filepath.Join(binaries, "ravendale")
-			judge(t, tc.o, tc.script, tc.want)
+			tc.o.Binary = filepath.Join(binaryDir, "ravendale")
+			checkScript(t, tc.o, tc.script, tc.want)
 		})
 	}
 }
 
-// The checker is worth what it catches: the same faults, and a build that does not keep to the floor.
-func TestAProcessBelowTheFloorIsCaught(t *testing.T) {
+// Checks that the audit detects a violation: the build under test doesn't enforce the floor, so a partitioned member keeps
+// acting below it.
+func TestAuditDetectsMemberBelowFloor(t *testing.T) {
 	t.Parallel()
-	judge(t, Options{Binary: filepath.Join(binaries, "mutant"), Members: 3, Alone: "stop"}, `
+	checkScript(t, Options{Binary: filepath.Join(binaryDir, "mutant"), Members: 3, Alone: "stop"}, `
 		start all
 		await acts all
 		load on
@@ -312,10 +314,10 @@
 		pass 2500ms
 		heal
 		await epoch 1 c
-		load off`, verdict{below: true, adopted: 1, straggled: []string{"c brought up"}})
+		load off`, expectation{actsBelowFloor: true, adopted: 1, stragglers: []string{"c brought up"}})
 }
 
-func judge(t *testing.T, o Options, script string, want verdict) {
+func checkScript(t *testing.T, o Options, script string, want expectation) {
 	t.Helper()
 	o.Dir, o.Log = t.TempDir(), t.Logf
 	b, err := New(o)
@@ -325,67 +327,67 @@
 	defer b.Close()
 	if err := b.Run(script); err != nil {
 		t.Error(err)
-		logs(t, b)
+		logOutput(t, b)
 		return
 	}
-	a, asked, err := b.Finish()
+	report, requests, err := b.Finish()
 	if err != nil {
 		t.Error(err)
 		return
 	}
-	if len(a.Below) > 0 != want.below {
-		t.Errorf("acts under the floor: %+v", a.Below)
+	if len(report.Below) > 0 != want.actsBelowFloor {
+		t.Errorf("members that acted below the floor: %+v", report.Below)
 	}
-	var straggled, faults, gap []string
-	for _, s := range a.Straggled {
-		straggled = append(straggled, s.Member+" "+s.End)
+	var stragglers, faults, gaps []string
+	for _, s := range report.Straggled {
+		stragglers = append(stragglers, s.Member+" "+s.End)
 	}
-	for _, f := range a.Findings {
+	for _, f := range report.Findings {
 		if f.Kind == audit.Lost {
-			gap = append(gap, f.Member)
+			gaps = append(gaps, f.Member)
 		}
 		if f.Kind.Fault() {
 			faults = append(faults, f.Member+" "+string(f.Kind))
 		}
 	}
-	if slices.Sort(straggled); !slices.Equal(straggled, want.straggled) {
-		t.Errorf("stragglers %v, want %v: %+v", straggled, want.straggled, a.Straggled)
+	if slices.Sort(stragglers); !slices.Equal(stragglers, want.stragglers) {
+		t.Errorf("stragglers are %v, want %v: %+v", stragglers, want.stragglers, report.Straggled)
 	}
 	if slices.Sort(faults); !slices.Equal(slices.Compact(faults), want.faults) {
-		t.Errorf("faults of records %v, want %v: %v", faults, want.faults, a.Findings)
+		t.Errorf("faults found in the records are %v, want %v: %v", faults, want.faults, report.Findings)
 	}
-	if slices.Sort(gap); !slices.Equal(slices.Compact(gap), want.gap) {
-		t.Errorf("gaps in the records of %v, want %v: %v", gap, want.gap, a.Findings)
+	if slices.Sort(gaps); !slices.Equal(slices.Compact(gaps), want.gaps) {
+		t.Errorf("members with gaps in their records are %v, want %v: %v", gaps, want.gaps, report.Findings)
 	}
-	for _, l := range a.Epochs {
+	for _, l := range report.Epochs {
 		if l.Conflict {
-			t.Errorf("two contents under one number: %+v", l)
+			t.Errorf("epoch number has two conflicting contents: %+v", l)
 		}
 		if l.ID.Number == want.adopted && l.InForce > 0 && len(l.Adopted)+len(want.notAdopted) != o.Members {
-			t.Errorf("epoch %v was adopted by %v", l.ID, l.Adopted)
+			t.Errorf("epoch %v was adopted only by %v", l.ID, l.Adopted)
 		}
 	}
-	if want.adopted > 0 && !slices.ContainsFunc(a.Epochs, func(l audit.EpochHistory) bool { return l.ID.Number == want.adopted && l.InForce > 0 }) {
-		t.Errorf("epoch %d was never in force: %+v", want.adopted, a.Epochs)
+	if want.adopted > 0 && !slices.ContainsFunc(report.Epochs, func(l audit.EpochHistory) bool { return l.ID.Number == want.adopted && l.InForce > 0 }) {
+		t.Errorf("epoch %d was never in force: %+v", want.adopted, report.Epochs)
 	}
-	for _, x := range asked {
-		if x.Wrong || x.Status != 200 && x.Status != 503 && (x.Status != 0 || !slices.Contains(want.restarted, x.Member)) {
-			t.Errorf("a request of %s, sent %v after the begin, got %+v", x.Member, x.Sent.Sub(b.began).Round(time.Millisecond), x)
+	for _, request := range requests {
+		if request.Wrong || request.Status != 200 && request.Status != 503 && (request.Status != 0 || !slices.Contains(want.restarted, request.Member)) {
+			t.Errorf("request to %s, sent %v after the start of the bench, got %+v", request.Member, request.Sent.Sub(b.startedAt).Round(time.Millisecond), request)
 			break
 		}
 	}
-	if strings.Contains(script, "load on") && len(asked) == 0 {
-		t.Error("no client asked")
+	if strings.Contains(script, "load on") && len(requests) == 0 {
+		t.Error("load was on, but no client sent a request")
 	}
 	if t.Failed() {
-		logs(t, b)
+		logOutput(t, b)
 	}
 }
 
-func logs(t *testing.T, b *Bench) {
-	files, _ := filepath.Glob(filepath.Join(b.o.Dir, "*", "log.*"))
+func logOutput(t *testing.T, b *Bench) {
+	files, _ := filepath.Glob(filepath.Join(b.options.Dir, "*", "log.*"))
 	for _, f := range files {
 		text, _ := os.ReadFile(f)
-		t.Logf("%s:\n%s", f[len(b.o.Dir):], text)
+		t.Logf("%s:\n%s", f[len(b.options.Dir):], text)
 	}
 }
--- a/test/fleettest/links.go
+++ b/test/fleettest/links.go
@@ -7,23 +7,24 @@
 	"time"
 )
 
-// expect is a fault that was put on a link, and what the proxy had counted then.
-type expect struct {
-	p    *proxy
-	way  int
-	had  int64
-	line string
+// pendingFault is a fault that was set on a link and hasn't been checked for an effect, with the proxy's count of affected
+// chunks at that time.
+type pendingFault struct {
+	proxy      *proxy
+	direction  int
+	hitsBefore int64
+	command    string
 }
 
-// fault puts one on links: "a,b>c" is the direction from a and b to c, "a,b|c" both.
-func (b *Bench) fault(args []string) error {
+// applyFault sets a fault on links: "a,b>c" means the direction from a and b to c, "a,b|c" both directions.
+func (b *Bench) applyFault(args []string) error {
 	if len(args) < 2 {
 		return errUsage
 	}
 	both := strings.Contains(args[1], "|")
 	left, right, found := strings.Cut(strings.Replace(args[1], "|", ">", 1), ">")
-	from, err := b.pick(left)
-	to, err2 := b.pick(right)
+	from, err := b.processesNamed(left)
+	to, err2 := b.processesNamed(right)
 	if err = errors.Join(err, err2); err != nil || !found {
 		return errors.Join(errUsage, err)
 	}
@@ -36,14 +37,14 @@
 			return err
 		}
 	}
-	put := func(x, y string) { // bytes from x to y go on the link that x made, and come back on the one that y made
-		for _, at := range []struct {
-			p   *proxy
-			way int
+	apply := func(x, y string) { // bytes from x to y are sent on connections that x dialled and on those that y dialled
+		for _, end := range []struct {
+			proxy     *proxy
+			direction int
 		}{{b.links[[2]string{x, y}], forward}, {b.links[[2]string{y, x}], backward}} {
-			if at.p != nil {
-				at.p.set(at.way, f)
-				b.dirty = append(b.dirty, &expect{at.p, at.way, at.p.hits[at.way].Load(), strings.Join(args, " ")})
+			if end.proxy != nil {
+				end.proxy.setFault(end.direction, f)
+				b.pendingFaults = append(b.pendingFaults, &pendingFault{end.proxy, end.direction, end.proxy.affectedChunks[end.direction].Load(), strings.Join(args, " ")})
 			}
 		}
 	}
@@ -52,29 +53,30 @@
 			if x == y {
 				continue
 			}
-			put(x.name, y.name)
+			apply(x.name, y.name)
 			if both {
-				put(y.name, x.name)
+				apply(y.name, x.name)
 			}
 		}
 	}
 	return nil
 }
 
-// heal ends all faults of links. Those that did nothing to a single byte of a line are an error: the test would prove nothing.
+// heal ends all faults on links. It returns an error if the faults of a script line affected no data, because the test would
+// then prove nothing.
 func (b *Bench) heal() error {
-	took := make(map[string]bool)
-	for _, e := range b.dirty {
-		took[e.line] = took[e.line] || e.p.hits[e.way].Load() > e.had
+	tookEffect := make(map[string]bool)
+	for _, e := range b.pendingFaults {
+		tookEffect[e.command] = tookEffect[e.command] || e.proxy.affectedChunks[e.direction].Load() > e.hitsBefore
 	}
-	b.dirty = nil
+	b.pendingFaults = nil
 	for _, p := range b.links {
-		p.set(forward, fault{})
-		p.set(backward, fault{})
+		p.setFault(forward, fault{})
+		p.setFault(backward, fault{})
 	}
-	for line, did := range took {
-		if !did {
-			return fmt.Errorf("the fault %q never took effect", line)
+	for line, effective := range tookEffect {
+		if !effective {
+			return fmt.Errorf("fault %q affected no data", line)
 		}
 	}
 	return nil
--- a/test/fleettest/process.go
+++ b/test/fleettest/process.go
@@ -7,24 +7,25 @@
 	"path/filepath"
 )
 
-// process is one member, over its restarts.
+// process is one member of the fleet; it keeps its identity over restarts.
 type process struct {
-	name    string
-	cmd     *exec.Cmd
-	exited  chan struct{}
-	side    *side
-	starts  int
-	stopped bool  // stopped by SIGSTOP
-	before  []run // processes that were there when the next one was started
+	name     string
+	cmd      *exec.Cmd
+	exited   chan struct{}
+	standIns *standIns
+	starts   int
+	stopped  bool         // stopped by SIGSTOP
+	previous []processRun // processes that were still running when the next one was started
 }
 
-// run is one process.
-type run struct {
+// processRun is one operating system process of a member.
+type processRun struct {
 	cmd    *exec.Cmd
 	exited chan struct{}
 }
 
-// start starts a member's process. The one before may still run: then it is an upgrade, or two by mistake.
+// start starts a member's process. The previous one may still be running: this tests an upgrade, or two processes of one
+// member started by mistake.
 func (b *Bench) start(p *process) error {
 	dir := b.dir(p.name)
 	p.starts++
@@ -32,7 +33,7 @@
 	if err != nil {
 		return err
 	}
-	cmd := exec.Command(b.o.Binary)
+	cmd := exec.Command(b.options.Binary)
 	cmd.Env = []string{"PROXY_CONFIG=" + filepath.Join(dir, "config.json"), "TMPDIR=" + dir, "RAVENDALE_FILE=" + filepath.Join(dir, "fleet.xml"),
 		"RAVENDALE_CLOCK_FILE=" + filepath.Join(dir, "clock")}
 	cmd.Stderr = log
@@ -42,12 +43,12 @@
 	}
 	exited := make(chan struct{})
 	go func() {
-		_ = cmd.Wait() // how it ended is in its log and in who asked for it
+		_ = cmd.Wait() // the exit reason is in its log, or follows from the script
 		_ = log.Close()
 		close(exited)
 	}()
 	if p.running() {
-		p.before = append(p.before, run{p.cmd, p.exited})
+		p.previous = append(p.previous, processRun{p.cmd, p.exited})
 	}
 	p.cmd, p.exited, p.stopped = cmd, exited, false
 	return nil
@@ -65,11 +66,11 @@
 	}
 }
 
-// end kills what still runs of a member.
-func (p *process) end() {
-	for _, r := range append(p.before, run{p.cmd, p.exited}) {
+// killAll kills all running processes of a member and waits for their exit.
+func (p *process) killAll() {
+	for _, r := range append(p.previous, processRun{p.cmd, p.exited}) {
 		if r.cmd != nil {
-			_ = r.cmd.Process.Kill() // it may have ended
+			_ = r.cmd.Process.Kill() // it may have exited already
 			<-r.exited
 		}
 	}
--- a/test/fleettest/proxy.go
+++ b/test/fleettest/proxy.go
@@ -10,26 +10,26 @@
 	"time"
 )
 
-// fault is what happens to the bytes of one direction of a link.
+// fault describes what the proxy does to the bytes of one direction of a link.
 type fault struct {
-	Blackhole bool          // they are kept back, and nobody is told: a machine that vanished, a switch that drops
-	Delay     time.Duration // each chunk comes so much later, in its order
+	Blackhole bool          // bytes are held back without an error to either side, as when a machine disappears or a switch drops packets
+	Delay     time.Duration // each chunk is delayed by this time; the order is kept
 	Corrupt   bool          // one bit of the next chunk is flipped
-	Duplicate bool          // the next chunk comes twice
-	Reset     bool          // the connection is reset at the next chunk, half of it written
+	Duplicate bool          // the next chunk is delivered twice
+	Reset     bool          // the connection is reset after half of the next chunk has been written
 }
 
-// proxy stands on the link from one member to another, in both directions: the bytes of the one who dials, and what comes back.
+// proxy forwards the connections that one member dials to another, in both directions.
 type proxy struct {
-	ln     net.Listener
-	to     string
-	mu     sync.Mutex
-	cond   *sync.Cond
-	faults [2]fault // out, back
-	conns  map[net.Conn]bool
-	closed bool
-	hits   [2]atomic.Int64 // chunks that a fault did something to
-	bytes  atomic.Int64
+	ln             net.Listener
+	to             string
+	mu             sync.Mutex
+	faultsChanged  *sync.Cond
+	faults         [2]fault // by direction: forward, backward
+	conns          map[net.Conn]bool
+	closed         bool
+	affectedChunks [2]atomic.Int64 // number of chunks affected by a fault, by direction
+	bytes          atomic.Int64
 }
 
 const (
@@ -43,12 +43,12 @@
 		return nil, fmt.Errorf("proxy: %w", err)
 	}
 	p := &proxy{ln: ln, to: to, conns: make(map[net.Conn]bool)}
-	p.cond = sync.NewCond(&p.mu)
-	go p.run()
+	p.faultsChanged = sync.NewCond(&p.mu)
+	go p.acceptLoop()
 	return p, nil
 }
 
-func (p *proxy) run() {
+func (p *proxy) acceptLoop() {
 	for {
 		c, err := p.ln.Accept()
 		if err != nil {
@@ -78,18 +78,18 @@
 }
 
 func reset(c net.Conn) {
-	if t, is := c.(*net.TCPConn); is {
+	if t, ok := c.(*net.TCPConn); ok {
 		_ = t.SetLinger(0)
 	}
 	_ = c.Close()
 }
 
-// pump moves bytes, as the direction's fault has it when they come.
-func (p *proxy) pump(to, from net.Conn, way int) {
+// pump copies bytes from one connection to the other and applies the direction's current fault to each chunk.
+func (p *proxy) pump(to, from net.Conn, direction int) {
 	b := make([]byte, 16<<10)
 	for {
 		n, err := from.Read(b)
-		f, open := p.wait(way, n > 0)
+		f, open := p.waitWhileBlackholed(direction, n > 0)
 		if !open {
 			break
 		}
@@ -97,7 +97,7 @@
 		if n > 0 {
 			p.bytes.Add(int64(n))
 			if f.Delay > 0 {
-				p.hits[way].Add(1)
+				p.affectedChunks[direction].Add(1)
 				time.Sleep(f.Delay)
 			}
 			switch {
@@ -111,8 +111,8 @@
 				reset(from)
 			}
 			if f.Corrupt || f.Duplicate || f.Reset {
-				p.hits[way].Add(1)
-				p.once(way)
+				p.affectedChunks[direction].Add(1)
+				p.clearSingleChunkFaults(direction)
 			}
 			if _, err := to.Write(chunk); err != nil {
 				break
@@ -120,7 +120,7 @@
 		}
 		if err != nil {
 			if !errors.Is(err, io.EOF) {
-				reset(to) // a reset on one side is one on the other
+				reset(to) // pass a reset on to the other side
 			}
 			break
 		}
@@ -133,34 +133,34 @@
 	p.mu.Unlock()
 }
 
-// wait keeps bytes back while the direction is cut.
-func (p *proxy) wait(way int, any bool) (fault, bool) {
+// waitWhileBlackholed blocks while the direction is blackholed. It returns the fault to apply, and false if the proxy is closed.
+func (p *proxy) waitWhileBlackholed(direction int, hasData bool) (fault, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for p.faults[way].Blackhole && !p.closed {
-		if any {
-			p.hits[way].Add(1)
-			any = false
+	for p.faults[direction].Blackhole && !p.closed {
+		if hasData {
+			p.affectedChunks[direction].Add(1)
+			hasData = false
 		}
-		p.cond.Wait()
+		p.faultsChanged.Wait()
 	}
-	return p.faults[way], !p.closed
+	return p.faults[direction], !p.closed
 }
 
-// once ends what happens to a single chunk.
-func (p *proxy) once(way int) {
+// clearSingleChunkFaults ends the faults that apply to one chunk only.
+func (p *proxy) clearSingleChunkFaults(direction int) {
 	p.mu.Lock()
-	f := &p.faults[way]
+	f := &p.faults[direction]
 	f.Corrupt, f.Duplicate, f.Reset = false, false, false
 	p.mu.Unlock()
 }
 
-// set puts another fault on a direction.
-func (p *proxy) set(way int, f fault) {
+// setFault replaces the fault of a direction.
+func (p *proxy) setFault(direction int, f fault) {
 	p.mu.Lock()
-	p.faults[way] = f
+	p.faults[direction] = f
 	p.mu.Unlock()
-	p.cond.Broadcast()
+	p.faultsChanged.Broadcast()
 }
 
 func (p *proxy) close() {
@@ -170,6 +170,6 @@
 		reset(c)
 	}
 	p.mu.Unlock()
-	p.cond.Broadcast()
+	p.faultsChanged.Broadcast()
 	_ = p.ln.Close()
 }
--- a/test/fleettest/random.go
+++ b/test/fleettest/random.go
@@ -8,9 +8,10 @@
 	"time"
 )
 
-// Random is a script of faults drawn from a seed: rounds of one or two faults that leave a majority, a roll-out while they last,
-// and their end. Stopped are the members that are stopped across a floor's date, by the number of the epoch: they and no others
-// are below it then, for a partition shuts out before.
+// Random returns a script of faults generated from a seed. Each of its rounds starts a fault that leaves a majority healthy,
+// rolls out an epoch while the fault lasts, and ends the fault (a clock offset stays). The result stopped lists, by epoch number, the members that
+// are stopped while an epoch's floor takes effect. Only these may be below the floor at that time, because partitioned
+// members are shut out earlier. The result killed lists the members that are killed.
 func Random(seed uint64, members int, trust time.Duration) (script string, stopped map[uint64][]string, killed []string) {
 	r := rand.New(rand.NewPCG(seed, 0))
 	stopped = make(map[uint64][]string)
@@ -25,42 +26,42 @@
 	add("load on")
 	for number := uint64(1); number <= 3; number++ {
 		r.Shuffle(members, func(i, j int) { names[i], names[j] = names[j], names[i] })
-		hurt := 1 + r.IntN((members-1)/2)
-		bad, healthy := slices.Clone(names[:hurt]), slices.Clone(names[hurt:])
-		badList, healthyList := strings.Join(bad, ","), strings.Join(healthy, ",")
-		after := ""
+		faultyCount := 1 + r.IntN((members-1)/2)
+		faulty, healthy := slices.Clone(names[:faultyCount]), slices.Clone(names[faultyCount:])
+		faultyList, healthyList := strings.Join(faulty, ","), strings.Join(healthy, ",")
+		recovery := ""
 		fault := r.IntN(7)
 		switch fault {
 		case 0:
-			add("cut %s|%s", badList, healthyList)
-			after = "heal"
+			add("cut %s|%s", faultyList, healthyList)
+			recovery = "heal"
 		case 1:
-			add("cut %s>%s", badList, healthyList)
-			after = "heal"
+			add("cut %s>%s", faultyList, healthyList)
+			recovery = "heal"
 		case 2:
-			add("cut %s>%s", healthyList, badList)
-			after = "heal"
+			add("cut %s>%s", healthyList, faultyList)
+			recovery = "heal"
 		case 3:
-			add("stop %s", badList)
-			stopped[number] = bad
-			after = "cont " + badList
+			add("stop %s", faultyList)
+			stopped[number] = faulty
+			recovery = "cont " + faultyList
 		case 4:
-			add("kill %s", badList)
-			killed = append(killed, bad...)
-			after = "start " + badList
+			add("kill %s", faultyList)
+			killed = append(killed, faulty...)
+			recovery = "start " + faultyList
 		case 5:
-			add("delay %s|%s %dms", badList, healthyList, 5+r.IntN(30))
-			after = "heal"
+			add("delay %s|%s %dms", faultyList, healthyList, 5+r.IntN(30))
+			recovery = "heal"
 		case 6:
-			add("clock %s %d", bad[0], r.IntN(20000)-10000)
+			add("clock %s %d", faulty[0], r.IntN(20000)-10000)
 		}
 		add("roll-out %d floor=%d via %s", number, number-uint64(r.IntN(2)), healthy[r.IntN(len(healthy))])
 		add("await epoch %d %s", number, healthyList)
 		if fault <= 3 {
-			add("pass %dms", (2*trust+trust/2).Milliseconds()+400) // beyond the date, and what clocks may be off
+			add("pass %dms", (2*trust+trust/2).Milliseconds()+400) // past the time at which the floor takes effect, with allowance for clock error
 		}
-		if after != "" {
-			add("%s", after)
+		if recovery != "" {
+			add("%s", recovery)
 		}
 		add("await epoch %d all", number)
 		add("await acts all")
--- a/test/fleettest/script.go
+++ b/test/fleettest/script.go
@@ -19,29 +19,30 @@
 	"golang.org/x/sys/unix"
 )
 
-// Event is one line of the script as it was carried out.
+// Event is one script line and the time at which it was run.
 type Event struct {
 	At   time.Time
 	Line string
 }
 
-// Run carries out a script: a line each, # begins a comment. Its words:
+// Run runs a script with one command per line; # begins a comment. NAMES is a comma-separated list of members or "all". The
+// commands are:
 //
-//	start all|NAMES [empty|old]        empty: without its disk; old: with the disk that was saved
-//	save NAMES                         keep a copy of the disk
-//	await acts|shut|marked|dead NAMES  standing as they tell (who acts votes too), or the process has ended
-//	await epoch N NAMES                what they act under
-//	await NAME sees STATE NAMES        how a member sees others
-//	await told NAME N                  another's record says that its record is as far as its adoption of that epoch
-//	roll-out N floor=F [within=D] [build=B] [settings=JSON] via NAME [refused]
-//	cut A>B, cut A|B, heal             one direction (lists of names), both, or all well again
+//	start NAMES [empty|old]            empty: on an empty disk; old: on the disk copy made by save
+//	save NAMES                         copy the disk
+//	await acts|shut|marked|dead NAMES  wait for the standing that the member reports (acts: it also votes), or the process exit
+//	await epoch N NAMES                wait until the members act under epoch N
+//	await NAME sees STATE NAMES        wait until a member reports the others in a state
+//	await told NAME N                  wait until another member's record confirms that NAME's record includes its adoption of epoch N
+//	roll-out N floor=F [within=D] [build=B] [settings=JSON] via NAME [refused]    refused: the call must fail
+//	cut A>B, cut A|B, heal             blackhole one direction (A and B are NAMES) or both; end the faults of all links
 //	delay A>B D, corrupt A>B, duplicate A>B, reset A>B
 //	kill, stop, cont, term NAMES       SIGKILL, SIGSTOP, SIGCONT, SIGTERM
-//	full, free NAMES                   its disk takes nothing more, or takes all again
-//	hup NAMES [bad]                    SIGHUP, with a configuration that is whole, or not
-//	clock NAME MS                      its wall clock is off by so much from now on
-//	load on|off                        clients
-//	pass D                             let time go by: never what a verdict rests on
+//	full, free NAMES                   make the disk reject all writes, or accept them again
+//	hup NAMES [bad]                    SIGHUP, with a valid or an invalid configuration
+//	clock NAME MS                      set the offset of the member's wall clock
+//	load on|off                        start or stop the clients
+//	pass D                             sleep; no test result may depend on its length
 func (b *Bench) Run(script string) error {
 	for i, line := range strings.Split(script, "\n") {
 		line, _, _ = strings.Cut(line, "#")
@@ -50,17 +51,17 @@
 			continue
 		}
 		b.Events = append(b.Events, Event{time.Now(), strings.Join(args, " ")})
-		b.o.Log("%6.2f s  %s", time.Since(b.began).Seconds(), strings.Join(args, " "))
-		if err := b.line(args); err != nil {
+		b.options.Log("%6.2f s  %s", time.Since(b.startedAt).Seconds(), strings.Join(args, " "))
+		if err := b.runCommand(args); err != nil {
 			return fmt.Errorf("line %d, %q: %w", i+1, strings.TrimSpace(line), err)
 		}
 	}
 	return nil
 }
 
-var errUsage = errors.New("too few words, or one that is none")
+var errUsage = errors.New("unknown command or missing argument")
 
-func (b *Bench) line(args []string) error {
+func (b *Bench) runCommand(args []string) error {
 	arg := func(i int) string {
 		if i < len(args) {
 			return args[i]
@@ -73,7 +74,7 @@
 	case "roll-out":
 		return b.rollOut(args[1:])
 	case "cut", "delay", "corrupt", "duplicate", "reset":
-		return b.fault(args)
+		return b.applyFault(args)
 	case "heal":
 		return b.heal()
 	case "pass":
@@ -81,67 +82,67 @@
 		time.Sleep(d)
 		return err
 	case "load":
-		return b.load(arg(1) == "on")
+		return b.setLoad(arg(1) == "on")
 	case "clock":
 		return os.WriteFile(filepath.Join(b.dir(arg(1)), "clock"), []byte(arg(2)), 0o600)
 	}
-	some, err := b.pick(arg(1))
+	selected, err := b.processesNamed(arg(1))
 	if err != nil {
 		return err
 	}
-	for _, p := range some {
-		if err := b.act(args[0], p, arg(2)); err != nil {
+	for _, p := range selected {
+		if err := b.runProcessCommand(args[0], p, arg(2)); err != nil {
 			return fmt.Errorf("%s: %w", p.name, err)
 		}
 	}
 	return nil
 }
 
-func (b *Bench) act(verb string, p *process, how string) error {
-	record := filepath.Join(b.dir(p.name), "record")
+func (b *Bench) runProcessCommand(verb string, p *process, mode string) error {
+	recordDir := filepath.Join(b.dir(p.name), "record")
 	switch verb {
 	case "start":
-		switch how {
+		switch mode {
 		case "empty":
-			if err := b.awaitLaterSecond(record); err != nil {
+			if err := b.awaitLaterSecond(recordDir); err != nil {
 				return err
 			}
-			if err := os.RemoveAll(record); err != nil {
+			if err := os.RemoveAll(recordDir); err != nil {
 				return err
 			}
 		case "old":
-			if err := os.RemoveAll(record); err != nil {
+			if err := os.RemoveAll(recordDir); err != nil {
 				return err
 			}
-			if err := os.CopyFS(record, os.DirFS(record+".saved")); err != nil {
+			if err := os.CopyFS(recordDir, os.DirFS(recordDir+".saved")); err != nil {
 				return err
 			}
 		}
 		return b.start(p)
 	case "save":
-		if err := os.RemoveAll(record + ".saved"); err != nil {
+		if err := os.RemoveAll(recordDir + ".saved"); err != nil {
 			return err
 		}
-		return copyLive(record+".saved", record)
+		return copyLive(recordDir+".saved", recordDir)
 	case "hup":
 		text := settings
-		if how == "bad" {
+		if mode == "bad" {
 			text = `{"balancers": "one"}`
 		}
-		if err := b.config(b.index(p.name), text); err != nil {
+		if err := b.writeConfig(b.index(p.name), text); err != nil {
 			return err
 		}
 		return p.cmd.Process.Signal(syscall.SIGHUP)
 	case "full", "free":
 		limit := unix.Rlimit{Cur: unix.RLIM_INFINITY, Max: unix.RLIM_INFINITY}
 		if verb == "full" {
-			limit.Cur = 1 // no file grows beyond a byte
+			limit.Cur = 1 // limits each file to one byte, so that writes fail
 		}
 		return unix.Prlimit(p.cmd.Process.Pid, unix.RLIMIT_FSIZE, &limit, nil)
 	case "kill", "stop", "cont", "term":
 		sig := map[string]syscall.Signal{"kill": syscall.SIGKILL, "stop": syscall.SIGSTOP, "cont": syscall.SIGCONT, "term": syscall.SIGTERM}[verb]
 		if !p.running() {
-			return errors.New("its process has ended already")
+			return errors.New("process has already exited")
 		}
 		p.stopped = verb == "stop"
 		if err := p.cmd.Process.Signal(sig); err != nil || verb != "kill" {
@@ -153,7 +154,7 @@
 	return fmt.Errorf("%w: %s", errUsage, verb)
 }
 
-// copyLive copies a folder whose files may be replaced meanwhile.
+// copyLive copies a folder whose files may be replaced or removed during the copy.
 func copyLive(to, from string) error {
 	if err := os.MkdirAll(to, 0o755); err != nil {
 		return err
@@ -173,7 +174,7 @@
 	if len(args) < 2 {
 		return errUsage
 	}
-	e := fleet.Epoch{Within: b.o.Trust}
+	e := fleet.Epoch{Within: b.options.Trust}
 	var via string
 	refused := false
 	var err error
@@ -182,14 +183,14 @@
 	}
 	for i, word := range args {
 		name, value, _ := strings.Cut(word, "=")
-		var bad error
+		var parseErr error
 		switch name {
 		case "floor":
-			e.Floor, bad = strconv.ParseUint(value, 10, 64)
+			e.Floor, parseErr = strconv.ParseUint(value, 10, 64)
 		case "within":
-			e.Within, bad = time.ParseDuration(value)
+			e.Within, parseErr = time.ParseDuration(value)
 		case "build":
-			e.Build, bad = strconv.Atoi(value)
+			e.Build, parseErr = strconv.Atoi(value)
 		case "settings":
 			e.Settings = json.RawMessage(value)
 		case "via":
@@ -197,7 +198,7 @@
 		case "refused":
 			refused = true
 		}
-		err = errors.Join(err, bad)
+		err = errors.Join(err, parseErr)
 	}
 	packed, packErr := fleet.Pack(e)
 	if refused && err == nil && packErr != nil {
@@ -211,7 +212,7 @@
 	_, err = agent.Call(ctx, b.address(b.index(via)), b.keys, "roll-out", packed.Content)
 	if refused {
 		if err == nil {
-			return errors.New("it was taken")
+			return errors.New("roll-out was accepted, want it refused")
 		}
 		return nil
 	}
--- a/test/fleettest/tamper.go
+++ b/test/fleettest/tamper.go
@@ -9,12 +9,12 @@
 	"slices"
 )
 
-// Tamper changes one member's record, as somebody with the disk could, and says what it did. A line in the middle is taken out,
-// altered or changed about with the next one, or the second half is cut off.
+// Tamper modifies one member's record, as somebody with access to the disk could, and returns a description of the change. It
+// deletes or alters a line in the middle, swaps it with the next one, or truncates the second half.
 func Tamper(r *rand.Rand, dir, member string) (what string, err error) {
 	files, err := filepath.Glob(filepath.Join(dir, member+".*.audit"))
 	if err != nil || len(files) == 0 {
-		return "", fmt.Errorf("%s: no record of %s: %w", dir, member, err)
+		return "", fmt.Errorf("%s: no record of member %s: %w", dir, member, err)
 	}
 	file := files[len(files)-1]
 	text, err := os.ReadFile(file)
@@ -23,23 +23,23 @@
 	}
 	lines := bytes.SplitAfter(text, []byte("\n"))
 	if len(lines) < 12 {
-		return "", fmt.Errorf("%s: too short to be tampered with", file)
+		return "", fmt.Errorf("%s: record has too few lines to tamper with", file)
 	}
 	at := len(lines)/3 + r.IntN(len(lines)/3)
 	switch r.IntN(4) {
 	case 0:
-		what, lines = "a line taken out", slices.Delete(lines, at, at+1)
+		what, lines = "line deleted", slices.Delete(lines, at, at+1)
 	case 1:
-		what = "two lines changed about"
+		what = "two lines swapped"
 		lines[at], lines[at+1] = lines[at+1], lines[at]
 	case 2:
-		what = "a figure altered"
+		what = "number altered"
 		line := bytes.Clone(lines[at])
 		i := bytes.Index(line, []byte(`"wall":`)) + len(`"wall":`)
 		line[i] = '1' + (line[i]-'0')%9
 		lines[at] = line
 	case 3:
-		what, lines = "the second half cut off", lines[:len(lines)/2]
+		what, lines = "second half truncated", lines[:len(lines)/2]
 	}
 	return what, os.WriteFile(file, bytes.Join(lines, nil), 0o600)
 }
--- a/test/fleettest/usage.go
+++ b/test/fleettest/usage.go
@@ -8,16 +8,16 @@
 	"time"
 )
 
-// Usage is what all members' processes have used so far.
+// Usage is the resource usage of all members' processes.
 type Usage struct {
 	CPU       time.Duration
-	RSS       int64 // bytes, now
-	SentBytes int64 // bytes of words, as the members count them
+	RSS       int64 // current resident memory in bytes
+	SentBytes int64 // bytes of messages between members, as the members count them
 }
 
-// Usage measures.
+// Usage measures the current usage of all members.
 func (b *Bench) Usage() (u Usage) {
-	for _, p := range b.all {
+	for _, p := range b.members {
 		pid := p.cmd.Process.Pid
 		if text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid)); err == nil {
 			_, rest, _ := strings.Cut(string(text), ") ")
@@ -34,7 +34,7 @@
 				u.RSS += pages * int64(os.Getpagesize())
 			}
 		}
-		if s, err := b.Status(p.name); err == nil && !b.o.Off {
+		if s, err := b.Status(p.name); err == nil && !b.options.Off {
 			for _, peer := range s.Peers {
 				u.SentBytes += peer.Bytes
 			}
--- a/test/fleettest/world.go
+++ b/test/fleettest/world.go
@@ -12,22 +12,22 @@
 	"time"
 )
 
-// side is the world of one scheduler, stand-ins of our own: discovery, one backend server and a client.
-type side struct {
-	scheduler string // where it serves
+// standIns are the stand-ins for the systems around one scheduler: discovery and one backend server.
+type standIns struct {
+	scheduler string // address that it serves clients on
 	discovery *http.Server
 	server    *http.Server
 	mu        sync.Mutex
-	ran       map[string]int // by id
+	runs      map[string]int // number of runs by job ID
 }
 
-// jobFor is how long a job runs at the stand-in server.
-const jobFor = 3 * time.Millisecond
+// jobDuration is how long a job runs on the stand-in server.
+const jobDuration = 3 * time.Millisecond
 
-func newSide(scheduler, discovery, server string) (*side, error) {
-	s := &side{scheduler: scheduler, ran: make(map[string]int)}
-	list := http.NewServeMux()
-	list.HandleFunc("GET /v1/endpoints", func(w http.ResponseWriter, r *http.Request) {
+func newStandIns(scheduler, discovery, server string) (*standIns, error) {
+	s := &standIns{scheduler: scheduler, runs: make(map[string]int)}
+	discoveryMux := http.NewServeMux()
+	discoveryMux.HandleFunc("GET /v1/endpoints", func(w http.ResponseWriter, r *http.Request) {
 		_, _ = fmt.Fprintf(w, `{"seq":1,"whole":true,"hosts":[{"host":"s-1","dial":%q,"site":"here","class":"toy","block":0,`+
 			`"health":"in_service","share":1.0,"born_ms":0}]}`+"\n", server)
 		for r.URL.Query().Get("stream") == "1" && http.NewResponseController(w).Flush() == nil {
@@ -39,15 +39,15 @@
 			}
 		}
 	})
-	jobs := http.NewServeMux()
-	jobs.HandleFunc("POST /api", func(w http.ResponseWriter, r *http.Request) {
+	serverMux := http.NewServeMux()
+	serverMux.HandleFunc("POST /api", func(w http.ResponseWriter, r *http.Request) {
 		id := r.Header.Get("X-Txn")
 		s.mu.Lock()
-		s.ran[id]++
+		s.runs[id]++
 		s.mu.Unlock()
 		w.WriteHeader(http.StatusAccepted)
 		go func() {
-			time.Sleep(jobFor)
+			time.Sleep(jobDuration)
 			text, _ := json.Marshal(map[string]string{"id": id, "from": "s-1", "state": "done", "result": id})
 			for range 10 {
 				resp, err := http.Post("http://"+scheduler+"/callback", "application/json", bytes.NewReader(text))
@@ -59,8 +59,8 @@
 			}
 		}()
 	})
-	jobs.HandleFunc("DELETE /jobs/{id}", func(http.ResponseWriter, *http.Request) {})
-	for addr, h := range map[string]http.Handler{discovery: list, server: jobs} {
+	serverMux.HandleFunc("DELETE /jobs/{id}", func(http.ResponseWriter, *http.Request) {})
+	for addr, h := range map[string]http.Handler{discovery: discoveryMux, server: serverMux} {
 		ln, err := net.Listen("tcp", addr)
 		if err != nil {
 			return nil, err
@@ -76,27 +76,27 @@
 	return s, nil
 }
 
-func (s *side) close() {
+func (s *standIns) close() {
 	_ = s.discovery.Close()
 	_ = s.server.Close()
 }
 
-// Request is one request of a client, for the checker.
+// Request is a client's record of one request.
 type Request struct {
 	Member         string
 	Sent, Answered time.Time
-	Status         int // 0: the connection ended, or was never made
+	Status         int // HTTP status; 0: the connection failed or was closed before an answer
 	Wrong          bool
 	Err            string
 }
 
-// client asks one scheduler for as long as ctx lasts, a request every so often.
-func client(ctx context.Context, number int, member, scheduler string, every time.Duration, keep func(Request)) {
+// client sends requests to one scheduler at the given interval until ctx ends, and records the result of each.
+func client(ctx context.Context, number int, member, scheduler string, interval time.Duration, record func(Request)) {
 	c := &http.Client{Timeout: 20 * time.Second, Transport: &http.Transport{MaxIdleConnsPerHost: 100}}
 	defer c.CloseIdleConnections()
-	var all sync.WaitGroup
-	defer all.Wait()
-	ticker := time.NewTicker(every)
+	var inFlight sync.WaitGroup
+	defer inFlight.Wait()
+	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
 	for n := 0; ; n++ {
 		select {
@@ -104,24 +104,24 @@
 			return
 		case <-ticker.C:
 		}
-		all.Go(func() {
+		inFlight.Go(func() {
 			id := fmt.Sprintf("%04x%012x", number, n)
 			req, _ := http.NewRequest("POST", "http://"+scheduler+"/api?user=1", bytes.NewReader([]byte("x")))
 			req.Header.Set("X-Txn", id)
 			req.Header.Set("X-Lane", "saldo")
 			req.Header.Set("X-Remaining-Ms", "5000")
-			a := Request{Member: member, Sent: time.Now()}
+			result := Request{Member: member, Sent: time.Now()}
 			resp, err := c.Do(req)
 			if err != nil {
-				a.Err = err.Error()
+				result.Err = err.Error()
 			} else {
 				text, err := io.ReadAll(resp.Body)
 				_ = resp.Body.Close()
-				a.Status = resp.StatusCode
-				a.Wrong = err != nil || a.Status == 200 && string(text) != id
+				result.Status = resp.StatusCode
+				result.Wrong = err != nil || result.Status == 200 && string(text) != id
 			}
-			a.Answered = time.Now()
-			keep(a)
+			result.Answered = time.Now()
+			record(result)
 		})
 	}
 }
--- a/test/slopes/doc.go
+++ b/test/slopes/doc.go
@@ -1,3 +1,3 @@
-// Package slopes has no code: its benchmarks measure how what the control plane and an edge do for each renewal and each change of a list grows with
-// the fleet (docs/CAPACITY.md).
+// Package slopes contains only benchmarks. They measure how the work of the control plane and of an edge for each lease renewal
+// and each change of a list grows with the size of the fleet (docs/CAPACITY.md).
 package slopes
--- a/test/slopes/document_test.go
+++ b/test/slopes/document_test.go
@@ -11,20 +11,20 @@
 )
 
 const (
-	perHost      = 16  // routes
-	firstTimeout = 500 // ms
-	timeouts     = 1000
+	routesPerHost = 16  // routes
+	minTimeout    = 500 // ms
+	timeoutRange  = 1000
 )
 
-// document is a configuration with so many routes, of which each has a service of its own up to a bound.
+// document returns an encoded configuration with the given numbers of routes and services; the routes use the services in turn.
 func document(version uint64, routes, services int) []byte {
 	config := map[string]any{
 		"version": version,
 		"limits":  map[string]any{"maxHeaderBytes": 16384, "maxBodyBytes": 262144, "headerTimeoutMs": 3000, "idleTimeoutMs": 15000},
 	}
-	listed := make([]any, 0, routes)
+	routeList := make([]any, 0, routes)
 	for i := range routes {
-		listed = append(listed, route(i, services, version))
+		routeList = append(routeList, route(i, services, version))
 	}
 	backends := make([]any, 0, services)
 	for i := range services {
@@ -33,7 +33,7 @@
 			"idempotent": true, "pull": false, "endpoint": nil,
 		})
 	}
-	config["routes"], config["backends"] = listed, backends
+	config["routes"], config["backends"] = routeList, backends
 	return encode(config)
 }
 
@@ -41,14 +41,14 @@
 
 func route(i, services int, version uint64) map[string]any {
 	return map[string]any{
-		"name": fmt.Sprintf("route-%d", i), "host": fmt.Sprintf("host-%d.example", i/perHost), "pathPrefix": fmt.Sprintf("/path-%d/", i),
-		"type": "deferred", "timeoutMs": firstTimeout + version%timeouts, "targetMs": 80, "priority": 1, "backend": service(i % services),
+		"name": fmt.Sprintf("route-%d", i), "host": fmt.Sprintf("host-%d.example", i/routesPerHost), "pathPrefix": fmt.Sprintf("/path-%d/", i),
+		"type": "deferred", "timeoutMs": minTimeout + version%timeoutRange, "targetMs": 80, "priority": 1, "backend": service(i % services),
 		"retries": 4, "fifo": false, "retentionS": 90.0, "callbackUrl": false, "startTargetMs": 600,
 	}
 }
 
-// change is a patch that gives one route another time-out.
-func change(version uint64, routes, services int) []byte {
+// routePatch returns an encoded patch that changes the timeout of one route.
+func routePatch(version uint64, routes, services int) []byte {
 	return encode(map[string]any{
 		"version": version,
 		"upsert":  map[string]any{"routes": []any{route(int(version)%routes, services, version)}},
@@ -58,7 +58,7 @@
 func encode(value any) []byte {
 	encoded, err := json.Marshal(value)
 	if err != nil {
-		panic(err) // can't be: strings and numbers only
+		panic(err) // unreachable: the value contains only types that JSON can encode
 	}
 	return encoded
 }
@@ -68,13 +68,13 @@
 	require.NoError(t, err)
 	require.Len(t, config.Routes, 40)
 	require.Len(t, config.Services, 5)
-	next, err := config.Apply(change(2, 40, 5))
+	next, err := config.Apply(routePatch(2, 40, 5))
 	require.NoError(t, err)
-	differ := 0
+	changedRoutes := 0
 	for i := range next.Routes {
 		if next.Routes[i] != config.Routes[i] {
-			differ++
+			changedRoutes++
 		}
 	}
-	require.Equal(t, 1, differ)
+	require.Equal(t, 1, changedRoutes)
 }
--- a/test/slopes/slopes_test.go
+++ b/test/slopes/slopes_test.go
@@ -20,7 +20,7 @@
 	"ravendale/edge/worker"
 )
 
-// Sizes that slopes are taken at.
+// Fleet sizes at which the benchmarks run.
 var (
 	fleetSizes  = []int{30, 100, 300, 1000, 3000, 10_000}
 	workerSizes = []int{1000, 10_000, 100_000}
@@ -41,7 +41,7 @@
 	return list
 }
 
-// zonesOf lists the zones of members, which are sorted by zone.
+// zonesOf returns the zones of the members, which must be sorted by zone.
 func zonesOf(list *wire.Members) []string {
 	var zones []string
 	for _, edge := range list.Edges {
@@ -70,15 +70,15 @@
 	return payload
 }
 
-func fleets(b *testing.B, run func(b *testing.B, count int)) {
+func runForFleetSizes(b *testing.B, run func(b *testing.B, count int)) {
 	for _, count := range fleetSizes {
 		b.Run(fmt.Sprint(count), func(b *testing.B) { run(b, count) })
 	}
 }
 
-// BenchmarkRenewal is what the leader's registry does for each renewal, and for the tick after it.
+// BenchmarkRenewal measures what the leader's registry does for each renewal and the tick after it.
 func BenchmarkRenewal(b *testing.B) {
-	fleets(b, func(b *testing.B, count int) {
+	runForFleetSizes(b, func(b *testing.B, count int) {
 		r := registry.New(registry.DefaultConfig(time.Hour))
 		var renewals []*wire.Renew
 		for _, edge := range members(count).Edges {
@@ -100,9 +100,9 @@
 	})
 }
 
-// BenchmarkListMembers is what the leader does for each change of the topic of members.
+// BenchmarkListMembers measures what the leader does for each change of the members topic: encode the list and its delta.
 func BenchmarkListMembers(b *testing.B) {
-	fleets(b, func(b *testing.B, count int) {
+	runForFleetSizes(b, func(b *testing.B, count int) {
 		list := members(count)
 		before := encoded(b, list)
 		list.Edges[count/2].Ready = false
@@ -118,9 +118,10 @@
 	})
 }
 
-// BenchmarkTakeMembers is what each scheduler does for each change of the topic of members: apply, decode, find its parents.
+// BenchmarkTakeMembers measures what each scheduler does for each change of the members topic: apply the delta, decode the list,
+// find its relay parents.
 func BenchmarkTakeMembers(b *testing.B) {
-	fleets(b, func(b *testing.B, count int) {
+	runForFleetSizes(b, func(b *testing.B, count int) {
 		list := members(count)
 		before := encoded(b, list)
 		list.Edges[count/2].Ready = false
@@ -132,15 +133,15 @@
 		for b.Loop() {
 			whole, err := delta.Apply(before, change)
 			require.NoError(b, err)
-			taken := new(wire.Members)
-			_, err = taken.UnmarshalMsg(whole)
+			decoded := new(wire.Members)
+			_, err = decoded.UnmarshalMsg(whole)
 			require.NoError(b, err)
-			relay.Parents(self, taken, 0, "leader")
+			relay.Parents(self, decoded, 0, "leader")
 		}
 	})
 }
 
-// BenchmarkWorkers is what the leader and each scheduler do for each change of the platform's list.
+// BenchmarkWorkers measures what the leader and each scheduler do for each change of the platform's list of workers.
 func BenchmarkWorkers(b *testing.B) {
 	for _, count := range workerSizes {
 		b.Run(fmt.Sprintf("leader/%d", count), func(b *testing.B) { benchmarkLeaderWorkers(b, count) })
@@ -173,17 +174,17 @@
 	change, err := delta.Make(before, encoded(b, list))
 	require.NoError(b, err)
 	list = nil
-	held := new(wire.Workers)
+	decoded := new(wire.Workers)
 	empty := heapInUse()
 	for b.Loop() {
 		whole, err := delta.Apply(before, change)
 		require.NoError(b, err)
-		held = new(wire.Workers)
-		_, err = held.UnmarshalMsg(whole)
+		decoded = new(wire.Workers)
+		_, err = decoded.UnmarshalMsg(whole)
 		require.NoError(b, err)
 	}
 	b.ReportMetric(float64(heapInUse()-empty)/float64(count), "B-memory/worker")
-	runtime.KeepAlive(held)
+	runtime.KeepAlive(decoded)
 	runtime.KeepAlive(before)
 }
 
@@ -195,7 +196,7 @@
 	return int64(stats.HeapAlloc)
 }
 
-// BenchmarkPlacement is what the leader does after the loss of one of the stores.
+// BenchmarkPlacement measures how the leader plans the placement after one store has failed.
 func BenchmarkPlacement(b *testing.B) {
 	for _, count := range storeSizes {
 		for _, partitions := range []int{64, 1024} {
@@ -220,7 +221,8 @@
 	b.ReportMetric(float64(len(encoded(b, view))), "B/view")
 }
 
-// BenchmarkPlane is what an edge's dispatchers do for each change of the lists: of members, and of workers. There are ten workers an edge.
+// BenchmarkPlane measures what an edge's dispatchers do for each change of the list of members and of the list of workers. There
+// are ten workers per edge.
 func BenchmarkPlane(b *testing.B) {
 	for _, count := range []int{30, 100, 300, 1000} {
 		b.Run(fmt.Sprintf("members/%d", count), func(b *testing.B) {
@@ -266,8 +268,8 @@
 	return plane, list, entries
 }
 
-// BenchmarkEndpoints is what an edge's dispatcher does for a change of one member, one worker or one route, where most services are endpoints
-// with a rate limit that all edges share. The change is another one each time.
+// BenchmarkEndpoints measures what an edge's dispatcher does for a change of one member, one worker or one route. Most services
+// are endpoints with a rate limit that all edges share. Each iteration makes a different change.
 func BenchmarkEndpoints(b *testing.B) {
 	for _, edges := range []int{70, 300, 1000} {
 		for _, services := range []int{60, 300, 1200} {
@@ -283,8 +285,8 @@
 	core, list, _, _ := newEndpointsCore(b, edges, services)
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
-		gone := i % (edges / 2) // never the edge itself
-		core.SetEdges(time.Duration(i)*time.Millisecond, slices.Delete(slices.Clone(list.Edges), gone, gone+1))
+		removed := i % (edges / 2) // never the edge itself
+		core.SetEdges(time.Duration(i)*time.Millisecond, slices.Delete(slices.Clone(list.Edges), removed, removed+1))
 	}
 }
 
@@ -313,7 +315,8 @@
 	}
 }
 
-// newEndpointsCore makes a dispatcher with two services of listed workers, as many as there are edges, and the rest endpoints.
+// newEndpointsCore returns a dispatcher core with two services that have listed workers, one worker per edge; all other services
+// are endpoints.
 func newEndpointsCore(b *testing.B, edges, services int) (*dispatch.Core, *wire.Members, *wire.Workers, *catalog.Config) {
 	b.Helper()
 	const listed = 2
@@ -341,7 +344,8 @@
 	return core, list, entries, config
 }
 
-// BenchmarkDeliveries is what an edge's dispatcher does for a message, from its acceptance to its end, with as many services that have nothing to do.
+// BenchmarkDeliveries measures what an edge's dispatcher does for a message from its acceptance to its acknowledgement, with the
+// given number of services, of which only one has work.
 func BenchmarkDeliveries(b *testing.B) {
 	for _, services := range []int{3, 60, 300, 1200} {
 		b.Run(fmt.Sprint(services), func(b *testing.B) { benchmarkDeliveries(b, services) })
