--- a/deploy/packages_test.go
+++ b/deploy/packages_test.go
@@ -143,7 +143,7 @@
 // closure adds an installed package and all its transitive dependencies to found.
 func (all installedPackages) closure(name string, found map[string]bool) {
 	installed, ok := all[name]
-	if !ok || found[installed.name] { // an alternative that isn't installed, or a package already added, perhaps under the name of a virtual package
+	if !ok || found[installed.name] { // an alternative that isn't installed, or already added, perhaps under a virtual name
 		return
 	}
 	found[installed.name] = true
--- a/test/emulator/node.go
+++ b/test/emulator/node.go
@@ -20,12 +20,12 @@
 
 // Rules are the settings that all nodes of a fleet share.
 type Rules struct {
-	SlowStartFrom    float64       // fraction of the capacity that a node has right after its start
-	SlowStartFor     time.Duration // time from the start until the node has its full capacity
-	OverloadMultiple float64       // a node in slow start fails when it is sent more than this multiple of its current capacity
-	OverloadSpan     time.Duration // sliding window over which the work sent is summed
-	DownFor          time.Duration // how long a failed node stays down
-	StopsRunning     bool          // a cancel also stops a running job
+	SlowStartFrom      float64       // fraction of the capacity that a node has right after its start
+	SlowStartFor       time.Duration // time from the start until the node has its full capacity
+	OverloadMultiple   float64       // a node in slow start fails when it is sent more than this multiple of its current capacity
+	OverloadSpan       time.Duration // sliding window over which the work sent is summed
+	DownFor            time.Duration // how long a failed node stays down
+	CancelStopsRunning bool          // a cancel also stops a running job
 }
 
 // Job is one job sent to a node.
@@ -116,8 +116,8 @@
 // sent in it. Above 1 the node was overloaded.
 func (n *Node) Worst() float64 { return n.worstOverload }
 
-// Falls returns how often the node went down because of an overload.
-func (n *Node) Falls() int { return n.failures }
+// Failures returns how often the node went down because of an overload.
+func (n *Node) Failures() int { return n.failures }
 
 // rate returns the seconds of reference work that each running job gets done per second, without the effect of slow start.
 func (n *Node) rate() float64 {
@@ -152,7 +152,7 @@
 
 // Offer submits a job to the node. It returns the notices up to now, including those about the submitted job.
 func (n *Node) Offer(now time.Duration, j Job) (notes []Notice) {
-	notes = n.Pass(now)
+	notes = n.AdvanceTo(now)
 	if n.Down(now) {
 		return append(notes, Notice{Lost, j.ID})
 	}
@@ -179,8 +179,8 @@
 	}
 	n.recentArrivals = append(n.recentArrivals, arrival{n.now, j.Work.Seconds()})
 	sum := 0.0
-	for _, s := range n.recentArrivals {
-		sum += s.work
+	for _, a := range n.recentArrivals {
+		sum += a.work
 	}
 	allowed := n.rules.OverloadMultiple * n.kind.Capacity() * n.capacityFraction(n.now) * n.rules.OverloadSpan.Seconds()
 	allowed = max(allowed, n.recentArrivals[0].work)
@@ -205,17 +205,17 @@
 	return notes
 }
 
-// Cancel cancels a job: a waiting job is dropped, a running one is stopped if Rules.StopsRunning is set. It reports whether
-// the node had the job, and which jobs ended or started meanwhile or start in its place.
+// Cancel cancels a job: a waiting job is dropped, a running one is stopped if Rules.CancelStopsRunning is set. It reports
+// whether the node had the job, and returns the notices up to now, including those about jobs that start in its place.
 func (n *Node) Cancel(now time.Duration, id string) (found bool, notes []Notice) {
-	notes = n.Pass(now)
+	notes = n.AdvanceTo(now)
 	matches := func(job jobState) bool { return job.ID == id }
 	if i := slices.IndexFunc(n.waiting, matches); i >= 0 {
 		n.waiting = slices.Delete(n.waiting, i, i+1)
 		return true, append(notes, n.startWaiting()...)
 	}
 	if i := slices.IndexFunc(n.running, matches); i >= 0 {
-		if !n.rules.StopsRunning {
+		if !n.rules.CancelStopsRunning {
 			return true, notes
 		}
 		n.usedSlots -= n.running[i].Slots
@@ -225,11 +225,12 @@
 	return false, notes
 }
 
-// workEpsilon is the remaining work, in seconds, below which a job counts as done; it absorbs rounding errors.
+// workEpsilon is the remaining work, in seconds, at or below which a job counts as done. It is less than any clock used with
+// the model can resolve.
 const workEpsilon = 1e-7
 
-// Pass advances the node to now and returns the jobs that ended and those that started in their place, in order.
-func (n *Node) Pass(now time.Duration) (notes []Notice) {
+// AdvanceTo advances the node to now and returns the jobs that ended and those that started in their place, in order.
+func (n *Node) AdvanceTo(now time.Duration) (notes []Notice) {
 	for {
 		at, pending := n.Next()
 		if !pending || at > now {
--- a/test/emulator/node_test.go
+++ b/test/emulator/node_test.go
@@ -21,28 +21,28 @@
 	log []string
 }
 
-func (p *recorder) record(now time.Duration, notes []Notice) {
+func (r *recorder) record(now time.Duration, notes []Notice) {
 	for _, n := range notes {
 		event := [...]string{"started", "done", "full", "lost"}[n.Kind]
-		p.log = append(p.log, fmt.Sprintf("%d %s %s", now/ms, n.ID, event))
+		r.log = append(r.log, fmt.Sprintf("%d %s %s", now/ms, n.ID, event))
 	}
 }
 
 // advanceTo advances the node to now, in steps that end when a job ends.
-func (p *recorder) advanceTo(now time.Duration) {
+func (r *recorder) advanceTo(now time.Duration) {
 	for {
-		at, pending := p.n.Next()
+		at, pending := r.n.Next()
 		if !pending || at > now {
-			p.record(now, p.n.Pass(now))
+			r.record(now, r.n.AdvanceTo(now))
 			return
 		}
-		p.record(at, p.n.Pass(at))
+		r.record(at, r.n.AdvanceTo(at))
 	}
 }
 
-func (p *recorder) offer(now time.Duration, id string, work time.Duration, slots float64) {
-	p.advanceTo(now)
-	p.record(now, p.n.Offer(now, Job{id, work, slots}))
+func (r *recorder) offer(now time.Duration, id string, work time.Duration, slots float64) {
+	r.advanceTo(now)
+	r.record(now, r.n.Offer(now, Job{id, work, slots}))
 }
 
 func TestNodeReports(t *testing.T) {
@@ -51,44 +51,44 @@
 		run  func(*recorder)
 		want string
 	}{
-		"one job runs at the speed of the core": {func(p *recorder) { p.offer(0, "a", 100*ms, 1) }, "0 a started, 50 a done"},
-		"two jobs share one core": {func(p *recorder) {
-			p.offer(0, "a", 100*ms, 1)
-			p.offer(0, "b", 100*ms, 1)
+		"one job runs at the speed of the core": {func(r *recorder) { r.offer(0, "a", 100*ms, 1) }, "0 a started, 50 a done"},
+		"two jobs share one core": {func(r *recorder) {
+			r.offer(0, "a", 100*ms, 1)
+			r.offer(0, "b", 100*ms, 1)
 		}, "0 a started, 0 b started, 100 a done, 100 b done"},
-		"later job shares the core": {func(p *recorder) {
-			p.offer(0, "a", 100*ms, 1)
-			p.offer(25*ms, "b", 100*ms, 1)
+		"later job shares the core": {func(r *recorder) {
+			r.offer(0, "a", 100*ms, 1)
+			r.offer(25*ms, "b", 100*ms, 1)
 		}, "0 a started, 25 b started, 75 a done, 100 b done"},
-		"head of the queue blocks the jobs behind it": {func(p *recorder) {
-			p.offer(0, "a", 100*ms, 1)
-			p.offer(0, "big", 100*ms, 2)
-			p.offer(0, "b", 20*ms, 1)
+		"head of the queue blocks the jobs behind it": {func(r *recorder) {
+			r.offer(0, "a", 100*ms, 1)
+			r.offer(0, "big", 100*ms, 2)
+			r.offer(0, "b", 20*ms, 1)
 		}, "0 a started, 50 a done, 50 big started, 100 big done, 100 b started, 110 b done"},
-		"full queue rejects": {func(p *recorder) {
+		"full queue rejects": {func(r *recorder) {
 			for _, id := range []string{"a", "b", "c", "d", "e"} {
-				p.offer(0, id, 100*ms, 1)
+				r.offer(0, id, 100*ms, 1)
 			}
 		}, "0 a started, 0 b started, 0 e full, 100 a done, 100 b done, 100 c started, 100 d started, 200 c done, 200 d done"},
-		"cancel drops a waiting job and keeps a running one": {func(p *recorder) {
-			p.offer(0, "a", 100*ms, 2)
-			p.offer(0, "b", 100*ms, 1)
-			_, notes := p.n.Cancel(10*ms, "b")
-			p.record(10*ms, notes)
-			_, notes = p.n.Cancel(10*ms, "a")
-			p.record(10*ms, notes)
+		"cancel drops a waiting job and keeps a running one": {func(r *recorder) {
+			r.offer(0, "a", 100*ms, 2)
+			r.offer(0, "b", 100*ms, 1)
+			_, notes := r.n.Cancel(10*ms, "b")
+			r.record(10*ms, notes)
+			_, notes = r.n.Cancel(10*ms, "a")
+			r.record(10*ms, notes)
 		}, "0 a started, 50 a done"},
-		"restart drops all jobs and begins a slow start": {func(p *recorder) {
-			p.offer(0, "a", 100*ms, 1)
-			p.record(10*ms, p.n.Restart(10*ms))
-			p.offer(10*ms, "b", 10*ms, 1)
+		"restart drops all jobs and begins a slow start": {func(r *recorder) {
+			r.offer(0, "a", 100*ms, 1)
+			r.record(10*ms, r.n.Restart(10*ms))
+			r.offer(10*ms, "b", 10*ms, 1)
 		}, "0 a started, 10 a lost, 10 b started, 58 b done"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			p := &recorder{n: New(kind, rules, false)}
-			tc.run(p)
-			p.advanceTo(time.Minute)
-			if diff := cmp.Diff(tc.want, strings.Join(p.log, ", ")); diff != "" {
+			r := &recorder{n: New(kind, rules, false)}
+			tc.run(r)
+			r.advanceTo(time.Minute)
+			if diff := cmp.Diff(tc.want, strings.Join(r.log, ", ")); diff != "" {
 				t.Error(diff)
 			}
 		})
@@ -107,12 +107,12 @@
 		}
 		n.Offer(time.Second, Job{"b", 600 * ms, 1})
 		n.Offer(3*time.Second+ms, Job{"c", 600 * ms, 1}) // in another window
-		if n.Falls() != 0 {
+		if n.Failures() != 0 {
 			t.Error("the node failed at its overload limit")
 		}
 		n.Offer(3*time.Second+ms, Job{"d", 6 * time.Second, 1})
-		if n.Worst() <= 1 || n.Down(4*time.Second) != failsOnOverload || (n.Falls() == 1) != failsOnOverload {
-			t.Errorf("worst %v, down %v, falls %d", n.Worst(), n.Down(4*time.Second), n.Falls())
+		if n.Worst() <= 1 || n.Down(4*time.Second) != failsOnOverload || (n.Failures() == 1) != failsOnOverload {
+			t.Errorf("worst %v, down %v, failures %d", n.Worst(), n.Down(4*time.Second), n.Failures())
 		}
 		if failsOnOverload && n.capacityFraction(9*time.Second) > 0.2 {
 			t.Errorf("after its failure the node starts at %v of its capacity", n.capacityFraction(9*time.Second))
@@ -162,7 +162,7 @@
 		}
 		for at, pending := n.Next(); pending; at, pending = n.Next() {
 			now = at
-			apply(n.Pass(at))
+			apply(n.AdvanceTo(at))
 		}
 		for id, kind := range state {
 			if kind == Started {
--- a/test/fleettest/await.go
+++ b/test/fleettest/await.go
@@ -11,13 +11,13 @@
 	"ravendale/balancer/fleet"
 )
 
-// Patience is the timeout for an awaited event. It is far above the usual time, to allow for busy machines.
-const Patience = 30 * time.Second
+// AwaitTimeout is the timeout for an awaited event. It is far above the usual time, to allow for busy machines.
+const AwaitTimeout = 30 * time.Second
 
 // waitUntil polls until the condition holds. On timeout its error contains the last state observed.
 func (b *Bench) waitUntil(condition func() (bool, string)) error {
 	lastObserved := ""
-	for end := time.Now().Add(Patience); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
+	for end := time.Now().Add(AwaitTimeout); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
 		ok, observed := condition()
 		if ok {
 			return nil
@@ -49,7 +49,7 @@
 	}
 	for _, p := range selected {
 		if err := b.waitUntil(func() (bool, string) { return b.hasOccurred(args[0], p, number) }); err != nil {
-			return fmt.Errorf("%s: %w", p.name, err)
+			return fmt.Errorf("member %s: %w", p.name, err)
 		}
 	}
 	return nil
@@ -112,7 +112,7 @@
 			newest = max(newest, incarnation)
 		}
 	}
-	return b.waitUntil(func() (bool, string) { return time.Now().Unix() > newest, fmt.Sprintf("clock at %d s", newest) })
+	return b.waitUntil(func() (bool, string) { return time.Now().Unix() > newest, fmt.Sprintf("clock not past %d", newest) })
 }
 
 // awaitWitnessed waits until another member's record confirms that a member's record includes its adoption of an epoch.
--- a/test/fleettest/bench.go
+++ b/test/fleettest/bench.go
@@ -23,19 +23,19 @@
 
 // Options configure a bench.
 type Options struct {
-	Binary    string // path of the program under test
-	Dir       string // working folder, used by this bench only
-	Members   int
-	Alone     string        // value of the fleet setting alone, mark or stop; empty: the program's default
-	ShutOut   string        // value of the fleet setting shut-out, wait or exit; empty: the program's default
-	Heartbeat time.Duration // default 50 ms
-	Trust     time.Duration // default 600 ms
-	Record    int64         // value of the fleet setting record in bytes; 0: the program's default
-	Seed      uint64
-	Every     time.Duration // interval between a client's requests, default 10 ms
-	Off       bool          // run the members without a fleet, for comparisons
-	Direct    bool          // connect members without proxies, for large fleets
-	Log       func(format string, args ...any)
+	Binary          string // path of the program under test
+	Dir             string // working folder, used by this bench only
+	Members         int
+	Alone           string        // value of the fleet setting alone, mark or stop; empty: the program's default
+	ShutOut         string        // value of the fleet setting shut-out, wait or exit; empty: the program's default
+	Heartbeat       time.Duration // default 50 ms
+	Trust           time.Duration // default 600 ms
+	Record          int64         // value of the fleet setting record in bytes; 0: the program's default
+	Seed            uint64
+	RequestInterval time.Duration // interval between a client's requests, default 10 ms
+	WithoutFleet    bool          // run the members without a fleet, for comparisons
+	Direct          bool          // connect members without proxies, for large fleets
+	Log             func(format string, args ...any)
 }
 
 // Bench is one fleet of processes with its stand-ins and fault proxies.
@@ -62,8 +62,8 @@
 	if o.Trust == 0 {
 		o.Trust = 600 * time.Millisecond
 	}
-	if o.Every == 0 {
-		o.Every = 10 * time.Millisecond
+	if o.RequestInterval == 0 {
+		o.RequestInterval = 10 * time.Millisecond
 	}
 	if o.Log == nil {
 		o.Log = func(string, ...any) {}
@@ -80,7 +80,7 @@
 	}
 	for i, from := range b.members {
 		for j, to := range b.members {
-			if i != j && err == nil && !o.Off && !o.Direct {
+			if i != j && err == nil && !o.WithoutFleet && !o.Direct {
 				b.links[[2]string{from.name, to.name}], err = newProxy(fmt.Sprintf("%s.%d:%d", b.addressPrefix, 1+i, 10000+j), b.address(j))
 			}
 		}
@@ -169,7 +169,7 @@
 	b.stopLoad = cancel
 	for i, p := range b.members {
 		b.clients.Go(func() {
-			client(ctx, i, p.name, fmt.Sprintf("%s.%d:9000", b.addressPrefix, 1+i), b.options.Every, func(a Request) {
+			client(ctx, i, p.name, fmt.Sprintf("%s.%d:9000", b.addressPrefix, 1+i), b.options.RequestInterval, func(a Request) {
 				b.mu.Lock()
 				b.requests = append(b.requests, a)
 				b.mu.Unlock()
@@ -200,7 +200,7 @@
 		if p.cmd != nil {
 			select {
 			case <-p.exited:
-			case <-time.After(Patience):
+			case <-time.After(AwaitTimeout):
 				err = errors.Join(err, fmt.Errorf("member %s has not stopped after SIGTERM", p.name))
 			}
 		}
@@ -211,8 +211,8 @@
 	return a, b.requests, errors.Join(err, readErr)
 }
 
-// Keep copies the bench's files, including logs and records, to a folder.
-func (b *Bench) Keep(to string) error {
+// CopyFiles copies the bench's files, including logs and records, to a folder.
+func (b *Bench) CopyFiles(to string) error {
 	return filepath.WalkDir(b.options.Dir, func(path string, d fs.DirEntry, err error) error {
 		if err != nil || !d.Type().IsRegular() { // the folder also contains the sockets used for hand-overs
 			return err
--- a/test/fleettest/files.go
+++ b/test/fleettest/files.go
@@ -39,7 +39,7 @@
 		text += fmt.Sprintf(`<member name=%q address=%q/>`, other.name, addr)
 	}
 	text += "</fleet></ravendale>"
-	if b.options.Off {
+	if b.options.WithoutFleet {
 		text = `<ravendale><log format="json"/></ravendale>`
 	}
 	if err := os.WriteFile(filepath.Join(b.dir(p.name), "fleet.xml"), []byte(text), 0o600); err != nil {
--- a/test/fleettest/fleet_test.go
+++ b/test/fleettest/fleet_test.go
@@ -167,7 +167,7 @@
 			await epoch 4 a,b
 			await shut c
 			load off`, expectation{stragglers: nil, adopted: 4, notAdopted: []string{"c"}}},
-		"isolated member with alone=mark continues and is marked": {Options{Members: 3, Alone: "mark"}, `
+		"isolated member with alone=mark continues and marks its spans": {Options{Members: 3, Alone: "mark"}, `
 			start all
 			await acts all
 			load on
@@ -271,7 +271,7 @@
 			start b,d
 			await acts all
 			await epoch 1 all`, expectation{adopted: 1, restarted: []string{"a", "b", "c", "d", "e"}}},
-		"member with a full disk continues": {Options{Members: 3, Alone: "stop"}, `
+		"member with a full disk continues without its vote": {Options{Members: 3, Alone: "stop"}, `
 			start all
 			await acts all
 			load on
@@ -364,7 +364,7 @@
 			t.Errorf("epoch number has two conflicting contents: %+v", l)
 		}
 		if l.ID.Number == want.adopted && l.InForce > 0 && len(l.Adopted)+len(want.notAdopted) != o.Members {
-			t.Errorf("epoch %v was adopted only by %v", l.ID, l.Adopted)
+			t.Errorf("epoch %v was adopted by %v", l.ID, l.Adopted)
 		}
 	}
 	if want.adopted > 0 && !slices.ContainsFunc(report.Epochs, func(l audit.EpochHistory) bool { return l.ID.Number == want.adopted && l.InForce > 0 }) {
--- a/test/fleettest/links.go
+++ b/test/fleettest/links.go
@@ -38,13 +38,13 @@
 		}
 	}
 	apply := func(x, y string) { // bytes from x to y are sent on connections that x dialled and on those that y dialled
-		for _, end := range []struct {
+		for _, target := range []struct {
 			proxy     *proxy
 			direction int
 		}{{b.links[[2]string{x, y}], forward}, {b.links[[2]string{y, x}], backward}} {
-			if end.proxy != nil {
-				end.proxy.setFault(end.direction, f)
-				b.pendingFaults = append(b.pendingFaults, &pendingFault{end.proxy, end.direction, end.proxy.affectedChunks[end.direction].Load(), strings.Join(args, " ")})
+			if target.proxy != nil {
+				target.proxy.setFault(target.direction, f)
+				b.pendingFaults = append(b.pendingFaults, &pendingFault{target.proxy, target.direction, target.proxy.affectedChunks[target.direction].Load(), strings.Join(args, " ")})
 			}
 		}
 	}
@@ -66,8 +66,8 @@
 // then prove nothing.
 func (b *Bench) heal() error {
 	tookEffect := make(map[string]bool)
-	for _, e := range b.pendingFaults {
-		tookEffect[e.command] = tookEffect[e.command] || e.proxy.affectedChunks[e.direction].Load() > e.hitsBefore
+	for _, f := range b.pendingFaults {
+		tookEffect[f.command] = tookEffect[f.command] || f.proxy.affectedChunks[f.direction].Load() > f.hitsBefore
 	}
 	b.pendingFaults = nil
 	for _, p := range b.links {
--- a/test/fleettest/random.go
+++ b/test/fleettest/random.go
@@ -8,11 +8,11 @@
 	"time"
 )
 
-// Random returns a script of faults generated from a seed. Each of its rounds starts a fault that leaves a majority healthy,
-// rolls out an epoch while the fault lasts, and ends the fault (a clock offset stays). The result stopped lists, by epoch number, the members that
-// are stopped while an epoch's floor takes effect. Only these may be below the floor at that time, because partitioned
-// members are shut out earlier. The result killed lists the members that are killed.
-func Random(seed uint64, members int, trust time.Duration) (script string, stopped map[uint64][]string, killed []string) {
+// RandomScript returns a script of faults generated from a seed. Each of its rounds starts a fault that leaves a majority
+// healthy, rolls out an epoch while the fault lasts, and ends the fault (a clock offset stays). The result stopped lists, by
+// epoch number, the members that are stopped while the epoch's floor takes effect. Only these may be below the floor at that
+// time, because partitioned members are shut out earlier. The result killed lists the members that are killed.
+func RandomScript(seed uint64, members int, trust time.Duration) (script string, stopped map[uint64][]string, killed []string) {
 	r := rand.New(rand.NewPCG(seed, 0))
 	stopped = make(map[uint64][]string)
 	var lines []string
--- a/test/fleettest/script.go
+++ b/test/fleettest/script.go
@@ -92,7 +92,7 @@
 	}
 	for _, p := range selected {
 		if err := b.runProcessCommand(args[0], p, arg(2)); err != nil {
-			return fmt.Errorf("%s: %w", p.name, err)
+			return fmt.Errorf("member %s: %w", p.name, err)
 		}
 	}
 	return nil
--- a/test/fleettest/usage.go
+++ b/test/fleettest/usage.go
@@ -34,7 +34,7 @@
 				u.RSS += pages * int64(os.Getpagesize())
 			}
 		}
-		if s, err := b.Status(p.name); err == nil && !b.options.Off {
+		if s, err := b.Status(p.name); err == nil && !b.options.WithoutFleet {
 			for _, peer := range s.Peers {
 				u.SentBytes += peer.Bytes
 			}
--- a/test/fleettest/world.go
+++ b/test/fleettest/world.go
@@ -85,8 +85,8 @@
 type Request struct {
 	Member         string
 	Sent, Answered time.Time
-	Status         int // HTTP status; 0: the connection failed or was closed before an answer
-	Wrong          bool
+	Status         int  // HTTP status; 0: the connection failed or was closed before an answer
+	Wrong          bool // the answer was cut short, or a 200 without the request's own result
 	Err            string
 }
 
--- a/test/lab/experiment.go
+++ b/test/lab/experiment.go
@@ -54,7 +54,7 @@
 
 func (r *RulesXML) model() emulator.Rules {
 	return emulator.Rules{SlowStartFrom: r.SlowStartFrom, SlowStartFor: r.SlowStartFor, OverloadMultiple: r.FallMultiple, OverloadSpan: r.FallSpan,
-		DownFor: r.DownFor, StopsRunning: r.StopsRunning}
+		DownFor: r.DownFor, CancelStopsRunning: r.StopsRunning}
 }
 
 // Nodes are some nodes of one kind.
--- a/test/lab/fleet.go
+++ b/test/lab/fleet.go
@@ -162,7 +162,7 @@
 
 func (f *fleet) result() FleetReport {
 	for _, n := range f.nodes {
-		f.report.Nodes = append(f.report.Nodes, NodeReport{n.name, n.sends, n.model.Worst(), n.model.Falls()})
+		f.report.Nodes = append(f.report.Nodes, NodeReport{n.name, n.sends, n.model.Worst(), n.model.Failures()})
 	}
 	return f.report
 }
@@ -256,7 +256,7 @@
 		n.next = at
 		n.timer = n.f.loop.Deadlines.Add(at, func() {
 			n.timer = nil
-			n.report(n.model.Pass(n.f.loop.Now()))
+			n.report(n.model.AdvanceTo(n.f.loop.Now()))
 		})
 	}
 }
--- a/test/lab/fleetplays.go
+++ b/test/lab/fleetplays.go
@@ -132,7 +132,7 @@
 	}
 	defer b.Close()
 	if err = play(b); err != nil && r.Logs != "" {
-		err = errors.Join(err, b.Keep(filepath.Join(r.Logs, filepath.Base(o.Dir))))
+		err = errors.Join(err, b.CopyFiles(filepath.Join(r.Logs, filepath.Base(o.Dir))))
 	}
 	return err
 }
@@ -237,8 +237,8 @@
 // faultPlay plays one seed's script of faults, and counts what the audit says of the records against what was injected.
 func (r *Runner) faultPlay(play *Faults, seed uint64) (map[string]float64, error) {
 	f := make(map[string]float64)
-	o := fleettest.Options{Members: play.Members, Alone: "stop", Seed: seed, Heartbeat: 100 * time.Millisecond, Trust: time.Second, Every: 20 * time.Millisecond}
-	script, stopped, killed := fleettest.Random(seed, play.Members, o.Trust)
+	o := fleettest.Options{Members: play.Members, Alone: "stop", Seed: seed, Heartbeat: 100 * time.Millisecond, Trust: time.Second, RequestInterval: 20 * time.Millisecond}
+	script, stopped, killed := fleettest.RandomScript(seed, play.Members, o.Trust)
 	err := r.bench(o, func(b *fleettest.Bench) error {
 		if err := b.Run(script); err != nil {
 			return err
@@ -392,7 +392,7 @@
 
 // pairRun plays the load once, and returns the latencies of what was served, in milliseconds and sorted, and the processor time that was used.
 func (r *Runner) pairRun(play *Pair, off bool) (took []float64, used time.Duration, err error) {
-	o := fleettest.Options{Members: play.Members, Off: off, Heartbeat: 500 * time.Millisecond, Trust: 5 * time.Second, Every: time.Duration(float64(time.Second) / play.Rate)}
+	o := fleettest.Options{Members: play.Members, WithoutFleet: off, Heartbeat: 500 * time.Millisecond, Trust: 5 * time.Second, RequestInterval: time.Duration(float64(time.Second) / play.Rate)}
 	err = r.bench(o, func(b *fleettest.Bench) error {
 		if err := b.Run("start all"); err != nil {
 			return err
@@ -402,7 +402,7 @@
 				return err
 			}
 		}
-		ctx, cancel := context.WithTimeout(context.Background(), fleettest.Patience)
+		ctx, cancel := context.WithTimeout(context.Background(), fleettest.AwaitTimeout)
 		defer cancel()
 		if err := b.Ready(ctx); err != nil {
 			return err
