--- a/balancer/config/config.go
+++ b/balancer/config/config.go
@@ -225,7 +225,7 @@
 // readSettings reads the settings, those of the decision module and two of the platform's connections.
 func (c *Config) readSettings(text []byte) (err error) {
 	var pairs map[string]string
-	if c.Settings, c.Names, pairs, err = wire.Nested(text); err != nil {
+	if c.Settings, c.Names, pairs, err = wire.ReadJSONSettings(text); err != nil {
 		return err
 	}
 	c.Settings.WrittenCount = true // "an attempt counts when its last byte has come"
--- a/cluster/host/host.go
+++ b/cluster/host/host.go
@@ -40,7 +40,7 @@
 type Link interface {
 	Address() string
 	Conn() *rpc.Conn
-	Hurry()
+	ReconnectNow()
 	Close()
 }
 
@@ -52,16 +52,16 @@
 
 // Signal wakes one waiting task. A notification while no task waits is kept for the next Wait; several are kept as one.
 type Signal interface {
-	Give()
-	// Wait waits until Give is called or the timeout has passed, and reports whether it was notified.
+	Notify()
+	// Wait waits until Notify is called or the timeout has passed, and reports whether it was notified.
 	Wait(timeout time.Duration) bool
 }
 
 // System is the machine that the process runs on.
 var System Host = system{}
 
-// Or returns the given host, or System if it is nil.
-func Or(machine Host) Host {
+// OrSystem returns the given host, or System if it is nil.
+func OrSystem(machine Host) Host {
 	if machine == nil {
 		return System
 	}
@@ -106,8 +106,8 @@
 
 type channelSignal chan struct{}
 
-// Give implements Signal.
-func (s channelSignal) Give() {
+// Notify implements Signal.
+func (s channelSignal) Notify() {
 	select {
 	case s <- struct{}{}:
 	default:
--- a/cluster/member/agent.go
+++ b/cluster/member/agent.go
@@ -62,7 +62,7 @@
 
 // New returns an agent and registers its handlers on the Mux. It does nothing else before Run.
 func New(config Config) *Agent {
-	machine := host.Or(config.Host)
+	machine := host.OrSystem(config.Host)
 	a := &Agent{config: config, log: config.Log, host: machine, started: machine.Now(), box: mailbox.New()}
 	if a.log == nil {
 		a.log = slog.Default()
@@ -72,7 +72,7 @@
 	random := rand.New(rand.NewPCG(machine.Uint64(), machine.Uint64()))
 	a.session = newSession(random, heartbeat, config.Settings.SeedAddresses())
 	a.node = relay.NewNode(relay.NodeConfig{
-		Self: config.Self.ID, Link: config.Settings.BytesPerSecond(), OnUpdate: a.updated, Leader: a.leader.Load, Log: a.log, Host: machine,
+		Self: config.Self.ID, LinkBandwidth: config.Settings.BytesPerSecond(), OnUpdate: a.updated, Leader: a.leader.Load, Log: a.log, Host: machine,
 	})
 	relay.Register(config.Mux, func() *relay.Node { return a.node })
 	return a
@@ -227,7 +227,7 @@
 	a.leader.Store(conn)
 	a.leaseEnd.Store(int64(a.session.renewedAt + a.session.lease))
 	a.recordInitialVersions(reply.Heads)
-	a.node.Named(reply.Heads)
+	a.node.RecordHeads(reply.Heads)
 	a.updateParents()
 }
 
--- a/cluster/program/program.go
+++ b/cluster/program/program.go
@@ -58,7 +58,7 @@
 		_, _ = fmt.Fprintf(output, "%s: no findings\n", arguments.Settings)
 		return ExitOK
 	}
-	log := Logger(output, arguments.LogLevel, arguments.LogFormat).With("node", loaded.Node)
+	log := NewLogger(output, arguments.LogLevel, arguments.LogFormat).With("node", loaded.Node)
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
 	if err := run(ctx, Environment{Settings: loaded, Path: arguments.Settings, Log: log, Hangup: hangup}); err != nil {
@@ -68,8 +68,8 @@
 	return ExitOK
 }
 
-// Logger returns a logger with a level and a format as in Arguments.
-func Logger(output io.Writer, level, format string) *slog.Logger {
+// NewLogger returns a logger with a level and a format as in Arguments.
+func NewLogger(output io.Writer, level, format string) *slog.Logger {
 	var minLevel slog.Level
 	if err := minLevel.UnmarshalText([]byte(level)); err != nil {
 		minLevel = slog.LevelInfo
@@ -88,9 +88,9 @@
 	})
 }
 
-// Memory configures the garbage collector: percent is the heap growth between collections (GOGC), and the soft
+// SetMemoryLimits configures the garbage collector: percent is the heap growth between collections (GOGC), and the soft
 // memory limit is 80 % of the process's limit.
-func Memory(percent, limitMb int) {
+func SetMemoryLimits(percent, limitMb int) {
 	const mb = 1 << 20
 	debug.SetGCPercent(percent)
 	debug.SetMemoryLimit(int64(limitMb) * mb * 8 / 10)
--- a/cluster/relay/compress.go
+++ b/cluster/relay/compress.go
@@ -16,8 +16,8 @@
 	maxPayload        = 32 << 20 // of a decompressed payload
 )
 
-// ErrTooLong is returned for a payload that exceeds the maximum size of a topic.
-var ErrTooLong = errors.New("relay: decompressed payload exceeds the maximum size")
+// ErrPayloadTooLong is returned for a payload that exceeds the maximum size of a topic.
+var ErrPayloadTooLong = errors.New("relay: decompressed payload exceeds the maximum size")
 
 // compress returns the compressed payload, or nil if that is not shorter.
 func compress(payload []byte) []byte {
@@ -32,7 +32,7 @@
 	return bytes.Clone(buffer.Bytes())
 }
 
-// Payload returns the full topic of an update, decompressed. It returns ErrTooLong if a compressed one expands
+// Payload returns the full topic of an update, decompressed. It returns ErrPayloadTooLong if a compressed one expands
 // to more than 32 MiB.
 func Payload(update *wire.Update) ([]byte, error) {
 	if !update.Compressed {
@@ -44,7 +44,7 @@
 		return nil, fmt.Errorf("relay: decompress payload: %w", err)
 	}
 	if len(payload) > maxPayload {
-		return nil, ErrTooLong
+		return nil, ErrPayloadTooLong
 	}
 	return payload, nil
 }
--- a/cluster/relay/delta/delta.go
+++ b/cluster/relay/delta/delta.go
@@ -19,8 +19,8 @@
 
 // Errors of Apply.
 var (
-	ErrBase   = errors.New("delta: step reads beyond the end of the base")
-	ErrResult = errors.New("delta: result is too long or does not match its size or checksum")
+	ErrBaseTooShort   = errors.New("delta: step reads beyond the end of the base")
+	ErrResultMismatch = errors.New("delta: result is too long or does not match its size or checksum")
 )
 
 // Delta describes how to construct a byte string from a base.
@@ -57,22 +57,22 @@
 		return nil, err
 	}
 	if d.Size > maxSize {
-		return nil, ErrResult
+		return nil, ErrResultMismatch
 	}
 	result := make([]byte, 0, d.Size)
 	for _, step := range d.Steps {
 		end := uint64(step.Offset) + uint64(step.Length)
 		if end > uint64(len(base)) {
-			return nil, ErrBase
+			return nil, ErrBaseTooShort
 		}
 		if uint64(len(result))+uint64(step.Length)+uint64(len(step.Data)) > uint64(d.Size) {
-			return nil, ErrResult
+			return nil, ErrResultMismatch
 		}
 		result = append(result, base[step.Offset:end]...)
 		result = append(result, step.Data...)
 	}
 	if len(result) != int(d.Size) || xxhash.Sum64(result) != d.Sum {
-		return nil, ErrResult
+		return nil, ErrResultMismatch
 	}
 	return result, nil
 }
--- a/cluster/relay/delta/delta_test.go
+++ b/cluster/relay/delta/delta_test.go
@@ -55,9 +55,9 @@
 	encoded, err := Make(document(10), document(10, 5))
 	require.NoError(t, err)
 	_, err = Apply(document(10, 1), encoded)
-	require.ErrorIs(t, err, ErrResult)
+	require.ErrorIs(t, err, ErrResultMismatch)
 	_, err = Apply(nil, encoded)
-	require.ErrorIs(t, err, ErrBase)
+	require.ErrorIs(t, err, ErrBaseTooShort)
 	_, err = Apply(nil, []byte{0xc1})
 	require.Error(t, err)
 }
--- a/cluster/relay/node.go
+++ b/cluster/relay/node.go
@@ -24,13 +24,13 @@
 
 // NodeConfig is the configuration of a Node.
 type NodeConfig struct {
-	Self     string  // Member.ID
-	Root     bool    // the node has no parent, and an unlimited number of children
-	Link     float64 // bytes a second of the network link; 0: unknown, updates are not paced
-	OnUpdate func(topic wire.Topic, version wire.Version, payload []byte)
-	Leader   func() *rpc.Conn // returns a connection to the leader, or nil; may be nil itself
-	Log      *slog.Logger
-	Host     host.Host // nil: host.System
+	Self          string  // Member.ID
+	Root          bool    // the node has no parent, and an unlimited number of children
+	LinkBandwidth float64 // bytes a second of the network link; 0: unknown, updates are not paced
+	OnUpdate      func(topic wire.Topic, version wire.Version, payload []byte)
+	Leader        func() *rpc.Conn // returns a connection to the leader, or nil; may be nil itself
+	Log           *slog.Logger
+	Host          host.Host // nil: host.System
 }
 
 // Node is a process's node in the relay tree. Its methods may be called from any goroutine.
@@ -61,11 +61,11 @@
 	if config.Root {
 		limit = 0
 	}
-	machine := host.Or(config.Host)
+	machine := host.OrSystem(config.Host)
 	random := rand.New(rand.NewPCG(machine.Uint64(), machine.Uint64()))
 	return &Node{
 		config: config, box: mailbox.New(), host: machine, started: machine.Now(),
-		children: NewChildren[*rpc.Conn](limit), uplink: NewUplink(random), pacer: newPacer(config.Link),
+		children: NewChildren[*rpc.Conn](limit), uplink: NewUplink(random), pacer: newPacer(config.LinkBandwidth),
 	}
 }
 
@@ -116,13 +116,13 @@
 	n.box.Post(func() { n.uplink.SetParents(n.now(), parents) })
 }
 
-// Named records versions that are known to exist. Those that do not arrive in time are fetched.
-func (n *Node) Named(heads []wire.Version) {
-	n.box.Post(func() { n.topics.Named(n.now(), heads) })
+// RecordHeads records versions that are known to exist. Those that do not arrive in time are fetched.
+func (n *Node) RecordHeads(heads []wire.Version) {
+	n.box.Post(func() { n.topics.RecordHeads(n.now(), heads) })
 }
 
-// Take applies an update that was received outside the tree.
-func (n *Node) Take(update *wire.Update) {
+// Apply applies an update that was received outside the tree.
+func (n *Node) Apply(update *wire.Update) {
 	n.box.Post(func() { n.apply(update) })
 }
 
@@ -169,7 +169,7 @@
 func (n *Node) apply(update *wire.Update) {
 	newer, err := n.topics.Apply(update)
 	if err != nil { // record the version as missing, so that Repairs fetches it
-		n.topics.Named(n.now(), headOf(update))
+		n.topics.RecordHeads(n.now(), headOf(update))
 		return
 	}
 	if newer {
@@ -251,15 +251,15 @@
 	mux := rpc.NewMux()
 	rpc.Handle(mux, wire.MethodUpdate, func(_ *rpc.Conn, update *wire.Update, _ rpc.Reply) {
 		n.box.Post(func() {
-			n.uplink.Heard(n.now(), address)
+			n.uplink.Received(n.now(), address)
 			n.apply(update)
 		})
 	})
 	rpc.Handle(mux, wire.MethodHeartbeat, func(_ *rpc.Conn, heartbeat *wire.Heartbeat, _ rpc.Reply) {
 		n.box.Post(func() {
-			n.uplink.Heard(n.now(), address)
+			n.uplink.Received(n.now(), address)
 			n.parentVersions = VersionsOf(heartbeat.Heads)
-			n.topics.Named(n.now(), heartbeat.Heads)
+			n.topics.RecordHeads(n.now(), heartbeat.Heads)
 		})
 	})
 	return mux
@@ -302,7 +302,7 @@
 			_, err = update.UnmarshalMsg(payload)
 		}
 		if err == nil && len(update.Payload) > 0 {
-			n.Take(update)
+			n.Apply(update)
 		}
 	})
 }
--- a/cluster/relay/node_test.go
+++ b/cluster/relay/node_test.go
@@ -123,7 +123,7 @@
 	leaf := startNode(t, false, func() *rpc.Conn { return direct })
 	leaf.SetParents([]string{middle.address}) // middle itself has no parent
 	root.publishWorkers(3)
-	leaf.Named(Versions{wire.TopicWorkers: version(3)}.List())
+	leaf.RecordHeads(Versions{wire.TopicWorkers: version(3)}.List())
 	leaf.waitForVersion(t, 3)
 	require.Zero(t, middle.received.Load())
 }
@@ -140,11 +140,11 @@
 	child.SetParents([]string{partitioned.address})
 	child.waitForVersion(t, 1)
 	newLeader.publishWorkers(3)
-	child.Named(Versions{wire.TopicWorkers: version(3)}.List()) // as the renewal at the new leader reports
+	child.RecordHeads(Versions{wire.TopicWorkers: version(3)}.List()) // as the renewal at the new leader reports
 	child.waitForVersion(t, 3)
 	partitioned.publishWorkers(2)
 	newLeader.publishWorkers(4)
-	child.Named(Versions{wire.TopicWorkers: version(4)}.List())
+	child.RecordHeads(Versions{wire.TopicWorkers: version(4)}.List())
 	child.waitForVersion(t, 4)
 }
 
--- a/cluster/relay/pace_test.go
+++ b/cluster/relay/pace_test.go
@@ -54,7 +54,7 @@
 	}
 	update.Payload = compress(make([]byte, maxPayload+1))
 	_, err := child.Apply(&update)
-	require.ErrorIs(t, err, ErrTooLong)
+	require.ErrorIs(t, err, ErrPayloadTooLong)
 }
 
 // A leader whose many members start at once must not saturate its link with full topics, since lease renewals use the
@@ -100,7 +100,7 @@
 // Repeated requests must not further delay an answer that is slow because a link is saturated.
 func TestRepairBackoff(t *testing.T) {
 	var topics Topics
-	topics.Named(0, []wire.Version{version(1)})
+	topics.RecordHeads(0, []wire.Version{version(1)})
 	fetches := 0
 	for now := time.Duration(0); now < 10*time.Second; now += 50 * ms {
 		fetches += len(topics.Repairs(now))
--- a/cluster/relay/topics.go
+++ b/cluster/relay/topics.go
@@ -176,8 +176,8 @@
 	return t.topics[fetch.Topic].update(fetch.Topic)
 }
 
-// Named records versions that are known to exist. Repairs returns those that do not arrive.
-func (t *Topics) Named(now time.Duration, heads []wire.Version) {
+// RecordHeads records versions that are known to exist. Repairs returns those that do not arrive.
+func (t *Topics) RecordHeads(now time.Duration, heads []wire.Version) {
 	for i, head := range VersionsOf(heads) {
 		topic := &t.topics[i]
 		if !topic.head.Less(head) {
--- a/cluster/relay/topics_test.go
+++ b/cluster/relay/topics_test.go
@@ -74,7 +74,7 @@
 	update := parent.UpdatesFor(wire.TopicWorkers, version(1))[0]
 	_, err := child.Apply(&update)
 	require.Error(t, err)
-	child.Named(0, headOf(&update))
+	child.RecordHeads(0, headOf(&update))
 	repairs := child.Repairs(repairDelay)
 	require.Equal(t, []Repair{{Topic: wire.TopicWorkers, Head: version(2)}}, repairs, "the full topic is fetched")
 	answer := parent.Answer(&wire.Fetch{Topic: wire.TopicWorkers, Have: repairs[0].Have})
@@ -90,8 +90,8 @@
 	_, due := topics.Next()
 	require.False(t, due)
 	heads := Versions{wire.TopicWorkers: version(2)}
-	topics.Named(100*ms, heads.List())
-	topics.Named(200*ms, heads.List())
+	topics.RecordHeads(100*ms, heads.List())
+	topics.RecordHeads(200*ms, heads.List())
 	at, due := topics.Next()
 	require.True(t, due)
 	require.Equal(t, 100*ms+repairDelay, at)
@@ -107,7 +107,7 @@
 
 func TestNoRepairAfterUpdateArrives(t *testing.T) {
 	var topics Topics
-	topics.Named(0, Versions{wire.TopicWorkers: version(2)}.List())
+	topics.RecordHeads(0, Versions{wire.TopicWorkers: version(2)}.List())
 	publish(&topics, 2)
 	require.Empty(t, topics.Repairs(time.Hour))
 }
@@ -180,7 +180,7 @@
 			require.False(t, got.Less(last), "the version decreased")
 			last = got
 		}
-		child.Named(now, parent.Versions().List())
+		child.RecordHeads(now, parent.Versions().List())
 		for _, repair := range child.Repairs(now + repairDelay) {
 			answer := parent.Answer(&wire.Fetch{Topic: repair.Topic, Have: repair.Have})
 			_, err := child.Apply(&answer)
--- a/cluster/relay/uplink.go
+++ b/cluster/relay/uplink.go
@@ -101,8 +101,8 @@
 	}
 }
 
-// Heard records that a message was received from a parent.
-func (u *Uplink) Heard(now time.Duration, address string) {
+// Received records that a message was received from a parent.
+func (u *Uplink) Received(now time.Duration, address string) {
 	if address == u.target {
 		u.lastReceived = now
 	}
--- a/cluster/relay/uplink_test.go
+++ b/cluster/relay/uplink_test.go
@@ -29,7 +29,7 @@
 	u := newTestUplink()
 	u.SetParents(0, []string{"a", leader})
 	u.Accepted(0, "a")
-	u.Heard(500*ms, "a")
+	u.Received(500*ms, "a")
 	at, _ := u.Next()
 	require.Equal(t, 500*ms+failureTimeout, at)
 	u.Tick(at - 1)
@@ -58,7 +58,7 @@
 	u.Accepted(0, leader)
 	u.SetParents(0, []string{"a", leader})
 	require.Equal(t, leader, u.Target(), "the working parent is kept for now")
-	u.Heard(2*switchDelay, leader)
+	u.Received(2*switchDelay, leader)
 	at, _ := u.Next()
 	u.Tick(at)
 	require.Equal(t, "a", u.Target())
@@ -66,10 +66,10 @@
 	require.Equal(t, leader, u.Target())
 	u.Accepted(at, leader)
 	for range 20 {
-		u.Heard(at, leader)
+		u.Received(at, leader)
 		at, _ = u.Next()
 		u.Tick(at)
-		u.Heard(at, leader)
+		u.Received(at, leader)
 		if u.Target() == "a" {
 			return
 		}
--- a/cluster/rpc/conn.go
+++ b/cluster/rpc/conn.go
@@ -286,7 +286,7 @@
 		}
 		size := int(binary.BigEndian.Uint32(header[:])) - (headerSize - 4)
 		if size < 0 || size > MaxFrame {
-			c.fail(ErrTooLong)
+			c.fail(ErrFrameTooLong)
 			return
 		}
 		if cap(buffer) < size || cap(buffer) > maxReusedBuffer && size <= maxReusedBuffer {
@@ -310,7 +310,7 @@
 			handler(c, payload, reply)
 			return
 		}
-		reply.Fail(ErrMethod)
+		reply.Fail(ErrUnknownMethod)
 	case frameReply:
 		c.complete(call, payload, nil)
 	case frameError:
--- a/cluster/rpc/errors.go
+++ b/cluster/rpc/errors.go
@@ -4,11 +4,11 @@
 
 // Errors of a connection.
 var (
-	ErrClosed       = errors.New("rpc: connection closed")
-	ErrUnresponsive = errors.New("rpc: peer is unresponsive")
-	ErrOverflow     = errors.New("rpc: peer does not read")
-	ErrTooLong      = errors.New("rpc: frame too long")
-	ErrMethod       = errors.New("rpc: unknown method")
+	ErrClosed        = errors.New("rpc: connection closed")
+	ErrUnresponsive  = errors.New("rpc: peer is unresponsive")
+	ErrOverflow      = errors.New("rpc: peer does not read")
+	ErrFrameTooLong  = errors.New("rpc: frame too long")
+	ErrUnknownMethod = errors.New("rpc: unknown method")
 )
 
 // RemoteError is an error that the other end sent instead of a reply.
--- a/cluster/rpc/frame.go
+++ b/cluster/rpc/frame.go
@@ -40,7 +40,7 @@
 	}
 	size := len(buffer) - at - 4
 	if size > MaxFrame {
-		return buffer, ErrTooLong
+		return buffer, ErrFrameTooLong
 	}
 	binary.BigEndian.PutUint32(buffer[at:], uint32(size))
 	return buffer, nil
--- a/cluster/rpc/link.go
+++ b/cluster/rpc/link.go
@@ -54,9 +54,9 @@
 	}
 }
 
-// Hurry makes a link without a connection reconnect at once, because the peer is known to be available again. A
+// ReconnectNow makes a link without a connection reconnect at once, because the peer is known to be available again. A
 // connect in progress is cancelled: it may be waiting for the retransmission of a lost packet.
-func (l *Link) Hurry() {
+func (l *Link) ReconnectNow() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.conn != nil {
@@ -108,7 +108,7 @@
 func (l *Link) holdUntilClosed(ctx context.Context, conn *Conn) error {
 	l.set(conn)
 	select {
-	case <-l.reconnect: // a Hurry during the connect is obsolete
+	case <-l.reconnect: // a ReconnectNow during the connect is obsolete
 	default:
 	}
 	if l.onUp != nil {
--- a/cluster/rpc/replies_test.go
+++ b/cluster/rpc/replies_test.go
@@ -157,7 +157,7 @@
 	newReply := <-received
 	require.Equal(t, oldReply.call, newReply.call, "both calls have the same number")
 	oldReply.Send(&wire.FindReply{Body: []byte("old")})
-	oldReply.Fail(ErrMethod)
+	oldReply.Fail(ErrUnknownMethod)
 	newReply.Send(&wire.FindReply{Body: []byte("new")})
 	assert.Equal(t, "new", <-second)
 	assert.Empty(t, first)
--- a/cluster/rpc/rpc_test.go
+++ b/cluster/rpc/rpc_test.go
@@ -94,7 +94,7 @@
 	require.NoError(t, err)
 	conn := <-accepted
 	<-conn.Done()
-	require.ErrorIs(t, conn.Err(), ErrTooLong)
+	require.ErrorIs(t, conn.Err(), ErrFrameTooLong)
 }
 
 func TestLinkReconnects(t *testing.T) {
@@ -111,7 +111,7 @@
 	require.NotSame(t, first, second)
 }
 
-func TestHurryCancelsHangingConnect(t *testing.T) {
+func TestReconnectNowCancelsHangingConnect(t *testing.T) {
 	s, err := Listen("127.0.0.1:0", Options{}, nil)
 	require.NoError(t, err)
 	defer s.Close()
@@ -123,13 +123,13 @@
 	defer cancel()
 	dialing, cancelDial := context.WithCancel(ctx)
 	link.cancelDial = cancelDial // simulates a connect in progress
-	link.Hurry()
+	link.ReconnectNow()
 	require.ErrorIs(t, dialing.Err(), context.Canceled)
 	require.Len(t, link.reconnect, 1)
 
 	go link.run(ctx)
 	<-up
-	link.Hurry() // no effect while connected
+	link.ReconnectNow() // no effect while connected
 	require.Empty(t, link.reconnect)
 	require.Empty(t, failed)
 }
--- a/cluster/settings/watch.go
+++ b/cluster/settings/watch.go
@@ -7,15 +7,15 @@
 	"time"
 )
 
-// WatchEvery is the interval between checks of the file for changes that come without a signal. A check costs one
+// WatchInterval is the interval between checks of the file for changes that come without a signal. A check costs one
 // stat system call.
-const WatchEvery = 2 * time.Second
+const WatchInterval = 2 * time.Second
 
 // Watch calls changed with the new settings each time the file's content changes to valid settings. It reads the file
-// on each signal on trigger (such as SIGHUP), and checks it every WatchEvery. A file that can't be read or is
+// on each signal on trigger (such as SIGHUP), and checks it every WatchInterval. A file that can't be read or is
 // invalid is reported to failed, once for each content, and changes nothing. Watch returns when the context ends.
 func Watch(ctx context.Context, path string, trigger <-chan os.Signal, changed func(*Settings), failed func(error)) {
-	ticker := time.NewTicker(WatchEvery)
+	ticker := time.NewTicker(WatchInterval)
 	defer ticker.Stop()
 	w := watcher{path: path, changed: changed, failed: failed}
 	w.content, _ = os.ReadFile(path)
--- a/cmd/ravendale-control/main.go
+++ b/cmd/ravendale-control/main.go
@@ -18,7 +18,7 @@
 
 func main() {
 	program.Run(name, description, func(ctx context.Context, env program.Environment) error {
-		program.Memory(gcPercent, env.Settings.MemoryMb/memoryDivisor)
+		program.SetMemoryLimits(gcPercent, env.Settings.MemoryMb/memoryDivisor)
 		c, err := newControlProcess(env)
 		if err != nil {
 			return err
--- a/cmd/ravendale-edge/main.go
+++ b/cmd/ravendale-edge/main.go
@@ -13,7 +13,7 @@
 func main() {
 	program.Run("ravendale-edge", "Accepts messages from clients and delivers them to workers.",
 		func(ctx context.Context, env program.Environment) error {
-			program.Memory(gcPercent, env.Settings.MemoryMb)
+			program.SetMemoryLimits(gcPercent, env.Settings.MemoryMb)
 			return newEdge(env).run(ctx)
 		})
 }
--- a/cmd/ravendale-store/main.go
+++ b/cmd/ravendale-store/main.go
@@ -13,7 +13,7 @@
 func main() {
 	program.Run("ravendale-store", "Stores messages until they are finished.",
 		func(ctx context.Context, env program.Environment) error {
-			program.Memory(gcPercent, env.Settings.MemoryMb)
+			program.SetMemoryLimits(gcPercent, env.Settings.MemoryMb)
 			p, err := newProcess(ctx, env)
 			if err != nil {
 				return err
--- a/cmd/ravendale/fleet.go
+++ b/cmd/ravendale/fleet.go
@@ -96,51 +96,51 @@
 	Within time.Duration `help:"Timeout for each answer." default:"2s"`
 }
 
-func (a *targetFlags) loadFleet() (f *operator.Fleet, keys frames.Keys, members []operator.Member, err error) {
-	file, err := operator.Load(a.Config)
+func (t *targetFlags) loadFleet() (f *operator.Fleet, keys frames.Keys, members []operator.Member, err error) {
+	file, err := operator.Load(t.Config)
 	if err != nil {
 		return nil, nil, nil, err
 	}
 	if file.Fleet == nil {
-		return nil, nil, nil, fmt.Errorf("%s: the file has no <fleet> element", a.Config)
+		return nil, nil, nil, fmt.Errorf("%s: the file has no <fleet> element", t.Config)
 	}
 	file.Fleet.Defaults()
 	if keys, err = loadKeys(file.Fleet); err != nil {
 		return nil, nil, nil, err
 	}
 	for _, m := range file.Fleet.Members {
-		if a.Member == "" || a.Member == m.Name {
+		if t.Member == "" || t.Member == m.Name {
 			members = append(members, m)
 		}
 	}
 	if len(members) == 0 {
-		return nil, nil, nil, fmt.Errorf("%s: the fleet has no member %q", a.Config, a.Member)
+		return nil, nil, nil, fmt.Errorf("%s: the fleet has no member %q", t.Config, t.Member)
 	}
 	return file.Fleet, keys, members, nil
 }
 
 // queryStatus queries all members concurrently. The status of a member that doesn't answer holds the error.
-func (a *targetFlags) queryStatus(keys frames.Keys, members []operator.Member) map[string]*agent.Status {
+func (t *targetFlags) queryStatus(keys frames.Keys, members []operator.Member) map[string]*agent.Status {
 	type answer struct {
-		name string
-		s    *agent.Status
+		name   string
+		status *agent.Status
 	}
 	answers := make(chan answer)
 	for _, m := range members {
 		go func() {
-			ctx, cancel := context.WithTimeout(context.Background(), a.Within)
+			ctx, cancel := context.WithTimeout(context.Background(), t.Within)
 			defer cancel()
-			s, err := agent.Call(ctx, m.Address, keys, "status", nil)
+			status, err := agent.Call(ctx, m.Address, keys, "status", nil)
 			if err != nil {
-				s = &agent.Status{Name: m.Name, Error: err.Error()}
+				status = &agent.Status{Name: m.Name, Error: err.Error()}
 			}
-			answers <- answer{m.Name, s}
+			answers <- answer{m.Name, status}
 		}()
 	}
 	statuses := make(map[string]*agent.Status)
 	for range members {
 		received := <-answers
-		statuses[received.name] = received.s
+		statuses[received.name] = received.status
 	}
 	return statuses
 }
--- a/cmd/ravendalectl/disk.go
+++ b/cmd/ravendalectl/disk.go
@@ -106,7 +106,7 @@
 		line("SET ASIDE\tthe process found this damaged, and went on as a new member")
 	}
 	for _, file := range r.Files {
-		line("  file\t%s\t%d of %d bytes good\t%d records\t%s", file.Name, file.Good, file.Bytes, file.Records, file.Fate)
+		line("  file\t%s\t%d of %d bytes good\t%d records\t%s", file.Name, file.ReadableBytes, file.Bytes, file.Records, file.State)
 	}
 	for _, damage := range r.Damage {
 		line("DAMAGE\t%s", damage)
@@ -124,13 +124,13 @@
 		return
 	}
 	line("core\tdisk %s, epoch %d", c.Disk, c.Epoch)
-	if c.Older {
+	if c.FromOlderState {
 		line("\tthis is the state before the one that is lost")
 	}
 	line("voters\t%s", strings.Join(c.Voters, " "))
 	line("chain\t%s", strings.Join(c.Chain, " "))
 	line("state\tof command %d: configuration %d, term %d, placement %d", c.Base, c.Version, c.Term, c.Placement)
-	line("after it\t%d commands, up to %d: %s", len(c.Uncovered), c.Last, strings.Join(c.Uncovered, ", "))
+	line("after it\t%d commands, up to %d: %s", len(c.CommandsAfterBase), c.Last, strings.Join(c.CommandsAfterBase, ", "))
 }
 
 func renderStoreDisk(line printLine, s *disks.Store) {
--- a/cmd/ravendalectl/internal/disks/core.go
+++ b/cmd/ravendalectl/internal/disks/core.go
@@ -15,20 +15,20 @@
 
 // Core is the state of the core on the disk of a control process.
 type Core struct {
-	Disk             string   `json:"disk"`
-	BootstrapMembers []string `json:"founders,omitempty"` // seeds, if this disk may bootstrap the system
-	Epoch            uint64   `json:"epoch"`
-	Voters           []string `json:"voters"` // disk@address
-	Chain            []string `json:"chain"`
-	Sealed           bool     `json:"sealed"`    // the member has promised a ballot for the successor of the epoch
-	Base             uint64   `json:"base"`      // sequence of the newest command that the state covers
-	Last             uint64   `json:"last"`      // sequence of the newest command on disk
-	Version          uint64   `json:"version"`   // version of the configuration at Base
-	Term             uint64   `json:"term"`      // term of the leader at Base
-	Placement        uint64   `json:"placement"` // epoch of the queue's placement at Base
-	Uncovered        []string `json:"uncovered"` // commands after Base, oldest first; the chain decides if they are committed
-	Document         []byte   `json:"-"`         // the configuration at Base
-	Older            bool     `json:"older"`     // the newest state is unreadable, and this is the previous one
+	Disk              string   `json:"disk"`
+	BootstrapMembers  []string `json:"founders,omitempty"` // seeds, if this disk may bootstrap the system
+	Epoch             uint64   `json:"epoch"`
+	Voters            []string `json:"voters"` // disk@address
+	Chain             []string `json:"chain"`
+	Sealed            bool     `json:"sealed"`    // the member has promised a ballot for the successor of the epoch
+	Base              uint64   `json:"base"`      // sequence of the newest command that the state covers
+	Last              uint64   `json:"last"`      // sequence of the newest command on disk
+	Version           uint64   `json:"version"`   // version of the configuration at Base
+	Term              uint64   `json:"term"`      // term of the leader at Base
+	Placement         uint64   `json:"placement"` // epoch of the queue's placement at Base
+	CommandsAfterBase []string `json:"uncovered"` // kinds of the commands after Base, oldest first; the chain decides if they are committed
+	Document          []byte   `json:"-"`         // the configuration at Base
+	FromOlderState    bool     `json:"older"`     // the newest state is unreadable, and this is the previous one
 }
 
 // filePair has the file names for generations of one parity: the slot with the state, and the log of the records after it.
@@ -165,16 +165,16 @@
 	if err != nil || !exists {
 		return err
 	}
-	file := File{Name: r.diskName(log), Bytes: size, Good: slotAndLog.folder.openedSizes[log], Records: len(slotAndLog.records), Fate: FateIntact}
+	file := File{Name: r.diskName(log), Bytes: size, ReadableBytes: slotAndLog.folder.openedSizes[log], Records: len(slotAndLog.records), State: FileIntact}
 	switch {
 	case !newest.uses(log):
-		file.Fate = FateOlder
-		if file.Good == 0 {
-			file.Fate = FateUnneeded
+		file.State = FileSuperseded
+		if file.ReadableBytes == 0 {
+			file.State = FileUnneeded
 		}
-	case file.Good < file.Bytes:
-		file.Fate = FateTorn
-		r.addRemark("%s: the last %d bytes were torn, or are left of an earlier log", log, file.Bytes-file.Good)
+	case file.ReadableBytes < file.Bytes:
+		file.State = FileTorn
+		r.addRemark("%s: the last %d bytes were torn, or are left of an earlier log", log, file.Bytes-file.ReadableBytes)
 	}
 	r.Files = append(r.Files, file)
 	return nil
@@ -184,18 +184,18 @@
 	file := File{Name: r.diskName(name), Bytes: size}
 	switch {
 	case errors.Is(slotAndLog.err, slots.ErrDamaged):
-		file.Fate = FateUnreadable // its log shows that the slot was complete
+		file.State = FileUnreadable // its log shows that the slot was complete
 		if !errors.Is(newest.err, slots.ErrDamaged) {
-			file.Fate = FateUnneeded
+			file.State = FileUnneeded
 		}
 		return file
 	case slotOnly.snapshot == nil:
-		file.Fate = FateUnneeded
+		file.State = FileUnneeded
 		return file
 	}
-	file.Good, file.Records, file.Fate = size, 1, FateOlder
+	file.ReadableBytes, file.Records, file.State = size, 1, FileSuperseded
 	if newest.uses(name) {
-		file.Fate = FateIntact
+		file.State = FileIntact
 	}
 	return file
 }
@@ -223,7 +223,7 @@
 		return
 	}
 	r.Core = coreReport(image)
-	r.Core.Older = older
+	r.Core.FromOlderState = older
 	machine := state.NewMachine()
 	if len(image.Machine) > 0 {
 		if err := machine.Restore(image.Machine); err != nil {
@@ -238,7 +238,7 @@
 func coreReport(image *core.Image) *Core {
 	c := &Core{
 		Disk: image.ID.String(), BootstrapMembers: image.BootstrapMembers, Epoch: image.View.Epoch, Sealed: image.Vote.Sealed(image.View.Epoch),
-		Base: image.Chain.Base, Last: image.Chain.Base, Voters: []string{}, Chain: []string{}, Uncovered: []string{},
+		Base: image.Chain.Base, Last: image.Chain.Base, Voters: []string{}, Chain: []string{}, CommandsAfterBase: []string{},
 	}
 	for _, member := range image.View.Voters {
 		c.Voters = append(c.Voters, member.ID.String()+"@"+member.Address)
@@ -250,7 +250,7 @@
 		entry := &image.Chain.Entries[n]
 		c.Last = entry.Sequence
 		if entry.Origin != 0 {
-			c.Uncovered = append(c.Uncovered, commandSummary(entry.Command))
+			c.CommandsAfterBase = append(c.CommandsAfterBase, commandSummary(entry.Command))
 		}
 	}
 	return c
--- a/cmd/ravendalectl/internal/disks/disks.go
+++ b/cmd/ravendalectl/internal/disks/disks.go
@@ -12,25 +12,25 @@
 	"ravendale/control/slots"
 )
 
-// Fate is the condition of a file.
-type Fate string
+// FileState is the condition of a file.
+type FileState string
 
-// Conditions of files.
+// States of files.
 const (
-	FateIntact     Fate = "whole"
-	FateOlder      Fate = "older"    // intact, but superseded by a newer file
-	FateTorn       Fate = "torn"     // the data after the good part was not synced or acknowledged, and is truncated at the next start
-	FateUnneeded   Fate = "unneeded" // not intact, but superseded by a newer file or never used
-	FateUnreadable Fate = "lost"     // synced data can't be read: the disk is damaged
+	FileIntact     FileState = "whole"
+	FileSuperseded FileState = "older"    // intact, but superseded by a newer file
+	FileTorn       FileState = "torn"     // the data after the readable part was not synced or acknowledged; the next start truncates it
+	FileUnneeded   FileState = "unneeded" // not intact, but superseded by a newer file or never used
+	FileUnreadable FileState = "lost"     // synced data can't be read: the disk is damaged
 )
 
 // File is one file of a disk.
 type File struct {
-	Name    string `json:"name"`
-	Bytes   int64  `json:"bytes"`
-	Good    int64  `json:"good"` // number of readable bytes from the start
-	Records int    `json:"records"`
-	Fate    Fate   `json:"fate"`
+	Name          string    `json:"name"`
+	Bytes         int64     `json:"bytes"`
+	ReadableBytes int64     `json:"good"` // number of readable bytes from the start
+	Records       int       `json:"records"`
+	State         FileState `json:"fate"`
 }
 
 // Report is the content of one disk.
--- a/cmd/ravendalectl/internal/disks/disks_test.go
+++ b/cmd/ravendalectl/internal/disks/disks_test.go
@@ -118,8 +118,8 @@
 		require.Equal(t, []string{disk}, report.Core.Chain)
 		require.Len(t, report.Core.Voters, 1)
 		require.NotZero(t, report.Core.Epoch)
-		require.EqualValues(t, 3, int(report.Core.Version)+len(report.Core.Uncovered), "%+v", report.Core)
-		require.Equal(t, "set on 2", report.Core.Uncovered[len(report.Core.Uncovered)-1])
+		require.EqualValues(t, 3, int(report.Core.Version)+len(report.Core.CommandsAfterBase), "%+v", report.Core)
+		require.Equal(t, "set on 2", report.Core.CommandsAfterBase[len(report.Core.CommandsAfterBase)-1])
 		require.GreaterOrEqual(t, report.Core.Last, report.Core.Base+3)
 	}
 }
@@ -153,11 +153,11 @@
 	require.Empty(t, report.Damage)
 	require.EqualValues(t, 2, report.Core.Version)
 	require.Equal(t, document(2), report.Core.Document)
-	require.Equal(t, FateIntact, report.file("slot-0").Fate)
-	require.Equal(t, FateOlder, report.file("slot-1").Fate)
-	require.Equal(t, FateOlder, report.file("log-1").Fate)
+	require.Equal(t, FileIntact, report.file("slot-0").State)
+	require.Equal(t, FileSuperseded, report.file("slot-1").State)
+	require.Equal(t, FileSuperseded, report.file("log-1").State)
 	log := report.file("log-0")
-	require.Equal(t, File{Name: "log-0", Bytes: log.Bytes, Good: log.Bytes, Records: 1, Fate: FateIntact}, log)
+	require.Equal(t, File{Name: "log-0", Bytes: log.Bytes, ReadableBytes: log.Bytes, Records: 1, State: FileIntact}, log)
 }
 
 func TestTornLogIsNotDamage(t *testing.T) {
@@ -165,7 +165,7 @@
 	modifyFile(t, filepath.Join(dir, "log-0"), func(data []byte) []byte { return data[:len(data)-1] })
 	report := inspect(t, dir)
 	require.Empty(t, report.Damage)
-	require.Equal(t, FateTorn, report.file("log-0").Fate)
+	require.Equal(t, FileTorn, report.file("log-0").State)
 	require.Zero(t, report.file("log-0").Records)
 	require.Contains(t, report.Remarks[0], "torn")
 }
@@ -176,7 +176,7 @@
 	require.NoError(t, os.Remove(filepath.Join(dir, "log-1")))
 	report := inspect(t, dir)
 	require.Empty(t, report.Damage)
-	require.Equal(t, FateUnneeded, report.file("slot-1").Fate)
+	require.Equal(t, FileUnneeded, report.file("slot-1").State)
 	require.EqualValues(t, 2, report.Core.Version)
 }
 
@@ -186,8 +186,8 @@
 	report := inspect(t, dir)
 	require.True(t, report.Damaged())
 	require.Contains(t, report.Damage[0], "generation 2")
-	require.Equal(t, FateUnreadable, report.file("slot-0").Fate)
-	require.True(t, report.Core.Older)
+	require.Equal(t, FileUnreadable, report.file("slot-0").State)
+	require.True(t, report.Core.FromOlderState)
 	require.EqualValues(t, 1, report.Core.Version)
 }
 
@@ -211,8 +211,8 @@
 	require.Zero(t, reports[0].Core.Version)
 	require.True(t, reports[1].SetAside)
 	require.Contains(t, reports[1].Damage[0], "generation 2")
-	require.Equal(t, FateUnreadable, reports[1].file("damaged-slot-0").Fate)
-	require.True(t, reports[1].Core.Older)
+	require.Equal(t, FileUnreadable, reports[1].file("damaged-slot-0").State)
+	require.True(t, reports[1].Core.FromOlderState)
 	require.EqualValues(t, 1, reports[1].Core.Version)
 }
 
@@ -270,8 +270,8 @@
 		Partitions: []Partition{{Number: 1, Pending: 1, Finished: 1}, {Number: 2, Finished: 1}, {Number: 4, Pending: 1}},
 	}, report.Store)
 	for _, file := range report.Files {
-		require.Equal(t, FateIntact, file.Fate)
-		require.Equal(t, file.Bytes, file.Good)
+		require.Equal(t, FileIntact, file.State)
+		require.Equal(t, file.Bytes, file.ReadableBytes)
 	}
 }
 
@@ -281,14 +281,14 @@
 	report := inspect(t, dir)
 	require.Empty(t, report.Damage)
 	torn := report.Files[2]
-	require.Equal(t, FateTorn, torn.Fate)
-	require.Less(t, torn.Good, torn.Bytes)
+	require.Equal(t, FileTorn, torn.State)
+	require.Less(t, torn.ReadableBytes, torn.Bytes)
 	require.Equal(t, 1, report.Store.Pending, "the last message is truncated")
 
 	modifyFile(t, segmentPath(dir, 3), func(data []byte) []byte { return append(make([]byte, 20), data[20:]...) })
 	report = inspect(t, dir)
 	require.Empty(t, report.Damage)
-	require.Zero(t, report.Files[2].Good, "the header is unreadable")
+	require.Zero(t, report.Files[2].ReadableBytes, "the header is unreadable")
 }
 
 func TestCorruptOlderSegmentIsDamage(t *testing.T) {
@@ -297,8 +297,8 @@
 	report := inspect(t, dir)
 	require.True(t, report.Damaged())
 	require.Contains(t, report.Damage[0], "0000000002.journal: it can't be read from byte 12 on")
-	require.Equal(t, FateUnreadable, report.Files[1].Fate)
-	require.Equal(t, FateIntact, report.Files[2].Fate, "the following segment is still read")
+	require.Equal(t, FileUnreadable, report.Files[1].State)
+	require.Equal(t, FileIntact, report.Files[2].State, "the following segment is still read")
 }
 
 func TestMissingSegmentIsDamage(t *testing.T) {
--- a/cmd/ravendalectl/internal/disks/store.go
+++ b/cmd/ravendalectl/internal/disks/store.go
@@ -93,7 +93,7 @@
 	if err != nil {
 		return fmt.Errorf("disks: %w", err)
 	}
-	file := File{Name: name, Bytes: int64(len(original)), Fate: FateIntact}
+	file := File{Name: name, Bytes: int64(len(original)), State: FileIntact}
 	good, err := readSegment(name, original, func(payload []byte) {
 		file.Records++
 		if err := states.apply(payload); err != nil {
@@ -103,14 +103,14 @@
 	if err != nil {
 		return err
 	}
-	file.Good = good
+	file.ReadableBytes = good
 	switch {
 	case good == file.Bytes:
 	case newest:
-		file.Fate = FateTorn
+		file.State = FileTorn
 		r.addRemark("%s: the last %d bytes were torn by a loss of power, or have rotted: on the newest segment one can't be told from the other", name, file.Bytes-good)
 	default:
-		file.Fate = FateUnreadable
+		file.State = FileUnreadable
 		r.addDamage("%s: it can't be read from byte %d on, and it was synced before the next segment was begun: the store would not start", name, good)
 	}
 	r.Files = append(r.Files, file)
--- a/control/leader/leader.go
+++ b/control/leader/leader.go
@@ -58,7 +58,7 @@
 
 // NewService returns a service and registers its handlers on the Mux.
 func NewService(config Config) *Service {
-	s := &Service{config: config, log: config.Log, host: host.Or(config.Host)}
+	s := &Service{config: config, log: config.Log, host: host.OrSystem(config.Host)}
 	if s.log == nil {
 		s.log = slog.Default()
 	}
--- a/control/leader/term.go
+++ b/control/leader/term.go
@@ -52,7 +52,7 @@
 	l := &leadership{
 		service: s, number: number, valid: valid, started: s.host.Now(), box: mailbox.New(), tasks: s.host.Tasks(), done: make(chan struct{}),
 	}
-	node := relay.NewNode(relay.NodeConfig{Root: true, Link: s.settings.Load().BytesPerSecond(), Log: s.log, Host: s.host})
+	node := relay.NewNode(relay.NodeConfig{Root: true, LinkBandwidth: s.settings.Load().BytesPerSecond(), Log: s.log, Host: s.host})
 	heartbeat := settings.Milliseconds(float64(s.settings.Load().HeartbeatMs))
 	topics := &publisher{node: node, term: number, log: s.log}
 	leases := newMemberLeases(registry.DefaultConfig(heartbeat))
--- a/edge/queueclient/client.go
+++ b/edge/queueclient/client.go
@@ -79,7 +79,7 @@
 	if config.Log == nil {
 		config.Log = slog.Default()
 	}
-	machine := host.Or(config.Host)
+	machine := host.OrSystem(config.Host)
 	c := &Client{
 		config: config, host: machine, started: machine.Now(), lastTimeout: lastAnswerTimeout, incarnation: strconv.FormatUint(machine.Uint64()>>16, 36),
 		stores: make(map[string]*store), attempts: make(map[string]*attempt),
@@ -148,7 +148,7 @@
 	}
 	c.reports.resend() // before the claims: a completed message needs no claim
 	for _, s := range v.stores {
-		s.link.Hurry() // the new placement may mean that the store has restarted
+		s.link.ReconnectNow() // the new placement may mean that the store has restarted
 		s.claim()
 	}
 }
--- a/edge/queueclient/put.go
+++ b/edge/queueclient/put.go
@@ -228,5 +228,5 @@
 }
 
 func (p *put) wake() {
-	p.answered.Give()
+	p.answered.Notify()
 }
--- a/internal/wire/compat_test.go
+++ b/internal/wire/compat_test.go
@@ -41,7 +41,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s, names, pairs, err := Nested(text)
+	s, names, pairs, err := ReadJSONSettings(text)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/wire/nested.go
+++ b/internal/wire/nested.go
@@ -12,10 +12,10 @@
 // Names are the names in the settings of what the decision module refers to by index.
 type Names struct{ Classes, Tenants, Zones, Kinds []string }
 
-// Nested reads settings from nested JSON instead of a line of name=value pairs. Both forms use the same names,
-// so the object is flattened into the pairs of such a line and read by the same code. Nested also returns
+// ReadJSONSettings reads settings from nested JSON instead of a line of name=value pairs. Both forms use the same names,
+// so the object is flattened into the pairs of such a line and read by the same code. ReadJSONSettings also returns
 // the pairs, for the settings that are not passed to the decision module.
-func Nested(text []byte) (ravendale.Settings, Names, map[string]string, error) {
+func ReadJSONSettings(text []byte) (ravendale.Settings, Names, map[string]string, error) {
 	dec := json.NewDecoder(strings.NewReader(string(text)))
 	dec.UseNumber()
 	var object map[string]any
@@ -26,11 +26,11 @@
 	for name, v := range object {
 		flatten(pairs, name, v)
 	}
-	s, t, err := pairs.settings()
+	s, names, err := pairs.settings()
 	if err != nil {
 		return s, Names{}, nil, err
 	}
-	return s, Names{Classes: t.classes, Tenants: t.tenants, Zones: t.zones, Kinds: t.kinds}, pairs, nil
+	return s, Names{Classes: names.classes, Tenants: names.tenants, Zones: names.zones, Kinds: names.kinds}, pairs, nil
 }
 
 func flatten(pairs config, path string, v any) {
--- a/store/server/store.go
+++ b/store/server/store.go
@@ -184,7 +184,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, link := range s.links {
-		link.Hurry()
+		link.ReconnectNow()
 	}
 }
 
--- a/test/simulation/machine_test.go
+++ b/test/simulation/machine_test.go
@@ -226,7 +226,7 @@
 }
 
 // Give implements host.Signal.
-func (s *signal) Give() {
+func (s *signal) Notify() {
 	s.given = true
 	if s.waiter != nil {
 		s.waiter.wake(0)
--- a/test/simulation/network_test.go
+++ b/test/simulation/network_test.go
@@ -242,7 +242,7 @@
 }
 
 // Hurry implements host.Link.
-func (k *link) Hurry() {
+func (k *link) ReconnectNow() {
 	if k.end == nil && !k.closed {
 		k.retry = firstRetry
 		k.attempt++
--- a/test/simulation/queue_test.go
+++ b/test/simulation/queue_test.go
@@ -215,7 +215,7 @@
 		}
 	}
 	for _, other := range wanted {
-		p.peers[other.Disk].Hurry()
+		p.peers[other.Disk].ReconnectNow()
 	}
 }
 
