--- a/balancer/audit/audit_test.go
+++ b/balancer/audit/audit_test.go
@@ -16,38 +16,38 @@
 	"pgregory.net/rapid"
 )
 
-// writer is a member that writes, on a clock of the test's.
-type writer struct {
+// testWriter is a member that writes a record, on a simulated clock.
+type testWriter struct {
 	*Log
-	name  string
-	clock Clock
-	now   *int64 // true time, in milliseconds
-	off   int64  // of its wall clock
-	since int64
-	inc   uint64
+	name        string
+	clock       Clock
+	now         *int64 // true time, in milliseconds
+	clockOffset int64  // error of its wall clock
+	startedAt   int64
+	incarnation uint64
 }
 
-func begin(dir, name string, inc uint64, now *int64, off int64, o Options) *writer {
-	w := &writer{name: name, now: now, off: off, since: *now, inc: inc}
+func openWriter(dir, name string, inc uint64, now *int64, off int64, o Options) *testWriter {
+	w := &testWriter{name: name, now: now, clockOffset: off, startedAt: *now, incarnation: inc}
 	o.Dir, o.Member, o.Incarnation, o.Sync = dir, name, inc, time.Microsecond
-	o.Wall, o.Mono = func() int64 { return *now + w.off }, func() int64 { return *now - w.since }
+	o.Wall, o.Mono = func() int64 { return *now + w.clockOffset }, func() int64 { return *now - w.startedAt }
 	var before Head
 	w.Log, before = Open(o)
 	w.add(Entry{Kind: Start, Before: &before, Trust: 1000})
 	return w
 }
 
-func (w *writer) add(e Entry) {
-	e.At = w.clock.Now(*w.now + w.off)
+func (w *testWriter) add(e Entry) {
+	e.At = w.clock.Now(*w.now + w.clockOffset)
 	w.Add(e)
 }
 
-// settled waits until all that was added is on disk.
-func (w *writer) settled(t *testing.T, seq uint64) Head {
+// waitUntilDurable waits until the entry seq is on disk and returns the head.
+func (w *testWriter) waitUntilDurable(t *testing.T, seq uint64) Head {
 	t.Helper()
 	for end := time.Now().Add(10 * time.Second); w.Head().Seq < seq; {
 		if time.Now().After(end) {
-			t.Fatalf("%s: entry %d never came on disk", w.name, seq)
+			t.Fatalf("%s: entry %d was not written to disk", w.name, seq)
 		}
 		time.Sleep(100 * time.Microsecond)
 	}
@@ -58,27 +58,27 @@
 	return Entry{Kind: Span, Epoch: epoch, Since: since, Sent: taken, Classes: map[string]Count{"saldo": {Taken: taken, Served: taken}}}
 }
 
-// fleetRecord writes what three members did: a and b come to epoch 7 in time, c, whose clock is 5 s ahead and steps back 9 s,
-// is brought up 400 ms after the floor's date.
+// fleetRecord writes the records of three members: a and b adopt epoch 7 in time; c, whose clock is 5 s ahead and steps back 9 s,
+// adopts it 400 ms after the floor's deadline.
 func fleetRecord(t *testing.T, dir string, o Options, cActs bool) {
 	now := int64(1_700_000_000_000)
 	id := &ID{7, strings.Repeat("7", 64)}
-	var all []*writer
+	var all []*testWriter
 	for i, name := range []string{"a", "b", "c"} {
-		all = append(all, begin(dir, name, 3, &now, int64(i)*2500, o))
-		now += 137 // their monotonic clocks begin at different times
+		all = append(all, openWriter(dir, name, 3, &now, int64(i)*2500, o))
+		now += 137 // their monotonic clocks start at different times
 	}
 	yes, no, begun := true, false, now
 	a, c := all[0], all[2]
 	witness := func() {
 		for _, w := range all {
-			w.settled(t, 1)
+			w.waitUntilDurable(t, 1)
 		}
 		for _, w := range all {
 			seen := make(map[string]Seen)
 			for _, p := range all {
 				if p != w {
-					seen[p.name] = Seen{Head: p.Head(), OffMs: w.since - p.since, ErrMs: 2}
+					seen[p.name] = Seen{Head: p.Head(), OffMs: w.startedAt - p.startedAt, ErrMs: 2}
 				}
 			}
 			w.add(Entry{Kind: Witness, Seen: seen})
@@ -93,13 +93,13 @@
 		w.add(Entry{Kind: InForce, Epoch: id})
 		w.add(Entry{Kind: Adopted, Epoch: id, Floor: 7, Within: 2000, From: "a"})
 	}
-	for i := range 8 { // the date is 3000 ms after this
+	for i := range 8 { // the deadline is 3000 ms after this
 		if i == 3 {
-			c.off -= 9000
-			a.off += 7000 // the reference's clock steps too
+			c.clockOffset -= 9000
+			a.clockOffset += 7000 // the reference clock steps too
 			witness()
 		}
-		since := *c.now - c.since
+		since := *c.now - c.startedAt
 		now += 400
 		for _, w := range all[:2] {
 			w.add(span(id, since, 5))
@@ -108,7 +108,7 @@
 	}
 	if cActs {
 		now += 600
-		c.add(span(nil, *c.now-c.since-50, 4))
+		c.add(span(nil, *c.now-c.startedAt-50, 4))
 	} else {
 		c.add(Entry{Kind: Standing, Acts: &no, Why: "alone"})
 	}
@@ -122,7 +122,7 @@
 	}
 }
 
-func kinds(a *Audit, of string) (all []string) {
+func findingKinds(a *Audit, of string) (all []string) {
 	for _, f := range a.Findings {
 		if f.Member == of && f.Kind != Foreign {
 			all = append(all, string(f.Kind))
@@ -131,7 +131,7 @@
 	return all
 }
 
-func TestARecordOfThree(t *testing.T) {
+func TestAuditOfThreeMembers(t *testing.T) {
 	for _, acts := range []bool{false, true} {
 		dir := t.TempDir()
 		fleetRecord(t, dir, Options{}, acts)
@@ -147,7 +147,7 @@
 			foreign++
 		}
 		if foreign != 3 {
-			t.Errorf("%d of 3 entries of the next version are said to be: %v", foreign, a.Findings)
+			t.Errorf("%d of 3 entries of another version are reported: %v", foreign, a.Findings)
 		}
 		if len(a.Straggled) != 1 || a.Straggled[0].Member != "c" || len(a.Below) > 0 != acts || a.Broken() != acts {
 			t.Errorf("acts %v: stragglers %+v, below %+v", acts, a.Straggled, a.Below)
@@ -157,39 +157,39 @@
 		}
 		under := a.Under(a.Epochs[0].InForce + 500)
 		if under["a"].Number != 7 || under["c"].Number != 0 {
-			t.Errorf("who acted under what: %v", under)
+			t.Errorf("epochs of the members: %v", under)
 		}
 	}
 }
 
-// tamper is one thing done to a record, and what is to be found in it.
-var tampers = map[string]struct {
+// tamperCases are changes to a record, with the finding that each must cause.
+var tamperCases = map[string]struct {
 	do   func(t *testing.T, file string)
-	want []FindingKind // any of them
+	want []FindingKind // at least one of them must be found
 }{
-	"a line taken out": {func(t *testing.T, file string) {
-		edit(t, file, func(l [][]byte) [][]byte { return slices.Delete(l, 5, 6) })
+	"removed line": {func(t *testing.T, file string) {
+		editLines(t, file, func(l [][]byte) [][]byte { return slices.Delete(l, 5, 6) })
 	}, []FindingKind{Missing}},
-	"two lines changed about": {func(t *testing.T, file string) {
-		edit(t, file, func(l [][]byte) [][]byte { l[5], l[6] = l[6], l[5]; return l })
+	"swapped lines": {func(t *testing.T, file string) {
+		editLines(t, file, func(l [][]byte) [][]byte { l[5], l[6] = l[6], l[5]; return l })
 	}, []FindingKind{Reordered, Missing}},
-	"a word altered": {func(t *testing.T, file string) {
-		edit(t, file, func(l [][]byte) [][]byte {
+	"altered line": {func(t *testing.T, file string) {
+		editLines(t, file, func(l [][]byte) [][]byte {
 			l[6] = bytes.Replace(l[6], []byte(`"seq":`), []byte(`"peer":"x","seq":`), 1)
 			return l
 		})
 	}, []FindingKind{Altered}},
-	"a line of noise": {func(t *testing.T, file string) {
-		edit(t, file, func(l [][]byte) [][]byte { return slices.Insert(l, 6, []byte("noise\n")) })
+	"line of noise": {func(t *testing.T, file string) {
+		editLines(t, file, func(l [][]byte) [][]byte { return slices.Insert(l, 6, []byte("noise\n")) })
 	}, []FindingKind{Altered}},
-	"a line twice": {func(t *testing.T, file string) {
-		edit(t, file, func(l [][]byte) [][]byte { return slices.Insert(l, 6, bytes.Clone(l[5])) })
+	"repeated line": {func(t *testing.T, file string) {
+		editLines(t, file, func(l [][]byte) [][]byte { return slices.Insert(l, 6, bytes.Clone(l[5])) })
 	}, []FindingKind{Reordered}},
-	"the end cut off behind what peers were told": {func(t *testing.T, file string) {
-		edit(t, file, func(l [][]byte) [][]byte { return l[:1] })
+	"record cut off before the head that peers received": {func(t *testing.T, file string) {
+		editLines(t, file, func(l [][]byte) [][]byte { return l[:1] })
 	}, []FindingKind{Missing}},
-	"all of it chained anew": {func(t *testing.T, file string) {
-		edit(t, file, func(l [][]byte) [][]byte {
+	"altered and chained anew": {func(t *testing.T, file string) {
+		editLines(t, file, func(l [][]byte) [][]byte {
 			prev := ""
 			for i, line := range l {
 				text := bytes.TrimSuffix(line[2*hashSize+1:], []byte("\n"))
@@ -202,14 +202,14 @@
 			return l
 		})
 	}, []FindingKind{Altered}},
-	"the file gone": {func(t *testing.T, file string) {
+	"emptied file": {func(t *testing.T, file string) {
 		if err := os.WriteFile(file, nil, 0o600); err != nil {
 			t.Fatal(err)
 		}
 	}, []FindingKind{Missing}},
 }
 
-func edit(t *testing.T, file string, change func([][]byte) [][]byte) {
+func editLines(t *testing.T, file string, change func([][]byte) [][]byte) {
 	t.Helper()
 	text, err := os.ReadFile(file)
 	if err != nil {
@@ -222,8 +222,8 @@
 	}
 }
 
-func TestTamperingIsNamedAndNoneInvented(t *testing.T) {
-	for name, tc := range tampers {
+func TestTamperingIsDetected(t *testing.T) {
+	for name, tc := range tamperCases {
 		t.Run(name, func(t *testing.T) {
 			dir := t.TempDir()
 			fleetRecord(t, dir, Options{}, false)
@@ -236,19 +236,20 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			found := kinds(a, "b")
+			found := findingKinds(a, "b")
 			if !slices.ContainsFunc(found, func(k string) bool { return slices.Contains(tc.want, FindingKind(k)) }) {
 				t.Errorf("found %v, want one of %v: %v", found, tc.want, a.Findings)
 			}
-			if others := append(kinds(a, "a"), kinds(a, "c")...); len(others) > 0 {
+			if others := append(findingKinds(a, "a"), findingKinds(a, "c")...); len(others) > 0 {
 				t.Errorf("invented: %v", a.Findings)
 			}
 		})
 	}
 }
 
-// A crash cuts the last line at any byte: that is no tampering, and the next process goes on from what is whole.
-func TestACrashTearsTheLastEntryAlone(t *testing.T) {
+// A crash may truncate the last line at any byte. That does not count as tampering, and the next process continues after the
+// last complete line.
+func TestTruncatedLastLineIsTorn(t *testing.T) {
 	dir := t.TempDir()
 	fleetRecord(t, dir, Options{}, false)
 	files, _ := memberFiles(dir, "a")
@@ -262,24 +263,25 @@
 			t.Fatal(err)
 		}
 		r, err := readMember(dir, "a")
-		if err != nil || len(r.found) != 2 || r.found[1].Kind != Torn {
-			t.Fatalf("cut at %d of %d: %v, %v", cut, len(text), r.found, err)
+		if err != nil || len(r.findings) != 2 || r.findings[1].Kind != Torn {
+			t.Fatalf("cut at %d of %d: %v, %v", cut, len(text), r.findings, err)
 		}
 	}
 	now := int64(1_700_000_100_000)
-	w := begin(dir, "a", 4, &now, 0, Options{})
+	w := openWriter(dir, "a", 4, &now, 0, Options{})
 	w.Close()
 	if a, err := Read(dir); err != nil || slices.ContainsFunc(a.Findings, func(f Finding) bool { return f.Kind.Fault() }) {
 		t.Error(a.Findings, err)
 	}
 }
 
-// A disk put back to an older state, on which a new process goes on, holds together by itself: its peers were told of more.
-func TestAnOldDiskIsSeen(t *testing.T) {
+// The hash chain is intact if a new process continues on a disk restored to an older state. The heads that peers received show
+// that entries are missing.
+func TestRolledBackDiskIsDetected(t *testing.T) {
 	dir := t.TempDir()
 	now := int64(1_700_000_000_000)
-	a, b := begin(dir, "a", 1, &now, 0, Options{}), begin(dir, "b", 1, &now, 0, Options{})
-	a.settled(t, 1)
+	a, b := openWriter(dir, "a", 1, &now, 0, Options{}), openWriter(dir, "b", 1, &now, 0, Options{})
+	a.waitUntilDurable(t, 1)
 	files, _ := memberFiles(dir, "a")
 	old, err := os.ReadFile(files[0].path)
 	if err != nil {
@@ -288,20 +290,20 @@
 	for i := range 5 {
 		a.add(Entry{Kind: Command, Command: fmt.Sprint(i)})
 	}
-	b.add(Entry{Kind: Witness, Seen: map[string]Seen{"a": {Head: a.settled(t, 6)}}})
+	b.add(Entry{Kind: Witness, Seen: map[string]Seen{"a": {Head: a.waitUntilDurable(t, 6)}}})
 	a.Close()
 	b.Close()
 	if err := os.WriteFile(files[0].path, old, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	begin(dir, "a", 2, &now, 0, Options{}).Close()
+	openWriter(dir, "a", 2, &now, 0, Options{}).Close()
 	read, err := Read(dir)
-	if err != nil || !slices.Contains(kinds(read, "a"), string(Rolled)) {
+	if err != nil || !slices.Contains(findingKinds(read, "a"), string(Rolled)) {
 		t.Error(read.Findings, err)
 	}
 }
 
-// brokenDisk fails its writes or fsyncs while it is told to.
+// brokenDisk is a file whose writes or fsyncs fail while the flags are set.
 type brokenDisk struct {
 	*os.File
 	write, sync *atomic.Bool
@@ -322,10 +324,10 @@
 	return d.File.Sync()
 }
 
-func TestAFailingDiskIsNoTampering(t *testing.T) {
+func TestFailingDiskIsNoFault(t *testing.T) {
 	for _, tc := range []struct {
 		what string
-		came int // while it failed
+		came int // number of entries added while the disk failed
 		gap  bool
 	}{{"write", 3, false}, {"sync", 3, false}, {"write", 20, true}} {
 		dir := t.TempDir()
@@ -335,8 +337,8 @@
 			f, err := os.Create(path)
 			return brokenDisk{f, &write, &sync}, err
 		}}
-		w := begin(dir, "a", 1, &now, 0, o)
-		w.settled(t, 1)
+		w := openWriter(dir, "a", 1, &now, 0, o)
+		w.waitUntilDurable(t, 1)
 		write.Store(tc.what == "write")
 		sync.Store(tc.what == "sync")
 		for i := range tc.came {
@@ -347,7 +349,7 @@
 		}
 		write.Store(false)
 		sync.Store(false)
-		w.settled(t, 4)
+		w.waitUntilDurable(t, 4)
 		w.add(Entry{Kind: Command, Command: "after"})
 		w.Close()
 		a, err := Read(dir)
@@ -362,7 +364,7 @@
 		if tc.gap {
 			want = []string{string(Lost)}
 		}
-		if diff := cmp.Diff(want, kinds(a, "a")); diff != "" {
+		if diff := cmp.Diff(want, findingKinds(a, "a")); diff != "" {
 			t.Errorf("%+v: %s %v", tc, diff, a.Findings)
 		}
 		if !tc.gap && cmp.Diff([]string{"start", "command0", "command1", "command2", "commandafter"}, words) != "" || words[len(words)-1] != "commandafter" {
@@ -371,15 +373,15 @@
 	}
 }
 
-// The bound holds: the oldest spans become sums, what they sum to stays, and nothing counts as tampering.
-func TestTheBoundFoldsTheOldest(t *testing.T) {
+// The size limit holds: the oldest spans are replaced by sums with the same totals, and nothing counts as tampering.
+func TestSizeLimitFoldsOldestSpans(t *testing.T) {
 	dir := t.TempDir()
 	now := int64(1_700_000_000_000)
-	w := begin(dir, "a", 1, &now, 0, Options{Segment: 4 << 10, Most: 24 << 10})
+	w := openWriter(dir, "a", 1, &now, 0, Options{Segment: 4 << 10, Most: 24 << 10})
 	id := &ID{3, "abc"}
 	for i := range 400 {
 		w.add(span(id, 0, 2))
-		w.settled(t, uint64(i+2))
+		w.waitUntilDurable(t, uint64(i+2))
 	}
 	w.add(Entry{Kind: Command, Command: "kept"})
 	w.Close()
@@ -401,13 +403,13 @@
 	}
 }
 
-// The timeline is the same whatever the order of the folders, and keeps each member's own order.
-func TestTheTimelineDoesNotDependOnTheOrder(t *testing.T) {
+// The timeline does not depend on the order of the directories.
+func TestTimelineIndependentOfDirectoryOrder(t *testing.T) {
 	var dirs []string
 	now := int64(1_700_000_000_000)
 	for i, name := range []string{"a", "b", "c", "d"} {
 		dir := filepath.Join(t.TempDir(), name)
-		w := begin(dir, name, 1, &now, int64(i)*700, Options{})
+		w := openWriter(dir, name, 1, &now, int64(i)*700, Options{})
 		for j := range 5 {
 			now += int64(i*j) % 3
 			w.add(Entry{Kind: Command, Command: fmt.Sprint(j)})
@@ -427,7 +429,7 @@
 	})
 }
 
-// Foreign bytes lead to findings, never to a crash, and what was written reads back.
+// Arbitrary bytes result in findings, never in a panic.
 func FuzzRecord(f *testing.F) {
 	line, _, _ := appendLine(nil, "", &Entry{Kind: Segment, Name: "a", Incarnation: 1, Number: 1})
 	f.Add(line)
@@ -436,8 +438,8 @@
 		r := &Record{Member: "a", hashes: make(map[Head]bool), ends: make(map[uint64]uint64), folds: make(map[uint64]uint64)}
 		r.read(memberFile{"a.1.1.audit", 1, 1, 0}, text, true, true)
 		a := &Audit{Members: []string{"a"}, records: map[string]*Record{"a": r}}
-		a.witnesses()
+		a.checkWitnesses()
 		a.align()
-		a.judge()
+		a.evaluate()
 	})
 }
--- a/balancer/audit/clocks.go
+++ b/balancer/audit/clocks.go
@@ -7,10 +7,11 @@
 	"slices"
 )
 
-// slackMs is what clocks that were compared may still be off, and a span that straddles a date may reach over it.
+// slackMs is the tolerance, in milliseconds, for the remaining error of aligned clocks, and for spans that extend past a
+// deadline.
 const slackMs = 250
 
-// process is one start of a member: it has a monotonic clock of its own.
+// process is one process of a member. Each has its own monotonic clock.
 type process struct {
 	member      string
 	incarnation uint64
@@ -20,27 +21,27 @@
 	return cmp.Or(cmp.Compare(p.member, q.member), cmp.Compare(p.incarnation, q.incarnation))
 }
 
-// clocks is what the records say of the processes' clocks, in milliseconds.
+// clocks holds the measurements of the processes' clocks in the records, in milliseconds.
 type clocks struct {
-	processes []process                       // in the order of their first entries
-	own       map[process][]int64             // wall less monotonic clock, at each entry
-	between   map[process]map[process][]int64 // the second's monotonic clock less the first's, as peers measured it
+	processes   []process                       // in the order of their first entries
+	ownOffsets  map[process][]int64             // wall clock minus monotonic clock, at each entry
+	peerOffsets map[process]map[process][]int64 // the second's monotonic clock minus the first's, as measured by either
 }
 
-// readClocks gathers it.
+// readClocks collects the measurements from all records.
 func (a *Audit) readClocks() *clocks {
-	c := &clocks{own: make(map[process][]int64), between: make(map[process]map[process][]int64)}
+	c := &clocks{ownOffsets: make(map[process][]int64), peerOffsets: make(map[process]map[process][]int64)}
 	for _, m := range a.Members {
 		for _, e := range a.records[m].Entries {
 			p := process{m, e.Incarnation}
-			if c.own[p] == nil {
+			if c.ownOffsets[p] == nil {
 				c.processes = append(c.processes, p)
 			}
-			c.own[p] = append(c.own[p], e.Wall-e.Mono)
+			c.ownOffsets[p] = append(c.ownOffsets[p], e.Wall-e.Mono)
 			for peer, seen := range e.Seen {
 				if q := (process{peer, seen.Head.Incarnation}); seen.ErrMs < slackMs {
-					c.measured(p, q, seen.OffMs)
-					c.measured(q, p, -seen.OffMs)
+					c.addMeasurement(p, q, seen.OffMs)
+					c.addMeasurement(q, p, -seen.OffMs)
 				}
 			}
 		}
@@ -48,15 +49,15 @@
 	return c
 }
 
-func (c *clocks) measured(p, q process, offset int64) {
-	if c.between[p] == nil {
-		c.between[p] = make(map[process][]int64)
+func (c *clocks) addMeasurement(p, q process, offset int64) {
+	if c.peerOffsets[p] == nil {
+		c.peerOffsets[p] = make(map[process][]int64)
 	}
-	c.between[p][q] = append(c.between[p][q], offset)
+	c.peerOffsets[p][q] = append(c.peerOffsets[p][q], offset)
 }
 
-// aligned returns, for each process of the largest set whose clocks were compared with one another, the reference's wall clock less
-// the process's monotonic clock. The reference is the set's first process.
+// aligned returns, for each process of the largest set connected by measurements, the reference's wall clock minus the process's
+// monotonic clock. The reference is the first process of the set.
 func (c *clocks) aligned() map[process]int64 {
 	var largest map[process]int64
 	seen := make(map[process]bool)
@@ -64,7 +65,7 @@
 		if seen[first] {
 			continue
 		}
-		set := c.from(first)
+		set := c.alignFrom(first)
 		for p := range set {
 			seen[p] = true
 		}
@@ -75,14 +76,14 @@
 	return largest
 }
 
-// from lays the clocks of all processes that can be reached from one by measurements on that one's wall clock.
-func (c *clocks) from(first process) map[process]int64 {
-	set := map[process]int64{first: median(c.own[first])}
+// alignFrom aligns all processes that are connected to first by measurements with the wall clock of first.
+func (c *clocks) alignFrom(first process) map[process]int64 {
+	set := map[process]int64{first: median(c.ownOffsets[first])}
 	for next := []process{first}; len(next) > 0; next = next[1:] {
 		p := next[0]
-		for _, q := range slices.SortedFunc(maps.Keys(c.between[p]), process.compare) {
-			if _, has := set[q]; !has && c.own[q] != nil {
-				set[q], next = set[p]-median(c.between[p][q]), append(next, q)
+		for _, q := range slices.SortedFunc(maps.Keys(c.peerOffsets[p]), process.compare) {
+			if _, has := set[q]; !has && c.ownOffsets[q] != nil {
+				set[q], next = set[p]-median(c.peerOffsets[p][q]), append(next, q)
 			}
 		}
 	}
@@ -95,9 +96,9 @@
 	return values[len(values)/2]
 }
 
-// align gives each entry a time by one clock: that of the first member's first process. Each process's monotonic clock, which
-// can't step, is laid on it by what peers measured between their monotonic clocks, outwards from that process. Where nothing was
-// measured the process's own wall clock is taken, and that is said.
+// align sets the time of each entry by a single clock, the wall clock of the reference process. Offsets between the monotonic
+// clocks of processes, which can't step, are taken from the peers' measurements, starting from the reference. A process without
+// measurements uses its own wall clock; its entries are marked Unaligned, and with several members a finding says so.
 func (a *Audit) align() {
 	c := a.readClocks()
 	base := c.aligned()
@@ -108,9 +109,9 @@
 			p := process{m, e.Incarnation}
 			offset, known := base[p]
 			if e.Unaligned = !known; e.Unaligned {
-				offset = median(c.own[p])
+				offset = median(c.ownOffsets[p])
 				if len(a.Members) > 1 {
-					a.find(Unheard, m, fmt.Sprintf("incarnation %d", e.Incarnation), "its clock was compared with nobody's: its times are its own")
+					a.addFinding(Unheard, m, fmt.Sprintf("incarnation %d", e.Incarnation), "its clock was compared with nobody's: its times are its own")
 				}
 			}
 			e.When = offset + e.Mono
@@ -119,7 +120,7 @@
 	a.order()
 }
 
-// order lays all entries on one timeline, causes before effects: by stamp, but never before an earlier entry of the same member.
+// order sorts all entries into one timeline, causes before effects: by stamp, but never before an earlier entry of the same member.
 func (a *Audit) order() {
 	type stamped struct {
 		stamp Stamp
--- a/balancer/audit/compat_test.go
+++ b/balancer/audit/compat_test.go
@@ -10,7 +10,8 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// The files in testdata/compat were written by version a08c060: a record is read for years, and each line is under a hash.
+// The files in testdata/compat were written by version a08c060. Records are read for years, and each line has a hash, so their
+// encoding must not change.
 
 const (
 	compatRecord = "a.00000000001764000001.000001.audit" // a segment with an entry of each kind
@@ -26,7 +27,7 @@
 	return b
 }
 
-// compatEntries are what the golden record says. Each field is set in one of them at least.
+// compatEntries returns the entries of the golden record. Each field is set in at least one of them.
 func compatEntries(member string) []Entry {
 	yes, no := true, false
 	epoch := &ID{Number: 4, Digest: "09a02fd4bfa39cb8a5dcbc0b1c4d2e7e"}
@@ -127,7 +128,7 @@
 	}
 }
 
-// What `ravendale audit -json` prints is the format of tools.
+// Tools parse the output of `ravendale audit -json`.
 func TestGoldenAuditIsPrintedTheSame(t *testing.T) {
 	a, err := Read(filepath.Join("testdata", "compat"))
 	if err != nil {
--- a/balancer/audit/doc.go
+++ b/balancer/audit/doc.go
@@ -1,4 +1,4 @@
-// Package audit is the record of what each scheduler of a fleet acted on, and the reading of many such records as one
-// timeline. A record is a folder of segments, text files with an entry a line, each line under a hash that chains it to the
-// one before: a missing, reordered or altered entry is found, and one that a crash left incomplete is told from that.
+// Package audit writes the audit record of a scheduler in a fleet, and reads the records of many schedulers as one timeline. A
+// record consists of segments, text files with one entry per line. Each line begins with a hash that chains it to the previous
+// line, so that missing, reordered and altered entries are detected, and distinguished from an entry truncated by a crash.
 package audit
--- a/balancer/audit/entry.go
+++ b/balancer/audit/entry.go
@@ -9,15 +9,15 @@
 	"fmt"
 )
 
-// MaxLine bounds a line, in bytes; that of a fold, which stands for a segment, may be maxFold.
+// MaxEntry is the maximum size of a line in bytes; the line of a fold, which replaces a whole segment, may have maxFold.
 const (
 	MaxEntry = 64 << 10
 	maxFold  = 4 << 20
 )
 
-// Stamp orders entries of several schedulers so that a cause comes before its effect: a hybrid logical clock (Kulkarni and
-// others, "Logical Physical Clocks", OPODIS 2014). Wall is in Unix milliseconds and at least what the writer's own clock had
-// said; no decision rests on it.
+// Stamp is a timestamp of a hybrid logical clock (Kulkarni and others, "Logical Physical Clocks", OPODIS 2014). It orders entries
+// of several schedulers so that causes precede their effects. Wall is in Unix milliseconds and never less than the writer's wall
+// clock; no decision depends on it.
 type Stamp struct {
 	Wall int64  `json:"w"`
 	Tick uint32 `json:"t,omitempty"`
@@ -31,7 +31,7 @@
 // Clock makes stamps. The zero value is ready.
 type Clock struct{ last Stamp }
 
-// Now returns the stamp of an event at a time of the own wall clock, in Unix milliseconds, which may step back.
+// Now returns the stamp of an event at a time of the local wall clock, in Unix milliseconds, which may step back.
 func (c *Clock) Now(wall int64) Stamp {
 	if wall > c.last.Wall {
 		c.last = Stamp{Wall: wall}
@@ -41,51 +41,52 @@
 	return c.last
 }
 
-// Saw has all stamps from now on come after one that was heard.
-func (c *Clock) Saw(heard Stamp) {
-	if heard.Compare(c.last) > 0 {
-		c.last = heard
+// Saw advances the clock past a received stamp: all later stamps of Now are greater.
+func (c *Clock) Saw(received Stamp) {
+	if received.Compare(c.last) > 0 {
+		c.last = received
 	}
 }
 
-// Kinds of entries. One that is not listed is of another version of the program: it is kept, shown and chained, not judged.
+// Kinds of entries. An entry of another kind was written by another version of the program: it is kept, shown and part of the
+// chain, but not evaluated.
 const (
-	Start    = "start"    // a process begins; Before is where the one before it on this disk ended
-	Stop     = "stop"     // it ends as planned
-	Proposed = "proposed" // an operator's epoch was handed in here
+	Start    = "start"    // a process starts; Before is the head of the record at that time
+	Stop     = "stop"     // a process ends as planned
+	Proposed = "proposed" // an operator proposed an epoch to this member
 	Accepted = "accepted" // this member votes for an epoch
-	InForce  = "in-force" // it knows that a majority did, or that a peer adopted it
-	Adopted  = "adopted"  // it acts under an epoch from here on; From is who brought it
-	Refused  = "refused"  // an epoch, or a peer's message
-	Standing = "standing" // whether it may act, and why not
-	Member   = "member"   // a peer as seen
-	Command  = "command"  // an operator's: detach, attach, lame duck, settings read again
-	List     = "list"     // the list of servers that it acts on
-	Span     = "span"     // what it did since the last span, under one epoch
-	Gap      = "gap"      // entries that could not be written
-	Witness  = "witness"  // how far the records of peers were, as they reported, and how far their clocks are off
-	Fold     = "fold"     // spans of a segment as sums
+	InForce  = "in-force" // this member knows that an epoch is in force: a majority voted for it, or a peer reported so
+	Adopted  = "adopted"  // this member runs under an epoch from now on; From is the peer that had it
+	Refused  = "refused"  // this member rejected an epoch or a peer's message
+	Standing = "standing" // whether this member may take requests, and why not
+	Member   = "member"   // the state of a peer changed
+	Command  = "command"  // a command of an operator: detach, attach, lame duck, settings read again
+	List     = "list"     // the list of servers in use
+	Span     = "span"     // what this member did since the last span, under one epoch
+	Gap      = "gap"      // number of entries that could not be written
+	Witness  = "witness"  // heads of the peers' records as they reported them, and offsets of their clocks
+	Fold     = "fold"     // replaces the spans of a segment by sums
 	Segment  = "segment"  // the first line of a file
-	Amnesiac = "amnesiac" // the disk is older than what peers remember of this member: it does not vote
+	Amnesiac = "amnesiac" // the disk is older than what peers remember of this member, so it does not vote
 )
 
-// ID names an epoch: no two contents have one. The zero value is none.
+// ID identifies an epoch by number and content. The zero value means none.
 type ID struct {
 	Number uint64 `json:"number"`
 	Digest string `json:"digest,omitempty"` // SHA-256 of the content, in hex
 }
 
-// String gives the number and the first digits of the digest.
+// String returns the number and the first 8 digits of the digest.
 func (id ID) String() string { return fmt.Sprintf("%d:%.8s", id.Number, id.Digest) }
 
-// Head is how far a record is: the number of its last entry and the hash of its line.
+// Head identifies the last entry of a record, by its number and the hash of its line.
 type Head struct {
 	Incarnation uint64 `json:"inc"`
 	Seq         uint64 `json:"seq"`
 	Hash        string `json:"hash,omitempty"`
 }
 
-// Count is what was done with the requests of one class.
+// Count holds the numbers of requests of a class by outcome.
 type Count struct {
 	Taken   int `json:"taken,omitempty"`
 	Served  int `json:"served,omitempty"`
@@ -93,56 +94,56 @@
 	Failed  int `json:"failed,omitempty"`
 }
 
-// Seen is what a witness says of a peer.
+// Seen is the part of a witness entry about one peer.
 type Seen struct {
 	Head  Head  `json:"head"`
-	OffMs int64 `json:"off_ms"` // the peer's monotonic clock less the own one, and how wrong that may be
+	OffMs int64 `json:"off_ms"` // the peer's monotonic clock minus the writer's; ErrMs bounds its error
 	ErrMs int64 `json:"err_ms"`
 }
 
-// Entry is one line. Only what is given counts.
+// Entry is an entry of a record, one line. Only the fields that are set have a meaning.
 type Entry struct {
 	Seq  uint64 `json:"seq"`
 	At   Stamp  `json:"at"`
-	Wall int64  `json:"wall"` // the writer's clock, in Unix milliseconds: shown, never trusted
-	Mono int64  `json:"mono"` // its monotonic clock, in milliseconds since its start
+	Wall int64  `json:"wall"` // the writer's wall clock, in Unix milliseconds: only displayed, no decision depends on it
+	Mono int64  `json:"mono"` // the writer's monotonic clock, in milliseconds since its start
 	Kind string `json:"kind"`
 
 	Epoch  *ID    `json:"epoch,omitempty"`
-	Floor  uint64 `json:"floor,omitempty"`  // of that epoch: nobody is to act under an older one,
-	Within int64  `json:"within,omitempty"` // from so many milliseconds after it is in force
+	Floor  uint64 `json:"floor,omitempty"`  // of that epoch: no member may run under an epoch below the floor,
+	Within int64  `json:"within,omitempty"` // from so many milliseconds after the epoch is in force
 	From   string `json:"from,omitempty"`
 	Peer   string `json:"peer,omitempty"`
 	State  string `json:"state,omitempty"`
 	Why    string `json:"why,omitempty"`
 	Acts   *bool  `json:"acts,omitempty"`
 
-	Trust    int64             `json:"trust,omitempty"` // for so many milliseconds after messages with a majority a member is trusted
+	Trust    int64             `json:"trust,omitempty"` // for so many milliseconds after messages exchanged with a majority a member is trusted
 	Build    string            `json:"build,omitempty"`
 	File     string            `json:"file,omitempty"`     // digest of the operator's file
 	Settings string            `json:"settings,omitempty"` // digest of the platform's settings
 	List     int64             `json:"list,omitempty"`     // seq of the list of servers
-	Command  string            `json:"words,omitempty"`    // of a command
+	Command  string            `json:"words,omitempty"`    // text of a command
 	Since    int64             `json:"since,omitempty"`    // Mono at which a span began
 	Marked   bool              `json:"marked,omitempty"`
 	Sent     int               `json:"sent,omitempty"`
 	Classes  map[string]Count  `json:"classes,omitempty"`
-	Lost     uint64            `json:"lost,omitempty"` // entries, of a gap
+	Lost     uint64            `json:"lost,omitempty"` // in a gap: number of entries
 	Seen     map[string]Seen   `json:"seen,omitempty"`
 	Before   *Head             `json:"before,omitempty"`
-	Kept     []json.RawMessage `json:"kept,omitempty"` // of a fold: the entries that are no spans
-	Upto     uint64            `json:"upto,omitempty"` // and the last entry that it stands for
-	Spans    []Entry           `json:"spans,omitempty"`
+	Kept     []json.RawMessage `json:"kept,omitempty"`  // in a fold: the entries that are not spans
+	Upto     uint64            `json:"upto,omitempty"`  // in a fold: number of the last entry that it replaces
+	Spans    []Entry           `json:"spans,omitempty"` // in a fold: the sums
 
-	Name        string `json:"member,omitempty"` // of a segment
+	Name        string `json:"member,omitempty"` // in a segment entry, as the next three
 	Incarnation uint64 `json:"inc,omitempty"`
 	Number      int    `json:"segment,omitempty"`
-	Prev        string `json:"prev,omitempty"` // the hash that the first line is chained to
+	Prev        string `json:"prev,omitempty"` // hash of the last line of the previous file
 }
 
-const hashSize = 16 // bytes kept of a hash
+const hashSize = 16 // bytes of the truncated SHA-256
 
-// chain is the hash of a line's text after another line's.
+// chain returns the hash of a line's text, chained to the previous line's hash.
 func chain(prev string, text []byte) string {
 	h := sha256.New()
 	h.Write([]byte(prev))
@@ -150,35 +151,35 @@
 	return hex.EncodeToString(h.Sum(nil)[:hashSize])
 }
 
-// appendLine writes an entry as a line after one of hash prev.
+// appendLine appends an entry as a line, chained to a line with hash prev.
 func appendLine(b []byte, prev string, e *Entry) (appended []byte, hash string, err error) {
 	text, err := json.Marshal(e)
 	if err != nil {
 		return b, prev, fmt.Errorf("entry %d: %w", e.Seq, err)
 	}
-	if most := map[bool]int{true: maxFold, false: MaxEntry}[e.Kind == Fold]; len(text) > most-2*hashSize-2 {
-		return b, prev, fmt.Errorf("entry %d: more than %d bytes", e.Seq, most)
+	if maxSize := map[bool]int{true: maxFold, false: MaxEntry}[e.Kind == Fold]; len(text) > maxSize-2*hashSize-2 {
+		return b, prev, fmt.Errorf("entry %d: more than %d bytes", e.Seq, maxSize)
 	}
 	hash = chain(prev, text)
 	b = append(append(append(b, hash...), ' '), text...)
 	return append(b, '\n'), hash, nil
 }
 
-// What may be wrong with a line.
+// Errors of readLine.
 var (
-	errForm  = errors.New("no line of a record")
-	errChain = errors.New("altered, or not after the line before")
+	errFormat = errors.New("not a line of a record")
+	errChain  = errors.New("line is altered, or does not follow the previous line")
 )
 
-// readLine reads a line, without its end.
+// readLine parses a line, given without its newline, and checks its hash.
 func readLine(prev string, line []byte) (e *Entry, hash string, err error) {
 	if len(line) < 2*hashSize+1 || line[2*hashSize] != ' ' {
-		return nil, "", errForm
+		return nil, "", errFormat
 	}
 	hash, text := string(line[:2*hashSize]), line[2*hashSize+1:]
 	e = &Entry{}
 	if err := json.Unmarshal(text, e); err != nil || e.Kind == "" {
-		return nil, hash, errForm
+		return nil, hash, errFormat
 	}
 	if chain(prev, text) != hash {
 		return e, hash, errChain
--- a/balancer/audit/fold.go
+++ b/balancer/audit/fold.go
@@ -7,10 +7,10 @@
 	"slices"
 )
 
-// fold keeps the member's files within their bound: the oldest first becomes sums, and then, if that is not enough, goes. It
-// returns what they take.
+// fold reduces the member's files to at most Options.Most bytes. It first replaces the spans of the oldest files by sums and, if
+// that is not enough, removes the oldest files. It returns the resulting size.
 func (l *Log) fold() int64 {
-	files, err := memberFiles(l.o.Dir, l.o.Member)
+	files, err := memberFiles(l.options.Dir, l.options.Member)
 	if err != nil {
 		return l.figures.Bytes
 	}
@@ -18,29 +18,30 @@
 	for _, f := range files {
 		total += f.size
 	}
-	for pass := 0; pass < 2 && total > l.o.Most; pass++ {
+	for pass := 0; pass < 2 && total > l.options.Most; pass++ {
 		for _, f := range files {
-			if total <= l.o.Most || f.path == l.path {
+			if total <= l.options.Most || f.path == l.path {
 				break
 			}
-			left := int64(0)
+			folded := int64(0)
 			if pass == 0 {
-				if left = foldFile(f.path); left < 0 {
-					continue // it is one already, or does not hold together: it stays as it is, for whoever looks into that
+				if folded = foldFile(f.path); folded < 0 {
+					continue // already folded, or damaged: a damaged file is kept for an investigation
 				}
 			} else if os.Remove(f.path) != nil {
 				continue
 			}
-			total -= f.size - left
+			total -= f.size - folded
 		}
-		if files, err = memberFiles(l.o.Dir, l.o.Member); err != nil {
+		if files, err = memberFiles(l.options.Dir, l.options.Member); err != nil {
 			break
 		}
 	}
 	return total
 }
 
-// foldFile puts sums in the place of a file's spans, whole or not at all, and returns its size then; below 0, nothing was done.
+// foldFile atomically replaces a file by one with sums instead of spans, and returns the new size, or -1 if it left the file
+// unchanged.
 func foldFile(path string) int64 {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -81,16 +82,16 @@
 	return int64(len(b))
 }
 
-// peekPrev is what a file's first line is chained to, as it says itself.
+// peekPrev returns the hash that a file's first line names as its predecessor's, without a check.
 func peekPrev(line []byte) string {
 	var e Entry
 	if len(line) > 2*hashSize {
-		_ = json.Unmarshal(line[2*hashSize+1:], &e) // what makes no sense has none
+		_ = json.Unmarshal(line[2*hashSize+1:], &e) // an invalid line yields ""
 	}
 	return e.Prev
 }
 
-// addSpan adds what was done in a span to the sum for its epoch.
+// addSpan adds a span's counts to the sum for its epoch and mark.
 func addSpan(sums []Entry, e *Entry) []Entry {
 	i := slices.IndexFunc(sums, func(s Entry) bool {
 		return s.Marked == e.Marked && (s.Epoch == nil) == (e.Epoch == nil) && (s.Epoch == nil || *s.Epoch == *e.Epoch)
--- a/balancer/audit/log.go
+++ b/balancer/audit/log.go
@@ -12,41 +12,41 @@
 	"time"
 )
 
-// Options say what a log is of and how much it may take.
+// Options configures a Log.
 type Options struct {
 	Dir         string
-	Member      string // letters, digits, '-' and '_' alone: it is part of files' names
+	Member      string // only letters, digits, '-' and '_', since it is part of file names
 	Incarnation uint64
-	Segment     int64         // bytes after which a new file begins, 256 KiB if 0
-	Most        int64         // bytes of all files of the member, above which the oldest are folded, 16 MiB if 0
-	Sync        time.Duration // at most so long until what was written is on disk, 200 ms if 0
-	Retry       time.Duration // after a failure, 1 s if 0
-	Queue       int           // entries that wait for the disk at most, 4096 if 0: what comes beyond is lost, and said to be
+	Segment     int64         // size in bytes from which on a new file is started, 256 KiB if 0
+	Most        int64         // total size in bytes of the member's files above which the oldest are folded, 16 MiB if 0
+	Sync        time.Duration // maximum delay until entries are on disk, 200 ms if 0
+	Retry       time.Duration // delay after a failed write, 1 s if 0
+	Queue       int           // maximum number of queued entries, 4096 if 0: further ones are dropped, and the record notes their number
 	Wall        func() int64  // Unix milliseconds
-	Mono        func() int64  // milliseconds since the start, monotonic
-	// Create opens a file for writing; os.OpenFile if nil. A test puts a disk that fails in its place.
+	Mono        func() int64  // monotonic milliseconds since the start
+	// Create creates a file for writing; if nil, with os.OpenFile. Tests use it to simulate a failing disk.
 	Create func(path string) (File, error)
 }
 
-// File is what a log needs of one.
+// File is the part of os.File that a Log uses.
 type File interface {
 	io.WriteCloser
 	Sync() error
 	Truncate(size int64) error
 }
 
-// Figures count what became of entries.
+// Figures are statistics of a Log.
 type Figures struct {
-	Written, Lost, Failures uint64 // entries, entries, and times that the disk failed
-	Bytes                   int64  // of all files of the member
+	Written, Lost, Failures uint64 // numbers of entries written, entries lost, and failed writes
+	Bytes                   int64  // total size of the member's files
 }
 
-// Log writes a record in a goroutine of its own: whoever adds an entry never waits for the disk.
+// Log writes a record on a goroutine of its own, so that Add never waits for the disk.
 type Log struct {
-	o       Options
+	options Options
 	mu      sync.Mutex
 	queue   []Entry
-	lost    uint64 // not recorded yet
+	lost    uint64 // entries lost since the last gap entry
 	figures Figures
 	head    Head
 	closing bool
@@ -54,20 +54,20 @@
 	close   chan struct{}
 	done    chan struct{}
 
-	// The goroutine's own.
-	file   File
-	path   string
-	size   int64
-	number int
-	prev   string
-	seq    uint64
-	at     Entry // its times are those of the last entry that came
-	failed time.Time
+	// Used only by the goroutine.
+	file      File
+	path      string
+	size      int64
+	number    int
+	prevHash  string
+	seq       uint64
+	lastTimes Entry // only its times are used: those of the last batch, for entries that the log adds itself
+	failed    time.Time
 }
 
-// Open begins a record where the member's last one in the folder ends, whose head it returns. A folder that can't be read or
-// written is no error here: it is a gap.
-func Open(o Options) (l *Log, before Head) {
+// Open starts a log that continues the member's record in the directory, and returns the head of that record. A directory that
+// can't be read or written causes no error, but a gap in the record.
+func Open(o Options) (l *Log, previous Head) {
 	if o.Segment == 0 {
 		o.Segment = 256 << 10
 	}
@@ -88,52 +88,52 @@
 			return os.OpenFile(path, os.O_WRONLY|os.O_CREATE|os.O_EXCL, 0o644)
 		}
 	}
-	l = &Log{o: o, wake: make(chan struct{}, 1), close: make(chan struct{}), done: make(chan struct{})}
+	l = &Log{options: o, wake: make(chan struct{}, 1), close: make(chan struct{}), done: make(chan struct{})}
 	if rec, err := readMember(o.Dir, o.Member); err == nil {
-		before = rec.head
-		l.prev = rec.head.Hash
+		previous = rec.head
+		l.prevHash = rec.head.Hash
 	}
 	l.head = Head{Incarnation: o.Incarnation}
 	go l.run()
-	return l, before
+	return l, previous
 }
 
-// Add has an entry written, after those added before.
+// Add queues an entry to be written.
 func (l *Log) Add(e Entry) {
-	e.Wall, e.Mono = l.o.Wall(), l.o.Mono()
+	e.Wall, e.Mono = l.options.Wall(), l.options.Mono()
 	l.mu.Lock()
-	if len(l.queue) >= l.o.Queue || l.closing {
+	if len(l.queue) >= l.options.Queue || l.closing {
 		l.lost++
 		l.figures.Lost++
 	} else {
 		l.queue = append(l.queue, e)
 	}
 	l.mu.Unlock()
-	l.rouse()
+	l.notify()
 }
 
-func (l *Log) rouse() {
+func (l *Log) notify() {
 	select {
 	case l.wake <- struct{}{}:
 	default:
 	}
 }
 
-// Head is how far the record is on disk.
+// Head returns the head of the record as it is on disk.
 func (l *Log) Head() Head {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.head
 }
 
-// Figures returns the counts of now.
+// Figures returns the current statistics.
 func (l *Log) Figures() Figures {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.figures
 }
 
-// End has what waits written, and ends the log; the channel is closed once that is done.
+// End writes the queued entries and ends the log. The returned channel is closed once that is done.
 func (l *Log) End() (done <-chan struct{}) {
 	l.mu.Lock()
 	if !l.closing {
@@ -141,14 +141,14 @@
 		close(l.close)
 	}
 	l.mu.Unlock()
-	l.rouse()
+	l.notify()
 	return l.done
 }
 
-// Close is End, and waits.
+// Close calls End and waits until the log has ended.
 func (l *Log) Close() { <-l.End() }
 
-// run writes what waits, batch by batch: one fsync each, and at most one in Sync.
+// run writes the queued entries in batches: one fsync per batch, and at most one batch per Options.Sync.
 func (l *Log) run() {
 	defer close(l.done)
 	for {
@@ -156,25 +156,25 @@
 		l.mu.Lock()
 		closing := l.closing
 		l.mu.Unlock()
-		l.batch(closing)
+		l.writeBatch(closing)
 		if closing {
 			if l.file != nil {
 				_ = l.file.Close() // it was synced
 			}
 			return
 		}
-		select { // others come meanwhile, for the same fsync
-		case <-time.After(l.o.Sync):
+		select { // further entries may join the next batch meanwhile
+		case <-time.After(l.options.Sync):
 		case <-l.close:
 		}
 	}
 }
 
-// batch writes all that waits. What a failing disk does not take waits on, and goes in the next file; what there was no room for
-// meanwhile is lost, and the first entry after it says how much.
-func (l *Log) batch(last bool) {
-	if !l.failed.IsZero() && time.Since(l.failed) < l.o.Retry && !last {
-		l.rouse()
+// writeBatch writes all queued entries. If the write fails, they stay queued and go into a new file. Entries for which the queue had no
+// room meanwhile are lost; a gap entry after the next batch notes their number.
+func (l *Log) writeBatch(last bool) {
+	if !l.failed.IsZero() && time.Since(l.failed) < l.options.Retry && !last {
+		l.notify()
 		return
 	}
 	l.mu.Lock()
@@ -190,54 +190,54 @@
 	if err != nil {
 		l.queue = append(entries, l.queue...)
 		l.lost += lost
-		if over := len(l.queue) - l.o.Queue; over > 0 { // the newest go: what is kept has no holes
-			l.queue = l.queue[:l.o.Queue]
+		if over := len(l.queue) - l.options.Queue; over > 0 { // drops the newest, so that the kept entries are consecutive
+			l.queue = l.queue[:l.options.Queue]
 			l.lost += uint64(over)
 			l.figures.Lost += uint64(over)
 		}
 		l.figures.Failures++
-		l.rouse()
+		l.notify()
 		return
 	}
 	l.figures.Written += uint64(len(entries))
-	l.head = Head{Incarnation: l.o.Incarnation, Seq: l.seq, Hash: l.prev}
+	l.head = Head{Incarnation: l.options.Incarnation, Seq: l.seq, Hash: l.prevHash}
 	l.figures.Bytes = l.fold()
 }
 
 func (l *Log) write(entries []Entry, lost uint64) (err error) {
 	if len(entries) > 0 {
-		l.at = Entry{At: entries[0].At, Wall: entries[0].Wall, Mono: entries[0].Mono}
+		l.lastTimes = Entry{At: entries[0].At, Wall: entries[0].Wall, Mono: entries[0].Mono}
 	}
-	seq, prev, size := l.seq, l.prev, l.size
+	seq, prev, size := l.seq, l.prevHash, l.size
 	defer func() {
 		if err == nil {
 			l.failed = time.Time{}
 			return
 		}
 		l.failed = time.Now()
-		l.seq, l.prev = seq, prev
+		l.seq, l.prevHash = seq, prev
 		if l.file != nil {
-			_ = l.file.Truncate(size) // else its end counts as torn
+			_ = l.file.Truncate(size) // otherwise a partly written line would count as torn
 			_ = l.file.Close()
 			l.file = nil
 		}
 	}()
-	if l.file == nil || l.size >= l.o.Segment {
+	if l.file == nil || l.size >= l.options.Segment {
 		size = 0
-		if err := l.next(); err != nil {
+		if err := l.startFile(); err != nil {
 			return err
 		}
 	}
 	if lost > 0 {
-		gap := l.at
+		gap := l.lastTimes
 		gap.Kind, gap.Lost = Gap, lost
-		entries = append(slices.Clone(entries), gap) // what came before there was no room comes before it
+		entries = append(slices.Clone(entries), gap) // the queued entries are older than the lost ones
 	}
 	var b []byte
 	for i := range entries {
 		l.seq++
 		entries[i].Seq = l.seq
-		if b, l.prev, err = appendLine(b, l.prev, &entries[i]); err != nil {
+		if b, l.prevHash, err = appendLine(b, l.prevHash, &entries[i]); err != nil {
 			return err
 		}
 	}
@@ -245,38 +245,38 @@
 		return err
 	}
 	if err = l.file.Sync(); err != nil {
-		return err // never tried again on this file: what of it is on disk is not known any more
+		return err // the file is not written again: after a failed fsync it is unknown what is on disk
 	}
 	l.size += int64(len(b))
 	return nil
 }
 
-// next begins a file.
-func (l *Log) next() error {
+// startFile starts a new file.
+func (l *Log) startFile() error {
 	if l.file != nil {
 		_ = l.file.Close() // it was synced
 		l.file = nil
 	}
-	if err := os.MkdirAll(l.o.Dir, 0o755); err != nil {
+	if err := os.MkdirAll(l.options.Dir, 0o755); err != nil {
 		return err
 	}
 	l.number++
-	l.path = filepath.Join(l.o.Dir, fileName(l.o.Member, l.o.Incarnation, l.number))
-	f, err := l.o.Create(l.path)
+	l.path = filepath.Join(l.options.Dir, fileName(l.options.Member, l.options.Incarnation, l.number))
+	f, err := l.options.Create(l.path)
 	if err != nil {
 		return err
 	}
-	line, hash, err := appendLine(nil, l.prev, &Entry{Kind: Segment, Seq: l.seq, At: l.at.At, Wall: l.at.Wall, Mono: l.at.Mono,
-		Name: l.o.Member, Incarnation: l.o.Incarnation, Number: l.number, Prev: l.prev})
+	line, hash, err := appendLine(nil, l.prevHash, &Entry{Kind: Segment, Seq: l.seq, At: l.lastTimes.At, Wall: l.lastTimes.Wall, Mono: l.lastTimes.Mono,
+		Name: l.options.Member, Incarnation: l.options.Incarnation, Number: l.number, Prev: l.prevHash})
 	if err == nil {
 		_, err = f.Write(line)
 	}
 	if err != nil {
 		_ = f.Close()
-		_ = os.Remove(l.path) // it says nothing
+		_ = os.Remove(l.path) // it has no complete entry
 		return err
 	}
-	l.file, l.size, l.prev = f, int64(len(line)), hash
+	l.file, l.size, l.prevHash = f, int64(len(line)), hash
 	return nil
 }
 
@@ -286,7 +286,7 @@
 	return fmt.Sprintf("%s.%020d.%06d%s", member, incarnation, number, suffix)
 }
 
-// parseName reads what fileName wrote.
+// parseName parses a name made by fileName.
 func parseName(name string) (member string, incarnation uint64, number int, ok bool) {
 	fields := strings.Split(strings.TrimSuffix(name, suffix), ".")
 	if len(fields) != 3 || !strings.HasSuffix(name, suffix) {
--- a/balancer/audit/read.go
+++ b/balancer/audit/read.go
@@ -12,28 +12,28 @@
 	"strings"
 )
 
-// FindingKind says what a record lacks, or what is wrong with it.
+// FindingKind is the kind of a Finding.
 type FindingKind string
 
-// Kinds of findings. Torn, Folded and Foreign are no fault of anybody's.
+// Kinds of findings. Torn, Folded and Foreign are normal.
 const (
-	Torn      FindingKind = "torn"      // a crash cut the last line short
-	Folded    FindingKind = "folded"    // old spans are there as sums alone
-	Foreign   FindingKind = "foreign"   // entries of another version of the program
-	Lost      FindingKind = "gap"       // entries that the member could not write, as it says itself
-	Missing   FindingKind = "missing"   // entries that were there once
-	Altered   FindingKind = "altered"   // a line that is not what was written
-	Reordered FindingKind = "reordered" // or not where
-	Rolled    FindingKind = "rolled back"
-	Unheard   FindingKind = "unheard" // nothing tells how far a member's clock is off
+	Torn      FindingKind = "torn"        // a crash truncated the last line
+	Folded    FindingKind = "folded"      // old spans have been replaced by sums
+	Foreign   FindingKind = "foreign"     // entries of another version of the program
+	Lost      FindingKind = "gap"         // entries that the member could not write, as it notes itself
+	Missing   FindingKind = "missing"     // entries that existed are missing
+	Altered   FindingKind = "altered"     // a line was altered
+	Reordered FindingKind = "reordered"   // a line is at another position than it was written at
+	Rolled    FindingKind = "rolled back" // a later process continued from an older state of the disk
+	Unheard   FindingKind = "unheard"     // no peer measured the offset of a process's clock
 )
 
-// Fault says whether a finding means that somebody, or a disk, changed what was written.
+// Fault reports whether a finding means that the written record was changed, by a person or a faulty disk.
 func (k FindingKind) Fault() bool {
 	return slices.Contains([]FindingKind{Missing, Altered, Reordered, Rolled}, k)
 }
 
-// Finding is one thing that a record lacks or that is wrong with it. It is named and never mended.
+// Finding is a defect or a peculiarity of a record. It is reported, never repaired.
 type Finding struct {
 	Kind     FindingKind `json:"kind"`
 	Member   string      `json:"member"`
@@ -41,30 +41,30 @@
 	Text     string      `json:"text"`
 }
 
-// String names the member, the kind and the place, and says what is wrong there.
+// String returns the member, the kind, the position and the text.
 func (f Finding) String() string {
 	return fmt.Sprintf("%s: %s: %s: %s", f.Member, f.Kind, f.Position, f.Text)
 }
 
-// PlacedEntry is an entry with where it stands.
+// PlacedEntry is an entry with its position in the record and its aligned time.
 type PlacedEntry struct {
 	Entry
 	Member      string
 	Incarnation uint64
 	Position    string `json:"Place"`
-	When        int64  // Unix milliseconds by the reference's clock, as far as is known; see Read
-	Unaligned   bool   `json:"Loose"` // nothing was measured of its process's clock: the time is its own, and nothing is judged by it
+	When        int64  // Unix milliseconds by the reference clock, unless Unaligned; see Audit.align
+	Unaligned   bool   `json:"Loose"` // the offset of its process's clock is unknown: When is by its own clock and not evaluated
 }
 
-// Record is all that was read of one member.
+// Record is what was read of one member's record.
 type Record struct {
-	Member  string
-	Entries []PlacedEntry
-	hashes  map[Head]bool     // of the lines that were read whole
-	ends    map[uint64]uint64 // the last number of each incarnation
-	folds   map[uint64]uint64 // and up to which one there are sums alone
-	head    Head
-	found   []Finding
+	Member   string
+	Entries  []PlacedEntry
+	hashes   map[Head]bool     // heads at each line read: true if its hash is correct
+	ends     map[uint64]uint64 // number of the last entry by incarnation
+	folds    map[uint64]uint64 // number of the last folded entry by incarnation
+	head     Head
+	findings []Finding
 }
 
 type memberFile struct {
@@ -74,7 +74,7 @@
 	size        int64
 }
 
-// memberFiles lists the files of a member, oldest first.
+// memberFiles returns the files of a member, oldest first.
 func memberFiles(dir, member string) (files []memberFile, err error) {
 	list, err := os.ReadDir(dir)
 	if err != nil {
@@ -92,7 +92,7 @@
 	return files, nil
 }
 
-// readMember reads all files of one member in a folder.
+// readMember reads all files of a member in a directory.
 func readMember(dir, member string) (*Record, error) {
 	files, err := memberFiles(dir, member)
 	if err != nil {
@@ -109,11 +109,11 @@
 	return r, nil
 }
 
-func (r *Record) find(kind FindingKind, position, text string, args ...any) {
-	r.found = append(r.found, Finding{kind, r.Member, position, fmt.Sprintf(text, args...)})
+func (r *Record) addFinding(kind FindingKind, position, text string, args ...any) {
+	r.findings = append(r.findings, Finding{kind, r.Member, position, fmt.Sprintf(text, args...)})
 }
 
-// read takes one file. What does not hold together is a finding, and reading goes on from what the line says of itself.
+// read parses one file. A break of the chain becomes a finding, and reading continues with the line's own number and hash.
 func (r *Record) read(f memberFile, text []byte, first, last bool) {
 	name := filepath.Base(f.path)
 	prev, seq := r.head.Hash, uint64(0)
@@ -129,28 +129,28 @@
 		complete := line[len(line)-1] == '\n'
 		line = bytes.TrimSuffix(line, []byte("\n"))
 		if i == 0 {
-			prev = r.begin(f, prev, peekPrev(line), first, position)
+			prev = r.beginFile(f, prev, peekPrev(line), first, position)
 		}
 		e, hash, err := readLine(prev, line)
-		if errors.Is(err, errForm) || !complete {
+		if errors.Is(err, errFormat) || !complete {
 			if last && i == len(lines)-1 && !complete {
-				r.find(Torn, position, "the last line is cut short")
+				r.addFinding(Torn, position, "the last line is cut short")
 				return
 			}
-			r.find(Altered, position, "no line of a record")
-			prev = string(line[:min(len(line), 2*hashSize)]) // as the line after may still say
+			r.addFinding(Altered, position, "no line of a record")
+			prev = string(line[:min(len(line), 2*hashSize)]) // the next line may be chained to this hash
 			continue
 		}
-		r.follow(e, seq, err, position)
+		r.checkSequence(e, seq, err, position)
 		prev = hash
 		r.hashes[Head{f.incarnation, e.Seq, hash}] = err == nil
 		r.hashes[Head{f.incarnation, 0, hash}] = true
-		if e.Kind == Segment && e.Seq < seq { // a write failed, and what of it is on disk all the same was written again
+		if e.Kind == Segment && e.Seq < seq { // a failed write had reached the disk, and its entries were written again
 			r.Entries = slices.DeleteFunc(r.Entries, func(p PlacedEntry) bool { return p.Incarnation == f.incarnation && p.Seq > e.Seq })
 			seq = e.Seq
 		}
 		seq = max(seq, e.Seq)
-		r.keep(f, e, position)
+		r.addEntry(f, e, position)
 		if e.Kind == Fold && e.Before != nil {
 			prev, hash = e.Before.Hash, e.Before.Hash
 			r.hashes[*e.Before] = true
@@ -161,38 +161,38 @@
 	}
 }
 
-// begin returns what a file's first line is chained to, by itself, and tells if that is not the end of what was read before.
-func (r *Record) begin(f memberFile, prev, chained string, first bool, position string) string {
+// beginFile returns the hash to which a file's first line is chained. It adds a finding if that is not the end of the previous file.
+func (r *Record) beginFile(f memberFile, prev, chained string, first bool, position string) string {
 	switch {
 	case chained == prev:
 	case first && f.number > 1:
-		r.find(Folded, position, "what was before has gone, to keep within the bound")
+		r.addFinding(Folded, position, "what was before has gone, to keep within the bound")
 	case first:
-		r.find(Missing, position, "what was before is not there")
+		r.addFinding(Missing, position, "what was before is not there")
 	case !r.hashes[Head{r.head.Incarnation, 0, chained}]:
-		r.find(Missing, position, "the end of the file before, or files between, are not there")
+		r.addFinding(Missing, position, "the end of the file before, or files between, are not there")
 	}
 	return chained
 }
 
-// follow tells if an entry is not the next after one of number seq, or did not hold together with it.
-func (r *Record) follow(e *Entry, seq uint64, err error, position string) {
+// checkSequence adds a finding if an entry does not follow number seq, or if err says that its hash is wrong.
+func (r *Record) checkSequence(e *Entry, seq uint64, err error, position string) {
 	next := seq + 1
 	if e.Kind == Segment || e.Kind == Fold {
 		next = e.Seq
 	}
 	switch {
 	case e.Seq > next:
-		r.find(Missing, position, "entries %d to %d are not there", next, e.Seq-1)
+		r.addFinding(Missing, position, "entries %d to %d are not there", next, e.Seq-1)
 	case e.Seq < next:
-		r.find(Reordered, position, "entry %d stands after %d", e.Seq, seq)
+		r.addFinding(Reordered, position, "entry %d stands after %d", e.Seq, seq)
 	case err != nil:
-		r.find(Altered, position, "entry %d, or the line before it, is not what was written", e.Seq)
+		r.addFinding(Altered, position, "entry %d, or the line before it, is not what was written", e.Seq)
 	}
 }
 
-// keep keeps an entry, and tells what it says itself of what is missing.
-func (r *Record) keep(f memberFile, e *Entry, position string) {
+// addEntry adds an entry to the record, and adds findings for missing entries that the entry itself reports.
+func (r *Record) addEntry(f memberFile, e *Entry, position string) {
 	known := []string{Start, Stop, Proposed, Accepted, InForce, Adopted, Refused, Standing, Member, Command, List, Span, Gap, Witness,
 		Fold, Segment, Amnesiac}
 	keep := func(e Entry) {
@@ -201,7 +201,7 @@
 	switch {
 	case e.Kind == Segment:
 	case e.Kind == Fold:
-		r.find(Folded, position, "spans up to entry %d are there as sums", e.Upto)
+		r.addFinding(Folded, position, "spans up to entry %d are there as sums", e.Upto)
 		for _, text := range e.Kept {
 			var kept Entry
 			if json.Unmarshal(text, &kept) == nil {
@@ -212,22 +212,23 @@
 			keep(s)
 		}
 	case !slices.Contains(known, e.Kind):
-		r.find(Foreign, position, "entry %d is of a kind that this version does not know: %q", e.Seq, e.Kind)
+		r.addFinding(Foreign, position, "entry %d is of a kind that this version does not know: %q", e.Seq, e.Kind)
 		keep(*e)
 	default:
 		if e.Kind == Gap {
-			r.find(Lost, position, "%d entries could not be written before entry %d", e.Lost, e.Seq)
+			r.addFinding(Lost, position, "%d entries could not be written before entry %d", e.Lost, e.Seq)
 		}
 		if e.Kind == Start && e.Before != nil && e.Before.Hash != "" && e.Before.Incarnation == r.head.Incarnation &&
 			(*e.Before != r.head && !r.hashes[*e.Before]) {
-			r.find(Missing, position, "the record went on to entry %d before this start", e.Before.Seq)
+			r.addFinding(Missing, position, "the record went on to entry %d before this start", e.Before.Seq)
 		}
 		keep(*e)
 	}
 }
 
-// Read reads the records in folders, one for each member; a folder may hold several members'. The order of the folders makes
-// no difference. Errors are folders that can't be read: what is wrong in a file is a finding.
+// Read reads and evaluates the records in directories. A directory may contain the records of several members, but each member's
+// record must be in one directory. The order of the directories has no effect. Read fails only if a directory or a file can't be
+// read, or if there is no record; a damaged file results in findings.
 func Read(dirs ...string) (*Audit, error) {
 	a := &Audit{records: make(map[string]*Record)}
 	for _, dir := range dirs {
@@ -253,10 +254,10 @@
 	}
 	slices.Sort(a.Members)
 	for _, m := range a.Members {
-		a.Findings = append(a.Findings, a.records[m].found...)
+		a.Findings = append(a.Findings, a.records[m].findings...)
 	}
-	a.witnesses()
+	a.checkWitnesses()
 	a.align()
-	a.judge()
+	a.evaluate()
 	return a, nil
 }
--- a/balancer/audit/timeline.go
+++ b/balancer/audit/timeline.go
@@ -6,37 +6,37 @@
 	"slices"
 )
 
-// Audit is what many records say together.
+// Audit is the joint evaluation of many records.
 type Audit struct {
 	Members   []string
 	Findings  []Finding
 	Timeline  []PlacedEntry // causes before effects, each member's entries in its own order
 	Epochs    []EpochHistory
 	Straggled []Straggler
-	Below     []Act // acts under the floor after its date: the roll-out's rule was broken
+	Below     []Act // spans with requests under an epoch below the floor after its deadline: a violation of the roll-out's rule
 	records   map[string]*Record
 }
 
-// EpochHistory is what became of one epoch. Times are in Unix milliseconds by the reference's clock.
+// EpochHistory is the history of one epoch. Times are in Unix milliseconds by the reference clock.
 type EpochHistory struct {
 	ID       ID
 	Floor    uint64
-	InForce  int64 // when the first member knew
-	Date     int64 // from when nobody is to act under an older epoch than Floor
+	InForce  int64 // when the first member knew that it was in force
+	Date     int64 // deadline: from then on no member may run under an epoch below Floor
 	Adopted  map[string]int64
-	Conflict bool // another content was in force under this number
+	Conflict bool // another content was in force under the same number
 }
 
-// Straggler is a member that had not adopted an epoch of sufficient number by a floor's date.
+// Straggler is a member that ran under an epoch below a floor at the floor's deadline.
 type Straggler struct {
 	Member  string
 	Epoch   ID
-	End     string // "brought up" or "shut out", "" where the record does not say
-	AfterMs int64  // the date, until then
-	From    string // who brought it
+	End     string // "brought up" if it adopted a newer epoch, "shut out" if it stopped taking requests, "" if the record does not say
+	AfterMs int64  // milliseconds from the deadline until End
+	From    string // the peer that had the epoch
 }
 
-// Act is a span in which a member took requests under an epoch below the floor.
+// Act is a span in which a member took requests under an epoch below a floor.
 type Act struct {
 	PlacedEntry
 	Floor uint64
@@ -44,9 +44,9 @@
 	Taken int
 }
 
-// judge holds what was done against the roll-outs' rules.
-func (a *Audit) judge() {
-	histories, loose := make(map[ID]*EpochHistory), make(map[*EpochHistory]bool)
+// evaluate evaluates the timeline by the rules of a roll-out.
+func (a *Audit) evaluate() {
+	histories, unaligned := make(map[ID]*EpochHistory), make(map[*EpochHistory]bool)
 	for _, e := range a.Timeline {
 		if e.Epoch == nil || e.Kind != InForce && e.Kind != Adopted && e.Kind != Proposed {
 			continue
@@ -56,28 +56,28 @@
 			l = &EpochHistory{ID: *e.Epoch, Adopted: make(map[string]int64)}
 			histories[*e.Epoch] = l
 		}
-		// What a disk held was in force before. A time that nothing was measured for counts only where there is no other.
-		if e.Kind != Proposed && (l.InForce == 0 || loose[l] && !e.Unaligned || loose[l] == e.Unaligned && e.When < l.InForce) {
-			l.InForce, loose[l] = e.When, e.Unaligned
+		// An epoch adopted from disk was in force before. The time of an unaligned entry counts only if there is no other.
+		if e.Kind != Proposed && (l.InForce == 0 || unaligned[l] && !e.Unaligned || unaligned[l] == e.Unaligned && e.When < l.InForce) {
+			l.InForce, unaligned[l] = e.When, e.Unaligned
 		}
 		if e.Within > 0 {
 			l.Floor = e.Floor
-			l.Date = e.Within // until InForce is known
+			l.Date = e.Within // holds Within until date adds InForce
 		}
 		if first, known := l.Adopted[e.Member]; e.Kind == Adopted && (!known || e.When < first) {
 			l.Adopted[e.Member] = e.When
 		}
 	}
-	a.date(histories)
+	a.setDeadlines(histories)
 	for _, l := range a.Epochs {
 		if l.InForce > 0 && l.Floor > 0 {
-			a.floor(&l)
+			a.checkFloor(&l)
 		}
 	}
 }
 
-// date sets from when each epoch's floor holds, finds numbers under which two contents were in force, and sorts the epochs.
-func (a *Audit) date(histories map[ID]*EpochHistory) {
+// setDeadlines computes each epoch's deadline, detects numbers under which two contents were in force, and sorts the epochs.
+func (a *Audit) setDeadlines(histories map[ID]*EpochHistory) {
 	trust := int64(0)
 	for _, e := range a.Timeline {
 		trust = max(trust, e.Trust)
@@ -102,21 +102,21 @@
 	}
 }
 
-// floor looks for members that were below a floor at its date, and what they did then.
-func (a *Audit) floor(l *EpochHistory) {
+// checkFloor finds the members that ran under an epoch below a floor at its deadline, and their spans with requests after it.
+func (a *Audit) checkFloor(l *EpochHistory) {
 	for _, m := range a.Members {
-		under, acts, lastSeen := uint64(0), false, false
+		epochNumber, acts, hasEntries := uint64(0), false, false
 		var s *Straggler
 		for _, e := range a.Timeline {
 			if e.Member != m || e.Unaligned {
 				continue
 			}
-			if s == nil && e.When > l.Date && lastSeen && under < l.Floor && acts {
+			if s == nil && e.When > l.Date && hasEntries && epochNumber < l.Floor && acts {
 				s = &Straggler{Member: m, Epoch: l.ID}
 			}
 			switch e.Kind {
 			case Adopted:
-				if under = e.Epoch.Number; s != nil && s.End == "" && under >= l.Floor {
+				if epochNumber = e.Epoch.Number; s != nil && s.End == "" && epochNumber >= l.Floor {
 					s.End, s.AfterMs, s.From = "brought up", e.When-l.Date, e.From
 				}
 			case Standing:
@@ -124,7 +124,7 @@
 					s.End, s.AfterMs = "shut out", e.When-l.Date
 				}
 			case Start:
-				under, acts = 0, false
+				epochNumber, acts = 0, false
 			case Span:
 				began := e.When - (e.Mono - e.Since)
 				number := uint64(0)
@@ -139,7 +139,7 @@
 					a.Below = append(a.Below, Act{e, l.Floor, l.Date, taken})
 				}
 			}
-			lastSeen = true
+			hasEntries = true
 		}
 		if s != nil {
 			a.Straggled = append(a.Straggled, *s)
@@ -147,13 +147,13 @@
 	}
 }
 
-// Broken says whether a rule of a roll-out was broken, as far as the records tell.
+// Broken reports whether the records show a violation of a roll-out's rules.
 func (a *Audit) Broken() bool {
 	return len(a.Below) > 0 || slices.ContainsFunc(a.Epochs, func(l EpochHistory) bool { return l.Conflict && l.InForce > 0 })
 }
 
-// Under returns the epoch under which each member acted at a time, in Unix milliseconds by the reference's clock; none where
-// its record does not say.
+// Under returns the epoch under which each member ran at a time, in Unix milliseconds by the reference clock. Members whose record
+// does not say are omitted.
 func (a *Audit) Under(at int64) map[string]ID {
 	under := make(map[string]ID)
 	for _, m := range a.Members {
--- a/balancer/audit/witnesses.go
+++ b/balancer/audit/witnesses.go
@@ -5,9 +5,9 @@
 	"slices"
 )
 
-// witnesses holds each record against what its peers heard of it: a record that was rewritten whole, cut off at its end or
-// put back to an older state holds together by itself.
-func (a *Audit) witnesses() {
+// checkWitnesses compares each record with the heads that its peers' records contain. This detects records that were completely
+// rewritten, truncated or restored to an older state: the hash chain of such a record is intact.
+func (a *Audit) checkWitnesses() {
 	type witnessed struct {
 		head Head
 		by   string
@@ -24,7 +24,7 @@
 				end, there := r.ends[h.Incarnation]
 				switch {
 				case there && h.Seq <= end && h.Seq > r.folds[h.Incarnation] && !r.hashes[h]:
-					a.find(Altered, peer, fmt.Sprintf("incarnation %d, entry %d", h.Incarnation, h.Seq), "%s was told another one", by)
+					a.addFinding(Altered, peer, fmt.Sprintf("incarnation %d, entry %d", h.Incarnation, h.Seq), "%s was told another one", by)
 				case !there || h.Seq > end:
 					if worst[peer] == nil {
 						worst[peer] = make(map[uint64]witnessed)
@@ -40,15 +40,16 @@
 		for incarnation, t := range worst[peer] {
 			kind, end := Missing, a.records[peer].ends[incarnation]
 			if a.records[peer].head.Incarnation > incarnation {
-				kind = Rolled // a later process went on from an older state of the disk
+				kind = Rolled // a later process continued from an older state of the disk
 			}
-			a.find(kind, peer, fmt.Sprintf("incarnation %d", incarnation), "entries %d to %d are not there; %s was told of them", end+1, t.head.Seq, t.by)
+			a.addFinding(kind, peer, fmt.Sprintf("incarnation %d", incarnation), "entries %d to %d are not there; %s was told of them", end+1, t.head.Seq, t.by)
 		}
 	}
 	a.Findings = slices.Compact(a.Findings)
 }
 
-// AdoptionWitnessed says whether others' records show that a member's was as far as its adoption of an epoch, or farther.
+// AdoptionWitnessed reports whether a record contains a witnessed head of the member's record that is at or after the member's
+// adoption of the epoch.
 func (a *Audit) AdoptionWitnessed(member string, epoch uint64) bool {
 	r := a.records[member]
 	if r == nil {
@@ -70,7 +71,7 @@
 	return false
 }
 
-func (a *Audit) find(kind FindingKind, member, position, text string, args ...any) {
+func (a *Audit) addFinding(kind FindingKind, member, position, text string, args ...any) {
 	f := Finding{kind, member, position, fmt.Sprintf(text, args...)}
 	if !slices.Contains(a.Findings, f) {
 		a.Findings = append(a.Findings, f)
--- a/balancer/config/compat_test.go
+++ b/balancer/config/compat_test.go
@@ -12,7 +12,8 @@
 	"ravendale"
 )
 
-// The file was written for version a08c060: each key of PROXY_CONFIG's file outside settings, whose own are held in internal/wire.
+// The file was written for version a08c060. It contains each key of the PROXY_CONFIG file outside settings; the keys of settings
+// are tested in internal/wire.
 func TestGoldenFileReadsToTheValue(t *testing.T) {
 	env := map[string]string{"PROXY_CONFIG": filepath.Join("testdata", "compat", "config.json"), "PROXY_FD": "3", "TMPDIR": "/run/x"}
 	got, err := Load(func(name string) string { return env[name] }, os.ReadFile)
@@ -36,7 +37,7 @@
 		t.Errorf("the file reads as another value (-want +got):\n%s", diff)
 	}
 	if got.InFile() != "127.0.0.1:8500" {
-		t.Errorf("in the file stands %q", got.InFile())
+		t.Errorf("discovery in the file is %q", got.InFile())
 	}
 	for name, value := range map[string]string{"PROXY_NAME": "other", "PROXY_LISTEN": "127.0.0.1:1", "PROXY_DISCOVERY": "127.0.0.1:2",
 		"PROXY_MANAGEMENT": "127.0.0.1:3"} {
@@ -47,6 +48,6 @@
 		t.Fatal(err)
 	}
 	if got.Name != "other" || got.Listen != "127.0.0.1:1" || got.Discovery != "127.0.0.1:2" || got.Management != "127.0.0.1:3" {
-		t.Errorf("the variables read as %+v", got)
+		t.Errorf("the configuration with variables is %+v", got)
 	}
 }
--- a/balancer/config/config.go
+++ b/balancer/config/config.go
@@ -14,32 +14,32 @@
 	"ravendale/internal/wire"
 )
 
-// Config is all that a scheduler is given.
+// Config is the configuration of a scheduler.
 type Config struct {
 	Name, Listen, Discovery string
-	Management              string // where operators call, "" for no such place
-	Descriptor              int    // of the listener for clients where that is inherited, else 0
+	Management              string // address of the operators' interface, "" for none
+	Descriptor              int    // descriptor of the inherited listener for clients, or 0
 	Seed                    uint64
 	MemoryMB, Sockets       int
-	Cores                   int             // that it serves on; the operator's, not the platform's
-	Known                   json.RawMessage // the list as last held, in discovery's form
+	Cores                   int             // number of cores to serve on; set by the operator's file, not by the platform's
+	Known                   json.RawMessage // the last known server list, in the format of the discovery service
 	Settings                ravendale.Settings
 	Names                   Names
 	ConnectTimeout          time.Duration
-	IdleClose               time.Duration // a backend server closes what has been idle so long
+	IdleClose               time.Duration // time after which a backend server closes an idle connection
 
-	Warnings []string // what is legal, and poor: the program runs
+	Warnings []string // settings that are valid but bad; the program runs nevertheless
 
-	Handover string // the Unix socket at which a new process takes over from an old one, "" for none
+	Handover string // path of the Unix socket on which a new process takes over from an old one, "" for none
 
-	inFile string // discovery as the file had it, whatever came before it
-	shape  *shape // of the start's file
+	inFile string // discovery in the file, even if PROXY_DISCOVERY takes precedence
+	shape  *shape // shape of the file read at the start
 }
 
-// Names are the names that stand for the indices in Settings.
+// Names holds the names that belong to the indices in Settings.
 type Names = wire.Names
 
-// file is the form of the JSON file.
+// file is the structure of the JSON file.
 type file struct {
 	Name       string `json:"name"`
 	Listen     string `json:"listen"`
@@ -54,16 +54,16 @@
 	Settings json.RawMessage `json:"settings"`
 }
 
-// Getenv is os.Getenv, or what a test puts in its place.
+// Getenv is os.Getenv, or a substitute in tests.
 type Getenv = func(string) string
 
-// ReadFile is os.ReadFile, or what a test puts in its place.
+// ReadFile is os.ReadFile, or a substitute in tests.
 type ReadFile = func(string) ([]byte, error)
 
-// Load reads the file that PROXY_CONFIG names, by way of the two functions given.
-func Load(getenv Getenv, read ReadFile) (*Config, error) { return loadAs(getenv, read, nil) }
+// Load reads the file that PROXY_CONFIG names, with the given functions.
+func Load(getenv Getenv, read ReadFile) (*Config, error) { return loadWithShape(getenv, read, nil) }
 
-// Patched has a read function put a merge of settings in the place of those of the file that PROXY_CONFIG names.
+// Patched returns a read function that replaces the settings in the file that PROXY_CONFIG names by the result of merge.
 func Patched(getenv Getenv, read ReadFile, merge func(settings []byte) ([]byte, error)) ReadFile {
 	return func(name string) ([]byte, error) {
 		text, err := read(name)
@@ -72,7 +72,7 @@
 		}
 		var all map[string]json.RawMessage
 		if err := json.Unmarshal(text, &all); err != nil {
-			return text, nil // Load says what is wrong with it
+			return text, nil // Load reports the error
 		}
 		if all["settings"], err = merge(all["settings"]); err != nil {
 			return nil, fmt.Errorf("settings: %w", err)
@@ -81,8 +81,8 @@
 	}
 }
 
-// loadAs reads the file, which is to have the shape given.
-func loadAs(getenv Getenv, read ReadFile, s *shape) (*Config, error) {
+// loadWithShape reads the file. If s is not nil, the file must have that shape.
+func loadWithShape(getenv Getenv, read ReadFile, s *shape) (*Config, error) {
 	path := getenv("PROXY_CONFIG")
 	if path == "" {
 		return nil, fmt.Errorf("PROXY_CONFIG is not set")
@@ -96,7 +96,7 @@
 		return nil, fmt.Errorf("PROXY_CONFIG: %s: %w", path, err)
 	}
 	if s != nil {
-		if err := s.lacks(text); err != nil {
+		if err := s.check(text); err != nil {
 			return nil, fmt.Errorf("PROXY_CONFIG: %s: %w", path, err)
 		}
 	} else if s, err = shapeOf(text); err != nil {
@@ -125,16 +125,16 @@
 	return c, nil
 }
 
-// InFile is discovery as the file had it, whatever came before it.
+// InFile returns discovery as in the file, even if PROXY_DISCOVERY takes precedence.
 func (c *Config) InFile() string { return c.inFile }
 
-// Again reads the file once more for a program that runs. The file is judged alone: it must have every key that the
-// start's file had, which a PROXY_ variable or a default would hide otherwise. The discovery of a changed file is followed, also
-// where PROXY_DISCOVERY came before the old one, since a process keeps the environment of its start. Its settings are
-// taken, but for what the process is built on. Of all that, ignored names what differs and waits for a restart; seed
-// and known are only for a start anyway.
+// Again reads the file again while the program runs. The file must have every key that the file had at the start: otherwise
+// a PROXY_ variable or a default could hide a missing key. If discovery changed in the file, the new value is used, even if
+// PROXY_DISCOVERY took precedence over the old one, since a process keeps the environment of its start. The settings are
+// used, except for those that can't change while the process runs. The result ignored names the values that differ but need a
+// restart; seed and known are used only at a start, and not named.
 func (c *Config) Again(getenv Getenv, read ReadFile) (next *Config, ignored []string, err error) {
-	if next, err = loadAs(getenv, read, c.shape); err != nil {
+	if next, err = loadWithShape(getenv, read, c.shape); err != nil {
 		return nil, nil, err
 	}
 	if next.inFile == c.inFile || next.inFile == "" {
@@ -144,7 +144,7 @@
 	} else {
 		next.Discovery = next.inFile
 	}
-	now, later := &c.Settings, &next.Settings
+	current, reloaded := &c.Settings, &next.Settings
 	for _, field := range []struct {
 		name     string
 		old, new any // pointers
@@ -154,13 +154,13 @@
 		{"management", &c.Management, &next.Management},
 		{"limits.memory_mb", &c.MemoryMB, &next.MemoryMB},
 		{"limits.sockets", &c.Sockets, &next.Sockets},
-		{"settings.balancers", &now.Dispatchers, &later.Dispatchers},
-		{"settings.me", &now.Me, &later.Me},
-		{"settings.discovery", &now.MustAsk, &later.MustAsk},
+		{"settings.balancers", &current.Dispatchers, &reloaded.Dispatchers},
+		{"settings.me", &current.Me, &reloaded.Me},
+		{"settings.discovery", &current.MustAsk, &reloaded.MustAsk},
 		{"settings.dcs", &c.Names.Zones, &next.Names.Zones},
-		{"settings.locality", &now.Zone, &later.Zone},
+		{"settings.locality", &current.Zone, &reloaded.Zone},
 		{"settings.host-types", &c.Names.Kinds, &next.Names.Kinds},
-		{"settings.projects", &now.Tenants, &later.Tenants},
+		{"settings.projects", &current.Tenants, &reloaded.Tenants},
 		{"settings.ceilings.connect-timeout-us", &c.ConnectTimeout, &next.ConnectTimeout},
 		{"settings.ceilings.idle-close-us", &c.IdleClose, &next.IdleClose},
 	} {
@@ -169,11 +169,11 @@
 			reflect.ValueOf(field.new).Elem().Set(reflect.ValueOf(field.old).Elem())
 		}
 	}
-	later.Zones, next.Names.Tenants = now.Zones, c.Names.Tenants
+	reloaded.Zones, next.Names.Tenants = current.Zones, c.Names.Tenants
 	return next, ignored, nil
 }
 
-// config checks what the file says, in the order of its keys; the error is the first thing that is wrong.
+// config validates the file in the order of its keys. The error names the first invalid value.
 func (f *file) config() (*Config, error) {
 	c := &Config{Name: f.Name, Listen: f.Listen, Discovery: f.Discovery, Management: f.Management, Known: f.Known,
 		MemoryMB: int(f.Limits.MemoryMB), Sockets: f.Limits.Sockets, Cores: 1}
@@ -222,13 +222,13 @@
 	return nil
 }
 
-// readSettings reads the settings, those of the decision module and two of the platform's connections.
+// readSettings reads the settings: those of the decision module, and two for the platform's connections.
 func (c *Config) readSettings(text []byte) (err error) {
 	var pairs map[string]string
 	if c.Settings, c.Names, pairs, err = wire.ReadJSONSettings(text); err != nil {
 		return err
 	}
-	c.Settings.WrittenCount = true // "an attempt counts when its last byte has come"
+	c.Settings.WrittenCount = true // the platform's rule: "an attempt counts when its last byte has come"
 	if err := c.Settings.Validate(); err != nil {
 		return fmt.Errorf("settings: %w", err)
 	}
@@ -237,17 +237,17 @@
 			return err
 		}
 	}
-	if how := pairs["discovery"]; how != "" && how != "ask" && how != "push" {
-		return fmt.Errorf("settings.discovery: %q is neither ask nor push", how)
+	if mode := pairs["discovery"]; mode != "" && mode != "ask" && mode != "push" {
+		return fmt.Errorf("settings.discovery: %q is neither ask nor push", mode)
 	}
-	if c.ConnectTimeout, err = micros(pairs, "ceilings.connect-timeout-us", 250*time.Millisecond); err != nil {
+	if c.ConnectTimeout, err = parseMicroseconds(pairs, "ceilings.connect-timeout-us", 250*time.Millisecond); err != nil {
 		return err
 	}
-	c.IdleClose, err = micros(pairs, "ceilings.idle-close-us", 5*time.Second)
+	c.IdleClose, err = parseMicroseconds(pairs, "ceilings.idle-close-us", 5*time.Second)
 	return err
 }
 
-// checkClass checks a class, and warns of what is legal and poor.
+// checkClass validates a class, and adds warnings for values that are valid but bad.
 func (c *Config) checkClass(i int) error {
 	class := &c.Settings.Classes[i]
 	if class.Deadline <= 0 {
@@ -266,10 +266,10 @@
 	return nil
 }
 
-func micros(pairs map[string]string, name string, otherwise time.Duration) (time.Duration, error) {
+func parseMicroseconds(pairs map[string]string, name string, defaultValue time.Duration) (time.Duration, error) {
 	text, given := pairs[name]
 	if !given {
-		return otherwise, nil
+		return defaultValue, nil
 	}
 	n, err := strconv.ParseInt(text, 10, 40)
 	if err != nil || n <= 0 {
--- a/balancer/config/config_test.go
+++ b/balancer/config/config_test.go
@@ -11,7 +11,7 @@
 	"ravendale"
 )
 
-const whole = `{"name":"n3","listen":"127.0.0.4:9000","discovery":"127.0.0.9:8500","seed":"8c1f30d27a5be964",
+const validFile = `{"name":"n3","listen":"127.0.0.4:9000","discovery":"127.0.0.9:8500","seed":"8c1f30d27a5be964",
  "limits":{"cores":1.0,"memory_mb":192,"sockets":1024},"known":{"seq":41,"whole":true,"hosts":[]},
  "settings":{"balancers":2,"me":1,"workload":"jobs","dcs":["east","west"],"locality":"west","host-types":["big","small"],"discovery":"ask",
  "ceilings":{"attempts-cap":6,"connect-timeout-us":250000,"idle-close-us":5000000,"retry-after":true},
@@ -28,8 +28,8 @@
 	}, func(string) ([]byte, error) { return []byte(text), nil })
 }
 
-func TestACompleteFile(t *testing.T) {
-	c, err := load(whole, map[string]string{"PROXY_NAME": "n4"})
+func TestLoadCompleteFile(t *testing.T) {
+	c, err := load(validFile, map[string]string{"PROXY_NAME": "n4"})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -40,16 +40,16 @@
 	if s.Dispatchers != 2 || s.Me != 1 || s.Zone != 1 || !s.MustAsk || !s.RetryAfter || s.Tick != 2*time.Millisecond || len(s.Tenants) != 0 {
 		t.Errorf("settings are %+v", s)
 	}
-	poor, err := load(strings.Replace(whole, `"window-us":7500000`, `"window-us":2500000`, 1), nil)
+	poor, err := load(strings.Replace(validFile, `"window-us":7500000`, `"window-us":2500000`, 1), nil)
 	if err != nil || len(c.Warnings) > 0 || len(poor.Warnings) != 1 || !strings.HasPrefix(poor.Warnings[0], "settings.request-classes.1.window-us: ") {
-		t.Errorf("%v; warnings %q of a good file, and %q where a repeat is dropped for less than its client waits", err, c.Warnings, poor.Warnings)
+		t.Errorf("%v; warnings %q for a valid file, and %q if repeats are dropped for less time than the client waits", err, c.Warnings, poor.Warnings)
 	}
 	if pay := s.Classes[1]; pay.Effect != ravendale.Keyed || pay.Group != ravendale.GroupZone || pay.Kind != 1 || pay.Stretch != 1.5 {
 		t.Errorf("second class is %+v", pay)
 	}
 }
 
-func TestBadValuesNameTheirField(t *testing.T) {
+func TestLoadErrorNamesField(t *testing.T) {
 	for name, tc := range map[string]struct{ from, to, want string }{
 		"no name":       {`"n3"`, `""`, "name"},
 		"listen":        {"127.0.0.4:9000", "127.0.0.4", "listen"},
@@ -69,19 +69,19 @@
 		"two of a name": {`"pay"`, `"view"`, "request-classes.1.name"},
 		"descriptor":    {"", "", "PROXY_FD"},
 		"management":    {`"discovery"`, `"management":"here","discovery"`, "management"},
-		"not an object": {whole, `[]`, "file"},
+		"not an object": {validFile, `[]`, "file"},
 	} {
 		env := map[string]string{}
 		if tc.from == "" {
 			env[tc.want] = "x"
 		}
-		_, err := load(strings.Replace(whole, tc.from, tc.to, 1), env)
+		_, err := load(strings.Replace(validFile, tc.from, tc.to, 1), env)
 		if err == nil || !strings.Contains(err.Error(), tc.want) {
 			t.Errorf("%s: error %v, want one with %q", name, err, tc.want)
 		}
 	}
 	if _, err := Load(func(string) string { return "" }, nil); err == nil {
-		t.Error("no PROXY_CONFIG is taken")
+		t.Error("a missing PROXY_CONFIG is accepted")
 	}
 	gone := errors.New("gone")
 	if _, err := Load(func(string) string { return "f" }, func(string) ([]byte, error) { return nil, gone }); !errors.Is(err, gone) {
@@ -89,7 +89,7 @@
 	}
 }
 
-func TestAgain(t *testing.T) {
+func TestReload(t *testing.T) {
 	for name, tc := range map[string]struct {
 		from, to  string
 		env       map[string]string
@@ -104,12 +104,12 @@
 		"known of another form": {`"known":{"seq":41,"whole":true,"hosts":[]}`, `"known":{}`, nil, "127.0.0.9:8500", nil},
 		"limits":                {"1024", "512", nil, "127.0.0.9:8500", []string{"limits.sockets"}},
 		"settings":              {`"idempotent"`, `"at_most_once"`, nil, "127.0.0.9:8500", nil},
-		"a class less": {whole[strings.Index(whole, `,
+		"a class less": {validFile[strings.Index(validFile, `,
  {"name":"pay"`):], "]}}", nil, "127.0.0.9:8500", nil},
 		"what it is built on": {`"east","west"`, `"west","east"`, nil, "127.0.0.9:8500", []string{"settings.dcs", "settings.locality"}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			c, err := load(whole, tc.env)
+			c, err := load(validFile, tc.env)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -118,7 +118,7 @@
 					return "file"
 				}
 				return tc.env[name]
-			}, func(string) ([]byte, error) { return []byte(strings.Replace(whole, tc.from, tc.to, 1)), nil })
+			}, func(string) ([]byte, error) { return []byte(strings.Replace(validFile, tc.from, tc.to, 1)), nil })
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -132,40 +132,40 @@
 	}
 }
 
-// A file that lacks what the start's file had is turned down, though variables and defaults would stand in for it.
-func TestAgainTakesNothingOfABrokenFile(t *testing.T) {
+// A file that lacks a key that the file had at the start is rejected, even if a variable or a default would replace the key.
+func TestReloadRejectsInvalidFile(t *testing.T) {
 	env := map[string]string{"PROXY_CONFIG": "file", "PROXY_NAME": "n3", "PROXY_LISTEN": "127.0.0.4:9000", "PROXY_DISCOVERY": "127.0.0.9:1"}
-	c, err := load(whole, env)
+	c, err := load(validFile, env)
 	if err != nil {
 		t.Fatal(err)
 	}
 	for name, text := range map[string]string{
-		"empty": "", "blank": " \n", "no keys": "{}", "null": "null", "cut off": whole[:len(whole)-1], "two": whole + "{}",
-		"no name":             strings.Replace(whole, `"name":"n3",`, "", 1),
-		"no discovery":        strings.Replace(whole, `"discovery":"127.0.0.9:8500",`, "", 1),
-		"no known":            strings.Replace(whole, `"known":{"seq":41,"whole":true,"hosts":[]},`, "", 1),
-		"no settings":         strings.Replace(whole, `"settings"`, `"unsettled"`, 1),
-		"no zones":            strings.Replace(whole, `"dcs":["east","west"],`, "", 1),
-		"no workload":         strings.Replace(whole, `"workload":"jobs",`, "", 1),
-		"no cores":            strings.Replace(whole, `"cores":1.0,`, "", 1),
-		"no time-out":         strings.Replace(whole, `"connect-timeout-us":250000,`, "", 1),
-		"no attempts":         strings.Replace(whole, `"attempts-cap":6,`, "", 1),
-		"no classes":          strings.Replace(whole, `"request-classes"`, `"others"`, 1),
-		"none of the classes": whole[:strings.Index(whole, `{"name":"view"`)] + "]}}",
-		"no effect":           strings.Replace(whole, `"effect":"idempotent",`, "", 1),
-		"no deadline":         strings.Replace(whole, `,"give-up-us":5000000},`, "},", 1),
-		"deadline of 0":       strings.Replace(whole, `"give-up-us":5000000},`, `"give-up-us":0},`, 1),
-		"deadline below 0":    strings.Replace(whole, `"give-up-us":5000000},`, `"give-up-us":-5000000},`, 1),
-		"deadline in words":   strings.Replace(whole, `"give-up-us":5000000},`, `"give-up-us":"5000000"},`, 1),
-		"no number":           strings.Replace(whole, `"give-up-us":5000000},`, `"give-up-us":null},`, 1),
-		"attempts of 0":       strings.Replace(whole, `"attempts-cap":6`, `"attempts-cap":0`, 1),
-		"attempts below 0":    strings.Replace(whole, `"attempts-cap":6`, `"attempts-cap":-6`, 1),
-		"attempts in words":   strings.Replace(whole, `"attempts-cap":6`, `"attempts-cap":"6"`, 1),
-		"half an attempt":     strings.Replace(whole, `"attempts-cap":6`, `"attempts-cap":1.5`, 1),
+		"empty": "", "blank": " \n", "no keys": "{}", "null": "null", "cut off": validFile[:len(validFile)-1], "two": validFile + "{}",
+		"no name":             strings.Replace(validFile, `"name":"n3",`, "", 1),
+		"no discovery":        strings.Replace(validFile, `"discovery":"127.0.0.9:8500",`, "", 1),
+		"no known":            strings.Replace(validFile, `"known":{"seq":41,"whole":true,"hosts":[]},`, "", 1),
+		"no settings":         strings.Replace(validFile, `"settings"`, `"unsettled"`, 1),
+		"no zones":            strings.Replace(validFile, `"dcs":["east","west"],`, "", 1),
+		"no workload":         strings.Replace(validFile, `"workload":"jobs",`, "", 1),
+		"no cores":            strings.Replace(validFile, `"cores":1.0,`, "", 1),
+		"no time-out":         strings.Replace(validFile, `"connect-timeout-us":250000,`, "", 1),
+		"no attempts":         strings.Replace(validFile, `"attempts-cap":6,`, "", 1),
+		"no classes":          strings.Replace(validFile, `"request-classes"`, `"others"`, 1),
+		"none of the classes": validFile[:strings.Index(validFile, `{"name":"view"`)] + "]}}",
+		"no effect":           strings.Replace(validFile, `"effect":"idempotent",`, "", 1),
+		"no deadline":         strings.Replace(validFile, `,"give-up-us":5000000},`, "},", 1),
+		"deadline of 0":       strings.Replace(validFile, `"give-up-us":5000000},`, `"give-up-us":0},`, 1),
+		"deadline below 0":    strings.Replace(validFile, `"give-up-us":5000000},`, `"give-up-us":-5000000},`, 1),
+		"deadline in words":   strings.Replace(validFile, `"give-up-us":5000000},`, `"give-up-us":"5000000"},`, 1),
+		"no number":           strings.Replace(validFile, `"give-up-us":5000000},`, `"give-up-us":null},`, 1),
+		"attempts of 0":       strings.Replace(validFile, `"attempts-cap":6`, `"attempts-cap":0`, 1),
+		"attempts below 0":    strings.Replace(validFile, `"attempts-cap":6`, `"attempts-cap":-6`, 1),
+		"attempts in words":   strings.Replace(validFile, `"attempts-cap":6`, `"attempts-cap":"6"`, 1),
+		"half an attempt":     strings.Replace(validFile, `"attempts-cap":6`, `"attempts-cap":1.5`, 1),
 	} {
 		if _, _, err := c.Again(func(name string) string { return env[name] },
 			func(string) ([]byte, error) { return []byte(text), nil }); err == nil {
-			t.Errorf("%s: taken", name)
+			t.Errorf("%s: accepted", name)
 		}
 	}
 }
--- a/balancer/config/doc.go
+++ b/balancer/config/doc.go
@@ -1,3 +1,4 @@
-// Package config reads what a scheduler is given at its start: a JSON file named by PROXY_CONFIG, and the
-// PROXY_ variables, which come before the file. JSON is read with encoding/json: the adapter reads none.
+// Package config reads the configuration of a scheduler: a JSON file named by PROXY_CONFIG, and the other PROXY_ environment
+// variables, which take precedence over the file. It decodes JSON with encoding/json, since the adapter (package
+// internal/wire) does not.
 package config
--- a/balancer/config/shape.go
+++ b/balancer/config/shape.go
@@ -8,15 +8,15 @@
 	"slices"
 )
 
-// shape is which keys a JSON value has, and of what kinds. It guards against a file that lacks a key: most would read
-// as zero, and some be hidden by a PROXY_ variable or a default.
+// shape is the structure of a JSON value: its keys and their types. It serves to detect a file that lacks a key. Without it, most
+// missing keys would read as zero, and some would be hidden by a PROXY_ variable or a default.
 type shape struct {
-	kind string            // "" where anything will do
-	keys map[string]*shape // of an object
-	item *shape            // of each item of a list, nil where it had none
+	kind string            // type of the value, "" for any
+	keys map[string]*shape // shapes of an object's values
+	item *shape            // shape common to all items of a list, nil for an empty list
 }
 
-// shapeOf returns the shape of a file. The list that is known is only for a start: what is in it may differ.
+// shapeOf returns the shape of a file. The content of known, the server list, may differ, since it is used only at a start.
 func shapeOf(text []byte) (*shape, error) {
 	v, err := decode(text)
 	if err != nil {
@@ -62,18 +62,18 @@
 		}
 	case []any:
 		for _, item := range v {
-			s.item = s.item.with(shapeOfValue(item))
+			s.item = s.item.common(shapeOfValue(item))
 		}
 	}
 	return s
 }
 
-// with is what two items of a list have in common.
-func (s *shape) with(t *shape) *shape {
+// common returns the part that two shapes of list items have in common.
+func (s *shape) common(t *shape) *shape {
 	if s == nil || t == nil {
 		return t
 	}
-	both := &shape{item: s.item.with(t.item)}
+	both := &shape{item: s.item.common(t.item)}
 	if s.kind == t.kind {
 		both.kind = s.kind
 	}
@@ -82,22 +82,22 @@
 			if both.keys == nil {
 				both.keys = make(map[string]*shape)
 			}
-			both.keys[key] = s.keys[key].with(t.keys[key])
+			both.keys[key] = s.keys[key].common(t.keys[key])
 		}
 	}
 	return both
 }
 
-// lacks names the first thing that a file does not have of the shape.
-func (s *shape) lacks(text []byte) error {
+// check returns an error that names the first part of the shape that a file doesn't have, or nil.
+func (s *shape) check(text []byte) error {
 	v, err := decode(text)
 	if err != nil {
 		return err
 	}
-	return s.lacked(v, "the file")
+	return s.checkValue(v, "the file")
 }
 
-func (s *shape) lacked(v any, path string) error {
+func (s *shape) checkValue(v any, path string) error {
 	if s.kind != "" && kindOf(v) != s.kind {
 		return fmt.Errorf("%s is no %s", path, s.kind)
 	}
@@ -107,14 +107,14 @@
 			if !given {
 				return fmt.Errorf("%s.%s is missing", path, key)
 			}
-			if err := s.keys[key].lacked(item, path+"."+key); err != nil {
+			if err := s.keys[key].checkValue(item, path+"."+key); err != nil {
 				return err
 			}
 		}
 	}
 	if list, ok := v.([]any); ok && s.item != nil {
 		for i := range list {
-			if err := s.item.lacked(list[i], fmt.Sprintf("%s.%d", path, i)); err != nil {
+			if err := s.item.checkValue(list[i], fmt.Sprintf("%s.%d", path, i)); err != nil {
 				return err
 			}
 		}
--- a/balancer/fleet/agent/agent.go
+++ b/balancer/fleet/agent/agent.go
@@ -18,57 +18,59 @@
 	"ravendale/balancer/transport"
 )
 
-// Options say what an agent works with.
+// Options configures an Agent.
 type Options struct {
 	Loop      *scheduler.Loop
 	Network   transport.Network
 	Member    fleet.Config
-	Address   map[string]string // of the others, by name
-	Dir       string            // of the state and the record
+	Address   map[string]string // addresses of the other members, by name
+	Dir       string            // directory of the state file and of the audit record
 	Keys      frames.Keys
-	Span      time.Duration // how long a span of the record is at most
-	MaxRecord int64         // bytes of the record
+	Span      time.Duration // longest interval that one span entry of the record covers
+	MaxRecord int64         // size limit of the audit record, in bytes
 	Log       *slog.Logger
 
-	Build, File, Settings string // what the process runs: of the program, digests of the operator's file and the settings
+	Build, File, Settings string // what the process runs: the program's build, and digests of the operator's file and of the settings
 
-	// Check says whether an epoch could be acted under, and Apply has it acted under, between two turns.
+	// Check reports whether the scheduler could run under an epoch. Apply switches the scheduler to an epoch, between two
+	// turns of the loop.
 	Check func(*fleet.Epoch) error
 	Apply func(*fleet.Epoch)
-	// StandingChanged is called when the member may take requests, or not any more.
+	// StandingChanged is called when the member's permission to take requests changes.
 	StandingChanged func(fleet.Standing)
-	// Done counts what was done since the start: attempts sent, and requests by class.
+	// Done returns the totals since the start: attempts sent, and requests by class.
 	Done func() (sent int, classes map[string]audit.Count)
-	Wall func() int64 // the system's clock in Unix milliseconds: shown, never trusted
+	Wall func() int64 // the system's clock in Unix milliseconds: only displayed and recorded, no decision depends on it
 }
 
-// Agent is one member.
+// Agent runs one member of the fleet.
 type Agent struct {
-	o         Options
+	options   Options
 	core      *fleet.Core
 	clock     audit.Clock
 	log       *audit.Log
 	startedAt time.Duration
 
 	links    map[string]*peerLink
-	accepted map[*link.Link]time.Duration // those that others made, and when the last message came
+	accepted map[*link.Link]time.Duration // links that others dialled, and when each received its last frame
 	state    *stateWriter
 
-	sent      int // at the last span
+	sent      int // attempts sent in total, as of the last span entry
 	classes   map[string]audit.Count
 	spanAt    time.Duration
 	witnessAt time.Duration
 	witnessed bool
-	listSeq   int64 // of the list of servers
-	ticking   *deadline.Deadline
+	listSeq   int64 // sequence number of the list of servers
+	nextTick  *deadline.Deadline
 	stopped   bool
-	refused   uint64 // frames and links
+	refused   uint64 // number of frames and links refused
 }
 
-// New reads the member's disk. A state that is torn or changed is set aside: what it might have promised is asked of the peers.
+// New loads the member's state from disk. A damaged state file is renamed; the member then asks its peers which votes it
+// might have cast.
 func New(o Options) (*Agent, error) {
-	began := o.Loop.Now()
-	a := &Agent{o: o, startedAt: began, links: make(map[string]*peerLink), accepted: make(map[*link.Link]time.Duration),
+	startedAt := o.Loop.Now()
+	a := &Agent{options: o, startedAt: startedAt, links: make(map[string]*peerLink), accepted: make(map[*link.Link]time.Duration),
 		classes: make(map[string]audit.Count)}
 	if err := os.MkdirAll(o.Dir, 0o755); err != nil {
 		return nil, fmt.Errorf("fleet: %w", err)
@@ -76,13 +78,13 @@
 	path := filepath.Join(o.Dir, o.Member.Me+".state")
 	disk, err := loadState(path)
 	if err != nil {
-		renamed := fmt.Sprintf("%s.%d.bad", path, a.o.Wall())
+		renamed := fmt.Sprintf("%s.%d.bad", path, a.options.Wall())
 		o.Log.Error("damaged state renamed", "err", err, "file", path, "as", renamed)
 		if err := os.Rename(path, renamed); err != nil {
 			return nil, fmt.Errorf("fleet: %w", err)
 		}
 	}
-	o.Member.Fresh = uint64(a.o.Wall() / 1000)
+	o.Member.Fresh = uint64(a.options.Wall() / 1000)
 	if a.core, err = fleet.New(o.Member, disk); err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
@@ -90,53 +92,53 @@
 		a.links[name] = &peerLink{name: name, pings: make(map[uint64]int64)}
 	}
 	a.state = newStateWriter(path)
-	var before audit.Head
-	a.log, before = audit.Open(audit.Options{Dir: o.Dir, Member: o.Member.Me, Incarnation: a.core.Incarnation(), Most: o.MaxRecord,
+	var previousHead audit.Head
+	a.log, previousHead = audit.Open(audit.Options{Dir: o.Dir, Member: o.Member.Me, Incarnation: a.core.Incarnation(), Most: o.MaxRecord,
 		Wall: o.Wall, Mono: a.mono})
-	a.add(audit.Entry{Kind: audit.Start, Before: &before, Build: o.Build, File: o.File, Settings: o.Settings,
+	a.add(audit.Entry{Kind: audit.Start, Before: &previousHead, Build: o.Build, File: o.File, Settings: o.Settings,
 		Trust: o.Member.Trust.Milliseconds(), Incarnation: a.core.Incarnation()})
 	return a, nil
 }
 
-// mono is the loop's clock in milliseconds since the start; the record is written in turns alone.
-func (a *Agent) mono() int64 { return (a.o.Loop.Now() - a.startedAt).Milliseconds() }
+// mono returns the loop's clock in milliseconds since the start. Entries of the record are added only in turns of the loop.
+func (a *Agent) mono() int64 { return (a.options.Loop.Now() - a.startedAt).Milliseconds() }
 
-// Start begins to connect and to send. It is called in a turn of the loop, once.
+// Start starts dialling the peers and sending messages. Call it once, in a turn of the loop.
 func (a *Agent) Start() {
-	a.execute(a.core.Start(a.o.Loop.Now()))
-	a.spanAt = a.o.Loop.Now()
+	a.execute(a.core.Start(a.options.Loop.Now()))
+	a.spanAt = a.options.Loop.Now()
 	a.tick()
 }
 
-// tick comes each quarter of a heartbeat.
+// tick runs every quarter of a heartbeat.
 func (a *Agent) tick() {
 	if a.stopped {
 		return
 	}
-	now := a.o.Loop.Now()
-	a.ticking = a.o.Loop.After(a.o.Member.Heartbeat/4, a.tick)
+	now := a.options.Loop.Now()
+	a.nextTick = a.options.Loop.After(a.options.Member.Heartbeat/4, a.tick)
 	for _, name := range slices.Sorted(maps.Keys(a.links)) {
 		a.reconnect(a.links[name], now)
 	}
-	for l, heard := range a.accepted {
-		if now-heard > 4*reconnectHeartbeats*a.o.Member.Heartbeat {
+	for l, lastReceived := range a.accepted {
+		if now-lastReceived > 4*reconnectHeartbeats*a.options.Member.Heartbeat {
 			delete(a.accepted, l)
 			l.Close()
 		}
 	}
 	a.event(fleet.Event{Kind: fleet.Tick})
-	if now-a.spanAt >= a.o.Span {
+	if now-a.spanAt >= a.options.Span {
 		a.span()
 	}
-	if wait := witnessHeartbeats * a.o.Member.Heartbeat; now-a.witnessAt >= wait || !a.witnessed && now-a.startedAt > wait/5 { // soon at first: it may be killed young
+	if wait := witnessHeartbeats * a.options.Member.Heartbeat; now-a.witnessAt >= wait || !a.witnessed && now-a.startedAt > wait/5 { // the first one comes early: the process may be killed soon after its start
 		a.witness()
 	}
 }
 
-// event feeds the core.
+// event passes an event to the core and executes the resulting actions.
 func (a *Agent) event(ev fleet.Event) {
 	if !a.stopped {
-		a.execute(a.core.Handle(a.o.Loop.Now(), ev))
+		a.execute(a.core.Handle(a.options.Loop.Now(), ev))
 	}
 }
 
@@ -149,42 +151,43 @@
 		case fleet.Store:
 			serial := act.Serial
 			a.state.save(act.State, func(err error) {
-				a.o.Loop.Post(func() { a.event(fleet.Event{Kind: fleet.Stored, Serial: serial, Err: err}) })
+				a.options.Loop.Post(func() { a.event(fleet.Event{Kind: fleet.Stored, Serial: serial, Err: err}) })
 			})
 		case fleet.Check:
-			id, err := act.Epoch.ID, a.o.Check(act.Epoch)
-			a.o.Loop.Post(func() { a.event(fleet.Event{Kind: fleet.Checked, ID: id, Err: err}) })
+			id, err := act.Epoch.ID, a.options.Check(act.Epoch)
+			a.options.Loop.Post(func() { a.event(fleet.Event{Kind: fleet.Checked, ID: id, Err: err}) })
 		case fleet.Apply:
-			a.span() // what was done until now was done under the one before
-			a.o.Apply(act.Epoch)
-			a.o.Log.Info("epoch adopted", "epoch", act.Epoch.ID.String(), "floor", act.Epoch.Floor)
+			a.span() // closes the span of the previous epoch
+			a.options.Apply(act.Epoch)
+			a.options.Log.Info("epoch adopted", "epoch", act.Epoch.ID.String(), "floor", act.Epoch.Floor)
 		case fleet.Record:
 			if act.Entry.Kind == audit.Refused {
-				a.o.Log.Warn("refused", "epoch", act.Entry.Epoch, "peer", act.Entry.Peer, "why", act.Entry.Why)
+				a.options.Log.Warn("epoch or message refused", "epoch", act.Entry.Epoch, "peer", act.Entry.Peer, "why", act.Entry.Why)
 			}
 			a.add(act.Entry)
 		case fleet.StandingChanged:
 			a.span()
-			a.o.Log.Info("standing", "acts", act.Standing.Acts, "marked", act.Standing.Marked, "why", act.Standing.Why)
-			a.o.StandingChanged(act.Standing)
+			a.options.Log.Info("standing changed", "acts", act.Standing.Acts, "marked", act.Standing.Marked, "why", act.Standing.Why)
+			a.options.StandingChanged(act.Standing)
 		}
 	}
 }
 
-// MayTake says whether a request may be taken now. After a stop of the process it is the first to know.
-func (a *Agent) MayTake() bool { return a.core.StandingAt(a.o.Loop.Now()).Acts }
+// MayTake reports whether this member may take a request now. It reads the clock, so it is right even at once after the
+// process was suspended, before any tick.
+func (a *Agent) MayTake() bool { return a.core.StandingAt(a.options.Loop.Now()).Acts }
 
-// Stop ends the member: its peers are notified, and the record is closed with what was done. The disk is waited for in a
-// goroutine, not here: done is called once nothing more is written, by that goroutine.
+// Stop ends the member: it notifies the peers and closes the record with the last span. It does not wait for the disk; a
+// goroutine of its own does, and calls done once all writes have ended.
 func (a *Agent) Stop(why string, done func()) {
 	if a.stopped {
 		return
 	}
 	a.span()
 	a.add(audit.Entry{Kind: audit.Stop, Why: why})
-	a.execute(a.core.Handle(a.o.Loop.Now(), fleet.Event{Kind: fleet.Leaving}))
+	a.execute(a.core.Handle(a.options.Loop.Now(), fleet.Event{Kind: fleet.Leaving}))
 	a.stopped = true
-	a.o.Loop.Deadlines.Drop(a.ticking)
+	a.options.Loop.Deadlines.Drop(a.nextTick)
 	for _, n := range a.links {
 		if n.link != nil {
 			n.link.Finish()
--- a/balancer/fleet/agent/call.go
+++ b/balancer/fleet/agent/call.go
@@ -12,8 +12,8 @@
 	"ravendale/balancer/transport"
 )
 
-// Call asks the member at an address, as an operator's tool does, and returns its answer. Verb is status, or roll-out with the
-// content of an epoch. An error in the answer is one of the call.
+// Call sends a request of an operator's tool to the member at an address and returns its answer. Verb is status, or roll-out
+// with the content of an epoch. If the answer reports an error, Call returns it as its own error, along with the Status.
 func Call(ctx context.Context, addr string, keys frames.Keys, verb string, content []byte) (*Status, error) {
 	var dialer net.Dialer
 	c, err := dialer.DialContext(ctx, "tcp", addr)
@@ -21,7 +21,7 @@
 		return nil, err
 	}
 	defer func() { _ = c.Close() }()
-	if deadline, has := ctx.Deadline(); has {
+	if deadline, hasDeadline := ctx.Deadline(); hasDeadline {
 		if err := c.SetDeadline(deadline); err != nil {
 			return nil, err
 		}
@@ -30,8 +30,8 @@
 	if err != nil {
 		return nil, err
 	}
-	t := &tool{request: text}
-	l := link.Dial(blocking{c}, addr, "tool", keys, t)
+	t := &callHandler{request: text}
+	l := link.Dial(connNetwork{c}, addr, "tool", keys, t)
 	l.Connected()
 	b := make([]byte, 32<<10)
 	for t.reply == nil && t.err == nil {
@@ -54,29 +54,30 @@
 	return &s, nil
 }
 
-// tool is the handler of a call's link.
-type tool struct {
+// callHandler handles the link of a Call: it sends the request and keeps the reply.
+type callHandler struct {
 	request, reply []byte
 	err            error
 }
 
-func (t *tool) Up(l *link.Link) { l.Send(link.Command, t.request) }
+func (t *callHandler) Up(l *link.Link) { l.Send(link.Command, t.request) }
 
-func (t *tool) Heard(_ *link.Link, kind frames.Kind, content []byte) {
+func (t *callHandler) Heard(_ *link.Link, kind frames.Kind, content []byte) {
 	if kind == link.Reply {
 		t.reply = content
 	}
 }
 
-func (t *tool) Down(_ *link.Link, err error) { t.err = err }
+func (t *callHandler) Down(_ *link.Link, err error) { t.err = err }
 
-// blocking is a connection that is there already, as a network of one; an error of a write shows in the next read.
-type blocking struct{ net.Conn }
+// connNetwork adapts an established connection to transport.Network and transport.Conn: Dial returns the connection itself. It
+// ignores write errors; the next read fails as well.
+type connNetwork struct{ net.Conn }
 
-func (b blocking) Dial(string, transport.Handler) transport.Conn { return b }
-func (b blocking) Write(text []byte)                             { _, _ = b.Conn.Write(text) }
-func (b blocking) Ignore()                                       {}
-func (b blocking) Finish()                                       {}
-func (b blocking) Close()                                        { _ = b.Conn.Close() }
-func (b blocking) Unwritten() int                                { return 0 }
-func (b blocking) Peer() string                                  { return b.RemoteAddr().String() }
+func (b connNetwork) Dial(string, transport.Handler) transport.Conn { return b }
+func (b connNetwork) Write(text []byte)                             { _, _ = b.Conn.Write(text) }
+func (b connNetwork) Ignore()                                       {}
+func (b connNetwork) Finish()                                       {}
+func (b connNetwork) Close()                                        { _ = b.Conn.Close() }
+func (b connNetwork) Unwritten() int                                { return 0 }
+func (b connNetwork) Peer() string                                  { return b.RemoteAddr().String() }
--- a/balancer/fleet/agent/doc.go
+++ b/balancer/fleet/agent/doc.go
@@ -1,3 +1,4 @@
-// Package agent is the shell of a fleet's member: it executes the actions of package fleet on links and disk, and keeps the
-// record of what the scheduler acted on. All of it runs on one loop, the scheduler's; the disk has goroutines of its own.
+// Package agent runs a member of a fleet: it executes the actions of package fleet on network links and disk, and keeps the
+// audit record of what the scheduler did. All of it runs on the scheduler's loop, except for disk writes, which have
+// goroutines of their own.
 package agent
--- a/balancer/fleet/agent/record.go
+++ b/balancer/fleet/agent/record.go
@@ -6,25 +6,25 @@
 	"ravendale/balancer/audit"
 )
 
-// witnessHeartbeats is how often the record says how far the peers' were.
+// witnessHeartbeats is the interval, in heartbeats, between two witness entries, which note the heads of the peers' records.
 const witnessHeartbeats = 10
 
-// add writes an entry of the record.
+// add appends an entry to the audit record.
 func (a *Agent) add(e audit.Entry) {
-	e.At = a.clock.Now(a.o.Wall())
+	e.At = a.clock.Now(a.options.Wall())
 	a.log.Add(e)
 }
 
-// span closes the span of what was done under the present epoch and standing.
+// span adds an entry with what was done under the current epoch and standing since the previous span.
 func (a *Agent) span() {
-	now := a.o.Loop.Now()
+	now := a.options.Loop.Now()
 	since := (a.spanAt - a.startedAt).Milliseconds()
 	a.spanAt = now
-	sent, classes := a.o.Done()
+	sent, classes := a.options.Done()
 	done := make(map[string]audit.Count)
 	for name, c := range classes {
-		was := a.classes[name]
-		if d := (audit.Count{Taken: c.Taken - was.Taken, Served: c.Served - was.Served, Refused: c.Refused - was.Refused, Failed: c.Failed - was.Failed}); d != (audit.Count{}) {
+		previous := a.classes[name]
+		if d := (audit.Count{Taken: c.Taken - previous.Taken, Served: c.Served - previous.Served, Refused: c.Refused - previous.Refused, Failed: c.Failed - previous.Failed}); d != (audit.Count{}) {
 			done[name] = d
 		}
 	}
@@ -40,9 +40,9 @@
 	a.add(e)
 }
 
-// witness says how far the peers' records were, and how far their clocks were off.
+// witness adds an entry with the heads of the peers' records and the offsets of their clocks.
 func (a *Agent) witness() {
-	a.witnessAt = a.o.Loop.Now()
+	a.witnessAt = a.options.Loop.Now()
 	seen := make(map[string]audit.Seen)
 	for _, p := range a.core.Peers() {
 		if n := a.links[p.Name]; p.Head.Hash != "" && n.measured {
@@ -55,13 +55,13 @@
 	}
 }
 
-// Command has an operator's call in the record, List the list that is acted on, Settings those of the platform.
+// Command records an operator's call.
 func (a *Agent) Command(command string) { a.add(audit.Entry{Kind: audit.Command, Command: command}) }
 
-// List notes the list of servers that is acted on; it goes into each span.
+// List sets the sequence number of the list of servers in use, which each span entry contains.
 func (a *Agent) List(seq int64) { a.listSeq = seq }
 
-// Settings notes that the platform's settings were read again.
+// Settings records that the platform's settings were read again.
 func (a *Agent) Settings(digest string) {
 	a.add(audit.Entry{Kind: audit.Command, Command: "settings", Settings: digest})
 }
--- a/balancer/fleet/agent/state.go
+++ b/balancer/fleet/agent/state.go
@@ -14,16 +14,17 @@
 	"ravendale/balancer/fleet"
 )
 
-// stateMagic begins a state file; its last figure is the version. Then come the digest of the rest, and the rest as JSON.
+// stateMagic is the start of a state file; its last digit is the version. The SHA-256 of the state follows on the same line,
+// and then the state as JSON.
 const stateMagic = "RVFS 1"
 
-// maxState bounds a state file, in bytes.
-const maxState = 4 << 20
+// maxStateSize is the maximum size of a state file in bytes.
+const maxStateSize = 4 << 20
 
-// errState is a state file that is torn, was changed, or is of another version.
-var errState = errors.New("no state of a fleet's member, or not whole")
+// errInvalidState reports a state file that is incomplete, was altered, or has another version.
+var errInvalidState = errors.New("not a state file of a fleet member, or damaged")
 
-// saveState puts a state in the place of the one before, whole or not at all, and has it on the disk when it returns.
+// saveState replaces the state file atomically. When it returns nil, the new state is on disk.
 func saveState(path string, s *fleet.State) (err error) {
 	text, err := json.Marshal(s)
 	if err != nil {
@@ -41,8 +42,8 @@
 	if _, err = f.Write(b); err == nil {
 		err = f.Sync()
 	}
-	if closed := f.Close(); err == nil {
-		err = closed
+	if closeErr := f.Close(); err == nil {
+		err = closeErr
 	}
 	if err == nil {
 		err = os.Rename(path+".new", path)
@@ -55,10 +56,10 @@
 		return err
 	}
 	defer func() { _ = dir.Close() }()
-	return dir.Sync() // else the old name may come back after a crash
+	return dir.Sync() // without it a crash may undo the rename
 }
 
-// loadState reads a state file; where there is none it is empty.
+// loadState reads a state file; it returns the zero State if the file doesn't exist.
 func loadState(path string) (s fleet.State, err error) {
 	f, err := os.Open(path)
 	if errors.Is(err, os.ErrNotExist) {
@@ -68,7 +69,7 @@
 		return s, err
 	}
 	defer func() { _ = f.Close() }()
-	b, err := io.ReadAll(io.LimitReader(f, maxState+1))
+	b, err := io.ReadAll(io.LimitReader(f, maxStateSize+1))
 	if err != nil {
 		return s, err
 	}
@@ -78,11 +79,11 @@
 func parseState(b []byte) (s fleet.State, err error) {
 	head, text, found := bytes.Cut(b, []byte("\n"))
 	sum := sha256.Sum256(text)
-	if !found || len(b) > maxState || string(head) != stateMagic+" "+hex.EncodeToString(sum[:]) {
-		return s, errState
+	if !found || len(b) > maxStateSize || string(head) != stateMagic+" "+hex.EncodeToString(sum[:]) {
+		return s, errInvalidState
 	}
 	if err := json.Unmarshal(text, &s); err != nil {
-		return fleet.State{}, fmt.Errorf("%w: %w", errState, err)
+		return fleet.State{}, fmt.Errorf("%w: %w", errInvalidState, err)
 	}
 	return s, nil
 }
--- a/balancer/fleet/agent/state_test.go
+++ b/balancer/fleet/agent/state_test.go
@@ -11,13 +11,13 @@
 	"ravendale/balancer/fleet"
 )
 
-func TestAStateIsCompleteOrRefused(t *testing.T) {
+func TestDamagedStateIsRejected(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "a.state")
 	if s, err := loadState(path); err != nil || s.Incarnation != 0 {
 		t.Errorf("no file: %+v, %v", s, err)
 	}
 	want := fleet.State{Incarnation: 7, Promised: 3, Peers: map[string]fleet.PeerMemory{"b": {Inc: 2, Vote: 1}}}
-	for range 2 { // the second one takes the first one's place
+	for range 2 { // the second write replaces the file of the first
 		if err := saveState(path, &want); err != nil {
 			t.Fatal(err)
 		}
@@ -33,10 +33,10 @@
 	for i := range text {
 		flipped := append([]byte(nil), text...)
 		flipped[i] ^= 1
-		if _, err := parseState(flipped); !errors.Is(err, errState) {
+		if _, err := parseState(flipped); !errors.Is(err, errInvalidState) {
 			t.Errorf("byte %d flipped: %v", i, err)
 		}
-		if _, err := parseState(text[:i]); !errors.Is(err, errState) {
+		if _, err := parseState(text[:i]); !errors.Is(err, errInvalidState) {
 			t.Errorf("cut at %d: %v", i, err)
 		}
 	}
--- a/balancer/fleet/agent/statewriter.go
+++ b/balancer/fleet/agent/statewriter.go
@@ -6,7 +6,7 @@
 	"ravendale/balancer/fleet"
 )
 
-// stateWriter writes states in a goroutine of its own: whatever comes while one is written, the newest alone is next.
+// stateWriter writes states in a goroutine of its own. Of the states saved during a write it writes only the newest.
 type stateWriter struct {
 	path      string
 	mu        sync.Mutex
@@ -23,16 +23,16 @@
 	return w
 }
 
-// save has a state written, and tells once it, or a later one, is on the disk or was not.
+// save queues a state to be written. It calls done with the result once this state or a later one was written, or failed to be.
 func (w *stateWriter) save(s fleet.State, done func(error)) {
 	w.mu.Lock()
 	w.next = &s
 	w.callbacks = append(w.callbacks, done)
 	w.mu.Unlock()
-	w.rouse()
+	w.notify()
 }
 
-func (w *stateWriter) rouse() {
+func (w *stateWriter) notify() {
 	select {
 	case w.wake <- struct{}{}:
 	default:
@@ -58,11 +58,11 @@
 	}
 }
 
-// end has the last state written; the channel is closed once that is done, and nothing more is written.
+// end stops the writer after the last queued state. The returned channel is closed once all writes have ended.
 func (w *stateWriter) end() (done <-chan struct{}) {
 	w.mu.Lock()
 	w.closing = true
 	w.mu.Unlock()
-	w.rouse()
+	w.notify()
 	return w.done
 }
--- a/balancer/fleet/agent/status.go
+++ b/balancer/fleet/agent/status.go
@@ -10,13 +10,13 @@
 	"ravendale/balancer/fleet"
 )
 
-// request is what a tool asks, and Status the answer.
+// request is what an operator's tool sends; the answer is a Status.
 type request struct {
 	Verb    string          `json:"verb"` // status or roll-out
 	Content json.RawMessage `json:"content,omitempty"`
 }
 
-// Status is how a member sees its fleet.
+// Status is a member's view of its fleet.
 type Status struct {
 	Error    string                `json:"error,omitempty"`
 	Name     string                `json:"name"`
@@ -34,7 +34,7 @@
 	Peers    map[string]PeerStatus `json:"peers"`
 }
 
-// PeerStatus is how it sees one peer. Ages are in milliseconds, -1 for never.
+// PeerStatus is a member's view of one peer. Ages are in milliseconds, -1 for never.
 type PeerStatus struct {
 	State      fleet.PeerState `json:"state"`
 	Inc        uint64          `json:"incarnation"`
@@ -42,13 +42,13 @@
 	Vote       audit.ID        `json:"vote"`
 	HeardMs    int64           `json:"heard_ms"`
 	AnsweredMs int64           `json:"answered_ms"`
-	Link       string          `json:"link"`    // "up", or why not
-	SkewMs     int64           `json:"skew_ms"` // of its wall clock
-	Bytes      int64           `json:"bytes"`   // of messages to it
+	Link       string          `json:"link"`    // "up", or "down" and the reason
+	SkewMs     int64           `json:"skew_ms"` // the peer's wall clock minus this member's
+	Bytes      int64           `json:"bytes"`   // total size of the messages sent to the peer
 	Dropped    int             `json:"dropped"`
 }
 
-// command executes a tool's call.
+// command executes the request of an operator's tool and returns the encoded Status.
 func (a *Agent) command(content []byte) []byte {
 	var r request
 	dec := json.NewDecoder(bytes.NewReader(content))
@@ -62,7 +62,7 @@
 		e, err := fleet.Unpack(r.Content)
 		var acts []fleet.Action
 		if err == nil {
-			acts, err = a.core.Propose(a.o.Loop.Now(), e)
+			acts, err = a.core.Propose(a.options.Loop.Now(), e)
 		}
 		if err != nil {
 			s.Error = err.Error()
@@ -78,10 +78,10 @@
 	return text
 }
 
-// Status returns how this member sees its fleet now.
+// Status returns this member's current view of its fleet.
 func (a *Agent) Status() Status {
-	now := a.o.Loop.Now()
-	s := Status{Name: a.o.Member.Me, Inc: a.core.Incarnation(), Build: a.o.Build, Acting: a.core.Acting(), Vote: a.core.Vote(),
+	now := a.options.Loop.Now()
+	s := Status{Name: a.options.Member.Me, Inc: a.core.Incarnation(), Build: a.options.Build, Acting: a.core.Acting(), Vote: a.core.Vote(),
 		Force: a.core.Force(), Amnesiac: a.core.Amnesiac(), Votes: a.core.Votes(), Standing: a.core.StandingAt(now), Record: a.log.Figures(), Head: a.log.Head(),
 		Refused: a.refused, Peers: make(map[string]PeerStatus)}
 	age := func(at time.Duration) int64 {
@@ -93,11 +93,11 @@
 	for _, p := range a.core.Peers() {
 		n := a.links[p.Name]
 		ps := PeerStatus{State: p.State, Inc: p.Inc, Acting: p.Adopted, Vote: p.Accepted, HeardMs: age(p.Heard), AnsweredMs: age(p.Answered),
-			Link: "up", SkewMs: n.skew, Bytes: n.bytes}
+			Link: "up", SkewMs: n.skew, Bytes: n.bytesSent}
 		if !n.up {
 			ps.Link = "down"
-			if n.failed != "" {
-				ps.Link += ": " + n.failed
+			if n.downReason != "" {
+				ps.Link += ": " + n.downReason
 			}
 		} else {
 			ps.Dropped = n.link.Dropped
--- a/balancer/fleet/api.go
+++ b/balancer/fleet/api.go
@@ -2,20 +2,20 @@
 
 import "ravendale/balancer/audit"
 
-// ActionKind says what is to be done.
+// ActionKind is the kind of an Action.
 type ActionKind uint8
 
 // Kinds of actions.
 const (
-	Send            ActionKind = iota // Message, to To
-	Store                             // State is to be written; then the event Stored with Serial
-	Check                             // Epoch is to be checked as a configuration is; then the event Checked
-	Apply                             // Epoch is what the scheduler acts under from now on
-	Record                            // Entry is for the record
-	StandingChanged                   // Standing has changed
+	Send            ActionKind = iota // send Message to the member To
+	Store                             // write State to disk, then report the event Stored with Serial
+	Check                             // validate Epoch as a configuration, then report the event Checked
+	Apply                             // the scheduler runs under Epoch from now on
+	Record                            // add Entry to the audit record
+	StandingChanged                   // the member's standing is now Standing
 )
 
-// Action is one thing to do.
+// Action is an instruction of the core to its caller. Kind decides which of the other fields are set.
 type Action struct {
 	Kind     ActionKind
 	To       string
@@ -27,19 +27,19 @@
 	Standing Standing
 }
 
-// EventKind says what came.
+// EventKind is the kind of an Event.
 type EventKind uint8
 
 // Kinds of events.
 const (
-	Tick     EventKind = iota // some time has passed: at least every quarter of Config.Heartbeat
-	Received                  // Message
-	Stored                    // what Serial asked for, and all before, is on disk, or Err
-	Checked                   // Epoch, or why not: Err
-	Leaving                   // this process ends
+	Tick     EventKind = iota // the clock advanced: due at least every quarter of Config.Heartbeat
+	Received                  // Message was received
+	Stored                    // the state of Serial and all earlier ones are on disk, or the write failed with Err
+	Checked                   // the epoch ID was validated; Err is nil or says why it is invalid
+	Leaving                   // this process is about to exit
 )
 
-// Event is one thing that came.
+// Event is an input of the core. Kind decides which of the other fields are set.
 type Event struct {
 	Kind    EventKind
 	Message Message
--- a/balancer/fleet/compat_test.go
+++ b/balancer/fleet/compat_test.go
@@ -13,8 +13,8 @@
 	"ravendale/balancer/audit"
 )
 
-// The files in testdata/compat were written by version a08c060. Members of different versions talk to each other while a
-// fleet is rolled, and each reads the state that the one before it left.
+// The files in testdata/compat were written by version a08c060. Members of different versions exchange messages during a rolling
+// upgrade, and each reads the state that the previous version wrote.
 
 var compatMessage = Message{
 	Kind: Ping, From: "a", Inc: 1_764_000_001, Nonce: 0xfedcba9876543210, Number: 17,
@@ -100,7 +100,7 @@
 	}
 }
 
-// compatDigests are the digests under which members vote for the golden epochs.
+// compatDigests are the digests of the golden epochs, by which members vote for them.
 var compatDigests = map[string]string{
 	"epoch":       "a41891218cd2241cb539c1c1788673971d9b8dc913954ecf120e3386a39e8e22",
 	"epoch_least": "bf2363d05dbcd7836d5ce4171265767348e2fbf48ca0a22e60cbc871254d5925",
--- a/balancer/fleet/contents.go
+++ b/balancer/fleet/contents.go
@@ -7,19 +7,19 @@
 	"ravendale/balancer/audit"
 )
 
-// contents are the epochs that this member has, those that it fetches, and what it serves to others.
+// contents holds the epochs whose content this member has, and the state of fetching them and of serving them to peers.
 type contents struct {
 	epochs      map[ID]*Epoch
 	checked     map[ID]error
-	checking    map[ID]bool     // a Check is not answered yet
-	refused     map[string]bool // peer and epoch: it gave another content
-	fetchedAt   time.Duration   // when a content was requested last,
-	fetching    ID              // and which
+	checking    map[ID]bool     // epochs whose Check has not been answered yet
+	refused     map[string]bool // peer and digest, concatenated: the peer sent a content that doesn't match the digest
+	fetchedAt   time.Duration   // when a content was last requested
+	fetching    ID              // the epoch requested last
 	served      int             // bytes of contents sent since servedSince
 	servedSince time.Duration
 }
 
-// canRun says whether this member can act under an epoch. What it lacks for that it asks for.
+// canRun reports whether this member can run under an epoch. It fetches a missing content and requests a missing check.
 func (c *Core) canRun(id ID) bool {
 	e := c.contents.epochs[id]
 	if e == nil {
@@ -40,7 +40,8 @@
 	return known && err == nil
 }
 
-// fetch asks one of those that have a content for it, each time another: drawn, so that stragglers spread.
+// fetch requests a content from a peer that has it. The peer is drawn at random, so that members that are behind spread their
+// requests.
 func (c *Core) fetch(id ID) {
 	if id == c.contents.fetching && c.now-c.contents.fetchedAt < fetchHeartbeats*c.cfg.Heartbeat {
 		return
@@ -57,7 +58,8 @@
 	}
 }
 
-// holder names a peer that has an epoch: who brought it, or may have.
+// holder returns the name of a peer that has an epoch, from which the content may have come; this member's own name if there
+// is none.
 func (c *Core) holder(id ID) string {
 	for _, name := range c.peers.order {
 		if p := c.peers.byName[name]; p.Adopted == id || p.Accepted == id {
@@ -67,7 +69,7 @@
 	return c.cfg.Me
 }
 
-// serveContent sends a content to a peer that asked for it, or Busy.
+// serveContent sends a content to a peer that requested it, or Busy if it is missing here or maxServed is exceeded.
 func (c *Core) serveContent(to string, id ID) {
 	e := c.contents.epochs[id]
 	if e == nil || c.contents.served > 0 && c.contents.served+len(e.Content) > maxServed {
@@ -78,25 +80,26 @@
 	c.send(to, Message{Kind: Have, ID: id, Content: e.Content})
 }
 
-// receiveContent takes a content if it is what was asked for. A peer that gives another under its name is not asked again.
-func (c *Core) receiveContent(from string, w *Message) {
-	if c.contents.epochs[w.ID] != nil {
+// receiveContent stores a content whose digest is the requested one. It doesn't ask a peer again that sent a content with
+// another digest.
+func (c *Core) receiveContent(from string, m *Message) {
+	if c.contents.epochs[m.ID] != nil {
 		return
 	}
-	e, err := Unpack(w.Content)
-	if err == nil && e.ID != w.ID {
+	e, err := Unpack(m.Content)
+	if err == nil && e.ID != m.ID {
 		err = fmt.Errorf("the digest is %.8s", e.ID.Digest)
 	}
 	if err != nil {
-		c.contents.refused[from+w.ID.Digest] = true
-		c.record(audit.Entry{Kind: audit.Refused, Epoch: &w.ID, Peer: from, Why: err.Error()})
+		c.contents.refused[from+m.ID.Digest] = true
+		c.record(audit.Entry{Kind: audit.Refused, Epoch: &m.ID, Peer: from, Why: err.Error()})
 		c.contents.fetchedAt = never
 		return
 	}
-	if c.tally.votes[w.ID] != nil || c.policy.inForce == w.ID {
-		c.contents.epochs[w.ID] = e
+	if c.tally.votes[m.ID] != nil || c.policy.inForce == m.ID {
+		c.contents.epochs[m.ID] = e
 	}
 }
 
-// Content returns an epoch, nil where its content is not here.
+// Content returns an epoch, or nil if this member doesn't have its content.
 func (c *Core) Content(id ID) *Epoch { return c.contents.epochs[id] }
--- a/balancer/fleet/core.go
+++ b/balancer/fleet/core.go
@@ -11,29 +11,29 @@
 	"ravendale/balancer/audit"
 )
 
-// Config is what a member is given at its start.
+// Config configures a Core.
 type Config struct {
 	Me    string
-	Names []string // all members of the fleet, Me too: majorities are of these
+	Names []string // all members of the fleet, including Me: a majority is more than half of these
 
-	Heartbeat time.Duration // between two pings to a peer
-	Trust     time.Duration // for so long after a ping that a majority answered it is trusted
-	Strict    bool          // who is not trusted takes nothing; else it goes on, and its spans are marked
-	Build     int           // generation of the program
+	Heartbeat time.Duration // interval between two pings to a peer
+	Trust     time.Duration // the member is trusted for so long after it sent pings that a majority answered
+	Strict    bool          // a member that isn't trusted takes no requests; otherwise it takes them, and its spans are marked
+	Build     int           // generation of the program: an epoch may require a minimum
 	Seed      uint64
-	Nonce     uint64 // another one for each process
-	Fresh     uint64 // the incarnation that an empty disk begins with: above all former ones, as seconds of Unix time are
+	Nonce     uint64 // differs for each process
+	Fresh     uint64 // the first incarnation if the disk is empty: must be above all earlier ones, which Unix time in seconds is
 }
 
-// never is before any time.
+// never is earlier than any time that occurs.
 const never = time.Duration(math.MinInt64 / 2)
 
-// Core is one member. It is not safe for concurrent use.
+// Core is the state machine of one member. It is not safe for concurrent use.
 type Core struct {
 	cfg     Config
 	random  *rand.Rand
 	now     time.Duration
-	actions []Action // of the event in progress
+	actions []Action // actions so far of the event in progress
 
 	disk     disk
 	peers    peers
@@ -43,52 +43,52 @@
 	standing standing
 }
 
-// New returns a member with what its disk held; State's zero value where that held nothing.
-func New(cfg Config, kept State) (*Core, error) {
+// New returns a member with the state that was loaded from its disk, or with the zero State if there was none.
+func New(cfg Config, loaded State) (*Core, error) {
 	if !slices.Contains(cfg.Names, cfg.Me) {
 		return nil, fmt.Errorf("fleet: %q is none of the members", cfg.Me)
 	}
-	c := &Core{cfg: cfg, random: rand.New(rand.NewPCG(cfg.Seed, cfg.Nonce)), disk: disk{state: kept},
+	c := &Core{cfg: cfg, random: rand.New(rand.NewPCG(cfg.Seed, cfg.Nonce)), disk: disk{state: loaded},
 		peers: peers{byName: make(map[string]*Peer)},
-		tally: tally{votes: make(map[ID]map[string]bool), responses: make(map[uint64]map[string]bool), openSince: make(map[uint64]time.Duration)},
+		tally: tally{votes: make(map[ID]map[string]bool), responses: make(map[uint64]map[string]bool), undecidedSince: make(map[uint64]time.Duration)},
 		contents: contents{epochs: make(map[ID]*Epoch), checked: make(map[ID]error), checking: make(map[ID]bool), refused: make(map[string]bool),
 			fetchedAt: never, servedSince: never},
 		policy: policy{inForceSince: make(map[ID]time.Duration)},
 	}
 	for _, name := range cfg.Names {
 		if name != cfg.Me && c.peers.byName[name] == nil {
-			c.peers.byName[name] = &Peer{Name: name, State: Unknown, Heard: never, Answered: never, Vouched: never, Inc: kept.Peers[name].Inc}
+			c.peers.byName[name] = &Peer{Name: name, State: Unknown, Heard: never, Answered: never, Vouched: never, Inc: loaded.Peers[name].Inc}
 			c.peers.order = append(c.peers.order, name)
 		}
 	}
-	for _, text := range kept.Contents {
+	for _, text := range loaded.Contents {
 		e, err := Unpack(text)
 		if err != nil {
 			return nil, fmt.Errorf("fleet: state: %w", err)
 		}
 		c.contents.epochs[e.ID] = e
 	}
-	for _, id := range []ID{kept.Accepted, kept.Adopted} {
+	for _, id := range []ID{loaded.Accepted, loaded.Adopted} {
 		if id.Number > 0 && c.contents.epochs[id] == nil {
 			return nil, fmt.Errorf("fleet: state: the content of epoch %v is missing", id)
 		}
 	}
-	c.disk.state.Peers = maps.Clone(kept.Peers)
+	c.disk.state.Peers = maps.Clone(loaded.Peers)
 	if c.disk.state.Peers == nil {
 		c.disk.state.Peers = make(map[string]PeerMemory)
 	}
-	c.disk.state.Amnesiac = c.disk.state.Amnesiac || kept.Incarnation == 0
-	if c.disk.state.Incarnation++; kept.Incarnation == 0 {
+	c.disk.state.Amnesiac = c.disk.state.Amnesiac || loaded.Incarnation == 0
+	if c.disk.state.Incarnation++; loaded.Incarnation == 0 {
 		c.disk.state.Incarnation = max(cfg.Fresh, 1)
 	}
-	c.disk.vote, c.disk.against, c.policy.inForce = kept.Accepted, kept.Against, kept.Adopted
-	if kept.Accepted.Number > 0 {
-		c.recordVote(cfg.Me, kept.Accepted)
+	c.disk.vote, c.disk.against, c.policy.inForce = loaded.Accepted, loaded.Against, loaded.Adopted
+	if loaded.Accepted.Number > 0 {
+		c.recordVote(cfg.Me, loaded.Accepted)
 	}
 	return c, nil
 }
 
-// Start is to be called once, first: it has the new incarnation written, and the epoch of the disk applied.
+// Start must be called once, before Handle. It writes the new incarnation to disk and applies the epoch loaded from disk.
 func (c *Core) Start(now time.Duration) []Action {
 	c.now, c.actions = now, nil
 	c.store()
@@ -100,7 +100,7 @@
 	return c.takeActions()
 }
 
-// Handle takes one event at the time now, which never goes back.
+// Handle processes one event at the time now, which must not decrease, and returns the actions to execute.
 func (c *Core) Handle(now time.Duration, ev Event) []Action {
 	c.now, c.actions = now, nil
 	switch ev.Kind {
@@ -125,27 +125,27 @@
 	return c.takeActions()
 }
 
-// takeActions hands out what was gathered.
+// takeActions returns the actions gathered during the event and clears them.
 func (c *Core) takeActions() []Action {
 	acts := c.actions
 	c.actions = nil
 	return acts
 }
 
-// record has an entry written to the record.
+// record adds an entry to the audit record.
 func (c *Core) record(e audit.Entry) { c.actions = append(c.actions, Action{Kind: Record, Entry: e}) }
 
-// Incarnation is the number of this process among those on this disk.
+// Incarnation returns the number of this process: each start on the same disk has a higher one.
 func (c *Core) Incarnation() uint64 { return c.disk.state.Incarnation }
 
-// Acting is the epoch that the scheduler acts under.
+// Acting returns the epoch that the scheduler runs under.
 func (c *Core) Acting() ID { return c.policy.applied }
 
-// Vote is what this member voted for last, as it is on its disk.
+// Vote returns the epoch that this member voted for last, as stored on its disk.
 func (c *Core) Vote() ID { return c.disk.vote }
 
-// Force is the highest epoch that is known to be in force.
+// Force returns the highest epoch that is known to be in force.
 func (c *Core) Force() ID { return c.policy.inForce }
 
-// Amnesiac reports whether the disk may have forgotten a vote: such a member casts none.
+// Amnesiac reports whether the disk may have lost a vote: the member then casts none.
 func (c *Core) Amnesiac() bool { return c.disk.state.Amnesiac }
--- a/balancer/fleet/core_test.go
+++ b/balancer/fleet/core_test.go
@@ -17,9 +17,9 @@
 )
 
 const (
-	beat  = 100 * time.Millisecond
-	trust = time.Second
-	// within is that of every epoch of these tests: the least that may be proposed.
+	heartbeatInterval = 100 * time.Millisecond
+	trust             = time.Second
+	// within is Epoch.Within of every epoch in these tests: the minimum that may be proposed.
 	within = trust
 )
 
@@ -31,53 +31,53 @@
 	return e
 }
 
-// host is one place where a member runs: its process, and its disk over all of them.
+// host is the machine of a member: its current process, and the disk that outlives processes.
 type host struct {
 	*Core
-	name       string
-	disk       State
-	olds       []State  // that the disk held before
-	writing    []Action // asked for, not on disk yet
-	paused     bool
-	wiped      bool    // its disk, once
-	slowBy     float64 // its clock runs at this rate
-	base, then time.Duration
-	noted      []audit.Entry
-	refuses    map[ID]bool
-	at         uint64 // the highest that it acted under in this process
+	name                   string
+	disk                   State
+	earlierDisks           []State  // earlier contents of the disk
+	writing                []Action // requested writes that are not on disk yet
+	paused                 bool
+	wiped                  bool    // whether its disk was ever wiped or restored to an earlier state
+	clockRate              float64 // rate of its clock relative to the test's
+	clockSetAt, clockAtSet time.Duration
+	entries                []audit.Entry
+	refuses                map[ID]bool
+	highestApplied         uint64 // highest epoch applied in the current process
 }
 
-// fleetOf is a fleet on a network that may do anything to words but forge them.
-type fleetOf struct {
-	hosts  []*host
-	names  []string
-	flying []flight
-	cut    map[[2]string]bool
-	now    time.Duration
-	nonce  uint64
-	fail   func(format string, args ...any)
-	// force is what any process has known to be in force, by number, and since when.
-	force map[uint64]ID
-	since map[uint64]time.Duration
-	all   map[ID]*Epoch
-	// mutant changes what a process does, for a checker to trip.
+// testFleet is a fleet on a simulated network that may lose, delay, reorder and repeat messages, but not forge them.
+type testFleet struct {
+	hosts       []*host
+	names       []string
+	inFlight    []sentMessage
+	partitioned map[[2]string]bool
+	now         time.Duration
+	nonce       uint64
+	fail        func(format string, args ...any)
+	// inForce is every epoch that any process has known to be in force, by number; inForceSince is since when.
+	inForce      map[uint64]ID
+	inForceSince map[uint64]time.Duration
+	contents     map[ID]*Epoch
+	// mutant makes processes faulty, to test that the checker detects the fault.
 	mutant string
-	forges string           // gives other contents than those it is asked for
-	gave   map[string][]int // contents given, by donor and beat
+	forger string           // name of the member that sends other contents than the requested ones
+	served map[string][]int // number of contents sent, by sender and heartbeat
 	strict bool
 }
 
-type flight struct {
+type sentMessage struct {
 	to      string
 	message Message
 }
 
-func newFleet(n int, fail func(string, ...any)) *fleetOf {
-	f := &fleetOf{cut: make(map[[2]string]bool), now: time.Hour, fail: fail, force: make(map[uint64]ID),
-		since: make(map[uint64]time.Duration), all: make(map[ID]*Epoch), strict: true}
+func newFleet(n int, fail func(string, ...any)) *testFleet {
+	f := &testFleet{partitioned: make(map[[2]string]bool), now: time.Hour, fail: fail, inForce: make(map[uint64]ID),
+		inForceSince: make(map[uint64]time.Duration), contents: make(map[ID]*Epoch), strict: true}
 	for i := range n {
 		f.names = append(f.names, string(rune('a'+i)))
-		f.hosts = append(f.hosts, &host{name: f.names[i], slowBy: 1, refuses: make(map[ID]bool)})
+		f.hosts = append(f.hosts, &host{name: f.names[i], clockRate: 1, refuses: make(map[ID]bool)})
 	}
 	for _, h := range f.hosts {
 		f.start(h)
@@ -85,90 +85,90 @@
 	return f
 }
 
-func (f *fleetOf) host(name string) *host { return f.hosts[slices.Index(f.names, name)] }
+func (f *testFleet) host(name string) *host { return f.hosts[slices.Index(f.names, name)] }
 
-// clock is what a host's monotonic clock says: each process has its own origin, and it may drift.
-func (f *fleetOf) clock(h *host) time.Duration {
-	return h.then + time.Duration(float64(f.now-h.base)*h.slowBy)
+// clock returns the time of a host's monotonic clock. Each process has its own origin, and the clock may drift.
+func (f *testFleet) clock(h *host) time.Duration {
+	return h.clockAtSet + time.Duration(float64(f.now-h.clockSetAt)*h.clockRate)
 }
 
-func (f *fleetOf) start(h *host) {
+func (f *testFleet) start(h *host) {
 	f.nonce++
-	c, err := New(Config{Me: h.name, Names: f.names, Heartbeat: beat, Trust: trust, Strict: f.strict, Build: 1, Nonce: f.nonce, Fresh: 100 * f.nonce, Seed: 1}, h.disk)
+	c, err := New(Config{Me: h.name, Names: f.names, Heartbeat: heartbeatInterval, Trust: trust, Strict: f.strict, Build: 1, Nonce: f.nonce, Fresh: 100 * f.nonce, Seed: 1}, h.disk)
 	if err != nil {
 		f.fail("%s does not start: %v", h.name, err)
 		return
 	}
-	h.Core, h.writing, h.paused, h.at, h.base, h.then = c, nil, false, 0, f.now, time.Hour
+	h.Core, h.writing, h.paused, h.highestApplied, h.clockSetAt, h.clockAtSet = c, nil, false, 0, f.now, time.Hour
 	if f.mutant == "forgets" {
 		c.disk.state.Amnesiac = false
 	}
-	f.do(h, c.Start(f.clock(h)))
+	f.execute(h, c.Start(f.clock(h)))
 }
 
-func (f *fleetOf) do(h *host, acts []Action) {
+func (f *testFleet) execute(h *host, acts []Action) {
 	for _, a := range acts {
 		switch a.Kind {
 		case Send:
 			if a.Message.Kind == Have {
-				if h.name == f.forges {
+				if h.name == f.forger {
 					a.Message.Content = epoch(a.Message.ID.Number, 0, "forged").Content
 				}
-				if f.gave == nil {
-					f.gave = make(map[string][]int)
+				if f.served == nil {
+					f.served = make(map[string][]int)
 				}
-				beats := int(f.now / beat)
-				if len(f.gave[h.name]) <= beats {
-					f.gave[h.name] = append(f.gave[h.name], make([]int, beats+1-len(f.gave[h.name]))...)
+				beats := int(f.now / heartbeatInterval)
+				if len(f.served[h.name]) <= beats {
+					f.served[h.name] = append(f.served[h.name], make([]int, beats+1-len(f.served[h.name]))...)
 				}
-				f.gave[h.name][beats]++
+				f.served[h.name][beats]++
 			}
-			if !f.cut[[2]string{h.name, a.To}] {
-				f.flying = append(f.flying, flight{a.To, a.Message})
+			if !f.partitioned[[2]string{h.name, a.To}] {
+				f.inFlight = append(f.inFlight, sentMessage{a.To, a.Message})
 			}
 		case Store:
 			h.writing = append(h.writing, a)
 			if f.mutant == "before disk" {
-				f.do(h, h.Handle(f.clock(h), Event{Kind: Stored, Serial: a.Serial}))
+				f.execute(h, h.Handle(f.clock(h), Event{Kind: Stored, Serial: a.Serial}))
 			}
 		case Check:
 			var err error
 			if h.refuses[a.Epoch.ID] {
 				err = errors.New("refused by the test")
 			}
-			f.do(h, h.Handle(f.clock(h), Event{Kind: Checked, ID: a.Epoch.ID, Err: err}))
+			f.execute(h, h.Handle(f.clock(h), Event{Kind: Checked, ID: a.Epoch.ID, Err: err}))
 		case Apply:
-			if a.Epoch.Number < h.at {
-				f.fail("%s goes from epoch %d back to %d", h.name, h.at, a.Epoch.Number)
+			if a.Epoch.Number < h.highestApplied {
+				f.fail("%s goes from epoch %d back to %d", h.name, h.highestApplied, a.Epoch.Number)
 			}
-			h.at = a.Epoch.Number
+			h.highestApplied = a.Epoch.Number
 		case Record:
-			h.noted = append(h.noted, a.Entry)
+			h.entries = append(h.entries, a.Entry)
 		}
 	}
 	id := h.Force()
-	if was, known := f.force[id.Number]; id.Number > 0 && known && was != id {
+	if was, known := f.inForce[id.Number]; id.Number > 0 && known && was != id {
 		f.fail("two contents are in force as epoch %d: %v and %v", id.Number, was, id)
 	} else if id.Number > 0 && !known {
-		f.force[id.Number], f.since[id.Number] = id, f.now
+		f.inForce[id.Number], f.inForceSince[id.Number] = id, f.now
 	}
 	if e := h.Content(id); e != nil {
-		f.all[id] = e
+		f.contents[id] = e
 	}
 }
 
-func (f *fleetOf) event(h *host, ev Event) {
+func (f *testFleet) event(h *host, ev Event) {
 	if !h.paused {
-		f.do(h, h.Handle(f.clock(h), ev))
+		f.execute(h, h.Handle(f.clock(h), ev))
 	}
 }
 
-// flush ends what a host's disk was asked for.
-func (f *fleetOf) flush(h *host, most int) {
+// flush completes up to most pending writes of a host.
+func (f *testFleet) flush(h *host, most int) {
 	for ; len(h.writing) > 0 && most > 0 && !h.paused; most-- {
 		a := h.writing[0]
 		h.writing = h.writing[1:]
-		h.olds = append(h.olds, h.disk)
+		h.earlierDisks = append(h.earlierDisks, h.disk)
 		h.disk = a.State
 		if f.mutant != "before disk" {
 			f.event(h, Event{Kind: Stored, Serial: a.Serial})
@@ -176,24 +176,24 @@
 	}
 }
 
-// deliver hands over one word; to a stopped process it stays in flight.
-func (f *fleetOf) deliver(i int, keep bool) {
-	w := f.flying[i]
+// deliver delivers one message, unless the receiver is paused: then it stays in flight. With keep it stays too, to be repeated.
+func (f *testFleet) deliver(i int, keep bool) {
+	w := f.inFlight[i]
 	if f.host(w.to).paused {
 		return
 	}
 	if !keep {
-		f.flying = slices.Delete(f.flying, i, i+1)
+		f.inFlight = slices.Delete(f.inFlight, i, i+1)
 	}
-	if !f.cut[[2]string{w.message.From, w.to}] {
+	if !f.partitioned[[2]string{w.message.From, w.to}] {
 		f.event(f.host(w.to), Event{Kind: Received, Message: w.message})
 	}
 }
 
-// pass lets time go by with all links as they are, every word and write at once.
-func (f *fleetOf) pass(d time.Duration) {
+// advance advances the time; partitions stay as they are, and messages and writes complete at once.
+func (f *testFleet) advance(d time.Duration) {
 	for end := f.now + d; f.now < end; {
-		f.now += beat / 4
+		f.now += heartbeatInterval / 4
 		for _, h := range f.hosts {
 			f.event(h, Event{Kind: Tick})
 		}
@@ -201,8 +201,8 @@
 			for _, h := range f.hosts {
 				f.flush(h, 9)
 			}
-			for i := 0; i < len(f.flying); {
-				if f.host(f.flying[i].to).paused {
+			for i := 0; i < len(f.inFlight); {
+				if f.host(f.inFlight[i].to).paused {
 					i++
 					continue
 				}
@@ -213,12 +213,12 @@
 	}
 }
 
-// check is the rule on the floor: who would take a request now, though an epoch has been in force for its time, and for as long
-// as trust lasts, acts under no older one than its floor.
-func (f *fleetOf) check() {
+// check verifies the floor: once an epoch has been in force for its Within plus the trust period, no member that would take a
+// request runs under an epoch below its floor.
+func (f *testFleet) check() {
 	for _, h := range f.hosts {
-		for number, since := range f.since {
-			e := f.all[f.force[number]]
+		for number, since := range f.inForceSince {
+			e := f.contents[f.inForce[number]]
 			if e == nil || f.now <= since+time.Duration(1.02*float64(within+trust)) || h.Acting().Number >= e.Floor {
 				continue
 			}
@@ -230,18 +230,19 @@
 	}
 }
 
-func (f *fleetOf) propose(h *host, e *Epoch) error {
+func (f *testFleet) propose(h *host, e *Epoch) error {
 	acts, err := h.Propose(f.clock(h), e)
-	f.do(h, acts)
+	f.execute(h, acts)
 	return err
 }
 
-// play is a random life of a fleet; draw returns a number from 0 to below n. What it assumes of disks is in docs/fleet.md: fewer
-// than a majority are lost, and one that is restored to an older state meets a peer that remembers.
-func play(draw func(what string, n int) int, f *fleetOf) {
+// runRandomSteps runs a fleet through random steps and faults; draw returns a number from 0 to n-1. Its assumptions on disks
+// are in docs/fleet.md: fewer than a majority are lost, and a member whose disk is restored to an older state reaches a peer
+// that remembers the newer one.
+func runRandomSteps(draw func(what string, n int) int, f *testFleet) {
 	n := len(f.hosts)
 	pick := func(what string) *host { return f.hosts[draw(what, n)] }
-	f.pass(time.Second)
+	f.advance(time.Second)
 	for range 10 + draw("steps", 50) {
 		switch draw("step", 12) {
 		case 0, 1:
@@ -255,21 +256,21 @@
 			if draw("bad for one", 5) == 0 {
 				pick("refuses").refuses[e.ID] = true
 			}
-			_ = f.propose(h, e) // it may well be refused
+			_ = f.propose(h, e) // a rejection is valid
 		case 2, 3:
-			f.pass(time.Duration(25+draw("ms", 1500)) * time.Millisecond)
+			f.advance(time.Duration(25+draw("ms", 1500)) * time.Millisecond)
 		case 4:
 			a, b := pick("from"), pick("to")
-			f.cut[[2]string{a.name, b.name}] = draw("cut", 2) == 0
+			f.partitioned[[2]string{a.name, b.name}] = draw("cut", 2) == 0
 		case 5:
 			half := draw("half", 1<<n)
 			for i, a := range f.names {
 				for j, b := range f.names {
-					f.cut[[2]string{a, b}] = half>>i&1 != half>>j&1
+					f.partitioned[[2]string{a, b}] = half>>i&1 != half>>j&1
 				}
 			}
 		case 6:
-			clear(f.cut)
+			clear(f.partitioned)
 		case 7:
 			h := pick("restarted")
 			f.flush(h, draw("written", 10))
@@ -283,30 +284,30 @@
 			switch d := draw("disk", 6); {
 			case d == 0 && forgetful < n/2+1:
 				h.disk, h.wiped = State{}, true
-			case d == 1 && forgetful == 1 && len(h.olds) > 0:
-				h.disk, h.wiped, old = h.olds[draw("old", len(h.olds))], true, true
+			case d == 1 && forgetful == 1 && len(h.earlierDisks) > 0:
+				h.disk, h.wiped, old = h.earlierDisks[draw("old", len(h.earlierDisks))], true, true
 			}
 			f.start(h)
 			if old {
-				clear(f.cut)
+				clear(f.partitioned)
 				for _, o := range f.hosts {
 					o.paused = false
 				}
-				f.flying = nil
-				f.pass(500 * time.Millisecond)
+				f.inFlight = nil
+				f.advance(500 * time.Millisecond)
 			}
 		case 8:
 			h := pick("stopped or woken")
 			h.paused = !h.paused
-		case 9, 10: // words out of order, twice, lost
-			for range min(len(f.flying), 6) {
-				i := draw("word", len(f.flying))
+		case 9, 10: // messages out of order, repeated, lost
+			for range min(len(f.inFlight), 6) {
+				i := draw("message", len(f.inFlight))
 				if draw("lost", 4) == 0 {
-					f.flying = slices.Delete(f.flying, i, i+1)
+					f.inFlight = slices.Delete(f.inFlight, i, i+1)
 				} else {
 					f.deliver(i, draw("twice", 4) == 0)
 				}
-				if len(f.flying) == 0 {
+				if len(f.inFlight) == 0 {
 					break
 				}
 			}
@@ -314,13 +315,13 @@
 			f.flush(h, 1)
 		case 11:
 			h := pick("drifts")
-			h.then, h.base, h.slowBy = f.clock(h), f.now, []float64{0.99, 1, 1.01}[draw("rate", 3)]
+			h.clockAtSet, h.clockSetAt, h.clockRate = f.clock(h), f.now, []float64{0.99, 1, 1.01}[draw("rate", 3)]
 		}
 		f.check()
 	}
 }
 
-// TestMain gives the random model a seed, for the same verdict every time; -rapid.seed gives another.
+// TestMain fixes the seed of the random model, so that runs are reproducible; -rapid.seed sets another.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	if f := flag.Lookup("rapid.seed"); f.Value.String() == f.DefValue {
@@ -331,12 +332,12 @@
 	os.Exit(m.Run())
 }
 
-func TestNoTwoContentsAndNoActsUnderTheFloor(t *testing.T) {
+func TestAgreementAndFloorUnderRandomFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := newFleet(rapid.SampledFrom([]int{3, 4, 5}).Draw(t, "members"), t.Fatalf)
-		play(func(what string, n int) int { return rapid.IntRange(0, n-1).Draw(t, what) }, f)
-		// Once all is well again, all come to what is in force, and act.
-		clear(f.cut)
+		runRandomSteps(func(what string, n int) int { return rapid.IntRange(0, n-1).Draw(t, what) }, f)
+		// Once all faults are repaired, all members adopt the epoch in force and take requests.
+		clear(f.partitioned)
 		for _, h := range f.hosts {
 			h.paused = false
 			clear(h.refuses)
@@ -344,7 +345,7 @@
 				f.start(h)
 			}
 		}
-		f.pass(3 * time.Second)
+		f.advance(3 * time.Second)
 		for _, h := range f.hosts {
 			if h.Force() != f.hosts[0].Force() {
 				t.Errorf("%s knows %v in force, %s %v", h.name, h.Force(), f.names[0], f.hosts[0].Force())
@@ -356,14 +357,14 @@
 	})
 }
 
-// The checker is worth what it catches: a member that does not keep to the floor.
-func TestAMutantWithoutFloorIsCaught(t *testing.T) {
+// The checker must detect members that ignore the floor.
+func TestCheckerDetectsMissingFloor(t *testing.T) {
 	for seed := range uint64(4000) {
 		caught := ""
 		f := newFleet(3, func(text string, args ...any) { caught = fmt.Sprintf(text, args...) })
 		f.mutant = "no floor"
 		r := rand.New(rand.NewPCG(seed, 0))
-		play(func(_ string, n int) int { return r.IntN(n) }, f)
+		runRandomSteps(func(_ string, n int) int { return r.IntN(n) }, f)
 		if caught != "" {
 			t.Logf("seed %d: %s", seed, caught)
 			return
@@ -372,10 +373,11 @@
 	t.Error("not caught")
 }
 
-// Ten stragglers that wake together spread over those who hold the content, and no donor gives more than a few a beat.
-func TestStragglersTogetherDoNotHoldUpOneDonor(t *testing.T) {
+// Ten members that resume together and lack a content spread their requests over the members that have it, and none of these
+// sends more than a few contents per heartbeat.
+func TestContentRequestsAreSpread(t *testing.T) {
 	f := newFleet(21, t.Fatalf)
-	f.pass(time.Second)
+	f.advance(time.Second)
 	for _, h := range f.hosts[11:] {
 		h.paused = true
 	}
@@ -383,81 +385,82 @@
 		t.Fatal(err)
 	}
 	if !f.hosts[0].LastStanding().Acts {
-		t.Errorf("the one who proposes stands as %+v", f.hosts[0].LastStanding())
+		t.Errorf("the proposer's standing is %+v", f.hosts[0].LastStanding())
 	}
-	f.pass(2 * time.Second)
+	f.advance(2 * time.Second)
 	for _, h := range f.hosts[11:] {
 		h.paused = false
 	}
-	f.pass(2 * time.Second)
+	f.advance(2 * time.Second)
 	for _, h := range f.hosts {
 		if h.Acting().Number != 1 {
 			t.Errorf("%s acts under %v", h.name, h.Acting())
 		}
 	}
-	for name, beats := range f.gave {
+	for name, beats := range f.served {
 		for _, n := range beats {
-			if n > 2*3 { // its beats and the test's lie across each other
-				t.Errorf("%s gave %d contents in a beat", name, n)
+			if n > 2*3 { // its heartbeats and those of the test overlap
+				t.Errorf("%s sent %d contents in a heartbeat", name, n)
 			}
 		}
 	}
-	if len(f.gave) < 4 {
-		t.Errorf("%d donors gave all", len(f.gave))
+	if len(f.served) < 4 {
+		t.Errorf("only %d members sent contents", len(f.served))
 	}
 }
 
-// A peer that gives another content than the one it was asked for is refused by the digest, and another one is asked.
-func TestAForgedContentIsRefused(t *testing.T) {
+// A content that isn't the requested one is rejected by its digest, and the content is requested from another peer.
+func TestForgedContentIsRejected(t *testing.T) {
 	f := newFleet(5, t.Fatalf)
-	f.pass(time.Second)
-	f.forges = "a"
+	f.advance(time.Second)
+	f.forger = "a"
 	if err := f.propose(f.hosts[0], epoch(1, 1, "x")); err != nil {
 		t.Fatal(err)
 	}
-	f.pass(2 * time.Second)
+	f.advance(2 * time.Second)
 	if n := f.hosts[1].Acting().Number; n != 0 {
-		t.Fatalf("epoch %d came from the only one who had it, and forged", n)
+		t.Fatalf("epoch %d was adopted from the only member that had it, which sends forged contents", n)
 	}
-	f.forges = ""
-	f.start(f.hosts[0]) // the proposer's vote is on its disk, and now it gives what it should
+	f.forger = ""
+	f.start(f.hosts[0]) // its vote is on its disk, and it now sends the right content
 	for _, h := range f.hosts {
 		clear(h.contents.refused)
 	}
-	f.pass(3 * time.Second)
-	f.forges = "a" // for one that comes to it later others are there
+	f.advance(3 * time.Second)
+	f.forger = "a" // a member that starts later can get the content from others
 	late := f.hosts[4]
 	late.disk = State{}
 	f.start(late)
-	f.pass(3 * time.Second)
+	f.advance(3 * time.Second)
 	if late.Acting().Number != 1 {
 		t.Errorf("e acts under %v", late.Acting())
 	}
-	refused := slices.ContainsFunc(f.hosts[1].noted, func(e audit.Entry) bool { return e.Kind == audit.Refused && e.Peer == "a" })
+	refused := slices.ContainsFunc(f.hosts[1].entries, func(e audit.Entry) bool { return e.Kind == audit.Refused && e.Peer == "a" })
 	if !refused {
-		t.Error("the record does not say who gave a forged content")
+		t.Error("the record does not name the sender of the forged content")
 	}
 }
 
-// A vote that was told is never forgotten: the voter crashes before it was on disk, or its disk is lost, and then the other half
-// of a cut asks it for its vote for another content of that number. Without the guard both are in force.
-func TestAVoteIsNotForgotten(t *testing.T) {
+// A vote that was sent to a peer is never forgotten. The voter crashes before the vote is on disk, or loses its disk, and then
+// the other side of a partition asks for its vote for another content of the same number. Without the guards, both contents
+// come into force.
+func TestVoteSurvivesCrashAndDiskLoss(t *testing.T) {
 	for _, tc := range []struct {
 		name, mutant string
 		lost         bool
 		conflict     bool
 	}{
-		{"crash before the disk had it", "", false, false},
-		{"crash, and the vote was told before", "before disk", false, true},
+		{"crash before the vote is on disk", "", false, false},
+		{"mutant sends the vote before it is on disk, and crashes", "before disk", false, true},
 		{"disk lost", "", true, false},
-		{"disk lost, and it votes all the same", "forgets", true, true},
+		{"disk lost, and a mutant votes nevertheless", "forgets", true, true},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			conflict := ""
 			f := newFleet(3, func(text string, args ...any) { conflict = fmt.Sprintf(text, args...) })
 			a, b, c := f.hosts[0], f.hosts[1], f.hosts[2]
-			f.pass(time.Second)
-			part := func(cut bool, x, y string) { f.cut[[2]string{x, y}], f.cut[[2]string{y, x}] = cut, cut }
+			f.advance(time.Second)
+			part := func(cut bool, x, y string) { f.partitioned[[2]string{x, y}], f.partitioned[[2]string{y, x}] = cut, cut }
 			part(true, "a", "c")
 			part(true, "b", "c")
 			f.mutant = tc.mutant
@@ -467,12 +470,12 @@
 			if tc.lost {
 				f.flush(a, 9)
 			}
-			for range 20 { // all words go on, and b's disk alone
-				f.now += beat / 4
+			for range 20 { // all messages are delivered; only b's disk completes writes
+				f.now += heartbeatInterval / 4
 				f.event(a, Event{Kind: Tick})
 				f.event(b, Event{Kind: Tick})
 				f.flush(b, 9)
-				for len(f.flying) > 0 {
+				for len(f.inFlight) > 0 {
 					f.deliver(0, false)
 				}
 			}
@@ -482,9 +485,9 @@
 			f.start(a)
 			part(true, "a", "b")
 			part(false, "a", "c")
-			f.pass(time.Second)
+			f.advance(time.Second)
 			_ = f.propose(c, epoch(1, 1, "y"))
-			f.pass(2 * time.Second)
+			f.advance(2 * time.Second)
 			if conflict != "" != tc.conflict {
 				t.Errorf("conflict: %q", conflict)
 			}
--- a/balancer/fleet/disk.go
+++ b/balancer/fleet/disk.go
@@ -8,43 +8,43 @@
 	"ravendale/balancer/audit"
 )
 
-// disk is what this member keeps there, and what waits for it to be kept.
+// disk is this member's persistent state, and what waits until it is on disk.
 type disk struct {
 	state   State
-	serial  int    // of the last Store
-	durable int    // the last that is on disk
-	vote    ID     // state.Accepted as it is on disk: what peers are sent,
-	against uint64 // and state.Against
+	serial  int    // serial of the last Store
+	durable int    // the last serial that is on disk
+	vote    ID     // state.Accepted as it is on disk, which is what peers are sent
+	against uint64 // state.Against as it is on disk
 
-	incarnationSerial  int  // the serial that the incarnation waits for,
-	incarnationDurable bool // and whether it is on disk
-	voteSerial         int  // the serial that Accepted and Against wait for
-	adoptSerial        int  // the serial that Adopted waits for
+	incarnationSerial  int  // the serial of the Store that contains the incarnation
+	incarnationDurable bool // the incarnation is on disk
+	voteSerial         int  // the serial of the Store that contains Accepted and Against
+	adoptSerial        int  // the serial of the Store that contains Adopted
 
-	failed  bool          // the disk takes nothing, and this member does not vote
-	retryAt time.Duration // and tries again
+	failed  bool          // the last write failed: this member does not vote
+	retryAt time.Duration // when to write again after a failure
 }
 
-// State is what a member keeps on disk: it is to be written, whole, before what follows from it is done.
+// State is a member's persistent state. It must be completely on disk before the member acts on it.
 type State struct {
 	Incarnation uint64                `json:"incarnation"`
 	Accepted    ID                    `json:"accepted"`
 	Adopted     ID                    `json:"adopted"`
-	Promised    uint64                `json:"promised,omitempty"` // it does not vote for this number or a lower one,
-	Against     uint64                `json:"against,omitempty"`  // nor for this one, and did not
-	Amnesiac    bool                  `json:"amnesiac,omitempty"` // it may have forgotten a vote, and casts none
-	Floor       uint64                `json:"floor,omitempty"`    // that peers told of when it was one: it may have voted for it
+	Promised    uint64                `json:"promised,omitempty"` // the member does not vote for this number or a lower one
+	Against     uint64                `json:"against,omitempty"`  // the member neither voted nor will vote for this number
+	Amnesiac    bool                  `json:"amnesiac,omitempty"` // the disk may have lost a vote, so the member casts none
+	Floor       uint64                `json:"floor,omitempty"`    // highest floor that peers reported while the member was amnesiac: it may have voted for it
 	Peers       map[string]PeerMemory `json:"peers,omitempty"`
-	Contents    [][]byte              `json:"contents,omitempty"` // of Accepted and Adopted
+	Contents    [][]byte              `json:"contents,omitempty"` // contents of Accepted and Adopted
 }
 
-// PeerMemory is what a member remembers of a peer: a process that comes back with an older disk is notified.
+// PeerMemory is what a member stores of a peer, to notify a process that restarts with an older disk.
 type PeerMemory struct {
 	Inc  uint64 `json:"inc"`
 	Vote uint64 `json:"vote,omitempty"`
 }
 
-// store has the state written.
+// store requests a write of the current state.
 func (c *Core) store() {
 	c.disk.serial++
 	s := c.disk.state
@@ -58,8 +58,8 @@
 	c.actions = append(c.actions, Action{Kind: Store, State: s, Serial: c.disk.serial})
 }
 
-// stored goes on with what waited for the disk. A disk that fails takes the member's vote, for what it said would be forgotten;
-// it does not take its service.
+// stored handles the result of a write and continues what waited for it. A member whose disk fails doesn't vote, since it
+// would forget its vote in a restart, but it keeps serving requests.
 func (c *Core) stored(serial int, err error) {
 	c.disk.incarnationDurable = c.disk.incarnationDurable || serial >= c.disk.incarnationSerial
 	if failed := err != nil; failed != c.disk.failed {
@@ -91,12 +91,12 @@
 	}
 }
 
-// remember keeps on disk what a peer must not forget of itself.
+// remember stores a peer's incarnation and vote, so that the peer can learn them if it loses its own disk.
 func (c *Core) remember(p *Peer) {
 	m := PeerMemory{Inc: p.Inc, Vote: max(c.disk.state.Peers[p.Name].Vote, p.Accepted.Number)}
 	if c.disk.state.Peers[p.Name] != m {
 		c.disk.state.Peers[p.Name] = m
 		c.store()
-		p.rememberedBy = c.disk.serial
+		p.rememberedSerial = c.disk.serial
 	}
 }
--- a/balancer/fleet/epoch.go
+++ b/balancer/fleet/epoch.go
@@ -13,26 +13,26 @@
 	"ravendale/balancer/audit"
 )
 
-// MaxContent bounds the content of an epoch, in bytes.
+// MaxContent is the maximum size of an epoch's content in bytes.
 const MaxContent = 256 << 10
 
-// ID names an epoch.
+// ID identifies an epoch by its number and the digest of its content.
 type ID = audit.ID
 
-// Epoch is the set that the fleet is meant to run, adopted whole or not at all.
+// Epoch is a numbered version of the fleet's shared policy. A member adopts it completely or not at all.
 type Epoch struct {
 	ID      ID
-	Content []byte // what the digest is of
+	Content []byte // the encoded epoch; ID.Digest is its digest
 
 	Number uint64
-	Floor  uint64        // nobody is to act under an older epoch
-	Within time.Duration // for so long from when a member knows that it is in force
-	Build  int           // the least generation of the program
-	// Settings is a merge patch (RFC 7396) for the platform's settings, nil for none.
+	Floor  uint64        // no member may run under an epoch with a lower number
+	Within time.Duration // how long a member may run under an older one after it knows that this one is in force
+	Build  int           // minimum generation of the program
+	// Settings is a merge patch (RFC 7396) for the platform's settings, or nil.
 	Settings json.RawMessage
 }
 
-// content is the form of Epoch.Content. A member that finds a field it does not know can't act on the epoch.
+// content is the encoding of Epoch.Content. A member whose program doesn't know one of the fields can't run under the epoch.
 type content struct {
 	Number   uint64          `json:"number"`
 	Floor    uint64          `json:"floor"`
@@ -41,10 +41,10 @@
 	Settings json.RawMessage `json:"settings,omitempty"`
 }
 
-// ErrContent is an epoch that makes no sense.
+// ErrContent reports an invalid epoch.
 var ErrContent = errors.New("an epoch that makes no sense")
 
-// Pack makes an epoch of its parts.
+// Pack encodes an epoch, and sets its ID and Content.
 func Pack(e Epoch) (*Epoch, error) {
 	text, err := json.Marshal(content{e.Number, e.Floor, e.Within.Milliseconds(), e.Build, e.Settings})
 	if err != nil {
@@ -53,13 +53,13 @@
 	return Unpack(text)
 }
 
-// Unpack reads an epoch's content. The error names the first thing that is wrong.
+// Unpack decodes and validates an epoch's content. The error names the first invalid field.
 func Unpack(text []byte) (*Epoch, error) {
 	if len(text) > MaxContent {
 		return nil, fmt.Errorf("%w: more than %d bytes", ErrContent, MaxContent)
 	}
 	var c content
-	if err := strict(text, &c); err != nil {
+	if err := decodeStrict(text, &c); err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrContent, err)
 	}
 	var patch map[string]json.RawMessage
@@ -83,36 +83,36 @@
 // Merge applies a merge patch (RFC 7396) to a JSON object.
 func Merge(target, patch []byte) ([]byte, error) {
 	var t, p any
-	if err := strict(target, &t); err != nil {
+	if err := decodeStrict(target, &t); err != nil {
 		return nil, err
 	}
-	if err := strict(patch, &p); err != nil {
+	if err := decodeStrict(patch, &p); err != nil {
 		return nil, err
 	}
-	return json.Marshal(merge(t, p))
+	return json.Marshal(mergeValue(t, p))
 }
 
-func merge(target, patch any) any {
-	p, object := patch.(map[string]any)
-	if !object {
+func mergeValue(target, patch any) any {
+	p, isObject := patch.(map[string]any)
+	if !isObject {
 		return patch
 	}
-	t, object := target.(map[string]any)
-	if !object {
+	t, isObject := target.(map[string]any)
+	if !isObject {
 		t = make(map[string]any)
 	}
 	for name, value := range p {
 		if value == nil {
 			delete(t, name)
 		} else {
-			t[name] = merge(t[name], value)
+			t[name] = mergeValue(t[name], value)
 		}
 	}
 	return t
 }
 
-// strict reads one JSON value: nothing unknown, nothing behind it, numbers to the last digit.
-func strict(text []byte, v any) error {
+// decodeStrict decodes a single JSON value. It rejects unknown fields and data after the value, and keeps the precision of numbers.
+func decodeStrict(text []byte, v any) error {
 	dec := json.NewDecoder(bytes.NewReader(text))
 	dec.DisallowUnknownFields()
 	dec.UseNumber()
--- a/balancer/fleet/epoch_test.go
+++ b/balancer/fleet/epoch_test.go
@@ -8,7 +8,7 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-func TestEpochsThatMakeNoSenseAreNamed(t *testing.T) {
+func TestUnpackNamesInvalidField(t *testing.T) {
 	good := `{"number":3,"floor":2,"within_ms":100}`
 	e, err := Unpack([]byte(good))
 	if err != nil || e.Number != 3 || e.Within != 100*time.Millisecond || len(e.ID.Digest) != 64 {
@@ -20,7 +20,7 @@
 		`{"number":1,"floor":1,"within_ms":-1}`:              "within: not between 0 and 24 hours",
 		`{"number":1,"floor":1,"within_ms":1,"build":-1}`:    "build: -1 is below 0",
 		`{"number":1,"floor":1,"within_ms":1,"settings":[]}`: "settings: no object",
-		`{"number":1,"floor":1,"within_ms":1,"next":1}`:      `unknown field "next"`, // of a newer program: it can't be acted on
+		`{"number":1,"floor":1,"within_ms":1,"next":1}`:      `unknown field "next"`, // written by a newer program: this one can't run under it
 		good + "x": "something follows the value",
 		`{"number":` + strings.Repeat("1", MaxContent) + `}`: "more than 262144 bytes",
 	} {
--- a/balancer/fleet/floor.go
+++ b/balancer/fleet/floor.go
@@ -2,5 +2,5 @@
 
 package fleet
 
-// keepsFloor is false in a build with the tag mutant alone, for the checkers of package fleettest to catch.
+// keepsFloor is false only in builds with the tag mutant, whose fault the checkers of package fleettest must detect.
 const keepsFloor = true
--- a/balancer/fleet/holes_test.go
+++ b/balancer/fleet/holes_test.go
@@ -8,94 +8,94 @@
 	"ravendale/balancer/audit"
 )
 
-// Each case is a hole that the random model found, or may find too seldom: played as it is, and it must not open again.
-func TestHolesStayClosed(t *testing.T) {
+// Each case reproduces a fault that the random model found, or would find too rarely.
+func TestRegressionsFoundByRandomModel(t *testing.T) {
 	id := epoch(1, 1, "x").ID
 	refuse := func(h *host, numbers ...uint64) {
 		for _, n := range numbers {
 			h.refuses[epoch(n, n, "x").ID] = true
 		}
 	}
-	for name, play := range map[string]func(t *testing.T, f *fleetOf, a, b, c *host){
-		"a straggler gets no new time by a restart": func(t *testing.T, f *fleetOf, a, b, c *host) {
+	for name, play := range map[string]func(t *testing.T, f *testFleet, a, b, c *host){
+		"a restart does not extend the deadline of a member that is behind": func(t *testing.T, f *testFleet, a, b, c *host) {
 			refuse(c, 1)
 			_ = f.propose(a, epoch(1, 1, "x"))
-			f.pass(4 * time.Second)
+			f.advance(4 * time.Second)
 			f.start(c)
 			for range 6 {
-				f.pass(100 * time.Millisecond)
+				f.advance(100 * time.Millisecond)
 				if c.LastStanding().Acts {
-					t.Fatalf("it acts: %+v", c.LastStanding())
+					t.Fatalf("it takes requests: %+v", c.LastStanding())
 				}
 			}
 		},
-		"nor by an epoch that was open first and is known in force later": func(t *testing.T, f *fleetOf, a, b, c *host) {
+		"a late report that an epoch is in force does not extend its deadline": func(t *testing.T, f *testFleet, a, b, c *host) {
 			w := Message{Kind: Pong, From: "b", Inc: b.Incarnation(), Nonce: b.cfg.Nonce, Accepted: id}
 			f.event(c, Event{Kind: Received, Message: w})
-			f.pass(within * 9 / 10)
+			f.advance(within * 9 / 10)
 			w.Force = id
 			f.event(c, Event{Kind: Received, Message: w})
-			f.pass(within * 2 / 10)
+			f.advance(within * 2 / 10)
 			if c.LastStanding().Acts {
-				t.Errorf("it acts: %+v", c.LastStanding())
+				t.Errorf("it takes requests: %+v", c.LastStanding())
 			}
 		},
-		"an open question stops a strict member": func(t *testing.T, f *fleetOf, a, b, c *host) {
+		"an undecided epoch stops a strict member": func(t *testing.T, f *testFleet, a, b, c *host) {
 			f.event(c, Event{Kind: Received, Message: Message{Kind: Pong, From: "b", Inc: b.Incarnation(), Nonce: b.cfg.Nonce, Accepted: id}})
-			f.pass(within + 2*beat)
+			f.advance(within + 2*heartbeatInterval)
 			if s := c.LastStanding(); s.Acts || s.Why != WhyOpen {
 				t.Errorf("%+v", s)
 			}
 		},
-		"a late word of a former process does no harm to the new one": func(t *testing.T, f *fleetOf, a, b, c *host) {
+		"a late message of an earlier process does not stop the new one": func(t *testing.T, f *testFleet, a, b, c *host) {
 			late := Message{Kind: Ping, From: "a", Inc: a.Incarnation(), Nonce: a.cfg.Nonce}
 			f.start(a)
-			f.pass(time.Second)
+			f.advance(time.Second)
 			f.event(b, Event{Kind: Received, Message: late})
-			f.pass(time.Second)
+			f.advance(time.Second)
 			if a.LastStanding().Why == WhyReplaced {
-				t.Error("it stood down")
+				t.Error("the new process takes itself for replaced")
 			}
 		},
-		"floors only rise": func(t *testing.T, f *fleetOf, a, b, c *host) {
-			f.cut[[2]string{"a", "c"}], f.cut[[2]string{"c", "a"}], f.cut[[2]string{"b", "c"}], f.cut[[2]string{"c", "b"}] = true, true, true, true
+		"floors never decrease": func(t *testing.T, f *testFleet, a, b, c *host) {
+			f.partitioned[[2]string{"a", "c"}], f.partitioned[[2]string{"c", "a"}], f.partitioned[[2]string{"b", "c"}], f.partitioned[[2]string{"c", "b"}] = true, true, true, true
 			_ = f.propose(a, epoch(1, 1, "x"))
 			if err := f.propose(c, epoch(2, 0, "y")); err != nil {
 				t.Fatal(err)
 			}
-			f.pass(time.Second)
-			clear(f.cut)
-			f.pass(2 * time.Second)
+			f.advance(time.Second)
+			clear(f.partitioned)
+			f.advance(2 * time.Second)
 			if a.Force().Number != 1 || a.Acting().Number != 1 {
 				t.Errorf("in force %v", a.Force())
 			}
 		},
-		"one that forgot is told the floor": func(t *testing.T, f *fleetOf, a, b, c *host) {
+		"an amnesiac member receives the floor": func(t *testing.T, f *testFleet, a, b, c *host) {
 			b.Core.disk.state.Floor = 5
 			a.disk = State{}
 			f.start(a)
-			f.pass(time.Second)
+			f.advance(time.Second)
 			if a.Amnesiac() || a.floor() != 5 {
 				t.Errorf("amnesiac %v, floor %d", a.Amnesiac(), a.floor())
 			}
 		},
-		"a disk put back to before a vote is found by who saw it": func(t *testing.T, f *fleetOf, a, b, c *host) {
+		"a disk restored to before a vote is detected by a peer that saw the vote": func(t *testing.T, f *testFleet, a, b, c *host) {
 			before := a.disk
 			_ = f.propose(a, epoch(1, 1, "x"))
-			f.pass(time.Second)
+			f.advance(time.Second)
 			a.disk = before
 			f.start(a)
-			if f.pass(2 * beat); a.Votes() {
-				t.Error("it votes before all who can answer were asked")
+			if f.advance(2 * heartbeatInterval); a.Votes() {
+				t.Error("it votes before all peers that can answer were asked")
 			}
-			f.pass(time.Second)
-			if !slices.ContainsFunc(a.noted, func(e audit.Entry) bool { return e.Kind == audit.Amnesiac }) {
-				t.Error("not found")
+			f.advance(time.Second)
+			if !slices.ContainsFunc(a.entries, func(e audit.Entry) bool { return e.Kind == audit.Amnesiac }) {
+				t.Error("the record has no amnesiac entry")
 			}
 		},
-		"nobody answers a process that it might forget": func(t *testing.T, f *fleetOf, a, b, c *host) {
+		"a new process is answered only once its incarnation is on disk": func(t *testing.T, f *testFleet, a, b, c *host) {
 			pongs := func() (n int) {
-				for _, x := range f.flying {
+				for _, x := range f.inFlight {
 					if x.message.Kind == Pong && x.to == "a" {
 						n++
 					}
@@ -109,16 +109,16 @@
 			}
 			f.flush(b, 9)
 			if f.event(b, Event{Kind: Received, Message: w}); pongs() != 1 {
-				t.Error("not answered after")
+				t.Error("not answered after the incarnation was on disk")
 			}
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			f := newFleet(3, t.Fatalf)
-			if name == "nor by an epoch that was open first and is known in force later" || name == "an open question stops a strict member" {
-				f = newFleet(5, t.Fatalf) // one vote is no majority with the own one
+			if name == "a late report that an epoch is in force does not extend its deadline" || name == "an undecided epoch stops a strict member" {
+				f = newFleet(5, t.Fatalf) // one vote and the member's own are no majority of five
 			}
-			f.pass(time.Second)
+			f.advance(time.Second)
 			play(t, f, f.hosts[0], f.hosts[1], f.hosts[2])
 		})
 	}
--- a/balancer/fleet/link/compat_test.go
+++ b/balancer/fleet/link/compat_test.go
@@ -9,9 +9,9 @@
 	"ravendale/balancer/frames"
 )
 
-// The files in testdata/compat were written by version a08c060: what each side of a link writes, with fixed draws in the place of
-// random ones. The dialler sends two frames after its greeting, the other side one.
-func TestGoldenLinkIsSpokenTheSame(t *testing.T) {
+// The files in testdata/compat were written by version a08c060. They contain the bytes that each side of a link writes, with fixed
+// draws instead of random ones. The dialler sends two frames after its greeting, the other side one.
+func TestGoldenLinkWritesTheSame(t *testing.T) {
 	read := func(name string) []byte {
 		t.Helper()
 		b, err := os.ReadFile(filepath.Join("testdata", "compat", name))
@@ -21,12 +21,12 @@
 		return b
 	}
 	dialler, acceptor := read("dialler.bin"), read("acceptor.bin")
-	a, b := &end{}, &end{}
+	a, b := &testEnd{}, &testEnd{}
 	a.l, b.l = Dial(a, "there", "a", keys, a), Accept(b, "b", keys, b)
 	a.l.draw, b.l.draw = [16]byte{1, 2, 3, 4}, [16]byte{200, 201, 202}
 	a.l.Connected()
 	greeted := len(a.wire)
-	b.l.Data(dialler) // the greeting, and what follows it
+	b.l.Data(dialler) // the greeting and the two frames after it
 	a.l.Data(b.wire)
 	b.l.Send(Reply, []byte("an answer"))
 	a.l.Send(Message, []byte("a word"))
@@ -38,19 +38,19 @@
 		t.Errorf("the other side writes\n%q\nnot\n%q", b.wire, acceptor)
 	}
 	if b.l.Peer != "a" || len(b.messages) != 2 || b.messages[0] != "a word" || b.messages[1] != "a command" {
-		t.Errorf("heard from %q: %q", b.l.Peer, b.messages)
+		t.Errorf("received from %q: %q", b.l.Peer, b.messages)
 	}
-	var c end
+	var c testEnd
 	c.l = Dial(&c, "there", "a", keys, &c)
 	c.l.draw = a.l.draw
 	c.l.Connected()
 	c.l.Data(acceptor)
 	if c.l.Peer != "b" || len(c.messages) != 1 || c.messages[0] != "an answer" {
-		t.Errorf("heard from %q: %q", c.l.Peer, c.messages)
+		t.Errorf("received from %q: %q", c.l.Peer, c.messages)
 	}
 }
 
-func TestKindsOfFramesAreTheNumbersOnTheWire(t *testing.T) {
+func TestFrameKindNumbers(t *testing.T) {
 	for kind, number := range map[frames.Kind]int{hello: 1, Message: 2, Command: 3, Reply: 4} {
 		if int(kind) != number {
 			t.Errorf("%d is not %d", kind, number)
--- a/balancer/fleet/link/link.go
+++ b/balancer/fleet/link/link.go
@@ -13,63 +13,63 @@
 // Kinds of frames after the first one of each side.
 const (
 	hello   frames.Kind = iota + 1
-	Message             // of a member to another
-	Command             // of a tool to a member
-	Reply
+	Message             // from a member to another
+	Command             // from an operator's tool to a member
+	Reply               // from a member to a tool
 )
 
-// maxUnwritten bounds what waits to be written to a peer that does not read, in bytes: messages beyond that are dropped.
+// maxUnwritten is the limit, in bytes, of the data buffered for a peer that doesn't read; beyond it messages are dropped.
 const maxUnwritten = 1 << 20
 
-// purpose names what the frames are of, so that none of learning's is taken here.
+// purpose separates sessions of this package from those of other users of the same key: their frames are rejected.
 const purpose = "fleet"
 
-// greeting is what each side says first.
+// greeting is the content of the first frame of each side.
 type greeting struct {
 	From string   `json:"from"`
 	Draw [16]byte `json:"draw"`
 }
 
-// Handler hears of a link.
+// Handler receives the events of a link.
 type Handler interface {
 	Up(l *Link)                                      // both sides have proved that they have the key
-	Heard(l *Link, kind frames.Kind, content []byte) // Word, Command or Reply
-	Down(l *Link, err error)                         // it has ended, or was never made; not after Close
+	Heard(l *Link, kind frames.Kind, content []byte) // a frame of kind Message, Command or Reply was received
+	Down(l *Link, err error)                         // the link ended or could not be established; not called after Close
 }
 
-// Link is one end. It implements transport.Handler.
+// Link is one end of a connection. It implements transport.Handler.
 type Link struct {
-	Peer    string // as it calls itself; "" until Up
+	Peer    string // the name that the peer gave in its greeting; "" until Up
 	Dialled bool
-	Dropped int // messages, for want of buffer
-
-	me     string
-	net    transport.Conn
-	keys   frames.Keys
-	h      Handler
-	draw   [16]byte
-	writer frames.Writer
-	reader frames.Reader
-	up     bool
-	closed bool
+	Dropped int // messages dropped because maxUnwritten was exceeded
+
+	me      string
+	conn    transport.Conn
+	keys    frames.Keys
+	handler Handler
+	draw    [16]byte
+	writer  frames.Writer
+	reader  frames.Reader
+	up      bool
+	closed  bool
 }
 
-// Accept serves a connection that another side made.
+// Accept returns the link of a connection that the other side opened.
 func Accept(c transport.Conn, me string, keys frames.Keys, h Handler) *Link {
-	l := &Link{me: me, net: c, keys: keys, h: h, reader: frames.Reader{Keys: keys}, writer: frames.Writer{Keys: keys}}
+	l := &Link{me: me, conn: c, keys: keys, handler: h, reader: frames.Reader{Keys: keys}, writer: frames.Writer{Keys: keys}}
 	_, _ = rand.Read(l.draw[:]) // never fails: crypto/rand
 	return l
 }
 
-// Dial makes a connection.
+// Dial opens a connection.
 func Dial(n transport.Network, addr, me string, keys frames.Keys, h Handler) *Link {
 	l := Accept(nil, me, keys, h)
 	l.Dialled = true
-	l.net = n.Dial(addr, l)
+	l.conn = n.Dial(addr, l)
 	return l
 }
 
-func (l *Link) greet() {
+func (l *Link) sendGreeting() {
 	text, err := json.Marshal(greeting{l.me, l.draw})
 	if err == nil {
 		err = l.write(hello, text)
@@ -82,17 +82,17 @@
 func (l *Link) write(kind frames.Kind, content []byte) error {
 	b, err := l.writer.Append(nil, kind, content)
 	if err == nil {
-		l.net.Write(b)
+		l.conn.Write(b)
 	}
 	return err
 }
 
-// Send sends a frame. It says whether that was possible: the link is up, and its peer reads.
+// Send sends a frame. It returns false if the link is not up, the write failed, or the peer reads too slowly.
 func (l *Link) Send(kind frames.Kind, content []byte) bool {
 	if !l.up || l.closed {
 		return false
 	}
-	if l.net.Unwritten() > maxUnwritten {
+	if l.conn.Unwritten() > maxUnwritten {
 		l.Dropped++
 		return false
 	}
@@ -104,7 +104,7 @@
 }
 
 // Connected implements transport.Handler.
-func (l *Link) Connected() { l.greet() }
+func (l *Link) Connected() { l.sendGreeting() }
 
 // Data implements transport.Handler.
 func (l *Link) Data(b []byte) {
@@ -118,7 +118,7 @@
 		case kind == 0:
 			return
 		case !l.up:
-			if err := l.met(kind, content); err != nil {
+			if err := l.receiveGreeting(kind, content); err != nil {
 				l.fail(err)
 				return
 			}
@@ -126,13 +126,13 @@
 			l.fail(fmt.Errorf("%w: kind %d", frames.ErrContent, kind))
 			return
 		default:
-			l.h.Heard(l, kind, content)
+			l.handler.Heard(l, kind, content)
 		}
 	}
 }
 
-// met takes the other side's greeting. From then on each direction has a session of its own.
-func (l *Link) met(kind frames.Kind, content []byte) error {
+// receiveGreeting handles the other side's greeting. From then on each direction has a session of its own.
+func (l *Link) receiveGreeting(kind frames.Kind, content []byte) error {
 	var g greeting
 	if kind != hello {
 		return fmt.Errorf("%w: the first is no greeting", frames.ErrContent)
@@ -144,16 +144,16 @@
 		return fmt.Errorf("%w: its own greeting", frames.ErrReplayed)
 	}
 	if !l.Dialled {
-		l.greet()
+		l.sendGreeting()
 	}
 	l.Peer, l.up = g.From, true
 	l.writer.Session = frames.SessionOf(purpose, l.draw, g.Draw)
 	l.reader.Session = frames.SessionOf(purpose, g.Draw, l.draw)
-	l.h.Up(l)
+	l.handler.Up(l)
 	return nil
 }
 
-// ErrClosed is an end by the other side.
+// ErrClosed reports that the other side ended the link.
 var ErrClosed = errors.New("the other side ended the link")
 
 // Closed implements transport.Handler.
@@ -165,23 +165,23 @@
 	if err == nil {
 		err = ErrClosed
 	}
-	l.h.Down(l, err)
+	l.handler.Down(l, err)
 }
 
-// Close ends the link; nothing more is heard of it.
+// Close ends the link at once; its handler is not called any more.
 func (l *Link) Close() {
 	if !l.closed {
 		l.closed = true
-		l.net.Close()
+		l.conn.Close()
 	}
 }
 
-// Finish ends it after what was written.
-func (l *Link) Finish() { l.net.Finish() }
+// Finish ends the link after all data has been written.
+func (l *Link) Finish() { l.conn.Finish() }
 
 func (l *Link) fail(err error) {
 	if !l.closed {
 		l.Close()
-		l.h.Down(l, err)
+		l.handler.Down(l, err)
 	}
 }
--- a/balancer/fleet/link/link_test.go
+++ b/balancer/fleet/link/link_test.go
@@ -13,116 +13,116 @@
 
 var keys = frames.Keys{{ID: 1, Secret: bytes.Repeat([]byte{1}, 16)}}
 
-// end is one end of a wire: what is written waits until the test brings it over.
-type end struct {
-	l        *Link
-	wire     []byte // written, not brought yet
-	closed   bool
-	stuck    int // bytes that it says are unwritten
-	up       int
-	messages []string
-	down     error
-	dialled  transport.Handler
+// testEnd is one end of a connection in memory: written bytes wait until the test delivers them.
+type testEnd struct {
+	l         *Link
+	wire      []byte // written, not delivered yet
+	closed    bool
+	unwritten int // result of Unwritten
+	up        int
+	messages  []string
+	down      error
+	dialled   transport.Handler
 }
 
-func (e *end) Write(b []byte)                                    { e.wire = append(e.wire, b...) }
-func (e *end) Ignore()                                           {}
-func (e *end) Finish()                                           {}
-func (e *end) Close()                                            { e.closed = true }
-func (e *end) Unwritten() int                                    { return e.stuck }
-func (e *end) Peer() string                                      { return "" }
-func (e *end) Dial(_ string, h transport.Handler) transport.Conn { e.dialled = h; return e }
-func (e *end) Up(*Link)                                          { e.up++ }
-func (e *end) Heard(_ *Link, _ frames.Kind, content []byte) {
+func (e *testEnd) Write(b []byte)                                    { e.wire = append(e.wire, b...) }
+func (e *testEnd) Ignore()                                           {}
+func (e *testEnd) Finish()                                           {}
+func (e *testEnd) Close()                                            { e.closed = true }
+func (e *testEnd) Unwritten() int                                    { return e.unwritten }
+func (e *testEnd) Peer() string                                      { return "" }
+func (e *testEnd) Dial(_ string, h transport.Handler) transport.Conn { e.dialled = h; return e }
+func (e *testEnd) Up(*Link)                                          { e.up++ }
+func (e *testEnd) Heard(_ *Link, _ frames.Kind, content []byte) {
 	e.messages = append(e.messages, string(content))
 }
-func (e *end) Down(_ *Link, err error) { e.down = err }
+func (e *testEnd) Down(_ *Link, err error) { e.down = err }
 
-// pair is two ends, a's dialled, and their greetings exchanged.
-func pair(aKeys, bKeys frames.Keys) (a, b *end) {
-	a, b = &end{}, &end{}
+// connectedPair returns two ends that have exchanged greetings; a dialled.
+func connectedPair(aKeys, bKeys frames.Keys) (a, b *testEnd) {
+	a, b = &testEnd{}, &testEnd{}
 	a.l = Dial(a, "there", "a", aKeys, a)
 	b.l = Accept(b, "b", bKeys, b)
 	a.l.Connected()
-	bring(a, b)
-	bring(b, a)
+	deliver(a, b)
+	deliver(b, a)
 	return a, b
 }
 
-func bring(from, to *end) {
+func deliver(from, to *testEnd) {
 	wire := from.wire
 	from.wire = nil
 	to.l.Data(wire)
 }
 
-func TestMessagesGoBothWays(t *testing.T) {
-	a, b := pair(keys, keys)
+func TestMessagesInBothDirections(t *testing.T) {
+	a, b := connectedPair(keys, keys)
 	a.l.Send(Message, []byte("to b"))
 	b.l.Send(Reply, []byte("to a"))
-	bring(a, b)
-	bring(b, a)
+	deliver(a, b)
+	deliver(b, a)
 	if diff := cmp.Diff([]string{"to a"}, a.messages) + cmp.Diff([]string{"to b"}, b.messages) + cmp.Diff("b", a.l.Peer) + cmp.Diff("a", b.l.Peer); diff != "" {
 		t.Error(diff)
 	}
 }
 
-func TestWhatEndsALink(t *testing.T) {
+func TestInvalidFramesEndLink(t *testing.T) {
 	other := frames.Keys{{ID: 1, Secret: bytes.Repeat([]byte{2}, 16)}}
 	for name, tc := range map[string]struct {
-		do   func() *end
+		do   func() *testEnd
 		want error
 	}{
-		"another key": {func() *end { _, b := pair(other, keys); return b }, frames.ErrMAC},
-		"a key that is not known": {func() *end {
-			_, b := pair(frames.Keys{{ID: 9, Secret: keys[0].Secret}}, keys)
+		"another key": {func() *testEnd { _, b := connectedPair(other, keys); return b }, frames.ErrMAC},
+		"unknown key": {func() *testEnd {
+			_, b := connectedPair(frames.Keys{{ID: 9, Secret: keys[0].Secret}}, keys)
 			return b
 		}, frames.ErrKey},
-		"another protocol": {func() *end {
-			_, b := pair(keys, keys)
+		"another protocol": {func() *testEnd {
+			_, b := connectedPair(keys, keys)
 			b.l.Data([]byte("GET / HTTP/1.1\r\n\r\n"))
 			return b
 		}, frames.ErrForeign},
-		"a word before the greeting": {func() *end {
-			b := &end{}
+		"a message before the greeting": {func() *testEnd {
+			b := &testEnd{}
 			b.l = Accept(b, "b", keys, b)
 			w := frames.Writer{Keys: keys}
 			text, _ := w.Append(nil, Message, []byte("x"))
 			b.l.Data(text)
 			return b
 		}, frames.ErrContent},
-		"the greeting of another link, recorded, and a word behind it": {func() *end {
-			a := &end{}
+		"a greeting and a message recorded on another link": {func() *testEnd {
+			a := &testEnd{}
 			a.l = Dial(a, "there", "a", keys, a)
 			a.l.Connected()
 			recorded := bytes.Clone(a.wire)
-			b1, b2 := &end{}, &end{}
+			b1, b2 := &testEnd{}, &testEnd{}
 			b1.l, b2.l = Accept(b1, "b", keys, b1), Accept(b2, "b", keys, b2)
-			bring(a, b1)
-			bring(b1, a)
+			deliver(a, b1)
+			deliver(b1, a)
 			a.l.Send(Message, []byte("x"))
 			b2.l.Data(recorded)
 			b2.l.Data(a.wire)
 			return b2
 		}, frames.ErrReplayed},
-		"its own greeting sent back": {func() *end {
-			a := &end{}
+		"its own greeting returned": {func() *testEnd {
+			a := &testEnd{}
 			a.l = Dial(a, "there", "a", keys, a)
 			a.l.Connected()
 			a.l.Data(a.wire)
 			return a
 		}, frames.ErrReplayed},
-		"a frame twice": {func() *end {
-			a, b := pair(keys, keys)
+		"a repeated frame": {func() *testEnd {
+			a, b := connectedPair(keys, keys)
 			a.l.Send(Message, []byte("x"))
 			a.wire = append(a.wire, a.wire...)
-			bring(a, b)
+			deliver(a, b)
 			return b
 		}, frames.ErrReplayed},
-		"a bit flipped": {func() *end {
-			a, b := pair(keys, keys)
+		"a flipped bit": {func() *testEnd {
+			a, b := connectedPair(keys, keys)
 			a.l.Send(Message, []byte("word"))
 			a.wire[len(a.wire)-1] ^= 1
-			bring(a, b)
+			deliver(a, b)
 			return b
 		}, frames.ErrMAC},
 	} {
@@ -134,28 +134,28 @@
 	}
 }
 
-// A peer that does not read costs a bounded buffer, not the process.
-func TestAPeerThatDoesNotReadIsNotWaitedFor(t *testing.T) {
-	a, _ := pair(keys, keys)
-	a.stuck = maxUnwritten + 1
+// Messages to a peer that does not read are dropped once maxUnwritten is exceeded, so that it can't exhaust memory.
+func TestSlowPeerDropsMessages(t *testing.T) {
+	a, _ := connectedPair(keys, keys)
+	a.unwritten = maxUnwritten + 1
 	if a.l.Send(Message, []byte("x")) || a.l.Dropped != 1 || a.closed {
 		t.Errorf("dropped %d, ended %v", a.l.Dropped, a.closed)
 	}
 }
 
-// Foreign bytes end a link or are waited on; they never come up as words.
+// Bytes of a sender without the key never reach the handler as messages.
 func FuzzLink(f *testing.F) {
-	a := &end{}
+	a := &testEnd{}
 	a.l = Dial(a, "there", "a", keys, a)
 	a.l.Connected()
 	f.Add(a.wire)
 	f.Add([]byte("RVKN"))
 	f.Fuzz(func(t *testing.T, b []byte) {
-		e := &end{}
+		e := &testEnd{}
 		e.l = Accept(e, "b", frames.Keys{{ID: 7, Secret: bytes.Repeat([]byte{3}, 16)}}, e)
 		e.l.Data(b)
 		if e.up > 0 || len(e.messages) > 0 {
-			t.Errorf("up %d, heard %q", e.up, e.messages)
+			t.Errorf("up %d, received %q", e.up, e.messages)
 		}
 	})
 }
--- a/balancer/fleet/policy.go
+++ b/balancer/fleet/policy.go
@@ -8,14 +8,14 @@
 	"ravendale/balancer/audit"
 )
 
-// policy is which epochs are in force, and which this member acts under.
+// policy tracks which epochs are in force, and which one this member runs under.
 type policy struct {
-	applied      ID                   // what the scheduler was given
-	inForce      ID                   // the highest that is known to be in force
-	inForceSince map[ID]time.Duration // what is in force and not acted under yet: since when that is known
+	applied      ID                   // the epoch that the scheduler runs under
+	inForce      ID                   // the highest epoch that is known to be in force
+	inForceSince map[ID]time.Duration // for epochs in force that are not applied yet: since when this member knows that
 }
 
-// Propose hands in an operator's epoch. The error says why it is not taken here.
+// Propose proposes an operator's epoch to the fleet. The error says why this member rejects it.
 func (c *Core) Propose(now time.Duration, e *Epoch) ([]Action, error) {
 	c.now, c.actions = now, nil
 	known := max(c.disk.state.Accepted.Number, c.disk.state.Adopted.Number, c.disk.state.Promised, c.policy.inForce.Number)
@@ -43,16 +43,16 @@
 	c.record(audit.Entry{Kind: audit.Proposed, Epoch: &e.ID, Floor: e.Floor, Within: e.Within.Milliseconds()})
 	c.contents.epochs[e.ID] = e
 	c.tally.votes[e.ID] = make(map[string]bool)
-	if _, known := c.tally.openSince[e.Number]; !known {
-		c.tally.openSince[e.Number] = now
+	if _, known := c.tally.undecidedSince[e.Number]; !known {
+		c.tally.undecidedSince[e.Number] = now
 	}
 	c.advance()
 	c.updateStanding()
 	return c.takeActions(), nil
 }
 
-// floor is what no later epoch's may be below: that of what this member voted for too, since what follows in force has a voter
-// in common with it. So floors only rise.
+// floor returns the minimum floor of a later epoch. It includes the floor of the epoch that this member voted for, since the
+// majority of any later epoch overlaps with the majority of that one. So floors never decrease.
 func (c *Core) floor() (floor uint64) {
 	floor = c.disk.state.Floor
 	for _, id := range []ID{c.policy.inForce, c.disk.state.Adopted, c.disk.state.Accepted} {
@@ -63,7 +63,7 @@
 	return floor
 }
 
-// advance votes, fetches and adopts, as far as what is known allows.
+// advance votes for, fetches and adopts epochs, as far as the current state allows.
 func (c *Core) advance() {
 	if c.standing.replaced {
 		return
@@ -96,7 +96,7 @@
 	}
 }
 
-// apply has the scheduler act under an epoch.
+// apply switches the scheduler to an epoch and drops the state of older ones.
 func (c *Core) apply(e *Epoch, from string) {
 	c.policy.applied = e.ID
 	c.actions = append(c.actions, Action{Kind: Apply, Epoch: e})
@@ -105,6 +105,6 @@
 	maps.DeleteFunc(c.tally.votes, func(id ID, _ map[string]bool) bool { return id.Number < e.Number })
 	maps.DeleteFunc(c.policy.inForceSince, func(id ID, _ time.Duration) bool { return id.Number <= e.Number })
 	maps.DeleteFunc(c.tally.responses, func(n uint64, _ map[string]bool) bool { return n <= e.Number })
-	maps.DeleteFunc(c.tally.openSince, func(n uint64, _ time.Duration) bool { return n <= e.Number })
+	maps.DeleteFunc(c.tally.undecidedSince, func(n uint64, _ time.Duration) bool { return n <= e.Number })
 	clear(c.contents.refused)
 }
