--- a/balancer/fleet/standing.go
+++ b/balancer/fleet/standing.go
@@ -6,40 +6,40 @@
 	"ravendale/balancer/audit"
 )
 
-// standing is whether this member may act, as it was last reported.
+// standing tracks whether this member may take requests.
 type standing struct {
 	last       Standing
 	known      bool
 	wasTrusted bool
-	replaced   bool          // another process has the name
-	voteFrom   time.Duration // from then on every peer that can answer has been asked what it remembers of this member
+	replaced   bool          // another process uses this member's name
+	voteFrom   time.Duration // no votes before this time: until then, peers may not have reported yet what they remember of this member
 }
 
 // Standing is whether a member may take requests.
 type Standing struct {
 	Acts   bool
-	Marked bool   // it acts without being trusted
-	Why    string // why not, or why it is marked
+	Marked bool   // it takes requests without being trusted
+	Why    string // why it may not, or why it is marked
 }
 
-// Why a member does not act, or is marked.
+// Reasons why a member may not take requests, or is marked.
 const (
 	WhyStarting = "starting"    // no majority has answered yet
-	WhyAlone    = "alone"       // no majority has answered for Trust
-	WhyOpen     = "open"        // an epoch may be in force for all that it knows
-	WhyBelow    = "below floor" // it knows that its epoch is too old
-	WhyReplaced = "replaced"    // another process has its name
+	WhyAlone    = "alone"       // no majority has answered within Trust
+	WhyOpen     = "open"        // an epoch may be in force without this member knowing it
+	WhyBelow    = "below floor" // the epoch that it runs under is below the floor of one in force
+	WhyReplaced = "replaced"    // another process uses its name
 )
 
-// Votes says whether this member casts votes.
+// Votes reports whether this member casts votes.
 func (c *Core) Votes() bool {
 	return !c.disk.state.Amnesiac && !c.disk.failed && c.standing.wasTrusted && c.now >= c.standing.voteFrom && !c.standing.replaced
 }
 
-// LastStanding is the standing that was last reported.
+// LastStanding returns the standing that was last reported.
 func (c *Core) LastStanding() (standing Standing) { return c.standing.last }
 
-// StandingAt is whether this member may take a request at a time, which may be after a long stop of the process.
+// StandingAt returns the standing at a time, which may be long after the last event if the process was suspended.
 func (c *Core) StandingAt(now time.Duration) Standing {
 	if !keepsFloor {
 		return Standing{Acts: true}
@@ -47,8 +47,8 @@
 	if c.standing.replaced {
 		return Standing{Why: WhyReplaced}
 	}
-	for id, since := range c.policy.inForceSince { // each for itself: roll-outs that follow one another give a straggler no time
-		floor, within := id.Number, c.cfg.Trust // what is not had may have any floor
+	for id, since := range c.policy.inForceSince { // each epoch has its own deadline: a newer one gives a member that is behind no extra time
+		floor, within := id.Number, c.cfg.Trust // an epoch whose content is missing may have any floor
 		if e := c.contents.epochs[id]; e != nil {
 			floor, within = e.Floor, e.Within
 		}
@@ -57,7 +57,7 @@
 		}
 	}
 	why := ""
-	if since, within, is := c.open(); is && now >= since+within {
+	if since, within, is := c.undecided(); is && now >= since+within {
 		why = WhyOpen
 	}
 	if now >= c.trustedUntil() {
@@ -69,7 +69,7 @@
 	return Standing{Acts: why == "" || !c.cfg.Strict, Marked: why != "" && !c.cfg.Strict, Why: why}
 }
 
-// updateStanding notifies of a change of the standing.
+// updateStanding reports and records the standing if it changed.
 func (c *Core) updateStanding() {
 	if !c.standing.wasTrusted && c.now < c.trustedUntil() {
 		c.standing.wasTrusted = true
--- a/balancer/frames/compat_test.go
+++ b/balancer/frames/compat_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// The files in testdata/compat were written by version a08c060. Two frames of one direction, with a key file.
+// The files in testdata/compat were written by version a08c060: frames of one direction, and a key file.
 func TestGoldenFramesReadAndWriteTheSame(t *testing.T) {
 	read := func(name string) []byte {
 		t.Helper()
@@ -43,7 +43,7 @@
 		}
 	}
 	if kind, _, err := r.Next(); kind != 0 || err != nil {
-		t.Errorf("something follows: %d, %v", kind, err)
+		t.Errorf("another frame follows: %d, %v", kind, err)
 	}
 	if !bytes.Equal(written, golden) {
 		t.Errorf("the frames are written as\n%x\nnot as\n%x", written, golden)
--- a/balancer/frames/frames.go
+++ b/balancer/frames/frames.go
@@ -13,18 +13,18 @@
 
 const (
 	magic = "RVKN"
-	// Version is of the frames; another is refused, older or newer.
+	// Version is the version of the encoding. Frames of any other version are rejected.
 	Version = 1
-	// MaxContent bounds the content of a frame, in bytes.
+	// MaxContent is the maximum size of a frame's content in bytes.
 	MaxContent = 1 << 20
 
-	headSize = len(magic) + 2 + 4 + 16 + 8 + 4
-	macSize  = sha256.Size
-	leastKey = 16 // bytes
-	mostKeys = 2
+	headSize      = len(magic) + 2 + 4 + 16 + 8 + 4
+	macSize       = sha256.Size
+	minSecretSize = 16 // minimum size of a secret in bytes
+	maxKeys       = 2
 )
 
-// What may be wrong with a frame. Each refuses the connection that it came by.
+// Reasons to reject a frame. Each ends the connection on which the frame was received.
 var (
 	ErrForeign  = errors.New("not a frame of ours")
 	ErrVersion  = errors.New("a frame of another version")
@@ -35,21 +35,21 @@
 	ErrContent  = errors.New("a frame whose content makes no sense")
 )
 
-// Kind is what a frame says: a number of its user's, from 1 on.
+// Kind is the kind of a frame: a number, from 1 on, that the package's user defines.
 type Kind uint8
 
-// Key is one shared key. ID is in each frame, so that keys can be changed without a gap.
+// Key is a shared key. Each frame contains the ID of its key, so that keys can be replaced without an interruption.
 type Key struct {
 	ID     uint32
 	Secret []byte
 }
 
-// Keys are at most two: the first makes frames, any takes them. To change: add the new one as second everywhere, then
-// put it first everywhere, then drop the old one.
+// Keys holds at most two keys: the first authenticates sent frames, and received frames may use either. To replace a key, add the
+// new one as the second on all hosts, then make it the first on all hosts, then remove the old one.
 type Keys []Key
 
-// ParseKeys reads a key file: one key a line, its number and its secret in hex (16 bytes or more), first the one that makes
-// frames. Empty lines and those that begin with # are passed over. An error names file and line, never a secret.
+// ParseKeys parses a key file: one key per line, its number and its secret in hex (16 bytes or more); the first is used for sent
+// frames. Empty lines and lines that begin with # are ignored. An error names file and line, and never contains a secret.
 func ParseKeys(file string, text []byte) (Keys, error) {
 	var keys Keys
 	for i, line := range strings.Split(string(text), "\n") {
@@ -69,10 +69,10 @@
 		switch {
 		case err != nil:
 			return bad("the secret is no hex")
-		case len(secret) < leastKey:
-			return bad(fmt.Sprintf("the secret has less than %d bytes", leastKey))
-		case len(keys) == mostKeys:
-			return bad(fmt.Sprintf("more than %d keys", mostKeys))
+		case len(secret) < minSecretSize:
+			return bad(fmt.Sprintf("the secret has less than %d bytes", minSecretSize))
+		case len(keys) == maxKeys:
+			return bad(fmt.Sprintf("more than %d keys", maxKeys))
 		case len(keys) == 1 && keys[0].ID == id:
 			return bad("the number is there twice")
 		}
@@ -84,25 +84,25 @@
 	return keys, nil
 }
 
-// Session names one direction of one connection.
+// Session identifies one direction of one connection.
 type Session [16]byte
 
-// SessionOf joins what both ends drew, for frames that the first of the two makes. What they talk of is joined too, so that no
-// frame of one use is taken in another.
+// SessionOf derives a session from the random values of both ends, for frames sent by maker. It includes the use, so that
+// frames sent for one use are rejected in another.
 func SessionOf(use string, maker, taker [16]byte) (s Session) {
 	sum := sha256.Sum256(append(append([]byte("ravendale "+use), maker[:]...), taker[:]...))
 	copy(s[:], sum[:])
 	return s
 }
 
-// Writer makes the frames of one direction.
+// Writer encodes the frames of one direction.
 type Writer struct {
 	Keys    Keys
 	Session Session
 	number  uint64
 }
 
-// Append adds a frame to b. Content above MaxContent is an error.
+// Append appends a frame to b. If the content exceeds MaxContent, it returns ErrTooLarge.
 func (w *Writer) Append(b []byte, kind Kind, content []byte) ([]byte, error) {
 	if len(content) > MaxContent {
 		return b, ErrTooLarge
@@ -124,7 +124,7 @@
 	return h.Sum(nil)
 }
 
-// Reader takes the frames of one direction from bytes as they come. After an error it is of no more use.
+// Reader decodes the frames of one direction from a stream of bytes. It must not be used after an error.
 type Reader struct {
 	Keys    Keys
 	Session Session
@@ -132,11 +132,11 @@
 	buf     []byte
 }
 
-// Feed adds bytes.
+// Feed adds received bytes.
 func (r *Reader) Feed(b []byte) { r.buf = append(r.buf, b...) }
 
-// Next returns the next whole frame, or kind 0 while more bytes are wanted. What can't be ours is refused by its first bytes,
-// before anything is waited for.
+// Next returns the next complete frame, or kind 0 if more bytes are needed. Data of another protocol or version is rejected as
+// soon as its first bytes differ.
 func (r *Reader) Next() (kind Kind, content []byte, err error) {
 	n := min(len(r.buf), len(magic))
 	if string(r.buf[:n]) != magic[:n] {
--- a/balancer/frames/frames_test.go
+++ b/balancer/frames/frames_test.go
@@ -9,7 +9,7 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-const first, then Kind = 1, 2
+const first, otherKind Kind = 1, 2
 
 var (
 	oldKey  = Key{1, bytes.Repeat([]byte{1}, 16)}
@@ -26,16 +26,16 @@
 	return b
 }
 
-// next is the first frame's error, or nil where it is taken or waited for.
+// next feeds b and returns the error of the next frame, or nil if it is accepted or incomplete.
 func next(r *Reader, b []byte) error {
 	r.Feed(b)
 	_, _, err := r.Next()
 	return err
 }
 
-func TestFramesHoldContent(t *testing.T) {
+func TestFramesRoundTrip(t *testing.T) {
 	w, r := &Writer{Keys: Keys{oldKey}, Session: session}, &Reader{Keys: Keys{newKey, oldKey}, Session: session}
-	stream := append(frame(t, w, first, []byte("content")), frame(t, w, then, nil)...)
+	stream := append(frame(t, w, first, []byte("content")), frame(t, w, otherKind, nil)...)
 	var kinds []Kind
 	var got []byte
 	for _, b := range stream { // one byte at a time
@@ -48,14 +48,14 @@
 			kinds, got = append(kinds, kind), append(got, content...)
 		}
 	}
-	if diff := cmp.Diff([]Kind{first, then}, kinds) + cmp.Diff("content", string(got)); diff != "" {
+	if diff := cmp.Diff([]Kind{first, otherKind}, kinds) + cmp.Diff("content", string(got)); diff != "" {
 		t.Error(diff)
 	}
 }
 
-func TestWhatIsRefused(t *testing.T) {
+func TestInvalidFrames(t *testing.T) {
 	w := &Writer{Keys: Keys{newKey, oldKey}, Session: session}
-	whole, second := frame(t, w, first, []byte("content")), frame(t, w, then, nil)
+	whole, second := frame(t, w, first, []byte("content")), frame(t, w, otherKind, nil)
 	reader := func() *Reader { return &Reader{Keys: Keys{newKey, oldKey}, Session: session} }
 	with := func(i int, b byte) []byte {
 		c := bytes.Clone(whole)
@@ -71,12 +71,12 @@
 		"an older version":                    {reader(), with(4, 0), ErrVersion},
 		"a newer version":                     {reader(), with(4, 2), ErrVersion},
 		"a length beyond the bound":           {reader(), with(34, 0xff)[:headSize], ErrTooLarge},
-		"a kind that was changed":             {reader(), with(5, byte(then)), ErrMAC},
-		"a key that is gone":                  {&Reader{Keys: Keys{oldKey}, Session: session}, whole, ErrKey},
+		"a kind that was changed":             {reader(), with(5, byte(otherKind)), ErrMAC},
+		"a removed key":                       {&Reader{Keys: Keys{oldKey}, Session: session}, whole, ErrKey},
 		"another secret under its number":     {&Reader{Keys: Keys{{2, oldKey.Secret}}, Session: session}, whole, ErrMAC},
 		"of another connection":               {&Reader{Keys: Keys{newKey}, Session: SessionOf("test", [16]byte{3}, [16]byte{2})}, whole, ErrReplayed},
 		"of the other direction":              {&Reader{Keys: Keys{newKey}, Session: SessionOf("test", [16]byte{2}, [16]byte{1})}, whole, ErrReplayed},
-		"out of its turn":                     {reader(), second, ErrReplayed},
+		"out of order":                        {reader(), second, ErrReplayed},
 		"cut off":                             {reader(), whole[:len(whole)-1], nil},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -98,7 +98,7 @@
 		r := reader()
 		r.Feed(c)
 		if kind, _, err := r.Next(); kind != 0 {
-			t.Fatalf("bit %d flipped, and taken: %v", bit, err)
+			t.Fatalf("accepted with bit %d flipped: %v", bit, err)
 		}
 	}
 	if _, err := w.Append(nil, first, make([]byte, MaxContent+1)); !errors.Is(err, ErrTooLarge) {
--- a/balancer/handover/compat_test.go
+++ b/balancer/handover/compat_test.go
@@ -15,8 +15,8 @@
 	"ravendale/balancer/scheduler"
 )
 
-// The files in testdata/compat were written by version a08c060: an old process and a new one talk to each other during an
-// upgrade, so each message is to stay what it is.
+// The files in testdata/compat were written by version a08c060. During an upgrade, processes of two versions exchange messages, so
+// their encoding must not change.
 
 func yes() *bool { v := true; return &v }
 func no() *bool  { return new(bool) }
@@ -71,15 +71,15 @@
 	"job_least": {Job: &Job{TransferredRequest: scheduler.TransferredRequest{ID: "request-2"}}},
 }
 
-// wire is a connection that keeps what is written.
-type wire struct{ written []byte }
+// recordingConn is a connection that records written data.
+type recordingConn struct{ written []byte }
 
-func (w *wire) Write(b []byte) { w.written = append(w.written, b...) }
-func (w *wire) Ignore()        {}
-func (w *wire) Finish()        {}
-func (w *wire) Close()         {}
-func (w *wire) Unwritten() int { return 0 }
-func (w *wire) Peer() string   { return "" }
+func (w *recordingConn) Write(b []byte) { w.written = append(w.written, b...) }
+func (w *recordingConn) Ignore()        {}
+func (w *recordingConn) Finish()        {}
+func (w *recordingConn) Close()         {}
+func (w *recordingConn) Unwritten() int { return 0 }
+func (w *recordingConn) Peer() string   { return "" }
 
 func TestGoldenMessagesReadAndWriteTheSame(t *testing.T) {
 	for name, want := range compatMessages {
@@ -89,8 +89,8 @@
 				t.Fatal(err)
 			}
 			var got []Message
-			w := &wire{}
-			l := Accept(w, func(_ *Link, m Message) { got = append(got, m) }, func(_ *Link, err error) { t.Error("lost:", err) })
+			w := &recordingConn{}
+			l := Accept(w, func(_ *Link, m Message) { got = append(got, m) }, func(_ *Link, err error) { t.Error("closed:", err) })
 			l.Data(golden)
 			if diff := cmp.Diff([]Message{want}, got); diff != "" {
 				t.Fatalf("the file reads as another message (-want +got):\n%s", diff)
@@ -103,7 +103,7 @@
 	}
 }
 
-func TestEachGoldenMessageIsComparedWithAValue(t *testing.T) {
+func TestEachGoldenFileHasAValue(t *testing.T) {
 	files, err := os.ReadDir(filepath.Join("testdata", "compat"))
 	if err != nil || len(files) != len(compatMessages) {
 		t.Errorf("%d files for %d values, %v", len(files), len(compatMessages), err)
--- a/balancer/handover/doc.go
+++ b/balancer/handover/doc.go
@@ -1,4 +1,4 @@
-// Package handover joins two processes that are one scheduler for a time: the one that runs and the new version that takes its
-// place. It sends messages between them, a JSON object a line on a Unix socket, some with a client's connection, and decides
-// nothing. Two versions of the program talk by it, so a message keeps its names in JSON: golden files hold them.
+// Package handover connects the running process of a scheduler with the new process that replaces it in an upgrade. It sends
+// messages between them as JSON lines on a Unix socket, some with a client's connection, and makes no decisions. The processes
+// may run different versions of the program, so the JSON names of messages must not change; golden files check that.
 package handover
--- a/balancer/handover/handover.go
+++ b/balancer/handover/handover.go
@@ -12,67 +12,67 @@
 	"ravendale/balancer/transport"
 )
 
-// maxMessage bounds a message: a state with its list is some 100 KiB at most.
-const maxMessage = 8 << 20
+// maxMessageSize is the maximum size of a message in bytes. The largest, a state with its list, is about 100 KiB.
+const maxMessageSize = 8 << 20
 
-// Message is what one process tells the other, a JSON object a line. Only what is given counts.
+// Message is a message between two processes, sent as a line of JSON. Only the fields that are set have a meaning.
 type Message struct {
-	Hello     bool   `json:"hello,omitempty"`     // the new process asks for the state
-	State     *State `json:"state,omitempty"`     // the old one's answer
-	Serving   bool   `json:"serving,omitempty"`   // the new one takes clients: the old one is to accept no more
-	Callback  []byte `json:"callback,omitempty"`  // a backend server's call that is not for the sender
-	Took      string `json:"took,omitempty"`      // an id that is in progress now
-	Sent      string `json:"sent,omitempty"`      // the server that a dispatch went to
-	Ended     string `json:"ended,omitempty"`     // and of one that is over
-	Detached  string `json:"out,omitempty"`       // a server was taken out of service,
-	Attached  string `json:"back,omitempty"`      // or put back
-	Away      *bool  `json:"away,omitempty"`      // clients are sent away, or not any more
-	Discovery string `json:"discovery,omitempty"` // the list comes from there now
-
-	Terms *scheduler.Terms `json:"terms,omitempty"` // that the new one takes requests under
-	Job   *Job             `json:"job,omitempty"`   // a request, whose client's connection comes with the message
-	Has   string           `json:"has,omitempty"`   // the id of such a request, which the sender goes on with
+	Hello     bool   `json:"hello,omitempty"`     // the new process requests the state
+	State     *State `json:"state,omitempty"`     // the old process's answer to Hello
+	Serving   bool   `json:"serving,omitempty"`   // the new process accepts clients: the old one must stop accepting
+	Callback  []byte `json:"callback,omitempty"`  // a backend server's call for a request that the sender doesn't have
+	Took      string `json:"took,omitempty"`      // the id of a request that is in progress at the sender
+	Sent      string `json:"sent,omitempty"`      // the server to which the sender dispatched an attempt
+	Ended     string `json:"ended,omitempty"`     // the server of an attempt that has ended
+	Detached  string `json:"out,omitempty"`       // a server that was taken out of service
+	Attached  string `json:"back,omitempty"`      // a server that was put back into service
+	Away      *bool  `json:"away,omitempty"`      // whether clients are turned away from now on
+	Discovery string `json:"discovery,omitempty"` // new address of the discovery service
+
+	Terms *scheduler.Terms `json:"terms,omitempty"` // classes and attempt limit under which the new process takes requests
+	Job   *Job             `json:"job,omitempty"`   // a request that is passed on; its client's connection is sent with the message
+	Has   string           `json:"has,omitempty"`   // the id of a passed request that the sender has taken over
 }
 
-// Job is a request that another process goes on with.
+// Job is a request in progress that is passed to another process.
 type Job struct {
 	scheduler.TransferredRequest
 	Request platform.Message `json:"request"`
 	Closes  bool             `json:"closes,omitempty"` // the answer closes the client's connection
 }
 
-// State is what the new process begins with.
+// State is the state with which the new process starts.
 type State struct {
 	List      json.RawMessage     `json:"list"`
-	Discovery string              `json:"discovery"` // where the list comes from,
-	InFile    string              `json:"in_file"`   // and what the file said when it was read
+	Discovery string              `json:"discovery"` // address of the discovery service
+	InFile    string              `json:"in_file"`   // discovery in the configuration file when it was read
 	Away      bool                `json:"away"`
-	IDs       []string            `json:"ids"` // that may not come again
+	IDs       []string            `json:"ids"` // ids of requests that must not be accepted again
 	Memory    *ravendale.Snapshot `json:"memory"`
 }
 
 // Link is one end of the connection. It implements transport.Handler.
 type Link struct {
-	net         transport.Conn
-	onConnected func()        // the connection is made
-	onMessage   func(Message) // a message came
-	onClosed    func(error)   // it has ended, or was never made
-	in          []byte
+	conn        transport.Conn
+	onConnected func()        // the connection was established
+	onMessage   func(Message) // a message was received
+	onClosed    func(error)   // the connection has ended or could not be established
+	buf         []byte
 	closed      bool
 }
 
-// Accept serves a connection that the other process made.
+// Accept returns the link of a connection that the other process opened.
 func Accept(c transport.Conn, heard func(*Link, Message), closed func(*Link, error)) *Link {
-	l := &Link{net: c}
+	l := &Link{conn: c}
 	l.onMessage, l.onClosed = func(m Message) { heard(l, m) }, func(err error) { closed(l, err) }
 	return l
 }
 
-// Dial connects to the other process, if there is one.
+// Dial connects to the other process. If there is none, closed is called.
 func Dial(n transport.Network, path string, up func(*Link), heard func(*Link, Message), closed func(*Link, error)) *Link {
 	l := Accept(nil, heard, closed)
 	l.onConnected = func() { up(l) }
-	l.net = n.Dial(path, l)
+	l.conn = n.Dial(path, l)
 	return l
 }
 
@@ -83,12 +83,13 @@
 		l.fail(err)
 		return
 	}
-	l.net.Write(append(text, '\n'))
+	l.conn.Write(append(text, '\n'))
 }
 
-// SendConn sends a message with a connection, as transport.ConnSender has it: nil means that it stays.
+// SendConn sends a message along with a connection, as transport.ConnSender.SendConn does. It returns nil if the connection
+// can't be passed; then nothing was sent.
 func (l *Link) SendConn(m Message, c transport.Conn) transport.Given {
-	carrier, can := l.net.(transport.ConnSender)
+	carrier, can := l.conn.(transport.ConnSender)
 	text, err := json.Marshal(m)
 	if !can || err != nil || l.closed {
 		return nil
@@ -96,25 +97,25 @@
 	return carrier.SendConn(append(text, '\n'), c)
 }
 
-// Given is the connection that came with the message just heard, or nil.
+// Given returns the connection that was sent with the message being handled, or nil.
 func (l *Link) Given() transport.Given {
-	if carrier, can := l.net.(transport.ConnSender); can {
+	if carrier, can := l.conn.(transport.ConnSender); can {
 		return carrier.Given()
 	}
 	return nil
 }
 
-// Links are those to all the other processes.
+// Links holds the links to all other processes.
 type Links []*Link
 
-// Send tells all of them.
+// Send sends a message on every link.
 func (ls Links) Send(m Message) {
 	for _, l := range ls {
 		l.Send(m)
 	}
 }
 
-// But returns the others.
+// But returns all links except l.
 func (ls Links) But(l *Link) Links {
 	return slices.DeleteFunc(slices.Clone(ls), func(other *Link) bool { return other == l })
 }
@@ -128,10 +129,10 @@
 // Ended implements scheduler.Twin.
 func (ls Links) Ended(server string) { ls.Send(Message{Ended: server}) }
 
-// Close ends the link; nothing is heard of it any more.
+// Close closes the link; its callbacks are not called any more.
 func (l *Link) Close() {
 	l.closed = true
-	l.net.Close()
+	l.conn.Close()
 }
 
 // Connected implements transport.Handler.
@@ -139,22 +140,22 @@
 
 // Data implements transport.Handler.
 func (l *Link) Data(b []byte) {
-	l.in = append(l.in, b...)
+	l.buf = append(l.buf, b...)
 	for !l.closed {
-		text, rest, found := bytes.Cut(l.in, []byte("\n"))
+		text, rest, found := bytes.Cut(l.buf, []byte("\n"))
 		if !found {
 			break
 		}
-		l.in = rest
+		l.buf = rest
 		var m Message
 		if err := json.Unmarshal(text, &m); err != nil {
-			l.fail(fmt.Errorf("message: %w", err))
+			l.fail(fmt.Errorf("handover message: %w", err))
 			return
 		}
 		l.onMessage(m)
 	}
-	if len(l.in) > maxMessage {
-		l.fail(fmt.Errorf("a message of more than %d bytes", maxMessage))
+	if len(l.buf) > maxMessageSize {
+		l.fail(fmt.Errorf("handover message exceeds %d bytes", maxMessageSize))
 	}
 }
 
--- a/balancer/http1/body.go
+++ b/balancer/http1/body.go
@@ -6,19 +6,19 @@
 	"strings"
 )
 
-// body reads the body of one message.
+// body parses the body of one message.
 type body struct {
-	state bodyState
-	left  int // bytes of the body, or of the present chunk
-	limit int // 0 for none
-	total int
+	state     bodyState
+	remaining int // remaining bytes of the body, or of the current chunk
+	limit     int // maximum size of the body, 0 for none
+	total     int
 }
 
 type bodyState uint8
 
 const (
-	none bodyState = iota
-	counted
+	noBody bodyState = iota
+	withLength
 	chunkSize
 	chunkData
 	chunkEnd
@@ -26,63 +26,63 @@
 	untilClose
 )
 
-// begin chooses the framing by a head. Two framings at once are how requests are smuggled: refused, however empty or
-// repeated either is, for another parser may go by any of the fields.
-func (b *body) begin(h Header, limit int) error {
+// start selects the framing of the body by its head. A message with both a length and a transfer coding is rejected, even if
+// either is empty or repeated: another parser may rely on the other field, which allows request smuggling.
+func (b *body) start(h Header, limit int) error {
 	*b = body{limit: limit}
 	coding, codings, length, given := h.Get("Transfer-Encoding"), h.Count("Transfer-Encoding"), "", false
 	for i := range h {
 		if isNamed(h[i].Name, "Content-Length") {
 			if given && length != h[i].Value {
-				return bad("two lengths differ")
+				return badRequest("two lengths differ")
 			}
 			length, given = h[i].Value, true
 		}
 	}
 	switch {
 	case codings > 0 && given:
-		return bad("a length and a transfer coding")
+		return badRequest("a length and a transfer coding")
 	case codings > 1 || codings == 1 && !strings.EqualFold(coding, "chunked"):
-		return bad("the transfer coding is not known")
+		return badRequest("the transfer coding is not known")
 	case codings == 1:
 		b.state = chunkSize
 	case given:
 		n, err := strconv.ParseUint(length, 10, 31)
 		if err != nil {
-			return bad("the length is no number")
+			return badRequest("the length is no number")
 		}
 		if limit > 0 && int(n) > limit {
 			return &Error{Status: 413, Reason: "the body is too long"}
 		}
-		if b.left = int(n); n > 0 {
-			b.state = counted
+		if b.remaining = int(n); n > 0 {
+			b.state = withLength
 		}
 	}
 	return nil
 }
 
-// read appends to out what p has of the body, and says whether the body is whole.
+// read appends the part of the body that p has to out, and reports whether the body is complete.
 func (b *body) read(p *parser, out []byte) ([]byte, bool, error) {
 	for {
 		switch b.state {
-		case none:
+		case noBody:
 			return out, true, nil
 		case untilClose:
 			out = append(out, p.buf...)
 			p.take(len(p.buf))
 			return out, false, nil
-		case counted, chunkData:
-			n := min(b.left, len(p.buf))
+		case withLength, chunkData:
+			n := min(b.remaining, len(p.buf))
 			if b.total += n; b.limit > 0 && b.total > b.limit {
 				return out, false, &Error{Status: 413, Reason: "the body is too long"}
 			}
 			out = append(out, p.buf[:n]...)
 			p.take(n)
-			if b.left -= n; b.left > 0 {
+			if b.remaining -= n; b.remaining > 0 {
 				return out, false, nil
 			}
-			if b.state == counted {
-				b.state = none
+			if b.state == withLength {
+				b.state = noBody
 			} else {
 				b.state = chunkEnd
 			}
@@ -91,32 +91,32 @@
 			if err != nil || !complete {
 				return out, false, err
 			}
-			if err := b.line(line); err != nil {
+			if err := b.handleLine(line); err != nil {
 				return out, false, err
 			}
 		}
 	}
 }
 
-// line takes a line between chunks.
-func (b *body) line(line string) error {
+// handleLine handles a line between chunks or in the trailer.
+func (b *body) handleLine(line string) error {
 	switch {
 	case b.state == trailer && line == "":
-		b.state = none
+		b.state = noBody
 	case b.state == chunkEnd && line != "":
-		return bad("a chunk is longer than it said")
+		return badRequest("a chunk is longer than it said")
 	case b.state == chunkEnd:
 		b.state = chunkSize
 	case b.state == chunkSize:
 		size, _, _ := strings.Cut(line, ";")
 		n, err := strconv.ParseUint(strings.TrimSpace(size), 16, 31)
 		if err != nil {
-			return bad("a chunk's size is no number")
+			return badRequest("a chunk's size is no number")
 		}
-		if b.left, b.state = int(n), chunkData; n == 0 {
+		if b.remaining, b.state = int(n), chunkData; n == 0 {
 			b.state = trailer
 		}
-		if b.limit > 0 && b.total+b.left > b.limit {
+		if b.limit > 0 && b.total+b.remaining > b.limit {
 			return &Error{Status: 413, Reason: "the body is too long"}
 		}
 	}
@@ -126,7 +126,7 @@
 func (p *parser) line() (line string, complete bool, err error) {
 	end := bytes.Index(p.buf, []byte("\r\n"))
 	if end < 0 && len(p.buf) > maxLine || end > maxLine {
-		return "", false, bad("a chunk's size line is too long")
+		return "", false, badRequest("a chunk's size line is too long")
 	}
 	if end < 0 {
 		return "", false, nil
--- a/balancer/http1/header.go
+++ b/balancer/http1/header.go
@@ -5,15 +5,15 @@
 // Field is one header field.
 type Field struct{ Name, Value string }
 
-// Header holds fields in the order in which they came.
+// Header holds fields in the order in which they were received.
 type Header []Field
 
-// isNamed says whether a field's name, a token and so ASCII, is the one asked for.
+// isNamed reports whether a field's name equals name, ignoring case. A field's name is a token and so ASCII.
 func isNamed(field, name string) bool {
 	return len(field) == len(name) && strings.EqualFold(field, name)
 }
 
-// Get returns the first value of a name, in whatever case.
+// Get returns the value of the first field with a name, ignoring case, or "".
 func (h Header) Get(name string) string {
 	for i := range h {
 		if isNamed(h[i].Name, name) {
@@ -23,7 +23,7 @@
 	return ""
 }
 
-// Count is how many fields of a name there are.
+// Count returns the number of fields with a name, ignoring case.
 func (h Header) Count(name string) int {
 	n := 0
 	for i := range h {
@@ -34,7 +34,7 @@
 	return n
 }
 
-// has says whether a comma-separated field names a token.
+// has reports whether a comma-separated field contains a token.
 func (h Header) has(name, token string) bool {
 	for i := range h {
 		if !isNamed(h[i].Name, name) {
@@ -49,9 +49,9 @@
 	return false
 }
 
-// fields reads the lines after the first of a head.
+// fields parses the lines of a head after the first.
 func fields(lines string) (Header, error) {
-	h := make(Header, 0, usualFields)
+	h := make(Header, 0, initialFields)
 	for lines != "" {
 		line := lines
 		if end := strings.Index(lines, "\r\n"); end >= 0 {
@@ -64,21 +64,21 @@
 		}
 		colon := strings.IndexByte(line, ':')
 		if colon < 0 || !isToken(line[:colon]) {
-			return nil, bad("a header field has no proper name")
+			return nil, badRequest("a header field has no proper name")
 		}
 		value := strings.Trim(line[colon+1:], " \t")
 		if hasControl(value) {
-			return nil, bad("a header field holds control characters")
+			return nil, badRequest("a header field holds control characters")
 		}
 		h = append(h, Field{line[:colon], value})
 	}
 	return h, nil
 }
 
-// usualFields is how many fields a head has room for at once.
-const usualFields = 10
+// initialFields is the initial capacity of a Header.
+const initialFields = 10
 
-// hasControl guards against bytes that another parser may take for an end or a break.
+// hasControl reports whether s has control characters, which another parser may take for the end of a field.
 func hasControl(s string) bool {
 	for i := range len(s) {
 		if c := s[i]; c < ' ' && c != '\t' || c == 0x7f {
@@ -88,7 +88,7 @@
 	return false
 }
 
-// isTarget says whether s may stand in a request line: visible ASCII only.
+// isTarget reports whether s is a valid request target: visible ASCII only.
 func isTarget(s string) bool {
 	for i := range len(s) {
 		if s[i] <= ' ' || s[i] >= 0x7f {
@@ -107,7 +107,7 @@
 	return s != ""
 }
 
-// tokenByte says which bytes a token may hold (RFC 9110, section 5.6.2).
+// tokenByte is true for each byte that a token may contain (RFC 9110, section 5.6.2).
 var tokenByte = func() (may [256]bool) {
 	for c := byte('!'); c < 0x7f; c++ {
 		may[c] = strings.IndexByte(`"(),/:;<=>?@[\]{}`, c) < 0
--- a/balancer/http1/http1.go
+++ b/balancer/http1/http1.go
@@ -7,33 +7,33 @@
 	"strings"
 )
 
-// Limits of a message. A whole body is kept in memory, so it is bounded.
+// Limits of a message, in bytes. A whole body is kept in memory, so its size is limited.
 const (
 	MaxHead = 16 << 10
 	MaxBody = 64 << 10
-	maxLine = 256 // of a chunk's size line
+	maxLine = 256 // length of a chunk's size line
 )
 
-// Error is a message that can't be taken; Status is the answer that says why.
+// Error reports an invalid message. Status is the status code to answer it with.
 type Error struct {
 	Status int
 	Reason string
 }
 
-// Error gives the reason and the status.
+// Error returns the reason and the status.
 func (e *Error) Error() string { return fmt.Sprintf("%s (%d)", e.Reason, e.Status) }
 
-func bad(reason string) *Error { return &Error{Status: 400, Reason: reason} }
+func badRequest(reason string) *Error { return &Error{Status: 400, Reason: reason} }
 
-// Request is a whole request.
+// Request is a complete request.
 type Request struct {
 	Method, Target string
 	Header         Header
 	Body           []byte
-	Close          bool // the sender wants the connection closed afterwards
+	Close          bool // the connection closes after the response
 }
 
-// Response is the head of an answer, and its body where it was read whole.
+// Response is the head of a response, and its body if Responses.Next read it.
 type Response struct {
 	Status int
 	Header Header
@@ -41,48 +41,48 @@
 	Close  bool
 }
 
-// parser is what requests and responses share: bytes that came, and the body that is being read.
+// parser is the part shared by Requests and Responses: unparsed bytes, and the state of the current body.
 type parser struct {
-	store []byte // what buf is a part of
-	buf   []byte
-	seen  int // of buf, searched in vain for the end of a head
-	body  body
+	buffer   []byte // backing array of buf, reused
+	buf      []byte
+	searched int // number of bytes of buf already searched for the end of the head
+	body     body
 }
 
-// keptStore is how much room a parser keeps that has nothing to parse.
-const keptStore = 4 << 10
+// maxIdleBuffer is the maximum capacity, in bytes, of a buffer that a parser keeps while it has no data.
+const maxIdleBuffer = 4 << 10
 
-// Feed adds bytes. They are copied. What waits moves up here, once, and not with each take: a client that cuts its
-// bytes very small would make that a square.
+// Feed adds a copy of b to the data to parse. Unparsed bytes are moved to the front of the buffer here, once, and not in each
+// take: with very small pieces that would cost quadratic time.
 func (p *parser) Feed(b []byte) {
-	p.store = append(append(p.store[:0], p.buf...), b...)
-	p.buf = p.store
+	p.buffer = append(append(p.buffer[:0], p.buf...), b...)
+	p.buf = p.buffer
 }
 
-// Buffered is how many bytes wait.
+// Buffered returns the number of unparsed bytes.
 func (p *parser) Buffered() int { return len(p.buf) }
 
-// take drops bytes from the front.
+// take removes n bytes from the front of the buffer.
 func (p *parser) take(n int) {
-	if p.buf = p.buf[n:]; len(p.buf) == 0 && cap(p.store) > keptStore {
-		p.store, p.buf = nil, nil
+	if p.buf = p.buf[n:]; len(p.buf) == 0 && cap(p.buffer) > maxIdleBuffer {
+		p.buffer, p.buf = nil, nil
 	}
 }
 
-// head cuts off the next head, or returns "" while it is not whole.
+// head removes and returns the next head, or returns "" while it is incomplete.
 func (p *parser) head() (string, error) {
-	for len(p.buf) > 0 && p.seen == 0 && (p.buf[0] == '\r' || p.buf[0] == '\n') {
-		p.take(1) // empty lines before a message are to be ignored
+	for len(p.buf) > 0 && p.searched == 0 && (p.buf[0] == '\r' || p.buf[0] == '\n') {
+		p.take(1) // empty lines before a message are ignored
 	}
-	end := bytes.Index(p.buf[max(p.seen-3, 0):], []byte("\r\n\r\n"))
+	end := bytes.Index(p.buf[max(p.searched-3, 0):], []byte("\r\n\r\n"))
 	if end < 0 {
-		if p.seen = len(p.buf); p.seen > MaxHead {
+		if p.searched = len(p.buf); p.searched > MaxHead {
 			return "", &Error{Status: 431, Reason: "the head is too long"}
 		}
 		return "", nil
 	}
-	end += max(p.seen-3, 0)
-	if p.seen = 0; end > MaxHead {
+	end += max(p.searched-3, 0)
+	if p.searched = 0; end > MaxHead {
 		return "", &Error{Status: 431, Reason: "the head is too long"}
 	}
 	head := string(p.buf[:end])
@@ -90,13 +90,13 @@
 	return head, nil
 }
 
-// Requests parses the requests of one connection. After an error it is of no more use.
+// Requests parses the requests of one connection. It must not be used after an error.
 type Requests struct {
 	parser
-	req *Request // its head has come
+	req *Request // head parsed, body incomplete
 }
 
-// Next returns the next whole request, or nil while more bytes are wanted.
+// Next returns the next complete request, or nil if more bytes are needed.
 func (p *Requests) Next() (*Request, error) {
 	if p.req == nil {
 		head, err := p.head()
@@ -107,7 +107,7 @@
 		method, first, _ := strings.Cut(first, " ")
 		target, version, _ := strings.Cut(first, " ")
 		if !isToken(method) || !isTarget(target) || version == "" || strings.IndexByte(version, ' ') >= 0 {
-			return nil, bad("the request line is malformed")
+			return nil, badRequest("the request line is malformed")
 		}
 		if version != "HTTP/1.1" && version != "HTTP/1.0" {
 			return nil, &Error{Status: 505, Reason: "the version is not known"}
@@ -116,11 +116,11 @@
 		if err != nil {
 			return nil, err
 		}
-		if err := p.body.begin(h, MaxBody); err != nil {
+		if err := p.body.start(h, MaxBody); err != nil {
 			return nil, err
 		}
 		if version == "HTTP/1.0" && h.Count("Transfer-Encoding") > 0 {
-			return nil, bad("that version has no transfer coding")
+			return nil, badRequest("that version has no transfer coding")
 		}
 		p.req = &Request{Method: method, Target: target, Header: h, Close: wantsClose(version, h)}
 	}
@@ -134,10 +134,11 @@
 	return req, nil
 }
 
-// Partial says whether part of a request has come.
+// Partial reports whether part of a request has been received.
 func (p *Requests) Partial() bool { return p.req != nil || len(p.buf) > 0 }
 
-// AwaitsContinue says, once, that the sender holds the body back until it is told to go on.
+// AwaitsContinue reports whether the sender waits for a 100 (Continue) response before it sends the body. It returns true only
+// once per request.
 func (p *Requests) AwaitsContinue() bool {
 	if p.req == nil || !p.req.Header.has("Expect", "100-continue") || len(p.req.Body) > 0 {
 		return false
@@ -151,13 +152,13 @@
 	return true
 }
 
-// Responses parses the responses on one connection. Requests are taken to be other than HEAD.
+// Responses parses the responses of one connection. It assumes that no request was a HEAD.
 type Responses struct {
 	parser
 	resp *Response
 }
 
-// Head returns the next head, once; its body is then to be read by Read until that is whole.
+// Head returns the next head, or nil if more bytes are needed. The caller must then call Read until the body is complete.
 func (p *Responses) Head() (*Response, error) {
 	head, err := p.head()
 	if head == "" || err != nil {
@@ -168,34 +169,34 @@
 	code, _, _ := strings.Cut(status, " ")
 	n, err := strconv.Atoi(code)
 	if err != nil || len(code) != 3 || n < 100 || !strings.HasPrefix(version, "HTTP/1.") {
-		return nil, bad("the status line is malformed")
+		return nil, badRequest("the status line is malformed")
 	}
 	h, err := fields(rest)
 	if err != nil {
 		return nil, err
 	}
 	if n < 200 {
-		return p.Head() // an interim answer says nothing
+		return p.Head() // interim responses are skipped
 	}
-	if err := p.body.begin(h, 0); err != nil {
+	if err := p.body.start(h, 0); err != nil {
 		return nil, err
 	}
 	resp := &Response{Status: n, Header: h, Close: wantsClose(version, h)}
 	switch {
 	case n == 204 || n == 304:
-		p.body.state = none
-	case p.body.state == none && h.Get("Content-Length") == "":
+		p.body.state = noBody
+	case p.body.state == noBody && h.Get("Content-Length") == "":
 		p.body.state, resp.Close = untilClose, true
 	}
 	return resp, nil
 }
 
-// Read returns what has come of the body after Head, and whether that was the rest of it.
+// Read returns the part of the body received since the last call, and whether the body is complete.
 func (p *Responses) Read() (chunk []byte, complete bool, err error) {
 	return p.body.read(&p.parser, nil)
 }
 
-// Next returns the next whole response, or nil while more bytes are wanted.
+// Next returns the next complete response, or nil if more bytes are needed.
 func (p *Responses) Next() (*Response, error) {
 	if p.resp == nil {
 		resp, err := p.Head()
@@ -203,7 +204,7 @@
 			return nil, err
 		}
 		p.resp = resp
-		if p.body.limit = MaxBody; p.body.left > MaxBody {
+		if p.body.limit = MaxBody; p.body.remaining > MaxBody {
 			return nil, &Error{Status: 413, Reason: "the body is too long"}
 		}
 	}
--- a/balancer/http1/http1_test.go
+++ b/balancer/http1/http1_test.go
@@ -9,7 +9,7 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// parse feeds a text in pieces of a size and sums up what came out, one message a line.
+// parse feeds a text in pieces of a given size and returns the parsed messages or the error status, one per line.
 func parse(text string, size int) string {
 	var p Requests
 	var out []string
@@ -94,22 +94,22 @@
 	var bad Responses
 	bad.Feed([]byte("HTTP/1.1 abc\r\n\r\n"))
 	if _, err := bad.Next(); err == nil {
-		t.Error("a malformed status line is taken")
+		t.Error("a malformed status line is accepted")
 	}
 }
 
-func TestContinueIsRequestedOnce(t *testing.T) {
+func TestAwaitsContinueOnce(t *testing.T) {
 	var p Requests
 	p.Feed([]byte("POST /a HTTP/1.1\r\nExpect: 100-continue\r\nContent-Length: 2\r\n\r\n"))
 	if r, err := p.Next(); r != nil || err != nil {
 		t.Fatal(r, err)
 	}
 	if !p.AwaitsContinue() || p.AwaitsContinue() {
-		t.Error("want one word to go on")
+		t.Error("want AwaitsContinue to be true exactly once")
 	}
 }
 
-// FuzzRequests: however a text is cut, the same comes out.
+// FuzzRequests checks that the result does not depend on the size of the pieces.
 func FuzzRequests(f *testing.F) {
 	f.Add("POST /a HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n0\r\n\r\nGET / HTTP/1.1\r\n\r\n")
 	f.Fuzz(func(t *testing.T, text string) {
--- a/balancer/http1/write.go
+++ b/balancer/http1/write.go
@@ -2,7 +2,7 @@
 
 import "strconv"
 
-// AppendRequest writes a request with a counted body.
+// AppendRequest appends a request whose body is framed by Content-Length.
 func AppendRequest(b []byte, method, target, host string, h Header, content []byte) []byte {
 	b = append(b, method...)
 	b = append(b, ' ')
@@ -13,7 +13,7 @@
 	return appendRest(b, h, content, len(content) > 0 || method == "POST")
 }
 
-// AppendResponse writes a response with a counted body.
+// AppendResponse appends a response whose body is framed by Content-Length.
 func AppendResponse(b []byte, status int, h Header, content []byte) []byte {
 	b = append(b, "HTTP/1.1 "...)
 	b = strconv.AppendInt(b, int64(status), 10)
--- a/balancer/knowledge/codec/codec.go
+++ b/balancer/knowledge/codec/codec.go
@@ -10,16 +10,16 @@
 	"ravendale/balancer/knowledge"
 )
 
-// ErrContent is a content that makes no sense.
-var ErrContent = errors.New("items that make no sense")
+// ErrContent reports an invalid encoding.
+var ErrContent = errors.New("invalid encoding of knowledge items")
 
-// Kinds of frames that hold items.
+// Kinds of frames whose content is items.
 const (
-	Full  frames.Kind = iota + 2 // all that the sender saw itself; 1 opens a connection
-	Delta                        // what changed since
+	Full  frames.Kind = iota + 2 // all own observations of the sender; kind 1 opens a connection
+	Delta                        // what changed since the last frame
 )
 
-// Append writes items as the content of a frame.
+// Append appends the encoding of items.
 func Append(b []byte, all []knowledge.Item) []byte {
 	b = binary.AppendUvarint(b, uint64(len(all)))
 	for _, w := range all {
@@ -34,15 +34,15 @@
 	return b
 }
 
-// minItem is the shortest that an item can be, in bytes.
-const minItem = 1 + 1 + 1 + 8 + 8 + 1
+// minItemSize is the minimum size of an encoded item in bytes.
+const minItemSize = 1 + 1 + 1 + 8 + 8 + 1
 
-// Read reads what Append wrote: all of it, or none and ErrContent.
+// Read decodes what Append wrote. It returns all items, or none and ErrContent.
 func Read(b []byte) ([]knowledge.Item, error) {
 	c := cursor{b: b}
 	n := c.uvarint()
-	if n > uint64(len(b))/minItem || n > knowledge.MaxItems {
-		return nil, ErrContent // guards against a count that asks for more memory than the frame has bytes
+	if n > uint64(len(b))/minItemSize || n > knowledge.MaxItems {
+		return nil, ErrContent // a forged count must not allocate more memory than the frame's size warrants
 	}
 	all := make([]knowledge.Item, 0, n)
 	for range n {
@@ -54,21 +54,21 @@
 		w.Age = time.Duration(c.varint())
 		all = append(all, w)
 	}
-	if c.bad || len(c.b) > 0 {
+	if c.failed || len(c.b) > 0 {
 		return nil, ErrContent
 	}
 	return all, nil
 }
 
-// cursor reads a content; bad tells once at the end that it did not hold what was asked for.
+// cursor reads values from b. After a failed read, bad is true and all values are zero, so that one check at the end is enough.
 type cursor struct {
-	b   []byte
-	bad bool
+	b      []byte
+	failed bool
 }
 
 func (c *cursor) take(n uint64) []byte {
 	if n > uint64(len(c.b)) {
-		c.bad, c.b = true, nil
+		c.failed, c.b = true, nil
 		return nil
 	}
 	b := c.b[:n]
@@ -93,13 +93,13 @@
 func (c *cursor) uvarint() uint64 {
 	v, n := binary.Uvarint(c.b)
 	c.take(uint64(max(n, 0)))
-	c.bad = c.bad || n <= 0
+	c.failed = c.failed || n <= 0
 	return v
 }
 
 func (c *cursor) varint() int64 {
 	v, n := binary.Varint(c.b)
 	c.take(uint64(max(n, 0)))
-	c.bad = c.bad || n <= 0
+	c.failed = c.failed || n <= 0
 	return v
 }
--- a/balancer/knowledge/codec/codec_test.go
+++ b/balancer/knowledge/codec/codec_test.go
@@ -14,14 +14,15 @@
 var items = []knowledge.Item{{Subject: knowledge.Subject{Kind: knowledge.Run, Name: "saldo"}, Value: 0.2, Count: 12, Age: time.Second},
 	{Subject: knowledge.Subject{Kind: knowledge.Unhealthy, Name: "s-1", Born: time.Hour}, Value: 1, Count: 1}}
 
-func TestItemsComeBack(t *testing.T) {
+func TestItemsRoundTrip(t *testing.T) {
 	got, err := Read(Append(nil, items))
 	if diff := cmp.Diff(items, got); err != nil || diff != "" {
 		t.Error(err, diff)
 	}
 }
 
-// Foreign bytes lead to an error or to words that write back as the same content's, and never to more memory than they have.
+// Arbitrary bytes result in an error, or in items whose encoding decodes to the same items. They never cause an allocation out of
+// proportion to their length.
 func FuzzItems(f *testing.F) {
 	f.Add(Append(nil, items))
 	f.Add([]byte{0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 1})
@@ -36,7 +37,7 @@
 		}
 		again, err := Read(Append(nil, got))
 		if err != nil || len(again) != len(got) || !bytes.Equal(Append(nil, again), Append(nil, got)) {
-			t.Errorf("%v came back as %v, %v", got, again, err)
+			t.Errorf("%v was decoded as %v, %v", got, again, err)
 		}
 	})
 }
--- a/balancer/knowledge/codec/doc.go
+++ b/balancer/knowledge/codec/doc.go
@@ -1,2 +1,2 @@
-// Package codec encodes what schedulers know, on the wire and on disk, and decodes it. It does no I/O.
+// Package codec encodes and decodes knowledge items, for the wire and for files. It does no I/O.
 package codec
--- a/balancer/knowledge/doc.go
+++ b/balancer/knowledge/doc.go
@@ -1,7 +1,8 @@
-// Package knowledge holds what was learnt of servers, classes and zones by others: each item with the time at which it was
-// seen, from how many observations, and for servers of which start. It weighs them, and says what of it a fresh scheduler
-// may begin with. It is pure: times come in with the calls.
+// Package knowledge holds what other schedulers have observed of servers, classes and zones: each item with the time of the last
+// observation, their number, and for a server which of its starts they are of. It weighs the items, and computes the prior
+// values with which a newly started scheduler begins. It is pure: the caller passes the time.
 //
-// What a scheduler knows has one description, ravendale.Snapshot, which the successor in an upgrade takes whole. A learner takes
-// a Snapshot of others' making, in which this package leaves only what still weighs.
+// A scheduler's whole state is described by ravendale.Snapshot, which the successor in an upgrade takes over completely. A learner
+// (a scheduler that starts without one) takes a Snapshot made from other schedulers' items, which contains only the items that
+// still have weight here.
 package knowledge
--- a/balancer/knowledge/knowledge.go
+++ b/balancer/knowledge/knowledge.go
@@ -7,103 +7,103 @@
 	"time"
 )
 
-// Kind is a kind of item. Each has a rate at which its confidence falls.
+// Kind is the kind of an item. The confidence in an item decays at a rate that depends on its kind.
 type Kind uint8
 
 // Kinds of items.
 const (
-	Run          Kind = iota // how long jobs of a class run, in seconds from send to answer
-	Spread                   // mean deviation of that
-	StartLatency             // how soon a job that found room starts in a zone, in seconds
-	Busy                     // part of the looks in a zone that found no room
-	Queue                    // jobs that wait for each slot of a zone
-	Faults                   // part of a server's last outcomes that were faults
-	Unhealthy                // 1 for a server that showed no life
+	Run          Kind = iota // run time of a class's jobs, in seconds from send to answer
+	Spread                   // mean deviation of Run
+	StartLatency             // time until a job that found a free slot in a zone starts, in seconds
+	Busy                     // share of the attempts in a zone that found no free slot
+	Queue                    // waiting jobs per slot of a zone
+	Faults                   // share of a server's recent outcomes that were faults
+	Unhealthy                // 1 for a server that did not respond
 	kinds
 )
 
-// halfLife is how long it takes until an item weighs half as much. How long a class runs changes with the software; a queue
-// is gone in seconds.
+// halfLife is the time in which the weight of an item halves. Run times change only with the software of the servers; queues
+// change within seconds.
 var halfLife = [kinds]time.Duration{Run: 10 * time.Minute, Spread: 10 * time.Minute, StartLatency: 10 * time.Minute,
 	Busy: 3 * time.Second, Queue: 2 * time.Second, Faults: 5 * time.Second, Unhealthy: 2 * time.Second}
 
-// far is by which factor an item may differ from what was seen here before it counts as refuted, and apart that for items
-// that are parts of one or counts, by difference.
-var far = [kinds]float64{Run: 2, Spread: 4, StartLatency: 4, Busy: 0.5, Queue: 2, Faults: 0.5, Unhealthy: 0.5}
+// maxDeviation is the largest deviation of an item from the own observations that does not refute it: a factor for the kinds that
+// isRatio reports, and a difference for the other kinds, which are shares or counts.
+var maxDeviation = [kinds]float64{Run: 2, Spread: 4, StartLatency: 4, Busy: 0.5, Queue: 2, Faults: 0.5, Unhealthy: 0.5}
 
 func (k Kind) isRatio() bool { return k <= StartLatency }
 
 const (
-	// oldest is what an age is cut to, so that what is reckoned with it does not overflow: nothing of such an item is left.
-	oldest = time.Duration(math.MaxInt64 / 2)
-	// ownMost is how many own observations of an item leave a prior no weight.
-	ownMost = 50
-	// countMost bounds what one donor's observations of an item count: more are no surer of what comes next.
-	countMost = 30
-	// forgetAt is the weight under which an item says nothing.
-	forgetAt = 0.05
-	// judgedBy is how many own observations judge a donor's item.
-	judgedBy = 8
-	// doubtAt is the trust under which a donor is not believed at all.
-	doubtAt = 0.1
-	// Unsure is how much older than it says an item may be: what it took to come, and clocks that count a little apart.
-	unsure = 50 * time.Millisecond
-	// MaxItems bounds what is kept of one donor.
+	// oldest limits ages, so that arithmetic on them does not overflow. An item of that age has no weight.
+	maxAge = time.Duration(math.MaxInt64 / 2)
+	// maxOwn is the number of own observations of a subject from which on a prior has no weight.
+	maxOwn = 50
+	// maxDonorCount limits the observations that count for one donor's item: more of them predict no better.
+	maxDonorCount = 30
+	// minWeight is the weight below which a prior is ignored.
+	minWeight = 0.05
+	// minOwnToJudge is the number of own observations after which a donor's item is compared with them.
+	minOwnToJudge = 8
+	// minTrust is the trust below which a donor's items are ignored.
+	minTrust = 0.1
+	// ageMargin is how much older than its stated age an item may be: it covers transmission and differences between clocks.
+	ageMargin = 50 * time.Millisecond
+	// MaxItems is the maximum number of items kept per donor.
 	MaxItems = 20_000
 )
 
-// Subject is what an item is about: a class or a zone by its name, or a server by its name and start.
+// Subject is what an item is about: a class or a zone by its name, or a server by its name and start time.
 type Subject struct {
 	Kind Kind
 	Name string
-	Born time.Duration // of a server, as the list has it; 0 for one that started long ago, or no server
+	Born time.Duration // start time of a server as in the server list; 0 for one that started long ago, or for another subject
 }
 
-// Item is one item as a donor has it. Only what the donor saw itself is ever passed on: what it learnt would come back to
-// those that it learnt it from, ever as new.
+// Item is an observed value as the donor reports it. A donor passes on only its own observations: items learnt from others would
+// return to their source and count as new.
 type Item struct {
 	Subject
 	Value float64
-	Count float64       // observations
-	Age   time.Duration // since the last of them, by the donor's own clock: clocks need not agree
+	Count float64       // number of observations
+	Age   time.Duration // since the last observation, by the donor's clock: clocks need not agree
 }
 
-// Sane says whether an item may be weighed at all; others are refuted outright.
+// Sane reports whether an item is valid. Invalid items are rejected and cost the donor trust.
 func (w *Item) Sane() bool {
 	return w.Kind < kinds && w.Name != "" && !math.IsNaN(w.Value) && !math.IsInf(w.Value, 0) && w.Value >= 0 && w.Value < 1e6 &&
 		w.Count > 0 && !math.IsInf(w.Count, 0) && w.Age >= 0
 }
 
-// claim is a donor's item as it is kept.
+// claim is a stored item of a donor.
 type claim struct {
 	value, count float64
 	seenAt       time.Duration
-	judged       bool // against own observations
+	judged       bool // already compared with own observations
 }
 
-// donor is one other scheduler.
+// donor is another scheduler that sends items.
 type donor struct {
-	trust  float64 // from 1 down
+	trust  float64 // between 0 and 1, initially 1
 	claims map[Subject]*claim
 }
 
-// own is what was seen here of a subject.
-type own struct {
+// observed holds the observations that this scheduler made of a subject.
+type observed struct {
 	value, count float64
 	seenAt       time.Duration
 }
 
-// Base holds what donors said, and what was seen here.
+// Base holds the items of donors and the own observations.
 type Base struct {
 	donors map[string]*donor
-	own    map[Subject]*own
+	own    map[Subject]*observed
 }
 
-// NewBase returns an empty one.
-func NewBase() *Base { return &Base{donors: make(map[string]*donor), own: make(map[Subject]*own)} }
+// NewBase returns an empty Base.
+func NewBase() *Base { return &Base{donors: make(map[string]*donor), own: make(map[Subject]*observed)} }
 
-// Hear takes a donor's items that came at a time. Later ones on a subject take the place of earlier ones. Words that make
-// no sense cost the donor its trust; it returns how many those were.
+// Hear stores a donor's items that arrived at the time now. A later item on a subject replaces an earlier one. Each invalid item
+// and each beyond MaxItems halves the trust in the donor; Hear returns their number.
 func (b *Base) Hear(from string, now time.Duration, items []Item) (refused int) {
 	d := b.donors[from]
 	if d == nil {
@@ -117,26 +117,26 @@
 			d.doubt()
 			continue
 		}
-		d.claims[w.Subject] = &claim{value: w.Value, count: min(w.Count, countMost), seenAt: now - min(w.Age, oldest) - unsure}
+		d.claims[w.Subject] = &claim{value: w.Value, count: min(w.Count, maxDonorCount), seenAt: now - min(w.Age, maxAge) - ageMargin}
 	}
 	return refused
 }
 
-// doubt takes half of a donor's trust.
+// doubt halves the trust in a donor.
 func (d *donor) doubt() {
-	if d.trust /= 2; d.trust < doubtAt {
+	if d.trust /= 2; d.trust < minTrust {
 		d.trust = 0
 	}
 }
 
-// Forget drops a donor's items, but not what was learnt of the donor.
+// Forget drops a donor's items, but keeps the trust in it.
 func (b *Base) Forget(from string) {
 	if d := b.donors[from]; d != nil {
 		d.claims = make(map[Subject]*claim)
 	}
 }
 
-// Trust is how far a donor is believed, from 0 to 1. One that never spoke is believed.
+// Trust returns the trust in a donor, from 0 to 1. It is 1 for a donor that has sent nothing.
 func (b *Base) Trust(from string) float64 {
 	if d := b.donors[from]; d != nil {
 		return d.trust
@@ -144,24 +144,24 @@
 	return 1
 }
 
-// See takes an own observation. Once there are enough of a subject each donor's item on it is judged, once: one that was
-// refuted weighs less from then on, whatever it speaks of.
+// See adds an own observation. Once there are enough of a subject, each donor's item on it is compared with them, once. If they
+// refute it, all items of that donor weigh less from then on.
 func (b *Base) See(now time.Duration, s Subject, value float64) {
 	o := b.own[s]
 	if o == nil {
-		o = &own{}
+		o = &observed{}
 		b.own[s] = o
 	}
 	o.count++
 	o.value += (value - o.value) / min(o.count, 16)
 	o.seenAt = now
-	if o.count < judgedBy {
+	if o.count < minOwnToJudge {
 		return
 	}
 	for _, d := range b.donors {
 		h := d.claims[s]
-		if h == nil || h.judged || fresh(s.Kind, now-h.seenAt) < 0.5 {
-			continue // what has changed since it was said does not refute it
+		if h == nil || h.judged || decay(s.Kind, now-h.seenAt) < 0.5 {
+			continue // the value may have changed since: an old item is not refuted
 		}
 		if h.judged = true; s.Kind.refutes(h.value, o.value) {
 			d.doubt()
@@ -171,33 +171,35 @@
 	}
 }
 
-// refutes says whether what was seen speaks against an item.
+// refutes reports whether a claimed value deviates too far from an observed one.
 func (k Kind) refutes(claimed, seen float64) bool {
 	if k.isRatio() {
-		return claimed > seen*far[k] || claimed*far[k] < seen
+		return claimed > seen*maxDeviation[k] || claimed*maxDeviation[k] < seen
 	}
-	return math.Abs(claimed-seen) > far[k]
+	return math.Abs(claimed-seen) > maxDeviation[k]
 }
 
-// fresh is what is left of an item's confidence at an age.
-func fresh(k Kind, age time.Duration) float64 {
+// decay returns the share of its weight that an item keeps at an age.
+func decay(k Kind, age time.Duration) float64 {
 	return math.Exp2(-float64(max(age, 0)) / float64(halfLife[k]))
 }
 
-// Prior is what is to be believed of a subject at a time, from others alone, and how many observations that counts as. Weight 0:
-// nothing. It falls with age and distrust, and as own observations come; after ownMost of those it is nothing.
+// Prior is an estimate of a subject's value from donors' items only. Weight is the number of observations that it counts as; 0
+// means that there is no estimate. The weight decreases with age, with less trust in the donors, and with each own observation;
+// after maxOwn of these it is 0.
 type Prior struct {
 	Value, Weight float64
-	SeenAt        time.Duration // of the latest item in it
+	SeenAt        time.Duration // of the latest item in the estimate
 }
 
-// Prior weighs what donors said of a subject. Where two disagree the one that weighs more is taken, not a mean that neither saw.
+// Prior computes the estimate for a subject from the donors' items. If two items disagree, it uses the one with more weight, not
+// the mean, which neither donor observed.
 func (b *Base) Prior(now time.Duration, s Subject) Prior {
-	left := 1.0
+	priorShare := 1.0
 	if o := b.own[s]; o != nil {
-		left = max(0, 1-o.count/ownMost)
+		priorShare = max(0, 1-o.count/maxOwn)
 	}
-	if left == 0 {
+	if priorShare == 0 {
 		return Prior{}
 	}
 	type opinion struct {
@@ -210,7 +212,7 @@
 		if h == nil {
 			continue
 		}
-		if weight := h.count * fresh(s.Kind, now-h.seenAt) * d.trust * left; weight > 0 {
+		if weight := h.count * decay(s.Kind, now-h.seenAt) * d.trust * priorShare; weight > 0 {
 			all = append(all, opinion{from, Prior{h.value, weight, h.seenAt}})
 		}
 	}
@@ -221,20 +223,20 @@
 	sum := all[0].Prior
 	for _, other := range all[1:] {
 		if s.Kind.refutes(other.Value, all[0].Value) {
-			sum.Weight -= other.Weight / 2 // who disagrees makes it less sure
+			sum.Weight -= other.Weight / 2 // a disagreeing item reduces the weight
 			continue
 		}
 		total := sum.Weight + other.Weight
 		sum.Value += (other.Value - sum.Value) * other.Weight / total
 		sum.Weight, sum.SeenAt = total, max(sum.SeenAt, other.SeenAt)
 	}
-	if sum.Weight < forgetAt {
+	if sum.Weight < minWeight {
 		return Prior{}
 	}
 	return sum
 }
 
-// Subjects lists what any donor spoke of, in a fixed order.
+// Subjects returns the subjects of all donors' items, in a fixed order.
 func (b *Base) Subjects() (all []Subject) {
 	seen := make(map[Subject]bool)
 	for _, d := range b.donors {
@@ -251,7 +253,7 @@
 	return all
 }
 
-// Own lists what was seen here, as items to pass on: nothing that was learnt is among them.
+// Own returns the own observations as items to send to others. It contains nothing learnt from donors.
 func (b *Base) Own(now time.Duration) (items []Item) {
 	for s, o := range b.own {
 		items = append(items, Item{s, o.value, o.count, max(now-o.seenAt, 0)})
--- a/balancer/knowledge/knowledge_test.go
+++ b/balancer/knowledge/knowledge_test.go
@@ -12,32 +12,32 @@
 )
 
 var (
-	saldo = Subject{Kind: Run, Name: "saldo"}
-	sick  = Subject{Kind: Unhealthy, Name: "s1", Born: time.Hour}
-	near  = cmpopts.EquateApprox(0.02, 0.001)
+	runSubject       = Subject{Kind: Run, Name: "saldo"}
+	unhealthySubject = Subject{Kind: Unhealthy, Name: "s1", Born: time.Hour}
+	approx           = cmpopts.EquateApprox(0.02, 0.001)
 )
 
 func TestPriors(t *testing.T) {
 	const now = 100 * time.Hour
-	word := func(s Subject, value, count float64, age time.Duration) Item { return Item{s, value, count, age} }
+	item := func(s Subject, value, count float64, age time.Duration) Item { return Item{s, value, count, age} }
 	for name, tc := range map[string]struct {
 		said map[string][]Item
 		own  int // observations of 0.2 s
 		ask  Subject
 		want Prior
 	}{
-		"nobody spoke":                     {nil, 0, saldo, Prior{}},
-		"fresh":                            {map[string][]Item{"a": {word(saldo, 0.2, 20, 0)}}, 0, saldo, Prior{Value: 0.2, Weight: 20}},
-		"many observations are no surer":   {map[string][]Item{"a": {word(saldo, 0.2, 1e6, 0)}}, 0, saldo, Prior{Value: 0.2, Weight: 30}},
-		"half of it is left":               {map[string][]Item{"a": {word(saldo, 0.2, 20, 10*time.Minute)}}, 0, saldo, Prior{Value: 0.2, Weight: 10}},
-		"a queue is gone in seconds":       {map[string][]Item{"a": {word(sick, 1, 1, 10*time.Second)}}, 0, sick, Prior{}},
-		"another start of the server":      {map[string][]Item{"a": {word(Subject{Unhealthy, "s1", 2 * time.Hour}, 1, 20, 0)}}, 0, sick, Prior{}},
-		"own observations replace it":      {map[string][]Item{"a": {word(saldo, 0.2, 20, 0)}}, 25, saldo, Prior{Value: 0.2, Weight: 10}},
-		"after fifty it has no weight":     {map[string][]Item{"a": {word(saldo, 0.2, 20, 0)}}, 50, saldo, Prior{}},
-		"two that agree":                   {map[string][]Item{"a": {word(saldo, 0.2, 20, 0)}, "b": {word(saldo, 0.3, 20, 0)}}, 0, saldo, Prior{Value: 0.25, Weight: 40}},
-		"two that do not: the surer, less": {map[string][]Item{"a": {word(saldo, 0.2, 20, 0)}, "b": {word(saldo, 4, 10, 0)}}, 0, saldo, Prior{Value: 0.2, Weight: 15}},
-		"the later word":                   {map[string][]Item{"a": {word(saldo, 9, 20, time.Second), word(saldo, 0.2, 10, 0)}}, 0, saldo, Prior{Value: 0.2, Weight: 10}},
-		"no sense":                         {map[string][]Item{"a": {word(saldo, math.NaN(), 9, 0), word(saldo, -1, 9, 0), word(saldo, 1, -1, 0), word(saldo, 1, 1, -1)}}, 0, saldo, Prior{}},
+		"no items":                               {nil, 0, runSubject, Prior{}},
+		"fresh":                                  {map[string][]Item{"a": {item(runSubject, 0.2, 20, 0)}}, 0, runSubject, Prior{Value: 0.2, Weight: 20}},
+		"limit of observations":                  {map[string][]Item{"a": {item(runSubject, 0.2, 1e6, 0)}}, 0, runSubject, Prior{Value: 0.2, Weight: 30}},
+		"after one half-life":                    {map[string][]Item{"a": {item(runSubject, 0.2, 20, 10*time.Minute)}}, 0, runSubject, Prior{Value: 0.2, Weight: 10}},
+		"after five half-lives":                  {map[string][]Item{"a": {item(unhealthySubject, 1, 1, 10*time.Second)}}, 0, unhealthySubject, Prior{}},
+		"item of another start of the server":    {map[string][]Item{"a": {item(Subject{Unhealthy, "s1", 2 * time.Hour}, 1, 20, 0)}}, 0, unhealthySubject, Prior{}},
+		"own observations reduce the weight":     {map[string][]Item{"a": {item(runSubject, 0.2, 20, 0)}}, 25, runSubject, Prior{Value: 0.2, Weight: 10}},
+		"no weight after fifty own observations": {map[string][]Item{"a": {item(runSubject, 0.2, 20, 0)}}, 50, runSubject, Prior{}},
+		"two agreeing items":                     {map[string][]Item{"a": {item(runSubject, 0.2, 20, 0)}, "b": {item(runSubject, 0.3, 20, 0)}}, 0, runSubject, Prior{Value: 0.25, Weight: 40}},
+		"two disagreeing items":                  {map[string][]Item{"a": {item(runSubject, 0.2, 20, 0)}, "b": {item(runSubject, 4, 10, 0)}}, 0, runSubject, Prior{Value: 0.2, Weight: 15}},
+		"later item replaces earlier":            {map[string][]Item{"a": {item(runSubject, 9, 20, time.Second), item(runSubject, 0.2, 10, 0)}}, 0, runSubject, Prior{Value: 0.2, Weight: 10}},
+		"invalid items":                          {map[string][]Item{"a": {item(runSubject, math.NaN(), 9, 0), item(runSubject, -1, 9, 0), item(runSubject, 1, -1, 0), item(runSubject, 1, 1, -1)}}, 0, runSubject, Prior{}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			b := NewBase()
@@ -45,19 +45,19 @@
 				b.Hear(from, now, words)
 			}
 			for range tc.own {
-				b.See(now, saldo, 0.2)
+				b.See(now, runSubject, 0.2)
 			}
 			got := b.Prior(now, tc.ask)
 			got.SeenAt = 0
-			if diff := cmp.Diff(tc.want, got, near); diff != "" {
+			if diff := cmp.Diff(tc.want, got, approx); diff != "" {
 				t.Error(diff)
 			}
 		})
 	}
 }
 
-// A donor whose every run time is twenty times off is believed less with each class that is seen, and then not at all.
-func TestADonorThatIsRefutedIsNotBelieved(t *testing.T) {
+// The trust in a donor whose run times are all twenty times too high falls with each class observed, down to 0.
+func TestRefutedDonorLosesTrust(t *testing.T) {
 	b := NewBase()
 	var words []Item
 	for i := range 6 {
@@ -66,7 +66,7 @@
 	b.Hear("liar", 0, words)
 	var trust []float64
 	for i := range 4 {
-		for range judgedBy {
+		for range minOwnToJudge {
 			b.See(time.Second, Subject{Kind: Run, Name: fmt.Sprint("c", i)}, 0.2)
 		}
 		trust = append(trust, b.Trust("liar"))
@@ -75,15 +75,15 @@
 		t.Error(diff)
 	}
 	if p := b.Prior(time.Second, Subject{Kind: Run, Name: "c5"}); p.Weight != 0 {
-		t.Errorf("a donor that is not believed weighs %v", p.Weight)
+		t.Errorf("a donor without trust weighs %v", p.Weight)
 	}
 }
 
-// What is old does not refute who said it when it was new.
-func TestAnOldItemRefutesNobody(t *testing.T) {
+// An outdated item does not cost its donor trust.
+func TestOldItemIsNotRefuted(t *testing.T) {
 	b := NewBase()
 	b.Hear("a", 0, []Item{{Subject{Kind: Queue, Name: "z"}, 9, 100, 0}})
-	for range 2 * judgedBy {
+	for range 2 * minOwnToJudge {
 		b.See(time.Minute, Subject{Kind: Queue, Name: "z"}, 0)
 	}
 	if b.Trust("a") != 1 {
@@ -91,14 +91,14 @@
 	}
 }
 
-// Learners that learn from one another, round and round, never make an old word new: only what one saw itself is passed on.
-func TestRumoursDoNotComeBackAsNew(t *testing.T) {
+// Schedulers that learn from each other in a ring never renew an old item, since only own observations are passed on.
+func TestLearntItemsAreNotPassedOn(t *testing.T) {
 	var books []*Base
 	for range 3 {
 		books = append(books, NewBase())
 	}
 	for range 5 {
-		books[0].See(0, saldo, 0.2)
+		books[0].See(0, runSubject, 0.2)
 	}
 	last := math.Inf(1)
 	for round := range 60 {
@@ -106,13 +106,13 @@
 		for i, b := range books {
 			b.Hear("before", now, books[(i+2)%3].Own(now))
 		}
-		w := books[1].Prior(now, saldo).Weight
+		w := books[1].Prior(now, runSubject).Weight
 		if w > last {
-			t.Fatalf("round %d: the word weighs %v, more than the %v before", round, w, last)
+			t.Fatalf("round %d: the item weighs %v, more than the previous %v", round, w, last)
 		}
 		last = w
-		if books[2].Prior(now, saldo).Weight > 0 {
-			t.Fatal("a word went on by hearsay")
+		if books[2].Prior(now, runSubject).Weight > 0 {
+			t.Fatal("a learnt item was passed on")
 		}
 	}
 	if last > 0.1 {
@@ -120,19 +120,19 @@
 	}
 }
 
-// An age that the clock can't hold counts as the oldest there is: it came round to the future once, and the word counted as new.
-func TestAnAgeBeyondTheClockCountsAsOld(t *testing.T) {
+// An age that would overflow the clock counts as maxAge. Once it overflowed into the future, and the item counted as new.
+func TestAgeOverflowCountsAsOld(t *testing.T) {
 	b := NewBase()
-	b.Hear("donor", time.Hour, []Item{{saldo, 1, 100, math.MaxInt64}})
-	if w := b.Prior(time.Hour, saldo).Weight; w > 0.1 {
-		t.Errorf("a word of %v weighs %v", time.Duration(math.MaxInt64), w)
+	b.Hear("donor", time.Hour, []Item{{runSubject, 1, 100, math.MaxInt64}})
+	if w := b.Prior(time.Hour, runSubject).Weight; w > 0.1 {
+		t.Errorf("an item of age %v weighs %v", time.Duration(math.MaxInt64), w)
 	}
 }
 
-// Whatever donors say, and when: a prior is finite, within what somebody said of that very subject, weighs no more than its
-// donors together may, falls with time and own observations, and is nothing after fifty.
-func TestPriorsOfAnyDonors(t *testing.T) {
-	subjects := []Subject{saldo, sick, {Unhealthy, "s1", 2 * time.Hour}, {Queue, "z", 0}, {StartLatency, "z", 0}, {Faults, "s1", time.Hour}}
+// For any items at any time, a prior is finite and within the range of the items on its subject. Its weight is at most the maximum
+// of all donors together, falls with time and own observations, and is 0 after fifty of these.
+func TestPriorBounds(t *testing.T) {
+	subjects := []Subject{runSubject, unhealthySubject, {Unhealthy, "s1", 2 * time.Hour}, {Queue, "z", 0}, {StartLatency, "z", 0}, {Faults, "s1", time.Hour}}
 	value := rapid.OneOf(rapid.Float64(), rapid.Float64Range(0, 10), rapid.Just(math.Inf(1)), rapid.Just(math.NaN()))
 	rapid.Check(t, func(t *rapid.T) {
 		b, now := NewBase(), time.Hour
@@ -161,23 +161,23 @@
 				least, most = min(least, v), max(most, v)
 			}
 			const slip = 1e-9
-			if !(p.Value >= least-slip*math.Abs(least) && p.Value <= most+slip*math.Abs(most)) || p.Weight > float64(donors)*countMost || p.Weight < 0 {
+			if !(p.Value >= least-slip*math.Abs(least) && p.Value <= most+slip*math.Abs(most)) || p.Weight > float64(donors)*maxDonorCount || p.Weight < 0 {
 				t.Fatalf("%v of %v: %+v", s, heard[s], p)
 			}
 			if later := b.Prior(now+time.Second, s); later.Weight > p.Weight {
-				t.Fatalf("%v weighs %v, and a second later %v", s, p.Weight, later.Weight)
+				t.Fatalf("%v weighs %v, but a second later %v", s, p.Weight, later.Weight)
 			}
-			for range ownMost {
+			for range maxOwn {
 				b.See(now, s, 1)
 			}
 			if p := b.Prior(now, s); p.Weight != 0 {
-				t.Fatalf("%v weighs %v after %d own observations", s, p.Weight, ownMost)
+				t.Fatalf("%v weighs %v after %d own observations", s, p.Weight, maxOwn)
 			}
 		}
 	})
 }
 
-func TestWhatIsKeptOfADonorIsBounded(t *testing.T) {
+func TestDonorItemLimit(t *testing.T) {
 	b := NewBase()
 	words := make([]Item, MaxItems+5)
 	for i := range words {
--- a/balancer/knowledge/snapshot/compat_test.go
+++ b/balancer/knowledge/snapshot/compat_test.go
@@ -25,7 +25,7 @@
 	{Subject: knowledge.Subject{Kind: knowledge.Unhealthy, Name: "worker-1", Born: -1}, Value: 1, Count: 1, Age: 0},
 }
 
-// The file was written by version a08c060: a process reads what the one before it left.
+// The file was written by version a08c060: a process reads the file of its predecessor, which may run another version.
 func TestGoldenSnapshotReadsAndWritesTheSame(t *testing.T) {
 	golden, err := os.ReadFile(filepath.Join("testdata", "compat", "snapshot.bin"))
 	if err != nil {
--- a/balancer/knowledge/snapshot/snapshot.go
+++ b/balancer/knowledge/snapshot/snapshot.go
@@ -19,24 +19,24 @@
 	magic    = "RVKS"
 	version  = 1
 	headSize = len(magic) + 1 + 8
-	// MaxSize bounds a file, in bytes.
+	// MaxSize is the maximum size of a file in bytes.
 	MaxSize = 4 << 20
-	// Oldest is how old a file may be: of what it says nothing would weigh any more.
+	// Oldest is the maximum age of a file: the items of an older one would have no weight left.
 	Oldest = time.Hour
-	// Ahead is how far a file may be ahead of the clock: the system's may have been set back a little since.
+	// Ahead is how far a file's time may be in the future: the system's clock may have been set back a little since.
 	Ahead = 2 * time.Second
 )
 
-// Why a file is refused.
+// Reasons to reject a file.
 var (
-	ErrForeign = errors.New("no snapshot of knowledge")
-	ErrVersion = errors.New("a snapshot of another version")
-	ErrTorn    = errors.New("a snapshot that is cut off or was changed")
-	ErrTime    = errors.New("a snapshot that is too old, or of the future")
-	ErrSize    = errors.New("a snapshot too large")
+	ErrForeign = errors.New("not a knowledge snapshot")
+	ErrVersion = errors.New("snapshot has another version")
+	ErrTorn    = errors.New("snapshot is truncated or altered")
+	ErrTime    = errors.New("snapshot is too old, or from the future")
+	ErrSize    = errors.New("snapshot is too large")
 )
 
-// Append writes a snapshot of items that was made at a time, in Unix nanoseconds, big-endian, with SHA-256 over all before it.
+// Append appends a snapshot: magic, version, the time at in Unix nanoseconds (big-endian), the items, and the SHA-256 of all that.
 func Append(b []byte, at time.Duration, known []knowledge.Item) []byte {
 	from := len(b)
 	b = append(append(b, magic...), version)
@@ -46,7 +46,7 @@
 	return append(b, sum[:]...)
 }
 
-// Parse reads what Append wrote, and makes every item as much older as the snapshot is at the time now.
+// Parse decodes what Append wrote, and adds the snapshot's age at the time now to the age of every item.
 func Parse(b []byte, now time.Duration) ([]knowledge.Item, error) {
 	switch {
 	case len(b) > MaxSize:
@@ -76,8 +76,7 @@
 	return known, nil
 }
 
-// Save puts a snapshot in the place of the one before, whole or not at all: whoever reads meanwhile, or after a crash, finds
-// the old one or the new one.
+// Save atomically replaces the snapshot file: a reader finds the old or the new file, also after a crash.
 func Save(path string, at time.Duration, known []knowledge.Item) (err error) {
 	b := Append(nil, at, known)
 	if len(b) > MaxSize {
@@ -106,8 +105,8 @@
 	return os.Rename(f.Name(), path)
 }
 
-// Load reads a file; no more than MaxSize of it, whatever stands there. Errors name the file; os.ErrNotExist is one where
-// there is none.
+// Load reads a snapshot file, but never more than MaxSize bytes plus one. Errors name the file; the error is os.ErrNotExist if
+// there is no file.
 func Load(path string, now time.Duration) ([]knowledge.Item, error) {
 	f, err := os.Open(path)
 	if err != nil {
--- a/balancer/operator/compat_test.go
+++ b/balancer/operator/compat_test.go
@@ -9,7 +9,7 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// The file was written for version a08c060: each element and attribute that an operator may give.
+// The file was written for version a08c060. It contains each element and attribute.
 func TestGoldenFileReadsToTheValue(t *testing.T) {
 	got, err := Load(filepath.Join("testdata", "compat", "ravendale.xml"))
 	if err != nil {
--- a/balancer/operator/doc.go
+++ b/balancer/operator/doc.go
@@ -1,3 +1,3 @@
-// Package operator reads the operator's own file, deploy/ravendale.xml or one like it: what the platform does not say and
-// permits on other installations alone. Without a file the program is what it is on the platform.
+// Package operator reads the operator's configuration file (see deploy/ravendale.xml). It contains settings that the platform does
+// not provide and that are allowed only on other installations. Without a file, the program behaves as on the platform.
 package operator
--- a/balancer/operator/operator.go
+++ b/balancer/operator/operator.go
@@ -11,17 +11,17 @@
 	"ravendale/balancer/xmlfile"
 )
 
-// File is what the file says. Each element is one subsystem's; one that is absent is nil, and its subsystem off.
+// File is the content of the file. Each element configures a subsystem; if it is absent, the field is nil and the subsystem off.
 type File struct {
 	Cores *Cores `xml:"cores"`
 	Log   *Log   `xml:"log"`
 	Fleet *Fleet `xml:"fleet"`
 }
 
-// MostCores bounds Cores.Count.
+// MostCores is the maximum of Cores.Count.
 const MostCores = 64
 
-// Cores are what the scheduler serves on: see docs/cores.md.
+// Cores sets the number of cores that the scheduler serves on: see docs/cores.md.
 type Cores struct {
 	Count int `xml:"count,attr" required:"true"`
 }
@@ -33,32 +33,33 @@
 	}
 }
 
-// Fleet has the scheduler settle with others which policy epoch they act under: see docs/fleet.md.
+// Fleet makes the scheduler a member of a fleet, which agrees on a policy epoch: see docs/fleet.md.
 type Fleet struct {
 	Name      string        `xml:"name,attr" required:"true"`
 	Listen    string        `xml:"listen,attr" required:"true"`
-	Dir       string        `xml:"dir,attr" required:"true"`  // of its state and its record, of this member alone or shared with others' on one disk
-	Keys      string        `xml:"keys,attr" required:"true"` // a file, as package frames has it
-	Heartbeat time.Duration `xml:"beat,attr"`                 // 500ms
-	Trust     time.Duration `xml:"trust,attr"`                // 5s
-	Span      time.Duration `xml:"span,attr"`                 // 10s
-	Record    int64         `xml:"record,attr"`               // bytes, 16 MiB
+	Dir       string        `xml:"dir,attr" required:"true"`  // directory of its state and its record; several members on one disk may share it
+	Keys      string        `xml:"keys,attr" required:"true"` // name of a key file, in the format of package frames
+	Heartbeat time.Duration `xml:"beat,attr"`                 // default 500ms
+	Trust     time.Duration `xml:"trust,attr"`                // default 5s
+	Span      time.Duration `xml:"span,attr"`                 // default 10s
+	Record    int64         `xml:"record,attr"`               // maximum size in bytes, default 16 MiB
 	Alone     Alone         `xml:"alone,attr"`
 	ShutOut   ShutOut       `xml:"shut-out,attr"`
 	Members   []Member      `xml:"member"`
 }
 
-// Member is one scheduler of a fleet.
+// Member is a scheduler of a fleet.
 type Member struct {
 	Name    string `xml:"name,attr" required:"true"`
 	Address string `xml:"address,attr" required:"true"`
 }
 
-// Alone is what a member does that has not heard of a majority: mark (the default) goes on and says so in the record, stop takes
-// nothing new.
+// Alone is what a member does while it is not in contact with a majority: mark (the default) continues and marks the spans in the
+// record, stop takes no new requests.
 type Alone string
 
-// ShutOut is what a member does that must not act any more: wait (the default) to be brought up, or exit.
+// ShutOut is what a member does when it must not take requests any more, because its epoch is too old: wait (the default) until it
+// has adopted a newer one, or exit.
 type ShutOut string
 
 // UnmarshalText implements encoding.TextUnmarshaler.
@@ -77,22 +78,22 @@
 	return nil
 }
 
-// MostMembers bounds a fleet, MostRecord a record in bytes, and LeastRecord it from below.
+// MostMembers is the maximum number of members of a fleet; LeastRecord and MostRecord are the limits of Fleet.Record in bytes.
 const (
 	MostMembers = 300
 	LeastRecord = 1 << 20
 	MostRecord  = 1 << 40
 )
 
-// named says whether a text may be a member's name, which is a part of files' names. No regexp: its tables would be pages of every
-// process.
-func named(text string) bool {
+// isMemberName reports whether a text is a valid name of a member, which is part of file names. It uses no regexp, since its tables would
+// take memory pages in every process.
+func isMemberName(text string) bool {
 	return text != "" && len(text) <= 64 && !strings.ContainsFunc(text, func(r rune) bool {
 		return (r < 'a' || r > 'z') && (r < 'A' || r > 'Z') && (r < '0' || r > '9') && r != '_' && r != '-'
 	})
 }
 
-// Defaults puts in what the file leaves out.
+// Defaults sets the fields that the file omits.
 func (f *Fleet) Defaults() {
 	f.Heartbeat = cmp.Or(f.Heartbeat, 500*time.Millisecond)
 	f.Trust = cmp.Or(f.Trust, 5*time.Second)
@@ -134,18 +135,18 @@
 
 // Check implements xmlfile.Checker.
 func (m *Member) Check(bad func(string)) {
-	if !named(m.Name) {
+	if !isMemberName(m.Name) {
 		bad(fmt.Sprintf("name: %q is not 1 to 64 letters, digits, - and _", m.Name))
 	}
 }
 
-// Log is how the program logs.
+// Log configures logging.
 type Log struct {
 	Level  Level  `xml:"level,attr"`
 	Format Format `xml:"format,attr"`
 }
 
-// Level is the least level that is logged: debug, info (the default), warn or error.
+// Level is the minimum level that is logged: debug, info (the default), warn or error.
 type Level slog.Level
 
 // UnmarshalText implements encoding.TextUnmarshaler.
@@ -159,7 +160,7 @@
 	return nil
 }
 
-// Format is the form of a line: text (the default) or json.
+// Format is the format of log lines: text (the default) or json.
 type Format string
 
 // UnmarshalText implements encoding.TextUnmarshaler.
@@ -170,7 +171,7 @@
 	return nil
 }
 
-// Load reads a file; no name is no file. An error names each place at which something is wrong.
+// Load reads a file; an empty name yields an empty File. The error lists all problems with their positions.
 func Load(name string) (*File, error) {
 	f := &File{}
 	if name == "" {
@@ -183,5 +184,5 @@
 	return f, Parse(name, text, f)
 }
 
-// Parse reads the text of a file.
+// Parse parses the text of a file into f.
 func Parse(name string, text []byte, f *File) error { return xmlfile.Read(name, text, "ravendale", f) }
--- a/balancer/operator/operator_test.go
+++ b/balancer/operator/operator_test.go
@@ -12,10 +12,10 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// files are good and bad ones. Our own reading and the schema must agree on each.
+// files are valid and invalid files. Parse and the XML schema must agree on each.
 var files = map[string]struct {
 	text string
-	want string // the error, "" for a good file; "f" stands for its name
+	want string // the error, in which "f" is the file's name; "" for a valid file
 }{
 	"nothing":          {`<ravendale/>`, ""},
 	"all":              {`<ravendale><cores count="4"/><log level="warn" format="json"/></ravendale>`, ""},
@@ -53,7 +53,7 @@
 			"f:3: <log>: there is no attribute form\nf:4: <more>: there is no such element in <ravendale>"},
 }
 
-func TestFiles(t *testing.T) {
+func TestParse(t *testing.T) {
 	for name, tc := range files {
 		t.Run(name, func(t *testing.T) {
 			got := ""
@@ -67,8 +67,8 @@
 	}
 }
 
-// The schema takes the good files and turns down the bad ones. CI installs xmllint.
-func TestTheSchemaAgrees(t *testing.T) {
+// The schema accepts the valid files and rejects the invalid ones. CI installs xmllint.
+func TestSchemaAgreesWithParse(t *testing.T) {
 	lint, err := exec.LookPath("xmllint")
 	if err != nil {
 		if os.Getenv("CI") != "" {
@@ -89,26 +89,26 @@
 				t.Fatal(err)
 			}
 			if (err == nil) != (tc.want == "") {
-				t.Errorf("the schema says otherwise: %s", out)
+				t.Errorf("the schema disagrees: %s", out)
 			}
 		})
 	}
 }
 
-func TestTheShippedFileIsGoodAndSwitchesNothingOn(t *testing.T) {
+func TestShippedFileEnablesNothing(t *testing.T) {
 	f, err := Load("../../deploy/ravendale.xml")
 	if diff := cmp.Diff(&File{}, f); err != nil || diff != "" {
 		t.Error(err, diff)
 	}
 	if f, err = Load(""); err != nil || f.Cores != nil {
-		t.Error("no file is no file", err)
+		t.Error("an empty name does not yield an empty file", err)
 	}
 	if _, err := Load("no such file"); !errors.Is(err, os.ErrNotExist) {
 		t.Error(err)
 	}
 }
 
-func TestValues(t *testing.T) {
+func TestParsedValues(t *testing.T) {
 	f := &File{}
 	if err := Parse("f", []byte(files["all"].text), f); err != nil {
 		t.Fatal(err)
--- a/balancer/transport/doc.go
+++ b/balancer/transport/doc.go
@@ -1,3 +1,3 @@
-// Package transport is what the protocol packages see of the network. Everything in it is called by the loop's goroutine alone;
-// package nbionet serves it on real sockets, and tests on connections in memory.
+// Package transport defines the network interfaces that the protocol packages use. All methods are called only on the loop's
+// goroutine. Package nbionet implements them on real sockets; tests implement them in memory.
 package transport
--- a/balancer/transport/nbionet/conn.go
+++ b/balancer/transport/nbionet/conn.go
@@ -9,17 +9,17 @@
 	"ravendale/balancer/transport"
 )
 
-// hold has nbio's connection know ours. The lock orders that before the poller's first read: epoll's own order is one that
-// the race detector does not see.
-func hold(c *nbio.Conn, session any) {
+// attachSession attaches a session, usually a *conn, to nbio's connection. The lock makes this happen before the poller's first read in
+// a way that the race detector sees; it does not see the ordering by epoll.
+func attachSession(c *nbio.Conn, session any) {
 	c.Lock()
 	c.SetSession(session)
 	c.Unlock()
 }
 
-// conn is a connection as the owner sees it. Only what is atomic is shared with nbio's goroutines.
+// conn is a TCP connection. Only its atomic fields are shared between the owner and nbio's goroutines.
 type conn struct {
-	e         *Engine
+	engine    *Engine
 	nb        *nbio.Conn
 	handler   transport.Handler
 	open      bool
@@ -28,17 +28,17 @@
 	written   atomic.Int64
 	finishing atomic.Bool
 	ignoring  atomic.Bool
-	ignored   int   // bytes thrown away; the poller's own
+	ignored   int   // bytes discarded; accessed only by the poller
 	gate      *Gate // nil if it was dialled
 	freed     atomic.Bool
-	cancel    func() // ends a dial
+	cancel    func() // cancels the dial
 }
 
 func (n *conn) connected(c *nbio.Conn, err error) {
 	switch {
 	case n.closed && c != nil:
 		n.nb = c
-		n.leave() // given up while it was being made
+		n.disconnect() // closed by the owner during the dial
 		return
 	case err != nil:
 		n.onClosed(err)
@@ -68,7 +68,7 @@
 
 func (n *conn) release() {
 	if n.gate != nil && n.freed.CompareAndSwap(false, true) {
-		n.gate.left()
+		n.gate.release()
 	}
 }
 
@@ -77,31 +77,32 @@
 		return
 	}
 	n.queued.Add(int64(len(b)))
-	if n.Unwritten() == len(b) { // nbio has nothing of it to write first
-		took, err := n.writeNow(b)
-		if n.written.Add(int64(took)); err != nil {
-			n.leave() // which is reported
+	if n.Unwritten() == len(b) { // nbio has no earlier data to write
+		accepted, err := n.writeNow(b)
+		if n.written.Add(int64(accepted)); err != nil {
+			n.disconnect() // the poller then reports the connection closed
 			return
 		}
-		b = b[took:]
+		b = b[accepted:]
 	}
 	if len(b) > 0 {
-		_, _ = n.nb.Write(b) // an error closes the connection, and that is reported
+		_, _ = n.nb.Write(b) // on an error nbio closes the connection and reports that
 	}
 }
 
-// writeNow writes what the system takes at once. nbio's Write would close a connection upon an error where it stands: see leave.
-func (n *conn) writeNow(b []byte) (took int, err error) {
+// writeNow writes as much as the system accepts at once. It does not use nbio's Write, which on an error would close the
+// connection on the calling goroutine: see disconnect.
+func (n *conn) writeNow(b []byte) (written int, err error) {
 	n.nb.Lock()
 	defer n.nb.Unlock()
 	if closed, _ := n.nb.IsClosed(); closed {
 		return 0, nil
 	}
-	took, err = syscall.Write(n.nb.Hash(), b)
+	written, err = syscall.Write(n.nb.Hash(), b)
 	if err == syscall.EAGAIN || err == syscall.EINTR {
 		err = nil
 	}
-	return max(took, 0), err
+	return max(written, 0), err
 }
 
 func (n *conn) Unwritten() int { return int(n.queued.Load() - n.written.Load()) }
@@ -124,8 +125,8 @@
 	}
 }
 
-// shutdown ends directions of the socket. nbio's lock keeps the descriptor from being closed, and used
-// again, meanwhile.
+// shutdown shuts down one or both directions of the socket. nbio's lock keeps the descriptor from being closed and reused
+// meanwhile.
 func (n *conn) shutdown(how int) {
 	n.nb.Lock()
 	if closed, _ := n.nb.IsClosed(); !closed {
@@ -134,11 +135,12 @@
 	n.nb.Unlock()
 }
 
-// leave ends the connection, at once for the other side too, and has the poller close the descriptor when it hears of that.
-// Closed by anybody else the number may be another connection's before the poller comes to what epoll had told it of this one:
-// nbio (v1.6.8, poller_epoll.go:256) looks up by number whom an event is for, and would end the newcomer. A close that met the
-// poller's epoll_wait was no end either: the system (seen on Linux 6.18) released the socket only when that call returned.
-func (n *conn) leave() {
+// disconnect shuts down the connection, which the other end sees at once; the poller closes the descriptor when epoll reports the
+// shutdown. If another goroutine closed the descriptor, its number could be reused before the poller handles an event already
+// fetched for this connection: nbio (v1.6.8, poller_epoll.go:256) finds the connection of an event by descriptor number, and
+// would close the new one. Also, a close during the poller's epoll_wait did not end the connection at once: the system (seen
+// on Linux 6.18) released the socket only when that call returned.
+func (n *conn) disconnect() {
 	n.Ignore()
 	n.shutdown(syscall.SHUT_RDWR)
 }
@@ -151,7 +153,7 @@
 			n.cancel()
 		}
 		if n.open {
-			n.leave()
+			n.disconnect()
 		}
 	}
 }
--- a/balancer/transport/nbionet/echo.go
+++ b/balancer/transport/nbionet/echo.go
@@ -9,15 +9,16 @@
 	"github.com/lesismal/nbio"
 )
 
-// echo is a connection of an engine to itself.
+// echo is a connection of an engine to itself, on which Echo sends bytes through the poller.
 type echo struct {
-	fd      int // the far end
+	fd      int // the end that is not in the poller
 	pending []func()
 }
 
-// Echo has f called in a turn once all that had arrived by now, on any connection of this engine, has been handed over (up
-// to readsATurn buffers of each). Its caller has the turn. It is a byte that goes through the poller twice: what was
-// there before the first pass is brought in the same round as that at the latest, and the second is of a later round.
+// Echo calls f, in a turn, after all data that has arrived by now on any connection of this engine (up to maxReadsPerConn buffers
+// per connection) has been passed on. It must be called in a turn. It sends a byte through the poller twice: data that arrived
+// before the first pass is read at the latest in the same poll round as the first byte, and the second byte is read in a later
+// round.
 func (e *Engine) Echo(f func()) error {
 	if e.echo == nil {
 		near, far, err := pair()
@@ -25,7 +26,7 @@
 			return fmt.Errorf("echo: %w", err)
 		}
 		e.echo = &echo{fd: far}
-		hold(near, &conn{nb: near, open: true, handler: e.echo})
+		attachSession(near, &conn{nb: near, open: true, handler: e.echo})
 		if err := e.add(near); err != nil {
 			return fmt.Errorf("echo: %w", err)
 		}
@@ -34,7 +35,7 @@
 	return nil
 }
 
-// pair returns the two ends of a connection: one for the poller, and the descriptor of the other.
+// pair returns the two ends of a connection: one for the poller, and the other as a descriptor.
 func pair() (near *nbio.Conn, far int, err error) {
 	fds, err := syscall.Socketpair(syscall.AF_UNIX, syscall.SOCK_STREAM|syscall.SOCK_NONBLOCK|syscall.SOCK_CLOEXEC, 0)
 	if err != nil {
@@ -53,7 +54,8 @@
 	return near, fds[1], nil
 }
 
-// send writes a byte. One that finds no room is not sent: so many are on their way already, and its f is lost with it.
+// send writes a byte and queues f to be called when the byte is read. If the socket's buffer is full, it does neither: f is
+// never called.
 func (c *echo) send(f func()) {
 	if _, err := syscall.Write(c.fd, []byte{0}); err == nil {
 		c.pending = append(c.pending, f)
--- a/balancer/transport/nbionet/engine_test.go
+++ b/balancer/transport/nbionet/engine_test.go
@@ -11,31 +11,31 @@
 	"ravendale/balancer/transport"
 )
 
-// owner is a loop that runs.
+// owner is a running loop, which owns the engine's state.
 type owner struct{ *scheduler.Loop }
 
-// end hands on what happens to one connection.
-type end struct {
-	net       transport.Conn
+// testHandler passes the events of one connection to channels.
+type testHandler struct {
+	conn      transport.Conn
 	connected chan struct{}
 	data      chan []byte
 	closed    chan error
 }
 
-func newEnd() *end {
-	return &end{connected: make(chan struct{}, 1), data: make(chan []byte, 64), closed: make(chan error, 1)}
+func newTestHandler() *testHandler {
+	return &testHandler{connected: make(chan struct{}, 1), data: make(chan []byte, 64), closed: make(chan error, 1)}
 }
 
-func (e *end) Connected() { e.connected <- struct{}{} }
+func (e *testHandler) Connected() { e.connected <- struct{}{} }
 
-func (e *end) Data(b []byte) { e.data <- bytes.Clone(b) }
+func (e *testHandler) Data(b []byte) { e.data <- bytes.Clone(b) }
 
-func (e *end) Closed(err error) { e.closed <- err }
+func (e *testHandler) Closed(err error) { e.closed <- err }
 
-// start serves on loopback: what is accepted goes to the channel.
-func start(t *testing.T) (*Engine, owner, chan *end) {
+// startEngine starts an engine that listens on loopback and sends accepted connections to the returned channel.
+func startEngine(t *testing.T) (*Engine, owner, chan *testHandler) {
 	t.Helper()
-	o, accepted := owner{scheduler.NewLoop(scheduler.SystemClock())}, make(chan *end, 8)
+	o, accepted := owner{scheduler.NewLoop(scheduler.SystemClock())}, make(chan *testHandler, 8)
 	e := New(Options{Loop: o, ConnectTimeout: 5 * time.Second, Log: slog.New(slog.NewTextHandler(io.Discard, nil))})
 	ln, err := Listen("127.0.0.1:0", 0)
 	if err != nil {
@@ -45,8 +45,8 @@
 		t.Fatal(err)
 	}
 	e.Serve(ln, 4, func(c transport.Conn) transport.Handler {
-		n := newEnd()
-		n.net = c
+		n := newTestHandler()
+		n.conn = c
 		accepted <- n
 		return n
 	})
@@ -56,8 +56,8 @@
 	return e, o, accepted
 }
 
-// on runs f as the owner and waits for it.
-func (o owner) on(f func()) {
+// run runs f in a turn of the owner and waits for it.
+func (o owner) run(f func()) {
 	done := make(chan struct{})
 	o.Post(func() { f(); close(done) })
 	<-done
--- a/balancer/transport/nbionet/gate.go
+++ b/balancer/transport/nbionet/gate.go
@@ -11,19 +11,20 @@
 	"ravendale/balancer/transport"
 )
 
-// Serve accepts from a listener, which it owns from now on, up to room connections at once; more wait in the system's
-// queue. The listener may be shared with other processes: it is closed, but never shut down.
+// Serve accepts connections from a listener, up to limit at once; further ones wait in the system's accept queue. It takes
+// ownership of the listener. The listening socket may be shared with other processes: it is closed, but never shut down.
 func (e *Engine) Serve(ln net.Listener, limit int, accept func(transport.Conn) transport.Handler) *Gate {
 	return e.Deal(ln, limit, []Target{{e, accept}}, func() int { return 0 })
 }
 
-// Target is where a connection may go that was accepted.
+// Target is an engine that accepted connections may be passed to.
 type Target struct {
 	Engine *Engine
 	Accept func(transport.Conn) transport.Handler
 }
 
-// Deal is Serve for connections that go to several engines: choose says to which, in a goroutine of its own.
+// Deal is like Serve, but distributes the connections over several engines: choose returns the index of the target. It is
+// called on a goroutine of its own.
 func (e *Engine) Deal(ln net.Listener, limit int, targets []Target, choose func() int) *Gate {
 	g := &Gate{ln: ln, targets: targets, choose: choose, limit: max(limit, 1)}
 	g.cond.L = &g.mu
@@ -32,7 +33,7 @@
 	return g
 }
 
-// Gate is a listener and the connections that came by it. It guards against running out of descriptors.
+// Gate is a listener with a limit on its open connections, so that the process does not run out of descriptors.
 type Gate struct {
 	ln      net.Listener
 	targets []Target
@@ -44,20 +45,20 @@
 	paused, closed bool
 }
 
-// Addr is where it listens.
+// Addr returns the listener's address.
 func (g *Gate) Addr() net.Addr { return g.ln.Addr() }
 
-// Close ends the listener; connections that came by it stay.
+// Close closes the listener; its accepted connections stay open.
 func (g *Gate) Close() { g.close() }
 
-// Pause has nothing more accepted until Resume. What waits in the system's queue is left to others who listen on the
+// Pause stops accepting until Resume. Connections in the system's accept queue are left to other processes that listen on the
 // same socket.
 func (g *Gate) Pause() { g.set(func() { g.paused = true }, time.Unix(1, 0)) }
 
 // Resume undoes Pause.
 func (g *Gate) Resume() { g.set(func() { g.paused = false }, time.Time{}) }
 
-// SetLimit sets how many connections there may be.
+// SetLimit sets the maximum number of open connections.
 func (g *Gate) SetLimit(limit int) {
 	g.mu.Lock()
 	g.limit = max(limit, 1)
@@ -69,7 +70,7 @@
 	g.mu.Lock()
 	change()
 	if ln, ok := g.ln.(interface{ SetDeadline(time.Time) error }); ok {
-		_ = ln.SetDeadline(until) // wakes an Accept that waits
+		_ = ln.SetDeadline(until) // a deadline in the past interrupts a blocked Accept
 	}
 	g.mu.Unlock()
 	g.cond.Signal()
@@ -84,23 +85,23 @@
 }
 
 func (g *Gate) run() {
-	for g.enter() {
+	for g.acquire() {
 		c, err := g.ln.Accept()
 		if err == nil {
 			t := g.targets[g.choose()]
 			t.Engine.accepted(c, g, t.Accept)
 			continue
 		}
-		g.left()
+		g.release()
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
-		time.Sleep(time.Millisecond) // a moment's want of descriptors must not become a busy loop
+		time.Sleep(time.Millisecond) // a temporary error, such as no free descriptors, must not become a busy loop
 	}
 }
 
-// enter waits for room, and returns false once the gate is closed.
-func (g *Gate) enter() bool {
+// acquire waits until another connection may be accepted and counts it. It returns false once the gate is closed.
+func (g *Gate) acquire() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for !g.closed && (g.paused || g.open >= g.limit) {
@@ -110,14 +111,14 @@
 	return !g.closed
 }
 
-// admit counts a connection that came by another way, whatever room there is.
-func (g *Gate) admit() {
+// add counts a connection that was not accepted here, regardless of the limit.
+func (g *Gate) add() {
 	g.mu.Lock()
 	g.open++
 	g.mu.Unlock()
 }
 
-func (g *Gate) left() {
+func (g *Gate) release() {
 	g.mu.Lock()
 	g.open--
 	g.mu.Unlock()
@@ -133,16 +134,16 @@
 	c, err := nbio.NBConn(std)
 	if err != nil {
 		_ = std.Close()
-		g.left()
+		g.release()
 		return
 	}
-	n := &conn{e: e, nb: c, gate: g}
-	hold(c, n)
-	// In one turn: nbio fails upon a write to a connection that it was not given yet, and what is read waits for the turn.
+	n := &conn{engine: e, nb: c, gate: g}
+	attachSession(c, n)
+	// Both in one turn: nbio fails on a write to a connection that was not added yet, and data that it reads waits for the turn.
 	e.loop.Post(func() {
 		n.open = true
 		if err := e.add(c); err != nil {
-			n.closed = true // it is closed
+			n.closed = true // add has closed it
 			n.release()
 			return
 		}
--- a/balancer/transport/nbionet/gate_test.go
+++ b/balancer/transport/nbionet/gate_test.go
@@ -14,8 +14,8 @@
 )
 
 func TestAcceptedConnections(t *testing.T) {
-	e, o, accepted := start(t)
-	for range 10 { // more than may be open at once: a closed one makes room
+	e, o, accepted := startEngine(t)
+	for range 10 { // more than the limit of open connections: closed ones don't count
 		c, err := net.Dial("tcp", e.gates[0].Addr().String())
 		if err != nil {
 			t.Fatal(err)
@@ -27,28 +27,28 @@
 		if got := <-n.data; string(got) != "ping" {
 			t.Errorf("got %q", got)
 		}
-		o.on(func() { n.net.Write([]byte("pong")) })
+		o.run(func() { n.conn.Write([]byte("pong")) })
 		back := make([]byte, 4)
 		if _, err := io.ReadFull(c, back); err != nil || string(back) != "pong" {
 			t.Errorf("got %q, %v", back, err)
 		}
-		o.on(func() { n.net.Close() })
-		if _, err := c.Read(back); !errors.Is(err, io.EOF) { // hung now and then before Close shut the socket down
+		o.run(func() { n.conn.Close() })
+		if _, err := c.Read(back); !errors.Is(err, io.EOF) { // hung occasionally before Close shut the socket down
 			t.Errorf("read after the close: %v", err)
 		}
 		_ = c.Close()
 	}
 }
 
-// A listener may be inherited, and shared: while its gate pauses, connections wait for whoever else listens, and the
-// end of an engine, even of one that never started, does not end it for others.
-func TestAnInheritedListenerIsSharedAndPauses(t *testing.T) {
+// A listener may be inherited and shared with other processes. While its gate is paused, connections are left to the other
+// listeners, and closing an engine, even one that never started, does not close the socket for them.
+func TestInheritedListenerIsSharedAndPauses(t *testing.T) {
 	held, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer func() { _ = held.Close() }()
-	e, o, accepted := start(t)
+	e, o, accepted := startEngine(t)
 	file, err := held.(*net.TCPListener).File()
 	if err != nil {
 		t.Fatal(err)
@@ -73,9 +73,9 @@
 	}
 	dial()
 	first := <-accepted
-	o.on(func() { first.net.Close() })
+	o.run(func() { first.conn.Close() })
 	g.Pause()
-	for out := false; !out; runtime.Gosched() { // of an Accept that had begun: it may still have taken one connection
+	for out := false; !out; runtime.Gosched() { // waits for an Accept in progress, which may still accept one connection
 		g.mu.Lock()
 		out = g.open == 0
 		g.mu.Unlock()
@@ -101,9 +101,9 @@
 	New(Options{Loop: o, Log: slog.New(slog.NewTextHandler(io.Discard, nil))}).Close()
 }
 
-// What was accepted for an engine that closes meanwhile is closed, and makes room.
-func TestWhatIsAcceptedForAnEngineThatClosesIsClosed(t *testing.T) {
-	e, o, _ := start(t)
+// A connection accepted for an engine that closes meanwhile is closed and does not count as open.
+func TestAcceptDuringCloseIsClosed(t *testing.T) {
+	e, o, _ := startEngine(t)
 	far, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -121,18 +121,18 @@
 	e.Close()
 	g := &Gate{}
 	g.cond.L = &g.mu
-	g.admit()
+	g.add()
 	e.accepted(late, g, func(transport.Conn) transport.Handler {
-		t.Error("it was handed to the owner")
-		return newEnd()
+		t.Error("the connection was passed to the owner")
+		return newTestHandler()
 	})
-	o.on(func() {}) // after the turn of that one
+	o.run(func() {}) // after the turn that handles the connection
 	_ = client.SetReadDeadline(time.Now().Add(5 * time.Second))
 	if _, err := client.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
-		t.Error("the client sees: ", err)
+		t.Error("the client's read returns: ", err)
 	}
 	if g.mu.Lock(); g.open != 0 {
-		t.Errorf("%d count as open", g.open)
+		t.Errorf("%d connections count as open", g.open)
 	}
 	g.mu.Unlock()
 }
--- a/balancer/transport/nbionet/listen.go
+++ b/balancer/transport/nbionet/listen.go
@@ -8,7 +8,7 @@
 	"syscall"
 )
 
-// Listen opens a listener; with a descriptor above 0 it takes that one, which the process inherited, instead.
+// Listen opens a TCP listener. With a descriptor above 0 it uses that inherited listening socket instead of addr.
 func Listen(addr string, descriptor int) (net.Listener, error) {
 	if descriptor <= 0 {
 		return net.Listen("tcp", addr)
@@ -16,9 +16,9 @@
 	syscall.CloseOnExec(descriptor)
 	f := os.NewFile(uintptr(descriptor), "listener")
 	if f == nil {
-		return nil, fmt.Errorf("descriptor %d is none", descriptor)
+		return nil, fmt.Errorf("descriptor %d is invalid", descriptor)
 	}
-	defer func() { _ = f.Close() }() // of the original; the listener has a copy
+	defer func() { _ = f.Close() }() // closes the original; the listener has a duplicate
 	ln, err := net.FileListener(f)
 	if err != nil {
 		return nil, fmt.Errorf("descriptor %d: %w", descriptor, err)
@@ -26,8 +26,8 @@
 	return ln, nil
 }
 
-// ListenUnix opens a Unix socket that only its owner may reach, in the place of whatever file is there. The file stays
-// when the listener is closed: by then it may be another's.
+// ListenUnix listens on a Unix socket that only its owner may connect to. It replaces an existing file at the path. Closing the
+// listener does not remove the file: by then it may belong to another process.
 func ListenUnix(path string) (net.Listener, error) {
 	path, done, err := shorten(path)
 	if err != nil {
@@ -49,9 +49,10 @@
 	return ln, nil
 }
 
-// shorten names a Unix socket by way of its open folder where its path is longer than the system takes, until done.
+// shorten returns a path of a Unix socket that is short enough for the system. A path that is too long is expressed via an
+// open descriptor of its directory; it is valid until done is called.
 func shorten(path string) (short string, done func(), err error) {
-	if len(path) <= longestPath {
+	if len(path) <= maxSocketPath {
 		return path, func() {}, nil
 	}
 	dir, err := os.Open(filepath.Dir(path))
--- a/balancer/transport/nbionet/nbionet.go
+++ b/balancer/transport/nbionet/nbionet.go
@@ -20,16 +20,18 @@
 	readBuffer  = 32 << 10
 	closeWithin = 200 * time.Millisecond
 
-	// readsATurn is how many buffers one connection is read before the others have their turn: a whole message at
-	// least, for nbio drops what is unread when the other side has ended the connection after it.
-	readsATurn = 4
-	// maxIgnored is how much of what is thrown away is read, for the other side to see an answer before the end.
+	// maxReadsPerConn is the number of buffers read from one connection before the poller goes on to the next. It must cover a
+	// whole message, since nbio drops unread data when the other end has closed the connection after it.
+	maxReadsPerConn = 4
+	// maxIgnored is the number of discarded bytes after which the connection is closed. Up to that they are read, so that the
+	// other end can receive an answer before the end of the connection.
 	maxIgnored = 1 << 20
 
-	longestPath = 107 // of a Unix socket
+	maxSocketPath = 107 // maximum length of a Unix socket's path
 )
 
-// Turns is the owner of all state. Post takes work for it; between Begin, if that is true, and End the caller has the turn.
+// Turns is the event loop that owns all state. Post queues work for it. If Begin returns true, the caller may access the state
+// until it calls End.
 type Turns interface {
 	Post(func())
 	Begin() bool
@@ -42,17 +44,17 @@
 	loop    Turns
 	timeout time.Duration
 	started bool
-	echo    *echo // nil until it is wanted
+	echo    *echo // nil until Echo is first called
 	gates   []*Gate
 
-	dials    context.Context // of all dials
+	dials    context.Context // canceled by Close
 	endDials func()
 
-	mu     sync.RWMutex // read-locked while a connection is handed to nb
+	mu     sync.RWMutex // read-locked while a connection is added to nb
 	closed bool
 }
 
-// Options say how an Engine is to run.
+// Options configures an Engine.
 type Options struct {
 	Loop           Turns
 	ConnectTimeout time.Duration
@@ -61,17 +63,17 @@
 
 var setLogger sync.Once
 
-// New returns an engine that is not started yet.
+// New returns an engine that has not been started.
 func New(o Options) *Engine {
 	e := &Engine{loop: o.Loop, timeout: o.ConnectTimeout}
 	e.dials, e.endDials = context.WithCancel(context.Background())
-	// nbio has one logger for the whole process, which its pollers read as it stands: the first engine's.
+	// nbio has a single logger per process, which its pollers read without a lock: it is set once, by the first engine.
 	if o.Log != nil {
 		setLogger.Do(func() { logging.SetLogger(nbioLog{o.Log}) })
 	}
 	e.nb = nbio.NewEngine(nbio.Config{Name: "ravendale", Network: "tcp", NPoller: 1,
-		ReadBufferSize: readBuffer, MaxConnReadTimesPerEventLoop: readsATurn})
-	// nbio leaves its buffer cut to the length of the last read: hand it out whole each time.
+		ReadBufferSize: readBuffer, MaxConnReadTimesPerEventLoop: maxReadsPerConn})
+	// nbio truncates its buffer to the length of the last read, so each allocation returns the full buffer again.
 	full := make([]byte, readBuffer)
 	buf := full
 	e.nb.OnReadBufferAlloc(func(*nbio.Conn) *[]byte {
@@ -81,15 +83,15 @@
 	e.nb.OnData(func(c *nbio.Conn, data []byte) {
 		switch session := c.Session().(type) {
 		case *conn:
-			e.took(c, session, data)
-		case running:
+			e.received(c, session, data)
+		case pollerRunning:
 			close(session)
 		}
 	})
 	e.nb.OnWrittenSize(func(c *nbio.Conn, _ []byte, written int) {
 		if n, ok := c.Session().(*conn); ok {
 			if n.written.Add(int64(written)); n.finishing.Load() && n.Unwritten() == 0 {
-				_ = syscall.Shutdown(c.Hash(), syscall.SHUT_WR) // nbio holds its lock here
+				_ = syscall.Shutdown(c.Hash(), syscall.SHUT_WR) // nbio holds its lock in this callback
 			}
 		}
 	})
@@ -102,9 +104,9 @@
 	return e
 }
 
-// took hands over what was read, in a turn of the poller's own. While another turn lasts nothing more is read, so that senders
-// wait, and not in this process's memory.
-func (e *Engine) took(c *nbio.Conn, n *conn, data []byte) {
+// received passes on data that was read, in a turn of the poller. While another turn lasts, the poller waits and reads nothing, so
+// that senders are held back instead of their data piling up in this process's memory.
+func (e *Engine) received(c *nbio.Conn, n *conn, data []byte) {
 	if n.ignoring.Load() {
 		if n.ignored += len(data); n.ignored > maxIgnored {
 			_ = c.Close()
@@ -117,7 +119,7 @@
 	}
 }
 
-// Start begins to serve what is accepted and dialled.
+// Start starts the poller. It returns once the poller runs.
 func (e *Engine) Start() error {
 	if err := e.nb.Start(); err != nil {
 		return fmt.Errorf("poller: %w", err)
@@ -129,32 +131,32 @@
 	return nil
 }
 
-// running is closed once the poller reads. It is the session of a connection that is there for that alone.
-type running chan struct{}
+// pollerRunning is the session of a connection that is used only by awaitPoller. It is closed once the poller reads that connection.
+type pollerRunning chan struct{}
 
-// awaitPoller waits until the poller runs. nbio (v1.6.8) clears the mark of a stop as its loop begins, and never ends if it is
-// stopped before.
+// awaitPoller waits until the poller runs. nbio (v1.6.8) clears its stop flag when its loop begins, so a stop before that would
+// be lost and the loop would never end.
 func (e *Engine) awaitPoller() error {
 	near, far, err := pair()
 	if err != nil {
 		return err
 	}
-	reads := make(running)
-	hold(near, reads)
+	started := make(pollerRunning)
+	attachSession(near, started)
 	if err := e.add(near); err != nil {
 		_ = syscall.Close(far)
 		return err
 	}
 	_, err = syscall.Write(far, []byte{0})
 	if err == nil {
-		<-reads
+		<-started
 	}
-	_ = syscall.Close(far) // the poller closes its end
+	_ = syscall.Close(far) // the poller then closes the other end
 	return err
 }
 
-// add hands a connection to nbio, or closes it where the engine closes. nbio (v1.6.8) counts connections in a sync.WaitGroup, and
-// one that is added while Shutdown waits for the last is a data race, and may panic: 'WaitGroup is reused'.
+// add adds a connection to nbio, or closes it if the engine is closed. nbio (v1.6.8) counts connections in a sync.WaitGroup:
+// adding one while Shutdown waits for the last is a data race and may panic with 'WaitGroup is reused'.
 func (e *Engine) add(c *nbio.Conn) error {
 	e.mu.RLock()
 	defer e.mu.RUnlock()
@@ -166,11 +168,11 @@
 	return err
 }
 
-// Close ends the listeners, all connections and the dials under way; a connection that comes up later is closed. nbio panics if
-// told to end what never started, or has ended.
+// Close closes the listeners and all connections, and cancels dials; a connection established later is closed. nbio panics if
+// it is shut down without having been started, or twice.
 func (e *Engine) Close() {
 	e.mu.Lock()
-	before := e.closed
+	wasClosed := e.closed
 	e.closed = true
 	e.mu.Unlock()
 	e.endDials()
@@ -180,23 +182,24 @@
 	if e.echo != nil {
 		_ = syscall.Close(e.echo.fd)
 	}
-	if !e.started || before {
+	if !e.started || wasClosed {
 		return
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), closeWithin)
 	defer cancel()
-	_ = e.nb.Shutdown(ctx) // what is still open then ends with the process
+	_ = e.nb.Shutdown(ctx) // connections that are still open then end with the process
 }
 
-// Dial connects to a TCP address, or the path of a Unix socket, with the standard library and hands the connection to nbio.
-// nbio's own DialAsync takes the first four bytes of an IPv4 address that the standard library gives in sixteen
-// (net_unix.go:136 in v1.6.8), and so connects to 0.0.0.0: seen as 'connection refused' by discovery at 127.8.200.1.
+// Dial connects to a TCP address or, if addr begins with a slash, to a Unix socket. It dials TCP with the standard library and
+// adds the connection to nbio. nbio's own DialAsync uses the first four bytes of an IPv4 address that the standard library
+// returns in sixteen (net_unix.go:136 in v1.6.8), and so connects to 0.0.0.0: seen as 'connection refused' when dialling
+// discovery at 127.8.200.1.
 func (e *Engine) Dial(addr string, h transport.Handler) transport.Conn {
 	if strings.HasPrefix(addr, "/") {
 		return e.dialLocal(addr, h)
 	}
 	ctx, cancel := context.WithTimeout(e.dials, e.timeout)
-	n := &conn{e: e, handler: h, cancel: cancel}
+	n := &conn{engine: e, handler: h, cancel: cancel}
 	go func() {
 		defer cancel()
 		c, err := e.dial(ctx, addr, n)
@@ -243,14 +246,14 @@
 		_ = std.Close()
 		return nil, err
 	}
-	hold(c, n)
+	attachSession(c, n)
 	if err := e.add(c); err != nil {
 		return nil, err
 	}
 	return c, nil
 }
 
-// nbioLog passes on nbio's warnings and errors.
+// nbioLog passes nbio's warnings and errors to a slog.Logger.
 type nbioLog struct{ log *slog.Logger }
 
 func (nbioLog) Debug(string, ...any) {}
@@ -258,9 +261,9 @@
 func (nbioLog) Info(string, ...any) {}
 
 func (l nbioLog) Warn(format string, v ...any) {
-	l.log.Warn("network", "text", fmt.Sprintf(format, v...))
+	l.log.Warn("nbio warning", "text", fmt.Sprintf(format, v...))
 }
 
 func (l nbioLog) Error(format string, v ...any) {
-	l.log.Error("network", "text", fmt.Sprintf(format, v...))
+	l.log.Error("nbio error", "text", fmt.Sprintf(format, v...))
 }
--- a/balancer/transport/nbionet/nbionet_test.go
+++ b/balancer/transport/nbionet/nbionet_test.go
@@ -19,29 +19,29 @@
 	"ravendale/balancer/transport"
 )
 
-// The address must be kept whole: nbio's own dialler connects to 0.0.0.0 instead.
-func TestDialReachesTheVeryAddressAndCarriesBytes(t *testing.T) {
+// Dial must connect to the given address: nbio's own dialler connects to 0.0.0.0 instead.
+func TestDialConnectsToGivenAddress(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.9.8.7:0")
 	if err != nil {
 		t.Skip("no loopback address 127.9.8.7 here: ", err)
 	}
 	defer func() { _ = ln.Close() }()
-	e, o, _ := start(t)
-	n := newEnd()
+	e, o, _ := startEngine(t)
+	n := newTestHandler()
 	big := bytes.Repeat([]byte("0123456789abcdef"), 64<<10)
-	o.on(func() { n.net = e.Dial(ln.Addr().String(), n) })
+	o.run(func() { n.conn = e.Dial(ln.Addr().String(), n) })
 	far, err := ln.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
 	<-n.connected
-	o.on(func() { n.net.Write(big) })
+	o.run(func() { n.conn.Write(big) })
 	got := make([]byte, len(big))
 	if _, err := io.ReadFull(far, got); err != nil || !bytes.Equal(got, big) {
-		t.Fatalf("%d bytes came otherwise: %v", len(big), err)
+		t.Fatalf("%d bytes were not received unchanged: %v", len(big), err)
 	}
-	o.on(func() {
-		if left := n.net.Unwritten(); left != 0 {
+	o.run(func() {
+		if left := n.conn.Unwritten(); left != 0 {
 			t.Errorf("%d bytes count as unwritten", left)
 		}
 	})
@@ -51,45 +51,45 @@
 	}
 }
 
-func TestAFailedDialIsReportedOnce(t *testing.T) {
+func TestFailedDialIsReportedOnce(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	addr := ln.Addr().String()
 	_ = ln.Close()
-	e, o, _ := start(t)
-	n := newEnd()
-	o.on(func() { n.net = e.Dial(addr, n) })
+	e, o, _ := startEngine(t)
+	n := newTestHandler()
+	o.run(func() { n.conn = e.Dial(addr, n) })
 	if err := <-n.closed; err == nil || len(n.connected) > 0 {
 		t.Errorf("error %v, connected %d times", err, len(n.connected))
 	}
 }
 
-// latch is an owner whose next post, once it is armed, waits for the test.
-type latch struct {
+// blockingOwner is an owner whose next Post, once armed, blocks until the test resumes it.
+type blockingOwner struct {
 	owner
-	armed       atomic.Bool
-	begun, goOn chan struct{}
+	armed           atomic.Bool
+	blocked, resume chan struct{}
 }
 
-func (l *latch) Post(f func()) {
+func (l *blockingOwner) Post(f func()) {
 	if l.armed.CompareAndSwap(true, false) {
-		close(l.begun)
-		<-l.goOn
+		close(l.blocked)
+		<-l.resume
 	}
 	l.owner.Post(f)
 }
 
-// A dial that comes up while its engine closes is handed to nobody: its far end sees it closed, and the engine's end does not
-// wait for it. What nbio tells of the connection before holds up the engine's end until then.
-func TestADialThatComesUpWhileItsEngineClosesIsClosed(t *testing.T) {
+// A connection that is established while its engine closes is not passed to the owner: its other end sees it closed, and Close
+// does not wait for it. Until then, the test delays Close by blocking nbio's event of an earlier connection.
+func TestDialDuringCloseIsClosed(t *testing.T) {
 	far, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer func() { _ = far.Close() }()
-	l := &latch{owner: owner{scheduler.NewLoop(scheduler.SystemClock())}, begun: make(chan struct{}), goOn: make(chan struct{})}
+	l := &blockingOwner{owner: owner{scheduler.NewLoop(scheduler.SystemClock())}, blocked: make(chan struct{}), resume: make(chan struct{})}
 	e := New(Options{Loop: l, ConnectTimeout: 5 * time.Second})
 	if err := e.Start(); err != nil {
 		t.Fatal(err)
@@ -97,8 +97,8 @@
 	stop := make(chan struct{})
 	defer close(stop)
 	go l.Run(stop)
-	before := newEnd()
-	l.on(func() { before.net = e.Dial(far.Addr().String(), before) })
+	before := newTestHandler()
+	l.run(func() { before.conn = e.Dial(far.Addr().String(), before) })
 	<-before.connected
 	if _, err := far.Accept(); err != nil {
 		t.Fatal(err)
@@ -107,12 +107,12 @@
 	l.armed.Store(true)
 	closed := make(chan struct{})
 	go func() { e.Close(); close(closed) }()
-	<-l.begun // nbio has begun to end, and waits for the connection before
-	late := &conn{e: e, handler: newEnd()}
+	<-l.blocked // nbio's shutdown has begun and waits for the earlier connection
+	late := &conn{engine: e, handler: newTestHandler()}
 	if c, err := e.dial(context.Background(), far.Addr().String(), late); c != nil || !errors.Is(err, net.ErrClosed) {
-		t.Errorf("handed over: %v, %v", c != nil, err)
+		t.Errorf("connection passed on: %v, %v", c != nil, err)
 	}
-	close(l.goOn)
+	close(l.resume)
 	<-closed
 	c, err := far.Accept()
 	if err != nil {
@@ -120,12 +120,12 @@
 	}
 	_ = c.SetReadDeadline(time.Now().Add(5 * time.Second))
 	if _, err := c.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
-		t.Error("the far end sees: ", err)
+		t.Error("the other end's read returns: ", err)
 	}
 }
 
-// A dial under way is given up at once when its engine closes, and that is told. Without that it goes on until its time is over.
-func TestADialEndsWithItsEngine(t *testing.T) {
+// Closing an engine cancels a dial in progress at once and reports that. Otherwise the dial would continue until its timeout.
+func TestCloseCancelsDial(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -138,47 +138,46 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	filler, err := net.Dial("tcp", ln.Addr().String()) // no other comes up
+	filler, err := net.Dial("tcp", ln.Addr().String()) // fills the accept queue: no other connection is established
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer func() { _ = filler.Close() }()
-	e, o, _ := start(t)
-	n := newEnd()
-	o.on(func() { n.net = e.Dial(ln.Addr().String(), n) })
+	e, o, _ := startEngine(t)
+	n := newTestHandler()
+	o.run(func() { n.conn = e.Dial(ln.Addr().String(), n) })
 	e.Close()
 	if err := <-n.closed; !errors.Is(err, context.Canceled) || len(n.connected) > 0 {
 		t.Errorf("error %v, connected %d times", err, len(n.connected))
 	}
 }
 
-// What comes after an error is read a little further, so that the other side sees the answer and the end of it, and
-// goes to nobody.
-func TestAFinishedConnectionIsNotReadOn(t *testing.T) {
-	e, o, accepted := start(t)
+// After Finish, some received data is still read and discarded, so that the other end can receive the answer and its end.
+func TestFinishedConnectionDiscardsData(t *testing.T) {
+	e, o, accepted := startEngine(t)
 	c, err := net.Dial("tcp", e.gates[0].Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer func() { _ = c.Close() }()
 	n := <-accepted
-	o.on(func() { n.net.Write([]byte("no")); n.net.Finish() })
+	o.run(func() { n.conn.Write([]byte("no")); n.conn.Finish() })
 	if got, err := io.ReadAll(c); err != nil || string(got) != "no" {
 		t.Errorf("got %q, %v", got, err)
 	}
 	flood := make([]byte, 64<<10)
-	for err == nil { // until the engine closes: the test hangs here if it never does
+	for err == nil { // until the engine closes the connection: otherwise the test hangs here
 		_, err = c.Write(flood)
 	}
-	<-n.closed //nolint:errcheck // that it comes is what is waited for: the reason may be none
+	<-n.closed //nolint:errcheck // waits for the call; its error may be nil
 	if len(n.data) > 0 {
-		t.Error("bytes that are not wanted were handed on")
+		t.Error("discarded data was passed to the handler")
 	}
 }
 
-// A client that sends at full speed waits for the owner, and its bytes not in memory: nothing is read while a turn lasts.
-func TestReadingWaitsForTheOwner(t *testing.T) {
-	e, o, accepted := start(t)
+// Nothing is read while another turn lasts, so that a fast sender is held back instead of its data piling up in memory.
+func TestReadWaitsForTurn(t *testing.T) {
+	e, o, accepted := startEngine(t)
 	c, err := net.Dial("tcp", e.gates[0].Addr().String())
 	if err != nil {
 		t.Fatal(err)
@@ -198,7 +197,7 @@
 		written += some
 	}
 	if len(n.data) > 0 {
-		t.Error("bytes were handed on while another had the turn")
+		t.Error("data was passed to the handler during another turn")
 	}
 	got := 0
 	close(goOn)
@@ -207,9 +206,9 @@
 	}
 }
 
-// What had arrived when an echo was asked for has been handed over when it comes.
-func TestAnEchoComesAfterWhatWasThere(t *testing.T) {
-	e, o, accepted := start(t)
+// Data that arrived before the call of Echo is passed on before Echo's callback.
+func TestEchoFollowsArrivedData(t *testing.T) {
+	e, o, accepted := startEngine(t)
 	c, err := net.Dial("tcp", e.gates[0].Addr().String())
 	if err != nil {
 		t.Fatal(err)
@@ -218,7 +217,7 @@
 	n := <-accepted
 	for range 200 {
 		echoed := make(chan int, 1)
-		o.on(func() { // nothing is read meanwhile
+		o.run(func() { // nothing is read during this turn
 			if _, err := c.Write([]byte("told")); err != nil {
 				t.Error(err)
 			}
@@ -227,33 +226,33 @@
 			}
 		})
 		if <-echoed != 1 {
-			t.Fatal("the echo came before what had arrived")
+			t.Fatal("Echo's callback ran before the arrived data was passed on")
 		}
 		<-n.data
 	}
 }
 
-// unread waits until the engine has read all that a client of this process sent, as the system's table of connections has it.
-func unread(t *testing.T, c net.Conn) {
+// waitUntilRead waits until the engine has read all data that a client in this process sent, according to /proc/net/tcp.
+func waitUntilRead(t *testing.T, c net.Conn) {
 	t.Helper()
 	row := fmt.Sprintf("0100007F:%04X 0100007F:%04X 01 ", c.RemoteAddr().(*net.TCPAddr).Port, c.LocalAddr().(*net.TCPAddr).Port)
 	for till := time.Now().Add(20 * time.Second); time.Now().Before(till); {
 		table, err := os.ReadFile("/proc/net/tcp")
 		_, queues, found := strings.Cut(string(table), row)
 		if err != nil || !found {
-			t.Fatal("no such connection: ", err)
+			t.Fatal("connection not found in /proc/net/tcp: ", err)
 		}
 		if queues[:17] == "00000000:00000000" {
 			return
 		}
 	}
-	t.Fatal("what was sent is not read")
+	t.Fatal("the sent data was not read")
 }
 
-// A close over unread bytes destroys what the system still holds back of small writes, so it must hold back none: on
-// connections that were accepted, on an own or an inherited listener, dialled, and given by another process.
-func TestSmallWritesAreNotHeldBack(t *testing.T) {
-	e, o, accepted, near, far, _ := linked(t)
+// Closing a connection with unread data discards small writes that the system has delayed (Nagle's algorithm), so TCP_NODELAY must
+// be set on all connections: accepted from an own or an inherited listener, dialled, and passed by another process.
+func TestNoDelayIsSet(t *testing.T) {
+	e, o, accepted, near, far, _ := unixPair(t)
 	check := func(which string, c transport.Conn) {
 		t.Helper()
 		if on, err := syscall.GetsockoptInt(c.(*conn).nb.Hash(), syscall.IPPROTO_TCP, syscall.TCP_NODELAY); err != nil || on != 1 {
@@ -277,27 +276,27 @@
 		if which == "inherited" {
 			e.gates[0].Pause()
 			e.Serve(inherited, 4, func(c transport.Conn) transport.Handler {
-				n := newEnd()
-				n.net = c
+				n := newTestHandler()
+				n.conn = c
 				accepted <- n
 				return n
 			})
 		}
-		dialled := newEnd()
-		o.on(func() { dialled.net = e.Dial(inherited.Addr().String(), dialled) })
+		dialled := newTestHandler()
+		o.run(func() { dialled.conn = e.Dial(inherited.Addr().String(), dialled) })
 		<-dialled.connected
 		held := <-accepted
-		o.on(func() {
-			check("dialled", dialled.net)
-			check(which, held.net)
-			near.net.(transport.ConnSender).SendConn([]byte("with it"), held.net).Drop()
+		o.run(func() {
+			check("dialled", dialled.conn)
+			check(which, held.conn)
+			near.conn.(transport.ConnSender).SendConn([]byte("with it"), held.conn).Drop()
 		})
 		<-far.data
-		adopted := newEnd()
-		o.on(func() {
-			err = e.Adopt(far.net.(transport.ConnSender).Given(), nil, func(c transport.Conn) transport.Handler {
+		adopted := newTestHandler()
+		o.run(func() {
+			err = e.Adopt(far.conn.(transport.ConnSender).Given(), nil, func(c transport.Conn) transport.Handler {
 				check("given", c)
-				adopted.net = c
+				adopted.conn = c
 				return adopted
 			})
 		})
@@ -307,9 +306,9 @@
 	}
 }
 
-// nbio clears the mark of a stop as its poller begins to run: an engine that was closed before that spun for ever.
-func TestAnEngineThatIsClosedAtOnceEnds(t *testing.T) {
-	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(1)) // what is started waits until this goroutine does
+// nbio clears its stop flag when its poller begins to run: the poller of an engine closed before that ran forever.
+func TestCloseRightAfterStart(t *testing.T) {
+	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(1)) // started goroutines don't run until this one blocks
 	before := pollers()
 	for range 20 {
 		e := New(Options{Loop: owner{scheduler.NewLoop(scheduler.SystemClock())}, ConnectTimeout: time.Second})
@@ -323,7 +322,7 @@
 	}
 }
 
-// pollers counts nbio's loops in this process.
+// pollers returns the number of nbio's poller loops in this process.
 func pollers() int {
 	stacks := make([]byte, 4<<20)
 	return strings.Count(string(stacks[:runtime.Stack(stacks, true)]), ").readWriteLoop(")
--- a/balancer/transport/nbionet/unix.go
+++ b/balancer/transport/nbionet/unix.go
@@ -15,34 +15,34 @@
 	"ravendale/balancer/transport"
 )
 
-// local is a connection on a Unix socket, by the standard library and two goroutines. nbio v1.6.8 throws away what the
-// system does not take of a write at once to such a socket (conn_unix.go:719 keeps the rest for TCP alone): a state of more
-// than the socket's buffer reached the process that took over cut short, which then began without it.
-type local struct {
+// unixConn is a connection on a Unix socket. It uses the standard library and two goroutines, because nbio v1.6.8 loses the part
+// of a write that the system does not accept at once on such a socket (conn_unix.go:719 keeps it only for TCP). With nbio, a
+// handover state larger than the socket's buffer arrived truncated, and the new process started without it.
+type unixConn struct {
 	std  net.Conn
 	loop Turns
 	gate *Gate
 
-	handler transport.Handler // the owner's, like gone
+	handler transport.Handler // accessed only in the owner's turns, as closed is
 	closed  bool
 
-	given []int // descriptors that came, the owner's
+	given []int // received descriptors; accessed only in the owner's turns
 
-	mu      sync.Mutex
-	more    sync.Cond
-	queue   []parcel
-	queued  int
-	closing bool
+	mu       sync.Mutex
+	nonEmpty sync.Cond
+	queue    []queuedWrite
+	queued   int
+	closing  bool
 }
 
-// parcel is what is written, with a descriptor or without (0).
-type parcel struct {
+// queuedWrite is a queued write, with a descriptor to pass or without one (0).
+type queuedWrite struct {
 	b  []byte
 	fd int
 }
 
-// serveLocal takes a connection over; begin is called in the first turn, and returns its handler.
-func (e *Engine) serveLocal(l *local, std net.Conn, begin func() transport.Handler) {
+// serveLocal starts serving a connection. It calls begin, which returns the handler, in a turn of the owner.
+func (e *Engine) serveLocal(l *unixConn, std net.Conn, begin func() transport.Handler) {
 	e.loop.Post(func() {
 		if l.std = std; l.closed {
 			l.release()
@@ -56,29 +56,29 @@
 	})
 }
 
-func newLocal(loop Turns, g *Gate) *local {
-	l := &local{loop: loop, gate: g}
-	l.more.L = &l.mu
+func newLocal(loop Turns, g *Gate) *unixConn {
+	l := &unixConn{loop: loop, gate: g}
+	l.nonEmpty.L = &l.mu
 	return l
 }
 
-func (l *local) read() {
-	buf, rights := make([]byte, readBuffer), make([]byte, syscall.CmsgSpace(4*mostRights))
+func (l *unixConn) read() {
+	buf, rights := make([]byte, readBuffer), make([]byte, syscall.CmsgSpace(4*maxDescriptors))
 	unix := l.std.(*net.UnixConn)
 	for {
 		n, m, _, _, err := unix.ReadMsgUnix(buf, rights)
 		if n == 0 && err == nil {
 			err = io.EOF
 		}
-		given := descriptors(rights[:m])
+		fds := descriptors(rights[:m])
 		if n > 0 && l.loop.Begin() {
 			if !l.closed {
-				l.given, given = append(l.given, given...), nil
+				l.given, fds = append(l.given, fds...), nil
 				l.handler.Data(buf[:n])
 			}
 			l.loop.End()
 		}
-		closeAll(given)
+		closeAll(fds)
 		if err != nil {
 			l.loop.Post(func() {
 				if !l.closed {
@@ -91,12 +91,12 @@
 	}
 }
 
-func (l *local) write() {
+func (l *unixConn) write() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for {
 		for len(l.queue) == 0 && !l.closing {
-			l.more.Wait()
+			l.nonEmpty.Wait()
 		}
 		if l.closing {
 			return
@@ -108,20 +108,20 @@
 		l.mu.Lock()
 		l.queued -= n
 		if err != nil {
-			return // the reader tells
+			return // the reader reports it
 		}
 	}
 }
 
-// send writes parcels, and closes their descriptors, whatever comes of it.
-func send(to *net.UnixConn, all []parcel) (written int, err error) {
+// send writes parcels. It closes their descriptors even if a write fails.
+func send(to *net.UnixConn, all []queuedWrite) (written int, err error) {
 	for _, p := range all {
 		if err != nil {
 			p.close()
 			continue
 		}
 		b := p.b
-		if p.fd > 0 { // the descriptor goes with the first byte
+		if p.fd > 0 { // the descriptor is sent with the first byte
 			var n int
 			n, _, err = to.WriteMsgUnix(b, syscall.UnixRights(p.fd), nil)
 			b, written = b[n:], written+n
@@ -136,16 +136,17 @@
 	return written, err
 }
 
-func (p *parcel) close() {
+func (p *queuedWrite) close() {
 	if p.fd > 0 {
 		_ = syscall.Close(p.fd)
 	}
 }
 
-// mostRights is how many descriptors one read brings at most. The system ends a read after those of one write.
-const mostRights = 4
+// maxDescriptors is the maximum number of descriptors received by one read. The system ends a read after the descriptors of one
+// write.
+const maxDescriptors = 4
 
-// descriptors reads those that came with a read.
+// descriptors returns the descriptors received with a read, from its control messages.
 func descriptors(rights []byte) (all []int) {
 	messages, err := syscall.ParseSocketControlMessage(rights)
 	if err != nil {
@@ -168,7 +169,7 @@
 }
 
 // SendConn implements transport.ConnSender.
-func (l *local) SendConn(b []byte, c transport.Conn) transport.Given {
+func (l *unixConn) SendConn(b []byte, c transport.Conn) transport.Given {
 	n, ok := c.(*conn)
 	if !ok || l.closed {
 		return nil
@@ -177,39 +178,39 @@
 	if err != nil {
 		return nil
 	}
-	kept, err := syscall.Dup(fd)
+	duplicate, err := syscall.Dup(fd)
 	if err != nil {
-		kept = -1 // it can't be taken back then
+		duplicate = -1 // the connection can't be adopted again then
 	}
-	syscall.CloseOnExec(kept)
-	l.enqueue(parcel{append([]byte(nil), b...), fd})
-	return given(kept)
+	syscall.CloseOnExec(duplicate)
+	l.enqueue(queuedWrite{append([]byte(nil), b...), fd})
+	return passedConn(duplicate)
 }
 
 // Given implements transport.ConnSender.
-func (l *local) Given() transport.Given {
+func (l *unixConn) Given() transport.Given {
 	if len(l.given) == 0 {
 		return nil
 	}
-	g := given(l.given[0])
+	g := passedConn(l.given[0])
 	l.given = l.given[1:]
 	return g
 }
 
-// given is the descriptor of a connection that goes from one process to another.
-type given int
+// passedConn is the descriptor of a connection that is passed between processes.
+type passedConn int
 
-func (g given) Drop() { _ = syscall.Close(int(g)) }
+func (g passedConn) Drop() { _ = syscall.Close(int(g)) }
 
-// Adopt serves a connection that came from another process; accept is called at once. Its caller has the turn of the
-// engine's loop. A gate, if there is one, counts it as its own.
+// Adopt serves a connection passed by another process. It calls accept before it returns, and must be called in a turn of the
+// engine's loop. If gate is not nil, the connection counts towards the gate's limit.
 func (e *Engine) Adopt(g transport.Given, gate *Gate, accept func(transport.Conn) transport.Handler) error {
-	fd, ok := g.(given)
+	fd, ok := g.(passedConn)
 	if !ok || fd < 0 {
-		return errNotGiven
+		return errNoDescriptor
 	}
 	f := os.NewFile(uintptr(fd), "given")
-	std, err := net.FileConn(f) // a copy
+	std, err := net.FileConn(f) // duplicates the descriptor
 	_ = f.Close()
 	if err != nil {
 		return fmt.Errorf("a connection that was given: %w", err)
@@ -219,9 +220,9 @@
 		_ = std.Close()
 		return fmt.Errorf("a connection that was given: %w", err)
 	}
-	n := &conn{e: e, nb: c, open: true, gate: gate}
-	if hold(c, n); gate != nil {
-		gate.admit()
+	n := &conn{engine: e, nb: c, open: true, gate: gate}
+	if attachSession(c, n); gate != nil {
+		gate.add()
 	}
 	if err := e.add(c); err != nil {
 		n.closed = true
@@ -234,15 +235,16 @@
 	return nil
 }
 
-var errNotGiven = errors.New("that connection came from nowhere")
+var errNoDescriptor = errors.New("the connection to adopt has no descriptor")
 
-// detach takes a connection out of this process, without its other side seeing it: what is returned is a descriptor of it
-// that nobody serves. nbio (v1.6.8, poller_epoll.go:138) leaves it to the system to take a closed descriptor out of epoll,
-// which it does only once no process has the connection: until then events of it would reach whoever gets the number
-// next, and end an innocent connection. So it is taken out first, by the poller's own descriptor, which nbio does not show.
+// detach stops serving a connection without closing it, and returns a copy of its descriptor. nbio (v1.6.8,
+// poller_epoll.go:138) relies on the system to remove a closed descriptor from epoll, but the system does that only once no
+// process has the connection open. Until then, events of the connection would be attributed to the next connection with the
+// same descriptor number and could close it. So detach first removes the descriptor from epoll, using the poller's epoll
+// descriptor, which nbio does not export.
 func (n *conn) detach() (int, error) {
 	if n.closed || !n.open || n.Unwritten() > 0 {
-		return 0, errIncomplete
+		return 0, errNotTransferable
 	}
 	poller := reflect.ValueOf(n.nb).Elem().FieldByName("p")
 	if !poller.IsValid() || poller.Kind() != reflect.Pointer || poller.IsNil() {
@@ -262,14 +264,14 @@
 	if err == nil {
 		n.closed = true
 		closeIt := func() { _ = n.nb.Close() }
-		if n.e.Echo(closeIt) != nil { // the poller may have an event of it still: see leave
+		if n.engine.Echo(closeIt) != nil { // the poller may still hold an event of this connection: see disconnect
 			closeIt()
 		}
 	}
 	return fd, err
 }
 
-// copyOut returns a copy of a descriptor, which it takes out of epoll.
+// copyOut returns a copy of a descriptor and removes the original from epoll.
 func copyOut(fd, epoll int) (int, error) {
 	other, err := syscall.Dup(fd)
 	if err != nil {
@@ -284,54 +286,55 @@
 }
 
 var (
-	errIncomplete = errors.New("something is still to be written")
-	errNoPoller   = errors.New("nbio's poller is not known")
+	errNotTransferable = errors.New("the connection is not open, or has unwritten data")
+	errNoPoller        = errors.New("cannot access nbio's epoll descriptor")
 )
 
-// maxQueued is how many bytes may wait for the other process. One that does not read is as good as gone.
+// maxQueued is the maximum number of bytes queued for the other process. Beyond it, the connection is closed: that process has
+// stopped reading.
 const maxQueued = 16 << 20
 
-var errBehind = errors.New("the other process does not read")
+var errQueueFull = errors.New("write queue is full: the other process does not read")
 
-func (l *local) Write(b []byte) {
+func (l *unixConn) Write(b []byte) {
 	if l.closed {
 		return
 	}
-	l.enqueue(parcel{b: append([]byte(nil), b...)})
+	l.enqueue(queuedWrite{b: append([]byte(nil), b...)})
 }
 
-func (l *local) enqueue(p parcel) {
+func (l *unixConn) enqueue(p queuedWrite) {
 	l.mu.Lock()
 	l.queue = append(l.queue, p)
 	l.queued += len(p.b)
-	behind := l.queued > maxQueued
+	queueFull := l.queued > maxQueued
 	l.mu.Unlock()
-	l.more.Signal()
-	if behind {
+	l.nonEmpty.Signal()
+	if queueFull {
 		l.release()
-		l.loop.Post(func() { l.handler.Closed(errBehind) })
+		l.loop.Post(func() { l.handler.Closed(errQueueFull) })
 	}
 }
 
-func (l *local) Unwritten() int {
+func (l *unixConn) Unwritten() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.queued
 }
 
-func (l *local) Ignore()      {}
-func (l *local) Peer() string { return "" }
-func (l *local) Finish()      {}
+func (l *unixConn) Ignore()      {}
+func (l *unixConn) Peer() string { return "" }
+func (l *unixConn) Finish()      {}
 
-// Close ends the connection; the handler hears no more.
-func (l *local) Close() {
+// Close closes the connection; the handler is not called any more.
+func (l *unixConn) Close() {
 	if !l.closed {
 		l.release()
 	}
 }
 
-// release gives back what it holds, in the owner's turn.
-func (l *local) release() {
+// release closes the socket and all descriptors, and leaves the gate. It is called in a turn of the owner.
+func (l *unixConn) release() {
 	l.closed = true
 	closeAll(l.given)
 	l.given = nil
@@ -342,12 +345,12 @@
 	}
 	l.queue = nil
 	l.mu.Unlock()
-	l.more.Signal()
+	l.nonEmpty.Signal()
 	if l.std != nil {
 		_ = l.std.Close()
 	}
 	if l.gate != nil {
-		l.gate.left()
+		l.gate.release()
 		l.gate = nil
 	}
 }
--- a/balancer/transport/nbionet/unix_test.go
+++ b/balancer/transport/nbionet/unix_test.go
@@ -12,34 +12,34 @@
 	"ravendale/balancer/transport"
 )
 
-// linked returns an engine and the ends of a Unix socket to itself; clients are what it accepts by TCP.
-func linked(t *testing.T) (e *Engine, o owner, clients chan *end, near, far *end, path string) {
+// unixPair returns an engine and both ends of a Unix socket connection to itself; clients receives its accepted TCP connections.
+func unixPair(t *testing.T) (e *Engine, o owner, clients chan *testHandler, near, far *testHandler, path string) {
 	t.Helper()
-	e, o, clients = start(t)
+	e, o, clients = startEngine(t)
 	path = filepath.Join(t.TempDir(), "s")
 	ln, err := ListenUnix(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	accepted := make(chan *end, 1)
+	accepted := make(chan *testHandler, 1)
 	e.Serve(ln, 2, func(c transport.Conn) transport.Handler {
-		n := newEnd()
-		n.net = c
+		n := newTestHandler()
+		n.conn = c
 		accepted <- n
 		return n
 	})
-	near = newEnd()
-	o.on(func() { near.net = e.Dial(path, near) })
+	near = newTestHandler()
+	o.run(func() { near.conn = e.Dial(path, near) })
 	<-near.connected
 	return e, o, clients, near, <-accepted, path
 }
 
-// What is written to a Unix socket comes whole, however much it is: nbio alone loses what the system does not take at once.
-func TestAUnixSocketCarriesMoreThanItsBuffer(t *testing.T) {
-	e, o, _, near, far, path := linked(t)
+// A write to a Unix socket of any size arrives completely. nbio itself loses the part that the system does not accept at once.
+func TestUnixSocketLargeWrite(t *testing.T) {
+	e, o, _, near, far, path := unixPair(t)
 	text := bytes.Repeat([]byte("0123456789abcdef"), 256<<10)
 	held, goOn := make(chan struct{}), make(chan struct{})
-	o.Post(func() { near.net.Write(text); close(held); <-goOn }) // nothing is read meanwhile
+	o.Post(func() { near.conn.Write(text); close(held); <-goOn }) // nothing is read during this turn
 	<-held
 	close(goOn)
 	var got []byte
@@ -47,64 +47,64 @@
 		got = append(got, <-far.data...)
 	}
 	if !bytes.Equal(got, text) {
-		t.Errorf("%d bytes came otherwise", len(text))
+		t.Errorf("%d bytes were not received unchanged", len(text))
 	}
-	o.on(func() { far.net.Write([]byte("back")) })
+	o.run(func() { far.conn.Write([]byte("back")) })
 	if back := <-near.data; string(back) != "back" {
 		t.Errorf("got %q", back)
 	}
-	o.on(func() { near.net.Close() })
+	o.run(func() { near.conn.Close() })
 	if err := <-far.closed; err == nil {
-		t.Error("the end was not told")
+		t.Error("closed without a reason")
 	}
-	none := newEnd()
-	o.on(func() { none.net = e.Dial(path+"x", none) })
+	none := newTestHandler()
+	o.run(func() { none.conn = e.Dial(path+"x", none) })
 	if err := <-none.closed; err == nil || len(none.connected) > 0 {
-		t.Error("nobody listens there")
+		t.Error("a dial without a listener succeeded")
 	}
 }
 
-// Another process that does not read costs no more memory than a bound: its connection ends.
-func TestAUnixSocketThatNobodyReadsEnds(t *testing.T) {
-	e, o, _ := start(t)
+// The connection to a process that does not read is closed once maxQueued is exceeded.
+func TestUnixSocketQueueLimit(t *testing.T) {
+	e, o, _ := startEngine(t)
 	path := filepath.Join(t.TempDir(), "s")
 	ln, err := ListenUnix(path)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer func() { _ = ln.Close() }()
-	n := newEnd()
-	o.on(func() { n.net = e.Dial(path, n) })
+	n := newTestHandler()
+	o.run(func() { n.conn = e.Dial(path, n) })
 	<-n.connected
 	text := make([]byte, 1<<20)
-	o.on(func() {
+	o.run(func() {
 		for range maxQueued>>20 + 4 {
-			n.net.Write(text)
+			n.conn.Write(text)
 		}
 	})
-	if err := <-n.closed; !errors.Is(err, errBehind) {
+	if err := <-n.closed; !errors.Is(err, errQueueFull) {
 		t.Error(err)
 	}
-	o.on(func() {
-		if left := n.net.Unwritten(); left > maxQueued+len(text) {
+	o.run(func() {
+		if left := n.conn.Unwritten(); left > maxQueued+len(text) {
 			t.Errorf("%d bytes wait", left)
 		}
 	})
 }
 
-// A connection goes to another process with what is written beside it, in order, and its client sees nothing of that.
-func TestAConnectionIsGivenAway(t *testing.T) {
-	e, o, accepted, near, far, _ := linked(t)
+// A connection is passed to another process along with data, in order, and its client does not notice.
+func TestPassConnection(t *testing.T) {
+	e, o, accepted, near, far, _ := unixPair(t)
 	client, err := net.Dial("tcp", e.gates[0].Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
-	held, adopted := <-accepted, newEnd()
-	o.on(func() { near.net.(transport.ConnSender).SendConn([]byte("with it"), held.net).Drop() })
+	held, adopted := <-accepted, newTestHandler()
+	o.run(func() { near.conn.(transport.ConnSender).SendConn([]byte("with it"), held.conn).Drop() })
 	text := <-far.data
-	o.on(func() {
-		err = e.Adopt(far.net.(transport.ConnSender).Given(), nil, func(c transport.Conn) transport.Handler {
-			adopted.net = c
+	o.run(func() {
+		err = e.Adopt(far.conn.(transport.ConnSender).Given(), nil, func(c transport.Conn) transport.Handler {
+			adopted.conn = c
 			c.Write([]byte("answer"))
 			return adopted
 		})
@@ -116,45 +116,45 @@
 	n, err := client.Read(buf)
 	_, _ = client.Write([]byte("more"))
 	if more := <-adopted.data; string(text)+string(buf[:n])+string(more) != "with itanswermore" {
-		t.Errorf("%q, %q and %q came, %v", text, buf[:n], more, err)
+		t.Errorf("received %q, %q and %q, %v", text, buf[:n], more, err)
 	}
 	_ = client.Close()
 	if err := <-adopted.closed; err == nil {
 		t.Error("closed without a reason")
 	}
 	if len(held.closed)+len(held.data) > 0 {
-		t.Error("whoever gave it away heard of it again")
+		t.Error("the sender's handler was called after the connection was passed")
 	}
 }
 
-// onData is an end that does something in the turn in which bytes come.
-type onData struct {
-	*end
-	do func()
+// dataHook is a testHandler that calls a function in the turn in which data arrives.
+type dataHook struct {
+	*testHandler
+	hook func()
 }
 
-func (e onData) Data(b []byte) {
-	e.do()
-	e.end.Data(b)
+func (e dataHook) Data(b []byte) {
+	e.hook()
+	e.testHandler.Data(b)
 }
 
-// What epoll told of a connection before that was closed must not end another that has its number by then. The poller has both
-// events, of bytes and of two ends, from one call; while it hands over the bytes, the two connections are closed or written to,
-// and a third is dialled, which gets the numbers of both: one while it is made, and one to stay.
-func TestANewcomerOutlivesWhoHadItsNumber(t *testing.T) {
+// An event that epoll reported for a closed connection must not close another connection that has reused the descriptor number.
+// The poller fetches the events of received data and of two closed connections in one call. While it passes on the data, the two
+// connections are closed or written to, and a third one is dialled, which gets both numbers: one during the dial, and one to stay.
+func TestDescriptorReuseDuringEvents(t *testing.T) {
 	for how, leave := range map[string]func(c transport.Conn){
 		"closed":  func(c transport.Conn) { c.Close() },
 		"written": func(c transport.Conn) { c.Write([]byte("too late")) },
 	} {
 		t.Run(how, func(t *testing.T) {
-			e, o, accepted := start(t)
+			e, o, accepted := startEngine(t)
 			far, err := net.Listen("tcp", "127.0.0.1:0")
 			if err != nil {
 				t.Fatal(err)
 			}
 			defer func() { _ = far.Close() }()
 			var clients []*net.TCPConn
-			var held []*end
+			var held []*testHandler
 			dial := func() {
 				c, err := net.Dial("tcp", e.gates[0].Addr().String())
 				if err != nil {
@@ -165,23 +165,23 @@
 			for range 4 {
 				dial()
 			}
-			newcomer := &conn{handler: newEnd()}
-			o.on(func() {
-				held[1].net.(*conn).handler = onData{held[1], func() {
-					leave(held[2].net)
-					leave(held[3].net)
+			newcomer := &conn{handler: newTestHandler()}
+			o.run(func() {
+				held[1].conn.(*conn).handler = dataHook{held[1], func() {
+					leave(held[2].conn)
+					leave(held[3].conn)
 					newcomer.connected(e.dial(context.Background(), far.Addr().String(), newcomer))
 				}}
 			})
-			o.Begin() // the poller waits for the turn with the first one's bytes, and what comes meanwhile it gets at once
+			o.Begin() // the poller waits for the turn with the first client's data, and fetches all later events in one call
 			_, _ = clients[0].Write([]byte("first"))
-			unread(t, clients[0])
+			waitUntilRead(t, clients[0])
 			_, _ = clients[1].Write([]byte("second"))
 			for _, c := range clients[2:] {
 				_ = c.SetLinger(0)
 				_ = c.Close()
 			}
-			for last := held[3].net.(*conn).nb.Hash(); ; { // no lower number is to be free than theirs
+			for last := held[3].conn.(*conn).nb.Hash(); ; { // no lower descriptor number may be free than theirs
 				fd, err := syscall.Dup(0)
 				if err != nil {
 					t.Fatal(err)
@@ -193,16 +193,16 @@
 			}
 			o.End()
 			<-held[1].data
-			passed := make(chan struct{}) // all that epoll had told by then
-			o.on(func() {
+			passed := make(chan struct{}) // closed after all events fetched by then were handled
+			o.run(func() {
 				if err := e.Echo(func() { close(passed) }); err != nil {
 					t.Error(err)
 				}
 			})
 			<-passed
-			o.on(func() {
+			o.run(func() {
 				if closed, err := newcomer.nb.IsClosed(); closed {
-					t.Error("the newcomer was ended: ", err)
+					t.Error("the new connection was closed: ", err)
 				}
 			})
 			for _, c := range clients[:2] {
@@ -212,8 +212,8 @@
 	}
 }
 
-// What was given away must not stay in epoll, which would tell its events to whoever has the number next.
-func TestACopyLeavesEpoll(t *testing.T) {
+// A passed connection must not stay in epoll, whose events would be attributed to the next connection with its descriptor number.
+func TestCopyOutRemovesFromEpoll(t *testing.T) {
 	fds, _ := syscall.Socketpair(syscall.AF_UNIX, syscall.SOCK_STREAM, 0)
 	epoll, _ := syscall.EpollCreate1(0)
 	err := syscall.EpollCtl(epoll, syscall.EPOLL_CTL_ADD, fds[0], &syscall.EpollEvent{Events: syscall.EPOLLIN})
--- a/balancer/transport/transport.go
+++ b/balancer/transport/transport.go
@@ -1,41 +1,41 @@
 package transport
 
-// Conn is one side of a stream.
+// Conn is one end of a byte stream.
 type Conn interface {
-	Write(b []byte) // what can't be written at once is buffered
-	Ignore()        // throws away what comes from now on; an end in a flood of it is still reported
-	Finish()        // as Ignore, and tells the other side after what was written that nothing follows
-	Close()         // drops what is buffered; the handler hears no more
-	// Unwritten is how many bytes are known not to have been handed to the system. It still counts
+	Write(b []byte) // buffers what can't be written at once
+	Ignore()        // discards all data received from now on; the end of the connection is still reported, however much data precedes it
+	Finish()        // like Ignore, and closes the write side once all buffered data has been written
+	Close()         // drops buffered data; the handler is not called any more
+	// Unwritten returns the number of bytes written to the Conn that the operating system has not accepted. It stays valid
 	// after the connection has closed.
 	Unwritten() int
-	Peer() string // the address of the other side, for people
+	Peer() string // the address of the other end, for logs
 }
 
-// Handler hears of one connection. Closed comes once, unless the connection is closed by Conn.Close.
+// Handler receives the events of one connection. Closed is called once, unless Conn.Close has closed the connection.
 type Handler interface {
-	Connected() // of a dialled connection
+	Connected() // a dialled connection is established
 	Data(b []byte)
 	Closed(err error)
 }
 
-// Network dials. Closed comes for a dial that failed; Connected comes before anything else otherwise.
+// Network dials connections. If a dial fails, the handler's Closed is called; otherwise Connected is called first.
 type Network interface {
 	Dial(addr string, h Handler) Conn
 }
 
-// ConnSender is a Conn to another process of this machine, by which connections can be given away.
+// ConnSender is a Conn to another process on this machine that can pass connections to that process.
 type ConnSender interface {
 	Conn
-	// SendConn writes b, and gives a connection away with it: this process hears nothing of that any more. What it returns is
-	// that connection too, to be dropped once the other process has it, or to be taken back. Nil: it can't be given, and
-	// nothing has changed.
+	// SendConn writes b and passes the connection c along with it; c's handler is not called any more. The result is this
+	// process's own copy of c, to be dropped once the other process has received it, or to be adopted again. If c can't be
+	// passed, SendConn returns nil and changes nothing.
 	SendConn(b []byte, c Conn) Given
-	// Given is the next connection that came, in the order of what they were written with: by the time that the last byte
-	// of that has come it is there. Nil if there is none.
+	// Given returns the next connection received, or nil. Connections arrive in the order of the data they were sent with, at
+	// the latest with the last byte of that data.
 	Given() Given
 }
 
-// Given is a connection that goes from one process to another and is nobody's yet. Drop gives up this process's hold on it:
-// its other side sees an end only once no process has one.
+// Given is a connection passed between processes that no engine serves yet. Drop closes this process's copy of it; the other
+// end sees the connection closed only once every process has closed its copy.
 type Given interface{ Drop() }
--- a/balancer/xmlfile/xmlfile.go
+++ b/balancer/xmlfile/xmlfile.go
@@ -14,21 +14,21 @@
 	"time"
 )
 
-// MaxSize bounds a file, in bytes, and maxDepth how deep its elements go.
+// MaxSize is the maximum size of a file in bytes, maxDepth the maximum nesting of its elements.
 const (
 	MaxSize  = 1 << 20
 	maxDepth = 16
 )
 
-// Problem is one thing that is wrong with a file.
+// Problem is one error in a file.
 type Problem struct {
 	File    string
 	Line    int    // from 1
-	Element string // "" where the file is no XML at all
+	Element string // "" if the error does not concern one element
 	Reason  string
 }
 
-// Error names file and line, the element where there is one, and what is wrong.
+// Error returns the file, the line, the element if there is one, and the reason.
 func (p *Problem) Error() string {
 	if p.Element == "" {
 		return fmt.Sprintf("%s:%d: %s", p.File, p.Line, p.Reason)
@@ -36,10 +36,10 @@
 	return fmt.Sprintf("%s:%d: <%s>: %s", p.File, p.Line, p.Element, p.Reason)
 }
 
-// Problems are all that is wrong with a file, in the order of its lines.
+// Problems holds all errors in a file, in the order of their lines.
 type Problems []*Problem
 
-// Error has a line for each problem.
+// Error returns one line per problem.
 func (ps Problems) Error() string {
 	lines := make([]string, len(ps))
 	for i, p := range ps {
@@ -48,20 +48,21 @@
 	return strings.Join(lines, "\n")
 }
 
-// Checker is a value that knows what else must hold of it once it is read; bad tells one thing that does not.
+// Checker is implemented by values with further constraints. Check is called once the value has been read without problems, and
+// calls bad for each violation.
 type Checker interface{ Check(bad func(reason string)) }
 
-// Read reads text into the struct that v points to. A field is an attribute (tag `xml:"name,attr"`), a child element
-// (`xml:"name"`: a struct, a pointer to one for one that may be absent, a slice for any number), or not read (no tag). A
-// second tag `required:"true"` asks for it. Attributes are strings, numbers, true or false, times with a unit ("250ms"), or
-// whatever reads itself as encoding.TextUnmarshaler. Values that v has already are the defaults. The error is Problems.
+// Read decodes text into the struct that v points to. A field is an attribute (tag `xml:"name,attr"`), a child element
+// (`xml:"name"`: a struct, a pointer to a struct if the element is optional, or a slice for any number), or not read (no tag).
+// A second tag `required:"true"` makes it mandatory. Attributes are strings, numbers, true or false, durations with a unit
+// ("250ms"), or implement encoding.TextUnmarshaler. Values that v already has are the defaults. The error is of type Problems.
 func Read(file string, text []byte, root string, v any) error {
 	r := &reader{file: file}
 	top := r.parse(text)
 	switch {
 	case top == nil:
 	case top.name != root:
-		r.bad(top.line, top.name, "the file's element is to be <%s>", root)
+		r.addProblem(top.line, top.name, "the file's element is to be <%s>", root)
 	default:
 		r.fill(top, reflect.ValueOf(v).Elem())
 	}
@@ -72,13 +73,13 @@
 	return r.problems
 }
 
-// element is one of the file, with where it stands.
+// element is an element of the file with its line.
 type element struct {
 	name     string
 	line     int
 	attrs    []xml.Attr
 	children []*element
-	text     bool // it holds text that is no blank
+	text     bool // it contains text other than white space
 }
 
 type reader struct {
@@ -86,14 +87,14 @@
 	problems Problems
 }
 
-func (r *reader) bad(line int, element, reason string, args ...any) {
+func (r *reader) addProblem(line int, element, reason string, args ...any) {
 	r.problems = append(r.problems, &Problem{r.file, line, element, fmt.Sprintf(reason, args...)})
 }
 
-// parse reads the elements, or tells why it can't.
+// parse parses the elements and returns the root element, or adds a problem and returns nil.
 func (r *reader) parse(text []byte) (top *element) {
 	if len(text) > MaxSize {
-		r.bad(1, "", "the file is larger than %d bytes", MaxSize)
+		r.addProblem(1, "", "the file is larger than %d bytes", MaxSize)
 		return nil
 	}
 	dec := xml.NewDecoder(bytes.NewReader(text))
@@ -105,7 +106,7 @@
 		case errors.Is(err, io.EOF) && top != nil:
 			return top
 		case errors.Is(err, io.EOF):
-			r.bad(1, "", "the file holds no element")
+			r.addProblem(1, "", "the file holds no element")
 			return nil
 		case err != nil:
 			line, _ = dec.InputPos()
@@ -113,7 +114,7 @@
 			if errors.As(err, &syntax) {
 				line, err = syntax.Line, errors.New(syntax.Msg)
 			}
-			r.bad(line, "", "not XML: %v", err)
+			r.addProblem(line, "", "not XML: %v", err)
 			return nil
 		}
 		switch t := token.(type) {
@@ -133,40 +134,40 @@
 				open[len(open)-1].text = true
 			}
 		case xml.Directive:
-			r.bad(line, "", "declarations of types and entities are not read")
+			r.addProblem(line, "", "declarations of types and entities are not read")
 			return nil
 		}
 	}
 }
 
-// start makes an element and puts it into the innermost open one; nil where it may not stand there.
+// start creates an element as a child of the innermost open one. It returns nil if the element is not allowed there.
 func (r *reader) start(t xml.StartElement, line int, open []*element, hasTop bool) *element {
 	e := &element{name: t.Name.Local, line: line, attrs: t.Attr}
 	if t.Name.Space != "" {
-		r.bad(line, e.name, "names of another space are not known here")
+		r.addProblem(line, e.name, "names of another space are not known here")
 	}
 	switch {
 	case len(open) == maxDepth:
-		r.bad(line, e.name, "elements are more than %d deep", maxDepth)
+		r.addProblem(line, e.name, "elements are more than %d deep", maxDepth)
 		return nil
 	case len(open) > 0:
 		in := open[len(open)-1]
 		in.children = append(in.children, e)
 	case hasTop:
-		r.bad(line, e.name, "the file has a second element at its top")
+		r.addProblem(line, e.name, "the file has a second element at its top")
 		return nil
 	}
 	return e
 }
 
-// tagged is a field of a struct by its tag.
-type tagged struct {
+// taggedField is a field of a struct with the meaning of its tags.
+type taggedField struct {
 	name           string
 	attr, required bool
 	value          reflect.Value
 }
 
-func taggedFields(v reflect.Value) (ps []tagged) {
+func taggedFields(v reflect.Value) (ps []taggedField) {
 	for i := range v.NumField() {
 		tags := v.Type().Field(i).Tag
 		tag, given := tags.Lookup("xml")
@@ -174,17 +175,17 @@
 			continue
 		}
 		options := strings.Split(tag, ",")
-		ps = append(ps, tagged{options[0], slices.Contains(options[1:], "attr"), tags.Get("required") == "true", v.Field(i)})
+		ps = append(ps, taggedField{options[0], slices.Contains(options[1:], "attr"), tags.Get("required") == "true", v.Field(i)})
 	}
 	return ps
 }
 
 func (r *reader) fill(e *element, v reflect.Value) {
-	before := len(r.problems)
+	problemsBefore := len(r.problems)
 	ps := taggedFields(v)
 	given := make(map[string]bool)
 	if e.text {
-		r.bad(e.line, e.name, "text has no place here")
+		r.addProblem(e.line, e.name, "text has no place here")
 	}
 	r.fillAttrs(e, ps, given)
 	r.fillChildren(e, ps, given)
@@ -192,44 +193,44 @@
 		switch {
 		case !p.required:
 		case p.attr && !given["@"+p.name]:
-			r.bad(e.line, e.name, "the attribute %s is missing", p.name)
+			r.addProblem(e.line, e.name, "the attribute %s is missing", p.name)
 		case !p.attr && !given[p.name]:
-			r.bad(e.line, e.name, "the element <%s> is missing", p.name)
+			r.addProblem(e.line, e.name, "the element <%s> is missing", p.name)
 		}
 	}
-	if c, ok := v.Addr().Interface().(Checker); ok && len(r.problems) == before {
-		c.Check(func(reason string) { r.bad(e.line, e.name, "%s", reason) })
+	if c, ok := v.Addr().Interface().(Checker); ok && len(r.problems) == problemsBefore {
+		c.Check(func(reason string) { r.addProblem(e.line, e.name, "%s", reason) })
 	}
 }
 
-// fillAttrs sets the fields of an element's attributes, and notes in given which there were.
-func (r *reader) fillAttrs(e *element, ps []tagged, given map[string]bool) {
+// fillAttrs sets the fields for an element's attributes, and records in given which attributes it has.
+func (r *reader) fillAttrs(e *element, ps []taggedField, given map[string]bool) {
 	for _, a := range e.attrs {
 		if a.Name.Space != "" || a.Name.Local == "xmlns" {
-			// xsi:noNamespaceSchemaLocation and the like are for other readers.
+			// xsi:noNamespaceSchemaLocation and similar attributes are for other programs.
 			if a.Name.Space != "xmlns" && !strings.HasSuffix(a.Name.Space, "/XMLSchema-instance") {
-				r.bad(e.line, e.name, "%s: names of another space are not known here", a.Name.Local)
+				r.addProblem(e.line, e.name, "%s: names of another space are not known here", a.Name.Local)
 			}
 			continue
 		}
-		i := slices.IndexFunc(ps, func(p tagged) bool { return p.attr && p.name == a.Name.Local })
+		i := slices.IndexFunc(ps, func(p taggedField) bool { return p.attr && p.name == a.Name.Local })
 		if i < 0 {
-			r.bad(e.line, e.name, "there is no attribute %s", a.Name.Local)
+			r.addProblem(e.line, e.name, "there is no attribute %s", a.Name.Local)
 			continue
 		}
 		given["@"+a.Name.Local] = true
-		if err := set(ps[i].value, a.Value); err != nil {
-			r.bad(e.line, e.name, "%s: %v", a.Name.Local, err)
+		if err := setField(ps[i].value, a.Value); err != nil {
+			r.addProblem(e.line, e.name, "%s: %v", a.Name.Local, err)
 		}
 	}
 }
 
-// fillChildren fills the fields of the elements in an element, and notes in given which there were.
-func (r *reader) fillChildren(e *element, ps []tagged, given map[string]bool) {
+// fillChildren fills the fields for an element's children, and records in given which children it has.
+func (r *reader) fillChildren(e *element, ps []taggedField, given map[string]bool) {
 	for _, c := range e.children {
-		i := slices.IndexFunc(ps, func(p tagged) bool { return !p.attr && p.name == c.name })
+		i := slices.IndexFunc(ps, func(p taggedField) bool { return !p.attr && p.name == c.name })
 		if i < 0 {
-			r.bad(c.line, c.name, "there is no such element in <%s>", e.name)
+			r.addProblem(c.line, c.name, "there is no such element in <%s>", e.name)
 			continue
 		}
 		switch field := ps[i].value; {
@@ -241,7 +242,7 @@
 			r.fill(c, item.Elem())
 			field.Set(reflect.Append(field, item.Elem()))
 		case given[c.name]:
-			r.bad(c.line, c.name, "it stands twice in <%s>", e.name)
+			r.addProblem(c.line, c.name, "it stands twice in <%s>", e.name)
 		case field.Kind() == reflect.Pointer:
 			if field.IsNil() {
 				field.Set(reflect.New(field.Type().Elem()))
@@ -257,13 +258,13 @@
 	}
 }
 
-// set reads the text of an attribute.
-func set(v reflect.Value, text string) error {
+// setField parses the text of an attribute into a field.
+func setField(v reflect.Value, text string) error {
 	if u, ok := v.Addr().Interface().(encoding.TextUnmarshaler); ok {
 		return u.UnmarshalText([]byte(text))
 	}
 	if v.Type() == reflect.TypeFor[time.Duration]() {
-		d, err := duration(text)
+		d, err := parseDuration(text)
 		v.SetInt(int64(d))
 		return err
 	}
@@ -299,9 +300,9 @@
 	return nil
 }
 
-// duration reads one number with one unit, as the schema has it: time.ParseDuration takes signs and sums as well, which
-// are slips in a file.
-func duration(text string) (time.Duration, error) {
+// parseDuration parses a number with one unit, as the schema defines it. time.ParseDuration also accepts signs and sums, which are
+// mistakes in a file.
+func parseDuration(text string) (time.Duration, error) {
 	for _, unit := range []string{"us", "ms", "s", "min", "h"} {
 		number, found := strings.CutSuffix(text, unit)
 		if !found || number == "" || strings.Trim(number, "0123456789.") != "" {
--- a/balancer/xmlfile/xmlfile_test.go
+++ b/balancer/xmlfile/xmlfile_test.go
@@ -76,7 +76,7 @@
 	}
 }
 
-// No bytes make it fail other than by an error with a line of the file.
+// Any error for arbitrary bytes consists of problems with a line of the file; nothing panics.
 func FuzzRead(f *testing.F) {
 	f.Add([]byte(`<s name="a"><must n="1"/></s>`))
 	f.Add([]byte("<s name='a' wait='1ms'>\n<item n='x'/><!-- c --><![CDATA[x]]></s>"))
