--- a/balancer/cores/board.go
+++ b/balancer/cores/board.go
@@ -7,48 +7,48 @@
 )
 
 const (
-	// Lease is how long after its decision a send may begin. What was decided longer ago was decided on a fleet that has
-	// changed since: it goes back unsent, and is decided anew.
+	// Lease is how long after its decision a send may begin. An older decision is based on an outdated state of the fleet: the
+	// send ends as not sent, and the module decides again.
 	Lease = 250 * time.Millisecond
-	// SlowStartLease is that for a server in its slow start. The module counts the budget of a server in its slow start when it
-	// decides; sends that a core that stood still writes all at once count in the window in which they are written. A window of 2
-	// s then holds at most what was decided in 2.1 s.
+	// SlowStartLease is the lease for a server in its slow start. The module charges the budget of such a server when it
+	// decides, but the sends count in the window in which they are written, and a core that was paused writes all pending ones
+	// at once. With this lease a window of 2 s holds at most the sends decided within 2.1 s.
 	SlowStartLease = 100 * time.Millisecond
-	// PulseTimeout is how old the last pulse may be: see Board.Heard. A drain is to be kept within 750 ms of being told; what
-	// the decider had not read by then it has read by the next pulse, or no core begins anything.
+	// PulseTimeout is the maximum age of the last pulse: see Board.Heard. A drain must take effect within 750 ms of its
+	// notification. The decider has read the notification by its next pulse; without a pulse no core begins a send.
 	PulseTimeout = 300 * time.Millisecond
-	// Pulse is how often the decider shows that it hears.
+	// Pulse is the interval at which the decider shows that it is processing its input.
 	Pulse = 50 * time.Millisecond
 )
 
-// Board is what all cores read before they send. The decider alone writes it.
+// Board is the state that all cores read before they send. Only the decider writes it.
 type Board struct {
-	heard atomic.Int64
+	last atomic.Int64 // time of the last pulse
 
 	mu      sync.RWMutex
 	servers map[string]*Server
-	load    []int // servers by core
+	load    []int // number of servers of each core
 }
 
-// NewBoard returns an empty board for so many cores.
+// NewBoard returns an empty board for the given number of cores.
 func NewBoard(cores int) *Board {
 	return &Board{servers: make(map[string]*Server), load: make([]int, cores)}
 }
 
-// Server is one backend server, for as long as it is listed.
+// Server is one backend server on the board; it exists for as long as the server is listed.
 type Server struct {
-	Core  int // that serves it: all its connections are there
+	Core  int // the core that holds all connections to the server
 	addr  atomic.Pointer[string]
-	epoch atomic.Uint64 // counts the times that it was to be avoided
+	epoch atomic.Uint64 // incremented by each Avoid, which invalidates earlier permits
 }
 
-// Heard notes a pulse: everything that had arrived for the decider by then has had its effect on the board.
+// Heard records a pulse: every event that had arrived for the decider by that time has been applied to the board.
 func (b *Board) Heard(at time.Duration) {
-	b.heard.Store(int64(at))
+	b.last.Store(int64(at))
 }
 
-// Deaf says whether the last pulse is too old for anything to begin.
-func (b *Board) Deaf(now time.Duration) bool { return now-time.Duration(b.heard.Load()) > PulseTimeout }
+// Deaf reports whether the last pulse is older than PulseTimeout, so that no send may begin.
+func (b *Board) Deaf(now time.Duration) bool { return now-time.Duration(b.last.Load()) > PulseTimeout }
 
 // Server returns a server, or nil if it is not listed.
 func (b *Board) Server(name string) *Server {
@@ -57,7 +57,7 @@
 	return b.servers[name]
 }
 
-// Address is where a server listens, "" if it is not listed.
+// Address returns the address of a server, "" if it is not listed.
 func (b *Board) Address(name string) string {
 	if s := b.Server(name); s != nil {
 		if addr := s.addr.Load(); addr != nil {
@@ -67,7 +67,7 @@
 	return ""
 }
 
-// List notes where a server listens. A new one goes to the core that serves the fewest.
+// List sets the address of a server. A new server is assigned to the core with the fewest servers.
 func (b *Board) List(name, addr string) {
 	if s := b.Server(name); s != nil {
 		s.addr.Store(&addr)
@@ -86,7 +86,7 @@
 	b.servers[name] = s
 }
 
-// Drop forgets a server that is gone.
+// Drop removes a server that is gone.
 func (b *Board) Drop(name string) {
 	b.Avoid(name)
 	b.mu.Lock()
@@ -97,14 +97,14 @@
 	}
 }
 
-// Avoid undoes every send to a server that was decided and has not begun, on whatever core it is.
+// Avoid revokes all permits for a server, on whatever core: sends that were decided and have not begun must not begin.
 func (b *Board) Avoid(name string) {
 	if s := b.Server(name); s != nil {
 		s.epoch.Add(1)
 	}
 }
 
-// Permit is a decision to send, as the core has it that is to execute it.
+// Permit allows a core to execute one decision to send, until it expires or is revoked.
 type Permit struct {
 	board     *Board
 	server    *Server
@@ -113,7 +113,7 @@
 	warmingUp bool
 }
 
-// Permit returns one for a send that is decided now, or nil for a server that is not listed.
+// Permit returns a permit for a send that is decided now, or nil if the server is not listed.
 func (b *Board) Permit(server string, now time.Duration, warmingUp bool) *Permit {
 	s := b.Server(server)
 	if s == nil {
@@ -122,11 +122,11 @@
 	return &Permit{b, s, s.epoch.Load(), now, warmingUp}
 }
 
-// Core is the core that is to execute it.
+// Core returns the core that must execute the send.
 func (p *Permit) Core() int { return p.server.Core }
 
-// MayBegin says whether the first byte may be written at a time. It guards the rules on drains and slow starts where
-// a core, or the decider, stands still between a decision and its sending.
+// MayBegin reports whether the first byte may be written at the given time. It enforces the rules on drains and slow starts
+// even if a core or the decider is paused between a decision and its execution.
 func (p *Permit) MayBegin(now time.Duration) bool {
 	lease := Lease
 	if p.warmingUp {
--- a/balancer/cores/cores_test.go
+++ b/balancer/cores/cores_test.go
@@ -10,9 +10,9 @@
 	"pgregory.net/rapid"
 )
 
-// Whatever stands still when: nothing begins at a server later than the rules allow after its drain reached the machine,
-// and a cold one is not sent more within a window than was decided within one longer by the lease.
-func TestPermitsKeepDrainsAndBudgets(t *testing.T) {
+// Whenever cores or the decider are paused, no send to a server begins later than the rules allow after its drain reached the
+// machine, and a server in slow start is not sent more within a window than was decided within a window longer by the lease.
+func TestPermitsRespectDrainsAndBudgets(t *testing.T) {
 	const grace, window = 750 * time.Millisecond, 2 * time.Second
 	rapid.Check(t, func(t *rapid.T) {
 		b := NewBoard(1)
@@ -21,14 +21,14 @@
 		now := time.Hour
 		b.Heard(now)
 		var (
-			waiting        []*Permit // decided, and not begun: the core may stand still
+			waiting        []*Permit // decided but not begun, as the core may be paused
 			decided, begun []time.Duration
-			drains         time.Duration   // the drain has reached the machine, 0 for not yet
-			pulses         []time.Duration // on their way through the decider's poller
-			drained        bool            // the decider knows
+			drains         time.Duration   // when the drain reached the machine, 0 if it has not
+			pulses         []time.Duration // sent but not read yet by the decider's poller
+			drained        bool            // the decider has read the drain
 		)
 		steps := rapid.IntRange(20, 150).Draw(t, "steps")
-		drainAt := rapid.IntRange(0, 2*steps).Draw(t, "drain at") // half of them without
+		drainAt := rapid.IntRange(0, 2*steps).Draw(t, "drain at") // half of the runs have no drain
 		deafFrom := rapid.IntRange(0, steps).Draw(t, "deaf from")
 		deafTill := deafFrom + rapid.IntRange(0, 40).Draw(t, "deaf for")
 		for step := range steps {
@@ -41,12 +41,12 @@
 				does = "decide"
 			}
 			switch does {
-			case "decide": // by the decider, whose loop may go on while its poller stands still
+			case "decide": // by the decider, whose loop may run while its poller is paused
 				if !drained {
 					waiting = append(waiting, b.Permit("s", now, cold))
 					decided = append(decided, now)
 				}
-			case "run": // the core takes its turn
+			case "run": // the core runs its turn
 				for _, p := range waiting {
 					if !p.MayBegin(now) {
 						continue
@@ -62,7 +62,7 @@
 			case "pulse and hear":
 				pulses = append(pulses, now)
 				fallthrough
-			case "hear": // the poller goes on, and brings all that had arrived, in order
+			case "hear": // the poller delivers everything that has arrived, in order
 				if drains > 0 && !drained {
 					drained = true
 					b.Avoid("s")
@@ -85,7 +85,7 @@
 			return n
 		}
 		ends := slices.Clone(begun)
-		for _, at := range begun { // windows that begin with a send, too
+		for _, at := range begun { // also check the windows that begin with a send
 			ends = append(ends, at+window-1)
 		}
 		for _, end := range ends {
@@ -96,7 +96,7 @@
 	})
 }
 
-func TestServersAreSpreadOverCores(t *testing.T) {
+func TestServersBalancedOverCores(t *testing.T) {
 	b := NewBoard(3)
 	for i := range 7 {
 		b.List(fmt.Sprint("s", i), "x")
@@ -113,12 +113,12 @@
 		t.Error(diff)
 	}
 	if b.Address("s0") != "z" || b.Address("s1") != "" || b.Permit("s1", 0, false) != nil {
-		t.Error("a server that moved or went is known by its old address")
+		t.Error("a server that moved or was dropped still has its old address or gets a permit")
 	}
 }
 
-// A permit of a server that left and came back under its name is of the one that left.
-func TestAPermitEndsWithItsServer(t *testing.T) {
+// A permit must not survive the removal of its server, even if a server of the same name is listed again.
+func TestDropRevokesPermit(t *testing.T) {
 	b := NewBoard(1)
 	b.List("s", "x")
 	b.Heard(time.Second)
@@ -126,7 +126,7 @@
 	b.Drop("s")
 	b.List("s", "x")
 	if p.MayBegin(time.Second) || !b.Permit("s", time.Second, false).MayBegin(time.Second) {
-		t.Error("the permit of a server that is gone holds, or that of the new one does not")
+		t.Error("the permit of the removed server is valid, or that of the new one is not")
 	}
 }
 
@@ -137,17 +137,17 @@
 		move  Move
 		any   bool
 	}{
-		"nothing known":             {[]Load{{}, {}}, 0, Move{}, false},
-		"fewest connections":        {[]Load{{Conns: 3}, {Conns: 2}, {Conns: 4}}, 1, Move{}, false},
-		"the busy ones are here":    {[]Load{{2, 4000}, {30, 100}}, 1, Move{0, 1, 1}, true},
-		"one busy connection":       {[]Load{{1, 4000}, {30, 100}}, 1, Move{}, false},
-		"many a little too many":    {[]Load{{100, 3000}, {100, 1000}, {100, 2000}}, 1, Move{0, 1, 8}, true},
-		"even enough":               {[]Load{{100, 2100}, {100, 1900}}, 1, Move{}, false},
-		"too little to be worth it": {[]Load{{10, 100}, {10, 0}}, 1, Move{}, false},
+		"no load":                 {[]Load{{}, {}}, 0, Move{}, false},
+		"fewest connections":      {[]Load{{Conns: 3}, {Conns: 2}, {Conns: 4}}, 1, Move{}, false},
+		"few busy connections":    {[]Load{{2, 4000}, {30, 100}}, 1, Move{0, 1, 1}, true},
+		"one busy connection":     {[]Load{{1, 4000}, {30, 100}}, 1, Move{}, false},
+		"move bounded by maximum": {[]Load{{100, 3000}, {100, 1000}, {100, 2000}}, 1, Move{0, 1, 8}, true},
+		"even enough":             {[]Load{{100, 2100}, {100, 1900}}, 1, Move{}, false},
+		"excess below threshold":  {[]Load{{10, 100}, {10, 0}}, 1, Move{}, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			if got := Deal(tc.loads); got != tc.deal {
-				t.Errorf("dealt to %d", got)
+				t.Errorf("connection assigned to core %d", got)
 			}
 			move, any := Even(tc.loads)
 			if diff := cmp.Diff(tc.move, move); diff != "" || any != tc.any {
@@ -157,8 +157,8 @@
 	}
 }
 
-// Connections of which each brings the same go from the core that has them all until the cores are about even, and then stay.
-func TestEvenSettles(t *testing.T) {
+// Connections of equal load that are all on one core are moved until the loads are about even, and then no more.
+func TestEvenConverges(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		cores := rapid.IntRange(2, 8).Draw(t, "cores")
 		conns, each := rapid.IntRange(4*cores, 400).Draw(t, "conns"), float64(rapid.IntRange(50, 2000).Draw(t, "each"))
@@ -172,13 +172,13 @@
 				loads[i].Served = float64(loads[i].Conns) * each
 			}
 			if moves++; moves > conns {
-				t.Fatalf("it goes on and on: %v", loads)
+				t.Fatalf("more moves than connections: %v", loads)
 			}
 		}
 		mean := float64(conns) * each / float64(cores)
 		for _, l := range loads {
 			if l.Served > uneven*mean+each && l.Served-mean >= worthMoving+each {
-				t.Fatalf("it stays uneven: %v", loads)
+				t.Fatalf("loads stay uneven: %v", loads)
 			}
 		}
 	})
--- a/balancer/cores/deal.go
+++ b/balancer/cores/deal.go
@@ -1,16 +1,16 @@
 package cores
 
-// Load is what is known of one core when connections are dealt out.
+// Load is the load of one core, by which connections are assigned.
 type Load struct {
-	Conns  int     // that clients and servers have opened
-	Served float64 // requests a second, of late
+	Conns  int     // connections that clients and backend servers have opened
+	Served float64 // recent requests per second
 }
 
-// connWeight is how many requests a second a connection counts for that has just been dealt: so that many that come at
-// once do not all go to the core that was idle before.
+// connWeight is the load, in requests per second, that each connection counts for, so that many connections that arrive at
+// once are not all assigned to the core that was idle before.
 const connWeight = 5
 
-// Deal chooses the core for a new connection: the one with the least to do.
+// Deal returns the index of the core for a new connection: the one with the least load.
 func Deal(loads []Load) int {
 	best := 0
 	for i := range loads {
@@ -23,18 +23,19 @@
 
 func (l Load) weight() float64 { return l.Served + connWeight*float64(l.Conns) }
 
-// Move says that some connections are to go from one core to another, because what came by them lately is uneven.
+// Move is a number of connections to move from one core to another, because their recent loads are uneven.
 type Move struct{ From, To, Conns int }
 
 const (
-	// uneven is how much more than the mean the busiest core may serve, and worthMoving how many requests a second more.
+	// uneven is the ratio to the mean load above which the busiest core gives connections away, and worthMoving the least
+	// excess over the mean for that, in requests per second.
 	uneven, worthMoving = 1.25, 200.0
-	// movesMost bounds how many connections move at a time: a move costs four system calls and a round through the poller.
-	movesMost = 8
+	// maxMoves bounds how many connections move at a time: a move costs four system calls and a round through the poller.
+	maxMoves = 8
 )
 
-// Even returns the move that brings the cores nearer to one another, if any is worth it. Connections are kept for long, and
-// the busy ones may have been dealt to one core; what is dealt from now on would even that out too late.
+// Even returns a move that evens out the loads of the cores, if one is worth its cost. Connections are long-lived, and the busy
+// ones may have been assigned to the same core; assigning new connections elsewhere would even that out too late.
 func Even(loads []Load) (m Move, any bool) {
 	sum := 0.0
 	for i := range loads {
@@ -52,7 +53,7 @@
 	if from.Served <= uneven*mean || from.Served-mean < worthMoving || from.Conns < 2 {
 		return Move{}, false
 	}
-	// The busy ones among them are taken: each is at least as busy as the mean of that core's.
-	m.Conns = min(max(int(excess/(from.Served/float64(from.Conns))), 1), movesMost, from.Conns-1)
+	// The busy connections move first, so each carries at least the mean load of that core's connections.
+	m.Conns = min(max(int(excess/(from.Served/float64(from.Conns))), 1), maxMoves, from.Conns-1)
 	return m, true
 }
--- a/balancer/cores/doc.go
+++ b/balancer/cores/doc.go
@@ -1,4 +1,4 @@
-// Package cores holds what a scheduler on several cores must decide: which core serves which backend server, whether a send
-// that was decided may still begin, and how connections of clients are dealt out. It is pure but for atomics; package
-// balancer/platform/node executes it. docs/cores.md has the reasons.
+// Package cores makes the decisions specific to a scheduler on several cores: which core serves which backend server, whether a
+// send that was decided may still begin, and how client connections are distributed. Apart from synchronisation it has no side
+// effects; package balancer/platform/node executes the decisions. docs/cores.md gives the reasons.
 package cores
--- a/balancer/deadline/deadline.go
+++ b/balancer/deadline/deadline.go
@@ -2,25 +2,25 @@
 
 import "time"
 
-// Deadline is something that is to happen at a time.
+// Deadline is a function to be called at a given time.
 type Deadline struct {
 	at    time.Duration
 	seq   uint64
 	due   func()
-	index int // in the queue, -1 if it is in none
+	index int // in the queue, -1 if it is not in one
 }
 
-// At is when it is due.
+// At returns the time at which the deadline is due.
 func (d *Deadline) At() time.Duration { return d.at }
 
 func (d *Deadline) before(e *Deadline) bool { return d.at < e.at || d.at == e.at && d.seq < e.seq }
 
-// Queue holds deadlines in the order in which they fall due; those of one time keep the order in which
-// they were added. It is not safe for concurrent use.
+// Queue is a priority queue of deadlines, ordered by their time; deadlines of the same time keep the order in which they were
+// added. It is not safe for concurrent use.
 //
-// It is a heap of four branches. Most deadlines guard against what does not happen and are dropped soon: a job has some
-// eight. In a B-tree each cost a search from the root twice, 5 us of a job's 80; here adding one that is later
-// than most, and dropping it, moves next to nothing.
+// It is a 4-ary heap. Most deadlines are timeouts that are dropped long before they are due; a job has about eight. In a
+// B-tree each needed two searches from the root, 5 us of a job's 80; in the heap, adding a deadline that is later than most
+// and dropping it again moves hardly any entry.
 type Queue struct {
 	heap []*Deadline
 	seq  uint64
@@ -31,7 +31,7 @@
 // NewQueue returns an empty queue.
 func NewQueue() *Queue { return &Queue{} }
 
-// Add calls due in the first sweep at or after the given time.
+// Add adds a deadline; due is called in the first sweep at or after the given time.
 func (q *Queue) Add(at time.Duration, due func()) *Deadline {
 	q.seq++
 	d := &Deadline{at: at, seq: q.seq, due: due}
@@ -40,7 +40,7 @@
 	return d
 }
 
-// Drop takes a deadline out; nil and one that has passed are ignored.
+// Drop removes a deadline; it ignores nil and a deadline that was removed or swept before.
 func (q *Queue) Drop(d *Deadline) {
 	if d == nil || d.index < 0 {
 		return
@@ -55,7 +55,7 @@
 	}
 }
 
-// up moves d from index i to where nothing above it is later.
+// up moves d from index i towards the root until its parent is not later.
 func (q *Queue) up(d *Deadline, i int) {
 	for i > 0 {
 		above := (i - 1) / branches
@@ -68,7 +68,7 @@
 	q.put(d, i)
 }
 
-// down moves d from index i to where nothing below it is earlier.
+// down moves d from index i towards the leaves until no child is earlier.
 func (q *Queue) down(d *Deadline, i int) {
 	for {
 		first := i*branches + 1
@@ -100,10 +100,10 @@
 	return q.heap[0].at, true
 }
 
-// Len is how many deadlines there are.
+// Len returns the number of deadlines in the queue.
 func (q *Queue) Len() int { return len(q.heap) }
 
-// Sweep calls what is due by now, earliest first, those that it adds itself included.
+// Sweep removes and calls the deadlines due by now, earliest first, including any that these calls add.
 func (q *Queue) Sweep(now time.Duration) {
 	for len(q.heap) > 0 && q.heap[0].at <= now {
 		d := q.heap[0]
--- a/balancer/deadline/deadline_test.go
+++ b/balancer/deadline/deadline_test.go
@@ -7,7 +7,7 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-func TestSweepKeepsOrderAndDrops(t *testing.T) {
+func TestQueueSweepOrderAndDrop(t *testing.T) {
 	q := NewQueue()
 	var got []string
 	note := func(s string) func() { return func() { got = append(got, s) } }
@@ -27,7 +27,7 @@
 		t.Error(diff)
 	}
 	if at, any := q.Next(); !any || at != time.Duration(4) || q.Len() != 1 {
-		t.Errorf("next is %v (%v) of %d", at, any, q.Len())
+		t.Errorf("next deadline is %v (%v), queue has %d; want 4 of 1", at, any, q.Len())
 	}
 	q.Sweep(4)
 	if _, any := q.Next(); any {
--- a/balancer/deadline/doc.go
+++ b/balancer/deadline/doc.go
@@ -1,2 +1,2 @@
-// Package deadline keeps every deadline of a program in one sorted structure, which its owner sweeps.
+// Package deadline provides a queue for all deadlines of an event loop, which the loop sweeps.
 package deadline
--- a/balancer/platform/backend/backend.go
+++ b/balancer/platform/backend/backend.go
@@ -11,59 +11,60 @@
 	"ravendale/balancer/transport"
 )
 
-// responseWithin bounds how long a connection waits for a response that nothing depends on any more.
+// responseWithin bounds how long a connection waits for a response that no attempt depends on any more.
 const responseWithin = 2 * time.Second
 
-// holdLeast and holdMost bound how long the last byte of a request is held back: see link.hold.
-const holdLeast, holdMost = time.Millisecond, 10 * time.Millisecond
+// minHold and maxHold bound how long the last byte of a request is held back: see link.hold.
+const minHold, maxHold = time.Millisecond, 10 * time.Millisecond
 
-// echoWithin is how long after an answer the same server may give another to the same request: some milliseconds, by the users'
-// page.
+// echoWithin is how long after a response the same server may send another one to the same request: a few milliseconds, according
+// to the users' specification.
 const echoWithin = 20 * time.Millisecond
 
-// waryFor is how long after a kept connection to a server broke under a request others are thought to break as well.
+// waryFor is how long after a kept-alive connection to a server broke during a request other such connections to it are
+// expected to break as well.
 const waryFor = 10 * time.Second
 
-const mostHabits = 1024
+const maxStats = 1024
 
-// acceptTimeout is when a server should long have said that it took a job: it takes 0.5 to 50 ms, and servers that stand
-// still do so for 80 ms.
+// acceptTimeout is how long after the request a server is reported as unresponsive if it has not answered: accepting a job takes
+// 0.5 to 50 ms, and pauses of servers last 80 ms.
 const acceptTimeout = 250 * time.Millisecond
 
-// Options say what the backend works with.
+// Options configure a Backend.
 type Options struct {
 	Loop           *scheduler.Loop
 	Network        transport.Network
 	Address        func(server string) string // "" if unknown
 	ConnectTimeout time.Duration
-	IdleClose      time.Duration     // servers close what has been idle so long
+	IdleClose      time.Duration     // how long a connection may be idle before servers close it
 	Conns          *Conns            // shared by the backends of one scheduler
-	Full           func()            // tells the others that a connection is wanted, and none here is idle
-	Stray          func(body []byte) // takes calls on attempts that are not out here
+	Full           func()            // asks the other backends to close an idle connection, as this one needs one and has none idle; may be nil
+	Stray          func(body []byte) // receives call-backs on attempts that this backend does not have
 	Log            *slog.Logger
 }
 
-// Backend holds the connections to all backend servers, and the attempts that are out.
+// Backend holds the connections to backend servers, and the attempts in flight.
 type Backend struct {
-	o      Options
-	live   map[attemptKey]*attempt
-	byJob  map[*scheduler.Dispatch]*attempt
-	idle   map[string][]*link // by address, newest last
-	habits map[string]*habit  // of servers, by address
-	// withdrawing are the DELETEs on their way. A new attempt of that request at that server waits
-	// behind them: they name only the request, and would end the new attempt too.
+	o     Options
+	live  map[attemptKey]*attempt
+	byJob map[*scheduler.Dispatch]*attempt
+	idle  map[string][]*link    // by address, newest last
+	stats map[string]*connStats // observations on connections, by server address
+	// withdrawing holds the DELETEs in flight. A new attempt of the same request at the same server waits until the DELETE is
+	// answered: a DELETE names only the request, and would end the new attempt too.
 	withdrawing map[attemptKey]*withdrawal
 }
 
-type withdrawal struct{ waiting *attempt }
+type withdrawal struct{ waiting *attempt } // the attempt to start once the DELETE is answered, if any
 
-// New returns a backend without connections.
+// New returns a Backend without connections.
 func New(o Options) *Backend {
 	return &Backend{o: o, live: make(map[attemptKey]*attempt), byJob: make(map[*scheduler.Dispatch]*attempt),
-		idle: make(map[string][]*link), withdrawing: make(map[attemptKey]*withdrawal), habits: make(map[string]*habit)}
+		idle: make(map[string][]*link), withdrawing: make(map[attemptKey]*withdrawal), stats: make(map[string]*connStats)}
 }
 
-// Send begins a dispatch.
+// Send starts an attempt for a dispatch.
 func (b *Backend) Send(d *scheduler.Dispatch) {
 	a := &attempt{d: d, key: attemptKey{d.Exchange().ID, d.Worker}, addr: b.o.Address(d.Worker)}
 	if a.addr == "" || b.live[a.key] != nil {
@@ -79,7 +80,7 @@
 	b.start(a)
 }
 
-// start finds a connection for an attempt.
+// start begins an attempt on an idle connection or dials a new one.
 func (b *Backend) start(a *attempt) {
 	a.stage = dialling
 	if !b.wary(a) {
@@ -96,21 +97,21 @@
 	l.attempt, a.link = a, l
 }
 
-// wary says whether an attempt is to go on a new connection, which shows first that it is alive: one that may not be
-// repeated, while the server's kept connections break.
+// wary reports whether an attempt must use a new connection, which proves to be alive by being established. This holds for a
+// request that may not be repeated, if a kept-alive connection to the server broke recently.
 func (b *Backend) wary(a *attempt) bool {
-	broke := b.habit(a.addr).brokeAt
+	broke := b.statsFor(a.addr).brokeAt
 	return !a.d.Repeatable() && broke > 0 && b.o.Loop.Now()-broke < waryFor
 }
 
-// end ends an attempt, once, and tells its outcome.
+// end ends an attempt, once, and reports its outcome.
 func (b *Backend) end(a *attempt, outcome ravendale.Outcome, result []byte) {
 	if b.drop(a) {
 		a.d.End(outcome, result)
 	}
 }
 
-// drop forgets an attempt; it returns false for one that is over already.
+// drop removes an attempt; it returns false if the attempt is already over.
 func (b *Backend) drop(a *attempt) bool {
 	if a.stage == over {
 		return false
@@ -124,9 +125,10 @@
 	return true
 }
 
-// Withdraw gives up an attempt: by DELETE where the server may have the whole request, and by closing its connection until the
-// 202 has come. A 202 may be on its way then, and a server that has sent it takes the close for no cancel: so until the 202 it
-// is both. The close goes first, for a DELETE that overtakes the request finds nothing to end.
+// Withdraw cancels an attempt: it closes the attempt's connection if the 202 has not arrived yet, and sends a DELETE if the
+// server may have received the whole request. Between these two points it does both, as a 202 may be on its way, and a server
+// that has sent the 202 does not treat the close as a cancellation. The close comes first: a DELETE that overtakes the request
+// would find nothing to cancel.
 func (b *Backend) Withdraw(d *scheduler.Dispatch) {
 	a := b.byJob[d]
 	if a == nil {
@@ -136,7 +138,7 @@
 	b.drop(a)
 	switch was {
 	case dialling:
-		a.link.attempt = nil // the connection is made all the same, for the next
+		a.link.attempt = nil // the connection is established anyway, for later attempts
 	case lastByteDue, written:
 		a.link.close()
 	}
@@ -153,29 +155,29 @@
 	}
 }
 
-// Transferable says whether a dispatch lives on without any connection of this process: its server has taken it.
+// Transferable reports whether a dispatch no longer needs a connection of this process: its server has accepted it.
 func (b *Backend) Transferable(d *scheduler.Dispatch) bool {
 	a := b.byJob[d]
 	return a != nil && a.stage == accepted
 }
 
-// Release forgets a dispatch that another process goes on with. Calls on it are an unknown attempt's from now on.
+// Release removes a dispatch that another process continues. Call-backs on it are treated as those on an unknown attempt.
 func (b *Backend) Release(d *scheduler.Dispatch) {
 	if a := b.byJob[d]; a != nil {
 		b.drop(a)
 	}
 }
 
-// Adopt goes on with a dispatch that another process released.
+// Adopt continues a dispatch that another process released.
 func (b *Backend) Adopt(d *scheduler.Dispatch) {
-	a := &attempt{d: d, key: attemptKey{d.Exchange().ID, d.Worker}, addr: b.o.Address(d.Worker), stage: accepted, heard: true, sent: true}
+	a := &attempt{d: d, key: attemptKey{d.Exchange().ID, d.Worker}, addr: b.o.Address(d.Worker), stage: accepted, hasReport: true, sent: true}
 	b.live[a.key], b.byJob[d] = a, a
 }
 
-// withdraw sends a DELETE, once more on a new connection where an idle one turned out to be closed.
+// withdraw sends a DELETE. If an idle connection turns out to be closed, it tries once more on a new one.
 func (b *Backend) withdraw(a *attempt) {
 	if a.addr == "" {
-		return // adopted, and its server is listed no more: nobody is there to be told
+		return // adopted, and its server is no longer listed: there is no address to send the DELETE to
 	}
 	w := &withdrawal{}
 	b.withdrawing[a.key] = w
@@ -205,8 +207,8 @@
 	}
 }
 
-// Avoid keeps what is not yet on its way from a server that drains or has gone: a drain counts
-// from a send's first byte.
+// Avoid ends the attempts at a server that drains or is gone, unless they have begun. For a drain, an attempt begins with the
+// first byte sent.
 func (b *Backend) Avoid(server string) {
 	for at, a := range b.live {
 		if at.server != server || a.stage > dialling {
--- a/balancer/platform/backend/callback.go
+++ b/balancer/platform/backend/callback.go
@@ -7,9 +7,10 @@
 	"ravendale"
 )
 
-// Callback takes what a server says of a job, and returns false for what can't be read. Words on attempts that
-// are not out, late or repeated ones say, change nothing here: while two processes are one scheduler, they may be meant
-// for the other. A server calls whoever accepts, or on the connection that it has.
+// Callback handles a server's call-back about a job, and returns false if it can't be parsed. Reports on attempts that this
+// backend does not have, such as late or repeated ones, change nothing here and go to Options.Stray: while two processes act as
+// one scheduler they may be meant for the other, since a server calls the process that accepts connections, or uses a
+// connection that it already has.
 func (b *Backend) Callback(body []byte) bool {
 	s := Read(body)
 	if s != nil && !b.Hear(s) {
@@ -18,7 +19,7 @@
 	return s != nil
 }
 
-// Hear takes what a server says, and returns false where that attempt is not out here.
+// Hear handles a server's report, and returns false if this backend does not have that attempt.
 func (b *Backend) Hear(s *Report) bool {
 	a := b.live[attemptKey{s.ID, s.From}]
 	if a != nil {
@@ -29,9 +30,9 @@
 
 func (b *Backend) receive(a *attempt, s *Report) {
 	if a.stage < written {
-		return // it has not run here: an unknown attempt's report, or another's
+		return // the request can't have run yet: the report is on another attempt
 	}
-	a.heard = true
+	a.hasReport = true
 	switch s.State {
 	case "started":
 		a.d.Started()
@@ -48,10 +49,10 @@
 	}
 }
 
-// result is the text of a JSON string, or the JSON itself where it is none.
+// result returns the text of a JSON string, or the raw JSON of any other value.
 func result(raw json.RawMessage) []byte {
 	if n := len(raw); n >= 2 && raw[0] == '"' && bytes.IndexByte(raw, '\\') < 0 {
-		return raw[1 : n-1] // no escapes: the usual case, in which the JSON is read only once
+		return raw[1 : n-1] // fast path for the usual string without escapes
 	}
 	var text string
 	if json.Unmarshal(raw, &text) == nil {
@@ -60,7 +61,7 @@
 	return raw
 }
 
-// resolve ends an attempt by the server's report. Its connection may still wait for the 202.
+// resolve ends an attempt with the outcome in the server's report. Its connection may still wait for the 202.
 func (b *Backend) resolve(a *attempt, outcome ravendale.Outcome, result []byte) {
 	if a.link != nil {
 		a.link.expect(responseWithin)
--- a/balancer/platform/backend/conns.go
+++ b/balancer/platform/backend/conns.go
@@ -5,18 +5,18 @@
 	"time"
 )
 
-// Conns bounds the connections to all servers together, whichever loops they are on.
-type Conns struct{ open, most atomic.Int64 }
+// Conns counts and bounds the connections to all servers, on all loops together.
+type Conns struct{ open, limit atomic.Int64 }
 
-// Limit sets how many there may be from now on.
-func (c *Conns) Limit(most int) { c.most.Store(int64(most)) }
+// Limit sets the maximum number of connections from now on.
+func (c *Conns) Limit(most int) { c.limit.Store(int64(most)) }
 
-// Open is how many there are.
+// Open returns the number of connections.
 func (c *Conns) Open() int { return int(c.open.Load()) }
 
-// Trim closes idle connections while there are more than there may be.
+// Trim closes idle connections while their number is above the limit.
 func (b *Backend) Trim() {
-	for b.o.Conns.open.Load() > b.o.Conns.most.Load() && b.closeIdle() {
+	for b.o.Conns.open.Load() > b.o.Conns.limit.Load() && b.closeIdle() {
 	}
 }
 
@@ -31,11 +31,11 @@
 	return l
 }
 
-// dial begins a connection, or returns nil where there is no descriptor left for it.
+// dial starts a connection, or returns nil if the limit is reached and no idle connection can be closed.
 func (b *Backend) dial(addr string) *link {
-	if c := b.o.Conns; c.open.Add(1) > c.most.Load() && !b.closeIdle() {
+	if c := b.o.Conns; c.open.Add(1) > c.limit.Load() && !b.closeIdle() {
 		c.open.Add(-1)
-		b.o.Log.Warn("no connection left for a backend server", "open", c.Open())
+		b.o.Log.Warn("connection limit to backend servers reached, and none is idle; dispatch not sent", "open", c.Open())
 		if b.o.Full != nil {
 			b.o.Full()
 		}
@@ -48,10 +48,10 @@
 	return l
 }
 
-// CloseIdle closes one idle connection, if there is any: another loop wants one.
+// CloseIdle closes one idle connection, if there is one, so that another loop can open one.
 func (b *Backend) CloseIdle() { b.closeIdle() }
 
-// closeIdle makes room for one connection.
+// closeIdle closes one idle connection, and returns false if there is none.
 func (b *Backend) closeIdle() bool {
 	for _, stack := range b.idle {
 		if len(stack) > 0 {
@@ -62,21 +62,22 @@
 	return false
 }
 
-// habit is what was seen of a server's connections.
-type habit struct {
-	latency time.Duration // the shortest time in which it has answered on a kept one, 0 until seen
-	brokeAt time.Duration // when a kept one last broke under a request, 0 for never
+// connStats holds observations on the connections to one server.
+type connStats struct {
+	latency time.Duration // shortest time to a 202 on a reused connection, 0 if unknown
+	brokeAt time.Duration // when a reused connection last broke during a request, 0 if never
 }
 
-// habit returns what is known of an address. Servers come and go: past a bound all is learnt anew.
-func (b *Backend) habit(addr string) *habit {
-	h := b.habits[addr]
+// statsFor returns the observations on an address, which it creates if needed. As servers come and go, all observations are
+// discarded when maxStats is reached.
+func (b *Backend) statsFor(addr string) *connStats {
+	h := b.stats[addr]
 	if h == nil {
-		if len(b.habits) >= mostHabits {
-			clear(b.habits)
+		if len(b.stats) >= maxStats {
+			clear(b.stats)
 		}
-		h = &habit{}
-		b.habits[addr] = h
+		h = &connStats{}
+		b.stats[addr] = h
 	}
 	return h
 }
--- a/balancer/platform/backend/doc.go
+++ b/balancer/platform/backend/doc.go
@@ -1,3 +1,3 @@
-// Package backend is the server side of the platform's protocol: it sends dispatches to backend servers and hears from them, by
-// their responses and by their call-backs, what became of each. All of it belongs to one loop.
+// Package backend implements the server side of the platform's protocol: it sends dispatches to backend servers, and learns
+// their outcomes from the servers' responses and call-backs. A Backend may be used only in turns of its loop.
 package backend
--- a/balancer/platform/backend/link.go
+++ b/balancer/platform/backend/link.go
@@ -13,22 +13,22 @@
 
 // link is one connection to a backend server. It carries one request at a time: an attempt, or a DELETE.
 type link struct {
-	b       *Backend
-	addr    string
-	net     transport.Conn
-	in      http1.Responses
-	up      bool
-	busy    bool // a response is awaited
-	isIdle  bool
-	closed  bool
-	uses    int // requests that it has carried
-	wroteAt time.Duration
-	readAt  time.Duration // when its last response came
-	attempt *attempt
-	request []byte // a DELETE, with what is to happen upon its response or its loss
-	replied func()
-	failed  func()
-	timer   *deadline.Deadline
+	b            *Backend
+	addr         string
+	net          transport.Conn
+	in           http1.Responses
+	up           bool
+	busy         bool // waiting for a response
+	isIdle       bool
+	closed       bool
+	attemptCount int // attempts that it has carried
+	wroteAt      time.Duration
+	readAt       time.Duration // when its last response arrived
+	attempt      *attempt
+	request      []byte // a DELETE; replied is called on its response, failed if the connection is lost
+	replied      func()
+	failed       func()
+	timer        *deadline.Deadline
 }
 
 func (l *link) Connected() {
@@ -42,20 +42,20 @@
 		l.expect(responseWithin)
 		l.net.Write(l.request)
 	default:
-		l.rest()
+		l.becomeIdle()
 	}
 }
 
-// begin writes an attempt, if it may still begin.
+// begin writes the request of an attempt, if the attempt may still begin.
 func (l *link) begin(a *attempt) {
 	if !a.d.Due(l.b.o.Loop.Now()) || a.d.MayBegin != nil && !a.d.MayBegin() {
 		l.attempt = nil
-		l.rest()
+		l.becomeIdle()
 		l.b.end(a, ravendale.NotSent, nil)
 		return
 	}
 	l.attempt, a.link, l.busy = a, l, true
-	l.uses++
+	l.attemptCount++
 	m, ok := a.d.Exchange().Message.(*platform.Message)
 	if !ok {
 		l.attempt = nil
@@ -77,30 +77,31 @@
 		l.finish(request)
 		return
 	}
-	// A server begins a request when its last byte has come, and a connection that is gone unseen breaks at the first
-	// bytes. With the last byte held back until that would have shown, a break proves that nothing ran, and the
-	// request may go elsewhere; in doubt it could not be sent again.
+	// A server starts a request when it has received the last byte. If the peer has closed the connection unnoticed, the
+	// first bytes already cause a reset. By holding back the last byte until a reset would have arrived, a broken connection
+	// proves that the request did not run and may be sent elsewhere; if it might have run, it could not be sent again.
 	last := len(request) - 1
 	a.stage = lastByteDue
 	l.net.Write(request[:last])
 	l.timer = l.b.o.Loop.After(l.hold(), func() { l.finish(request[last:]) })
 }
 
-// hold is how long a break takes to show: a round trip, and so no longer than the server's fastest answer. On a connection that
-// was answered on just now it is for as long as a second answer may come to the request before. Nothing tells that from the
-// answer to this one, once this is whole: taken for a rejection, it had what ran sent again.
+// hold returns how long to hold back the last byte. A reset takes a round trip to arrive, which is no longer than the server's
+// fastest answer. On a connection with a recent response, hold also covers the time in which a second response to the previous
+// request may arrive. Once the request is complete such a response can't be told from its own: it was mistaken for a
+// rejection, and a request that was running was sent again.
 func (l *link) hold() time.Duration {
-	hold := min(max(l.b.habit(l.addr).latency, holdLeast), holdMost)
+	hold := min(max(l.b.statsFor(l.addr).latency, minHold), maxHold)
 	if l.readAt > 0 {
 		hold = max(hold, l.readAt+echoWithin-l.b.o.Loop.Now())
 	}
 	return hold
 }
 
-// finish writes the rest of an attempt's request: from now on it may run.
+// finish writes the rest of an attempt's request, which may run from then on.
 func (l *link) finish(rest []byte) {
 	a := l.attempt
-	if !a.d.Due(l.b.o.Loop.Now()) { // its time ran out while the byte was held back
+	if !a.d.Due(l.b.o.Loop.Now()) { // it expired while the last byte was held back
 		l.attempt = nil
 		l.close()
 		l.b.end(a, ravendale.NotSent, nil)
@@ -109,16 +110,16 @@
 	a.stage, l.wroteAt = written, l.b.o.Loop.Now()
 	l.net.Write(rest)
 	l.count(a)
-	// Guards against connections that fell silent, whose end nobody tells: the job would wait for its client's time.
+	// Detects connections that are dead without having been closed: otherwise the job would wait until the client's deadline.
 	l.b.o.Loop.Deadlines.Drop(l.timer)
 	l.timer = l.b.o.Loop.After(acceptTimeout, func() {
-		if a.stage == written && !a.heard {
+		if a.stage == written && !a.hasReport {
 			a.d.Unresponsive()
 		}
 	})
 }
 
-// count counts an attempt once all of it has been handed to the system, which may be later than it was written.
+// count reports an attempt as sent once the operating system has taken all of its request, which may be later than the Write.
 func (l *link) count(a *attempt) {
 	if !a.sent && l.net.Unwritten() == 0 {
 		a.sent = true
@@ -127,15 +128,15 @@
 }
 
 func (l *link) Data(data []byte) {
-	if !l.busy { // a server that speaks unasked is of no use
-		l.b.o.Log.Info("unexpected bytes from a backend server", "addr", l.addr, "after", l.b.o.Loop.Now()-l.readAt)
+	if !l.busy { // the server sent data without a request: its responses could no longer be matched
+		l.b.o.Log.Info("backend server sent data without a request; closing the connection", "addr", l.addr, "after", l.b.o.Loop.Now()-l.readAt)
 		l.close()
 		return
 	}
 	l.in.Feed(data)
 	resp, err := l.in.Next()
 	if err != nil {
-		l.b.o.Log.Info("an answer of a backend server can't be read", "addr", l.addr, "err", err)
+		l.b.o.Log.Info("invalid HTTP response from a backend server", "addr", l.addr, "err", err)
 		l.onClosed()
 		return
 	}
@@ -149,7 +150,7 @@
 	if resp.Close || l.in.Buffered() > 0 || a != nil && a.stage == lastByteDue {
 		l.close()
 	} else {
-		l.rest()
+		l.becomeIdle()
 	}
 	if a != nil && a.stage >= written {
 		l.count(a)
@@ -160,23 +161,23 @@
 	case a != nil && a.stage == lastByteDue: // answered before the request was complete
 		l.b.end(a, ravendale.ConnectFailed, nil)
 	case a != nil && a.stage == written:
-		l.answered(a, resp)
+		l.handleResponse(a, resp)
 	}
 }
 
-// answered takes the response to a request that was written.
-func (l *link) answered(a *attempt, resp *http1.Response) {
+// handleResponse handles the response to a completely written request.
+func (l *link) handleResponse(a *attempt, resp *http1.Response) {
 	switch {
 	case resp.Status == 202:
 		a.stage, a.link = accepted, nil
-		if took, h := l.b.o.Loop.Now()-l.wroteAt, l.b.habit(l.addr); l.uses > 1 && (h.latency == 0 || took < h.latency) {
+		if took, h := l.b.o.Loop.Now()-l.wroteAt, l.b.statsFor(l.addr); l.attemptCount > 1 && (h.latency == 0 || took < h.latency) {
 			h.latency = took
 		}
 	case (resp.Status == 503 || resp.Status == 504) && resp.Header.Get(platform.HeaderNotRun) == "1":
 		l.b.end(a, ravendale.Overloaded, nil)
 	default:
 		if resp.Status != 500 {
-			l.b.o.Log.Warn("unexpected answer of a backend server", "server", a.key.server, "status", resp.Status)
+			l.b.o.Log.Warn("unexpected response status from a backend server", "server", a.key.server, "status", resp.Status)
 		}
 		if resp.Status/100 == 4 {
 			l.b.end(a, ravendale.Rejected, nil)
@@ -186,8 +187,8 @@
 	}
 }
 
-// rest puts a connection among the idle ones, until safely before its server would close it.
-func (l *link) rest() {
+// becomeIdle adds the connection to the idle ones, and closes it after 4/5 of IdleClose, before the server would.
+func (l *link) becomeIdle() {
 	l.isIdle = true
 	l.b.idle[l.addr] = append(l.b.idle[l.addr], l)
 	l.timer = l.b.o.Loop.After(l.b.o.IdleClose-l.b.o.IdleClose/5, l.close)
@@ -211,13 +212,13 @@
 	}
 }
 
-// expect closes the connection unless a response comes in time.
+// expect closes the connection unless a response arrives within the given time.
 func (l *link) expect(within time.Duration) {
 	l.b.o.Loop.Deadlines.Drop(l.timer)
 	l.timer = l.b.o.Loop.After(within, l.onClosed)
 }
 
-// close ends the connection from this side; nothing depends on it.
+// close closes the connection from this side, without reporting an outcome.
 func (l *link) close() {
 	if l.closed {
 		return
@@ -231,8 +232,8 @@
 
 func (l *link) Closed(error) { l.onClosed() }
 
-// onClosed ends the connection and what it carried. That never ran where no connection came up, or where
-// the request's last byte is known not to have left; in doubt it may have run.
+// onClosed closes the connection and ends the attempt or DELETE on it. The attempt is known not to have run if the connection was
+// never established, or if the request's last byte was not handed to the operating system; otherwise it may have run.
 func (l *link) onClosed() {
 	if l.closed {
 		return
@@ -240,16 +241,16 @@
 	a, failed := l.attempt, l.failed
 	l.attempt, l.failed, l.replied = nil, nil, nil
 	l.close()
-	if a != nil && a.stage != over && l.uses > 1 {
-		l.b.habit(l.addr).brokeAt = l.b.o.Loop.Now()
+	if a != nil && a.stage != over && l.attemptCount > 1 {
+		l.b.statsFor(l.addr).brokeAt = l.b.o.Loop.Now()
 	}
 	switch {
 	case failed != nil:
 		failed()
 	case a == nil || a.stage == over:
 	case !l.up || a.stage < written || l.net.Unwritten() > 0:
-		if l.uses > 1 {
-			l.b.end(a, ravendale.NotSent, nil) // a kept connection had ended: that says nothing of the server
+		if l.attemptCount > 1 {
+			l.b.end(a, ravendale.NotSent, nil) // a reused connection was closed, which does not mean that the server is faulty
 		} else {
 			l.b.end(a, ravendale.ConnectFailed, nil)
 		}
--- a/balancer/platform/backend/report.go
+++ b/balancer/platform/backend/report.go
@@ -5,16 +5,16 @@
 	"strconv"
 )
 
-// Report is what a server says of a job.
+// Report is a server's report on a job, sent in a call-back.
 type Report struct {
 	ID     string          `json:"id"`
-	From   string          `json:"from"` // the server
+	From   string          `json:"from"` // name of the server
 	State  string          `json:"state"`
 	Share  float64         `json:"share"`
 	Result json.RawMessage `json:"result"`
 }
 
-// Read reads a call, and returns nil for what can't be read.
+// Read parses the body of a call-back. It returns nil if the body is invalid, or lacks an ID or a server name.
 func Read(body []byte) *Report {
 	s := &Report{}
 	if !s.plain(body) {
@@ -28,9 +28,9 @@
 	return s
 }
 
-// plain reads a call in the form that servers write: one flat object with the names above, plain strings and a simple
-// number. It returns false for everything else, good or bad, which encoding/json then reads: that took a seventh of all
-// instructions of a job, which is called back twice or more.
+// plain parses a call-back in the form that servers normally write: one flat object with the names above, strings without
+// escapes and a simple number. It returns false for everything else, valid or not, which is then left to encoding/json. This
+// fast path exists because encoding/json took a seventh of all instructions of a job, which has two or more call-backs.
 func (s *Report) plain(b []byte) bool {
 	p := plainText{b}
 	if !p.skip('{') {
@@ -63,7 +63,7 @@
 			text, ok = p.text(false)
 			s.Result = whole[:min(len(text)+2, len(whole))]
 		default:
-			ok = false // encoding/json takes names of any case, and passes over others
+			ok = false // encoding/json matches names in any case, and ignores unknown ones
 		}
 		if !ok {
 			return false
@@ -71,7 +71,7 @@
 	}
 }
 
-// plainText is what is left of a text.
+// plainText is the part of a text that is not parsed yet.
 type plainText struct{ b []byte }
 
 func (p *plainText) space() {
@@ -80,7 +80,7 @@
 	}
 }
 
-// skip takes one byte, with the space around it, if it comes next.
+// skip consumes the given byte and the space around it, and returns false if the next byte is another one.
 func (p *plainText) skip(c byte) bool {
 	p.space()
 	if len(p.b) == 0 || p.b[0] != c {
@@ -91,8 +91,8 @@
 	return true
 }
 
-// text takes a string without escapes, of ASCII alone if that is asked for: encoding/json replaces what is no UTF-8, but
-// not in a result, which is kept as it came.
+// text consumes a string without escapes, and returns false for any other. If ascii is set, the string must be all ASCII:
+// encoding/json replaces invalid UTF-8, except in a result, which is kept as it was received.
 func (p *plainText) text(ascii bool) ([]byte, bool) {
 	p.space()
 	if len(p.b) == 0 || p.b[0] != '"' {
@@ -118,7 +118,7 @@
 	return ok
 }
 
-// number takes digits, with a point and digits behind it or without.
+// number consumes a number of digits, optionally with a decimal point and more digits.
 func (p *plainText) number() (float64, bool) {
 	p.space()
 	i, points := 0, 0
--- a/balancer/platform/backend/report_test.go
+++ b/balancer/platform/backend/report_test.go
@@ -7,7 +7,7 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// What the short way reads it reads as encoding/json does; everything else it leaves to that.
+// Read must give the same result as encoding/json, whether it uses the fast path or not.
 func FuzzReadAgreesWithJSON(f *testing.F) {
 	for _, seed := range []string{
 		`{"id":"9b1f03aa5c7e2d41","from":"s-0badcafe","state":"started"}`,
@@ -32,13 +32,13 @@
 	})
 }
 
-// The usual calls take the short way.
-func TestUsualCallsTakeTheShortWay(t *testing.T) {
+// The usual call-backs must be parsed by the fast path.
+func TestUsualCallbacksUseFastPath(t *testing.T) {
 	for _, body := range []string{`{"id":"9b1f03aa5c7e2d41","from":"s-0badcafe","state":"started"}`,
 		`{"id": "9b1f03aa5c7e2d41", "from": "s-0badcafe", "state": "running", "share": 0.4}`,
 		`{"id":"9b1f03aa5c7e2d41","from":"s-0badcafe","state":"done","result":"words"}` + "\n"} {
 		if !new(Report).plain([]byte(body)) {
-			t.Errorf("%s is read the long way", body)
+			t.Errorf("%s is not parsed by the fast path", body)
 		}
 	}
 }
--- a/balancer/platform/doc.go
+++ b/balancer/platform/doc.go
@@ -1,3 +1,3 @@
-// Package platform holds the names of the users' protocol that its client side and its server side share. The scheduler knows
-// none of them.
+// Package platform defines the names in the users' protocol that its client side (frontend) and its server side (backend) share.
+// Package scheduler does not depend on them.
 package platform
--- a/balancer/platform/frontend/conn.go
+++ b/balancer/platform/frontend/conn.go
@@ -13,7 +13,7 @@
 	"ravendale/balancer/transport"
 )
 
-// queue holds connections in the order in which they joined.
+// queue holds connections in the order in which they were added.
 type queue []*conn
 
 func (q *queue) join(c *conn) { *q = append(*q, c) }
@@ -26,20 +26,20 @@
 
 // conn is one accepted connection.
 type conn struct {
-	f        *Frontend
-	net      transport.Conn
-	in       http1.Requests
-	since    time.Duration
-	current  *scheduler.Exchange // the request that waits for its answer
-	proven   bool                // it has brought a proper request
-	closes   bool                // its answer closes the connection
-	closing  bool                // nothing more is read
-	ending   bool                // it was ended here, and counts among those
-	flooded  bool                // more came than is kept
-	server   bool                // a backend server calls back here
-	isIdle   bool
-	timer    *deadline.Deadline
-	response []byte
+	f               *Frontend
+	net             transport.Conn
+	in              http1.Requests
+	since           time.Duration
+	current         *scheduler.Exchange // the request that waits for its answer, if any
+	hasValidRequest bool                // it has received a valid request
+	closes          bool                // the answer to current closes the connection
+	closing         bool                // no more requests are processed
+	ending          bool                // end was called, and the connection counts in ConnLimits.ending
+	flooded         bool                // more than maxAhead bytes arrived before the answer to current
+	hasCallbacks    bool                // a backend server uses it for call-backs
+	isIdle          bool
+	timer           *deadline.Deadline
+	response        []byte
 }
 
 func (c *conn) Connected() {}
@@ -50,10 +50,10 @@
 	}
 	c.in.Feed(b)
 	if c.current != nil {
-		// A request that came before the last one's answer waits. Guards the memory against a client that
-		// never stops sending: the answer owed is given, the rest is not read.
+		// A request that arrives before the previous one is answered waits. To bound memory, a client that never stops
+		// sending still gets the answer to its current request, but nothing more is read from it.
 		if c.flooded = c.in.Buffered() > maxAhead; c.flooded {
-			c.f.o.Log.Debug("flooded", "client", c.net.Peer(), "id", c.current.ID)
+			c.f.o.Log.Debug("client sent too much ahead of its answer; no longer reading", "client", c.net.Peer(), "id", c.current.ID)
 			c.net.Ignore()
 		}
 		return
@@ -61,7 +61,7 @@
 	c.pump()
 }
 
-// pump takes requests until one has to wait for its answer.
+// pump processes received requests until one has to wait for its answer.
 func (c *conn) pump() {
 	for c.current == nil && !c.closing {
 		req, err := c.in.Next()
@@ -86,15 +86,15 @@
 	}
 }
 
-// await bounds how long half a request may take, from its first byte on.
+// await starts the timer for the rest of a partly received request, from its first byte on.
 func (c *conn) await() {
 	if c.in.Partial() && c.timer == nil {
 		c.setIdle(false)
-		c.timer = c.f.o.Loop.After(patience, c.overdue)
+		c.timer = c.f.o.Loop.After(requestTimeout, c.overdue)
 	}
 }
 
-// overdue ends a connection whose request did not come, or not whole.
+// overdue ends a connection whose request has not arrived in time: with 408 if a part of it has.
 func (c *conn) overdue() {
 	if c.in.Partial() {
 		c.reject(408, "the request did not come whole in time")
@@ -103,17 +103,17 @@
 	}
 }
 
-// prove tells that the connection has brought a proper request: only then does the time for that end.
-func (c *conn) prove() {
+// markValid records that the connection has received a valid request, and stops the timer for it.
+func (c *conn) markValid() {
 	c.f.o.Loop.Deadlines.Drop(c.timer)
 	c.timer = nil
-	if !c.proven {
-		c.proven = true
+	if !c.hasValidRequest {
+		c.hasValidRequest = true
 		c.f.unproven.leave(c)
 	}
 }
 
-// answer writes the final answer to a request.
+// answer writes the response for the final answer to a request.
 func (c *conn) answer(a scheduler.Answer, closes bool) {
 	switch a.Kind {
 	case scheduler.Served:
@@ -129,18 +129,18 @@
 	}
 }
 
-// reject answers what can't be read, and reads no more of it: what follows may be anything. The client is told why; a line of
-// the log for each would have many bad ones fill that.
+// reject answers an invalid request with an error status and closes the connection, as the bytes that follow can't be trusted.
+// The client receives the reason. It is logged at debug level only, or many bad requests would fill the log.
 func (c *conn) reject(status int, reason string) {
-	c.f.o.Log.Debug("rejected", "client", c.net.Peer(), "status", status, "why", reason)
+	c.f.o.Log.Debug("request rejected", "client", c.net.Peer(), "status", status, "why", reason)
 	c.respond(status, nil, []byte(reason+"\n"), true)
 }
 
-// respond writes a response.
+// respond writes a response, and ends the connection if closes is set or the frontend wants connections closed.
 func (c *conn) respond(status int, h http1.Header, content []byte, closes bool) {
-	closes = closes || (c.f.draining || c.f.away || c.f.retired) && !c.server
-	if c.f.shed > 0 {
-		c.f.shed--
+	closes = closes || (c.f.draining || c.f.away || c.f.retired) && !c.hasCallbacks
+	if c.f.shedCount > 0 {
+		c.f.shedCount--
 		closes = true
 	}
 	if closes {
@@ -149,20 +149,20 @@
 	c.response = http1.AppendResponse(c.response[:0], status, h, content)
 	c.net.Write(c.response)
 	if c.net.Unwritten() > maxUnread {
-		c.drop() // guards the memory against a client that asks and does not read
+		c.drop() // bounds the memory for a client that sends requests without reading the responses
 		return
 	}
 	if !closes {
-		c.setIdle(!c.server)
+		c.setIdle(!c.hasCallbacks)
 		return
 	}
 	c.end()
 }
 
-// end ends a connection to which nothing more is said. The other side sees what was, and then that nothing follows, and has
-// LingerFor to close. What still comes crossed the end, as by the protocol a request may that its client then sends anew: it is
-// read and goes nowhere. Unread, it had the system reset the connection, and answers on their way went with it (RFC 9112,
-// section 9.6).
+// end shuts down the sending side of a connection. The peer receives all responses, then the end of the stream, and has LingerFor
+// to close. Data that still arrives was sent before the peer saw the end, for instance a request that the client will send
+// again, as the protocol allows. It is read and discarded: if it stayed unread, the operating system would reset the
+// connection, and responses in transit would be lost (RFC 9112, section 9.6).
 func (c *conn) end() {
 	c.setIdle(false)
 	c.f.unproven.leave(c)
@@ -173,7 +173,8 @@
 	c.linger(c.net.Unwritten())
 }
 
-// linger looks again after LingerFor whether the other side still takes what is left of the last answer, and else closes.
+// linger checks after each LingerFor whether the peer is still reading the rest of the last response; if it isn't, linger closes
+// the connection. left is the number of bytes that were unwritten at the previous check.
 func (c *conn) linger(left int) {
 	c.timer = c.f.o.Loop.After(LingerFor, func() {
 		if now := c.net.Unwritten(); now < left {
@@ -184,7 +185,7 @@
 	})
 }
 
-// setIdle keeps the list of idle connections.
+// setIdle adds the connection to the list of idle ones, or removes it.
 func (c *conn) setIdle(idle bool) {
 	if idle == c.isIdle {
 		return
@@ -197,7 +198,7 @@
 	}
 }
 
-// drop closes a connection at once: one that lingered, or whose descriptor is wanted now.
+// drop closes a connection at once: after lingering, or because its descriptor is needed.
 func (c *conn) drop() {
 	c.forget()
 	c.net.Close()
@@ -226,7 +227,7 @@
 	}
 }
 
-// hold sets which request of the connection waits for its answer.
+// hold sets the request of the connection that waits for its answer, nil for none.
 func (c *conn) hold(ex *scheduler.Exchange) {
 	if c.current != nil {
 		c.f.o.Limits.active.Add(-1)
--- a/balancer/platform/frontend/frontend.go
+++ b/balancer/platform/frontend/frontend.go
@@ -12,49 +12,49 @@
 )
 
 const (
-	// LingerFor is how long the other side has to close a connection that was ended here: see conn.end.
+	// LingerFor is how long the peer has to close a connection that was ended on this side: see conn.end.
 	LingerFor = 500 * time.Millisecond
 
-	maxAhead  = http1.MaxHead + http1.MaxBody // bytes kept of requests that came early
-	maxUnread = 64 << 10                      // bytes of answers kept for a client that does not read them
+	maxAhead  = http1.MaxHead + http1.MaxBody // maximum number of bytes buffered of requests that arrive before the current one is answered
+	maxUnread = 64 << 10                      // maximum number of bytes of responses buffered for a client that does not read them
 
-	// patience is how long a connection may take to bring its first proper request, and any later one to arrive
-	// whole: who sends nothing, or never ends, is to hear of it within 3 s of connecting.
-	patience = 2500 * time.Millisecond
-	// crowdedPatience is what is left of it while descriptors are short. A usual client sends as soon as it is
-	// connected, but the limit on the processor can hold this process up for most of 100 ms.
-	crowdedPatience = 150 * time.Millisecond
+	// requestTimeout is how long a connection may take to send its first valid request, and any later one to arrive
+	// completely: a client that sends nothing, or never ends its request, must be rejected within 3 s of connecting.
+	requestTimeout = 2500 * time.Millisecond
+	// crowdedRequestTimeout is the limit for the first valid request while descriptors are scarce. A usual client sends as
+	// soon as it is connected, but the CPU quota can throttle this process for most of 100 ms.
+	crowdedRequestTimeout = 150 * time.Millisecond
 
-	// leaveBy is when, after clients were sent away, none is to be left that is idle or comes with a new job: new
-	// connections stop after 0.2 s, and whatever is taken by then has time to be answered.
+	// leaveBy is how long after SendAway idle connections are ended and new jobs are refused: new connections stop after
+	// 0.2 s, and every request accepted by leaveBy has time to be answered.
 	leaveBy = 1500 * time.Millisecond
 )
 
-// Options say what a frontend works with.
+// Options configure a Frontend.
 type Options struct {
 	Loop     *scheduler.Loop
 	Accept   func(*scheduler.Exchange)
-	Callback func(body []byte) Heard // what a backend server says on the same listener
+	Callback func(body []byte) Heard // handles a backend server's call-back on the same listener
 	Ready    func() bool
 	Class    func(name string) int
 	Tenant   func(name string) int
-	Deadline func(class int) time.Duration         // the longest that a client waits
-	Keyed    func(class int) bool                  // requests of that class carry a key
+	Deadline func(class int) time.Duration         // the longest deadline of a client, 0 for no limit
+	Keyed    func(class int) bool                  // whether requests of the class must carry a key
 	Limits   *ConnLimits                           // shared by the frontends of one listener
-	Crowded  func()                                // tells the others that there is no room, and none to be made here
-	Refused  func(class int, why scheduler.Unsent) // counts what is refused here, by why
-	ComeBack func() time.Duration                  // when those are to come back, 0 where clients are not told
+	Crowded  func()                                // asks the other frontends to close idle connections, as there are still too many; may be nil
+	Refused  func(class int, why scheduler.Unsent) // counts a request refused by the frontend, with the reason
+	ComeBack func() time.Duration                  // Retry-After of requests refused for lack of capacity, 0 for none
 	Log      *slog.Logger
 }
 
-// Heard is what becomes of a call.
+// Heard is the result of handling a call-back.
 type Heard uint8
 
-// What becomes of calls.
+// The results of handling a call-back.
 const (
 	Taken Heard = iota
 	Unreadable
-	Swamped // whom it is for has too much to do: the server is to come again
+	Swamped // the loop that it is for is overloaded: the server must retry
 )
 
 // Frontend serves the connections of clients, and of backend servers that call back.
@@ -62,31 +62,31 @@
 	o          Options
 	conns      map[*conn]struct{}
 	idle       queue              // connections of clients between requests, longest idle first
-	unproven   queue              // connections that have brought no proper request, oldest first
-	crowded    *deadline.Deadline // when the oldest of those is to make room
+	unproven   queue              // connections that have received no valid request, oldest first
+	crowded    *deadline.Deadline // when the oldest of unproven may be dropped
 	served     atomic.Int64       // requests and calls so far
 	open       atomic.Int64       // connections
-	shed       int                // so many of the next answers close their connections
-	draining   bool               // answers close their connections, and nothing new is taken
-	retired    bool               // another process accepts: answers close their connections
-	away       bool               // clients are sent away
-	leaveTimer *deadline.Deadline // when they are to be gone
+	shedCount  int                // how many of the next responses close their connections
+	draining   bool               // responses close their connections, and new jobs are refused
+	retired    bool               // another process accepts connections: responses close theirs
+	away       bool               // clients are sent away: see SendAway
+	leaveTimer *deadline.Deadline // ends idle connections at leaveBy
 }
 
 // New returns a frontend.
 func New(o Options) *Frontend { return &Frontend{o: o, conns: make(map[*conn]struct{})} }
 
-// Open is how many connections there are here; other goroutines may ask.
+// Open returns the number of connections of this frontend. Any goroutine may call it.
 func (f *Frontend) Open() int { return int(f.open.Load()) }
 
-// Shed has the next answers, so many of them, close their connections: those on which most is asked come first. Clients and
-// servers then connect anew, and may be dealt to a loop that has less to do.
-func (f *Frontend) Shed(conns int) { f.shed = conns }
+// Shed makes the given number of next responses close their connections, which are most likely the busiest ones. Their clients and
+// servers then reconnect, and may be assigned to a loop with less load.
+func (f *Frontend) Shed(conns int) { f.shedCount = conns }
 
-// Served is how many requests and calls have come so far; other goroutines may ask.
+// Served returns the number of requests and call-backs so far. Any goroutine may call it.
 func (f *Frontend) Served() int64 { return f.served.Load() }
 
-// Finishing says whether an answer is still being written, or a connection that was ended here still lingers.
+// Finishing reports whether a response is still being written, or a connection that was ended on this side still lingers.
 func (f *Frontend) Finishing() bool {
 	for c := range f.conns {
 		if c.ending || c.net.Unwritten() > 0 {
@@ -96,30 +96,29 @@
 	return false
 }
 
-// Drain ends idle connections of clients, and each of the others with its next answer; what comes from now on is
-// refused at once.
+// Drain ends the idle connections of clients, and each other one with its next response. New jobs are refused at once.
 func (f *Frontend) Drain() {
 	f.draining = true
 	f.endIdle()
 }
 
-// Retire has each answer close its connection, so that clients come back to the process that accepts in this one's
-// place; what is idle is left for them to use. Jobs are taken as before.
+// Retire sets whether each response closes its connection, so that clients reconnect to the process that accepts connections in
+// this one's place. Idle connections stay open for their clients to use, and jobs are accepted as before.
 func (f *Frontend) Retire(retired bool) { f.retired = retired }
 
-// Clients is how many connections there are but those on which backend servers call back.
+// Clients returns the number of connections, without those that backend servers use for call-backs.
 func (f *Frontend) Clients() (n int) {
 	for c := range f.conns {
-		if !c.server {
+		if !c.hasCallbacks {
 			n++
 		}
 	}
 	return n
 }
 
-// SendAway sends clients away, or has them back; both may be asked again. From now on the scheduler says that it is
-// not ready, and each answer closes its connection; what is left of those after a while is ended. Requests on the
-// connections there are, are served until then. It is no stop: call-backs come as before.
+// SendAway starts or stops sending clients away; repeating a call has no effect. While clients are sent away, the readiness check
+// fails and each response closes its connection. Requests on existing connections are served until leaveBy; then idle
+// connections are ended and new jobs are refused. Call-backs are handled as before.
 func (f *Frontend) SendAway(away bool) {
 	if away == f.away {
 		return
@@ -131,27 +130,27 @@
 	}
 }
 
-// Away says whether clients are sent away.
+// Away reports whether clients are sent away.
 func (f *Frontend) Away() bool { return f.away }
 
-// refuses says whether no new job is taken.
+// refuses reports whether new jobs are refused.
 func (f *Frontend) refuses() bool {
 	return f.draining || f.away && f.o.Loop.Now() >= f.leaveTimer.At()
 }
 
-// endIdle ends the connections of clients that are between requests.
+// endIdle ends the idle connections of clients.
 func (f *Frontend) endIdle() {
 	for len(f.idle) > 0 {
 		f.idle[0].end()
 	}
 }
 
-// Opened takes a connection that was accepted.
+// Opened registers an accepted connection and returns its handler.
 func (f *Frontend) Opened(c transport.Conn) transport.Handler {
 	n := &conn{f: f, net: c, since: f.o.Loop.Now()}
 	f.conns[n] = struct{}{}
 	f.unproven.join(n)
-	n.timer = f.o.Loop.After(patience, n.overdue)
+	n.timer = f.o.Loop.After(requestTimeout, n.overdue)
 	f.o.Limits.open.Add(1)
 	f.open.Add(1)
 	f.ShedIdle()
@@ -161,13 +160,13 @@
 	return n
 }
 
-// ShedIdle guards the descriptors: first connections that brought nothing for some time make room, oldest first,
-// then idle ones of clients, longest idle first. Without it silent connections fill the table, and clients and
-// backend servers that call back wait unseen in the system's queue.
+// ShedIdle frees descriptors while there are too many connections. It closes first connections that have sent no valid request for
+// some time, oldest first, then idle ones of clients, longest idle first. Otherwise silent connections could use up all
+// descriptors, and clients and call-backs would wait in the listen queue of the operating system.
 func (f *Frontend) ShedIdle() {
 	now, r := f.o.Loop.Now(), f.o.Limits
 	if r.open.Load() > r.maxOpen.Load() {
-		for len(f.unproven) > 0 && now-f.unproven[0].since >= crowdedPatience {
+		for len(f.unproven) > 0 && now-f.unproven[0].since >= crowdedRequestTimeout {
 			f.unproven[0].drop()
 		}
 	}
@@ -175,7 +174,7 @@
 		f.idle[0].end()
 	}
 	if r.open.Load() > r.maxOpen.Load() && len(f.unproven) > 0 && f.crowded == nil {
-		f.crowded = f.o.Loop.Deadlines.Add(f.unproven[0].since+crowdedPatience, func() {
+		f.crowded = f.o.Loop.Deadlines.Add(f.unproven[0].since+crowdedRequestTimeout, func() {
 			f.crowded = nil
 			f.ShedIdle()
 		})
--- a/balancer/platform/frontend/request.go
+++ b/balancer/platform/frontend/request.go
@@ -20,15 +20,15 @@
 			c.reject(400, "the call can't be read")
 			return
 		case Swamped:
-			c.drop() // not answered, it comes again
+			c.drop() // without an answer, the server will retry the call
 			return
 		}
-		// Whatever it says is answered, or it would come again.
-		c.server = true
-		c.prove()
+		// Every readable call is answered, or the server would repeat it.
+		c.hasCallbacks = true
+		c.markValid()
 		c.respond(204, nil, nil, req.Close)
 	case path == platform.PathReady && req.Method == "GET":
-		if c.prove(); c.f.o.Ready() && !c.f.away {
+		if c.markValid(); c.f.o.Ready() && !c.f.away {
 			c.respond(200, nil, []byte("ready\n"), req.Close)
 		} else {
 			c.respond(503, nil, []byte("not ready\n"), req.Close)
@@ -50,9 +50,9 @@
 		c.reject(400, problem)
 		return
 	}
-	c.prove()
-	// Nothing of this request has run anywhere: it may be refused whatever its class. A scheduler that leaves does
-	// not ask its clients to wait: another may have room.
+	c.markValid()
+	// The request has not been sent anywhere, so it may be refused whatever its class. A scheduler that is leaving sends no
+	// Retry-After: another one may have capacity now.
 	switch {
 	case f.refuses():
 		f.o.Refused(facts.Class, scheduler.Leaving)
@@ -71,10 +71,10 @@
 	f.o.Accept(ex)
 }
 
-// serveBy has a request of this connection answered by way of an exchange.
+// serveBy makes ex the current request of the connection, and sets its callbacks to answer there.
 func (c *conn) serveBy(ex *scheduler.Exchange) {
 	ex.Holder = c
-	// Where the scheduler is on another loop, an answer may cross the end of its connection.
+	// If the scheduler runs on another loop, the connection may have ended before the answer arrives.
 	ex.Answer = func(a scheduler.Answer) {
 		if c.current == ex {
 			c.hold(nil)
@@ -91,8 +91,9 @@
 	c.hold(ex)
 }
 
-// facts reads what the decision module gets, or names what can't be read. Guards against serving what no usual
-// client sends, and against passing it on: an id of another form, seen by a server, voids a day.
+// facts parses what the decision module needs from a request, and returns the problem if the request is invalid. It is strict, so
+// that no request is served or forwarded that a usual client would not send: an ID of another form that reaches a server
+// voids a day.
 func (f *Frontend) facts(req *http1.Request, query string) (facts scheduler.Facts, problem string) {
 	h := req.Header
 	for _, name := range []string{platform.HeaderID, platform.HeaderClass, platform.HeaderLeft, platform.HeaderKey} {
@@ -144,7 +145,8 @@
 	return facts, ""
 }
 
-// queryValue returns the first value of a name. One that holds escapes is of another form than the hex that is wanted.
+// queryValue returns the first value of a query parameter. It does not decode escapes, since the hex digits expected in it
+// need none.
 func queryValue(query, name string) string {
 	for query != "" {
 		var pair string
@@ -156,7 +158,7 @@
 	return ""
 }
 
-// isID says whether an id has the form that clients give it.
+// isID reports whether an ID has the form that clients use: 16 lower-case hex digits.
 func isID(id string) bool {
 	for i := range len(id) {
 		if c := id[i]; (c < '0' || c > '9') && (c < 'a' || c > 'f') {
--- a/balancer/platform/frontend/transfer.go
+++ b/balancer/platform/frontend/transfer.go
@@ -5,9 +5,9 @@
 	"ravendale/balancer/transport"
 )
 
-// Transferable returns the connection of a request in progress for another process to answer on, and whether the answer closes
-// it. It returns false where this side has more to do with it: bytes of another request have come, or the answer to an earlier
-// one is still being written.
+// Transferable returns the connection of a request in progress, for another process to answer on, and whether the answer closes
+// it. It returns false if this process still needs the connection: bytes of another request have arrived, or the response to an
+// earlier one is still being written.
 func (f *Frontend) Transferable(ex *scheduler.Exchange) (net transport.Conn, closes, ok bool) {
 	c, ours := ex.Holder.(*conn)
 	if !ours || c.current != ex || c.closing || c.flooded || c.in.Buffered() > 0 || c.net.Unwritten() > 0 {
@@ -16,16 +16,16 @@
 	return c.net, c.closes, true
 }
 
-// Release forgets the connection of a request that another process answers.
+// Release removes the connection of a request that another process will answer.
 func (f *Frontend) Release(ex *scheduler.Exchange) {
 	c := ex.Holder.(*conn)
 	c.hold(nil)
 	c.forget()
 }
 
-// Adopt takes a connection on which a request waits that another process read.
+// Adopt takes over a connection with a request in progress that another process has read.
 func (f *Frontend) Adopt(net transport.Conn, ex *scheduler.Exchange, closes bool) transport.Handler {
-	c := &conn{f: f, net: net, since: f.o.Loop.Now(), proven: true, closes: closes}
+	c := &conn{f: f, net: net, since: f.o.Loop.Now(), hasValidRequest: true, closes: closes}
 	f.conns[c] = struct{}{}
 	f.o.Limits.open.Add(1)
 	f.open.Add(1)
--- a/balancer/platform/management/compat_test.go
+++ b/balancer/platform/management/compat_test.go
@@ -10,7 +10,7 @@
 	"ravendale/balancer/scheduler"
 )
 
-// The files in testdata/compat were written by version a08c060: what operators' tools read at the endpoint.
+// The files in testdata/compat were written by version a08c060. They hold responses of the endpoint that operators' tools read.
 
 func compatFile(t *testing.T, name string) []byte {
 	t.Helper()
@@ -27,13 +27,13 @@
 	Unsent: [scheduler.Unsents]int{15, 16, 17, 18},
 }
 
-func TestGoldenFiguresAreWrittenTheSame(t *testing.T) {
+func TestGoldenFigures(t *testing.T) {
 	if got, golden := Statsd("ravendale", compatFigures), compatFile(t, "vars.txt"); !bytes.Equal(got, golden) {
-		t.Errorf("the figures are written as\n%s\nnot as\n%s", got, golden)
+		t.Errorf("the figures are written as\n%s\nwant\n%s", got, golden)
 	}
 }
 
-func TestGoldenAnswersOfTheEndpointAreWrittenTheSame(t *testing.T) {
+func TestGoldenEndpointResponses(t *testing.T) {
 	var ready bool
 	var calls []byte
 	d := New(Options{
@@ -70,9 +70,9 @@
 		all = http1.AppendResponse(all, status, http1.Header{{Name: "Connection", Value: "close"}}, content)
 	}
 	if golden := compatFile(t, "answers.txt"); !bytes.Equal(all, golden) {
-		t.Errorf("the answers are written as\n%s\nnot as\n%s", all, golden)
+		t.Errorf("the responses are written as\n%s\nwant\n%s", all, golden)
 	}
 	if want := "away\nnot away\nworker/1 out\nworker-1 back\nnone out\n"; string(calls) != want {
-		t.Errorf("the calls were taken for\n%s\nnot for\n%s", calls, want)
+		t.Errorf("the calls were executed as\n%s\nwant\n%s", calls, want)
 	}
 }
--- a/balancer/platform/management/management.go
+++ b/balancer/platform/management/management.go
@@ -14,23 +14,23 @@
 )
 
 const (
-	// patience is how long a caller may take for its call where nobody else wants its place.
-	patience = 5 * time.Second
-	// lingerFor is how long a caller has to close the connection after its answer.
+	// callTimeout is how long a caller may take to send its call, unless another caller needs its place.
+	callTimeout = 5 * time.Second
+	// lingerFor is how long a caller has to close the connection after the response.
 	lingerFor = 500 * time.Millisecond
 )
 
-// Options say what an endpoint works with.
+// Options configure an Endpoint.
 type Options struct {
 	Loop        *scheduler.Loop
-	Ready       func() bool                        // this process takes clients
-	Figures     func() []byte                      // rendered, in whatever form
-	SetDetached func(worker string, out bool) bool // takes a worker out, or puts it back; false: it is unknown
-	Away        func(away bool)                    // sends clients away, or has them back
-	MaxOpen     int                                // above so many callers the one that came first makes room
+	Ready       func() bool                        // whether this process accepts clients
+	Figures     func() []byte                      // the metrics, rendered as text
+	SetDetached func(worker string, out bool) bool // takes a worker out of service or puts it back; false if it is unknown
+	Away        func(away bool)                    // starts or stops sending clients away
+	MaxOpen     int                                // number of connections above which the oldest is dropped
 }
 
-// Endpoint serves the callers.
+// Endpoint serves operators' calls.
 type Endpoint struct {
 	o     Options
 	calls []*call // oldest first
@@ -44,16 +44,16 @@
 	d     *Endpoint
 	net   transport.Conn
 	in    http1.Requests
-	done  bool // it has its answer
+	done  bool // the response was written
 	timer *deadline.Deadline
 }
 
-// Opened takes a connection that was accepted. It guards the endpoint's few descriptors against callers that connect and
-// say nothing: the oldest is shed, those that have had their answer first.
+// Opened registers an accepted connection and returns its handler. If there are more than MaxOpen, it drops the oldest connection
+// that was answered, or else the oldest, so that callers that send nothing can't use up the endpoint's few descriptors.
 func (d *Endpoint) Opened(n transport.Conn) transport.Handler {
 	c := &call{d: d, net: n}
 	d.calls = append(d.calls, c)
-	c.timer = d.o.Loop.After(patience, c.drop)
+	c.timer = d.o.Loop.After(callTimeout, c.drop)
 	if len(d.calls) > d.o.MaxOpen {
 		oldest := max(slices.IndexFunc(d.calls, func(c *call) bool { return c.done }), 0)
 		d.calls[oldest].drop()
@@ -80,7 +80,7 @@
 	}
 }
 
-// serve executes a call. What is asked may come any number of times.
+// serve executes a call. All calls are idempotent.
 func (d *Endpoint) serve(req *http1.Request) (status int, content []byte) {
 	path, _, _ := strings.Cut(req.Target, "?")
 	method, act := "POST", func() (int, []byte) { return 404, []byte("there is no such call\n") }
--- a/balancer/platform/management/statsd.go
+++ b/balancer/platform/management/statsd.go
@@ -8,7 +8,7 @@
 	"ravendale/balancer/scheduler"
 )
 
-// Statsd renders figures as lines of the statsd form, each name behind prefix and a point.
+// Statsd renders figures in the statsd line format, each name preceded by prefix and a dot.
 func Statsd(prefix string, f scheduler.Figures) (b []byte) {
 	line := func(kind string, value int, names ...string) {
 		b = append(b, prefix...)
--- a/balancer/platform/node/cores.go
+++ b/balancer/platform/node/cores.go
@@ -12,11 +12,11 @@
 	"ravendale/balancer/transport"
 )
 
-// On several cores the decider's loop has the module, the sessions, the server table and the operators' endpoint. Each core has
-// a loop with a frontend and a backend, on a poller of its own: the bytes of clients and servers never meet the decider.
+// On several cores, the decider's loop runs the module, the sessions, the server table and the operators' endpoint. Each core has
+// its own loop and poller, with a frontend and a backend, so that the decider never handles the bytes of clients and servers.
 // See docs/cores.md.
 
-// core is one of them.
+// core is the loop, the frontend and the backend of one core.
 type core struct {
 	number   int
 	loop     *scheduler.Loop
@@ -25,37 +25,37 @@
 	backend  *backend.Backend
 }
 
-// evenEvery is how often connections may be made to move, and loadFor how long what a core served counts for its load.
-const evenEvery = 250 * time.Millisecond
+// rebalanceEvery is the interval at which the loads of the cores are measured and connections may be moved.
+const rebalanceEvery = 250 * time.Millisecond
 
-// many is the client side and the server side on several cores, as the decider sees them.
-type many struct {
+// multiCore is the client side and the server side on several cores. Its methods belong to the decider unless they say otherwise.
+type multiCore struct {
 	decider *scheduler.Loop
 	sched   *scheduler.Scheduler
 	board   *cores.Board
 	all     []*core
 	limits  *frontend.ConnLimits
 	conns   *backend.Conns
-	stray   func(body []byte) // the decider's
+	stray   func(body []byte) // called in the decider's turns
 	away    bool
-	waiting waiting // until the decider hears again
+	held    heldSends // sends that wait for the next pulse
 
-	served []int64                      // at the last look
-	loads  atomic.Pointer[[]cores.Load] // since then
+	served []int64                      // requests served by each core, at the last measurement
+	loads  atomic.Pointer[[]cores.Load] // loads at the last measurement; read by Choose
 }
 
-// at has f called on a core's loop; the decider calls it.
-func (m *many) at(c *core, f func()) { m.decider.Send(c.loop, f) }
+// at schedules f on a core's loop; it must be called in the decider's turn.
+func (m *multiCore) at(c *core, f func()) { m.decider.Send(c.loop, f) }
 
-// each has f called on every core's loop.
-func (m *many) each(f func(*core)) {
+// each schedules f on every core's loop.
+func (m *multiCore) each(f func(*core)) {
 	for _, c := range m.all {
 		m.at(c, func() { f(c) })
 	}
 }
 
-// gather asks every core, and tells the sum.
-func (m *many) gather(ask func(*core) int, reply func(sum int)) {
+// gather calls ask on every core, and then reply with the sum.
+func (m *multiCore) gather(ask func(*core) int, reply func(sum int)) {
 	sum, left := 0, len(m.all)
 	m.each(func(c *core) {
 		n := ask(c)
@@ -68,20 +68,20 @@
 	})
 }
 
-func (m *many) Drain()              { m.each(func(c *core) { c.frontend.Drain() }) }
-func (m *many) Retire(retired bool) { m.each(func(c *core) { c.frontend.Retire(retired) }) }
-func (m *many) Away() bool          { return m.away }
+func (m *multiCore) Drain()              { m.each(func(c *core) { c.frontend.Drain() }) }
+func (m *multiCore) Retire(retired bool) { m.each(func(c *core) { c.frontend.Retire(retired) }) }
+func (m *multiCore) Away() bool          { return m.away }
 
-func (m *many) SendAway(away bool) {
+func (m *multiCore) SendAway(away bool) {
 	m.away = away
 	m.each(func(c *core) { c.frontend.SendAway(away) })
 }
 
-func (m *many) Clients(reply func(int)) {
+func (m *multiCore) Clients(reply func(int)) {
 	m.gather(func(c *core) int { return c.frontend.Clients() }, reply)
 }
 
-func (m *many) Finishing(reply func(bool)) {
+func (m *multiCore) Finishing(reply func(bool)) {
 	m.gather(func(c *core) int {
 		if c.frontend.Finishing() {
 			return 1
@@ -90,17 +90,17 @@
 	}, func(sum int) { reply(sum > 0) })
 }
 
-// Give gives nothing: see Transferable.
-func (m *many) Give(*scheduler.Exchange, func(transport.Conn, bool) bool) bool { return false }
+// Give always returns false: see Transferable.
+func (m *multiCore) Give(*scheduler.Exchange, func(transport.Conn, bool) bool) bool { return false }
 
-// Adopt has a core answer a request that another process gave away. The core's frontend has an exchange of its own, as it
-// may not touch the decider's.
-func (m *many) Adopt(g transport.Given, ex *scheduler.Exchange, closes bool, serve adopter) error {
+// Adopt assigns a connection from another process to a core, on which the request ex is to be answered. The core's frontend gets a
+// separate exchange, as it must not access the decider's.
+func (m *multiCore) Adopt(g transport.Given, ex *scheduler.Exchange, closes bool, serve adopter) error {
 	c := m.all[m.Choose()]
 	there := &scheduler.Exchange{ID: ex.ID}
 	ex.Answer = func(a scheduler.Answer) { m.at(c, func() { there.Answer(a) }) }
 	ex.Repeated = func() { m.at(c, func() { there.Repeated() }) }
-	// The client's end is told of the decider's exchange, whatever the frontend tells of its own.
+	// The frontend calls Left on its exchange; that is relayed to the decider's exchange.
 	there.Relay = func(func()) { c.loop.Send(m.decider, ex.Left) }
 	m.at(c, func() {
 		err := serve(c.number, g, func(conn transport.Conn) transport.Handler { return c.frontend.Adopt(conn, there, closes) })
@@ -112,15 +112,15 @@
 	return nil
 }
 
-func (m *many) Targets() (to []accept) {
+func (m *multiCore) Targets() (to []accept) {
 	for _, c := range m.all {
 		to = append(to, c.frontend.Opened)
 	}
 	return to
 }
 
-// Choose deals a connection to a core; the goroutine that accepts calls it.
-func (m *many) Choose() int {
+// Choose returns the core for a new connection; the accepting goroutine calls it.
+func (m *multiCore) Choose() int {
 	loads := append([]cores.Load(nil), *m.loads.Load()...)
 	for i, c := range m.all {
 		loads[i].Conns = c.frontend.Open()
@@ -128,42 +128,42 @@
 	return cores.Deal(loads)
 }
 
-// even looks at what the cores served, and has connections move where that is uneven.
-func (m *many) even() {
+// rebalance measures the loads of the cores, and moves connections if the loads are uneven.
+func (m *multiCore) rebalance() {
 	loads := make([]cores.Load, len(m.all))
 	for i, c := range m.all {
 		served := c.frontend.Served()
-		loads[i] = cores.Load{Conns: c.frontend.Open(), Served: float64(served-m.served[i]) / evenEvery.Seconds()}
+		loads[i] = cores.Load{Conns: c.frontend.Open(), Served: float64(served-m.served[i]) / rebalanceEvery.Seconds()}
 		m.served[i] = served
 	}
 	m.loads.Store(&loads)
 	if move, any := cores.Even(loads); any {
 		m.at(m.all[move.From], func() { m.all[move.From].frontend.Shed(move.Conns) })
 	}
-	m.decider.After(evenEvery, m.even)
+	m.decider.After(rebalanceEvery, m.rebalance)
 }
 
-// limits are two methods of one name, one for each side.
+// clientSide and serverSide both have a method Limit, so that multiCore needs a type for each.
 type (
-	manyFrontends struct{ *many }
-	manyBackends  struct{ *many }
+	multiCoreFrontends struct{ *multiCore }
+	multiCoreBackends  struct{ *multiCore }
 )
 
-func (m manyFrontends) Limit(accepted int) {
+func (m multiCoreFrontends) Limit(accepted int) {
 	m.limits.Limit(accepted)
 	m.each(func(c *core) { c.frontend.ShedIdle() })
 }
 
-func (m manyBackends) Limit(conns int) {
+func (m multiCoreBackends) Limit(conns int) {
 	m.conns.Limit(conns)
 	m.each(func(c *core) { c.backend.Trim() })
 }
 
-// Send hands a dispatch to the core that serves its server. While the decider does not hear, it waits: a core would turn it
-// down, and each time cost the job one of its attempts.
-func (m manyBackends) Send(d *scheduler.Dispatch) {
+// Send passes a dispatch to the core that serves its server. While the last pulse is too old, the dispatch waits: the core would
+// not begin it, and it would count as one of the job's attempts each time.
+func (m multiCoreBackends) Send(d *scheduler.Dispatch) {
 	if m.board.Deaf(m.decider.Now()) {
-		m.waiting.join(d)
+		m.held.join(d)
 		return
 	}
 	permit := m.board.Permit(d.Worker, m.decider.Now(), m.sched.WarmingUp(d.Worker))
@@ -178,41 +178,41 @@
 	m.at(c, func() { c.backend.Send(d) })
 }
 
-// heard takes a pulse, and sends what waited for it.
-func (m manyBackends) heard(at time.Duration) {
+// onPulse records a pulse, and sends the dispatches that waited for it.
+func (m multiCoreBackends) onPulse(at time.Duration) {
 	if m.board.Heard(at); !m.board.Deaf(m.decider.Now()) {
-		m.waiting.flush(m.Send)
+		m.held.flush(m.Send)
 	}
 }
 
-// Withdraw gives a dispatch up.
-func (m manyBackends) Withdraw(d *scheduler.Dispatch) {
-	m.waiting.leave(d)
-	if d.Relay != nil { // it has come to a core
+// Withdraw cancels a dispatch.
+func (m multiCoreBackends) Withdraw(d *scheduler.Dispatch) {
+	m.held.leave(d)
+	if d.Relay != nil { // it was passed to a core
 		c := m.all[d.Core]
 		m.at(c, func() { c.backend.Withdraw(d) })
 	}
 }
 
-// Retract ends a dispatch that has not begun. Until the core hears of it, Dispatch.Due keeps it from beginning.
-func (m manyBackends) Retract(d *scheduler.Dispatch) {
-	if !m.waiting.retract(d) && d.Relay != nil {
+// Retract ends a dispatch that has not begun. Until the core receives the call, Dispatch.Due prevents the dispatch from beginning.
+func (m multiCoreBackends) Retract(d *scheduler.Dispatch) {
+	if !m.held.retract(d) && d.Relay != nil {
 		c := m.all[d.Core]
 		m.at(c, func() { c.backend.Retract(d) })
 	}
 }
 
-// Transferable says no: on several cores a request's two sides are on loops of their own, and no other process can be given
-// both in one turn. What is open is answered here.
-func (m manyBackends) Transferable(*scheduler.Dispatch) bool { return false }
+// Transferable returns false: on several cores, the client side and the server side of a request run on different loops, so that
+// they can't be transferred to another process in one turn. Open requests are answered by this process.
+func (m multiCoreBackends) Transferable(*scheduler.Dispatch) bool { return false }
 
-// Release is never asked for.
-func (m manyBackends) Release(*scheduler.Dispatch) {}
+// Release is never called, as no dispatch is transferable.
+func (m multiCoreBackends) Release(*scheduler.Dispatch) {}
 
-// Adopt hands a dispatch that came from another process to the core that serves its server.
-func (m manyBackends) Adopt(d *scheduler.Dispatch) {
+// Adopt passes a dispatch from another process to the core that serves its server.
+func (m multiCoreBackends) Adopt(d *scheduler.Dispatch) {
 	s := m.board.Server(d.Worker)
-	if s == nil { // it is listed no more: its calls would be taken for an unknown attempt's
+	if s == nil { // it is no longer listed: its call-backs would be treated as those on an unknown attempt
 		m.decider.Post(func() { d.End(ravendale.Reset, nil) })
 		return
 	}
@@ -222,9 +222,10 @@
 	m.at(c, func() { c.backend.Adopt(d) })
 }
 
-// Avoid undoes what has not begun: at once by the board, whatever the core does, and then in the core's own turn.
-func (m manyBackends) Avoid(worker string) {
-	m.waiting.avoid(worker)
+// Avoid ends the dispatches to a server that have not begun. The board revokes their permits at once, whatever the core is doing;
+// the core ends them in its next turn.
+func (m multiCoreBackends) Avoid(worker string) {
+	m.held.avoid(worker)
 	s := m.board.Server(worker)
 	if s == nil {
 		return
@@ -234,7 +235,7 @@
 	m.at(c, func() { c.backend.Avoid(worker) })
 }
 
-func (m manyBackends) PassCallback(body []byte, unknown func()) {
+func (m multiCoreBackends) PassCallback(body []byte, unknown func()) {
 	report := backend.Read(body)
 	if report == nil {
 		return
@@ -252,12 +253,13 @@
 	})
 }
 
-// mostQueued is how much may wait for a core before calls for it are rejected: they are answered where they come, and so
-// nothing else would bound what waits for a core that stands still. Requests are bounded by the room for them.
-const mostQueued = 1 << 14
+// maxQueued is the length of a core's queue above which call-backs for that core are not accepted. As call-backs are answered on
+// the core where they arrive, nothing else would bound the queue of a core that is paused. Requests are bounded by
+// ConnLimits.
+const maxQueued = 1 << 14
 
-// callback takes a server's call on whatever core it came to.
-func (m *many) callback(here *core, body []byte) frontend.Heard {
+// callback handles a server's call-back on the core where it arrived, and passes it to the core that serves the server.
+func (m *multiCore) callback(here *core, body []byte) frontend.Heard {
 	report := backend.Read(body)
 	if report == nil {
 		return frontend.Unreadable
@@ -273,7 +275,7 @@
 		}
 	default:
 		there := m.all[s.Core]
-		if there.loop.Queued() > mostQueued || m.decider.Queued() > mostQueued {
+		if there.loop.Queued() > maxQueued || m.decider.Queued() > maxQueued {
 			return frontend.Swamped
 		}
 		here.loop.Send(there.loop, func() {
@@ -285,22 +287,22 @@
 	return frontend.Taken
 }
 
-// accept hands a request on to the decider, and its answer back.
-func (m *many) accept(c *core, ex *scheduler.Exchange) {
+// accept passes a request from a core to the decider, and the answer back.
+func (m *multiCore) accept(c *core, ex *scheduler.Exchange) {
 	answer, repeated := ex.Answer, ex.Repeated
 	ex.Answer = func(a scheduler.Answer) { m.at(c, func() { answer(a) }) }
 	ex.Repeated = func() { m.at(c, repeated) }
 	ex.Relay = func(f func()) { c.loop.Send(m.decider, f) }
 	arrivedAt := c.loop.Now()
 	c.loop.Send(m.decider, func() {
-		// The client's time runs from when its request came, not from when the decider hears of it.
+		// The client's time runs from the arrival of its request at the core, not from its arrival at the decider.
 		ex.Facts.Left = max(ex.Facts.Left-max(m.decider.Now()-arrivedAt, 0), 0)
 		m.sched.Accept(ex)
 	})
 }
 
-// others has f called on every core's loop but one, whose turn the caller has.
-func (m *many) others(c *core, f func(*core)) {
+// others schedules f on the loops of all cores but c, whose turn the caller must hold.
+func (m *multiCore) others(c *core, f func(*core)) {
 	for _, other := range m.all {
 		if other != c {
 			c.loop.Send(other.loop, func() { f(other) })
@@ -308,23 +310,23 @@
 	}
 }
 
-// pulse shows the cores that the decider hears: see cores.Silence.
-func (m *many) pulse(echo func(func()) error, failed func(error)) {
+// pulse records a pulse on the board at regular intervals, each once all earlier input is processed: see cores.PulseTimeout.
+func (m *multiCore) pulse(echo func(func()) error, failed func(error)) {
 	at := m.decider.Now()
-	if err := echo(func() { manyBackends{m}.heard(at) }); err != nil {
+	if err := echo(func() { multiCoreBackends{m}.onPulse(at) }); err != nil {
 		failed(err)
 		return
 	}
 	m.decider.After(cores.Pulse, func() { m.pulse(echo, failed) })
 }
 
-// listed keeps the board up with the server table, before the module hears of it: what it then decides finds the
-// server there, and what was decided before finds it avoided.
-func (m *many) listed(entries []ravendale.Entry, address func(string) string) {
+// listed applies an update of the server table to the board, before the module receives the update. Later decisions then find new
+// servers on the board, and permits for servers that drain or are gone are revoked.
+func (m *multiCore) listed(entries []ravendale.Entry, address func(string) string) {
 	for i := range entries {
 		switch e := &entries[i]; e.State {
 		case ravendale.Removed:
-			manyBackends{m}.Avoid(e.Worker) // while the board still says on which core it is
+			multiCoreBackends{m}.Avoid(e.Worker) // while the board still has its core
 			m.board.Drop(e.Worker)
 		case ravendale.Ready:
 			m.board.List(e.Worker, address(e.Worker))
--- a/balancer/platform/node/cores_test.go
+++ b/balancer/platform/node/cores_test.go
@@ -6,16 +6,16 @@
 	"testing"
 )
 
-// listens has discovery answer, so that its lines are heard.
-const listens = `
+// watchOpen is a script in which discovery answers the watch, so that later lines are read.
+const watchOpen = `
 	wait 30ms
 	disc/1 accept
 	disc/1 send HTTP/1.1 200 OK\nTransfer-Encoding: chunked\n\n
 	disc/1 line
 `
 
-// kept leaves a kept connection to w1, which core 0 serves, and to w2, which core 1 does.
-const kept = listens + `
+// idleConns is a script that leaves an idle connection to w1, which core 0 serves, and to w2, which core 1 serves.
+const idleConns = watchOpen + `
 	c1 open on 0
 	c2 open on 1
 	c1 ask e1 read 5000
@@ -32,14 +32,15 @@
 	w2/1 expect POST /api e2 5000 hi
 `
 
-// What a core or the decider that stands still must not do, and what becomes of the jobs.
-func TestCoresThatStandStill(t *testing.T) {
+// While a core or the decider is stalled, no send may begin after a drain or after its lease, and the jobs must be sent elsewhere,
+// wait or be answered in time.
+func TestStalledCores(t *testing.T) {
 	drains := func(server string) string {
 		return `disc/1 line {"seq":44,"whole":false,"hosts":[` + entry(server, "terminating") + `]}`
 	}
 	for name, script := range map[string]string{
-		// Without its permit the core would write the send that it finds first, and the drain is 800 ms old.
-		"a send that waits on a stalled core is undone by a drain": kept + `
+		// Without permits, the resumed core would write the send first, 800 ms after the drain.
+		"drain revokes a send that waits on a stalled core": idleConns + `
 			stall 0
 			c2 ask a1 pay 5000
 			` + drains("w1") + `
@@ -51,7 +52,7 @@
 			w2/1 202
 			call w2 a1 done ok
 			c2 expect 200 ok`,
-		"so it is while its connection is made": listens + `
+		"drain revokes a send whose connection is being established": watchOpen + `
 			c1 open on 1
 			c1 ask a1 pay 5000
 			stall 0
@@ -63,7 +64,7 @@
 			w2/1 accept
 			wait 1ms
 			w2/1 expect POST /api a1 4200 hi`,
-		"a server that comes back is sent what is decided then": kept + `
+		"server that returns receives only later decisions": idleConns + `
 			stall 0
 			c2 ask a1 read 5000
 			` + drains("w1") + `
@@ -73,14 +74,14 @@
 			w2/1 expect POST /api a1 5000 hi
 			c1 ask a2 read 5000
 			w1/1 expect POST /api a2 5000 hi`,
-		"a last byte that was held back when the drain came is written": listens + `
+		"last byte held back during a drain is written": watchOpen + `
 			c1 open on 1
 			c1 ask a1 pay 5000
 			w1/1 accept
 			` + drains("w1") + `
 			wait 1ms
 			w1/1 expect POST /api a1 5000 hi`,
-		"a send older than its lease goes back to the module": kept + `
+		"send older than its lease is decided again": idleConns + `
 			stall 0
 			c2 ask a1 pay 5000
 			wait 251ms
@@ -88,15 +89,15 @@
 			w1/1 expect nothing
 			wait 1ms
 			w2/1 expect POST /api a1 4749 hi`,
-		"a send within its lease goes out": kept + `
+		"send within its lease is written": idleConns + `
 			stall 0
 			c2 ask a1 pay 5000
 			wait 249ms
 			resume 0
 			wait 1ms
 			w1/1 expect POST /api a1 4751 hi`,
-		// The drain has reached the machine, and nobody has read it: cores that go on know nothing of it.
-		"a core that has not heard for long sends nothing by itself": kept + `
+		// The drain may have reached the machine without being read by the decider, so cores that run are unaware of it.
+		"core sends nothing without a recent pulse": idleConns + `
 			deaf on
 			wait 240ms
 			stall 0
@@ -105,7 +106,7 @@
 			resume 0
 			w1/1 expect nothing
 			w2/1 expect nothing`,
-		"what is decided while nothing is heard waits, and costs no attempt": kept + `
+		"send decided without a recent pulse waits and costs no attempt": idleConns + `
 			deaf on
 			wait 400ms
 			c2 ask a1 read 5000
@@ -116,7 +117,7 @@
 			wait 50ms
 			w1/1 expect nothing
 			w2/1 expect POST /api a1 4680 hi`,
-		"what waits for a pulse ends with its client's time": kept + `
+		"send waiting for a pulse ends at the client's deadline": idleConns + `
 			deaf on
 			wait 400ms
 			c2 ask a1 read 100
@@ -126,7 +127,7 @@
 			wait 60ms
 			w1/1 expect nothing
 			w2/1 expect nothing`,
-		"a decider that stands still undoes nothing that runs": kept + `
+		"stalled decider does not affect a running job": idleConns + `
 			c2 ask a1 read 5000
 			w1/1 expect POST /api a1 5000 hi
 			stall decider
@@ -136,7 +137,7 @@
 			c2 expect nothing
 			resume decider
 			c2 expect 200 late`,
-		"a client that leaves on one core while its job ends on another has no answer, and no id is free": kept + `
+		"client leaves on one core while its job ends on another": idleConns + `
 			c2 ask a1 read 5000
 			w1/1 expect POST /api a1 5000 hi
 			w1/1 202
@@ -147,7 +148,7 @@
 			c1 ask a1 read 5000
 			c1 expect 409 close; end
 			w1/1 expect nothing`,
-		"an answer that crosses the end of its connection touches nothing": kept + `
+		"answer that crosses the end of its connection is dropped": idleConns + `
 			c2 ask a1 read 5000
 			stall 1
 			call w1 a1 done late
@@ -157,7 +158,7 @@
 			c3 ask a2 read 5000
 			w1/1 expect POST /api a1 5000 hi
 			w2/1 expect POST /api a2 5000 hi`,
-		"one id on two cores at once is taken once": kept + `
+		"same ID on two cores is accepted once": idleConns + `
 			stall decider
 			c1 ask a1 read 5000
 			c2 ask a1 read 5000
@@ -166,7 +167,7 @@
 			c2 expect 409 close; end
 			w1/1 expect POST /api a1 5000 hi
 			w2/1 expect nothing`,
-		"the client's time runs while the decider stands still": kept + `
+		"client's time runs while the decider is stalled": idleConns + `
 			stall decider
 			c2 ask a1 read 5000
 			wait 200ms
@@ -177,12 +178,12 @@
 	}
 }
 
-// A process on one core that stood still takes what came meanwhile in any order: a client's request, or a connection that is
-// made, before the word of a drain that is too old by then.
-func TestAProcessThatStoodStillHearsBeforeItSends(t *testing.T) {
+// After a pause, a process on one core reads its input in any order: it may read a client's request or an established connection
+// before the notification of a drain whose time to take effect has passed by then. It must not send to that server.
+func TestPausedProcessReadsInputBeforeSending(t *testing.T) {
 	told := `disc/1 line {"seq":44,"whole":false,"hosts":[` + entry("w1", "terminating") + `]}`
 	for name, script := range map[string]string{
-		"a request": kept + `
+		"request": idleConns + `
 			stall decider
 			c2 ask a1 pay 5000
 			` + told + `
@@ -191,7 +192,7 @@
 			w1/1 expect nothing
 			wait 1ms
 			w2/1 expect POST /api a1 5000 hi`,
-		"a connection that is made": listens + `
+		"established connection": watchOpen + `
 			c1 open
 			c1 ask a1 read 5000
 			stall decider
@@ -200,7 +201,7 @@
 			wait 1s
 			resume decider
 			w1/1 expect nothing`,
-		"a request after a request": kept + `
+		"request after another request": idleConns + `
 			stall decider
 			c1 send GET /ready HTTP/1.1\n\n
 			c2 ask a1 pay 5000
@@ -209,8 +210,8 @@
 			resume decider
 			w1/1 expect nothing
 			c1 expect 200 ready`,
-		// The first echo is lost; a send, had it begun, would be whole after 1 ms.
-		"nobody reads for long": kept + `
+		// The first echo is lost. A send that had begun would be written completely after 1 ms.
+		"poller paused for longer": idleConns + `
 			deaf on
 			stall decider
 			wait 400ms
@@ -230,10 +231,10 @@
 	}
 }
 
-// Sends to a cold server that a stalled core finds late are not written: their budget was counted when they were decided. A
-// warm one may be as late.
-func TestAStalledCoreDoesNotOverloadAServerInSlowStart(t *testing.T) {
-	const script = kept + `
+// A stalled core must not write late sends to a server in slow start, since their budget was charged when they were decided. Sends
+// to a warm server may be as late.
+func TestStalledCoreKeepsSlowStartBudget(t *testing.T) {
+	const script = idleConns + `
 		op1 call POST /_workers/detach/w2
 		op2 call POST /_workers/detach/w1
 		op3 call POST /_workers/attach/w1
@@ -249,10 +250,10 @@
 	playOn(t, []int{2}, two, 1024, fmt.Sprintf(warm, "101ms", "POST /api a1 4899 hi"))
 }
 
-// Descriptors are one sum: a core that has none left, and nothing idle, has another close one.
-func TestACoreOutOfDescriptorsGetsOneOfAnother(t *testing.T) {
+// All cores share the limit on connections: a core that reaches it without an idle connection makes another core close one.
+func TestConnectionLimitSharedByCores(t *testing.T) {
 	var servers []string
-	for i := range 16 { // with 64 sockets 15 connections may go to servers
+	for i := range 16 { // with 64 sockets, 15 connections to servers are allowed
 		servers = append(servers, fmt.Sprintf("w%d", i+1))
 	}
 	p := playOn(t, []int{16}, servers, 64, "c1 open on 0")
@@ -275,30 +276,30 @@
 			}
 		}
 		if !served {
-			t.Fatalf("job %d was sent nowhere, with %d connections open", i+1, p.procs[0].node.many.conns.Open())
+			t.Fatalf("job %d was not sent, with %d connections open", i+1, p.procs[0].node.many.conns.Open())
 		}
 	}
 	for _, s := range servers {
 		if p.dials[s] == 0 {
-			t.Errorf("%s was never used, so no descriptor was short", s)
+			t.Errorf("%s was never used, so the connection limit was not reached", s)
 		}
 	}
 	if open := p.procs[0].node.many.conns.Open(); open > 15 {
-		t.Errorf("%d connections are open", open)
+		t.Errorf("%d connections are open, want at most 15", open)
 	}
 }
 
-// Calls for a core that stands still are answered where they come, up to a bound: then servers are to come again.
-func TestCallsForAStalledCoreAreBounded(t *testing.T) {
-	p := playOn(t, []int{2}, two, 1024, kept+`
+// Call-backs for a stalled core are answered on the core where they arrive, up to a bound; beyond it servers must retry.
+func TestCallbackQueueOfStalledCoreBounded(t *testing.T) {
+	p := playOn(t, []int{2}, two, 1024, idleConns+`
 		s1 open on 1
 		stall 0`)
 	const body = `{"id":"a9","from":"w1","state":"lost"}`
 	call := fmt.Sprintf(`send POST /callback HTTP/1.1\nContent-Length: %d\n\n%s`, len(body), body)
 	s1 := p.peers["s1"]
 	for i := 0; !s1.shut; i++ {
-		if i > mostQueued+10 {
-			t.Fatal("calls are taken without end")
+		if i > maxQueued+10 {
+			t.Fatal("the number of accepted call-backs is not bounded")
 		}
 		p.play("s1", call)
 		if got := s1.said(); got != "204" && !s1.shut {
@@ -307,14 +308,14 @@
 	}
 	p.run("resume 0\ns2 open on 1\ns2 " + call + "\ns2 expect 204")
 	if n := p.procs[0].loops[0].Queued(); n != 0 {
-		t.Errorf("%d calls still wait", n)
+		t.Errorf("%d call-backs are still queued", n)
 	}
 }
 
-// Limits on clients are sums as well: an idle connection on one core makes room for a newcomer on another.
-func TestIdleClientsOfOneCoreAreShedForAnother(t *testing.T) {
+// All cores share the limits on clients: an idle connection on one core is closed for a new one on another.
+func TestIdleClientsShedAcrossCores(t *testing.T) {
 	script := ""
-	for i := range 22 { // with 64 sockets above so many idle ones close
+	for i := range 22 { // with 64 sockets, idle connections above this number are closed
 		script += fmt.Sprintf("i%d open on 1\ni%d send GET /ready HTTP/1.1\\n\\n\n", i, i)
 	}
 	playOn(t, []int{2}, one, 64, script+`
@@ -323,11 +324,11 @@
 		i1 expect 200 ready`)
 }
 
-// Where one core has the busy connections, some of its next answers close theirs: they come anew, to the core that has less
-// to do. Idle ones stay where they are.
-func TestBusyConnectionsAreDealtAnew(t *testing.T) {
+// If one core has the busy connections, some of its next responses close theirs; their clients reconnect to the core with less load.
+// Idle connections stay where they are.
+func TestBusyConnectionsRebalanced(t *testing.T) {
 	const ready = `send GET /ready HTTP/1.1\n\n`
-	script := listens + `
+	script := watchOpen + `
 		i1 open on 1
 		i2 open on 1
 		i3 open on 1
@@ -355,6 +356,6 @@
 		b2 expect 200 ready
 		b4 open`)
 	if p.peers["b4"].loop != p.procs[0].loops[1] {
-		t.Error("a newcomer was dealt to the busy core")
+		t.Error("a new connection was assigned to the busy core")
 	}
 }
--- a/balancer/platform/node/doc.go
+++ b/balancer/platform/node/doc.go
@@ -1,5 +1,5 @@
-// Package node puts one scheduler together from its parts and runs it until it is told to stop: the one place that knows all of
-// them. New makes it, Run serves until its context is done and then until nothing is owed, Reload reads the configuration
-// again. With one core everything is on one loop; with several, a decider has the scheduler, and each core a loop with a
-// frontend and a backend.
+// Package node assembles a scheduler process from its parts and runs it. It is the only package that depends on all of them. New
+// creates a Node; Run serves until its context is done, and then until all requests are answered; Reload reads the
+// configuration again. With one core, everything runs on one loop. With several, the scheduler runs on the decider's loop, and
+// each core has its own loop with a frontend and a backend.
 package node
--- a/balancer/platform/node/endpoints.go
+++ b/balancer/platform/node/endpoints.go
@@ -13,41 +13,42 @@
 	"ravendale/balancer/transport"
 )
 
-// accept takes a connection that was accepted.
+// accept is a function that registers an accepted connection and returns its handler.
 type accept = func(transport.Conn) transport.Handler
 
-// adopter is ports.Adopt.
+// adopter is the type of ports.Adopt.
 type adopter = func(core int, g transport.Given, accept accept) error
 
-// clientSide is all that the node has of frontends, one or several; the decider's loop calls it.
+// clientSide is the node's interface to its frontends, one or several. It is called in turns of the decider's loop.
 type clientSide interface {
 	Drain()
 	Retire(bool)
 	SendAway(bool)
 	Away() bool
 	Limit(accepted int)
-	// Clients and Finishing ask every frontend, and reply once all have answered.
+	// Clients and Finishing query every frontend, and call reply once all have answered.
 	Clients(reply func(connections int))
 	Finishing(reply func(bool))
-	// Give has the connection of a request given away by a function, and forgets it if that returns true. It returns false
-	// where the connection is not to be given.
+	// Give passes the connection of a request to give, which transfers it to another process, and removes it here if give
+	// returns true. It returns false if the connection was not transferred.
 	Give(ex *scheduler.Exchange, give func(client transport.Conn, closes bool) bool) bool
-	// Adopt has a request answered on a connection that came from another process.
+	// Adopt takes over a connection from another process, on which the request ex is to be answered.
 	Adopt(g transport.Given, ex *scheduler.Exchange, closes bool, serve adopter) error
-	// Targets are where connections go, and Choose says to which the next one; it is called by another goroutine.
+	// Targets returns the functions that accept connections, and Choose the index of the one for the next connection. Choose
+	// may be called by any goroutine.
 	Targets() []accept
 	Choose() int
 }
 
-// serverSide is all that it has of backends.
+// serverSide is the node's interface to its backends.
 type serverSide interface {
 	scheduler.Backend
 	Limit(conns int)
-	// PassCallback takes a call that another process passed on; unknown is called where that attempt is not out here.
+	// PassCallback handles a call-back that another process passed on. It calls unknown if no backend here has the attempt.
 	PassCallback(body []byte, unknown func())
 }
 
-// oneFrontend is the client side on one core: the frontend itself.
+// oneFrontend is the client side on one core, with a single frontend.
 type oneFrontend struct {
 	*frontend.Frontend
 	limits *frontend.ConnLimits
@@ -75,17 +76,17 @@
 	return serve(-1, g, func(c transport.Conn) transport.Handler { return f.Frontend.Adopt(c, ex, closes) })
 }
 
-// waiting are sends that were decided while it is not known what discovery has written.
-type waiting []*scheduler.Dispatch
+// heldSends are sends that were decided while updates from discovery may be unread.
+type heldSends []*scheduler.Dispatch
 
-func (w *waiting) join(d *scheduler.Dispatch) { *w = append(*w, d) }
+func (w *heldSends) join(d *scheduler.Dispatch) { *w = append(*w, d) }
 
-func (w *waiting) leave(d *scheduler.Dispatch) {
+func (w *heldSends) leave(d *scheduler.Dispatch) {
 	*w = slices.DeleteFunc(*w, func(other *scheduler.Dispatch) bool { return other == d })
 }
 
-// retract ends one, and returns false if it does not wait.
-func (w *waiting) retract(d *scheduler.Dispatch) bool {
+// retract ends a waiting send, and returns false if d is not waiting.
+func (w *heldSends) retract(d *scheduler.Dispatch) bool {
 	if !slices.Contains(*w, d) {
 		return false
 	}
@@ -94,8 +95,8 @@
 	return true
 }
 
-// avoid ends those to a server that drains or has gone.
-func (w *waiting) avoid(worker string) {
+// avoid ends the waiting sends to a server that drains or is gone.
+func (w *heldSends) avoid(worker string) {
 	var avoided []*scheduler.Dispatch
 	*w = slices.DeleteFunc(*w, func(d *scheduler.Dispatch) bool {
 		if d.Worker == worker {
@@ -108,8 +109,8 @@
 	}
 }
 
-// flush sends them all.
-func (w *waiting) flush(send func(*scheduler.Dispatch)) {
+// flush passes all waiting sends to send.
+func (w *heldSends) flush(send func(*scheduler.Dispatch)) {
 	all := *w
 	*w = nil
 	for _, d := range all {
@@ -117,70 +118,71 @@
 	}
 }
 
-// oneBackend is the server side on one core. After the process stood still, clients' requests and connections that were
-// made may be taken before discovery's update, by then too old to be broken: so after a gap nothing begins until all that had
-// come is taken.
+// oneBackend is the server side on one core. After a pause of the process, clients' requests and new connections may be
+// processed before an update from discovery that is already overdue and must not be violated. Therefore no send begins after
+// such a gap until everything that had arrived has been processed.
 type oneBackend struct {
 	*backend.Backend
 	conns        *backend.Conns
-	deaf         bool // until an echo comes
-	unsupported  bool // the system has no such thing
+	awaitingEcho bool // after a gap, until the echo arrives
+	unsupported  bool // the operating system does not support echoes
 	mayBeginFunc func() bool
-	waiting      waiting
+	held         heldSends
 }
 
-// askAgain is when an echo is asked for again that has not come: one whose byte was lost would keep the process from sending
-// for ever.
-const askAgain = 100 * time.Millisecond
+// echoRetry is how long after an echo request another one is made if no echo has arrived: otherwise a lost byte would keep the
+// process from sending for ever.
+const echoRetry = 100 * time.Millisecond
 
-// gap is called in a turn that comes long after the one before.
-func (b *oneBackend) gap(loop *scheduler.Loop, echo func(func()) error, failed func(error)) {
-	if !b.deaf && !b.unsupported {
-		b.deaf = true
-		b.listen(loop, echo, failed)
+// onGap is called in a turn that begins long after the previous one.
+func (b *oneBackend) onGap(loop *scheduler.Loop, echo func(func()) error, failed func(error)) {
+	if !b.awaitingEcho && !b.unsupported {
+		b.awaitingEcho = true
+		b.requestEcho(loop, echo, failed)
 	}
 }
 
-// listen asks for an echo until one comes.
-func (b *oneBackend) listen(loop *scheduler.Loop, echo func(func()) error, failed func(error)) {
-	again := loop.After(askAgain, func() { b.listen(loop, echo, failed) })
+// requestEcho requests an echo repeatedly until one arrives.
+func (b *oneBackend) requestEcho(loop *scheduler.Loop, echo func(func()) error, failed func(error)) {
+	again := loop.After(echoRetry, func() { b.requestEcho(loop, echo, failed) })
 	hears := func() {
 		loop.Deadlines.Drop(again)
-		b.deaf = false
-		b.waiting.flush(b.Backend.Send)
+		b.awaitingEcho = false
+		b.held.flush(b.Backend.Send)
 	}
 	if err := echo(hears); err != nil {
-		// Asking again each time cost a call and a line; descriptors, which may be short too, come back.
+		// If echoes are unsupported, don't request them again: each attempt would cost a system call and a log line. Other
+		// errors, such as a lack of descriptors, may pass.
 		b.unsupported = errors.Is(err, syscall.EAFNOSUPPORT) || errors.Is(err, errors.ErrUnsupported)
 		failed(err)
 		hears()
 	}
 }
 
-func (b *oneBackend) mayBegin() bool { return !b.deaf }
+func (b *oneBackend) mayBegin() bool { return !b.awaitingEcho }
 
 func (b *oneBackend) Send(d *scheduler.Dispatch) {
 	d.MayBegin = b.mayBeginFunc
-	if b.deaf {
-		b.waiting.join(d)
+	if b.awaitingEcho {
+		b.held.join(d)
 	} else {
 		b.Backend.Send(d)
 	}
 }
 
 func (b *oneBackend) Withdraw(d *scheduler.Dispatch) {
-	b.waiting.leave(d)
+	b.held.leave(d)
 	b.Backend.Withdraw(d)
 }
 
 func (b *oneBackend) Retract(d *scheduler.Dispatch) {
-	if !b.waiting.retract(d) {
+	if !b.held.retract(d) {
 		b.Backend.Retract(d)
 	}
 }
 
 func (b *oneBackend) Avoid(worker string) {
-	b.waiting.avoid(worker)
+	b.held.avoid(worker)
 	b.Backend.Avoid(worker)
 }
 
--- a/balancer/platform/node/fleet.go
+++ b/balancer/platform/node/fleet.go
@@ -18,54 +18,54 @@
 	"ravendale/balancer/transport"
 )
 
-// FleetOptions have a scheduler settle with others which policy epoch it acts under: see docs/fleet.md. Without them it opens no
-// socket, file or goroutine for that.
+// FleetOptions configure the membership in a fleet, whose schedulers agree on the policy epoch that they act under: see
+// docs/fleet.md. Without them the scheduler opens no socket or file and starts no goroutine for a fleet.
 type FleetOptions struct {
-	File   operator.Fleet // with its defaults
+	File   operator.Fleet // with defaults applied
 	Keys   frames.Keys
 	Build  int           // generation of the program
-	Digest string        // of the operator's file
-	Wall   func() int64  // Unix milliseconds
-	Getenv config.Getenv // where the configuration is read again with an epoch's settings
+	Digest string        // digest of the operator's file
+	Wall   func() int64  // wall clock in Unix milliseconds
+	Getenv config.Getenv // environment and files from which the configuration is read again with an epoch's settings
 	Read   config.ReadFile
 }
 
-// member is the scheduler's place in its fleet.
+// member is the state of the scheduler's membership in its fleet.
 type member struct {
-	o      FleetOptions
-	agent  *agent.Agent // nil until the state on disk is this process's
-	lock   *os.File
-	stop   func()         // of the listener
-	patch  []byte         // the settings of the epoch that is acted under
-	stand  fleet.Standing // as last reported
-	away   bool           // clients are sent away by an operator, whatever the fleet says
-	left   chan struct{}  // closed once the place was let go of; nil until then
-	ending bool           // the file's rule for one that is shut out
-	waits  time.Duration  // since when the state is another process's
+	o            FleetOptions
+	agent        *agent.Agent // nil until this process owns the state on disk
+	lock         *os.File
+	stop         func()         // closes the listener
+	patch        []byte         // the settings of the current epoch
+	standing     fleet.Standing // standing, as last reported by the agent
+	away         bool           // an operator has sent clients away, whatever the standing is
+	left         chan struct{}  // closed once the state on disk is released; nil before leaveFleet
+	ending       bool           // the process is stopping because the member is shut out
+	waitingSince time.Duration  // when waiting for another process's state on disk began, or was last logged
 }
 
 const (
-	// lockEvery is how often a new process looks whether the one before has let go of the member's state.
+	// lockEvery is the interval at which a new process tries to lock the member's state, until the previous one releases it.
 	lockEvery = 50 * time.Millisecond
-	// peerConns bounds the links of peers and tools; each peer makes one.
+	// peerConns bounds the incoming links from peers and tools; each peer opens one.
 	peerConns = operator.MostMembers + 16
 )
 
-// Join makes the scheduler a member of a fleet. It is to be called before Run.
+// Join makes the scheduler a member of a fleet. It must be called before Run.
 func (n *Node) Join(o FleetOptions) { n.fleet = &member{o: o} }
 
-// enter takes the member's place once this process serves. The one before, in an upgrade, lets go of the state first: two that
-// write one state could vote twice.
+// enter joins the fleet once this process serves. It retries until the previous process, in an upgrade, has released the member's
+// state: two processes that write the same state could vote twice.
 func (n *Node) enter() {
 	m := n.fleet
 	if m == nil || m.agent != nil {
 		return
 	}
-	if m.waits == 0 {
-		m.waits = n.loop.Now()
+	if m.waitingSince == 0 {
+		m.waitingSince = n.loop.Now()
 		n.setLimits()
 		n.core.Gate(n.mayTake)
-		n.stands(fleet.Standing{Acts: m.o.File.Alone != "stop", Marked: m.o.File.Alone != "stop", Why: fleet.WhyStarting})
+		n.standingChanged(fleet.Standing{Acts: m.o.File.Alone != "stop", Marked: m.o.File.Alone != "stop", Why: fleet.WhyStarting})
 	}
 	err := os.MkdirAll(m.o.File.Dir, 0o755)
 	if err == nil && m.lock == nil {
@@ -77,14 +77,14 @@
 	if err == nil {
 		return
 	}
-	if now := n.loop.Now(); now-m.waits > 20*lockEvery {
-		n.log.Warn("not in the fleet yet", "err", err)
-		m.waits = now
+	if now := n.loop.Now(); now-m.waitingSince > 20*lockEvery {
+		n.log.Warn("can't join the fleet yet; retrying", "err", err)
+		m.waitingSince = now
 	}
 	n.loop.After(lockEvery, n.enter)
 }
 
-// lockFile is held for as long as the file is open; the kernel lets go of it when the process dies.
+// lockFile locks a file until it is closed; the kernel also releases the lock when the process ends.
 func lockFile(path string) (*os.File, error) {
 	f, err := os.OpenFile(path, os.O_RDWR|os.O_CREATE, 0o644)
 	if err != nil {
@@ -92,7 +92,7 @@
 	}
 	if err := syscall.Flock(int(f.Fd()), syscall.LOCK_EX|syscall.LOCK_NB); err != nil {
 		_ = f.Close()
-		return nil, fmt.Errorf("%s: another process has it: %w", path, err)
+		return nil, fmt.Errorf("%s: locked by another process: %w", path, err)
 	}
 	return f, nil
 }
@@ -102,7 +102,7 @@
 	f := &m.o.File
 	o := agent.Options{Loop: n.loop, Network: n.ports, Address: make(map[string]string), Dir: f.Dir, Keys: m.o.Keys, Span: f.Span,
 		MaxRecord: f.Record, Log: n.log.With("fleet", f.Name), Build: fmt.Sprint(m.o.Build), File: m.o.Digest, Wall: m.o.Wall,
-		Check: n.checkEpoch, Apply: n.applyEpoch, StandingChanged: n.stands, Done: n.done, Settings: n.settingsDigest(),
+		Check: n.checkEpoch, Apply: n.applyEpoch, StandingChanged: n.standingChanged, Done: n.done, Settings: n.settingsDigest(),
 		Member: fleet.Config{Me: f.Name, Heartbeat: f.Heartbeat, Trust: f.Trust, Strict: f.Alone == "stop", Build: m.o.Build,
 			Seed: n.cfg.Seed, Nonce: uint64(m.o.Wall())<<20 | uint64(os.Getpid())}}
 	for _, p := range f.Members {
@@ -125,7 +125,7 @@
 	return nil
 }
 
-// leaveFleet lets go of the member's place: for the next process, or for good.
+// leaveFleet stops the fleet's agent and releases the member's state, for the next process or for good.
 func (n *Node) leaveFleet(why string) {
 	m := n.fleet
 	if m == nil || m.agent == nil {
@@ -134,16 +134,16 @@
 	m.stop()
 	left, lock := make(chan struct{}), m.lock
 	m.agent.Stop(why, func() {
-		_ = lock.Close() // and with it the lock: the next process may have the state
+		_ = lock.Close() // releases the lock, so that the next process can take over the state
 		close(left)
 	})
 	m.agent, m.lock, m.left = nil, nil, left
 }
 
-// leftWithin bounds how long the end of a process waits for the record's disk.
+// leftWithin bounds how long the end of a process waits for the audit record to be written.
 const leftWithin = time.Second
 
-// awaitLeft has the record whole before the process ends.
+// awaitLeft waits until the audit record is written completely, before the process ends.
 func (n *Node) awaitLeft() {
 	if n.fleet == nil || n.fleet.left == nil {
 		return
@@ -151,11 +151,12 @@
 	select {
 	case <-n.fleet.left:
 	case <-time.After(leftWithin):
-		n.log.Warn("the record's disk does not answer")
+		n.log.Warn("timed out writing the end of the audit record")
 	}
 }
 
-// fleetLinks is how many descriptors the fleet's links may take: each member makes one to each other, and tools call.
+// fleetLinks returns how many descriptors the fleet's links may use: each member opens one to each other member, and tools
+// connect as well.
 func (n *Node) fleetLinks() int {
 	if n.fleet == nil {
 		return 0
@@ -163,27 +164,29 @@
 	return 2*len(n.fleet.o.File.Members) + 16
 }
 
-// mayTake is the gate of new requests. After a stop of the process it knows before any timer does.
+// mayTake reports whether new requests may be accepted. After a pause of the process it notices an expired permission before
+// any timer fires.
 func (n *Node) mayTake() bool {
 	if m := n.fleet; m.agent != nil {
 		return m.agent.MayTake()
 	}
-	return n.fleet.stand.Acts
+	return n.fleet.standing.Acts
 }
 
-// stands has clients sent away while the member may not take their requests, and ends the process where the file says so.
-func (n *Node) stands(s fleet.Standing) {
+// standingChanged handles a change of the member's standing: it sends clients away while the member may not accept requests,
+// and stops the process if the member is shut out and the file asks for that.
+func (n *Node) standingChanged(s fleet.Standing) {
 	m := n.fleet
-	m.stand = s
+	m.standing = s
 	n.clients.SendAway(m.away || !s.Acts)
 	if (s.Why == fleet.WhyBelow || s.Why == fleet.WhyReplaced) && m.o.File.ShutOut == "exit" && !m.ending {
 		m.ending = true
-		n.log.Error("shut out of the fleet", "why", s.Why)
+		n.log.Error("shut out of the fleet; stopping", "why", s.Why)
 		n.loop.Post(n.stop)
 	}
 }
 
-// patched reads the configuration with an epoch's settings in it.
+// patched returns a function that reads the configuration files with an epoch's settings merged in.
 func (n *Node) patched(read config.ReadFile, patch []byte) config.ReadFile {
 	if patch == nil {
 		return read
@@ -191,7 +194,7 @@
 	return config.Patched(n.fleet.o.Getenv, read, func(settings []byte) ([]byte, error) { return fleet.Merge(settings, patch) })
 }
 
-// checkEpoch says why an epoch can't be acted under here.
+// checkEpoch returns an error if this scheduler can't act under the epoch.
 func (n *Node) checkEpoch(e *fleet.Epoch) error {
 	if e.Settings == nil {
 		return nil
@@ -205,7 +208,7 @@
 	return err
 }
 
-// applyEpoch has the settings of an epoch in force from the next turn on, for new requests.
+// applyEpoch puts the settings of an epoch into force from the next turn on, for new requests.
 func (n *Node) applyEpoch(e *fleet.Epoch) {
 	m := n.fleet
 	if e.Settings == nil && m.patch == nil {
@@ -217,7 +220,7 @@
 	n.Reload(m.o.Getenv, m.o.Read)
 }
 
-// done is what the record's spans count.
+// done returns the counts for the spans of the audit record: sends, and requests by class.
 func (n *Node) done() (int, map[string]audit.Count) {
 	f := n.core.Figures()
 	classes := make(map[string]audit.Count)
@@ -230,13 +233,13 @@
 	return f.Sends, classes
 }
 
-// settingsDigest names the platform's settings as they are acted on.
+// settingsDigest returns a digest of the settings in force.
 func (n *Node) settingsDigest() string {
 	sum := sha256.Sum256([]byte(fmt.Sprintf("%+v", n.cfg.Settings)))
 	return hex.EncodeToString(sum[:8])
 }
 
-// record notes an operator's call.
+// record adds an operator's call to the audit record.
 func (n *Node) record(words string) {
 	if m := n.fleet; m != nil && m.agent != nil {
 		m.agent.Command(words)
--- a/balancer/platform/node/node.go
+++ b/balancer/platform/node/node.go
@@ -22,49 +22,51 @@
 )
 
 const (
-	// killedAfter is when, after the order to stop, the process may be killed at the earliest, on top of the longest
-	// that a client waits, of which mostCounted counts at most.
-	killedAfter, mostCounted = 700 * time.Millisecond, 3 * time.Second
-	// answerBefore is how long before that all is answered, and lastRun what the last requests taken have left to run.
+	// killedAfter, added to the longest client deadline, is the earliest time after the order to stop at which the process may
+	// be killed. At most maxCounted of that deadline counts.
+	killedAfter, maxCounted = 700 * time.Millisecond, 3 * time.Second
+	// answerBefore is how long before that time all requests must be answered, and lastRun the time left for the last requests
+	// accepted.
 	answerBefore, lastRun = 300 * time.Millisecond, 900 * time.Millisecond
 	// flushFor gives clients time to read the last answers before the process ends.
 	flushFor = 100 * time.Millisecond
-	// busyFor is how long clients are to stay away that come when too many requests are in progress: a run or two.
+	// busyFor is the Retry-After of requests refused because too many are in progress: one or two run times of a job.
 	busyFor = 500 * time.Millisecond
-	// longestStop ends a stop that something holds up.
-	longestStop = 60 * time.Second
-	// adminConns is how many descriptors are kept for operators' calls, and mostCalls above how many the oldest makes room.
-	adminConns, mostCalls = 10, 8
-	// figuresPrefix stands before the names of the figures.
+	// maxStop is the time after which a stop that has not finished is forced.
+	maxStop = 60 * time.Second
+	// adminConns is the number of descriptors reserved for operators' calls, and maxCalls the number of calls above which the
+	// oldest is dropped.
+	adminConns, maxCalls = 10, 8
+	// figuresPrefix is the prefix of metric names.
 	figuresPrefix = "proxy"
 )
 
-// Node is one scheduler.
+// Node is a scheduler process.
 type Node struct {
-	// Paired, if set, hears how many processes are this scheduler, to share the memory among them.
+	// Paired, if set, is called with the number of processes that act as this scheduler, to divide the memory limit.
 	Paired func(processes int)
 
-	read    *config.Config                // as last taken, Reload's own
-	cfg     *config.Config                // the loop's
-	shown   atomic.Pointer[config.Config] // the same, for the frontends' loops
-	log     *slog.Logger
-	loop    *scheduler.Loop
-	core    *scheduler.Scheduler
-	clients clientSide
-	servers serverSide
-	many    *many // nil on one core
-	table   *servertable.Table
-	admin   *management.Endpoint
-	ports   ports
-	serving bool // clients are taken
-	upgrade upgrade
-	fleet   *member    // nil where it is alone
-	reading sync.Mutex // of read, and of the configuration's files
-	err     error      // why it could not start
-	stopped chan struct{}
+	read      *config.Config                // as last read; used only by Reload and checkEpoch, guarded by reading
+	cfg       *config.Config                // in force; used only in the loop's turns
+	sharedCfg atomic.Pointer[config.Config] // same as cfg, for the frontends' loops
+	log       *slog.Logger
+	loop      *scheduler.Loop
+	core      *scheduler.Scheduler
+	clients   clientSide
+	servers   serverSide
+	many      *multiCore // nil on one core
+	table     *servertable.Table
+	admin     *management.Endpoint
+	ports     ports
+	serving   bool // clients are accepted
+	upgrade   upgrade
+	fleet     *member    // nil without a fleet
+	reading   sync.Mutex // guards read, and reading the configuration files
+	err       error      // why the start failed
+	stopped   chan struct{}
 }
 
-// New puts a scheduler together on real sockets. It does not listen yet.
+// New creates a scheduler on the sockets of the operating system. It does not listen until Run.
 func New(cfg *config.Config, log *slog.Logger) (*Node, error) {
 	clock := scheduler.SystemClock()
 	loop := scheduler.NewLoop(clock)
@@ -81,9 +83,9 @@
 	return assemble(cfg, log, loop, loops, s)
 }
 
-// splitDescriptors deals out the descriptors: some are kept for the process itself, its files and discovery, kept more for a
-// fleet's links, a quarter of the others goes to backend servers, who take a job's bytes and answer at once, and the rest to
-// clients, whose connections last as long as their jobs.
+// splitDescriptors divides the descriptors. A sixteenth is reserved for the process itself, its files and discovery, and the given
+// number for a fleet's links. A quarter of the rest is for backend servers, which accept a job and answer at once; the
+// remainder is for clients, whose connections are in use for as long as their jobs.
 func splitDescriptors(cfg *config.Config, kept int) (accepted, dialled int) {
 	usable := cfg.Sockets*15/16 - kept
 	if cfg.Management != "" {
@@ -92,14 +94,14 @@
 	return usable - usable/4, usable / 4
 }
 
-// assemble puts the parts together on any network and clock. With loops of cores it puts a frontend and a backend on each,
-// and with none both on the one loop.
+// assemble creates a Node on any network and clock. If loops are given for cores, it creates a frontend and a backend on each of
+// them, otherwise one of each on the node's loop.
 func assemble(cfg *config.Config, log *slog.Logger, loop *scheduler.Loop, loops []*scheduler.Loop, network ports) (*Node, error) {
 	for _, text := range cfg.Warnings {
 		log.Warn("configuration", "text", text)
 	}
-	n := &Node{read: cfg, cfg: cfg, log: log, loop: loop, ports: network, upgrade: upgrade{lent: make(map[string]lent)}, stopped: make(chan struct{})}
-	n.shown.Store(cfg)
+	n := &Node{read: cfg, cfg: cfg, log: log, loop: loop, ports: network, upgrade: upgrade{unconfirmed: make(map[string]unconfirmedTransfer)}, stopped: make(chan struct{})}
+	n.sharedCfg.Store(cfg)
 	var err error
 	if n.core, err = scheduler.New(loop, cfg.Settings, cfg.Seed, log); err != nil {
 		return nil, err
@@ -110,7 +112,7 @@
 	conns.Limit(dialled)
 	listed := n.core.Listed
 	if len(loops) > 0 {
-		n.many = &many{decider: loop, sched: n.core, board: cores.NewBoard(len(loops)), limits: limits, conns: conns, stray: n.stray,
+		n.many = &multiCore{decider: loop, sched: n.core, board: cores.NewBoard(len(loops)), limits: limits, conns: conns, stray: n.stray,
 			served: make([]int64, len(loops))}
 		n.many.loads.Store(new(make([]cores.Load, len(loops))))
 		listed = func(kind ravendale.ListKind, entries []ravendale.Entry) {
@@ -129,26 +131,26 @@
 		for i, l := range loops {
 			n.many.all = append(n.many.all, n.onCore(&core{number: i, loop: l, network: network.Core(i)}, front, back))
 		}
-		n.clients, n.servers = manyFrontends{n.many}, manyBackends{n.many}
+		n.clients, n.servers = multiCoreFrontends{n.many}, multiCoreBackends{n.many}
 	}
 	n.core.Connect(n.servers, n.table)
 	n.admin = management.New(management.Options{Loop: loop, Ready: func() bool { return n.serving },
 		Figures:     func() []byte { return management.Statsd(figuresPrefix, n.core.Figures()) },
-		SetDetached: n.setDetached, Away: n.sendAway, MaxOpen: mostCalls})
+		SetDetached: n.setDetached, Away: n.sendAway, MaxOpen: maxCalls})
 	return n, nil
 }
 
-// frontendOptions are those of a frontend on the decider's loop. Settings are looked up as they are shown now: a reload may change
-// them while it serves.
+// frontendOptions returns the options of a frontend on the decider's loop. Their functions read the settings on each call, since a
+// reload may change them.
 func (n *Node) frontendOptions(loop *scheduler.Loop, limits *frontend.ConnLimits) frontend.Options {
 	return frontend.Options{Loop: loop, Log: n.log, Limits: limits, Accept: n.core.Accept, Ready: n.table.Known,
 		Refused:  func(class int, why scheduler.Unsent) { n.core.CountUnsent(class, why) },
-		Class:    func(name string) int { return slices.Index(n.shown.Load().Names.Classes, name) },
-		Tenant:   func(name string) int { return slices.Index(n.shown.Load().Names.Tenants, name) },
-		Deadline: func(class int) time.Duration { return n.shown.Load().Settings.Classes[class].Deadline },
-		Keyed:    func(class int) bool { return n.shown.Load().Settings.Classes[class].Effect == ravendale.Keyed },
+		Class:    func(name string) int { return slices.Index(n.sharedCfg.Load().Names.Classes, name) },
+		Tenant:   func(name string) int { return slices.Index(n.sharedCfg.Load().Names.Tenants, name) },
+		Deadline: func(class int) time.Duration { return n.sharedCfg.Load().Settings.Classes[class].Deadline },
+		Keyed:    func(class int) bool { return n.sharedCfg.Load().Settings.Classes[class].Effect == ravendale.Keyed },
 		ComeBack: func() time.Duration {
-			s := &n.shown.Load().Settings
+			s := &n.sharedCfg.Load().Settings
 			if !s.RetryAfter {
 				return 0
 			}
@@ -156,7 +158,7 @@
 		}}
 }
 
-// onOneLoop puts the two sides together on the one loop that there is.
+// onOneLoop creates the client side and the server side on the node's loop.
 func (n *Node) onOneLoop(front frontend.Options, back backend.Options) {
 	b := backend.New(back)
 	front.Callback = func(body []byte) frontend.Heard {
@@ -169,11 +171,11 @@
 	one.mayBeginFunc = one.mayBegin
 	n.clients, n.servers = oneFrontend{frontend.New(front), front.Limits}, one
 	n.loop.GapOver, n.loop.Gap = cores.PulseTimeout, func() {
-		one.gap(n.loop, n.ports.Echo, func(err error) { n.log.Warn("can't tell what came while nothing was read", "err", err) })
+		one.onGap(n.loop, n.ports.Echo, func(err error) { n.log.Warn("can't check for unread events after a pause", "err", err) })
 	}
 }
 
-// onCore puts the two sides of one core together, which have a loop of their own.
+// onCore creates the frontend and the backend of one core, on the core's loop.
 func (n *Node) onCore(c *core, front frontend.Options, back backend.Options) *core {
 	m := n.many
 	back.Loop, back.Network, back.Address = c.loop, c.network, m.board.Address
@@ -192,7 +194,7 @@
 	return c
 }
 
-// Run serves until ctx is done, and then until nothing is owed.
+// Run serves until ctx is done, and then until all requests are answered.
 func (n *Node) Run(ctx context.Context) error {
 	s := n.ports.(*sockets)
 	for _, engine := range append([]*nbionet.Engine{s.Engine}, s.cores...) {
@@ -224,7 +226,7 @@
 	return nil
 }
 
-// fail ends a start.
+// fail aborts the start of the node.
 func (n *Node) fail(err error) {
 	n.err = err
 	close(n.stopped)
@@ -234,35 +236,35 @@
 func (n *Node) setDetached(worker string, detached bool) bool {
 	known := n.core.SetDetached(worker, detached)
 	n.record(fmt.Sprintf("hand %s out=%v known=%v", worker, detached, known))
-	n.log.Info("server set by an operator", "server", worker, "detached", detached, "known", known)
+	n.log.Info("operator attached or detached a server", "server", worker, "detached", detached, "known", known)
 	switch {
 	case !known:
 	case detached:
-		n.upgrade.twins.Send(handover.Message{Detached: worker})
+		n.upgrade.peers.Send(handover.Message{Detached: worker})
 	default:
-		n.upgrade.twins.Send(handover.Message{Attached: worker})
+		n.upgrade.peers.Send(handover.Message{Attached: worker})
 	}
 	return known
 }
 
-// sendAway sends clients away, or has them back.
+// sendAway starts or stops sending clients away, in all processes of this scheduler.
 func (n *Node) sendAway(away bool) {
-	n.log.Info("clients sent away", "away", away)
+	n.log.Info("operator set whether clients are sent away", "away", away)
 	n.record(fmt.Sprintf("away=%v", away))
 	n.operatorsAway(away)
-	n.upgrade.twins.Send(handover.Message{Away: &away})
+	n.upgrade.peers.Send(handover.Message{Away: &away})
 }
 
-// operatorsAway is sendAway for this process alone.
+// operatorsAway applies the operator's setting in this process only.
 func (n *Node) operatorsAway(away bool) {
 	if n.fleet != nil {
 		n.fleet.away = away
-		away = away || !n.fleet.stand.Acts
+		away = away || !n.fleet.standing.Acts
 	}
 	n.clients.SendAway(away)
 }
 
-// awayByOperator says whether an operator had clients sent away.
+// awayByOperator reports whether an operator has sent clients away.
 func (n *Node) awayByOperator() bool {
 	if n.fleet != nil {
 		return n.fleet.away
@@ -270,8 +272,8 @@
 	return n.clients.Away()
 }
 
-// Reload reads the configuration again. A file that makes no
-// sense changes nothing. One that does moves the watch to its discovery and puts its settings in force, in one turn.
+// Reload reads the configuration again. An invalid configuration changes nothing. A valid one takes effect in one turn: its
+// settings come into force, and the watch moves to its discovery address.
 func (n *Node) Reload(getenv config.Getenv, read config.ReadFile) {
 	n.reading.Lock()
 	defer n.reading.Unlock()
@@ -280,7 +282,7 @@
 	}
 	next, ignored, err := n.read.Again(getenv, read)
 	if err != nil {
-		n.log.Error("configuration not read again", "err", err)
+		n.log.Error("reloading the configuration failed; keeping the current one", "err", err)
 		n.loop.Post(func() { n.core.CountConfig(false) })
 		return
 	}
@@ -290,45 +292,45 @@
 		n.log.Warn("configuration", "text", text)
 	}
 	if len(ignored) > 0 {
-		n.log.Warn("restart to follow the configuration", "fields", ignored)
+		n.log.Warn("some changes to the configuration need a restart", "fields", ignored)
 	}
 	n.loop.Post(func() {
 		if err := n.core.Retune(next.Settings); err != nil {
-			n.log.Error("settings not taken", "err", err) // Again has checked them: a fault of the program
+			n.log.Error("applying the reloaded settings failed", "err", err) // a bug, as Again has validated them
 			return
 		}
 		n.cfg = next
-		n.shown.Store(next)
+		n.sharedCfg.Store(next)
 		if n.fleet != nil && n.fleet.agent != nil {
 			n.fleet.agent.Settings(n.settingsDigest())
 		}
 		n.core.CountConfig(true)
-		n.upgrade.twins.Send(handover.Message{Terms: n.core.Terms()})
+		n.upgrade.peers.Send(handover.Message{Terms: n.core.Terms()})
 		if next.Discovery != n.table.Discovery() {
-			n.upgrade.twins.Send(handover.Message{Discovery: next.Discovery})
+			n.upgrade.peers.Send(handover.Message{Discovery: next.Discovery})
 		}
 		n.table.Follow(next.Discovery)
 	})
 }
 
-// stop begins a planned end. Connections stay and requests on them are served while there is time to: where another
-// scheduler restarts as well, clients that are sent away find none. Then what is taken is answered, new
-// requests are refused, and before the process may be killed all is answered.
+// stop begins a graceful shutdown. At first connections stay open and new requests are still served: if another scheduler restarts
+// at the same time, clients that were sent away would find none. Later, new requests are refused and those in progress are
+// answered, all of them before the process may be killed.
 func (n *Node) stop() {
 	n.log.Info("stopping", "owed", n.core.Owed())
-	left := min(n.cfg.Settings.LongestDeadline(), mostCounted) + killedAfter - answerBefore
-	n.giveAway()
+	left := min(n.cfg.Settings.LongestDeadline(), maxCounted) + killedAfter - answerBefore
+	n.transferRequests()
 	n.core.Leave(left)
 	n.loop.After(max(left-lastRun, left/3), func() {
 		n.clients.Drain()
 		n.core.WhenQuiet(n.endOnceQuiet)
 	})
-	n.loop.After(longestStop, func() { n.end("held up") })
+	n.loop.After(maxStop, func() { n.end("held up") })
 }
 
-// endOnceQuiet ends the process a little after the last answer, unless that is still being written, or was and clients have not
-// closed yet: with the process go all connections, and one in which a request is unread is reset. Clients that go on coming
-// don't hold it up.
+// endOnceQuiet ends the process shortly after the last answer. It waits longer, up to a limit, while an answer is still being written
+// or a client has not closed its connection yet: the end of the process closes all connections, and one with an unread request
+// is reset. The limit keeps new clients from delaying the end.
 func (n *Node) endOnceQuiet() { n.endOnceFlushed(n.loop.Now() + flushFor + frontend.LingerFor) }
 
 func (n *Node) endOnceFlushed(latest time.Duration) {
@@ -337,7 +339,7 @@
 			switch {
 			case n.core.Owed() > 0:
 				n.core.WhenQuiet(n.endOnceQuiet)
-			case finishing && n.loop.Now() < latest || len(n.upgrade.lent) > 0:
+			case finishing && n.loop.Now() < latest || len(n.upgrade.unconfirmed) > 0:
 				n.endOnceFlushed(latest)
 			default:
 				n.end("nothing is owed")
--- a/balancer/platform/node/player_test.go
+++ b/balancer/platform/node/player_test.go
@@ -16,46 +16,46 @@
 	"ravendale/balancer/scheduler"
 )
 
-// A scenario is a script, one step a line, played on a whole node with a fake network and clock:
+// player runs a script, one step per line, on a whole node with a simulated network and clock:
 //
-//	c1 open [on K]             a client connects, and is dealt to core K; any name without a slash is a client
+//	c1 open [on K]             a client connects, and is assigned to core K; any name without a slash is a client
 //	c1 send TEXT               sends bytes; \n stands for the end of a line
-//	c1 ask ID CLASS MS [MORE]  sends a whole request
-//	c1 expect ANSWER; ANSWER   what was sent to it since: '200 result', '503 retry close', 'closed', 'nothing'
+//	c1 ask ID CLASS MS [MORE]  sends a complete request
+//	c1 expect ANSWER; ANSWER   expects what was sent to it since: '200 result', '503 retry close', 'closed', 'nothing'
 //	c1 close                   closes
 //	op1 call GET /_ready       an operator connects and calls; any name that begins with op is one
-//	w1/1 accept                the first connection dialled to w1 comes up; 'refuse' and 'close' end it
+//	w1/1 accept                the first connection dialled to w1 is established; 'refuse' and 'close' end it
 //	w1/1 stuck                 what is written to it stays unwritten from now on
 //	w1/1 send TEXT, expect     as above; requests read 'POST /api a1 4990' and 'DELETE /jobs/a1'
 //	w1/1 202                   sends an empty answer with that status; MORE may follow as 'Name: value'
-//	disc/1 line TEXT           sends a line of a watch, in a chunk that comes in two pieces
-//	crowd N [STEP]             N clients connect, crowd1 and so on, and each does the step, # being its number
-//	call HOST ID STATE [TEXT]  calls back from a connection of its own, and wants 204
-//	wait 100ms                 lets time pass
-//	reload [ADDR]              the configuration is read again, with that discovery; without one the file is broken
-//	retune OLD => NEW          the configuration is read again with that text in place of another
-//	stall K, resume K          the loop of core K (or 'decider') stands still, and goes on
-//	deaf on, deaf off          nothing of the network comes to the decider, though its loop goes on
-//	stop                       is the order to stop; 'stopped' wants the node at its end, 'running' not yet
-//	upgrade                    starts a second process; a step that begins with 'old' is for the one before ('old old': for
-//	                           the one before that), what is
-//	                           opened or dialled from now on is the new one's
-//	end                        has the process end, as far as the other one sees
+//	disc/1 line TEXT           sends a line of a watch, as a chunk in two pieces
+//	crowd N [STEP]             N clients connect, crowd1 and so on, and each does the step, with # replaced by its number
+//	call HOST ID STATE [TEXT]  calls back on a separate connection, and expects 204
+//	wait 100ms                 advances the clock
+//	reload [ADDR]              reloads the configuration, with that discovery address; without one, an invalid file
+//	retune OLD => NEW          reloads the configuration with OLD replaced by NEW
+//	stall K, resume K          pauses and resumes the loop of core K (or 'decider')
+//	deaf on, deaf off          pauses and resumes the decider's poller, while its loop runs
+//	stop                       orders the node to stop; 'stopped' expects that it has ended, 'running' that it has not
+//	upgrade                    starts a second process; a step that begins with 'old' is for the previous one ('old old': for
+//	                           the one before that); connections opened or dialled
+//	                           from now on belong to the new one
+//	end                        ends the link between the processes, as if the process had ended
 type player struct {
 	t     *testing.T
 	step  string
 	now   time.Duration
-	procs []*process // the newest first
+	procs []*process // newest first
 	peers map[string]*peer
 	dials map[string]int
 	calls int
 	file  string // the configuration
 	cfg   *config.Config
-	cores []int // of processes that start, by turns; 0 for one without loops for its cores
+	cores []int // core counts of the processes that are started, used in rotation; 0 for a process without separate core loops
 
-	stalled map[*scheduler.Loop]bool
-	due     *deadline.Queue // what others do at their times,
-	each    func()          // and after each step of a wait
+	stalled   map[*scheduler.Loop]bool
+	due       *deadline.Queue // scheduled actions of peers
+	afterStep func()          // called after each step of a wait
 }
 
 const settings = `{"balancers":1,"me":0,"dcs":["east"],"locality":"east","host-types":["big"],"discovery":"ask",
@@ -69,18 +69,18 @@
 
 const shortJobs, longJobs = "short jobs, asked lists", "long jobs, pushed lists"
 
-// onlyShort are scenarios of TestScenarios whose steps are of lists that are asked for, of the short jobs' tick, or draw
-// servers in an order that their deployment alone has. TestPushedLists has what stands for them elsewhere.
+// onlyShort names the scenarios of TestScenarios that run only with shortJobs, because they depend on requested lists, on its tick,
+// or on its order of drawn servers. TestPushedLists covers the behaviour with pushed lists.
 var onlyShort = map[string]bool{
-	"a silent watch is asked again, from the last version":                                   true,
-	"an object that never ends keeps no watch, and one written over several lines is a list": true,
-	"a new discovery is asked at once for the whole list, whatever became of the old one":    true,
-	"the answer comes before the client's time is over":                                      true,
-	"where kept connections break, what may not be repeated takes a new one":                 true,
-	"one id is in hand once, and not again soon":                                             true, // soon is by the longest job
+	"silent watch is renewed from the last version":                               true,
+	"incomplete object does not keep a watch alive, and an object may span lines": true,
+	"new discovery address is asked at once for the complete list":                true,
+	"answer is sent before the client's deadline":                                 true,
+	"unrepeatable request uses a new connection after a reused one broke":         true,
+	"repeated ID is rejected while in progress and for some time after":           true, // the time depends on the longest job
 }
 
-// deployments are those that scenarios are played on. What holds at one by luck fails at another.
+// deployments are the settings under which each scenario runs, so that none passes by chance in a single deployment.
 var deployments = map[string]string{
 	shortJobs: settings,
 	longJobs: strings.NewReplacer(`"ask"`, `"push"`, `["east"]`, `["north","east","south","west"]`,
@@ -94,33 +94,33 @@
 		host, host, health)
 }
 
-// getenv is an environment that was set at the start, discovery's address included.
+// getenv is the environment of the processes, which sets discovery's address too.
 func getenv(name string) string {
 	return map[string]string{"PROXY_CONFIG": "f", "PROXY_DISCOVERY": "disc:1", "TMPDIR": "/tmp"}[name]
 }
 
-// play runs a script against a node that knows the servers given.
+// play runs a script on a node on one core, with the given known servers.
 func play(t *testing.T, servers []string, sockets int, script string) *player {
 	t.Helper()
 	return playOn(t, []int{0}, servers, sockets, script)
 }
 
-// playOn is play for processes on several cores: those that start have the counts given, by turns.
+// playOn is play for processes on several cores: the processes started use the given core counts in rotation.
 func playOn(t *testing.T, cores []int, servers []string, sockets int, script string) *player {
 	t.Helper()
 	return playAt(t, settings, cores, servers, sockets, script)
 }
 
-// playAt is playOn at a deployment.
+// playAt is playOn with the settings of a deployment.
 func playAt(t *testing.T, settings string, cores []int, servers []string, sockets int, script string) *player {
 	t.Helper()
 	var known []string
 	for _, s := range servers {
 		known = append(known, entry(s, "in_service"))
 	}
-	seed := "7" // with which the scenarios' servers come in the order of their numbers,
+	seed := "7" // with this seed, servers are chosen in the order of their numbers
 	if !strings.Contains(settings, `"ask"`) {
-		seed = "2" // where no draw is made for the first call to discovery
+		seed = "2" // without a first call to discovery, which would draw a random number
 	}
 	file := fmt.Sprintf(`{"name":"n0","listen":"127.0.0.1:1","discovery":"disc:1","seed":%q,
  "limits":{"sockets":%d},"known":{"seq":41,"whole":true,"hosts":[%s]},"settings":%s}`,
@@ -130,7 +130,7 @@
 		t.Fatal(err)
 	}
 	p := &player{t: t, file: file, cfg: cfg, now: 1_700_000_000 * time.Second, peers: make(map[string]*peer), dials: make(map[string]int),
-		cores: cores, stalled: make(map[*scheduler.Loop]bool), due: deadline.NewQueue(), each: func() {}}
+		cores: cores, stalled: make(map[*scheduler.Loop]bool), due: deadline.NewQueue(), afterStep: func() {}}
 	p.start()
 	p.run(script)
 	return p
@@ -146,7 +146,7 @@
 	}
 }
 
-// start puts a process together and has it begin.
+// start assembles and starts a process.
 func (p *player) start() {
 	clock := func() time.Duration { return p.now }
 	n := &process{player: p, loop: scheduler.NewLoop(clock)}
@@ -163,7 +163,7 @@
 	}
 }
 
-// turn has the processes take turns until what one told the other has had its effect.
+// turn runs turns of all processes, enough for messages between them to take effect.
 func (p *player) turn() {
 	for range 4 {
 		for _, n := range p.procs {
@@ -211,11 +211,11 @@
 			p.now = max(p.now, next)
 			p.due.Sweep(p.now)
 			p.turn()
-			p.each()
+			p.afterStep()
 		}
 	case "call":
 		words := strings.SplitN(rest, " ", 4)
-		body := fmt.Sprintf(`{"id":%q,"from":%q,"state":%q`, long(words[1]), words[0], words[2])
+		body := fmt.Sprintf(`{"id":%q,"from":%q,"state":%q`, fullID(words[1]), words[0], words[2])
 		if len(words) > 3 {
 			body += fmt.Sprintf(`,"result":%q`, words[3])
 		}
@@ -249,7 +249,7 @@
 		n.node.Reload(getenv, read)
 		p.turn()
 		if cfg, err := config.Load(getenv, read); err == nil {
-			p.cfg = cfg // of a process that starts from now on
+			p.cfg = cfg // for processes that are started later
 		}
 	case "stall", "resume":
 		l := n.loop
@@ -261,7 +261,7 @@
 			l = n.loops[core]
 		}
 		if p.stalled[l] = who == "stall"; p.stalled[l] {
-			l.Begin() // as one that has begun a turn, and stands still
+			l.Begin() // holds the turn, like a loop paused during a turn
 		} else {
 			l.End()
 			p.turn()
@@ -273,8 +273,8 @@
 	case "upgrade":
 		p.start()
 	case "end":
-		n.takes = false
-		n.twin.Close()
+		n.accepts = false
+		n.link.Close()
 		p.turn()
 	case "stopped", "running":
 		state := "running"
@@ -294,8 +294,8 @@
 	if verb == "open" {
 		if c = (&peer{p: n, name: who}); !strings.HasPrefix(who, "op") {
 			for _, q := range p.procs {
-				if q.takes {
-					c.p = q // the oldest that accepts
+				if q.accepts {
+					c.p = q // the oldest process that accepts clients
 				}
 			}
 		}
@@ -325,7 +325,7 @@
 	}
 	switch verb {
 	case "send":
-		if c.deaf || c.shut { // what crosses the end is not handed on
+		if c.deaf || c.shut { // data that arrives after the end is discarded
 			return
 		}
 		c.do(func() { c.handler.Data([]byte(strings.ReplaceAll(arg, `\n`, "\r\n"))) })
@@ -335,7 +335,7 @@
 		p.at(n, who, "send", arg[half:]+"\n"+`\n`)
 	case "ask":
 		w := strings.SplitN(arg, " ", 4)
-		text := fmt.Sprintf(`POST /api HTTP/1.1\nX-Txn: %s\nX-Lane: %s\nX-Remaining-Ms: %s\nContent-Length: 2\n`, long(w[0]), w[1], w[2])
+		text := fmt.Sprintf(`POST /api HTTP/1.1\nX-Txn: %s\nX-Lane: %s\nX-Remaining-Ms: %s\nContent-Length: 2\n`, fullID(w[0]), w[1], w[2])
 		if len(w) > 3 {
 			text += w[3] + `\n`
 		}
@@ -349,7 +349,7 @@
 		c.do(func() { c.handler.Closed(errors.New(verb)) })
 	case "stuck":
 		c.stuck = true
-	default: // a status
+	default: // a response status
 		if arg != "" {
 			arg += `\n`
 		}
@@ -357,7 +357,7 @@
 	}
 }
 
-// figures is what the door reports after so many answers, with two servers; what is not given is 0.
+// figures returns the expected metrics, with two servers; metrics that are not given are 0.
 func figures(answers, rest string) string {
 	var b strings.Builder
 	value := func(name, kind, otherwise string) {
@@ -385,5 +385,5 @@
 	return strings.TrimSpace(b.String())
 }
 
-// long is the whole id that a script writes in short.
-func long(id string) string { return strings.Repeat("0", 14) + id }
+// fullID returns the complete ID for the short form used in scripts.
+func fullID(id string) string { return strings.Repeat("0", 14) + id }
--- a/balancer/platform/node/ports.go
+++ b/balancer/platform/node/ports.go
@@ -2,24 +2,25 @@
 
 import "ravendale/balancer/transport"
 
-// ports is where a node is reached; everything in it is called by the loop's goroutine.
+// ports is the network interface of a node. All methods are called in turns of the node's loop.
 type ports interface {
 	transport.Network
-	// Operators, Successors and Clients begin to accept, each by the function given. Successors are new processes of
-	// this scheduler, whose place may still be taken by a file that a dead process left.
+	// Operators, Successors and Clients start to accept connections and pass them to the given functions. Successors accepts
+	// new processes of this scheduler; at its path there may still be the socket file of a process that crashed.
 	Operators(addr string, limit int, accept func(transport.Conn) transport.Handler) error
 	Successors(path string, accept func(transport.Conn) transport.Handler) error
-	// Peers begins to accept links of a fleet's members; the function returned ends that, and the connections stay.
+	// Peers starts to accept links from fleet members; the function returned stops accepting, but keeps the connections.
 	Peers(addr string, limit int, accept func(transport.Conn) transport.Handler) (func(), error)
-	// Clients deals what it accepts out to several places, as choose says in a goroutine of its own.
+	// Clients passes each connection to the function in to with the index that choose returns. It calls choose in its own
+	// goroutine.
 	Clients(addr string, descriptor, limit int, to []accept, choose func() int) error
-	// Core is the network of a core that has a loop of its own.
+	// Core returns the network of a core with its own loop.
 	Core(number int) transport.Network
-	// Echo calls f once all that had arrived for the node's own loop by now has been handed over.
+	// Echo calls f once all events that have arrived by now for the node's own loop have been delivered to it.
 	Echo(f func()) error
 	SetLimit(clients int)
-	Pause(paused bool) // of clients
-	// Adopt serves a client's connection that came from another process, on a core or, below 0, on the node's own loop. It
-	// is called in a turn of that loop, and calls accept at once.
+	Pause(paused bool) // stops or resumes accepting clients
+	// Adopt serves a client's connection received from another process, on the given core, or on the node's own loop if core
+	// is below 0. It must be called in a turn of that loop, and calls accept before it returns.
 	Adopt(core int, g transport.Given, accept accept) error
 }
--- a/balancer/platform/node/process_test.go
+++ b/balancer/platform/node/process_test.go
@@ -10,27 +10,27 @@
 	"ravendale/balancer/transport"
 )
 
-// process is one process, and its ports.
+// process is a simulated process; it implements its own ports.
 type process struct {
 	*player
 	loop      *scheduler.Loop
 	node      *Node
-	takes     bool                                   // clients
-	successor func(transport.Conn) transport.Handler // takes the call of a process that takes over
-	twin      *pipe                                  // to the other one, the newest
-	links     []*pipe                                // to all others
+	accepts   bool                                   // accepts clients
+	successor func(transport.Conn) transport.Handler // accepts the connection of a process that takes over
+	link      *pipe                                  // link to another process, the newest one
+	links     []*pipe                                // links to all other processes
 
 	loops   []*scheduler.Loop // of the cores, if it has several
 	targets []accept
 	choose  func() int
-	deaf    bool // its poller stands still
+	deaf    bool // its poller is paused
 }
 
 func (p *process) Operators(string, int, func(transport.Conn) transport.Handler) error { return nil }
 
 func (p *process) SetLimit(int) {}
 
-func (p *process) Pause(paused bool) { p.takes = !paused }
+func (p *process) Pause(paused bool) { p.accepts = !paused }
 
 func (p *process) Peers(string, int, func(transport.Conn) transport.Handler) (func(), error) {
 	return nil, errors.ErrUnsupported
@@ -42,7 +42,7 @@
 }
 
 func (p *process) Clients(_ string, _, _ int, to []accept, choose func() int) error {
-	p.takes, p.targets, p.choose = true, to, choose
+	p.accepts, p.targets, p.choose = true, to, choose
 	return nil
 }
 
@@ -55,7 +55,7 @@
 
 func (p *process) Core(i int) transport.Network { return &network{p, p.loops[i]} }
 
-// network is that of one core.
+// network is the network of one core.
 type network struct {
 	*process
 	loop *scheduler.Loop
@@ -75,7 +75,7 @@
 	handler transport.Handler
 	far     *pipe
 	shut    bool
-	given   []*peer // connections that came
+	given   []*peer // client connections that were passed with SendConn
 }
 
 func (c *pipe) SendConn(b []byte, conn transport.Conn) transport.Given {
@@ -98,7 +98,7 @@
 	return nil
 }
 
-// toFar has the other end hear of something.
+// toFar calls f with the handler of the other end, in its loop.
 func (c *pipe) toFar(f func(transport.Handler)) {
 	c.far.loop.Post(func() {
 		if !c.far.shut {
@@ -127,22 +127,22 @@
 
 func (c *pipe) Peer() string { return "" }
 
-// join connects a new process to the one before it, or finds none there.
+// join connects a new process to the previous one, or refuses the connection if there is none.
 func (p *process) join(h transport.Handler) transport.Conn {
-	p.twin = &pipe{loop: p.loop, handler: h}
-	p.links = append(p.links, p.twin)
+	p.link = &pipe{loop: p.loop, handler: h}
+	p.links = append(p.links, p.link)
 	if len(p.procs) == 1 {
-		p.twin.far = p.twin
+		p.link.far = p.link
 		p.loop.Post(func() { h.Closed(errors.New("refused")) })
-		return p.twin
+		return p.link
 	}
 	old := p.procs[1]
-	old.twin = &pipe{loop: old.loop, far: p.twin}
-	old.links = append(old.links, old.twin)
-	p.twin.far = old.twin
-	old.loop.Post(func() { old.twin.handler = old.successor(old.twin) })
+	old.link = &pipe{loop: old.loop, far: p.link}
+	old.links = append(old.links, old.link)
+	p.link.far = old.link
+	old.loop.Post(func() { old.link.handler = old.successor(old.link) })
 	p.loop.Post(h.Connected)
-	return p.twin
+	return p.link
 }
 
 // Dial implements transport.Network.
@@ -162,18 +162,18 @@
 	p.turn()
 }
 
-// peer is the far end of one connection, and the near end's transport.Conn.
+// peer is the remote end of one connection, and also the node's transport.Conn for it.
 type peer struct {
 	p       *process
-	loop    *scheduler.Loop // of the near end
+	loop    *scheduler.Loop // the node's loop for the connection
 	name    string
 	handler transport.Handler
 	dialled bool
 	up      bool
 	stuck   bool
-	deaf    bool // the near end throws away what comes
-	ended   bool // and has said that nothing follows
-	lost    int  // bytes never handed to the system
+	deaf    bool // the node discards received data
+	ended   bool // the node has shut down its sending side; reset by said
+	lost    int  // bytes that were never passed to the operating system
 	shut    bool
 	reqs    http1.Requests
 	resps   http1.Responses
@@ -203,14 +203,14 @@
 
 func (c *peer) Peer() string { return c.name }
 
-// said sums up what the near end sent since it was last asked.
+// said returns a summary of what the node has sent since the last call.
 func (c *peer) said() string {
 	for c.dialled {
 		r, err := c.reqs.Next()
 		if r == nil || err != nil {
 			break
 		}
-		text := strings.Replace(r.Method+" "+r.Target, long(""), "", 1)
+		text := strings.Replace(r.Method+" "+r.Target, fullID(""), "", 1)
 		for _, name := range []string{"X-Txn", "X-Remaining-Ms", "Idempotency-Key"} {
 			if v := strings.TrimLeft(r.Header.Get(name), "0"); v != "" {
 				text += " " + v
@@ -249,7 +249,7 @@
 	return text
 }
 
-// do has f called in a turn of the near end's loop.
+// do calls f in a turn of the connection's loop.
 func (c *peer) do(f func()) {
 	c.loop.Post(f)
 	c.p.turn()
--- a/balancer/platform/node/rig_test.go
+++ b/balancer/platform/node/rig_test.go
@@ -19,52 +19,53 @@
 	"ravendale/balancer/config"
 )
 
-// These tests play endings on real connections: a whole scheduler among scripted clients, backend servers and a discovery,
-// which hold back, break off and reset in the order that does harm. They wait for events; patience only ends a test that hangs.
-const patience = 20 * time.Second
+// testTimeout ends a test that hangs. The tests that use a rig run a whole scheduler on real connections, with scripted clients,
+// backend servers and discovery, which delay, close and reset connections in an order that causes faults. They wait for events,
+// not for fixed times.
+const testTimeout = 20 * time.Second
 
-// rig is a scheduler on loopback with the world round it.
+// rig is a scheduler on the loopback interface with its scripted environment.
 type rig struct {
 	t     *testing.T
-	addr  string // of the scheduler
+	addr  string // the scheduler's address
 	disc  *listener
-	log   *logbook
+	log   *logBuffer
 	node  *Node
 	stop  context.CancelFunc
 	ended chan error
 }
 
-// logbook keeps what was logged.
-type logbook struct {
+// logBuffer collects the log of the scheduler.
+type logBuffer struct {
 	mu   sync.Mutex
 	more sync.Cond
 	text strings.Builder
 }
 
-func newLogbook() *logbook {
-	l := &logbook{}
+func newLogBuffer() *logBuffer {
+	l := &logBuffer{}
 	l.more.L = &l.mu
 	return l
 }
 
-func (l *logbook) Write(b []byte) (int, error) {
+func (l *logBuffer) Write(b []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.more.Broadcast()
 	return l.text.Write(b)
 }
 
-func (l *logbook) String() string {
+func (l *logBuffer) String() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.text.String()
 }
 
-// logged waits for words in the log.
-func (r *rig) logged(words string) {
+// waitLogged waits until the log contains the given text.
+func (r *rig) waitLogged(words string) {
 	r.t.Helper()
 	late := false
-	timer := time.AfterFunc(patience, func() {
+	timer := time.AfterFunc(testTimeout, func() {
 		r.log.mu.Lock()
 		defer r.log.mu.Unlock()
 		late = true
@@ -81,14 +82,14 @@
 	}
 }
 
-// listener is a scripted peer's; it accepts when the script does.
+// listener is the listener of a scripted peer; it accepts a connection only when accept is called.
 type listener struct {
 	t  *testing.T
 	ln *net.TCPListener
 }
 
-// listen opens a listener whose queue holds one connection that was not accepted: where one waits, the system drops the next
-// call's SYN, and that connection comes up a second later at the earliest, when it is sent again.
+// listen opens a listener with a backlog of one connection. While one connection waits there, the operating system drops the SYN
+// of the next, which is established at the earliest a second later, when the SYN is sent again.
 func listen(t *testing.T) *listener {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -109,8 +110,8 @@
 
 func (l *listener) addr() string { return l.ln.Addr().String() }
 
-// fill has one connection wait in the queue, so that no other comes up until release.
-func (l *listener) fill() (release func()) {
+// fillBacklog opens one connection that waits in the backlog, so that no other is established until release is called.
+func (l *listener) fillBacklog() (release func()) {
 	l.t.Helper()
 	filler := dial(l.t, l.addr())
 	return func() {
@@ -120,14 +121,14 @@
 	}
 }
 
-// called waits until somebody calls who gets no answer, as the system's table of connections has it.
-func (l *listener) called() {
+// waitSYN waits until a connection to the listener is in the state SYN-SENT, according to /proc/net/tcp.
+func (l *listener) waitSYN() {
 	l.t.Helper()
 	synSent := fmt.Sprintf("0100007F:%04X 02 ", l.ln.Addr().(*net.TCPAddr).Port)
-	for till := time.Now().Add(patience); ; {
+	for till := time.Now().Add(testTimeout); ; {
 		table, err := os.ReadFile("/proc/net/tcp")
 		if err != nil || time.Now().After(till) {
-			l.t.Fatal("nobody calls: ", err)
+			l.t.Fatal("no connection attempt: ", err)
 		}
 		if strings.Contains(string(table), synSent) {
 			return
@@ -138,10 +139,10 @@
 // accept waits for a connection.
 func (l *listener) accept() *conversation {
 	l.t.Helper()
-	_ = l.ln.SetDeadline(time.Now().Add(patience))
+	_ = l.ln.SetDeadline(time.Now().Add(testTimeout))
 	c, err := l.ln.AcceptTCP()
 	if err != nil {
-		l.t.Fatal("nobody connects: ", err)
+		l.t.Fatal("no connection: ", err)
 	}
 	return converse(l.t, c)
 }
@@ -154,14 +155,14 @@
 }
 
 func converse(t *testing.T, c net.Conn) *conversation {
-	_ = c.SetDeadline(time.Now().Add(patience))
+	_ = c.SetDeadline(time.Now().Add(testTimeout))
 	t.Cleanup(func() { _ = c.Close() })
 	return &conversation{c.(*net.TCPConn), t, bufio.NewReader(c)}
 }
 
 func dial(t *testing.T, addr string) *conversation {
 	t.Helper()
-	c, err := net.DialTimeout("tcp", addr, patience)
+	c, err := net.DialTimeout("tcp", addr, testTimeout)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -175,7 +176,7 @@
 	}
 }
 
-// request reads a request whole.
+// request reads a complete request.
 func (c *conversation) request() *http.Request {
 	c.t.Helper()
 	r, err := http.ReadRequest(c.in)
@@ -188,22 +189,22 @@
 	return r
 }
 
-// answer reads an answer whole, and returns its status and body.
+// answer reads a complete response, and returns its status and body.
 func (c *conversation) answer() (status int, body string) {
 	c.t.Helper()
 	r, err := http.ReadResponse(c.in, nil)
 	if err != nil {
-		c.t.Fatal("no answer: ", err)
+		c.t.Fatal("no response: ", err)
 	}
 	b, err := io.ReadAll(r.Body)
 	if err != nil {
-		c.t.Fatal("half an answer: ", err)
+		c.t.Fatal("incomplete response: ", err)
 	}
 	return r.StatusCode, string(b)
 }
 
-// ends wants the other side to end the connection in order, with nothing more said.
-func (c *conversation) ends() {
+// expectEOF fails the test unless the other side closes the connection without a reset and without sending more.
+func (c *conversation) expectEOF() {
 	c.t.Helper()
 	rest, err := io.ReadAll(c.in)
 	if err != nil || len(rest) > 0 {
@@ -211,7 +212,8 @@
 	}
 }
 
-// isReset says whether a connection that the other side has ended was reset as well; what was read doesn't tell, once an end was.
+// isReset reports whether a connection that the other side has closed was reset as well. Once the end was read, further reads don't
+// show that.
 func (c *conversation) isReset() bool {
 	c.t.Helper()
 	raw, err := c.SyscallConn()
@@ -220,7 +222,7 @@
 	}
 	state, errno := 0, error(nil)
 	_ = raw.Control(func(fd uintptr) {
-		state, errno = syscall.GetsockoptInt(int(fd), syscall.IPPROTO_TCP, syscall.TCP_INFO) // its first byte
+		state, errno = syscall.GetsockoptInt(int(fd), syscall.IPPROTO_TCP, syscall.TCP_INFO) // the first byte is the state
 	})
 	if errno != nil {
 		c.t.Fatal(errno)
@@ -228,18 +230,18 @@
 	return state&0xff != 8 // TCP_CLOSE_WAIT
 }
 
-// reset ends the connection at once.
+// reset closes the connection with a reset.
 func (c *conversation) reset() {
 	_ = c.SetLinger(0)
 	_ = c.Close()
 }
 
-// taken waits until the other side, a scheduler of this process, has read what was sent, as the system's table of connections
-// has it.
-func (c *conversation) taken() {
+// waitRead waits until the other side, a scheduler in this process, has read everything that was sent, according to
+// /proc/net/tcp.
+func (c *conversation) waitRead() {
 	c.t.Helper()
 	row := fmt.Sprintf("0100007F:%04X 0100007F:%04X 01 ", c.RemoteAddr().(*net.TCPAddr).Port, c.LocalAddr().(*net.TCPAddr).Port)
-	for till := time.Now().Add(patience); time.Now().Before(till); {
+	for till := time.Now().Add(testTimeout); time.Now().Before(till); {
 		table, err := os.ReadFile("/proc/net/tcp")
 		_, queues, found := strings.Cut(string(table), row)
 		if err != nil || !found {
@@ -249,10 +251,10 @@
 			return
 		}
 	}
-	c.t.Fatal("what was sent is not read")
+	c.t.Fatal("data that was sent is still unread")
 }
 
-// ask sends a job.
+// ask sends a request for a job.
 func (c *conversation) ask(id, class string, ms int) {
 	c.t.Helper()
 	c.send(job(id, class, ms))
@@ -260,7 +262,7 @@
 
 func job(id, class string, ms int) string {
 	return fmt.Sprintf("POST /api?user=00000000000000aa HTTP/1.1\r\nHost: s\r\nX-Txn: %s\r\nX-Lane: %s\r\nX-Remaining-Ms: %d\r\nIdempotency-Key: k\r\nContent-Length: 2\r\n\r\nhi",
-		long(id), class, ms)
+		fullID(id), class, ms)
 }
 
 // listed is a server's entry in the list.
@@ -268,10 +270,10 @@
 	return strings.Replace(entry(name, "in_service"), name+":9000", at.addr(), 1)
 }
 
-// rigUp starts a scheduler under settings that knows the servers given.
-func rigUp(t *testing.T, settings string, known ...string) *rig {
+// startRig starts a scheduler with the given settings and known servers.
+func startRig(t *testing.T, settings string, known ...string) *rig {
 	t.Helper()
-	r := &rig{t: t, disc: listen(t), log: newLogbook(), ended: make(chan error, 1)}
+	r := &rig{t: t, disc: listen(t), log: newLogBuffer(), ended: make(chan error, 1)}
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -312,9 +314,9 @@
 	return r
 }
 
-// busy keeps the scheduler's loop awake: after a pause it sends nothing until it knows what came meanwhile, and that would hide
-// what a connection does that comes up late.
-func (r *rig) busy() {
+// keepBusy sends requests so that the scheduler's loop is never idle. After a pause it sends nothing until it has read all input,
+// which would hide what happens on a connection that is established late.
+func (r *rig) keepBusy() {
 	c, over := dial(r.t, r.addr), make(chan struct{})
 	var asking sync.WaitGroup
 	asking.Go(func() {
@@ -330,53 +332,53 @@
 	r.t.Cleanup(func() { close(over); asking.Wait() })
 }
 
-// call has a server say what became of a job.
-func (r *rig) call(from, id, state string) {
+// callback sends a call-back of a server about a job.
+func (r *rig) callback(from, id, state string) {
 	r.t.Helper()
 	c := dial(r.t, r.addr)
-	body := fmt.Sprintf(`{"id":%q,"from":%q,"state":%q,"result":"x"}`, long(id), from, state)
+	body := fmt.Sprintf(`{"id":%q,"from":%q,"state":%q,"result":"x"}`, fullID(id), from, state)
 	c.send(fmt.Sprintf("POST /callback HTTP/1.1\r\nHost: s\r\nContent-Length: %d\r\nConnection: close\r\n\r\n%s", len(body), body))
 	if status, _ := c.answer(); status != 204 {
-		r.t.Fatalf("a call was answered %d", status)
+		r.t.Fatalf("a call-back was answered with status %d", status)
 	}
 }
 
-// serves has a server take a job on a connection and say that it is done, which its client hears.
-func (r *rig) serves(w *conversation, from, id string, client *conversation) {
+// completeJob makes a server accept a job on a connection and report it as done, and checks that the client receives the result.
+func (r *rig) completeJob(w *conversation, from, id string, client *conversation) {
 	r.t.Helper()
 	w.send("HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n")
-	r.call(from, id, "done")
+	r.callback(from, id, "done")
 	if status, body := client.answer(); status != 200 || body != "x" {
-		r.t.Errorf("%s was answered %d %q", id, status, body)
+		r.t.Errorf("request %s was answered with status %d and body %q", id, status, body)
 	}
 }
 
-// watch accepts the scheduler's watch and begins to answer it.
+// watch accepts the scheduler's watch and sends the head of the response.
 func (r *rig) watch() *conversation {
 	r.t.Helper()
 	c := r.disc.accept()
 	if got := c.request(); got.URL.Path != "/v1/endpoints" {
-		r.t.Fatalf("discovery was asked for %s", got.URL)
+		r.t.Fatalf("discovery received a request for %s", got.URL)
 	}
 	c.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
 	return c
 }
 
-// piece sends a chunk.
-func (c *conversation) piece(text string) {
+// chunk sends a chunk of a chunked response.
+func (c *conversation) chunk(text string) {
 	c.t.Helper()
 	c.send(fmt.Sprintf("%x\r\n%s\r\n", len(text), text))
 }
 
-// owes waits until so many requests are owed an answer.
-func (r *rig) owes(requests int) {
+// waitOwed waits until the given number of requests wait for their answers.
+func (r *rig) waitOwed(requests int) {
 	r.t.Helper()
 	owed := make(chan int)
-	for till := time.Now().Add(patience); time.Now().Before(till); {
+	for till := time.Now().Add(testTimeout); time.Now().Before(till); {
 		r.node.loop.Post(func() { owed <- r.node.core.Owed() })
 		if <-owed == requests {
 			return
 		}
 	}
-	r.t.Fatalf("never were %d requests owed an answer", requests)
+	r.t.Fatalf("timed out waiting until %d requests wait for their answers", requests)
 }
