--- a/balancer/platform/node/scenario_test.go
+++ b/balancer/platform/node/scenario_test.go
@@ -8,8 +8,8 @@
 
 var one, two = []string{"w1"}, []string{"w1", "w2"}
 
-// What no usual client sends is told so, passed on to nobody and not read on.
-func TestWhatCannotBeReadIsRejected(t *testing.T) {
+// A request that no usual client would send must be rejected and not forwarded, and nothing after it may be read.
+func TestInvalidRequestsRejected(t *testing.T) {
 	const proper = `POST /api?user=7f HTTP/1.1\nX-Txn: 00000000000000a1\nX-Lane: read\nX-Remaining-Ms: 50\nX-Labels: slots=1,x=y\n\n`
 	for name, tc := range map[string]struct{ from, to, want string }{
 		"proper":             {"", "", "nothing"},
@@ -47,7 +47,7 @@
 		sockets int
 		script  string
 	}{
-		"a job is served by a call-back": {one, 1024, `
+		"call-back done is the answer": {one, 1024, `
 			c1 open
 			c1 ask a1 read 5000
 			w1/1 accept
@@ -57,7 +57,7 @@
 			c1 expect nothing
 			call w1 a1 done fine
 			c1 expect 200 fine`},
-		"a call-back may come before the 202, repeat and come late": {one, 1024, `
+		"call-back before the 202, repeated and late": {one, 1024, `
 			c1 open
 			c1 ask a1 read 5000
 			w1/1 accept
@@ -70,7 +70,7 @@
 			c1 expect nothing
 			c1 ask a2 read 5000
 			w1/1 expect POST /api a1 5000 hi; POST /api a2 5000 hi`},
-		"call-backs of unknown jobs and of other servers change nothing": {one, 1024, `
+		"call-backs on unknown jobs and from other servers are ignored": {one, 1024, `
 			c1 open
 			c1 ask a1 pay 5000
 			w1/1 accept
@@ -81,7 +81,7 @@
 			c1 expect nothing
 			call w1 a1 done right
 			c1 expect 200 right`},
-		"a refused connection proves that nothing ran": {two, 1024, `
+		"refused connection: request is sent elsewhere": {two, 1024, `
 			c1 open
 			c1 ask a1 pay 5000
 			w1/1 refuse
@@ -90,7 +90,7 @@
 			w2/1 202
 			call w2 a1 done ok
 			c1 expect 200 ok`},
-		"connections that never came up are no attempts: a fourth of a cap of three goes out": {one, 1024, `
+		"failed connections do not count as attempts": {one, 1024, `
 			c1 open
 			c1 ask a1 pay 5000
 			w1/1 refuse
@@ -104,14 +104,14 @@
 			w1/4 202
 			call w1 a1 done ok
 			c1 expect 200 ok`},
-		"a connection that never comes up is given up by the setting": {one, 1024, `
+		"connect timeout of the settings": {one, 1024, `
 			c1 open
 			c1 ask a1 pay 5000
 			wait 249ms
 			w1/1 expect nothing
 			wait 2ms
 			w1/1 expect closed`},
-		"a break before the last byte proves that nothing ran": {two, 1024, `
+		"connection lost before the last byte: request is sent elsewhere": {two, 1024, `
 			c1 open
 			c1 ask a1 pay 5000
 			w1/1 stuck
@@ -121,7 +121,7 @@
 			w2/1 accept
 			wait 1ms
 			w2/1 expect POST /api a1 4999 hi`},
-		"the last byte waits until a break would have shown": {two, 1024, `
+		"last byte is held back until a reset would have arrived": {two, 1024, `
 			c1 open
 			c1 ask a1 pay 5000
 			w1/1 accept
@@ -134,19 +134,19 @@
 			w2/1 202
 			call w2 a1 done x
 			c1 expect 200 x`},
-		"a client that leaves before the last byte ends the connection": {one, 1024, `
+		"client leaves before the last byte: connection is closed": {one, 1024, `
 			c1 open
 			c1 ask a1 pay 5000
 			w1/1 accept
 			c1 close
 			wait 10ms
 			w1/1 expect closed`},
-		"what may be repeated does not wait": {one, 1024, `
+		"repeatable request is written at once": {one, 1024, `
 			c1 open
 			c1 ask a1 read 5000
 			w1/1 accept
 			w1/1 expect POST /api a1 5000 hi`},
-		"an answer before the last byte proves that nothing ran": {two, 1024, `
+		"response before the last byte: request is sent elsewhere": {two, 1024, `
 			c1 open
 			c1 ask a1 pay 5000
 			w1/1 accept
@@ -155,7 +155,7 @@
 			w2/1 accept
 			wait 1ms
 			w2/1 expect POST /api a1 5000 hi`},
-		"where kept connections break, what may not be repeated takes a new one": {two, 1024, `
+		"unrepeatable request uses a new connection after a reused one broke": {two, 1024, `
 			c1 open
 			c1 ask a1 read 5000
 			w1/1 accept
@@ -186,7 +186,7 @@
 			w1/3 accept
 			wait 1ms
 			w1/3 expect POST /api a6 5000 hi`},
-		"the wait follows the server's fastest answer on a kept connection": {one, 1024, `
+		"last byte is held back for the fastest response time on a reused connection": {one, 1024, `
 			c1 open
 			c1 ask a1 read 5000
 			w1/1 accept
@@ -203,7 +203,7 @@
 			w1/1 expect nothing
 			wait 200us
 			w1/1 expect POST /api a3 5000 hi`},
-		"a job that nobody takes moves, unless it must never run twice": {two, 1024, `
+		"unaccepted job is sent elsewhere unless it must not run twice": {two, 1024, `
 			c1 open
 			c1 ask a1 keyed 5000 Idempotency-Key: k9
 			w1/1 accept
@@ -227,7 +227,7 @@
 			w2/2 expect POST /api a2 5000 hi
 			call w2 a2 done y
 			c1 expect 200 y`},
-		"a second answer to the request before is not taken for this one's": {one, 1024, `
+		"second response to the previous request is not taken for a response to the next": {one, 1024, `
 			c1 open
 			c1 ask a1 read 5000
 			w1/1 accept
@@ -246,7 +246,7 @@
 			w1/2 202
 			call w1 a2 done y
 			c1 expect 200 x; 200 y`},
-		"nor is a second answer to a DELETE": {one, 1024, `
+		"second response to a DELETE is not taken for a response to the next request": {one, 1024, `
 			c1 open
 			c1 ask a1 read 5000
 			w1/1 accept
@@ -262,7 +262,7 @@
 			w1/2 expect nothing
 			w1/2 200
 			w1/2 expect closed`},
-		"a connection that has rested carries at once what may not be repeated": {one, 1024, `
+		"rested connection carries an unrepeatable request without an extra delay": {one, 1024, `
 			c1 open
 			c1 ask a1 read 5000
 			w1/1 accept
@@ -272,14 +272,14 @@
 			c1 ask a2 pay 5000
 			wait 1ms
 			w1/1 expect POST /api a1 5000 hi; POST /api a2 5000 hi`},
-		"a break after the last byte may have run: no second send": {two, 1024, `
+		"connection lost after the last byte: not sent again": {two, 1024, `
 			c1 open
 			c1 ask a1 pay 5000
 			w1/1 accept
 			wait 1ms
 			w1/1 close
 			c1 expect 504`},
-		"turned away and handed back never ran": {two, 1024, `
+		"turned away or returned: request did not run": {two, 1024, `
 			c1 open
 			c1 ask a1 pay 5000
 			w1/1 accept
@@ -292,14 +292,14 @@
 			c1 expect nothing
 			wait 300ms
 			w1/1 expect POST /api a1 5000 hi; POST /api a1 4848 hi`},
-		"a plain 503 may have run": {two, 1024, `
+		"503 without X-Turned-Away: request may have run": {two, 1024, `
 			c1 open
 			c1 ask a1 pay 5000
 			w1/1 accept
 			wait 1ms
 			w1/1 503
 			c1 expect 504`},
-		"what a server can't use is not its fault": {one, 1024, `
+		"4xx response is not counted against the server": {one, 1024, `
 			c1 open
 			c1 ask a1 pay 5000
 			w1/1 accept
@@ -317,7 +317,7 @@
 			w1/2 accept
 			wait 1ms
 			w1/2 expect POST /api a4 4999 hi`},
-		"lost may have run": {two, 1024, `
+		"state lost: request may have run": {two, 1024, `
 			c1 open
 			c1 ask a1 pay 5000
 			w1/1 accept
@@ -325,7 +325,7 @@
 			w1/1 202
 			call w1 a1 lost
 			c1 expect 504`},
-		"a client that leaves before the 202 ends the connection": {one, 1024, `
+		"client leaves before the 202: connection is closed": {one, 1024, `
 			c1 open
 			c1 ask a1 read 5000
 			w1/1 accept
@@ -333,7 +333,7 @@
 			c1 close
 			w1/1 expect closed
 			call w1 a1 done late`},
-		"a cancel that crosses the 202 has the job deleted": {one, 1024, `
+		"cancel that crosses the 202 sends a DELETE": {one, 1024, `
 			c1 open
 			c1 ask a1 read 5000
 			w1/1 accept
@@ -347,7 +347,7 @@
 			c2 open
 			c2 ask a2 read 5000
 			w1/2 expect POST /api a2 5000 hi`},
-		"a time-out that crosses the 202 has the job deleted, on a connection that rests": {one, 1024, `
+		"timeout that crosses the 202 sends a DELETE on an idle connection": {one, 1024, `
 			c1 open
 			c1 ask a1 read 5000
 			c2 open
@@ -361,7 +361,7 @@
 			w1/2 202
 			w1/2 expect POST /api a2 230 hi; closed
 			w1/1 expect POST /api a1 5000 hi; DELETE /jobs/a2`},
-		"a keyed job that nobody takes is deleted where it was before it goes there again": {one, 1024, `
+		"unaccepted keyed job is deleted before it is sent to the same server again": {one, 1024, `
 			c1 open
 			c1 ask a1 keyed 5000 Idempotency-Key: k9
 			w1/1 accept
@@ -373,7 +373,7 @@
 			w1/2 200
 			wait 30ms
 			w1/2 expect POST /api a1 4449 k9 hi`},
-		"what has not begun needs no DELETE": {one, 1024, `
+		"no DELETE for an attempt that has not begun": {one, 1024, `
 			c1 open
 			c1 ask a1 pay 5000
 			w1/1 accept
@@ -389,7 +389,7 @@
 			c3 ask a3 read 5000
 			w1/3 accept
 			w1/3 expect POST /api a3 5000 hi`},
-		"a client that leaves after the 202 has the job deleted": {one, 1024, `
+		"client leaves after the 202: DELETE is sent": {one, 1024, `
 			c1 open
 			c1 ask a1 read 5000
 			w1/1 accept
@@ -397,7 +397,7 @@
 			c1 close
 			w1/1 expect POST /api a1 5000 hi; DELETE /jobs/a1
 			w1/1 200`},
-		"a DELETE on a connection that was closed goes once more": {one, 1024, `
+		"DELETE on a closed connection is sent once more": {one, 1024, `
 			c1 open
 			c1 ask a1 read 5000
 			w1/1 accept
@@ -407,7 +407,7 @@
 			w1/2 accept
 			w1/2 expect DELETE /jobs/a1
 			w1/2 close`},
-		"the answer comes before the client's time is over": {one, 1024, `
+		"answer is sent before the client's deadline": {one, 1024, `
 			c1 open
 			c1 ask a1 pay 300
 			w1/1 accept
@@ -418,7 +418,7 @@
 			wait 4ms
 			c1 expect 504
 			w1/1 expect POST /api a1 300 hi; DELETE /jobs/a1`},
-		"a job whose only connect never came up was sent nowhere": {one, 1024, `
+		"job whose only connection failed counts as unsent": {one, 1024, `
 			c1 open
 			c1 ask a1 pay 300
 			w1/1 refuse
@@ -436,7 +436,7 @@
 			c1 expect 503 retry
 			op1 call GET /_vars
 			op1 expect 200 ` + figures("deferred.pay:1 unsent.no_start:1", "cluster_size:1 cluster_unhealthy:1") + ` close; end`},
-		"a job given up unsent is refused with a time to come back, and counted by why": {nil, 1024, `
+		"unsent job is refused with Retry-After and counted by reason": {nil, 1024, `
 			c1 open
 			c1 ask a1 pay 300
 			wait 297ms
@@ -446,7 +446,7 @@
 			c2 expect 503 retry
 			op1 call GET /_vars
 			op1 expect 200 ` + figures("deferred.pay:2 unsent.no_start:1 unsent.no_time:1", "cluster_size:0") + ` close; end`},
-		"idle connections are used again, and closed before the server does": {one, 1024, `
+		"idle connections are reused, and closed before the server closes them": {one, 1024, `
 			c1 open
 			c1 ask a1 read 5000
 			w1/1 accept
@@ -459,13 +459,13 @@
 			c1 ask a2 read 5000
 			w1/2 accept
 			w1/2 expect POST /api a2 5000 hi`},
-		"what is left is what the server is told": {one, 1024, `
+		"remaining time is passed to the server": {one, 1024, `
 			c1 open
 			c1 ask a1 read 5000
 			wait 100ms
 			w1/1 accept
 			w1/1 expect POST /api a1 4900 hi`},
-		"the key passes on": {one, 1024, `
+		"key is passed to the server": {one, 1024, `
 			c1 open
 			c1 ask a1 read 5000 Idempotency-Key: k9
 			w1/1 accept
@@ -481,13 +481,13 @@
 			w1/1 202
 			call w1 a1 done x
 			c1 expect 200 x; 200 ready`},
-		"chunked bodies pass on whole": {one, 1024, `
+		"chunked bodies are forwarded completely": {one, 1024, `
 			c1 open
 			c1 send POST /api HTTP/1.1\nX-Txn: 00000000000000a1\nX-Lane: read\nX-Remaining-Ms: 5000\nTransfer-Encoding: chunked\n\n3\nabc\n2
 			c1 send \nde\n0\n\n
 			w1/1 accept
 			w1/1 expect POST /api a1 5000 abcde`},
-		"bad input is answered and closed": {one, 1024, `
+		"invalid input is answered and the connection closed": {one, 1024, `
 			c1 open
 			c1 send nonsense\n\n
 			c1 expect 400 close; end
@@ -507,7 +507,7 @@
 			c5 open
 			c5 send POST /callback HTTP/1.1\nContent-Length: 2\n\n{}
 			c5 expect 400 close; end`},
-		"who sends no whole request hears of it within 3 s of connecting": {one, 1024, `
+		"incomplete request is rejected within 3 s of connecting": {one, 1024, `
 			c1 open
 			c2 open
 			c2 send POST /api HTTP/1.1\nX-Txn: 
@@ -523,7 +523,7 @@
 			c3 expect 408 close; end
 			wait 500ms
 			c1 expect closed`},
-		"who has sent one may keep the connection": {one, 1024, `
+		"connection stays open after a valid request": {one, 1024, `
 			c1 open
 			c1 ask a1 read 5000
 			w1/1 accept
@@ -541,7 +541,7 @@
 			c1 expect nothing
 			wait 200ms
 			c1 expect 408 close; end`},
-		"one id is in hand once, and not again soon": {one, 1024, `
+		"repeated ID is rejected while in progress and for some time after": {one, 1024, `
 			c1 open
 			c1 ask a1 read 5000
 			c2 open
@@ -560,7 +560,7 @@
 			c1 ask a1 read 5000
 			w1/2 accept
 			w1/2 expect POST /api a1 5000 hi`},
-		"a drain at once keeps back what is not yet written": {two, 1024, `
+		"drain stops unwritten sends at once": {two, 1024, `
 			wait 30ms
 			disc/1 accept
 			disc/1 expect GET /v1/endpoints?stream=1&index=41
@@ -575,7 +575,7 @@
 			w2/1 accept
 			wait 1ms
 			w2/1 expect POST /api a1 4999 hi`},
-		"a silent watch is asked again, from the last version": {one, 1024, `
+		"silent watch is renewed from the last version": {one, 1024, `
 			wait 30ms
 			disc/1 accept
 			disc/1 expect GET /v1/endpoints?stream=1&index=41
@@ -591,7 +591,7 @@
 			wait 1.4s
 			disc/2 accept
 			disc/2 expect GET /v1/endpoints?stream=1&index=44`},
-		"an object that never ends keeps no watch, and one written over several lines is a list": {one, 1024, `
+		"incomplete object does not keep a watch alive, and an object may span lines": {one, 1024, `
 			wait 30ms
 			disc/1 accept
 			disc/1 send HTTP/1.1 200 OK\nTransfer-Encoding: chunked\n\n
@@ -608,7 +608,7 @@
 			wait 1.5s
 			disc/2 accept
 			disc/2 expect GET /v1/endpoints?stream=1&index=44`},
-		"a new discovery is asked at once for the whole list, whatever became of the old one": {one, 1024, `
+		"new discovery address is asked at once for the complete list": {one, 1024, `
 			wait 30ms
 			disc/1 accept
 			disc/1 send HTTP/1.1 200 OK\nTransfer-Encoding: chunked\n\n
@@ -629,7 +629,7 @@
 			w3/1 expect POST /api a1 5000 hi
 			reload new:1
 			new/2 expect GET /v1/endpoints?stream=1&index=0`},
-		"earlier failures of the old discovery do not delay the new one": {one, 1024, `
+		"failures of the old discovery do not delay the new one": {one, 1024, `
 			wait 30ms
 			disc/1 refuse
 			wait 1600ms
@@ -640,7 +640,7 @@
 			new/1 refuse
 			wait 1600ms
 			new/2 accept`},
-		"a broken configuration changes nothing": {one, 1024, `
+		"invalid configuration changes nothing": {one, 1024, `
 			wait 30ms
 			disc/1 accept
 			reload
@@ -649,7 +649,7 @@
 			c1 open
 			c1 ask a1 read 5000
 			w1/1 accept`},
-		"discovery that is down leaves the scheduler ready": {one, 1024, `
+		"scheduler stays ready while discovery is down": {one, 1024, `
 			wait 30ms
 			disc/1 refuse
 			wait 2s
@@ -659,7 +659,7 @@
 			c1 open
 			c1 send GET /ready HTTP/1.1\n\n
 			c1 expect 200 ready`},
-		"a planned stop serves while it can, then refuses, and leaves nothing unanswered": {one, 1024, `
+		"stop serves, then refuses, and answers all requests": {one, 1024, `
 			c1 open
 			c2 open
 			c1 ask a1 read 9000
@@ -696,7 +696,7 @@
 			c3 close
 			wait 100ms
 			stopped`},
-		"a new configuration while it stops holds up nothing, and neither does a watch that gets no answer": {one, 1024, `
+		"neither a reload nor an unanswered watch delays a stop": {one, 1024, `
 			c1 open
 			c1 ask a1 read 9000
 			w1/1 accept
@@ -715,7 +715,7 @@
 			running
 			wait 100ms
 			stopped`},
-		"a stop before there is any list answers who waits for one": {nil, 1024, `
+		"stop before the first list answers waiting requests": {nil, 1024, `
 			c1 open
 			c1 ask a1 pay 9000
 			stop
@@ -727,7 +727,7 @@
 			c1 close
 			wait 100ms
 			stopped`},
-		"a stop waits for those who don't close no longer than they may linger": {one, 1024, `
+		"stop waits at most LingerFor for clients to close": {one, 1024, `
 			c1 open
 			c1 send GET /ready HTTP/1.1\n\n
 			c1 expect 200 ready
@@ -741,7 +741,7 @@
 			running
 			wait 200ms
 			stopped`},
-		"the door answers each caller once, and tells apart what it can't do": {one, 1024, `
+		"management endpoint answers each call once, with distinct errors": {one, 1024, `
 			op1 call GET /_ready
 			op1 expect 200 ok close; end
 			op1 send GET /_ready HTTP/1.1\n\n
@@ -763,7 +763,7 @@
 			op7 expect nothing
 			wait 200ms
 			op7 expect closed`},
-		"callers that say nothing make room, and keep none of the clients' descriptors": {one, 64, `
+		"silent management connections are dropped and use no client descriptors": {one, 64, `
 			op1 call GET /_ready
 			op2 open
 			op3 open
@@ -780,7 +780,7 @@
 			op3 expect nothing
 			op11 call GET /_ready
 			op11 expect 200 ok close; end`},
-		"figures have all lines from the start, and count each answer and each whole attempt": {two, 1024, `
+		"figures have all lines from the start and count answers and complete sends": {two, 1024, `
 			op1 call GET /_vars
 			op1 expect 200 ` + figures("", "") + ` close; end
 			c1 open
@@ -810,7 +810,7 @@
 			c3 expect 503 close; end
 			op5 call GET /_vars
 			op5 expect 200 ` + figures("answered.pay:1 errored.pay:1 deferred.keyed:1 unsent.leaving:1", "sends:2 current:0 cluster_unhealthy:1 conf_invalid:1") + ` close; end`},
-		"a detached server gets nothing, whatever is listed, until it is attached": {two, 1024, `
+		"detached server receives nothing until it is attached": {two, 1024, `
 			wait 30ms
 			disc/1 accept
 			disc/1 send HTTP/1.1 200 OK\nTransfer-Encoding: chunked\n\n
@@ -839,7 +839,7 @@
 			c3 open
 			c3 ask a3 read 5000
 			w1/1 expect POST /api a3 5000 hi`},
-		"a drain sends clients away, serves those that stay a while, and can be undone": {one, 1024, `
+		"lameduck sends clients away and can be undone": {one, 1024, `
 			c1 open
 			c2 open
 			c2 send GET /ready HTTP/1.1\n\n
@@ -878,7 +878,7 @@
 			wait 1600ms
 			c5 expect nothing
 			b1 expect 204`},
-		"a new version takes over while the old one serves what it has": {one, 1024, `
+		"new version takes over while the old one finishes its requests": {one, 1024, `
 			wait 30ms
 			disc/1 accept
 			disc/1 send HTTP/1.1 200 OK\nTransfer-Encoding: chunked\n\n
@@ -935,7 +935,7 @@
 			c6 ask a6 read 5000
 			w1/3 accept
 			running`},
-		"what a new version is handed stays in force, and operators reach both": {two, 1024, `
+		"state passed to a new version stays in force, and operators reach both processes": {two, 1024, `
 			reload new:1
 			op1 call POST /_lameduck/on
 			c1 open
@@ -963,7 +963,7 @@
 			reload other:1
 			other/1 accept
 			other/2 accept`},
-		"a third version may come before the first has ended": {one, 1024, `
+		"third version starts before the first has ended": {one, 1024, `
 			c1 open
 			c2 open
 			c1 ask a1 read 5000
@@ -985,7 +985,7 @@
 			wait 200ms
 			old stopped
 			running`},
-		"two processes keep to half of the limits each": {nil, 64, `
+		"two processes share the limits equally": {nil, 64, `
 			upgrade
 			crowd 17 ask # read 5000
 			crowd16 expect nothing
@@ -994,7 +994,7 @@
 			c1 open
 			c1 ask a1 read 5000
 			c1 expect nothing`},
-		"an old version that is told to stop leaves once nothing is owed": {one, 1024, `
+		"stopped old version ends once all requests are answered": {one, 1024, `
 			c1 open
 			c2 open
 			c2 send GET /ready HTTP/1.1\n\n
@@ -1016,7 +1016,7 @@
 			wait 100ms
 			old stopped
 			running`},
-		"a new version that does not live leaves the old one at work": {one, 64, `
+		"old version continues if the new one ends": {one, 64, `
 			c1 open
 			upgrade
 			c2 open
@@ -1032,7 +1032,7 @@
 			c1 expect 200 x
 			wait 1s
 			old running`},
-		"new settings are for new jobs, and nothing of a broken file is taken": {one, 1024, `
+		"new settings apply to new jobs, and an invalid file is ignored": {one, 1024, `
 			c1 open
 			c1 ask a1 read 5000
 			w1/1 accept
@@ -1077,7 +1077,7 @@
 			`proxy.answered.read:1|c proxy.deferred.read:0|c proxy.errored.read:0|c proxy.sends:5|c proxy.current:0|g ` +
 			`proxy.cluster_size:1|g proxy.cluster_unhealthy:1|g proxy.conf_loaded:5|c proxy.conf_invalid:1|c ` +
 			`proxy.unsent.no_time:0|c proxy.unsent.no_start:0|c proxy.unsent.leaving:0|c proxy.unsent.no_room:0|c close; end`},
-		"silent connections make room for those that speak": {one, 64, `
+		"silent connections are dropped for new ones": {one, 64, `
 			b1 open
 			call w1 zz started
 			crowd 33
@@ -1091,7 +1091,7 @@
 			w1/1 accept
 			w1/1 expect POST /api a1 4840 hi
 			crowd33 expect nothing`},
-		"idle clients make room, longest idle first": {one, 64, `
+		"idle clients are closed, longest idle first": {one, 64, `
 			crowd 23
 			crowd2 send GET /ready HTTP/1.1\n\n
 			crowd1 send GET /ready HTTP/1.1\n\n
@@ -1103,7 +1103,7 @@
 			crowd2 expect nothing
 			wait 20ms
 			crowd2 expect closed`},
-		"requests in hand leave room for call-backs": {nil, 64, `
+		"limit on requests in progress leaves room for call-backs": {nil, 64, `
 			crowd 34 ask # read 5000
 			crowd33 expect nothing
 			crowd34 expect 503 retry close; end
@@ -1115,8 +1115,8 @@
 			op1 expect 200 ` + figures("deferred.read:1 unsent.no_room:1", "current:33 cluster_size:0") + ` close; end`},
 	} {
 		for _, cores := range [][]int{{0}, {3, 2}, {2, 0}, {0, 2}} {
-			if name == "silent connections make room for those that speak" && cores[0] > 0 {
-				continue // which of them do depends on their cores
+			if name == "silent connections are dropped for new ones" && cores[0] > 0 {
+				continue // which connections are dropped depends on their cores
 			}
 			for at, settings := range deployments {
 				if at != shortJobs && onlyShort[name] {
@@ -1130,11 +1130,11 @@
 	}
 }
 
-// Where lists are pushed the module never asks for one: the table itself holds the watch on the agent. Without it nothing
-// is heard after a start, and jobs go to servers that drain (seen 1.7 s after the agent was told).
+// If lists are pushed, the module never requests one, and the table itself must keep a watch on the agent. Without the watch, no
+// update is received after a start, and jobs are sent to draining servers (seen 1.7 s after the agent was notified).
 func TestPushedLists(t *testing.T) {
 	for name, script := range map[string]string{
-		"the watch opens with the start, and a drain that it tells is kept": `
+		"watch opens at the start and delivers a drain": `
 			disc/1 accept
 			disc/1 expect GET /v1/endpoints?stream=1&index=41
 			disc/1 send HTTP/1.1 200 OK\nTransfer-Encoding: chunked\n\n
@@ -1146,7 +1146,7 @@
 			c2 open
 			c2 ask a2 read 5000
 			w2/2 accept`,
-		"a watch that ends is renewed at once, from the last version, for good": `
+		"ended watch is renewed from the last version with backoff": `
 			disc/1 accept
 			disc/1 send HTTP/1.1 200 OK\nTransfer-Encoding: chunked\n\n
 			disc/1 line {"seq":44,"whole":false,"hosts":[]}
@@ -1168,7 +1168,7 @@
 			disc/6 close
 			wait 50ms
 			disc/7 accept`,
-		"an agent that says nothing is called again, and no sooner than a line is missed": `
+		"silent agent is called again after a missed line": `
 			disc/1 accept
 			disc/1 send HTTP/1.1 200 OK\nTransfer-Encoding: chunked\n\n
 			disc/1 line
@@ -1186,7 +1186,7 @@
 			disc/2 expect closed
 			wait 100ms
 			disc/3 accept`,
-		"an object that never ends keeps no watch of an agent either": `
+		"incomplete object does not keep a watch on an agent alive": `
 			disc/1 accept
 			disc/1 send HTTP/1.1 200 OK\nTransfer-Encoding: chunked\n\n
 			disc/1 line
@@ -1198,7 +1198,7 @@
 			disc/1 expect GET /v1/endpoints?stream=1&index=41; closed
 			wait 50ms
 			disc/2 accept`,
-		"a moved agent is watched at once, one that ends late is not, and what is listed stands": `
+		"new agent address is watched at once and the list stays in use": `
 			disc/1 refuse
 			reload new:1
 			new/1 accept
--- a/balancer/platform/node/sockets.go
+++ b/balancer/platform/node/sockets.go
@@ -7,10 +7,10 @@
 	"ravendale/balancer/transport/nbionet"
 )
 
-// sockets are the ports on real sockets.
+// sockets implements ports with the sockets of the operating system.
 type sockets struct {
 	*nbionet.Engine
-	cores   []*nbionet.Engine // of cores with loops of their own
+	cores   []*nbionet.Engine // engines of the cores, if they have their own loops
 	clients *nbionet.Gate
 }
 
--- a/balancer/platform/node/sockets_test.go
+++ b/balancer/platform/node/sockets_test.go
@@ -14,15 +14,15 @@
 	"ravendale/balancer/transport/nbionet"
 )
 
-// What a dead process left where a new one is to be reached stops no start: nobody answers there, and the place is taken.
-// Messages pass on a real Unix socket.
-func TestAStaleSocketStopsNoStart(t *testing.T) {
-	for name, folder := range map[string]string{"usual": "a", "longer than the system takes": strings.Repeat("b", 120)} {
-		t.Run(name, func(t *testing.T) { staleSocket(t, filepath.Join(t.TempDir(), folder)) })
+// A socket file that a crashed process left at the handover path must not prevent a start: dialling it fails, and a new listener
+// replaces it. The test sends messages over a real Unix socket.
+func TestStartWithStaleSocket(t *testing.T) {
+	for name, folder := range map[string]string{"usual": "a", "path longer than the limit of the system": strings.Repeat("b", 120)} {
+		t.Run(name, func(t *testing.T) { testStaleSocket(t, filepath.Join(t.TempDir(), folder)) })
 	}
 }
 
-func staleSocket(t *testing.T, folder string) {
+func testStaleSocket(t *testing.T, folder string) {
 	if err := os.Mkdir(folder, 0o700); err != nil {
 		t.Fatal(err)
 	}
@@ -46,7 +46,7 @@
 	}
 	loop.Post(dial)
 	if err := <-lost; err == nil {
-		t.Fatal("a dead process was reached")
+		t.Fatal("dialling the stale socket succeeded")
 	}
 	err = s.Successors(path, func(c transport.Conn) transport.Handler {
 		return handover.Accept(c, func(l *handover.Link, m handover.Message) { l.Send(handover.Message{Took: "a", Hello: m.Hello}) },
@@ -56,10 +56,10 @@
 		t.Fatal(err)
 	}
 	if info, err := os.Stat(path); err != nil || info.Mode().Perm() != 0o600 {
-		t.Fatalf("the socket is %v, %v", info.Mode(), err)
+		t.Fatalf("the socket has mode %v, error %v", info.Mode(), err)
 	}
 	loop.Post(dial)
 	if m := <-heard; m.Took != "a" || !m.Hello {
-		t.Fatalf("heard %+v", m)
+		t.Fatalf("received %+v", m)
 	}
 }
--- a/balancer/platform/node/upgrade.go
+++ b/balancer/platform/node/upgrade.go
@@ -12,27 +12,27 @@
 	"ravendale/balancer/transport"
 )
 
-// An upgrade is two processes that are one scheduler: see docs/design.md. The old one is asked for its state, and once
-// the new one takes clients the old one accepts no more, serves what it has and ends.
+// During an upgrade two processes act as one scheduler: see docs/design.md. The new process requests the state of the old one.
+// Once the new one accepts clients, the old one stops accepting, finishes its requests and exits.
 
 const (
-	// stateWithin is how long a new process waits for the old one's state. What is at the other end may be dead.
+	// stateWithin is how long a new process waits for the old one's state, as the old one may be hung.
 	stateWithin = time.Second
-	// leaveCheck is how often an old process looks whether it may end.
+	// leaveCheck is the interval at which an old process checks whether it can exit.
 	leaveCheck = 100 * time.Millisecond
 )
 
-// upgrade is this process among those that are one scheduler with it.
+// upgrade holds this process's links to the other processes that act as the same scheduler.
 type upgrade struct {
-	twins          handover.Links     // to the other processes
-	successor      *handover.Link     // the one of them that takes clients in this one's place,
-	successorTerms *scheduler.Terms   // and under what
-	given          int                // requests that were transferred to it
-	lent           map[string]lent    // by id
-	awaited        *deadline.Deadline // the other process's state is, until then
+	peers          handover.Links                 // links to the other processes
+	successor      *handover.Link                 // link to the process that accepts clients in place of this one, if any
+	successorTerms *scheduler.Terms               // the terms under which the successor accepts requests
+	transferred    int                            // number of requests transferred to the successor
+	unconfirmed    map[string]unconfirmedTransfer // transferred requests that are not confirmed yet, by ID
+	stateTimeout   *deadline.Deadline             // timeout for the other process's state; nil when not waiting for it
 }
 
-// start opens the operators' endpoint, and asks the process before this one, if there is one.
+// start opens the operators' endpoint, and requests the state of the previous process, if a handover socket is configured.
 func (n *Node) start() {
 	cfg := n.cfg
 	if cfg.Management != "" {
@@ -45,28 +45,28 @@
 		n.begin(nil)
 		return
 	}
-	previous := handover.Dial(n.ports, cfg.Handover, func(l *handover.Link) { l.Send(handover.Message{Hello: true}) }, n.heard, n.parted)
-	n.upgrade.awaited = n.loop.After(stateWithin, func() {
-		n.log.Warn("no answer from the previous process", "at", cfg.Handover)
+	previous := handover.Dial(n.ports, cfg.Handover, func(l *handover.Link) { l.Send(handover.Message{Hello: true}) }, n.handleMessage, n.linkEnded)
+	n.upgrade.stateTimeout = n.loop.After(stateWithin, func() {
+		n.log.Warn("previous process did not send its state in time; starting without it", "at", cfg.Handover)
 		previous.Close()
 		n.begin(nil)
 	})
 }
 
-// begin takes clients, with the state of the process before this one or without.
+// begin starts to accept clients, with the state of the previous process, or without one if state is nil.
 func (n *Node) begin(state *handover.State) {
 	cfg, list := n.cfg, n.cfg.Known
-	n.loop.Deadlines.Drop(n.upgrade.awaited)
-	n.upgrade.awaited = nil
+	n.loop.Deadlines.Drop(n.upgrade.stateTimeout)
+	n.upgrade.stateTimeout = nil
 	if n.many != nil {
 		n.many.board.Heard(n.loop.Now())
 		n.many.pulse(n.ports.Echo, n.fail)
-		n.many.even()
+		n.many.rebalance()
 	}
 	if state != nil {
 		list = state.List
 		if state.InFile == cfg.InFile() {
-			n.table.Move(state.Discovery) // SIGHUP had it followed there, whatever the environment still says
+			n.table.Move(state.Discovery) // a reload (SIGHUP) moved the old process there, while the environment may still have the old address
 		}
 	}
 	err := n.table.Recall(list)
@@ -86,23 +86,23 @@
 	n.serving = true
 	n.enter()
 	n.log.Info("serving", "name", cfg.Name, "listen", cfg.Listen, "takes over", state != nil)
-	n.upgrade.twins.Send(handover.Message{Serving: true, Terms: n.core.Terms()})
+	n.upgrade.peers.Send(handover.Message{Serving: true, Terms: n.core.Terms()})
 	if cfg.Handover != "" {
 		if err := n.ports.Successors(cfg.Handover, n.acceptSuccessor); err != nil {
-			n.log.Warn("a new version can't take over", "err", err)
+			n.log.Warn("can't listen for a successor; a new version can't take over", "err", err)
 		}
 	}
 }
 
-// acceptSuccessor takes the connection of a new process.
+// acceptSuccessor accepts the connection of a new process.
 func (n *Node) acceptSuccessor(c transport.Conn) transport.Handler {
-	return handover.Accept(c, n.heard, n.parted)
+	return handover.Accept(c, n.handleMessage, n.linkEnded)
 }
 
-// heard takes what another process tells, and passes on to the third, if there is one, what is for all: a new version may
-// come before the last but one has ended.
-func (n *Node) heard(l *handover.Link, m handover.Message) {
-	if m.State != nil && n.upgrade.awaited != nil {
+// handleMessage handles a message from another process. Messages for all processes are passed on to the other links: a new
+// version may start before the last but one has exited, so that there are three processes.
+func (n *Node) handleMessage(l *handover.Link, m handover.Message) {
+	if m.State != nil && n.upgrade.stateTimeout != nil {
 		n.join(l)
 		n.begin(m.State)
 		return
@@ -111,20 +111,20 @@
 		n.sendState(l)
 		return
 	}
-	if slices.Contains(n.upgrade.twins, l) && !n.heardAlone(l, m) {
+	if slices.Contains(n.upgrade.peers, l) && !n.handleDirect(l, m) {
 		n.applyShared(m)
-		n.upgrade.twins.But(l).Send(m)
+		n.upgrade.peers.But(l).Send(m)
 	}
 }
 
-// heardAlone takes what is for this process alone, and returns false for the rest.
-func (n *Node) heardAlone(l *handover.Link, m handover.Message) bool {
+// handleDirect handles a message that is for this process only, and returns false for any other.
+func (n *Node) handleDirect(l *handover.Link, m handover.Message) bool {
 	switch {
 	case m.Job != nil:
 		n.adopt(l, m.Job)
 	case m.Has != "":
-		if x, is := n.upgrade.lent[m.Has]; is {
-			delete(n.upgrade.lent, m.Has)
+		if x, is := n.upgrade.unconfirmed[m.Has]; is {
+			delete(n.upgrade.unconfirmed, m.Has)
 			x.client.Drop()
 		}
 	case m.Terms != nil && !m.Serving:
@@ -133,16 +133,16 @@
 		}
 	case m.Serving:
 		n.upgrade.successor, n.upgrade.successorTerms = l, m.Terms
-		n.log.Info("a new process takes clients", "owed", n.core.Owed())
+		n.log.Info("a new process accepts clients; this one stops accepting", "owed", n.core.Owed())
 		n.leaveFleet("handed over")
 		n.ports.Pause(true)
 		n.clients.Retire(true)
 		n.leaveOnceDone()
 	case m.Callback != nil:
 		n.servers.PassCallback(m.Callback, func() {
-			n.upgrade.twins.But(l).Send(m)
-			if n.upgrade.successor == l && n.upgrade.given > 0 {
-				l.Send(m) // it crossed a request that was given away, and comes after that now
+			n.upgrade.peers.But(l).Send(m)
+			if n.upgrade.successor == l && n.upgrade.transferred > 0 {
+				l.Send(m) // the request may have been transferred while the call-back was in transit; this copy arrives after it
 			}
 		})
 	default:
@@ -151,7 +151,7 @@
 	return true
 }
 
-// applyShared takes what all processes of this scheduler must know.
+// applyShared applies a message that is for all processes of this scheduler.
 func (n *Node) applyShared(m handover.Message) {
 	switch {
 	case m.Took != "":
@@ -171,7 +171,7 @@
 	}
 }
 
-// sendState gives the state to a new process, and joins it.
+// sendState sends the state to a new process, and joins it.
 func (n *Node) sendState(l *handover.Link) {
 	list, err := n.table.List()
 	if err != nil || !n.serving {
@@ -184,25 +184,25 @@
 	n.join(l)
 }
 
-// join has the processes keep to their parts of the limits, and tell each other what all must know.
+// join adds a process: the limits are divided among all processes, and shared state is exchanged from now on.
 func (n *Node) join(l *handover.Link) {
-	n.upgrade.twins = append(n.upgrade.twins, l)
-	n.core.Join(n.upgrade.twins)
+	n.upgrade.peers = append(n.upgrade.peers, l)
+	n.core.Join(n.upgrade.peers)
 	n.setLimits()
 }
 
-// parted has a process go on without another. If that was to take its place it accepts again.
-func (n *Node) parted(l *handover.Link, err error) {
-	if n.upgrade.awaited != nil {
-		n.begin(nil) // there is no process before this one
+// linkEnded handles the end of a link. If the other process was the successor, this process accepts clients again.
+func (n *Node) linkEnded(l *handover.Link, err error) {
+	if n.upgrade.stateTimeout != nil {
+		n.begin(nil) // there is no previous process
 		return
 	}
-	if !slices.Contains(n.upgrade.twins, l) {
+	if !slices.Contains(n.upgrade.peers, l) {
 		return
 	}
-	n.log.Info("the other process has ended", "err", err)
-	n.upgrade.twins = n.upgrade.twins.But(l)
-	n.core.Join(n.upgrade.twins)
+	n.log.Info("link to another process of this scheduler ended", "err", err)
+	n.upgrade.peers = n.upgrade.peers.But(l)
+	n.core.Join(n.upgrade.peers)
 	n.setLimits()
 	if n.upgrade.successor == l {
 		n.upgrade.successor = nil
@@ -213,10 +213,10 @@
 	n.takeBack(l)
 }
 
-// limits are this process's part of the descriptors.
+// limits returns this process's share of the descriptors, for clients and for backend servers.
 func (n *Node) limits() (accepted, dialled int) {
 	accepted, dialled = splitDescriptors(n.cfg, n.fleetLinks())
-	return accepted / (1 + len(n.upgrade.twins)), dialled / (1 + len(n.upgrade.twins))
+	return accepted / (1 + len(n.upgrade.peers)), dialled / (1 + len(n.upgrade.peers))
 }
 
 func (n *Node) setLimits() {
@@ -225,19 +225,19 @@
 	n.clients.Limit(accepted)
 	n.servers.Limit(dialled)
 	if n.Paired != nil {
-		n.Paired(1 + len(n.upgrade.twins))
+		n.Paired(1 + len(n.upgrade.peers))
 	}
 }
 
-// giveEvery is how often a process that stops looks for requests that can be given to its successor. A backend server takes up to
-// 50 ms to say that it took one.
-const giveEvery = 50 * time.Millisecond
+// transferEvery is the interval at which a process that stops looks for requests that it can transfer to its successor. A backend
+// server takes up to 50 ms to confirm that it accepted one.
+const transferEvery = 50 * time.Millisecond
 
-// giveAway gives the successor of a process that stops what is open here, for as long as this one lives: a job may run for
-// longer, clients may still come on the connections that they have, and the successor may come after the order to stop. What
-// can't be given is answered here in time as at any stop.
-func (n *Node) giveAway() {
-	n.loop.After(giveEvery, n.giveAway)
+// transferRequests transfers open requests to the successor of a process that stops, repeatedly until the process exits: a job
+// may run for longer than the stop, clients may still send requests on existing connections, and the successor may start after
+// the order to stop. Requests that can't be transferred are answered here in time, as at any stop.
+func (n *Node) transferRequests() {
+	n.loop.After(transferEvery, n.transferRequests)
 	if n.upgrade.successor == nil || n.upgrade.successorTerms == nil {
 		return
 	}
@@ -247,61 +247,61 @@
 			job := &handover.Job{TransferredRequest: c, Request: *message, Closes: closes}
 			kept := n.upgrade.successor.SendConn(handover.Message{Job: job}, client)
 			if kept != nil {
-				n.upgrade.lent[c.ID] = lent{job, kept, n.upgrade.successor}
+				n.upgrade.unconfirmed[c.ID] = unconfirmedTransfer{job, kept, n.upgrade.successor}
 			}
 			return kept != nil
 		})
 	})
-	if n.upgrade.given += given; given > 0 {
+	if n.upgrade.transferred += given; given > 0 {
 		n.log.Info("requests transferred", "requests", given, "owed", n.core.Owed())
 	}
 }
 
-// adopt goes on with a request that another process gave away.
+// adopt continues a request that another process transferred.
 func (n *Node) adopt(l *handover.Link, j *handover.Job) {
 	if g := l.Given(); g != nil {
-		n.goOn(g, j)
+		n.resumeRequest(g, j)
 		l.Send(handover.Message{Has: j.ID})
 	} else {
-		n.log.Warn("request without its client connection", "id", j.ID)
+		n.log.Warn("transferred request has no client connection; dropped", "id", j.ID)
 	}
 }
 
-// goOn goes on with a request whose client is at the connection given.
-func (n *Node) goOn(g transport.Given, j *handover.Job) {
+// resumeRequest continues a request, whose client is connected at g.
+func (n *Node) resumeRequest(g transport.Given, j *handover.Job) {
 	ex := &scheduler.Exchange{ID: j.ID, Message: &j.Request}
 	if err := n.clients.Adopt(g, ex, j.Closes, n.ports.Adopt); err != nil {
-		n.log.Warn("client connection not adopted", "id", j.ID, "err", err)
+		n.log.Warn("can't adopt the client connection of a transferred request; dropped", "id", j.ID, "err", err)
 		return
 	}
 	n.core.Adopt(j.TransferredRequest, ex)
 }
 
-// lent is a request that was given away, for as long as the other process has not said that it goes on with it.
-type lent struct {
+// unconfirmedTransfer is a transferred request that the other process has not confirmed yet.
+type unconfirmedTransfer struct {
 	job    *handover.Job
 	client transport.Given
 	to     *handover.Link
 }
 
-// takeBack goes on with what another process was given and did not live to take.
+// takeBack continues the requests that were transferred to another process which ended before confirming them.
 func (n *Node) takeBack(from *handover.Link) {
-	for _, id := range slices.Sorted(maps.Keys(n.upgrade.lent)) {
-		if x := n.upgrade.lent[id]; x.to == from {
-			n.log.Info("request taken back from its successor", "id", id)
-			delete(n.upgrade.lent, id)
-			n.goOn(x.client, x.job)
+	for _, id := range slices.Sorted(maps.Keys(n.upgrade.unconfirmed)) {
+		if x := n.upgrade.unconfirmed[id]; x.to == from {
+			n.log.Info("successor ended before confirming a transferred request; continuing the request here", "id", id)
+			delete(n.upgrade.unconfirmed, id)
+			n.resumeRequest(x.client, x.job)
 		}
 	}
 }
 
-// leaveOnceDone ends a process whose place is taken as soon as no client has a connection and nothing is owed.
+// leaveOnceDone ends a process that has a successor, as soon as no client is connected and all requests are answered.
 func (n *Node) leaveOnceDone() {
 	n.loop.After(leaveCheck, func() {
 		n.clients.Clients(func(clients int) {
 			switch {
-			case n.upgrade.successor == nil: // the new process is gone
-			case n.core.Owed()+len(n.upgrade.lent)+clients == 0:
+			case n.upgrade.successor == nil: // the successor has ended
+			case n.core.Owed()+len(n.upgrade.unconfirmed)+clients == 0:
 				n.end("a new process has taken its place")
 			default:
 				n.leaveOnceDone()
@@ -310,7 +310,7 @@
 	})
 }
 
-// stray passes on a call that is not for this process.
+// stray passes a call-back on an attempt of another process on to the other processes.
 func (n *Node) stray(body []byte) {
-	n.upgrade.twins.Send(handover.Message{Callback: body})
+	n.upgrade.peers.Send(handover.Message{Callback: body})
 }
--- a/balancer/platform/node/upgrade_test.go
+++ b/balancer/platform/node/upgrade_test.go
@@ -5,9 +5,9 @@
 	"testing"
 )
 
-// A job may run for longer than a process that stops may live: the one that takes its place goes on with it. That no rule
-// breaks meanwhile is for TestRulesHoldThroughChanges.
-func TestWhatIsOpenGoesToTheNextProcess(t *testing.T) {
+// A job may run for longer than a process may take to stop; its successor must then continue the request. TestInvariantsUnderChanges
+// checks that no rule is broken meanwhile.
+func TestOpenRequestsTransferredToSuccessor(t *testing.T) {
 	const runs = `
 		c1 open
 		c1 ask a1 read 25000
@@ -16,7 +16,7 @@
 		call w1 a1 started
 		`
 	for name, script := range map[string]string{
-		"at the order to stop, and for as long as the old one lives": runs + `
+		"transfer at the order to stop and until the old process ends": runs + `
 			c2 open
 			upgrade
 			wait 2s
@@ -39,14 +39,14 @@
 			wait 12s
 			c2 ask a2 pay 25000
 			c2 expect 409 close; end`,
-		"and a call that crosses it comes after it": runs + `
+		"call-back that crosses the transfer is delivered after it": runs + `
 			upgrade
 			old stall decider
 			old stop
 			call w1 a1 done crossed
 			old resume decider
 			c1 expect 200 crossed`,
-		"and back from one that did not live to take it": runs + `
+		"unconfirmed transfer is taken back when the successor ends": runs + `
 			upgrade
 			stall decider
 			old stop
@@ -58,15 +58,16 @@
 	} {
 		t.Run(name, func(t *testing.T) { playAt(t, deployments[longJobs], []int{0}, one, 1024, script) })
 	}
-	// A client that has sent more, and other terms in the new version: that is answered before the kill.
+	// A request whose client has sent more data, or whose terms differ from the new version's, is not transferred: it must be
+	// answered before the process may be killed.
 	for _, stays := range []string{"c1 send POST", `retune "attempts-cap":3 => "attempts-cap":2`} {
 		playAt(t, deployments[longJobs], []int{0}, one, 1024, runs+stays+"\nupgrade\nold stop\nwait 3450ms\nc1 expect 503 retry close; end")
 	}
 }
 
-// The two processes of an upgrade spend one budget for a cold server, and see each other's dispatches there: each counts
-// what the other sends, until that is over or the other is gone.
-func TestBothProcessesSpendOneBudget(t *testing.T) {
+// The two processes of an upgrade share one budget for a server in slow start: each counts the dispatches of the other, until these
+// end or the other process is gone.
+func TestUpgradeSharesBudget(t *testing.T) {
 	cold := strings.Replace(entry("w1", "in_service"), `"born_ms":0`, `"born_ms":1699999999000`, 1)
 	p := play(t, two, 1024, `
 		wait 30ms
@@ -99,9 +100,9 @@
 	}
 	p.run("op4 call POST /_workers/attach/w2\nc2 ask a3 read 5000\nw2/1 accept\nw2/1 202")
 	if slots() != 1 {
-		t.Fatalf("%v slots at w2", slots())
+		t.Fatalf("%v slots in flight at w2, want 1", slots())
 	}
 	if p.run("old end"); slots() != 0 {
-		t.Fatalf("%v slots are left of a process that is gone", slots())
+		t.Fatalf("%v slots are still counted for a process that is gone", slots())
 	}
 }
--- a/balancer/platform/platform.go
+++ b/balancer/platform/platform.go
@@ -21,10 +21,10 @@
 	QueryKey = "user"
 )
 
-// Message is a client's request as it passes on to a backend server.
+// Message is the part of a client's request that is forwarded to a backend server.
 type Message struct {
 	Method, Target string
-	Key            string // of a keyed class
+	Key            string // idempotency key, for requests of a keyed class
 	ContentType    string
 	Body           []byte
 }
--- a/balancer/platform/servertable/compat_test.go
+++ b/balancer/platform/servertable/compat_test.go
@@ -13,8 +13,8 @@
 	"ravendale"
 )
 
-// The file was written by version a08c060: the list as one process hands it to the next.
-func TestGoldenListReadsAndWritesTheSame(t *testing.T) {
+// The file was written by version a08c060. It holds the list that one process passes to the next in an upgrade.
+func TestGoldenList(t *testing.T) {
 	golden, err := os.ReadFile(filepath.Join("testdata", "compat", "list.json"))
 	if err != nil {
 		t.Fatal(err)
@@ -31,12 +31,12 @@
 		{Worker: "b", Zone: 1, Kind: -1, Cell: -1, State: ravendale.Draining, Weight: 1},
 	}
 	if diff := cmp.Diff(want, entries); diff != "" {
-		t.Errorf("the list reads as another (-want +got):\n%s", diff)
+		t.Errorf("entries of the golden list differ (-want +got):\n%s", diff)
 	}
 	if a := table.Address("a"); a != "10.1.0.1:9000" {
-		t.Errorf("a is at %q", a)
+		t.Errorf("address of a is %q", a)
 	}
 	if text, err := table.List(); err != nil || !bytes.Equal(text, golden) {
-		t.Errorf("the list is written as\n%s\nnot as\n%s (%v)", text, golden, err)
+		t.Errorf("the list is written as\n%s\nwant\n%s (%v)", text, golden, err)
 	}
 }
--- a/balancer/platform/servertable/doc.go
+++ b/balancer/platform/servertable/doc.go
@@ -1,2 +1,2 @@
-// Package servertable keeps the server table, discovery's list of backend servers, by a watch on its changes.
+// Package servertable maintains the server table, a copy of discovery's list of backend servers, by watching discovery for changes.
 package servertable
--- a/balancer/platform/servertable/servertable.go
+++ b/balancer/platform/servertable/servertable.go
@@ -22,29 +22,29 @@
 )
 
 const (
-	// answerWithin bounds a call: discovery takes calls in turn, and one that waits too long fails there too.
+	// answerWithin is the timeout of a call: discovery handles calls one after another, and fails those that wait too long.
 	answerWithin = 4 * time.Second
-	// watchTimeout is how long a watch may give no sign of life: an empty line comes every 2 s while nothing changes, and is
-	// missed by a second. What a silent watch misses counts as delivered 6 s after it fell silent. By then the next has to be there:
-	// the module's pause (up to 1.5 s), and a call that may have to wait its turn.
+	// watchTimeout is how long a watch may be silent: an empty line arrives every 2 s while nothing changes, and may be late
+	// by a second. An update missed by a silent watch counts as delivered 6 s after it fell silent. By then the next watch
+	// must be established, after the module's pause (up to 1.5 s) and a call that may have to wait at discovery.
 	watchTimeout = 3 * time.Second
 
-	// Where lists are pushed the other side is an agent on this machine, which answers at once and at no cost: a call
-	// that gives nothing is made anew soon, since whatever the agent has counts as delivered. A line is missed by half a second.
+	// If lists are pushed, the peer is an agent on this machine, which answers at once and at no cost. As whatever the agent
+	// has counts as delivered, a call without an answer is repeated soon. A line may be late by half a second.
 	agentAnswers      = time.Second
 	agentWatchTimeout = 2500 * time.Millisecond
-	// A call to an agent that failed is followed by the next after renewLeast, doubled up to renewMost: an agent is
-	// silent while discovery is down, and may be away itself.
-	renewLeast, renewMost = 50 * time.Millisecond, 400 * time.Millisecond
+	// After a failed call to an agent, the next one follows after minRenewal, doubled on each failure up to maxRenewal: an
+	// agent is silent while discovery is down, and may itself be down.
+	minRenewal, maxRenewal = 50 * time.Millisecond, 400 * time.Millisecond
 )
 
-// Options say what a table works with.
+// Options configure a Table.
 type Options struct {
 	Loop      *scheduler.Loop
 	Network   transport.Network
 	Discovery string
-	// Pushed says that the lists come without being asked for, by an agent on this machine. The table then holds a
-	// watch on it from Keep on, and renews it by itself; whoever hears of the list is not told of a watch that failed.
+	// Pushed is set if an agent on this machine delivers the lists without the module's requests. The table then watches the
+	// agent from Keep on and renews a failed watch itself, without passing the failure to Listed.
 	Pushed bool
 	Zones  []string
 	Kinds  []string
@@ -52,36 +52,36 @@
 	Log    *slog.Logger
 }
 
-// Table is the server table.
+// Table is the local copy of discovery's list of backend servers.
 type Table struct {
 	o       Options
 	seq     int64
 	known   atomic.Bool
-	servers map[string]host // those that have not gone, by name
+	servers map[string]host // the servers that are not removed, by name
 	watch   *watch
 
-	failing bool               // no watch has given a sign of life since one failed: said once
-	again   time.Duration      // where lists are pushed: the pause after the next failure,
-	renewal *deadline.Deadline // and when the watch is renewed
+	hasFailed  bool               // a watch has failed and none has delivered anything since; logged once
+	renewDelay time.Duration      // if lists are pushed: delay after the next failure
+	renewal    *deadline.Deadline // if lists are pushed: timer that renews the watch
 }
 
 // New returns an empty table.
 func New(o Options) *Table { return &Table{o: o, servers: make(map[string]host)} }
 
-// Known says whether a list has come; other goroutines may ask.
+// Known reports whether a complete list has been received or recalled. Any goroutine may call it.
 func (t *Table) Known() bool { return t.known.Load() }
 
-// Address is where a backend server listens, "" if it is not listed.
+// Address returns the address of a backend server, "" if it is not listed.
 func (t *Table) Address(server string) string { return t.servers[server].Dial }
 
-// List returns the whole list as it stands, in discovery's form, for Recall.
+// List returns the complete current list in discovery's format, as an input for Recall.
 func (t *Table) List() ([]byte, error) {
 	l := list{Seq: t.seq, Full: true, Hosts: slices.Collect(maps.Values(t.servers))}
 	slices.SortFunc(l.Hosts, func(a, b host) int { return strings.Compare(a.Host, b.Host) })
 	return json.Marshal(l)
 }
 
-// list is discovery's form of a list.
+// list is a list, or a change of it, in discovery's format.
 type list struct {
 	Seq   int64  `json:"seq"`
 	Full  bool   `json:"whole"`
@@ -99,7 +99,7 @@
 	BornMs int64    `json:"born_ms"`
 }
 
-// Recall takes the list as it was last held, before anything else.
+// Recall loads a list that was saved earlier; it must be called before any watch.
 func (t *Table) Recall(text []byte) error {
 	if len(text) == 0 || string(text) == "null" {
 		t.o.Listed(ravendale.Cached, nil)
@@ -111,15 +111,15 @@
 	return nil
 }
 
-// take reads one object.
+// take applies one object from discovery, or a saved list.
 func (t *Table) take(text []byte, cached bool) error {
 	var l list
 	if err := json.Unmarshal(text, &l); err != nil {
 		return err
 	}
-	for i := range l.Hosts { // before anything is taken: half a list is none
+	for i := range l.Hosts { // validates the whole list before any of it is applied
 		if l.Hosts[i].Host == "" {
-			return fmt.Errorf("entry %d names no host", i)
+			return fmt.Errorf("entry %d of the server list has no host name", i)
 		}
 	}
 	kind := ravendale.Delta
@@ -139,8 +139,8 @@
 	return nil
 }
 
-// update brings the table up to a list, and returns what the module is to hear. Of a complete list, unless it is the one that was last
-// held, a server that it lacks was removed, which whoever holds a dispatch to it must hear.
+// update applies a list to the table, and returns the entries for the module. If removes is set, for a complete list from
+// discovery, servers missing from it are removed; their entries are added, as the module may have dispatches in flight to them.
 func (t *Table) update(l *list, removes bool) []ravendale.Entry {
 	entries := make([]ravendale.Entry, 0, len(l.Hosts))
 	listed := make(map[string]bool, len(l.Hosts))
@@ -194,7 +194,7 @@
 	case "in_service":
 	case "terminated":
 		e.State = ravendale.Removed
-	default: // terminating, or a word that promises nothing
+	default: // "terminating", or an unknown state, which does not allow new dispatches
 		e.State = ravendale.Draining
 	}
 	return e
@@ -211,16 +211,16 @@
 
 // watch is one call to discovery, and the stream that answers it.
 type watch struct {
-	t     *Table
-	net   transport.Conn
-	in    http1.Responses
-	begun bool // its head has come
-	heard bool // and something behind it
-	list  stream
-	timer *deadline.Deadline
+	t       *Table
+	net     transport.Conn
+	in      http1.Responses
+	hasHead bool // the head of the response has arrived
+	hasData bool // an object or an empty line has arrived
+	list    stream
+	timer   *deadline.Deadline
 }
 
-// Watch asks discovery for the changes from the version held on. A watch that still stands is kept.
+// Watch requests the changes since the current version from discovery. It does nothing if there is a watch already.
 func (t *Table) Watch() {
 	if t.watch != nil {
 		return
@@ -234,21 +234,21 @@
 	w.net = t.o.Network.Dial(t.o.Discovery, w)
 }
 
-// Keep opens the watch where lists are pushed: nobody asks for one there. See Options.Pushed.
+// Keep opens the first watch if lists are pushed, as the module does not request one then: see Options.Pushed.
 func (t *Table) Keep() {
 	if t.o.Pushed {
-		t.again = renewLeast
+		t.renewDelay = minRenewal
 		t.Watch()
 	}
 }
 
-// renew opens the next watch on an agent soon.
+// renew schedules the next watch on an agent.
 func (t *Table) renew() {
-	t.renewal = t.o.Loop.After(t.again, t.Watch)
-	t.again = min(2*t.again, renewMost)
+	t.renewal = t.o.Loop.After(t.renewDelay, t.Watch)
+	t.renewDelay = min(2*t.renewDelay, maxRenewal)
 }
 
-// within is one of two times: where lists are asked for, and where they are pushed.
+// within returns the timeout that applies: requested if the module requests the lists, pushed if they are pushed.
 func (t *Table) within(requested, pushed time.Duration) time.Duration {
 	if t.o.Pushed {
 		return pushed
@@ -256,37 +256,37 @@
 	return requested
 }
 
-// Seq is the version of the list that is held, 0 for none.
+// Seq returns the version of the current list, 0 if there is none.
 func (t *Table) Seq() int64 { return t.seq }
 
-// Discovery is where the list comes from.
+// Discovery returns the address from which the list is read.
 func (t *Table) Discovery() string { return t.o.Discovery }
 
-// Move sets where the list comes from, before the first call.
+// Move sets the address from which the list is read; it must be called before the first watch.
 func (t *Table) Move(discovery string) { t.o.Discovery = discovery }
 
-// Follow has the list come from another address from now on. The watch on the old one is not waited for, and its end
-// is no failure: a pause before the new call could outlast the time after which an update counts as delivered.
-// The list held stands until the new service speaks. It is asked for the whole list, since versions are one
-// service's own count.
+// Follow switches to another discovery address. The watch on the old address is closed at once without counting as a failure:
+// the pause after a failure could outlast the time after which an update counts as delivered. The current list stays in
+// use until the new service responds. The new service is asked for the complete list, since each service counts versions
+// on its own.
 func (t *Table) Follow(discovery string) {
 	if discovery == t.o.Discovery {
 		return
 	}
-	t.o.Discovery, t.seq, t.again = discovery, 0, renewLeast
+	t.o.Discovery, t.seq, t.renewDelay = discovery, 0, minRenewal
 	if w := t.watch; w != nil {
 		t.watch = nil
 		t.o.Loop.Deadlines.Drop(w.timer)
 		w.net.Close()
 	}
-	t.o.Listed(ravendale.Delta, nil) // earlier failures were another service's: they must not delay the next call
+	t.o.Listed(ravendale.Delta, nil) // resets the module's count of failures, which belong to the old service and must not delay the next call
 	t.Watch()
 }
 
-// expect fails the watch unless something comes in time: a service that was cut off says nothing.
+// expect fails the watch unless data arrives in time: a service behind a network failure is silent.
 func (w *watch) expect(within time.Duration) {
 	w.t.o.Loop.Deadlines.Drop(w.timer)
-	w.timer = w.t.o.Loop.After(within, func() { w.fail("silent") })
+	w.timer = w.t.o.Loop.After(within, func() { w.fail("no data within the timeout") })
 }
 
 func (w *watch) Connected() {
@@ -299,16 +299,16 @@
 		return
 	}
 	w.in.Feed(b)
-	if !w.begun {
+	if !w.hasHead {
 		head, err := w.in.Head()
 		if err != nil || head != nil && head.Status != 200 {
-			w.fail("not answered with 200")
+			w.fail("response is malformed or its status is not 200")
 			return
 		}
 		if head == nil {
 			return
 		}
-		w.begun = true
+		w.hasHead = true
 		w.expect(w.t.within(watchTimeout, agentWatchTimeout))
 	}
 	chunk, complete, err := w.in.Read()
@@ -319,11 +319,12 @@
 	w.list.feed(chunk)
 	w.take()
 	if complete && w.t.watch == w {
-		w.fail("ended")
+		w.fail("discovery ended the response")
 	}
 }
 
-// take takes what is whole of the stream. Only that is a sign of life: an object that never ends keeps no watch.
+// take processes the complete objects and empty lines of the stream. Only these restart the timeout: an object that never ends
+// must not keep the watch alive.
 func (w *watch) take() {
 	for w.t.watch == w {
 		object, blank, err := w.list.next()
@@ -336,18 +337,18 @@
 			return
 		case object == nil && !blank:
 			return
-		case w.t.watch != w: // whoever heard of the list has moved it
+		case w.t.watch != w: // Options.Listed has switched the watch
 			return
-		case blank && !w.heard:
-			w.t.o.Listed(ravendale.Delta, nil) // nothing has changed: that is an answer too
+		case blank && !w.hasData:
+			w.t.o.Listed(ravendale.Delta, nil) // nothing has changed, which also counts as a successful answer
 		}
-		w.heard, w.t.failing, w.t.again = true, false, renewLeast
+		w.hasData, w.t.hasFailed, w.t.renewDelay = true, false, minRenewal
 		w.expect(w.t.within(watchTimeout, agentWatchTimeout))
 	}
 }
 
-// fail ends the watch. When to ask again is for the module to say, but where lists are pushed: there nobody asks, and
-// only the first failure of a row is news.
+// fail ends the watch. The module decides when to watch again. If lists are pushed, the table itself renews the watch, and only the
+// first failure in a row is logged.
 func (w *watch) fail(why string) {
 	if w.t.watch != w {
 		return
@@ -357,10 +358,10 @@
 	if w.net != nil {
 		w.net.Close()
 	}
-	if !w.t.failing || !w.t.o.Pushed {
-		w.t.o.Log.Info("watch ended", "why", why, "answered", w.begun, "discovery", w.t.o.Discovery)
+	if !w.t.hasFailed || !w.t.o.Pushed {
+		w.t.o.Log.Info("watch ended", "why", why, "answered", w.hasHead, "discovery", w.t.o.Discovery)
 	}
-	w.t.failing = true
+	w.t.hasFailed = true
 	if w.t.o.Pushed {
 		w.t.renew()
 		return
@@ -368,4 +369,4 @@
 	w.t.o.Listed(ravendale.Failed, nil)
 }
 
-func (w *watch) Closed(err error) { w.fail(fmt.Sprintf("closed: %v", err)) }
+func (w *watch) Closed(err error) { w.fail(fmt.Sprintf("connection closed: %v", err)) }
--- a/balancer/platform/servertable/servertable_test.go
+++ b/balancer/platform/servertable/servertable_test.go
@@ -9,9 +9,9 @@
 	"ravendale"
 )
 
-// What can't be read leaves the table as it was, and the module hears nothing: a list of which half is taken is one that
-// lacks servers, or has them without their drain.
-func TestABadListIsTakenNotAtAll(t *testing.T) {
+// An invalid list must leave the table unchanged and not reach the module: a half-applied list would lack servers, or miss that
+// they drain.
+func TestInvalidListLeavesTableUnchanged(t *testing.T) {
 	const whole = `{"seq":41,"whole":true,"hosts":[{"host":"a","dial":"10.1.0.1:9000","site":"x","health":"in_service"},` +
 		`{"host":"b","dial":"10.1.0.2:9000","site":"y","block":2,"health":"in_service","share":5.0,"born_ms":7}]}`
 	heard := 0
@@ -30,10 +30,10 @@
 	}
 	for _, text := range bad {
 		if err := table.take([]byte(text), false); err == nil || heard != 1 || state() != before {
-			t.Fatalf("%s\n%v; heard %d lists, left %s\nof %s", text, err, heard, state(), before)
+			t.Fatalf("%s\nerror %v; %d lists reported, table is %s\nwant %s", text, err, heard, state(), before)
 		}
 	}
 	if err := table.take([]byte(change), false); err != nil || heard != 2 || state() == before {
-		t.Errorf("the list itself: heard %d, %v", heard, err)
+		t.Errorf("valid list: %d lists reported, error %v", heard, err)
 	}
 }
--- a/balancer/platform/servertable/stream_test.go
+++ b/balancer/platform/servertable/stream_test.go
@@ -11,8 +11,8 @@
 	"pgregory.net/rapid"
 )
 
-// takes feeds a stream in pieces and returns its objects, each compacted, and how many lines ended between them.
-func takes(pieces ...string) (objects []string, blanks int, err error) {
+// readPieces feeds the pieces to a stream, and returns its objects, each compacted, and the number of blank results.
+func readPieces(pieces ...string) (objects []string, blanks int, err error) {
 	s := &stream{}
 	for _, piece := range pieces {
 		s.feed([]byte(piece))
@@ -37,8 +37,8 @@
 	return objects, blanks, nil
 }
 
-// However a list is written, and wherever the network cuts it, the same objects come of it.
-func TestObjectsComeCompleteHoweverTheyAreWrittenAndSplit(t *testing.T) {
+// The stream must return the same objects however they are formatted and wherever the network splits them.
+func TestStreamReassemblesObjects(t *testing.T) {
 	_, _ = flag.Set("rapid.seed", "20261202"), flag.Set("rapid.nofailfile", "true")
 	rapid.Check(t, func(rt *rapid.T) {
 		var want []string
@@ -62,30 +62,31 @@
 			n := rapid.IntRange(1, len(rest)).Draw(rt, "piece")
 			pieces, rest = append(pieces, rest[:n]), rest[n:]
 		}
-		got, blanks, err := takes(pieces...)
+		got, blanks, err := readPieces(pieces...)
 		if diff := cmp.Diff(want, got); diff != "" || err != nil {
 			rt.Fatalf("%q: %v (-want +got):\n%s", pieces, err, diff)
 		}
 		if most := strings.Count(text.String(), "\n"); blanks > most {
-			rt.Fatalf("%d line ends of %d", blanks, most)
+			rt.Fatalf("%d blank results for %d line ends", blanks, most)
 		}
 	})
 }
 
-func TestWhatIsNoStreamOfObjectsIsAnError(t *testing.T) {
+func TestStreamRejectsInvalidData(t *testing.T) {
 	for text, want := range map[string]string{
-		`{"a":1}x`: `'x' where an object was to begin`, `[{}]`: `'[' where an object was to begin`, "}": `'}' where an object was to begin`,
-		`{"a":"` + strings.Repeat("b", maxObject): errTooLong.Error(), `"a"`: `'"' where an object was to begin`} {
-		if _, _, err := takes(text); err == nil || err.Error() != want {
+		`{"a":1}x`: `unexpected 'x' where a JSON object should begin`, `[{}]`: `unexpected '[' where a JSON object should begin`, "}": `unexpected '}' where a JSON object should begin`,
+		`{"a":"` + strings.Repeat("b", maxObject): errTooLong.Error(), `"a"`: `unexpected '"' where a JSON object should begin`} {
+		if _, _, err := readPieces(text); err == nil || err.Error() != want {
 			t.Errorf("%.20s: %v, want %s", text, err, want)
 		}
 	}
-	if objects, blanks, err := takes("\n\n{", `"a":1`, "\n\n"); len(objects) != 0 || blanks != 2 || err != nil {
-		t.Errorf("half an object counts: %q, %d, %v", objects, blanks, err)
+	if objects, blanks, err := readPieces("\n\n{", `"a":1`, "\n\n"); len(objects) != 0 || blanks != 2 || err != nil {
+		t.Errorf("incomplete object: got objects %q, %d blank results, error %v", objects, blanks, err)
 	}
 }
 
-// Whatever comes, in two pieces or one: no panic, the same result, and every object is one that begins and ends with a brace.
+// Any input, in one piece or two, must not cause a panic and must give the same result; every object begins and ends with a
+// brace.
 func FuzzStream(f *testing.F) {
 	for _, seed := range []string{"", "\n", `{"seq":1}`, "{\n\"a\": \"}\\\"\"\n}\n", `{{}}{`, "{}x"} {
 		f.Add([]byte(seed), 1)
@@ -103,7 +104,7 @@
 						break
 					}
 					if object != nil && (object[0] != '{' || object[len(object)-1] != '}') {
-						t.Fatalf("%q is no object", object)
+						t.Fatalf("%q is not an object", object)
 					}
 					got = append(got, string(object))
 				}
--- a/balancer/scheduler/dispatch.go
+++ b/balancer/scheduler/dispatch.go
@@ -14,34 +14,35 @@
 	Worker   string
 	Deadline time.Duration // when the scheduler stops waiting
 
-	// MayBegin, if set, is asked just before the first byte: where the backend has other loops than the scheduler, what
-	// was decided may come too late, or be undone. One that may not begin ends as not sent.
+	// MayBegin, if set, is called just before the first byte is written. Where the backend runs on other loops than the
+	// scheduler, a decision may arrive too late or have been revoked. If it returns false, the dispatch ends as NotSent.
 	MayBegin func() bool
-	// Relay, if set, brings what the backend tells to the scheduler's loop.
+	// Relay, if set, passes the backend's reports to the scheduler's loop.
 	Relay func(func())
-	Core  int // that carries it out, where there are several
-
-	number int
-	by     time.Duration // a repeat that begins later could run twice
-	off    atomic.Bool   // its request is over
-	sentAt time.Duration
-	timer  *deadline.Deadline
-	begun  bool // the backend has it
-	done   bool
+	Core  int // the core that executes it, if there are several
+
+	number       int
+	sendBy       time.Duration // latest start: a repeat that begins later could run twice
+	requestEnded atomic.Bool   // its request has ended
+	sentAt       time.Duration
+	timer        *deadline.Deadline
+	begun        bool // it was passed to the backend
+	done         bool
 }
 
-// Repeatable says whether the request may run any number of times.
+// Repeatable reports whether the request may run any number of times.
 func (d *Dispatch) Repeatable() bool { return d.Session.class.Effect == ravendale.Safe }
 
-// Due says whether the last byte of the request, with which it begins, may be written at a time. Any loop may ask. A connection
-// can take longer to come up than the request lives, or than a server drops a repeat of it.
-func (d *Dispatch) Due(now time.Duration) bool { return !d.off.Load() && now < d.by }
+// Due reports whether the last byte of the request may be written at the given time; the server starts the request when it
+// receives that byte. Any loop may call it. Establishing a connection can take longer than the client waits, or than the
+// server recognises and drops a repeat of the request.
+func (d *Dispatch) Due(now time.Duration) bool { return !d.requestEnded.Load() && now < d.sendBy }
 
-// Exchange is the request that the dispatch is for.
+// Exchange returns the request that the dispatch is for.
 func (d *Dispatch) Exchange() *Exchange { return d.Session.ex }
 
-// limit ends a dispatch at its deadline.
-func (d *Dispatch) limit() {
+// startDeadline sets the timer that ends the dispatch as TimedOut at its deadline.
+func (d *Dispatch) startDeadline() {
 	s := d.Session.s
 	d.timer = s.loop.Deadlines.Add(d.Deadline, func() {
 		s.backend.Withdraw(d)
@@ -49,7 +50,7 @@
 	})
 }
 
-// Sent tells that the request is written whole.
+// Sent reports that the request has been written completely.
 func (d *Dispatch) Sent() {
 	d.relay(func() {
 		s := d.Session.s
@@ -59,13 +60,13 @@
 	})
 }
 
-// Started tells that the job runs.
+// Started reports that the job is running.
 func (d *Dispatch) Started() { d.report(ravendale.JobStarted, 0) }
 
-// Unresponsive tells that the backend server has not answered it, long after it should have.
+// Unresponsive reports that the backend server has not answered long after it should have.
 func (d *Dispatch) Unresponsive() { d.report(ravendale.AttemptUnresponsive, 0) }
 
-// Progressed tells which part of the job is done.
+// Progressed reports which fraction of the job is done.
 func (d *Dispatch) Progressed(done float64) { d.report(ravendale.JobProgressed, done) }
 
 func (d *Dispatch) report(kind ravendale.EventKind, done float64) {
@@ -79,7 +80,7 @@
 	})
 }
 
-// relay calls f in the scheduler's turn.
+// relay calls f in a turn of the scheduler's loop.
 func (d *Dispatch) relay(f func()) {
 	if d.Relay != nil {
 		d.Relay(f)
@@ -88,7 +89,7 @@
 	}
 }
 
-// End gives the outcome of a dispatch; only the first counts. The first OK of a session is its answer.
+// End reports the outcome of a dispatch; only the first call counts. The first OK of a session becomes its answer.
 func (d *Dispatch) End(outcome ravendale.Outcome, result []byte) {
 	d.relay(func() {
 		if d.done {
@@ -101,7 +102,7 @@
 	})
 }
 
-// finish tells the module an outcome, once.
+// finish passes the outcome to the decision module, once.
 func (d *Dispatch) finish(outcome ravendale.Outcome) {
 	if d.done {
 		return
@@ -113,8 +114,8 @@
 	if outcome == ravendale.ConnectFailed {
 		n.unreached++
 	}
-	if n.s.twin != nil && d.begun {
-		n.s.twin.Ended(d.Worker)
+	if n.s.peers != nil && d.begun {
+		n.s.peers.Ended(d.Worker)
 	}
 	if n.s.traces() {
 		n.s.log.Debug("end", "job", n.job, "try", d.number, "server", d.Worker, "outcome", outcome, "took", n.s.loop.Now()-d.sentAt)
--- a/balancer/scheduler/doc.go
+++ b/balancer/scheduler/doc.go
@@ -1,9 +1,10 @@
-// Package scheduler runs the decision module among real events. It knows sessions (a client's request), dispatches (one attempt
-// at a backend server) and time, but no protocol: frontends and backends of any kind meet in an Exchange.
+// Package scheduler feeds real events to the decision module and executes its decisions. It handles sessions (one client
+// request each), dispatches (one attempt at a backend server each) and deadlines, but no protocol: a frontend and a backend of
+// any kind share an Exchange per request.
 //
-// A Loop is one goroutine at a time that takes events in turns and keeps their deadlines; a Scheduler belongs to one Loop, and
-// all of its methods are called in that loop's turns. The owner makes a Scheduler with New, gives it its backend and its server
-// table with Connect before the first event, and hands in requests with Accept and lists with Listed. Each exchange is answered
-// exactly once, unless its client leaves before. While a new version takes over, two processes are one scheduler: Join,
-// Snapshot, Inherit, Transfer and Adopt.
+// A Loop processes events in turns, on one goroutine at a time, and keeps their deadlines. A Scheduler belongs to one Loop, and
+// all of its methods must be called in that loop's turns. The owner creates a Scheduler with New, sets its backend and server
+// table with Connect before the first event, and passes in requests with Accept and server lists with Listed. Each exchange is
+// answered exactly once, unless its client disconnects first. During an upgrade the old and the new process act as one
+// scheduler: see Join, Snapshot, Inherit, Transfer and Adopt.
 package scheduler
--- a/balancer/scheduler/exchange.go
+++ b/balancer/scheduler/exchange.go
@@ -2,14 +2,14 @@
 
 import "time"
 
-// AnswerKind says how a session ended.
+// AnswerKind is the way in which a session ended.
 type AnswerKind uint8
 
-// The ways in which a session ends.
+// The kinds of answers.
 const (
-	Served  AnswerKind = iota // Result is what a backend server gave
-	Refused                   // trying again is harmless, best after RetryAfter
-	Failed                    // without that promise
+	Served  AnswerKind = iota // Result holds the result from a backend server
+	Refused                   // nothing ran, so that the client may retry safely, preferably after RetryAfter
+	Failed                    // the request may have run
 )
 
 // Answer is the final answer to a request.
@@ -19,7 +19,7 @@
 	RetryAfter time.Duration
 }
 
-// Facts are what the decision module gets of a request.
+// Facts are the properties of a request that the decision module receives.
 type Facts struct {
 	Class  int // index in the settings, -1 if unknown
 	Tenant int
@@ -31,34 +31,34 @@
 	Retry  bool
 }
 
-// Exchange is the one place where the client side and the server side meet. A frontend fills it in and is
-// called back with the answer; a backend server reads Message, whose form only the two of them know.
+// Exchange links the client side and the server side of one request. The frontend fills it in and receives the answer through
+// its callbacks; the backend reads Message, whose type only the two of them know.
 type Exchange struct {
 	ID       string // unique among the requests in progress
 	Facts    Facts
 	Message  any
-	Answer   func(Answer) // called exactly once, unless the client leaves before, or Repeated is
-	Repeated func()       // called instead where a request with that id is in progress, or was of late
+	Answer   func(Answer) // called exactly once, unless the client disconnects first or Repeated is called
+	Repeated func()       // called instead if a request with that ID is in progress or ended recently
 
-	// Relay, if set, brings a call to the scheduler's loop: the frontend has another.
+	// Relay, if set, passes a call to the scheduler's loop, for a frontend that runs on another loop.
 	Relay func(func())
 
-	// Holder is the frontend's own: what holds the request there.
+	// Holder is for the frontend's use: the object that holds the request there.
 	Holder any
 
 	session *Session
 }
 
-// Left tells that the client has gone: no answer is owed any more.
+// Left reports that the client has disconnected, so that the request no longer needs an answer.
 func (ex *Exchange) Left() {
 	if ex.Relay != nil {
-		ex.Relay(ex.left)
+		ex.Relay(ex.clientLeft)
 	} else {
-		ex.left()
+		ex.clientLeft()
 	}
 }
 
-func (ex *Exchange) left() {
+func (ex *Exchange) clientLeft() {
 	if ex.session != nil {
 		ex.session.clientLeft()
 	}
--- a/balancer/scheduler/figures.go
+++ b/balancer/scheduler/figures.go
@@ -5,33 +5,33 @@
 	"strconv"
 )
 
-// Figures are what a scheduler reports of itself: counts since its start, and what it holds now.
+// Figures are a scheduler's metrics: counters since its start, and gauges of its present state.
 type Figures struct {
-	Classes map[string]ClassFigures // by name; a class that the settings dropped keeps its line
-	Sends   int                     // attempts written whole to backend servers
-	Current int                     // requests taken and not yet ended
+	Classes map[string]ClassFigures // by name; a class that was removed from the settings keeps its entry
+	Sends   int                     // attempts written completely to backend servers
+	Current int                     // requests accepted and not yet ended
 
-	Listed, Avoided         int // backend servers in the list, and those of them that are avoided now
-	ConfLoaded, ConfInvalid int // configurations taken and turned down while it ran
+	Listed, Avoided         int // backend servers in the list, and those of them that are currently avoided
+	ConfLoaded, ConfInvalid int // configurations applied and rejected at run time
 
-	// Unsent counts the requests answered as refused or failed that were never sent to a backend server, by why: the
-	// fleet's bench prices each of them as refused, so an operator weighs these against what waiting would have cost.
+	// Unsent counts, by reason, the requests answered as refused or failed that were never sent to a backend server. The
+	// fleet's benchmark prices each of them as refused, so an operator can weigh these against the cost of waiting longer.
 	Unsent [Unsents]int
 }
 
-// Unsent says why a request ended without a send. The reasons are the paths that answer so; each is counted apart.
+// Unsent is the reason why a request ended without being sent. There is one for each code path that answers so, with a counter each.
 type Unsent uint8
 
-// Why requests end unsent.
+// The reasons why requests end without being sent.
 const (
-	NoTime     Unsent = iota // it came with its time spent, or it ran out while the module waited
-	NoStart                  // the module gave up on it while time was left: no ready server, budget or room in time
-	Leaving                  // the scheduler stops and takes nothing new: another has room
-	NoCapacity               // the scheduler holds as many requests as it may
-	Unsents                  // how many reasons there are
+	NoTime     Unsent = iota // its time had run out on arrival, or ran out while the module waited
+	NoStart                  // the module gave up while time was left: no ready server, budget or capacity in time
+	Leaving                  // the scheduler is stopping and accepts nothing new; another one may have capacity
+	NoCapacity               // the scheduler has reached its limit on requests in progress
+	Unsents                  // number of reasons
 )
 
-// String is the reason's name in figures and logs.
+// String returns the reason's name in metrics and logs.
 func (u Unsent) String() string {
 	if u < Unsents {
 		return [Unsents]string{"no_time", "no_start", "leaving", "no_room"}[u]
@@ -39,10 +39,10 @@
 	return "unsent(" + strconv.Itoa(int(u)) + ")"
 }
 
-// ClassFigures count the requests of one class by their answer, and those that were taken in progress.
+// ClassFigures count the requests of one class by kind of answer; Taken counts those that were accepted.
 type ClassFigures struct{ Answered, Deferred, Errored, Taken int }
 
-// Figures returns the figures of now.
+// Figures returns the current figures.
 func (s *Scheduler) Figures() Figures {
 	f := s.figures
 	f.Classes = maps.Clone(f.Classes)
@@ -51,8 +51,8 @@
 	return f
 }
 
-// Count counts an answer to a request of a class of the settings. Those to sessions are counted by the scheduler; a
-// frontend counts what it refuses itself.
+// Count counts an answer to a request of the class with the given index in the settings. The scheduler itself counts the
+// answers to sessions; a frontend counts the requests that it refuses itself.
 func (s *Scheduler) Count(class int, kind AnswerKind) {
 	if class >= 0 && class < len(s.settings.Classes) {
 		s.count(s.settings.Classes[class].Name, kind)
@@ -62,7 +62,7 @@
 func (s *Scheduler) count(class string, kind AnswerKind) {
 	c, given := s.figures.Classes[class]
 	if !given {
-		return // of no class of the settings
+		return // the class is not in the settings
 	}
 	switch kind {
 	case Served:
@@ -75,7 +75,7 @@
 	s.figures.Classes[class] = c
 }
 
-// CountUnsent counts a request that a frontend refused itself, without a send.
+// CountUnsent counts a request that a frontend refused itself, without sending it.
 func (s *Scheduler) CountUnsent(class int, why Unsent) {
 	s.Count(class, Refused)
 	if why < Unsents {
@@ -86,7 +86,7 @@
 	}
 }
 
-// CountConfig counts a configuration that came while the scheduler runs.
+// CountConfig counts a configuration that arrived at run time, and whether it was applied.
 func (s *Scheduler) CountConfig(taken bool) {
 	if taken {
 		s.figures.ConfLoaded++
@@ -95,8 +95,8 @@
 	}
 }
 
-// name gives each class of the settings its line, so that it reads 0 and does not come up late.
-func (s *Scheduler) name() {
+// addClassFigures adds a zero entry for each class of the settings, so that it is reported as 0 before its first request.
+func (s *Scheduler) addClassFigures() {
 	for i := range s.settings.Classes {
 		class := s.settings.Classes[i].Name
 		if _, given := s.figures.Classes[class]; !given {
--- a/balancer/scheduler/loop.go
+++ b/balancer/scheduler/loop.go
@@ -9,40 +9,41 @@
 	"ravendale/balancer/deadline"
 )
 
-// Loop is what owns a state: whoever has its turn. Turns never overlap. Most are taken by the network's poller, which
-// brings a connection's bytes (Begin, End); the goroutine of Run takes those for what was posted and what falls due. With
-// the poller's events posted to that goroutine instead, a job paid four times for a copy, a closure and two switches.
+// Loop is an event loop that guards state: only the goroutine that holds its turn may access that state, and turns never
+// overlap. The network's poller takes most turns, to deliver a connection's bytes (Begin, End); the goroutine of Run takes
+// turns for posted functions and due deadlines. If the poller posted its events to that goroutine instead, each job would pay
+// for a copy, a closure and two context switches, four times.
 //
-// Several loops work for one another by Send. Who gives a turn back takes the turns of the loops that it sent something
-// to, where nobody has them; where somebody has, that one takes what was sent before it goes. So what one goroutine
-// has begun it carries on from loop to loop, without waking another: see Hendler, Incze, Shavit and Tzafrir, "Flat
+// Loops call functions in one another's turns through Send. A goroutine that ends a turn then takes a turn of each loop that
+// it sent something to, if that loop's turn is free; otherwise the holder of that turn calls what was sent before it leaves.
+// One goroutine thus follows its work from loop to loop without waking another: see Hendler, Incze, Shavit and Tzafrir, "Flat
 // Combining and the Synchronization-Parallelism Tradeoff" (SPAA 2010).
 type Loop struct {
 	Deadlines *deadline.Queue
-	// Gap, if set, is called in a turn whose time is more than GapOver after the last one looked at: the loop was idle, or
-	// its process stood still, and what came meanwhile is taken in no order of its own.
+	// Gap, if set, is called in a turn whose time is more than GapOver after the last time read: the loop was idle or its
+	// process was paused, and the events that arrived meanwhile are not processed in the order of their arrival.
 	Gap     func()
 	GapOver time.Duration
 
 	clock  func() time.Duration
 	turn   sync.Mutex
-	now    time.Duration // the turn's
-	armed  time.Duration // when timer fires; the turn's
+	now    time.Duration // time of the current turn; guarded by turn
+	armed  time.Duration // when timer fires; guarded by turn
 	timer  *time.Timer
 	closed bool
-	sent   []*Loop // to, in this turn; the turn's
+	sent   []*Loop // loops that this turn sent something to; guarded by turn
 
-	mu     sync.Mutex
-	posted []func()
-	spare  []func()
-	any    atomic.Bool // something is posted
-	queued atomic.Int64
-	wake   chan struct{}
+	mu        sync.Mutex
+	posted    []func()
+	spare     []func()
+	hasPosted atomic.Bool // posted is not empty
+	queued    atomic.Int64
+	wake      chan struct{}
 }
 
 const noTime = time.Duration(math.MaxInt64)
 
-// NewLoop returns a loop on a clock that never goes back.
+// NewLoop returns a loop that uses the given clock, which must be monotonic.
 func NewLoop(clock func() time.Duration) *Loop {
 	l := &Loop{Deadlines: deadline.NewQueue(), clock: clock, now: clock(), wake: make(chan struct{}, 1), armed: noTime}
 	l.timer = time.NewTimer(time.Hour)
@@ -50,31 +51,30 @@
 	return l
 }
 
-// SystemClock returns a clock that counts from the Unix epoch, so that start times given in Unix time fit on
-// it, but moves with the monotonic clock: a step of the system's time can't take it back.
+// SystemClock returns a clock that counts from the Unix epoch, so that start times given in Unix time can be compared with
+// it, but advances with the monotonic clock, so that a step of the system time cannot set it back.
 func SystemClock() func() time.Duration {
 	began := time.Now()
 	base := time.Duration(began.UnixNano())
 	return func() time.Duration { return base + time.Since(began) }
 }
 
-// Now is the time of the present turn.
+// Now returns the time of the current turn.
 func (l *Loop) Now() time.Duration { return l.now }
 
-// After sets a deadline counted from the time of the present turn, which is the time that the module
-// counts from as well.
+// After adds a deadline relative to the time of the current turn, which is also the time that the decision module uses.
 func (l *Loop) After(wait time.Duration, due func()) *deadline.Deadline {
 	return l.Deadlines.Add(l.now+wait, due)
 }
 
-// Post has f called in a turn; other goroutines may call it, and those that have the turn.
+// Post schedules f to be called in a turn of the loop. Any goroutine may call it, also one that holds the turn.
 func (l *Loop) Post(f func()) {
 	l.enqueue(f)
-	l.rouse()
+	l.wakeRun()
 }
 
-// rouse has Run take a turn.
-func (l *Loop) rouse() {
+// wakeRun makes Run take a turn.
+func (l *Loop) wakeRun() {
 	select {
 	case l.wake <- struct{}{}:
 	default:
@@ -84,16 +84,16 @@
 func (l *Loop) enqueue(f func()) {
 	l.mu.Lock()
 	l.posted = append(l.posted, f)
-	l.any.Store(true)
+	l.hasPosted.Store(true)
 	l.queued.Store(int64(len(l.posted)))
 	l.mu.Unlock()
 }
 
-// Queued is how much waits to be called, about; other goroutines may ask.
+// Queued returns approximately how many functions wait to be called. Any goroutine may call it.
 func (l *Loop) Queued() int { return int(l.queued.Load()) }
 
-// Send has f called in a turn of another loop, soon after this loop's present turn, which the caller has. What is sent
-// to one loop is called in the order in which it was sent. A loop that sends to itself posts.
+// Send schedules f to be called in a turn of another loop, soon after this loop's current turn, which the caller must hold.
+// Functions sent to one loop are called in the order in which they were sent. A loop that sends to itself posts.
 func (l *Loop) Send(to *Loop, f func()) {
 	to.enqueue(f)
 	for _, other := range l.sent {
@@ -104,8 +104,8 @@
 	l.sent = append(l.sent, to)
 }
 
-// Begin gives the calling goroutine the turn, after what was posted; it is to call End. It returns false, and gives no
-// turn, once Run has ended.
+// Begin acquires the turn for the calling goroutine and calls the posted functions; the caller must then call End. Once Run
+// has returned, Begin returns false without acquiring the turn.
 func (l *Loop) Begin() bool {
 	l.turn.Lock()
 	if l.closed {
@@ -117,7 +117,7 @@
 	return true
 }
 
-// tick brings the turn's time up.
+// tick updates the turn's time from the clock.
 func (l *Loop) tick() {
 	before := l.now
 	if l.now = max(l.now, l.clock()); l.Gap != nil && l.now-before > l.GapOver {
@@ -125,22 +125,22 @@
 	}
 }
 
-// End takes what was posted meanwhile, sweeps what is due and gives the turn back. Then it sees to the loops that
-// something was sent to.
+// End calls the functions posted meanwhile and the deadlines that are due, and releases the turn. Then it takes turns of the
+// loops that something was sent to.
 func (l *Loop) End() {
 	for sent := l.finish(); len(sent) > 0; {
 		next := sent[0]
-		sent = append(sent[1:], next.help()...)
+		sent = append(sent[1:], next.takeTurn()...)
 	}
 }
 
-// maxTurns is how often one goroutine goes on with a loop for others before Run has to: its own connections wait
-// meanwhile.
+// maxTurns is how many turns one goroutine takes in a row for functions that others enqueued, before it leaves the rest to
+// Run: its own connections wait meanwhile.
 const maxTurns = 8
 
-// finish ends a turn, and returns the loops that something was sent to. What others enqueued up to the end of the
-// turn, and could not take a turn for, is taken here: whoever enqueues tries for the turn after that, and this looks
-// after giving it back.
+// finish ends a turn, and returns the loops that something was sent to. It also calls the functions that other goroutines
+// enqueued during the turn without being able to acquire it. None is missed: a sender tries to acquire the turn after
+// enqueuing, and finish checks the queue after releasing the turn.
 func (l *Loop) finish() (sent []*Loop) {
 	for turn := 1; ; turn++ {
 		l.takePosted()
@@ -157,11 +157,11 @@
 		clear(l.sent)
 		l.sent = l.sent[:0]
 		l.turn.Unlock()
-		if !l.any.Load() {
+		if !l.hasPosted.Load() {
 			return sent
 		}
 		if turn == maxTurns {
-			l.rouse()
+			l.wakeRun()
 			return sent
 		}
 		if !l.turn.TryLock() {
@@ -175,9 +175,9 @@
 	}
 }
 
-// help takes a turn for what was enqueued, if nobody has it.
-func (l *Loop) help() []*Loop {
-	if !l.any.Load() || !l.turn.TryLock() {
+// takeTurn takes a turn for the enqueued functions, if the turn is free.
+func (l *Loop) takeTurn() []*Loop {
+	if !l.hasPosted.Load() || !l.turn.TryLock() {
 		return nil
 	}
 	if l.closed {
@@ -189,12 +189,12 @@
 }
 
 func (l *Loop) takePosted() {
-	if !l.any.Load() {
+	if !l.hasPosted.Load() {
 		return
 	}
 	l.mu.Lock()
 	l.posted, l.spare = l.spare[:0], l.posted
-	l.any.Store(false)
+	l.hasPosted.Store(false)
 	l.queued.Store(0)
 	batch := l.spare
 	l.mu.Unlock()
@@ -205,14 +205,14 @@
 	}
 }
 
-// Turn takes what was posted, in order, and then sweeps what is due.
+// Turn calls the posted functions in order, and then the deadlines that are due.
 func (l *Loop) Turn() {
 	if l.Begin() {
 		l.End()
 	}
 }
 
-// Run takes turns until stop is closed, and sleeps while there is nothing to do.
+// Run takes turns until stop is closed, and blocks while there is nothing to do.
 func (l *Loop) Run(stop <-chan struct{}) {
 	defer l.timer.Stop()
 	for {
--- a/balancer/scheduler/loop_test.go
+++ b/balancer/scheduler/loop_test.go
@@ -7,21 +7,21 @@
 	"time"
 )
 
-// Loops that send to one another from several goroutines at once lose nothing, keep the order of what one sent to one
-// other, and never have two turns at a time. Nobody wakes them: there is no Run.
-func TestLoopsTakeTurnsForOneAnother(t *testing.T) {
+// Loops that send to one another from several goroutines at once must lose nothing, keep the order between each pair of loops,
+// and never run two turns of a loop at a time. Run is not started, so that no other goroutine helps.
+func TestLoopSendConcurrent(t *testing.T) {
 	const loops, workers, rounds = 3, 4, 3000
 	var all [loops]*Loop
 	var inTurn [loops]atomic.Int32
-	var seen [loops][loops]int // the last number that i had of j; i's turn
-	var sent [loops][loops]int // j's turn
+	var seen [loops][loops]int // seen[i][j] is the last number that i received from j; guarded by i's turn
+	var sent [loops][loops]int // sent[i][j] is the last number that j sent to i; guarded by j's turn
 	var got atomic.Int64
 	for i := range all {
 		all[i] = NewLoop(SystemClock())
 	}
 	enter := func(i int) {
 		if inTurn[i].Add(1) != 1 {
-			t.Error("two turns at a time")
+			t.Error("two turns of one loop overlap")
 		}
 	}
 	leave := func(i int) { inTurn[i].Add(-1) }
@@ -31,7 +31,7 @@
 			for r := range rounds {
 				from := (w + r) % loops
 				if !all[from].Begin() {
-					t.Error("no turn")
+					t.Error("Begin returned false on an open loop")
 					return
 				}
 				enter(from)
@@ -44,7 +44,7 @@
 					all[from].Send(all[to], func() {
 						enter(to)
 						if seen[to][from]++; seen[to][from] != number {
-							t.Errorf("number %d came in the place of %d", number, seen[to][from])
+							t.Errorf("function %d was called when %d was expected", number, seen[to][from])
 						}
 						got.Add(1)
 						leave(to)
@@ -57,8 +57,8 @@
 	}
 	work.Wait()
 	for i, l := range all {
-		if l.any.Load() && len(l.wake) == 0 {
-			t.Errorf("loop %d was left with something to do, and Run not told", i)
+		if l.hasPosted.Load() && len(l.wake) == 0 {
+			t.Errorf("loop %d has unprocessed functions, and Run was not woken", i)
 		}
 	}
 	for range loops {
@@ -67,46 +67,46 @@
 		}
 	}
 	if want := int64(workers * rounds * (loops - 1)); got.Load() != want {
-		t.Errorf("%d of %d came", got.Load(), want)
+		t.Errorf("%d of %d functions were called", got.Load(), want)
 	}
 }
 
-// A turn that another takes sets the timer by which Run wakes for what falls due first.
-func TestRunWakesForWhatOthersSet(t *testing.T) {
+// A turn taken by another goroutine must set the timer on which Run wakes for the earliest deadline.
+func TestRunWakesForDeadlineOfOtherTurn(t *testing.T) {
 	l := NewLoop(SystemClock())
 	stop, due := make(chan struct{}), make(chan struct{})
 	ended := make(chan struct{})
 	go func() { l.Run(stop); close(ended) }()
 	l.Begin()
-	l.After(time.Hour, func() { t.Error("not yet") })
+	l.After(time.Hour, func() { t.Error("a deadline of one hour fired") })
 	l.After(time.Millisecond, func() { close(due) })
 	l.End()
 	<-due
 	close(stop)
 	<-ended
 	if l.Begin() {
-		t.Error("a turn after the end")
+		t.Error("Begin returned true after Run had returned")
 	}
 }
 
-// What comes between the last look at what was enqueued and the end of a turn is not left lying: who sent it found the turn
-// taken.
-func TestNothingIsLeftAtTheEndOfATurn(t *testing.T) {
+// A function that is enqueued between the last check of the queue and the end of a turn must be called, although its sender could
+// not acquire the turn.
+func TestSendDuringSweepIsProcessed(t *testing.T) {
 	now := time.Duration(0)
 	clock := func() time.Duration { return now }
 	a, b := NewLoop(clock), NewLoop(clock)
 	came := false
 	a.Begin()
-	a.After(0, func() { // while a sweeps
+	a.After(0, func() { // runs while a sweeps its deadlines
 		b.Begin()
 		b.Send(a, func() { came = true })
 		b.End()
 		if came {
-			t.Error("it was called in another's turn")
+			t.Error("the function was called while another goroutine held the turn")
 		}
 	})
 	a.End()
 	if !came {
-		t.Error("it was left")
+		t.Error("the function was not called at the end of the turn")
 	}
 }
--- a/balancer/scheduler/scheduler.go
+++ b/balancer/scheduler/scheduler.go
@@ -9,54 +9,54 @@
 	"ravendale"
 )
 
-// Backend executes dispatches. Each Send is to lead to exactly one Dispatch.End, unless Withdraw comes before.
+// Backend executes dispatches. Each Send must lead to exactly one call of Dispatch.End, unless Withdraw is called first.
 type Backend interface {
 	Send(d *Dispatch)
-	Withdraw(d *Dispatch) // stop waiting for it, and stop the work if possible
-	Retract(d *Dispatch)  // its request is over: unless it has begun it must not, and ends as not sent
-	Avoid(worker string)  // it drains or is gone: what is not on its way there must not go
+	Withdraw(d *Dispatch) // stop waiting for it, and cancel the job if possible
+	Retract(d *Dispatch)  // its request has ended: a dispatch that has not begun must not begin, and ends as NotSent
+	Avoid(worker string)  // the server drains or is gone: a dispatch to it that has not begun must not begin
 
-	Transferable(d *Dispatch) bool // whether it needs no connection of this process any more
-	Release(d *Dispatch)           // of those: another process goes on with it
-	Adopt(d *Dispatch)             // takes one that another process released
+	Transferable(d *Dispatch) bool // whether it no longer needs a connection of this process
+	Release(d *Dispatch)           // forget a transferable dispatch, which another process continues
+	Adopt(d *Dispatch)             // continue a dispatch that another process released
 }
 
-// ServerTable watches the list of backend servers, and tells Scheduler.Listed.
+// ServerTable watches the list of backend servers, and passes it to Scheduler.Listed.
 type ServerTable interface{ Watch() }
 
-// answerSlack is how long after the client's time the module may still end a session. It acts at that time
-// itself; this only guards the rule that nothing taken stays unanswered.
+// answerSlack is how long after the client's deadline the module may still end a session. The module normally acts at the
+// deadline itself; the slack only matters for the guard that ensures that every accepted request is answered.
 const answerSlack = 5 * time.Millisecond
 
-// Scheduler executes what the decision module decides. All of it belongs to the loop's goroutine.
+// Scheduler executes the decisions of the decision module. It may be used only in turns of its loop.
 type Scheduler struct {
 	loop              *Loop
 	module            *ravendale.Dispatcher
 	settings          ravendale.Settings
-	longest           time.Duration // that a client has ever waited at most, by the settings
+	longest           time.Duration // longest client deadline in any settings so far
 	backend           Backend
-	twin              Twin               // nil at first
-	elsewhereInFlight map[string]float64 // the other one's dispatches, by server
+	peers             Twin               // nil until Join
+	elsewhereInFlight map[string]float64 // dispatches of the other process in flight, by server
 	table             ServerTable
 	log               *slog.Logger
 
 	lastJob  ravendale.JobID
 	sessions map[ravendale.JobID]*Session
-	byID     map[string]*Session // those that are owed an answer
-	recent   map[string]struct{} // ids that were answered of late
+	byID     map[string]*Session // sessions that are not answered yet, by request ID
+	recent   map[string]struct{} // IDs of requests that were answered recently
 
-	kept, keptElsewhere []keptID // those, in the order in which they are let go of
+	expiringIDs, elsewhereIDs []expiringID // the IDs in recent, in order of their expiry
 
-	gate    func() bool // whether a request may be taken now; nil: any
-	quiet   func()      // called once nothing is owed
+	gate    func() bool // whether a new request may be accepted now; nil accepts all
+	onQuiet func()      // called once no request waits for its answer
 	figures Figures
 
-	events  []ravendale.Event // not handled yet
+	events  []ravendale.Event // not handled by the module yet
 	actions []ravendale.Action
 	busy    bool
 }
 
-// New returns a scheduler, or the module's error for a setting that makes no sense.
+// New returns a scheduler, or the decision module's error if the settings are invalid.
 func New(loop *Loop, settings ravendale.Settings, seed uint64, log *slog.Logger) (*Scheduler, error) {
 	module, err := ravendale.New(settings, seed)
 	if err != nil {
@@ -64,51 +64,51 @@
 	}
 	s := &Scheduler{loop: loop, module: module, settings: settings, log: log, figures: Figures{Classes: make(map[string]ClassFigures)},
 		sessions: make(map[ravendale.JobID]*Session), byID: make(map[string]*Session), recent: make(map[string]struct{}), elsewhereInFlight: make(map[string]float64)}
-	s.name()
+	s.addClassFigures()
 	s.longest = settings.LongestDeadline()
 	return s, nil
 }
 
-// Retune takes other settings for the requests that come from now on.
+// Retune applies new settings to the requests that arrive from now on.
 func (s *Scheduler) Retune(settings ravendale.Settings) error {
 	if err := s.module.Retune(settings); err != nil {
 		return fmt.Errorf("settings: %w", err)
 	}
 	s.settings = settings
-	s.longest = max(s.longest, settings.LongestDeadline()) // of those in progress too
-	s.name()
+	s.longest = max(s.longest, settings.LongestDeadline()) // requests in progress keep their deadline
+	s.addClassFigures()
 	return nil
 }
 
-// Connect gives the scheduler its server side; it comes before the first event.
+// Connect sets the backend and the server table; it must be called before the first event.
 func (s *Scheduler) Connect(b Backend, t ServerTable) { s.backend, s.table = b, t }
 
-// WarmingUp says whether a backend server is taken to be warming still.
+// WarmingUp reports whether the decision module considers a backend server to be still warming up.
 func (s *Scheduler) WarmingUp(worker string) bool { return s.module.WarmingUp(worker, s.loop.Now()) }
 
-// Owed is how many requests wait for their answer.
+// Owed returns how many requests wait for their answer.
 func (s *Scheduler) Owed() int { return len(s.byID) }
 
-// Leave tells that all that is owed, or comes yet, is to be answered within a time.
+// Leave tells the decision module that all requests, in progress or yet to arrive, must be answered within the given time.
 func (s *Scheduler) Leave(within time.Duration) {
 	s.feed(ravendale.Event{Kind: ravendale.Leaving, Left: within})
 }
 
-// WhenQuiet has f called, once, as soon as nothing is owed.
+// WhenQuiet calls f, once, as soon as no request waits for its answer.
 func (s *Scheduler) WhenQuiet(f func()) {
-	s.quiet = f
+	s.onQuiet = f
 	s.checkQuiet()
 }
 
 func (s *Scheduler) checkQuiet() {
-	if f := s.quiet; f != nil && len(s.byID) == 0 {
-		s.quiet = nil
+	if f := s.onQuiet; f != nil && len(s.byID) == 0 {
+		s.onQuiet = nil
 		f()
 	}
 }
 
-// Listed takes what the server table learnt. Servers that drain or have gone are avoided at once; the
-// module hears of them before it hears what became of the dispatches that were still here.
+// Listed processes an update of the server list. Servers that drain or are gone are avoided at once; the module receives the
+// update before the outcomes of the dispatches to them that had not begun.
 func (s *Scheduler) Listed(kind ravendale.ListKind, entries []ravendale.Entry) {
 	s.feed(ravendale.Event{Kind: ravendale.WorkersListed, List: kind, Entries: entries})
 	for i := range entries {
@@ -118,8 +118,8 @@
 	}
 }
 
-// SetDetached takes a backend server out of service, or puts it back; whatever is listed meanwhile, nothing new goes to one
-// that is out. It returns false where no such server is known.
+// SetDetached takes a backend server out of service, or puts it back. A detached server receives no new dispatches, whatever
+// the server list says. SetDetached returns false if the server is unknown.
 func (s *Scheduler) SetDetached(worker string, detached bool) bool {
 	if !s.module.Knows(worker) {
 		return false
@@ -133,7 +133,7 @@
 	return true
 }
 
-// feed hands the module an event and executes its actions in order. Events that come up meanwhile wait.
+// feed passes an event to the module and executes its actions in order. Events raised by these actions are queued.
 func (s *Scheduler) feed(ev ravendale.Event) {
 	s.events = append(s.events, ev)
 	if s.busy {
@@ -176,9 +176,9 @@
 		if n != nil {
 			n.end(Answer{Kind: Failed})
 		}
-	case ravendale.Probe, ravendale.NotifyPeers: // ruled out at every site of this platform
+	case ravendale.Probe, ravendale.NotifyPeers: // disabled in all settings of this platform
 	}
 }
 
-// traces says whether each attempt is logged: `ravendale-lab trace` counts them across many schedulers.
+// traces reports whether each attempt is logged; `ravendale-lab trace` counts these lines across many schedulers.
 func (s *Scheduler) traces() bool { return s.log.Enabled(context.Background(), slog.LevelDebug) }
--- a/balancer/scheduler/session.go
+++ b/balancer/scheduler/session.go
@@ -7,23 +7,23 @@
 	"ravendale/balancer/deadline"
 )
 
-// Session is a request in progress.
+// Session is a client request in progress.
 type Session struct {
 	s          *Scheduler
 	job        ravendale.JobID
 	ex         *Exchange
-	class      ravendale.Class // as it was when the request came, like attempts: a change of settings is not for it
-	attempts   int             // that may reach a backend server: one whose connection never came up is none, by the protocol
-	unreached  int             // dispatches whose connection never came up
+	class      ravendale.Class // as of the arrival, like attempts: later changes of settings do not apply to the session
+	attempts   int             // limit on attempts that may reach a backend server; one whose connection failed does not count, by the protocol
+	unreached  int             // dispatches whose connection could not be established
 	answerBy   time.Duration
 	guard      *deadline.Deadline
 	dispatches []*Dispatch
 	inFlight   int  // dispatches without an outcome
-	closed     bool // it has had its answer, or the client has left
+	closed     bool // it was answered, or the client disconnected
 }
 
-// Accept takes a request. It calls Repeated where one with that id is in progress, or was of late: clients never use one
-// twice, and nothing changes for the first.
+// Accept starts a session for a request. If a request with the same ID is in progress or ended recently, it calls Repeated
+// instead, and the first request is unaffected: clients never reuse an ID.
 func (s *Scheduler) Accept(ex *Exchange) {
 	if _, was := s.recent[ex.ID]; was || s.byID[ex.ID] != nil {
 		ex.Repeated()
@@ -42,11 +42,11 @@
 	s.arrived(n, nil)
 }
 
-// Gate has a function asked before each new request: where it says no the request is refused at once. What is in progress goes
-// on.
+// Gate sets a function that is called before each new request is accepted; if it returns false, the request is refused at
+// once. Requests in progress are unaffected.
 func (s *Scheduler) Gate(may func() bool) { s.gate = may }
 
-// open makes a session of a request, and takes it in progress.
+// open creates and registers the session of a request.
 func (s *Scheduler) open(ex *Exchange) *Session {
 	s.lastJob++
 	n := &Session{s: s, job: s.lastJob, ex: ex, attempts: s.settings.MaxAttempts, class: ravendale.Class{Effect: ravendale.Unsafe},
@@ -56,19 +56,19 @@
 		n.class = s.settings.Classes[c]
 	}
 	s.sessions[n.job], s.byID[ex.ID] = n, n
-	if s.twin != nil {
-		s.twin.Took(ex.ID)
+	if s.peers != nil {
+		s.peers.Took(ex.ID)
 	}
-	// Guards against a module that stays silent: the answer is owed before the client gives up.
+	// Guards against a module that never ends the session: the client must be answered before it gives up.
 	n.guard = s.loop.Deadlines.Add(n.answerBy+answerSlack, func() {
-		s.log.Error("session ended by its guard", "id", ex.ID)
+		s.log.Error("session was still unanswered after its deadline; failing it", "id", ex.ID)
 		n.end(Answer{Kind: Failed})
 		s.feed(ravendale.Event{Kind: ravendale.ClientLeft, Job: n.job})
 	})
 	return n
 }
 
-// arrived tells the module of a session, with the attempts that another process made for it.
+// arrived passes a new session to the module, with the attempts that another process made for it.
 func (s *Scheduler) arrived(n *Session, attempts []ravendale.AttemptSnapshot) {
 	f := &n.ex.Facts
 	s.feed(ravendale.Event{Kind: ravendale.JobArrived, Job: n.job, Class: f.Class, Tenant: f.Tenant, Key: f.Key,
@@ -77,7 +77,7 @@
 
 func (n *Session) send(a *ravendale.Action) {
 	s, now := n.s, n.s.loop.Now()
-	d := &Dispatch{Session: n, Worker: a.Worker, Deadline: n.answerBy, number: len(n.dispatches), by: a.By, sentAt: now}
+	d := &Dispatch{Session: n, Worker: a.Worker, Deadline: n.answerBy, number: len(n.dispatches), sendBy: a.By, sentAt: now}
 	if a.Wait > 0 {
 		d.Deadline = min(d.Deadline, now+a.Wait)
 	}
@@ -87,9 +87,9 @@
 		d.finish(ravendale.NotSent)
 		return
 	}
-	d.limit()
-	if d.begun = true; s.twin != nil {
-		s.twin.Sent(d.Worker)
+	d.startDeadline()
+	if d.begun = true; s.peers != nil {
+		s.peers.Sent(d.Worker)
 	}
 	if s.traces() {
 		s.log.Debug("send", "job", n.job, "try", d.number, "class", n.class.Name, "server", d.Worker, "cold", s.WarmingUp(d.Worker), "open", len(s.byID))
@@ -97,7 +97,7 @@
 	s.backend.Send(d)
 }
 
-// end gives the final answer; only the first counts.
+// end sends the final answer; only the first call counts.
 func (n *Session) end(a Answer) {
 	if n.closed {
 		return
@@ -120,7 +120,7 @@
 	n.retract()
 }
 
-// retract keeps what has not begun from beginning, where the module may not cancel, too.
+// retract prevents dispatches that have not begun from beginning, even if the module may not cancel attempts.
 func (n *Session) retract() {
 	for _, d := range n.dispatches {
 		if !d.done {
@@ -129,9 +129,9 @@
 	}
 }
 
-// unsent tells whether an answer ends a request that no backend server was sent, and why: with time left, the module
-// gave up on a start; without, time ran out first. A dispatch that was decided but not begun was sent nowhere, nor was
-// one whose connection never came up.
+// unsent reports whether the answer ends a request that was never sent to a backend server, and the reason: NoStart if time
+// was left, as the module gave up then, and NoTime otherwise. A dispatch that was decided but not begun does not count as
+// sent, nor does one whose connection could not be established.
 func (n *Session) unsent(a Answer) (Unsent, bool) {
 	begun := 0
 	for _, d := range n.dispatches {
@@ -163,16 +163,16 @@
 func (n *Session) close() {
 	n.closed = true
 	for _, d := range n.dispatches {
-		d.off.Store(true)
+		d.requestEnded.Store(true)
 	}
 	n.s.loop.Deadlines.Drop(n.guard)
 	delete(n.s.byID, n.ex.ID)
-	n.s.keep(n.ex.ID, n.s.idKept(), &n.s.kept)
+	n.s.keep(n.ex.ID, n.s.idRetention(), &n.s.expiringIDs)
 	n.forget()
 	n.s.checkQuiet()
 }
 
-// forget drops a session of which nothing more can come.
+// forget removes a session that is closed and has no dispatch in flight.
 func (n *Session) forget() {
 	if n.closed && n.inFlight == 0 {
 		delete(n.s.sessions, n.job)
--- a/balancer/scheduler/transfer.go
+++ b/balancer/scheduler/transfer.go
@@ -8,36 +8,36 @@
 	"ravendale"
 )
 
-// TransferredRequest is a request that another process of this scheduler goes on with: see Transfer.
+// TransferredRequest is a request that another process of this scheduler continues: see Transfer.
 type TransferredRequest struct {
 	ID        string                      `json:"id"`
 	Class     string                      `json:"class"`
-	AnswerBy  time.Duration               `json:"answer_by"` // on the clock that the two share
-	Facts     Facts                       `json:"facts"`     // Class and Left count for nothing: see above
+	AnswerBy  time.Duration               `json:"answer_by"` // on the clock that both processes share
+	Facts     Facts                       `json:"facts"`     // its Class and Left are ignored in favour of Class and AnswerBy above
 	Attempts  []ravendale.AttemptSnapshot `json:"attempts,omitempty"`
-	Unreached int                         `json:"unreached,omitempty"` // of those, whose connection never came up
+	Unreached int                         `json:"unreached,omitempty"` // how many of Attempts failed to connect
 }
 
-// Terms are what a process takes requests under. It goes on with one that was taken under the same.
+// Terms are the settings under which a process accepts requests. It continues only requests accepted under equal terms.
 type Terms struct {
 	Classes  []ravendale.Class `json:"classes"`
-	Attempts int               `json:"attempts"` // the most for a request
+	Attempts int               `json:"attempts"` // limit for one request
 }
 
-// Terms returns those for the requests that come from now on.
+// Terms returns the terms of the requests that arrive from now on.
 func (s *Scheduler) Terms() *Terms {
 	return &Terms{Classes: s.settings.Classes, Attempts: s.settings.MaxAttempts}
 }
 
-// suits says whether a request was taken under these terms.
+// suits reports whether a request was accepted under these terms.
 func (t *Terms) suits(n *Session) bool {
 	return n.attempts == t.Attempts && slices.Contains(t.Classes, n.class)
 }
 
-// Transfer gives requests in progress away that the terms suit, each by transfer, which returns false where it can't be given:
-// that one stays. What is given away is no longer owed here, its attempts go on, and nothing more is heard of them. Only a
-// request of which each attempt has ended or was taken by its backend server can be given: the connections of the others are
-// this process's.
+// Transfer passes the requests in progress that were accepted under the given terms to transfer, one by one. If transfer
+// returns false, the request stays here. A transferred request is no longer answered by this process; its attempts go on, and
+// their reports go to the other process. Only a request whose attempts have each ended or been accepted by their backend
+// server can be transferred: other attempts still need a connection of this process. Transfer returns the number transferred.
 func (s *Scheduler) Transfer(terms *Terms, transfer func(TransferredRequest, *Exchange) bool) (given int) {
 	for _, job := range slices.Sorted(maps.Keys(s.sessions)) { // oldest first
 		n := s.sessions[job]
@@ -47,14 +47,14 @@
 		c := TransferredRequest{ID: n.ex.ID, Class: n.class.Name, AnswerBy: n.answerBy, Facts: n.ex.Facts,
 			Attempts: s.module.Attempts(n.job), Unreached: n.unreached}
 		if transfer(c, n.ex) {
-			n.giveAway()
+			n.handOver()
 			given++
 		}
 	}
 	return given
 }
 
-// transferable says whether each attempt has ended, or lives on without this process.
+// transferable reports whether each attempt has ended or can go on without this process.
 func (n *Session) transferable() bool {
 	for _, d := range n.dispatches {
 		if !d.done && !n.s.backend.Transferable(d) {
@@ -64,13 +64,13 @@
 	return true
 }
 
-// giveAway forgets a session that is another process's now. The module takes it for one whose client has left; what it
-// then wants cancelled is not, for the session is gone by then.
-func (n *Session) giveAway() {
+// handOver removes a session that another process has taken over. For the module its client has left; the attempts that the
+// module then wants to cancel are not cancelled, since the session has already been removed.
+func (n *Session) handOver() {
 	s := n.s
 	delete(s.sessions, n.job)
 	delete(s.byID, n.ex.ID)
-	s.keep(n.ex.ID, s.idKept(), &s.kept)
+	s.keep(n.ex.ID, s.idRetention(), &s.expiringIDs)
 	s.loop.Deadlines.Drop(n.guard)
 	n.closed = true
 	s.feed(ravendale.Event{Kind: ravendale.ClientLeft, Job: n.job})
@@ -83,12 +83,12 @@
 	s.checkQuiet()
 }
 
-// Adopt goes on with a request that another process gave away.
+// Adopt continues a request that another process transferred.
 func (s *Scheduler) Adopt(c TransferredRequest, ex *Exchange) {
 	ex.ID, ex.Facts = c.ID, c.Facts
 	ex.Facts.Class = slices.IndexFunc(s.settings.Classes, func(class ravendale.Class) bool { return class.Name == c.Class })
 	ex.Facts.Left = max(c.AnswerBy-s.loop.Now(), 0)
-	ex.Facts.Retry = true // it came to this scheduler before, and is counted in what comes
+	ex.Facts.Retry = true // it has arrived at this scheduler before, and is already counted as an arrival
 	n := s.open(ex)
 	n.unreached = c.Unreached
 	for i, a := range c.Attempts {
@@ -98,10 +98,10 @@
 			continue
 		}
 		n.inFlight++
-		d.limit()
+		d.startDeadline()
 		s.backend.Adopt(d)
-		if s.twin != nil {
-			s.twin.Sent(d.Worker)
+		if s.peers != nil {
+			s.peers.Sent(d.Worker)
 		}
 	}
 	s.arrived(n, c.Attempts)
--- a/balancer/scheduler/twin.go
+++ b/balancer/scheduler/twin.go
@@ -7,29 +7,29 @@
 	"ravendale"
 )
 
-// Twin stands for the other processes of one scheduler while a new version takes over from an old one.
+// Twin notifies the other processes of the same scheduler while a new version takes over from an old one.
 type Twin interface {
 	Took(id string)      // a request is in progress here
-	Sent(worker string)  // a dispatch went there
-	Ended(worker string) // one of those is over
+	Sent(worker string)  // a dispatch to that server has begun
+	Ended(worker string) // a dispatch to that server has ended
 }
 
-// Join tells what all processes must know to the others from now on. The dispatches of those that are gone are over; of
-// those that stay, what is out now is no longer counted either.
+// Join sets the Twin that is notified from now on. The counts of dispatches elsewhere are reset: dispatches of processes that
+// have exited are over, and those that remaining processes have in flight now are no longer counted either.
 func (s *Scheduler) Join(t Twin) {
-	s.twin = t
+	s.peers = t
 	for worker, n := range s.elsewhereInFlight {
 		s.feed(ravendale.Event{Kind: ravendale.SentElsewhere, Worker: worker, Slots: -n})
 	}
 	s.elsewhereInFlight = make(map[string]float64)
 }
 
-// Snapshot returns what a process that takes over is to know: the module's memory and the ids that may not come again.
+// Snapshot returns the state for a process that takes over: the module's snapshot and the IDs that must not be reused.
 func (s *Scheduler) Snapshot() (*ravendale.Snapshot, []string) {
 	return s.module.Snapshot(), append(slices.Collect(maps.Keys(s.byID)), slices.Collect(maps.Keys(s.recent))...)
 }
 
-// Inherit takes what Snapshot returned, after the list.
+// Inherit applies what Snapshot returned in the other process; the server list must have been applied before.
 func (s *Scheduler) Inherit(snapshot *ravendale.Snapshot, ids []string) {
 	for _, id := range ids {
 		s.TookElsewhere(id)
@@ -45,18 +45,18 @@
 	}
 }
 
-// TookElsewhere notes an id that the other process has in progress, or had.
-func (s *Scheduler) TookElsewhere(id string) { s.keep(id, s.idKeptElsewhere(), &s.keptElsewhere) }
+// TookElsewhere records the ID of a request that is or was in progress in the other process.
+func (s *Scheduler) TookElsewhere(id string) { s.keep(id, s.elsewhereRetention(), &s.elsewhereIDs) }
 
-// SentElsewhere notes a dispatch of the other process, and EndedElsewhere the end of one.
+// SentElsewhere records that the other process has begun a dispatch.
 func (s *Scheduler) SentElsewhere(worker string) { s.elsewhere(worker, 1) }
 
-// EndedElsewhere undoes SentElsewhere.
+// EndedElsewhere records that a dispatch of the other process has ended.
 func (s *Scheduler) EndedElsewhere(worker string) { s.elsewhere(worker, -1) }
 
 func (s *Scheduler) elsewhere(worker string, slots float64) {
 	if s.elsewhereInFlight[worker]+slots < 0 {
-		return // sent before the two joined
+		return // it was sent before Join, and is not counted
 	}
 	s.elsewhereInFlight[worker] += slots
 	s.feed(ravendale.Event{Kind: ravendale.SentElsewhere, Worker: worker, Slots: slots})
