--- a/api.go
+++ b/api.go
@@ -32,10 +32,10 @@
 
 // Kinds of lists.
 const (
-	Delta  ListKind = iota // changed entries only
-	Full                   // the whole list
-	Cached                 // the last known whole list, possibly outdated
-	Failed                 // the request failed or the watch broke; no entries
+	Delta      ListKind = iota // changed entries only
+	Full                       // the whole list
+	Cached                     // the last known whole list, possibly outdated
+	ListFailed                 // the request failed or the watch broke; no entries
 )
 
 // Outcome is how an attempt ended.
@@ -67,10 +67,10 @@
 
 // Kinds of events, with the fields that they use.
 const (
-	JobArrived          EventKind = iota // Job, Class, Tenant, Key, Left, Work, Slots, Memory, Retry, Attempts
+	JobArrived          EventKind = iota // Job, Class, Tenant, Key, TimeLeft, Work, Slots, Memory, Retry, Attempts
 	JobStarted                           // Job, Attempt: the worker reported that the job runs (a start note)
 	JobProgressed                        // Job, Attempt, Done
-	StreamBegan                          // Job, Attempt: the answer streams to the client; the deadline no longer applies
+	StreamStarted                        // Job, Attempt: the answer streams to the client; the deadline no longer applies
 	AttemptEnded                         // Job, Attempt, Outcome, Took, Closed, Load
 	ClientLeft                           // Job
 	TimerFired                           // nothing else
@@ -83,21 +83,21 @@
 	SentElsewhere                        // Worker, Slots: another process of this dispatcher sent a job there; negative: it ended
 	Inherited                            // Snapshot: of the process that this one replaces; after the list
 	Learnt                               // Snapshot: observations of other dispatchers, used where this one has none; after the list
-	Leaving                              // Left: the process shuts down; all open and new jobs must be answered within this time
+	ShuttingDown                         // TimeLeft: the process shuts down; all open and new jobs must be answered within this time
 )
 
 // Event reports one thing that happened. Class and Tenant are indices into the settings, -1 if unknown.
 type Event struct {
-	Kind   EventKind
-	Job    JobID
-	Class  int
-	Tenant int
-	Key    uint64
-	Left   time.Duration // time until the client gives up this request; a client may retry its job with a new one
-	Work   time.Duration // estimated run time of the job on a worker of unit speed, 0 if unknown
-	Slots  float64       // slots that the job takes; 0 counts as 1
-	Memory float64
-	Retry  bool // the client has sent this job before
+	Kind     EventKind
+	Job      JobID
+	Class    int
+	Tenant   int
+	Key      uint64
+	TimeLeft time.Duration // time until the client gives up this request; a client may retry its job with a new one
+	Work     time.Duration // estimated run time of the job on a worker of unit speed, 0 if unknown
+	Slots    float64       // slots that the job takes; 0 counts as 1
+	Memory   float64
+	Retry    bool // the client has sent this job before
 	// Attempts were made by the process that this one replaces, if it had the job. Such a job is not new: Retry is set.
 	Attempts []AttemptSnapshot
 	Attempt  int
@@ -119,7 +119,7 @@
 
 // Kinds of actions, with the fields that they use.
 const (
-	Send        ActionKind = iota // Job, Worker, By: the attempts of a job are numbered 0, 1, 2 in the order of their Sends
+	Send        ActionKind = iota // Job, Worker, SendBefore: the attempts of a job are numbered 0, 1, 2 in the order of their Sends
 	Cancel                        // Job, Attempt
 	Refuse                        // Job, Wait: final answer; the client may safely retry, preferably after Wait
 	Fail                          // Job: final answer, without the guarantee that a retry is safe
@@ -136,9 +136,9 @@
 	Worker  string
 	Attempt int
 	Wait    time.Duration
-	// By is the time, on the clock of the events, until which the last byte of the request may be sent, however late its connection
-	// is established.
-	By   time.Duration
-	To   int
-	Data []byte
+	// SendBefore is the time, on the clock of the events, until which the last byte of the request may be sent, however late
+	// its connection is established.
+	SendBefore time.Duration
+	To         int
+	Data       []byte
 }
--- a/balancer/audit/audit_test.go
+++ b/balancer/audit/audit_test.go
@@ -58,8 +58,8 @@
 	return Entry{Kind: Span, Epoch: epoch, Since: since, Sent: taken, Classes: map[string]Count{"saldo": {Taken: taken, Served: taken}}}
 }
 
-// fleetRecord writes the records of three members: a and b adopt epoch 7 in time; c, whose clock is 5 s ahead and steps back 9 s,
-// adopts it 400 ms after the floor's deadline.
+// fleetRecord writes the records of three members: a and b adopt epoch 7 in time; c, whose clock is 5 s ahead and steps
+// back 9 s, adopts it 400 ms after the floor's deadline.
 func fleetRecord(t *testing.T, dir string, o Options, cActs bool) {
 	now := int64(1_700_000_000_000)
 	id := &ID{7, strings.Repeat("7", 64)}
@@ -155,7 +155,7 @@
 		if s := a.Straggled[0]; acts && (s.End != "brought up" || s.AfterMs < 500 || s.AfterMs > 1500) || !acts && s.End != "shut out" {
 			t.Errorf("acts %v: %+v", acts, s)
 		}
-		under := a.Under(a.Epochs[0].InForce + 500)
+		under := a.EpochsAt(a.Epochs[0].InForce + 500)
 		if under["a"].Number != 7 || under["c"].Number != 0 {
 			t.Errorf("epochs of the members: %v", under)
 		}
@@ -247,8 +247,8 @@
 	}
 }
 
-// A crash may truncate the last line at any byte. That does not count as tampering, and the next process continues after the
-// last complete line.
+// A crash may truncate the last line at any byte. That does not count as tampering, and the next process continues
+// after the last complete line.
 func TestTruncatedLastLineIsTorn(t *testing.T) {
 	dir := t.TempDir()
 	fleetRecord(t, dir, Options{}, false)
@@ -275,8 +275,8 @@
 	}
 }
 
-// The hash chain is intact if a new process continues on a disk restored to an older state. The heads that peers received show
-// that entries are missing.
+// The hash chain is intact if a new process continues on a disk restored to an older state. The heads that peers
+// received show that entries are missing.
 func TestRolledBackDiskIsDetected(t *testing.T) {
 	dir := t.TempDir()
 	now := int64(1_700_000_000_000)
@@ -298,7 +298,7 @@
 	}
 	openWriter(dir, "a", 2, &now, 0, Options{}).Close()
 	read, err := Read(dir)
-	if err != nil || !slices.Contains(findingKinds(read, "a"), string(Rolled)) {
+	if err != nil || !slices.Contains(findingKinds(read, "a"), string(RolledBack)) {
 		t.Error(read.Findings, err)
 	}
 }
@@ -377,7 +377,7 @@
 func TestSizeLimitFoldsOldestSpans(t *testing.T) {
 	dir := t.TempDir()
 	now := int64(1_700_000_000_000)
-	w := openWriter(dir, "a", 1, &now, 0, Options{Segment: 4 << 10, Most: 24 << 10})
+	w := openWriter(dir, "a", 1, &now, 0, Options{Segment: 4 << 10, MaxBytes: 24 << 10})
 	id := &ID{3, "abc"}
 	for i := range 400 {
 		w.add(span(id, 0, 2))
--- a/balancer/audit/clocks.go
+++ b/balancer/audit/clocks.go
@@ -56,8 +56,8 @@
 	c.peerOffsets[p][q] = append(c.peerOffsets[p][q], offset)
 }
 
-// aligned returns, for each process of the largest set connected by measurements, the reference's wall clock minus the process's
-// monotonic clock. The reference is the first process of the set.
+// aligned returns, for each process of the largest set connected by measurements, the reference's wall clock minus the
+// process's monotonic clock. The reference is the first process of the set.
 func (c *clocks) aligned() map[process]int64 {
 	var largest map[process]int64
 	seen := make(map[process]bool)
@@ -96,9 +96,10 @@
 	return values[len(values)/2]
 }
 
-// align sets the time of each entry by a single clock, the wall clock of the reference process. Offsets between the monotonic
-// clocks of processes, which can't step, are taken from the peers' measurements, starting from the reference. A process without
-// measurements uses its own wall clock; its entries are marked Unaligned, and with several members a finding says so.
+// align sets the time of each entry by a single clock, the wall clock of the reference process. Offsets between the
+// monotonic clocks of processes, which can't step, are taken from the peers' measurements, starting from the reference.
+// A process without measurements uses its own wall clock; its entries are marked Unaligned, and with several members a
+// finding says so.
 func (a *Audit) align() {
 	c := a.readClocks()
 	base := c.aligned()
@@ -111,7 +112,7 @@
 			if e.Unaligned = !known; e.Unaligned {
 				offset = median(c.ownOffsets[p])
 				if len(a.Members) > 1 {
-					a.addFinding(Unheard, m, fmt.Sprintf("incarnation %d", e.Incarnation), "its clock was compared with nobody's: its times are its own")
+					a.addFinding(UnmeasuredClock, m, fmt.Sprintf("incarnation %d", e.Incarnation), "its clock was compared with nobody's: its times are its own")
 				}
 			}
 			e.When = offset + e.Mono
@@ -120,7 +121,8 @@
 	a.order()
 }
 
-// order sorts all entries into one timeline, causes before effects: by stamp, but never before an earlier entry of the same member.
+// order sorts all entries into one timeline, causes before effects: by stamp, but never before an earlier entry of the
+// same member.
 func (a *Audit) order() {
 	type stamped struct {
 		stamp Stamp
--- a/balancer/audit/compat_test.go
+++ b/balancer/audit/compat_test.go
@@ -10,8 +10,8 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// The files in testdata/compat were written by version a08c060. Records are read for years, and each line has a hash, so their
-// encoding must not change.
+// The files in testdata/compat were written by version a08c060. Records are read for years, and each line has a hash,
+// so their encoding must not change.
 
 const (
 	compatRecord = "a.00000000001764000001.000001.audit" // a segment with an entry of each kind
--- a/balancer/audit/entry.go
+++ b/balancer/audit/entry.go
@@ -15,9 +15,9 @@
 	maxFold  = 4 << 20
 )
 
-// Stamp is a timestamp of a hybrid logical clock (Kulkarni and others, "Logical Physical Clocks", OPODIS 2014). It orders entries
-// of several schedulers so that causes precede their effects. Wall is in Unix milliseconds and never less than the writer's wall
-// clock; no decision depends on it.
+// Stamp is a timestamp of a hybrid logical clock (Kulkarni and others, "Logical Physical Clocks", OPODIS 2014). It
+// orders entries of several schedulers so that causes precede their effects. Wall is in Unix milliseconds and never
+// less than the writer's wall clock; no decision depends on it.
 type Stamp struct {
 	Wall int64  `json:"w"`
 	Tick uint32 `json:"t,omitempty"`
@@ -41,15 +41,15 @@
 	return c.last
 }
 
-// Saw advances the clock past a received stamp: all later stamps of Now are greater.
-func (c *Clock) Saw(received Stamp) {
+// Observe advances the clock past a received stamp: all later stamps of Now are greater.
+func (c *Clock) Observe(received Stamp) {
 	if received.Compare(c.last) > 0 {
 		c.last = received
 	}
 }
 
-// Kinds of entries. An entry of another kind was written by another version of the program: it is kept, shown and part of the
-// chain, but not evaluated.
+// Kinds of entries. An entry of another kind was written by another version of the program: it is kept, shown and part
+// of the chain, but not evaluated.
 const (
 	Start    = "start"    // a process starts; Before is the head of the record at that time
 	Stop     = "stop"     // a process ends as planned
--- a/balancer/audit/fold.go
+++ b/balancer/audit/fold.go
@@ -7,8 +7,8 @@
 	"slices"
 )
 
-// fold reduces the member's files to at most Options.Most bytes. It first replaces the spans of the oldest files by sums and, if
-// that is not enough, removes the oldest files. It returns the resulting size.
+// fold reduces the member's files to at most Options.MaxBytes. It first replaces the spans of the oldest files by sums
+// and, if that is not enough, removes the oldest files. It returns the resulting size.
 func (l *Log) fold() int64 {
 	files, err := memberFiles(l.options.Dir, l.options.Member)
 	if err != nil {
@@ -18,9 +18,9 @@
 	for _, f := range files {
 		total += f.size
 	}
-	for pass := 0; pass < 2 && total > l.options.Most; pass++ {
+	for pass := 0; pass < 2 && total > l.options.MaxBytes; pass++ {
 		for _, f := range files {
-			if total <= l.options.Most || f.path == l.path {
+			if total <= l.options.MaxBytes || f.path == l.path {
 				break
 			}
 			folded := int64(0)
@@ -40,8 +40,8 @@
 	return total
 }
 
-// foldFile atomically replaces a file by one with sums instead of spans, and returns the new size, or -1 if it left the file
-// unchanged.
+// foldFile atomically replaces a file by one with sums instead of spans, and returns the new size, or -1 if it left the
+// file unchanged.
 func foldFile(path string) int64 {
 	text, err := os.ReadFile(path)
 	if err != nil {
--- a/balancer/audit/log.go
+++ b/balancer/audit/log.go
@@ -18,7 +18,7 @@
 	Member      string // only letters, digits, '-' and '_', since it is part of file names
 	Incarnation uint64
 	Segment     int64         // size in bytes from which on a new file is started, 256 KiB if 0
-	Most        int64         // total size in bytes of the member's files above which the oldest are folded, 16 MiB if 0
+	MaxBytes    int64         // total size in bytes of the member's files above which the oldest are folded, 16 MiB if 0
 	Sync        time.Duration // maximum delay until entries are on disk, 200 ms if 0
 	Retry       time.Duration // delay after a failed write, 1 s if 0
 	Queue       int           // maximum number of queued entries, 4096 if 0: further ones are dropped, and the record notes their number
@@ -65,14 +65,14 @@
 	failed    time.Time
 }
 
-// Open starts a log that continues the member's record in the directory, and returns the head of that record. A directory that
-// can't be read or written causes no error, but a gap in the record.
+// Open starts a log that continues the member's record in the directory, and returns the head of that record. A
+// directory that can't be read or written causes no error, but a gap in the record.
 func Open(o Options) (l *Log, previous Head) {
 	if o.Segment == 0 {
 		o.Segment = 256 << 10
 	}
-	if o.Most == 0 {
-		o.Most = 16 << 20
+	if o.MaxBytes == 0 {
+		o.MaxBytes = 16 << 20
 	}
 	if o.Sync == 0 {
 		o.Sync = 200 * time.Millisecond
@@ -170,8 +170,8 @@
 	}
 }
 
-// writeBatch writes all queued entries. If the write fails, they stay queued and go into a new file. Entries for which the queue had no
-// room meanwhile are lost; a gap entry after the next batch notes their number.
+// writeBatch writes all queued entries. If the write fails, they stay queued and go into a new file. Entries for which
+// the queue had no room meanwhile are lost; a gap entry after the next batch notes their number.
 func (l *Log) writeBatch(last bool) {
 	if !l.failed.IsZero() && time.Since(l.failed) < l.options.Retry && !last {
 		l.notify()
--- a/balancer/audit/read.go
+++ b/balancer/audit/read.go
@@ -17,20 +17,20 @@
 
 // Kinds of findings. Torn, Folded and Foreign are normal.
 const (
-	Torn      FindingKind = "torn"        // a crash truncated the last line
-	Folded    FindingKind = "folded"      // old spans have been replaced by sums
-	Foreign   FindingKind = "foreign"     // entries of another version of the program
-	Lost      FindingKind = "gap"         // entries that the member could not write, as it notes itself
-	Missing   FindingKind = "missing"     // entries that existed are missing
-	Altered   FindingKind = "altered"     // a line was altered
-	Reordered FindingKind = "reordered"   // a line is at another position than it was written at
-	Rolled    FindingKind = "rolled back" // a later process continued from an older state of the disk
-	Unheard   FindingKind = "unheard"     // no peer measured the offset of a process's clock
+	Torn            FindingKind = "torn"        // a crash truncated the last line
+	Folded          FindingKind = "folded"      // old spans have been replaced by sums
+	Foreign         FindingKind = "foreign"     // entries of another version of the program
+	Lost            FindingKind = "gap"         // entries that the member could not write, as it notes itself
+	Missing         FindingKind = "missing"     // entries that existed are missing
+	Altered         FindingKind = "altered"     // a line was altered
+	Reordered       FindingKind = "reordered"   // a line is at another position than it was written at
+	RolledBack      FindingKind = "rolled back" // a later process continued from an older state of the disk
+	UnmeasuredClock FindingKind = "unheard"     // no peer measured the offset of a process's clock
 )
 
 // Fault reports whether a finding means that the written record was changed, by a person or a faulty disk.
 func (k FindingKind) Fault() bool {
-	return slices.Contains([]FindingKind{Missing, Altered, Reordered, Rolled}, k)
+	return slices.Contains([]FindingKind{Missing, Altered, Reordered, RolledBack}, k)
 }
 
 // Finding is a defect or a peculiarity of a record. It is reported, never repaired.
@@ -161,7 +161,8 @@
 	}
 }
 
-// beginFile returns the hash to which a file's first line is chained. It adds a finding if that is not the end of the previous file.
+// beginFile returns the hash to which a file's first line is chained. It adds a finding if that is not the end of the
+// previous file.
 func (r *Record) beginFile(f memberFile, prev, chained string, first bool, position string) string {
 	switch {
 	case chained == prev:
@@ -226,9 +227,9 @@
 	}
 }
 
-// Read reads and evaluates the records in directories. A directory may contain the records of several members, but each member's
-// record must be in one directory. The order of the directories has no effect. Read fails only if a directory or a file can't be
-// read, or if there is no record; a damaged file results in findings.
+// Read reads and evaluates the records in directories. A directory may contain the records of several members, but each
+// member's record must be in one directory. The order of the directories has no effect. Read fails only if a directory
+// or a file can't be read, or if there is no record; a damaged file results in findings.
 func Read(dirs ...string) (*Audit, error) {
 	a := &Audit{records: make(map[string]*Record)}
 	for _, dir := range dirs {
--- a/balancer/audit/timeline.go
+++ b/balancer/audit/timeline.go
@@ -51,59 +51,61 @@
 		if e.Epoch == nil || e.Kind != InForce && e.Kind != Adopted && e.Kind != Proposed {
 			continue
 		}
-		l := histories[*e.Epoch]
-		if l == nil {
-			l = &EpochHistory{ID: *e.Epoch, Adopted: make(map[string]int64)}
-			histories[*e.Epoch] = l
+		history := histories[*e.Epoch]
+		if history == nil {
+			history = &EpochHistory{ID: *e.Epoch, Adopted: make(map[string]int64)}
+			histories[*e.Epoch] = history
 		}
 		// An epoch adopted from disk was in force before. The time of an unaligned entry counts only if there is no other.
-		if e.Kind != Proposed && (l.InForce == 0 || unaligned[l] && !e.Unaligned || unaligned[l] == e.Unaligned && e.When < l.InForce) {
-			l.InForce, unaligned[l] = e.When, e.Unaligned
+		if e.Kind != Proposed && (history.InForce == 0 || unaligned[history] && !e.Unaligned || unaligned[history] == e.Unaligned && e.When < history.InForce) {
+			history.InForce, unaligned[history] = e.When, e.Unaligned
 		}
 		if e.Within > 0 {
-			l.Floor = e.Floor
-			l.Date = e.Within // holds Within until date adds InForce
+			history.Floor = e.Floor
+			history.Date = e.Within // holds Within until date adds InForce
 		}
-		if first, known := l.Adopted[e.Member]; e.Kind == Adopted && (!known || e.When < first) {
-			l.Adopted[e.Member] = e.When
+		if first, known := history.Adopted[e.Member]; e.Kind == Adopted && (!known || e.When < first) {
+			history.Adopted[e.Member] = e.When
 		}
 	}
 	a.setDeadlines(histories)
-	for _, l := range a.Epochs {
-		if l.InForce > 0 && l.Floor > 0 {
-			a.checkFloor(&l)
+	for _, history := range a.Epochs {
+		if history.InForce > 0 && history.Floor > 0 {
+			a.checkFloor(&history)
 		}
 	}
 }
 
-// setDeadlines computes each epoch's deadline, detects numbers under which two contents were in force, and sorts the epochs.
+// setDeadlines computes each epoch's deadline, detects numbers under which two contents were in force, and sorts the
+// epochs.
 func (a *Audit) setDeadlines(histories map[ID]*EpochHistory) {
 	trust := int64(0)
 	for _, e := range a.Timeline {
 		trust = max(trust, e.Trust)
 	}
 	byNumber := make(map[uint64]int)
-	for _, l := range histories {
-		if l.InForce > 0 {
-			byNumber[l.ID.Number]++
+	for _, history := range histories {
+		if history.InForce > 0 {
+			byNumber[history.ID.Number]++
 		}
 	}
 	for _, id := range slices.SortedFunc(maps.Keys(histories), func(x, y ID) int {
 		return cmp.Or(cmp.Compare(x.Number, y.Number), cmp.Compare(x.Digest, y.Digest))
 	}) {
-		l := histories[id]
-		if l.InForce == 0 {
-			l.Date = 0
+		history := histories[id]
+		if history.InForce == 0 {
+			history.Date = 0
 		} else {
-			l.Date += l.InForce + trust
+			history.Date += history.InForce + trust
 		}
-		l.Conflict = byNumber[id.Number] > 1
-		a.Epochs = append(a.Epochs, *l)
+		history.Conflict = byNumber[id.Number] > 1
+		a.Epochs = append(a.Epochs, *history)
 	}
 }
 
-// checkFloor finds the members that ran under an epoch below a floor at its deadline, and their spans with requests after it.
-func (a *Audit) checkFloor(l *EpochHistory) {
+// checkFloor finds the members that ran under an epoch below a floor at its deadline, and their spans with requests
+// after it.
+func (a *Audit) checkFloor(history *EpochHistory) {
 	for _, m := range a.Members {
 		epochNumber, acts, hasEntries := uint64(0), false, false
 		var s *Straggler
@@ -111,17 +113,17 @@
 			if e.Member != m || e.Unaligned {
 				continue
 			}
-			if s == nil && e.When > l.Date && hasEntries && epochNumber < l.Floor && acts {
-				s = &Straggler{Member: m, Epoch: l.ID}
+			if s == nil && e.When > history.Date && hasEntries && epochNumber < history.Floor && acts {
+				s = &Straggler{Member: m, Epoch: history.ID}
 			}
 			switch e.Kind {
 			case Adopted:
-				if epochNumber = e.Epoch.Number; s != nil && s.End == "" && epochNumber >= l.Floor {
-					s.End, s.AfterMs, s.From = "brought up", e.When-l.Date, e.From
+				if epochNumber = e.Epoch.Number; s != nil && s.End == "" && epochNumber >= history.Floor {
+					s.End, s.AfterMs, s.From = "brought up", e.When-history.Date, e.From
 				}
 			case Standing:
 				if acts = *e.Acts; s != nil && s.End == "" && !acts {
-					s.End, s.AfterMs = "shut out", e.When-l.Date
+					s.End, s.AfterMs = "shut out", e.When-history.Date
 				}
 			case Start:
 				epochNumber, acts = 0, false
@@ -135,8 +137,8 @@
 				for _, c := range e.Classes {
 					taken += c.Taken
 				}
-				if number < l.Floor && began > l.Date+slackMs && taken > 0 {
-					a.Below = append(a.Below, Act{e, l.Floor, l.Date, taken})
+				if number < history.Floor && began > history.Date+slackMs && taken > 0 {
+					a.Below = append(a.Below, Act{e, history.Floor, history.Date, taken})
 				}
 			}
 			hasEntries = true
@@ -149,12 +151,12 @@
 
 // Broken reports whether the records show a violation of a roll-out's rules.
 func (a *Audit) Broken() bool {
-	return len(a.Below) > 0 || slices.ContainsFunc(a.Epochs, func(l EpochHistory) bool { return l.Conflict && l.InForce > 0 })
+	return len(a.Below) > 0 || slices.ContainsFunc(a.Epochs, func(history EpochHistory) bool { return history.Conflict && history.InForce > 0 })
 }
 
-// Under returns the epoch under which each member ran at a time, in Unix milliseconds by the reference clock. Members whose record
-// does not say are omitted.
-func (a *Audit) Under(at int64) map[string]ID {
+// EpochsAt returns the epoch under which each member ran at a time, in Unix milliseconds by the reference clock.
+// Members whose record does not say are omitted.
+func (a *Audit) EpochsAt(at int64) map[string]ID {
 	under := make(map[string]ID)
 	for _, m := range a.Members {
 		for _, e := range a.records[m].Entries {
--- a/balancer/audit/witnesses.go
+++ b/balancer/audit/witnesses.go
@@ -5,8 +5,8 @@
 	"slices"
 )
 
-// checkWitnesses compares each record with the heads that its peers' records contain. This detects records that were completely
-// rewritten, truncated or restored to an older state: the hash chain of such a record is intact.
+// checkWitnesses compares each record with the heads that its peers' records contain. This detects records that were
+// completely rewritten, truncated or restored to an older state: the hash chain of such a record is intact.
 func (a *Audit) checkWitnesses() {
 	type witnessed struct {
 		head Head
@@ -40,7 +40,7 @@
 		for incarnation, t := range worst[peer] {
 			kind, end := Missing, a.records[peer].ends[incarnation]
 			if a.records[peer].head.Incarnation > incarnation {
-				kind = Rolled // a later process continued from an older state of the disk
+				kind = RolledBack // a later process continued from an older state of the disk
 			}
 			a.addFinding(kind, peer, fmt.Sprintf("incarnation %d", incarnation), "entries %d to %d are not there; %s was told of them", end+1, t.head.Seq, t.by)
 		}
@@ -48,8 +48,8 @@
 	a.Findings = slices.Compact(a.Findings)
 }
 
-// AdoptionWitnessed reports whether a record contains a witnessed head of the member's record that is at or after the member's
-// adoption of the epoch.
+// AdoptionWitnessed reports whether a record contains a witnessed head of the member's record that is at or after the
+// member's adoption of the epoch.
 func (a *Audit) AdoptionWitnessed(member string, epoch uint64) bool {
 	r := a.records[member]
 	if r == nil {
--- a/balancer/config/compat_test.go
+++ b/balancer/config/compat_test.go
@@ -12,8 +12,8 @@
 	"ravendale"
 )
 
-// The file was written for version a08c060. It contains each key of the PROXY_CONFIG file outside settings; the keys of settings
-// are tested in internal/wire.
+// The file was written for version a08c060. It contains each key of the PROXY_CONFIG file outside settings; the keys of
+// settings are tested in internal/wire.
 func TestGoldenFileReadsToTheValue(t *testing.T) {
 	env := map[string]string{"PROXY_CONFIG": filepath.Join("testdata", "compat", "config.json"), "PROXY_FD": "3", "TMPDIR": "/run/x"}
 	got, err := Load(func(name string) string { return env[name] }, os.ReadFile)
@@ -36,8 +36,8 @@
 	if diff := cmp.Diff(want, got, cmpopts.IgnoreUnexported(Config{})); diff != "" {
 		t.Errorf("the file reads as another value (-want +got):\n%s", diff)
 	}
-	if got.InFile() != "127.0.0.1:8500" {
-		t.Errorf("discovery in the file is %q", got.InFile())
+	if got.FileDiscovery() != "127.0.0.1:8500" {
+		t.Errorf("discovery in the file is %q", got.FileDiscovery())
 	}
 	for name, value := range map[string]string{"PROXY_NAME": "other", "PROXY_LISTEN": "127.0.0.1:1", "PROXY_DISCOVERY": "127.0.0.1:2",
 		"PROXY_MANAGEMENT": "127.0.0.1:3"} {
--- a/balancer/config/config.go
+++ b/balancer/config/config.go
@@ -125,15 +125,15 @@
 	return c, nil
 }
 
-// InFile returns discovery as in the file, even if PROXY_DISCOVERY takes precedence.
-func (c *Config) InFile() string { return c.inFile }
+// FileDiscovery returns discovery as in the file, even if PROXY_DISCOVERY takes precedence.
+func (c *Config) FileDiscovery() string { return c.inFile }
 
-// Again reads the file again while the program runs. The file must have every key that the file had at the start: otherwise
-// a PROXY_ variable or a default could hide a missing key. If discovery changed in the file, the new value is used, even if
-// PROXY_DISCOVERY took precedence over the old one, since a process keeps the environment of its start. The settings are
-// used, except for those that can't change while the process runs. The result ignored names the values that differ but need a
-// restart; seed and known are used only at a start, and not named.
-func (c *Config) Again(getenv Getenv, read ReadFile) (next *Config, ignored []string, err error) {
+// Reload reads the file again while the program runs. The file must have every key that the file had at the start:
+// otherwise a PROXY_ variable or a default could hide a missing key. If discovery changed in the file, the new value is
+// used, even if PROXY_DISCOVERY took precedence over the old one, since a process keeps the environment of its start.
+// The settings are used, except for those that can't change while the process runs. The result ignored names the values
+// that differ but need a restart; seed and known are used only at a start, and not named.
+func (c *Config) Reload(getenv Getenv, read ReadFile) (next *Config, ignored []string, err error) {
 	if next, err = loadWithShape(getenv, read, c.shape); err != nil {
 		return nil, nil, err
 	}
--- a/balancer/config/config_test.go
+++ b/balancer/config/config_test.go
@@ -113,7 +113,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			next, ignored, err := c.Again(func(name string) string {
+			next, ignored, err := c.Reload(func(name string) string {
 				if name == "PROXY_CONFIG" {
 					return "file"
 				}
@@ -132,7 +132,8 @@
 	}
 }
 
-// A file that lacks a key that the file had at the start is rejected, even if a variable or a default would replace the key.
+// A file that lacks a key that the file had at the start is rejected, even if a variable or a default would replace the
+// key.
 func TestReloadRejectsInvalidFile(t *testing.T) {
 	env := map[string]string{"PROXY_CONFIG": "file", "PROXY_NAME": "n3", "PROXY_LISTEN": "127.0.0.4:9000", "PROXY_DISCOVERY": "127.0.0.9:1"}
 	c, err := load(validFile, env)
@@ -163,7 +164,7 @@
 		"attempts in words":   strings.Replace(validFile, `"attempts-cap":6`, `"attempts-cap":"6"`, 1),
 		"half an attempt":     strings.Replace(validFile, `"attempts-cap":6`, `"attempts-cap":1.5`, 1),
 	} {
-		if _, _, err := c.Again(func(name string) string { return env[name] },
+		if _, _, err := c.Reload(func(name string) string { return env[name] },
 			func(string) ([]byte, error) { return []byte(text), nil }); err == nil {
 			t.Errorf("%s: accepted", name)
 		}
--- a/balancer/config/shape.go
+++ b/balancer/config/shape.go
@@ -8,8 +8,8 @@
 	"slices"
 )
 
-// shape is the structure of a JSON value: its keys and their types. It serves to detect a file that lacks a key. Without it, most
-// missing keys would read as zero, and some would be hidden by a PROXY_ variable or a default.
+// shape is the structure of a JSON value: its keys and their types. It serves to detect a file that lacks a key.
+// Without it, most missing keys would read as zero, and some would be hidden by a PROXY_ variable or a default.
 type shape struct {
 	kind string            // type of the value, "" for any
 	keys map[string]*shape // shapes of an object's values
--- a/balancer/cores/board.go
+++ b/balancer/cores/board.go
@@ -14,7 +14,7 @@
 	// decides, but the sends count in the window in which they are written, and a core that was paused writes all pending ones
 	// at once. With this lease a window of 2 s holds at most the sends decided within 2.1 s.
 	SlowStartLease = 100 * time.Millisecond
-	// PulseTimeout is the maximum age of the last pulse: see Board.Heard. A drain must take effect within 750 ms of its
+	// PulseTimeout is the maximum age of the last pulse: see Board.RecordPulse. A drain must take effect within 750 ms of its
 	// notification. The decider has read the notification by its next pulse; without a pulse no core begins a send.
 	PulseTimeout = 300 * time.Millisecond
 	// Pulse is the interval at which the decider shows that it is processing its input.
@@ -42,13 +42,13 @@
 	epoch atomic.Uint64 // incremented by each Avoid, which invalidates earlier permits
 }
 
-// Heard records a pulse: every event that had arrived for the decider by that time has been applied to the board.
-func (b *Board) Heard(at time.Duration) {
+// RecordPulse records a pulse: every event that had arrived for the decider by that time has been applied to the board.
+func (b *Board) RecordPulse(at time.Duration) {
 	b.last.Store(int64(at))
 }
 
-// Deaf reports whether the last pulse is older than PulseTimeout, so that no send may begin.
-func (b *Board) Deaf(now time.Duration) bool { return now-time.Duration(b.last.Load()) > PulseTimeout }
+// Stale reports whether the last pulse is older than PulseTimeout, so that no send may begin.
+func (b *Board) Stale(now time.Duration) bool { return now-time.Duration(b.last.Load()) > PulseTimeout }
 
 // Server returns a server, or nil if it is not listed.
 func (b *Board) Server(name string) *Server {
@@ -132,5 +132,5 @@
 	if p.warmingUp {
 		lease = SlowStartLease
 	}
-	return p.server.epoch.Load() == p.epoch && now-p.decided <= lease && !p.board.Deaf(now)
+	return p.server.epoch.Load() == p.epoch && now-p.decided <= lease && !p.board.Stale(now)
 }
--- a/balancer/cores/cores_test.go
+++ b/balancer/cores/cores_test.go
@@ -19,7 +19,7 @@
 		b.List("s", "addr")
 		cold := rapid.Bool().Draw(t, "cold")
 		now := time.Hour
-		b.Heard(now)
+		b.RecordPulse(now)
 		var (
 			waiting        []*Permit // decided but not begun, as the core may be paused
 			decided, begun []time.Duration
@@ -68,7 +68,7 @@
 					b.Avoid("s")
 				}
 				for _, at := range pulses {
-					b.Heard(at)
+					b.RecordPulse(at)
 				}
 				pulses = nil
 			}
@@ -121,7 +121,7 @@
 func TestDropRevokesPermit(t *testing.T) {
 	b := NewBoard(1)
 	b.List("s", "x")
-	b.Heard(time.Second)
+	b.RecordPulse(time.Second)
 	p := b.Permit("s", time.Second, false)
 	b.Drop("s")
 	b.List("s", "x")
@@ -146,10 +146,10 @@
 		"excess below threshold":  {[]Load{{10, 100}, {10, 0}}, 1, Move{}, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			if got := Deal(tc.loads); got != tc.deal {
+			if got := PickCore(tc.loads); got != tc.deal {
 				t.Errorf("connection assigned to core %d", got)
 			}
-			move, any := Even(tc.loads)
+			move, any := PlanMove(tc.loads)
 			if diff := cmp.Diff(tc.move, move); diff != "" || any != tc.any {
 				t.Error(any, diff)
 			}
@@ -165,7 +165,7 @@
 		loads := make([]Load, cores)
 		loads[rapid.IntRange(0, cores-1).Draw(t, "at")] = Load{conns, float64(conns) * each}
 		moves := 0
-		for m, any := Even(loads); any; m, any = Even(loads) {
+		for m, any := PlanMove(loads); any; m, any = PlanMove(loads) {
 			loads[m.From].Conns -= m.Conns
 			loads[m.To].Conns += m.Conns
 			for i := range loads {
--- a/balancer/cores/deal.go
+++ b/balancer/cores/deal.go
@@ -10,8 +10,8 @@
 // once are not all assigned to the core that was idle before.
 const connWeight = 5
 
-// Deal returns the index of the core for a new connection: the one with the least load.
-func Deal(loads []Load) int {
+// PickCore returns the index of the core for a new connection: the one with the least load.
+func PickCore(loads []Load) int {
 	best := 0
 	for i := range loads {
 		if loads[i].weight() < loads[best].weight() {
@@ -34,9 +34,9 @@
 	maxMoves = 8
 )
 
-// Even returns a move that evens out the loads of the cores, if one is worth its cost. Connections are long-lived, and the busy
+// PlanMove returns a move that evens out the loads of the cores, if one is worth its cost. Connections are long-lived, and the busy
 // ones may have been assigned to the same core; assigning new connections elsewhere would even that out too late.
-func Even(loads []Load) (m Move, any bool) {
+func PlanMove(loads []Load) (m Move, any bool) {
 	sum := 0.0
 	for i := range loads {
 		sum += loads[i].Served
--- a/balancer/fleet/agent/agent.go
+++ b/balancer/fleet/agent/agent.go
@@ -93,7 +93,7 @@
 	}
 	a.state = newStateWriter(path)
 	var previousHead audit.Head
-	a.log, previousHead = audit.Open(audit.Options{Dir: o.Dir, Member: o.Member.Me, Incarnation: a.core.Incarnation(), Most: o.MaxRecord,
+	a.log, previousHead = audit.Open(audit.Options{Dir: o.Dir, Member: o.Member.Me, Incarnation: a.core.Incarnation(), MaxBytes: o.MaxRecord,
 		Wall: o.Wall, Mono: a.mono})
 	a.add(audit.Entry{Kind: audit.Start, Before: &previousHead, Build: o.Build, File: o.File, Settings: o.Settings,
 		Trust: o.Member.Trust.Milliseconds(), Incarnation: a.core.Incarnation()})
--- a/balancer/fleet/agent/call.go
+++ b/balancer/fleet/agent/call.go
@@ -12,8 +12,9 @@
 	"ravendale/balancer/transport"
 )
 
-// Call sends a request of an operator's tool to the member at an address and returns its answer. Verb is status, or roll-out
-// with the content of an epoch. If the answer reports an error, Call returns it as its own error, along with the Status.
+// Call sends a request of an operator's tool to the member at an address and returns its answer. Verb is status, or
+// roll-out with the content of an epoch. If the answer reports an error, Call returns it as its own error, along with
+// the Status.
 func Call(ctx context.Context, addr string, keys frames.Keys, verb string, content []byte) (*Status, error) {
 	var dialer net.Dialer
 	c, err := dialer.DialContext(ctx, "tcp", addr)
@@ -62,7 +63,7 @@
 
 func (t *callHandler) Up(l *link.Link) { l.Send(link.Command, t.request) }
 
-func (t *callHandler) Heard(_ *link.Link, kind frames.Kind, content []byte) {
+func (t *callHandler) Received(_ *link.Link, kind frames.Kind, content []byte) {
 	if kind == link.Reply {
 		t.reply = content
 	}
@@ -70,8 +71,8 @@
 
 func (t *callHandler) Down(_ *link.Link, err error) { t.err = err }
 
-// connNetwork adapts an established connection to transport.Network and transport.Conn: Dial returns the connection itself. It
-// ignores write errors; the next read fails as well.
+// connNetwork adapts an established connection to transport.Network and transport.Conn: Dial returns the connection
+// itself. It ignores write errors; the next read fails as well.
 type connNetwork struct{ net.Conn }
 
 func (b connNetwork) Dial(string, transport.Handler) transport.Conn { return b }
--- a/balancer/fleet/agent/links.go
+++ b/balancer/fleet/agent/links.go
@@ -32,8 +32,8 @@
 	skew        int64            // the peer's wall clock minus this member's
 }
 
-// reconnectHeartbeats is how many heartbeats a link may stay without a message before it is dialled anew. After a partition,
-// waiting for TCP's own retransmissions on the old connection would take longer.
+// reconnectHeartbeats is how many heartbeats a link may stay without a message before it is dialled anew. After a
+// partition, waiting for TCP's own retransmissions on the old connection would take longer.
 const reconnectHeartbeats = 6
 
 // reconnect dials a link that is down, or that has been silent for too long. The delay between attempts has full jitter and
@@ -100,7 +100,7 @@
 	if n == nil || m.From != from {
 		return fmt.Errorf("%w: a message of %q on the link of %q", frames.ErrContent, m.From, from)
 	}
-	a.clock.Saw(m.Stamp)
+	a.clock.Observe(m.Stamp)
 	if sent, known := n.pings[m.Number]; m.Kind == fleet.Pong && known {
 		delete(n.pings, m.Number)
 		now := a.mono()
@@ -134,7 +134,7 @@
 	d.n.up, d.n.attempts, d.n.lastReceived, d.n.downReason = true, 0, d.a.options.Loop.Now(), ""
 }
 
-func (d *dialledEnd) Heard(l *link.Link, kind frames.Kind, content []byte) {
+func (d *dialledEnd) Received(l *link.Link, kind frames.Kind, content []byte) {
 	d.n.lastReceived = d.a.options.Loop.Now()
 	if kind != link.Message {
 		return
@@ -150,7 +150,7 @@
 	if d.n.link != l {
 		return
 	}
-	if isInvalid(err) {
+	if isInvalidInput(err) {
 		d.a.refuse(d.n.name, err)
 	}
 	d.a.down(d.n, err.Error())
@@ -161,7 +161,7 @@
 
 func (t *acceptedEnd) Up(*link.Link) {}
 
-func (t *acceptedEnd) Heard(l *link.Link, kind frames.Kind, content []byte) {
+func (t *acceptedEnd) Received(l *link.Link, kind frames.Kind, content []byte) {
 	a := (*Agent)(t)
 	a.accepted[l] = a.options.Loop.Now()
 	var err error
@@ -183,13 +183,13 @@
 func (t *acceptedEnd) Down(l *link.Link, err error) {
 	a := (*Agent)(t)
 	delete(a.accepted, l)
-	if isInvalid(err) {
+	if isInvalidInput(err) {
 		a.refuse(l.Peer, err)
 	}
 }
 
-// isInvalid reports whether a link ended because of what was received on it, rather than by a partition or a restart.
-func isInvalid(err error) bool {
+// isInvalidInput reports whether a link ended because of what was received on it, rather than by a partition or a restart.
+func isInvalidInput(err error) bool {
 	for _, e := range []error{frames.ErrForeign, frames.ErrVersion, frames.ErrTooLarge, frames.ErrKey, frames.ErrMAC, frames.ErrReplayed, frames.ErrContent} {
 		if errors.Is(err, e) {
 			return true
--- a/balancer/fleet/agent/record.go
+++ b/balancer/fleet/agent/record.go
@@ -6,7 +6,8 @@
 	"ravendale/balancer/audit"
 )
 
-// witnessHeartbeats is the interval, in heartbeats, between two witness entries, which note the heads of the peers' records.
+// witnessHeartbeats is the interval, in heartbeats, between two witness entries, which note the heads of the peers'
+// records.
 const witnessHeartbeats = 10
 
 // add appends an entry to the audit record.
@@ -58,10 +59,10 @@
 // Command records an operator's call.
 func (a *Agent) Command(command string) { a.add(audit.Entry{Kind: audit.Command, Command: command}) }
 
-// List sets the sequence number of the list of servers in use, which each span entry contains.
-func (a *Agent) List(seq int64) { a.listSeq = seq }
+// SetListSeq sets the sequence number of the list of servers in use, which each span entry contains.
+func (a *Agent) SetListSeq(seq int64) { a.listSeq = seq }
 
-// Settings records that the platform's settings were read again.
-func (a *Agent) Settings(digest string) {
+// RecordSettings records that the platform's settings were read again.
+func (a *Agent) RecordSettings(digest string) {
 	a.add(audit.Entry{Kind: audit.Command, Command: "settings", Settings: digest})
 }
--- a/balancer/fleet/agent/state.go
+++ b/balancer/fleet/agent/state.go
@@ -14,8 +14,8 @@
 	"ravendale/balancer/fleet"
 )
 
-// stateMagic is the start of a state file; its last digit is the version. The SHA-256 of the state follows on the same line,
-// and then the state as JSON.
+// stateMagic is the start of a state file; its last digit is the version. The SHA-256 of the state follows on the same
+// line, and then the state as JSON.
 const stateMagic = "RVFS 1"
 
 // maxStateSize is the maximum size of a state file in bytes.
--- a/balancer/fleet/agent/statewriter.go
+++ b/balancer/fleet/agent/statewriter.go
@@ -23,7 +23,8 @@
 	return w
 }
 
-// save queues a state to be written. It calls done with the result once this state or a later one was written, or failed to be.
+// save queues a state to be written. It calls done with the result once this state or a later one was written, or
+// failed to be.
 func (w *stateWriter) save(s fleet.State, done func(error)) {
 	w.mu.Lock()
 	w.next = &s
--- a/balancer/fleet/agent/status.go
+++ b/balancer/fleet/agent/status.go
@@ -82,7 +82,7 @@
 func (a *Agent) Status() Status {
 	now := a.options.Loop.Now()
 	s := Status{Name: a.options.Member.Me, Inc: a.core.Incarnation(), Build: a.options.Build, Acting: a.core.Acting(), Vote: a.core.Vote(),
-		Force: a.core.Force(), Amnesiac: a.core.Amnesiac(), Votes: a.core.Votes(), Standing: a.core.StandingAt(now), Record: a.log.Figures(), Head: a.log.Head(),
+		Force: a.core.InForce(), Amnesiac: a.core.Amnesiac(), Votes: a.core.Votes(), Standing: a.core.StandingAt(now), Record: a.log.Figures(), Head: a.log.Head(),
 		Refused: a.refused, Peers: make(map[string]PeerStatus)}
 	age := func(at time.Duration) int64 {
 		if at < 0 {
--- a/balancer/fleet/compat_test.go
+++ b/balancer/fleet/compat_test.go
@@ -13,8 +13,8 @@
 	"ravendale/balancer/audit"
 )
 
-// The files in testdata/compat were written by version a08c060. Members of different versions exchange messages during a rolling
-// upgrade, and each reads the state that the previous version wrote.
+// The files in testdata/compat were written by version a08c060. Members of different versions exchange messages during
+// a rolling upgrade, and each reads the state that the previous version wrote.
 
 var compatMessage = Message{
 	Kind: Ping, From: "a", Inc: 1_764_000_001, Nonce: 0xfedcba9876543210, Number: 17,
--- a/balancer/fleet/contents.go
+++ b/balancer/fleet/contents.go
@@ -40,8 +40,8 @@
 	return known && err == nil
 }
 
-// fetch requests a content from a peer that has it. The peer is drawn at random, so that members that are behind spread their
-// requests.
+// fetch requests a content from a peer that has it. The peer is drawn at random, so that members that are behind spread
+// their requests.
 func (c *Core) fetch(id ID) {
 	if id == c.contents.fetching && c.now-c.contents.fetchedAt < fetchHeartbeats*c.cfg.Heartbeat {
 		return
@@ -58,8 +58,8 @@
 	}
 }
 
-// holder returns the name of a peer that has an epoch, from which the content may have come; this member's own name if there
-// is none.
+// holder returns the name of a peer that has an epoch, from which the content may have come; this member's own name if
+// there is none.
 func (c *Core) holder(id ID) string {
 	for _, name := range c.peers.order {
 		if p := c.peers.byName[name]; p.Adopted == id || p.Accepted == id {
--- a/balancer/fleet/core.go
+++ b/balancer/fleet/core.go
@@ -144,8 +144,8 @@
 // Vote returns the epoch that this member voted for last, as stored on its disk.
 func (c *Core) Vote() ID { return c.disk.vote }
 
-// Force returns the highest epoch that is known to be in force.
-func (c *Core) Force() ID { return c.policy.inForce }
+// InForce returns the highest epoch that is known to be in force.
+func (c *Core) InForce() ID { return c.policy.inForce }
 
 // Amnesiac reports whether the disk may have lost a vote: the member then casts none.
 func (c *Core) Amnesiac() bool { return c.disk.state.Amnesiac }
--- a/balancer/fleet/core_test.go
+++ b/balancer/fleet/core_test.go
@@ -146,7 +146,7 @@
 			h.entries = append(h.entries, a.Entry)
 		}
 	}
-	id := h.Force()
+	id := h.InForce()
 	if was, known := f.inForce[id.Number]; id.Number > 0 && known && was != id {
 		f.fail("two contents are in force as epoch %d: %v and %v", id.Number, was, id)
 	} else if id.Number > 0 && !known {
@@ -176,7 +176,8 @@
 	}
 }
 
-// deliver delivers one message, unless the receiver is paused: then it stays in flight. With keep it stays too, to be repeated.
+// deliver delivers one message, unless the receiver is paused: then it stays in flight. With keep it stays too, to be
+// repeated.
 func (f *testFleet) deliver(i int, keep bool) {
 	w := f.inFlight[i]
 	if f.host(w.to).paused {
@@ -213,8 +214,8 @@
 	}
 }
 
-// check verifies the floor: once an epoch has been in force for its Within plus the trust period, no member that would take a
-// request runs under an epoch below its floor.
+// check verifies the floor: once an epoch has been in force for its Within plus the trust period, no member that would
+// take a request runs under an epoch below its floor.
 func (f *testFleet) check() {
 	for _, h := range f.hosts {
 		for number, since := range f.inForceSince {
@@ -236,9 +237,9 @@
 	return err
 }
 
-// runRandomSteps runs a fleet through random steps and faults; draw returns a number from 0 to n-1. Its assumptions on disks
-// are in docs/fleet.md: fewer than a majority are lost, and a member whose disk is restored to an older state reaches a peer
-// that remembers the newer one.
+// runRandomSteps runs a fleet through random steps and faults; draw returns a number from 0 to n-1. Its assumptions on
+// disks are in docs/fleet.md: fewer than a majority are lost, and a member whose disk is restored to an older state
+// reaches a peer that remembers the newer one.
 func runRandomSteps(draw func(what string, n int) int, f *testFleet) {
 	n := len(f.hosts)
 	pick := func(what string) *host { return f.hosts[draw(what, n)] }
@@ -249,7 +250,7 @@
 			h := pick("operator's")
 			high := uint64(0)
 			for _, o := range f.hosts {
-				high = max(high, o.Vote().Number, o.Force().Number)
+				high = max(high, o.Vote().Number, o.InForce().Number)
 			}
 			number := high + uint64(draw("more", 2))
 			e := epoch(max(number, 1), uint64(draw("floor", int(number)+1)), []string{"x", "y"}[draw("variant", 2)])
@@ -347,11 +348,11 @@
 		}
 		f.advance(3 * time.Second)
 		for _, h := range f.hosts {
-			if h.Force() != f.hosts[0].Force() {
-				t.Errorf("%s knows %v in force, %s %v", h.name, h.Force(), f.names[0], f.hosts[0].Force())
+			if h.InForce() != f.hosts[0].InForce() {
+				t.Errorf("%s knows %v in force, %s %v", h.name, h.InForce(), f.names[0], f.hosts[0].InForce())
 			}
-			if h.Acting() != h.Force() && h.contents.checked[h.Force()] == nil {
-				t.Errorf("%s acts under %v, in force is %v", h.name, h.Acting(), h.Force())
+			if h.Acting() != h.InForce() && h.contents.checked[h.InForce()] == nil {
+				t.Errorf("%s acts under %v, in force is %v", h.name, h.Acting(), h.InForce())
 			}
 		}
 	})
@@ -373,8 +374,8 @@
 	t.Error("not caught")
 }
 
-// Ten members that resume together and lack a content spread their requests over the members that have it, and none of these
-// sends more than a few contents per heartbeat.
+// Ten members that resume together and lack a content spread their requests over the members that have it, and none of
+// these sends more than a few contents per heartbeat.
 func TestContentRequestsAreSpread(t *testing.T) {
 	f := newFleet(21, t.Fatalf)
 	f.advance(time.Second)
@@ -441,9 +442,9 @@
 	}
 }
 
-// A vote that was sent to a peer is never forgotten. The voter crashes before the vote is on disk, or loses its disk, and then
-// the other side of a partition asks for its vote for another content of the same number. Without the guards, both contents
-// come into force.
+// A vote that was sent to a peer is never forgotten. The voter crashes before the vote is on disk, or loses its disk,
+// and then the other side of a partition asks for its vote for another content of the same number. Without the guards,
+// both contents come into force.
 func TestVoteSurvivesCrashAndDiskLoss(t *testing.T) {
 	for _, tc := range []struct {
 		name, mutant string
--- a/balancer/fleet/epoch.go
+++ b/balancer/fleet/epoch.go
@@ -32,7 +32,8 @@
 	Settings json.RawMessage
 }
 
-// content is the encoding of Epoch.Content. A member whose program doesn't know one of the fields can't run under the epoch.
+// content is the encoding of Epoch.Content. A member whose program doesn't know one of the fields can't run under the
+// epoch.
 type content struct {
 	Number   uint64          `json:"number"`
 	Floor    uint64          `json:"floor"`
@@ -111,7 +112,8 @@
 	return t
 }
 
-// decodeStrict decodes a single JSON value. It rejects unknown fields and data after the value, and keeps the precision of numbers.
+// decodeStrict decodes a single JSON value. It rejects unknown fields and data after the value, and keeps the precision
+// of numbers.
 func decodeStrict(text []byte, v any) error {
 	dec := json.NewDecoder(bytes.NewReader(text))
 	dec.DisallowUnknownFields()
--- a/balancer/fleet/heartbeat.go
+++ b/balancer/fleet/heartbeat.go
@@ -76,8 +76,8 @@
 	return true
 }
 
-// pingSoon brings the next pings forward, since they carry an update. Each is drawn at random within a quarter of a heartbeat,
-// because all members have the same update at about the same time.
+// pingSoon brings the next pings forward, since they carry an update. Each is drawn at random within a quarter of a
+// heartbeat, because all members have the same update at about the same time.
 func (c *Core) pingSoon() {
 	for _, name := range c.peers.order {
 		p := c.peers.byName[name]
--- a/balancer/fleet/holes_test.go
+++ b/balancer/fleet/holes_test.go
@@ -66,8 +66,8 @@
 			f.advance(time.Second)
 			clear(f.partitioned)
 			f.advance(2 * time.Second)
-			if a.Force().Number != 1 || a.Acting().Number != 1 {
-				t.Errorf("in force %v", a.Force())
+			if a.InForce().Number != 1 || a.Acting().Number != 1 {
+				t.Errorf("in force %v", a.InForce())
 			}
 		},
 		"an amnesiac member receives the floor": func(t *testing.T, f *testFleet, a, b, c *host) {
--- a/balancer/fleet/link/compat_test.go
+++ b/balancer/fleet/link/compat_test.go
@@ -9,8 +9,8 @@
 	"ravendale/balancer/frames"
 )
 
-// The files in testdata/compat were written by version a08c060. They contain the bytes that each side of a link writes, with fixed
-// draws instead of random ones. The dialler sends two frames after its greeting, the other side one.
+// The files in testdata/compat were written by version a08c060. They contain the bytes that each side of a link writes,
+// with fixed draws instead of random ones. The dialler sends two frames after its greeting, the other side one.
 func TestGoldenLinkWritesTheSame(t *testing.T) {
 	read := func(name string) []byte {
 		t.Helper()
--- a/balancer/fleet/link/link.go
+++ b/balancer/fleet/link/link.go
@@ -32,9 +32,9 @@
 
 // Handler receives the events of a link.
 type Handler interface {
-	Up(l *Link)                                      // both sides have proved that they have the key
-	Heard(l *Link, kind frames.Kind, content []byte) // a frame of kind Message, Command or Reply was received
-	Down(l *Link, err error)                         // the link ended or could not be established; not called after Close
+	Up(l *Link)                                         // both sides have proved that they have the key
+	Received(l *Link, kind frames.Kind, content []byte) // a frame of kind Message, Command or Reply was received
+	Down(l *Link, err error)                            // the link ended or could not be established; not called after Close
 }
 
 // Link is one end of a connection. It implements transport.Handler.
@@ -126,7 +126,7 @@
 			l.fail(fmt.Errorf("%w: kind %d", frames.ErrContent, kind))
 			return
 		default:
-			l.handler.Heard(l, kind, content)
+			l.handler.Received(l, kind, content)
 		}
 	}
 }
--- a/balancer/fleet/link/link_test.go
+++ b/balancer/fleet/link/link_test.go
@@ -33,7 +33,7 @@
 func (e *testEnd) Peer() string                                      { return "" }
 func (e *testEnd) Dial(_ string, h transport.Handler) transport.Conn { e.dialled = h; return e }
 func (e *testEnd) Up(*Link)                                          { e.up++ }
-func (e *testEnd) Heard(_ *Link, _ frames.Kind, content []byte) {
+func (e *testEnd) Received(_ *Link, _ frames.Kind, content []byte) {
 	e.messages = append(e.messages, string(content))
 }
 func (e *testEnd) Down(_ *Link, err error) { e.down = err }
--- a/balancer/fleet/message.go
+++ b/balancer/fleet/message.go
@@ -13,8 +13,8 @@
 	Busy  = "busy"  // answers Want if the sender can't serve the content now
 )
 
-// Message is sent between members, as JSON in a frame of package link. Members of other versions read it, so the names of its
-// JSON fields must not change.
+// Message is sent between members, as JSON in a frame of package link. Members of other versions read it, so the names
+// of its JSON fields must not change.
 type Message struct {
 	Kind   string `json:"kind"`
 	From   string `json:"from"`
--- a/balancer/fleet/peers.go
+++ b/balancer/fleet/peers.go
@@ -71,7 +71,8 @@
 	c.actions = append(c.actions, Action{Kind: Send, To: to, Message: m})
 }
 
-// receive handles a message. It ignores messages of unknown members, and answers those of earlier processes of a peer with Stale.
+// receive handles a message. It ignores messages of unknown members, and answers those of earlier processes of a peer
+// with Stale.
 func (c *Core) receive(m *Message) {
 	p := c.peers.byName[m.From]
 	if p == nil {
--- a/balancer/fleet/policy.go
+++ b/balancer/fleet/policy.go
@@ -51,8 +51,8 @@
 	return c.takeActions(), nil
 }
 
-// floor returns the minimum floor of a later epoch. It includes the floor of the epoch that this member voted for, since the
-// majority of any later epoch overlaps with the majority of that one. So floors never decrease.
+// floor returns the minimum floor of a later epoch. It includes the floor of the epoch that this member voted for,
+// since the majority of any later epoch overlaps with the majority of that one. So floors never decrease.
 func (c *Core) floor() (floor uint64) {
 	floor = c.disk.state.Floor
 	for _, id := range []ID{c.policy.inForce, c.disk.state.Adopted, c.disk.state.Accepted} {
--- a/balancer/fleet/tally.go
+++ b/balancer/fleet/tally.go
@@ -63,9 +63,9 @@
 	}
 }
 
-// knownSince returns since when an epoch that is first reported now counts as known. A member that isn't trusted may receive
-// the report at any time after the epoch's deadline, so the epoch counts as always known: a member that is behind gets no
-// extra time from restarts or from the end of a partition.
+// knownSince returns since when an epoch that is first reported now counts as known. A member that isn't trusted may
+// receive the report at any time after the epoch's deadline, so the epoch counts as always known: a member that is
+// behind gets no extra time from restarts or from the end of a partition.
 func (c *Core) knownSince() time.Duration {
 	if c.now >= c.trustedUntil() {
 		return never
@@ -73,8 +73,8 @@
 	return c.now
 }
 
-// candidate returns the epoch that this member may vote for: of the highest number, the one with the most votes; the zero ID
-// if there is none.
+// candidate returns the epoch that this member may vote for: of the highest number, the one with the most votes; the
+// zero ID if there is none.
 func (c *Core) candidate() (best ID) {
 	if !c.Votes() {
 		return ID{}
@@ -89,8 +89,8 @@
 	return ID{}
 }
 
-// undecided returns, of the epochs that may be in force without this member knowing it, the one whose time is over first: since
-// when it is known, and its Within. The last result is false if there is none.
+// undecided returns, of the epochs that may be in force without this member knowing it, the one whose time is over
+// first: since when it is known, and its Within. The last result is false if there is none.
 func (c *Core) undecided() (since time.Duration, within time.Duration, found bool) {
 	for id, seen := range c.tally.votes {
 		if id.Number <= c.policy.inForce.Number {
--- a/balancer/frames/frames.go
+++ b/balancer/frames/frames.go
@@ -44,12 +44,13 @@
 	Secret []byte
 }
 
-// Keys holds at most two keys: the first authenticates sent frames, and received frames may use either. To replace a key, add the
-// new one as the second on all hosts, then make it the first on all hosts, then remove the old one.
+// Keys holds at most two keys: the first authenticates sent frames, and received frames may use either. To replace a
+// key, add the new one as the second on all hosts, then make it the first on all hosts, then remove the old one.
 type Keys []Key
 
-// ParseKeys parses a key file: one key per line, its number and its secret in hex (16 bytes or more); the first is used for sent
-// frames. Empty lines and lines that begin with # are ignored. An error names file and line, and never contains a secret.
+// ParseKeys parses a key file: one key per line, its number and its secret in hex (16 bytes or more); the first is used
+// for sent frames. Empty lines and lines that begin with # are ignored. An error names file and line, and never
+// contains a secret.
 func ParseKeys(file string, text []byte) (Keys, error) {
 	var keys Keys
 	for i, line := range strings.Split(string(text), "\n") {
@@ -135,8 +136,8 @@
 // Feed adds received bytes.
 func (r *Reader) Feed(b []byte) { r.buf = append(r.buf, b...) }
 
-// Next returns the next complete frame, or kind 0 if more bytes are needed. Data of another protocol or version is rejected as
-// soon as its first bytes differ.
+// Next returns the next complete frame, or kind 0 if more bytes are needed. Data of another protocol or version is
+// rejected as soon as its first bytes differ.
 func (r *Reader) Next() (kind Kind, content []byte, err error) {
 	n := min(len(r.buf), len(magic))
 	if string(r.buf[:n]) != magic[:n] {
--- a/balancer/handover/compat_test.go
+++ b/balancer/handover/compat_test.go
@@ -15,8 +15,8 @@
 	"ravendale/balancer/scheduler"
 )
 
-// The files in testdata/compat were written by version a08c060. During an upgrade, processes of two versions exchange messages, so
-// their encoding must not change.
+// The files in testdata/compat were written by version a08c060. During an upgrade, processes of two versions exchange
+// messages, so their encoding must not change.
 
 func yes() *bool { v := true; return &v }
 func no() *bool  { return new(bool) }
--- a/balancer/handover/handover.go
+++ b/balancer/handover/handover.go
@@ -88,7 +88,7 @@
 
 // SendConn sends a message along with a connection, as transport.ConnSender.SendConn does. It returns nil if the connection
 // can't be passed; then nothing was sent.
-func (l *Link) SendConn(m Message, c transport.Conn) transport.Given {
+func (l *Link) SendConn(m Message, c transport.Conn) transport.PassedConn {
 	carrier, can := l.conn.(transport.ConnSender)
 	text, err := json.Marshal(m)
 	if !can || err != nil || l.closed {
@@ -97,10 +97,10 @@
 	return carrier.SendConn(append(text, '\n'), c)
 }
 
-// Given returns the connection that was sent with the message being handled, or nil.
-func (l *Link) Given() transport.Given {
+// ReceivedConn returns the connection that was sent with the message being handled, or nil.
+func (l *Link) ReceivedConn() transport.PassedConn {
 	if carrier, can := l.conn.(transport.ConnSender); can {
-		return carrier.Given()
+		return carrier.ReceivedConn()
 	}
 	return nil
 }
@@ -115,8 +115,8 @@
 	}
 }
 
-// But returns all links except l.
-func (ls Links) But(l *Link) Links {
+// Except returns all links except l.
+func (ls Links) Except(l *Link) Links {
 	return slices.DeleteFunc(slices.Clone(ls), func(other *Link) bool { return other == l })
 }
 
--- a/balancer/http1/body.go
+++ b/balancer/http1/body.go
@@ -26,8 +26,8 @@
 	untilClose
 )
 
-// start selects the framing of the body by its head. A message with both a length and a transfer coding is rejected, even if
-// either is empty or repeated: another parser may rely on the other field, which allows request smuggling.
+// start selects the framing of the body by its head. A message with both a length and a transfer coding is rejected,
+// even if either is empty or repeated: another parser may rely on the other field, which allows request smuggling.
 func (b *body) start(h Header, limit int) error {
 	*b = body{limit: limit}
 	coding, codings, length, given := h.Get("Transfer-Encoding"), h.Count("Transfer-Encoding"), "", false
--- a/balancer/http1/http1.go
+++ b/balancer/http1/http1.go
@@ -43,7 +43,7 @@
 
 // parser is the part shared by Requests and Responses: unparsed bytes, and the state of the current body.
 type parser struct {
-	buffer   []byte // backing array of buf, reused
+	backing  []byte // backing array of buf, reused
 	buf      []byte
 	searched int // number of bytes of buf already searched for the end of the head
 	body     body
@@ -52,11 +52,11 @@
 // maxIdleBuffer is the maximum capacity, in bytes, of a buffer that a parser keeps while it has no data.
 const maxIdleBuffer = 4 << 10
 
-// Feed adds a copy of b to the data to parse. Unparsed bytes are moved to the front of the buffer here, once, and not in each
-// take: with very small pieces that would cost quadratic time.
+// Feed adds a copy of b to the data to parse. Unparsed bytes are moved to the front of the buffer here, once, and not
+// in each take: with very small pieces that would cost quadratic time.
 func (p *parser) Feed(b []byte) {
-	p.buffer = append(append(p.buffer[:0], p.buf...), b...)
-	p.buf = p.buffer
+	p.backing = append(append(p.backing[:0], p.buf...), b...)
+	p.buf = p.backing
 }
 
 // Buffered returns the number of unparsed bytes.
@@ -64,8 +64,8 @@
 
 // take removes n bytes from the front of the buffer.
 func (p *parser) take(n int) {
-	if p.buf = p.buf[n:]; len(p.buf) == 0 && cap(p.buffer) > maxIdleBuffer {
-		p.buffer, p.buf = nil, nil
+	if p.buf = p.buf[n:]; len(p.buf) == 0 && cap(p.backing) > maxIdleBuffer {
+		p.backing, p.buf = nil, nil
 	}
 }
 
@@ -137,8 +137,8 @@
 // Partial reports whether part of a request has been received.
 func (p *Requests) Partial() bool { return p.req != nil || len(p.buf) > 0 }
 
-// AwaitsContinue reports whether the sender waits for a 100 (Continue) response before it sends the body. It returns true only
-// once per request.
+// AwaitsContinue reports whether the sender waits for a 100 (Continue) response before it sends the body. It returns
+// true only once per request.
 func (p *Requests) AwaitsContinue() bool {
 	if p.req == nil || !p.req.Header.has("Expect", "100-continue") || len(p.req.Body) > 0 {
 		return false
--- a/balancer/knowledge/codec/codec.go
+++ b/balancer/knowledge/codec/codec.go
@@ -22,14 +22,14 @@
 // Append appends the encoding of items.
 func Append(b []byte, all []knowledge.Item) []byte {
 	b = binary.AppendUvarint(b, uint64(len(all)))
-	for _, w := range all {
-		b = append(b, byte(w.Kind))
-		b = binary.AppendUvarint(b, uint64(len(w.Name)))
-		b = append(b, w.Name...)
-		b = binary.AppendVarint(b, int64(w.Born))
-		b = binary.BigEndian.AppendUint64(b, math.Float64bits(w.Value))
-		b = binary.BigEndian.AppendUint64(b, math.Float64bits(w.Count))
-		b = binary.AppendVarint(b, int64(w.Age))
+	for _, item := range all {
+		b = append(b, byte(item.Kind))
+		b = binary.AppendUvarint(b, uint64(len(item.Name)))
+		b = append(b, item.Name...)
+		b = binary.AppendVarint(b, int64(item.Born))
+		b = binary.BigEndian.AppendUint64(b, math.Float64bits(item.Value))
+		b = binary.BigEndian.AppendUint64(b, math.Float64bits(item.Count))
+		b = binary.AppendVarint(b, int64(item.Age))
 	}
 	return b
 }
@@ -46,13 +46,13 @@
 	}
 	all := make([]knowledge.Item, 0, n)
 	for range n {
-		var w knowledge.Item
-		w.Kind = knowledge.Kind(c.byte())
-		w.Name = string(c.take(c.uvarint()))
-		w.Born = time.Duration(c.varint())
-		w.Value, w.Count = math.Float64frombits(c.uint64()), math.Float64frombits(c.uint64())
-		w.Age = time.Duration(c.varint())
-		all = append(all, w)
+		var item knowledge.Item
+		item.Kind = knowledge.Kind(c.byte())
+		item.Name = string(c.take(c.uvarint()))
+		item.Born = time.Duration(c.varint())
+		item.Value, item.Count = math.Float64frombits(c.uint64()), math.Float64frombits(c.uint64())
+		item.Age = time.Duration(c.varint())
+		all = append(all, item)
 	}
 	if c.failed || len(c.b) > 0 {
 		return nil, ErrContent
@@ -60,7 +60,8 @@
 	return all, nil
 }
 
-// cursor reads values from b. After a failed read, bad is true and all values are zero, so that one check at the end is enough.
+// cursor reads values from b. After a failed read, bad is true and all values are zero, so that one check at the end is
+// enough.
 type cursor struct {
 	b      []byte
 	failed bool
--- a/balancer/knowledge/codec/codec_test.go
+++ b/balancer/knowledge/codec/codec_test.go
@@ -21,8 +21,8 @@
 	}
 }
 
-// Arbitrary bytes result in an error, or in items whose encoding decodes to the same items. They never cause an allocation out of
-// proportion to their length.
+// Arbitrary bytes result in an error, or in items whose encoding decodes to the same items. They never cause an
+// allocation out of proportion to their length.
 func FuzzItems(f *testing.F) {
 	f.Add(Append(nil, items))
 	f.Add([]byte{0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 1})
--- a/balancer/knowledge/knowledge.go
+++ b/balancer/knowledge/knowledge.go
@@ -22,19 +22,19 @@
 	kinds
 )
 
-// halfLife is the time in which the weight of an item halves. Run times change only with the software of the servers; queues
-// change within seconds.
+// halfLife is the time in which the weight of an item halves. Run times change only with the software of the servers;
+// queues change within seconds.
 var halfLife = [kinds]time.Duration{Run: 10 * time.Minute, Spread: 10 * time.Minute, StartLatency: 10 * time.Minute,
 	Busy: 3 * time.Second, Queue: 2 * time.Second, Faults: 5 * time.Second, Unhealthy: 2 * time.Second}
 
-// maxDeviation is the largest deviation of an item from the own observations that does not refute it: a factor for the kinds that
-// isRatio reports, and a difference for the other kinds, which are shares or counts.
+// maxDeviation is the largest deviation of an item from the own observations that does not refute it: a factor for the
+// kinds that isRatio reports, and a difference for the other kinds, which are shares or counts.
 var maxDeviation = [kinds]float64{Run: 2, Spread: 4, StartLatency: 4, Busy: 0.5, Queue: 2, Faults: 0.5, Unhealthy: 0.5}
 
 func (k Kind) isRatio() bool { return k <= StartLatency }
 
 const (
-	// oldest limits ages, so that arithmetic on them does not overflow. An item of that age has no weight.
+	// maxAge limits ages, so that arithmetic on them does not overflow. An item of that age has no weight.
 	maxAge = time.Duration(math.MaxInt64 / 2)
 	// maxOwn is the number of own observations of a subject from which on a prior has no weight.
 	maxOwn = 50
@@ -46,7 +46,8 @@
 	minOwnToJudge = 8
 	// minTrust is the trust below which a donor's items are ignored.
 	minTrust = 0.1
-	// ageMargin is how much older than its stated age an item may be: it covers transmission and differences between clocks.
+	// ageMargin is how much older than its stated age an item may be: it covers transmission and differences between
+	// clocks.
 	ageMargin = 50 * time.Millisecond
 	// MaxItems is the maximum number of items kept per donor.
 	MaxItems = 20_000
@@ -59,8 +60,8 @@
 	Born time.Duration // start time of a server as in the server list; 0 for one that started long ago, or for another subject
 }
 
-// Item is an observed value as the donor reports it. A donor passes on only its own observations: items learnt from others would
-// return to their source and count as new.
+// Item is an observed value as the donor reports it. A donor passes on only its own observations: items learnt from
+// others would return to their source and count as new.
 type Item struct {
 	Subject
 	Value float64
@@ -68,10 +69,10 @@
 	Age   time.Duration // since the last observation, by the donor's clock: clocks need not agree
 }
 
-// Sane reports whether an item is valid. Invalid items are rejected and cost the donor trust.
-func (w *Item) Sane() bool {
-	return w.Kind < kinds && w.Name != "" && !math.IsNaN(w.Value) && !math.IsInf(w.Value, 0) && w.Value >= 0 && w.Value < 1e6 &&
-		w.Count > 0 && !math.IsInf(w.Count, 0) && w.Age >= 0
+// Valid reports whether an item is valid. Invalid items are rejected and cost the donor trust.
+func (i *Item) Valid() bool {
+	return i.Kind < kinds && i.Name != "" && !math.IsNaN(i.Value) && !math.IsInf(i.Value, 0) && i.Value >= 0 && i.Value < 1e6 &&
+		i.Count > 0 && !math.IsInf(i.Count, 0) && i.Age >= 0
 }
 
 // claim is a stored item of a donor.
@@ -87,8 +88,8 @@
 	claims map[Subject]*claim
 }
 
-// observed holds the observations that this scheduler made of a subject.
-type observed struct {
+// ownValue holds the observations that this scheduler made of a subject.
+type ownValue struct {
 	value, count float64
 	seenAt       time.Duration
 }
@@ -96,28 +97,28 @@
 // Base holds the items of donors and the own observations.
 type Base struct {
 	donors map[string]*donor
-	own    map[Subject]*observed
+	own    map[Subject]*ownValue
 }
 
 // NewBase returns an empty Base.
-func NewBase() *Base { return &Base{donors: make(map[string]*donor), own: make(map[Subject]*observed)} }
+func NewBase() *Base { return &Base{donors: make(map[string]*donor), own: make(map[Subject]*ownValue)} }
 
-// Hear stores a donor's items that arrived at the time now. A later item on a subject replaces an earlier one. Each invalid item
-// and each beyond MaxItems halves the trust in the donor; Hear returns their number.
-func (b *Base) Hear(from string, now time.Duration, items []Item) (refused int) {
+// AddItems stores a donor's items that arrived at the time now. A later item on a subject replaces an earlier one. Each
+// invalid item and each beyond MaxItems halves the trust in the donor; AddItems returns their number.
+func (b *Base) AddItems(from string, now time.Duration, items []Item) (refused int) {
 	d := b.donors[from]
 	if d == nil {
 		d = &donor{trust: 1, claims: make(map[Subject]*claim)}
 		b.donors[from] = d
 	}
 	for i := range items {
-		w := &items[i]
-		if !w.Sane() || len(d.claims) >= MaxItems && d.claims[w.Subject] == nil {
+		item := &items[i]
+		if !item.Valid() || len(d.claims) >= MaxItems && d.claims[item.Subject] == nil {
 			refused++
 			d.doubt()
 			continue
 		}
-		d.claims[w.Subject] = &claim{value: w.Value, count: min(w.Count, maxDonorCount), seenAt: now - min(w.Age, maxAge) - ageMargin}
+		d.claims[item.Subject] = &claim{value: item.Value, count: min(item.Count, maxDonorCount), seenAt: now - min(item.Age, maxAge) - ageMargin}
 	}
 	return refused
 }
@@ -144,12 +145,12 @@
 	return 1
 }
 
-// See adds an own observation. Once there are enough of a subject, each donor's item on it is compared with them, once. If they
-// refute it, all items of that donor weigh less from then on.
-func (b *Base) See(now time.Duration, s Subject, value float64) {
+// Observe adds an own observation. Once there are enough of a subject, each donor's item on it is compared with them,
+// once. If they refute it, all items of that donor weigh less from then on.
+func (b *Base) Observe(now time.Duration, s Subject, value float64) {
 	o := b.own[s]
 	if o == nil {
-		o = &observed{}
+		o = &ownValue{}
 		b.own[s] = o
 	}
 	o.count++
@@ -159,11 +160,11 @@
 		return
 	}
 	for _, d := range b.donors {
-		h := d.claims[s]
-		if h == nil || h.judged || decay(s.Kind, now-h.seenAt) < 0.5 {
+		c := d.claims[s]
+		if c == nil || c.judged || decay(s.Kind, now-c.seenAt) < 0.5 {
 			continue // the value may have changed since: an old item is not refuted
 		}
-		if h.judged = true; s.Kind.refutes(h.value, o.value) {
+		if c.judged = true; s.Kind.refutes(c.value, o.value) {
 			d.doubt()
 		} else if d.trust > 0 {
 			d.trust = min(1, d.trust*1.1)
@@ -184,16 +185,16 @@
 	return math.Exp2(-float64(max(age, 0)) / float64(halfLife[k]))
 }
 
-// Prior is an estimate of a subject's value from donors' items only. Weight is the number of observations that it counts as; 0
-// means that there is no estimate. The weight decreases with age, with less trust in the donors, and with each own observation;
-// after maxOwn of these it is 0.
+// Prior is an estimate of a subject's value from donors' items only. Weight is the number of observations that it
+// counts as; 0 means that there is no estimate. The weight decreases with age, with less trust in the donors, and with
+// each own observation; after maxOwn of these it is 0.
 type Prior struct {
 	Value, Weight float64
 	SeenAt        time.Duration // of the latest item in the estimate
 }
 
-// Prior computes the estimate for a subject from the donors' items. If two items disagree, it uses the one with more weight, not
-// the mean, which neither donor observed.
+// Prior computes the estimate for a subject from the donors' items. If two items disagree, it uses the one with more
+// weight, not the mean, which neither donor observed.
 func (b *Base) Prior(now time.Duration, s Subject) Prior {
 	priorShare := 1.0
 	if o := b.own[s]; o != nil {
@@ -208,12 +209,12 @@
 	}
 	var all []opinion
 	for from, d := range b.donors {
-		h := d.claims[s]
-		if h == nil {
+		c := d.claims[s]
+		if c == nil {
 			continue
 		}
-		if weight := h.count * decay(s.Kind, now-h.seenAt) * d.trust * priorShare; weight > 0 {
-			all = append(all, opinion{from, Prior{h.value, weight, h.seenAt}})
+		if weight := c.count * decay(s.Kind, now-c.seenAt) * d.trust * priorShare; weight > 0 {
+			all = append(all, opinion{from, Prior{c.value, weight, c.seenAt}})
 		}
 	}
 	if len(all) == 0 {
--- a/balancer/knowledge/knowledge_test.go
+++ b/balancer/knowledge/knowledge_test.go
@@ -42,10 +42,10 @@
 		t.Run(name, func(t *testing.T) {
 			b := NewBase()
 			for from, words := range tc.said {
-				b.Hear(from, now, words)
+				b.AddItems(from, now, words)
 			}
 			for range tc.own {
-				b.See(now, runSubject, 0.2)
+				b.Observe(now, runSubject, 0.2)
 			}
 			got := b.Prior(now, tc.ask)
 			got.SeenAt = 0
@@ -63,11 +63,11 @@
 	for i := range 6 {
 		words = append(words, Item{Subject{Kind: Run, Name: fmt.Sprint("c", i)}, 4, 100, 0})
 	}
-	b.Hear("liar", 0, words)
+	b.AddItems("liar", 0, words)
 	var trust []float64
 	for i := range 4 {
 		for range minOwnToJudge {
-			b.See(time.Second, Subject{Kind: Run, Name: fmt.Sprint("c", i)}, 0.2)
+			b.Observe(time.Second, Subject{Kind: Run, Name: fmt.Sprint("c", i)}, 0.2)
 		}
 		trust = append(trust, b.Trust("liar"))
 	}
@@ -82,9 +82,9 @@
 // An outdated item does not cost its donor trust.
 func TestOldItemIsNotRefuted(t *testing.T) {
 	b := NewBase()
-	b.Hear("a", 0, []Item{{Subject{Kind: Queue, Name: "z"}, 9, 100, 0}})
+	b.AddItems("a", 0, []Item{{Subject{Kind: Queue, Name: "z"}, 9, 100, 0}})
 	for range 2 * minOwnToJudge {
-		b.See(time.Minute, Subject{Kind: Queue, Name: "z"}, 0)
+		b.Observe(time.Minute, Subject{Kind: Queue, Name: "z"}, 0)
 	}
 	if b.Trust("a") != 1 {
 		t.Errorf("trust %v", b.Trust("a"))
@@ -98,13 +98,13 @@
 		books = append(books, NewBase())
 	}
 	for range 5 {
-		books[0].See(0, runSubject, 0.2)
+		books[0].Observe(0, runSubject, 0.2)
 	}
 	last := math.Inf(1)
 	for round := range 60 {
 		now := time.Duration(round) * time.Minute
 		for i, b := range books {
-			b.Hear("before", now, books[(i+2)%3].Own(now))
+			b.AddItems("before", now, books[(i+2)%3].Own(now))
 		}
 		w := books[1].Prior(now, runSubject).Weight
 		if w > last {
@@ -123,14 +123,14 @@
 // An age that would overflow the clock counts as maxAge. Once it overflowed into the future, and the item counted as new.
 func TestAgeOverflowCountsAsOld(t *testing.T) {
 	b := NewBase()
-	b.Hear("donor", time.Hour, []Item{{runSubject, 1, 100, math.MaxInt64}})
+	b.AddItems("donor", time.Hour, []Item{{runSubject, 1, 100, math.MaxInt64}})
 	if w := b.Prior(time.Hour, runSubject).Weight; w > 0.1 {
 		t.Errorf("an item of age %v weighs %v", time.Duration(math.MaxInt64), w)
 	}
 }
 
-// For any items at any time, a prior is finite and within the range of the items on its subject. Its weight is at most the maximum
-// of all donors together, falls with time and own observations, and is 0 after fifty of these.
+// For any items at any time, a prior is finite and within the range of the items on its subject. Its weight is at most
+// the maximum of all donors together, falls with time and own observations, and is 0 after fifty of these.
 func TestPriorBounds(t *testing.T) {
 	subjects := []Subject{runSubject, unhealthySubject, {Unhealthy, "s1", 2 * time.Hour}, {Queue, "z", 0}, {StartLatency, "z", 0}, {Faults, "s1", time.Hour}}
 	value := rapid.OneOf(rapid.Float64(), rapid.Float64Range(0, 10), rapid.Just(math.Inf(1)), rapid.Just(math.NaN()))
@@ -142,12 +142,12 @@
 			now += time.Duration(rapid.Int64Range(0, int64(20*time.Second)).Draw(t, "wait"))
 			s := rapid.SampledFrom(subjects).Draw(t, "subject")
 			if rapid.Bool().Draw(t, "own") {
-				b.See(now, s, rapid.Float64Range(0, 10).Draw(t, "seen"))
+				b.Observe(now, s, rapid.Float64Range(0, 10).Draw(t, "seen"))
 				continue
 			}
 			w := Item{s, value.Draw(t, "value"), value.Draw(t, "count"), time.Duration(rapid.Int64().Draw(t, "age"))}
-			b.Hear(fmt.Sprint(rapid.IntRange(1, donors).Draw(t, "donor")), now, []Item{w})
-			if w.Sane() {
+			b.AddItems(fmt.Sprint(rapid.IntRange(1, donors).Draw(t, "donor")), now, []Item{w})
+			if w.Valid() {
 				heard[s] = append(heard[s], w.Value)
 			}
 		}
@@ -168,7 +168,7 @@
 				t.Fatalf("%v weighs %v, but a second later %v", s, p.Weight, later.Weight)
 			}
 			for range maxOwn {
-				b.See(now, s, 1)
+				b.Observe(now, s, 1)
 			}
 			if p := b.Prior(now, s); p.Weight != 0 {
 				t.Fatalf("%v weighs %v after %d own observations", s, p.Weight, maxOwn)
@@ -183,7 +183,7 @@
 	for i := range words {
 		words[i] = Item{Subject{Kind: Run, Name: fmt.Sprint(i)}, 1, 1, 0}
 	}
-	if refused := b.Hear("a", 0, words); refused != 5 || len(b.Subjects()) != MaxItems {
+	if refused := b.AddItems("a", 0, words); refused != 5 || len(b.Subjects()) != MaxItems {
 		t.Errorf("%d refused, %d kept", refused, len(b.Subjects()))
 	}
 }
--- a/balancer/knowledge/snapshot/snapshot.go
+++ b/balancer/knowledge/snapshot/snapshot.go
@@ -36,7 +36,8 @@
 	ErrSize    = errors.New("snapshot is too large")
 )
 
-// Append appends a snapshot: magic, version, the time at in Unix nanoseconds (big-endian), the items, and the SHA-256 of all that.
+// Append appends a snapshot: magic, version, the time at in Unix nanoseconds (big-endian), the items, and the SHA-256
+// of all that.
 func Append(b []byte, at time.Duration, known []knowledge.Item) []byte {
 	from := len(b)
 	b = append(append(b, magic...), version)
@@ -64,7 +65,7 @@
 	}
 	age := now - time.Duration(binary.BigEndian.Uint64(text[len(magic)+1:]))
 	if age > Oldest || age < -Ahead {
-		return nil, fmt.Errorf("%w: of %v ago", ErrTime, age.Round(time.Second))
+		return nil, fmt.Errorf("%w: taken %v ago", ErrTime, age.Round(time.Second))
 	}
 	known, err := codec.Read(text[headSize:])
 	if err != nil {
@@ -105,8 +106,8 @@
 	return os.Rename(f.Name(), path)
 }
 
-// Load reads a snapshot file, but never more than MaxSize bytes plus one. Errors name the file; the error is os.ErrNotExist if
-// there is no file.
+// Load reads a snapshot file, but never more than MaxSize bytes plus one. Errors name the file; the error is
+// os.ErrNotExist if there is no file.
 func Load(path string, now time.Duration) ([]knowledge.Item, error) {
 	f, err := os.Open(path)
 	if err != nil {
--- a/balancer/operator/operator.go
+++ b/balancer/operator/operator.go
@@ -11,15 +11,16 @@
 	"ravendale/balancer/xmlfile"
 )
 
-// File is the content of the file. Each element configures a subsystem; if it is absent, the field is nil and the subsystem off.
+// File is the content of the file. Each element configures a subsystem; if it is absent, the field is nil and the
+// subsystem off.
 type File struct {
 	Cores *Cores `xml:"cores"`
 	Log   *Log   `xml:"log"`
 	Fleet *Fleet `xml:"fleet"`
 }
 
-// MostCores is the maximum of Cores.Count.
-const MostCores = 64
+// MaxCores is the maximum of Cores.Count.
+const MaxCores = 64
 
 // Cores sets the number of cores that the scheduler serves on: see docs/cores.md.
 type Cores struct {
@@ -28,8 +29,8 @@
 
 // Check implements xmlfile.Checker.
 func (c *Cores) Check(bad func(string)) {
-	if c.Count < 1 || c.Count > MostCores {
-		bad(fmt.Sprintf("count: %d is not between 1 and %d", c.Count, MostCores))
+	if c.Count < 1 || c.Count > MaxCores {
+		bad(fmt.Sprintf("count: %d is not between 1 and %d", c.Count, MaxCores))
 	}
 }
 
@@ -54,12 +55,12 @@
 	Address string `xml:"address,attr" required:"true"`
 }
 
-// Alone is what a member does while it is not in contact with a majority: mark (the default) continues and marks the spans in the
-// record, stop takes no new requests.
+// Alone is what a member does while it is not in contact with a majority: mark (the default) continues and marks the
+// spans in the record, stop takes no new requests.
 type Alone string
 
-// ShutOut is what a member does when it must not take requests any more, because its epoch is too old: wait (the default) until it
-// has adopted a newer one, or exit.
+// ShutOut is what a member does when it must not take requests any more, because its epoch is too old: wait (the
+// default) until it has adopted a newer one, or exit.
 type ShutOut string
 
 // UnmarshalText implements encoding.TextUnmarshaler.
@@ -78,15 +79,15 @@
 	return nil
 }
 
-// MostMembers is the maximum number of members of a fleet; LeastRecord and MostRecord are the limits of Fleet.Record in bytes.
+// MaxMembers is the maximum number of members of a fleet; MinRecord and MaxRecord are the limits of Fleet.Record in bytes.
 const (
-	MostMembers = 300
-	LeastRecord = 1 << 20
-	MostRecord  = 1 << 40
+	MaxMembers = 300
+	MinRecord  = 1 << 20
+	MaxRecord  = 1 << 40
 )
 
-// isMemberName reports whether a text is a valid name of a member, which is part of file names. It uses no regexp, since its tables would
-// take memory pages in every process.
+// isMemberName reports whether a text is a valid name of a member, which is part of file names. It uses no regexp,
+// since its tables would take memory pages in every process.
 func isMemberName(text string) bool {
 	return text != "" && len(text) <= 64 && !strings.ContainsFunc(text, func(r rune) bool {
 		return (r < 'a' || r > 'z') && (r < 'A' || r > 'Z') && (r < '0' || r > '9') && r != '_' && r != '-'
@@ -115,8 +116,8 @@
 	if d.Span < 100*time.Millisecond || d.Span > time.Hour {
 		bad(fmt.Sprintf("span: %v is not between 100ms and 1h", d.Span))
 	}
-	if d.Record < LeastRecord || d.Record > MostRecord {
-		bad(fmt.Sprintf("record: %d is not between %d and %d", d.Record, LeastRecord, int64(MostRecord)))
+	if d.Record < MinRecord || d.Record > MaxRecord {
+		bad(fmt.Sprintf("record: %d is not between %d and %d", d.Record, MinRecord, int64(MaxRecord)))
 	}
 	names := make(map[string]bool)
 	for _, m := range f.Members {
@@ -126,8 +127,8 @@
 		names[m.Name] = true
 	}
 	switch {
-	case len(f.Members) == 0 || len(f.Members) > MostMembers:
-		bad(fmt.Sprintf("%d members are not between 1 and %d", len(f.Members), MostMembers))
+	case len(f.Members) == 0 || len(f.Members) > MaxMembers:
+		bad(fmt.Sprintf("%d members are not between 1 and %d", len(f.Members), MaxMembers))
 	case !names[f.Name]:
 		bad(fmt.Sprintf("name: %q is none of the members", f.Name))
 	}
--- a/balancer/platform/backend/callback.go
+++ b/balancer/platform/backend/callback.go
@@ -12,15 +12,15 @@
 // one scheduler they may be meant for the other, since a server calls the process that accepts connections, or uses a
 // connection that it already has.
 func (b *Backend) Callback(body []byte) bool {
-	s := Read(body)
-	if s != nil && !b.Hear(s) {
+	s := ParseReport(body)
+	if s != nil && !b.HandleReport(s) {
 		b.o.Stray(body)
 	}
 	return s != nil
 }
 
-// Hear handles a server's report, and returns false if this backend does not have that attempt.
-func (b *Backend) Hear(s *Report) bool {
+// HandleReport handles a server's report, and returns false if this backend does not have that attempt.
+func (b *Backend) HandleReport(s *Report) bool {
 	a := b.live[attemptKey{s.ID, s.From}]
 	if a != nil {
 		b.receive(a, s)
--- a/balancer/platform/backend/report.go
+++ b/balancer/platform/backend/report.go
@@ -14,8 +14,8 @@
 	Result json.RawMessage `json:"result"`
 }
 
-// Read parses the body of a call-back. It returns nil if the body is invalid, or lacks an ID or a server name.
-func Read(body []byte) *Report {
+// ParseReport parses the body of a call-back. It returns nil if the body is invalid, or lacks an ID or a server name.
+func ParseReport(body []byte) *Report {
 	s := &Report{}
 	if !s.plain(body) {
 		if *s = (Report{}); json.Unmarshal(body, s) != nil {
--- a/balancer/platform/backend/report_test.go
+++ b/balancer/platform/backend/report_test.go
@@ -7,7 +7,7 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// Read must give the same result as encoding/json, whether it uses the fast path or not.
+// ParseReport must give the same result as encoding/json, whether it uses the fast path or not.
 func FuzzReadAgreesWithJSON(f *testing.F) {
 	for _, seed := range []string{
 		`{"id":"9b1f03aa5c7e2d41","from":"s-0badcafe","state":"started"}`,
@@ -26,7 +26,7 @@
 		if s := (Report{}); json.Unmarshal(body, &s) == nil && s.ID != "" && s.From != "" {
 			want = &s
 		}
-		if diff := cmp.Diff(want, Read(body)); diff != "" {
+		if diff := cmp.Diff(want, ParseReport(body)); diff != "" {
 			t.Errorf("%q (-encoding/json +ours):\n%s", body, diff)
 		}
 	})
--- a/balancer/platform/frontend/conn.go
+++ b/balancer/platform/frontend/conn.go
@@ -223,7 +223,7 @@
 	c.forget()
 	if ex := c.current; ex != nil {
 		c.hold(nil)
-		ex.Left()
+		ex.ClientLeft()
 	}
 }
 
--- a/balancer/platform/frontend/frontend.go
+++ b/balancer/platform/frontend/frontend.go
@@ -32,29 +32,29 @@
 
 // Options configure a Frontend.
 type Options struct {
-	Loop     *scheduler.Loop
-	Accept   func(*scheduler.Exchange)
-	Callback func(body []byte) Heard // handles a backend server's call-back on the same listener
-	Ready    func() bool
-	Class    func(name string) int
-	Tenant   func(name string) int
-	Deadline func(class int) time.Duration         // the longest deadline of a client, 0 for no limit
-	Keyed    func(class int) bool                  // whether requests of the class must carry a key
-	Limits   *ConnLimits                           // shared by the frontends of one listener
-	Crowded  func()                                // asks the other frontends to close idle connections, as there are still too many; may be nil
-	Refused  func(class int, why scheduler.Unsent) // counts a request refused by the frontend, with the reason
-	ComeBack func() time.Duration                  // Retry-After of requests refused for lack of capacity, 0 for none
-	Log      *slog.Logger
+	Loop       *scheduler.Loop
+	Accept     func(*scheduler.Exchange)
+	Callback   func(body []byte) CallbackResult // handles a backend server's call-back on the same listener
+	Ready      func() bool
+	Class      func(name string) int
+	Tenant     func(name string) int
+	Deadline   func(class int) time.Duration         // the longest deadline of a client, 0 for no limit
+	Keyed      func(class int) bool                  // whether requests of the class must carry a key
+	Limits     *ConnLimits                           // shared by the frontends of one listener
+	Crowded    func()                                // asks the other frontends to close idle connections, as there are still too many; may be nil
+	Refused    func(class int, why scheduler.Unsent) // counts a request refused by the frontend, with the reason
+	RetryAfter func() time.Duration                  // Retry-After of requests refused for lack of capacity, 0 for none
+	Log        *slog.Logger
 }
 
-// Heard is the result of handling a call-back.
-type Heard uint8
+// CallbackResult is the result of handling a call-back.
+type CallbackResult uint8
 
 // The results of handling a call-back.
 const (
-	Taken Heard = iota
-	Unreadable
-	Swamped // the loop that it is for is overloaded: the server must retry
+	CallbackAccepted CallbackResult = iota
+	CallbackMalformed
+	CallbackOverloaded // the loop that it is for is overloaded: the server must retry
 )
 
 // Frontend serves the connections of clients, and of backend servers that call back.
--- a/balancer/platform/frontend/frontend_test.go
+++ b/balancer/platform/frontend/frontend_test.go
@@ -35,7 +35,7 @@
 		if taken == nil || room.active.Load() != 1 {
 			t.Fatal("the request was not accepted")
 		}
-		taken.Relay = func(func()) {} // the scheduler has not received Left yet
+		taken.Relay = func(func()) {} // the scheduler has not received ClientLeft yet
 		c.Closed(nil)
 		late()
 		if len(f.idle) > 0 || len(f.conns) > 0 || n.written > 0 || room.Open() != 0 || room.active.Load() != 0 {
--- a/balancer/platform/frontend/request.go
+++ b/balancer/platform/frontend/request.go
@@ -16,10 +16,10 @@
 	switch {
 	case path == platform.PathCallback && req.Method == "POST":
 		switch c.f.o.Callback(req.Body) {
-		case Unreadable:
+		case CallbackMalformed:
 			c.reject(400, "the call can't be read")
 			return
-		case Swamped:
+		case CallbackOverloaded:
 			c.drop() // without an answer, the server will retry the call
 			return
 		}
@@ -60,7 +60,7 @@
 		return
 	case f.o.Limits.active.Load() >= f.o.Limits.maxActive.Load():
 		f.o.Refused(facts.Class, scheduler.NoCapacity)
-		c.answer(scheduler.Answer{Kind: scheduler.Refused, RetryAfter: f.o.ComeBack()}, true)
+		c.answer(scheduler.Answer{Kind: scheduler.Refused, RetryAfter: f.o.RetryAfter()}, true)
 		return
 	}
 	ex := &scheduler.Exchange{ID: req.Header.Get(platform.HeaderID), Facts: facts, Message: &platform.Message{
--- a/balancer/platform/management/compat_test.go
+++ b/balancer/platform/management/compat_test.go
@@ -24,7 +24,7 @@
 var compatFigures = scheduler.Figures{
 	Classes: map[string]scheduler.ClassFigures{"view": {Answered: 1, Deferred: 2, Errored: 3, Taken: 4}, "pay": {Answered: 5, Deferred: 6, Errored: 7, Taken: 8}},
 	Sends:   9, Current: 10, Listed: 11, Avoided: 12, ConfLoaded: 13, ConfInvalid: 14,
-	Unsent: [scheduler.Unsents]int{15, 16, 17, 18},
+	Unsent: [scheduler.NumUnsent]int{15, 16, 17, 18},
 }
 
 func TestGoldenFigures(t *testing.T) {
--- a/balancer/platform/node/cores.go
+++ b/balancer/platform/node/cores.go
@@ -95,18 +95,18 @@
 
 // Adopt assigns a connection from another process to a core, on which the request ex is to be answered. The core's frontend gets a
 // separate exchange, as it must not access the decider's.
-func (m *multiCore) Adopt(g transport.Given, ex *scheduler.Exchange, closes bool, serve adopter) error {
+func (m *multiCore) Adopt(g transport.PassedConn, ex *scheduler.Exchange, closes bool, serve adopter) error {
 	c := m.all[m.Choose()]
 	there := &scheduler.Exchange{ID: ex.ID}
 	ex.Answer = func(a scheduler.Answer) { m.at(c, func() { there.Answer(a) }) }
 	ex.Repeated = func() { m.at(c, func() { there.Repeated() }) }
-	// The frontend calls Left on its exchange; that is relayed to the decider's exchange.
-	there.Relay = func(func()) { c.loop.Send(m.decider, ex.Left) }
+	// The frontend calls ClientLeft on its exchange; that is relayed to the decider's exchange.
+	there.Relay = func(func()) { c.loop.Send(m.decider, ex.ClientLeft) }
 	m.at(c, func() {
 		err := serve(c.number, g, func(conn transport.Conn) transport.Handler { return c.frontend.Adopt(conn, there, closes) })
 		if err != nil {
 			there.Answer = func(scheduler.Answer) {}
-			there.Left()
+			there.ClientLeft()
 		}
 	})
 	return nil
@@ -125,7 +125,7 @@
 	for i, c := range m.all {
 		loads[i].Conns = c.frontend.Open()
 	}
-	return cores.Deal(loads)
+	return cores.PickCore(loads)
 }
 
 // rebalance measures the loads of the cores, and moves connections if the loads are uneven.
@@ -137,7 +137,7 @@
 		m.served[i] = served
 	}
 	m.loads.Store(&loads)
-	if move, any := cores.Even(loads); any {
+	if move, any := cores.PlanMove(loads); any {
 		m.at(m.all[move.From], func() { m.all[move.From].frontend.Shed(move.Conns) })
 	}
 	m.decider.After(rebalanceEvery, m.rebalance)
@@ -162,7 +162,7 @@
 // Send passes a dispatch to the core that serves its server. While the last pulse is too old, the dispatch waits: the core would
 // not begin it, and it would count as one of the job's attempts each time.
 func (m multiCoreBackends) Send(d *scheduler.Dispatch) {
-	if m.board.Deaf(m.decider.Now()) {
+	if m.board.Stale(m.decider.Now()) {
 		m.held.join(d)
 		return
 	}
@@ -180,7 +180,7 @@
 
 // onPulse records a pulse, and sends the dispatches that waited for it.
 func (m multiCoreBackends) onPulse(at time.Duration) {
-	if m.board.Heard(at); !m.board.Deaf(m.decider.Now()) {
+	if m.board.RecordPulse(at); !m.board.Stale(m.decider.Now()) {
 		m.held.flush(m.Send)
 	}
 }
@@ -236,7 +236,7 @@
 }
 
 func (m multiCoreBackends) PassCallback(body []byte, unknown func()) {
-	report := backend.Read(body)
+	report := backend.ParseReport(body)
 	if report == nil {
 		return
 	}
@@ -247,7 +247,7 @@
 	}
 	c := m.all[s.Core]
 	m.at(c, func() {
-		if !c.backend.Hear(report) {
+		if !c.backend.HandleReport(report) {
 			c.loop.Send(m.decider, unknown)
 		}
 	})
@@ -259,10 +259,10 @@
 const maxQueued = 1 << 14
 
 // callback handles a server's call-back on the core where it arrived, and passes it to the core that serves the server.
-func (m *multiCore) callback(here *core, body []byte) frontend.Heard {
-	report := backend.Read(body)
+func (m *multiCore) callback(here *core, body []byte) frontend.CallbackResult {
+	report := backend.ParseReport(body)
 	if report == nil {
-		return frontend.Unreadable
+		return frontend.CallbackMalformed
 	}
 	stray := func(from *scheduler.Loop) { from.Send(m.decider, func() { m.stray(body) }) }
 	s := m.board.Server(report.From)
@@ -270,21 +270,21 @@
 	case s == nil:
 		stray(here.loop)
 	case s.Core == here.number:
-		if !here.backend.Hear(report) {
+		if !here.backend.HandleReport(report) {
 			stray(here.loop)
 		}
 	default:
 		there := m.all[s.Core]
 		if there.loop.Queued() > maxQueued || m.decider.Queued() > maxQueued {
-			return frontend.Swamped
+			return frontend.CallbackOverloaded
 		}
 		here.loop.Send(there.loop, func() {
-			if !there.backend.Hear(report) {
+			if !there.backend.HandleReport(report) {
 				stray(there.loop)
 			}
 		})
 	}
-	return frontend.Taken
+	return frontend.CallbackAccepted
 }
 
 // accept passes a request from a core to the decider, and the answer back.
--- a/balancer/platform/node/endpoints.go
+++ b/balancer/platform/node/endpoints.go
@@ -17,7 +17,7 @@
 type accept = func(transport.Conn) transport.Handler
 
 // adopter is the type of ports.Adopt.
-type adopter = func(core int, g transport.Given, accept accept) error
+type adopter = func(core int, g transport.PassedConn, accept accept) error
 
 // clientSide is the node's interface to its frontends, one or several. It is called in turns of the decider's loop.
 type clientSide interface {
@@ -33,7 +33,7 @@
 	// returns true. It returns false if the connection was not transferred.
 	Give(ex *scheduler.Exchange, give func(client transport.Conn, closes bool) bool) bool
 	// Adopt takes over a connection from another process, on which the request ex is to be answered.
-	Adopt(g transport.Given, ex *scheduler.Exchange, closes bool, serve adopter) error
+	Adopt(g transport.PassedConn, ex *scheduler.Exchange, closes bool, serve adopter) error
 	// Targets returns the functions that accept connections, and Choose the index of the one for the next connection. Choose
 	// may be called by any goroutine.
 	Targets() []accept
@@ -72,7 +72,7 @@
 	return true
 }
 
-func (f oneFrontend) Adopt(g transport.Given, ex *scheduler.Exchange, closes bool, serve adopter) error {
+func (f oneFrontend) Adopt(g transport.PassedConn, ex *scheduler.Exchange, closes bool, serve adopter) error {
 	return serve(-1, g, func(c transport.Conn) transport.Handler { return f.Frontend.Adopt(c, ex, closes) })
 }
 
@@ -192,7 +192,7 @@
 }
 
 func (b *oneBackend) PassCallback(body []byte, unknown func()) {
-	if s := backend.Read(body); s != nil && !b.Hear(s) {
+	if s := backend.ParseReport(body); s != nil && !b.HandleReport(s) {
 		unknown()
 	}
 }
--- a/balancer/platform/node/fleet.go
+++ b/balancer/platform/node/fleet.go
@@ -48,7 +48,7 @@
 	// lockEvery is the interval at which a new process tries to lock the member's state, until the previous one releases it.
 	lockEvery = 50 * time.Millisecond
 	// peerConns bounds the incoming links from peers and tools; each peer opens one.
-	peerConns = operator.MostMembers + 16
+	peerConns = operator.MaxMembers + 16
 )
 
 // Join makes the scheduler a member of a fleet. It must be called before Run.
@@ -201,7 +201,7 @@
 	}
 	n.reading.Lock()
 	defer n.reading.Unlock()
-	_, ignored, err := n.read.Again(n.fleet.o.Getenv, n.patched(n.fleet.o.Read, e.Settings))
+	_, ignored, err := n.read.Reload(n.fleet.o.Getenv, n.patched(n.fleet.o.Read, e.Settings))
 	if err == nil && len(ignored) > 0 {
 		err = fmt.Errorf("%v can't change while the scheduler runs", ignored)
 	}
@@ -228,7 +228,7 @@
 		classes[name] = audit.Count{Taken: c.Taken, Served: c.Answered, Refused: c.Deferred, Failed: c.Errored}
 	}
 	if a := n.fleet.agent; a != nil {
-		a.List(n.table.Seq())
+		a.SetListSeq(n.table.Seq())
 	}
 	return f.Sends, classes
 }
--- a/balancer/platform/node/node.go
+++ b/balancer/platform/node/node.go
@@ -43,8 +43,8 @@
 
 // Node is a scheduler process.
 type Node struct {
-	// Paired, if set, is called with the number of processes that act as this scheduler, to divide the memory limit.
-	Paired func(processes int)
+	// ProcessCountChanged, if set, is called with the number of processes that act as this scheduler, to divide the memory limit.
+	ProcessCountChanged func(processes int)
 
 	read      *config.Config                // as last read; used only by Reload and checkEpoch, guarded by reading
 	cfg       *config.Config                // in force; used only in the loop's turns
@@ -149,7 +149,7 @@
 		Tenant:   func(name string) int { return slices.Index(n.sharedCfg.Load().Names.Tenants, name) },
 		Deadline: func(class int) time.Duration { return n.sharedCfg.Load().Settings.Classes[class].Deadline },
 		Keyed:    func(class int) bool { return n.sharedCfg.Load().Settings.Classes[class].Effect == ravendale.Keyed },
-		ComeBack: func() time.Duration {
+		RetryAfter: func() time.Duration {
 			s := &n.sharedCfg.Load().Settings
 			if !s.RetryAfter {
 				return 0
@@ -161,11 +161,11 @@
 // onOneLoop creates the client side and the server side on the node's loop.
 func (n *Node) onOneLoop(front frontend.Options, back backend.Options) {
 	b := backend.New(back)
-	front.Callback = func(body []byte) frontend.Heard {
+	front.Callback = func(body []byte) frontend.CallbackResult {
 		if b.Callback(body) {
-			return frontend.Taken
+			return frontend.CallbackAccepted
 		}
-		return frontend.Unreadable
+		return frontend.CallbackMalformed
 	}
 	one := &oneBackend{Backend: b, conns: back.Conns}
 	one.mayBeginFunc = one.mayBegin
@@ -185,7 +185,7 @@
 	c.backend = backend.New(back)
 	front.Loop = c.loop
 	front.Accept = func(ex *scheduler.Exchange) { m.accept(c, ex) }
-	front.Callback = func(body []byte) frontend.Heard { return m.callback(c, body) }
+	front.Callback = func(body []byte) frontend.CallbackResult { return m.callback(c, body) }
 	front.Crowded = func() { m.others(c, func(other *core) { other.frontend.ShedIdle() }) }
 	front.Refused = func(class int, why scheduler.Unsent) {
 		c.loop.Send(m.decider, func() { n.core.CountUnsent(class, why) })
@@ -280,7 +280,7 @@
 	if n.fleet != nil {
 		read = n.patched(read, n.fleet.patch)
 	}
-	next, ignored, err := n.read.Again(getenv, read)
+	next, ignored, err := n.read.Reload(getenv, read)
 	if err != nil {
 		n.log.Error("reloading the configuration failed; keeping the current one", "err", err)
 		n.loop.Post(func() { n.core.CountConfig(false) })
@@ -302,7 +302,7 @@
 		n.cfg = next
 		n.sharedCfg.Store(next)
 		if n.fleet != nil && n.fleet.agent != nil {
-			n.fleet.agent.Settings(n.settingsDigest())
+			n.fleet.agent.RecordSettings(n.settingsDigest())
 		}
 		n.core.CountConfig(true)
 		n.upgrade.peers.Send(handover.Message{Terms: n.core.Terms()})
--- a/balancer/platform/node/ports.go
+++ b/balancer/platform/node/ports.go
@@ -22,5 +22,5 @@
 	Pause(paused bool) // stops or resumes accepting clients
 	// Adopt serves a client's connection received from another process, on the given core, or on the node's own loop if core
 	// is below 0. It must be called in a turn of that loop, and calls accept before it returns.
-	Adopt(core int, g transport.Given, accept accept) error
+	Adopt(core int, g transport.PassedConn, accept accept) error
 }
--- a/balancer/platform/node/process_test.go
+++ b/balancer/platform/node/process_test.go
@@ -78,20 +78,20 @@
 	given   []*peer // client connections that were passed with SendConn
 }
 
-func (c *pipe) SendConn(b []byte, conn transport.Conn) transport.Given {
+func (c *pipe) SendConn(b []byte, conn transport.Conn) transport.PassedConn {
 	client := conn.(*peer)
 	c.far.loop.Post(func() { c.far.given = append(c.far.given, client) })
 	c.Write(b)
 	return client
 }
 
-func (c *pipe) Given() transport.Given {
+func (c *pipe) ReceivedConn() transport.PassedConn {
 	client := c.given[0]
 	c.given = c.given[1:]
 	return client
 }
 
-func (p *process) Adopt(core int, g transport.Given, accept accept) error {
+func (p *process) Adopt(core int, g transport.PassedConn, accept accept) error {
 	c := g.(*peer)
 	c.p, c.loop = p, append(p.loops, p.loop)[max(core, 0)]
 	c.handler = accept(c)
--- a/balancer/platform/node/sockets.go
+++ b/balancer/platform/node/sockets.go
@@ -54,7 +54,7 @@
 			targets[i].Engine = s.cores[i]
 		}
 	}
-	s.clients = s.Deal(ln, limit, targets, choose)
+	s.clients = s.ServeTargets(ln, limit, targets, choose)
 	return nil
 }
 
@@ -74,7 +74,7 @@
 	}
 }
 
-func (s *sockets) Adopt(core int, g transport.Given, accept accept) error {
+func (s *sockets) Adopt(core int, g transport.PassedConn, accept accept) error {
 	if core < 0 {
 		return s.Engine.Adopt(g, s.clients, accept)
 	}
--- a/balancer/platform/node/upgrade.go
+++ b/balancer/platform/node/upgrade.go
@@ -59,14 +59,14 @@
 	n.loop.Deadlines.Drop(n.upgrade.stateTimeout)
 	n.upgrade.stateTimeout = nil
 	if n.many != nil {
-		n.many.board.Heard(n.loop.Now())
+		n.many.board.RecordPulse(n.loop.Now())
 		n.many.pulse(n.ports.Echo, n.fail)
 		n.many.rebalance()
 	}
 	if state != nil {
 		list = state.List
-		if state.InFile == cfg.InFile() {
-			n.table.Move(state.Discovery) // a reload (SIGHUP) moved the old process there, while the environment may still have the old address
+		if state.InFile == cfg.FileDiscovery() {
+			n.table.SetDiscovery(state.Discovery) // a reload (SIGHUP) moved the old process there, while the environment may still have the old address
 		}
 	}
 	err := n.table.Recall(list)
@@ -82,7 +82,7 @@
 		n.fail(err)
 		return
 	}
-	n.table.Keep()
+	n.table.StartPushed()
 	n.serving = true
 	n.enter()
 	n.log.Info("serving", "name", cfg.Name, "listen", cfg.Listen, "takes over", state != nil)
@@ -113,7 +113,7 @@
 	}
 	if slices.Contains(n.upgrade.peers, l) && !n.handleDirect(l, m) {
 		n.applyShared(m)
-		n.upgrade.peers.But(l).Send(m)
+		n.upgrade.peers.Except(l).Send(m)
 	}
 }
 
@@ -140,7 +140,7 @@
 		n.leaveOnceDone()
 	case m.Callback != nil:
 		n.servers.PassCallback(m.Callback, func() {
-			n.upgrade.peers.But(l).Send(m)
+			n.upgrade.peers.Except(l).Send(m)
 			if n.upgrade.successor == l && n.upgrade.transferred > 0 {
 				l.Send(m) // the request may have been transferred while the call-back was in transit; this copy arrives after it
 			}
@@ -179,7 +179,7 @@
 		return
 	}
 	memory, ids := n.core.Snapshot()
-	l.Send(handover.Message{State: &handover.State{List: list, Discovery: n.table.Discovery(), InFile: n.cfg.InFile(),
+	l.Send(handover.Message{State: &handover.State{List: list, Discovery: n.table.Discovery(), InFile: n.cfg.FileDiscovery(),
 		Away: n.awayByOperator(), IDs: ids, Memory: memory}})
 	n.join(l)
 }
@@ -201,7 +201,7 @@
 		return
 	}
 	n.log.Info("link to another process of this scheduler ended", "err", err)
-	n.upgrade.peers = n.upgrade.peers.But(l)
+	n.upgrade.peers = n.upgrade.peers.Except(l)
 	n.core.Join(n.upgrade.peers)
 	n.setLimits()
 	if n.upgrade.successor == l {
@@ -224,8 +224,8 @@
 	n.ports.SetLimit(accepted)
 	n.clients.Limit(accepted)
 	n.servers.Limit(dialled)
-	if n.Paired != nil {
-		n.Paired(1 + len(n.upgrade.peers))
+	if n.ProcessCountChanged != nil {
+		n.ProcessCountChanged(1 + len(n.upgrade.peers))
 	}
 }
 
@@ -259,7 +259,7 @@
 
 // adopt continues a request that another process transferred.
 func (n *Node) adopt(l *handover.Link, j *handover.Job) {
-	if g := l.Given(); g != nil {
+	if g := l.ReceivedConn(); g != nil {
 		n.resumeRequest(g, j)
 		l.Send(handover.Message{Has: j.ID})
 	} else {
@@ -268,7 +268,7 @@
 }
 
 // resumeRequest continues a request, whose client is connected at g.
-func (n *Node) resumeRequest(g transport.Given, j *handover.Job) {
+func (n *Node) resumeRequest(g transport.PassedConn, j *handover.Job) {
 	ex := &scheduler.Exchange{ID: j.ID, Message: &j.Request}
 	if err := n.clients.Adopt(g, ex, j.Closes, n.ports.Adopt); err != nil {
 		n.log.Warn("can't adopt the client connection of a transferred request; dropped", "id", j.ID, "err", err)
@@ -280,7 +280,7 @@
 // unconfirmedTransfer is a transferred request that the other process has not confirmed yet.
 type unconfirmedTransfer struct {
 	job    *handover.Job
-	client transport.Given
+	client transport.PassedConn
 	to     *handover.Link
 }
 
--- a/balancer/platform/servertable/servertable.go
+++ b/balancer/platform/servertable/servertable.go
@@ -44,7 +44,7 @@
 	Network   transport.Network
 	Discovery string
 	// Pushed is set if an agent on this machine delivers the lists without the module's requests. The table then watches the
-	// agent from Keep on and renews a failed watch itself, without passing the failure to Listed.
+	// agent from StartPushed on and renews a failed watch itself, without passing the failure to Listed.
 	Pushed bool
 	Zones  []string
 	Kinds  []string
@@ -234,8 +234,8 @@
 	w.net = t.o.Network.Dial(t.o.Discovery, w)
 }
 
-// Keep opens the first watch if lists are pushed, as the module does not request one then: see Options.Pushed.
-func (t *Table) Keep() {
+// StartPushed opens the first watch if lists are pushed, as the module does not request one then: see Options.Pushed.
+func (t *Table) StartPushed() {
 	if t.o.Pushed {
 		t.renewDelay = minRenewal
 		t.Watch()
@@ -262,8 +262,8 @@
 // Discovery returns the address from which the list is read.
 func (t *Table) Discovery() string { return t.o.Discovery }
 
-// Move sets the address from which the list is read; it must be called before the first watch.
-func (t *Table) Move(discovery string) { t.o.Discovery = discovery }
+// SetDiscovery sets the address from which the list is read; it must be called before the first watch.
+func (t *Table) SetDiscovery(discovery string) { t.o.Discovery = discovery }
 
 // Follow switches to another discovery address. The watch on the old address is closed at once without counting as a failure:
 // the pause after a failure could outlast the time after which an update counts as delivered. The current list stays in
@@ -366,7 +366,7 @@
 		w.t.renew()
 		return
 	}
-	w.t.o.Listed(ravendale.Failed, nil)
+	w.t.o.Listed(ravendale.ListFailed, nil)
 }
 
 func (w *watch) Closed(err error) { w.fail(fmt.Sprintf("connection closed: %v", err)) }
--- a/balancer/scheduler/exchange.go
+++ b/balancer/scheduler/exchange.go
@@ -49,8 +49,8 @@
 	session *Session
 }
 
-// Left reports that the client has disconnected, so that the request no longer needs an answer.
-func (ex *Exchange) Left() {
+// ClientLeft reports that the client has disconnected, so that the request no longer needs an answer.
+func (ex *Exchange) ClientLeft() {
 	if ex.Relay != nil {
 		ex.Relay(ex.clientLeft)
 	} else {
--- a/balancer/scheduler/figures.go
+++ b/balancer/scheduler/figures.go
@@ -16,7 +16,7 @@
 
 	// Unsent counts, by reason, the requests answered as refused or failed that were never sent to a backend server. The
 	// fleet's benchmark prices each of them as refused, so an operator can weigh these against the cost of waiting longer.
-	Unsent [Unsents]int
+	Unsent [NumUnsent]int
 }
 
 // Unsent is the reason why a request ended without being sent. There is one for each code path that answers so, with a counter each.
@@ -28,13 +28,13 @@
 	NoStart                  // the module gave up while time was left: no ready server, budget or capacity in time
 	Leaving                  // the scheduler is stopping and accepts nothing new; another one may have capacity
 	NoCapacity               // the scheduler has reached its limit on requests in progress
-	Unsents                  // number of reasons
+	NumUnsent                // number of reasons
 )
 
 // String returns the reason's name in metrics and logs.
 func (u Unsent) String() string {
-	if u < Unsents {
-		return [Unsents]string{"no_time", "no_start", "leaving", "no_room"}[u]
+	if u < NumUnsent {
+		return [NumUnsent]string{"no_time", "no_start", "leaving", "no_room"}[u]
 	}
 	return "unsent(" + strconv.Itoa(int(u)) + ")"
 }
@@ -78,7 +78,7 @@
 // CountUnsent counts a request that a frontend refused itself, without sending it.
 func (s *Scheduler) CountUnsent(class int, why Unsent) {
 	s.Count(class, Refused)
-	if why < Unsents {
+	if why < NumUnsent {
 		s.figures.Unsent[why]++
 	}
 	if s.traces() {
--- a/balancer/scheduler/scheduler.go
+++ b/balancer/scheduler/scheduler.go
@@ -35,7 +35,7 @@
 	settings          ravendale.Settings
 	longest           time.Duration // longest client deadline in any settings so far
 	backend           Backend
-	peers             Twin               // nil until Join
+	peers             PeerProcesses      // nil until Join
 	elsewhereInFlight map[string]float64 // dispatches of the other process in flight, by server
 	table             ServerTable
 	log               *slog.Logger
@@ -71,7 +71,7 @@
 
 // Retune applies new settings to the requests that arrive from now on.
 func (s *Scheduler) Retune(settings ravendale.Settings) error {
-	if err := s.module.Retune(settings); err != nil {
+	if err := s.module.UpdateSettings(settings); err != nil {
 		return fmt.Errorf("settings: %w", err)
 	}
 	s.settings = settings
@@ -91,7 +91,7 @@
 
 // Leave tells the decision module that all requests, in progress or yet to arrive, must be answered within the given time.
 func (s *Scheduler) Leave(within time.Duration) {
-	s.feed(ravendale.Event{Kind: ravendale.Leaving, Left: within})
+	s.feed(ravendale.Event{Kind: ravendale.ShuttingDown, TimeLeft: within})
 }
 
 // WhenQuiet calls f, once, as soon as no request waits for its answer.
@@ -121,7 +121,7 @@
 // SetDetached takes a backend server out of service, or puts it back. A detached server receives no new dispatches, whatever
 // the server list says. SetDetached returns false if the server is unknown.
 func (s *Scheduler) SetDetached(worker string, detached bool) bool {
-	if !s.module.Knows(worker) {
+	if !s.module.HasWorker(worker) {
 		return false
 	}
 	if !detached {
--- a/balancer/scheduler/session.go
+++ b/balancer/scheduler/session.go
@@ -72,12 +72,12 @@
 func (s *Scheduler) arrived(n *Session, attempts []ravendale.AttemptSnapshot) {
 	f := &n.ex.Facts
 	s.feed(ravendale.Event{Kind: ravendale.JobArrived, Job: n.job, Class: f.Class, Tenant: f.Tenant, Key: f.Key,
-		Left: f.Left, Work: f.Work, Slots: f.Slots, Memory: f.Memory, Retry: f.Retry, Attempts: attempts})
+		TimeLeft: f.Left, Work: f.Work, Slots: f.Slots, Memory: f.Memory, Retry: f.Retry, Attempts: attempts})
 }
 
 func (n *Session) send(a *ravendale.Action) {
 	s, now := n.s, n.s.loop.Now()
-	d := &Dispatch{Session: n, Worker: a.Worker, Deadline: n.answerBy, number: len(n.dispatches), sendBy: a.By, sentAt: now}
+	d := &Dispatch{Session: n, Worker: a.Worker, Deadline: n.answerBy, number: len(n.dispatches), sendBy: a.SendBefore, sentAt: now}
 	if a.Wait > 0 {
 		d.Deadline = min(d.Deadline, now+a.Wait)
 	}
--- a/balancer/scheduler/twin.go
+++ b/balancer/scheduler/twin.go
@@ -7,16 +7,16 @@
 	"ravendale"
 )
 
-// Twin notifies the other processes of the same scheduler while a new version takes over from an old one.
-type Twin interface {
+// PeerProcesses notifies the other processes of the same scheduler while a new version takes over from an old one.
+type PeerProcesses interface {
 	Took(id string)      // a request is in progress here
 	Sent(worker string)  // a dispatch to that server has begun
 	Ended(worker string) // a dispatch to that server has ended
 }
 
-// Join sets the Twin that is notified from now on. The counts of dispatches elsewhere are reset: dispatches of processes that
-// have exited are over, and those that remaining processes have in flight now are no longer counted either.
-func (s *Scheduler) Join(t Twin) {
+// Join sets the PeerProcesses that are notified from now on. The counts of dispatches elsewhere are reset: dispatches of
+// processes that have exited are over, and those that remaining processes have in flight now are no longer counted either.
+func (s *Scheduler) Join(t PeerProcesses) {
 	s.peers = t
 	for worker, n := range s.elsewhereInFlight {
 		s.feed(ravendale.Event{Kind: ravendale.SentElsewhere, Worker: worker, Slots: -n})
--- a/balancer/transport/nbionet/conn.go
+++ b/balancer/transport/nbionet/conn.go
@@ -9,8 +9,8 @@
 	"ravendale/balancer/transport"
 )
 
-// attachSession attaches a session, usually a *conn, to nbio's connection. The lock makes this happen before the poller's first read in
-// a way that the race detector sees; it does not see the ordering by epoll.
+// attachSession attaches a session, usually a *conn, to nbio's connection. The lock makes this happen before the
+// poller's first read in a way that the race detector sees; it does not see the ordering by epoll.
 func attachSession(c *nbio.Conn, session any) {
 	c.Lock()
 	c.SetSession(session)
@@ -135,11 +135,11 @@
 	n.nb.Unlock()
 }
 
-// disconnect shuts down the connection, which the other end sees at once; the poller closes the descriptor when epoll reports the
-// shutdown. If another goroutine closed the descriptor, its number could be reused before the poller handles an event already
-// fetched for this connection: nbio (v1.6.8, poller_epoll.go:256) finds the connection of an event by descriptor number, and
-// would close the new one. Also, a close during the poller's epoll_wait did not end the connection at once: the system (seen
-// on Linux 6.18) released the socket only when that call returned.
+// disconnect shuts down the connection, which the other end sees at once; the poller closes the descriptor when epoll
+// reports the shutdown. If another goroutine closed the descriptor, its number could be reused before the poller
+// handles an event already fetched for this connection: nbio (v1.6.8, poller_epoll.go:256) finds the connection of an
+// event by descriptor number, and would close the new one. Also, a close during the poller's epoll_wait did not end the
+// connection at once: the system (seen on Linux 6.18) released the socket only when that call returned.
 func (n *conn) disconnect() {
 	n.Ignore()
 	n.shutdown(syscall.SHUT_RDWR)
--- a/balancer/transport/nbionet/echo.go
+++ b/balancer/transport/nbionet/echo.go
@@ -15,10 +15,10 @@
 	pending []func()
 }
 
-// Echo calls f, in a turn, after all data that has arrived by now on any connection of this engine (up to maxReadsPerConn buffers
-// per connection) has been passed on. It must be called in a turn. It sends a byte through the poller twice: data that arrived
-// before the first pass is read at the latest in the same poll round as the first byte, and the second byte is read in a later
-// round.
+// Echo calls f, in a turn, after all data that has arrived by now on any connection of this engine (up to
+// maxReadsPerConn buffers per connection) has been passed on. It must be called in a turn. It sends a byte through the
+// poller twice: data that arrived before the first pass is read at the latest in the same poll round as the first byte,
+// and the second byte is read in a later round.
 func (e *Engine) Echo(f func()) error {
 	if e.echo == nil {
 		near, far, err := pair()
--- a/balancer/transport/nbionet/gate.go
+++ b/balancer/transport/nbionet/gate.go
@@ -14,7 +14,7 @@
 // Serve accepts connections from a listener, up to limit at once; further ones wait in the system's accept queue. It takes
 // ownership of the listener. The listening socket may be shared with other processes: it is closed, but never shut down.
 func (e *Engine) Serve(ln net.Listener, limit int, accept func(transport.Conn) transport.Handler) *Gate {
-	return e.Deal(ln, limit, []Target{{e, accept}}, func() int { return 0 })
+	return e.ServeTargets(ln, limit, []Target{{e, accept}}, func() int { return 0 })
 }
 
 // Target is an engine that accepted connections may be passed to.
@@ -23,9 +23,9 @@
 	Accept func(transport.Conn) transport.Handler
 }
 
-// Deal is like Serve, but distributes the connections over several engines: choose returns the index of the target. It is
-// called on a goroutine of its own.
-func (e *Engine) Deal(ln net.Listener, limit int, targets []Target, choose func() int) *Gate {
+// ServeTargets is like Serve, but distributes the connections over several engines: choose returns the index of the
+// target. It is called on a goroutine of its own.
+func (e *Engine) ServeTargets(ln net.Listener, limit int, targets []Target, choose func() int) *Gate {
 	g := &Gate{ln: ln, targets: targets, choose: choose, limit: max(limit, 1)}
 	g.cond.L = &g.mu
 	e.gates = append(e.gates, g)
@@ -51,8 +51,8 @@
 // Close closes the listener; its accepted connections stay open.
 func (g *Gate) Close() { g.close() }
 
-// Pause stops accepting until Resume. Connections in the system's accept queue are left to other processes that listen on the
-// same socket.
+// Pause stops accepting until Resume. Connections in the system's accept queue are left to other processes that listen
+// on the same socket.
 func (g *Gate) Pause() { g.set(func() { g.paused = true }, time.Unix(1, 0)) }
 
 // Resume undoes Pause.
@@ -127,8 +127,8 @@
 
 func (e *Engine) accepted(std net.Conn, g *Gate, accept func(transport.Conn) transport.Handler) {
 	if _, unix := std.(*net.UnixConn); unix {
-		l := newLocal(e.loop, g)
-		e.serveLocal(l, std, func() transport.Handler { return accept(l) })
+		l := newUnixConn(e.loop, g)
+		e.serveUnix(l, std, func() transport.Handler { return accept(l) })
 		return
 	}
 	c, err := nbio.NBConn(std)
@@ -139,7 +139,8 @@
 	}
 	n := &conn{engine: e, nb: c, gate: g}
 	attachSession(c, n)
-	// Both in one turn: nbio fails on a write to a connection that was not added yet, and data that it reads waits for the turn.
+	// Both in one turn: nbio fails on a write to a connection that was not added yet, and data that it reads waits for
+	// the turn.
 	e.loop.Post(func() {
 		n.open = true
 		if err := e.add(c); err != nil {
--- a/balancer/transport/nbionet/listen.go
+++ b/balancer/transport/nbionet/listen.go
@@ -26,8 +26,8 @@
 	return ln, nil
 }
 
-// ListenUnix listens on a Unix socket that only its owner may connect to. It replaces an existing file at the path. Closing the
-// listener does not remove the file: by then it may belong to another process.
+// ListenUnix listens on a Unix socket that only its owner may connect to. It replaces an existing file at the path.
+// Closing the listener does not remove the file: by then it may belong to another process.
 func ListenUnix(path string) (net.Listener, error) {
 	path, done, err := shorten(path)
 	if err != nil {
--- a/balancer/transport/nbionet/nbionet.go
+++ b/balancer/transport/nbionet/nbionet.go
@@ -20,18 +20,18 @@
 	readBuffer  = 32 << 10
 	closeWithin = 200 * time.Millisecond
 
-	// maxReadsPerConn is the number of buffers read from one connection before the poller goes on to the next. It must cover a
-	// whole message, since nbio drops unread data when the other end has closed the connection after it.
+	// maxReadsPerConn is the number of buffers read from one connection before the poller goes on to the next. It must
+	// cover a whole message, since nbio drops unread data when the other end has closed the connection after it.
 	maxReadsPerConn = 4
-	// maxIgnored is the number of discarded bytes after which the connection is closed. Up to that they are read, so that the
-	// other end can receive an answer before the end of the connection.
+	// maxIgnored is the number of discarded bytes after which the connection is closed. Up to that they are read, so
+	// that the other end can receive an answer before the end of the connection.
 	maxIgnored = 1 << 20
 
 	maxSocketPath = 107 // maximum length of a Unix socket's path
 )
 
-// Turns is the event loop that owns all state. Post queues work for it. If Begin returns true, the caller may access the state
-// until it calls End.
+// Turns is the event loop that owns all state. Post queues work for it. If Begin returns true, the caller may access
+// the state until it calls End.
 type Turns interface {
 	Post(func())
 	Begin() bool
@@ -104,8 +104,8 @@
 	return e
 }
 
-// received passes on data that was read, in a turn of the poller. While another turn lasts, the poller waits and reads nothing, so
-// that senders are held back instead of their data piling up in this process's memory.
+// received passes on data that was read, in a turn of the poller. While another turn lasts, the poller waits and reads
+// nothing, so that senders are held back instead of their data piling up in this process's memory.
 func (e *Engine) received(c *nbio.Conn, n *conn, data []byte) {
 	if n.ignoring.Load() {
 		if n.ignored += len(data); n.ignored > maxIgnored {
@@ -131,11 +131,12 @@
 	return nil
 }
 
-// pollerRunning is the session of a connection that is used only by awaitPoller. It is closed once the poller reads that connection.
+// pollerRunning is the session of a connection that is used only by awaitPoller. It is closed once the poller reads
+// that connection.
 type pollerRunning chan struct{}
 
-// awaitPoller waits until the poller runs. nbio (v1.6.8) clears its stop flag when its loop begins, so a stop before that would
-// be lost and the loop would never end.
+// awaitPoller waits until the poller runs. nbio (v1.6.8) clears its stop flag when its loop begins, so a stop before
+// that would be lost and the loop would never end.
 func (e *Engine) awaitPoller() error {
 	near, far, err := pair()
 	if err != nil {
@@ -155,8 +156,8 @@
 	return err
 }
 
-// add adds a connection to nbio, or closes it if the engine is closed. nbio (v1.6.8) counts connections in a sync.WaitGroup:
-// adding one while Shutdown waits for the last is a data race and may panic with 'WaitGroup is reused'.
+// add adds a connection to nbio, or closes it if the engine is closed. nbio (v1.6.8) counts connections in a
+// sync.WaitGroup: adding one while Shutdown waits for the last is a data race and may panic with 'WaitGroup is reused'.
 func (e *Engine) add(c *nbio.Conn) error {
 	e.mu.RLock()
 	defer e.mu.RUnlock()
@@ -168,8 +169,8 @@
 	return err
 }
 
-// Close closes the listeners and all connections, and cancels dials; a connection established later is closed. nbio panics if
-// it is shut down without having been started, or twice.
+// Close closes the listeners and all connections, and cancels dials; a connection established later is closed. nbio
+// panics if it is shut down without having been started, or twice.
 func (e *Engine) Close() {
 	e.mu.Lock()
 	wasClosed := e.closed
@@ -190,13 +191,13 @@
 	_ = e.nb.Shutdown(ctx) // connections that are still open then end with the process
 }
 
-// Dial connects to a TCP address or, if addr begins with a slash, to a Unix socket. It dials TCP with the standard library and
-// adds the connection to nbio. nbio's own DialAsync uses the first four bytes of an IPv4 address that the standard library
-// returns in sixteen (net_unix.go:136 in v1.6.8), and so connects to 0.0.0.0: seen as 'connection refused' when dialling
-// discovery at 127.8.200.1.
+// Dial connects to a TCP address or, if addr begins with a slash, to a Unix socket. It dials TCP with the standard
+// library and adds the connection to nbio. nbio's own DialAsync uses the first four bytes of an IPv4 address that the
+// standard library returns in sixteen (net_unix.go:136 in v1.6.8), and so connects to 0.0.0.0: seen as 'connection
+// refused' when dialling discovery at 127.8.200.1.
 func (e *Engine) Dial(addr string, h transport.Handler) transport.Conn {
 	if strings.HasPrefix(addr, "/") {
-		return e.dialLocal(addr, h)
+		return e.dialUnix(addr, h)
 	}
 	ctx, cancel := context.WithTimeout(e.dials, e.timeout)
 	n := &conn{engine: e, handler: h, cancel: cancel}
@@ -208,9 +209,9 @@
 	return n
 }
 
-// dialLocal connects to a Unix socket.
-func (e *Engine) dialLocal(path string, h transport.Handler) transport.Conn {
-	l := newLocal(e.loop, nil)
+// dialUnix connects to a Unix socket.
+func (e *Engine) dialUnix(path string, h transport.Handler) transport.Conn {
+	l := newUnixConn(e.loop, nil)
 	l.handler = h
 	go func() {
 		short, done, err := shorten(path)
@@ -228,7 +229,7 @@
 			})
 			return
 		}
-		e.serveLocal(l, std, func() transport.Handler {
+		e.serveUnix(l, std, func() transport.Handler {
 			h.Connected()
 			return h
 		})
--- a/balancer/transport/nbionet/nbionet_test.go
+++ b/balancer/transport/nbionet/nbionet_test.go
@@ -81,8 +81,8 @@
 	l.owner.Post(f)
 }
 
-// A connection that is established while its engine closes is not passed to the owner: its other end sees it closed, and Close
-// does not wait for it. Until then, the test delays Close by blocking nbio's event of an earlier connection.
+// A connection that is established while its engine closes is not passed to the owner: its other end sees it closed,
+// and Close does not wait for it. Until then, the test delays Close by blocking nbio's event of an earlier connection.
 func TestDialDuringCloseIsClosed(t *testing.T) {
 	far, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -124,7 +124,8 @@
 	}
 }
 
-// Closing an engine cancels a dial in progress at once and reports that. Otherwise the dial would continue until its timeout.
+// Closing an engine cancels a dial in progress at once and reports that. Otherwise the dial would continue until its
+// timeout.
 func TestCloseCancelsDial(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -249,8 +250,9 @@
 	t.Fatal("the sent data was not read")
 }
 
-// Closing a connection with unread data discards small writes that the system has delayed (Nagle's algorithm), so TCP_NODELAY must
-// be set on all connections: accepted from an own or an inherited listener, dialled, and passed by another process.
+// Closing a connection with unread data discards small writes that the system has delayed (Nagle's algorithm), so
+// TCP_NODELAY must be set on all connections: accepted from an own or an inherited listener, dialled, and passed by
+// another process.
 func TestNoDelayIsSet(t *testing.T) {
 	e, o, accepted, near, far, _ := unixPair(t)
 	check := func(which string, c transport.Conn) {
@@ -294,7 +296,7 @@
 		<-far.data
 		adopted := newTestHandler()
 		o.run(func() {
-			err = e.Adopt(far.conn.(transport.ConnSender).Given(), nil, func(c transport.Conn) transport.Handler {
+			err = e.Adopt(far.conn.(transport.ConnSender).ReceivedConn(), nil, func(c transport.Conn) transport.Handler {
 				check("given", c)
 				adopted.conn = c
 				return adopted
--- a/balancer/transport/nbionet/unix.go
+++ b/balancer/transport/nbionet/unix.go
@@ -15,9 +15,10 @@
 	"ravendale/balancer/transport"
 )
 
-// unixConn is a connection on a Unix socket. It uses the standard library and two goroutines, because nbio v1.6.8 loses the part
-// of a write that the system does not accept at once on such a socket (conn_unix.go:719 keeps it only for TCP). With nbio, a
-// handover state larger than the socket's buffer arrived truncated, and the new process started without it.
+// unixConn is a connection on a Unix socket. It uses the standard library and two goroutines, because nbio v1.6.8 loses
+// the part of a write that the system does not accept at once on such a socket (conn_unix.go:719 keeps it only for
+// TCP). With nbio, a handover state larger than the socket's buffer arrived truncated, and the new process started
+// without it.
 type unixConn struct {
 	std  net.Conn
 	loop Turns
@@ -26,7 +27,7 @@
 	handler transport.Handler // accessed only in the owner's turns, as closed is
 	closed  bool
 
-	given []int // received descriptors; accessed only in the owner's turns
+	receivedFDs []int // received descriptors; accessed only in the owner's turns
 
 	mu       sync.Mutex
 	nonEmpty sync.Cond
@@ -41,8 +42,8 @@
 	fd int
 }
 
-// serveLocal starts serving a connection. It calls begin, which returns the handler, in a turn of the owner.
-func (e *Engine) serveLocal(l *unixConn, std net.Conn, begin func() transport.Handler) {
+// serveUnix starts serving a connection. It calls begin, which returns the handler, in a turn of the owner.
+func (e *Engine) serveUnix(l *unixConn, std net.Conn, begin func() transport.Handler) {
 	e.loop.Post(func() {
 		if l.std = std; l.closed {
 			l.release()
@@ -56,7 +57,7 @@
 	})
 }
 
-func newLocal(loop Turns, g *Gate) *unixConn {
+func newUnixConn(loop Turns, g *Gate) *unixConn {
 	l := &unixConn{loop: loop, gate: g}
 	l.nonEmpty.L = &l.mu
 	return l
@@ -73,7 +74,7 @@
 		fds := descriptors(rights[:m])
 		if n > 0 && l.loop.Begin() {
 			if !l.closed {
-				l.given, fds = append(l.given, fds...), nil
+				l.receivedFDs, fds = append(l.receivedFDs, fds...), nil
 				l.handler.Data(buf[:n])
 			}
 			l.loop.End()
@@ -142,8 +143,8 @@
 	}
 }
 
-// maxDescriptors is the maximum number of descriptors received by one read. The system ends a read after the descriptors of one
-// write.
+// maxDescriptors is the maximum number of descriptors received by one read. The system ends a read after the
+// descriptors of one write.
 const maxDescriptors = 4
 
 // descriptors returns the descriptors received with a read, from its control messages.
@@ -169,7 +170,7 @@
 }
 
 // SendConn implements transport.ConnSender.
-func (l *unixConn) SendConn(b []byte, c transport.Conn) transport.Given {
+func (l *unixConn) SendConn(b []byte, c transport.Conn) transport.PassedConn {
 	n, ok := c.(*conn)
 	if !ok || l.closed {
 		return nil
@@ -187,13 +188,13 @@
 	return passedConn(duplicate)
 }
 
-// Given implements transport.ConnSender.
-func (l *unixConn) Given() transport.Given {
-	if len(l.given) == 0 {
+// ReceivedConn implements transport.ConnSender.
+func (l *unixConn) ReceivedConn() transport.PassedConn {
+	if len(l.receivedFDs) == 0 {
 		return nil
 	}
-	g := passedConn(l.given[0])
-	l.given = l.given[1:]
+	g := passedConn(l.receivedFDs[0])
+	l.receivedFDs = l.receivedFDs[1:]
 	return g
 }
 
@@ -202,9 +203,9 @@
 
 func (g passedConn) Drop() { _ = syscall.Close(int(g)) }
 
-// Adopt serves a connection passed by another process. It calls accept before it returns, and must be called in a turn of the
-// engine's loop. If gate is not nil, the connection counts towards the gate's limit.
-func (e *Engine) Adopt(g transport.Given, gate *Gate, accept func(transport.Conn) transport.Handler) error {
+// Adopt serves a connection passed by another process. It calls accept before it returns, and must be called in a turn
+// of the engine's loop. If gate is not nil, the connection counts towards the gate's limit.
+func (e *Engine) Adopt(g transport.PassedConn, gate *Gate, accept func(transport.Conn) transport.Handler) error {
 	fd, ok := g.(passedConn)
 	if !ok || fd < 0 {
 		return errNoDescriptor
@@ -290,8 +291,8 @@
 	errNoPoller        = errors.New("cannot access nbio's epoll descriptor")
 )
 
-// maxQueued is the maximum number of bytes queued for the other process. Beyond it, the connection is closed: that process has
-// stopped reading.
+// maxQueued is the maximum number of bytes queued for the other process. Beyond it, the connection is closed: that
+// process has stopped reading.
 const maxQueued = 16 << 20
 
 var errQueueFull = errors.New("write queue is full: the other process does not read")
@@ -336,8 +337,8 @@
 // release closes the socket and all descriptors, and leaves the gate. It is called in a turn of the owner.
 func (l *unixConn) release() {
 	l.closed = true
-	closeAll(l.given)
-	l.given = nil
+	closeAll(l.receivedFDs)
+	l.receivedFDs = nil
 	l.mu.Lock()
 	l.closing = true
 	for _, p := range l.queue {
--- a/balancer/transport/nbionet/unix_test.go
+++ b/balancer/transport/nbionet/unix_test.go
@@ -12,7 +12,8 @@
 	"ravendale/balancer/transport"
 )
 
-// unixPair returns an engine and both ends of a Unix socket connection to itself; clients receives its accepted TCP connections.
+// unixPair returns an engine and both ends of a Unix socket connection to itself; clients receives its accepted TCP
+// connections.
 func unixPair(t *testing.T) (e *Engine, o owner, clients chan *testHandler, near, far *testHandler, path string) {
 	t.Helper()
 	e, o, clients = startEngine(t)
@@ -34,7 +35,8 @@
 	return e, o, clients, near, <-accepted, path
 }
 
-// A write to a Unix socket of any size arrives completely. nbio itself loses the part that the system does not accept at once.
+// A write to a Unix socket of any size arrives completely. nbio itself loses the part that the system does not accept
+// at once.
 func TestUnixSocketLargeWrite(t *testing.T) {
 	e, o, _, near, far, path := unixPair(t)
 	text := bytes.Repeat([]byte("0123456789abcdef"), 256<<10)
@@ -103,7 +105,7 @@
 	o.run(func() { near.conn.(transport.ConnSender).SendConn([]byte("with it"), held.conn).Drop() })
 	text := <-far.data
 	o.run(func() {
-		err = e.Adopt(far.conn.(transport.ConnSender).Given(), nil, func(c transport.Conn) transport.Handler {
+		err = e.Adopt(far.conn.(transport.ConnSender).ReceivedConn(), nil, func(c transport.Conn) transport.Handler {
 			adopted.conn = c
 			c.Write([]byte("answer"))
 			return adopted
@@ -138,11 +140,12 @@
 	e.testHandler.Data(b)
 }
 
-// An event that epoll reported for a closed connection must not close another connection that has reused the descriptor number.
-// The poller fetches the events of received data and of two closed connections in one call. While it passes on the data, the two
-// connections are closed or written to, and a third one is dialled, which gets both numbers: one during the dial, and one to stay.
+// An event that epoll reported for a closed connection must not close another connection that has reused the descriptor
+// number. The poller fetches the events of received data and of two closed connections in one call. While it passes on
+// the data, the two connections are closed or written to, and a third one is dialled, which gets both numbers: one
+// during the dial, and one to stay.
 func TestDescriptorReuseDuringEvents(t *testing.T) {
-	for how, leave := range map[string]func(c transport.Conn){
+	for how, endConn := range map[string]func(c transport.Conn){
 		"closed":  func(c transport.Conn) { c.Close() },
 		"written": func(c transport.Conn) { c.Write([]byte("too late")) },
 	} {
@@ -165,12 +168,12 @@
 			for range 4 {
 				dial()
 			}
-			newcomer := &conn{handler: newTestHandler()}
+			newConn := &conn{handler: newTestHandler()}
 			o.run(func() {
 				held[1].conn.(*conn).handler = dataHook{held[1], func() {
-					leave(held[2].conn)
-					leave(held[3].conn)
-					newcomer.connected(e.dial(context.Background(), far.Addr().String(), newcomer))
+					endConn(held[2].conn)
+					endConn(held[3].conn)
+					newConn.connected(e.dial(context.Background(), far.Addr().String(), newConn))
 				}}
 			})
 			o.Begin() // the poller waits for the turn with the first client's data, and fetches all later events in one call
@@ -193,15 +196,15 @@
 			}
 			o.End()
 			<-held[1].data
-			passed := make(chan struct{}) // closed after all events fetched by then were handled
+			handled := make(chan struct{}) // closed after all events fetched by then were handled
 			o.run(func() {
-				if err := e.Echo(func() { close(passed) }); err != nil {
+				if err := e.Echo(func() { close(handled) }); err != nil {
 					t.Error(err)
 				}
 			})
-			<-passed
+			<-handled
 			o.run(func() {
-				if closed, err := newcomer.nb.IsClosed(); closed {
+				if closed, err := newConn.nb.IsClosed(); closed {
 					t.Error("the new connection was closed: ", err)
 				}
 			})
@@ -212,7 +215,8 @@
 	}
 }
 
-// A passed connection must not stay in epoll, whose events would be attributed to the next connection with its descriptor number.
+// A passed connection must not stay in epoll, whose events would be attributed to the next connection with its
+// descriptor number.
 func TestCopyOutRemovesFromEpoll(t *testing.T) {
 	fds, _ := syscall.Socketpair(syscall.AF_UNIX, syscall.SOCK_STREAM, 0)
 	epoll, _ := syscall.EpollCreate1(0)
--- a/balancer/transport/transport.go
+++ b/balancer/transport/transport.go
@@ -30,12 +30,12 @@
 	// SendConn writes b and passes the connection c along with it; c's handler is not called any more. The result is this
 	// process's own copy of c, to be dropped once the other process has received it, or to be adopted again. If c can't be
 	// passed, SendConn returns nil and changes nothing.
-	SendConn(b []byte, c Conn) Given
-	// Given returns the next connection received, or nil. Connections arrive in the order of the data they were sent with, at
-	// the latest with the last byte of that data.
-	Given() Given
+	SendConn(b []byte, c Conn) PassedConn
+	// ReceivedConn returns the next connection received, or nil. Connections arrive in the order of the data they were
+	// sent with, at the latest with the last byte of that data.
+	ReceivedConn() PassedConn
 }
 
-// Given is a connection passed between processes that no engine serves yet. Drop closes this process's copy of it; the other
-// end sees the connection closed only once every process has closed its copy.
-type Given interface{ Drop() }
+// PassedConn is a connection passed between processes that no engine serves yet. Drop closes this process's copy of it;
+// the other end sees the connection closed only once every process has closed its copy.
+type PassedConn interface{ Drop() }
--- a/balancer/xmlfile/xmlfile.go
+++ b/balancer/xmlfile/xmlfile.go
@@ -48,14 +48,15 @@
 	return strings.Join(lines, "\n")
 }
 
-// Checker is implemented by values with further constraints. Check is called once the value has been read without problems, and
-// calls bad for each violation.
+// Checker is implemented by values with further constraints. Check is called once the value has been read without
+// problems, and calls bad for each violation.
 type Checker interface{ Check(bad func(reason string)) }
 
 // Read decodes text into the struct that v points to. A field is an attribute (tag `xml:"name,attr"`), a child element
-// (`xml:"name"`: a struct, a pointer to a struct if the element is optional, or a slice for any number), or not read (no tag).
-// A second tag `required:"true"` makes it mandatory. Attributes are strings, numbers, true or false, durations with a unit
-// ("250ms"), or implement encoding.TextUnmarshaler. Values that v already has are the defaults. The error is of type Problems.
+// (`xml:"name"`: a struct, a pointer to a struct if the element is optional, or a slice for any number), or not read
+// (no tag). A second tag `required:"true"` makes it mandatory. Attributes are strings, numbers, true or false,
+// durations with a unit ("250ms"), or implement encoding.TextUnmarshaler. Values that v already has are the defaults.
+// The error is of type Problems.
 func Read(file string, text []byte, root string, v any) error {
 	r := &reader{file: file}
 	top := r.parse(text)
@@ -300,8 +301,8 @@
 	return nil
 }
 
-// parseDuration parses a number with one unit, as the schema defines it. time.ParseDuration also accepts signs and sums, which are
-// mistakes in a file.
+// parseDuration parses a number with one unit, as the schema defines it. time.ParseDuration also accepts signs and
+// sums, which are mistakes in a file.
 func parseDuration(text string) (time.Duration, error) {
 	for _, unit := range []string{"us", "ms", "s", "min", "h"} {
 		number, found := strings.CutSuffix(text, unit)
--- a/bench_test.go
+++ b/bench_test.go
@@ -48,7 +48,7 @@
 }
 
 func (b *testBench) arrive(id JobID, class int, left time.Duration) []Action {
-	return b.handle(Event{Kind: JobArrived, Job: id, Class: class, Tenant: -1, Left: left})
+	return b.handle(Event{Kind: JobArrived, Job: id, Class: class, Tenant: -1, TimeLeft: left})
 }
 
 func (b *testBench) endAttempt(id JobID, attempt int, o Outcome) []Action {
--- a/checker_test.go
+++ b/checker_test.go
@@ -50,7 +50,7 @@
 func (c *checker) observeEvent(now time.Duration, ev *Event) {
 	switch ev.Kind {
 	case JobArrived:
-		c.jobs[ev.Job] = &checkedJob{class: ev.Class, deadline: now + ev.Left, open: true}
+		c.jobs[ev.Job] = &checkedJob{class: ev.Class, deadline: now + ev.TimeLeft, open: true}
 	case AttemptEnded:
 		j := c.jobs[ev.Job]
 		a := &j.attempts[ev.Attempt]
@@ -70,7 +70,7 @@
 }
 
 func (c *checker) observeList(now time.Duration, ev *Event) {
-	if ev.List == Failed {
+	if ev.List == ListFailed {
 		return
 	}
 	if ev.List != Delta {
@@ -239,9 +239,9 @@
 			c.checkAction(600*ms, send(1, "a"))
 		}},
 		{"too many sends in slow start", 0, func(c *checker) {
-			cold := readyEntry("a", 0, 0)
-			cold.StartedAt = 1
-			c.observeEvent(1, &Event{Kind: WorkersListed, List: Delta, Entries: []Entry{cold}})
+			warming := readyEntry("a", 0, 0)
+			warming.StartedAt = 1
+			c.observeEvent(1, &Event{Kind: WorkersListed, List: Delta, Entries: []Entry{warming}})
 			for range 4 {
 				c.checkAction(1, send(1, "a"))
 			}
@@ -255,7 +255,7 @@
 	for _, tc := range cases {
 		c := newChecker(testSettings())
 		c.observeEvent(0, &Event{Kind: WorkersListed, List: Cached, Entries: []Entry{readyEntry("a", 0, 0), readyEntry("b", 1, 1)}})
-		c.observeEvent(0, &Event{Kind: JobArrived, Job: 1, Class: tc.class, Left: time.Second})
+		c.observeEvent(0, &Event{Kind: JobArrived, Job: 1, Class: tc.class, TimeLeft: time.Second})
 		if tc.acts(c); len(c.breaches) == 0 {
 			t.Errorf("%s: the checker reported no breach", tc.name)
 		}
--- a/cmd/ravendale/fleet.go
+++ b/cmd/ravendale/fleet.go
@@ -330,7 +330,7 @@
 		if err != nil {
 			return fmt.Errorf("--at: %w", err)
 		}
-		epochByMember := a.Under(at.UnixMilli())
+		epochByMember := a.EpochsAt(at.UnixMilli())
 		for _, m := range a.Members {
 			if id, known := epochByMember[m]; known {
 				fmt.Printf("%s\t%v\n", m, id)
--- a/cmd/ravendale/main.go
+++ b/cmd/ravendale/main.go
@@ -108,8 +108,8 @@
 	if c.Cores != 0 {
 		cfg.Cores = c.Cores
 	}
-	if cfg.Cores < 1 || cfg.Cores > operator.MostCores {
-		return fmt.Errorf("--cores: %d is not between 1 and %d", cfg.Cores, operator.MostCores)
+	if cfg.Cores < 1 || cfg.Cores > operator.MaxCores {
+		return fmt.Errorf("--cores: %d is not between 1 and %d", cfg.Cores, operator.MaxCores)
 	}
 	processors := cfg.Cores // 1 unless the operator sets more: the platform's machine has a single core
 	if cfg.Cores > 1 {
@@ -131,7 +131,7 @@
 			return err
 		}
 	}
-	n.Paired = func(processes int) { limitMemory(cfg, processes) }
+	n.ProcessCountChanged = func(processes int) { limitMemory(cfg, processes) }
 	go func() {
 		for range hangup {
 			n.Reload(os.Getenv, os.ReadFile)
--- a/dispatcher.go
+++ b/dispatcher.go
@@ -41,8 +41,8 @@
 		d.handleArrival(ev)
 	case AttemptEnded:
 		d.handleOutcome(ev)
-	case JobStarted, JobProgressed, StreamBegan:
-		if j := d.jobs[ev.Job]; j != nil && ev.Kind == StreamBegan {
+	case JobStarted, JobProgressed, StreamStarted:
+		if j := d.jobs[ev.Job]; j != nil && ev.Kind == StreamStarted {
 			j.answerBy = never // the client is receiving the answer, so the deadline no longer applies
 		}
 		d.handleStart(ev)
@@ -70,8 +70,8 @@
 		d.inherit(ev.Snapshot)
 	case Learnt:
 		d.learn(ev.Snapshot)
-	case Leaving:
-		d.drain(d.now + ev.Left)
+	case ShuttingDown:
+		d.drain(d.now + ev.TimeLeft)
 	}
 	actions, d.actions = d.actions, nil
 	return actions
@@ -92,8 +92,8 @@
 	return d, nil
 }
 
-// Knows reports whether a worker is listed, or detached by an operator.
-func (d *Dispatcher) Knows(name string) bool {
+// HasWorker reports whether a worker is listed, or detached by an operator.
+func (d *Dispatcher) HasWorker(name string) bool {
 	_, detached := d.detached[name]
 	return detached || d.byName[name] != nil
 }
--- a/edge/dispatch/configure.go
+++ b/edge/dispatch/configure.go
@@ -94,7 +94,7 @@
 func (c *Core) updateSettings(s *service) {
 	settings := moduleSettings(&s.config, &c.config.Topology, &c.edges)
 	if !sameSettings(&s.settings, &settings) {
-		_ = s.module.Retune(settings) // if the module rejects them, its old settings stay in force
+		_ = s.module.UpdateSettings(settings) // if the module rejects them, its old settings stay in force
 	}
 	s.settings, s.edgesVersion = settings, c.edges.version
 }
--- a/edge/dispatch/job.go
+++ b/edge/dispatch/job.go
@@ -75,7 +75,7 @@
 	m.job, m.service = j, s
 	j.updateWaiting()
 	c.messages.schedule(m, phaseSubmitted, c.now+moduleTimeout)
-	c.queueEvent(s, ravendale.Event{Kind: ravendale.JobArrived, Job: ravendale.JobID(j.id), Class: 0, Tenant: -1, Left: jobDeadline, Retry: m.wasSubmitted})
+	c.queueEvent(s, ravendale.Event{Kind: ravendale.JobArrived, Job: ravendale.JobID(j.id), Class: 0, Tenant: -1, TimeLeft: jobDeadline, Retry: m.wasSubmitted})
 	m.wasSubmitted = true
 }
 
--- a/example_test.go
+++ b/example_test.go
@@ -23,29 +23,29 @@
 		return
 	}
 	now := time.Hour // any clock that never decreases
-	tell := func(ev ravendale.Event) {
+	handle := func(ev ravendale.Event) {
 		for _, a := range d.Handle(now, &ev, nil) {
 			switch a.Kind {
 			case ravendale.Send:
 				fmt.Printf("send job %d to %s\n", a.Job, a.Worker)
 			case ravendale.SetTimer:
-				fmt.Printf("wake me in %v\n", a.Wait)
+				fmt.Printf("set the timer to %v\n", a.Wait)
 			case ravendale.Refuse:
 				fmt.Printf("refuse job %d\n", a.Job)
 			}
 		}
 	}
-	tell(ravendale.Event{Kind: ravendale.WorkersListed, List: ravendale.Full, Entries: []ravendale.Entry{
+	handle(ravendale.Event{Kind: ravendale.WorkersListed, List: ravendale.Full, Entries: []ravendale.Entry{
 		{Worker: "alpha", State: ravendale.Ready, Weight: 1},
 	}})
-	tell(ravendale.Event{Kind: ravendale.JobArrived, Job: 7, Left: 10 * time.Second})
+	handle(ravendale.Event{Kind: ravendale.JobArrived, Job: 7, TimeLeft: 10 * time.Second})
 	now += 50 * time.Millisecond
-	tell(ravendale.Event{Kind: ravendale.AttemptEnded, Job: 7, Outcome: ravendale.Overloaded})
+	handle(ravendale.Event{Kind: ravendale.AttemptEnded, Job: 7, Outcome: ravendale.Overloaded})
 	now += 6 * time.Second
-	tell(ravendale.Event{Kind: ravendale.TimerFired})
+	handle(ravendale.Event{Kind: ravendale.TimerFired})
 	// Output:
 	// send job 7 to alpha
-	// wake me in 10s
-	// wake me in 50ms
+	// set the timer to 10s
+	// set the timer to 50ms
 	// refuse job 7
 }
--- a/fleet_test.go
+++ b/fleet_test.go
@@ -99,7 +99,7 @@
 			}
 		}
 		for ; float64(f.jobs) < 0.95*warmRate*20*(f.members[0].now-time.Hour).Seconds(); f.jobs++ {
-			f.handle(f.members[int(f.jobs)%len(f.members)], Event{Kind: JobArrived, Job: f.jobs, Class: 2, Tenant: -1, Left: 25 * time.Second})
+			f.handle(f.members[int(f.jobs)%len(f.members)], Event{Kind: JobArrived, Job: f.jobs, Class: 2, Tenant: -1, TimeLeft: 25 * time.Second})
 		}
 	}
 }
@@ -150,7 +150,7 @@
 			}
 		}
 		if maxOfLimit > 1 || minOfCapacity < 1.15 {
-			t.Errorf("%d dispatchers: a worker got up to %.2f of its limit, want at most 1; one got only %.2f of its capacity, want 1.15", n, maxOfLimit, minOfCapacity)
+			t.Errorf("%d dispatchers: a worker got up to %.2f of its limit, want at most 1; one got only %.2f of its capacity, want at least 1.15", n, maxOfLimit, minOfCapacity)
 		}
 	}
 }
--- a/internal/wire/compat_test.go
+++ b/internal/wire/compat_test.go
@@ -76,10 +76,10 @@
 			{Worker: "worker_b", Zone: -1, Kind: -1, Cell: -1, State: ravendale.Draining, Weight: 1},
 			{Worker: "worker_c", Zone: 1, Kind: 0, Cell: -1, State: ravendale.Removed, Weight: 1},
 		}}),
-		event(ravendale.Event{Kind: ravendale.JobArrived, Job: 4294967295, Class: 1, Tenant: 0, Key: 0x91f03b7c55d20a64, Left: 240 * time.Millisecond,
+		event(ravendale.Event{Kind: ravendale.JobArrived, Job: 4294967295, Class: 1, Tenant: 0, Key: 0x91f03b7c55d20a64, TimeLeft: 240 * time.Millisecond,
 			Work: 12 * time.Millisecond, Slots: 2, Memory: 3, Retry: true}),
-		event(ravendale.Event{Kind: ravendale.JobArrived, Job: 2, Class: -1, Tenant: -1, Left: time.Microsecond}),
-		event(ravendale.Event{Kind: ravendale.StreamBegan, Class: -1, Tenant: -1, Job: 2, Attempt: 1, Worker: "worker_a"}),
+		event(ravendale.Event{Kind: ravendale.JobArrived, Job: 2, Class: -1, Tenant: -1, TimeLeft: time.Microsecond}),
+		event(ravendale.Event{Kind: ravendale.StreamStarted, Class: -1, Tenant: -1, Job: 2, Attempt: 1, Worker: "worker_a"}),
 		event(ravendale.Event{Kind: ravendale.JobStarted, Class: -1, Tenant: -1, Job: 2, Attempt: 1, Worker: "worker_a"}),
 		event(ravendale.Event{Kind: ravendale.JobProgressed, Class: -1, Tenant: -1, Job: 2, Attempt: 1, Worker: "worker_a", Done: 0.5}),
 	}
@@ -110,7 +110,7 @@
 	b := AppendInstance(nil, "scheduler/3")
 	for _, a := range []ravendale.Action{
 		{Kind: ravendale.Send, Job: 4294967295, Worker: "worker_a"},
-		{Kind: ravendale.Send, Job: 1, Worker: "worker_a", Wait: 1500 * time.Nanosecond, By: time.Second},
+		{Kind: ravendale.Send, Job: 1, Worker: "worker_a", Wait: 1500 * time.Nanosecond, SendBefore: time.Second},
 		{Kind: ravendale.Cancel, Job: 1, Attempt: 2},
 		{Kind: ravendale.Refuse, Job: 1},
 		{Kind: ravendale.Refuse, Job: 1, Wait: time.Second},
--- a/internal/wire/reader.go
+++ b/internal/wire/reader.go
@@ -210,7 +210,7 @@
 		switch string(f.key) {
 		case "kind":
 			kind := f.uint(8)
-			if kind > uint64(ravendale.Failed) {
+			if kind > uint64(ravendale.ListFailed) {
 				return fmt.Errorf("unknown list kind %d", kind)
 			}
 			e.List = ravendale.ListKind(kind)
@@ -273,7 +273,7 @@
 
 var eventKinds = map[string]ravendale.EventKind{
 	"accept":      ravendale.JobArrived,
-	"started":     ravendale.StreamBegan,
+	"started":     ravendale.StreamStarted,
 	"progress":    ravendale.JobProgressed,
 	"resolved":    ravendale.AttemptEnded,
 	"client_left": ravendale.ClientLeft,
@@ -314,7 +314,7 @@
 	case "subject":
 		e.Key = f.hex()
 	case "remaining-us":
-		e.Left = f.micros()
+		e.TimeLeft = f.micros()
 	case "weight-hint-us":
 		e.Work = f.micros()
 	case "cores-needed":
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -161,7 +161,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got := all[2].Event.Left; got != 7*time.Microsecond {
+	if got := all[2].Event.TimeLeft; got != 7*time.Microsecond {
 		t.Errorf("remaining time after a 3 MiB field is %v, want 7µs", got)
 	}
 }
--- a/job.go
+++ b/job.go
@@ -60,7 +60,7 @@
 	meanRun     time.Duration // mean time from send to answer, of recent jobs
 	meanDev     time.Duration // mean deviation from meanRun
 	minRun      time.Duration // the shortest recent run: that job hardly waited at the worker
-	maxTimeLeft time.Duration // the largest Event.Left of an arrival
+	maxTimeLeft time.Duration // the largest Event.TimeLeft of an arrival
 	arrivals    float64       // number of arrivals
 	learnt      *learntStats  // observations of other dispatchers, until there are enough own ones
 }
@@ -73,7 +73,7 @@
 	}
 	j := &job{id: ev.Job, slots: max(ev.Slots, 1), open: true, maxAttempts: d.settings.MaxAttempts,
 		class: &d.settings.Classes[class], stats: d.stats[class]}
-	j.answerBy = min(d.now+ev.Left-answerMarginTicks*d.settings.Tick, d.drainDeadline)
+	j.answerBy = min(d.now+ev.TimeLeft-answerMarginTicks*d.settings.Tick, d.drainDeadline)
 	if d.arrivals.last == 0 {
 		d.arrivals.first = d.now
 	}
@@ -81,7 +81,7 @@
 	d.arrivals.last = d.now
 	d.setTarget(j, ev)
 	// Retries by clients don't count: workers in their slow start must not be sent more than what newly arrives.
-	if !ev.Retry && ev.Left >= j.stats.maxTimeLeft-j.stats.maxTimeLeft/100 {
+	if !ev.Retry && ev.TimeLeft >= j.stats.maxTimeLeft-j.stats.maxTimeLeft/100 {
 		d.arrivals.rate += 1 / rateWindow.Seconds()
 		d.estimateCapacity()
 	}
@@ -99,7 +99,7 @@
 // a job with less time left than the maximum of its class is older by the difference.
 func (d *Dispatcher) setTarget(j *job, ev *Event) {
 	c := j.stats
-	c.maxTimeLeft = max(c.maxTimeLeft, ev.Left)
+	c.maxTimeLeft = max(c.maxTimeLeft, ev.TimeLeft)
 	work, run := ev.Work, ev.Work
 	if work <= 0 {
 		work, run = c.meanRun, c.meanRun+c.meanDev
@@ -108,7 +108,7 @@
 	if j.class.LatencyTarget > 0 {
 		target := min(j.class.LatencyTarget+time.Duration(j.class.Stretch*float64(work)), c.maxTimeLeft)
 		// At least LatencyTarget: the mean deviation may be twice the mean, which would leave no time to start.
-		j.startBy = d.now + ev.Left - c.maxTimeLeft + max(target-run, j.class.LatencyTarget)
+		j.startBy = d.now + ev.TimeLeft - c.maxTimeLeft + max(target-run, j.class.LatencyTarget)
 	}
 	j.value = j.class.Value
 	if d.settings.ValuePerJob {
@@ -134,7 +134,7 @@
 // giveUp ends a job with a refusal if the client may safely retry, else with a failure.
 func (d *Dispatcher) giveUp(j *job) {
 	a := Action{Kind: Fail, Job: j.id}
-	if j.mayRefuse() { // some slots become free within a mean run; Wait is 0 if clients are not told
+	if j.mayRefuse() { // some slots become free within a mean run; Wait is 0 if the settings have no RetryAfter
 		a.Kind, a.Wait = Refuse, min(max(j.stats.meanRun, pendingRetryInterval), max(d.settings.MaxRetryAfter, 0))
 	}
 	d.actions = append(d.actions, a)
--- a/job_test.go
+++ b/job_test.go
@@ -46,7 +46,7 @@
 // could still be answered in time.
 func TestQueuedJobThatMissesLatencyTargetIsRefused(t *testing.T) {
 	b := newTestBench(t, startNoteSettings(), readyEntry("a", 0, 0))
-	b.handle(Event{Kind: JobArrived, Job: 1, Class: 0, Tenant: -1, Left: 6 * time.Second, Work: 500 * ms})
+	b.handle(Event{Kind: JobArrived, Job: 1, Class: 0, Tenant: -1, TimeLeft: 6 * time.Second, Work: 500 * ms})
 	startBy := 400*ms + 2*500*ms - 500*ms // latency target, less the expected run
 	b.advance(startBy - 10*ms)
 	b.requireNone(Refuse)
@@ -58,7 +58,7 @@
 func TestStreamedAnswerHasNoDeadline(t *testing.T) {
 	b := newTestBench(t, testSettings(), readyEntry("a", 0, 0))
 	b.arrive(1, 2, time.Second)
-	b.handle(Event{Kind: StreamBegan, Job: 1})
+	b.handle(Event{Kind: StreamStarted, Job: 1})
 	for range 400 {
 		b.advance(5 * ms)
 		b.requireNone(Fail)
@@ -77,7 +77,7 @@
 		{Kind: JobProgressed, Job: 1, Attempt: 7}, {Kind: JobStarted, Job: 99, Attempt: -1},
 		{Kind: AttemptEnded, Job: 1, Outcome: Cancelled, Closed: true}, {Kind: AttemptEnded, Job: 1, Outcome: OK, Closed: true},
 		{Kind: AttemptEnded, Job: 99}, {Kind: AttemptEnded, Job: 1, Attempt: 3}, {Kind: ProbeAnswered, Worker: "nobody"},
-		{Kind: StreamBegan, Job: 1}, {Kind: PeerMessage}, {Kind: TimerFired},
+		{Kind: StreamStarted, Job: 1}, {Kind: PeerMessage}, {Kind: TimerFired},
 	} {
 		for _, a := range b.handle(ev) {
 			if a.Kind != SetTimer {
@@ -96,16 +96,16 @@
 // allow it.
 func TestRefusalRetryAfter(t *testing.T) {
 	for name, tc := range map[string]struct {
-		told bool
-		most time.Duration
-		want time.Duration
+		allowed       bool
+		maxRetryAfter time.Duration
+		want          time.Duration
 	}{
 		"retry delay":              {true, 2 * time.Second, pendingRetryInterval},
 		"limited by MaxRetryAfter": {true, 10 * ms, 10 * ms},
 		"no RetryAfter":            {false, 2 * time.Second, 0},
 	} {
 		s := testSettings()
-		s.RetryAfter, s.MaxRetryAfter = tc.told, tc.most
+		s.RetryAfter, s.MaxRetryAfter = tc.allowed, tc.maxRetryAfter
 		b := newTestBench(t, s)
 		b.arrive(1, 0, s.Tick)
 		if got := b.requireOne(Refuse).Wait; got != tc.want {
--- a/members.go
+++ b/members.go
@@ -34,7 +34,7 @@
 
 // handleList applies an update of the worker list.
 func (d *Dispatcher) handleList(ev *Event) {
-	if ev.List == Failed {
+	if ev.List == ListFailed {
 		d.listRequest.requestAt = d.now + time.Duration(float64(d.listRequest.retryDelay)*(0.5+d.random.Float64()))
 		d.listRequest.retryDelay = min(2*d.listRequest.retryDelay, max(d.settings.AskWithin/4, listRetryDelay))
 		d.scheduleTimer(d.listRequest.requestAt)
--- a/members_test.go
+++ b/members_test.go
@@ -17,7 +17,7 @@
 	b.requireOne(WatchList)
 	var delays []time.Duration
 	for range 4 {
-		b.handle(Event{Kind: WorkersListed, List: Failed})
+		b.handle(Event{Kind: WorkersListed, List: ListFailed})
 		b.requireNone(WatchList)
 		failedAt := b.now
 		for len(b.actionsOf(WatchList)) == 0 {
@@ -58,7 +58,7 @@
 	b.handle(Event{Kind: WorkersListed, List: Full, Entries: []Entry{readyEntry("a", 0, 0), readyEntry("b", 0, 0)}})
 	expectOnly("b", 10)
 	b.handle(Event{Kind: WorkersListed, List: Full, Entries: []Entry{readyEntry("b", 0, 0)}})
-	if !b.d.Knows("a") || b.d.Knows("c") {
+	if !b.d.HasWorker("a") || b.d.HasWorker("c") {
 		t.Fatal("want a detached worker to be known although it is not listed, and no other worker")
 	}
 	b.handle(Event{Kind: WorkersListed, List: Delta, Entries: []Entry{readyEntry("a", 0, 0)}})
--- a/retry_test.go
+++ b/retry_test.go
@@ -49,13 +49,13 @@
 	for class, window := range []time.Duration{never / 2, 10*time.Second - 2*5*ms} {
 		id := JobID(class + 1)
 		b.arrive(id, class, 6*time.Second)
-		if by := b.requireOne(Send).By; by != never {
+		if by := b.requireOne(Send).SendBefore; by != never {
 			t.Errorf("class %d: the first attempt may be sent until %v, want no limit", class, by)
 		}
 		sentAt := b.now
 		b.now += ms
 		b.handle(Event{Kind: AttemptEnded, Job: id, Outcome: Reset})
-		if by := b.requireOne(Send).By; by != sentAt+window && by != sentAt+window-2*5*ms {
+		if by := b.requireOne(Send).SendBefore; by != sentAt+window && by != sentAt+window-2*5*ms {
 			t.Errorf("class %d: the retry may be sent until %v after the first attempt", class, by-sentAt)
 		}
 	}
--- a/rules_test.go
+++ b/rules_test.go
@@ -105,7 +105,7 @@
 	sim.nextID++
 	class := sim.rnd.IntN(len(sim.settings.Classes))
 	left := time.Duration(1+sim.rnd.IntN(100)) * sim.settings.Classes[class].Deadline / 100
-	sim.handle(Event{Kind: JobArrived, Job: sim.nextID, Class: class, Tenant: sim.rnd.IntN(3) - 1, Left: left,
+	sim.handle(Event{Kind: JobArrived, Job: sim.nextID, Class: class, Tenant: sim.rnd.IntN(3) - 1, TimeLeft: left,
 		Work: time.Duration(sim.rnd.IntN(3)) * time.Second})
 }
 
@@ -165,7 +165,7 @@
 		sim.handle(Event{Kind: WorkersListed, List: Full, Entries: slices.Concat(sim.entries[:4], entriesOfThreeKinds(600), sim.entries[2:4])})
 		return
 	case 0:
-		sim.handle(Event{Kind: WorkersListed, List: Failed})
+		sim.handle(Event{Kind: WorkersListed, List: ListFailed})
 		return
 	case 1:
 		e.State = Draining
--- a/schedule.go
+++ b/schedule.go
@@ -100,7 +100,7 @@
 
 // send starts an attempt.
 func (d *Dispatcher) send(j *job, w *worker) {
-	d.actions = append(d.actions, Action{Kind: Send, Job: j.id, Worker: w.Worker, By: d.retryUntil(j)})
+	d.actions = append(d.actions, Action{Kind: Send, Job: j.id, Worker: w.Worker, SendBefore: d.retryUntil(j)})
 	j.attempts = append(j.attempts, attempt{w: w, zone: w.Zone, cell: w.Cell, sentAt: d.now, inFlight: true, mayRun: true})
 	j.attemptsInFlight++
 	j.activeAttempts++
--- a/settings.go
+++ b/settings.go
@@ -107,9 +107,10 @@
 	ReportsInProbes             // only in answers to probes
 )
 
-// Retune replaces the settings for jobs that arrive from now on. Open jobs keep the class and the maximum number of
-// attempts that they arrived with. Zones and tenants must not change: Retune checks their number, the owner the rest.
-func (d *Dispatcher) Retune(s Settings) error {
+// UpdateSettings replaces the settings for jobs that arrive from now on. Open jobs keep the class and the maximum number of
+// attempts that they arrived with. Zones and tenants must not change: UpdateSettings checks their number, the owner must
+// check the rest.
+func (d *Dispatcher) UpdateSettings(s Settings) error {
 	if err := s.Validate(); err != nil {
 		return err
 	}
--- a/settings_test.go
+++ b/settings_test.go
@@ -37,7 +37,7 @@
 	run, longest := b.d.stats[2].meanRun, b.d.stats[2].maxTimeLeft
 	s.MaxAttempts = 1
 	s.Classes = []Class{s.Classes[2], s.Classes[1]}
-	if err := b.d.Retune(s); err != nil {
+	if err := b.d.UpdateSettings(s); err != nil {
 		t.Fatal(err)
 	}
 	if stats := b.d.stats[0]; run == 0 || stats.meanRun != run || stats.maxTimeLeft != longest {
@@ -49,10 +49,10 @@
 	b.endAttempt(3, 0, Error)
 	b.requireOne(Fail)
 	s.Classes[0].Deadline /= 5
-	if err := b.d.Retune(s); err != nil || b.d.stats[0].maxTimeLeft != 0 || b.d.stats[0].meanRun != run {
+	if err := b.d.UpdateSettings(s); err != nil || b.d.stats[0].maxTimeLeft != 0 || b.d.stats[0].meanRun != run {
 		t.Fatalf("after a change of the deadline: got error %v, statistics %+v, want maxTimeLeft 0 and the same meanRun", err, b.d.stats[0])
 	}
-	if s.MaxAttempts = 0; b.d.Retune(s) == nil {
+	if s.MaxAttempts = 0; b.d.UpdateSettings(s) == nil {
 		t.Fatal("settings with MaxAttempts 0 are accepted")
 	}
 }
