--- a/test/lab/backlog/backlog.go
+++ b/test/lab/backlog/backlog.go
@@ -17,42 +17,42 @@
 	"ravendale/store/server"
 )
 
-// Figures of a run that have no part in what is measured.
+// Parameters that have no influence on the measurements.
 const (
-	listenAt    = "127.0.0.1:0"
-	partitions  = 64
-	unconfirmed = 2000 // puts
-	retention   = 24 * time.Hour
-	retries     = 4
-	manyMb      = 1 << 20 // no limit of memory or disk is met
+	listenAt       = "127.0.0.1:0"
+	partitions     = 64
+	maxUnconfirmed = 2000 // puts sent and not yet acknowledged
+	retention      = 24 * time.Hour
+	retries        = 4
+	unlimitedMb    = 1 << 20 // large enough that no limit on memory or disk is reached
 )
 
-// ErrRefused is returned if the store does not accept a message.
-var ErrRefused = errors.New("backlog: the store refuses a message")
+// ErrRefused is returned if the store rejects a message.
+var ErrRefused = errors.New("backlog: store rejected a message")
 
-// Config of a run.
+// Config configures a run.
 type Config struct {
 	Dir      string // an empty folder
 	Messages int
 	Body     int // bytes of a message's body
 }
 
-// Result of a run. Times are of the whole run, bytes of all messages together.
+// Result holds the measurements of a run. Times and bytes are totals over all messages.
 type Result struct {
 	Messages, Body int
-	Filled         time.Duration // until all were acknowledged, each synced
-	FilledCPU      time.Duration // of the store and of who sends
-	Heap           int64         // bytes that the messages take in memory
-	Disk           int64         // bytes of files
-	Recovered      time.Duration // from start to the last message known
+	Filled         time.Duration // time until all puts were acknowledged, each after a sync to disk
+	FilledCPU      time.Duration // processor time of the store and of the sender
+	Heap           int64         // bytes of memory that the messages take
+	Disk           int64         // total size of the store's files
+	Recovered      time.Duration // time of the restart until all messages are loaded
 	RecoveredCPU   time.Duration
 	RecoveredHeap  int64
 }
 
-// Run fills a store, restarts it and measures both.
+// Run fills a store with messages, restarts it and measures both steps.
 func Run(ctx context.Context, config Config) (*Result, error) {
 	result := &Result{Messages: config.Messages, Body: config.Body}
-	empty := heap()
+	empty := heapBytes()
 	n, err := open(config.Dir)
 	if err != nil {
 		return nil, err
@@ -62,23 +62,23 @@
 		return nil, err
 	}
 	result.Filled, result.FilledCPU = time.Since(began), processorTime()-cpu
-	result.Heap = heap() - empty
+	result.Heap = heapBytes() - empty
 	if err := n.close(); err != nil {
 		return nil, err
 	}
-	if result.Disk, err = size(config.Dir); err != nil {
+	if result.Disk, err = dirSize(config.Dir); err != nil {
 		return nil, err
 	}
 	n = nil
-	empty = heap()
+	empty = heapBytes()
 	began, cpu = time.Now(), processorTime()
 	if n, err = open(config.Dir); err != nil {
 		return nil, err
 	}
 	result.Recovered, result.RecoveredCPU = time.Since(began), processorTime()-cpu
-	result.RecoveredHeap = heap() - empty
-	if kept := n.store.Status().Pending; kept != uint64(config.Messages) {
-		return nil, fmt.Errorf("backlog: %d of %d messages are there after the restart", kept, config.Messages)
+	result.RecoveredHeap = heapBytes() - empty
+	if pending := n.store.Status().Pending; pending != uint64(config.Messages) {
+		return nil, fmt.Errorf("backlog: %d of %d messages are pending after the restart", pending, config.Messages)
 	}
 	return result, n.close()
 }
@@ -98,7 +98,7 @@
 	n := &node{failed: make(chan error, 1)}
 	mux := rpc.NewMux()
 	n.store, err = server.Open(server.Config{
-		Settings: &settings.Settings{DataDir: dir, DiskMb: manyMb, MemoryMb: manyMb, Zone: "zone"}, Disk: disk, Mux: mux,
+		Settings: &settings.Settings{DataDir: dir, DiskMb: unlimitedMb, MemoryMb: unlimitedMb, Zone: "zone"}, Disk: disk, Mux: mux,
 		Failed: func(err error) {
 			select {
 			case n.failed <- err:
@@ -114,12 +114,12 @@
 	}); err != nil {
 		return nil, err
 	}
-	n.store.SetView(alone(disk, n.server.Address()))
+	n.store.SetView(singleStoreView(disk, n.server.Address()))
 	return n, nil
 }
 
-// alone is a placement in which one store has everything.
-func alone(disk, address string) *wire.StoreView {
+// singleStoreView returns a placement of all partitions on one store.
+func singleStoreView(disk, address string) *wire.StoreView {
 	view := &wire.StoreView{Epoch: 1, Copies: 1, Stores: []wire.Store{{Disk: disk, Address: address}}}
 	for range partitions {
 		view.Partitions = append(view.Partitions, wire.Placement{Replicas: []uint16{0}})
@@ -127,32 +127,33 @@
 	return view
 }
 
-// fill puts messages that wait, many at a time.
+// fill puts config.Messages messages, with up to maxUnconfirmed puts unacknowledged at a time.
 func (n *node) fill(ctx context.Context, config Config) error {
 	conn, err := rpc.Dial(ctx, n.server.Address(), rpc.Options{})
 	if err != nil {
 		return err
 	}
 	defer conn.Close()
-	answers := make(chan error, unconfirmed)
+	answers := make(chan error, maxUnconfirmed)
 	body := make([]byte, config.Body)
 	for i := range config.Messages {
-		if i >= unconfirmed {
-			if err := n.next(ctx, answers); err != nil {
+		if i >= maxUnconfirmed {
+			if err := n.awaitAnswer(ctx, answers); err != nil {
 				return err
 			}
 		}
 		put(conn, i, body, answers)
 	}
-	for range min(config.Messages, unconfirmed) {
-		if err := n.next(ctx, answers); err != nil {
+	for range min(config.Messages, maxUnconfirmed) {
+		if err := n.awaitAnswer(ctx, answers); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (n *node) next(ctx context.Context, answers <-chan error) error {
+// awaitAnswer waits for the result of one put, and fails if the store fails or ctx ends.
+func (n *node) awaitAnswer(ctx context.Context, answers <-chan error) error {
 	select {
 	case err := <-answers:
 		return err
@@ -163,6 +164,7 @@
 	}
 }
 
+// put sends message i without waiting; answers receives its result.
 func put(conn *rpc.Conn, i int, body []byte, answers chan<- error) {
 	partition := uint16(i % partitions)
 	id := wire.MessageID(partition, fmt.Sprintf("1abcdefghijkl-%d", i))
@@ -187,7 +189,7 @@
 	return n.store.Close()
 }
 
-func heap() int64 {
+func heapBytes() int64 {
 	runtime.GC()
 	runtime.GC()
 	var stats runtime.MemStats
@@ -203,7 +205,8 @@
 	return time.Duration(times.Utime.Nano() + times.Stime.Nano())
 }
 
-func size(dir string) (int64, error) {
+// dirSize returns the total size of the files in a folder and its subfolders.
+func dirSize(dir string) (int64, error) {
 	var total int64
 	err := filepath.WalkDir(dir, func(path string, entry fs.DirEntry, err error) error {
 		if err != nil || entry.IsDir() {
--- a/test/lab/backlog/backlog_test.go
+++ b/test/lab/backlog/backlog_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestMessagesThatWaitSurviveTheRestart(t *testing.T) {
+func TestRunRecoversMessagesAfterRestart(t *testing.T) {
 	ctx, cancel := context.WithTimeout(t.Context(), 30*time.Second)
 	defer cancel()
 	result, err := Run(ctx, Config{Dir: t.TempDir(), Messages: 3000, Body: 200})
@@ -19,7 +19,7 @@
 	require.Positive(t, result.Recovered)
 }
 
-func TestAFillThatIsStoppedIsAnError(t *testing.T) {
+func TestRunCancelledDuringFill(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
 	_, err := Run(ctx, Config{Dir: t.TempDir(), Messages: 3000, Body: 200})
--- a/test/lab/backlog/doc.go
+++ b/test/lab/backlog/doc.go
@@ -1,3 +1,3 @@
-// Package backlog measures what waiting messages cost a store: memory, disk, processor time, and the time of a restart. The store is
-// the real one, with its journal on a real disk, alone: a copy on another store costs that one the same.
+// Package backlog measures what pending messages cost a store: memory, disk, processor time and restart time. It runs a single
+// real store with its journal on a real disk. A replica on another store costs that store the same.
 package backlog
--- a/test/lab/child.go
+++ b/test/lab/child.go
@@ -10,14 +10,16 @@
 	"time"
 )
 
-// child is a process of this run.
+// child is a process that the runner started.
 type child struct {
 	cmd    *exec.Cmd
 	stdout *bufio.Reader
-	stop   io.Closer
+	stdin  io.Closer
 	log    *bytes.Buffer
 }
 
+// start starts this program with a command and writes its spec to stdin as one line of JSON. The
+// child ends when its stdin is closed.
 func (r *Runner) start(verb string, spec any) (*child, error) {
 	text, err := json.Marshal(spec)
 	if err != nil {
@@ -33,7 +35,7 @@
 	if err != nil {
 		return nil, err
 	}
-	c.stdout, c.stop = bufio.NewReader(stdout), in
+	c.stdout, c.stdin = bufio.NewReader(stdout), in
 	if err := c.cmd.Start(); err != nil {
 		return nil, err
 	}
@@ -44,7 +46,7 @@
 func (c *child) readLine() (string, error) {
 	line, err := c.stdout.ReadString('\n')
 	if err != nil {
-		return "", fmt.Errorf("%s: %w: %s", c.cmd.Args[1], err, c.log)
+		return "", fmt.Errorf("child process %s wrote no line: %w: %s", c.cmd.Args[1], err, c.log)
 	}
 	return line, nil
 }
@@ -56,9 +58,9 @@
 	}
 }
 
-// report ends a child and reads what it saw.
-func (c *child) report(v any) error {
-	_ = c.stop.Close()
+// stopAndReadReport closes the child's stdin, which ends it, and decodes the report that it writes.
+func (c *child) stopAndReadReport(v any) error {
+	_ = c.stdin.Close()
 	line, err := c.readLine()
 	if err != nil {
 		return err
@@ -66,10 +68,10 @@
 	return json.Unmarshal([]byte(line), v)
 }
 
-// cpuOf is the processor time that children used so far; one that has ended counts as none.
-func cpuOf(children []*child) (sum time.Duration) {
+// cpuTime returns the processor time that the children have used so far. A child that has exited counts as 0.
+func cpuTime(children []*child) (sum time.Duration) {
 	for _, c := range children {
-		if u, err := usage(c.cmd.Process.Pid); err == nil {
+		if u, err := readUsage(c.cmd.Process.Pid); err == nil {
 			sum += u.user + u.system
 		}
 	}
--- a/test/lab/counters.go
+++ b/test/lab/counters.go
@@ -12,26 +12,26 @@
 	"golang.org/x/sys/unix"
 )
 
-// counters count the instructions and cycles of a process by the processor's own counters, where the machine has them:
-// unlike times they do not depend on what else runs there. See perf_event_open(2).
-type counters struct {
-	fds []int // instructions and cycles by turns, a pair for each thread
+// perfCounters counts the instructions and cycles of a process with the processor's hardware counters, where the machine has
+// them. Unlike times, these counts do not depend on the other processes of the machine. See perf_event_open(2).
+type perfCounters struct {
+	fds []int // for each thread one of instructions, followed by one of cycles
 }
 
-// count begins to count for the threads that a process has, and those that they start.
-func count(pid int) (*counters, error) {
+// startCounters starts counting for the threads of a process and for the threads that they start.
+func startCounters(pid int) (*perfCounters, error) {
 	tasks, err := os.ReadDir(fmt.Sprintf("/proc/%d/task", pid))
 	if err != nil {
 		return nil, err
 	}
-	c := &counters{}
+	c := &perfCounters{}
 	for _, task := range tasks {
 		tid, err := strconv.Atoi(task.Name())
 		if err != nil {
 			continue
 		}
-		for _, what := range []uint64{unix.PERF_COUNT_HW_INSTRUCTIONS, unix.PERF_COUNT_HW_CPU_CYCLES} {
-			attr := unix.PerfEventAttr{Type: unix.PERF_TYPE_HARDWARE, Config: what, Bits: unix.PerfBitInherit}
+		for _, event := range []uint64{unix.PERF_COUNT_HW_INSTRUCTIONS, unix.PERF_COUNT_HW_CPU_CYCLES} {
+			attr := unix.PerfEventAttr{Type: unix.PERF_TYPE_HARDWARE, Config: event, Bits: unix.PerfBitInherit}
 			attr.Size = uint32(unsafe.Sizeof(attr))
 			fd, err := unix.PerfEventOpen(&attr, tid, -1, -1, unix.PERF_FLAG_FD_CLOEXEC)
 			if err != nil {
@@ -44,8 +44,8 @@
 	return c, nil
 }
 
-// read returns what was counted since count.
-func (c *counters) read() (instructions, cycles float64) {
+// read returns the counts since startCounters.
+func (c *perfCounters) read() (instructions, cycles float64) {
 	for i, fd := range c.fds {
 		var b [8]byte
 		if n, err := unix.Read(fd, b[:]); err != nil || n != len(b) {
@@ -60,14 +60,15 @@
 	return instructions, cycles
 }
 
-func (c *counters) close() {
+func (c *perfCounters) close() {
 	for _, fd := range c.fds {
 		_ = unix.Close(fd)
 	}
 }
 
-// stolen returns the ticks that the machine's processors had in all, and those of them that its host gave to others.
-func stolen() (all, steal float64) {
+// stealTicks returns the total ticks of the machine's processors and the steal ticks among them, which the hypervisor
+// gave to other guests. Both are 0 if /proc/stat can't be read.
+func stealTicks() (total, steal float64) {
 	text, err := os.ReadFile("/proc/stat")
 	if err != nil {
 		return 0, 0
@@ -75,10 +76,10 @@
 	line, _, _ := bytes.Cut(text, []byte("\n"))
 	for i, word := range strings.Fields(string(line)) {
 		if v, err := strconv.ParseFloat(word, 64); err == nil && i <= 8 {
-			if all += v; i == 8 {
+			if total += v; i == 8 {
 				steal = v
 			}
 		}
 	}
-	return all, steal
+	return total, steal
 }
--- a/test/lab/doc.go
+++ b/test/lab/doc.go
@@ -1,3 +1,3 @@
-// Package lab plays the systems that ravendale serves on loopback sockets, drives load at it, and runs experiments. It is
-// for this project's own measurements and tests; nothing of it is linked into the scheduler.
+// Package lab emulates the systems around the scheduler (nodes, discovery and clients) on loopback sockets, generates load
+// and runs experiments. It serves this project's own measurements and tests; the scheduler does not link any of it.
 package lab
--- a/test/lab/experiment.go
+++ b/test/lab/experiment.go
@@ -11,13 +11,13 @@
 	"ravendale/test/emulator"
 )
 
-// Experiment is what an experiment file says.
+// Experiment is the content of an experiment file.
 type Experiment struct {
 	Name     string    `xml:"name,attr" required:"true"`
 	About    string    `xml:"about,attr"`
 	Seed     uint64    `xml:"seed,attr"`
-	Drivers  int       `xml:"drivers,attr"` // processes of clients
-	Fleets   int       `xml:"fleets,attr"`  // processes of nodes
+	Drivers  int       `xml:"drivers,attr"` // number of client processes
+	Fleets   int       `xml:"fleets,attr"`  // number of node processes
 	Rules    RulesXML  `xml:"rules" required:"true"`
 	Nodes    []Nodes   `xml:"nodes" required:"true"`
 	Classes  []Class   `xml:"class" required:"true"`
@@ -25,10 +25,11 @@
 	Variants []Variant `xml:"variant" required:"true"`
 	Expect   []Expect  `xml:"expect"`
 
-	figures []string // that are shown, if not figureNames
+	shownFigures []string // figures to report; figureNames if nil
 }
 
-// RulesXML are emulator.Rules in a file, and the scheduler's grace on drains.
+// RulesXML holds emulator.Rules as an experiment file gives them, and the scheduler's own rules for drains, discovery and
+// attempts.
 type RulesXML struct {
 	SlowStartFrom float64       `xml:"cold-from,attr"`
 	SlowStartFor  time.Duration `xml:"cold-for,attr"`
@@ -37,27 +38,27 @@
 	DownFor       time.Duration `xml:"down-for,attr"`
 	Drain         time.Duration `xml:"drain-within,attr"`
 	StopsRunning  bool          `xml:"cancel-stops,attr"`
-	Falls         bool          `xml:"falls,attr"`     // an overfed cold node goes down; else it is only counted
-	Discovery     string        `xml:"discovery,attr"` // how lists come: "ask" (the default) or "push"
-	Attempts      int           `xml:"attempts,attr"`  // the most for a job, 6 if not given
+	Falls         bool          `xml:"falls,attr"`     // an overloaded cold node goes down; otherwise the overload is only counted
+	Discovery     string        `xml:"discovery,attr"` // how the scheduler receives node lists: "ask" (the default) or "push"
+	Attempts      int           `xml:"attempts,attr"`  // maximum per job; 6 if not given
 }
 
 // Check implements xmlfile.Checker.
 func (r *RulesXML) Check(bad func(string)) {
 	if !slices.Contains([]string{"", "ask", "push"}, r.Discovery) {
-		bad("discovery is ask or push")
+		bad("discovery must be ask or push")
 	}
 	if r.Attempts < 0 {
-		bad("attempts is 1 or more")
+		bad("attempts must be 1 or more, or 0 for the default")
 	}
 }
 
-func (r *RulesXML) model() emulator.Rules {
+func (r *RulesXML) emulatorRules() emulator.Rules {
 	return emulator.Rules{SlowStartFrom: r.SlowStartFrom, SlowStartFor: r.SlowStartFor, OverloadMultiple: r.FallMultiple, OverloadSpan: r.FallSpan,
 		DownFor: r.DownFor, CancelStopsRunning: r.StopsRunning}
 }
 
-// Nodes are some nodes of one kind.
+// Nodes describes a group of identical nodes.
 type Nodes struct {
 	Kind  string  `xml:"kind,attr" required:"true"`
 	Count int     `xml:"count,attr" required:"true"`
@@ -71,11 +72,11 @@
 // Check implements xmlfile.Checker.
 func (n *Nodes) Check(bad func(string)) {
 	if n.Count < 1 || n.Count > 10000 || n.Speed <= 0 || n.Cores <= 0 || n.Slots < 1 {
-		bad("count is 1 to 10000, speed and cores are above 0, and slots from 1 on")
+		bad("count must be 1 to 10000, speed and cores above 0, and slots 1 or more")
 	}
 }
 
-// Class is a class of jobs, as clients ask for it and as the scheduler is configured.
+// Class is a class of jobs: how clients request it and how the scheduler is configured for it.
 type Class struct {
 	Name          string        `xml:"name,attr" required:"true"`
 	Effect        string        `xml:"effect,attr" required:"true"` // idempotent, keyed or once
@@ -86,22 +87,22 @@
 	LatencyTarget time.Duration `xml:"aim,attr" required:"true"`
 	Stretch       float64       `xml:"stretch,attr"`
 	Value         float64       `xml:"worth,attr"`
-	Kind          string        `xml:"kind,attr"`   // the only kind of node that runs it, any if not given
-	Window        time.Duration `xml:"window,attr"` // how long nodes drop a duplicate of a keyed job, 7.5s if not given
-	Late          float64       `xml:"late,attr"`   // the part of its value that a late answer earns
+	Kind          string        `xml:"kind,attr"`   // the only kind of node that runs it; any kind if not given
+	Window        time.Duration `xml:"window,attr"` // how long nodes drop duplicates of a keyed job; 7.5s if not given
+	Late          float64       `xml:"late,attr"`   // the fraction of its value that a late answer earns
 }
 
 // Check implements xmlfile.Checker.
 func (c *Class) Check(bad func(string)) {
 	if !slices.Contains([]string{"idempotent", "keyed", "once"}, c.Effect) {
-		bad("effect is idempotent, keyed or once")
+		bad("effect must be idempotent, keyed or once")
 	}
 	if c.Share <= 0 || c.Work <= 0 || c.GiveUp < time.Millisecond {
-		bad("share and work are above 0, and give-up is 1ms or more")
+		bad("share and work must be above 0, and give-up 1ms or more")
 	}
 }
 
-// Phase is one kind of load on each variant.
+// Phase is one load profile, run against each variant.
 type Phase struct {
 	Name     string        `xml:"name,attr" required:"true"`
 	Callers  int           `xml:"callers,attr"`
@@ -109,7 +110,7 @@
 	Rate     float64       `xml:"rate,attr"`
 	WarmUp   time.Duration `xml:"warm-up,attr"`
 	For      time.Duration `xml:"for,attr" required:"true"`
-	Short    time.Duration `xml:"short,attr"` // in place of For, with --short
+	Short    time.Duration `xml:"short,attr"` // replaces For with --short
 	Restarts []RestartXML  `xml:"restart"`
 	Stalls   []StallXML    `xml:"stall"`
 	Acts     []ActXML      `xml:"act"`
@@ -118,74 +119,74 @@
 // Check implements xmlfile.Checker.
 func (p *Phase) Check(bad func(string)) {
 	if (p.Callers > 0) == (p.Rate > 0) {
-		bad("either callers or a rate above 0 is wanted")
+		bad("exactly one of callers and rate must be above 0")
 	}
 }
 
-// RestartXML has every so manieth node drained and begun anew, one after the other.
+// RestartXML drains and restarts every n-th node, one after the other.
 type RestartXML struct {
 	Every int           `xml:"every,attr" required:"true"` // 4: every fourth node
-	At    time.Duration `xml:"at,attr" required:"true"`    // of the first drain, from the begin of what is measured
-	Step  time.Duration `xml:"step,attr" required:"true"`
+	At    time.Duration `xml:"at,attr" required:"true"`    // time of the first drain, from the start of the measurement
+	Step  time.Duration `xml:"step,attr" required:"true"`  // from one drain to the next
 	Drain time.Duration `xml:"drain,attr" required:"true"` // from the drain to the restart
 }
 
-// StallXML has the scheduler's process stand still (SIGSTOP, SIGCONT) for a while.
+// StallXML pauses the scheduler's process with SIGSTOP and resumes it with SIGCONT.
 type StallXML struct {
 	At  time.Duration `xml:"at,attr" required:"true"`
 	For time.Duration `xml:"for,attr" required:"true"`
 }
 
-// ActXML is something that operators do.
+// ActXML is an operator's action.
 type ActXML struct {
 	At    time.Duration `xml:"at,attr" required:"true"`
-	Do    string        `xml:"do,attr" required:"true"` // see acts
-	Node  int           `xml:"node,attr"`               // by its number, for 'hand'
-	For   time.Duration `xml:"for,attr"`                // until it is undone: clients are back, the node is put back
-	Cores int           `xml:"cores,attr"`              // of the new version
+	Do    string        `xml:"do,attr" required:"true"` // see actKinds
+	Node  int           `xml:"node,attr"`               // number of the node, for 'hand'
+	For   time.Duration `xml:"for,attr"`                // time until the action is undone
+	Cores int           `xml:"cores,attr"`              // number of cores of the new version
 }
 
-// acts are what can be done: the configuration is read again; clients are sent away; a node is taken out by hand, begins
-// anew and is put back; a new version takes over.
-var acts = []string{"reload", "away", "hand", "upgrade"}
+// actKinds lists the actions: reload the configuration; turn clients away ("away"); detach a node by hand, restart it and
+// attach it again ("hand"); replace the scheduler with a new version ("upgrade").
+var actKinds = []string{"reload", "away", "hand", "upgrade"}
 
 // Check implements xmlfile.Checker.
 func (a *ActXML) Check(bad func(string)) {
-	if !slices.Contains(acts, a.Do) {
-		bad("do is one of " + strings.Join(acts, ", "))
+	if !slices.Contains(actKinds, a.Do) {
+		bad("do must be one of " + strings.Join(actKinds, ", "))
 	}
 	if a.Cores < 0 || a.Node < 0 || (a.Do == "hand" || a.Do == "away") && a.For <= 0 {
-		bad("cores and node are no less than 0, and for is above 0 where something is undone")
+		bad("cores and node must be 0 or more, and for must be above 0 with hand and away")
 	}
 }
 
-// Variant is one way to run the scheduler.
+// Variant is one build and configuration of the scheduler.
 type Variant struct {
 	Name   string `xml:"name,attr" required:"true"`
 	Cores  int    `xml:"cores,attr"`
-	Binary string `xml:"binary,attr"` // in place of the one given to run
+	Binary string `xml:"binary,attr"` // replaces Runner.Binary
 	GoGC   string `xml:"gogc,attr"`
 }
 
-// Expect is what must hold of a figure.
+// Expect is a bound on a figure.
 type Expect struct {
 	Figure  string  `xml:"figure,attr" required:"true"`
-	Phase   string  `xml:"phase,attr"`   // all, if empty
-	Variant string  `xml:"variant,attr"` // all, if empty
-	Of      string  `xml:"of,attr"`      // as a ratio to that variant's
+	Phase   string  `xml:"phase,attr"`   // all phases if empty
+	Variant string  `xml:"variant,attr"` // all variants if empty
+	Of      string  `xml:"of,attr"`      // if set, the bound is on the ratio to this variant's figure
 	Most    float64 `xml:"most,attr"`
 	Least   float64 `xml:"least,attr"`
-	Aim     bool    `xml:"aim,attr"` // is reported, and fails nothing
+	Aim     bool    `xml:"aim,attr"` // a missed aim is reported but is not a failure
 	atMost  bool
 }
 
 // Check implements xmlfile.Checker.
 func (e *Expect) Check(bad func(string)) {
 	if !slices.Contains(figureNames, e.Figure) && !slices.Contains(fleetFigures, e.Figure) {
-		bad("figure is one of " + strings.Join(figureNames, ", ") + ", or for a fleet " + strings.Join(fleetFigures, ", "))
+		bad("figure must be one of " + strings.Join(figureNames, ", ") + ", or for a fleet " + strings.Join(fleetFigures, ", "))
 	}
 	if e.atMost = e.Least == 0; e.Most != 0 && e.Least != 0 {
-		bad("either most or least is wanted")
+		bad("most and least exclude each other")
 	}
 }
 
@@ -194,7 +195,7 @@
 	names := make(map[string]bool)
 	for _, v := range x.Variants {
 		if names[v.Name] {
-			bad("two variants are called " + v.Name)
+			bad("two variants are named " + v.Name)
 		}
 		names[v.Name] = true
 	}
@@ -204,7 +205,7 @@
 	}
 	for _, e := range x.Expect {
 		if e.Variant != "" && !names[e.Variant] || e.Of != "" && !names[e.Of] || e.Phase != "" && !phases[e.Phase] {
-			bad(fmt.Sprintf("what is expected of %s names a variant or phase that is not there", e.Figure))
+			bad(fmt.Sprintf("the expectation on %s names an unknown variant or phase", e.Figure))
 		}
 	}
 }
@@ -220,7 +221,7 @@
 	return x, nil
 }
 
-// settings are what the scheduler is given of the experiment, in the platform's form.
+// settings returns the scheduler's settings for the experiment, in the platform's format.
 func (x *Experiment) settings(sites, kinds []string) map[string]any {
 	var classes []map[string]any
 	var kindOf []int
@@ -247,22 +248,23 @@
 	}
 }
 
-// fleet names the nodes, and says how each listens and is listed.
-func (x *Experiment) fleet(dial func(i int) string) (specs []NodeSpec, hosts []listed, sites, kinds []string) {
+// buildFleet names the nodes and returns for each its listen address and its entry in discovery's list. The node with number
+// i listens at dial(i). Sites and kinds are listed once each, in the order of their first use.
+func (x *Experiment) buildFleet(dial func(i int) string) (specs []NodeSpec, hosts []listedNode, sites, kinds []string) {
 	for _, n := range x.Nodes {
-		sites, kinds = with(sites, n.Site), with(kinds, n.Kind)
+		sites, kinds = appendUnique(sites, n.Site), appendUnique(kinds, n.Kind)
 		kind := emulator.Kind{Name: n.Kind, Speed: n.Speed, Cores: n.Cores, Slots: n.Slots, Queue: n.Queue}
 		for range n.Count {
 			name, addr := fmt.Sprintf("s-%04d", len(specs)), dial(len(specs))
 			specs = append(specs, NodeSpec{Name: name, Kind: kind, Listen: []string{addr}})
-			hosts = append(hosts, listed{Host: name, Dial: addr, Site: n.Site, Class: n.Kind, Health: "in_service", Share: kind.Capacity()})
+			hosts = append(hosts, listedNode{Host: name, Dial: addr, Site: n.Site, Class: n.Kind, Health: "in_service", Share: kind.Capacity()})
 		}
 	}
 	return specs, hosts, sites, kinds
 }
 
-// unsafe names the classes of which no job may run twice.
-func (x *Experiment) unsafe() (names []string) {
+// atMostOnceClasses names the classes whose jobs must not run twice.
+func (x *Experiment) atMostOnceClasses() (names []string) {
 	for _, c := range x.Classes {
 		if c.Effect == "once" {
 			names = append(names, c.Name)
@@ -271,7 +273,7 @@
 	return names
 }
 
-// requestClasses are the classes as clients ask for them.
+// requestClasses returns the classes as clients request them.
 func (x *Experiment) requestClasses() (classes []ClassSpec) {
 	for _, c := range x.Classes {
 		classes = append(classes, ClassSpec{Name: c.Name, Share: c.Share, Work: c.Work, Slots: c.Slots, GiveUp: c.GiveUp,
--- a/test/lab/figures.go
+++ b/test/lab/figures.go
@@ -4,26 +4,27 @@
 	"time"
 )
 
-// figureNames are what an experiment may expect something of.
+// figureNames lists the figures of an experiment, on which it may set expectations.
 var figureNames = []string{"throughput", "p50_ms", "p99_ms", "p999_ms", "cpu_us_a_job", "cpu_user_us_a_job", "cpu_sys_us_a_job", "cpu_nodes_us_a_job", "cpu_clients_us_a_job",
 	"rss_mb", "k_instructions_a_job", "k_cycles_a_job", "steal_percent", "drains", "drain_last_ms", "cold_worst", "falls", "asked", "served", "refused", "failed", "broken", "wrong", "extra",
 	"unanswered", "again", "repeats", "unknown", "in_time", "behind_ms", "runs_a_job"}
 
-// DrainReport is how a drain, or a node taken out by hand, was kept; times count from when discovery listed it.
+// DrainReport says when the scheduler last sent to a node that was drained or detached by hand. LastSend and Restart count
+// from ListedAt, when discovery listed the drain or the node was detached.
 type DrainReport struct {
 	Node              string
 	ListedAt          time.Duration `json:"Told"` // on scheduler.SystemClock
 	LastSend, Restart time.Duration
 }
 
-// sum works out the figures.
-func (r *Result) sum(listedAt map[string]time.Duration, before, after used) {
+// sum computes the figures from the reports of clients and nodes, the times of the drains and the scheduler's usage.
+func (r *Result) sum(listedAt map[string]time.Duration, before, after processUsage) {
 	f := r.Figures
-	latency := hist()
+	latency := newHistogram()
 	answered := 0.0
 	for i := range r.Load {
 		l := &r.Load[i]
-		latency.Merge(imported(l.Latency))
+		latency.Merge(importHistogram(l.Latency))
 		for name, n := range map[string]int{"asked": l.Asked, "served": l.Served, "refused": l.Refused, "failed": l.Failed, "broken": l.Broken,
 			"wrong": l.Wrong, "extra": l.Extra, "again": l.Again, "unanswered": l.Unanswered, "in_time": l.InTime} {
 			f[name] += float64(n)
--- a/test/lab/fleetplays.go
+++ b/test/lab/fleetplays.go
@@ -19,7 +19,7 @@
 	"ravendale/test/fleettest"
 )
 
-// FleetExperiment is a file that plays fleets of schedulers on the bench for processes (package fleettest).
+// FleetExperiment is an experiment file for fleets of schedulers, which run as processes under package fleettest.
 type FleetExperiment struct {
 	Name     string     `xml:"name,attr" required:"true"`
 	About    string     `xml:"about,attr"`
@@ -30,7 +30,7 @@
 	Expect   []Expect   `xml:"expect"`
 }
 
-// RollOuts are some, one after the other, on a fleet that is well.
+// RollOuts is a series of roll-outs, one after the other, on a healthy fleet.
 type RollOuts struct {
 	Members   int           `xml:"members,attr" required:"true"`
 	Count     int           `xml:"count,attr" required:"true"`
@@ -38,20 +38,20 @@
 	Trust     time.Duration `xml:"trust,attr" required:"true"`
 }
 
-// Faults are plays of fleettest.Random, a seed each, some side by side.
+// Faults is a series of runs with random faults (fleettest.Random), one per seed.
 type Faults struct {
 	Members int `xml:"members,attr" required:"true"`
-	Seeds   int `xml:"seeds,attr" required:"true"`
-	Short   int `xml:"short,attr" required:"true"`
-	Beside  int `xml:"beside,attr"`
-	Tamper  int `xml:"tamper,attr"` // so many members' records are tampered with afterwards
+	Seeds   int `xml:"seeds,attr" required:"true"` // number of seeds
+	Short   int `xml:"short,attr" required:"true"` // number of seeds with --short
+	Beside  int `xml:"beside,attr"`                // number of runs in parallel
+	Tamper  int `xml:"tamper,attr"`                // number of members whose records are tampered with after the run
 }
 
-// Pair compares schedulers with all of it on and off, in turn.
+// Pair compares schedulers that run as a fleet with schedulers without it, in alternate runs.
 type Pair struct {
 	Members int           `xml:"members,attr" required:"true"`
 	Rounds  int           `xml:"rounds,attr" required:"true"`
-	Rate    float64       `xml:"rate,attr" required:"true"` // requests a second and scheduler
+	Rate    float64       `xml:"rate,attr" required:"true"` // requests per second and scheduler
 	For     time.Duration `xml:"for,attr" required:"true"`
 }
 
@@ -59,42 +59,43 @@
 func (f *FleetExperiment) Check(bad func(string)) {
 	for _, r := range f.RollOuts {
 		if r.Members < 1 || r.Members > 250 || r.Count < 1 || r.Heartbeat < 10*time.Millisecond || r.Trust < 4*r.Heartbeat {
-			bad("roll-outs: 1 to 250 members, a count, a beat from 10ms on and a trust of four beats are wanted")
+			bad("roll-outs: members must be 1 to 250, count 1 or more, beat 10ms or more, and trust at least four beats")
 		}
 	}
 	for _, x := range f.Faults {
 		if x.Members < 3 || x.Members > 50 || x.Seeds < 1 || x.Short < 1 || x.Tamper < 0 || x.Tamper > x.Members {
-			bad("faults: 3 to 50 members, a count of seeds and no more members tampered with are wanted")
+			bad("faults: members must be 3 to 50, seeds and short 1 or more, and tamper 0 to the number of members")
 		}
 	}
 	for _, p := range f.Pairs {
 		if p.Members < 1 || p.Members > 50 || p.Rounds < 1 || p.Rate <= 0 || p.Rate > 5000 || p.For < time.Second {
-			bad("pair: 1 to 50 members, rounds, a rate of up to 5000 and a second or more are wanted")
+			bad("pair: members must be 1 to 50, rounds 1 or more, rate above 0 and up to 5000, and for 1s or more")
 		}
 	}
 }
 
-// ParseFleetExperiment reads such a file.
+// ParseFleetExperiment parses the file of a FleetExperiment.
 func ParseFleetExperiment(file string, text []byte) (*FleetExperiment, error) {
 	x := &FleetExperiment{Seed: 1}
 	return x, xmlfile.Read(file, text, "fleet-experiment", x)
 }
 
-// fleetFigures are what a fleet's experiment may expect something of.
+// fleetFigures lists the figures of a FleetExperiment, on which it may set expectations.
 var fleetFigures = []string{"members", "roll_out_ms_mean", "roll_out_ms_worst", "bytes_a_member_s", "cpu_percent_a_member", "rss_mb_a_member", "seeds", "seeds_failed",
 	"stopped_across", "straggled", "straggled_missed", "straggled_invented", "end_ms_worst", "below_floor", "conflicts", "record_faults", "tampered", "tamper_missed", "tamper_invented", "asked", "served", "refused",
 	"unanswered", "p50_on_ms", "p50_off_ms", "p99_on_ms", "p99_off_ms", "p99_ratio", "cpu_on_us_a_job", "cpu_off_us_a_job", "cpu_ratio"}
 
-// As is the experiment in the form that judges and reports take.
+// As converts the experiment to the form that Judge and Keep use, with its name, expectations and figures.
 func (f *FleetExperiment) As() *Experiment {
-	x := &Experiment{Name: f.Name, About: f.About, Seed: f.Seed, Expect: f.Expect, figures: fleetFigures}
+	x := &Experiment{Name: f.Name, About: f.About, Seed: f.Seed, Expect: f.Expect, shownFigures: fleetFigures}
 	for _, name := range []string{"roll-outs", "faults", "pair"} {
 		x.Phases = append(x.Phases, Phase{Name: name})
 	}
 	return x
 }
 
-// RunFleet plays all of a fleet's experiment.
+// RunFleet runs all roll-outs, faults and pairs of an experiment. If a roll-out or a pair fails, it returns the results so far
+// and the error; failed seeds of faults are counted in their figures.
 func (r *Runner) RunFleet(x *FleetExperiment) (results []Result, err error) {
 	for _, play := range x.RollOuts {
 		if r.Short && play.Members > 5 {
@@ -119,8 +120,9 @@
 	return results, nil
 }
 
-// bench lays one out in a folder that goes with it.
-func (r *Runner) bench(o fleettest.Options, play func(*fleettest.Bench) error) (err error) {
+// withBench calls play with a new bench in a temporary folder, and removes both afterwards. If play fails, the bench's logs
+// are copied to Runner.Logs.
+func (r *Runner) withBench(o fleettest.Options, play func(*fleettest.Bench) error) (err error) {
 	if o.Dir, err = os.MkdirTemp("", "ravendale-fleet"); err != nil {
 		return err
 	}
@@ -137,20 +139,21 @@
 	return err
 }
 
+// rollOuts measures an idle fleet, and then how long each roll-out takes until all members have adopted it.
 func (r *Runner) rollOuts(play *RollOuts) (*Result, error) {
 	f := map[string]float64{"members": float64(play.Members)}
 	o := fleettest.Options{Members: play.Members, Alone: "stop", Heartbeat: play.Heartbeat, Trust: play.Trust, Direct: play.Members > 30}
-	err := r.bench(o, func(b *fleettest.Bench) error {
+	err := r.withBench(o, func(b *fleettest.Bench) error {
 		if err := b.Run("start all\nawait acts all"); err != nil {
 			return err
 		}
-		began, at := b.Usage(), time.Now()
-		time.Sleep(3 * time.Second) // at rest
-		rest := b.Usage()
-		seconds := time.Since(at).Seconds() * float64(play.Members)
-		f["cpu_percent_a_member"] = 100 * (rest.CPU - began.CPU).Seconds() / seconds
-		f["bytes_a_member_s"] = float64(rest.SentBytes-began.SentBytes) / seconds
-		f["rss_mb_a_member"] = float64(rest.RSS) / (1 << 20) / float64(play.Members)
+		before, start := b.Usage(), time.Now()
+		time.Sleep(3 * time.Second) // the fleet is idle
+		after := b.Usage()
+		seconds := time.Since(start).Seconds() * float64(play.Members)
+		f["cpu_percent_a_member"] = 100 * (after.CPU - before.CPU).Seconds() / seconds
+		f["bytes_a_member_s"] = float64(after.SentBytes-before.SentBytes) / seconds
+		f["rss_mb_a_member"] = float64(after.RSS) / (1 << 20) / float64(play.Members)
 		for n := 1; n <= play.Count; n++ {
 			if err := b.Run(fmt.Sprintf("roll-out %d floor=%d within=%dms via %s\nawait epoch %d all", n, n, 4*play.Trust.Milliseconds(), "a", n)); err != nil {
 				return err
@@ -167,12 +170,13 @@
 		f["below_floor"], f["straggled"] = float64(len(a.Below)), float64(len(a.Straggled))
 		return nil
 	})
-	r.Say("roll-outs  %3d members: %.0f ms until all act under it (worst %.0f); at rest %.0f bytes a second and member, CPU %.2f%%, %.1f MB", play.Members,
+	r.Say("roll-outs  %3d members: %.0f ms until all have adopted the epoch (worst %.0f); idle %.0f bytes/s per member, CPU %.2f%%, %.1f MB", play.Members,
 		f["roll_out_ms_mean"], f["roll_out_ms_worst"], f["bytes_a_member_s"], f["cpu_percent_a_member"], f["rss_mb_a_member"])
 	return &Result{Variant: fmt.Sprint(play.Members, " members"), Phase: "roll-outs", Figures: f}, err
 }
 
-// rollOutTimes are from each proposal until the last member acted under it, in milliseconds, by the records.
+// rollOutTimes returns for each epoch the milliseconds from its proposal until the last member adopted it,
+// according to the members' records.
 func rollOutTimes(a *audit.Audit) (all []int64) {
 	proposed := make(map[audit.ID]int64)
 	for _, e := range a.Timeline {
@@ -190,7 +194,8 @@
 	return all
 }
 
-// faults plays seeds side by side, and holds what the audit finds against what was injected.
+// faults runs the seeds in parallel and sums up their figures. A seed fails if its run
+// ends with an error, which includes any of the figures that must be 0 (see faultPlay).
 func (r *Runner) faults(play *Faults, first uint64) *Result {
 	seeds := play.Seeds
 	if r.Short {
@@ -228,18 +233,18 @@
 	}
 	close(next)
 	wait.Wait()
-	r.Say("faults     %d members, %d seeds: %.0f failed; stopped across a date %.0f, found %.0f, missed %.0f, invented %.0f; below the floor %.0f; requests %.0f, unanswered %.0f; records tampered with %.0f, missed %.0f, invented %.0f",
+	r.Say("faults     %d members, %d seeds: %.0f failed; members stopped across an effective date %.0f, stragglers found %.0f, missed %.0f, invented %.0f; below the floor %.0f; requests %.0f, unanswered %.0f; records tampered with %.0f, missed %.0f, invented %.0f",
 		play.Members, seeds, f["seeds_failed"], f["stopped_across"], f["straggled"], f["straggled_missed"], f["straggled_invented"], f["below_floor"], f["asked"], f["unanswered"],
 		f["tampered"], f["tamper_missed"], f["tamper_invented"])
 	return &Result{Variant: fmt.Sprint(play.Members, " members"), Phase: "faults", Figures: f}
 }
 
-// faultPlay plays one seed's script of faults, and counts what the audit says of the records against what was injected.
+// faultPlay runs one seed's script of faults, and compares the audit of the records with the injected faults.
 func (r *Runner) faultPlay(play *Faults, seed uint64) (map[string]float64, error) {
 	f := make(map[string]float64)
 	o := fleettest.Options{Members: play.Members, Alone: "stop", Seed: seed, Heartbeat: 100 * time.Millisecond, Trust: time.Second, RequestInterval: 20 * time.Millisecond}
 	script, stopped, killed := fleettest.RandomScript(seed, play.Members, o.Trust)
-	err := r.bench(o, func(b *fleettest.Bench) error {
+	err := r.withBench(o, func(b *fleettest.Bench) error {
 		if err := b.Run(script); err != nil {
 			return err
 		}
@@ -269,12 +274,13 @@
 	return f, err
 }
 
-// countStragglers holds the stragglers that an audit found against the members that were stopped across an epoch's date.
+// countStragglers compares the stragglers that an audit found with the members that were stopped across an epoch's effective
+// date.
 func countStragglers(f map[string]float64, a *audit.Audit, stopped map[uint64][]string) {
 	want := make(map[string]bool)
 	for number, names := range stopped {
 		for _, name := range names {
-			// One that is below an older floor already counts there too.
+			// A member that is also below the floor of an older epoch is a straggler of both.
 			want[fmt.Sprint(number, name)] = true
 		}
 	}
@@ -285,7 +291,7 @@
 			f["conflicts"]++
 		}
 	}
-	for key := range want { // who was under the epoch before is at the floor where the floor is that one
+	for key := range want { // a member still on the previous epoch is no straggler if the floor permits that epoch
 		number, _ := strconv.ParseUint(key[:1], 10, 64)
 		if floors[number] < number {
 			delete(want, key)
@@ -304,7 +310,8 @@
 	f["straggled_missed"] = float64(len(want))
 }
 
-// countRequests counts what became of the clients' requests, and returns the first that went unanswered at a member that was not killed.
+// countRequests counts the outcomes of the clients' requests, and returns the first unanswered one of a member that was not
+// killed.
 func countRequests(f map[string]float64, requests []fleettest.Request, killed []string) (first *fleettest.Request) {
 	for i, x := range requests {
 		f["asked"]++
@@ -322,7 +329,7 @@
 	return first
 }
 
-// tamper changes some members' records, and holds what the audit says of each against that.
+// tamper alters the records of some members, and counts those that the audit misses and those that it reports without cause.
 func tamper(f map[string]float64, b *fleettest.Bench, seed uint64, members int) error {
 	if members == 0 {
 		return nil
@@ -362,7 +369,7 @@
 	return nil
 }
 
-// pair plays the same load with the fleet's parts on and off in turn.
+// pair runs the same load in alternate runs with the fleet's functions on and off, and compares the medians of the runs.
 func (r *Runner) pair(play *Pair) (*Result, error) {
 	f := map[string]float64{"members": float64(play.Members)}
 	var p50, p99, cpu [2][]float64
@@ -382,7 +389,7 @@
 		f["served"] += float64(len(took))
 	}
 	for i, name := range []string{"on", "off"} {
-		f["p50_"+name+"_ms"], f["p99_"+name+"_ms"], f["cpu_"+name+"_us_a_job"] = middle(p50[i]), middle(p99[i]), middle(cpu[i])
+		f["p50_"+name+"_ms"], f["p99_"+name+"_ms"], f["cpu_"+name+"_us_a_job"] = upperMedian(p50[i]), upperMedian(p99[i]), upperMedian(cpu[i])
 	}
 	f["p99_ratio"], f["cpu_ratio"] = f["p99_on_ms"]/f["p99_off_ms"], f["cpu_on_us_a_job"]/f["cpu_off_us_a_job"]
 	r.Say("pair       %d members, %g requests a second each: p99 %.2f ms on, %.2f off; CPU a job %.0f us on, %.0f off", play.Members, play.Rate,
@@ -390,10 +397,11 @@
 	return &Result{Variant: fmt.Sprint(play.Members, " members"), Phase: "pair", Figures: f}, nil
 }
 
-// pairRun plays the load once, and returns the latencies of what was served, in milliseconds and sorted, and the processor time that was used.
+// pairRun runs the load once, and returns the sorted latencies of the served requests in milliseconds and the processor time
+// used.
 func (r *Runner) pairRun(play *Pair, off bool) (took []float64, used time.Duration, err error) {
 	o := fleettest.Options{Members: play.Members, WithoutFleet: off, Heartbeat: 500 * time.Millisecond, Trust: 5 * time.Second, RequestInterval: time.Duration(float64(time.Second) / play.Rate)}
-	err = r.bench(o, func(b *fleettest.Bench) error {
+	err = r.withBench(o, func(b *fleettest.Bench) error {
 		if err := b.Run("start all"); err != nil {
 			return err
 		}
@@ -407,7 +415,7 @@
 		if err := b.Ready(ctx); err != nil {
 			return err
 		}
-		if err := b.Run("load on\npass 1s"); err != nil { // connections and code are warm
+		if err := b.Run("load on\npass 1s"); err != nil { // warm-up of connections and code
 			return err
 		}
 		before, from := b.Usage(), time.Now()
@@ -422,7 +430,7 @@
 			}
 		}
 		if len(took) == 0 {
-			return errors.New("nothing was served")
+			return errors.New("no request was served")
 		}
 		slices.Sort(took)
 		used = after.CPU - before.CPU
@@ -431,12 +439,14 @@
 	return took, used, err
 }
 
-func middle(all []float64) float64 {
-	slices.Sort(all)
-	return all[len(all)/2]
+// upperMedian sorts the values and returns their median, the higher of two.
+func upperMedian(values []float64) float64 {
+	slices.Sort(values)
+	return values[len(values)/2]
 }
 
-// Parse reads an experiment file of either kind. That of a fleet has the form that judges and reports take beside its own.
+// Parse parses an experiment file of either kind. For a FleetExperiment, x is its form for Judge and Keep; otherwise fleet is
+// nil.
 func Parse(file string, text []byte) (x *Experiment, fleet *FleetExperiment, err error) {
 	if !strings.Contains(string(text), "<fleet-experiment") {
 		x, err = ParseExperiment(file, text)
--- a/test/lab/judge_test.go
+++ b/test/lab/judge_test.go
@@ -30,7 +30,7 @@
 	if diff := cmp.Diff(want, x.Judge(results)); diff != "" {
 		t.Error(diff)
 	}
-	// What was not played is missed.
+	// An expectation without a result counts as missed.
 	for _, v := range x.Judge(results[:1]) {
 		if strings.HasPrefix(v.Text, "nothing was played") && v.Held {
 			t.Error(v)
@@ -38,7 +38,7 @@
 	}
 }
 
-// Every experiment that is shipped can be read, and bad ones are told with their lines.
+// Every shipped experiment file parses, and errors in invalid ones name the line.
 func TestExperimentFiles(t *testing.T) {
 	files, err := filepath.Glob("../../experiments/*.xml")
 	if err != nil || len(files) == 0 {
@@ -54,13 +54,13 @@
 		}
 	}
 	for from, want := range map[string]string{
-		`effect="once"`:             `f:7: <class>: effect is idempotent, keyed or once`,
-		`callers="24"`:              `f:8: <phase>: either callers or a rate above 0 is wanted`,
-		`count="3" speed="2"`:       `f:3: <nodes>: count is 1 to 10000, speed and cores are above 0, and slots from 1 on`,
-		`<variant name="v"/>`:       `f:9: <expect>: figure is one of`,
+		`effect="once"`:             `f:7: <class>: effect must be idempotent, keyed or once`,
+		`callers="24"`:              `f:8: <phase>: exactly one of callers and rate must be above 0`,
+		`count="3" speed="2"`:       `f:3: <nodes>: count must be 1 to 10000, speed and cores above 0, and slots 1 or more`,
+		`<variant name="v"/>`:       `f:9: <expect>: figure must be one of`,
 		`<phase name="p" `:          `f:8: <phase>: there is no attribute title`,
 		`<rules cold-for="2s"/>`:    `f:2: <rules>: cold-for: "2" is no time`,
-		`<experiment name="small">`: `f:1: <experiment>: what is expected of falls names a variant or phase that is not there`,
+		`<experiment name="small">`: `f:1: <experiment>: the expectation on falls names an unknown variant or phase`,
 	} {
 		to := map[string]string{`effect="once"`: `effect="twice"`, `callers="24"`: `callers="24" rate="3"`, `count="3" speed="2"`: `count="0" speed="2"`,
 			`<variant name="v"/>`: `<variant name="v"/><expect figure="none"/>`, `<phase name="p" `: `<phase name="p" title="x" `,
@@ -72,7 +72,7 @@
 	}
 }
 
-// A report stands alone, and holds every figure that is not 0.
+// The HTML report refers to no other resource, and shows every figure that is not 0.
 func TestKeep(t *testing.T) {
 	x, err := ParseExperiment("f", []byte(small))
 	if err != nil {
@@ -89,11 +89,11 @@
 	}
 	for _, want := range []string{"<svg", "1234", "4.25", "commit abc", "Experiment small"} {
 		if !strings.Contains(string(page), want) {
-			t.Errorf("the report lacks %q", want)
+			t.Errorf("the report does not contain %q", want)
 		}
 	}
 	if strings.Contains(strings.ReplaceAll(string(page), "http://www.w3.org", ""), "http") {
-		t.Error("the report wants something from elsewhere")
+		t.Error("the report refers to an external resource")
 	}
 	table, err := os.ReadFile(filepath.Join(dir, "results.csv"))
 	if lines := strings.Split(string(table), "\n"); err != nil || len(lines) != 3 || !strings.HasPrefix(lines[1], "v,p,1234,") {
--- a/test/lab/load.go
+++ b/test/lab/load.go
@@ -17,46 +17,46 @@
 	"ravendale/balancer/transport/nbionet"
 )
 
-// LoadSpec says what a process of clients asks for.
+// LoadSpec configures the load that a client process generates: a closed loop of Callers, or an open loop of Rate.
 type LoadSpec struct {
 	Seed       uint64
-	Schedulers []string // dealt out in turn
+	Schedulers []string // addresses, used in turn
 	Classes    []ClassSpec
-	Callers    int     // so many ask one request after the other,
-	Rate       float64 // or so many requests a second come, whatever becomes of them
+	Callers    int     // closed loop: number of callers, each with one request at a time
+	Rate       float64 // open loop: requests per second, sent regardless of answers
 	From, Till time.Duration
-	Measure    time.Duration // what is asked for from this time on counts
-	Skew       int           // above 1, every so manieth caller asks without pause and the others rest for a while
+	Measure    time.Duration // requests due before this time count in Seconds only
+	Skew       int           // if above 1, every Skew-th caller sends without pause and the others pause between requests
 }
 
-// ClassSpec is one class of jobs as clients ask for them.
+// ClassSpec is a class of jobs as clients request them.
 type ClassSpec struct {
 	Name          string
 	Share         float64
-	Work          time.Duration // mean, on a core of speed 1; half to one and a half times as much is asked for
+	Work          time.Duration // mean on a core of speed 1; each request draws 0.5 to 1.5 times as much
 	Slots         float64
 	GiveUp        time.Duration
-	LatencyTarget time.Duration // answered later it is not in time
+	LatencyTarget time.Duration // a later answer does not count as in time
 	Keyed         bool
 }
 
-// LoadReport is what the clients saw of what they asked for while it was measured.
+// LoadReport counts the requests that were due while the load was measured, and their outcomes.
 type LoadReport struct {
 	Asked, Served, Refused, Failed int
-	Broken                         int // the connection ended without an answer
-	Wrong                          int // served with another job's result
-	Extra                          int // more than one answer
-	Again                          int // sent once more, since a kept connection ended before its answer began
-	Unanswered                     int // nothing by the time that the client gave up, or by the end
+	Broken                         int // the connection closed without an answer
+	Wrong                          int // answered 200 with another job's result
+	Extra                          int // data after the answer, such as a second answer
+	Again                          int // resent because a reused connection closed before an answer began
+	Unanswered                     int // no answer by a second after the client's timeout
 	InTime                         int
 	Span                           time.Duration
-	Behind                         time.Duration // the most that an arrival was late
+	Behind                         time.Duration // the longest that a request of the open loop was sent after it was due
 	Classes                        []ClassReport
 	Seconds                        []SecondReport
-	Latency                        *hdrhistogram.Snapshot // of served ones, in microseconds
+	Latency                        *hdrhistogram.Snapshot // of served requests, in microseconds
 }
 
-// ClassReport is that for one class.
+// ClassReport holds the counts and latencies of one class.
 type ClassReport struct {
 	Name                    string
 	Asked, Served, InTime   int
@@ -64,28 +64,29 @@
 	Refused, Failed, Broken int
 }
 
-// SecondReport is one second of it, by when the requests were to be sent.
+// SecondReport holds the requests that were due in one second of the run, warm-up included.
 type SecondReport struct {
 	Asked, Served, InTime int
 	P50, P99              time.Duration
 }
 
-// hist is a histogram of latencies from 1 us to 60 s, true to 1 in 1000.
-func hist() *hdrhistogram.Histogram { return hdrhistogram.New(1, 60e6, 3) }
+// newHistogram returns a histogram of latencies from 1 us to 60 s, accurate to 1 in 1000.
+func newHistogram() *hdrhistogram.Histogram { return hdrhistogram.New(1, 60e6, 3) }
 
 func quantile(h *hdrhistogram.Histogram, q float64) time.Duration {
 	return time.Duration(h.ValueAtQuantile(q)) * time.Microsecond
 }
 
+// load is the state of one client process; all of it is used on the loop only.
 type load struct {
 	spec     LoadSpec
 	loop     *scheduler.Loop
 	random   *rand.Rand
 	pools    []*pool
-	turn     int
+	nextPool int
 	lastID   uint32
 	prefix   uint32
-	open     int
+	pending  int
 	finished bool
 	done     func()
 	report   LoadReport
@@ -93,14 +94,14 @@
 	classes  []*hdrhistogram.Histogram
 	seconds  []*hdrhistogram.Histogram
 	shareSum float64
-	due      time.Duration // of the next arrival
+	nextDue  time.Duration // when the open loop sends next
 	buf      []byte
 }
 
-// Drive asks until the spec's end, and returns when every answer has come or can't any more.
+// Drive generates load until spec.Till, and returns once every request has been answered, has failed or has timed out.
 func Drive(spec LoadSpec, log *slog.Logger) (LoadReport, error) {
 	loop := scheduler.NewLoop(scheduler.SystemClock())
-	engine := nbionet.New(nbionet.Options{Loop: loop, ConnectTimeout: dialWithin, Log: log})
+	engine := nbionet.New(nbionet.Options{Loop: loop, ConnectTimeout: dialTimeout, Log: log})
 	defer engine.Close()
 	if err := engine.Start(); err != nil {
 		return LoadReport{}, err
@@ -113,7 +114,7 @@
 }
 
 func newLoad(spec LoadSpec, loop *scheduler.Loop, net transport.Network, done func()) *load {
-	l := &load{spec: spec, loop: loop, random: rand.New(rand.NewPCG(spec.Seed, 1)), done: done, latency: hist()}
+	l := &load{spec: spec, loop: loop, random: rand.New(rand.NewPCG(spec.Seed, 1)), done: done, latency: newHistogram()}
 	l.prefix = l.random.Uint32()
 	for _, addr := range spec.Schedulers {
 		l.pools = append(l.pools, newPool(loop, net, addr))
@@ -121,62 +122,63 @@
 	l.report.Classes = make([]ClassReport, len(spec.Classes))
 	for i, c := range spec.Classes {
 		l.shareSum += c.Share
-		l.classes = append(l.classes, hist())
+		l.classes = append(l.classes, newHistogram())
 		l.report.Classes[i].Name = c.Name
 	}
 	l.report.Seconds = make([]SecondReport, int((spec.Till-spec.From)/time.Second)+1)
 	for range l.report.Seconds {
-		l.seconds = append(l.seconds, hist())
+		l.seconds = append(l.seconds, newHistogram())
 	}
 	return l
 }
 
 func (l *load) start() {
 	now := l.loop.Now()
-	if l.due = max(l.spec.From, now); l.spec.Rate > 0 {
-		l.loop.Deadlines.Add(l.due, l.arrive)
+	if l.nextDue = max(l.spec.From, now); l.spec.Rate > 0 {
+		l.loop.Deadlines.Add(l.nextDue, l.sendDue)
 	}
 	for i := range l.spec.Callers {
-		l.loop.Deadlines.Add(l.due+time.Duration(i)*time.Millisecond/10, func() { l.again(i) })
+		l.loop.Deadlines.Add(l.nextDue+time.Duration(i)*time.Millisecond/10, func() { l.sendNext(i) })
 	}
-	l.loop.Deadlines.Add(l.spec.Till, l.checkEnd)
+	l.loop.Deadlines.Add(l.spec.Till, l.finishIfIdle)
 }
 
-// arrive sends what is due, and counts from when it was due: a driver that is late must not hide what a client waits.
-func (l *load) arrive() {
+// sendDue sends the requests that are due. Latencies count from the due time, so that a delay of the load generator does not
+// hide the time that a client waits (coordinated omission).
+func (l *load) sendDue() {
 	now := l.loop.Now()
-	for l.due <= now {
-		if l.due >= l.spec.Till {
+	for l.nextDue <= now {
+		if l.nextDue >= l.spec.Till {
 			return
 		}
-		if l.due >= l.spec.Measure {
-			l.report.Behind = max(l.report.Behind, now-l.due)
+		if l.nextDue >= l.spec.Measure {
+			l.report.Behind = max(l.report.Behind, now-l.nextDue)
 		}
-		l.ask(l.due, func() {})
-		l.due += time.Duration(l.random.ExpFloat64() / l.spec.Rate * float64(time.Second))
+		l.sendRequest(l.nextDue, func() {})
+		l.nextDue += time.Duration(l.random.ExpFloat64() / l.spec.Rate * float64(time.Second))
 	}
-	l.loop.Deadlines.Add(l.due, l.arrive)
+	l.loop.Deadlines.Add(l.nextDue, l.sendDue)
 }
 
-// restOf is how long a caller rests between requests that is not one of the busy ones.
-const restOf = 200 * time.Millisecond
+// idlePause is the pause between the requests of a caller that is not one of the busy ones; see LoadSpec.Skew.
+const idlePause = 200 * time.Millisecond
 
-// again is one caller's next request.
-func (l *load) again(caller int) {
+// sendNext sends the next request of a caller.
+func (l *load) sendNext(caller int) {
 	if l.loop.Now() >= l.spec.Till {
 		return
 	}
-	l.ask(l.loop.Now(), func() {
+	l.sendRequest(l.loop.Now(), func() {
 		if l.spec.Skew > 1 && caller%l.spec.Skew != 0 {
-			l.loop.After(restOf, func() { l.again(caller) })
+			l.loop.After(idlePause, func() { l.sendNext(caller) })
 			return
 		}
-		l.again(caller)
+		l.sendNext(caller)
 	})
 }
 
-// comeBack is how long a caller waits whose request was refused or lost before it asks for the next.
-const comeBack = 5 * time.Millisecond
+// pauseAfterFailure is how long a caller waits for its next request after a request was not served.
+const pauseAfterFailure = 5 * time.Millisecond
 
 // request is one request of a client.
 type request struct {
@@ -184,34 +186,34 @@
 	id         string
 	class      int           // index in the spec's classes
 	due        time.Duration // when it was to be sent
-	measured   bool          // it counts
+	measured   bool          // it counts in the report
 	connection *clientConn
-	deadline   *deadline.Deadline // after which nothing is waited for
-	next       func()             // called once it has ended
+	deadline   *deadline.Deadline // after which it counts as unanswered
+	onDone     func()             // called after the request has ended
 }
 
-// ask sends a request of a class that is drawn by its share.
-func (l *load) ask(due time.Duration, next func()) {
+// sendRequest sends a request of a class drawn by share, and calls next when the request has ended.
+func (l *load) sendRequest(due time.Duration, next func()) {
 	l.lastID++
 	r := &request{l: l, id: fmt.Sprintf("%08x%08x", l.prefix, l.lastID), class: l.drawClass(), due: due,
-		measured: due >= l.spec.Measure && due < l.spec.Till, next: next}
-	p := l.pools[l.turn%len(l.pools)]
-	l.turn++
+		measured: due >= l.spec.Measure && due < l.spec.Till, onDone: next}
+	p := l.pools[l.nextPool%len(l.pools)]
+	l.nextPool++
 	text := r.encode(p.addr)
 	r.second().Asked++
 	r.count(&l.report.Asked, &l.report.Classes[r.class].Asked)
-	l.open++
-	r.deadline = l.loop.Deadlines.Add(due+r.spec().GiveUp+time.Second, r.timeOut)
-	r.connection = p.ask(text, r.answered)
-	// The closing of a kept connection may cross a request that was not read: clients send it once more, on a new one.
-	r.connection.again = func() {
+	l.pending++
+	r.deadline = l.loop.Deadlines.Add(due+r.spec().GiveUp+time.Second, r.handleTimeout)
+	r.connection = p.do(text, r.handleResponse)
+	// The server may close a reused connection before it reads the request: clients resend it once, on a new connection.
+	r.connection.onRetry = func() {
 		l.report.Again++
-		r.connection = p.askAnew(text, r.answered)
+		r.connection = p.doOnNewConn(text, r.handleResponse)
 	}
-	r.connection.extra = func() { l.report.Extra++ }
+	r.connection.onExtraData = func() { l.report.Extra++ }
 }
 
-// drawClass draws a class by its share.
+// drawClass draws the index of a class with a probability proportional to its share.
 func (l *load) drawClass() int {
 	i, at := 0, l.random.Float64()*l.shareSum
 	for i < len(l.spec.Classes)-1 && at >= l.spec.Classes[i].Share {
@@ -223,12 +225,12 @@
 
 func (r *request) spec() *ClassSpec { return &r.l.spec.Classes[r.class] }
 
-// secondIndex is the second of the run in which the request was due.
+// secondIndex returns the index of the second of the run in which the request was due.
 func (r *request) secondIndex() int { return max(int((r.due-r.l.spec.From)/time.Second), 0) }
 
 func (r *request) second() *SecondReport { return &r.l.report.Seconds[r.secondIndex()] }
 
-// count adds one to each if the request counts.
+// count increments each counter if the request is measured.
 func (r *request) count(counters ...*int) {
 	for _, n := range counters {
 		if r.measured {
@@ -237,7 +239,7 @@
 	}
 }
 
-// encode writes the request as the platform's clients send it.
+// encode returns the request as the platform's clients send it.
 func (r *request) encode(addr string) []byte {
 	l, class := r.l, r.spec()
 	work := time.Duration((0.5 + l.random.Float64()) * float64(class.Work))
@@ -253,20 +255,20 @@
 	return http1.AppendRequest(nil, "POST", "/api?user="+r.id, addr, h, l.buf)
 }
 
-// timeOut gives the request up: no answer came by then.
-func (r *request) timeOut() {
+// handleTimeout abandons the request, counts it as unanswered and closes its connection.
+func (r *request) handleTimeout() {
 	r.connection.close()
-	r.l.open--
+	r.l.pending--
 	r.count(&r.l.report.Unanswered)
-	r.next()
-	r.l.checkEnd()
+	r.onDone()
+	r.l.finishIfIdle()
 }
 
-// answered takes the answer, or why there is none.
-func (r *request) answered(resp *http1.Response, err error) {
+// handleResponse counts the answer, or the error in its place, and continues with the caller's next request.
+func (r *request) handleResponse(resp *http1.Response, err error) {
 	l := r.l
 	l.loop.Deadlines.Drop(r.deadline)
-	l.open--
+	l.pending--
 	class := &l.report.Classes[r.class]
 	switch {
 	case err != nil:
@@ -281,20 +283,20 @@
 		r.count(&l.report.Failed, &class.Failed)
 	}
 	if err != nil || resp.Status != 200 {
-		l.loop.After(comeBack, r.next)
+		l.loop.After(pauseAfterFailure, r.onDone)
 	} else {
-		r.next()
+		r.onDone()
 	}
-	l.checkEnd()
+	l.finishIfIdle()
 }
 
-// served counts a right answer, which took so long from when the request was due.
+// served counts a correct answer; took is its latency, from when the request was due.
 func (r *request) served(took time.Duration) {
 	l, class := r.l, &r.l.report.Classes[r.class]
 	r.second().Served++
 	r.count(&l.report.Served, &class.Served)
 	us := int64(took / time.Microsecond)
-	_ = l.seconds[r.secondIndex()].RecordValue(us) // beyond the histogram's range it is not shown
+	_ = l.seconds[r.secondIndex()].RecordValue(us) // a value beyond the histogram's range is left out
 	if r.measured {
 		_ = l.latency.RecordValue(us)
 		_ = l.classes[r.class].RecordValue(us)
@@ -305,9 +307,9 @@
 	}
 }
 
-// checkEnd ends the run once its time is over and nothing is open.
-func (l *load) checkEnd() {
-	if !l.finished && l.loop.Now() >= l.spec.Till && l.open == 0 {
+// finishIfIdle ends the run once its time is over and no request is pending.
+func (l *load) finishIfIdle() {
+	if !l.finished && l.loop.Now() >= l.spec.Till && l.pending == 0 {
 		l.finished = true
 		l.done()
 	}
@@ -327,4 +329,4 @@
 	return r
 }
 
-func imported(s *hdrhistogram.Snapshot) *hdrhistogram.Histogram { return hdrhistogram.Import(s) }
+func importHistogram(s *hdrhistogram.Snapshot) *hdrhistogram.Histogram { return hdrhistogram.Import(s) }
--- a/test/lab/peer.go
+++ b/test/lab/peer.go
@@ -10,57 +10,57 @@
 	"ravendale/balancer/transport"
 )
 
-// dialWithin is how long the lab's own connections may take.
-const dialWithin = 2 * time.Second
+// dialTimeout limits how long the lab's own connections may take to open.
+const dialTimeout = 2 * time.Second
 
 // server serves HTTP/1.1 on accepted connections, one request at a time on each.
 type server struct {
 	loop *scheduler.Loop
-	// serve takes a request. first is when its first byte came. It calls reply once, now or later.
-	serve func(c *served, req *http1.Request, first time.Duration)
-	conns map[*served]struct{}
+	// serve handles a request and calls reply once, at once or later. first is when the request's first byte arrived.
+	serve func(c *serverConn, req *http1.Request, first time.Duration)
+	conns map[*serverConn]struct{}
 }
 
-// served is one accepted connection.
-type served struct {
-	s      *server
-	net    transport.Conn
-	in     http1.Requests
-	first  time.Duration // of the request that comes in
-	busy   bool
-	closed bool
-	buf    []byte
-	left   func() // called when the other side goes while a request is in hand
+// serverConn is one accepted connection.
+type serverConn struct {
+	s           *server
+	net         transport.Conn
+	in          http1.Requests
+	firstByteAt time.Duration // when the first byte of the current request arrived
+	busy        bool
+	closed      bool
+	buf         []byte
+	onClose     func() // called when the peer closes the connection before reply
 }
 
-func newServer(loop *scheduler.Loop, serve func(*served, *http1.Request, time.Duration)) *server {
-	return &server{loop: loop, serve: serve, conns: make(map[*served]struct{})}
+func newServer(loop *scheduler.Loop, serve func(*serverConn, *http1.Request, time.Duration)) *server {
+	return &server{loop: loop, serve: serve, conns: make(map[*serverConn]struct{})}
 }
 
 func (s *server) opened(n transport.Conn) transport.Handler {
-	c := &served{s: s, net: n}
+	c := &serverConn{s: s, net: n}
 	s.conns[c] = struct{}{}
 	return c
 }
 
-// reset ends all connections, as the death of a process does.
+// reset closes all connections, as the end of a process does.
 func (s *server) reset() {
 	for c := range s.conns {
 		c.drop()
 	}
 }
 
-func (c *served) Connected() {}
+func (c *serverConn) Connected() {}
 
-func (c *served) Data(b []byte) {
+func (c *serverConn) Data(b []byte) {
 	if !c.in.Partial() {
-		c.first = c.s.loop.Now()
+		c.firstByteAt = c.s.loop.Now()
 	}
 	c.in.Feed(b)
 	c.pump()
 }
 
-func (c *served) pump() {
+func (c *serverConn) pump() {
 	for !c.busy && !c.closed {
 		req, err := c.in.Next()
 		if err != nil {
@@ -71,24 +71,24 @@
 			return
 		}
 		c.busy = true
-		c.s.serve(c, req, c.first)
+		c.s.serve(c, req, c.firstByteAt)
 	}
 }
 
-// reply answers the request in hand.
-func (c *served) reply(status int, h http1.Header, content []byte) {
+// reply answers the current request.
+func (c *serverConn) reply(status int, h http1.Header, content []byte) {
 	if c.closed {
 		return
 	}
 	c.buf = http1.AppendResponse(c.buf[:0], status, h, content)
 	c.net.Write(c.buf)
-	c.busy, c.left = false, nil
+	c.busy, c.onClose = false, nil
 	if c.in.Partial() {
 		c.pump()
 	}
 }
 
-func (c *served) drop() {
+func (c *serverConn) drop() {
 	if !c.closed {
 		c.closed = true
 		delete(c.s.conns, c)
@@ -96,17 +96,17 @@
 	}
 }
 
-func (c *served) Closed(error) {
+func (c *serverConn) Closed(error) {
 	c.closed = true
 	delete(c.s.conns, c)
-	if c.left != nil {
-		c.left()
+	if c.onClose != nil {
+		c.onClose()
 	}
 }
 
-var errClosed = errors.New("the connection ended")
+var errClosed = errors.New("connection closed: data without a request")
 
-// pool keeps connections to one address, and has one request on each at a time.
+// pool keeps connections to one address. Each carries one request at a time.
 type pool struct {
 	loop *scheduler.Loop
 	net  transport.Network
@@ -117,27 +117,27 @@
 
 // clientConn is one dialled connection.
 type clientConn struct {
-	p       *pool
-	net     transport.Conn
-	in      http1.Responses
-	uses    int
-	request []byte
-	done    func(*http1.Response, error)
-	began   bool   // an answer has begun
-	again   func() // called, in place of done, when a kept connection ended before an answer began
-	extra   func() // called when something comes that was not asked for
+	p               *pool
+	net             transport.Conn
+	in              http1.Responses
+	uses            int
+	request         []byte
+	done            func(*http1.Response, error)
+	responseStarted bool   // part of the answer has arrived
+	onRetry         func() // called instead of done if a reused connection closes before an answer begins
+	onExtraData     func() // called when data arrives outside the answer to a request
 }
 
 func newPool(loop *scheduler.Loop, n transport.Network, addr string) *pool {
 	return &pool{loop: loop, net: n, addr: addr}
 }
 
-// ask sends a request on an idle connection or a new one, and hands its answer, or why there is none, to done. It returns
-// the connection, which may be closed to leave.
-func (p *pool) ask(request []byte, done func(*http1.Response, error)) *clientConn {
+// do sends a request on an idle connection or a new one, and calls done with the answer or an error. It returns the
+// connection; closing it abandons the request.
+func (p *pool) do(request []byte, done func(*http1.Response, error)) *clientConn {
 	n := len(p.idle)
 	if n == 0 {
-		return p.askAnew(request, done)
+		return p.doOnNewConn(request, done)
 	}
 	c := p.idle[n-1]
 	p.idle = p.idle[:n-1]
@@ -146,8 +146,8 @@
 	return c
 }
 
-// askAnew is ask on a new connection.
-func (p *pool) askAnew(request []byte, done func(*http1.Response, error)) *clientConn {
+// doOnNewConn is do on a new connection.
+func (p *pool) doOnNewConn(request []byte, done func(*http1.Response, error)) *clientConn {
 	c := &clientConn{p: p, request: request, done: done}
 	p.open++
 	c.net = p.net.Dial(p.addr, c)
@@ -167,14 +167,14 @@
 
 func (c *clientConn) Data(b []byte) {
 	if c.done == nil {
-		if c.extra != nil {
-			c.extra()
+		if c.onExtraData != nil {
+			c.onExtraData()
 		}
 		c.end(errClosed)
 		return
 	}
 	c.in.Feed(b)
-	c.began = true
+	c.responseStarted = true
 	resp, err := c.in.Next()
 	if err != nil {
 		c.end(err)
@@ -184,9 +184,9 @@
 		return
 	}
 	done := c.done
-	c.done, c.request, c.again, c.began = nil, nil, nil, false
-	if c.in.Buffered() > 0 && c.extra != nil {
-		c.extra()
+	c.done, c.request, c.onRetry, c.responseStarted = nil, nil, nil, false
+	if c.in.Buffered() > 0 && c.onExtraData != nil {
+		c.onExtraData()
 	}
 	if resp.Close {
 		c.close()
@@ -196,7 +196,7 @@
 	done(resp, nil)
 }
 
-// close ends the connection; its request, if it has one, is not heard of.
+// close closes the connection and abandons its request, whose done is not called.
 func (c *clientConn) close() {
 	if c.p == nil {
 		return
@@ -204,11 +204,11 @@
 	p := c.p
 	c.p, c.done = nil, nil
 	p.open--
-	p.forget(c)
+	p.removeIdle(c)
 	c.net.Close()
 }
 
-func (p *pool) forget(c *clientConn) {
+func (p *pool) removeIdle(c *clientConn) {
 	for i, other := range p.idle {
 		if other == c {
 			p.idle = append(p.idle[:i], p.idle[i+1:]...)
@@ -217,15 +217,16 @@
 	}
 }
 
+// end closes the connection, and retries its request or fails it with err.
 func (c *clientConn) end(err error) {
-	done, again := c.done, c.again
-	if c.uses < 2 || c.began {
-		again = nil
+	done, retry := c.done, c.onRetry
+	if c.uses < 2 || c.responseStarted {
+		retry = nil
 	}
 	c.close()
 	switch {
-	case done != nil && again != nil:
-		again()
+	case done != nil && retry != nil:
+		retry()
 	case done != nil:
 		done(nil, err)
 	}
--- a/test/lab/phase.go
+++ b/test/lab/phase.go
@@ -14,10 +14,10 @@
 	"ravendale/balancer/transport/nbionet"
 )
 
-// startTime is left to all processes to start, before anything is timed.
-const startTime = 1500 * time.Millisecond
+// startupTime is the time that all processes have to start before the load begins.
+const startupTime = 1500 * time.Millisecond
 
-// phaseRun is one phase of one variant as it is played, with processes of its own. All times are on scheduler.SystemClock.
+// phaseRun is one run of a phase against a variant, with processes of its own. All times are on scheduler.SystemClock.
 type phaseRun struct {
 	runner     *Runner
 	experiment *Experiment
@@ -25,26 +25,26 @@
 	phase      *Phase
 
 	clock                func() time.Duration
-	from, measure, until time.Duration // clients begin, what they ask for counts, and they end
-	base                 string        // the first two numbers of its loopback addresses
+	from, measure, until time.Duration // start of the load, start of the measurement, end of both
+	addrPrefix           string        // first two octets of the run's loopback addresses
 	dir                  string
 	nodes                []NodeSpec
-	hosts                []listed
+	hosts                []listedNode
 	sites, kinds         []string
 	restarts             []Restart
 
-	loop      *scheduler.Loop
-	engine    *nbionet.Engine
-	discovery *Discovery
-	fleets    []*child // nodes
-	clients   []*child
-	site      *site        // the scheduler's processes
-	listener  net.Listener // the scheduler's
-	acts      chan error   // a result of each act
-	cleanups  []func()     // to be called in the reverse order
+	loop       *scheduler.Loop
+	engine     *nbionet.Engine
+	discovery  *Discovery
+	fleets     []*child // the processes that emulate nodes
+	clients    []*child
+	schedulers *processSet  // the processes of the measured scheduler
+	listener   net.Listener // of the scheduler
+	actResults chan error   // receives the result of each action
+	cleanups   []func()     // called in reverse order by close
 }
 
-// play plays one phase of one variant.
+// play runs one phase of one variant.
 func (r *Runner) play(x *Experiment, v *Variant, p *Phase) (*Result, error) {
 	run := newPhaseRun(r, x, v, p)
 	defer run.close()
@@ -56,7 +56,7 @@
 	run.startStalls()
 	run.startActs()
 	result := &Result{Variant: v.Name, Phase: p.Name, Figures: make(map[string]float64)}
-	used, err := run.consumption()
+	used, err := run.measureUsage()
 	if err != nil {
 		return nil, err
 	}
@@ -64,23 +64,23 @@
 		return nil, err
 	}
 	run.addFigures(result, used)
-	run.keepLogs()
+	run.writeLogs()
 	return result, nil
 }
 
 func newPhaseRun(r *Runner, x *Experiment, v *Variant, p *Phase) *phaseRun {
 	run := &phaseRun{
 		runner: r, experiment: x, variant: v, phase: p, clock: scheduler.SystemClock(),
-		base: fmt.Sprintf("127.%d", 64+os.Getpid()%128),
+		addrPrefix: fmt.Sprintf("127.%d", 64+os.Getpid()%128),
 	}
-	run.nodes, run.hosts, run.sites, run.kinds = x.fleet(func(i int) string { return fmt.Sprintf("%s.%d.%d:9101", run.base, 1+i/250, 1+i%250) })
+	run.nodes, run.hosts, run.sites, run.kinds = x.buildFleet(func(i int) string { return fmt.Sprintf("%s.%d.%d:9101", run.addrPrefix, 1+i/250, 1+i%250) })
 	return run
 }
 
-func (run *phaseRun) schedulerAddress() string { return run.base + ".0.1:9000" }
-func (run *phaseRun) discoveryAddress() string { return run.base + ".0.2:8500" }
+func (run *phaseRun) schedulerAddress() string { return run.addrPrefix + ".0.1:9000" }
+func (run *phaseRun) discoveryAddress() string { return run.addrPrefix + ".0.2:8500" }
 
-func (run *phaseRun) atEnd(f func()) { run.cleanups = append(run.cleanups, f) }
+func (run *phaseRun) addCleanup(f func()) { run.cleanups = append(run.cleanups, f) }
 
 func (run *phaseRun) close() {
 	for _, f := range slices.Backward(run.cleanups) {
@@ -88,16 +88,16 @@
 	}
 }
 
-// startDiscovery serves discovery's list in this process, times the phase, and has the list follow the restarts of nodes.
+// startDiscovery emulates discovery in this process, sets the times of the phase, and schedules the restarts of nodes.
 func (run *phaseRun) startDiscovery() error {
 	var err error
 	if run.dir, err = os.MkdirTemp("", "lab"); err != nil {
 		return err
 	}
-	run.atEnd(func() { _ = os.RemoveAll(run.dir) })
+	run.addCleanup(func() { _ = os.RemoveAll(run.dir) })
 	run.loop = scheduler.NewLoop(run.clock)
-	run.engine = nbionet.New(nbionet.Options{Loop: run.loop, ConnectTimeout: dialWithin, Log: run.runner.Log})
-	run.atEnd(run.engine.Close)
+	run.engine = nbionet.New(nbionet.Options{Loop: run.loop, ConnectTimeout: dialTimeout, Log: run.runner.Log})
+	run.addCleanup(run.engine.Close)
 	if err := run.engine.Start(); err != nil {
 		return err
 	}
@@ -109,29 +109,29 @@
 	run.engine.Serve(ln, 64, newServer(run.loop, run.discovery.serve).opened)
 	stop, done := make(chan struct{}), make(chan struct{})
 	go func() { run.loop.Run(stop); close(done) }()
-	run.atEnd(func() { close(stop); <-done })
+	run.addCleanup(func() { close(stop); <-done })
 
-	long := run.phase.For
+	duration := run.phase.For
 	if run.runner.Short && run.phase.Short > 0 {
-		long = run.phase.Short
+		duration = run.phase.Short
 	}
-	run.from = run.clock() + startTime
+	run.from = run.clock() + startupTime
 	run.measure = run.from + run.phase.WarmUp
-	run.until = run.measure + long
+	run.until = run.measure + duration
 	run.planRestarts()
 	return nil
 }
 
-// planRestarts lists when nodes restart, and posts what discovery says of them meanwhile.
+// planRestarts sets when nodes restart, and schedules discovery's updates about them.
 func (run *phaseRun) planRestarts() {
-	const listedAfter = 20 * time.Millisecond // a node that begins anew
+	const relistDelay = 20 * time.Millisecond // from a node's restart until discovery lists it as in service
 	for _, rs := range run.phase.Restarts {
 		for i, at := 0, run.measure+rs.At; i < len(run.nodes) && at < run.until; i, at = i+max(rs.Every, 1), at+rs.Step {
 			name := run.nodes[i].Name
 			run.restarts = append(run.restarts, Restart{name, at + rs.Drain})
 			run.loop.Post(func() {
-				run.loop.Deadlines.Add(at, func() { run.discovery.set(name, "terminating", 0) })
-				run.loop.Deadlines.Add(at+rs.Drain+listedAfter, func() { run.discovery.set(name, "in_service", at+rs.Drain) })
+				run.loop.Deadlines.Add(at, func() { run.discovery.updateNode(name, "terminating", 0) })
+				run.loop.Deadlines.Add(at+rs.Drain+relistDelay, func() { run.discovery.updateNode(name, "in_service", at+rs.Drain) })
 			})
 		}
 	}
@@ -140,17 +140,17 @@
 			at, name := run.measure+a.At+a.For, run.nodes[a.Node%len(run.nodes)].Name
 			run.restarts = append(run.restarts, Restart{name, at})
 			run.loop.Post(func() {
-				run.loop.Deadlines.Add(at+listedAfter, func() { run.discovery.set(name, "in_service", at) })
+				run.loop.Deadlines.Add(at+relistDelay, func() { run.discovery.updateNode(name, "in_service", at) })
 			})
 		}
 	}
 }
 
-// start starts a process of this program that ends with the run.
+// start starts a process of this program, which is killed at the end of the run if it still runs then.
 func (run *phaseRun) start(verb string, spec any) (*child, error) {
 	c, err := run.runner.start(verb, spec)
 	if c != nil {
-		run.atEnd(c.kill)
+		run.addCleanup(c.kill)
 	}
 	return c, err
 }
@@ -158,7 +158,7 @@
 func (run *phaseRun) startNodes() error {
 	x := run.experiment
 	for k := range x.Fleets {
-		spec := FleetSpec{Rules: x.Rules.model(), Schedulers: []string{run.schedulerAddress()}, Restarts: run.restarts, Unsafe: x.unsafe(), Falls: x.Rules.Falls}
+		spec := FleetSpec{Rules: x.Rules.emulatorRules(), Schedulers: []string{run.schedulerAddress()}, Restarts: run.restarts, Unsafe: x.atMostOnceClasses(), Falls: x.Rules.Falls}
 		for i := k; i < len(run.nodes); i += x.Fleets {
 			spec.Nodes = append(spec.Nodes, run.nodes[i])
 		}
@@ -174,15 +174,15 @@
 	return nil
 }
 
-// startScheduler starts the scheduler that is measured, and waits until it is ready.
+// startScheduler starts the measured scheduler and waits until it is ready.
 func (run *phaseRun) startScheduler() error {
 	var err error
-	if run.listener, err = net.Listen("tcp", run.schedulerAddress()); err != nil { // by the platform: every process of the scheduler inherits it
+	if run.listener, err = net.Listen("tcp", run.schedulerAddress()); err != nil { // the platform listens; the scheduler's processes inherit the socket
 		return err
 	}
-	run.atEnd(func() { _ = run.listener.Close() })
-	run.site = &site{runner: run.runner, dir: run.dir, variant: run.variant, adminPrefix: run.base + ".0.3:98", listener: run.listener}
-	run.atEnd(run.site.kill)
+	run.addCleanup(func() { _ = run.listener.Close() })
+	run.schedulers = &processSet{runner: run.runner, dir: run.dir, variant: run.variant, adminPrefix: run.addrPrefix + ".0.3:98", listener: run.listener}
+	run.addCleanup(run.schedulers.kill)
 	file, err := run.experiment.config(run.schedulerAddress(), run.discoveryAddress(), run.experiment.settings(run.sites, run.kinds))
 	if err != nil {
 		return err
@@ -190,17 +190,17 @@
 	if err := os.WriteFile(filepath.Join(run.dir, "config.json"), file, 0o644); err != nil {
 		return err
 	}
-	if err := run.site.start(run.variant.Cores); err != nil {
+	if err := run.schedulers.start(run.variant.Cores); err != nil {
 		return err
 	}
 	if err := run.runner.awaitReady(run.loop, run.engine, run.schedulerAddress()); err != nil {
-		return fmt.Errorf("%w\n%s", err, run.first().log)
+		return fmt.Errorf("%w\n%s", err, run.firstProcess().log)
 	}
 	return nil
 }
 
-// first is the scheduler's first process; acts may start others.
-func (run *phaseRun) first() *child { return run.site.all[0] }
+// firstProcess returns the scheduler's first process. Upgrades start others.
+func (run *phaseRun) firstProcess() *child { return run.schedulers.processes[0] }
 
 func (run *phaseRun) startClients() error {
 	x, p := run.experiment, run.phase
@@ -216,82 +216,83 @@
 	return nil
 }
 
-// startStalls has the scheduler's first process stand still at the times that the phase gives.
+// startStalls schedules the pauses of the scheduler's first process.
 func (run *phaseRun) startStalls() {
-	process := run.first().cmd.Process
+	process := run.firstProcess().cmd.Process
 	for _, s := range run.phase.Stalls {
 		timer := time.AfterFunc(run.measure+s.At-run.clock(), func() {
 			_ = process.Signal(syscall.SIGSTOP)
 			time.Sleep(s.For)
 			_ = process.Signal(syscall.SIGCONT)
 		})
-		run.atEnd(func() { timer.Stop() })
+		run.addCleanup(func() { timer.Stop() })
 	}
 }
 
+// startActs schedules the actions of the phase; actResults receives their results.
 func (run *phaseRun) startActs() {
-	run.acts = make(chan error, len(run.phase.Acts))
+	run.actResults = make(chan error, len(run.phase.Acts))
 	for _, a := range run.phase.Acts {
 		go func() {
 			time.Sleep(run.measure + a.At - run.clock())
-			run.acts <- run.site.act(&a, run.nodes[a.Node%len(run.nodes)].Name, func(node string) {
+			run.actResults <- run.schedulers.act(&a, run.nodes[a.Node%len(run.nodes)].Name, func(node string) {
 				run.loop.Post(func() { run.discovery.listedAt[node+" terminating"] = run.loop.Now() })
 			})
 		}()
 	}
 }
 
-// consumed is what was used of the machine in the time that counts.
-type consumed struct {
-	before, after        used // of the scheduler's first process
+// resourceUsage is the usage of the machine during the measurement.
+type resourceUsage struct {
+	before, after        processUsage // of the scheduler's first process
 	instructions, cycles float64
 	nodes, clients       time.Duration // processor time
 	stealPercent         float64
 }
 
-// consumption waits out the time that counts.
-func (run *phaseRun) consumption() (c consumed, err error) {
-	pid := run.first().cmd.Process.Pid
+// measureUsage waits until the measurement has begun and ended, and returns the usage in between.
+func (run *phaseRun) measureUsage() (c resourceUsage, err error) {
+	pid := run.firstProcess().cmd.Process.Pid
 	time.Sleep(run.measure - run.clock())
-	if c.before, err = usage(pid); err != nil {
-		return c, fmt.Errorf("%w\n%s", err, run.first().log)
+	if c.before, err = readUsage(pid); err != nil {
+		return c, fmt.Errorf("%w\n%s", err, run.firstProcess().log)
 	}
-	nodesBefore, clientsBefore := cpuOf(run.fleets), cpuOf(run.clients)
-	counted, err := count(pid)
+	nodesBefore, clientsBefore := cpuTime(run.fleets), cpuTime(run.clients)
+	hardware, err := startCounters(pid)
 	if err != nil {
-		counted = &counters{} // a machine without them
+		hardware = &perfCounters{} // the machine has no such counters
 	}
-	defer counted.close()
-	ticksBefore, stealBefore := stolen()
+	defer hardware.close()
+	ticksBefore, stealBefore := stealTicks()
 	time.Sleep(run.until - run.clock())
-	c.instructions, c.cycles = counted.read()
-	ticks, steal := stolen()
+	c.instructions, c.cycles = hardware.read()
+	ticks, steal := stealTicks()
 	c.stealPercent = 100 * (steal - stealBefore) / max(ticks-ticksBefore, 1)
-	c.nodes, c.clients = cpuOf(run.fleets)-nodesBefore, cpuOf(run.clients)-clientsBefore
-	c.after, err = usage(pid)
-	if err != nil && len(run.phase.Acts) == 0 { // else a new version may have taken its place
-		return c, fmt.Errorf("%w\n%s", err, run.first().log)
+	c.nodes, c.clients = cpuTime(run.fleets)-nodesBefore, cpuTime(run.clients)-clientsBefore
+	c.after, err = readUsage(pid)
+	if err != nil && len(run.phase.Acts) == 0 { // after an upgrade the first process may have exited
+		return c, fmt.Errorf("%w\n%s", err, run.firstProcess().log)
 	}
 	for range run.phase.Acts {
-		if err := <-run.acts; err != nil {
+		if err := <-run.actResults; err != nil {
 			return c, err
 		}
 	}
 	return c, nil
 }
 
-// collect ends clients and nodes, and reads what they saw.
+// collect stops the processes of clients and nodes and reads their reports.
 func (run *phaseRun) collect(result *Result) error {
 	for _, c := range run.clients {
 		var report LoadReport
-		if err := c.report(&report); err != nil {
+		if err := c.stopAndReadReport(&report); err != nil {
 			return err
 		}
 		result.Load = append(result.Load, report)
 	}
 	for _, c := range run.fleets {
 		var report FleetReport
-		if err := c.report(&report); err != nil {
+		if err := c.stopAndReadReport(&report); err != nil {
 			return err
 		}
 		result.Fleet = append(result.Fleet, report)
@@ -299,8 +300,8 @@
 	return nil
 }
 
-// addFigures works out the figures of what clients and nodes saw and what was used.
-func (run *phaseRun) addFigures(result *Result, c consumed) {
+// addFigures computes the figures from the reports and the usage.
+func (run *phaseRun) addFigures(result *Result, c resourceUsage) {
 	listedAt := make(chan map[string]time.Duration, 1)
 	run.loop.Post(func() { listedAt <- run.discovery.listedAt })
 	result.sum(<-listedAt, c.before, c.after)
@@ -313,7 +314,7 @@
 	f["cpu_clients_us_a_job"] = float64(c.clients.Microseconds()) / f["asked"]
 	f["steal_percent"] = c.stealPercent
 	if slices.ContainsFunc(run.phase.Acts, func(a ActXML) bool { return a.Do == "upgrade" }) {
-		// Several processes in turn: what the first one used says little.
+		// Several processes served in turn: the usage of the first one alone would mislead.
 		for name := range f {
 			if strings.HasPrefix(name, "cpu_u") || strings.HasPrefix(name, "cpu_s") || strings.HasPrefix(name, "k_") || name == "rss_mb" || name == "cpu_us_a_job" {
 				delete(f, name)
@@ -322,8 +323,8 @@
 	}
 }
 
-// keepLogs writes the logs of the scheduler's processes to the runner's folder for them.
-func (run *phaseRun) keepLogs() {
+// writeLogs writes the logs of the scheduler's processes to Runner.Logs.
+func (run *phaseRun) writeLogs() {
 	if run.runner.Logs == "" {
 		return
 	}
@@ -334,8 +335,8 @@
 		return c
 	}, run.variant.Name+"-"+run.phase.Name+".log")
 	var log []byte
-	for _, s := range run.site.all {
+	for _, s := range run.schedulers.processes {
 		log = append(log, s.log.Bytes()...)
 	}
-	_ = os.WriteFile(filepath.Join(run.runner.Logs, name), log, 0o644) // the figures count without it
+	_ = os.WriteFile(filepath.Join(run.runner.Logs, name), log, 0o644) // the figures are valid without the log
 }
--- a/test/lab/report.go
+++ b/test/lab/report.go
@@ -22,7 +22,7 @@
 	"gonum.org/v1/plot/vg/vgsvg"
 )
 
-// Origin says what results were made with.
+// Origin says when, where and with which version results were produced.
 type Origin struct {
 	At       time.Time
 	Machine  string
@@ -33,7 +33,7 @@
 	Comments []string `json:",omitempty"`
 }
 
-// Kept is what results.json holds.
+// Kept is the content of results.json.
 type Kept struct {
 	Experiment string
 	Origin     Origin
@@ -41,7 +41,8 @@
 	Results    []Result
 }
 
-// ThisMachine names the machine by its processors and memory, and the commit by what the caller knows of it.
+// ThisMachine returns the origin of results that are produced now on this machine: its processors and kernel,
+// the Go version, and the commit as the caller knows it.
 func ThisMachine(seed uint64, commit string, short bool) Origin {
 	o := Origin{At: time.Now().UTC().Truncate(time.Second), Commit: commit, Go: runtime.Version(), Seed: seed, Short: short}
 	model := "unknown processor"
@@ -56,16 +57,16 @@
 	return o
 }
 
-// Keep writes results.json, results.csv and report.html to a folder.
+// Keep writes results.json, results.csv and report.html to a folder. results.json omits the latency histograms.
 func Keep(dir string, x *Experiment, origin Origin, results []Result, verdicts []Verdict) error {
-	kept := slices.Clone(results)
-	for i := range kept {
-		kept[i].Load = slices.Clone(kept[i].Load)
-		for k := range kept[i].Load {
-			kept[i].Load[k].Latency = nil // thousands of counts; the figures have its percentiles
+	trimmed := slices.Clone(results)
+	for i := range trimmed {
+		trimmed[i].Load = slices.Clone(trimmed[i].Load)
+		for k := range trimmed[i].Load {
+			trimmed[i].Load[k].Latency = nil // thousands of counts; the figures include its percentiles
 		}
 	}
-	text, err := json.Marshal(Kept{x.Name, origin, verdicts, kept})
+	text, err := json.Marshal(Kept{x.Name, origin, verdicts, trimmed})
 	if err != nil {
 		return err
 	}
@@ -73,8 +74,8 @@
 		return err
 	}
 	names := figureNames
-	if x.figures != nil {
-		names = x.figures
+	if x.shownFigures != nil {
+		names = x.shownFigures
 	}
 	var table bytes.Buffer
 	w := csv.NewWriter(&table)
@@ -92,24 +93,24 @@
 	if err := os.WriteFile(filepath.Join(dir, "results.csv"), table.Bytes(), 0o644); err != nil {
 		return err
 	}
-	page, err := report(x, origin, results, verdicts)
+	page, err := renderReport(x, origin, results, verdicts)
 	if err != nil {
 		return err
 	}
 	return os.WriteFile(filepath.Join(dir, "report.html"), page, 0o644)
 }
 
-// palette holds the lines' and bars' colours, which are told apart by those who see few colours too.
+// palette holds the colours of lines and bars. People with colour blindness can distinguish them.
 var palette = []color.Color{color.RGBA{0, 114, 178, 255}, color.RGBA{230, 159, 0, 255}, color.RGBA{0, 158, 115, 255},
 	color.RGBA{204, 121, 167, 255}, color.RGBA{86, 180, 233, 255}, color.RGBA{213, 94, 0, 255}}
 
-// chart is one picture of the report.
+// chart is one chart of the report.
 type chart struct {
 	Title string
 	SVG   template.HTML
 }
 
-func render(p *plot.Plot, title string) (chart, error) {
+func renderChart(p *plot.Plot, title string) (chart, error) {
 	c := vgsvg.New(15*vg.Centimeter, 8*vg.Centimeter)
 	p.Draw(draw.New(c))
 	var b bytes.Buffer
@@ -117,11 +118,11 @@
 		return chart{}, err
 	}
 	svg := b.String()
-	return chart{title, template.HTML(svg[max(strings.Index(svg, "<svg"), 0):])}, nil // written by the library, from numbers and our own names
+	return chart{title, template.HTML(svg[max(strings.Index(svg, "<svg"), 0):])}, nil // safe: written by the plot library from numbers and our own names
 }
 
-// bars shows some figures of each variant in one phase.
-func bars(title, unit string, results []Result, figures ...string) (chart, error) {
+// barChart draws some figures of each variant in one phase.
+func barChart(title, unit string, results []Result, figures ...string) (chart, error) {
 	p := plot.New()
 	p.Y.Label.Text, p.Y.Min = unit, 0
 	var names []string
@@ -149,13 +150,13 @@
 		p.Y.Max *= 1.35 // for the legend
 	}
 	p.NominalX(names...)
-	return render(p, title)
+	return renderChart(p, title)
 }
 
-// lines shows how something went over time for each variant.
-func lines(title, unit string, results []Result, value func(SecondReport) float64) (chart, error) {
+// lineChart draws a value over time for each variant, summed over the client processes.
+func lineChart(title, unit string, results []Result, value func(SecondReport) float64) (chart, error) {
 	p := plot.New()
-	p.X.Label.Text, p.Y.Label.Text, p.Y.Min = "s from the begin", unit, 0
+	p.X.Label.Text, p.Y.Label.Text, p.Y.Min = "seconds from the start", unit, 0
 	for i := range results {
 		var points plotter.XYs
 		for _, l := range results[i].Load {
@@ -169,7 +170,7 @@
 		if len(points) < 3 {
 			continue
 		}
-		line, err := plotter.NewLine(points[:len(points)-1]) // the last second is a part
+		line, err := plotter.NewLine(points[:len(points)-1]) // the last second is incomplete
 		if err != nil {
 			return chart{}, err
 		}
@@ -179,51 +180,51 @@
 	}
 	p.Legend.Top = true
 	p.Y.Max *= 1.35 // for the legend
-	return render(p, title)
+	return renderChart(p, title)
 }
 
-// charts are the pictures of a phase.
+// charts returns the functions that draw the charts of a phase.
 func (x *Experiment) charts(phase string, results []Result) []func() (chart, error) {
 	bar := func(title, unit string, figures ...string) func() (chart, error) {
-		return func() (chart, error) { return bars(title, unit, results, figures...) }
+		return func() (chart, error) { return barChart(title, unit, results, figures...) }
 	}
-	if x.figures != nil {
+	if x.shownFigures != nil {
 		return map[string][]func() (chart, error){
-			"roll-outs": {bar("From a proposal until all act under it", "ms", "roll_out_ms_mean", "roll_out_ms_worst"),
-				bar("Words of a member at rest", "bytes/s", "bytes_a_member_s"), bar("CPU of a member at rest", "%", "cpu_percent_a_member")},
-			"faults": {bar("Below a floor at its date", "", "stopped_across", "straggled", "straggled_missed", "straggled_invented"),
-				bar("What must be none", "", "below_floor", "conflicts", "unanswered", "record_faults"),
+			"roll-outs": {bar("From the proposal of an epoch until all members have adopted it", "ms", "roll_out_ms_mean", "roll_out_ms_worst"),
+				bar("Traffic of an idle member", "bytes/s", "bytes_a_member_s"), bar("CPU of an idle member", "%", "cpu_percent_a_member")},
+			"faults": {bar("Members below the floor at an epoch's effective date", "", "stopped_across", "straggled", "straggled_missed", "straggled_invented"),
+				bar("Figures that must be 0", "", "below_floor", "conflicts", "unanswered", "record_faults"),
 				bar("Records tampered with", "", "tampered", "tamper_missed", "tamper_invented")},
-			"pair": {bar("p99, on and off", "ms", "p99_on_ms", "p99_off_ms"), bar("CPU a job, on and off", "us", "cpu_on_us_a_job", "cpu_off_us_a_job")},
+			"pair": {bar("p99, on and off", "ms", "p99_on_ms", "p99_off_ms"), bar("CPU per job, on and off", "us", "cpu_on_us_a_job", "cpu_off_us_a_job")},
 		}[phase]
 	}
 	return []func() (chart, error){
-		func() (chart, error) { return bars("Jobs served a second", "jobs/s", results, "throughput") },
+		func() (chart, error) { return barChart("Jobs served per second", "jobs/s", results, "throughput") },
 		func() (chart, error) {
-			return bars("Latency", "ms", results, "p50_ms", "p99_ms", "p999_ms")
+			return barChart("Latency", "ms", results, "p50_ms", "p99_ms", "p999_ms")
 		},
 		func() (chart, error) {
-			return bars("CPU a job", "us", results, "cpu_user_us_a_job", "cpu_sys_us_a_job", "cpu_nodes_us_a_job", "cpu_clients_us_a_job")
+			return barChart("CPU per job", "us", results, "cpu_user_us_a_job", "cpu_sys_us_a_job", "cpu_nodes_us_a_job", "cpu_clients_us_a_job")
 		},
 		func() (chart, error) {
-			return bars("Instructions and cycles a job", "thousands", results, "k_instructions_a_job", "k_cycles_a_job")
+			return barChart("Instructions and cycles per job", "thousands", results, "k_instructions_a_job", "k_cycles_a_job")
 		},
 		func() (chart, error) {
-			return bars("Last send after a drain was told", "ms", results, "drain_last_ms")
+			return barChart("Last send after a drain was listed", "ms", results, "drain_last_ms")
 		},
 		func() (chart, error) {
-			return bars("Most that a cold node was sent, of what it may be", "", results, "cold_worst")
+			return barChart("Peak load of a cold node, relative to its limit", "", results, "cold_worst")
 		},
 		func() (chart, error) {
-			return lines("Served by the second", "jobs", results, func(s SecondReport) float64 { return float64(s.Served) })
+			return lineChart("Served in each second", "jobs", results, func(s SecondReport) float64 { return float64(s.Served) })
 		},
 		func() (chart, error) {
-			return lines("p99 by the second", "ms", results, func(s SecondReport) float64 { return ms(s.P99) })
+			return lineChart("p99 in each second", "ms", results, func(s SecondReport) float64 { return ms(s.P99) })
 		},
 	}
 }
 
-func report(x *Experiment, origin Origin, results []Result, verdicts []Verdict) ([]byte, error) {
+func renderReport(x *Experiment, origin Origin, results []Result, verdicts []Verdict) ([]byte, error) {
 	type phase struct {
 		Name    string
 		Results []Result
@@ -233,8 +234,8 @@
 		X        *Experiment
 		Origin   Origin
 		Verdicts []Verdict
-		Aims     []Verdict // and what did not hold
-		Held     int
+		Aims     []Verdict // all aims, and the expectations that were missed
+		Held     int       // number of verdicts that held
 		Figures  []string
 		Phases   []phase
 	}{X: x, Origin: origin, Verdicts: verdicts}
@@ -247,8 +248,8 @@
 		}
 	}
 	names := figureNames
-	if x.figures != nil {
-		names = x.figures
+	if x.shownFigures != nil {
+		names = x.shownFigures
 	}
 	for _, name := range names {
 		if slices.ContainsFunc(results, func(r Result) bool { return r.Figures[name] != 0 }) {
@@ -275,11 +276,11 @@
 		page.Phases = append(page.Phases, ph)
 	}
 	var b bytes.Buffer
-	err := pageForm.Execute(&b, page)
+	err := reportTemplate.Execute(&b, page)
 	return b.Bytes(), err
 }
 
-var pageForm = template.Must(template.New("report").Funcs(template.FuncMap{
+var reportTemplate = template.Must(template.New("report").Funcs(template.FuncMap{
 	"figure": func(r Result, name string) string {
 		return strconv.FormatFloat(r.Figures[name], 'f', decimals(r.Figures[name]), 64)
 	},
@@ -304,8 +305,8 @@
 <p>{{.X.About}}</p>
 <p>{{.Origin.At.Format "2006-01-02 15:04 UTC"}}, {{.Origin.Machine}}, {{.Origin.Go}}{{if .Origin.Commit}}, commit {{.Origin.Commit}}{{end}}, seed {{.Origin.Seed}}{{if .Origin.Short}}, short form{{end}}.</p>
 {{range .Origin.Comments}}<p>{{.}}</p>{{end}}
-{{if .Verdicts}}<h2>What was expected</h2>
-<p>{{.Held}} of {{len .Verdicts}} held.{{if .Aims}} What did not, and the aims:{{end}}</p>
+{{if .Verdicts}}<h2>Expectations</h2>
+<p>{{.Held}} of {{len .Verdicts}} held.{{if .Aims}} Those missed, and the aims:{{end}}</p>
 {{if .Aims}}{{template "verdicts" .Aims}}{{end}}
 <details><summary>All</summary>{{template "verdicts" .Verdicts}}</details>{{end}}
 {{$figures := .Figures}}{{range .Phases}}<h2>Phase {{.Name}}</h2>
@@ -314,11 +315,11 @@
 {{$results := .Results}}{{range $figures}}{{$name := .}}<tr><td>{{.}}</td>{{range $results}}<td>{{figure . $name}}</td>{{end}}</tr>
 {{end}}</table></div>
 {{end}}</body></html>
-{{define "verdicts"}}<table><tr><th>what</th><th>found</th><th></th></tr>
+{{define "verdicts"}}<table><tr><th>expectation</th><th>found</th><th></th></tr>
 {{range .}}<tr><td>{{.Text}}</td><td>{{printf "%.4g" .Found}}</td><td class="{{if .Held}}held{{else}}missed{{end}}">{{if .Held}}held{{else}}missed{{if .Aim}} (an aim){{end}}{{end}}</td></tr>
 {{end}}</table>{{end}}`))
 
-// decimals is how many a figure of that size is shown with.
+// decimals returns the number of decimal places to show of a figure.
 func decimals(v float64) int {
 	switch {
 	case v >= 100 || v == float64(int(v)):
--- a/test/lab/run.go
+++ b/test/lab/run.go
@@ -13,18 +13,18 @@
 	"ravendale/balancer/transport"
 )
 
-// Runner plays experiments with processes of its own program and of the scheduler.
+// Runner runs experiments with child processes of its own program and of the scheduler.
 type Runner struct {
-	Self   string // this program: it plays nodes as `fleet` and clients as `load`
-	Binary string // the scheduler
+	Self   string // path of this program, which emulates nodes with its command `fleet` and clients with `load`
+	Binary string // path of the scheduler's program
 	Short  bool
-	Logs   string // a folder for the scheduler's logs, "" to throw them away
-	Say    func(text string, args ...any)
+	Logs   string                         // folder for the scheduler's logs; "" discards them
+	Say    func(text string, args ...any) // prints a line on the progress
 	Log    *slog.Logger
-	Only   string // a variant, "" for all
+	Only   string // the only variant to run; "" runs all
 }
 
-// Result is what one phase of one variant showed.
+// Result holds the measurements of one phase of one variant.
 type Result struct {
 	Variant, Phase string
 	Figures        map[string]float64
@@ -33,7 +33,8 @@
 	Drains         []DrainReport
 }
 
-// Run plays all phases of all variants.
+// Run runs all phases of all variants, or of the variant Only. If a phase fails, Run returns the results so far and the
+// error.
 func (r *Runner) Run(x *Experiment) (results []Result, err error) {
 	for i := range x.Variants {
 		if r.Only != "" && x.Variants[i].Name != r.Only {
@@ -45,7 +46,7 @@
 				return results, fmt.Errorf("%s, %s: %w", x.Variants[i].Name, x.Phases[j].Name, err)
 			}
 			f := result.Figures
-			r.Say("%-12s %-10s %8.0f/s  p50 %6.2f  p99 %7.2f  p99.9 %7.2f ms  CPU %5.1f us a job (%.1f user, %.0f k instructions, %.0f k cycles)  last send %4.0f ms after a drain  cold at most %.2f  steal %.0f%%",
+			r.Say("%-12s %-10s %8.0f/s  p50 %6.2f  p99 %7.2f  p99.9 %7.2f ms  CPU %5.1f us a job (%.1f user, %.0f k instructions, %.0f k cycles)  last send %4.0f ms after drain listed  cold load ratio %.2f at most  steal %.0f%%",
 				result.Variant, result.Phase, f["throughput"], f["p50_ms"], f["p99_ms"], f["p999_ms"], f["cpu_us_a_job"],
 				f["cpu_user_us_a_job"], f["k_instructions_a_job"], f["k_cycles_a_job"], f["drain_last_ms"], f["cold_worst"], f["steal_percent"])
 			results = append(results, *result)
@@ -54,7 +55,8 @@
 	return results, nil
 }
 
-func with(list []string, name string) []string {
+// appendUnique appends name to list unless list contains it.
+func appendUnique(list []string, name string) []string {
 	for _, w := range list {
 		if w == name {
 			return list
@@ -63,23 +65,23 @@
 	return append(list, name)
 }
 
-// config is a scheduler's file, in the platform's form.
+// config returns a scheduler's configuration file, in the platform's format.
 func (x *Experiment) config(listen, discovery string, settings map[string]any) ([]byte, error) {
 	return json.Marshal(map[string]any{"name": "n0", "listen": listen, "discovery": discovery, "seed": strconv.FormatUint(x.Seed, 16),
 		"limits": map[string]any{"cores": 1.0, "memory_mb": 1024, "sockets": 8192}, "settings": settings})
 }
 
-// readyWithin is how long a process may take to start.
-const readyWithin = 20 * time.Second
+// readyTimeout limits how long a process may take to start.
+const readyTimeout = 20 * time.Second
 
-// awaitReady asks the scheduler until it says that it is ready.
+// awaitReady polls the scheduler's /ready until it answers 200.
 func (r *Runner) awaitReady(loop *scheduler.Loop, network transport.Network, addr string) error {
-	until := time.Now().Add(readyWithin)
+	until := time.Now().Add(readyTimeout)
 	for time.Now().Before(until) {
 		answer := make(chan bool, 1)
 		loop.Post(func() {
 			p := newPool(loop, network, addr)
-			p.ask(http1.AppendRequest(nil, "GET", "/ready", addr, nil, nil), func(resp *http1.Response, err error) {
+			p.do(http1.AppendRequest(nil, "GET", "/ready", addr, nil, nil), func(resp *http1.Response, err error) {
 				answer <- err == nil && resp.Status == 200
 			})
 		})
@@ -88,5 +90,5 @@
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	return errors.New("the scheduler is not ready")
+	return errors.New("scheduler did not become ready in time: no 200 from /ready")
 }
--- a/test/lab/site.go
+++ b/test/lab/site.go
@@ -13,24 +13,24 @@
 	"time"
 )
 
-// site is where the processes of the scheduler run that is measured, one after the other.
-type site struct {
+// processSet holds the processes of the measured scheduler. An upgrade starts a process and stops the one before it.
+type processSet struct {
 	runner      *Runner
 	dir         string
 	variant     *Variant
-	adminPrefix string       // of the processes' admin endpoints: two digits follow
+	adminPrefix string       // host and port of the admin endpoints without the port's last two digits
 	listener    net.Listener // inherited by each process
-	all         []*child     // the newest last
+	processes   []*child     // in start order
 }
 
-func (s *site) kill() {
-	for _, c := range s.all {
+func (s *processSet) kill() {
+	for _, c := range s.processes {
 		c.kill()
 	}
 }
 
-// start starts a process beside those that are there.
-func (s *site) start(cores int) error {
+// start starts another process and leaves the running ones alone.
+func (s *processSet) start(cores int) error {
 	binary := s.runner.Binary
 	if s.variant.Binary != "" {
 		binary = s.variant.Binary
@@ -47,7 +47,7 @@
 	c := &child{cmd: exec.Command(binary, args...), log: &bytes.Buffer{}}
 	c.cmd.ExtraFiles = []*os.File{listener} // descriptor 3
 	c.cmd.Env = []string{"PROXY_CONFIG=" + filepath.Join(s.dir, "config.json"), "PROXY_FD=3", "TMPDIR=" + s.dir,
-		"PROXY_MANAGEMENT=" + s.adminAddress(len(s.all))}
+		"PROXY_MANAGEMENT=" + s.adminAddr(len(s.processes))}
 	if s.variant.GoGC != "" {
 		c.cmd.Env = append(c.cmd.Env, "GOGC="+s.variant.GoGC)
 	}
@@ -55,15 +55,15 @@
 	if err := c.cmd.Start(); err != nil {
 		return err
 	}
-	s.all = append(s.all, c)
+	s.processes = append(s.processes, c)
 	return nil
 }
 
-func (s *site) adminAddress(process int) string { return s.adminPrefix + strconv.Itoa(10+process) }
+func (s *processSet) adminAddr(process int) string { return s.adminPrefix + strconv.Itoa(10+process) }
 
-// call calls the admin endpoint of the newest process, and takes nothing but success.
-func (s *site) call(method, path string) error {
-	req, err := http.NewRequest(method, "http://"+s.adminAddress(len(s.all)-1)+path, nil)
+// call sends a request to the admin endpoint of the newest process. A status other than 2xx is an error.
+func (s *processSet) call(method, path string) error {
+	req, err := http.NewRequest(method, "http://"+s.adminAddr(len(s.processes)-1)+path, nil)
 	if err != nil {
 		return err
 	}
@@ -73,16 +73,16 @@
 	}
 	defer func() { _ = resp.Body.Close() }()
 	if resp.StatusCode/100 != 2 {
-		return fmt.Errorf("%s: %s", path, resp.Status)
+		return fmt.Errorf("admin endpoint %s answered %s", path, resp.Status)
 	}
 	return nil
 }
 
-// act does one thing; out is called with a node once it is out by hand.
-func (s *site) act(a *ActXML, node string, removed func(node string)) error {
+// act performs an action, and undoes "away" and "hand" after a.For. For "hand" it calls onDetached once node is detached.
+func (s *processSet) act(a *ActXML, node string, onDetached func(node string)) error {
 	switch a.Do {
 	case "reload":
-		return s.all[len(s.all)-1].cmd.Process.Signal(syscall.SIGHUP)
+		return s.processes[len(s.processes)-1].cmd.Process.Signal(syscall.SIGHUP)
 	case "away":
 		if err := s.call("POST", "/_lameduck/on"); err != nil {
 			return err
@@ -93,20 +93,20 @@
 		if err := s.call("POST", "/_workers/detach/"+node); err != nil {
 			return err
 		}
-		removed(node)
+		onDetached(node)
 		time.Sleep(a.For + 50*time.Millisecond)
 		return s.call("POST", "/_workers/attach/"+node)
 	}
-	old := s.all[len(s.all)-1]
+	old := s.processes[len(s.processes)-1]
 	if err := s.start(a.Cores); err != nil {
 		return err
 	}
-	for until := time.Now().Add(readyWithin); ; time.Sleep(10 * time.Millisecond) {
+	for until := time.Now().Add(readyTimeout); ; time.Sleep(10 * time.Millisecond) {
 		if s.call("GET", "/_ready") == nil {
 			return old.cmd.Process.Signal(syscall.SIGTERM)
 		}
 		if time.Now().After(until) {
-			return fmt.Errorf("the new version is not ready: %s", s.all[len(s.all)-1].log)
+			return fmt.Errorf("the new version did not become ready in time: %s", s.processes[len(s.processes)-1].log)
 		}
 	}
 }
--- a/test/lab/trace.go
+++ b/test/lab/trace.go
@@ -18,31 +18,31 @@
 	"ravendale/balancer/scheduler"
 )
 
-// Span is what all schedulers together did in a span of time, counted from what each logged of its attempts: serve with
-// `--log-level debug --log-format json`.
+// Span counts what all schedulers together did in a span of time, from the logs of their attempts. The schedulers must log
+// with `--log-level debug --log-format json`.
 type Span struct {
-	From                       time.Duration // after the first line of all
+	From                       time.Duration // start of the span, counted from the first line of all logs
 	Jobs, Sends, ToCold, Dials int
 	Served, Refused, Failed    int
 	ListCalls, ListCallsFailed int
-	Open                       float64                   // jobs in hand at a scheduler, mean over first sends
+	Open                       float64                   // mean number of open jobs of a scheduler at the first send of a job
 	Outcomes                   map[ravendale.Outcome]int // of attempts
-	MostToOneCold, ColdServers int                       // the most sends to one cold server within ColdSpan, and how many were sent to
-	Unsent                     map[string]int            // answered as refused or failed without a send, by why
-	LateSends                  int                       // to a server listed as draining or removed
-	LatestSend                 time.Duration             // after its sender had that list
-	LeftWaiting                int                       // clients that left before their request was sent to any server
-	SentAfterLeft              int                       // of those requests, that were sent more than LeftSlack later all the same
+	MostToOneCold, ColdServers int                       // the most sends to one cold server within ColdSpan; ColdServers is not set
+	Unsent                     map[string]int            // jobs refused or failed without a send, by reason
+	LateSends                  int                       // sends to a server after its sender's list had it as draining or removed
+	LatestSend                 time.Duration             // the longest time from that list to a late send
+	LeftWaiting                int                       // clients that left before their request was sent to a server
+	SentAfterLeft              int                       // those whose request was sent all the same, more than LeftSlack later
 }
 
-// ColdSpan is the time in which sends to one cold server are counted: the span of the rule on overfeeding.
+// ColdSpan is the window in which sends to one cold server are counted, the same as that of the overload rule.
 const ColdSpan = 2 * time.Second
 
-// LeftSlack is how long after its client left a request may still be sent on, by the users' page.
+// LeftSlack is how long after its client has left a request may still be sent; the users' specification sets it.
 const LeftSlack = 300 * time.Millisecond
 
-// traced is a line of a log at debug level, in JSON. Only what is there counts.
-type traced struct {
+// logLine is one JSON line of a debug log. It holds the fields of all messages, of which each line has some.
+type logLine struct {
 	Time    time.Time            `json:"time"`
 	Msg     string               `json:"msg"`
 	Job     int                  `json:"job"`
@@ -52,22 +52,22 @@
 	Open    int                  `json:"open"`
 	Outcome ravendale.Outcome    `json:"outcome"`
 	Kind    scheduler.AnswerKind `json:"kind"`
-	Why     string               `json:"why"` // of an answer without a send
+	Why     string               `json:"why"` // reason of an answer without a send
 
-	from string // the scheduler
+	from string // the scheduler, by the name of its log file
 }
 
-// Trace counts across the logs of a folder, a file for each scheduler, in spans of a length. A line may have a time of the
-// one who collected it in front; what is no such JSON is passed over, and counted.
+// Trace reads the logs of a folder, one file per scheduler, and counts over all of them in spans of the given length. A line
+// may begin with a timestamp of the log collector. Lines without valid JSON are skipped, and skipped is their number.
 func Trace(folder string, span time.Duration) (spans []*Span, skipped int, err error) {
 	files, err := filepath.Glob(filepath.Join(folder, "*.log"))
 	if err != nil {
 		return nil, 0, fmt.Errorf("%s: %w", folder, err)
 	}
 	if len(files) == 0 {
-		return nil, 0, fmt.Errorf("%s: no logs there", folder)
+		return nil, 0, fmt.Errorf("%s: no *.log files in this folder", folder)
 	}
-	var lines []traced
+	var lines []logLine
 	for _, name := range files {
 		f, err := os.Open(name)
 		if err != nil {
@@ -77,7 +77,7 @@
 		in.Buffer(nil, 8<<20)
 		for in.Scan() {
 			_, object, found := bytes.Cut(in.Bytes(), []byte("{"))
-			l := traced{from: strings.TrimSuffix(filepath.Base(name), ".log")}
+			l := logLine{from: strings.TrimSuffix(filepath.Base(name), ".log")}
 			if !found || json.Unmarshal(append([]byte("{"), object...), &l) != nil || l.Time.IsZero() {
 				skipped++
 				continue
@@ -93,29 +93,30 @@
 	return tally(lines, span), skipped, nil
 }
 
-// jobKey is a job of one scheduler.
+// jobKey identifies a job: each scheduler numbers its own jobs.
 type jobKey struct {
 	from string
 	job  int
 }
 
-// serverKey is a server as one scheduler knows it.
+// serverKey identifies a server in the list of one scheduler.
 type serverKey struct{ from, server string }
 
-// tallier counts the lines of all schedulers, in the order of their times.
+// tallier counts the log lines of all schedulers in chronological order.
 type tallier struct {
-	length   time.Duration // of a span
-	spans    []*Span
-	drainsAt map[serverKey]time.Time    // when a scheduler heard that a server drains
-	recent   map[string][]time.Duration // sends to each cold server within ColdSpan
-	sent     map[jobKey]bool
-	left     map[jobKey]time.Time // when the client of a job left that was not sent yet
+	length          time.Duration // of a span
+	spans           []*Span
+	drainingSince   map[serverKey]time.Time    // when a scheduler was notified that a server leaves
+	recentColdSends map[string][]time.Duration // times of the sends to each cold server within ColdSpan
+	sent            map[jobKey]bool
+	clientLeftAt    map[jobKey]time.Time // when a job's client left before the job was sent
 }
 
-func tally(lines []traced, span time.Duration) []*Span {
-	slices.SortStableFunc(lines, func(a, b traced) int { return a.Time.Compare(b.Time) })
-	t := &tallier{length: span, drainsAt: make(map[serverKey]time.Time), recent: make(map[string][]time.Duration),
-		sent: make(map[jobKey]bool), left: make(map[jobKey]time.Time)}
+// tally sorts the lines by time and counts them in spans.
+func tally(lines []logLine, span time.Duration) []*Span {
+	slices.SortStableFunc(lines, func(a, b logLine) int { return a.Time.Compare(b.Time) })
+	t := &tallier{length: span, drainingSince: make(map[serverKey]time.Time), recentColdSends: make(map[string][]time.Duration),
+		sent: make(map[jobKey]bool), clientLeftAt: make(map[jobKey]time.Time)}
 	for i := range lines {
 		t.add(&lines[i], lines[i].Time.Sub(lines[0].Time))
 	}
@@ -125,7 +126,7 @@
 	return t.spans
 }
 
-// spanAt is the span that a time falls into.
+// spanAt returns the span at a time after the first line, and appends spans up to it.
 func (t *tallier) spanAt(after time.Duration) *Span {
 	for time.Duration(len(t.spans))*t.length <= after {
 		t.spans = append(t.spans, &Span{From: time.Duration(len(t.spans)) * t.length, Outcomes: make(map[ravendale.Outcome]int),
@@ -134,26 +135,26 @@
 	return t.spans[len(t.spans)-1]
 }
 
-// add counts a line that was written so long after the first.
-func (t *tallier) add(l *traced, after time.Duration) {
+// add counts a line; after is its time since the first line.
+func (t *tallier) add(l *logLine, after time.Duration) {
 	s := t.spanAt(after)
 	switch l.Msg {
 	case "send":
 		t.addSend(s, l, after)
 	case "sent":
 		r := jobKey{l.from, l.Job}
-		if at, has := t.left[r]; has && l.Time.Sub(at) > LeftSlack {
+		if at, has := t.clientLeftAt[r]; has && l.Time.Sub(at) > LeftSlack {
 			s.SentAfterLeft++
 		}
 		t.sent[r] = true
 	case "left":
 		if r := (jobKey{l.from, l.Job}); !t.sent[r] {
 			s.LeftWaiting++
-			t.left[r] = l.Time
+			t.clientLeftAt[r] = l.Time
 		}
 	case "end":
 		s.Outcomes[l.Outcome]++
-	case "refused": // by a frontend, before the module saw it
+	case "refused": // by a frontend, before the job reached the scheduling module
 		s.Refused++
 		s.Unsent[l.Why]++
 	case "answer":
@@ -165,15 +166,15 @@
 	case "watch ended":
 		s.ListCallsFailed++
 	case "leaves":
-		t.drainsAt[serverKey{l.from, l.Server}] = l.Time
-	case "joins": // again, under the same name
-		delete(t.drainsAt, serverKey{l.from, l.Server})
+		t.drainingSince[serverKey{l.from, l.Server}] = l.Time
+	case "joins": // a server with this name is listed again
+		delete(t.drainingSince, serverKey{l.from, l.Server})
 	case "serving":
-		t.forget(l.from)
+		t.resetScheduler(l.from)
 	}
 }
 
-func (t *tallier) addSend(s *Span, l *traced, after time.Duration) {
+func (t *tallier) addSend(s *Span, l *logLine, after time.Duration) {
 	s.Sends++
 	if l.Attempt == 0 {
 		s.Jobs++
@@ -181,20 +182,20 @@
 	}
 	if l.Cold {
 		s.ToCold++
-		at := append(t.recent[l.Server], after)
+		at := append(t.recentColdSends[l.Server], after)
 		for after-at[0] > ColdSpan {
 			at = at[1:]
 		}
-		t.recent[l.Server] = at
+		t.recentColdSends[l.Server] = at
 		s.MostToOneCold = max(s.MostToOneCold, len(at))
 	}
-	if at, drains := t.drainsAt[serverKey{l.from, l.Server}]; drains {
+	if at, drains := t.drainingSince[serverKey{l.from, l.Server}]; drains {
 		s.LateSends++
 		s.LatestSend = max(s.LatestSend, l.Time.Sub(at))
 	}
 }
 
-func (s *Span) addAnswer(l *traced) {
+func (s *Span) addAnswer(l *logLine) {
 	if l.Why != "" {
 		s.Unsent[l.Why]++
 	}
@@ -208,15 +209,16 @@
 	}
 }
 
-// forget drops what is known of a scheduler that has started again: it has no list from before, and numbers its jobs anew.
-func (t *tallier) forget(from string) {
-	maps.DeleteFunc(t.drainsAt, func(k serverKey, _ time.Time) bool { return k.from == from })
+// resetScheduler drops the state of a scheduler that has restarted: it has lost its list, and numbers its jobs
+// from the start.
+func (t *tallier) resetScheduler(from string) {
+	maps.DeleteFunc(t.drainingSince, func(k serverKey, _ time.Time) bool { return k.from == from })
 	maps.DeleteFunc(t.sent, func(k jobKey, _ bool) bool { return k.from == from })
-	maps.DeleteFunc(t.left, func(k jobKey, _ time.Time) bool { return k.from == from })
+	maps.DeleteFunc(t.clientLeftAt, func(k jobKey, _ time.Time) bool { return k.from == from })
 }
 
-// whys is a count by reason in one field: "no_start=3,no_time=9", or "-".
-func whys(counts map[string]int) string {
+// formatCounts formats counts by reason as one field, such as "no_start=3,no_time=9", or "-" if there are none.
+func formatCounts(counts map[string]int) string {
 	var pairs []string
 	for _, why := range slices.Sorted(maps.Keys(counts)) {
 		pairs = append(pairs, fmt.Sprintf("%s=%d", why, counts[why]))
@@ -229,14 +231,14 @@
 
 // WriteTrace writes the spans as a table.
 func WriteTrace(to io.Writer, spans []*Span, span time.Duration) error {
-	w := tabwriter.NewWriter(to, 0, 0, 2, ' ', tabwriter.AlignRight) // Flush tells of what it met before
+	w := tabwriter.NewWriter(to, 0, 0, 2, ' ', tabwriter.AlignRight) // Flush returns errors of earlier writes
 	_, _ = fmt.Fprintln(w, "from\tjobs/s\topen\tsends/job\tdials/job\tserved\trefused\tfailed\tcancelled\tfull\tno conn\terrors\tto cold\tmost/2 s\tlist calls\tfailed\tafter told\tlatest\tleft waiting\tsent on\tunsent by why\t")
 	for _, s := range spans {
 		jobs := max(float64(s.Jobs), 1)
 		_, _ = fmt.Fprintf(w, "%v\t%.0f\t%.1f\t%.2f\t%.2f\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%v\t%d\t%d\t%s\t\n", s.From, float64(s.Jobs)/span.Seconds(), s.Open,
 			float64(s.Sends)/jobs, float64(s.Dials)/jobs, s.Served, s.Refused, s.Failed, s.Outcomes[ravendale.Cancelled], s.Outcomes[ravendale.Overloaded],
 			s.Outcomes[ravendale.ConnectFailed], s.Outcomes[ravendale.Error]+s.Outcomes[ravendale.Reset], s.ToCold, s.MostToOneCold,
-			s.ListCalls, s.ListCallsFailed, s.LateSends, s.LatestSend.Round(time.Millisecond), s.LeftWaiting, s.SentAfterLeft, whys(s.Unsent))
+			s.ListCalls, s.ListCallsFailed, s.LateSends, s.LatestSend.Round(time.Millisecond), s.LeftWaiting, s.SentAfterLeft, formatCounts(s.Unsent))
 	}
 	return w.Flush()
 }
--- a/test/lab/trace_test.go
+++ b/test/lab/trace_test.go
@@ -12,8 +12,8 @@
 	"ravendale"
 )
 
-// What only the sum over schedulers shows: sends to one cold server, also across two spans, and sends to a server that leaves, after
-// that was listed to the very scheduler that sends, unless it came back.
+// Sends to one cold server are counted over all schedulers, also across two spans. A send to a leaving server is late only if
+// the scheduler that sends had been listed the leave, and the server had not joined again.
 func TestTraceCountsAcrossSchedulers(t *testing.T) {
 	dir := t.TempDir()
 	for name, lines := range map[string][]string{
@@ -42,7 +42,7 @@
 	if diff := cmp.Diff(want, spans); diff != "" || skipped != 1 || err != nil {
 		t.Errorf("%d lines skipped, %v\n%s", skipped, err, diff)
 	}
-	if _, _, err := Trace(t.TempDir(), time.Second); err == nil || !strings.Contains(err.Error(), "no logs there") {
-		t.Errorf("an empty folder: %v", err)
+	if _, _, err := Trace(t.TempDir(), time.Second); err == nil || !strings.Contains(err.Error(), "no *.log files in this folder") {
+		t.Errorf("Trace of an empty folder: %v", err)
 	}
 }
--- a/test/lab/usage.go
+++ b/test/lab/usage.go
@@ -9,21 +9,21 @@
 	"time"
 )
 
-// used is what a process has used of the machine so far.
-type used struct {
+// processUsage is the processor time and the peak memory that a process has used so far.
+type processUsage struct {
 	user, system time.Duration
-	peakKB       int
+	peakKB       int // peak resident memory
 }
 
-// usage reads it from /proc, whose clock ticks are 10 ms.
-func usage(pid int) (u used, err error) {
+// readUsage reads a process's usage from /proc, whose clock ticks are 10 ms.
+func readUsage(pid int) (u processUsage, err error) {
 	stat, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
 		return u, err
 	}
 	fields := strings.Fields(string(stat[bytes.LastIndexByte(stat, ')')+1:]))
 	if len(fields) < 13 || fields[0] == "Z" {
-		return u, fmt.Errorf("process %d has ended", pid)
+		return u, fmt.Errorf("process %d has exited", pid)
 	}
 	for i, d := range []*time.Duration{&u.user, &u.system} {
 		ticks, err := strconv.Atoi(fields[11+i])
--- a/test/lab/whole_test.go
+++ b/test/lab/whole_test.go
@@ -28,8 +28,9 @@
   <variant name="v"/>
 </experiment>`
 
-// free returns a loopback address that nobody listens at. It is none that connections are made from: one of those takes any port.
-func free(t *testing.T) string {
+// freeAddr returns a loopback address on which nothing listens. It avoids 127.0.0.1, the source address of outgoing
+// connections: one of these could take the port.
+func freeAddr(t *testing.T) string {
 	t.Helper()
 	ln, err := net.Listen("tcp", fmt.Sprintf("127.%d.%d.%d:0", 64+rand.IntN(128), rand.IntN(256), 1+rand.IntN(254)))
 	if err != nil {
@@ -39,28 +40,29 @@
 	return ln.Addr().String()
 }
 
-// A whole scheduler on several cores, on real sockets among nodes of which two are drained and begun anew: each request has
-// one answer, its own; nothing unrepeatable runs twice; and the race detector, when it looks on, sees nothing.
-func TestACompleteSchedulerOnSeveralCores(t *testing.T) {
+// A complete scheduler, on one core and on several, serves clients over real sockets while two of its nodes are drained and
+// restarted. Each request must get exactly one answer, its own, and no at-most-once job may run twice. The test also gives
+// the race detector, when enabled, a run with several cores.
+func TestSchedulerWhileNodesRestart(t *testing.T) {
 	for _, cores := range []int{1, 3} {
-		t.Run(fmt.Sprint(cores), func(t *testing.T) { schedulerProcess(t, cores) })
+		t.Run(fmt.Sprint(cores), func(t *testing.T) { testScheduler(t, cores) })
 	}
 }
 
-func schedulerProcess(t *testing.T, cores int) {
+func testScheduler(t *testing.T, cores int) {
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
 	x, err := ParseExperiment("small", []byte(small))
 	if err != nil {
 		t.Fatal(err)
 	}
-	sched, disc := free(t), free(t)
-	specs, hosts, sites, kinds := x.fleet(func(int) string { return free(t) })
+	sched, disc := freeAddr(t), freeAddr(t)
+	specs, hosts, sites, kinds := x.buildFleet(func(int) string { return freeAddr(t) })
 	clock := scheduler.SystemClock()
 	from := clock() + 100*time.Millisecond
 
 	// Discovery.
 	loop := scheduler.NewLoop(clock)
-	engine := nbionet.New(nbionet.Options{Loop: loop, ConnectTimeout: dialWithin, Log: log})
+	engine := nbionet.New(nbionet.Options{Loop: loop, ConnectTimeout: dialTimeout, Log: log})
 	if err := engine.Start(); err != nil {
 		t.Fatal(err)
 	}
@@ -77,13 +79,13 @@
 	defer func() { close(stop); <-finished }()
 
 	// Nodes.
-	spec := FleetSpec{Rules: x.Rules.model(), Nodes: specs, Schedulers: []string{sched}, Unsafe: x.unsafe()}
+	spec := FleetSpec{Rules: x.Rules.emulatorRules(), Nodes: specs, Schedulers: []string{sched}, Unsafe: x.atMostOnceClasses()}
 	for i, at := range []time.Duration{300 * time.Millisecond, 500 * time.Millisecond} {
 		name, at := specs[3*i].Name, from+at
 		spec.Restarts = append(spec.Restarts, Restart{name, at + 200*time.Millisecond})
 		loop.Post(func() {
-			loop.Deadlines.Add(at, func() { listing.set(name, "terminating", 0) })
-			loop.Deadlines.Add(at+220*time.Millisecond, func() { listing.set(name, "in_service", at+200*time.Millisecond) })
+			loop.Deadlines.Add(at, func() { listing.updateNode(name, "terminating", 0) })
+			loop.Deadlines.Add(at+220*time.Millisecond, func() { listing.updateNode(name, "in_service", at+200*time.Millisecond) })
 		})
 	}
 	ready, fleetStop, fleetReport := make(chan struct{}), make(chan struct{}), make(chan FleetReport, 1)
@@ -97,7 +99,7 @@
 	select {
 	case <-ready:
 	case <-fleetReport:
-		t.FailNow() // it could not start
+		t.FailNow() // ServeFleet failed before the nodes listened
 	}
 
 	// The scheduler.
@@ -116,8 +118,8 @@
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	removed := make(chan error, 1)
-	go func() { removed <- n.Run(ctx) }()
+	schedulerDone := make(chan error, 1)
+	go func() { schedulerDone <- n.Run(ctx) }()
 	r := &Runner{}
 	if err := r.awaitReady(loop, engine, sched); err != nil {
 		t.Fatal(err)
@@ -129,36 +131,36 @@
 		t.Fatal(err)
 	}
 	cancel()
-	if err := <-removed; err != nil {
+	if err := <-schedulerDone; err != nil {
 		t.Error(err)
 	}
 	close(fleetStop)
 	fleet := <-fleetReport
 	if load.Served == 0 || load.Wrong+load.Extra+load.Unanswered+load.Broken > 0 || fleet.Duplicates+fleet.Unknown > 0 || len(fleet.Restarted) != 2 {
-		t.Errorf("clients saw %+v; nodes saw %+v", load, fleet)
+		t.Errorf("client report %+v; fleet report %+v", load, fleet)
 	}
 	if got := load.Served + load.Refused + load.Failed; got != load.Asked {
-		t.Errorf("%d of %d were answered", got, load.Asked)
+		t.Errorf("%d of %d requests were answered", got, load.Asked)
 	}
 }
 
-// A fleet that can't listen ends with the address's error, and leaves no node behind that listens.
-func TestAFleetWhoseAddressIsTakenDoesNotStart(t *testing.T) {
+// A fleet whose last address is in use does not start: the error names the address, and no node keeps listening.
+func TestServeFleetAddressInUse(t *testing.T) {
 	x, err := ParseExperiment("small", []byte(small))
 	if err != nil {
 		t.Fatal(err)
 	}
-	specs, _, _, _ := x.fleet(func(int) string { return free(t) })
+	specs, _, _, _ := x.buildFleet(func(int) string { return freeAddr(t) })
 	last := specs[len(specs)-1].Listen[0]
 	taken, err := net.Listen("tcp", last)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer func() { _ = taken.Close() }()
-	spec := FleetSpec{Rules: x.Rules.model(), Nodes: specs, Schedulers: []string{free(t)}}
-	_, err = ServeFleet(spec, slog.New(slog.NewTextHandler(io.Discard, nil)), func() { t.Error("it says that it is ready") }, nil)
+	spec := FleetSpec{Rules: x.Rules.emulatorRules(), Nodes: specs, Schedulers: []string{freeAddr(t)}}
+	_, err = ServeFleet(spec, slog.New(slog.NewTextHandler(io.Discard, nil)), func() { t.Error("ServeFleet reported that it is ready") }, nil)
 	if err == nil || !strings.Contains(err.Error(), last) {
-		t.Fatalf("it ends with %v", err)
+		t.Fatalf("ServeFleet returned %v, not an error that names the address", err)
 	}
 	again, err := net.Listen("tcp", specs[0].Listen[0])
 	if err != nil {
