--- a/test/lab/fleetplays.go
+++ b/test/lab/fleetplays.go
@@ -38,7 +38,7 @@
 	Trust     time.Duration `xml:"trust,attr" required:"true"`
 }
 
-// Faults is a series of runs with random faults (fleettest.Random), one per seed.
+// Faults is a series of runs with random faults (fleettest.RandomScript), one per seed.
 type Faults struct {
 	Members int `xml:"members,attr" required:"true"`
 	Seeds   int `xml:"seeds,attr" required:"true"` // number of seeds
--- a/test/simulation/machine_test.go
+++ b/test/simulation/machine_test.go
@@ -225,7 +225,7 @@
 	waiter      *task
 }
 
-// Give implements host.Signal.
+// Notify implements host.Signal.
 func (s *signal) Notify() {
 	s.given = true
 	if s.waiter != nil {
--- a/test/simulation/network_test.go
+++ b/test/simulation/network_test.go
@@ -241,7 +241,7 @@
 	return k.end.conn
 }
 
-// Hurry implements host.Link.
+// ReconnectNow implements host.Link.
 func (k *link) ReconnectNow() {
 	if k.end == nil && !k.closed {
 		k.retry = firstRetry
