--- a/test/systemtest/upgrade_test.go
+++ b/test/systemtest/upgrade_test.go
@@ -17,20 +17,32 @@
 // upgradeAccepted is the share of the messages that must be accepted while every process is restarted once.
 const upgradeAccepted = 0.95
 
-// All processes are replaced one by one, under load, by those of this version, and by those of the version before again: nothing is lost, each rule
-// is kept, and the configuration stays and can be changed while both versions run. Without another version's programs the test upgrades to
-// the same version.
+// upgradeSteps is the order in which the roles of a system are upgraded.
+type upgradeSteps []func(r *rig, programs string)
+
+// TestUpgradeProcessByProcessAndBack replaces all processes one by one, under load, by those of this version, and by those of the other version
+// again. No message may be lost, each rule must be kept, and the configuration must persist and accept changes while both versions run.
+// Without another version's programs the test upgrades to the same version.
 func TestUpgradeProcessByProcessAndBack(t *testing.T) {
+	for name, steps := range map[string]upgradeSteps{
+		"stores first":   {(*rig).upgradeEdges, (*rig).upgradeStores, (*rig).upgradeControls}, // the order of docs/operations.md
+		"controls first": {(*rig).upgradeControls, (*rig).upgradeStores, (*rig).upgradeEdges},
+	} {
+		t.Run(name, func(t *testing.T) { testUpgrade(t, steps) })
+	}
+}
+
+func testUpgrade(t *testing.T, steps upgradeSteps) {
 	other := *otherPrograms
 	if other == "" {
 		other = programs
 	}
 	r := startWith(t, func(spec *cluster.Spec) { spec.Programs = other })
 	stopLoad := r.loadUntilStopped()
-	r.upgradeAll(programs)
+	r.upgradeAll(programs, steps)
 	r.verifyUpgrade("all processes run this version")
 	if other != programs {
-		r.upgradeAll(other)
+		r.upgradeAll(other, steps)
 		r.verifyUpgrade("all processes run the other version again")
 	}
 	stopLoad()
@@ -45,20 +57,34 @@
 	r.t.Logf("%s, and version %d of the configuration is in force", stage, r.config.Version)
 }
 
-// upgradeAll restarts each process from a folder of programs, in the order of docs/operations.md: edges, stores, control processes, the
-// leader's last. The configuration is changed in between.
-func (r *rig) upgradeAll(programs string) {
+// upgradeAll restarts each process from a folder of programs, and changes the configuration after each step.
+func (r *rig) upgradeAll(programs string, steps upgradeSteps) {
+	r.t.Helper()
+	for i, upgradeRole := range steps {
+		upgradeRole(r, programs)
+		ordersAreTaken(r, 800+i, nil)
+	}
+}
+
+func (r *rig) upgradeEdges(programs string) {
 	r.t.Helper()
 	for i, edge := range r.system.Edges {
 		r.upgrade(edge, programs)
 		r.awaitEdge(i)
 	}
-	ordersAreTaken(r, 800, nil)
+}
+
+func (r *rig) upgradeStores(programs string) {
+	r.t.Helper()
 	for _, store := range r.system.Stores {
 		r.upgrade(store, programs)
 		r.awaitComplete()
 	}
-	ordersAreTaken(r, 900, nil)
+}
+
+// upgradeControls restarts the control processes, the leader's last.
+func (r *rig) upgradeControls(programs string) {
+	r.t.Helper()
 	leader := r.awaitLeader()
 	for i := range r.system.Controls {
 		r.upgrade(r.system.Controls[(leader+1+i)%len(r.system.Controls)], programs)
